--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,71 @@
+// Package golden compares what a test produced with a file recorded by an earlier version of the code. A golden file
+// states what must not change; it is recorded once and never written again.
+package golden
+
+import (
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// recordVariable names the environment variable that lets Check create golden files that do not exist yet.
+const recordVariable = "RECORD_GOLDEN"
+
+// Check fails the test unless got equals the file testdata/golden/name of the package under test, byte for byte. With
+// RECORD_GOLDEN=1 a file that does not exist yet is created from got; an existing file is never overwritten.
+func Check(t testing.TB, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(recordVariable) == "1" {
+		record(t, path, got)
+		return
+	}
+	if err != nil {
+		t.Fatalf("read golden file: %v", err)
+	}
+	if string(want) != string(got) {
+		t.Fatalf("%s differs from what was recorded:\n--- recorded\n%s\n--- now\n%s", path, want, got)
+	}
+}
+
+func record(t testing.TB, path string, content []byte) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatalf("create the folder of golden files: %v", err)
+	}
+	if err := os.WriteFile(path, content, 0o644); err != nil {
+		t.Fatalf("record golden file: %v", err)
+	}
+}
+
+// History is a running hash (FNV-1a, 64 bits) of everything that was added to it, in order. The zero value is not
+// usable; NewHistory makes one.
+type History struct {
+	sum interface {
+		Write(p []byte) (int, error)
+		Sum64() uint64
+	}
+	events int
+}
+
+// NewHistory returns an empty history.
+func NewHistory() *History { return &History{sum: fnv.New64a()} }
+
+// Add appends one event, its values printed with %v and separated by a byte that no value contains.
+func (h *History) Add(values ...any) {
+	h.events++
+	for _, value := range values {
+		_, _ = fmt.Fprintf(h.sum, "%v\x1f", value) // a hash never fails to take bytes
+	}
+	_, _ = h.sum.Write([]byte{'\n'})
+}
+
+// String gives the number of events and their hash.
+func (h *History) String() string {
+	return fmt.Sprintf("events=%d hash=%016x", h.events, h.sum.Sum64())
+}
