--- a/members/scenario_test.go
+++ b/members/scenario_test.go
@@ -19,22 +19,28 @@
 	require.NotEmpty(t, files)
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
-			in, err := os.Open(file)
-			require.NoError(t, err)
-			defer in.Close()
-			p := &player{Assertions: require.New(t), seqs: map[ID]uint64{}}
-			lines := bufio.NewScanner(in)
-			for n := 1; lines.Scan(); n++ {
-				text, _, _ := strings.Cut(lines.Text(), "#")
-				if fields := strings.Fields(text); len(fields) > 0 {
-					p.where = fmt.Sprintf("%s:%d: %s", file, n, text)
-					p.play(fields[0], fields[1:])
-				}
-			}
+			playScenario(t, file, func(*player) {})
 		})
 	}
 }
 
+// playScenario plays a scenario file and calls done after each line.
+func playScenario(t *testing.T, file string, done func(*player)) {
+	in, err := os.Open(file)
+	require.NoError(t, err)
+	defer in.Close()
+	p := &player{Assertions: require.New(t), seqs: map[ID]uint64{}}
+	lines := bufio.NewScanner(in)
+	for n := 1; lines.Scan(); n++ {
+		text, _, _ := strings.Cut(lines.Text(), "#")
+		if fields := strings.Fields(text); len(fields) > 0 {
+			p.where = fmt.Sprintf("%s:%d: %s", file, n, text)
+			p.play(fields[0], fields[1:])
+			done(p)
+		}
+	}
+}
+
 type player struct {
 	*require.Assertions
 	view   *View
--- a/members/schedule_test.go
+++ b/members/schedule_test.go
@@ -7,6 +7,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // world is a network of views and accords in virtual time: words and notes are lost, late, doubled and out of order, links
@@ -23,6 +25,8 @@
 	both   int
 	wholes int
 	looks  int
+
+	history *golden.History // of all that leaves the nodes; nil where none is kept
 }
 
 type packet struct {
@@ -147,9 +151,16 @@
 				n.lost[m.ID] = true
 			}
 		}
-		n.accord.Tick()
+		w.tick(n)
 		n.view.Judge(n.accord.Standing())
+		if w.history != nil {
+			w.history.Add(i, wire(word))
+			addState(w.history, n.view, n.accord)
+		}
 		for _, note := range n.accord.Out() {
+			if w.history != nil {
+				w.history.Add(wire(note))
+			}
 			if j, is := w.index(note.To); is {
 				w.send(i, j, packet{note: &note})
 			}
@@ -174,6 +185,14 @@
 	}
 }
 
+func (w *world) tick(n *node) {
+	if w.history != nil {
+		tickInOrder(n.view, n.accord)
+		return
+	}
+	n.accord.Tick()
+}
+
 func (w *world) rounds(span Moment) {
 	for end := w.now + span; w.now < end; {
 		w.round()
@@ -221,6 +240,18 @@
 	}
 }
 
+// play puts the world through trouble, then lets it heal.
+func (w *world) play() {
+	w.rounds(10 * Second)
+	for range 12 {
+		w.trouble()
+		w.rounds(Moment(200 + w.chance.Intn(6000)))
+	}
+	clear(w.cut)
+	w.loss = 0
+	w.rounds(30 * Second)
+}
+
 // No two fleets are ever in force at once, whatever happens to the network and the processes; and where things are well
 // again, one is.
 func TestNeverTwoWholes(t *testing.T) {
@@ -231,14 +262,7 @@
 	both, wholes, looks, healed, changes := 0, 0, 0, 0, 0
 	for seed := range seeds {
 		w := newWorld(int64(seed), 3+seed%7)
-		w.rounds(10 * Second)
-		for range 12 {
-			w.trouble()
-			w.rounds(Moment(200 + w.chance.Intn(6000)))
-		}
-		clear(w.cut)
-		w.loss = 0
-		w.rounds(30 * Second)
+		w.play()
 		for _, n := range w.nodes {
 			if !n.down && n.accord.Standing() == Whole {
 				healed++
