--- a/members/members.go
+++ b/members/members.go
@@ -188,7 +188,15 @@
 }
 
 // Counts are what was turned away, from the start.
-type Counts struct{ Insane, Old, Foreign, Unknown, Full, FalseAlarms, NameTaken int }
+type Counts struct {
+	Insane      int `json:"Insane"`
+	Old         int `json:"Old"`
+	Foreign     int `json:"Foreign"`
+	Unknown     int `json:"Unknown"`
+	Full        int `json:"Full"`
+	FalseAlarms int `json:"FalseAlarms"`
+	NameTaken   int `json:"NameTaken"`
+}
 
 // Event is one change of state, for the log.
 type Event struct {
