--- a/keepers/schedule_test.go
+++ b/keepers/schedule_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/agreement"
+	"thistlequay/internal/golden"
 	"thistlequay/shares"
 )
 
@@ -41,7 +42,53 @@
 	granted int
 	leaders map[uint64]bool
 	turns   int
-	busy    time.Duration // that the leader's core took
+	busy    time.Duration   // that the leader's core took
+	history *golden.History // nil: nothing is recorded
+}
+
+// What a record of the history is about; the numbers are part of the golden files.
+const (
+	eventSave = iota + 1
+	eventLetter
+	eventReply
+	eventServer
+	eventRound
+)
+
+func (w *world) record(values ...any) {
+	if w.history != nil {
+		w.history.Add(values...)
+	}
+}
+
+// recordOutput records all that a core gives, byte for byte.
+func (w *world) recordOutput(i int, o *Output) {
+	if w.history == nil {
+		return
+	}
+	at := o.Save.Snapshot.Metadata
+	w.record(eventSave, i, o.Begin, o.Save.Hard.Term, o.Save.Hard.Vote, o.Save.Hard.Commit, at.Index, at.Term, at.ConfState.Voters, string(o.Save.Snapshot.Data))
+	for _, e := range o.Save.Entries {
+		w.record(eventSave, e.Index, e.Term, int(e.Type), string(e.Data))
+	}
+	for _, l := range o.Letters {
+		w.record(eventLetter, i, l.To, string(l.Text))
+	}
+	for _, r := range o.Replies {
+		w.record(eventReply, i, r.To, r.Granted, r.Leader)
+		for _, a := range r.Answers.Of {
+			w.record(eventReply, int64(a.Asked), a.Serial, a.Amount, int64(a.Length), a.Log)
+		}
+	}
+}
+
+// recordServer records where a server stands at the end of its part of a round.
+func (w *world) recordServer(i int, s *server, usable shares.Amount) {
+	if w.history == nil {
+		return
+	}
+	id := s.core.Identity()
+	w.record(eventServer, i, usable, len(s.parts), s.core.Leads(), s.core.Whole(), s.core.Leader(), id.Log, id.Voter, s.core.Voters(), s.core.Stuck(), s.core.Agreed, s.core.Lost)
 }
 
 type server struct {
@@ -268,6 +315,7 @@
 		inHand = shares.Amount(len(s.parts)) * shares.Unit
 		w.used += inHand
 		sum += max(inHand, s.holder.Usable(now))
+		w.recordServer(i, s, s.holder.Usable(now))
 		if s.core.Leads() && s.core.Whole() && (lead == nil || s.core.term > lead.term) {
 			lead = s.core
 			if !w.leaders[s.life<<20|s.core.term] {
@@ -279,6 +327,7 @@
 	if lead != nil && lead.Book().Opened() {
 		w.force = lead.Book().Keepers()[0].Whole()
 	}
+	w.record(eventRound, int64(w.now), w.force, sum)
 	w.wholes += w.limit.Whole
 	w.looks++
 	if sum > w.force {
@@ -308,6 +357,7 @@
 		if !more {
 			return
 		}
+		w.recordOutput(i, &o)
 		if !w.save(s, &o) {
 			s.core.Forget()
 			s.saved = nil
@@ -451,6 +501,31 @@
 	}
 }
 
+// playSchedule plays the faults that a seed draws, mends everything and plays on; it records what happens where a history is given.
+func playSchedule(t *testing.T, seed int, history *golden.History) *world {
+	t.Helper()
+	w := newWorld(int64(seed), 3+seed%6, seed%2 == 1)
+	w.history = history
+	w.rounds(12000)
+	for range 12 {
+		w.trouble()
+		w.rounds(shares.Moment(200 + w.chance.Intn(5000)))
+		require.Zero(t, w.over, "seed %d at %d", seed, w.now)
+	}
+	clear(w.cut)
+	w.loss = 0
+	w.mend()
+	for _, s := range w.servers {
+		s.stopped, s.load = 0, 20*shares.Unit
+		s.wholes, s.revision = w.limit.Whole, uint64(w.now)
+	}
+	w.rounds(25000)
+	w.used, w.wholes = 0, 0
+	w.rounds(5000)
+	require.Zero(t, w.over, "seed %d at the end", seed)
+	return w
+}
+
 // The sum of what is usable and in hand never exceeds the whole that is in force, at every instant of true time, whatever
 // happens to keepers, holders and the network; and where things are well again, most of the whole is in use again.
 func TestNeverOverTheWholeWithKeepers(t *testing.T) {
@@ -460,24 +535,7 @@
 	}
 	looks, turns, granted, healed := 0, 0, 0, 0
 	for seed := range seeds {
-		w := newWorld(int64(seed), 3+seed%6, seed%2 == 1)
-		w.rounds(12000)
-		for range 12 {
-			w.trouble()
-			w.rounds(shares.Moment(200 + w.chance.Intn(5000)))
-			require.Zero(t, w.over, "seed %d at %d", seed, w.now)
-		}
-		clear(w.cut)
-		w.loss = 0
-		w.mend()
-		for _, s := range w.servers {
-			s.stopped, s.load = 0, 20*shares.Unit
-			s.wholes, s.revision = w.limit.Whole, uint64(w.now)
-		}
-		w.rounds(25000)
-		w.used, w.wholes = 0, 0
-		w.rounds(5000)
-		require.Zero(t, w.over, "seed %d at the end", seed)
+		w := playSchedule(t, seed, nil)
 		if 10*w.used > 7*w.wholes {
 			healed++
 		}
--- a/shares/schedule_test.go
+++ b/shares/schedule_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // world is keepers and holders in virtual time: one log, keepers that are elected and deposed with what they have under way lost,
@@ -25,10 +27,26 @@
 	force   Amount // the whole as the last keeper that was elected had it
 	used    Amount
 	wholes  Amount
+	history *golden.History // nil: nothing is recorded
+}
+
+// What a record of the history is about; the numbers are part of the golden files.
+const (
+	eventRequest = iota + 1
+	eventAnswer
+	eventEntry
+	eventHolder
+	eventRound
+)
+
+func (w *world) record(values ...any) {
+	if w.history != nil {
+		w.history.Add(values...)
+	}
 }
 
 type player struct {
-	*Holder
+	holder  *Holder
 	rate    float64
 	offset  Moment
 	stopped Moment
@@ -66,7 +84,7 @@
 
 func (w *world) birth(i int) {
 	p := w.holders[i]
-	p.Holder, p.gone, p.parts, p.stopped = NewHolder(string(rune('A'+i)), w.terms, true, 0), false, nil, 0
+	p.holder, p.gone, p.parts, p.stopped = NewHolder(string(rune('A'+i)), w.terms, true, 0), false, nil, 0
 }
 
 func (w *world) elect(i int) {
@@ -86,6 +104,12 @@
 }
 
 func (w *world) post(m letter) {
+	if r := m.request; r != nil {
+		w.record(eventRequest, m.holder, r.Server, int64(r.Asked), r.Holds, r.Wants, r.Needs, r.Log)
+	}
+	if a := m.answer; a != nil {
+		w.record(eventAnswer, m.holder, int64(a.Asked), a.Serial, a.Amount, int64(a.Length), a.Log)
+	}
 	for range 1 + w.chance.Intn(10)/9 {
 		if w.chance.Intn(8) > 0 {
 			m.at = w.now + Moment(1+w.chance.Intn(300))
@@ -107,13 +131,14 @@
 			if a, granted := w.keepers[w.leader].Ask(*m.request, w.keeperClock(w.leader)); granted {
 				w.post(letter{holder: m.holder, of: m.of, answer: &a})
 			}
-		case m.answer != nil && m.of == p.Holder && !p.gone:
-			p.Answered(*m.answer, w.clock(p))
+		case m.answer != nil && m.of == p.holder && !p.gone:
+			p.holder.Answered(*m.answer, w.clock(p))
 		}
 	}
 	w.mail = append(w.mail, later...)
 	if w.leader >= 0 {
 		for _, e := range w.keepers[w.leader].Decide(w.keeperClock(w.leader)) {
+			w.record(eventEntry, e.Server, e.Serial, e.Amount, e.Whole, e.Over, e.Limit)
 			w.log = append(w.log, e) // agreed on; others apply it when they come to it
 		}
 		w.catchUp(w.leader)
@@ -125,7 +150,7 @@
 			if end > w.now {
 				live = append(live, end)
 			} else if !p.gone {
-				p.End(Unit)
+				p.holder.End(Unit)
 			}
 		}
 		p.parts = live
@@ -134,17 +159,19 @@
 			sum += max(inHand, w.terms.Floor)
 			continue
 		}
-		for p.load > Amount(len(p.parts))*Unit && p.Begin(Unit, w.clock(p)) {
+		for p.load > Amount(len(p.parts))*Unit && p.holder.Begin(Unit, w.clock(p)) {
 			p.parts = append(p.parts, w.now+Moment(50+w.chance.Intn(300)))
 		}
-		if r, due := p.Ask(w.clock(p)); due {
-			w.post(letter{holder: i, of: p.Holder, request: &r})
+		if r, due := p.holder.Ask(w.clock(p)); due {
+			w.post(letter{holder: i, of: p.holder, request: &r})
 		}
 		w.used += Amount(len(p.parts)) * Unit
-		sum += max(p.Usable(w.clock(p)), Amount(len(p.parts))*Unit)
+		sum += max(p.holder.Usable(w.clock(p)), Amount(len(p.parts))*Unit)
+		w.record(eventHolder, i, p.holder.Usable(w.clock(p)), len(p.parts))
 	}
 	if w.leader >= 0 {
 		w.force = w.keepers[w.leader].Whole()
+		w.record(eventRound, int64(w.now), w.leader, w.force, w.keepers[w.leader].Out())
 	}
 	w.wholes += w.terms.Whole
 	w.looks++
@@ -188,6 +215,24 @@
 	}
 }
 
+// playSchedule plays the faults that a seed draws, and records what happens where a history is given.
+func playSchedule(t *testing.T, seed int, history *golden.History) *world {
+	t.Helper()
+	w := newWorld(int64(seed), 3+seed%10)
+	w.history = history
+	w.elect(0)
+	for range 25 {
+		w.trouble()
+		w.rounds(Moment(100 + w.chance.Intn(4000)))
+		require.Zero(t, w.over, "seed %d", seed)
+	}
+	w.elect(0) // a lowered whole comes into force, once what was granted before has run out
+	w.rounds(8000)
+	require.Equal(t, w.keepers[0].target, w.keepers[0].Whole(), "seed %d", seed)
+	require.Zero(t, w.over, "seed %d", seed)
+	return w
+}
+
 // The sum of what is usable never exceeds the whole, at every instant of true time.
 func TestNeverOverTheWhole(t *testing.T) {
 	seeds := 250
@@ -196,18 +241,7 @@
 	}
 	looks := 0
 	for seed := range seeds {
-		w := newWorld(int64(seed), 3+seed%10)
-		w.elect(0)
-		for range 25 {
-			w.trouble()
-			w.rounds(Moment(100 + w.chance.Intn(4000)))
-			require.Zero(t, w.over, "seed %d", seed)
-		}
-		w.elect(0) // a lowered whole comes into force, once what was granted before has run out
-		w.rounds(8000)
-		require.Equal(t, w.keepers[0].target, w.keepers[0].Whole(), "seed %d", seed)
-		require.Zero(t, w.over, "seed %d", seed)
-		looks += w.looks
+		looks += playSchedule(t, seed, nil).looks
 	}
 	t.Logf("measured shares-schedules seeds=%d looks=%d over=0", seeds, looks)
 }
