--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -11,6 +11,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // A scenario in testdata is played line by line; README.md there has the notation.
@@ -34,13 +36,15 @@
 	done       []string
 	said       string
 	wakes      []Tenths
+	history    *golden.History
 }
 
 func play(t *testing.T, file string) {
 	f, err := os.Open(file)
 	require.NoError(t, err)
 	defer f.Close()
-	s := &stage{Assertions: require.New(t), items: map[string]*WorkItem{}, names: map[uint64]string{}}
+	s := &stage{Assertions: require.New(t), items: map[string]*WorkItem{}, names: map[uint64]string{},
+		history: golden.NewHistory()}
 	s.deployment = Deployment{Callers: 1, CallsOver: 50000, Cores: 2, Memory: 1e6, RunFactor: 4, EntryKb: 1,
 		Period: 10, Grace: 1000, Crowd: 8, MaxAway: 10000, Tongue: Allowed}
 	open, checked := false, true
@@ -66,9 +70,9 @@
 			s.True(checked, "no => before %s", where)
 			s.now = s.tenths(word[1], where)
 			if s.server == nil {
-				s.server = New(s.deployment, s, s.now)
+				s.server = New(s.deployment, recorder{s, s.history}, s.now)
 			}
-			s.server.At(s.now)
+			s.at()
 			if open, checked = true, false; len(word) > 2 { // the first event may stand on the same line
 				s.step(word[2:], where)
 			}
@@ -81,6 +85,13 @@
 		}
 	}
 	s.True(checked, "%s ends without =>", file)
+	golden.Check(t, "scenario-"+filepath.Base(file), []byte(s.history.String()+"\n"))
+}
+
+// at opens a batch.
+func (s *stage) at() {
+	s.history.Add(int64(s.now))
+	s.server.At(s.now)
 }
 
 func (s *stage) until(end Tenths, f map[string]float64) {
@@ -89,7 +100,7 @@
 	}
 	for len(s.wakes) > 0 && s.wakes[0] <= end {
 		s.now, s.wakes = s.wakes[0], s.wakes[1:]
-		s.server.At(s.now)
+		s.at()
 		s.server.Woken(Gauges{CoreUse: f["use"], OnCores: f["cores"]})
 		s.server.Decide()
 	}
--- a/admission/sum_test.go
+++ b/admission/sum_test.go
@@ -8,6 +8,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // below is one dependency of many servers, in virtual time: it counts what is in its hands.
@@ -19,6 +21,7 @@
 	inHand  int
 	most    int
 	servers []*caged
+	history *golden.History // of what servers tell their hosts; nil where nobody asks
 }
 
 // caged is one server of them. It has always more to call for than it may.
@@ -66,9 +69,13 @@
 func (b *below) add(n, servers int, share float64) {
 	for range n {
 		c := &caged{b: b}
+		host := Host(c)
+		if b.history != nil {
+			host = recorder{c, b.history}
+		}
 		c.s = New(Deployment{Categories: []Category{{Gain: 1, Contract: 30_000, Expiry: 60_000}}, Callers: 3, Servers: servers, Cores: 4,
 			Memory: 1e6, RunFactor: 4, Period: 20, Crowd: 8, SharedBelow: true, CallShare: share, CallsOver: 50_000, Linger: lingers,
-			Spread: b.chance.Float64()}, c, b.now)
+			Spread: b.chance.Float64()}, host, b.now)
 		b.servers = append(b.servers, c)
 	}
 }
@@ -106,6 +113,34 @@
 	}
 }
 
+func newBelow(seed int64) *below {
+	return &below{now: 1 << 44, chance: rand.New(rand.NewSource(seed)), takes: [2]Tenths{200, 40_000}}
+}
+
+// play has what lies below be cold, gone, back again and slow while the fleet may grow to twice its size, and then warm.
+// It gives the most that was in its hands when it was not warm.
+func (b *below) play(servers int, n float64, grows bool) (most int) {
+	start := b.now
+	share := n / float64(servers) // shares are cut for the fleet at its largest
+	if grows {
+		share /= 2
+	}
+	b.add(servers, servers, share)
+	b.to(start + 40_000)
+	b.down = true
+	b.to(start + 60_000)
+	b.down, b.takes = false, [2]Tenths{20_000, 90_000}
+	b.to(start + 90_000)
+	if grows {
+		b.add(servers, 2*servers, share)
+	}
+	b.to(start + 120_000)
+	most, b.most = b.most, 0
+	b.takes = [2]Tenths{100, 600} // it is warm: quick, whatever comes at once
+	b.to(start + 150_000)
+	return most
+}
+
 // Whatever befalls the servers together (all begin at once, what lies below is cold, gone, back again and slow, the fleet
 // grows to twice its size), what all of them have in its hands at any moment stays within N and what is put down to chance.
 func TestMeasuredColdSum(t *testing.T) {
@@ -117,26 +152,8 @@
 		for _, n := range []float64{3, 10, 40, 6 * float64(servers)} {
 			most, warm, well := 0, 0, 0.0
 			for seed := range seeds {
-				b := &below{now: 1 << 44, chance: rand.New(rand.NewSource(int64(seed))), takes: [2]Tenths{200, 40_000}}
-				start := b.now
-				grows := seed%2 == 1 // shares are cut for the fleet at its largest
-				share := n / float64(servers)
-				if grows {
-					share /= 2
-				}
-				b.add(servers, servers, share)
-				b.to(start + 40_000)
-				b.down = true
-				b.to(start + 60_000)
-				b.down, b.takes = false, [2]Tenths{20_000, 90_000}
-				b.to(start + 90_000)
-				if grows {
-					b.add(servers, 2*servers, share)
-				}
-				b.to(start + 120_000)
-				most, b.most = max(most, b.most), 0
-				b.takes = [2]Tenths{100, 600} // it is warm: quick, whatever comes at once
-				b.to(start + 150_000)
+				b := newBelow(int64(seed))
+				most = max(most, b.play(servers, n, seed%2 == 1))
 				warm = max(warm, b.most)
 				for _, c := range b.servers {
 					well += float64(c.s.calls.quick.n)
