--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -369,13 +369,12 @@
 	var lines strings.Builder
 	for seed := range int64(20) {
 		s := &schedule{chance: rand.New(rand.NewSource(seed))}
-		lines.WriteString(storedForm(s.settings()) + "\n")
+		d := s.settings()
+		lines.WriteString(d.StoredForm() + "\n")
 	}
 	golden.Check(t, "settings.txt", []byte(lines.String()))
 }
 
-func storedForm(d Deployment) string { return fmt.Sprintf("%+v", d) }
-
 // The keys under which warm-start figures are stored, and that they are read again.
 func TestStoredFormOfLearntFiguresIsAsRecorded(t *testing.T) {
 	l := Learnt{Pool: 3.5, Runs: [][]float64{{1, 2}, {3}}, Quiet: [][]float64{{4}, {5, 6}}, Quick: []float64{7, 0.25}}
--- a/admission/host.go
+++ b/admission/host.go
@@ -82,9 +82,10 @@
 
 // Learnt is what a server has found out that the next one need not: counts of times, by category and bin, and the pool.
 type Learnt struct {
-	Pool        float64
-	Runs, Quiet [][]float64
-	Quick       []float64 // calls
+	Pool  float64     `json:"Pool"` // stored under these keys
+	Runs  [][]float64 `json:"Runs"`
+	Quiet [][]float64 `json:"Quiet"`
+	Quick []float64   `json:"Quick"` // calls
 }
 
 // Arrival is what a work item says of itself when it has been read.
--- a/internal/appserver/lasting.go
+++ b/internal/appserver/lasting.go
@@ -5,7 +5,6 @@
 import (
 	"crypto/sha256"
 	"encoding/json"
-	"fmt"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -230,5 +229,5 @@
 
 // settings is a hash of what the decisions go by.
 func (k *keeping) settings() uint64 {
-	return xxh3.HashString(fmt.Sprintf("%+v", k.app.place.Terms.Deployment))
+	return xxh3.HashString(k.app.place.Terms.Deployment.StoredForm())
 }
