--- a/hooks/scenario_test.go
+++ b/hooks/scenario_test.go
@@ -11,6 +11,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // A scenario in testdata is played line by line; README.md there has the notation.
@@ -18,12 +20,15 @@
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
+	var histories []byte
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
+		history := golden.NewHistory()
+		name := strings.TrimSuffix(filepath.Base(file), ".txt")
+		t.Run(name, func(t *testing.T) {
 			f, err := os.Open(file)
 			require.NoError(t, err)
 			defer f.Close()
-			s := &scene{Assertions: require.New(t), walks: map[string]*Walk{}}
+			s := &scene{Assertions: require.New(t), walks: map[string]*Walk{}, history: history}
 			in := bufio.NewScanner(f)
 			for n := 1; in.Scan(); n++ {
 				line, _, _ := strings.Cut(in.Text(), "#")
@@ -32,7 +37,9 @@
 				}
 			}
 		})
+		histories = fmt.Appendf(histories, "%s %s\n", name, history)
 	}
+	golden.Check(t, "scenarios.txt", histories)
 }
 
 type scene struct {
@@ -41,6 +48,8 @@
 	chain  *Chain
 	walks  map[string]*Walk
 	now    Tenths
+
+	history *golden.History
 }
 
 const categories = 3
@@ -150,11 +159,13 @@
 			}
 		}
 		f, wrong, off := w.Said(v, Tenths(s.number(word[2], where)*10), s.now)
+		s.history.Add(s.now, int(f), wrong, off)
 		s.outcome(w, f, wrong, off, word[i+1:], where)
 	case "fails": // NAME FAULT TOOK => as above
 		w := s.walks[word[1]]
 		f := faultNames[word[2]]
 		off := w.Failed(f, Tenths(s.number(word[3], where)*10), s.now)
+		s.history.Add(s.now, int(f), off)
 		s.outcome(w, f, false, off, word[5:], where)
 	case "state":
 		s.Equal(strings.Join(word[2:], " "), States[s.plugin(word[1]).State], where)
@@ -190,6 +201,8 @@
 // next goes on with a walk and checks who is asked, for how long, or what came of it.
 func (s *scene) next(w *Walk, want []string, where string) {
 	p, within := w.Next(s.now)
+	addWalk(s.history, w, p, within, s.now)
+	addPlugins(s.history, s.chain)
 	var got []string
 	if p != nil {
 		got = []string{"ask:" + p.Name, fmt.Sprint(float64(within) / 10)}
@@ -212,52 +225,60 @@
 // FuzzWalks: whatever verdicts come, a walk ends, gives nothing that was not granted and stays within its time.
 func FuzzWalks(f *testing.F) {
 	f.Add(int64(1))
-	f.Fuzz(func(t *testing.T, seed int64) {
-		r := rand.New(rand.NewSource(seed))
-		flip := func() bool { return r.Intn(2) == 0 }
-		var grants []Grant
-		for i := range 1 + r.Intn(3) {
-			grants = append(grants, Grant{Name: fmt.Sprint(i), At: [3]bool{flip(), flip(), flip()}, Categories: []bool{flip(), flip(), flip()},
-				To: []bool{flip(), flip(), flip()}, Declines: flip(), Tags: flip(), Rewrites: flip(), Call: 50, Share: r.Float64(), Core: r.Float64(),
-				Otherwise: Otherwise(r.Intn(2)), Alone: flip(), Row: 1 + r.Intn(3), Rate: r.Float64(), Wait: 100, Longest: 1000})
-		}
-		chain := NewChain(grants, nil, func(string) bool { return true }, r, 0)
-		now := Tenths(0)
-		for range 100 {
-			now += Tenths(r.Intn(100))
-			at := Point(r.Intn(2))
-			it := Item{Category: r.Intn(3), Tenant: fmt.Sprint(r.Intn(3)), Left: Tenths(r.Intn(5000)), Fixed: flip()}
-			body := []byte("0123456789"[:r.Intn(10)])
-			w := chain.Begin(at, it, body, now)
-			begun := now
-			granted := Grant{To: make([]bool, 3)}
-			for p, within := w.Next(now); p != nil; p, within = w.Next(now) {
-				require.True(t, within > 0 && within <= p.Call && now+within <= begun+it.Left/2+1)
-				granted.Declines = granted.Declines || p.Declines
-				granted.Tags, granted.Rewrites = granted.Tags || p.Tags, granted.Rewrites || p.Rewrites
-				for i := range p.To {
-					granted.To[i] = granted.To[i] || p.To[i]
-				}
-				took := Tenths(r.Intn(int(within) + 1))
-				now += took
-				if flip() {
-					w.Failed(Fault(r.Intn(len(Words))), took, now)
-				} else {
-					w.Said(Verdict{Decline: flip(), Status: r.Intn(700), Category: r.Intn(6) - 2, HasTag: flip(), Tag: "x", Replace: flip(),
-						Body: []byte("0123456789"[:r.Intn(10)])}, took, now)
-				}
-			}
-			if w.Declined {
-				require.True(t, at == Read && (w.Status == busy || granted.Declines && w.Status >= 400 && w.Status < 500))
+	f.Fuzz(func(t *testing.T, seed int64) { playWalks(t, seed, golden.NewHistory()) })
+}
+
+// playWalks sends a hundred walks with random verdicts through a random chain and adds all that comes of them to history.
+func playWalks(t *testing.T, seed int64, history *golden.History) {
+	r := rand.New(rand.NewSource(seed))
+	flip := func() bool { return r.Intn(2) == 0 }
+	var grants []Grant
+	for i := range 1 + r.Intn(3) {
+		grants = append(grants, Grant{Name: fmt.Sprint(i), At: [3]bool{flip(), flip(), flip()}, Categories: []bool{flip(), flip(), flip()},
+			To: []bool{flip(), flip(), flip()}, Declines: flip(), Tags: flip(), Rewrites: flip(), Call: 50, Share: r.Float64(), Core: r.Float64(),
+			Otherwise: Otherwise(r.Intn(2)), Alone: flip(), Row: 1 + r.Intn(3), Rate: r.Float64(), Wait: 100, Longest: 1000})
+	}
+	chain := NewChain(grants, nil, func(string) bool { return true }, r, 0)
+	now := Tenths(0)
+	for range 100 {
+		now += Tenths(r.Intn(100))
+		at := Point(r.Intn(2))
+		it := Item{Category: r.Intn(3), Tenant: fmt.Sprint(r.Intn(3)), Left: Tenths(r.Intn(5000)), Fixed: flip()}
+		body := []byte("0123456789"[:r.Intn(10)])
+		w := chain.Begin(at, it, body, now)
+		begun := now
+		granted := Grant{To: make([]bool, 3)}
+		for p, within := w.Next(now); p != nil; p, within = w.Next(now) {
+			addWalk(history, w, p, within, now)
+			require.True(t, within > 0 && within <= p.Call && now+within <= begun+it.Left/2+1)
+			granted.Declines = granted.Declines || p.Declines
+			granted.Tags, granted.Rewrites = granted.Tags || p.Tags, granted.Rewrites || p.Rewrites
+			for i := range p.To {
+				granted.To[i] = granted.To[i] || p.To[i]
 			}
-			if w.Category != it.Category {
-				require.True(t, at == Read && !it.Fixed && granted.To[w.Category])
+			took := Tenths(r.Intn(int(within) + 1))
+			now += took
+			if flip() {
+				off := w.Failed(Fault(r.Intn(len(Words))), took, now)
+				history.Add(off)
+			} else {
+				f, wrong, off := w.Said(Verdict{Decline: flip(), Status: r.Intn(700), Category: r.Intn(6) - 2, HasTag: flip(), Tag: "x", Replace: flip(),
+					Body: []byte("0123456789"[:r.Intn(10)])}, took, now)
+				history.Add(int(f), wrong, off)
 			}
-			require.True(t, w.Tag == "" || granted.Tags)
-			require.True(t, !w.Rewrote || at == Result && granted.Rewrites && len(w.Body) < len(body))
 		}
-		require.Zero(t, chain.Under)
-	})
+		addWalk(history, w, nil, 0, now)
+		addPlugins(history, chain)
+		if w.Declined {
+			require.True(t, at == Read && (w.Status == busy || granted.Declines && w.Status >= 400 && w.Status < 500))
+		}
+		if w.Category != it.Category {
+			require.True(t, at == Read && !it.Fixed && granted.To[w.Category])
+		}
+		require.True(t, w.Tag == "" || granted.Tags)
+		require.True(t, !w.Rewrote || at == Result && granted.Rewrites && len(w.Body) < len(body))
+	}
+	require.Zero(t, chain.Under)
 }
 
 // One plug-in of many is asked.
--- a/ledger/elsewhere_test.go
+++ b/ledger/elsewhere_test.go
@@ -1,15 +1,18 @@
 package ledger
 
 import (
+	"fmt"
 	"math/rand"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // doors are servers of one core that are always asked for more than they can do, by tenants at some of them; words on what was
 // given go between them, some lost, late or twice.
-func doors(t *testing.T, servers int, weights map[string]float64, asks func(tenant string, server int, second int) bool, seconds int, loss float64) map[string]float64 {
+func doors(t *testing.T, servers int, weights map[string]float64, asks func(tenant string, server int, second int) bool, seconds int, loss float64, history *golden.History) map[string]float64 {
 	chance := rand.New(rand.NewSource(7))
 	var all []*Ledger
 	var names []Tenant
@@ -51,6 +54,7 @@
 				continue
 			}
 			turns[i] = max(turns[i], best.Turn)
+			history.Add(now, i, who, best.Turn, best.Behind)
 			best.Began(now - run)
 			best.Close(now)
 			if now > Tenths(seconds)*5_000 {
@@ -60,6 +64,9 @@
 		if now%10_000 == 0 {
 			for i, l := range all {
 				words = append(words, word{i, now, l.Given()})
+				for _, g := range words[len(words)-1].of {
+					history.Add(now, i, g.Tenant, g.Time)
+				}
 			}
 		}
 		for _, w := range words {
@@ -80,6 +87,7 @@
 // A tenant's part is that of the fleet: asking at one door of three it gets there what it does not get elsewhere, asking at all
 // no more than its part; words that are lost, late or doubled change nothing; one that moves to all doors at once keeps its part.
 func TestPartsOverTheFleet(t *testing.T) {
+	var histories []byte
 	for _, of := range []struct {
 		name    string
 		servers int
@@ -94,12 +102,15 @@
 		{"moves to all at once", 3, 0.3, func(n string, s, second int) bool { return n == "beta" || s == 0 || second >= 20 }, 0.3},
 	} {
 		for _, loss := range []float64{0, 0.4} {
-			given := doors(t, of.servers, map[string]float64{"acme": of.acme, "beta": 1 - of.acme}, of.asks, 40, loss)
+			history := golden.NewHistory()
+			given := doors(t, of.servers, map[string]float64{"acme": of.acme, "beta": 1 - of.acme}, of.asks, 40, loss, history)
+			histories = fmt.Appendf(histories, "servers=%d part=%g loss=%g %s\n", of.servers, of.acme, loss, history)
 			part := given["acme"] / (given["acme"] + given["beta"])
 			t.Logf("measured tenants-doors case=%q servers=%d loss=%.1f entitled=%.3f part=%.3f", of.name, of.servers, loss, of.want, part)
 			require.InDelta(t, of.want, part, 0.05, of.name)
 		}
 	}
+	golden.Check(t, "fleet.txt", histories)
 }
 
 // What was said is counted once whatever comes again; a first word and one after a long silence only tell where to count from.
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package ledger
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/admission"
-	"thistlequay/ledger"
+	"thistlequay/internal/golden"
 )
 
-func terms(named int) ledger.Terms {
-	t := ledger.Terms{Others: 0.1, Newcomers: 0.25, Books: 256, Groups: 128, Burst: 2_000, History: 50_000,
-		Reshuffle: 300_000, Cores: 4, Contracts: []ledger.Tenths{6_400}}
+func terms(named int) Terms {
+	t := Terms{Others: 0.1, Newcomers: 0.25, Books: 256, Groups: 128, Burst: 2_000, History: 50_000,
+		Reshuffle: 300_000, Cores: 4, Contracts: []Tenths{6_400}}
 	for i := range named {
-		t.Tenants = append(t.Tenants, ledger.Tenant{Name: fmt.Sprint("tenant-", i), Share: 1})
+		t.Tenants = append(t.Tenants, Tenant{Name: fmt.Sprint("tenant-", i), Share: 1})
 	}
 	return t
 }
@@ -32,10 +32,10 @@
 // Ten thousand new names in a minute: the books take what they took after a second.
 func TestMeasuredLedgerMemory(t *testing.T) {
 	before := held()
-	l := ledger.New(terms(4), rand.New(rand.NewSource(1)), 0)
+	l := New(terms(4), rand.New(rand.NewSource(1)), 0)
 	var first uint64
 	for i := range 10_000 {
-		now := ledger.Tenths(i * 60)
+		now := Tenths(i * 60)
 		c := l.Open(fmt.Append(nil, "new-", i), 0, 0, now)
 		c.Began(now)
 		c.Close(now + 50)
@@ -54,49 +54,60 @@
 // tenants that had the same runs stand alike, and one that was only turned away stands where it began.
 func FuzzClaims(f *testing.F) {
 	f.Add(int64(1))
-	f.Fuzz(func(t *testing.T, seed int64) {
-		r := rand.New(rand.NewSource(seed))
-		l := ledger.New(terms(3), rand.New(rand.NewSource(seed)), 0)
-		now, turn := ledger.Tenths(0), 0.0
-		var open [][2]*ledger.Claim
-		for range 200 {
-			now += ledger.Tenths(r.Intn(300))
-			switch k := r.Intn(6); {
-			case k == 0:
-				a, b := l.Open([]byte("tenant-0"), 0, turn, now), l.Open([]byte("tenant-1"), 0, turn, now)
-				open = append(open, [2]*ledger.Claim{&a, &b})
-				no := l.Open([]byte("tenant-2"), 0, turn, now)
-				told := no.Return(100, 10_000, now)
-				require.True(t, told > 0 && told <= 10_000, told)
-				no.Close(now)
-				no.Close(now)
-			case len(open) > 0:
-				i := r.Intn(len(open))
-				for _, c := range open[i] {
-					switch k {
-					case 1:
-						c.Began(now)
-					case 2:
-						c.Called(now)
-					case 3:
-						c.Resumed(now)
-					case 4:
-						c.Close(now)
-						c.Close(now)
-					case 5:
-						c.Undone(now)
-					}
+	f.Fuzz(func(t *testing.T, seed int64) { playClaims(t, seed, golden.NewHistory()) })
+}
+
+// playClaims opens claims of three tenants and has random things happen to them; what each was told goes into history.
+func playClaims(t *testing.T, seed int64, history *golden.History) {
+	r := rand.New(rand.NewSource(seed))
+	l := New(terms(3), rand.New(rand.NewSource(seed)), 0)
+	now, turn := Tenths(0), 0.0
+	var open [][2]*Claim
+	for range 200 {
+		now += Tenths(r.Intn(300))
+		switch k := r.Intn(6); {
+		case k == 0:
+			a, b := l.Open([]byte("tenant-0"), 0, turn, now), l.Open([]byte("tenant-1"), 0, turn, now)
+			open = append(open, [2]*Claim{&a, &b})
+			no := l.Open([]byte("tenant-2"), 0, turn, now)
+			told := no.Return(100, 10_000, now)
+			addClaim(history, &a, now)
+			addClaim(history, &b, now)
+			addClaim(history, &no, now)
+			history.Add(told)
+			require.True(t, told > 0 && told <= 10_000, told)
+			no.Close(now)
+			no.Close(now)
+		case len(open) > 0:
+			i := r.Intn(len(open))
+			for _, c := range open[i] {
+				switch k {
+				case 1:
+					c.Began(now)
+				case 2:
+					c.Called(now)
+				case 3:
+					c.Resumed(now)
+				case 4:
+					c.Close(now)
+					c.Close(now)
+				case 5:
+					c.Undone(now)
 				}
 			}
 		}
-		for _, pair := range open {
-			pair[0].Close(now)
-			pair[1].Close(now)
-		}
-		a, b, c := l.Open([]byte("tenant-0"), 0, turn, now), l.Open([]byte("tenant-1"), 0, turn, now), l.Open([]byte("tenant-2"), 0, turn, now)
-		require.InDelta(t, a.Turn, b.Turn, 1e-6)
-		require.InDelta(t, l.Floor(turn), c.Turn, 1e-6)
-	})
+	}
+	for _, pair := range open {
+		pair[0].Close(now)
+		pair[1].Close(now)
+	}
+	a, b, c := l.Open([]byte("tenant-0"), 0, turn, now), l.Open([]byte("tenant-1"), 0, turn, now), l.Open([]byte("tenant-2"), 0, turn, now)
+	require.InDelta(t, a.Turn, b.Turn, 1e-6)
+	require.InDelta(t, l.Floor(turn), c.Turn, 1e-6)
+	addClaim(history, &a, now)
+	addClaim(history, &b, now)
+	addClaim(history, &c, now)
+	addLedger(history, l)
 }
 
 // quiet is a host that takes note of nothing.
@@ -126,8 +137,8 @@
 				s := admission.New(admission.Deployment{Cores: 1, Memory: 1e12, RunFactor: 2, Categories: []admission.Category{
 					{Gain: 1, Contract: 1 << 40, Expiry: 1 << 41}, {Gain: 2, Contract: 1 << 40, Expiry: 1 << 41}}}, q, 0)
 				t := terms(min(tenants, 4))
-				t.Contracts = []ledger.Tenths{6_400, 6_400}
-				l := ledger.New(t, rand.New(rand.NewSource(1)), 0)
+				t.Contracts = []Tenths{6_400, 6_400}
+				l := New(t, rand.New(rand.NewSource(1)), 0)
 				names := make([][]byte, tenants)
 				for i := range names {
 					names[i] = fmt.Append(nil, "tenant-", i)
@@ -167,12 +178,12 @@
 func BenchmarkClaim(b *testing.B) {
 	for _, tenants := range []int{10, 1_000, 100_000} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
-			l := ledger.New(terms(4), rand.New(rand.NewSource(1)), 0)
+			l := New(terms(4), rand.New(rand.NewSource(1)), 0)
 			names := make([][]byte, tenants)
 			for i := range names {
 				names[i] = fmt.Append(nil, "name-", i)
 			}
-			now, i := ledger.Tenths(0), 0
+			now, i := Tenths(0), 0
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
--- a/ledger/scenario_test.go
+++ b/ledger/scenario_test.go
@@ -11,6 +11,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // A scenario in testdata is played line by line; README.md there has the notation.
@@ -18,9 +20,14 @@
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
+	var histories []byte
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { play(t, file) })
+		history := golden.NewHistory()
+		name := strings.TrimSuffix(filepath.Base(file), ".txt")
+		t.Run(name, func(t *testing.T) { play(t, file, history) })
+		histories = fmt.Appendf(histories, "%s %s\n", name, history)
 	}
+	golden.Check(t, "scenarios.txt", histories)
 }
 
 type stageOf struct {
@@ -30,13 +37,15 @@
 	now    Tenths
 	turn   float64
 	claims map[string]*Claim
+
+	history *golden.History
 }
 
-func play(t *testing.T, file string) {
+func play(t *testing.T, file string, history *golden.History) {
 	f, err := os.Open(file)
 	require.NoError(t, err)
 	defer f.Close()
-	s := &stageOf{Assertions: require.New(t), claims: map[string]*Claim{}, terms: Terms{Others: 1, Newcomers: 0.25, Books: 2,
+	s := &stageOf{Assertions: require.New(t), history: history, claims: map[string]*Claim{}, terms: Terms{Others: 1, Newcomers: 0.25, Books: 2,
 		Groups: 4, Burst: 1, History: 10_000, Reshuffle: 1 << 50, Cores: 1, Contracts: []Tenths{1_600}}}
 	in := bufio.NewScanner(f)
 	for n := 1; in.Scan(); n++ {
@@ -93,6 +102,7 @@
 	case "open": // NAME TENANT [turn=T] [behind=MS]
 		c := s.l.Open([]byte(word[2]), 0, s.turn, s.now)
 		s.claims[word[1]] = &c
+		s.history.Add(s.now, c.Turn, c.Behind)
 		for _, w := range word[3:] {
 			key, text, _ := strings.Cut(w, "=")
 			got := map[string]float64{"turn": c.Turn, "behind": float64(c.Behind) / 10}[key]
@@ -102,6 +112,7 @@
 		every, took := Tenths(s.number(word[2], where)*10), Tenths(s.number(word[3], where)*10)
 		for end := Tenths(s.number(word[4], where) * 10); s.now < end; s.now += every {
 			c := s.l.Open([]byte(word[1]), 0, s.turn, s.now)
+			s.history.Add(s.now, c.Turn, c.Behind)
 			c.Began(s.now)
 			c.Close(s.now + took)
 		}
@@ -136,6 +147,7 @@
 				v[i] = s.number(word[2+i], where)
 			}
 			got := float64(c.Return(Tenths(v[0]*10), Tenths(v[1]*10), s.now)) / 10
+			s.history.Add(s.now, got)
 			s.True(got >= v[2] && got <= v[3], "%s: %v", where, got)
 		default:
 			s.Fail("unknown line", where)
