--- a/internal/plugin/engine.go
+++ b/internal/plugin/engine.go
@@ -24,28 +24,28 @@
 
 // One is one plug-in as the settings have it.
 type One struct {
-	Name     string
-	File     string
-	SHA256   string        // hex; refused if the file differs; any where empty
-	MemoryKB int           // linear memory of one instance, in pages of 64
-	CodeKB   int           // the most the file may have
-	Start    time.Duration // for its start and for each sample
-	Compile  bool          // to machine code; else interpreted
-	Hooks    [3]bool
-	Samples  []Sample
-	Keep     map[string][]byte // its memory from the process before
-	KeepKB   int               // the most that memory may have, keys and values
-	Seed     int64
+	Name     string            `json:"Name"`
+	File     string            `json:"File"`
+	SHA256   string            `json:"SHA256"`   // hex; refused if the file differs; any where empty
+	MemoryKB int               `json:"MemoryKB"` // linear memory of one instance, in pages of 64
+	CodeKB   int               `json:"CodeKB"`   // the most the file may have
+	Start    time.Duration     `json:"Start"`    // for its start and for each sample
+	Compile  bool              `json:"Compile"`  // to machine code; else interpreted
+	Hooks    [3]bool           `json:"Hooks"`
+	Samples  []Sample          `json:"Samples"`
+	Keep     map[string][]byte `json:"Keep"`   // its memory from the process before
+	KeepKB   int               `json:"KeepKB"` // the most that memory may have, keys and values
+	Seed     int64             `json:"Seed"`
 }
 
 // Sample is a request that a new version must answer before any work item sees it.
 type Sample struct {
-	Hook     int
-	Category string
-	Tenant   string
-	Body     string
-	Does     *int // what it must do, where that is told
-	Status   int
+	Hook     int    `json:"Hook"`
+	Category string `json:"Category"`
+	Tenant   string `json:"Tenant"`
+	Body     string `json:"Body"`
+	Does     *int   `json:"Does"` // what it must do, where that is told
+	Status   int    `json:"Status"`
 }
 
 // Bounds that hold for every plug-in.
