--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -38,26 +38,29 @@
 	require.Zero(t, terms.Categories[1].Window)
 }
 
+// badSettings are good with one thing replaced, where that is pointed at, and what is said of it.
+var badSettings = []struct{ from, to, at, fault string }{
+	{`by_key`, `by_kye`, `"by_kye"`, `Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
+	{`"Effect": "by_key", `, ``, `{"Name": "book"`, `Categories[1].Effect: is missing; expected one of repeatable, by_key, once`},
+	{`"drop"`, `"dorp"`, `"dorp"`, `FamilyInfo.Halt: "dorp" is not known; expected one of silent, drop, pause`},
+	{`"min_rank"`, `"rank"`, `"rank"`, `FamilyInfo.Say: "rank" is not known; expected one of silent, bias, min_rank, tokens`},
+	{`"common"`, `"comon"`, `"comon"`, `FamilyInfo.Downstream: "comon" is not known; expected one of silent, common, next_hop`},
+	{`"book"`, `"look"`, `"look", "Effect": "by_key"`, `Categories[1].Name: "look" stands twice; expected each name once`},
+	{`"Name": "b"`, `"Name": "a"`, `"a"}]`, `Tenants[1].Name: "a" stands twice; expected each name once`},
+	{`"OnTime": 3200, "HardLimit": 7100, "LateWorth"`, `"OnTime": 7200, "HardLimit": 7100, "LateWorth"`,
+		`7200,`, `Categories[0].OnTime: 7200: the answer is wanted within more than its caller waits; expected at most HardLimit, 7100`},
+	{`, "Window": 35000`, ``, `{"Name": "book"`, `Categories[1].Window: by_key without a window; expected how long a repeat may come`},
+	{`"LateWorth": 0.2`, `"LateWorth": -1`, `-1,`, `Categories[0].LateWorth: -1 is out of range; expected from 0 to 1e12`},
+	{`"Cores": 6`, `"Cores": 6, "ClassSkipWorth": [0.5, 2]`, `2]`, `FamilyInfo.ClassSkipWorth[1]: 2 is out of range; expected from 0 to 1`},
+	{`"Cores": 6`, `"Cores": 6, "Fresh": -1`, `-1,`, `FamilyInfo.Fresh: -1 is out of range; expected from 0 to 1e12`},
+	{`"Cores": 6`, `"Cores": "six"`, `"six"`, `FamilyInfo.Cores: is a string; expected a value of type int`},
+	{`"Worth": 3,`, `"Worth": 3, "effect": "once",`, `"once"`, `Categories[1].effect: stands twice; expected each name once`},
+	{`"Halt"`, `Halt`, `Halt: "drop"`, `can't be read: invalid character 'H' looking for beginning of object key string; expected JSON`},
+}
+
 // What bears on a rule is known or it is a fault, told with its place.
 func TestFaultsWithTheirPlaces(t *testing.T) {
-	for _, c := range []struct{ from, to, at, fault string }{
-		{`by_key`, `by_kye`, `"by_kye"`, `Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
-		{`"Effect": "by_key", `, ``, `{"Name": "book"`, `Categories[1].Effect: is missing; expected one of repeatable, by_key, once`},
-		{`"drop"`, `"dorp"`, `"dorp"`, `FamilyInfo.Halt: "dorp" is not known; expected one of silent, drop, pause`},
-		{`"min_rank"`, `"rank"`, `"rank"`, `FamilyInfo.Say: "rank" is not known; expected one of silent, bias, min_rank, tokens`},
-		{`"common"`, `"comon"`, `"comon"`, `FamilyInfo.Downstream: "comon" is not known; expected one of silent, common, next_hop`},
-		{`"book"`, `"look"`, `"look", "Effect": "by_key"`, `Categories[1].Name: "look" stands twice; expected each name once`},
-		{`"Name": "b"`, `"Name": "a"`, `"a"}]`, `Tenants[1].Name: "a" stands twice; expected each name once`},
-		{`"OnTime": 3200, "HardLimit": 7100, "LateWorth"`, `"OnTime": 7200, "HardLimit": 7100, "LateWorth"`,
-			`7200,`, `Categories[0].OnTime: 7200: the answer is wanted within more than its caller waits; expected at most HardLimit, 7100`},
-		{`, "Window": 35000`, ``, `{"Name": "book"`, `Categories[1].Window: by_key without a window; expected how long a repeat may come`},
-		{`"LateWorth": 0.2`, `"LateWorth": -1`, `-1,`, `Categories[0].LateWorth: -1 is out of range; expected from 0 to 1e12`},
-		{`"Cores": 6`, `"Cores": 6, "ClassSkipWorth": [0.5, 2]`, `2]`, `FamilyInfo.ClassSkipWorth[1]: 2 is out of range; expected from 0 to 1`},
-		{`"Cores": 6`, `"Cores": 6, "Fresh": -1`, `-1,`, `FamilyInfo.Fresh: -1 is out of range; expected from 0 to 1e12`},
-		{`"Cores": 6`, `"Cores": "six"`, `"six"`, `FamilyInfo.Cores: is a string; expected a value of type int`},
-		{`"Worth": 3,`, `"Worth": 3, "effect": "once",`, `"once"`, `Categories[1].effect: stands twice; expected each name once`},
-		{`"Halt"`, `Halt`, `Halt: "drop"`, `can't be read: invalid character 'H' looking for beginning of object key string; expected JSON`},
-	} {
+	for _, c := range badSettings {
 		require.Contains(t, good, c.from)
 		text := []byte(strings.Replace(good, c.from, c.to, 1))
 		_, err := Read(text)
--- /dev/null
+++ b/internal/deployment/golden_test.go
@@ -0,0 +1,85 @@
+package deployment
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/faults"
+	"thistlequay/internal/golden"
+)
+
+// everyKey is a deployment that sets each key, so that a golden file shows where each value goes.
+const everyKey = `{"Categories":[
+{"Name":"a","Effect":"by_key","HardLimit":9001.07,"LateWorth":0.21,"OnTime":3002.04,"Worth":1.5,"Window":35003.01},
+{"Name":"b","Effect":"once","HardLimit":904,"LateWorth":0.22,"OnTime":305,"Worth":2.5},
+{"Name":"c","Effect":"repeatable","HardLimit":806,"LateWorth":0.23,"OnTime":207,"Worth":3.5,"Window":0}],
+"FamilyInfo":{"CallShare":1.25,"CallsOver":508.09,"EntryKb":9,"KeepaliveMax":30010.01,"Fresh":1011.01,"ClassSkipWorth":[0.4,0.5],
+"Linger":212.01,"MemoryKb":4013,"RunFactor":14,"Callers":15,"Cores":16,"Cold":true,"Downstream":"common","Halt":"pause",
+"Say":"bias","Meters":["links","on_cores","core_use"]},"Clients":{"MarksRetry":true},
+"Limits":{"MaxRetryAfter":1017.09,"RetryAfter":true},"Period":2.01,"Servers":18,
+"Tenants":[{"Name":"t","Share":0.25},{"Name":"u"}],"Rules":{"Cold":9019.01,"ColdFrom":0.3,"DrainGrace":320.09,"TipMultiple":8}}`
+
+// worstValues has something wrong at each place that can be wrong.
+const worstValues = `{"Categories":[
+{"Name":"a","Effect":"by_key","HardLimit":-1,"LateWorth":1e13,"OnTime":-1,"Worth":-1,"Window":-1},
+{"Name":"a","Effect":"by_key","HardLimit":5,"LateWorth":2,"OnTime":6,"Worth":1e13},
+{"Name":"","HardLimit":5,"OnTime":1e13},{"Effect":"twice"}],
+"FamilyInfo":{"CallShare":-1,"CallsOver":-1,"EntryKb":-1,"KeepaliveMax":-1,"Fresh":-1,"ClassSkipWorth":[-0.1,0,1.1],"Linger":-1,
+"MemoryKb":-1,"RunFactor":-1,"Callers":-1,"Cores":-1,"Downstream":"up","Halt":"stop","Say":"nothing"},
+"Limits":{"MaxRetryAfter":-1},"Period":-1,"Servers":-1,"Tenants":[{"Name":"t","Share":-1},{"Name":"t","Share":1e13}],
+"Rules":{"Cold":-1,"ColdFrom":-1,"DrainGrace":-1,"TipMultiple":-1}}`
+
+func TestGoldenDiagnostics(t *testing.T) {
+	var out bytes.Buffer
+	diagnose := func(text string) {
+		_, err := Read([]byte(text))
+		fmt.Fprintf(&out, "%s\n\n", faults.LocateJSON([]byte(text), faults.Of(err)).Error())
+	}
+	for _, c := range badSettings {
+		diagnose(strings.Replace(good, c.from, c.to, 1))
+	}
+	for _, text := range []string{worstValues, ``, `{}`, `null`, `{"Servers":1.5}`, `{"Servers":1,"servers":2}`,
+		`{"Categories":[{"Worth":"x"}]}`, `{"Clients":{"MarksRetry":1}}`, "{\"Rules\":\n\t{\"Cold\":[]}}", `{} {}`} {
+		diagnose(text)
+	}
+	for _, text := range []string{`[]`, `7`, `{"Categories":{}}`, "{\"Categories\":\n[ []]}", `{"FamilyInfo":[]}`, `{"Rules":true}`} {
+		_, err := Read([]byte(text)) // what is expected here names types of the program: that may change
+		for _, f := range faults.LocateJSON([]byte(text), faults.Of(err)) {
+			fmt.Fprintln(&out, f.Line, f.Column, f.Path, f.What)
+		}
+	}
+	for cut := 1; cut < len(good); cut += 17 { // wherever a file breaks off
+		diagnose(good[:cut])
+	}
+	golden.Check(t, "diagnostics.txt", out.Bytes())
+}
+
+func TestGoldenSettings(t *testing.T) {
+	var out bytes.Buffer
+	for _, text := range []string{good, everyKey, strings.NewReplacer(`"RetryAfter":true`, `"RetryAfter":false`, `"pause"`, `"drop"`,
+		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(everyKey)} {
+		terms, err := Read([]byte(text))
+		require.NoError(t, err)
+		fmt.Fprintln(&out, terms.Callers, terms.Marked, terms.Servers, terms.Cores, terms.Memory, terms.RunFactor, terms.EntryKb,
+			int64(terms.Period), int64(terms.Grace), int64(terms.Fresh), terms.Cold, terms.ColdFrom, int64(terms.ColdFor), terms.Crowd,
+			terms.SharedBelow, terms.CallShare, int64(terms.CallsOver), int64(terms.Linger), int(terms.Tongue), int64(terms.IdleMost),
+			terms.Stops, int64(terms.MaxAway), terms.Pauses, terms.Spread)
+		for _, c := range terms.Categories {
+			fmt.Fprintln(&out, c.Gain, c.LateShare, int64(c.Contract), int64(c.Expiry), int64(c.Window), int(c.Effect), c.Poorer)
+		}
+		for _, one := range terms.Shares {
+			fmt.Fprintln(&out, one.Name, one.Share)
+		}
+		gauges := terms.Gauges([]float64{1, 2, 3, 4})
+		fmt.Fprintln(&out, terms.Named["a"], terms.Named["b"], terms.Named["c"], terms.Tenant([]byte("u")), terms.Tenant([]byte("v")),
+			gauges.CoreUse, gauges.OnCores)
+	}
+	for _, ms := range []float64{0, 0.01, 0.04, 0.1, 0.10000001, 0.29999999, 12.34, 1e9 + 0.05} {
+		fmt.Fprintln(&out, ms, int64(Down(ms)), int64(Up(ms)))
+	}
+	golden.Check(t, "settings.txt", out.Bytes())
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -23,8 +23,7 @@
 	return out.String(), err
 }
 
-func TestConversation(t *testing.T) {
-	out, err := serve(start + `MARK T=11.05
+const conversation = start + `MARK T=11.05
 FOR Server=server-1
 INBOUND Xid=5 Lay=0.55 HeldKb=1 Novel=x
 INBOUND Xid=6
@@ -45,7 +44,10 @@
 EOF_BATCH
 MARK T=14
 EOF_BATCH
-`)
+`
+
+func TestConversation(t *testing.T) {
+	out, err := serve(conversation)
 	require.NoError(t, err)
 	require.Equal(t, `AS Server=server-1
 MARK_HEALTH Cheap=1 Want=1
@@ -66,9 +68,7 @@
 `, out)
 }
 
-// What the wire tells and asks where a site has them: marks, keys of reads, answers without a call.
-func TestReadsAndPoorerAnswers(t *testing.T) {
-	out, err := serve(`MARK T=10.0
+const reads = `MARK T=10.0
 FOR Server=server-1
 CREATE Prng=7 Env={"Categories":[{"Effect":"repeatable","HardLimit":100,"OnTime":50,"Worth":1}],"Clients":{"MarksRetry":true},"FamilyInfo":{"Cores":1,"MemoryKb":1e6,"RunFactor":2,"Fresh":1000,"ClassSkipWorth":[0.4]},"Rules":{"TipMultiple":8}}
 INBOUND Xid=5 HeldKb=1 Key=77
@@ -82,77 +82,91 @@
 FOR Server=server-1
 CALLED Xid=5 Status=NOCONN Duration=39
 EOF_BATCH
-`)
+`
+
+// What the wire tells and asks where a site has them: marks, keys of reads, answers without a call.
+func TestReadsAndPoorerAnswers(t *testing.T) {
+	out, err := serve(reads)
 	require.NoError(t, err)
 	for _, line := range []string{"MEMO Xid=5 HoldFor=", "EXECUTE Xid=5\n", "SHARE Xid=6\n", "INVOKE Xid=5 Until=", "OMIT Xid=5\n"} {
 		require.Contains(t, out, line)
 	}
 }
 
+var malformed = map[string]string{
+	"EOF_BATCH\n":                             "line 1: a batch opens with MARK",
+	"MARK T=1\nFOR Server=server-1\n":         "the input ends in the middle of a batch",
+	"MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n":    "before any FOR",
+	"MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH": "never created",
+	"MARK T=1": "middle of a line",
+	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=-5\nEOF_BATCH\n":                       "not a whole number",
+	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 Retry=2\nEOF_BATCH\n":                "neither 1 nor 0",
+	start + "MARK T=11\nFOR Server=server-1\nENDED\nEOF_BATCH\n":                                "no Xid",
+	start + "MARK T=11\nFOR Server=server-1\nINBOUND junk\nEOF_BATCH\n":                         "not name=value",
+	start + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=1,z\nEOF_BATCH\n":               "not a number",
+	start + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=,1\nEOF_BATCH\n":                "not a number",
+	"MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n":                                         "can't be read",
+	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 OriginPeer=99999999999\nEOF_BATCH\n": "out of range",
+	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 TimeLeft=1e300\nEOF_BATCH\n":         "out of range",
+	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 HeldKb=-1\nEOF_BATCH\n":              "out of range",
+	strings.Replace(start, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1):                                "out of range",
+	strings.Replace(start, `"OnTime":50.0`, `"OnTime":1e200`, 1):                                "out of range",
+}
+
 func TestMalformed(t *testing.T) {
-	for text, message := range map[string]string{
-		"EOF_BATCH\n":                             "line 1: a batch opens with MARK",
-		"MARK T=1\nFOR Server=server-1\n":         "the input ends in the middle of a batch",
-		"MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n":    "before any FOR",
-		"MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH": "never created",
-		"MARK T=1": "middle of a line",
-		start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=-5\nEOF_BATCH\n":                       "not a whole number",
-		start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 Retry=2\nEOF_BATCH\n":                "neither 1 nor 0",
-		start + "MARK T=11\nFOR Server=server-1\nENDED\nEOF_BATCH\n":                                "no Xid",
-		start + "MARK T=11\nFOR Server=server-1\nINBOUND junk\nEOF_BATCH\n":                         "not name=value",
-		start + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=1,z\nEOF_BATCH\n":               "not a number",
-		start + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=,1\nEOF_BATCH\n":                "not a number",
-		"MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n":                                         "can't be read",
-		start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 OriginPeer=99999999999\nEOF_BATCH\n": "out of range",
-		start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 TimeLeft=1e300\nEOF_BATCH\n":         "out of range",
-		start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 HeldKb=-1\nEOF_BATCH\n":              "out of range",
-		strings.Replace(start, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1):                                "out of range",
-		strings.Replace(start, `"OnTime":50.0`, `"OnTime":1e200`, 1):                                "out of range",
-	} {
+	for text, message := range malformed {
 		out, err := serve(text)
 		require.ErrorContains(t, err, message, text)
 		require.NotContains(t, out, "EXECUTE", text)
 	}
 }
 
+// words are two deployments that differ in all that they can.
+var words = [2]string{
+	`"Categories":[{"Name":"a","Effect":"by_key","HardLimit":900,"OnTime":300,"Worth":1,"Window":400},{"Name":"b","Effect":"repeatable","HardLimit":500,"OnTime":200,"LateWorth":0.5,"Worth":3}],` +
+		`"FamilyInfo":{"Cores":2,"MemoryKb":4000,"RunFactor":4,"EntryKb":9,"Halt":"drop","Say":"min_rank","Downstream":"common","CallShare":1.5,"CallsOver":500,"Linger":20,"Cold":true,"Callers":3,"Meters":["core_use","on_cores"]},` +
+		`"Limits":{"RetryAfter":true,"MaxRetryAfter":100},"Rules":{"TipMultiple":3,"Cold":2000,"ColdFrom":0.2},"Period":2,"Servers":4`,
+	`"Categories":[{"Name":"a","Effect":"once","HardLimit":5000,"OnTime":4000,"Worth":7}],` +
+		`"FamilyInfo":{"Cores":1,"MemoryKb":900,"RunFactor":16,"Say":"bias","Meters":["on_cores","core_use"]},"Rules":{"TipMultiple":9},"Period":4,"Servers":300`}
+
+// schedules draws what each of the two deployments is told alone, and both of them in one process.
+func schedules(seed int64) (alone [2]string, together string) {
+	chance := rand.New(rand.NewSource(seed))
+	var texts [3]strings.Builder
+	for at := range 300 {
+		fmt.Fprintf(&texts[2], "MARK T=%d\n", at*7)
+		for n, word := range words {
+			var events strings.Builder
+			if at == 0 {
+				fmt.Fprintf(&events, "CREATE Prng=%d Env={%s}\n", seed, word)
+			} else {
+				for k := range chance.Intn(3) {
+					fmt.Fprintf(&events, "INBOUND Xid=%d OriginPeer=%d Band=%d HeldKb=%d Lay=%d\n", at*10+k, chance.Intn(4), chance.Intn(2-n), 1+chance.Intn(40), chance.Intn(30))
+				}
+				id := max(1, at-chance.Intn(6))*10 + chance.Intn(2)
+				fmt.Fprintf(&events, []string{"ENDED Xid=%d Status=GOOD Duration=12\n", "READY_TO_CALL Xid=%d\n", "CALLED Xid=%d Status=GOOD Duration=9\n", "WITHDRAWN Xid=%d\n"}[chance.Intn(4)], id)
+				fmt.Fprintf(&events, "DEADLINE_HIT Token=look Usage=%d,%d\n", chance.Intn(2), chance.Intn(5))
+			}
+			fmt.Fprintf(&texts[2], "FOR Server=s%d\n%s", n, events.String())
+			fmt.Fprintf(&texts[n], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", at*7, n, events.String())
+		}
+		texts[2].WriteString("EOF_BATCH\n")
+	}
+	return [2]string{texts[0].String(), texts[1].String()}, texts[2].String()
+}
+
 // Two deployments in one process share nothing: what each answers is what it answers alone, whatever the other is told.
 func TestTwoDeploymentsInOneProcess(t *testing.T) {
-	words := [2]string{
-		`"Categories":[{"Name":"a","Effect":"by_key","HardLimit":900,"OnTime":300,"Worth":1,"Window":400},{"Name":"b","Effect":"repeatable","HardLimit":500,"OnTime":200,"LateWorth":0.5,"Worth":3}],` +
-			`"FamilyInfo":{"Cores":2,"MemoryKb":4000,"RunFactor":4,"EntryKb":9,"Halt":"drop","Say":"min_rank","Downstream":"common","CallShare":1.5,"CallsOver":500,"Linger":20,"Cold":true,"Callers":3,"Meters":["core_use","on_cores"]},` +
-			`"Limits":{"RetryAfter":true,"MaxRetryAfter":100},"Rules":{"TipMultiple":3,"Cold":2000,"ColdFrom":0.2},"Period":2,"Servers":4`,
-		`"Categories":[{"Name":"a","Effect":"once","HardLimit":5000,"OnTime":4000,"Worth":7}],` +
-			`"FamilyInfo":{"Cores":1,"MemoryKb":900,"RunFactor":16,"Say":"bias","Meters":["on_cores","core_use"]},"Rules":{"TipMultiple":9},"Period":4,"Servers":300`}
 	var alone, both [2]strings.Builder
 	var together strings.Builder
 	for seed := range int64(20) {
-		chance := rand.New(rand.NewSource(seed))
-		var texts [3]strings.Builder
-		for at := range 300 {
-			fmt.Fprintf(&texts[2], "MARK T=%d\n", at*7)
-			for n, word := range words {
-				var events strings.Builder
-				if at == 0 {
-					fmt.Fprintf(&events, "CREATE Prng=%d Env={%s}\n", seed, word)
-				} else {
-					for k := range chance.Intn(3) {
-						fmt.Fprintf(&events, "INBOUND Xid=%d OriginPeer=%d Band=%d HeldKb=%d Lay=%d\n", at*10+k, chance.Intn(4), chance.Intn(2-n), 1+chance.Intn(40), chance.Intn(30))
-					}
-					id := max(1, at-chance.Intn(6))*10 + chance.Intn(2)
-					fmt.Fprintf(&events, []string{"ENDED Xid=%d Status=GOOD Duration=12\n", "READY_TO_CALL Xid=%d\n", "CALLED Xid=%d Status=GOOD Duration=9\n", "WITHDRAWN Xid=%d\n"}[chance.Intn(4)], id)
-					fmt.Fprintf(&events, "DEADLINE_HIT Token=look Usage=%d,%d\n", chance.Intn(2), chance.Intn(5))
-				}
-				fmt.Fprintf(&texts[2], "FOR Server=s%d\n%s", n, events.String())
-				fmt.Fprintf(&texts[n], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", at*7, n, events.String())
-			}
-			texts[2].WriteString("EOF_BATCH\n")
-		}
+		apart, mixed := schedules(seed)
 		for n := range words {
-			out, err := serve(texts[n].String())
+			out, err := serve(apart[n])
 			require.NoError(t, err)
 			alone[n].WriteString(out)
 		}
-		out, err := serve(texts[2].String())
+		out, err := serve(mixed)
 		require.NoError(t, err)
 		together.WriteString(out)
 	}
