--- a/agreement/schedule_test.go
+++ b/agreement/schedule_test.go
@@ -8,6 +8,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // world is voters in virtual time: letters are lost, late and come twice, links are cut one way and both, voters stand still, die
@@ -27,6 +29,7 @@
 	next    uint64
 	wrong   int // confirmed though another led before it was asked
 	sure    int
+	history *golden.History // of all that the voters put out; nil where it is not asked for
 }
 
 type voter struct {
@@ -97,6 +100,7 @@
 		if !more {
 			return
 		}
+		w.record(v, o)
 		w.keep(v, o.Save)
 		for _, l := range o.Letters {
 			j := w.index(l.To)
@@ -135,6 +139,7 @@
 		if v.node.Long() {
 			s, err := v.node.Cut(binary.BigEndian.AppendUint64(nil, uint64(v.at)))
 			require.NoError(w.t, err)
+			w.record(v, Output{Save: s})
 			w.keep(v, s)
 		}
 	}
@@ -228,6 +233,24 @@
 	}
 }
 
+// play runs one schedule of ten troubles and then a calm, and says whether more was agreed on in the calm.
+func (w *world) play() (healed bool) {
+	for range 10 {
+		w.trouble()
+		for end := w.now + Moment(200+w.chance.Intn(4000)); w.now < end; {
+			w.round()
+		}
+	}
+	clear(w.cut)
+	w.loss = 0
+	w.mend()
+	before := len(w.log)
+	for end := w.now + 15000; w.now < end; {
+		w.round()
+	}
+	return len(w.log) > before
+}
+
 // All voters agree on one order whatever happens; a leader that was confirmed led when it asked; and a voter without its memory
 // never harms what was agreed on.
 func TestOneLog(t *testing.T) {
@@ -238,20 +261,7 @@
 	agreed, terms, sure, healed := 0, 0, 0, 0
 	for seed := range seeds {
 		w := newWorld(t, int64(seed), 3+2*(seed%2))
-		for range 10 {
-			w.trouble()
-			for end := w.now + Moment(200+w.chance.Intn(4000)); w.now < end; {
-				w.round()
-			}
-		}
-		clear(w.cut)
-		w.loss = 0
-		w.mend()
-		before := len(w.log)
-		for end := w.now + 15000; w.now < end; {
-			w.round()
-		}
-		if len(w.log) > before {
+		if w.play() {
 			healed++
 		}
 		require.Zero(t, w.wrong, "seed %d", seed)
--- a/lasting/model_test.go
+++ b/lasting/model_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
 )
 
 // The model: two tries of one key in a first life, a crash at any moment, a repeat in a second life, another crash and a
@@ -116,10 +118,14 @@
 
 func TestEveryInterleaving(t *testing.T) {
 	lives, repeats := 0, map[string]int{}
+	history := golden.NewHistory()
 	search(world{}, map[string]bool{}, func(w world, left []Record) {
 		lives++
 		require.LessOrEqual(t, w.runs, 1)
 		runs, c := recovered(left, 20)
+		addRecords(history, left)
+		addConclusion(history, c)
+		history.Add("run", runs, w.runs, w.answers, w.durable, len(w.log))
 		if w.runs > 0 {
 			require.False(t, runs, "a second run: %v of %v", kinds(left), kinds(w.log))
 		}
@@ -141,4 +147,5 @@
 	t.Logf("measured store-model crashes=%d repeats=%v", lives, repeats)
 	require.Greater(t, lives, 100)
 	require.Len(t, repeats, 3)
+	golden.Check(t, "model.txt", []byte(history.String()+"\n"))
 }
