--- a/lasting/learnt.go
+++ b/lasting/learnt.go
@@ -16,9 +16,9 @@
 
 // Snapshot is what was learnt, when, and under which settings.
 type Snapshot struct {
-	At       Tenths // by the wall then
-	Settings uint64 // a hash of them
-	Cores    float64
+	At       Tenths  `json:"At"`       // by the wall then
+	Settings uint64  `json:"Settings"` // a hash of them
+	Cores    float64 `json:"Cores"`
 	admission.Learnt
 }
 
