--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -5,13 +5,13 @@
 	"log"
 	"os"
 
-	"thistlequay/internal/simwire"
+	"thistlequay/internal/simadapter"
 )
 
 func main() {
 	log.SetFlags(0)
 	log.SetPrefix("adapter: ")
-	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
 		log.Fatal(err)
 	}
 }
--- a/cmd/thistlequay/configure.go
+++ b/cmd/thistlequay/configure.go
@@ -16,9 +16,9 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thistlequay/internal/appserver"
 	"thistlequay/internal/deployment"
-	"thistlequay/internal/faults"
+	"thistlequay/internal/diagnostics"
+	"thistlequay/internal/server"
 )
 
 const (
@@ -28,7 +28,7 @@
 )
 
 // configure reads the configuration. Its faults come all at once, each with its place.
-func configure(path string) (p appserver.Place, err error) {
+func configure(path string) (p server.Place, err error) {
 	if path == "" {
 		return p, errors.New("PROXY_CONFIG names no configuration")
 	}
@@ -46,10 +46,10 @@
 		}
 		Settings json.RawMessage
 	}
-	if err := faults.JSON(text, &c); err != nil {
-		return p, faults.Of(err).In(path)
+	if err := diagnostics.JSON(text, &c); err != nil {
+		return p, diagnostics.Of(err).In(path)
 	}
-	var l faults.List
+	var l diagnostics.List
 	for _, a := range []struct{ key, address string }{{"listen", c.Listen}, {"vm", c.VM}, {"lookup", c.Lookup}, {"index", c.Index}} {
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
 			l.Add(a.key, "an address such as 127.0.0.1:8443", "%q is none", a.address)
@@ -71,15 +71,15 @@
 	if c.Settings == nil {
 		l.Add("settings", "the deployment's settings", "is missing")
 	} else if terms, err = deployment.Read(c.Settings); err != nil {
-		for _, f := range faults.Of(err) {
+		for _, f := range diagnostics.Of(err) {
 			f.Path, f.Line = "settings."+f.Path, 0
 			l = append(l, f)
 		}
 	}
 	if len(l) > 0 {
-		return p, faults.LocateJSON(text, l).In(path)
+		return p, diagnostics.LocateJSON(text, l).In(path)
 	}
-	return appserver.Place{Name: c.Name, Listen: c.Listen, Interpreter: c.VM, Index: c.Index, Directory: c.Lookup,
+	return server.Place{Name: c.Name, Listen: c.Listen, Interpreter: c.VM, Index: c.Index, Directory: c.Lookup,
 		StopIn: deployment.Down(c.StopMs), Sockets: descriptors(c.Limits.Sockets), Memory: int(c.Limits.MemoryMb) << 20,
 		Cores: c.Limits.Cores, Terms: terms, Seed: int64(xxh3.HashString(c.Seed + c.Name))}, nil
 }
@@ -95,7 +95,7 @@
 }
 
 // apply has the process keep to its limits.
-func apply(p appserver.Place) {
+func apply(p server.Place) {
 	procs := max(1, int(p.Cores))
 	if p.Lasting != nil { // a write that waits for the disk must not keep the loop's
 		procs++
--- a/cmd/thistlequay/fair_test.go
+++ b/cmd/thistlequay/fair_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/standin"
+	"thistlequay/internal/emulator"
 )
 
 func twoTenants(acme, beta float64) string {
@@ -146,15 +146,15 @@
 // nobody goes without an answer, no request runs twice, and the polite tenant has more of its part than the greedy one.
 func TestMeasuredFairQueuesOverSockets(t *testing.T) {
 	r := prepare(t)
-	vm, err := standin.NewInterpreter(2, 3)
+	vm, err := emulator.NewInterpreter(2, 3)
 	r.NoError(err)
 	defer vm.Close()
 	vm.Calls = 0.2
-	vm.Script = func(n int) standin.Spoil {
-		return map[int]standin.Spoil{40: standin.Twice, 60: standin.Remark, 80: standin.Pieces, 120: standin.Cut,
-			160: standin.Withhold}[n]
+	vm.Script = func(n int) emulator.Spoil {
+		return map[int]emulator.Spoil{40: emulator.Twice, 60: emulator.Remark, 80: emulator.Pieces, 120: emulator.Cut,
+			160: emulator.Withhold}[n]
 	}
-	index, err := standin.NewIndex()
+	index, err := emulator.NewIndex()
 	r.NoError(err)
 	defer index.Close()
 	index.Script = func(n int) string { return map[int]string{5: "SHED", 9: "noise", 15: "reset"}[n%20] }
@@ -169,8 +169,8 @@
 		length = 30
 	}
 	index.Script = hits(index.Script)
-	load := &standin.Send{Address: r.listen, Seed: 5, Length: length, Cores: 2, Categories: []string{"look"},
-		Contract: 4 * time.Second, Expiry: 7 * time.Second, Streams: []*standin.Stream{
+	load := &emulator.Send{Address: r.listen, Seed: 5, Length: length, Cores: 2, Categories: []string{"look"},
+		Contract: 4 * time.Second, Expiry: 7 * time.Second, Streams: []*emulator.Stream{
 			{Tenant: "acme", Share: 0.5, Rate: 20, To: length, Work: 0.03, Gain: 1},
 			{Tenant: "beta", Share: 0.5, Rate: 300, To: length, Work: 0.03, Gain: 1}}}
 	books, err := load.Play()
@@ -182,7 +182,7 @@
 	r.Zero(load.Broken())
 	r.GreaterOrEqual(books[0].Part(), 0.9)
 	r.Greater(books[1].Declined, books[1].Asked/4)
-	vm.Look(func(v *standin.Interpreter) {
+	vm.Look(func(v *emulator.Interpreter) {
 		for id, runs := range v.Runs {
 			r.Equal(1, runs, id)
 		}
--- a/cmd/thistlequay/fleet_test.go
+++ b/cmd/thistlequay/fleet_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"thistlequay/internal/rehearsal/fleet"
-	"thistlequay/internal/standin"
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
 )
 
 // What hundreds of servers go through, on a few real processes without the bench: each work item that is read has one answer in
@@ -25,34 +25,34 @@
 	if os.Getenv("MEASURE") == "full" {
 		servers, length = 16, 30*time.Second
 	}
-	half := func(g *together) []*fleet.Server { return g.Servers[:len(g.Servers)/2] }
+	half := func(g *together) []*clustertest.Server { return g.Servers[:len(g.Servers)/2] }
 	days := []struct {
 		name    string
 		least   float64 // of what was asked, to be served in time
 		prepare func(g *together)
-		load    func(g *together, t *fleet.Traffic)
+		load    func(g *together, t *clustertest.Traffic)
 	}{
 		{"cold-together", 0.4, func(g *together) {
 			for _, s := range g.Servers {
 				s.VM.Cold = true
 			}
 		}, nil},
-		{"routers-reconnect", 0.8, nil, func(_ *together, t *fleet.Traffic) {
-			t.At[length/2] = func(r *fleet.Routers) { r.Reconnect(0.7) }
+		{"routers-reconnect", 0.8, nil, func(_ *together, t *clustertest.Traffic) {
+			t.At[length/2] = func(r *clustertest.Routers) { r.Reconnect(0.7) }
 		}},
-		{"directory-gone", 0.9, nil, func(g *together, t *fleet.Traffic) {
-			t.At[length/4] = func(*fleet.Routers) { g.Directory.Listener.Listener.Close() }
-			t.At[length*3/4] = func(*fleet.Routers) { _ = g.Directory.Reopen() }
+		{"directory-gone", 0.9, nil, func(g *together, t *clustertest.Traffic) {
+			t.At[length/4] = func(*clustertest.Routers) { g.Directory.Listener.Listener.Close() }
+			t.At[length*3/4] = func(*clustertest.Routers) { _ = g.Directory.Reopen() }
 		}},
 		{"one-in-eight-slow", 0.7, func(g *together) {
 			for i := 0; i < len(g.Servers); i += 8 {
-				g.Servers[i].VM.Look(func(v *standin.Interpreter) { v.Cores.N = 0.2 })
+				g.Servers[i].VM.Look(func(v *emulator.Interpreter) { v.Cores.N = 0.2 })
 			}
 		}, nil},
-		{"late-lists", 0.5, nil, func(g *together, t *fleet.Traffic) {
+		{"late-lists", 0.5, nil, func(g *together, t *clustertest.Traffic) {
 			gone := g.Servers[0]
-			t.At[length/2] = func(r *fleet.Routers) { r.Kill(gone) }
-			t.Lists = func(at time.Duration) []*fleet.Server { // two seconds late
+			t.At[length/2] = func(r *clustertest.Routers) { r.Kill(gone) }
+			t.Lists = func(at time.Duration) []*clustertest.Server { // two seconds late
 				if at > length/2+2*time.Second {
 					return g.Servers[1:]
 				}
@@ -65,13 +65,13 @@
 				s.VM.Calls = 0.8
 			}
 		}, nil},
-		{"half-leave", 0.5, nil, func(g *together, t *fleet.Traffic) {
-			t.At[length/2] = func(*fleet.Routers) {
+		{"half-leave", 0.5, nil, func(g *together, t *clustertest.Traffic) {
+			t.At[length/2] = func(*clustertest.Routers) {
 				for _, s := range half(g) {
 					_ = s.Signal(syscall.SIGTERM)
 				}
 			}
-			t.Lists = func(at time.Duration) []*fleet.Server {
+			t.Lists = func(at time.Duration) []*clustertest.Server {
 				if at > length/2+time.Second {
 					return g.Servers[len(g.Servers)/2:]
 				}
@@ -81,7 +81,7 @@
 	}
 	for n, day := range days {
 		t.Run(day.name, func(t *testing.T) {
-			g := fleetOf(t, fleet.Plan{Servers: servers, Seed: int64(n + 1)})
+			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: int64(n + 1)})
 			if day.prepare != nil {
 				day.prepare(g)
 			}
@@ -90,9 +90,9 @@
 			}
 			g.up(g.Servers)
 			// Some half of what the cores can do, two a server.
-			traffic := fleet.Traffic{Routers: 10, Rate: float64(servers) * 2 / 0.04 * 0.5, Length: length, WorkMs: 40, Contract: 4 * time.Second,
-				Expiry: 7 * time.Second, Harmless: "look", Stamped: "book", Stamps: 0.3, Tries: 3, At: map[time.Duration]func(*fleet.Routers){},
-				Lists: func(time.Duration) []*fleet.Server { return g.Servers }}
+			traffic := clustertest.Traffic{Routers: 10, Rate: float64(servers) * 2 / 0.04 * 0.5, Length: length, WorkMs: 40, Contract: 4 * time.Second,
+				Expiry: 7 * time.Second, Harmless: "look", Stamped: "book", Stamps: 0.3, Tries: 3, At: map[time.Duration]func(*clustertest.Routers){},
+				Lists: func(time.Duration) []*clustertest.Server { return g.Servers }}
 			if day.load != nil {
 				day.load(g, &traffic)
 			}
--- a/cmd/thistlequay/golden_test.go
+++ b/cmd/thistlequay/golden_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/emulator"
 	"thistlequay/internal/golden"
-	"thistlequay/internal/standin"
-	"thistlequay/internal/store"
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
 )
 
 // outputs runs commands and writes down their exit codes and what they print.
@@ -94,12 +94,12 @@
 	o.run("shares")
 
 	for _, kind := range []string{"good", "other-version", "foreign", "truncated"} {
-		o.run("plugin", "check", o.file(kind+".wasm", string(standin.Plugin(kind))))
+		o.run("plugin", "check", o.file(kind+".wasm", string(emulator.Plugin(kind))))
 	}
 	for _, hook := range []string{"read", "result", "tick", "none"} {
 		request := o.file(hook+"-request.json", fmt.Sprintf(`{"hook":%q,"left_ms":500,"category":"look","tenant":"acme","tag":"t","body":"a long body"}`, hook))
 		for _, kind := range []string{"good", "declines", "recategorise", "tags", "shortens", "status-9999"} {
-			o.WriteString(o.run("plugin", "run", "--call", "2s", "--request", request, o.file(kind+".wasm", string(standin.Plugin(kind)))))
+			o.WriteString(o.run("plugin", "run", "--call", "2s", "--request", request, o.file(kind+".wasm", string(emulator.Plugin(kind)))))
 		}
 	}
 	o.store()
@@ -109,20 +109,20 @@
 // store writes a store and has it inspected, verified, made small, and verified again with a byte that has changed.
 func (o *outputs) store() {
 	directory := filepath.Join(o.dir, "store")
-	files, err := store.OpenDirectory(directory)
+	files, err := segmentlog.OpenDirectory(directory)
 	require.NoError(o.t, err)
-	done := make(chan []store.Done, 100)
-	s, err := store.Open(files, store.Terms{Bytes: 1 << 20, Records: 1000, Segment: 1 << 16, Window: 600_000, Most: 10, Fresh: true,
-		Now: store.MachineClock, Answered: func(d []store.Done) { done <- d }})
+	done := make(chan []segmentlog.Done, 100)
+	s, err := segmentlog.Open(files, segmentlog.Terms{Bytes: 1 << 20, Records: 1000, Segment: 1 << 16, Window: 600_000, Most: 10, Fresh: true,
+		Now: segmentlog.MachineClock, Answered: func(d []segmentlog.Done) { done <- d }})
 	require.NoError(o.t, err)
-	until := store.MachineClock().Wall + 36_000_000
+	until := segmentlog.MachineClock().Wall + 36_000_000
 	for i, key := range []string{"open", "kept", "failed", "void"} {
-		require.NoError(o.t, s.Intend(lasting.Record{Kind: lasting.Intent, Key: key, Try: uint64(i + 1), Until: until, At: store.MachineClock()}, uint64(i)))
+		require.NoError(o.t, s.Intend(recovery.Record{Kind: recovery.Intent, Key: key, Try: uint64(i + 1), Until: until, At: segmentlog.MachineClock()}, uint64(i)))
 		<-done
 	}
-	for _, r := range []lasting.Record{{Kind: lasting.Result, Key: "kept", Try: 2, Well: true, Result: []byte("result")},
-		{Kind: lasting.Result, Key: "failed", Try: 3}, {Kind: lasting.Void, Key: "void", Try: 4}} {
-		r.Until, r.At = until, store.MachineClock()
+	for _, r := range []recovery.Record{{Kind: recovery.Result, Key: "kept", Try: 2, Well: true, Result: []byte("result")},
+		{Kind: recovery.Result, Key: "failed", Try: 3}, {Kind: recovery.Void, Key: "void", Try: 4}} {
+		r.Until, r.At = until, segmentlog.MachineClock()
 		s.Conclude(r, r.Try+10)
 		<-done
 	}
--- a/cmd/thistlequay/hostile_test.go
+++ b/cmd/thistlequay/hostile_test.go
@@ -8,16 +8,16 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"thistlequay/internal/peers"
-	"thistlequay/internal/rehearsal/fleet"
-	"thistlequay/members"
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/membership"
 )
 
 // A member with the fleet's key lies to processes about others and to them about themselves, and sends messages that are
 // spoilt, of 64 KiB and of kinds that nobody knows: none of it is taken, all is counted, and its own word still holds.
 func TestPeersAndALiar(t *testing.T) {
 	t.Parallel()
-	g := fleetOf(t, fleet.Plan{Servers: 5, Seed: 8, Talk: true, Size: 4})
+	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 8, Talk: true, Size: 4})
 	all, home := g.Servers, g.Servers[:4]
 	for _, s := range home {
 		g.NoError(s.Start())
@@ -25,20 +25,20 @@
 	g.sees("four are there", home, settled(4))
 	listen, advertise, err := all[4].Talk()
 	g.NoError(err)
-	key, err := base64.StdEncoding.DecodeString(fleet.Key)
+	key, err := base64.StdEncoding.DecodeString(clustertest.Key)
 	g.NoError(err)
 	_, first, err := all[0].Talk()
 	g.NoError(err)
-	terms := members.DefaultTerms(members.ID{Name: "liar", Life: uint64(time.Now().UnixMicro())})
-	liar, err := peers.Start(peers.Terms{Members: terms, Listen: listen, Advertise: advertise, First: []string{first}, Fleet: "rig", Keys: [][]byte{key}})
+	terms := membership.DefaultTerms(membership.ID{Name: "liar", Life: uint64(time.Now().UnixMicro())})
+	liar, err := gossip.Start(gossip.Terms{Members: terms, Listen: listen, Advertise: advertise, First: []string{first}, Fleet: "rig", Keys: [][]byte{key}})
 	g.NoError(err)
 	defer liar.End()
-	liar.Say(peers.Own{State: members.Serving})
+	liar.Say(gossip.Own{State: membership.Serving})
 	g.sees("it is one of them", home, is("liar", "serving"))
 	before, err := all[1].View()
 	g.NoError(err)
-	var victim, target members.Member
-	g.NoError(liar.Look(func(v *members.View, _ *members.Accord) {
+	var victim, target membership.Member
+	g.NoError(liar.Look(func(v *membership.View, _ *membership.Accord) {
 		for _, m := range v.Members() {
 			switch m.Name {
 			case "n00":
@@ -54,23 +54,23 @@
 		return b
 	}
 	lies := map[byte][][]byte{
-		1: {text(members.Word{ID: victim.ID, Seq: 1 << 40, State: members.Leaving}), text(members.Word{ID: target.ID, Seq: 1 << 40, State: members.Leaving})},
-		2: {text(members.Note{Kind: members.Chosen, From: victim.ID, To: target.ID, Epoch: 1 << 40,
-			Fleet: &members.Fleet{Epoch: 1 << 40, Count: 1, Lease: 60000, Voters: []members.Voter{{ID: terms.Me}}}}), []byte("spoilt")},
-		peers.FirstMail: {text(map[int]any{1: victim.ID, 2: target.ID, 3: []byte("for another")}), make([]byte, 64<<10)},
-		200:             {bytes.Repeat([]byte{0x9f}, 900), make([]byte, 64<<10)},
+		1: {text(membership.Word{ID: victim.ID, Seq: 1 << 40, State: membership.Leaving}), text(membership.Word{ID: target.ID, Seq: 1 << 40, State: membership.Leaving})},
+		2: {text(membership.Note{Kind: membership.Chosen, From: victim.ID, To: target.ID, Epoch: 1 << 40,
+			Fleet: &membership.Fleet{Epoch: 1 << 40, Count: 1, Lease: 60000, Voters: []membership.Voter{{ID: terms.Me}}}}), []byte("spoilt")},
+		gossip.FirstMail: {text(map[int]any{1: victim.ID, 2: target.ID, 3: []byte("for another")}), make([]byte, 64<<10)},
+		200:              {bytes.Repeat([]byte{0x9f}, 900), make([]byte, 64<<10)},
 	}
 	for kind, messages := range lies {
 		for _, m := range messages {
 			g.NoError(liar.Lie(target.ID, target.Address, kind, m))
 		}
 	}
-	g.sees("the lies were counted", all[1:2], func(r peers.Report) bool {
+	g.sees("the lies were counted", all[1:2], func(r gossip.Report) bool {
 		return r.Counts.Foreign >= before.Counts.Foreign+1 && r.Garbled >= before.Garbled+1
 	})
-	g.sees("none of them was taken", home, func(r peers.Report) bool {
+	g.sees("none of them was taken", home, func(r gossip.Report) bool {
 		return line(r, "n00").State == "serving" && line(r, "n01").State == "serving" && r.Epoch < 1<<40 && r.Standing == "whole"
 	})
-	liar.Say(peers.Own{State: members.Leaving})
+	liar.Say(gossip.Own{State: membership.Leaving})
 	g.sees("what it says of itself holds", home, is("liar", "leaving", "left"))
 }
--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -14,7 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/standin"
+	"thistlequay/internal/emulator"
 )
 
 func storeIn(directory, more string) string {
@@ -22,8 +22,8 @@
 }
 
 // reborn starts another life of the server, with an interpreter of its own.
-func (r *rig) reborn(t *testing.T, config string) *standin.Interpreter {
-	vm, err := standin.NewInterpreter(4, 1)
+func (r *rig) reborn(t *testing.T, config string) *emulator.Interpreter {
+	vm, err := emulator.NewInterpreter(4, 1)
 	r.NoError(err)
 	t.Cleanup(vm.Close)
 	r.config = strings.Replace(config, r.vm.Address, vm.Address, 1)
@@ -63,7 +63,7 @@
 		}
 		type got struct {
 			key string
-			standin.Answer
+			emulator.Answer
 		}
 		came := make(chan got, 100)
 		ends := make(chan struct{}, 3)
@@ -98,7 +98,7 @@
 		for range 3 {
 			<-ends
 		}
-		vm.Look(func(v *standin.Interpreter) {
+		vm.Look(func(v *emulator.Interpreter) {
 			for body, n := range v.Keys {
 				runs[body] += n
 			}
--- a/cmd/thistlequay/main.go
+++ b/cmd/thistlequay/main.go
@@ -18,15 +18,15 @@
 
 	"github.com/alecthomas/kong"
 
-	"thistlequay/internal/appserver"
-	"thistlequay/internal/faults"
+	"thistlequay/internal/config"
+	"thistlequay/internal/diagnostics"
+	"thistlequay/internal/gossip"
 	"thistlequay/internal/logs"
-	"thistlequay/internal/peers"
 	"thistlequay/internal/plugin"
-	"thistlequay/internal/service"
-	"thistlequay/internal/sharing"
-	"thistlequay/internal/store"
-	"thistlequay/lasting"
+	"thistlequay/internal/quota/service"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
+	"thistlequay/internal/server"
 )
 
 const (
@@ -95,18 +95,18 @@
 type serve struct {
 	Config     string `env:"PROXY_CONFIG" placeholder:"FILE" help:"The platform's configuration, JSON."`
 	Service    string `env:"THISTLEQUAY_SERVICE" placeholder:"FILE" help:"Our own settings, YAML; a section a subsystem. Without it all of them are off."`
-	app        *appserver.App
-	section    *service.Plugins // that the running ones were begun by
-	running    *appserver.Plugins
-	kept       *service.Store // that the open one was opened by
-	lasting    *appserver.Lasting
-	peers      *peers.Peers
-	heard      *appserver.Talk
-	sharing    *sharing.Sharing
-	shares     *appserver.Shares
-	granted    *service.Shares // that the running ones were begun by
-	ClockShift time.Duration   `hidden:"" help:"For tests: how wrong this machine's clock is."`
-	Log        logs.Format     `enum:"text,json" default:"text" help:"How log lines look: ${enum}."`
+	app        *server.App
+	section    *config.Plugins // that the running ones were begun by
+	running    *server.Plugins
+	kept       *config.Store // that the open one was opened by
+	lasting    *server.Lasting
+	peers      *gossip.Peers
+	heard      *server.Talk
+	sharing    *service.Sharing
+	shares     *server.Shares
+	granted    *config.Shares // that the running ones were begun by
+	ClockShift time.Duration  `hidden:"" help:"For tests: how wrong this machine's clock is."`
+	Log        logs.Format    `enum:"text,json" default:"text" help:"How log lines look: ${enum}."`
 }
 
 // Run serves until the notice to leave has been carried out.
@@ -120,7 +120,7 @@
 	if err != nil {
 		return said(log, "cannot_start", err)
 	}
-	app := appserver.New(place, log)
+	app := server.New(place, log)
 	s.app = app
 	go func() {
 		for range leave {
@@ -143,7 +143,7 @@
 	if s.peers != nil {
 		s.peers.End()
 	}
-	if errors.Is(err, appserver.ErrLoop) {
+	if errors.Is(err, server.ErrLoop) {
 		return said(log, "failed", err)
 	} else if err != nil {
 		return said(log, "cannot_start", err)
@@ -153,19 +153,19 @@
 
 // said logs each fault as a line of its own.
 func said(log logs.Log, event string, err error) error {
-	for _, f := range faults.Of(err) {
+	for _, f := range diagnostics.Of(err) {
 		log.Event(event).Str("reason", f.Error()).Send()
 	}
 	return errSaid
 }
 
 // place reads both files: all of what they say takes hold, or nothing.
-func (s *serve) place() (p appserver.Place, err error) {
+func (s *serve) place() (p server.Place, err error) {
 	p, err = configure(s.Config)
 	if err != nil {
 		return p, err
 	}
-	own, err := service.Read(s.Service)
+	own, err := config.Read(s.Service)
 	if err != nil {
 		return p, err
 	}
@@ -187,7 +187,7 @@
 }
 
 // store opens the store at the start. What is open stays: another section is told as one that can't change while running.
-func (s *serve) store(of *service.Store, p appserver.Place) (*appserver.Lasting, error) {
+func (s *serve) store(of *config.Store, p server.Place) (*server.Lasting, error) {
 	if s.app != nil {
 		if reflect.DeepEqual(of, s.kept) {
 			return s.lasting, nil
@@ -197,24 +197,24 @@
 	if s.kept = of; of == nil {
 		return nil, nil
 	}
-	files, err := store.OpenDirectory(of.Path(s.Service))
+	files, err := segmentlog.OpenDirectory(of.Path(s.Service))
 	if err != nil {
 		return nil, fmt.Errorf("the store in %s: %w", of.Path(s.Service), err)
 	}
-	var tell atomic.Pointer[func([]store.Done)]
+	var tell atomic.Pointer[func([]segmentlog.Done)]
 	terms := of.Terms(p.Terms, p.Memory)
-	terms.Answered = func(done []store.Done) {
+	terms.Answered = func(done []segmentlog.Done) {
 		if to := tell.Load(); to != nil {
 			(*to)(done)
 		}
 	}
-	opened, err := store.Open(files, terms)
+	opened, err := segmentlog.Open(files, terms)
 	if err != nil {
 		return nil, fmt.Errorf("the store in %s: %w", of.Path(s.Service), err)
 	}
 	log := logs.New(os.Stderr, s.Log)
 	for _, f := range opened.Found {
-		log.Event("store_damage").Str("file", f.File).Int64("offset", f.Offset).Str("what", lasting.Words[f.Damage]).Bool("lost", f.Lost).Send()
+		log.Event("store_damage").Str("file", f.File).Int64("offset", f.Offset).Str("what", recovery.Words[f.Damage]).Bool("lost", f.Lost).Send()
 	}
 	wait := max(0, opened.DeclineUntil-terms.Now().Wall)
 	if opened.DeclineUntil == 0 {
@@ -222,13 +222,13 @@
 	}
 	log.Event("store_open").Str("directory", of.Path(s.Service)).Int("records", opened.Records).Int("stamps", len(opened.Fates)).
 		Int64("declines_for_ms", int64(wait/10)).Send()
-	s.lasting = &appserver.Lasting{Store: opened, Tell: func(f func([]store.Done)) { tell.Store(&f) }}
+	s.lasting = &server.Lasting{Store: opened, Tell: func(f func([]segmentlog.Done)) { tell.Store(&f) }}
 	return s.lasting, nil
 }
 
 // plugins begins a process of plug-ins where the settings or a module's bytes are others than before: it compiles them
 // and tries them on their samples, and only then anything is asked there.
-func (s *serve) plugins(of *service.Plugins, p appserver.Place) (*appserver.Plugins, error) {
+func (s *serve) plugins(of *config.Plugins, p server.Place) (*server.Plugins, error) {
 	if of == nil {
 		s.running, s.section = nil, nil
 		return nil, nil
@@ -236,7 +236,7 @@
 	if s.running != nil && reflect.DeepEqual(s.section, of) {
 		return s.running, nil
 	}
-	t := &appserver.Plugins{Grants: of.Grants(p.Terms), Drop: of.Drop(),
+	t := &server.Plugins{Grants: of.Grants(p.Terms), Drop: of.Drop(),
 		Begin: func(kept map[string]map[string][]byte) (*plugin.Process, error) {
 			return plugin.Start(of.Spec(kept), of.Ready, os.Stderr)
 		}}
@@ -260,14 +260,14 @@
 func (c *check) Run(out io.Writer) error {
 	found := 0
 	tell := func(err error) bool {
-		for _, f := range faults.Of(err) {
+		for _, f := range diagnostics.Of(err) {
 			found++
 			fmt.Fprintln(out, f.Error())
 		}
 		return err == nil
 	}
-	var places []appserver.Place
-	var own []*service.Terms
+	var places []server.Place
+	var own []*config.Terms
 	for _, file := range c.Files {
 		switch {
 		case strings.HasSuffix(file, ".json"):
@@ -275,11 +275,11 @@
 				places = append(places, p)
 			}
 		case strings.HasSuffix(file, ".yaml"), strings.HasSuffix(file, ".yml"):
-			if t, err := service.Read(file); tell(err) {
+			if t, err := config.Read(file); tell(err) {
 				own = append(own, t)
 			}
 		default:
-			tell(faults.List{{File: file, What: "is of no known kind", Want: "a name that ends in .json, .yaml or .yml"}})
+			tell(diagnostics.List{{File: file, What: "is of no known kind", Want: "a name that ends in .json, .yaml or .yml"}})
 		}
 	}
 	for _, p := range places {
--- a/cmd/thistlequay/members.go
+++ b/cmd/thistlequay/members.go
@@ -16,11 +16,11 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/zeebo/xxh3"
 
-	"thistlequay/internal/appserver"
+	"thistlequay/internal/config"
+	"thistlequay/internal/gossip"
 	"thistlequay/internal/logs"
-	"thistlequay/internal/peers"
-	"thistlequay/internal/service"
-	"thistlequay/members"
+	"thistlequay/internal/membership"
+	"thistlequay/internal/server"
 )
 
 type membersOf struct {
@@ -35,7 +35,7 @@
 		_, err := tea.NewProgram(&watch{at: m.Address}, tea.WithOutput(out)).Run()
 		return err
 	}
-	r, err := peers.Fetch(m.Address)
+	r, err := gossip.Fetch(m.Address)
 	if err != nil {
 		return err
 	}
@@ -55,12 +55,12 @@
 }
 
 type fetched struct {
-	r   peers.Report
+	r   gossip.Report
 	err error
 }
 
 func (w *watch) fetch() tea.Msg {
-	r, err := peers.Fetch(w.at)
+	r, err := gossip.Fetch(w.at)
 	return fetched{r, err}
 }
 
@@ -83,7 +83,7 @@
 
 func (w *watch) View() string { return w.text + "q leaves\n" }
 
-func drawn(r peers.Report) string {
+func drawn(r gossip.Report) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s stands with the %s for %s; fleet %d of %d members, voters %s; %d servers are reckoned with\n", r.Name, r.Standing,
 		span(r.SinceMs), r.Epoch, r.Agreed, strings.Join(r.Voters, " "), r.Size)
@@ -110,7 +110,7 @@
 
 // talk begins the talk with other servers where a section asks for it. A section that changes while the server runs has no
 // effect but for its keys.
-func (s *serve) talk(of *service.Peers, p appserver.Place, log logs.Log, more func(*peers.Terms)) (*appserver.Talk, error) {
+func (s *serve) talk(of *config.Peers, p server.Place, log logs.Log, more func(*gossip.Terms)) (*server.Talk, error) {
 	if of == nil {
 		return nil, nil
 	}
@@ -125,21 +125,21 @@
 		return s.heard, nil
 	}
 	begun := time.Now().Add(s.ClockShift)
-	terms := members.DefaultTerms(members.ID{Name: p.Name, Life: uint64(begun.UnixMicro())})
+	terms := membership.DefaultTerms(membership.ID{Name: p.Name, Life: uint64(begun.UnixMicro())})
 	terms.Zone, terms.Founders, terms.Size = of.Zone, of.Founders, of.Servers
-	heard := &appserver.Talk{}
-	t := peers.Terms{Members: terms, Listen: of.Listen, Advertise: of.Advertise, First: of.First, Fleet: of.Fleet, Keys: keys,
+	heard := &server.Talk{}
+	t := gossip.Terms{Members: terms, Listen: of.Listen, Advertise: of.Advertise, First: of.First, Fleet: of.Fleet, Keys: keys,
 		Version: revision(), Settings: digest(s.Config, s.Service), Changed: heard.Changed,
-		Log: func(event string, id members.ID, from, to members.State, why members.Cause) {
+		Log: func(event string, id membership.ID, from, to membership.State, why membership.Cause) {
 			log.Event(event).Str("member", id.Name).Str("life", fmt.Sprintf("%016x", id.Life)).Stringer("from", from).
 				Stringer("to", to).Stringer("cause", why).Send()
 		},
-		Status: func(standing members.Standing, size int, epoch uint64) {
+		Status: func(standing membership.Standing, size int, epoch uint64) {
 			log.Event("standing").Stringer("with", standing).Int("servers", size).Uint64("epoch", epoch).Send()
 		}}
 	t.Used = heard.Used
 	more(&t)
-	if s.peers, err = peers.Start(t); err != nil {
+	if s.peers, err = gossip.Start(t); err != nil {
 		return nil, fmt.Errorf("the talk among servers: %w", err)
 	}
 	heard.Peers, s.heard = s.peers, heard
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -15,28 +15,28 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/peers"
-	"thistlequay/internal/rehearsal/fleet"
-	"thistlequay/internal/standin"
-	"thistlequay/members"
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/membership"
 )
 
 // together is a fleet of processes that know each other.
 type together struct {
 	*require.Assertions
-	*fleet.Rig
+	*clustertest.Rig
 	t *testing.T
 }
 
 func talking(t *testing.T, servers int, seed int64) *together {
-	g := fleetOf(t, fleet.Plan{Servers: servers, Seed: seed, Talk: true})
+	g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: seed, Talk: true})
 	for _, s := range g.Servers {
 		g.NoError(s.Start())
 	}
 	return g
 }
 
-func fleetOf(t *testing.T, p fleet.Plan) *together {
+func fleetOf(t *testing.T, p clustertest.Plan) *together {
 	r := require.New(t)
 	var of map[string]any
 	r.NoError(json.Unmarshal([]byte(settings), &of))
@@ -46,7 +46,7 @@
 	if p.Settings == nil {
 		p.Settings = of
 	}
-	rig, err := fleet.New(p)
+	rig, err := clustertest.New(p)
 	r.NoError(err)
 	g := &together{r, rig, t}
 	t.Cleanup(func() {
@@ -64,7 +64,7 @@
 }
 
 // up waits until each of the servers takes work: it answers, and its interpreter is there.
-func (g *together) up(of []*fleet.Server) {
+func (g *together) up(of []*clustertest.Server) {
 	for _, s := range of {
 		g.NoError(ready(s.Listen))
 		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, patience, 5*time.Millisecond, s.Name)
@@ -72,14 +72,14 @@
 }
 
 // sees waits until each of the servers sees what the test wants, and gives how long each took.
-func (g *together) sees(what string, of []*fleet.Server, is func(peers.Report) bool) (took []time.Duration) {
+func (g *together) sees(what string, of []*clustertest.Server, is func(gossip.Report) bool) (took []time.Duration) {
 	begun := time.Now()
 	left := slices.Clone(of)
 	for len(left) > 0 {
 		for _, s := range slices.Clone(left) {
 			if r, err := s.View(); err == nil && is(r) {
 				took = append(took, time.Since(begun))
-				left = slices.DeleteFunc(left, func(o *fleet.Server) bool { return o == s })
+				left = slices.DeleteFunc(left, func(o *clustertest.Server) bool { return o == s })
 			}
 		}
 		if time.Since(begun) > 3*patience {
@@ -94,24 +94,24 @@
 }
 
 // line is how a report shows the life of a name that fares best: the one that holds it.
-func line(r peers.Report, name string) (of peers.Line) {
+func line(r gossip.Report, name string) (of gossip.Line) {
 	for _, l := range r.Members {
-		if l.Name == name && (of.Name == "" || slices.Index(members.StateNames, l.State) < slices.Index(members.StateNames, of.State)) {
+		if l.Name == name && (of.Name == "" || slices.Index(membership.StateNames, l.State) < slices.Index(membership.StateNames, of.State)) {
 			of = l
 		}
 	}
 	return of
 }
 
-func is(name, state string, causes ...string) func(peers.Report) bool {
-	return func(r peers.Report) bool {
+func is(name, state string, causes ...string) func(gossip.Report) bool {
+	return func(r gossip.Report) bool {
 		l := line(r, name)
 		return l.State == state && (len(causes) == 0 || slices.Contains(causes, l.Cause))
 	}
 }
 
-func whole(n int) func(peers.Report) bool {
-	return func(r peers.Report) bool {
+func whole(n int) func(gossip.Report) bool {
+	return func(r gossip.Report) bool {
 		there := 0
 		for _, l := range r.Members {
 			if l.State == "serving" {
@@ -122,13 +122,13 @@
 	}
 }
 
-func without(of []*fleet.Server, gone ...*fleet.Server) []*fleet.Server {
-	return slices.DeleteFunc(slices.Clone(of), func(s *fleet.Server) bool { return slices.Contains(gone, s) })
+func without(of []*clustertest.Server, gone ...*clustertest.Server) []*clustertest.Server {
+	return slices.DeleteFunc(slices.Clone(of), func(s *clustertest.Server) bool { return slices.Contains(gone, s) })
 }
 
 // settled: the whole, and agreed on by those who are there.
-func settled(n int) func(peers.Report) bool {
-	return func(r peers.Report) bool {
+func settled(n int) func(gossip.Report) bool {
+	return func(r gossip.Report) bool {
 		ok := whole(n)(r) && r.Agreed == n
 		for _, name := range r.Voters {
 			ok = ok && line(r, name).State == "serving"
@@ -164,7 +164,7 @@
 	g.sees("it goes on", awake, is(all[n-2].Name, "serving"))
 
 	// One direction between two is lost: they are still there for all, and the one that cannot reach says so.
-	g.Link(all[3].Index, all[4].Index, fleet.Fault{Cut: true})
+	g.Link(all[3].Index, all[4].Index, clustertest.Fault{Cut: true})
 	g.sees("a one-way loss", all[3:4], is(all[4].Name, "serving", "unreachable from here alone"))
 	for _, s := range awake {
 		r, err := s.View()
@@ -175,15 +175,15 @@
 	g.sees("it is reached again", all[3:4], is(all[4].Name, "serving", ""))
 
 	// A zone is cut off: it is a part, the others remain the whole; then they meet.
-	g.Split(func(s *fleet.Server) int { return s.Index % 3 })
-	zones := map[int][]*fleet.Server{}
+	g.Split(func(s *clustertest.Server) int { return s.Index % 3 })
+	zones := map[int][]*clustertest.Server{}
 	for _, s := range rest {
 		zones[s.Index%3] = append(zones[s.Index%3], s)
 	}
-	g.sees("three parts", rest, func(r peers.Report) bool { return r.Standing == "part" })
-	g.Split(func(s *fleet.Server) int { return min(1, s.Index%3) })
-	g.sees("the zone", zones[0], func(r peers.Report) bool { return r.Standing == "part" })
-	g.sees("the others", append(slices.Clone(zones[1]), zones[2]...), func(r peers.Report) bool { return r.Standing == "whole" })
+	g.sees("three parts", rest, func(r gossip.Report) bool { return r.Standing == "part" })
+	g.Split(func(s *clustertest.Server) int { return min(1, s.Index%3) })
+	g.sees("the zone", zones[0], func(r gossip.Report) bool { return r.Standing == "part" })
+	g.sees("the others", append(slices.Clone(zones[1]), zones[2]...), func(r gossip.Report) bool { return r.Standing == "whole" })
 	for _, s := range zones[0] {
 		r, err := s.View()
 		g.NoError(err)
@@ -225,7 +225,7 @@
 		until time.Time
 	}
 	var lock sync.Mutex
-	held, n, ended := map[*fleet.Server]claim{}, 0, make(chan struct{})
+	held, n, ended := map[*clustertest.Server]claim{}, 0, make(chan struct{})
 	g.t.Cleanup(func() { close(ended) })
 	go func() {
 		for {
@@ -274,7 +274,7 @@
 // that repeats and cuts short. None of it is taken, and nobody falls for it.
 func TestPeersThatDoNotBelong(t *testing.T) {
 	t.Parallel()
-	g := fleetOf(t, fleet.Plan{Servers: 5, Seed: 2, Talk: true, Size: 4})
+	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 2, Talk: true, Size: 4})
 	all := g.Servers
 	key := func(text string) string { return base64.StdEncoding.EncodeToString([]byte(text)) }
 	next := key("the key of later")
@@ -283,21 +283,21 @@
 	}
 	home := all[:4]
 	g.sees("four are there", home, whole(4))
-	strangers := map[string]func(s *fleet.Server){
-		"another fleet":     func(s *fleet.Server) { s.As("x1", "other", fleet.Key) },
-		"a wrong key":       func(s *fleet.Server) { s.As("x2", "rig", key("a key of nowhere")) },
-		"a key of tomorrow": func(s *fleet.Server) { s.As("x3", "rig", next) },
+	strangers := map[string]func(s *clustertest.Server){
+		"another fleet":     func(s *clustertest.Server) { s.As("x1", "other", clustertest.Key) },
+		"a wrong key":       func(s *clustertest.Server) { s.As("x2", "rig", key("a key of nowhere")) },
+		"a key of tomorrow": func(s *clustertest.Server) { s.As("x3", "rig", next) },
 	}
 	for what, as := range strangers {
 		as(all[4])
 		g.NoError(all[4].Start())
-		g.sees(what, all[4:], func(r peers.Report) bool { return r.Standing == "alone" && len(r.Members) == 1 })
+		g.sees(what, all[4:], func(r gossip.Report) bool { return r.Standing == "alone" && len(r.Members) == 1 })
 		g.NoError(all[4].Kill())
 	}
 	// A second process under a name that is taken, begun with a clock a minute behind or ahead: the first one keeps it.
-	all[4].As("n03", "rig", fleet.Key, "--clock-shift=1m")
+	all[4].As("n03", "rig", clustertest.Key, "--clock-shift=1m")
 	g.NoError(all[4].Start())
-	taken := func(r peers.Report) bool {
+	taken := func(r gossip.Report) bool {
 		lives := 0
 		for _, l := range r.Members {
 			if l.Name == "n03" && l.State == "gone" && l.Cause == "name taken" {
@@ -309,7 +309,7 @@
 	g.sees("a name that is taken", home, taken)
 	g.NoError(all[4].Kill())
 	// The network repeats, reorders, cuts short: views hold.
-	g.Everywhere(fleet.Fault{Loss: 0.3, Twice: 0.2, Short: 0.05, Jitter: 50 * time.Millisecond, Replayed: 700 * time.Millisecond})
+	g.Everywhere(clustertest.Fault{Loss: 0.3, Twice: 0.2, Short: 0.05, Jitter: 50 * time.Millisecond, Replayed: 700 * time.Millisecond})
 	g.NoError(all[0].Kill())
 	g.sees("a crash under loss", home[1:], is("n00", "failed"))
 	g.Heal()
@@ -323,7 +323,7 @@
 		}
 	}
 	// Keys change while all talk: both are understood before any speaks under the new one, then the old one goes.
-	for _, keys := range []string{fleet.Key + "\n" + next, next + "\n" + fleet.Key, next} {
+	for _, keys := range []string{clustertest.Key + "\n" + next, next + "\n" + clustertest.Key, next} {
 		for _, s := range home {
 			g.NoError(s.Again(keys))
 		}
@@ -331,9 +331,9 @@
 	g.NoError(all[3].Kill())
 	g.NoError(all[3].As("", "", next).Start())
 	g.sees("under the new key", home, whole(4))
-	all[4].As("x4", "rig", fleet.Key)
+	all[4].As("x4", "rig", clustertest.Key)
 	g.NoError(all[4].Start())
-	g.sees("the old key", all[4:], func(r peers.Report) bool { return r.Standing == "alone" && len(r.Members) == 1 })
+	g.sees("the old key", all[4:], func(r gossip.Report) bool { return r.Standing == "alone" && len(r.Members) == 1 })
 	g.NoError(all[4].Kill())
 	g.sees("the first is with the whole", all[:1], settled(4))
 	var out bytes.Buffer
@@ -392,7 +392,7 @@
 	all := slices.Clone(g.Servers)
 	g.sees("six are there", all, settled(6))
 	both := g.claims()
-	halves := func(s *fleet.Server) int { return s.Index % 2 }
+	halves := func(s *clustertest.Server) int { return s.Index % 2 }
 	for begun, cut := time.Now(), false; time.Since(begun) < span; time.Sleep(200 * time.Millisecond) {
 		if cut = !cut; cut {
 			g.Split(halves)
@@ -418,7 +418,7 @@
 		failed += strings.Count(s.Log.String(), "member="+late.Name+" to=failed")
 	}
 	// Two newcomers while the fleet is cut in two: one can reach the first peers, the other cannot.
-	side := func(s *fleet.Server) int {
+	side := func(s *clustertest.Server) int {
 		if s.Index == 4 || s.Index == 5 || s.Index == 7 {
 			return 1
 		}
@@ -433,7 +433,7 @@
 		g.NoError(s.Start())
 	}
 	g.sees("on the side of the first", append(slices.Clone(all[:4]), g.Servers[6]), whole(5))
-	g.sees("on the other side", g.Servers[7:], func(r peers.Report) bool { return r.Standing != "whole" })
+	g.sees("on the other side", g.Servers[7:], func(r gossip.Report) bool { return r.Standing != "whole" })
 	g.Heal()
 	met := g.sees("they meet", g.Servers, settled(8))
 	t.Logf("measured peers-unsteady flapping_s=%.0f settled_after_ms=%d standing_changes=%d late_held_failed=%d met_after_ms=%d both_whole=%d", span.Seconds(),
@@ -453,10 +453,10 @@
 		`"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(settings)), &of))
 	served, cost := map[bool]float64{}, map[bool]time.Duration{}
 	for _, talk := range []bool{false, true} {
-		index, err := standin.NewIndex()
+		index, err := emulator.NewIndex()
 		require.NoError(t, err)
 		index.Delay, index.Most = 50*time.Millisecond, 16
-		g := fleetOf(t, fleet.Plan{Servers: 8, Seed: 5, Talk: talk, Settings: of, Index: index})
+		g := fleetOf(t, clustertest.Plan{Servers: 8, Seed: 5, Talk: talk, Settings: of, Index: index})
 		for _, s := range g.Servers {
 			s.VM.Calls = 1
 			g.NoError(s.Start())
@@ -467,9 +467,9 @@
 		}
 		cost[talk] = g.latency(g.Servers[0], 300)
 		rest := g.Servers[2:]
-		o := g.Play(fleet.Traffic{Routers: 8, Rate: 270, Length: length, WorkMs: 5, Contract: time.Second, Expiry: 2 * time.Second,
-			Harmless: "look", Stamped: "book", Stamps: 0.2, Tries: 1, Lists: func(time.Duration) []*fleet.Server { return rest },
-			At: map[time.Duration]func(*fleet.Routers){time.Second: func(r *fleet.Routers) { r.Kill(g.Servers[0]); r.Kill(g.Servers[1]) }}})
+		o := g.Play(clustertest.Traffic{Routers: 8, Rate: 270, Length: length, WorkMs: 5, Contract: time.Second, Expiry: 2 * time.Second,
+			Harmless: "look", Stamped: "book", Stamps: 0.2, Tries: 1, Lists: func(time.Duration) []*clustertest.Server { return rest },
+			At: map[time.Duration]func(*clustertest.Routers){time.Second: func(r *clustertest.Routers) { r.Kill(g.Servers[0]); r.Kill(g.Servers[1]) }}})
 		late := o.Seconds[len(o.Seconds)*2/3:]
 		for _, part := range late {
 			served[talk] += part / float64(len(late))
@@ -483,14 +483,14 @@
 }
 
 // latency is the median time to the answer of an item that costs next to nothing.
-func (g *together) latency(s *fleet.Server, n int) time.Duration {
-	link, err := standin.Dial(s.Listen)
+func (g *together) latency(s *clustertest.Server, n int) time.Duration {
+	link, err := emulator.Dial(s.Listen)
 	g.NoError(err)
 	defer link.Close()
 	var took []time.Duration
 	for i := range n {
 		begun := time.Now()
-		_, err := link.Write(standin.Request(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i), standin.Fields(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
+		_, err := link.Write(emulator.Request(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i), emulator.Fields(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
 		g.NoError(err)
 		a, err := link.Answer()
 		g.NoError(err)
--- a/cmd/thistlequay/plugin.go
+++ b/cmd/thistlequay/plugin.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"thistlequay/internal/faults"
+	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
 )
@@ -73,12 +73,12 @@
 		Left                        uint32 `json:"left_ms"`
 		Category, Tenant, Tag, Body string
 	}{Hook: "read", Left: 1000}
-	if err := faults.JSON(text, &q); err != nil {
-		return faults.Of(err).In(c.Request)
+	if err := diagnostics.JSON(text, &q); err != nil {
+		return diagnostics.Of(err).In(c.Request)
 	}
 	hook, known := hookNumbers[q.Hook]
 	if !known {
-		return faults.LocateJSON(text, faults.List{{Path: "hook", What: fmt.Sprintf("%q", q.Hook), Want: "one of read, result, tick"}}).In(c.Request)
+		return diagnostics.LocateJSON(text, diagnostics.List{{Path: "hook", What: fmt.Sprintf("%q", q.Hook), Want: "one of read, result, tick"}}).In(c.Request)
 	}
 	c.Hooks = append(c.Hooks, q.Hook)
 	t, err := plugin.Try(c.one(c.File), &abi.Request{Hook: hook, Left: q.Left, Now: time.Now().UnixMilli(), Category: q.Category,
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -15,13 +15,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/standin"
+	"thistlequay/internal/emulator"
 )
 
 // module writes a plug-in of a kind and gives its file.
 func (r *rig) module(kind string) string {
 	file := filepath.Join(r.t.TempDir(), kind+".wasm")
-	r.NoError(os.WriteFile(file, standin.Plugin(kind), 0o600))
+	r.NoError(os.WriteFile(file, emulator.Plugin(kind), 0o600))
 	return file
 }
 
@@ -183,10 +183,10 @@
 }
 
 // under plays load for a second or so against a server with these plug-ins; acme is seen by them, beta is not.
-func under(t *testing.T, service func(r *rig) string, during func(r *rig)) (r *rig, acme, beta *standin.Account, vm *standin.Interpreter) {
+func under(t *testing.T, service func(r *rig) string, during func(r *rig)) (r *rig, acme, beta *emulator.Account, vm *emulator.Interpreter) {
 	r = prepare(t)
 	var err error
-	vm, err = standin.NewInterpreter(2, 3)
+	vm, err = emulator.NewInterpreter(2, 3)
 	r.NoError(err)
 	t.Cleanup(vm.Close)
 	r.vm.Close()
@@ -199,8 +199,8 @@
 	if os.Getenv("MEASURE") == "full" {
 		length = 20
 	}
-	load := &standin.Send{Address: r.listen, Seed: 5, Length: length, Cores: 2, Categories: []string{"look"},
-		Contract: 4 * time.Second, Expiry: 7 * time.Second, Streams: []*standin.Stream{
+	load := &emulator.Send{Address: r.listen, Seed: 5, Length: length, Cores: 2, Categories: []string{"look"},
+		Contract: 4 * time.Second, Expiry: 7 * time.Second, Streams: []*emulator.Stream{
 			{Tenant: "acme", Share: 0.5, Rate: 250, To: length, Work: 0.002, Gain: 1},
 			{Tenant: "beta", Share: 0.5, Rate: 250, To: length, Work: 0.002, Gain: 1}}}
 	var all sync.WaitGroup
@@ -245,11 +245,11 @@
 				}
 			})
 			late, lost, double := 0, 0, 0
-			for _, a := range []*standin.Account{acme, beta} {
+			for _, a := range []*emulator.Account{acme, beta} {
 				late += a.Overdue
 				lost += a.Asked - a.Fulfilled - a.Late - a.Declined - a.Lost - a.Refused
 			}
-			vm.Look(func(v *standin.Interpreter) {
+			vm.Look(func(v *emulator.Interpreter) {
 				for _, runs := range v.Runs {
 					double += runs - 1
 				}
@@ -274,7 +274,7 @@
 			r.again()
 		}
 	})
-	for _, a := range []*standin.Account{acme, beta} {
+	for _, a := range []*emulator.Account{acme, beta} {
 		r.Equal(a.Asked, a.Fulfilled+a.Late+a.Declined, a)
 		r.Zero(a.Overdue)
 	}
--- a/cmd/thistlequay/races_test.go
+++ b/cmd/thistlequay/races_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"thistlequay/internal/rehearsal/fleet"
-	"thistlequay/internal/standin"
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
 )
 
 // Each test here forces one order of two events that could cross; docs/races.md has the table.
@@ -64,7 +64,7 @@
 	result := strings.Repeat("r", 4000)
 	send := func(keep byte) {
 		id := r.id()
-		text := standin.Request(1, "/rpc/look", "b", fields(id))
+		text := emulator.Request(1, "/rpc/look", "b", fields(id))
 		text[10] = keep // the flags of the first record
 		_, err := c.Write(text)
 		r.NoError(err)
@@ -122,7 +122,7 @@
 	first := c.look(1, "stays")
 	v.applied(first, "stays")
 	id := r.id()
-	text := standin.Request(2, "/rpc/look", "ends", fields(id))
+	text := emulator.Request(2, "/rpc/look", "ends", fields(id))
 	text[10] = 0
 	_, err := c.Write(text)
 	r.NoError(err)
@@ -138,9 +138,9 @@
 func TestARequestBehindTheEnd(t *testing.T) {
 	r, v := start(t)
 	c := r.router()
-	last := standin.Request(1, "/health", "", nil)
+	last := emulator.Request(1, "/health", "", nil)
 	last[10] = 0
-	_, err := c.Write(append(last, standin.Request(2, "/rpc/look", "crosses", fields(r.id()))...))
+	_, err := c.Write(append(last, emulator.Request(2, "/rpc/look", "crosses", fields(r.id()))...))
 	r.NoError(err)
 	c.answered(1, 200, "")
 	r.Empty(r.whole(c.link))
@@ -151,7 +151,7 @@
 func TestAnAnswerBeforeABadRecord(t *testing.T) {
 	r, _ := start(t)
 	c := r.router()
-	_, err := c.Write(append(standin.Request(1, "/health", "", nil), "GET / HTTP/1.1\r\n\r\n"...))
+	_, err := c.Write(append(emulator.Request(1, "/health", "", nil), "GET / HTTP/1.1\r\n\r\n"...))
 	r.NoError(err)
 	c.answered(1, 200, "")
 	r.Empty(r.whole(c.link))
@@ -344,7 +344,7 @@
 func TestAPortInTimeWaitAndALateInterpreter(t *testing.T) {
 	r, v := start(t)
 	c := r.router()
-	last := standin.Request(1, "/health", "", nil)
+	last := emulator.Request(1, "/health", "", nil)
 	last[10] = 0 // and the program ends the connection
 	_, err := c.Write(last)
 	r.NoError(err)
@@ -487,7 +487,7 @@
 		d := &drained{kind: kind, id: r.id()}
 		all = append(all, d)
 		with := fields(d.id)
-		text := standin.Request(2, "/rpc/look", "b", with)
+		text := emulator.Request(2, "/rpc/look", "b", with)
 		if whole {
 			d.received, _ = strconv.ParseInt(with["HTTP_RECEIVED_AT"], 10, 64)
 		} else {
@@ -509,7 +509,7 @@
 			begin(kind, resting[0], true)
 			resting = resting[1:]
 		case i%3 < 2:
-			l, err := standin.Dial(r.listen)
+			l, err := emulator.Dial(r.listen)
 			if err != nil {
 				all = append(all, &drained{kind: kind, refused: true})
 				continue
@@ -571,7 +571,7 @@
 	idle, served := 0, 0
 	crowd := func(n int) {
 		for i := range n {
-			c, err := standin.Dial(r.listen)
+			c, err := emulator.Dial(r.listen)
 			if err != nil {
 				continue
 			}
@@ -579,11 +579,11 @@
 			switch idle++; i % 4 {
 			case 0: // says nothing
 			case 1:
-				_, _ = c.Write(standin.Request(1, "/health", "", nil))
+				_, _ = c.Write(emulator.Request(1, "/health", "", nil))
 			case 2:
-				_, _ = c.Write(standin.Request(1, "/health", "", nil)[:30])
+				_, _ = c.Write(emulator.Request(1, "/health", "", nil)[:30])
 			case 3:
-				_, _ = c.Write(standin.Request(1, "/health", "", nil))
+				_, _ = c.Write(emulator.Request(1, "/health", "", nil))
 				c.Conn.(*net.TCPConn).SetLinger(0)
 				c.Close() // at once, by a reset
 			}
@@ -635,7 +635,7 @@
 // down, the index refuses, clients knock already. Each answers health checks soon.
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
-	g := fleetOf(t, fleet.Plan{Servers: processes, Seed: 33})
+	g := fleetOf(t, clustertest.Plan{Servers: processes, Seed: 33})
 	g.Directory.Listener.Listener.Close()
 	g.Index.Listener.Listener.Close()
 	ready := func() (in []time.Duration) {
@@ -652,15 +652,15 @@
 				go func() {
 					defer done.Done()
 					for time.Since(begun[i]) < 30*time.Second {
-						c, err := standin.Dial(s.Listen)
+						c, err := emulator.Dial(s.Listen)
 						if err != nil {
 							time.Sleep(5 * time.Millisecond)
 							continue
 						}
 						c.SetDeadline(time.Now().Add(5 * time.Second))
 						if knocker > 0 { // and asks for work, or says nothing
-							_, _ = c.Write(standin.Request(1, "/rpc/look", "b", fields("0000000000000001"))[:knocker*60])
-						} else if _, err = c.Write(standin.Request(1, "/health", "", nil)); err == nil {
+							_, _ = c.Write(emulator.Request(1, "/rpc/look", "b", fields("0000000000000001"))[:knocker*60])
+						} else if _, err = c.Write(emulator.Request(1, "/health", "", nil)); err == nil {
 							if a, err := c.Answer(); err == nil && a.Status == 200 {
 								in[i] = time.Since(begun[i])
 								t.Cleanup(func() { c.Close() }) // it stays: its port is in TIME_WAIT, or worse, after the kill
--- a/cmd/thistlequay/shares.go
+++ b/cmd/thistlequay/shares.go
@@ -18,12 +18,12 @@
 	"github.com/guptarohit/asciigraph"
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"thistlequay/internal/appserver"
+	"thistlequay/internal/config"
+	"thistlequay/internal/gossip"
 	"thistlequay/internal/logs"
-	"thistlequay/internal/peers"
-	"thistlequay/internal/service"
-	"thistlequay/internal/sharing"
-	"thistlequay/shares"
+	"thistlequay/internal/quota"
+	"thistlequay/internal/quota/service"
+	"thistlequay/internal/server"
 )
 
 const sharesAt = "/shares"
@@ -42,8 +42,8 @@
 	if c.Address == "" {
 		return fmt.Errorf("an address to ask, or --chart with logs")
 	}
-	var r sharing.Report
-	if err := peers.FetchFrom(c.Address, sharesAt, &r); err != nil {
+	var r service.Report
+	if err := gossip.FetchFrom(c.Address, sharesAt, &r); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -55,7 +55,7 @@
 	return err
 }
 
-func drawnShares(r sharing.Report) string {
+func drawnShares(r service.Report) string {
 	var b strings.Builder
 	role := "is no keeper"
 	switch {
@@ -89,7 +89,7 @@
 		t.SetStyle(table.StyleLight)
 		t.AppendHeader(table.Row{"server", "granted", "counts", "wants", "counts for", "asked"})
 		for _, s := range l.Servers {
-			units := func(a shares.Amount) float64 { return float64(a) / float64(shares.Unit) }
+			units := func(a quota.Amount) float64 { return float64(a) / float64(quota.Unit) }
 			t.AppendRow(table.Row{s.Server, units(s.Amount), units(s.Counts), units(s.Wants), span(int64(s.LeftMs)), span(int64(s.HeardMs)) + " ago"})
 		}
 		b.WriteString(t.Render() + "\n")
@@ -165,7 +165,7 @@
 
 // share begins the talk and the shares over it, where sections ask for them. Of a section that changes while the server runs
 // the wholes are taken up, under a later revision.
-func (s *serve) share(of *service.Shares, talk *service.Peers, p *appserver.Place, log logs.Log) (err error) {
+func (s *serve) share(of *config.Shares, talk *config.Peers, p *server.Place, log logs.Log) (err error) {
 	begin := of != nil && s.peers == nil
 	if begin {
 		if err := s.newSharing(of, talk, *p, log); err != nil {
@@ -173,7 +173,7 @@
 		}
 	}
 	first := s.peers == nil
-	if p.Talk, err = s.talk(talk, *p, log, func(t *peers.Terms) {
+	if p.Talk, err = s.talk(talk, *p, log, func(t *gossip.Terms) {
 		if begin {
 			t.Mail = s.sharing.Mail()
 		}
@@ -181,10 +181,10 @@
 		return err
 	}
 	if begin {
-		from := shares.Moment(s.peers.Now()) + of.Limits()[0].Linger
+		from := quota.Moment(s.peers.Now()) + of.Limits()[0].Linger
 		me := s.peers.Me()
 		for _, l := range of.Limits() {
-			s.shares.Holders = append(s.shares.Holders, shares.NewHolder(sharing.HolderName(me), l, true, from))
+			s.shares.Holders = append(s.shares.Holders, quota.NewHolder(service.HolderName(me), l, true, from))
 		}
 		if err := s.sharing.Start(s.peers); err != nil {
 			return fmt.Errorf("the shares of the fleet: %w", err)
@@ -211,20 +211,20 @@
 	return nil
 }
 
-func (s *serve) newSharing(of *service.Shares, talk *service.Peers, p appserver.Place, log logs.Log) error {
-	s.shares = &appserver.Shares{}
+func (s *serve) newSharing(of *config.Shares, talk *config.Peers, p server.Place, log logs.Log) error {
+	s.shares = &server.Shares{}
 	limits := of.Limits()
-	t := sharing.Terms{Names: service.SharedLimits[:len(limits)], Limits: limits, Digest: of.Digest(), Revision: uint64(of.Revision), Named: of.Keepers,
+	t := service.Terms{Names: config.SharedLimits[:len(limits)], Limits: limits, Digest: of.Digest(), Revision: uint64(of.Revision), Named: of.Keepers,
 		Name: p.Name, Fresh: of.Fresh, Fleet: talk.Fleet, Seed: p.Seed, Answered: s.shares.Answered,
 		Log: func(event string, keys ...any) { log.Event(event).Fields(keys).Send() }}
 	if of.Directory != "" {
-		file, err := sharing.OpenFile(of.Path(s.Service))
+		file, err := service.OpenFile(of.Path(s.Service))
 		if err != nil {
 			return fmt.Errorf("the keeper's memory in %s: %w", of.Path(s.Service), err)
 		}
 		t.Disk = file
 	}
-	s.sharing = sharing.New(t)
+	s.sharing = service.New(t)
 	s.shares.Sharing = s.sharing
 	return nil
 }
--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -16,22 +16,22 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/rehearsal/fleet"
-	"thistlequay/internal/sharing"
-	"thistlequay/internal/standin"
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/quota/service"
 )
 
 // sharingFleet is processes with a limit of calls in hand over all of them; without slots each keeps to a part of its own.
 func sharingFleet(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string) *together {
-	index, err := standin.NewIndex()
+	index, err := emulator.NewIndex()
 	require.NoError(t, err)
 	index.Delay = delay
 	var of map[string]any
 	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`, fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
 		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(settings)), &of))
-	p := fleet.Plan{Servers: servers, Seed: seed, Talk: slots > 0, Settings: of, Index: index}
+	p := clustertest.Plan{Servers: servers, Seed: seed, Talk: slots > 0, Settings: of, Index: index}
 	if slots > 0 {
-		p.Service = func(s *fleet.Server) string {
+		p.Service = func(s *clustertest.Server) string {
 			return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", calls, slots) + strings.ReplaceAll(more, "{name}", s.Name)
 		}
 	}
@@ -45,10 +45,10 @@
 }
 
 // share waits until each of the servers tells of its shares what the test wants.
-func (g *together) share(what string, of []*fleet.Server, is func(sharing.Report) bool) time.Duration {
+func (g *together) share(what string, of []*clustertest.Server, is func(service.Report) bool) time.Duration {
 	begun := time.Now()
 	for left := slices.Clone(of); len(left) > 0; time.Sleep(50 * time.Millisecond) {
-		left = slices.DeleteFunc(left, func(s *fleet.Server) bool {
+		left = slices.DeleteFunc(left, func(s *clustertest.Server) bool {
 			r, err := s.Shares()
 			return err == nil && is(r)
 		})
@@ -61,11 +61,11 @@
 	return time.Since(begun)
 }
 
-func granted(r sharing.Report) bool { return r.Limits[0].EndsMs > 0 && r.Limits[0].Usable > 1 }
-func onFloor(r sharing.Report) bool { return r.Limits[0].EndsMs == 0 && r.Limits[0].Usable == 1 }
+func granted(r service.Report) bool { return r.Limits[0].EndsMs > 0 && r.Limits[0].Usable > 1 }
+func onFloor(r service.Report) bool { return r.Limits[0].EndsMs == 0 && r.Limits[0].Usable == 1 }
 
 // leader is who leads the keepers.
-func (g *together) leader(of []*fleet.Server) (leader *fleet.Server) {
+func (g *together) leader(of []*clustertest.Server) (leader *clustertest.Server) {
 	g.Eventually(func() bool {
 		for _, s := range of {
 			if r, err := s.Shares(); err == nil && r.Leads && r.Whole && r.Opened {
@@ -79,10 +79,10 @@
 }
 
 // load sends more than the index may have in hand until it is told to end.
-func (g *together) load(rate float64, list func() []*fleet.Server) (end func() fleet.Tally) {
-	over, done := make(chan struct{}), make(chan fleet.Tally)
+func (g *together) load(rate float64, list func() []*clustertest.Server) (end func() clustertest.Tally) {
+	over, done := make(chan struct{}), make(chan clustertest.Tally)
 	go func() {
-		var sum fleet.Tally
+		var sum clustertest.Tally
 		for {
 			select {
 			case <-over:
@@ -90,12 +90,12 @@
 				return
 			default:
 			}
-			o := g.Play(fleet.Traffic{Routers: 6, Rate: rate, Length: time.Second, WorkMs: 2, Contract: time.Second, Expiry: 2 * time.Second,
-				Harmless: "look", Stamped: "book", Tries: 1, Lists: func(time.Duration) []*fleet.Server { return list() }})
+			o := g.Play(clustertest.Traffic{Routers: 6, Rate: rate, Length: time.Second, WorkMs: 2, Contract: time.Second, Expiry: 2 * time.Second,
+				Harmless: "look", Stamped: "book", Tries: 1, Lists: func(time.Duration) []*clustertest.Server { return list() }})
 			sum.Asked, sum.InTime, sum.Late = sum.Asked+o.Asked, sum.InTime+o.InTime, sum.Late+o.Late
 		}
 	}()
-	return func() fleet.Tally { close(over); return <-done }
+	return func() clustertest.Tally { close(over); return <-done }
 }
 
 // What happens to leaders, voters, holders and the whole, under a load that wants more than there is: the index never has more
@@ -106,9 +106,9 @@
 	g := sharingFleet(t, 5, 8, calls, calls/5, 6, 60*time.Millisecond, "")
 	all, lock := slices.Clone(g.Servers), sync.Mutex{}
 	list := slices.Clone(all)
-	serving := func(of []*fleet.Server) { lock.Lock(); list = of; lock.Unlock() }
+	serving := func(of []*clustertest.Server) { lock.Lock(); list = of; lock.Unlock() }
 	g.share("grants", all, granted)
-	end := g.load(600, func() []*fleet.Server { lock.Lock(); defer lock.Unlock(); return list })
+	end := g.load(600, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
 	g.Eventually(func() bool { return g.Index.Peak() > calls/2 }, patience, 100*time.Millisecond, "the load asks for too little")
 	over, peaks := 0, 0
 	within := func(what string, whole int) {
@@ -151,12 +151,12 @@
 	}
 
 	// Two and three: the two live on their floors, the three take over what ran out.
-	five := func(r sharing.Report) bool {
+	five := func(r service.Report) bool {
 		return r.Voter != 0 && len(r.Voters) == 5 && !slices.Contains(r.Voters, "?")
 	}
 	g.share("five keepers", all, five)
-	two := []*fleet.Server{all[0], all[1]}
-	g.Split(func(s *fleet.Server) int { return boolInt(s.Index > 1) })
+	two := []*clustertest.Server{all[0], all[1]}
+	g.Split(func(s *clustertest.Server) int { return boolInt(s.Index > 1) })
 	g.share("the two", two, onFloor)
 	g.share("the three", all[2:], granted)
 	within("split", calls)
@@ -166,23 +166,23 @@
 
 	// The whole is lowered by half in use, at one server after the other.
 	half := calls / 2
-	g.Service = func(*fleet.Server) string {
+	g.Service = func(*clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: %d\n  slots: 8\n  revision: 2\n", half)
 	}
 	for _, s := range all {
-		g.NoError(s.Again(fleet.Key))
+		g.NoError(s.Again(clustertest.Key))
 	}
-	g.share("a lowered whole", []*fleet.Server{g.leader(all)}, func(r sharing.Report) bool { return r.Limits[0].Whole == float64(half) })
+	g.share("a lowered whole", []*clustertest.Server{g.leader(all)}, func(r service.Report) bool { return r.Limits[0].Whole == float64(half) })
 	within("lowered", calls)
 	time.Sleep(500 * time.Millisecond) // calls that were begun before come to their ends
 	g.Index.Peak()
 	time.Sleep(2 * time.Second)
 	within("at half", half)
-	g.Service = func(*fleet.Server) string {
+	g.Service = func(*clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: %d\n  slots: 8\n  revision: 3\n", calls)
 	}
 	for _, s := range all {
-		g.NoError(s.Again(fleet.Key))
+		g.NoError(s.Again(clustertest.Key))
 	}
 	g.leader(all)
 
@@ -259,35 +259,35 @@
 	g.Index.Crowd = calls
 	all := slices.Clone(g.Servers)
 	if how == "shares" {
-		g.share("grants", all, func(r sharing.Report) bool { return r.Limits[0].EndsMs > 0 && r.Limits[0].Usable >= 1 })
+		g.share("grants", all, func(r service.Report) bool { return r.Limits[0].EndsMs > 0 && r.Limits[0].Usable >= 1 })
 	}
 	able := float64(calls) / delay.Seconds()
-	lists := func(at time.Duration) []*fleet.Server { return all }
-	trouble := map[time.Duration]func(*fleet.Routers){}
+	lists := func(at time.Duration) []*clustertest.Server { return all }
+	trouble := map[time.Duration]func(*clustertest.Routers){}
 	rate := 0.8 * able
 	switch name {
 	case "uneven": // two of six get two thirds of all
-		lists = func(time.Duration) []*fleet.Server {
+		lists = func(time.Duration) []*clustertest.Server {
 			return append(slices.Clone(all), all[0], all[0], all[0], all[0], all[1], all[1], all[1], all[1])
 		}
 	case "killed":
 		rest := all[2:]
-		lists = func(at time.Duration) []*fleet.Server {
+		lists = func(at time.Duration) []*clustertest.Server {
 			if at > length/4 {
 				return rest
 			}
 			return all
 		}
-		trouble[length/4] = func(r *fleet.Routers) { r.Kill(all[0]); r.Kill(all[1]) }
+		trouble[length/4] = func(r *clustertest.Routers) { r.Kill(all[0]); r.Kill(all[1]) }
 	case "split":
-		trouble[length/4] = func(*fleet.Routers) { g.Split(func(s *fleet.Server) int { return boolInt(s.Index < 2) }) }
-		trouble[length/4+6*time.Second] = func(*fleet.Routers) { g.Heal() }
+		trouble[length/4] = func(*clustertest.Routers) { g.Split(func(s *clustertest.Server) int { return boolInt(s.Index < 2) }) }
+		trouble[length/4+6*time.Second] = func(*clustertest.Routers) { g.Heal() }
 	case "growing":
 		var lock sync.Mutex
 		now := all
-		lists = func(time.Duration) []*fleet.Server { lock.Lock(); defer lock.Unlock(); return now }
+		lists = func(time.Duration) []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return now }
 		rate = 0.5 * able // three servers have their floors and what is no floor: fifteen of twenty-four
-		trouble[length/4] = func(*fleet.Routers) {
+		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
 				s, err := g.Add(i)
 				if err != nil || s.Start() != nil || ready(s.Listen) != nil {
@@ -297,14 +297,14 @@
 				s.VM.Calls = 1
 			}
 			if how == "shares" { // routers hear of them once they are members with a grant
-				g.share("newcomers", g.All(), func(r sharing.Report) bool { return r.Limits[0].EndsMs > 0 })
+				g.share("newcomers", g.All(), func(r service.Report) bool { return r.Limits[0].EndsMs > 0 })
 			}
 			lock.Lock()
 			now = g.All()
 			lock.Unlock()
 		}
 	}
-	o := g.Play(fleet.Traffic{Routers: 8, Rate: rate, Length: length, WorkMs: 2, Contract: time.Second, Expiry: 2 * time.Second,
+	o := g.Play(clustertest.Traffic{Routers: 8, Rate: rate, Length: length, WorkMs: 2, Contract: time.Second, Expiry: 2 * time.Second,
 		Harmless: "look", Stamped: "book", Tries: 2, Lists: lists, At: trouble})
 	served := 0.0
 	late := o.Seconds[len(o.Seconds)/2 : len(o.Seconds)-1]
@@ -328,33 +328,33 @@
 	g := sharingFleet(t, 4, 4, 12, 3, 9, 30*time.Millisecond, "  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n")
 	all := slices.Clone(g.Servers)
 	g.share("grants", all, granted)
-	directory := func(s *fleet.Server) string { return filepath.Join(g.Dir, "keeper-"+s.Name) }
-	files := func(s *fleet.Server) (names []string) {
+	directory := func(s *clustertest.Server) string { return filepath.Join(g.Dir, "keeper-"+s.Name) }
+	files := func(s *clustertest.Server) (names []string) {
 		names, err := filepath.Glob(filepath.Join(directory(s), "*"))
 		g.NoError(err)
 		return names
 	}
-	voter := func(s *fleet.Server) uint64 {
+	voter := func(s *clustertest.Server) uint64 {
 		r, err := s.Shares()
 		g.NoError(err)
 		return r.Voter
 	}
-	g.Service = func(s *fleet.Server) string {
+	g.Service = func(s *clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n", s.Name)
 	}
 	killed, torn, gone := all[0], all[1], all[2]
 	for _, one := range []struct {
-		s     *fleet.Server
-		spoil func(s *fleet.Server)
+		s     *clustertest.Server
+		spoil func(s *clustertest.Server)
 		same  bool
 	}{
-		{killed, func(*fleet.Server) {}, true},
-		{torn, func(s *fleet.Server) { // a tail that is torn off in mid-page
+		{killed, func(*clustertest.Server) {}, true},
+		{torn, func(s *clustertest.Server) { // a tail that is torn off in mid-page
 			text, err := os.ReadFile(files(s)[0])
 			g.NoError(err)
 			g.NoError(os.WriteFile(files(s)[0], text[:len(text)*2/5+100], 0o600))
 		}, false},
-		{gone, func(s *fleet.Server) { g.NoError(os.RemoveAll(directory(s))) }, false},
+		{gone, func(s *clustertest.Server) { g.NoError(os.RemoveAll(directory(s))) }, false},
 	} {
 		g.sees("the fleet has its voters", all, settled(4))
 		before := voter(one.s)
@@ -363,7 +363,7 @@
 		g.share("the others go on", without(all, one.s), granted)
 		g.NoError(one.s.Start())
 		g.NoError(ready(one.s.Listen))
-		g.share("it is a voter again", all[:3], func(r sharing.Report) bool {
+		g.share("it is a voter again", all[:3], func(r service.Report) bool {
 			return len(r.Voters) == 3 && !slices.Contains(r.Voters, "?") && r.Opened
 		})
 		g.share("grants again", all, granted)
@@ -403,7 +403,7 @@
 			var of map[string]any
 			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`, twoTenants(day.acme, 1-day.acme), `"Servers":3`,
 				fmt.Sprintf(`"Servers":%d`, servers)).Replace(settings)), &of))
-			g := fleetOf(t, fleet.Plan{Servers: servers, Seed: 31, Talk: talk, Settings: of, Service: func(*fleet.Server) string { return "fair_queues:\n" }})
+			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: 31, Talk: talk, Settings: of, Service: func(*clustertest.Server) string { return "fair_queues:\n" }})
 			for _, s := range g.Servers {
 				g.NoError(s.Start())
 			}
@@ -412,17 +412,17 @@
 				g.sees("all are there", g.Servers, settled(servers))
 			}
 			const rate = 75.0 // a server, of 50 that its cores can do
-			at := func(of []*fleet.Server) func(time.Duration) []*fleet.Server {
-				return func(time.Duration) []*fleet.Server { return of }
+			at := func(of []*clustertest.Server) func(time.Duration) []*clustertest.Server {
+				return func(time.Duration) []*clustertest.Server { return of }
 			}
 			served := map[string]float64{}
 			var both sync.WaitGroup
 			var lock sync.Mutex
-			for tenant, of := range map[string][]*fleet.Server{"acme": g.Servers[:servers/3], "beta": g.Servers} {
+			for tenant, of := range map[string][]*clustertest.Server{"acme": g.Servers[:servers/3], "beta": g.Servers} {
 				both.Add(1)
 				go func() {
 					defer both.Done()
-					o := g.Play(fleet.Traffic{Tenant: tenant, Routers: 6, Rate: rate * float64(len(of)), Length: length, WorkMs: 40, Contract: 4 * time.Second,
+					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6, Rate: rate * float64(len(of)), Length: length, WorkMs: 40, Contract: 4 * time.Second,
 						Expiry: 7 * time.Second, Harmless: "look", Stamped: "book", Tries: 1, Lists: at(of)})
 					lock.Lock()
 					defer lock.Unlock()
@@ -450,9 +450,9 @@
 	g := sharingFleet(t, 4, 12, calls, 6, 12, 50*time.Millisecond, "")
 	var lock sync.Mutex
 	list := slices.Clone(g.Servers)
-	serving := func(of []*fleet.Server) { lock.Lock(); list = slices.Clone(of); lock.Unlock() }
+	serving := func(of []*clustertest.Server) { lock.Lock(); list = slices.Clone(of); lock.Unlock() }
 	g.share("grants", list, granted)
-	end := g.load(500, func() []*fleet.Server { lock.Lock(); defer lock.Unlock(); return list })
+	end := g.load(500, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
 	over := 0
 	within := func(what string) {
 		peak := g.Index.Peak()
@@ -461,7 +461,7 @@
 			t.Logf("%s: %d calls in hand, %d are the whole", what, peak, calls)
 		}
 	}
-	more := func(n int) (new []*fleet.Server) {
+	more := func(n int) (new []*clustertest.Server) {
 		for range n {
 			s, err := g.Add(len(g.Servers))
 			g.NoError(err)
@@ -472,7 +472,7 @@
 		g.up(new)
 		return new
 	}
-	leave := func(of []*fleet.Server) {
+	leave := func(of []*clustertest.Server) {
 		for _, s := range of {
 			g.NoError(s.Signal(syscall.SIGTERM))
 		}
@@ -488,7 +488,7 @@
 	g.share("half are replaced", now, granted)
 	within("half replaced")
 	now = append(now, more(4)...)
-	g.share("twice as many", now, func(r sharing.Report) bool { return r.Limits[0].EndsMs > 0 })
+	g.share("twice as many", now, func(r service.Report) bool { return r.Limits[0].EndsMs > 0 })
 	serving(now)
 	g.sees("eight are agreed on", now, settled(8))
 	within("doubled")
@@ -498,11 +498,11 @@
 	g.share("as many as before", now, granted)
 	within("shrunk")
 	serving(now[:1]) // it asks for everything
-	g.share("one takes what the others leave", now[:1], func(r sharing.Report) bool { return r.Limits[0].Usable > calls/3 })
+	g.share("one takes what the others leave", now[:1], func(r service.Report) bool { return r.Limits[0].Usable > calls/3 })
 	within("greedy")
 	serving(now)
 	g.sees("four are agreed on", now, settled(4))
-	var voters []*fleet.Server
+	var voters []*clustertest.Server
 	for _, s := range now {
 		if r, err := s.Shares(); err == nil && r.Voter != 0 && slices.Contains(r.Voters, s.Name) {
 			voters = append(voters, s)
--- a/cmd/thistlequay/standins_test.go
+++ b/cmd/thistlequay/standins_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/rehearsal/fleet"
-	"thistlequay/internal/standin"
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
 )
 
 // The stand-ins speak as their protocol pages say and do only what a test has them do. Nothing here sleeps: all
@@ -66,12 +66,12 @@
 }
 
 type (
-	standIn = standin.Listener
-	link    = standin.Link
+	standIn = emulator.Listener
+	link    = emulator.Link
 )
 
 func (r *rig) standIn() *standIn {
-	s, err := standin.Listen()
+	s, err := emulator.Listen()
 	r.NoError(err)
 	r.t.Cleanup(func() { s.Close() })
 	return s
@@ -113,7 +113,7 @@
 	r := &rig{Assertions: require.New(t), t: t}
 	r.vm, r.index, r.directory = r.standIn(), r.standIn(), r.standIn()
 	var err error
-	r.listen, err = standin.Free()
+	r.listen, err = emulator.Free()
 	r.NoError(err)
 	r.config = fmt.Sprintf(`{"name":"n3","listen":%q,"vm":%q,"lookup":%q,"index":%q,"seed":"8c1f30d27a5be964",
 "stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":%s}`,
@@ -170,7 +170,7 @@
 }
 
 // lines is a log that is read while it is written.
-type lines = fleet.Text
+type lines = clustertest.Text
 
 func logOf(r *rig) string { return r.log.String() }
 
@@ -269,7 +269,7 @@
 	}, patience, 5*time.Millisecond)
 	c.SetDeadline(time.Now().Add(patience))
 	r.t.Cleanup(func() { c.Close() })
-	return &router{r, standin.NewLink(c)}
+	return &router{r, emulator.NewLink(c)}
 }
 
 // id is a new try's.
@@ -278,12 +278,12 @@
 	return fmt.Sprintf("%016x", 0xabc0000+r.ids)
 }
 
-func fields(id string) map[string]string { return standin.Fields(id, "acme", 7*time.Second) }
+func fields(id string) map[string]string { return emulator.Fields(id, "acme", 7*time.Second) }
 
-func fcgi(kind byte, slot uint16, content string) []byte { return standin.Record(kind, slot, content) }
+func fcgi(kind byte, slot uint16, content string) []byte { return emulator.Record(kind, slot, content) }
 
 func (c *router) ask(slot uint16, path, body string, with map[string]string) {
-	_, err := c.Write(standin.Request(slot, path, body, with))
+	_, err := c.Write(emulator.Request(slot, path, body, with))
 	c.r.NoError(err)
 }
 
--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -7,8 +7,8 @@
 	"io"
 	"time"
 
-	"thistlequay/internal/store"
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
 )
 
 type stores struct {
@@ -23,19 +23,19 @@
 	Doubt     time.Duration `default:"1m" help:"As clock_doubt in the settings."`
 }
 
-func (a *storeArgs) recovery(now lasting.Clock) *lasting.Recovery {
-	in := func(d time.Duration) lasting.Tenths { return lasting.Tenths(d / (100 * time.Microsecond)) }
-	return lasting.NewRecovery(lasting.Terms{Window: in(a.Window), Doubt: in(a.Doubt), Most: 1 << 30}, now)
+func (a *storeArgs) recovery(now recovery.Clock) *recovery.Recovery {
+	in := func(d time.Duration) recovery.Tenths { return recovery.Tenths(d / (100 * time.Microsecond)) }
+	return recovery.NewRecovery(recovery.Terms{Window: in(a.Window), Doubt: in(a.Doubt), Most: 1 << 30}, now)
 }
 
-func (a *storeArgs) scan(out io.Writer, see func(string, int64, *lasting.Record)) (store.Scanned, lasting.Clock, error) {
-	now := store.MachineClock()
-	s, err := store.Scan(store.ReadDirectory(a.Directory), a.recovery(now), now, false, see)
+func (a *storeArgs) scan(out io.Writer, see func(string, int64, *recovery.Record)) (segmentlog.Scanned, recovery.Clock, error) {
+	now := segmentlog.MachineClock()
+	s, err := segmentlog.Scan(segmentlog.ReadDirectory(a.Directory), a.recovery(now), now, false, see)
 	if err != nil {
 		return s, now, err
 	}
 	for _, f := range s.Found {
-		fmt.Fprintf(out, "%s offset %d: %s, lost=%v\n", f.File, f.Offset, lasting.Words[f.Damage], f.Lost)
+		fmt.Fprintf(out, "%s offset %d: %s, lost=%v\n", f.File, f.Offset, recovery.Words[f.Damage], f.Lost)
 	}
 	wait := time.Duration(0)
 	if s.DeclineUntil > 0 {
@@ -50,12 +50,12 @@
 	All       bool `help:"Each record, not only what is concluded."`
 }
 
-var kindWords = map[lasting.Kind]string{lasting.Intent: "intent", lasting.Result: "result", lasting.Void: "void", lasting.Closed: "closed", lasting.Learnt: "learnt"}
+var kindWords = map[recovery.Kind]string{recovery.Intent: "intent", recovery.Result: "result", recovery.Void: "void", recovery.Closed: "closed", recovery.Learnt: "learnt"}
 
 // Run lists.
 func (i *storeInspect) Run(out io.Writer) error {
-	now := store.MachineClock()
-	s, _, err := i.scan(out, func(file string, offset int64, r *lasting.Record) {
+	now := segmentlog.MachineClock()
+	s, _, err := i.scan(out, func(file string, offset int64, r *recovery.Record) {
 		if i.All {
 			fmt.Fprintf(out, "%s %d %s key=%q try=%x well=%v bytes=%d age=%v\n", file, offset, kindWords[r.Kind], r.Key, r.Try, r.Well,
 				len(r.Result), time.Duration(now.Wall-r.At.Wall)*100*time.Microsecond)
@@ -101,13 +101,13 @@
 
 // Run compacts.
 func (c *storeCompact) Run(out io.Writer) error {
-	files, err := store.OpenDirectory(c.Directory)
+	files, err := segmentlog.OpenDirectory(c.Directory)
 	if err != nil {
 		return err
 	}
 	defer files.Close()
-	now := store.MachineClock()
-	kept, gone, err := store.Compact(files, c.recovery(now), now)
+	now := segmentlog.MachineClock()
+	kept, gone, err := segmentlog.Compact(files, c.recovery(now), now)
 	if err == nil {
 		fmt.Fprintf(out, "%d stamps kept, %d segments gone\n", kept, gone)
 	}
--- a/cmd/thistlequay/try.go
+++ b/cmd/thistlequay/try.go
@@ -17,7 +17,7 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"thistlequay/internal/standin"
+	"thistlequay/internal/emulator"
 )
 
 type try struct {
@@ -39,12 +39,12 @@
 type trial struct {
 	fair    bool
 	dir     string
-	vm      *standin.Interpreter
-	index   *standin.Index
-	lookup  *standin.Directory
+	vm      *emulator.Interpreter
+	index   *emulator.Index
+	lookup  *emulator.Directory
 	process *exec.Cmd
 	log     strings.Builder
-	books   []*standin.Account
+	books   []*emulator.Account
 }
 
 // Run plays both trials at once, each on a server of its own, and prints the table.
@@ -72,32 +72,32 @@
 }
 
 // streams are three tenants that ask for less than their shares and one that asks for many times its own.
-func (t *try) streams() (all []*standin.Stream) {
+func (t *try) streams() (all []*emulator.Stream) {
 	for i, name := range []string{"kirkens", "bymisjon", "fjordhjelpa", "ungdomslaget"} {
 		share := []float64{0.31, 0.29, 0.23, 0.17}[i]
 		rate := 0.7 * share * tryCores / tryWork
 		if i == 3 {
 			rate = t.Greed * share * tryCores / tryWork
 		}
-		all = append(all, &standin.Stream{Tenant: name, Share: share, Rate: rate, To: t.Seconds, Work: tryWork, Gain: 1})
+		all = append(all, &emulator.Stream{Tenant: name, Share: share, Rate: rate, To: t.Seconds, Work: tryWork, Gain: 1})
 	}
 	return all
 }
 
 func (one *trial) play(t *try) (err error) {
-	if one.vm, err = standin.NewInterpreter(tryCores, t.Seed); err != nil {
+	if one.vm, err = emulator.NewInterpreter(tryCores, t.Seed); err != nil {
 		return err
 	}
 	defer one.vm.Close()
-	if one.index, err = standin.NewIndex(); err != nil {
+	if one.index, err = emulator.NewIndex(); err != nil {
 		return err
 	}
 	defer one.index.Close()
-	if one.lookup, err = standin.NewDirectory(); err != nil {
+	if one.lookup, err = emulator.NewDirectory(); err != nil {
 		return err
 	}
 	defer one.lookup.Close()
-	address, err := standin.Free()
+	address, err := emulator.Free()
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	if err := ready(address); err != nil {
 		return err
 	}
-	load := &standin.Send{Address: address, Seed: t.Seed, Length: t.Seconds, Cores: tryCores, Categories: []string{"look"},
+	load := &emulator.Send{Address: address, Seed: t.Seed, Length: t.Seconds, Cores: tryCores, Categories: []string{"look"},
 		Contract: tryContract, Expiry: tryExpiry, Streams: t.streams()}
 	one.books, err = load.Play()
 	return err
@@ -175,11 +175,11 @@
 // ready waits until the server answers a health check with what it can take: then its interpreter is there.
 func ready(address string) error {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		c, err := standin.Dial(address)
+		c, err := emulator.Dial(address)
 		if err != nil {
 			continue
 		}
-		c.Write(standin.Request(1, "/rpc/none", "", nil))
+		c.Write(emulator.Request(1, "/rpc/none", "", nil))
 		a, err := c.Answer()
 		c.Close()
 		if err == nil && a.Status == 404 {
@@ -189,15 +189,15 @@
 	return fmt.Errorf("no server came up at %s", address)
 }
 
-func (t *try) print(out io.Writer, off, on []*standin.Account) {
+func (t *try) print(out io.Writer, off, on []*emulator.Account) {
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.SetStyle(table.StyleLight)
 	w.AppendHeader(table.Row{"", "", "fair queues off", "", "", "", "", "fair queues on", "", "", "", ""}, table.RowConfig{AutoMerge: true})
 	w.AppendHeader(table.Row{"tenant", "asked", "in time", "late", "declined", "broken off", "of entitled", "in time", "late", "declined", "broken off", "of entitled"})
-	row := func(a, b *standin.Account) table.Row {
+	row := func(a, b *emulator.Account) table.Row {
 		r := table.Row{a.Tenant, a.Asked}
-		for _, x := range []*standin.Account{a, b} {
+		for _, x := range []*emulator.Account{a, b} {
 			r = append(r, x.Fulfilled, x.Late, x.Declined, x.Lost, fmt.Sprintf("%.0f%%", 100*x.Part()))
 		}
 		return r
@@ -205,7 +205,7 @@
 	for i := range off {
 		w.AppendRow(row(off[i], on[i]))
 	}
-	a, b := standin.Total(off), standin.Total(on)
+	a, b := emulator.Total(off), emulator.Total(on)
 	w.AppendFooter(row(&a, &b))
 	w.Render()
 	fmt.Fprintln(out, "of entitled: gain delivered inside the contract time, of what the tenant's part by its share (max-min) would have earned in that time; answers after the last ask count too.")
--- a/examples/hallcheck/main.go
+++ b/examples/hallcheck/main.go
@@ -8,31 +8,31 @@
 	"bytes"
 	"strconv"
 
-	"thistlequay/guest"
+	"thistlequay/pluginsdk"
 )
 
 const mostASecond = 5
 
 func init() {
-	guest.OnRead = func(q guest.Request) guest.Verdict {
+	pluginsdk.OnRead = func(q pluginsdk.Request) pluginsdk.Verdict {
 		if !bytes.Contains(q.Body, []byte("note=")) {
-			guest.Count("without_note", 1)
-			return guest.Verdict{}.Decline(422)
+			pluginsdk.Count("without_note", 1)
+			return pluginsdk.Verdict{}.Decline(422)
 		}
 		key := q.Tenant + " " + strconv.FormatInt(q.Now/1000, 10)
 		seen := 0
-		if v, found := guest.Get(key); found {
+		if v, found := pluginsdk.Get(key); found {
 			seen, _ = strconv.Atoi(string(v))
 		}
 		if seen >= mostASecond {
-			return guest.Verdict{}.Decline(429)
+			return pluginsdk.Verdict{}.Decline(429)
 		}
-		guest.Put(key, strconv.AppendInt(nil, int64(seen+1), 10))
-		return guest.Verdict{}.Tag("checked")
+		pluginsdk.Put(key, strconv.AppendInt(nil, int64(seen+1), 10))
+		return pluginsdk.Verdict{}.Tag("checked")
 	}
-	guest.OnTick = func(q guest.Request) { // what lies a second back can go
+	pluginsdk.OnTick = func(q pluginsdk.Request) { // what lies a second back can go
 		for _, tenant := range []string{"acme", "beta"} {
-			guest.Put(tenant+" "+strconv.FormatInt(q.Now/1000-2, 10), nil)
+			pluginsdk.Put(tenant+" "+strconv.FormatInt(q.Now/1000-2, 10), nil)
 		}
 	}
 }
--- a/examples/shortanswer/main.go
+++ b/examples/shortanswer/main.go
@@ -6,16 +6,16 @@
 import (
 	"bytes"
 
-	"thistlequay/guest"
+	"thistlequay/pluginsdk"
 )
 
 func init() {
-	guest.OnResult = func(q guest.Request) guest.Verdict {
+	pluginsdk.OnResult = func(q pluginsdk.Request) pluginsdk.Verdict {
 		line, _, more := bytes.Cut(q.Body, []byte{'\n'})
 		if !more {
-			return guest.Verdict{}
+			return pluginsdk.Verdict{}
 		}
-		return guest.Verdict{}.Replace(line)
+		return pluginsdk.Verdict{}.Replace(line)
 	}
 }
 
--- a/internal/rehearsal/fleet/fleet.go
+++ b/internal/clustertest/fleet.go
@@ -2,7 +2,7 @@
 // both what a script says: links that lose, delay, repeat and cut, processes that are killed, stopped, let go on and begun
 // again with nothing kept. It keeps one history of what was done and said. It must never decide anything for a server, nor
 // touch a process that it did not start.
-package fleet
+package clustertest
 
 import (
 	"encoding/base64"
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
-	"thistlequay/internal/peers"
-	"thistlequay/internal/sharing"
-	"thistlequay/internal/standin"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/quota/service"
 )
 
 // Plan is what a rig is begun with.
@@ -37,7 +37,7 @@
 	Talk     bool    // the servers know each other
 	Size     int     // servers that the section names; Servers where 0
 	StopIn   time.Duration
-	Index    *standin.Index         // shared by all
+	Index    *emulator.Index        // shared by all
 	Memory   int                    // MB
 	Service  func(s *Server) string // more sections of the YAML of a server; nil for none
 }
@@ -46,7 +46,7 @@
 type Rig struct {
 	Plan
 	Servers   []*Server
-	Directory *standin.Directory
+	Directory *emulator.Directory
 	relays    *relays
 	lock      sync.Mutex
 	begun     time.Time
@@ -70,7 +70,7 @@
 	Zone    string
 	Listen  string // for routers
 	Status  string
-	VM      *standin.Interpreter
+	VM      *emulator.Interpreter
 	relay   *relay
 	process *exec.Cmd
 	ended   chan struct{}
@@ -108,11 +108,11 @@
 func New(p Plan) (*Rig, error) {
 	r := &Rig{Plan: p, relays: newRelays(p.Seed), begun: time.Now()}
 	var err error
-	if r.Directory, err = standin.NewDirectory(); err != nil {
+	if r.Directory, err = emulator.NewDirectory(); err != nil {
 		return nil, err
 	}
 	if r.Index == nil {
-		if r.Index, err = standin.NewIndex(); err != nil {
+		if r.Index, err = emulator.NewIndex(); err != nil {
 			return nil, err
 		}
 	}
@@ -137,7 +137,7 @@
 	if s.Status, err = free(host(75)); err != nil {
 		return nil, err
 	}
-	if s.VM, err = standin.NewInterpreter(r.Cores, r.Seed+int64(i)); err != nil {
+	if s.VM, err = emulator.NewInterpreter(r.Cores, r.Seed+int64(i)); err != nil {
 		return nil, err
 	}
 	if r.Talk {
@@ -328,8 +328,8 @@
 func (s *Server) Process() int { return s.process.Process.Pid }
 
 // Shares asks the server for what it knows of shares.
-func (s *Server) Shares() (r sharing.Report, err error) {
-	err = peers.FetchFrom(s.Status, "/shares", &r)
+func (s *Server) Shares() (r service.Report, err error) {
+	err = gossip.FetchFrom(s.Status, "/shares", &r)
 	return r, err
 }
 
@@ -342,7 +342,7 @@
 }
 
 // View asks the server for its view.
-func (s *Server) View() (peers.Report, error) { return peers.Fetch(s.Status) }
+func (s *Server) View() (gossip.Report, error) { return gossip.Fetch(s.Status) }
 
 // Link sets the fault of one direction.
 func (r *Rig) Link(from, to int, f Fault) {
--- a/internal/rehearsal/fleet/relay.go
+++ b/internal/clustertest/relay.go
@@ -1,4 +1,4 @@
-package fleet
+package clustertest
 
 // This file owns the relays through which servers talk to each other: UDP and TCP, each direction of each pair under a fault
 // of its own, drawn from one seed. It must never look into what it carries.
--- a/internal/rehearsal/fleet/routers.go
+++ b/internal/clustertest/routers.go
@@ -1,4 +1,4 @@
-package fleet
+package clustertest
 
 // This file owns a fleet's routers: work items sent to several servers in real time, tried again elsewhere where one declines,
 // and what came of each try, second by second. It must never send a try twice, nor count one that the other side could not
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"thistlequay/internal/standin"
+	"thistlequay/internal/emulator"
 )
 
 // Traffic is what routers send.
@@ -61,7 +61,7 @@
 }
 
 type line struct {
-	*standin.Link
+	*emulator.Link
 	lock sync.Mutex
 	next uint16
 	open map[uint16]chan result
@@ -69,7 +69,7 @@
 }
 
 type result struct {
-	standin.Answer
+	emulator.Answer
 	err error
 }
 
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, server := range r.Servers {
-		server.VM.Look(func(v *standin.Interpreter) {
+		server.VM.Look(func(v *emulator.Interpreter) {
 			for _, runs := range v.Keys {
 				s.tally.Double += runs - 1
 			}
@@ -196,7 +196,7 @@
 	id := fmt.Sprintf("%016x", uint64(s.rig.Seed)<<40|s.rig.tries.Add(1))
 	s.lock.Unlock()
 	category, body := s.Harmless, fmt.Sprintf("%.2f %s", work, id)
-	with := standin.Fields(id, cmp.Or(s.Tenant, "acme"), left)
+	with := emulator.Fields(id, cmp.Or(s.Tenant, "acme"), left)
 	with["HTTP_SENT_BY"] = fmt.Sprint(router)
 	if stamped {
 		category, body = s.Stamped, fmt.Sprintf("%.2f stamped %d", work, n)
@@ -208,7 +208,7 @@
 	}
 	slot := l.next
 	l.open[slot] = came
-	_, err := l.Write(standin.Request(slot, "/rpc/"+category, body, with))
+	_, err := l.Write(emulator.Request(slot, "/rpc/"+category, body, with))
 	sent := time.Now()
 	l.lock.Unlock()
 	var got result
@@ -252,7 +252,7 @@
 			return l
 		}
 	}
-	link, err := standin.Dial(server.Listen)
+	link, err := emulator.Dial(server.Listen)
 	if err != nil {
 		return nil
 	}
--- a/internal/service/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,4 +1,4 @@
-package service
+package config
 
 import (
 	"bytes"
--- a/internal/service/peers.go
+++ b/internal/config/peers.go
@@ -1,4 +1,4 @@
-package service
+package config
 
 // This file owns the section on the talk among servers, and the file of its keys. It must never open a socket.
 
@@ -11,10 +11,10 @@
 	"path/filepath"
 	"slices"
 
-	"thistlequay/internal/faults"
+	"thistlequay/internal/diagnostics"
 )
 
-// Peers is the section of docs/peers/operating.md.
+// Peers is the section of docs/membership/operating.md.
 type Peers struct {
 	Listen    string   `yaml:"listen" min:"1" need:"yes"`
 	Advertise string   `yaml:"advertise"`
@@ -40,7 +40,7 @@
 	if p == nil {
 		return nil
 	}
-	var l faults.List
+	var l diagnostics.List
 	at := func(path, address string) {
 		if host, _, err := net.SplitHostPort(address); err != nil || net.ParseIP(host) == nil {
 			l.Add("peers."+path, "an address such as 127.0.0.1:7946", "%q is none; names are not looked up", address)
@@ -83,9 +83,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var l faults.List
+	var l diagnostics.List
 	if len(text) > mostKeyBytes {
-		return nil, faults.List{{File: path, What: "is too long", Want: "64 KiB at most"}}
+		return nil, diagnostics.List{{File: path, What: "is too long", Want: "64 KiB at most"}}
 	}
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
 		line = bytes.TrimSpace(line)
@@ -94,13 +94,13 @@
 		}
 		key, err := base64.StdEncoding.AppendDecode(nil, line)
 		if err != nil || len(key) != 16 && len(key) != 24 && len(key) != 32 {
-			l = append(l, faults.Fault{File: path, Line: i + 1, Column: 1, What: "is no key", Want: "16, 24 or 32 bytes in base64"})
+			l = append(l, diagnostics.Fault{File: path, Line: i + 1, Column: 1, What: "is no key", Want: "16, 24 or 32 bytes in base64"})
 			continue
 		}
 		keys = append(keys, key)
 	}
 	if len(l) == 0 && (len(keys) == 0 || len(keys) > mostKeys) {
-		l = append(l, faults.Fault{File: path, What: fmt.Sprintf("%d keys", len(keys)), Want: fmt.Sprintf("1 to %d", mostKeys)})
+		l = append(l, diagnostics.Fault{File: path, What: fmt.Sprintf("%d keys", len(keys)), Want: fmt.Sprintf("1 to %d", mostKeys)})
 	}
 	return keys, l.Or()
 }
--- a/internal/service/plugins.go
+++ b/internal/config/plugins.go
@@ -1,4 +1,4 @@
-package service
+package config
 
 // This file owns the section on plug-ins: what each may do and take. It must never read a module's bytes into the loop's
 // process for longer than it takes to know its hash.
@@ -16,14 +16,14 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thistlequay/hooks"
 	"thistlequay/internal/deployment"
-	"thistlequay/internal/faults"
+	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
+	"thistlequay/internal/plugin/chain"
 )
 
-// Plugins is the section of docs/plugins/operating.md.
+// Plugins is the section of docs/plugin/operating.md.
 type Plugins struct {
 	MemoryMB int           `yaml:"memory_mb" min:"12" max:"4096"`
 	Workers  int           `yaml:"workers" min:"1" max:"16"`
@@ -80,7 +80,7 @@
 		Wait: time.Second, Longest: 5 * time.Minute}
 }
 
-var hookNames = map[string]hooks.Point{"read": hooks.Read, "result": hooks.Result, "tick": hooks.Tick}
+var hookNames = map[string]chain.Point{"read": chain.Read, "result": chain.Result, "tick": chain.Tick}
 
 var doings = map[string]int{"nothing": 0, "decline": abi.Declines, "categorise": abi.Categorises, "tag": abi.Tags, "rewrite": abi.Replaces}
 
@@ -89,7 +89,7 @@
 	if p == nil {
 		return nil
 	}
-	var l faults.List
+	var l diagnostics.List
 	if len(p.List) == 0 {
 		l.Add("plugins.list", "at least one plug-in", "is empty")
 	}
@@ -147,7 +147,7 @@
 }
 
 // against holds the section against the platform's settings and the program's memory.
-func (p *Plugins) against(of *deployment.Terms, memory int) (l faults.List) {
+func (p *Plugins) against(of *deployment.Terms, memory int) (l diagnostics.List) {
 	if p == nil {
 		return nil
 	}
@@ -206,13 +206,13 @@
 }
 
 // Grants is what each may do.
-func (p *Plugins) Grants(of *deployment.Terms) (all []hooks.Grant) {
+func (p *Plugins) Grants(of *deployment.Terms) (all []chain.Grant) {
 	for _, one := range p.List {
-		g := hooks.Grant{Name: one.Name, Categories: make([]bool, len(of.Categories)), To: make([]bool, len(of.Categories)),
+		g := chain.Grant{Name: one.Name, Categories: make([]bool, len(of.Categories)), To: make([]bool, len(of.Categories)),
 			Tenants: map[string]bool{}, Call: tenths(one.Call), Share: one.Share, Core: one.Core, Every: tenths(one.Every),
 			Alone: one.Alone, Row: one.Row, Rate: one.Rate, Wait: tenths(one.Wait), Longest: tenths(one.Longest)}
 		if one.Otherwise == "decline" {
-			g.Otherwise = hooks.Decline
+			g.Otherwise = chain.Decline
 		}
 		for _, h := range one.Hooks {
 			g.At[hookNames[h]] = true
--- a/internal/service/service.go
+++ b/internal/config/service.go
@@ -1,6 +1,6 @@
 // Package service reads our own settings: one YAML file, a section a subsystem, an absent section is off. It turns
 // them into what the subsystems take. It must never read the platform's configuration, nor apply half a file.
-package service
+package config
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"time"
 
 	"thistlequay/internal/deployment"
-	"thistlequay/internal/faults"
+	"thistlequay/internal/diagnostics"
+	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/tenancy"
-	"thistlequay/ledger"
 )
 
 // Terms are what one file sets. Its zero value is what holds without a file: all is off.
@@ -24,10 +24,10 @@
 	Peers      *Peers      `yaml:"peers"`
 	Shares     *Shares     `yaml:"shares"`
 	file       string
-	places     faults.Places
+	places     diagnostics.Places
 }
 
-// FairQueues is the section of docs/fair-queues/operating.md.
+// FairQueues is the section of docs/fairqueue/operating.md.
 type FairQueues struct {
 	Tenants   []Tenant      `yaml:"tenants"`
 	Others    float64       `yaml:"others" over:"0" max:"1e6"`
@@ -104,15 +104,15 @@
 		return nil, err
 	}
 	if len(text) > mostBytes {
-		return nil, faults.List{{File: file, What: "is too long", Want: "4 MiB at most"}}
+		return nil, diagnostics.List{{File: file, What: "is too long", Want: "4 MiB at most"}}
 	}
 	t.file = file
-	if t.places, err = faults.YAML(bytes.NewReader(text), t); err != nil {
-		return nil, faults.Of(err).In(file)
+	if t.places, err = diagnostics.YAML(bytes.NewReader(text), t); err != nil {
+		return nil, diagnostics.Of(err).In(file)
 	}
-	var l faults.List
+	var l diagnostics.List
 	for _, err := range []error{t.FairQueues.check(), t.Plugins.check(file), t.Peers.check(), t.Shares.check(t.Peers)} {
-		l = append(l, faults.Of(err)...)
+		l = append(l, diagnostics.Of(err)...)
 	}
 	if len(l) > 0 {
 		return nil, t.places.Locate(l).In(file)
@@ -124,7 +124,7 @@
 	if f == nil {
 		return nil
 	}
-	var l faults.List
+	var l diagnostics.List
 	named := map[string]bool{}
 	for i, t := range f.Tenants {
 		if named[t.Name] {
@@ -165,14 +165,14 @@
 
 // Ledger makes the ledger's terms, but for what the server has. Without tenants of its own the section takes the shares that the platform's settings
 // tell; others have the mean of the shares where nothing is said, or all where nobody is named.
-func (f *FairQueues) Ledger(of *deployment.Terms) *ledger.Terms {
+func (f *FairQueues) Ledger(of *deployment.Terms) *fairqueue.Terms {
 	if f == nil {
 		return nil
 	}
-	t := &ledger.Terms{Others: f.Others, Newcomers: f.Newcomers, Books: f.Books, Groups: f.Groups, Burst: tenths(f.Burst),
+	t := &fairqueue.Terms{Others: f.Others, Newcomers: f.Newcomers, Books: f.Books, Groups: f.Groups, Burst: tenths(f.Burst),
 		History: tenths(f.History), Reshuffle: tenths(f.Reshuffle)}
 	for _, tenant := range f.Tenants {
-		t.Tenants = append(t.Tenants, ledger.Tenant{Name: tenant.Name, Share: tenant.Share})
+		t.Tenants = append(t.Tenants, fairqueue.Tenant{Name: tenant.Name, Share: tenant.Share})
 	}
 	if len(t.Tenants) == 0 && f.By == "account" {
 		t.Tenants = of.Shares
@@ -190,7 +190,7 @@
 	return t
 }
 
-func tenths(d time.Duration) ledger.Tenths { return ledger.Tenths(d / (100 * time.Microsecond)) }
+func tenths(d time.Duration) fairqueue.Tenths { return fairqueue.Tenths(d / (100 * time.Microsecond)) }
 
 // Tenancy makes what tells whose a request is.
 func (f *FairQueues) Tenancy() *tenancy.Table {
--- a/internal/service/shares.go
+++ b/internal/config/shares.go
@@ -1,4 +1,4 @@
-package service
+package config
 
 // This file owns the section on the shares of a fleet's limits. It must never open anything.
 
@@ -11,11 +11,11 @@
 	"github.com/zeebo/xxh3"
 
 	"thistlequay/internal/deployment"
-	"thistlequay/internal/faults"
-	"thistlequay/shares"
+	"thistlequay/internal/diagnostics"
+	"thistlequay/internal/quota"
 )
 
-// Shares is the section of docs/shares/operating.md.
+// Shares is the section of docs/quota/operating.md.
 type Shares struct {
 	Revision  int           `yaml:"revision" min:"1" max:"1000000000"`
 	Calls     int           `yaml:"calls" min:"1" max:"1000000" need:"yes"`
@@ -42,7 +42,7 @@
 	if s == nil {
 		return nil
 	}
-	var l faults.List
+	var l diagnostics.List
 	if peers == nil {
 		l.Add("shares", "a section peers", "servers that share must know each other")
 	}
@@ -74,7 +74,7 @@
 }
 
 // against: parts of what each server has for itself are not to be granted.
-func (s *Shares) against(of *deployment.Terms) (l faults.List) {
+func (s *Shares) against(of *deployment.Terms) (l diagnostics.List) {
 	if s != nil && !of.SharedBelow {
 		l.Add("shares.calls", "a dependency that all servers share", "each server has its own, by the platform's settings")
 	}
@@ -87,22 +87,22 @@
 )
 
 // Limits are what the section shares, in the order of SharedLimits; a limit that it does not name is not among them.
-func (s *Shares) Limits() (limits []shares.Terms) {
-	length := shares.Moment(max(lengthLeast, lengthEach*time.Duration(s.Slots)).Milliseconds())
-	calls := shares.Terms{Whole: shares.Amount(s.Calls) * shares.Unit, Floor: shares.Amount(s.Floor) * shares.Unit, Slots: s.Slots, Length: length,
-		Linger: shares.Moment(s.Longest.Milliseconds()), Drift: s.Drift, Least: shares.Unit, Still: 0.1, Grain: shares.Unit}
+func (s *Shares) Limits() (limits []quota.Terms) {
+	length := quota.Moment(max(lengthLeast, lengthEach*time.Duration(s.Slots)).Milliseconds())
+	calls := quota.Terms{Whole: quota.Amount(s.Calls) * quota.Unit, Floor: quota.Amount(s.Floor) * quota.Unit, Slots: s.Slots, Length: length,
+		Linger: quota.Moment(s.Longest.Milliseconds()), Drift: s.Drift, Least: quota.Unit, Still: 0.1, Grain: quota.Unit}
 	limits = append(limits, calls)
 	if s.Rate > 0 {
 		rate := calls
-		rate.Whole, rate.Floor = shares.Amount(s.Rate)*shares.Unit, shares.Amount(s.RateFloor)*shares.Unit
-		rate.Least, rate.Grain, rate.Rate, rate.Linger = rate.Whole/shares.Amount(4*s.Slots), 0, true, 0
+		rate.Whole, rate.Floor = quota.Amount(s.Rate)*quota.Unit, quota.Amount(s.RateFloor)*quota.Unit
+		rate.Least, rate.Grain, rate.Rate, rate.Linger = rate.Whole/quota.Amount(4*s.Slots), 0, true, 0
 		limits = append(limits, rate)
 	}
 	return limits
 }
 
 // Wholes are those of the limits; they may change in service, with a later revision.
-func (s *Shares) Wholes() (wholes []shares.Amount) {
+func (s *Shares) Wholes() (wholes []quota.Amount) {
 	for _, l := range s.Limits() {
 		wholes = append(wholes, l.Whole)
 	}
--- a/internal/service/store.go
+++ b/internal/config/store.go
@@ -1,4 +1,4 @@
-package service
+package config
 
 // This file owns the section on what outlives the process. It must never open anything.
 
@@ -7,11 +7,11 @@
 	"time"
 
 	"thistlequay/internal/deployment"
-	"thistlequay/internal/store"
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
 )
 
-// Store is the section of docs/lasting/operating.md.
+// Store is the section of docs/recovery/operating.md.
 type Store struct {
 	Directory  string        `yaml:"directory" min:"1" need:"yes"`
 	Durability string        `yaml:"durability" one:"process machine"`
@@ -28,11 +28,11 @@
 }
 
 // Terms are what the store is opened with, for a program that can remember so many stamps.
-func (s *Store) Terms(of *deployment.Terms, memory int) store.Terms {
-	t := store.Terms{Mode: lasting.Machine, Bytes: int64(s.MegaBytes) << 20, Records: s.Records, Segment: int64(s.SegmentKB) << 10,
-		Doubt: tenths(s.Doubt), Most: max(1, memory/recalledPart/recalledSize), Fresh: s.Fresh, Now: store.MachineClock}
+func (s *Store) Terms(of *deployment.Terms, memory int) segmentlog.Terms {
+	t := segmentlog.Terms{Mode: recovery.Machine, Bytes: int64(s.MegaBytes) << 20, Records: s.Records, Segment: int64(s.SegmentKB) << 10,
+		Doubt: tenths(s.Doubt), Most: max(1, memory/recalledPart/recalledSize), Fresh: s.Fresh, Now: segmentlog.MachineClock}
 	if s.Durability == "process" {
-		t.Mode = lasting.Process
+		t.Mode = recovery.Process
 	}
 	for _, c := range of.Categories {
 		t.Window = max(t.Window, c.Window)
--- a/agreement/agreement.go
+++ b/internal/consensus/agreement.go
@@ -4,7 +4,7 @@
 // This file owns one voter: what it hears, when it stands for leader, what must be durable before it speaks, and what was
 // agreed on. It must never send a message before what it rests on was saved, take part under a number whose memory is lost, or
 // call itself leader for others to act on without a majority's word that came after they asked.
-package agreement
+package consensus
 
 import (
 	"encoding/binary"
--- a/agreement/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -1,4 +1,4 @@
-package agreement
+package consensus
 
 import (
 	"encoding/binary"
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -11,16 +11,16 @@
 	"strings"
 
 	"thistlequay/admission"
-	"thistlequay/internal/faults"
-	"thistlequay/ledger"
+	"thistlequay/internal/diagnostics"
+	"thistlequay/internal/fairqueue"
 )
 
 // Terms are what one server is told when it starts.
 type Terms struct {
 	admission.Deployment
-	Named   map[string]int  // categories by name
-	Pauses  bool            // stopped work keeps its memory until its request is over
-	Shares  []ledger.Tenant // of the tenants that are told with one
+	Named   map[string]int     // categories by name
+	Pauses  bool               // stopped work keeps its memory until its request is over
+	Shares  []fairqueue.Tenant // of the tenants that are told with one
 	tenants map[string]bool
 	rows    []func(*admission.Gauges) *float64
 }
@@ -62,11 +62,11 @@
 			Cold, ColdFrom, DrainGrace, TipMultiple float64
 		}
 	}
-	if err := faults.JSON(text, &env); err != nil {
+	if err := diagnostics.JSON(text, &env); err != nil {
 		return nil, err
 	}
 	info, rules := &env.FamilyInfo, &env.Rules
-	var l faults.List
+	var l diagnostics.List
 	if len(env.Categories) == 0 {
 		l.Add("Categories", "at least one category", "there is none")
 	}
@@ -134,7 +134,7 @@
 		figure(fmt.Sprintf("Tenants[%d].Share", i), tenant.Share)
 	}
 	if len(l) > 0 {
-		slices.SortStableFunc(l, func(a, b faults.Fault) int { return strings.Compare(a.Path, b.Path) })
+		slices.SortStableFunc(l, func(a, b diagnostics.Fault) int { return strings.Compare(a.Path, b.Path) })
 		return nil, l
 	}
 	t := &Terms{Named: map[string]int{}, Pauses: info.Halt == "pause", tenants: map[string]bool{}, Deployment: admission.Deployment{
@@ -156,7 +156,7 @@
 	}
 	for _, tenant := range env.Tenants {
 		if t.tenants[tenant.Name] = true; tenant.Share > 0 {
-			t.Shares = append(t.Shares, ledger.Tenant{Name: tenant.Name, Share: tenant.Share})
+			t.Shares = append(t.Shares, fairqueue.Tenant{Name: tenant.Name, Share: tenant.Share})
 		}
 	}
 	for _, meter := range info.Meters {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/admission"
-	"thistlequay/internal/faults"
+	"thistlequay/internal/diagnostics"
 )
 
 const good = `{
@@ -65,7 +65,7 @@
 		text := []byte(strings.Replace(good, c.from, c.to, 1))
 		_, err := Read(text)
 		require.Error(t, err, c.to)
-		l := faults.LocateJSON(text, faults.Of(err))
+		l := diagnostics.LocateJSON(text, diagnostics.Of(err))
 		require.Len(t, l, 1)
 		line := strings.Split(string(text), "\n")[l[0].Line-1]
 		require.True(t, strings.HasPrefix(line[l[0].Column-1:], c.at), "%s points at %s", c.fault, line[l[0].Column-1:])
@@ -78,7 +78,7 @@
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := Read(text); err != nil {
-			for _, fault := range faults.LocateJSON(text, faults.Of(err)) {
+			for _, fault := range diagnostics.LocateJSON(text, diagnostics.Of(err)) {
 				require.Positive(t, fault.Line, fault.Error())
 			}
 		}
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/faults"
+	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/golden"
 )
 
@@ -37,7 +37,7 @@
 	var out bytes.Buffer
 	diagnose := func(text string) {
 		_, err := Read([]byte(text))
-		fmt.Fprintf(&out, "%s\n\n", faults.LocateJSON([]byte(text), faults.Of(err)).Error())
+		fmt.Fprintf(&out, "%s\n\n", diagnostics.LocateJSON([]byte(text), diagnostics.Of(err)).Error())
 	}
 	for _, c := range badSettings {
 		diagnose(strings.Replace(good, c.from, c.to, 1))
@@ -48,7 +48,7 @@
 	}
 	for _, text := range []string{`[]`, `7`, `{"Categories":{}}`, "{\"Categories\":\n[ []]}", `{"FamilyInfo":[]}`, `{"Rules":true}`} {
 		_, err := Read([]byte(text)) // what is expected here names types of the program: that may change
-		for _, f := range faults.LocateJSON([]byte(text), faults.Of(err)) {
+		for _, f := range diagnostics.LocateJSON([]byte(text), diagnostics.Of(err)) {
 			fmt.Fprintln(&out, f.Line, f.Column, f.Path, f.What)
 		}
 	}
--- a/internal/faults/faults.go
+++ b/internal/diagnostics/faults.go
@@ -2,7 +2,7 @@
 //
 // It owns positions in JSON and the strict reading of YAML into structures. It must never let pass what it does not
 // know, nor know what any of it means.
-package faults
+package diagnostics
 
 import (
 	"bytes"
--- a/internal/faults/yaml.go
+++ b/internal/diagnostics/yaml.go
@@ -1,4 +1,4 @@
-package faults
+package diagnostics
 
 // This file reads YAML strictly: each key must be known, stand once, have its type and lie in its range. Structures
 // say what they take by tags: `yaml:"name"`, `min:"0"`, `max:"1"`, `over:"0"`, `under:"1"`, `one:"a b c"`,
--- a/internal/standin/below.go
+++ b/internal/emulator/below.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 // This file owns the stand-ins of the index and the directory.
 
--- a/internal/standin/cores.go
+++ b/internal/emulator/cores.go
@@ -1,7 +1,7 @@
 // Package standin is what the app server meets in tests and in `thistlequay try`: an interpreter whose cores are shared
 // by what runs, an index, a directory, routers, and the load that they send. All speak the published protocols and
 // do what a script has them do. Nothing here decides for the app server.
-package standin
+package emulator
 
 import "math"
 
--- a/internal/standin/interpreter.go
+++ b/internal/emulator/interpreter.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 // This file owns the stand-in of the interpreter: cores shared by what runs, notices that are numbered and kept, a link
 // that may break while runs go on. A script may spoil notices. It must never begin a run twice.
--- a/internal/standin/link.go
+++ b/internal/emulator/link.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 // This file owns the sockets of the stand-ins: what listens on a free loopback address, and what it accepts as lines.
 
--- a/internal/standin/load.go
+++ b/internal/emulator/load.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 // This file owns what load is asked for and what came of it: streams of work items by tenant, drawn from one seed, and
 // the account of each tenant against what it is entitled to. It must never look at how the server decides.
--- a/internal/standin/router.go
+++ b/internal/emulator/router.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 // This file owns the stand-in of a router: FastCGI requests out, answers in, and a whole load sent in real time. It must
 // never wait for an answer before the next is sent.
--- a/internal/standin/wasm.go
+++ b/internal/emulator/wasm.go
@@ -1,7 +1,7 @@
-package standin
+package emulator
 
 // This file owns plug-ins that do harm, and some that do not, as bytes: small modules put together here, so that tests need
-// no other tool chain. Each follows docs/plugins/authors.md as far as its kind lets it.
+// no other tool chain. Each follows docs/plugin/authors.md as far as its kind lets it.
 
 import (
 	"encoding/binary"
--- a/ledger/claim.go
+++ b/internal/fairqueue/claim.go
@@ -1,4 +1,4 @@
-package ledger
+package fairqueue
 
 // This file owns the life of a claim: from a work item's coming to its end, and what is told to one turned away. It
 // must never charge a work item twice, nor one that did not run.
--- a/ledger/elsewhere.go
+++ b/internal/fairqueue/elsewhere.go
@@ -1,4 +1,4 @@
-package ledger
+package fairqueue
 
 // This file owns what tenants are given at other servers of a fleet. A named tenant's finish moves on by that as if it had been
 // given here (start-time fair queueing with the total service as its clock: Wang and Merchant, 2007): one that asks everywhere
--- a/ledger/heavy.go
+++ b/internal/fairqueue/heavy.go
@@ -1,4 +1,4 @@
-package ledger
+package fairqueue
 
 // This file owns who gets a book of its own: candidates are counted in a table of fixed size, as Metwally's
 // Space-Saving does, and the heaviest with a history take the place of the lightest. It must never grow.
--- a/ledger/ledger.go
+++ b/internal/fairqueue/ledger.go
@@ -7,7 +7,7 @@
 // The turn of a work item is a start tag of start-time fair queueing (Goyal, Vin and Cheng, 1996): what its tenant's
 // work items have been charged, over the tenant's weight, but no further back than a burst behind the turn that
 // the server has come to. A work item is charged an estimate when it comes and what it really took when its run ends.
-package ledger
+package fairqueue
 
 import (
 	"math/rand"
--- a/ledger/ledger_test.go
+++ b/internal/fairqueue/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package fairqueue
 
 import (
 	"fmt"
--- a/internal/peers/delegate.go
+++ b/internal/gossip/delegate.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 // This file owns what the library asks and tells: words and notes that come and go, members that it holds for there or lost,
 // and the direct pings. It runs on the library's goroutines and must never touch the view, nor block.
@@ -16,12 +16,12 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"thistlequay/members"
+	"thistlequay/internal/membership"
 )
 
 // rumour is a word on its way round; a newer one of the same life takes its place.
 type rumour struct {
-	id   members.ID
+	id   membership.ID
 	seq  uint64
 	text []byte
 }
@@ -113,7 +113,7 @@
 	if understood.Unmarshal(n.Meta, &c) != nil || len(c.Key) != ed25519.PublicKeySize {
 		c = card{} // of another version: its first word binds its key
 	}
-	w := members.Word{ID: id, Zone: c.Zone, Address: n.Address()} // its own first word has the rest
+	w := membership.Word{ID: id, Zone: c.Zone, Address: n.Address()} // its own first word has the rest
 	(*Peers)(d).do(func() {
 		d.joined[id] = true
 		if _, known := d.keys[id]; !known && c.Key != nil {
@@ -146,7 +146,7 @@
 
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, trip time.Duration, _ []byte) {
 	if id, ok := idOf(n.Name); ok {
-		(*Peers)(d).do(func() { d.view.Answered(id, members.Moment(trip.Milliseconds())) })
+		(*Peers)(d).do(func() { d.view.Answered(id, membership.Moment(trip.Milliseconds())) })
 	}
 }
 
@@ -185,10 +185,10 @@
 			return
 		case <-time.After(pingEvery):
 		}
-		var there []members.Member
-		if p.Look(func(v *members.View, _ *members.Accord) {
+		var there []membership.Member
+		if p.Look(func(v *membership.View, _ *membership.Accord) {
 			for _, m := range v.Members() {
-				if m != v.Me() && m.State <= members.Suspected && m.Address != "" {
+				if m != v.Me() && m.State <= membership.Suspected && m.Address != "" {
 					there = append(there, *m)
 				}
 			}
@@ -200,7 +200,7 @@
 		if !p.answers(&m) {
 			p.do(func() {
 				p.view.Missed(m.ID)
-				if now := p.view.Member(m.ID); now != nil && now.Cause != members.FromMeAlone {
+				if now := p.view.Member(m.ID); now != nil && now.Cause != membership.FromMeAlone {
 					p.view.Doubted(m.ID)
 				}
 			})
@@ -208,14 +208,14 @@
 	}
 }
 
-func (p *Peers) answers(m *members.Member) bool {
+func (p *Peers) answers(m *membership.Member) bool {
 	at, err := net.ResolveUDPAddr("udp", m.Address)
 	if err != nil {
 		return false
 	}
 	for range pingTries {
 		if trip, err := p.list.Ping(nodeName(m.ID), at); err == nil {
-			p.do(func() { p.view.Answered(m.ID, members.Moment(trip.Milliseconds())) })
+			p.do(func() { p.view.Answered(m.ID, membership.Moment(trip.Milliseconds())) })
 			return true
 		}
 	}
--- a/internal/peers/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"bytes"
@@ -18,18 +18,18 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
-	"thistlequay/members"
+	"thistlequay/internal/membership"
 )
 
 // goldenMember makes a member without sockets whose identity, key and clock are the same in every run.
-func goldenMember(number int, now members.Moment) *Peers {
-	id := members.ID{Name: fmt.Sprintf("n%04d", number), Life: 0x1122334455667700 + uint64(number)}
-	p := &Peers{terms: Terms{Members: members.DefaultTerms(id)}, inbox: make(chan func(), 16)}
+func goldenMember(number int, now membership.Moment) *Peers {
+	id := membership.ID{Name: fmt.Sprintf("n%04d", number), Life: 0x1122334455667700 + uint64(number)}
+	p := &Peers{terms: Terms{Members: membership.DefaultTerms(id)}, inbox: make(chan func(), 16)}
 	p.terms.Members.Zone = "zone-a"
 	p.secret = ed25519.NewKeyFromSeed(bytes.Repeat([]byte{byte(number)}, ed25519.SeedSize))
-	p.keys, p.words, p.joined = map[members.ID]ed25519.PublicKey{}, map[members.ID]sealed{}, map[members.ID]bool{}
-	p.view = members.NewView(p.terms.Members, now)
-	p.accord = members.NewAccord(p.view)
+	p.keys, p.words, p.joined = map[membership.ID]ed25519.PublicKey{}, map[membership.ID]sealed{}, map[membership.ID]bool{}
+	p.view = membership.NewView(p.terms.Members, now)
+	p.accord = membership.NewAccord(p.view)
 	return p
 }
 
@@ -40,10 +40,10 @@
 	}
 }
 
-func goldenWord(of *Peers, seq uint64) members.Word {
-	return members.Word{ID: of.Me(), Seq: seq, Address: "10.0.0.1:7946", Zone: "zone-a", Version: "1.2", Settings: 0xdeadbeef, State: members.Serving,
+func goldenWord(of *Peers, seq uint64) membership.Word {
+	return membership.Word{ID: of.Me(), Seq: seq, Address: "10.0.0.1:7946", Zone: "zone-a", Version: "1.2", Settings: 0xdeadbeef, State: membership.Serving,
 		Pool: 12.5, Load: 7, Free: 5.25, IndexMs: 3.5, SleptMs: 900, LateMs: 4, Epoch: 3, Misses: []string{"n0007", "n0008"},
-		Keeper: 1 << 63, Group: 77, Used: []members.Used{{Tenant: "gold", Time: 1234.5}, {Tenant: "rest", Time: 1}}}
+		Keeper: 1 << 63, Group: 77, Used: []membership.Used{{Tenant: "gold", Time: 1234.5}, {Tenant: "rest", Time: 1}}}
 }
 
 // again decodes a message's content, encodes it anew and puts it behind the seal it came with.
@@ -68,16 +68,16 @@
 		require.Equal(t, message, again(t, message, empty), name)
 		fmt.Fprintf(&out, "%s %x\n", name, message)
 	}
-	add("word full", wordMessage, goldenWord(p, 9), &members.Word{})
-	for state := members.Joining; state <= members.Leaving; state++ {
-		add(fmt.Sprint("word state ", int(state)), wordMessage, members.Word{ID: me, Seq: 1, State: state}, &members.Word{})
+	add("word full", wordMessage, goldenWord(p, 9), &membership.Word{})
+	for state := membership.Joining; state <= membership.Leaving; state++ {
+		add(fmt.Sprint("word state ", int(state)), wordMessage, membership.Word{ID: me, Seq: 1, State: state}, &membership.Word{})
 	}
-	first := members.Ballot{Round: 2, By: other}
-	fleet := &members.Fleet{Epoch: 4, Voters: []members.Voter{{ID: me, Address: "10.0.0.1:7946"}, {ID: other}}, Count: 2, Lease: 1500, Born: 1}
-	for _, kind := range []members.Kind{members.Ask, members.Support, members.Prepare, members.Promise, members.Accept, members.Accepted, members.Chosen} {
-		add(fmt.Sprint("note short ", int(kind)), noteMessage, members.Note{Kind: kind, From: me, To: other, Epoch: 3}, &members.Note{})
-		add(fmt.Sprint("note full ", int(kind)), noteMessage, members.Note{Kind: kind, From: me, To: other, Epoch: 3, Asked: 12345,
-			Ballot: members.Ballot{Round: 5, By: me}, Before: first, Fleet: fleet}, &members.Note{})
+	first := membership.Ballot{Round: 2, By: other}
+	fleet := &membership.Fleet{Epoch: 4, Voters: []membership.Voter{{ID: me, Address: "10.0.0.1:7946"}, {ID: other}}, Count: 2, Lease: 1500, Born: 1}
+	for _, kind := range []membership.Kind{membership.Ask, membership.Support, membership.Prepare, membership.Promise, membership.Accept, membership.Accepted, membership.Chosen} {
+		add(fmt.Sprint("note short ", int(kind)), noteMessage, membership.Note{Kind: kind, From: me, To: other, Epoch: 3}, &membership.Note{})
+		add(fmt.Sprint("note full ", int(kind)), noteMessage, membership.Note{Kind: kind, From: me, To: other, Epoch: 3, Asked: 12345,
+			Ballot: membership.Ballot{Round: 5, By: me}, Before: first, Fleet: fleet}, &membership.Note{})
 	}
 	for kind := FirstMail; kind < FirstMail+3; kind++ {
 		add(fmt.Sprint("letter ", kind), kind, letter{From: me, To: other, Text: []byte("what it says")}, &letter{})
@@ -111,8 +111,8 @@
 		_, news := p.hear(encode(wordMessage, s))
 		require.True(t, news)
 	}
-	fleet := &members.Fleet{Epoch: 1, Voters: []members.Voter{{ID: p.Me(), Address: "10.0.0.1:7946"}}, Count: 4, Lease: 1500, Born: 1}
-	p.accord.Take(members.Note{Kind: members.Chosen, From: goldenMember(2, 1).Me(), To: p.Me(), Epoch: 1, Fleet: fleet})
+	fleet := &membership.Fleet{Epoch: 1, Voters: []membership.Voter{{ID: p.Me(), Address: "10.0.0.1:7946"}}, Count: 4, Lease: 1500, Born: 1}
+	p.accord.Take(membership.Note{Kind: membership.Chosen, From: goldenMember(2, 1).Me(), To: p.Me(), Epoch: 1, Fleet: fleet})
 	p.view.At(2001, 2000)
 	return p
 }
@@ -147,8 +147,8 @@
 		from := goldenMember(2, 1)
 		me := goldenMember(1, 1).Me()
 		came := make(chan string, 1)
-		p, err := Start(Terms{Members: members.DefaultTerms(me), Listen: here.at, Fleet: name, Keys: [][]byte{[]byte(key)}, Transport: here,
-			Mail: map[byte]func(members.ID, []byte){FirstMail: func(id members.ID, text []byte) { came <- id.Name + " " + string(text) }}})
+		p, err := Start(Terms{Members: membership.DefaultTerms(me), Listen: here.at, Fleet: name, Keys: [][]byte{[]byte(key)}, Transport: here,
+			Mail: map[byte]func(membership.ID, []byte){FirstMail: func(id membership.ID, text []byte) { came <- id.Name + " " + string(text) }}})
 		require.NoError(t, err)
 		p.do(func() { p.keys[from.Me()] = from.secret.Public().(ed25519.PublicKey) })
 		_, message := from.seal(FirstMail, letter{From: from.Me(), To: me, Text: []byte("what it says")})
@@ -177,7 +177,7 @@
 	p := goldenCrowd(t)
 	p.view.Lost(goldenMember(4, 1).Me())
 	p.view.Answered(goldenMember(2, 1).Me(), 3)
-	p.view.Counts = members.Counts{Insane: 11, Old: 12, Foreign: 13, Unknown: 14, Full: 15, FalseAlarms: 16, NameTaken: 17}
+	p.view.Counts = membership.Counts{Insane: 11, Old: 12, Foreign: 13, Unknown: 14, Full: 15, FalseAlarms: 16, NameTaken: 17}
 	p.Dropped.Store(5)
 	p.Garbled.Store(6)
 	p.Sent.Store(7)
--- a/internal/peers/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/members"
+	"thistlequay/internal/membership"
 )
 
 // tape keeps what reached one member, to be played to it again.
@@ -52,19 +52,19 @@
 		q := a.port(5)
 		taped, done := &tape{Transport: q, in: make(chan *memberlist.Packet, 4096)}, make(chan struct{})
 		go taped.run(q.PacketCh(), done)
-		terms := members.DefaultTerms(members.ID{Name: "n0004", Life: 5})
+		terms := membership.DefaultTerms(membership.ID{Name: "n0004", Life: 5})
 		terms.Size, terms.Founders = 5, []string{"n0000", "n0001", "n0002"}
 		heard, err := Start(Terms{Members: terms, Listen: q.at, First: []string{"10.0.0.1:7946"}, Fleet: "test",
 			Keys: [][]byte{[]byte("0123456789abcdef")}, Transport: taped})
 		require.NoError(t, err)
-		heard.Say(Own{State: members.Serving})
+		heard.Say(Own{State: membership.Serving})
 		all = append(all, heard)
-		require.Positive(t, until(time.Minute, func() bool { return agree(all, 5, members.Whole) }))
-		look := func(at func(v *members.View)) {
-			require.NoError(t, heard.Look(func(v *members.View, _ *members.Accord) { at(v) }))
+		require.Positive(t, until(time.Minute, func() bool { return agree(all, 5, membership.Whole) }))
+		look := func(at func(v *membership.View)) {
+			require.NoError(t, heard.Look(func(v *membership.View, _ *membership.Accord) { at(v) }))
 		}
-		var before members.Counts
-		look(func(v *members.View) { before = v.Counts })
+		var before membership.Counts
+		look(func(v *membership.View) { before = v.Counts })
 		victim, liar := all[1].terms.Members.Me, all[3]
 		// Lies: another's leave, a support and a fleet under another's name, all sealed by the liar.
 		taken, lies := 0, 0
@@ -81,22 +81,22 @@
 		_, other, err := ed25519.GenerateKey(nil)
 		require.NoError(t, err)
 		me := terms.Me
-		lie(wordMessage, members.Word{ID: victim, Seq: 1 << 40, State: members.Leaving}, nil)
-		lie(wordMessage, members.Word{ID: victim, Seq: 1 << 40, State: members.Leaving}, other)
-		lie(noteMessage, members.Note{Kind: members.Support, From: victim, To: me, Epoch: 1, Asked: 1 << 50}, nil)
-		lie(noteMessage, members.Note{Kind: members.Chosen, From: victim, To: me, Epoch: 1 << 40, Fleet: &members.Fleet{Epoch: 1 << 40, Count: 1,
-			Lease: 60000, Voters: []members.Voter{{ID: liar.terms.Members.Me}}}}, nil)
-		lie(noteMessage, members.Note{Kind: members.Prepare, From: members.ID{Name: "ghost", Life: 9}, To: me, Epoch: 1, Ballot: members.Ballot{Round: 1 << 40}}, nil)
+		lie(wordMessage, membership.Word{ID: victim, Seq: 1 << 40, State: membership.Leaving}, nil)
+		lie(wordMessage, membership.Word{ID: victim, Seq: 1 << 40, State: membership.Leaving}, other)
+		lie(noteMessage, membership.Note{Kind: membership.Support, From: victim, To: me, Epoch: 1, Asked: 1 << 50}, nil)
+		lie(noteMessage, membership.Note{Kind: membership.Chosen, From: victim, To: me, Epoch: 1 << 40, Fleet: &membership.Fleet{Epoch: 1 << 40, Count: 1,
+			Lease: 60000, Voters: []membership.Voter{{ID: liar.terms.Members.Me}}}}, nil)
+		lie(noteMessage, membership.Note{Kind: membership.Prepare, From: membership.ID{Name: "ghost", Life: 9}, To: me, Epoch: 1, Ballot: membership.Ballot{Round: 1 << 40}}, nil)
 		time.Sleep(2 * time.Second)
-		look(func(v *members.View) {
-			if v.Member(victim).State != members.Serving {
+		look(func(v *membership.View) {
+			if v.Member(victim).State != membership.Serving {
 				taken++
 			}
 			require.Equal(t, lies-1, v.Counts.Foreign-before.Foreign) // under another's name
 			require.Positive(t, v.Counts.Unknown-before.Unknown)      // and of nobody
 		})
 		// Cut short, 64 KiB, noise, and of a kind that only a later version knows.
-		_, good := all[2].seal(wordMessage, members.Word{ID: all[2].terms.Members.Me, Seq: 1 << 30, State: members.Leaving})
+		_, good := all[2].seal(wordMessage, membership.Word{ID: all[2].terms.Members.Me, Seq: 1 << 30, State: membership.Leaving})
 		garbled := heard.Garbled.Load()
 		for _, message := range [][]byte{good[:len(good)/2], {}, {wordMessage}, make([]byte, 64<<10), slices.Repeat([]byte{0x9f}, 600)} {
 			(*delegate)(heard).NotifyMsg(message)
@@ -121,11 +121,11 @@
 			}
 		}
 		time.Sleep(20 * time.Second)
-		if !agree(all, 5, members.Whole) {
+		if !agree(all, 5, membership.Whole) {
 			taken++
 		}
 		old := 0
-		look(func(v *members.View) { old = v.Counts.Old })
+		look(func(v *membership.View) { old = v.Counts.Old })
 		t.Logf("measured hostile-peers lies=%d forged_taken=%d replayed=%d old=%d garbled=%d", lies, taken, len(again), old, heard.Garbled.Load())
 		require.Zero(t, taken)
 		for _, p := range all {
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := &air{rand: rand.New(rand.NewSource(2)), ports: map[string]*port{}, open: true}
 		all := crowd(t, a, 5)
-		require.Positive(t, until(time.Minute, func() bool { return agree(all, 5, members.Whole) }))
+		require.Positive(t, until(time.Minute, func() bool { return agree(all, 5, membership.Whole) }))
 		victim, told := all[4], all[1]
 		var text []byte
 		require.NoError(t, codec.NewEncoderBytes(&text, &codec.MsgpackHandle{}).Encode(map[string]any{"Incarnation": 1 << 20, "Node": nodeName(victim.Me()), "From": nodeName(all[3].Me())}))
@@ -150,11 +150,13 @@
 		a.ports[told.terms.Listen].packets <- &memberlist.Packet{Buf: append([]byte("\xf4\x04test\x05"), text...), From: &net4, Timestamp: time.Now()}
 		failed := until(5*time.Second, func() bool {
 			held := false
-			_ = told.Look(func(v *members.View, _ *members.Accord) { held = v.Member(victim.Me()).State >= members.Failed })
+			_ = told.Look(func(v *membership.View, _ *membership.Accord) {
+				held = v.Member(victim.Me()).State >= membership.Failed
+			})
 			return held
 		})
 		require.GreaterOrEqual(t, failed, time.Duration(0), "the forged word did not come")
-		require.Positive(t, until(20*time.Second, func() bool { return agree(all, 5, members.Whole) }))
+		require.Positive(t, until(20*time.Second, func() bool { return agree(all, 5, membership.Whole) }))
 		for _, p := range all {
 			p.End()
 		}
@@ -166,8 +168,8 @@
 func FuzzOpen(f *testing.F) {
 	_, secret, _ := ed25519.GenerateKey(nil)
 	p := &Peers{secret: secret}
-	_, word := p.seal(wordMessage, members.Word{ID: members.ID{Name: "n", Life: 1}, Seq: 3, Pool: 4, Misses: []string{"a"}})
-	_, note := p.seal(noteMessage, members.Note{Kind: members.Ask, From: members.ID{Name: "n", Life: 1}})
+	_, word := p.seal(wordMessage, membership.Word{ID: membership.ID{Name: "n", Life: 1}, Seq: 3, Pool: 4, Misses: []string{"a"}})
+	_, note := p.seal(noteMessage, membership.Note{Kind: membership.Ask, From: membership.ID{Name: "n", Life: 1}})
 	f.Add(word)
 	f.Add(note)
 	f.Fuzz(func(t *testing.T, message []byte) {
@@ -176,7 +178,7 @@
 			return
 		}
 		require.Len(t, s.Key, ed25519.PublicKeySize)
-		v := members.NewView(members.DefaultTerms(members.ID{Name: "me", Life: 1}), 0)
+		v := membership.NewView(membership.DefaultTerms(membership.ID{Name: "me", Life: 1}), 0)
 		if v.Hear(w) {
 			m := v.Member(w.ID)
 			require.True(t, m.Pool >= 0 && m.Load >= 0 && m.Free >= 0 && m.IndexMs >= 0)
@@ -193,7 +195,7 @@
 		p.do(func() { time.Sleep(3 * time.Second) })
 		synctest.Wait()
 		looked := 0
-		look := func(*members.View, *members.Accord) { looked++ }
+		look := func(*membership.View, *membership.Accord) { looked++ }
 		require.Error(t, p.Look(look))
 		time.Sleep(5 * time.Second)
 		require.Zero(t, looked)
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -4,7 +4,7 @@
 //
 // This file owns the worker beside the loop that holds the view, and the seam to the library. It must never block the loop,
 // keep more than its bounds, or take a word that was not said under the fleet's name and key.
-package peers
+package gossip
 
 import (
 	"crypto/ed25519"
@@ -22,7 +22,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"thistlequay/members"
+	"thistlequay/internal/membership"
 )
 
 const (
@@ -46,7 +46,7 @@
 
 // Terms are what the talk is begun with.
 type Terms struct {
-	Members   members.Terms
+	Members   membership.Terms
 	Listen    string   // address to talk on
 	Advertise string   // where others reach it, if that is another
 	First     []string // addresses to find others by
@@ -57,19 +57,19 @@
 	Settings  uint32
 	Probe     time.Duration // between two probes of the library; 0 for its own figure
 	Now       func() time.Time
-	Changed   func(size int, standing members.Standing) // called by the worker
-	Log       func(event string, id members.ID, from, to members.State, why members.Cause)
-	Status    func(standing members.Standing, members int, epoch uint64)
-	Used      func(of members.ID, age time.Duration, used []members.Used) // a word was heard; called by the worker, must not block
-	Mail      map[byte]func(from members.ID, text []byte)                 // by kind, from FirstMail on; called by the worker, must not block
+	Changed   func(size int, standing membership.Standing) // called by the worker
+	Log       func(event string, id membership.ID, from, to membership.State, why membership.Cause)
+	Status    func(standing membership.Standing, members int, epoch uint64)
+	Used      func(of membership.ID, age time.Duration, used []membership.Used) // a word was heard; called by the worker, must not block
+	Mail      map[byte]func(from membership.ID, text []byte)                    // by kind, from FirstMail on; called by the worker, must not block
 }
 
 // Own is what the server says of itself.
 type Own struct {
-	State                   members.State
+	State                   membership.State
 	Pool, Load, Free, Index float64
 	Late                    time.Duration
-	Used                    []members.Used
+	Used                    []membership.Used
 }
 
 // Keeping is what the server says of itself as a keeper of what is agreed on.
@@ -89,15 +89,15 @@
 	done     chan struct{}
 	ended    sync.WaitGroup
 	begun    time.Time
-	view     *members.View
-	accord   *members.Accord
+	view     *membership.View
+	accord   *membership.Accord
 	nextWord time.Time
 	lastSize int
-	lastWord members.Standing
+	lastWord membership.Standing
 	secret   ed25519.PrivateKey // of this life
-	keys     map[members.ID]ed25519.PublicKey
-	words    map[members.ID]sealed    // the newest of each life, as it was sealed
-	joined   map[members.ID]bool      // lives that the library holds to be there
+	keys     map[membership.ID]ed25519.PublicKey
+	words    map[membership.ID]sealed // the newest of each life, as it was sealed
+	joined   map[membership.ID]bool   // lives that the library holds to be there
 	sync     atomic.Pointer[[][]byte] // words as they go out at a full exchange, made anew at each look
 	Dropped  atomic.Int64             // messages that found the inbox full
 	Garbled  atomic.Int64             // messages that were not understood
@@ -110,18 +110,18 @@
 		t.Now = time.Now
 	}
 	p := &Peers{terms: t, inbox: make(chan func(), mostWaiting), kick: make(chan struct{}, 1), done: make(chan struct{}), begun: t.Now()}
-	p.own.Store(&Own{State: members.Joining})
+	p.own.Store(&Own{State: membership.Joining})
 	p.keeping.Store(&Keeping{})
 	p.carried = make(chan struct{}, mostCarried)
-	p.joined = map[members.ID]bool{}
-	p.keys, p.words = map[members.ID]ed25519.PublicKey{}, map[members.ID]sealed{}
+	p.joined = map[membership.ID]bool{}
+	p.keys, p.words = map[membership.ID]ed25519.PublicKey{}, map[membership.ID]sealed{}
 	_, secret, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return nil, err
 	}
 	p.secret = secret
-	p.view = members.NewView(t.Members, p.now())
-	p.accord = members.NewAccord(p.view)
+	p.view = membership.NewView(t.Members, p.now())
+	p.accord = membership.NewAccord(p.view)
 	config := memberlist.DefaultLANConfig()
 	config.Name = nodeName(t.Members.Me)
 	config.ProbeInterval, config.ProbeTimeout = 500*time.Millisecond, 250*time.Millisecond
@@ -177,16 +177,16 @@
 	return p.list.NumMembers()
 }
 
-func nodeName(id members.ID) string { return fmt.Sprintf("%s.%016x", id.Name, id.Life) }
+func nodeName(id membership.ID) string { return fmt.Sprintf("%s.%016x", id.Name, id.Life) }
 
 // idOf reads the name that a member has in the library.
-func idOf(node string) (id members.ID, ok bool) {
+func idOf(node string) (id membership.ID, ok bool) {
 	i := strings.LastIndexByte(node, '.')
 	if i <= 0 {
 		return id, false
 	}
 	life, err := strconv.ParseUint(node[i+1:], 16, 64)
-	return members.ID{Name: node[:i], Life: life}, err == nil && life > 0
+	return membership.ID{Name: node[:i], Life: life}, err == nil && life > 0
 }
 
 func addressOf(text string) (host string, port int, err error) {
@@ -199,8 +199,8 @@
 }
 
 // now is the clock of the view: milliseconds since the start, by the monotonic clock.
-func (p *Peers) now() members.Moment {
-	return members.Moment(p.terms.Now().Sub(p.begun).Milliseconds()) + 1
+func (p *Peers) now() membership.Moment {
+	return membership.Moment(p.terms.Now().Sub(p.begun).Milliseconds()) + 1
 }
 
 // do has the worker do something. What finds the inbox full is dropped and counted: all of it comes again.
@@ -234,13 +234,13 @@
 }
 
 // Me is this life.
-func (p *Peers) Me() members.ID { return p.terms.Members.Me }
+func (p *Peers) Me() membership.ID { return p.terms.Members.Me }
 
 // Now is the clock of the view.
-func (p *Peers) Now() members.Moment { return p.now() }
+func (p *Peers) Now() membership.Moment { return p.now() }
 
 // Post sends a letter of a kind to one member at its address. Whether it comes nobody says; what finds no room is dropped.
-func (p *Peers) Post(to members.ID, address string, kind byte, text []byte) {
+func (p *Peers) Post(to membership.ID, address string, kind byte, text []byte) {
 	_, message := p.seal(kind, letter{From: p.terms.Members.Me, To: to, Text: text})
 	host, port, err := addressOf(address)
 	switch {
@@ -262,7 +262,7 @@
 }
 
 // Lie is for tests: it sends a message of any kind under this life's seal, whatever is in it.
-func (p *Peers) Lie(to members.ID, address string, kind byte, text []byte) error {
+func (p *Peers) Lie(to membership.ID, address string, kind byte, text []byte) error {
 	_, message := p.sealText(kind, text)
 	host, port, err := addressOf(address)
 	if err != nil {
@@ -273,7 +273,7 @@
 
 // Look has something read the view. It waits for the worker, at most for a second; after an error the worker has not
 // looked and will not: what the caller has it write is the caller's again.
-func (p *Peers) Look(at func(*members.View, *members.Accord)) error {
+func (p *Peers) Look(at func(*membership.View, *membership.Accord)) error {
 	looked, taken := make(chan struct{}), atomic.Bool{} // by the worker, or by the end of the wait
 	p.do(func() {
 		if taken.CompareAndSwap(false, true) {
@@ -335,21 +335,21 @@
 	}
 }
 
-func (p *Peers) look() { p.view.At(p.now(), members.Moment(tick/time.Millisecond)) }
+func (p *Peers) look() { p.view.At(p.now(), membership.Moment(tick/time.Millisecond)) }
 
 // say sends the server's own word where it is due.
 func (p *Peers) say(now bool) {
 	if at := p.terms.Now(); now || !at.Before(p.nextWord) {
 		p.nextWord = at.Add(max(wordLeast, wordEach*time.Duration(p.members())))
 		own := *p.own.Load()
-		w := p.view.Say(members.Word{Address: (*delegate)(p).here(), Version: p.terms.Version, Settings: p.terms.Settings, State: own.State,
+		w := p.view.Say(membership.Word{Address: (*delegate)(p).here(), Version: p.terms.Version, Settings: p.terms.Settings, State: own.State,
 			Used: own.Used, Keeper: p.keeping.Load().Keeper, Group: p.keeping.Load().Group, Pool: own.Pool, Load: own.Load, Free: own.Free, IndexMs: own.Index, LateMs: own.Late.Milliseconds(), Epoch: p.accord.Fleet().Epoch})
 		p.pass(w)
 	}
 }
 
 // pass has the server's own word go round.
-func (p *Peers) pass(w members.Word) {
+func (p *Peers) pass(w membership.Word) {
 	s, text := p.seal(wordMessage, w)
 	p.words[w.ID] = s
 	if len(text) <= mostMessage {
@@ -359,11 +359,11 @@
 
 // goRound passes a word on. One that a member leaves by is passed on some times more: few words, or none, come after it, and who
 // missed it would hold the member for failed.
-func (p *Peers) goRound(w members.Word, text []byte) {
+func (p *Peers) goRound(w membership.Word, text []byte) {
 	send := func() { p.queue.QueueBroadcast(&rumour{id: w.ID, seq: w.Seq, text: text}) }
 	send()
 	for n := range leaveSends {
-		if w.State == members.Leaving {
+		if w.State == membership.Leaving {
 			time.AfterFunc(tick*time.Duration(n+1), send)
 		}
 	}
@@ -372,10 +372,10 @@
 // share makes the words that a full exchange hands over: the newest first.
 func (p *Peers) share() {
 	list := p.view.Members()
-	slices.SortStableFunc(list, func(a, b *members.Member) int { return int(b.Heard - a.Heard) })
+	slices.SortStableFunc(list, func(a, b *membership.Member) int { return int(b.Heard - a.Heard) })
 	var words [][]byte
 	for _, m := range list {
-		if s, is := p.words[m.ID]; is && len(words) < mostSync && m.State < members.Failed {
+		if s, is := p.words[m.ID]; is && len(words) < mostSync && m.State < membership.Failed {
 			s.AgeMs = int64(m.Age(p.view.Now()))
 			words = append(words, encode(wordMessage, s))
 		}
@@ -403,7 +403,7 @@
 		if p.terms.Log != nil {
 			p.terms.Log("member", e.ID, e.From, e.To, e.Cause)
 		}
-		if e.To == members.Suspected || e.To == members.Failed {
+		if e.To == membership.Suspected || e.To == membership.Failed {
 			if m := p.view.Member(e.ID); m != nil {
 				go p.dial(e.ID, m.Address) // bounded by the members, each for half a second
 			}
@@ -420,16 +420,16 @@
 }
 
 // dial finds out what is at the address of a member that does not answer.
-func (p *Peers) dial(id members.ID, at string) {
-	how := members.DialTaken
+func (p *Peers) dial(id membership.ID, at string) {
+	how := membership.DialTaken
 	c, err := net.DialTimeout("tcp", at, dialWithin)
 	switch {
 	case err == nil:
 		c.Close()
 	case isRefused(err):
-		how = members.DialRefused
+		how = membership.DialRefused
 	default:
-		how = members.DialNothing
+		how = membership.DialNothing
 	}
 	p.do(func() { p.view.Dialled(id, how) })
 }
--- a/internal/peers/seal.go
+++ b/internal/gossip/seal.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 // This file owns messages: words and notes as bytes, sealed by the life that says them, so that a member cannot speak for
 // another though all share the fleet's keys. It must never take a word or a note under another life's name, nor anything
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"thistlequay/members"
+	"thistlequay/internal/membership"
 )
 
 // What a message is, by its first byte. Others are of a later version and are passed over.
@@ -25,9 +25,9 @@
 
 // letter is what another subsystem says to one member.
 type letter struct {
-	From members.ID `cbor:"1,keyasint"`
-	To   members.ID `cbor:"2,keyasint"`
-	Text []byte     `cbor:"3,keyasint"`
+	From membership.ID `cbor:"1,keyasint"`
+	To   membership.ID `cbor:"2,keyasint"`
+	Text []byte        `cbor:"3,keyasint"`
 }
 
 // sealed is one message: what was said and who vouches for it. Its age changes on its way and is not sealed; a word can be
@@ -81,7 +81,7 @@
 }
 
 // open takes a message apart as far as no key is needed; a kind of 0 is one that this version does not know.
-func open(message []byte) (kind byte, s sealed, w members.Word, n members.Note, err error) {
+func open(message []byte) (kind byte, s sealed, w membership.Word, n membership.Note, err error) {
 	if len(message) < 2 || len(message) > mostOf(message[0]) {
 		return 0, s, w, n, errMessage
 	}
@@ -137,7 +137,7 @@
 }
 
 // vouched says whether a message is of the life that it names: of the key on its card, or else in its first word.
-func (p *Peers) vouched(kind byte, s sealed, id members.ID) error {
+func (p *Peers) vouched(kind byte, s sealed, id membership.ID) error {
 	key, known := p.keys[id]
 	if !known {
 		if kind != wordMessage {
@@ -153,7 +153,7 @@
 }
 
 // hear takes a message that came, on the worker. It gives a word, and says whether that was news.
-func (p *Peers) hear(message []byte) (w members.Word, news bool) {
+func (p *Peers) hear(message []byte) (w membership.Word, news bool) {
 	kind, s, w, n, err := open(message)
 	if err != nil {
 		p.Garbled.Add(1)
--- a/internal/peers/status.go
+++ b/internal/gossip/status.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 // This file owns what operators are shown of the view, as JSON over HTTP on an address of its own. It must never show a key,
 // change anything, or keep a connection that asks nothing.
@@ -11,25 +11,25 @@
 	"net/http"
 	"time"
 
-	"thistlequay/members"
+	"thistlequay/internal/membership"
 )
 
 // Report is a view as operators are shown it. Spans are in milliseconds; an age of -1 is that of what never was.
 type Report struct {
-	Name     string         `json:"name"`
-	Life     string         `json:"life"`
-	Standing string         `json:"standing"`
-	SinceMs  int64          `json:"since_ms"` // it has stood so for so long
-	UntilMs  int64          `json:"until_ms"` // and does for so long at least; -1 where that is not the whole
-	Epoch    uint64         `json:"epoch"`
-	Voters   []string       `json:"voters"`
-	Agreed   int            `json:"agreed"` // members of the fleet that was agreed on last
-	Size     int            `json:"size"`   // servers that are reckoned with
-	Counts   members.Counts `json:"counts"`
-	Dropped  int64          `json:"dropped"`
-	Garbled  int64          `json:"garbled"`
-	Sent     int64          `json:"sent_bytes"`
-	Members  []Line         `json:"members"`
+	Name     string            `json:"name"`
+	Life     string            `json:"life"`
+	Standing string            `json:"standing"`
+	SinceMs  int64             `json:"since_ms"` // it has stood so for so long
+	UntilMs  int64             `json:"until_ms"` // and does for so long at least; -1 where that is not the whole
+	Epoch    uint64            `json:"epoch"`
+	Voters   []string          `json:"voters"`
+	Agreed   int               `json:"agreed"` // members of the fleet that was agreed on last
+	Size     int               `json:"size"`   // servers that are reckoned with
+	Counts   membership.Counts `json:"counts"`
+	Dropped  int64             `json:"dropped"`
+	Garbled  int64             `json:"garbled"`
+	Sent     int64             `json:"sent_bytes"`
+	Members  []Line            `json:"members"`
 }
 
 // Line is one member in a Report.
@@ -52,17 +52,17 @@
 	IndexMs float64 `json:"index_ms"`
 }
 
-func life(id members.ID) string { return fmt.Sprintf("%016x", id.Life) }
+func life(id membership.ID) string { return fmt.Sprintf("%016x", id.Life) }
 
 // Report tells the view as it is.
 func (p *Peers) Report() (r Report, err error) {
-	err = p.Look(func(v *members.View, a *members.Accord) {
+	err = p.Look(func(v *membership.View, a *membership.Accord) {
 		now, f := v.Now(), a.Fleet()
 		me := v.Me()
 		r = Report{Name: me.Name, Life: life(me.ID), Standing: a.Standing().String(), SinceMs: int64(now - a.Since()), UntilMs: -1,
 			Epoch: f.Epoch, Agreed: f.Count, Size: v.Size(), Counts: v.Counts, Dropped: p.Dropped.Load(), Garbled: p.Garbled.Load(),
 			Sent: p.Sent.Load(), Voters: []string{}}
-		if left := a.Until() - now; left > 0 && a.Standing() == members.Whole {
+		if left := a.Until() - now; left > 0 && a.Standing() == membership.Whole {
 			r.UntilMs = int64(left)
 		}
 		for _, one := range f.Voters {
--- a/internal/peers/transport.go
+++ b/internal/gossip/transport.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 // This file owns the sockets of the talk: the library's own transport, whose connections leave from the address that is
 // listened on, and a count of what goes out. It must never touch what is carried.
--- a/internal/peers/virtual_test.go
+++ b/internal/gossip/virtual_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/members"
+	"thistlequay/internal/membership"
 )
 
 // air carries the talk of many members in one process, in the virtual time of a synctest bubble.
@@ -104,7 +104,7 @@
 func crowd(t *testing.T, a *air, n int) (all []*Peers) {
 	for i := range n {
 		q := a.port(i + 1)
-		terms := members.DefaultTerms(members.ID{Name: fmt.Sprintf("n%04d", i), Life: uint64(i + 1)})
+		terms := membership.DefaultTerms(membership.ID{Name: fmt.Sprintf("n%04d", i), Life: uint64(i + 1)})
 		terms.Size, terms.Founders, terms.Zone = n, []string{"n0000", "n0001", "n0002"}, fmt.Sprint("z", i%3)
 		keys := [][]byte{[]byte("0123456789abcdef")}
 		if a.open {
@@ -113,7 +113,7 @@
 		p, err := Start(Terms{Members: terms, Listen: q.at, First: []string{"10.0.0.1:7946", "10.0.0.2:7946", "10.0.0.3:7946"},
 			Fleet: "test", Keys: keys, Transport: q})
 		require.NoError(t, err)
-		p.Say(Own{State: members.Serving})
+		p.Say(Own{State: membership.Serving})
 		all = append(all, p)
 		if i%50 == 49 {
 			time.Sleep(time.Second)
@@ -132,10 +132,12 @@
 	return -1
 }
 
-func agree(all []*Peers, there int, standing members.Standing) bool {
+func agree(all []*Peers, there int, standing membership.Standing) bool {
 	for _, p := range all {
 		ok := false
-		if p.Look(func(v *members.View, a *members.Accord) { ok = len(v.There()) == there && a.Standing() == standing }) != nil || !ok {
+		if p.Look(func(v *membership.View, a *membership.Accord) {
+			ok = len(v.There()) == there && a.Standing() == standing
+		}) != nil || !ok {
 			return false
 		}
 	}
@@ -152,7 +154,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			a := &air{rand: rand.New(rand.NewSource(int64(n))), ports: map[string]*port{}}
 			all := crowd(t, a, n)
-			converge := until(3*time.Minute, func() bool { return agree(all, n, members.Whole) })
+			converge := until(3*time.Minute, func() bool { return agree(all, n, membership.Whole) })
 			require.Positive(t, converge, "the members never agreed")
 			before, at := a.bytes.Load(), time.Now()
 			time.Sleep(20 * time.Second)
@@ -166,8 +168,8 @@
 			until(time.Minute, func() bool {
 				for _, p := range rest {
 					if !knows[p] {
-						_ = p.Look(func(v *members.View, _ *members.Accord) {
-							if m := v.Member(victim.terms.Members.Me); m == nil || m.State >= members.Failed {
+						_ = p.Look(func(v *membership.View, _ *membership.Accord) {
+							if m := v.Member(victim.terms.Members.Me); m == nil || m.State >= membership.Failed {
 								knows[p] = true
 								detect = append(detect, time.Since(died))
 							}
@@ -178,7 +180,7 @@
 			})
 			alarms := 0
 			for _, p := range rest {
-				_ = p.Look(func(v *members.View, _ *members.Accord) { alarms += v.Counts.FalseAlarms })
+				_ = p.Look(func(v *membership.View, _ *membership.Accord) { alarms += v.Counts.FalseAlarms })
 			}
 			require.Len(t, detect, len(rest))
 			slices.Sort(detect)
--- a/members/accord.go
+++ b/internal/membership/accord.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns the fleet that is agreed upon: who its voters are, how one fleet follows another, and the support by which a
 // server may hold itself for part of the whole. A fleet is followed by one other at most, chosen by a majority of its voters
--- a/members/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"encoding/hex"
--- a/members/judge.go
+++ b/internal/membership/judge.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns what is concluded from answers that come and do not come: who is suspected, who has failed, and by what
 // evidence one kind of trouble is told from another. It must never hold a member for failed on this server's word alone,
--- a/members/members.go
+++ b/internal/membership/members.go
@@ -4,7 +4,7 @@
 // This file owns the words that members say of themselves and the view made of them. It knows no socket, no clock and no
 // goroutine: whoever embeds it tells what was heard and when. It must never let an older word override a newer one, nor
 // take another's word for what only a member itself can say.
-package members
+package membership
 
 import (
 	"cmp"
@@ -166,7 +166,7 @@
 	SwingFor  Moment // how long it counts as it did, from its last change
 }
 
-// DefaultTerms are those of a fleet in one place: reasons in docs/peers/design.md.
+// DefaultTerms are those of a fleet in one place: reasons in docs/membership/design.md.
 func DefaultTerms(me ID) Terms {
 	return Terms{Me: me, Size: 1, Lease: 1500, Drift: 0.1, Settle: 2 * Second, Most: 4096, Keep: 60 * Second, Voters: 7,
 		SwingMost: 3, SwingIn: 30 * Second, SwingFor: 10 * Second}
--- a/members/size_test.go
+++ b/internal/membership/size_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 // Large fleets without the library: forty members are views and accords in full, the others speak and die. Who carries the talk
 // is modelled by what memberlist documents: a probe each half a second in turn, a suspicion that lasts 4 x log10(members)
-// probes, gossip by powers of four each 200 ms, and words as internal/peers paces them.
+// probes, gossip by powers of four each 200 ms, and words as internal/gossip paces them.
 func TestMeasuredMembersAtSize(t *testing.T) {
 	sizes := []int{300}
 	if os.Getenv("MEASURE") == "full" {
--- a/members/standing.go
+++ b/internal/membership/standing.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // This file owns what a server may hold of its own view, and what is allowed in each case. It must never let two parts
 // act as the whole.
--- a/internal/plugin/abi/abi.go
+++ b/internal/plugin/abi/abi.go
@@ -1,4 +1,4 @@
-// Package abi is the bytes that pass between the program and a plug-in, version 1. docs/plugins/authors.md has them
+// Package abi is the bytes that pass between the program and a plug-in, version 1. docs/plugin/authors.md has them
 // written out. It does no I/O; reading checks every length and must never believe one.
 package abi
 
--- a/hooks/conduct.go
+++ b/internal/plugin/chain/conduct.go
@@ -1,4 +1,4 @@
-package hooks
+package chain
 
 // This file owns how each plug-in does: its share of a core, its faults, quarantine and trials. It must never forget a
 // quarantine for the sake of a new work item, nor keep a table that grows.
--- a/hooks/hooks.go
+++ b/internal/plugin/chain/hooks.go
@@ -3,7 +3,7 @@
 //
 // This file owns the grants and the walk of a work item through the plug-ins. It knows no clock but what it is told, runs
 // no plug-in and does no I/O. It must never let a plug-in have what it was not granted, however it asks.
-package hooks
+package chain
 
 import (
 	"math/rand"
--- a/hooks/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -1,4 +1,4 @@
-package hooks
+package chain
 
 import (
 	"bufio"
--- a/internal/plugin/engine_test.go
+++ b/internal/plugin/engine_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/emulator"
 	"thistlequay/internal/plugin/abi"
-	"thistlequay/internal/standin"
 )
 
 func one(t testing.TB, kind string) One {
 	file := filepath.Join(t.TempDir(), kind+".wasm")
-	require.NoError(t, os.WriteFile(file, standin.Plugin(kind), 0o600))
+	require.NoError(t, os.WriteFile(file, emulator.Plugin(kind), 0o600))
 	return One{Name: kind, File: file, MemoryKB: 1024, CodeKB: 64, KeepKB: 1, Start: 200 * time.Millisecond, Hooks: [3]bool{true, true, true}}
 }
 
--- a/shares/book.go
+++ b/internal/quota/book.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 // This file owns all limits of a fleet as one state that keepers apply in one order: when it is opened, what is decided in one
 // entry, what a keeper that was away is given instead of the entries. It must never grant anything before all that an earlier
--- a/keepers/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -1,4 +1,4 @@
-package keepers
+package coordinator
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
-	"thistlequay/shares"
+	"thistlequay/internal/quota"
 )
 
 // The whole history of seeded schedules: every saved record, every message between servers byte for byte, every reply, and
@@ -40,9 +40,9 @@
 		fmt.Fprintf(&recorded, "%s %s\n", name, hex.EncodeToString(text))
 	}
 	again("identity", Identity{Log: 1 << 40, Voter: 77}, &Identity{})
-	again("entry", shares.Decision{Open: true, Revision: 9, Entries: []shares.Entry{{Whole: 400_000}, {Server: "b.1", Serial: 7, Over: true, Limit: 1}}}, &shares.Decision{})
-	again("snapshot", shares.Saved{Opened: true, Revision: 9, Limits: []shares.SavedLimit{{Serial: 7, Target: 400_000, Force: 500_000,
-		Grants: []shares.Entry{{Server: "a.1", Serial: 3, Amount: 9000}, {Server: "a.1", Serial: 5, Amount: 4000}}}, {}}}, &shares.Saved{})
-	again("empty snapshot", shares.Saved{}, &shares.Saved{})
+	again("entry", quota.Decision{Open: true, Revision: 9, Entries: []quota.Entry{{Whole: 400_000}, {Server: "b.1", Serial: 7, Over: true, Limit: 1}}}, &quota.Decision{})
+	again("snapshot", quota.Saved{Opened: true, Revision: 9, Limits: []quota.SavedLimit{{Serial: 7, Target: 400_000, Force: 500_000,
+		Grants: []quota.Entry{{Server: "a.1", Serial: 3, Amount: 9000}, {Server: "a.1", Serial: 5, Amount: 4000}}}, {}}}, &quota.Saved{})
+	again("empty snapshot", quota.Saved{}, &quota.Saved{})
 	golden.Check(t, "records.txt", recorded.Bytes())
 }
--- a/keepers/keepers.go
+++ b/internal/quota/coordinator/keepers.go
@@ -4,7 +4,7 @@
 // This file owns one keeper: which log it belongs to, who its voters should be, which requests wait for a majority's word, and
 // what is given out. It knows no socket, disk, clock or goroutine. It must never answer a request unless this server acted with
 // the whole and a majority took it for leader after the request came, nor take part in a log under a number whose memory is lost.
-package keepers
+package coordinator
 
 import (
 	"math/rand"
@@ -12,8 +12,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"thistlequay/agreement"
-	"thistlequay/shares"
+	"thistlequay/internal/consensus"
+	"thistlequay/internal/quota"
 )
 
 // Moment is a point or a span of time in milliseconds, by a clock of one process that never goes back.
@@ -22,7 +22,7 @@
 // Terms are what a keeper goes by.
 type Terms struct {
 	Number   func(log uint64) uint64 // that of this life in a log without a disk: another life of its name has another
-	Limits   []shares.Terms
+	Limits   []quota.Terms
 	Digest   uint32   // of the limits, but for their wholes
 	Revision uint64   // of its settings
 	Named    []string // the keepers by name, whose logs last; none: voters of the fleet, without a disk
@@ -57,7 +57,7 @@
 // Reply is what one who asked is told.
 type Reply struct {
 	To      uint64 // as it was asked
-	Answers shares.Answers
+	Answers quota.Answers
 	Granted bool
 	Leader  uint64 // who else is to be asked; 0: nobody is known
 }
@@ -65,14 +65,14 @@
 // Output is what has come of what was heard. Save, and before it Begin, are to be durable before the rest goes out.
 type Output struct {
 	Begin   bool // a new memory under Identity begins with Save
-	Save    agreement.Saved
-	Letters []agreement.Letter
+	Save    consensus.Saved
+	Letters []consensus.Letter
 	Replies []Reply
 }
 
 type asked struct {
 	to     uint64
-	asking shares.Asking
+	asking quota.Asking
 }
 
 // mostWaiting bounds the requests that wait for a majority's word.
@@ -85,9 +85,9 @@
 	now     Moment
 	sight   Sight
 	id      Identity
-	node    *agreement.Node
+	node    *consensus.Node
 	begun   bool // Begin is due
-	book    *shares.Book
+	book    *quota.Book
 	term    uint64 // that it was elected for; 0: it is not
 	waiting []asked
 	round   []asked // that wait for the token
@@ -102,11 +102,11 @@
 
 // New is a server that is no keeper yet.
 func New(t Terms, chance *rand.Rand, now Moment) *Core {
-	return &Core{terms: t, chance: chance, now: now, id: Identity{Log: t.Log}, book: shares.NewBook(t.Limits, t.Digest, t.Revision, t.Log)}
+	return &Core{terms: t, chance: chance, now: now, id: Identity{Log: t.Log}, book: quota.NewBook(t.Limits, t.Digest, t.Revision, t.Log)}
 }
 
 // Resume goes on with what was saved under an identity.
-func (c *Core) Resume(id Identity, saved agreement.Saved) error { return c.begin(id, &saved, nil) }
+func (c *Core) Resume(id Identity, saved consensus.Saved) error { return c.begin(id, &saved, nil) }
 
 // Begin begins a memory in a log of named keepers. First names all their numbers where the log begins with it.
 func (c *Core) Begin(voter uint64, first []uint64) error {
@@ -114,10 +114,10 @@
 	return c.begin(Identity{c.terms.Log, voter}, nil, first)
 }
 
-func (c *Core) begin(id Identity, saved *agreement.Saved, first []uint64) (err error) {
+func (c *Core) begin(id Identity, saved *consensus.Saved, first []uint64) (err error) {
 	c.id, c.term, c.round = id, 0, nil
-	c.book = shares.NewBook(c.terms.Limits, c.terms.Digest, c.terms.Revision, c.id.Log)
-	if c.node, err = agreement.New(agreement.DefaultTerms(id.Voter), saved, first, c.chance, agreement.Moment(c.now)); err != nil {
+	c.book = quota.NewBook(c.terms.Limits, c.terms.Digest, c.terms.Revision, c.id.Log)
+	if c.node, err = consensus.New(consensus.DefaultTerms(id.Voter), saved, first, c.chance, consensus.Moment(c.now)); err != nil {
 		c.node = nil
 		return err
 	}
@@ -131,7 +131,7 @@
 func (c *Core) Forget() {
 	c.gone = c.id.Voter
 	c.node, c.term, c.round, c.id.Voter = nil, 0, nil, 0
-	c.book = shares.NewBook(c.terms.Limits, c.terms.Digest, c.terms.Revision, c.id.Log)
+	c.book = quota.NewBook(c.terms.Limits, c.terms.Digest, c.terms.Revision, c.id.Log)
 	c.Lost++
 }
 
@@ -139,7 +139,7 @@
 func (c *Core) Identity() Identity { return c.id }
 
 // Book is what it knows of grants; where it does not lead that may be old.
-func (c *Core) Book() *shares.Book { return c.book }
+func (c *Core) Book() *quota.Book { return c.book }
 
 // Leads says whether it leads; Leader who does as far as it knows.
 func (c *Core) Leads() bool { return c.term > 0 }
@@ -181,7 +181,7 @@
 	if s.Born != 0 && s.Born != c.id.Log { // another line: what was agreed on in the last one is over
 		c.node, c.term, c.round = nil, 0, nil
 		c.id = Identity{Log: s.Born}
-		c.book = shares.NewBook(c.terms.Limits, c.terms.Digest, c.terms.Revision, c.id.Log)
+		c.book = quota.NewBook(c.terms.Limits, c.terms.Digest, c.terms.Revision, c.id.Log)
 		if me && s.First {
 			c.begun = true
 			_ = c.begin(Identity{s.Born, number}, nil, numbers(voters))
@@ -247,7 +247,7 @@
 }
 
 // Ask takes a request; the reply comes in an Output.
-func (c *Core) Ask(to uint64, a shares.Asking) {
+func (c *Core) Ask(to uint64, a quota.Asking) {
 	switch {
 	case c.term == 0 || !c.Whole():
 		c.replies = append(c.replies, Reply{To: to, Leader: c.other()})
@@ -276,7 +276,7 @@
 		c.waiting = nil
 		return
 	}
-	c.node.At(agreement.Moment(c.now))
+	c.node.At(consensus.Moment(c.now))
 	c.lead()
 	if c.term == 0 {
 		return
@@ -292,7 +292,7 @@
 	if !c.Whole() {
 		return
 	}
-	if d, due := c.book.Decide(shares.Moment(c.now)); due {
+	if d, due := c.book.Decide(quota.Moment(c.now)); due {
 		text, err := cbor.Marshal(d)
 		if err != nil || !c.node.Propose(text) {
 			c.book.Undecided(d)
@@ -310,7 +310,7 @@
 		return
 	}
 	c.term, c.round = term, nil
-	c.book.Elected(term > 0, shares.Moment(c.now))
+	c.book.Elected(term > 0, quota.Moment(c.now))
 	for _, w := range c.waiting {
 		c.replies = append(c.replies, Reply{To: w.to, Leader: c.other()})
 	}
@@ -340,9 +340,9 @@
 		c.restore(n.Restored)
 	}
 	for _, text := range n.Agreed {
-		var d shares.Decision
+		var d quota.Decision
 		if decisions.Unmarshal(text, &d) == nil {
-			c.book.Apply(d, shares.Moment(c.now))
+			c.book.Apply(d, quota.Moment(c.now))
 			c.Agreed++
 		}
 	}
@@ -352,7 +352,7 @@
 			continue
 		}
 		for _, a := range c.round {
-			answers, granted := c.book.Ask(a.asking, shares.Moment(c.now))
+			answers, granted := c.book.Ask(a.asking, quota.Moment(c.now))
 			o.Replies = append(o.Replies, Reply{To: a.to, Answers: answers, Granted: granted, Leader: c.id.Voter})
 		}
 		c.round = nil
@@ -382,10 +382,10 @@
 }()
 
 func (c *Core) restore(state []byte) {
-	var s shares.Saved
+	var s quota.Saved
 	if len(state) > 0 && decisions.Unmarshal(state, &s) == nil {
-		c.book.Restore(s, shares.Moment(c.now))
+		c.book.Restore(s, quota.Moment(c.now))
 	} else {
-		c.book.Restore(shares.Saved{}, shares.Moment(c.now))
+		c.book.Restore(quota.Saved{}, quota.Moment(c.now))
 	}
 }
--- a/keepers/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -1,4 +1,4 @@
-package keepers
+package coordinator
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/agreement"
+	"thistlequay/internal/consensus"
 	"thistlequay/internal/golden"
-	"thistlequay/shares"
+	"thistlequay/internal/quota"
 )
 
 // world is servers in virtual time, each with a keeper's core and a holder of one limit: letters, requests and answers are lost,
@@ -21,9 +21,9 @@
 // all that went before has run out.
 type world struct {
 	chance  *rand.Rand
-	now     shares.Moment // true time
+	now     quota.Moment // true time
 	terms   Terms
-	limit   shares.Terms
+	limit   quota.Terms
 	servers []*server
 	cut     map[[2]int]bool
 	loss    float64
@@ -31,14 +31,14 @@
 	lives   uint64
 	sight   Sight // of the side that is whole
 	side    []int
-	from    shares.Moment // the sight is in force
-	last    shares.Moment // when any server was whole
-	ghosts  []shares.Moment
-	force   shares.Amount
+	from    quota.Moment // the sight is in force
+	last    quota.Moment // when any server was whole
+	ghosts  []quota.Moment
+	force   quota.Amount
 	over    int
 	looks   int
-	used    shares.Amount
-	wholes  shares.Amount
+	used    quota.Amount
+	wholes  quota.Amount
 	granted int
 	leaders map[uint64]bool
 	turns   int
@@ -83,7 +83,7 @@
 }
 
 // recordServer records where a server stands at the end of its part of a round.
-func (w *world) recordServer(i int, s *server, usable shares.Amount) {
+func (w *world) recordServer(i int, s *server, usable quota.Amount) {
 	if w.history == nil {
 		return
 	}
@@ -93,47 +93,47 @@
 
 type server struct {
 	core     *Core
-	holder   *shares.Holder
+	holder   *quota.Holder
 	name     string
 	life     uint64
 	rate     float64
-	offset   shares.Moment
-	stopped  shares.Moment
+	offset   quota.Moment
+	stopped  quota.Moment
 	down     bool
 	id       Identity // saved
-	saved    *agreement.Saved
+	saved    *consensus.Saved
 	disk     int // 0: it works, 1: full, 2: slow
-	parts    []shares.Moment
-	load     shares.Amount
-	sees     shares.Moment
-	wholes   shares.Amount
+	parts    []quota.Moment
+	load     quota.Amount
+	sees     quota.Moment
+	wholes   quota.Amount
 	revision uint64
 	leader   uint64
 }
 
 type parcel struct {
-	at   shares.Moment
+	at   quota.Moment
 	from int
 	to   int
 	life uint64
 	do   func(*server)
 }
 
-const lease shares.Moment = 1650
+const lease quota.Moment = 1650
 
 func voterOf(s *server, log uint64) uint64 { return s.life*1000 + log }
 
 func newWorld(seed int64, n int, named bool) *world {
 	w := &world{chance: rand.New(rand.NewSource(seed)), now: 1000, cut: map[[2]int]bool{}, leaders: map[uint64]bool{},
-		limit: shares.Terms{Whole: shares.Amount(n) * 10 * shares.Unit, Floor: shares.Unit, Slots: n, Length: 2000, Linger: 500, Drift: 0.1,
-			Least: shares.Unit, Still: 0.1, Grain: shares.Unit}}
+		limit: quota.Terms{Whole: quota.Amount(n) * 10 * quota.Unit, Floor: quota.Unit, Slots: n, Length: 2000, Linger: 500, Drift: 0.1,
+			Least: quota.Unit, Still: 0.1, Grain: quota.Unit}}
 	w.force = w.limit.Whole
-	w.terms = Terms{Limits: []shares.Terms{w.limit}, Digest: 7, Revision: 1}
+	w.terms = Terms{Limits: []quota.Terms{w.limit}, Digest: 7, Revision: 1}
 	if named {
 		w.terms.Named, w.terms.Log = []string{"s0", "s1", "s2"}, 99
 	}
 	for i := range n {
-		w.servers = append(w.servers, &server{name: fmt.Sprint("s", i), rate: 1 + 0.18*(w.chance.Float64()-0.5), offset: shares.Moment(w.chance.Intn(1e6)),
+		w.servers = append(w.servers, &server{name: fmt.Sprint("s", i), rate: 1 + 0.18*(w.chance.Float64()-0.5), offset: quota.Moment(w.chance.Intn(1e6)),
 			wholes: w.limit.Whole, revision: 1})
 		w.birth(i, true)
 	}
@@ -141,8 +141,8 @@
 	return w
 }
 
-func (w *world) clock(s *server) shares.Moment {
-	return shares.Moment(float64(w.now)*s.rate) + s.offset
+func (w *world) clock(s *server) quota.Moment {
+	return quota.Moment(float64(w.now)*s.rate) + s.offset
 }
 
 func (w *world) birth(i int, first bool) {
@@ -153,7 +153,7 @@
 	life := s.life
 	t.Number = func(log uint64) uint64 { return life*1000 + log }
 	s.core = New(t, rand.New(rand.NewSource(w.chance.Int63())), Moment(w.clock(s)))
-	s.holder = shares.NewHolder(fmt.Sprint(s.name, ".", s.life), w.limit, true, w.clock(s)+w.limit.Linger)
+	s.holder = quota.NewHolder(fmt.Sprint(s.name, ".", s.life), w.limit, true, w.clock(s)+w.limit.Linger)
 	if slices.Contains(t.Named, s.name) {
 		switch {
 		case s.saved != nil:
@@ -261,7 +261,7 @@
 func (w *world) post(from, to int, do func(*server)) {
 	for range 1 + w.chance.Intn(10)/9 {
 		if !w.cut[[2]int{from, to}] && w.chance.Float64() >= w.loss {
-			w.mail = append(w.mail, parcel{w.now + shares.Moment(1+w.chance.Intn(80)), from, to, w.servers[to].life, do})
+			w.mail = append(w.mail, parcel{w.now + quota.Moment(1+w.chance.Intn(80)), from, to, w.servers[to].life, do})
 		}
 	}
 }
@@ -285,16 +285,16 @@
 		}
 	}
 	w.view()
-	sum := shares.Amount(0)
-	w.ghosts = slices.DeleteFunc(w.ghosts, func(end shares.Moment) bool { return end <= w.now })
-	sum += shares.Amount(len(w.ghosts)) * shares.Unit
+	sum := quota.Amount(0)
+	w.ghosts = slices.DeleteFunc(w.ghosts, func(end quota.Moment) bool { return end <= w.now })
+	sum += quota.Amount(len(w.ghosts)) * quota.Unit
 	var lead *Core
 	for i, s := range w.servers {
 		if s.down {
 			continue
 		}
-		s.parts = slices.DeleteFunc(s.parts, func(end shares.Moment) bool { return end <= w.now })
-		inHand := shares.Amount(len(s.parts)) * shares.Unit
+		s.parts = slices.DeleteFunc(s.parts, func(end quota.Moment) bool { return end <= w.now })
+		inHand := quota.Amount(len(s.parts)) * quota.Unit
 		if s.stopped > w.now {
 			sum += max(inHand, w.limit.Floor)
 			continue
@@ -306,13 +306,13 @@
 		}
 		w.atWork(s, func() { s.core.At(Moment(now)); w.carry(i) })
 		s.holder.Uses(inHand, 0, now)
-		for s.load > shares.Amount(len(s.parts))*shares.Unit && s.holder.Begin(shares.Unit, now) {
-			s.parts = append(s.parts, w.now+shares.Moment(50+w.chance.Intn(300)))
+		for s.load > quota.Amount(len(s.parts))*quota.Unit && s.holder.Begin(quota.Unit, now) {
+			s.parts = append(s.parts, w.now+quota.Moment(50+w.chance.Intn(300)))
 		}
 		if r, due := s.holder.Ask(now); due {
-			w.ask(i, shares.Asking{Terms: 7, Revision: s.revision, Wholes: []shares.Amount{s.wholes}, Of: []shares.Request{r}})
+			w.ask(i, quota.Asking{Terms: 7, Revision: s.revision, Wholes: []quota.Amount{s.wholes}, Of: []quota.Request{r}})
 		}
-		inHand = shares.Amount(len(s.parts)) * shares.Unit
+		inHand = quota.Amount(len(s.parts)) * quota.Unit
 		w.used += inHand
 		sum += max(inHand, s.holder.Usable(now))
 		w.recordServer(i, s, s.holder.Usable(now))
@@ -336,7 +336,7 @@
 }
 
 // ask sends a request to whom the server takes for the leader.
-func (w *world) ask(i int, a shares.Asking) {
+func (w *world) ask(i int, a quota.Asking) {
 	s := w.servers[i]
 	to := w.voter(s.leader)
 	if s.leader == 0 || to < 0 {
@@ -394,10 +394,10 @@
 	case s.disk == 1:
 		return false
 	case s.disk == 2:
-		s.stopped = w.now + shares.Moment(w.chance.Intn(700))
+		s.stopped = w.now + quota.Moment(w.chance.Intn(700))
 	}
 	if o.Begin {
-		s.id, s.saved = s.core.Identity(), &agreement.Saved{Hard: o.Save.Hard, Snapshot: o.Save.Snapshot}
+		s.id, s.saved = s.core.Identity(), &consensus.Saved{Hard: o.Save.Hard, Snapshot: o.Save.Snapshot}
 		return true
 	}
 	if len(o.Save.Entries) > 0 {
@@ -413,7 +413,7 @@
 	return true
 }
 
-func (w *world) before(s *agreement.Saved, index uint64) int {
+func (w *world) before(s *consensus.Saved, index uint64) int {
 	for i, e := range s.Entries {
 		if e.Index >= index {
 			return i
@@ -422,7 +422,7 @@
 	return len(s.Entries)
 }
 
-func (w *world) rounds(span shares.Moment) {
+func (w *world) rounds(span quota.Moment) {
 	for end := w.now + span; w.now < end; {
 		w.round()
 	}
@@ -446,7 +446,7 @@
 			w.birth(i, false)
 		}
 	case 1:
-		s.stopped = w.now + shares.Moment(w.chance.Intn(10000))
+		s.stopped = w.now + quota.Moment(w.chance.Intn(10000))
 	case 2: // any groups
 		of := make([]int, len(w.servers))
 		for k := range of {
@@ -470,11 +470,11 @@
 		s.load = 10 * w.limit.Whole
 	case 9:
 		for _, o := range w.servers {
-			o.load = shares.Amount(w.chance.Intn(30)) * shares.Unit
+			o.load = quota.Amount(w.chance.Intn(30)) * quota.Unit
 		}
 	case 10: // the whole is set anew while in use, at one server first
 		s.revision = uint64(w.now)
-		s.wholes = w.limit.Whole * shares.Amount(1+w.chance.Intn(4)) / 2
+		s.wholes = w.limit.Whole * quota.Amount(1+w.chance.Intn(4)) / 2
 	case 11: // its disk is gone, full or slow
 		if s.disk = w.chance.Intn(3); w.chance.Intn(3) == 0 {
 			s.saved = nil
@@ -509,14 +509,14 @@
 	w.rounds(12000)
 	for range 12 {
 		w.trouble()
-		w.rounds(shares.Moment(200 + w.chance.Intn(5000)))
+		w.rounds(quota.Moment(200 + w.chance.Intn(5000)))
 		require.Zero(t, w.over, "seed %d at %d", seed, w.now)
 	}
 	clear(w.cut)
 	w.loss = 0
 	w.mend()
 	for _, s := range w.servers {
-		s.stopped, s.load = 0, 20*shares.Unit
+		s.stopped, s.load = 0, 20*quota.Unit
 		s.wholes, s.revision = w.limit.Whole, uint64(w.now)
 	}
 	w.rounds(25000)
--- a/keepers/size_test.go
+++ b/internal/quota/coordinator/size_test.go
@@ -1,4 +1,4 @@
-package keepers
+package coordinator
 
 import (
 	"os"
@@ -7,11 +7,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/shares"
+	"thistlequay/internal/quota"
 )
 
 // until plays until something is so, and gives how long that took; negative where it did not come to be.
-func (w *world) until(most shares.Moment, is func() bool) shares.Moment {
+func (w *world) until(most quota.Moment, is func() bool) quota.Moment {
 	for begun := w.now; w.now-begun < most; w.round() {
 		if is() {
 			return w.now - begun
@@ -22,9 +22,9 @@
 
 // uses is the part of what could be used that is in use at this moment.
 func (w *world) uses() float64 {
-	used, wanted := shares.Amount(0), shares.Amount(0)
+	used, wanted := quota.Amount(0), quota.Amount(0)
 	for _, s := range w.servers {
-		used += min(s.load, shares.Amount(len(s.parts))*shares.Unit)
+		used += min(s.load, quota.Amount(len(s.parts))*quota.Unit)
 		wanted += s.load
 	}
 	return float64(used) / float64(min(wanted, w.limit.Whole))
@@ -39,8 +39,8 @@
 	}
 	for _, n := range sizes {
 		w := newWorld(int64(n), n, false)
-		w.limit.Length = shares.Moment(max(2000, 20*n))
-		w.terms.Limits = []shares.Terms{w.limit}
+		w.limit.Length = quota.Moment(max(2000, 20*n))
+		w.terms.Limits = []quota.Terms{w.limit}
 		for i := range w.servers {
 			w.birth(i, true)
 		}
@@ -48,7 +48,7 @@
 		w.view()
 		uneven := func(turn int) {
 			for i, s := range w.servers {
-				s.load = shares.Amount(1+(i+turn)%4*8) * shares.Unit // 1, 9, 17, 25 where ten is the mean
+				s.load = quota.Amount(1+(i+turn)%4*8) * quota.Unit // 1, 9, 17, 25 where ten is the mean
 			}
 		}
 		uneven(0)
@@ -57,7 +57,7 @@
 		w.rounds(10_000)
 		lead := w.leading()
 		require.NotNil(t, lead)
-		before, granted, span := lead.core.Agreed, w.granted, shares.Moment(30_000)
+		before, granted, span := lead.core.Agreed, w.granted, quota.Moment(30_000)
 		w.used, w.wholes, w.busy = 0, 0, 0
 		w.rounds(span)
 		part, entries := float64(w.used)/float64(w.wholes), float64(lead.core.Agreed-before)/float64(span)*1000
@@ -85,7 +85,7 @@
 		back := w.until(60_000, func() bool { return w.uses() > 0.9 })
 		require.Positive(t, back)
 		t.Logf("measured keepers servers=%d length_ms=%d over=%d used_of_whole=%.3f floor_loss=%.3f settle_ms=%d rebalance_ms=%d entries_a_second=%.2f answers_a_second=%.0f leader_us_a_second=%.0f floors_alone=%.3f back_ms=%d",
-			n, w.limit.Length, w.over, part, float64(w.limit.Floor*shares.Amount(w.limit.Slots))/float64(w.limit.Whole), settle, moved, entries, answers, busy, floors, back)
+			n, w.limit.Length, w.over, part, float64(w.limit.Floor*quota.Amount(w.limit.Slots))/float64(w.limit.Whole), settle, moved, entries, answers, busy, floors, back)
 		require.Zero(t, w.over)
 		require.Greater(t, part, 0.85)
 		require.Less(t, entries, 5.0)
--- a/shares/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"bytes"
--- a/shares/holder.go
+++ b/internal/quota/holder.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 // This file owns a server's side: what it may use at this moment and what it asks for. The check is made anew at each use, by
 // the server's own clock, so that one that stood still finds its grant over before it uses it. It must never use more than
--- a/shares/keeper.go
+++ b/internal/quota/keeper.go
@@ -4,7 +4,7 @@
 // This file owns the keeper's side: what is granted, to whom, until when it counts, and who gets how much next. It knows no
 // socket, no clock and no goroutine. What it decides is an entry that all keepers apply in one order; only the one that was
 // elected decides, and times are its own. It must never count a grant as over before it is so on every clock.
-package shares
+package quota
 
 import (
 	"cmp"
--- a/internal/sharing/disk.go
+++ b/internal/quota/service/disk.go
@@ -1,4 +1,4 @@
-package sharing
+package service
 
 // This file owns what a named keeper has on a disk: one file of go.etcd.io/bbolt, whose writes are whole or not at all. It must
 // never say that something is saved which is not, nor go on with a file that cannot be read.
@@ -20,8 +20,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"thistlequay/agreement"
-	"thistlequay/keepers"
+	"thistlequay/internal/consensus"
+	"thistlequay/internal/quota/coordinator"
 )
 
 // File is a keeper's memory in one file.
@@ -142,11 +142,11 @@
 var errUnread = errors.New("the keeper's memory cannot be read")
 
 // Load reads all of it. What cannot be read is set aside: nothing is there then.
-func (f *File) Load() (id keepers.Identity, saved *agreement.Saved, err error) {
+func (f *File) Load() (id coordinator.Identity, saved *consensus.Saved, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil || errors.Is(err, errUnread) {
-			id, saved = keepers.Identity{}, nil
+			id, saved = coordinator.Identity{}, nil
 			err = f.aside(errUnread)
 		}
 	}()
@@ -158,7 +158,7 @@
 		if b == nil || b.Get(identityKey) == nil {
 			return nil
 		}
-		s := &agreement.Saved{}
+		s := &consensus.Saved{}
 		get := func(key []byte) (text []byte) {
 			if v := b.Get(key); v != nil {
 				if text = unsealed(v); text == nil {
@@ -200,7 +200,7 @@
 }
 
 // Begin begins another memory; what was there is gone.
-func (f *File) Begin(id keepers.Identity, s agreement.Saved) error {
+func (f *File) Begin(id coordinator.Identity, s consensus.Saved) error {
 	text, err := cbor.Marshal(id)
 	if err != nil {
 		return err
@@ -224,7 +224,7 @@
 }
 
 // Save saves on top of what is there.
-func (f *File) Save(s agreement.Saved) error {
+func (f *File) Save(s consensus.Saved) error {
 	return f.update(func(t *bolt.Tx) error {
 		if t.Bucket(stateBucket) == nil {
 			return errUnread
@@ -246,7 +246,7 @@
 	return f.db.Update(do)
 }
 
-func put(t *bolt.Tx, s *agreement.Saved) error {
+func put(t *bolt.Tx, s *consensus.Saved) error {
 	state, entries := t.Bucket(stateBucket), t.Bucket(entryBucket)
 	if !raft.IsEmptyHardState(s.Hard) {
 		text, err := s.Hard.Marshal()
--- a/internal/sharing/disk_test.go
+++ b/internal/quota/service/disk_test.go
@@ -1,4 +1,4 @@
-package sharing
+package service
 
 import (
 	"os"
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"thistlequay/agreement"
-	"thistlequay/keepers"
+	"thistlequay/internal/consensus"
+	"thistlequay/internal/quota/coordinator"
 )
 
-func entries(from, to uint64, term uint64) (list []agreement.Entry) {
+func entries(from, to uint64, term uint64) (list []consensus.Entry) {
 	for i := from; i <= to; i++ {
-		list = append(list, agreement.Entry{Index: i, Term: term, Data: []byte{byte(i), byte(term)}})
+		list = append(list, consensus.Entry{Index: i, Term: term, Data: []byte{byte(i), byte(term)}})
 	}
 	return list
 }
@@ -28,10 +28,10 @@
 	_, saved, err := f.Load()
 	r.NoError(err)
 	r.Nil(saved, "a new one")
-	id := keepers.Identity{Log: 3, Voter: 5}
-	r.NoError(f.Begin(id, agreement.Saved{Hard: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: raftpb.Snapshot{Data: []byte{}, Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}))
-	r.NoError(f.Save(agreement.Saved{Entries: entries(2, 9, 1)}))
-	r.NoError(f.Save(agreement.Saved{Hard: raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, Entries: entries(5, 6, 2)})) // 7 to 9 were never agreed on
+	id := coordinator.Identity{Log: 3, Voter: 5}
+	r.NoError(f.Begin(id, consensus.Saved{Hard: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: raftpb.Snapshot{Data: []byte{}, Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}))
+	r.NoError(f.Save(consensus.Saved{Entries: entries(2, 9, 1)}))
+	r.NoError(f.Save(consensus.Saved{Hard: raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, Entries: entries(5, 6, 2)})) // 7 to 9 were never agreed on
 	_, err = OpenFile(directory)
 	r.ErrorIs(err, ErrTaken)
 	r.NoError(f.Close())
@@ -42,12 +42,12 @@
 	r.Equal(id, found)
 	r.Equal(raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, saved.Hard)
 	r.Equal(append(entries(2, 4, 1), entries(5, 6, 2)...), saved.Entries)
-	r.NoError(f.Save(agreement.Saved{Hard: saved.Hard, Snapshot: raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 5, Term: 2}}}))
+	r.NoError(f.Save(consensus.Saved{Hard: saved.Hard, Snapshot: raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 5, Term: 2}}}))
 	_, saved, err = f.Load()
 	r.NoError(err)
 	r.Equal(entries(6, 6, 2), saved.Entries)
 	r.Equal("state", string(saved.Snapshot.Data))
-	r.NoError(f.Begin(keepers.Identity{Log: 3, Voter: 8}, agreement.Saved{}))
+	r.NoError(f.Begin(coordinator.Identity{Log: 3, Voter: 8}, consensus.Saved{}))
 	found, saved, err = f.Load()
 	r.NoError(err)
 	r.Equal(uint64(8), found.Voter)
@@ -62,8 +62,8 @@
 	whole := t.TempDir()
 	f, err := OpenFile(whole)
 	r.NoError(err)
-	r.NoError(f.Begin(keepers.Identity{Log: 1, Voter: 2}, agreement.Saved{Hard: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}))
-	r.NoError(f.Save(agreement.Saved{Entries: entries(2, 400, 1)}))
+	r.NoError(f.Begin(coordinator.Identity{Log: 1, Voter: 2}, consensus.Saved{Hard: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1}}}))
+	r.NoError(f.Save(consensus.Saved{Entries: entries(2, 400, 1)}))
 	r.NoError(f.Close())
 	text, err := os.ReadFile(filepath.Join(whole, fileName))
 	r.NoError(err)
@@ -76,11 +76,11 @@
 		id, saved, err := f.Load()
 		r.NoError(err, name)
 		if saved != nil {
-			r.Equal(keepers.Identity{Log: 1, Voter: 2}, id, name)
+			r.Equal(coordinator.Identity{Log: 1, Voter: 2}, id, name)
 			r.Len(saved.Entries, 399, name)
 		} else {
 			aside++
-			r.NoError(f.Begin(keepers.Identity{Log: 1, Voter: 3}, agreement.Saved{}), name)
+			r.NoError(f.Begin(coordinator.Identity{Log: 1, Voter: 3}, consensus.Saved{}), name)
 		}
 		r.NoError(f.Close())
 	}
--- a/internal/sharing/golden_test.go
+++ b/internal/quota/service/golden_test.go
@@ -1,4 +1,4 @@
-package sharing
+package service
 
 import (
 	"bytes"
@@ -14,15 +14,15 @@
 	bolt "go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"thistlequay/agreement"
+	"thistlequay/internal/consensus"
 	"thistlequay/internal/golden"
-	"thistlequay/internal/peers"
-	"thistlequay/keepers"
-	"thistlequay/members"
-	"thistlequay/shares"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/membership"
+	"thistlequay/internal/quota"
+	"thistlequay/internal/quota/coordinator"
 )
 
-var goldenID = members.ID{Name: "n0001", Life: 0x1122334455667788}
+var goldenID = membership.ID{Name: "n0001", Life: 0x1122334455667788}
 
 // Every message among keepers and servers, and every name and number made of a life, is as recorded; a message is the same when
 // it is decoded and encoded again.
@@ -38,15 +38,15 @@
 		fmt.Fprintf(&out, "%s %d %x\n", name, kind, text)
 	}
 	add("raft", raftMail, raftLetter{Log: 1 << 60, From: 1<<63 + 1, Text: []byte("what it says")}, &raftLetter{})
-	add("question", askMail, question{Number: 7, Asking: shares.Asking{Terms: 0xdeadbeef, Revision: 3, Wholes: []shares.Amount{1000, 2500},
-		Of: []shares.Request{{Server: HolderName(goldenID), Asked: 12345, Holds: 8, Wants: 1500, Needs: 500, Log: 1 << 60}, {}}}}, &question{})
-	answers := shares.Answers{Of: []shares.Answer{{Asked: 12345, Serial: 9, Amount: 1500, Length: 10000, Log: 1 << 60}, {}}}
+	add("question", askMail, question{Number: 7, Asking: quota.Asking{Terms: 0xdeadbeef, Revision: 3, Wholes: []quota.Amount{1000, 2500},
+		Of: []quota.Request{{Server: HolderName(goldenID), Asked: 12345, Holds: 8, Wants: 1500, Needs: 500, Log: 1 << 60}, {}}}}, &question{})
+	answers := quota.Answers{Of: []quota.Answer{{Asked: 12345, Serial: 9, Amount: 1500, Length: 10000, Log: 1 << 60}, {}}}
 	add("answer granted", answerMail, answer{Answers: answers, Granted: true}, &answer{})
 	add("answer refused", answerMail, answer{Leader: &goldenID}, &answer{})
 	add("answer of nobody", answerMail, answer{}, &answer{})
 	fmt.Fprintf(&out, "holder %s\n", HolderName(goldenID))
 	for _, log := range []uint64{0, 1, 1 << 60} {
-		fmt.Fprintf(&out, "voter %d: %d %d\n", log, number(goldenID, log), number(members.ID{Name: "n0002"}, log))
+		fmt.Fprintf(&out, "voter %d: %d %d\n", log, number(goldenID, log), number(membership.ID{Name: "n0002"}, log))
 	}
 	golden.Check(t, "messages.txt", out.Bytes())
 }
@@ -72,7 +72,7 @@
 	r.NoError(err)
 	defer f.Close()
 	var out bytes.Buffer
-	id := keepers.Identity{Log: 1<<60 + 1, Voter: 1<<63 + 1}
+	id := coordinator.Identity{Log: 1<<60 + 1, Voter: 1<<63 + 1}
 	snapshot := func(index uint64, state string) raftpb.Snapshot {
 		return raftpb.Snapshot{Data: []byte(state), Metadata: raftpb.SnapshotMetadata{Index: index, Term: 2, ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 1<<63 + 1}}}}
 	}
@@ -81,14 +81,14 @@
 		do    func() error
 	}{
 		{"begin", func() error {
-			return f.Begin(id, agreement.Saved{Hard: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: snapshot(1, "first")})
+			return f.Begin(id, consensus.Saved{Hard: raftpb.HardState{Term: 1, Commit: 1}, Snapshot: snapshot(1, "first")})
 		}},
-		{"entries", func() error { return f.Save(agreement.Saved{Entries: entries(2, 9, 1)}) }},
+		{"entries", func() error { return f.Save(consensus.Saved{Entries: entries(2, 9, 1)}) }},
 		{"others in their place", func() error {
-			return f.Save(agreement.Saved{Hard: raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, Entries: entries(5, 7, 2)})
+			return f.Save(consensus.Saved{Hard: raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, Entries: entries(5, 7, 2)})
 		}},
 		{"cut", func() error {
-			return f.Save(agreement.Saved{Hard: raftpb.HardState{Term: 2, Vote: 7, Commit: 6}, Snapshot: snapshot(5, "later")})
+			return f.Save(consensus.Saved{Hard: raftpb.HardState{Term: 2, Vote: 7, Commit: 6}, Snapshot: snapshot(5, "later")})
 		}},
 	}
 	for _, step := range steps {
@@ -106,7 +106,7 @@
 		r.Equal(before.String(), after.String(), step.title)
 		r.NoError(anew.Close())
 	}
-	r.NoError(f.Begin(keepers.Identity{Log: id.Log, Voter: 5}, agreement.Saved{}))
+	r.NoError(f.Begin(coordinator.Identity{Log: id.Log, Voter: 5}, consensus.Saved{}))
 	dump(t, f, "another memory", &out)
 	golden.Check(t, "disk.txt", out.Bytes())
 }
@@ -114,20 +114,20 @@
 // What operators are told of shares has the recorded JSON, and is the same when it is decoded and encoded again.
 func TestGoldenStatus(t *testing.T) {
 	r := require.New(t)
-	talk, err := peers.Start(peers.Terms{Members: members.DefaultTerms(goldenID), Listen: "127.0.0.1:0", Fleet: "golden",
+	talk, err := gossip.Start(gossip.Terms{Members: membership.DefaultTerms(goldenID), Listen: "127.0.0.1:0", Fleet: "golden",
 		Now: func() time.Time { return time.Unix(1, 0) }}) // a clock that stands still
 	r.NoError(err)
 	defer talk.End()
-	limits := []shares.Terms{{Whole: 100_000, Floor: 1000, Slots: 8, Length: 10_000, Linger: 500}, {Whole: 50_500, Length: 20_000, Rate: true}}
+	limits := []quota.Terms{{Whole: 100_000, Floor: 1000, Slots: 8, Length: 10_000, Linger: 500}, {Whole: 50_500, Length: 20_000, Rate: true}}
 	s := New(Terms{Name: goldenID.Name, Names: []string{"calls", "rate"}, Limits: limits, Named: []string{"n0001", "n0002"}})
-	s.peers, s.me, s.leader = talk, goldenID, members.ID{Name: "n0002", Life: 5}
-	s.core = keepers.New(keepers.Terms{Limits: limits, Named: s.terms.Named, Log: 77}, rand.New(rand.NewSource(1)), 1)
-	voter, other := number(goldenID, 0), number(members.ID{Name: "n0002"}, 0)
+	s.peers, s.me, s.leader = talk, goldenID, membership.ID{Name: "n0002", Life: 5}
+	s.core = coordinator.New(coordinator.Terms{Limits: limits, Named: s.terms.Named, Log: 77}, rand.New(rand.NewSource(1)), 1)
+	voter, other := number(goldenID, 0), number(membership.ID{Name: "n0002"}, 0)
 	r.NoError(s.core.Begin(voter, []uint64{voter, other, 12345}))
-	s.core.See(keepers.Sight{Until: 5000}, 1)
-	s.seats[other] = members.Member{Word: members.Word{ID: s.leader}}
+	s.core.See(coordinator.Sight{Until: 5000}, 1)
+	s.seats[other] = membership.Member{Word: membership.Word{ID: s.leader}}
 	s.core.Agreed, s.core.Lost, s.core.Book().Strange = 3, 4, 5
-	s.core.Book().Apply(shares.Decision{Open: true, Revision: 2, Entries: []shares.Entry{{Server: HolderName(goldenID), Serial: 1, Amount: 2500},
+	s.core.Book().Apply(quota.Decision{Open: true, Revision: 2, Entries: []quota.Entry{{Server: HolderName(goldenID), Serial: 1, Amount: 2500},
 		{Server: HolderName(s.leader), Serial: 2, Amount: 4000, Limit: 0}, {Server: HolderName(goldenID), Serial: 1, Amount: 1500, Limit: 1}}}, 1)
 	go func() { (<-s.inbox)() }() // in the worker's place
 	report, err := s.Report([]Here{{Usable: 3500, Ends: 4001}})
--- a/internal/sharing/sharing.go
+++ b/internal/quota/service/sharing.go
@@ -3,7 +3,7 @@
 //
 // This file owns the worker beside the loop. It must never block the loop or the talk, send a letter before what it rests on
 // was saved, or decide what is granted.
-package sharing
+package service
 
 import (
 	"encoding/binary"
@@ -16,11 +16,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/zeebo/xxh3"
 
-	"thistlequay/agreement"
-	"thistlequay/internal/peers"
-	"thistlequay/keepers"
-	"thistlequay/members"
-	"thistlequay/shares"
+	"thistlequay/internal/consensus"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/membership"
+	"thistlequay/internal/quota"
+	"thistlequay/internal/quota/coordinator"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // The letters among servers.
 const (
-	raftMail byte = peers.FirstMail + iota
+	raftMail byte = gossip.FirstMail + iota
 	askMail
 	answerMail
 )
@@ -42,7 +42,7 @@
 type Terms struct {
 	Name     string   // of this server
 	Names    []string // of the limits
-	Limits   []shares.Terms
+	Limits   []quota.Terms
 	Digest   uint32
 	Revision uint64
 	Named    []string
@@ -50,40 +50,40 @@
 	Fleet    string
 	Disk     Disk // nil: nothing lasts
 	Seed     int64
-	Answered func(shares.Answers) // called by the worker
+	Answered func(quota.Answers) // called by the worker
 	Log      func(event string, keys ...any)
 }
 
 // Sharing is one server's part. Its methods may be called from anywhere.
 type Sharing struct {
 	terms   Terms
-	peers   *peers.Peers
-	me      members.ID
-	core    *keepers.Core
+	peers   *gossip.Peers
+	me      membership.ID
+	core    *coordinator.Core
 	inbox   chan func()
 	done    chan struct{}
 	ended   sync.WaitGroup
 	looked  time.Time
-	seats   map[uint64]members.Member // by number, who is there
-	byID    map[members.ID]string     // addresses
-	fleet   []members.ID              // voters of the fleet
-	askers  map[uint64]members.ID     // who waits for a reply
+	seats   map[uint64]membership.Member // by number, who is there
+	byID    map[membership.ID]string     // addresses
+	fleet   []membership.ID              // voters of the fleet
+	askers  map[uint64]membership.ID     // who waits for a reply
 	nextAsk uint64
-	leader  members.ID // that is asked
+	leader  membership.ID // that is asked
 	missed  int
-	asked   *shares.Asking // with no answer yet
-	again   time.Time      // when a memory that was lost is begun anew
+	asked   *quota.Asking // with no answer yet
+	again   time.Time     // when a memory that was lost is begun anew
 	term    bool
 	opened  bool
-	wholes  []shares.Amount
+	wholes  []quota.Amount
 }
 
 // Mail are the letters that are for it, for peers.Terms: they are given to the worker.
-func (s *Sharing) Mail() map[byte]func(members.ID, []byte) {
-	to := func(do func(members.ID, []byte)) func(members.ID, []byte) {
-		return func(from members.ID, text []byte) { s.do(func() { do(from, text) }) }
+func (s *Sharing) Mail() map[byte]func(membership.ID, []byte) {
+	to := func(do func(membership.ID, []byte)) func(membership.ID, []byte) {
+		return func(from membership.ID, text []byte) { s.do(func() { do(from, text) }) }
 	}
-	return map[byte]func(members.ID, []byte){raftMail: to(s.raft), askMail: to(s.wasAsked), answerMail: to(s.answered)}
+	return map[byte]func(membership.ID, []byte){raftMail: to(s.raft), askMail: to(s.wasAsked), answerMail: to(s.answered)}
 }
 
 // New makes it; Start has it take part over a talk that was begun with its Mail.
@@ -91,8 +91,8 @@
 	if t.Log == nil {
 		t.Log = func(string, ...any) {}
 	}
-	s := &Sharing{terms: t, inbox: make(chan func(), mostWaiting), done: make(chan struct{}), seats: map[uint64]members.Member{},
-		byID: map[members.ID]string{}, askers: map[uint64]members.ID{}}
+	s := &Sharing{terms: t, inbox: make(chan func(), mostWaiting), done: make(chan struct{}), seats: map[uint64]membership.Member{},
+		byID: map[membership.ID]string{}, askers: map[uint64]membership.ID{}}
 	for _, l := range t.Limits {
 		s.wholes = append(s.wholes, l.Whole)
 	}
@@ -100,13 +100,13 @@
 }
 
 // Start begins.
-func (s *Sharing) Start(p *peers.Peers) error {
+func (s *Sharing) Start(p *gossip.Peers) error {
 	s.peers, s.me = p, p.Me()
-	t := keepers.Terms{Number: func(log uint64) uint64 { return number(s.me, log) }, Limits: s.terms.Limits, Digest: s.terms.Digest, Revision: s.terms.Revision, Named: s.terms.Named}
+	t := coordinator.Terms{Number: func(log uint64) uint64 { return number(s.me, log) }, Limits: s.terms.Limits, Digest: s.terms.Digest, Revision: s.terms.Revision, Named: s.terms.Named}
 	if len(t.Named) > 0 {
 		t.Log = xxh3.HashString(s.terms.Fleet) | 1
 	}
-	s.core = keepers.New(t, rand.New(rand.NewSource(s.terms.Seed)), keepers.Moment(p.Now()))
+	s.core = coordinator.New(t, rand.New(rand.NewSource(s.terms.Seed)), coordinator.Moment(p.Now()))
 	if err := s.remember(); err != nil {
 		return err
 	}
@@ -137,10 +137,10 @@
 	if s.terms.Fresh && saved == nil {
 		var first []uint64
 		for _, name := range s.terms.Named {
-			first = append(first, number(members.ID{Name: name}, 0))
+			first = append(first, number(membership.ID{Name: name}, 0))
 		}
-		s.terms.Log("keeper", "voter", number(members.ID{Name: s.terms.Name}, 0), "with", "a first log")
-		return s.core.Begin(number(members.ID{Name: s.terms.Name}, 0), first)
+		s.terms.Log("keeper", "voter", number(membership.ID{Name: s.terms.Name}, 0), "with", "a first log")
+		return s.core.Begin(number(membership.ID{Name: s.terms.Name}, 0), first)
 	}
 	voter := number(s.me, uint64(time.Now().UnixNano()))
 	s.terms.Log("keeper", "voter", voter, "with", "no memory, as another voter")
@@ -148,7 +148,7 @@
 }
 
 // number is that of a voter: of one life in one log, where nothing lasts.
-func number(id members.ID, log uint64) uint64 {
+func number(id membership.ID, log uint64) uint64 {
 	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(id.Name), id.Life), log)
 	return xxh3.Hash(b) | 1
 }
@@ -169,10 +169,10 @@
 	}
 }
 
-func (s *Sharing) now() keepers.Moment { return keepers.Moment(s.peers.Now()) }
+func (s *Sharing) now() coordinator.Moment { return coordinator.Moment(s.peers.Now()) }
 
 // Now is the clock of grants, in milliseconds: one that never goes back.
-func (s *Sharing) Now() shares.Moment { return shares.Moment(s.peers.Now()) }
+func (s *Sharing) Now() quota.Moment { return quota.Moment(s.peers.Now()) }
 
 func (s *Sharing) work() {
 	defer s.ended.Done()
@@ -197,14 +197,14 @@
 
 // look takes what the view says.
 func (s *Sharing) look() {
-	sight := keepers.Sight{Until: -1}
-	var there []members.Member
+	sight := coordinator.Sight{Until: -1}
+	var there []membership.Member
 	stuck := s.core.Stuck()
-	if s.peers.Look(func(v *members.View, a *members.Accord) {
+	if s.peers.Look(func(v *membership.View, a *membership.Accord) {
 		f := a.Fleet()
 		a.Renew = stuck
-		if a.Standing().Allows(members.ShareUse) == members.Full {
-			sight.Until = keepers.Moment(a.Until())
+		if a.Standing().Allows(membership.ShareUse) == membership.Full {
+			sight.Until = coordinator.Moment(a.Until())
 		}
 		sight.Born, sight.First = f.Born, f.Born == f.Epoch
 		s.fleet = s.fleet[:0]
@@ -212,7 +212,7 @@
 			s.fleet = append(s.fleet, one.ID)
 		}
 		for _, m := range v.Members() {
-			if m.State < members.Suspected {
+			if m.State < membership.Suspected {
 				there = append(there, *m)
 			}
 		}
@@ -233,14 +233,14 @@
 			s.seats[voter] = m
 		}
 		s.byID[m.ID] = m.Address
-		sight.Members = append(sight.Members, keepers.Seat{Name: m.Name, Voter: voter, Log: of})
+		sight.Members = append(sight.Members, coordinator.Seat{Name: m.Name, Voter: voter, Log: of})
 	}
 	for _, id := range s.fleet {
-		sight.Voters = append(sight.Voters, keepers.Seat{Name: id.Name, Voter: number(id, sight.Born), Log: sight.Born})
+		sight.Voters = append(sight.Voters, coordinator.Seat{Name: id.Name, Voter: number(id, sight.Born), Log: sight.Born})
 	}
 	s.core.See(sight, s.now())
 	id := s.core.Identity()
-	s.peers.Keep(peers.Keeping{Keeper: id.Voter, Group: id.Log})
+	s.peers.Keep(gossip.Keeping{Keeper: id.Voter, Group: id.Log})
 	if len(s.terms.Named) > 0 && s.terms.Disk != nil && id.Voter == 0 && slices.Contains(s.terms.Named, s.terms.Name) && time.Now().After(s.again) {
 		s.again = time.Now().Add(againAfter) // its memory was lost: it is another voter
 		if s.terms.Disk.Spoilt() == nil {
@@ -281,7 +281,7 @@
 	}
 }
 
-func (s *Sharing) save(o *keepers.Output) error {
+func (s *Sharing) save(o *coordinator.Output) error {
 	if s.terms.Disk == nil {
 		return nil
 	}
@@ -300,7 +300,7 @@
 	Text []byte `cbor:"3,keyasint"`
 }
 
-func (s *Sharing) raft(from members.ID, text []byte) {
+func (s *Sharing) raft(from membership.ID, text []byte) {
 	var l raftLetter
 	if letters.Unmarshal(text, &l) != nil {
 		return
@@ -322,17 +322,17 @@
 
 // question and answer carry a request and what it is told.
 type question struct {
-	Number uint64        `cbor:"1,keyasint"`
-	Asking shares.Asking `cbor:"2,keyasint"`
+	Number uint64       `cbor:"1,keyasint"`
+	Asking quota.Asking `cbor:"2,keyasint"`
 }
 
 type answer struct {
-	Answers shares.Answers `cbor:"2,keyasint"`
+	Answers quota.Answers  `cbor:"2,keyasint"`
 	Granted bool           `cbor:"3,keyasint"`
-	Leader  *members.ID    `cbor:"4,keyasint,omitempty"`
+	Leader  *membership.ID `cbor:"4,keyasint,omitempty"`
 }
 
-func (s *Sharing) wasAsked(from members.ID, text []byte) {
+func (s *Sharing) wasAsked(from membership.ID, text []byte) {
 	var q question
 	if letters.Unmarshal(text, &q) != nil || len(q.Asking.Of) == 0 {
 		return
@@ -345,7 +345,7 @@
 	s.ask(from, q.Asking)
 }
 
-func (s *Sharing) ask(from members.ID, a shares.Asking) {
+func (s *Sharing) ask(from membership.ID, a quota.Asking) {
 	if len(s.askers) >= mostAskers {
 		clear(s.askers)
 	}
@@ -357,11 +357,11 @@
 const mostAskers = 8192
 
 // HolderName is one life of a server, as grants name it.
-func HolderName(id members.ID) string {
+func HolderName(id membership.ID) string {
 	return fmt.Sprintf("%s.%016x", id.Name, id.Life)
 }
 
-func (s *Sharing) reply(r keepers.Reply) {
+func (s *Sharing) reply(r coordinator.Reply) {
 	to, is := s.askers[r.To]
 	if !is {
 		return
@@ -380,7 +380,7 @@
 	}
 }
 
-func (s *Sharing) answered(from members.ID, text []byte) {
+func (s *Sharing) answered(from membership.ID, text []byte) {
 	var a answer
 	if letters.Unmarshal(text, &a) == nil {
 		s.heard(from, a)
@@ -389,7 +389,7 @@
 
 // heard: an answer, of whom it asked or of one it asked before. What an answer grants holds whoever brings it: it says when
 // it was asked for.
-func (s *Sharing) heard(from members.ID, a answer) {
+func (s *Sharing) heard(from membership.ID, a answer) {
 	switch {
 	case a.Granted:
 		s.leader, s.missed, s.asked = from, 0, nil
@@ -406,7 +406,7 @@
 }
 
 // Ask sends the server's request to the keeper that leads, as far as it is known.
-func (s *Sharing) Ask(a shares.Asking) {
+func (s *Sharing) Ask(a quota.Asking) {
 	s.do(func() {
 		a.Terms, a.Revision, a.Wholes = s.terms.Digest, s.terms.Revision, s.wholes
 		if s.asked != nil {
@@ -427,7 +427,7 @@
 }
 
 // Reform takes up other wholes, by a later revision of the settings.
-func (s *Sharing) Reform(revision uint64, wholes []shares.Amount) {
+func (s *Sharing) Reform(revision uint64, wholes []quota.Amount) {
 	s.do(func() { s.terms.Revision, s.wholes = revision, wholes })
 }
 
@@ -438,18 +438,18 @@
 		s.leader = m.ID
 		return
 	}
-	var able []members.ID
+	var able []membership.ID
 	if len(s.terms.Named) > 0 {
 		for _, m := range s.seats {
 			if slices.Contains(s.terms.Named, m.Name) {
 				able = append(able, m.ID)
 			}
 		}
-		slices.SortFunc(able, members.ID.Compare)
+		slices.SortFunc(able, membership.ID.Compare)
 	} else {
-		able = s.fleet[:min(len(s.fleet), keepers.Most)]
+		able = s.fleet[:min(len(s.fleet), coordinator.Most)]
 	}
-	able = slices.DeleteFunc(slices.Clone(able), func(id members.ID) bool { return id == s.me })
+	able = slices.DeleteFunc(slices.Clone(able), func(id membership.ID) bool { return id == s.me })
 	if len(able) > 0 {
 		s.leader = able[(slices.Index(able, s.leader)+1)%len(able)]
 	}
@@ -457,9 +457,9 @@
 
 // Disk keeps what a keeper must find again.
 type Disk interface {
-	Load() (id keepers.Identity, saved *agreement.Saved, err error) // nil: nothing is there
-	Begin(id keepers.Identity, s agreement.Saved) error             // another memory
-	Save(s agreement.Saved) error                                   // durable when it returns
-	Spoilt() error                                                  // sets aside what cannot be gone on with
+	Load() (id coordinator.Identity, saved *consensus.Saved, err error) // nil: nothing is there
+	Begin(id coordinator.Identity, s consensus.Saved) error             // another memory
+	Save(s consensus.Saved) error                                       // durable when it returns
+	Spoilt() error                                                      // sets aside what cannot be gone on with
 	Close() error
 }
