--- a/internal/sharing/status.go
+++ b/internal/quota/service/status.go
@@ -1,4 +1,4 @@
-package sharing
+package service
 
 // This file owns what operators are shown of shares: what this server holds and, at a keeper, who holds what. It must never
 // change anything.
@@ -7,7 +7,7 @@
 	"errors"
 	"time"
 
-	"thistlequay/shares"
+	"thistlequay/internal/quota"
 )
 
 // Report is what one server knows of shares.
@@ -27,21 +27,21 @@
 
 // Limit is one of them, in units.
 type Limit struct {
-	Name    string        `json:"name"`
-	Whole   float64       `json:"whole"` // in force
-	Target  float64       `json:"target"`
-	Floors  float64       `json:"floors"` // of the whole, kept for all slots
-	Out     float64       `json:"granted"`
-	Length  shares.Moment `json:"length_ms"`
-	Usable  float64       `json:"usable_here"`
-	EndsMs  shares.Moment `json:"ends_ms"` // of what is granted here; 0 where it lives on its floor
-	Servers []shares.Line `json:"servers"`
+	Name    string       `json:"name"`
+	Whole   float64      `json:"whole"` // in force
+	Target  float64      `json:"target"`
+	Floors  float64      `json:"floors"` // of the whole, kept for all slots
+	Out     float64      `json:"granted"`
+	Length  quota.Moment `json:"length_ms"`
+	Usable  float64      `json:"usable_here"`
+	EndsMs  quota.Moment `json:"ends_ms"` // of what is granted here; 0 where it lives on its floor
+	Servers []quota.Line `json:"servers"`
 }
 
 // Here is what the loop knows of a limit on this server.
 type Here struct {
-	Usable shares.Amount
-	Ends   shares.Moment
+	Usable quota.Amount
+	Ends   quota.Moment
 }
 
 const lookWithin = time.Second
@@ -64,8 +64,8 @@
 		}
 		for i, k := range book.Keepers() {
 			t := k.Terms()
-			units := func(a shares.Amount) float64 { return float64(a) / float64(shares.Unit) }
-			l := Limit{Name: s.terms.Names[i], Whole: units(t.Whole), Target: units(k.Target()), Floors: units(t.Floor * shares.Amount(t.Slots)),
+			units := func(a quota.Amount) float64 { return float64(a) / float64(quota.Unit) }
+			l := Limit{Name: s.terms.Names[i], Whole: units(t.Whole), Target: units(k.Target()), Floors: units(t.Floor * quota.Amount(t.Slots)),
 				Out: units(k.Out()), Length: t.Length, Servers: k.Lines(now)}
 			if i < len(here) {
 				l.Usable, l.EndsMs = units(here[i].Usable), max(0, here[i].Ends-now)
--- a/lasting/lasting.go
+++ b/internal/recovery/lasting.go
@@ -3,7 +3,7 @@
 //
 // It owns the meaning of records, of damage and of clocks. It does no I/O and knows no clock but what it is told. It must
 // never conclude that something did not run where that is not proven.
-package lasting
+package recovery
 
 import (
 	"cmp"
--- a/lasting/learnt.go
+++ b/internal/recovery/learnt.go
@@ -1,4 +1,4 @@
-package lasting
+package recovery
 
 // This file owns what of an earlier life's learning still holds. It must never trust it whole, nor a figure that cannot be.
 
--- a/lasting/model_test.go
+++ b/internal/recovery/model_test.go
@@ -1,4 +1,4 @@
-package lasting
+package recovery
 
 import (
 	"fmt"
--- a/lasting/room.go
+++ b/internal/recovery/room.go
@@ -1,4 +1,4 @@
-package lasting
+package recovery
 
 // This file owns the room in a store: what may be promised, what is needed, which segments can go. It must never promise
 // the same byte twice, nor let go of a segment that a repeat may still need.
--- a/internal/store/codec.go
+++ b/internal/segmentlog/codec.go
@@ -1,4 +1,4 @@
-package store
+package segmentlog
 
 import (
 	"encoding/binary"
@@ -9,7 +9,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
 )
 
 // A segment is a header and records, little-endian. The header: magic (8), version (2), mode (1), 0 (5), id (64), the end
@@ -37,23 +37,23 @@
 
 // head is what a segment says of itself.
 type head struct {
-	mode   lasting.Mode
+	mode   recovery.Mode
 	id     uint64
-	before lasting.Tenths // the last window of the segment before it
-	at     lasting.Clock
+	before recovery.Tenths // the last window of the segment before it
+	at     recovery.Clock
 }
 
 var errVersion = errors.New("is of another version than this program reads")
 var errHeader = errors.New("has no header of a segment")
 
-func appendClock(to []byte, c lasting.Clock) []byte {
+func appendClock(to []byte, c recovery.Clock) []byte {
 	to = binary.LittleEndian.AppendUint64(to, uint64(c.Wall))
 	to = binary.LittleEndian.AppendUint64(to, uint64(c.Mono))
 	return binary.LittleEndian.AppendUint64(to, c.Boot)
 }
 
-func clockOf(b []byte) lasting.Clock {
-	return lasting.Clock{Wall: lasting.Tenths(binary.LittleEndian.Uint64(b)), Mono: lasting.Tenths(binary.LittleEndian.Uint64(b[8:])),
+func clockOf(b []byte) recovery.Clock {
+	return recovery.Clock{Wall: recovery.Tenths(binary.LittleEndian.Uint64(b)), Mono: recovery.Tenths(binary.LittleEndian.Uint64(b[8:])),
 		Boot: binary.LittleEndian.Uint64(b[16:])}
 }
 
@@ -78,19 +78,19 @@
 	if binary.LittleEndian.Uint64(b[headerSize-8:]) != xxh3.Hash(b[:headerSize-8]) {
 		return h, errHeader
 	}
-	return head{mode: lasting.Mode(b[10]), id: binary.LittleEndian.Uint64(b[16:]),
-		before: lasting.Tenths(binary.LittleEndian.Uint64(b[24:])), at: clockOf(b[32:])}, nil
+	return head{mode: recovery.Mode(b[10]), id: binary.LittleEndian.Uint64(b[16:]),
+		before: recovery.Tenths(binary.LittleEndian.Uint64(b[24:])), at: clockOf(b[32:])}, nil
 }
 
-func sizeOf(kind lasting.Kind, key, result int) int64 {
+func sizeOf(kind recovery.Kind, key, result int) int64 {
 	n := fixed + key + result + sumSize
-	if kind == lasting.Intent {
+	if kind == recovery.Intent {
 		n += 32
 	}
 	return int64(n)
 }
 
-func appendRecord(to []byte, r *lasting.Record) []byte {
+func appendRecord(to []byte, r *recovery.Record) []byte {
 	from := len(to)
 	to = binary.LittleEndian.AppendUint16(to, recordMagic)
 	well := byte(0)
@@ -102,7 +102,7 @@
 	to = binary.LittleEndian.AppendUint16(to, uint16(len(r.Result)))
 	to = binary.LittleEndian.AppendUint64(to, uint64(r.Until))
 	to = binary.LittleEndian.AppendUint64(appendClock(to, r.At), r.Try)
-	if r.Kind == lasting.Intent {
+	if r.Kind == recovery.Intent {
 		to = append(to, r.Print[:]...)
 	}
 	to = append(append(to, r.Key...), r.Result...)
@@ -115,7 +115,7 @@
 )
 
 // recordOf reads the record at the beginning of b and tells its length. Its result lies in b.
-func recordOf(b []byte) (r lasting.Record, n int, err error) {
+func recordOf(b []byte) (r recovery.Record, n int, err error) {
 	if len(b) >= 2 && binary.LittleEndian.Uint16(b) != recordMagic {
 		return r, 0, errGarbled
 	}
@@ -123,8 +123,8 @@
 		return r, 0, errShort
 	}
 	key, result := int(binary.LittleEndian.Uint16(b[4:])), int(binary.LittleEndian.Uint16(b[6:]))
-	r.Kind = lasting.Kind(b[2])
-	if r.Kind < lasting.Intent || r.Kind > lasting.Learnt || key > mostKey || result > mostResult || b[3] > 1 {
+	r.Kind = recovery.Kind(b[2])
+	if r.Kind < recovery.Intent || r.Kind > recovery.Learnt || key > mostKey || result > mostResult || b[3] > 1 {
 		return r, 0, errGarbled
 	}
 	n = int(sizeOf(r.Kind, key, result))
@@ -134,10 +134,10 @@
 	if binary.LittleEndian.Uint64(b[n-sumSize:]) != xxh3.Hash(b[:n-sumSize]) {
 		return r, 0, errGarbled
 	}
-	r.Well, r.Until, r.At = b[3] == 1, lasting.Tenths(binary.LittleEndian.Uint64(b[8:])), clockOf(b[16:])
+	r.Well, r.Until, r.At = b[3] == 1, recovery.Tenths(binary.LittleEndian.Uint64(b[8:])), clockOf(b[16:])
 	r.Try = binary.LittleEndian.Uint64(b[40:])
 	at := fixed
-	if r.Kind == lasting.Intent {
+	if r.Kind == recovery.Intent {
 		copy(r.Print[:], b[at:])
 		at += 32
 	}
--- a/internal/store/compact.go
+++ b/internal/segmentlog/compact.go
@@ -1,15 +1,15 @@
-package store
+package segmentlog
 
 import (
 	"fmt"
 
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
 )
 
 // Compact writes what repeats may still need into one segment, makes that durable and removes the others. Where something
 // may have been lost it does nothing: the doubt would be gone with the segments.
-func Compact(files Files, recovery *lasting.Recovery, now lasting.Clock) (kept, gone int, err error) {
-	s, err := Scan(files, recovery, now, true, nil)
+func Compact(files Files, recovered *recovery.Recovery, now recovery.Clock) (kept, gone int, err error) {
+	s, err := Scan(files, recovered, now, true, nil)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -24,16 +24,16 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	text := head{mode: lasting.Machine, id: s.next, at: now}.append(nil)
+	text := head{mode: recovery.Machine, id: s.next, at: now}.append(nil)
 	for _, fate := range s.Fates {
-		r := lasting.Record{Kind: lasting.Intent, Key: fate.Key, Print: fate.Print, Until: fate.Until, At: now}
+		r := recovery.Record{Kind: recovery.Intent, Key: fate.Key, Print: fate.Print, Until: fate.Until, At: now}
 		text = appendRecord(text, &r)
 		if fate.Ended {
-			r.Kind, r.Well, r.Result = lasting.Result, fate.Well, fate.Result
+			r.Kind, r.Well, r.Result = recovery.Result, fate.Well, fate.Result
 			text = appendRecord(text, &r)
 		}
 	}
-	text = appendRecord(text, &lasting.Record{Kind: lasting.Closed, At: now})
+	text = appendRecord(text, &recovery.Record{Kind: recovery.Closed, At: now})
 	if _, err = f.Write(text); err == nil {
 		err = f.Sync()
 	}
--- a/internal/store/disk_test.go
+++ b/internal/segmentlog/disk_test.go
@@ -1,4 +1,4 @@
-package store
+package segmentlog
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"slices"
 	"sync"
 
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
 )
 
 // step is one thing that was done to the disk, in order.
@@ -148,10 +148,10 @@
 // at is a clock that a test moves: life n begins where the one before ended.
 type at struct {
 	lock sync.Mutex
-	c    lasting.Clock
+	c    recovery.Clock
 }
 
-func (a *at) now() lasting.Clock {
+func (a *at) now() recovery.Clock {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.c.Wall++
--- a/internal/store/files.go
+++ b/internal/segmentlog/files.go
@@ -2,7 +2,7 @@
 //
 // files.go owns the disk, codec.go the bytes, store.go the writer beside the loop, scan.go the reading at a start. It must
 // never say that a record is durable which is not, nor take a write or a sync that failed for done by a later one.
-package store
+package segmentlog
 
 import (
 	"errors"
--- a/internal/store/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -1,4 +1,4 @@
-package store
+package segmentlog
 
 import (
 	"bytes"
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
 )
 
-func goldenRecords() (records []lasting.Record) {
-	at := lasting.Clock{Wall: 0x0102030405, Mono: 0x060708, Boot: 0xf1f2f3f4f5f6f7f8}
-	for kind := lasting.Intent; kind <= lasting.Learnt; kind++ {
-		r := lasting.Record{Kind: kind, Try: 0xa1a2a3a4, Key: fmt.Sprint("key ", int(kind)), Until: at.Wall + 350_000, At: at, Result: []byte{}}
+func goldenRecords() (records []recovery.Record) {
+	at := recovery.Clock{Wall: 0x0102030405, Mono: 0x060708, Boot: 0xf1f2f3f4f5f6f7f8}
+	for kind := recovery.Intent; kind <= recovery.Learnt; kind++ {
+		r := recovery.Record{Kind: kind, Try: 0xa1a2a3a4, Key: fmt.Sprint("key ", int(kind)), Until: at.Wall + 350_000, At: at, Result: []byte{}}
 		records = append(records, r)
 		r.Well, r.Key, r.Result = true, "", []byte("result")
 		for i := range r.Print {
-			if kind == lasting.Intent {
+			if kind == recovery.Intent {
 				r.Print[i] = byte(i)
 			}
 		}
@@ -34,8 +34,8 @@
 // TestGoldenFormat compares the bytes of a segment's header and of records of every kind, which are read and written again.
 func TestGoldenFormat(t *testing.T) {
 	var got bytes.Buffer
-	for _, mode := range []lasting.Mode{lasting.Process, lasting.Machine} {
-		h := head{mode: mode, id: 0x1122, before: 0x3344, at: lasting.Clock{Wall: 5, Mono: 6, Boot: 7}}
+	for _, mode := range []recovery.Mode{recovery.Process, recovery.Machine} {
+		h := head{mode: mode, id: 0x1122, before: 0x3344, at: recovery.Clock{Wall: 5, Mono: 6, Boot: 7}}
 		text := h.append(nil)
 		again, err := headOf(text)
 		require.NoError(t, err)
@@ -59,13 +59,13 @@
 type seededClock struct {
 	lock   sync.Mutex
 	chance *rand.Rand
-	c      lasting.Clock
+	c      recovery.Clock
 }
 
-func (s *seededClock) now() lasting.Clock {
+func (s *seededClock) now() recovery.Clock {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	passed := lasting.Tenths(s.chance.Intn(20_000))
+	passed := recovery.Tenths(s.chance.Intn(20_000))
 	s.c.Wall += passed
 	s.c.Mono += passed
 	return s.c
@@ -87,10 +87,10 @@
 func playLives(t *testing.T, h *golden.History, seed int64) {
 	chance := rand.New(rand.NewSource(seed))
 	d := newDisk()
-	clock := &seededClock{chance: rand.New(rand.NewSource(seed)), c: lasting.Clock{Wall: 1e9, Mono: 1e6, Boot: 1}}
+	clock := &seededClock{chance: rand.New(rand.NewSource(seed)), c: recovery.Clock{Wall: 1e9, Mono: 1e6, Boot: 1}}
 	for lives := range 3 {
 		l := &life{Assertions: require.New(t), done: make(chan Done, 64)}
-		store, err := Open(d, Terms{Mode: lasting.Mode(seed % 2), Bytes: 1 << 20, Records: 10_000, Segment: 2048, Window: window, Doubt: 10_000, Most: 12,
+		store, err := Open(d, Terms{Mode: recovery.Mode(seed % 2), Bytes: 1 << 20, Records: 10_000, Segment: 2048, Window: window, Doubt: 10_000, Most: 12,
 			Fresh: lives == 0, Now: clock.now, Answered: func(done []Done) { l.done <- done[0] }})
 		require.NoError(t, err)
 		l.s = store
@@ -98,16 +98,16 @@
 		for i := range 20 {
 			key := fmt.Sprint("key-", chance.Intn(30))
 			l.next = uint64(100*lives + i)
-			require.NoError(t, store.Intend(lasting.Record{Key: key, Until: 1e9 + lasting.Tenths(chance.Intn(1_000_000)), Try: l.next}, l.next))
+			require.NoError(t, store.Intend(recovery.Record{Key: key, Until: 1e9 + recovery.Tenths(chance.Intn(1_000_000)), Try: l.next}, l.next))
 			require.NoError(t, l.wait().Err)
 			switch chance.Intn(4) {
 			case 0:
-				l.conclude(key, lasting.Void, l.next, "")
+				l.conclude(key, recovery.Void, l.next, "")
 			case 1:
 				store.Learn([]byte(key))
 				l.wait()
 			case 2:
-				l.conclude(key, lasting.Result, l.next, string(make([]byte, chance.Intn(300))))
+				l.conclude(key, recovery.Result, l.next, string(make([]byte, chance.Intn(300))))
 			}
 		}
 		l.close()
@@ -116,7 +116,7 @@
 	for _, s := range d.steps {
 		h.Add("step", s.what, s.name, hex.EncodeToString(s.data))
 	}
-	kept, gone, err := Compact(d, lasting.NewRecovery(lasting.Terms{Window: window, Doubt: 10_000, Most: 12}, clock.c), clock.c)
+	kept, gone, err := Compact(d, recovery.NewRecovery(recovery.Terms{Window: window, Doubt: 10_000, Most: 12}, clock.c), clock.c)
 	h.Add("compacted", kept, gone, err == nil)
 	for _, s := range d.steps {
 		h.Add("step", s.what, s.name, hex.EncodeToString(s.data))
--- a/internal/store/scan.go
+++ b/internal/segmentlog/scan.go
@@ -1,4 +1,4 @@
-package store
+package segmentlog
 
 import (
 	"bytes"
@@ -6,15 +6,15 @@
 	"fmt"
 	"io"
 
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
 )
 
 // Scanned is what lies in a directory.
 type Scanned struct {
-	lasting.Conclusion
-	Found   []lasting.Found
+	recovery.Conclusion
+	Found   []recovery.Found
 	Records int
-	room    lasting.Room
+	room    recovery.Room
 	next    uint64
 }
 
@@ -22,20 +22,20 @@
 const mostSegment = 64 << 20
 
 // Scan reads all segments and has the recovery conclude. See, where given, is shown each record.
-func Scan(files Files, recovery *lasting.Recovery, now lasting.Clock, fresh bool, see func(file string, offset int64, r *lasting.Record)) (s Scanned, err error) {
+func Scan(files Files, recovered *recovery.Recovery, now recovery.Clock, fresh bool, see func(file string, offset int64, r *recovery.Record)) (s Scanned, err error) {
 	names, err := files.List()
 	if err != nil {
 		return s, err
 	}
 	s.next = 1
 	if len(names) == 0 && !fresh {
-		recovery.Damaged(lasting.Nothing, "", 0, true)
+		recovered.Damaged(recovery.Nothing, "", 0, true)
 	}
 	before := uint64(0)
 	for i, name := range names {
 		id, ok := idOf(name)
 		if !ok {
-			recovery.Damaged(lasting.Garbled, name, 0, false)
+			recovered.Damaged(recovery.Garbled, name, 0, false)
 			continue
 		}
 		in, err := files.Open(name)
@@ -55,29 +55,29 @@
 		case errors.Is(err, errVersion):
 			return s, fmt.Errorf("%s %w", name, err)
 		case err != nil && last && len(text) < headerSize: // it was being begun, nothing in it was acknowledged
-			recovery.Damaged(lasting.Short, name, 0, true)
+			recovered.Damaged(recovery.Short, name, 0, true)
 			continue
 		case err != nil:
-			recovery.Damaged(lasting.Garbled, name, 0, false)
+			recovered.Damaged(recovery.Garbled, name, 0, false)
 			text = text[min(len(text), 1):]
 		default:
 			if before > 0 && id != before+1 || before == 0 && h.before > now.Wall {
-				recovery.Damaged(lasting.Missing, nameOf(id-1), 0, false)
+				recovered.Damaged(recovery.Missing, nameOf(id-1), 0, false)
 			}
-			recovery.Segment(h.mode)
+			recovered.Segment(h.mode)
 		}
 		before = id
-		s.records(text, min(len(text), headerSize), name, last, recovery, see)
+		s.records(text, min(len(text), headerSize), name, last, recovered, see)
 	}
-	s.Conclusion, s.Found, s.Records = recovery.Finish(), recovery.Found, recovery.Seen
+	s.Conclusion, s.Found, s.Records = recovered.Finish(), recovered.Found, recovered.Seen
 	return s, nil
 }
 
-func (s *Scanned) records(text []byte, at int, name string, last bool, recovery *lasting.Recovery, see func(string, int64, *lasting.Record)) {
+func (s *Scanned) records(text []byte, at int, name string, last bool, recovered *recovery.Recovery, see func(string, int64, *recovery.Record)) {
 	for at < len(text) {
 		r, n, err := recordOf(text[at:])
 		if err == nil {
-			recovery.Record(r)
+			recovered.Record(r)
 			s.room.Wrote(0, 0, r.Until)
 			if see != nil {
 				see(name, int64(at), &r)
@@ -99,11 +99,11 @@
 			}
 			from++
 		}
-		what := lasting.Garbled
+		what := recovery.Garbled
 		if err == errShort && next < 0 {
-			what = lasting.Short
+			what = recovery.Short
 		}
-		recovery.Damaged(what, name, int64(at), last && next < 0)
+		recovered.Damaged(what, name, int64(at), last && next < 0)
 		if next < 0 {
 			return
 		}
--- a/internal/store/store.go
+++ b/internal/segmentlog/store.go
@@ -1,4 +1,4 @@
-package store
+package segmentlog
 
 import (
 	"errors"
@@ -11,20 +11,20 @@
 	"github.com/zeebo/xxh3"
 	"golang.org/x/sys/unix"
 
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
 )
 
 // Terms are how a store is kept.
 type Terms struct {
-	Mode     lasting.Mode
+	Mode     recovery.Mode
 	Bytes    int64
 	Records  int
-	Segment  int64          // a new one is begun beyond
-	Window   lasting.Tenths // the longest of all categories
-	Doubt    lasting.Tenths
+	Segment  int64           // a new one is begun beyond
+	Window   recovery.Tenths // the longest of all categories
+	Doubt    recovery.Tenths
 	Most     int  // stamps that can be remembered
 	Fresh    bool // an empty directory is as it should be
-	Now      func() lasting.Clock
+	Now      func() recovery.Clock
 	Answered func(done []Done) // called by the writer: what became of what was put
 }
 
@@ -56,13 +56,13 @@
 	ended chan struct{}
 
 	lock  sync.Mutex // of what the writer and the loop share, never held over the disk
-	room  lasting.Room
+	room  recovery.Room
 	ill   error
 	again time.Time // when the next intent may try a new segment
 }
 
 type entry struct {
-	record   lasting.Record
+	record   recovery.Record
 	tag      uint64
 	promised int64
 }
@@ -71,9 +71,9 @@
 func Open(files Files, t Terms) (*Store, error) {
 	now := t.Now()
 	s := &Store{terms: t, files: files, queue: make(chan entry, queued), ended: make(chan struct{})}
-	recovery := lasting.NewRecovery(lasting.Terms{Window: t.Window, Doubt: t.Doubt, Most: t.Most}, now)
+	recovered := recovery.NewRecovery(recovery.Terms{Window: t.Window, Doubt: t.Doubt, Most: t.Most}, now)
 	var err error
-	if s.Scanned, err = Scan(files, recovery, now, t.Fresh, nil); err != nil {
+	if s.Scanned, err = Scan(files, recovered, now, t.Fresh, nil); err != nil {
 		return nil, err
 	}
 	s.room = s.Scanned.room
@@ -87,8 +87,8 @@
 }
 
 // Intend puts an intent, with room for the result that must follow it. An error is at once: nothing was put.
-func (s *Store) Intend(r lasting.Record, tag uint64) error {
-	intent, result := sizeOf(lasting.Intent, len(r.Key), 0), sizeOf(lasting.Result, len(r.Key), mostResult/2)
+func (s *Store) Intend(r recovery.Record, tag uint64) error {
+	intent, result := sizeOf(recovery.Intent, len(r.Key), 0), sizeOf(recovery.Result, len(r.Key), mostResult/2)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.ill != nil && time.Now().Before(s.again) {
@@ -101,22 +101,22 @@
 		}
 		return ErrFull
 	}
-	r.Kind = lasting.Intent
+	r.Kind = recovery.Intent
 	s.queue <- entry{r, tag, intent}
 	return nil
 }
 
 // Conclude puts what became of an intent: a result, or that it never began. Its room was promised; half of the queue is kept
 // for these. It is not waited for.
-func (s *Store) Conclude(r lasting.Record, tag uint64) {
+func (s *Store) Conclude(r recovery.Record, tag uint64) {
 	if len(r.Result) > mostResult/2 {
 		r.Result, r.Well = nil, false
 	}
 	select {
-	case s.queue <- entry{r, tag, sizeOf(lasting.Result, len(r.Key), mostResult/2)}:
+	case s.queue <- entry{r, tag, sizeOf(recovery.Result, len(r.Key), mostResult/2)}:
 	default: // more ended at once than were ever let in: a repeat will be broken off after a restart
 		s.lock.Lock()
-		s.room.Return(sizeOf(lasting.Result, len(r.Key), mostResult/2))
+		s.room.Return(sizeOf(recovery.Result, len(r.Key), mostResult/2))
 		s.lock.Unlock()
 	}
 }
@@ -127,7 +127,7 @@
 		return
 	}
 	select {
-	case s.queue <- entry{record: lasting.Record{Kind: lasting.Learnt, Result: snapshot}}:
+	case s.queue <- entry{record: recovery.Record{Kind: recovery.Learnt, Result: snapshot}}:
 	default:
 	}
 }
@@ -151,7 +151,7 @@
 	*Store
 	file  File
 	text  []byte
-	until lasting.Tenths
+	until recovery.Tenths
 	wait  time.Duration
 }
 
@@ -167,7 +167,7 @@
 		return err
 	}
 	text := head{mode: w.terms.Mode, id: id, before: before, at: w.terms.Now()}.append(nil)
-	if _, err = f.Write(text); err == nil && w.terms.Mode == lasting.Machine {
+	if _, err = f.Write(text); err == nil && w.terms.Mode == recovery.Machine {
 		if err = f.Sync(); err == nil {
 			err = w.files.SyncNames()
 		}
@@ -210,7 +210,7 @@
 		w.age()
 	}
 	if w.file != nil {
-		w.put([]entry{{record: lasting.Record{Kind: lasting.Closed}}})
+		w.put([]entry{{record: recovery.Record{Kind: recovery.Closed}}})
 		w.file.Close()
 	}
 }
@@ -224,9 +224,9 @@
 	done := make([]Done, len(group))
 	for i, e := range group {
 		done[i] = Done{Tag: e.tag, Err: err}
-		if err != nil && e.record.Kind == lasting.Intent { // it will not be run: the promise for its result goes too
+		if err != nil && e.record.Kind == recovery.Intent { // it will not be run: the promise for its result goes too
 			w.lock.Lock()
-			w.room.Return(e.promised + sizeOf(lasting.Result, len(e.record.Key), mostResult/2))
+			w.room.Return(e.promised + sizeOf(recovery.Result, len(e.record.Key), mostResult/2))
 			w.lock.Unlock()
 		} else if err != nil {
 			w.lock.Lock()
@@ -278,7 +278,7 @@
 	if _, err := w.file.Write(w.text); err != nil {
 		return w.fail(err)
 	}
-	if w.terms.Mode == lasting.Machine {
+	if w.terms.Mode == recovery.Machine {
 		if err := w.file.Sync(); err != nil {
 			return w.fail(err)
 		}
@@ -313,11 +313,11 @@
 }
 
 // MachineClock reads the machine's clocks.
-func MachineClock() lasting.Clock {
-	c := lasting.Clock{Wall: lasting.Tenths(time.Now().UnixMicro() / 100)}
+func MachineClock() recovery.Clock {
+	c := recovery.Clock{Wall: recovery.Tenths(time.Now().UnixMicro() / 100)}
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) == nil {
-		c.Mono = lasting.Tenths(ts.Nano() / 100_000)
+		c.Mono = recovery.Tenths(ts.Nano() / 100_000)
 	}
 	if text, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
 		c.Boot = xxh3.HashString(strings.TrimSpace(string(text)))
--- a/internal/appserver/directory.go
+++ b/internal/server/directory.go
@@ -1,6 +1,6 @@
 // This file owns the reports to the directory: so often that lost ones do not take the server off the list. It
 // must never delay anything else, whatever the directory does.
-package appserver
+package server
 
 import (
 	"bytes"
--- a/internal/appserver/fleet.go
+++ b/internal/server/fleet.go
@@ -1,6 +1,6 @@
 // This file owns the seam to the talk among servers: what this one says of itself, each second, and the size of the fleet that
 // the module reckons with. It must never wait for the talk, nor know what is said there.
-package appserver
+package server
 
 import (
 	"slices"
@@ -8,31 +8,31 @@
 	"time"
 
 	"thistlequay/admission"
-	"thistlequay/internal/peers"
-	"thistlequay/internal/sharing"
-	"thistlequay/ledger"
-	"thistlequay/members"
+	"thistlequay/internal/fairqueue"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/membership"
+	"thistlequay/internal/quota/service"
 )
 
 // Talk is the talk with other servers.
 type Talk struct {
-	Peers    *peers.Peers
+	Peers    *gossip.Peers
 	lock     sync.Mutex
 	size     int
-	standing members.Standing
+	standing membership.Standing
 	changed  func()
-	used     map[members.ID]usage // what tenants were given elsewhere, as it was told last
+	used     map[membership.ID]usage // what tenants were given elsewhere, as it was told last
 }
 
 type usage struct {
 	said time.Time
-	of   []members.Used
+	of   []membership.Used
 }
 
 const sayEvery = second
 
 // Changed is called by the talk's worker; it hands over and does not wait.
-func (t *Talk) Changed(size int, standing members.Standing) {
+func (t *Talk) Changed(size int, standing membership.Standing) {
 	t.lock.Lock()
 	t.size, t.standing = size, standing
 	changed := t.changed
@@ -43,24 +43,24 @@
 }
 
 // Used is called by the talk's worker with what another server gave tenants.
-func (t *Talk) Used(of members.ID, age time.Duration, used []members.Used) {
+func (t *Talk) Used(of membership.ID, age time.Duration, used []membership.Used) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	if t.used == nil {
-		t.used = map[members.ID]usage{}
+		t.used = map[membership.ID]usage{}
 	}
 	t.used[of] = usage{time.Now().Add(-age), used}
 }
 
 // elsewhere gives what was told since it was last asked, in the order of lives.
-func (t *Talk) elsewhere() (lives []members.ID, used map[members.ID]usage) {
+func (t *Talk) elsewhere() (lives []membership.ID, used map[membership.ID]usage) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	used, t.used = t.used, nil
 	for id := range used {
 		lives = append(lives, id)
 	}
-	slices.SortFunc(lives, members.ID.Compare)
+	slices.SortFunc(lives, membership.ID.Compare)
 	return lives, used
 }
 
@@ -102,21 +102,21 @@
 }
 
 // tenants has the ledger count what they were given elsewhere, and gives what they were given here.
-func (a *App) tenants() (used []members.Used) {
+func (a *App) tenants() (used []membership.Used) {
 	if a.ledger == nil {
 		return nil
 	}
 	lives, told := a.place.Talk.elsewhere()
 	for _, id := range lives {
-		var given []ledger.Service
+		var given []fairqueue.Service
 		for _, u := range told[id].of {
-			given = append(given, ledger.Service{Tenant: u.Tenant, Time: u.Time})
+			given = append(given, fairqueue.Service{Tenant: u.Tenant, Time: u.Time})
 		}
-		a.ledger.Elsewhere(sharing.HolderName(id), admission.Tenths(time.Since(told[id].said)/(100*time.Microsecond)), given, a.now)
+		a.ledger.Elsewhere(service.HolderName(id), admission.Tenths(time.Since(told[id].said)/(100*time.Microsecond)), given, a.now)
 	}
 	for _, g := range a.ledger.Given() {
-		if len(used) < members.MostUsed {
-			used = append(used, members.Used{Tenant: g.Tenant, Time: g.Time})
+		if len(used) < membership.MostUsed {
+			used = append(used, membership.Used{Tenant: g.Tenant, Time: g.Time})
 		}
 	}
 	return used
@@ -128,14 +128,14 @@
 	if t == nil {
 		return
 	}
-	own := peers.Own{Used: a.tenants(), State: members.Joining, Late: time.Duration(a.late.most()) * (time.Millisecond / 10)}
+	own := gossip.Own{Used: a.tenants(), State: membership.Joining, Late: time.Duration(a.late.most()) * (time.Millisecond / 10)}
 	switch {
 	case a.stop < never:
-		own.State = members.Leaving
+		own.State = membership.Leaving
 	case a.server != nil:
-		own.State = members.Serving
+		own.State = membership.Serving
 		if a.server.IsCold() {
-			own.State = members.Cold
+			own.State = membership.Cold
 		}
 	}
 	if a.server != nil {
--- a/internal/appserver/golden_test.go
+++ b/internal/server/golden_test.go
@@ -1,4 +1,4 @@
-package appserver
+package server
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/admission"
-	"thistlequay/hooks"
 	"thistlequay/internal/golden"
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
+	"thistlequay/internal/plugin/chain"
 )
 
 // transcript is a golden file of the bytes that go in and out, a line each.
@@ -298,14 +298,14 @@
 // nothing leaves.
 func withPlugins(t *testing.T) (*App, *pluginHost) {
 	a, _, _ := awaiting(t)
-	chain := hooks.NewChain([]hooks.Grant{{Name: "p", At: [3]bool{true, true, true}, Categories: []bool{true}, Declines: true,
+	pluginChain := chain.NewChain([]chain.Grant{{Name: "p", At: [3]bool{true, true, true}, Categories: []bool{true}, Declines: true,
 		To: []bool{true}, Tags: true, Rewrites: true, Call: 100, Share: 0.5, Core: 1, Every: 10 * second, Row: 3, Rate: 1, Wait: 1000, Longest: 10_000}},
 		nil, nil, a.chance, a.now)
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { _ = theirs.Close() })
-	h := &pluginHost{plugins: &a.plugins, terms: &Plugins{}, chain: chain, process: &plugin.Process{Conn: ours, Command: &exec.Cmd{}}}
+	h := &pluginHost{plugins: &a.plugins, terms: &Plugins{}, chain: pluginChain, process: &plugin.Process{Conn: ours, Command: &exec.Cmd{}}}
 	h.wire = wire{app: a, most: mostOnLink, conn: nowhere{}}
-	a.plugins.terms, a.plugins.live, a.plugins.chain = h.terms, h, chain
+	a.plugins.terms, a.plugins.live, a.plugins.chain = h.terms, h, pluginChain
 	return a, h
 }
 
--- a/internal/appserver/index.go
+++ b/internal/server/index.go
@@ -1,7 +1,7 @@
 // This file owns the calls to the index and the connections that carry them, one call at a time on each, so that
 // what spoils a connection spoils one call. It must never make a call that the module did not ask for, call again
 // by itself, use a connection on which a call went wrong, or take a call for proven unseen that may have been seen.
-package appserver
+package server
 
 import (
 	"bytes"
--- a/internal/appserver/interpreter.go
+++ b/internal/server/interpreter.go
@@ -1,7 +1,7 @@
 // This file owns the link to the interpreter: commands out, notices in, the gauges. It must never begin a run
 // twice, pass a body or a result on changed, or send anything after a broken link before what is replayed has
 // been taken.
-package appserver
+package server
 
 import (
 	"bytes"
--- a/internal/appserver/invariant_debug.go
+++ b/internal/server/invariant_debug.go
@@ -2,7 +2,7 @@
 
 // This file owns what happens when something that must hold does not: in debug builds the program stops at
 // once. It must never be the way that bad input is answered.
-package appserver
+package server
 
 func (*App) must(holds bool, what string) {
 	if !holds {
--- a/internal/appserver/invariant_release.go
+++ b/internal/server/invariant_release.go
@@ -2,7 +2,7 @@
 
 // This file owns what happens when something that must hold does not: in release builds it is counted and
 // logged, each count that is a power of two. It must never stop the program.
-package appserver
+package server
 
 func (a *App) must(holds bool, what string) {
 	if !holds && often(&a.broken) {
--- a/internal/appserver/items.go
+++ b/internal/server/items.go
@@ -1,7 +1,7 @@
 // This file owns the work items in hand, the stamps with their kept results, and who shares them. It is the
 // module's host: it carries out what the module says and keeps books. It answers by itself only a run's own end
 // and what never reaches the module; it must never answer twice, and never decide what is run or declined.
-package appserver
+package server
 
 import (
 	"bytes"
@@ -9,11 +9,11 @@
 	"strconv"
 
 	"thistlequay/admission"
-	"thistlequay/hooks"
 	"thistlequay/internal/deployment"
+	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/fastcgi"
-	"thistlequay/lasting"
-	"thistlequay/ledger"
+	"thistlequay/internal/plugin/chain"
+	"thistlequay/internal/recovery"
 )
 
 const (
@@ -62,7 +62,7 @@
 	host       *pluginHost // the process that it began with
 	body       []byte
 	taken      admission.Tenths
-	claim      ledger.Claim
+	claim      fairqueue.Claim
 	stamp      *stamp // its own, or the one it shares
 	shares     bool
 	begun      bool // the module had it run
@@ -128,7 +128,7 @@
 	if !a.plugins.aside(it, func() {
 		it.key, it.tenant = bytes.Clone(it.key), bytes.Clone(it.tenant) // a buffer is used again
 		a.server.Beside(it.arrival.HeldKb)
-	}, func(w *hooks.Walk) { t.back(it, w) }) {
+	}, func(w *chain.Walk) { t.back(it, w) }) {
 		t.proceed(it, it.tenant)
 	}
 	if s.Body != nil {
@@ -145,7 +145,7 @@
 
 // back: its walk past the plug-ins is over. What they declined is answered, unless it repeats what is held or ran: that
 // is not declined, whatever they say.
-func (t *items) back(it *item, w *hooks.Walk) {
+func (t *items) back(it *item, w *chain.Walk) {
 	t.app.server.Beside(-it.arrival.HeldKb)
 	if it.conn == nil {
 		t.untaken(it)
@@ -209,7 +209,7 @@
 		if before = t.before(it); before != nil && before.body != print {
 			status := "422 Once-Key with another body" // neither shares the result nor takes the place of the true one
 			t.unusable(status)
-			t.app.keeping.conclude(it, lasting.Void, false, nil)
+			t.app.keeping.conclude(it, recovery.Void, false, nil)
 			t.untaken(it)
 			it.answer(status, "", nil)
 			return
@@ -441,7 +441,7 @@
 	it.ended = true
 	it.app.index.giveUp(it)
 	it.claim.Called(it.app.now) // off the cores, whatever is done with its result
-	if how != admission.Well || !it.app.plugins.review(it, result, func(w *hooks.Walk) { it.settle(how, took, w.Body) }) {
+	if how != admission.Well || !it.app.plugins.review(it, result, func(w *chain.Walk) { it.settle(how, took, w.Body) }) {
 		it.settle(how, took, result)
 	}
 }
@@ -460,9 +460,9 @@
 		}
 		it.app.items.release(m)
 		if how == admission.NeverBegun {
-			it.app.keeping.conclude(it, lasting.Void, false, nil)
+			it.app.keeping.conclude(it, recovery.Void, false, nil)
 		} else if m.owner == it {
-			it.app.keeping.conclude(it, lasting.Result, m.well, m.result)
+			it.app.keeping.conclude(it, recovery.Result, m.well, m.result)
 		}
 	}
 	it.handle.RunEnded(how, took)
@@ -554,9 +554,9 @@
 	it.over = true
 	it.claim.Close(t.app.now)
 	if !it.begun {
-		t.app.keeping.conclude(it, lasting.Void, false, nil)
+		t.app.keeping.conclude(it, recovery.Void, false, nil)
 	} else {
-		t.app.keeping.conclude(it, lasting.Result, false, nil) // it may have run
+		t.app.keeping.conclude(it, recovery.Result, false, nil) // it may have run
 	}
 	t.app.must(it.conn == nil, "over without an answer")
 	if m := it.stamp; m != nil && m.owner == it {
--- a/internal/appserver/lasting.go
+++ b/internal/server/lasting.go
@@ -1,6 +1,6 @@
 // This file owns what stamped work items write down before they may run and after, and what an earlier life of the server
 // wrote. It must never let one run whose intent is not durable, nor wait for the disk.
-package appserver
+package server
 
 import (
 	"crypto/sha256"
@@ -11,8 +11,8 @@
 	"github.com/zeebo/xxh3"
 
 	"thistlequay/admission"
-	"thistlequay/internal/store"
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
 )
 
 // answerAhead is how much before its due time a work item is answered that still waits for the disk.
@@ -20,13 +20,13 @@
 
 // Lasting is a store that is open.
 type Lasting struct {
-	Store *store.Store
-	Tell  func(func(done []store.Done)) // has the writer call this
+	Store *segmentlog.Store
+	Tell  func(func(done []segmentlog.Done)) // has the writer call this
 }
 
 type keeping struct {
 	app      *App
-	store    *store.Store
+	store    *segmentlog.Store
 	waits    map[uint64]*item // for their intents, by tag
 	next     uint64
 	closing  bool
@@ -49,7 +49,7 @@
 	for _, c := range a.place.Terms.Categories {
 		longest = max(longest, c.Expiry+ahead*10)
 	}
-	l.Tell(func(done []store.Done) { a.do(func() { k.told(done) }) })
+	l.Tell(func(done []segmentlog.Done) { a.do(func() { k.told(done) }) })
 	for _, f := range l.Store.Fates {
 		m := &stamp{key: f.Key, body: f.Print, ran: true, ended: true, well: f.Ended && f.Well, result: f.Result, until: f.Until}
 		m.fade.ring = func() { a.items.drop(m) }
@@ -85,9 +85,9 @@
 	}
 	k.next++
 	until := it.reached + k.app.clock.shift + k.app.place.Terms.Categories[it.category].Window + k.app.items.margin()
-	err := k.store.Intend(lasting.Record{Key: key, Print: sha256.Sum256(it.body), Until: until, Try: k.next}, k.next)
+	err := k.store.Intend(recovery.Record{Key: key, Print: sha256.Sum256(it.body), Until: until, Try: k.next}, k.next)
 	switch {
-	case err == store.ErrFull:
+	case err == segmentlog.ErrFull:
 		k.decline(it, &k.full, "full", k.app.place.Terms.MaxAway)
 		return true
 	case err != nil:
@@ -136,7 +136,7 @@
 }
 
 // told: the writer is through with these.
-func (k *keeping) told(done []store.Done) {
+func (k *keeping) told(done []segmentlog.Done) {
 	for _, d := range done {
 		it := k.waits[d.Tag]
 		if it == nil {
@@ -154,7 +154,7 @@
 				k.decline(it, &k.ill, d.Err.Error(), k.app.place.Terms.MaxAway)
 			}
 		case it.conn == nil: // its caller left meanwhile
-			k.conclude(it, lasting.Void, false, nil)
+			k.conclude(it, recovery.Void, false, nil)
 			k.app.items.untaken(it)
 		default:
 			k.app.items.admit(it, it.tenant)
@@ -163,7 +163,7 @@
 }
 
 // conclude writes what became of an intent, once.
-func (k *keeping) conclude(it *item, how lasting.Kind, well bool, result []byte) {
+func (k *keeping) conclude(it *item, how recovery.Kind, well bool, result []byte) {
 	if it.intent == 0 || k.closing {
 		return
 	}
@@ -171,7 +171,7 @@
 	if key == "" {
 		key = k.app.items.stampKey(it)
 	}
-	k.store.Conclude(lasting.Record{Kind: how, Key: key, Until: it.intent, Try: it.try, Well: well, Result: result}, 0)
+	k.store.Conclude(recovery.Record{Kind: how, Key: key, Until: it.intent, Try: it.try, Well: well, Result: result}, 0)
 	it.intent = 0
 }
 
@@ -208,7 +208,7 @@
 	if k.store == nil || k.closing || k.app.server == nil {
 		return
 	}
-	text, err := json.Marshal(lasting.Snapshot{At: k.app.now, Settings: k.settings(), Cores: float64(k.app.place.Terms.Cores), Learnt: k.app.server.Learnt()})
+	text, err := json.Marshal(recovery.Snapshot{At: k.app.now, Settings: k.settings(), Cores: float64(k.app.place.Terms.Cores), Learnt: k.app.server.Learnt()})
 	if err == nil {
 		k.store.Learn(text)
 	}
@@ -218,7 +218,7 @@
 	if k.store == nil || len(k.store.Learnt) == 0 {
 		return nil
 	}
-	var s lasting.Snapshot
+	var s recovery.Snapshot
 	if json.Unmarshal(k.store.Learnt, &s) != nil {
 		return nil
 	}
--- a/internal/appserver/lasting_test.go
+++ b/internal/server/lasting_test.go
@@ -1,4 +1,4 @@
-package appserver
+package server
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/store"
-	"thistlequay/lasting"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
 )
 
 // slowDisk keeps nothing; its syncs wait for leave, or fail.
@@ -21,26 +21,26 @@
 	names []string
 }
 
-func (d *slowDisk) List() ([]string, error)            { return nil, nil }
-func (d *slowDisk) Open(string) (io.ReadCloser, error) { return nil, errors.New("no such file") }
-func (d *slowDisk) Create(string) (store.File, error)  { return d, nil }
-func (d *slowDisk) Remove(string) error                { return nil }
-func (d *slowDisk) SyncNames() error                   { return nil }
-func (d *slowDisk) Write(b []byte) (int, error)        { return len(b), nil }
-func (d *slowDisk) Close() error                       { return nil }
-func (d *slowDisk) Sync() error                        { return <-d.leave }
+func (d *slowDisk) List() ([]string, error)                { return nil, nil }
+func (d *slowDisk) Open(string) (io.ReadCloser, error)     { return nil, errors.New("no such file") }
+func (d *slowDisk) Create(string) (segmentlog.File, error) { return d, nil }
+func (d *slowDisk) Remove(string) error                    { return nil }
+func (d *slowDisk) SyncNames() error                       { return nil }
+func (d *slowDisk) Write(b []byte) (int, error)            { return len(b), nil }
+func (d *slowDisk) Close() error                           { return nil }
+func (d *slowDisk) Sync() error                            { return <-d.leave }
 
 // keepingOne is an app server with a store on a slow disk, which has been sent one stamped work item.
 func keepingOne(t *testing.T) (a *App, c *router, d *slowDisk, next func()) {
 	d = &slowDisk{leave: make(chan error, 8)}
 	d.leave <- nil // the header
-	told := make(chan []store.Done, 8)
-	s, err := store.Open(d, store.Terms{Mode: lasting.Machine, Bytes: 1 << 20, Records: 1000, Segment: 1 << 20, Window: 50_000, Most: 10,
-		Fresh: true, Now: store.MachineClock, Answered: func(done []store.Done) { told <- done }})
+	told := make(chan []segmentlog.Done, 8)
+	s, err := segmentlog.Open(d, segmentlog.Terms{Mode: recovery.Machine, Bytes: 1 << 20, Records: 1000, Segment: 1 << 20, Window: 50_000, Most: 10,
+		Fresh: true, Now: segmentlog.MachineClock, Answered: func(done []segmentlog.Done) { told <- done }})
 	require.NoError(t, err)
 	a, _ = running(t) // one runs already, without a store
 	a.thread = noLoop{}
-	a.keeping.start(a, &Lasting{Store: s, Tell: func(func([]store.Done)) {}})
+	a.keeping.start(a, &Lasting{Store: s, Tell: func(func([]segmentlog.Done)) {}})
 	next = func() {
 		select {
 		case done := <-told:
--- a/internal/appserver/life.go
+++ b/internal/server/life.go
@@ -3,7 +3,7 @@
 // connection it is, it ends by part: what was written goes out, then the write side is shut, and what still comes is read
 // and passed over within bounds. A close over unread bytes would reset it and take the last answer along. This file must
 // never end a connection under an open request, nor keep more ending ones than a bound.
-package appserver
+package server
 
 import (
 	"container/list"
--- a/internal/appserver/loop.go
+++ b/internal/server/loop.go
@@ -2,7 +2,7 @@
 //
 // This file owns the engine, the clock, the batch and the one timer. All other parts of the package run on its
 // loop and nowhere else. It must never block, start a goroutine for a work item, or decide anything.
-package appserver
+package server
 
 import (
 	"container/heap"
@@ -26,9 +26,9 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/deployment"
+	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/logs"
 	"thistlequay/internal/tenancy"
-	"thistlequay/ledger"
 )
 
 // Place is where an app server stands and what it may use.
@@ -40,12 +40,12 @@
 	Terms                                       *deployment.Terms
 	Cores                                       float64 // of the machine, for this process
 	Seed                                        int64
-	Fair                                        *ledger.Terms  // nil: no fair queues
-	Tenancy                                     *tenancy.Table // nil: tenants go by account
-	Plugins                                     *Plugins       // nil: there are none
-	Lasting                                     *Lasting       // nil: nothing outlives the process
-	Talk                                        *Talk          // nil: it knows no other servers
-	Shares                                      *Shares        // nil: its part of the fleet's limits is by the settings
+	Fair                                        *fairqueue.Terms // nil: no fair queues
+	Tenancy                                     *tenancy.Table   // nil: tenants go by account
+	Plugins                                     *Plugins         // nil: there are none
+	Lasting                                     *Lasting         // nil: nothing outlives the process
+	Talk                                        *Talk            // nil: it knows no other servers
+	Shares                                      *Shares          // nil: its part of the fleet's limits is by the settings
 }
 
 const (
@@ -70,7 +70,7 @@
 	begun  chan struct{} // closed once the loop is known
 
 	server   *admission.Server // nil until the interpreter is up
-	ledger   *ledger.Ledger    // nil where no queues are fair
+	ledger   *fairqueue.Ledger // nil where no queues are fair
 	chance   *rand.Rand
 	clock    clock
 	now      admission.Tenths
@@ -135,7 +135,7 @@
 		for _, c := range a.place.Terms.Categories {
 			of.Contracts = append(of.Contracts, c.Contract)
 		}
-		a.ledger = ledger.New(of, a.chance, a.clock.now())
+		a.ledger = fairqueue.New(of, a.chance, a.clock.now())
 	default:
 		a.ledger.Change(*t, a.now)
 	}
--- a/internal/appserver/plugins.go
+++ b/internal/server/plugins.go
@@ -1,7 +1,7 @@
 // This file owns the link to the process of plug-ins: which work items are on their walk past them, what is asked and
 // what comes back, and which process is asked. It must never wait for a plug-in, believe a verdict that the walk did not
 // take, or let a work item stay aside longer than the walk allows.
-package appserver
+package server
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 
 	"thistlequay/admission"
-	"thistlequay/hooks"
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
+	"thistlequay/internal/plugin/chain"
 )
 
 const (
@@ -30,7 +30,7 @@
 // Plugins is a process that is ready and what its plug-ins may do, in its order.
 type Plugins struct {
 	Process *plugin.Process
-	Grants  []hooks.Grant
+	Grants  []chain.Grant
 	Drop    map[string]bool                                                  // plug-ins whose memory does not pass to this version
 	Begin   func(kept map[string]map[string][]byte) (*plugin.Process, error) // another such process; may take its time
 }
@@ -42,7 +42,7 @@
 	old     []*pluginHost
 	live    *pluginHost // that new walks are asked at
 	terms   *Plugins
-	chain   *hooks.Chain // of the terms, also while no process is there
+	chain   *chain.Chain // of the terms, also while no process is there
 	calls   map[uint64]*asking
 	next    uint64
 	kept    map[string]map[string][]byte
@@ -60,7 +60,7 @@
 	plugins *plugins
 	terms   *Plugins
 	process *plugin.Process
-	chain   *hooks.Chain
+	chain   *chain.Chain
 	carry   []byte
 	out     int  // calls that are out
 	held    int  // work items that began with it and are not over
@@ -73,13 +73,13 @@
 type asking struct {
 	it     *item
 	host   *pluginHost
-	walk   *hooks.Walk
-	at     hooks.Point
-	plugin *hooks.Plugin
+	walk   *chain.Walk
+	at     chain.Point
+	plugin *chain.Plugin
 	call   uint64
 	limit  alarm
 	within admission.Tenths
-	done   func(w *hooks.Walk)
+	done   func(w *chain.Walk)
 }
 
 func (p *plugins) start(a *App) {
@@ -100,11 +100,11 @@
 		return
 	}
 	fresh := func(name string) bool { return t.Drop[name] }
-	chain := hooks.NewChain(t.Grants, p.chain, fresh, p.app.chance, p.app.now)
+	pluginChain := chain.NewChain(t.Grants, p.chain, fresh, p.app.chance, p.app.now)
 	if p.live == nil { // nobody is asked meanwhile
-		p.chain = chain
+		p.chain = pluginChain
 	}
-	p.enrol(t, chain)
+	p.enrol(t, pluginChain)
 }
 
 // retire has no new work item begin with the live process.
@@ -122,8 +122,8 @@
 }
 
 // enrol has the loop speak with a process.
-func (p *plugins) enrol(t *Plugins, chain *hooks.Chain) {
-	h := &pluginHost{plugins: p, terms: t, chain: chain, process: t.Process}
+func (p *plugins) enrol(t *Plugins, pluginChain *chain.Chain) {
+	h := &pluginHost{plugins: p, terms: t, chain: pluginChain, process: t.Process}
 	h.wire = wire{app: p.app, most: mostOnLink}
 	go func() {
 		enrolled, err := p.app.thread.Enroll(gnet.NewContext(context.Background(), h), h.process.Conn)
@@ -160,7 +160,7 @@
 	p.app.log.Event("plugins_ready").Str("plugins", strings.Join(names, " ")).Int64("took_ms", h.process.Took.Milliseconds()).
 		Int("process", h.process.Command.Process.Pid).Send()
 	for _, one := range h.chain.Plugins {
-		if !one.At[hooks.Tick] {
+		if !one.At[chain.Tick] {
 			continue
 		}
 		tick := &alarm{}
@@ -170,9 +170,9 @@
 			}
 			h.plugins.app.set(tick, h.plugins.app.now+one.Every)
 			if w := h.chain.Tick(one, h.plugins.app.now); w != nil {
-				k := &asking{host: h, walk: w, at: hooks.Tick, done: func(*hooks.Walk) {}}
+				k := &asking{host: h, walk: w, at: chain.Tick, done: func(*chain.Walk) {}}
 				if !k.send(one, min(one.Call, one.Every)) {
-					w.Failed(hooks.Absent, 0, h.plugins.app.now)
+					w.Failed(chain.Absent, 0, h.plugins.app.now)
 				}
 			}
 		}
@@ -197,7 +197,7 @@
 			delete(p.calls, call)
 			h.out--
 			p.app.unset(&k.limit)
-			k.failed(hooks.Died, 0)
+			k.failed(chain.Died, 0)
 		}
 	}
 	if p.live == h || p.terms == h.terms && !h.retired {
@@ -277,38 +277,38 @@
 }
 
 // about makes what a walk needs to know.
-func (p *plugins) about(it *item) hooks.Item {
-	return hooks.Item{Category: it.category, Tenant: it.who, Left: max(0, min(it.until, p.app.stop)-p.app.now),
+func (p *plugins) about(it *item) chain.Item {
+	return chain.Item{Category: it.category, Tenant: it.who, Left: max(0, min(it.until, p.app.stop)-p.app.now),
 		Fixed: p.app.place.Terms.Categories[it.category].Effect != admission.Harmless}
 }
 
 // aside begins the walk of a work item that has been read; false where no plug-in sees it.
-func (p *plugins) aside(it *item, begin func(), done func(w *hooks.Walk)) bool {
+func (p *plugins) aside(it *item, begin func(), done func(w *chain.Walk)) bool {
 	about := p.about(it)
-	if !p.chain.Asked(hooks.Read, &about) {
+	if !p.chain.Asked(chain.Read, &about) {
 		return false
 	}
 	begin()
-	k := &asking{it: it, host: it.host, at: hooks.Read, done: done}
+	k := &asking{it: it, host: it.host, at: chain.Read, done: done}
 	if k.host == nil { // no process is there: the walk passes over all as their settings say
 		k.host = &pluginHost{plugins: p, chain: p.chain, ended: true}
 	}
-	k.walk = k.host.chain.Begin(hooks.Read, about, nil, p.app.now)
+	k.walk = k.host.chain.Begin(chain.Read, about, nil, p.app.now)
 	k.step()
 	return true
 }
 
 // review begins the walk of a result that is to be answered; false where no plug-in sees it.
-func (p *plugins) review(it *item, result []byte, done func(w *hooks.Walk)) bool {
+func (p *plugins) review(it *item, result []byte, done func(w *chain.Walk)) bool {
 	h := it.host
 	if h == nil || it.conn == nil && it.stamp == nil {
 		return false
 	}
 	about := p.about(it)
-	if !h.chain.Asked(hooks.Result, &about) {
+	if !h.chain.Asked(chain.Result, &about) {
 		return false
 	}
-	k := &asking{it: it, host: h, at: hooks.Result, done: done, walk: h.chain.Begin(hooks.Result, about, result, p.app.now)}
+	k := &asking{it: it, host: h, at: chain.Result, done: done, walk: h.chain.Begin(chain.Result, about, result, p.app.now)}
 	k.step()
 	return true
 }
@@ -326,12 +326,12 @@
 		if k.send(one, within) {
 			return
 		}
-		k.walk.Failed(hooks.Absent, 0, a.now)
+		k.walk.Failed(chain.Absent, 0, a.now)
 	}
 }
 
 // send asks one plug-in; false where that can't be.
-func (k *asking) send(one *hooks.Plugin, within admission.Tenths) bool {
+func (k *asking) send(one *chain.Plugin, within admission.Tenths) bool {
 	h := k.host
 	p := h.plugins
 	if h.ended || h.conn == nil || len(p.calls) >= mostAsked {
@@ -341,7 +341,7 @@
 	if it := k.it; it != nil {
 		about := k.walk.Item()
 		q.Left, q.Category, q.Tenant, q.Tag = uint32(about.Left/10), p.names[it.category], about.Tenant, it.tag
-		if q.Body = it.body; k.at == hooks.Result {
+		if q.Body = it.body; k.at == chain.Result {
 			q.Body = k.walk.Body
 		}
 		if k.walk.Tag != "" {
@@ -354,7 +354,7 @@
 	h.out++
 	k.limit.ring = func() {
 		k.away()
-		k.failed(hooks.Late, k.within)
+		k.failed(chain.Late, k.within)
 	}
 	p.app.set(&k.limit, p.app.now+within+onTheWay)
 	h.wire.out = plugin.Ask(h.buffer(), one.Place, int(k.at), k.call, int64(within), q.Append(p.room[:0]))
@@ -369,21 +369,21 @@
 	p.app.unset(&k.limit)
 }
 
-func (k *asking) failed(f hooks.Fault, took admission.Tenths) {
+func (k *asking) failed(f chain.Fault, took admission.Tenths) {
 	k.told(k.walk.Failed(f, took, k.host.plugins.app.now), f)
 	k.step()
 }
 
-func (k *asking) told(quarantined bool, f hooks.Fault) {
+func (k *asking) told(quarantined bool, f chain.Fault) {
 	if a := k.host.plugins.app; quarantined {
-		a.log.Event("plugin_quarantined").Str("name", k.plugin.Name).Str("fault", hooks.Words[f]).
+		a.log.Event("plugin_quarantined").Str("name", k.plugin.Name).Str("fault", chain.Words[f]).
 			Int64("wait_ms", int64((k.plugin.Until()-a.now)/10)).Send()
 	}
 }
 
 // how a call ended, as the process tells it, and what that is.
-var faults = map[byte]hooks.Fault{plugin.WasCut: hooks.Late, plugin.Broke: hooks.Trap, plugin.Unreadable: hooks.Nonsense,
-	plugin.NotAsked: hooks.Absent}
+var faults = map[byte]chain.Fault{plugin.WasCut: chain.Late, plugin.Broke: chain.Trap, plugin.Unreadable: chain.Nonsense,
+	plugin.NotAsked: chain.Absent}
 
 func (h *pluginHost) traffic(data []byte) error {
 	if len(h.carry) > 0 {
@@ -434,10 +434,10 @@
 	}
 	said, err := abi.ReadVerdict(bytes)
 	if err != nil {
-		k.failed(hooks.Nonsense, took)
+		k.failed(chain.Nonsense, took)
 		return
 	}
-	v := hooks.Verdict{Decline: said.Does&abi.Declines != 0, Status: said.Status, Category: -1, HasTag: said.Does&abi.Tags != 0,
+	v := chain.Verdict{Decline: said.Does&abi.Declines != 0, Status: said.Status, Category: -1, HasTag: said.Does&abi.Tags != 0,
 		Tag: said.Tag, Replace: said.Does&abi.Replaces != 0, Body: append([]byte(nil), said.Body...)}
 	if said.Does&abi.Categorises != 0 {
 		to, known := p.app.place.Terms.Named[said.Category]
@@ -491,7 +491,7 @@
 		for _, n := range one.Faults {
 			bad += n
 		}
-		if one.State != hooks.Live {
+		if one.State != chain.Live {
 			off++
 		}
 	}
--- a/internal/appserver/routers.go
+++ b/internal/server/routers.go
@@ -1,7 +1,7 @@
 // This file owns the connections that routers open, and others with them: what is open on them, health checks, the
 // time that a request may take to come whole, their closing when idle, and whose place goes where there are too
 // many. It must never close one under a whole request, nor act on what a work item is about.
-package appserver
+package server
 
 import (
 	"container/list"
--- a/internal/appserver/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -1,4 +1,4 @@
-package appserver
+package server
 
 import (
 	"bytes"
--- a/internal/appserver/shares.go
+++ b/internal/server/shares.go
@@ -1,7 +1,7 @@
 // This file owns the seam to the shares of the fleet: before each decision the module is told how many calls this server may have
 // in hand at this moment, and what was used is asked for again. It must never make or allow a call beyond what is usable, nor
 // wait for the worker.
-package appserver
+package server
 
 import (
 	"sync"
@@ -10,24 +10,24 @@
 	"github.com/rs/zerolog"
 
 	"thistlequay/admission"
-	"thistlequay/internal/sharing"
-	"thistlequay/shares"
+	"thistlequay/internal/quota"
+	"thistlequay/internal/quota/service"
 )
 
 // Shares are what this server holds of the fleet's limits: calls in hand, and calls a second where that is limited.
 type Shares struct {
-	Sharing *sharing.Sharing
-	Holders []*shares.Holder
+	Sharing *service.Sharing
+	Holders []*quota.Holder
 	lock    sync.Mutex
-	answers []shares.Answers
+	answers []quota.Answers
 	wake    func()
-	here    atomic.Pointer[[]sharing.Here]
+	here    atomic.Pointer[[]service.Here]
 }
 
 const mostAnswers = 16 // that wait for the loop
 
 // Answered is called by the worker; it hands over and does not wait.
-func (s *Shares) Answered(a shares.Answers) {
+func (s *Shares) Answered(a quota.Answers) {
 	s.lock.Lock()
 	if len(s.answers) < mostAnswers {
 		s.answers = append(s.answers, a)
@@ -40,7 +40,7 @@
 }
 
 // Here is what the loop last knew.
-func (s *Shares) Here() []sharing.Here {
+func (s *Shares) Here() []service.Here {
 	if h := s.here.Load(); h != nil {
 		return *h
 	}
@@ -50,15 +50,15 @@
 // holding is the loop's side.
 type holding struct {
 	app   *App
-	of    *Shares       // nil: the server's part is by the settings
-	last  shares.Amount // that the module was told, -1 where it must be told again
-	told  shares.Amount // and the log
+	of    *Shares      // nil: the server's part is by the settings
+	last  quota.Amount // that the module was told, -1 where it must be told again
+	told  quota.Amount // and the log
 	beat  alarm
 	over  alarm
 	pace  alarm
-	at    shares.Moment // of the last look
-	ends  shares.Moment // of the grant that the alarm is set for
-	calls int           // that were given up as their grant was over
+	at    quota.Moment // of the last look
+	ends  quota.Moment // of the grant that the alarm is set for
+	calls int          // that were given up as their grant was over
 }
 
 const holdingLooks = 8 // in the length of a grant, at least
@@ -80,7 +80,7 @@
 	h.beat.ring()
 }
 
-func (h *holding) tenths(t shares.Moment) admission.Tenths { return admission.Tenths(max(1, t) * 10) }
+func (h *holding) tenths(t quota.Moment) admission.Tenths { return admission.Tenths(max(1, t) * 10) }
 
 // settle takes up what was granted, tells the module, and asks where that is due.
 func (h *holding) settle() {
@@ -102,29 +102,29 @@
 	h.at = now
 	calls := h.of.Holders[0]
 	usable := calls.Usable(now)
-	for now >= calls.Ends() && h.app.index.out > int(usable/shares.Unit) && h.app.index.giveBack() { // the grant is over
+	for now >= calls.Ends() && h.app.index.out > int(usable/quota.Unit) && h.app.index.giveBack() { // the grant is over
 		h.calls++
 	}
 	if h.app.server != nil {
 		if usable != h.last {
 			h.last = usable
-			h.app.server.CallShare(float64(usable) / float64(shares.Unit))
+			h.app.server.CallShare(float64(usable) / float64(quota.Unit))
 		}
 		if usable != h.told {
 			h.told = usable
-			h.app.log.Event("share").Str("limit", "calls").Float64("usable", float64(usable)/float64(shares.Unit)).Int64("ends_ms", max(0, int64(calls.Ends()-now))).Send()
+			h.app.log.Event("share").Str("limit", "calls").Float64("usable", float64(usable)/float64(quota.Unit)).Int64("ends_ms", max(0, int64(calls.Ends()-now))).Send()
 		}
 	}
-	var asking shares.Asking
+	var asking quota.Asking
 	for _, one := range h.of.Holders {
 		if r, due := one.Ask(now); due {
 			asking.Of = append(asking.Of, r)
 		}
 	}
 	if len(asking.Of) == len(h.of.Holders) {
-		here := make([]sharing.Here, 0, len(h.of.Holders))
+		here := make([]service.Here, 0, len(h.of.Holders))
 		for _, one := range h.of.Holders {
-			here = append(here, sharing.Here{Usable: one.Usable(now), Ends: one.Ends()})
+			here = append(here, service.Here{Usable: one.Usable(now), Ends: one.Ends()})
 		}
 		h.of.here.Store(&here)
 		h.of.Sharing.Ask(asking)
@@ -144,16 +144,16 @@
 	now := h.of.Sharing.Now()
 	if h.app.server != nil {
 		in, stands := h.app.server.Calls()
-		h.of.Holders[0].Uses(shares.Amount(in)*shares.Unit, shares.Amount(stands)*shares.Unit, now)
+		h.of.Holders[0].Uses(quota.Amount(in)*quota.Unit, quota.Amount(stands)*quota.Unit, now)
 	}
 	if now-h.at < pauseLeast {
 		return
 	}
-	for usable := int(h.of.Holders[0].Usable(now) / shares.Unit); h.app.index.out > usable && h.app.index.withdraw(); h.calls++ {
+	for usable := int(h.of.Holders[0].Usable(now) / quota.Unit); h.app.index.out > usable && h.app.index.withdraw(); h.calls++ {
 	}
 }
 
-const pauseLeast shares.Moment = 5 // milliseconds from a decision to its being carried out that call for another look
+const pauseLeast quota.Moment = 5 // milliseconds from a decision to its being carried out that call for another look
 
 // may says whether a call may go out at this moment by the limit of calls a second; where it may not, the next look is set.
 func (h *holding) may() bool {
@@ -164,7 +164,7 @@
 	if rate.Take(now) {
 		return true
 	}
-	h.app.set(&h.pace, h.app.now+h.tenths(shares.Moment(int64(shares.Unit)*1000/max(1, int64(rate.Usable(now))))))
+	h.app.set(&h.pace, h.app.now+h.tenths(quota.Moment(int64(quota.Unit)*1000/max(1, int64(rate.Usable(now))))))
 	return false
 }
 
@@ -172,5 +172,5 @@
 	if h.of == nil {
 		return
 	}
-	e.Float64("share_calls", float64(h.last)/float64(shares.Unit)).Int("share_given_up", h.calls)
+	e.Float64("share_calls", float64(h.last)/float64(quota.Unit)).Int("share_given_up", h.calls)
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"bytes"
--- a/internal/simwire/simwire.go
+++ b/internal/simadapter/simwire.go
@@ -1,6 +1,6 @@
 // Package simwire speaks the simulator's wire: it decodes batches into calls on admission.Server and work
 // items, and encodes what the servers answer. It decides nothing.
-package simwire
+package simadapter
 
 import (
 	"bufio"
--- a/internal/rehearsal/fair_test.go
+++ b/internal/simulation/fair_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/admission"
-	"thistlequay/internal/standin"
-	"thistlequay/ledger"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/fairqueue"
 )
 
-func stream(tenant string, share, rate, gain float64) *standin.Stream {
-	return &standin.Stream{Tenant: tenant, Share: share, Rate: rate, To: length(), Work: 0.04, Gain: gain, Callers: 50}
+func stream(tenant string, share, rate, gain float64) *emulator.Stream {
+	return &emulator.Stream{Tenant: tenant, Share: share, Rate: rate, To: length(), Work: 0.04, Gain: gain, Callers: 50}
 }
 
 // length of a day: short in CI, and as long as a real peak where the measurement is asked for in full.
@@ -26,7 +26,7 @@
 }
 
 // day has four cores, which do a hundred work items a second, and one category.
-func day(fair bool, streams ...*standin.Stream) Day {
+func day(fair bool, streams ...*emulator.Stream) Day {
 	d := Day{Seed: 7, Length: length(), Cores: 4, Drag: 0.02, Memory: 80_000, MaxAway: 300_000, Streams: streams,
 		Categories: []admission.Category{{Gain: 1, Contract: 20_000, Expiry: 50_000, LateShare: 0.2}}}
 	if fair {
@@ -35,18 +35,18 @@
 	return d
 }
 
-func terms(streams []*standin.Stream) *ledger.Terms {
-	t := &ledger.Terms{Others: 0.1, Newcomers: 0.25, Books: 128, Groups: 64, Burst: 2_000, History: 50_000,
-		Reshuffle: 300_000, Cores: 4, Contracts: []ledger.Tenths{20_000}}
+func terms(streams []*emulator.Stream) *fairqueue.Terms {
+	t := &fairqueue.Terms{Others: 0.1, Newcomers: 0.25, Books: 128, Groups: 64, Burst: 2_000, History: 50_000,
+		Reshuffle: 300_000, Cores: 4, Contracts: []fairqueue.Tenths{20_000}}
 	for _, s := range streams {
 		if s.Name == nil && s.Share > 0 {
-			t.Tenants = append(t.Tenants, ledger.Tenant{Name: s.Tenant, Share: s.Share})
+			t.Tenants = append(t.Tenants, fairqueue.Tenant{Name: s.Tenant, Share: s.Share})
 		}
 	}
 	return t
 }
 
-func of(o Outcome, tenant string) *standin.Account {
+func of(o Outcome, tenant string) *emulator.Account {
 	for _, a := range o.Accounts {
 		if a.Tenant == tenant {
 			return a
@@ -59,15 +59,15 @@
 	for _, a := range o.Accounts {
 		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, a)
 	}
-	sum := standin.Total(o.Accounts)
+	sum := emulator.Total(o.Accounts)
 	t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, &sum)
 	require.Zero(t, o.Silent, "work items without an answer")
 	require.Zero(t, o.LateAsks, "answers after the expiry")
 }
 
 // three ask for less than their parts, the fourth for ten times its own.
-func greedy() []*standin.Stream {
-	return []*standin.Stream{stream("kirken", 0.31, 20, 1), stream("byen", 0.29, 18, 1), stream("fjord", 0.23, 14, 1),
+func greedy() []*emulator.Stream {
+	return []*emulator.Stream{stream("kirken", 0.31, 20, 1), stream("byen", 0.29, 18, 1), stream("fjord", 0.23, 14, 1),
 		stream("greedy", 0.17, 170, 1)}
 }
 
@@ -79,21 +79,21 @@
 		require.GreaterOrEqual(t, of(on, name).Part(), 0.95, name)
 		require.Less(t, of(off, name).Part(), 0.95, "without fair queues %s does not need them", name)
 	}
-	before, after := standin.Total(off.Accounts), standin.Total(on.Accounts)
+	before, after := emulator.Total(off.Accounts), emulator.Total(on.Accounts)
 	require.GreaterOrEqual(t, after.Gain, 0.97*before.Gain)
 }
 
 // Ten thousand names that were never seen before come in a minute while four known tenants work.
 func TestMeasuredFairQueuesFlood(t *testing.T) {
-	flood := func() []*standin.Stream {
-		s := &standin.Stream{Tenant: "flood", Share: 0.1, Rate: 10_000.0 / 60, To: length(), Work: 0.04, Gain: 1,
+	flood := func() []*emulator.Stream {
+		s := &emulator.Stream{Tenant: "flood", Share: 0.1, Rate: 10_000.0 / 60, To: length(), Work: 0.04, Gain: 1,
 			Name: func(n int) string { return fmt.Sprint("new-", n) }}
-		return []*standin.Stream{stream("kirken", 0.27, 20, 1), stream("byen", 0.25, 18, 1), stream("fjord", 0.2, 14, 1),
+		return []*emulator.Stream{stream("kirken", 0.27, 20, 1), stream("byen", 0.25, 18, 1), stream("fjord", 0.2, 14, 1),
 			stream("lag", 0.18, 12, 1), s}
 	}
 	d := day(true, flood()...)
-	var books []ledger.Figures
-	d.OnSecond = func(_ int, l *ledger.Ledger) { books = append(books, l.Figures()) }
+	var books []fairqueue.Figures
+	d.OnSecond = func(_ int, l *fairqueue.Ledger) { books = append(books, l.Figures()) }
 	off, on := Play(day(false, flood()...)), Play(d)
 	report(t, "flood", "off", off)
 	report(t, "flood", "on", on)
@@ -142,17 +142,17 @@
 	many := stream("many", 0.5, 160, 1)
 	many.Callers = 1000
 	for name, c := range map[string]struct {
-		streams []*standin.Stream
+		streams []*emulator.Stream
 		least   map[string]float64
 	}{
-		"dear": {[]*standin.Stream{stream("kirken", 0.31, 20, 1), stream("byen", 0.29, 18, 1), dear},
+		"dear": {[]*emulator.Stream{stream("kirken", 0.31, 20, 1), stream("byen", 0.29, 18, 1), dear},
 			map[string]float64{"kirken": 0.95, "byen": 0.95}},
-		"names": {[]*standin.Stream{stream("kirken", 0.45, 35, 1), stream("byen", 0.45, 35, 1), names},
+		"names": {[]*emulator.Stream{stream("kirken", 0.45, 35, 1), stream("byen", 0.45, 35, 1), names},
 			map[string]float64{"kirken": 0.95, "byen": 0.95, "names": 0.8}},
-		"all-heavy": {[]*standin.Stream{stream("a", 0.4, 100, 1), stream("b", 0.3, 100, 1), stream("c", 0.2, 100, 1), stream("d", 0.1, 100, 1)},
+		"all-heavy": {[]*emulator.Stream{stream("a", 0.4, 100, 1), stream("b", 0.3, 100, 1), stream("c", 0.2, 100, 1), stream("d", 0.1, 100, 1)},
 			map[string]float64{"a": 0.9, "b": 0.9, "c": 0.9, "d": 0.9}},
-		"alone":        {[]*standin.Stream{stream("alone", 0.1, 200, 1)}, map[string]float64{"alone": 0.9}},
-		"one-and-many": {[]*standin.Stream{one, many}, map[string]float64{"one": 0.9, "many": 0.9}},
+		"alone":        {[]*emulator.Stream{stream("alone", 0.1, 200, 1)}, map[string]float64{"alone": 0.9}},
+		"one-and-many": {[]*emulator.Stream{one, many}, map[string]float64{"one": 0.9, "many": 0.9}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := Play(day(true, c.streams...))
@@ -170,13 +170,13 @@
 	d := day(true, greedy()...)
 	d.Cold = 100_000
 	before, after := *d.Fair, *d.Fair
-	after.Tenants = []ledger.Tenant{{Name: "byen", Share: 0.3}, {Name: "fjord", Share: 0.2}, {Name: "greedy", Share: 0.3}}
-	d.Change = func(at float64, l *ledger.Ledger) {
+	after.Tenants = []fairqueue.Tenant{{Name: "byen", Share: 0.3}, {Name: "fjord", Share: 0.2}, {Name: "greedy", Share: 0.3}}
+	d.Change = func(at float64, l *fairqueue.Ledger) {
 		switch at {
 		case 15:
-			l.Change(after, ledger.Tenths(at*perSecond)) // kirken is one of the others now
+			l.Change(after, fairqueue.Tenths(at*perSecond)) // kirken is one of the others now
 		case 25:
-			l.Change(before, ledger.Tenths(at*perSecond))
+			l.Change(before, fairqueue.Tenths(at*perSecond))
 		}
 	}
 	d.LeaveAt = 35
--- a/internal/rehearsal/life_test.go
+++ b/internal/simulation/life_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"math/rand"
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/internal/standin"
-	"thistlequay/ledger"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/fairqueue"
 )
 
 // Forty-five minutes in which every work item comes by a caller that was never seen and every third by a new tenant: what is
@@ -21,18 +21,18 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc) / 1024
 	}
-	var streams []*standin.Stream
+	var streams []*emulator.Stream
 	for i := range 3 { // a stream a third
 		from := length / 3 * float64(i)
-		streams = append(streams, &standin.Stream{Tenant: []string{"first", "second", "last"}[i], Share: 1, Rate: 90, From: from,
+		streams = append(streams, &emulator.Stream{Tenant: []string{"first", "second", "last"}[i], Share: 1, Rate: 90, From: from,
 			To: from + length/3, Work: 0.04, Gain: 1})
 	}
 	d := day(true, streams...)
 	d.Length, d.Strangers = length, true
 	chance := rand.New(rand.NewSource(3))
 	var held []float64
-	d.OnSecond = func(second int, l *ledger.Ledger) {
-		now := ledger.Tenths(second) * perSecond
+	d.OnSecond = func(second int, l *fairqueue.Ledger) {
+		now := fairqueue.Tenths(second) * perSecond
 		claim := l.Open([]byte{byte(chance.Intn(256)), byte(chance.Intn(256)), byte(chance.Intn(256))}, 0, 0, now)
 		claim.Close(now)
 		if second%675 == 300 {
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/simulation/rehearsal.go
@@ -1,15 +1,15 @@
 // Package rehearsal plays a day of load against the decisions alone, in time that passes as fast as it can: the
 // admission module, the ledger and stand-in cores, no socket, no clock, one seed. The same day plays the same way each
 // time. It carries out what the module says, as the app server does, and must never decide anything itself.
-package rehearsal
+package simulation
 
 import (
 	"math"
 	"math/rand"
 
 	"thistlequay/admission"
-	"thistlequay/internal/standin"
-	"thistlequay/ledger"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/fairqueue"
 )
 
 // Day is what is played.
@@ -20,14 +20,14 @@
 	Drag       float64
 	Memory     float64 // kilobytes
 	Categories []admission.Category
-	Streams    []*standin.Stream
+	Streams    []*emulator.Stream
 	MaxAway    admission.Tenths
 	Cold       admission.Tenths // it is cold for so long
-	Fair       *ledger.Terms    // nil: no turns
+	Fair       *fairqueue.Terms // nil: no turns
 	LeaveAt    float64          // 0: never
 	Strangers  bool             // each work item comes by a caller that was never seen
-	Change     func(at float64, l *ledger.Ledger)
-	OnSecond   func(second int, l *ledger.Ledger)
+	Change     func(at float64, l *fairqueue.Ledger)
+	OnSecond   func(second int, l *fairqueue.Ledger)
 }
 
 // Told is a return time as it was told.
@@ -39,7 +39,7 @@
 
 // Outcome is what came of it.
 type Outcome struct {
-	Accounts []*standin.Account
+	Accounts []*emulator.Account
 	Told     []Told
 	Work     float64 // core seconds done
 	Silent   int     // work items without an answer at the end
@@ -47,10 +47,10 @@
 }
 
 type item struct {
-	ask     *standin.Ask
+	ask     *emulator.Ask
 	handle  *admission.WorkItem
-	claim   ledger.Claim
-	job     *standin.Job
+	claim   fairqueue.Claim
+	job     *emulator.Job
 	answer  bool
 	expires float64
 }
@@ -58,12 +58,12 @@
 type stage struct {
 	day     Day
 	server  *admission.Server
-	ledger  *ledger.Ledger
-	cores   *standin.Cores
-	load    *standin.Load
-	books   *standin.Accounts
+	ledger  *fairqueue.Ledger
+	cores   *emulator.Cores
+	load    *emulator.Load
+	books   *emulator.Accounts
 	items   map[uint64]*item
-	jobs    map[*standin.Job]*item
+	jobs    map[*emulator.Job]*item
 	next    uint64
 	now     float64
 	wake    float64
@@ -77,10 +77,10 @@
 
 // Play plays a day.
 func Play(d Day) Outcome {
-	s := &stage{day: d, cores: &standin.Cores{N: float64(d.Cores), Drag: d.Drag}, load: standin.NewLoad(d.Seed, d.Streams),
-		books: standin.NewAccounts(d.Streams), items: map[uint64]*item{}, jobs: map[*standin.Job]*item{}, wake: math.Inf(1)}
+	s := &stage{day: d, cores: &emulator.Cores{N: float64(d.Cores), Drag: d.Drag}, load: emulator.NewLoad(d.Seed, d.Streams),
+		books: emulator.NewAccounts(d.Streams), items: map[uint64]*item{}, jobs: map[*emulator.Job]*item{}, wake: math.Inf(1)}
 	if d.Fair != nil {
-		s.ledger = ledger.New(*d.Fair, rand.New(rand.NewSource(d.Seed)), 0)
+		s.ledger = fairqueue.New(*d.Fair, rand.New(rand.NewSource(d.Seed)), 0)
 	}
 	s.server = admission.New(admission.Deployment{Categories: d.Categories, Callers: 4, Cores: d.Cores, Memory: d.Memory,
 		RunFactor: 4, EntryKb: 1, Period: 10, Grace: 20000, Crowd: 8, MaxAway: d.MaxAway, Stops: true,
@@ -136,7 +136,7 @@
 	return s.out
 }
 
-func (s *stage) take(a *standin.Ask) {
+func (s *stage) take(a *emulator.Ask) {
 	s.books.Asked(a)
 	s.next++
 	it := &item{ask: a, expires: s.now + float64(s.day.Categories[a.Stream.Category].Expiry)/perSecond}
@@ -153,7 +153,7 @@
 	it.handle = s.server.Take(arrival)
 }
 
-func (s *stage) ended(j *standin.Job) {
+func (s *stage) ended(j *emulator.Job) {
 	it := s.jobs[j]
 	delete(s.jobs, j)
 	a := it.ask
--- a/subsets/subsets.go
+++ b/internal/subsetting/subsets.go
@@ -7,7 +7,7 @@
 // Each tenant ranks all servers by a hash of its own (rendezvous hashing: Thaler and Ravishankar, 1998) and takes the first ones that
 // have room; a server has room for a little more than its part (bounded loads: Mirrokni, Thorup and Zadimoghaddam, 2018). Those
 // that asked first, in the order of a hash, stay where they are; a zone gives a tenant no more than its part and one.
-package subsets
+package subsetting
 
 import (
 	"cmp"
--- a/subsets/subsets_test.go
+++ b/internal/subsetting/subsets_test.go
@@ -1,4 +1,4 @@
-package subsets
+package subsetting
 
 import (
 	"fmt"
--- a/guest/guest.go
+++ b/pluginsdk/guest.go
@@ -4,8 +4,8 @@
 //
 //	GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -ldflags="-s -w" -o rule.wasm .
 //
-// and set what it does in init: OnRead, OnResult, OnTick. docs/plugins/authors.md leads from nothing to a loaded plug-in.
-package guest
+// and set what it does in init: OnRead, OnResult, OnTick. docs/plugin/authors.md leads from nothing to a loaded plug-in.
+package pluginsdk
 
 import (
 	"unsafe"
