--- a/admission/admission.go
+++ b/admission/admission.go
@@ -9,6 +9,8 @@
 	"maps"
 	"math"
 	"slices"
+
+	"thistlequay/timeunit"
 )
 
 const (
@@ -46,7 +48,7 @@
 // category is what decisions need of one kind of work item.
 type category struct {
 	gain, lateShare, poorer  float64 // poorer: share of the gain left without the calls
-	contract, expiry, window Tenths
+	contract, expiry, window timeunit.Ticks
 	effect                   Effect
 	place                    int
 	runs, quiet              spread // times of all runs, broken off ones too; of those that met no crowd
@@ -69,23 +71,23 @@
 	s                     *Server
 	category              *category
 	state                 state
-	arrived               Tenths  // on the machine, not when read
-	contract, due         Tenths  // the end of its contract time; it must have its answer by then
-	moment                Tenths  // when to look at it next
-	place                 int     // in the heap of moments, -1 outside
-	began, notYet         Tenths  // its run; a call is not made again before this
-	kb, turn              float64 // it waits while others wait whose turn has come
-	behind                Tenths  // how long that will take, as was told when it came
-	order                 uint64  // in which they were taken
-	within, reads, wanted bool    // its turn has come; others may share its result for a while; others do
-	stamped               Tenths  // until when it owns an entry in the table of stamps, 0 where it does not
-	quiet, answered, gone bool    // the cores were quiet when its run began; it has its answer; its caller left
+	arrived               timeunit.Ticks // on the machine, not when read
+	contract, due         timeunit.Ticks // the end of its contract time; it must have its answer by then
+	moment                timeunit.Ticks // when to look at it next
+	place                 int            // in the heap of moments, -1 outside
+	began, notYet         timeunit.Ticks // its run; a call is not made again before this
+	kb, turn              float64        // it waits while others wait whose turn has come
+	behind                timeunit.Ticks // how long that will take, as was told when it came
+	order                 uint64         // in which they were taken
+	within, reads, wanted bool           // its turn has come; others may share its result for a while; others do
+	stamped               timeunit.Ticks // until when it owns an entry in the table of stamps, 0 where it does not
+	quiet, answered, gone bool           // the cores were quiet when its run began; it has its answer; its caller left
 }
 
 // Server decides for one app server.
 type Server struct {
 	host       Host
-	now        Tenths
+	now        timeunit.Ticks
 	categories []*category
 	pool       pool
 	calls      calls
@@ -101,12 +103,12 @@
 
 	entries, entriesMost, sharing int // in the table of stamps; that wait for a result or take it
 	stops, leaving                bool
-	warmAt, coldFor, look, wakes  Tenths
-	margin, graceEnd, stop, fresh Tenths // that answers are early; the grace before the notice; of reads
+	warmAt, coldFor, look, wakes  timeunit.Ticks
+	margin, graceEnd, stop, fresh timeunit.Ticks // that answers are early; the grace before the notice; of reads
 }
 
 // New makes the Server of one app server that starts now.
-func New(d Deployment, host Host, now Tenths) *Server {
+func New(d Deployment, host Host, now timeunit.Ticks) *Server {
 	s := &Server{host: host, now: now, memoryMost: d.Memory, entryKb: d.EntryKb, runFactor: d.RunFactor,
 		crowdMost: d.Crowd, coldFrom: 1, stops: d.Stops, fresh: d.Fresh, margin: 2*d.Period + 1, stop: forever,
 		servers: max(1, d.Servers), graceEnd: d.Grace - 2*d.Period, wakes: forever,
@@ -114,7 +116,7 @@
 	if d.Cold {
 		s.coldFrom, s.coldFor, s.warmAt = d.ColdFrom, d.ColdFor, now+d.ColdFor
 	}
-	shortest, longest := Tenths(forever), Tenths(1)
+	shortest, longest := timeunit.Ticks(forever), timeunit.Ticks(1)
 	s.hold = newHold(len(d.Categories))
 	for i, c := range d.Categories {
 		shortest, longest = min(shortest, c.Contract), max(longest, c.Expiry)
@@ -122,7 +124,7 @@
 			contract: c.Contract, expiry: c.Expiry, window: c.Window, effect: c.Effect, place: i,
 			runs: spreadOver(c.Contract), quiet: spreadOver(c.Contract)})
 	}
-	s.look = max(1, Tenths(float64(shortest)*lookPart))
+	s.look = max(1, timeunit.Ticks(float64(shortest)*lookPart))
 	cores, many := float64(d.Cores), float64(max(1, d.Callers))
 	s.pool = pool{size: cores, cores: cores, step: max(1, aggression*many), trip: firstTrip,
 		contract: float64(shortest)}
@@ -132,12 +134,12 @@
 	s.callers = callers{tongue: d.Tongue, marked: d.Marked, said: -1, maxAway: d.MaxAway, pace: 1,
 		wishFrom: wishPart / float64(max(1, d.Servers)), known: map[int]caller{}}
 	s.teach(d.Learnt, cores*d.Crowd)
-	host.CloseIdle(Tenths(math.Ceil(math.Pow(min(1, linked*cores/many), 2) * float64(d.IdleMost))))
+	host.CloseIdle(timeunit.Ticks(math.Ceil(math.Pow(min(1, linked*cores/many), 2) * float64(d.IdleMost))))
 	host.Health(true, true)
 	return s
 }
 
-func (s *Server) At(now Tenths) { s.now = max(s.now, now) }
+func (s *Server) At(now timeunit.Ticks) { s.now = max(s.now, now) }
 
 // Fleet has it reckon with so many servers: for its part of the calls below, and when declines speak for all.
 func (s *Server) Fleet(servers int) {
@@ -163,7 +165,7 @@
 	}
 	w.due = min(w.due, s.stop) - s.margin
 	if waits := float64(a.Left+a.Unread) / float64(c.expiry); s.callers.later(a, waits) {
-		w.contract -= Tenths((1 - min(1, waits)) * float64(c.expiry)) // it began with the first try
+		w.contract -= timeunit.Ticks((1 - min(1, waits)) * float64(c.expiry)) // it began with the first try
 	}
 	toward(&s.pool.unread, float64(a.Unread), smoothing)
 	s.memory += w.kb
@@ -207,7 +209,7 @@
 }
 
 // CallEnded: the call made for the work item ended. It is made again where that does no harm.
-func (w *WorkItem) CallEnded(how Outcome, took Tenths) {
+func (w *WorkItem) CallEnded(how Outcome, took timeunit.Ticks) {
 	s := w.s
 	if w.state != calling {
 		return
@@ -232,7 +234,7 @@
 }
 
 // RunEnded: the run, or the answer shared, is over.
-func (w *WorkItem) RunEnded(how Outcome, took Tenths) {
+func (w *WorkItem) RunEnded(how Outcome, took timeunit.Ticks) {
 	s := w.s
 	if w.state == over || w.state == held {
 		return
@@ -288,7 +290,7 @@
 }
 
 // Leave is the notice that the process will be stopped after the time given.
-func (s *Server) Leave(in Tenths) {
+func (s *Server) Leave(in timeunit.Ticks) {
 	if s.leaving {
 		return
 	}
@@ -337,7 +339,7 @@
 	clear(s.hold.fresh)
 	s.hold.fresh = s.hold.fresh[:0]
 	s.tell()
-	next := Tenths(forever)
+	next := timeunit.Ticks(forever)
 	if len(s.moments) > 0 {
 		next = max(s.now+1, s.moments[0].moment)
 	}
@@ -352,7 +354,7 @@
 
 // worthUntil is the last moment at which an answer earns something. Beyond its tenant's part that is the
 // contract time: the line there goes by turns, not by value, and would fill with late ones.
-func (w *WorkItem) worthUntil() Tenths {
+func (w *WorkItem) worthUntil() timeunit.Ticks {
 	if w.category.lateShare > 0 && (w.within || w.state != held) {
 		return w.due
 	}
@@ -449,7 +451,7 @@
 	for _, w := range s.stood {
 		switch {
 		case w.state != standing || w.answered || w.gone:
-		case s.now+Tenths(s.calls.lately*math.Ln2) > w.worthUntil() && s.calls.in > 0 || w.poorerInTime(len(wait)):
+		case s.now+timeunit.Ticks(s.calls.lately*math.Ln2) > w.worthUntil() && s.calls.in > 0 || w.poorerInTime(len(wait)):
 			// The check of the budget at a call. One call is always let through, to learn of a recovery.
 			s.without(w)
 		case w.notYet > s.now || s.crowdFull():
@@ -463,7 +465,7 @@
 			until := min(w.worthUntil(), room)
 			w.state, c.in = calling, c.in+1
 			if w.category.effect == Harmless && c.quick.n >= few { // its reply may be lost: it is called again
-				until = min(until, s.now+Tenths(lostCall*max(c.lately, float64(c.quick.at(0.9)))))
+				until = min(until, s.now+timeunit.Ticks(lostCall*max(c.lately, float64(c.quick.at(0.9)))))
 			}
 			s.host.Call(w, until)
 		}
@@ -487,7 +489,7 @@
 	return w.category.poorer > w.category.lateShare && float64(w.contract-w.s.now) < takes && !w.s.crowdFull()
 }
 
-func (s *Server) watch(w *WorkItem, at Tenths) {
+func (s *Server) watch(w *WorkItem, at timeunit.Ticks) {
 	if w.place >= 0 {
 		heap.Remove(&s.moments, w.place)
 	}
@@ -496,7 +498,7 @@
 }
 
 // decline answers a work item that never ran here.
-func (s *Server) decline(w *WorkItem, away Tenths, nowhereElse bool) {
+func (s *Server) decline(w *WorkItem, away timeunit.Ticks, nowhereElse bool) {
 	w.answered = true
 	toward(&s.callers.turned, 1, smoothing/few)
 	s.host.Decline(w, min(away, s.callers.maxAway), nowhereElse || s.callers.declinedAnywhere())
@@ -541,7 +543,7 @@
 }
 
 // keep has the host tell, up to this moment, which work items repeat it.
-func (w *WorkItem) keep(until Tenths) {
+func (w *WorkItem) keep(until timeunit.Ticks) {
 	s := w.s
 	if w.stamped == 0 {
 		s.memory, s.entries = s.memory+s.entryKb, s.entries+1
@@ -579,8 +581,8 @@
 // pool is how many work items may be between their start and their end, found by experiment.
 type pool struct {
 	size, step, cores   float64
-	in, atCalls         int    // begun and not over; of these off the cores at a call
-	counts, end, relief Tenths // of the window; when it may give way to a crowd again
+	in, atCalls         int            // begun and not over; of these off the cores at a call
+	counts, end, relief timeunit.Ticks // of the window; when it may give way to a crowd again
 	cur, before         window
 	full                bool    // it bound a start in this window
 	trip, onCores       float64 // mean time to an answer, and what wants a core, of late
@@ -590,7 +592,7 @@
 type window struct{ in, out, drops float64 } // what one experiment counted
 
 // experiment moves the pool, in equal steps, by what the last window brought.
-func (p *pool) experiment(now Tenths) {
+func (p *pool) experiment(now timeunit.Ticks) {
 	if p.counts > 0 && now >= p.counts {
 		p.cur, p.counts = window{}, 0 // the first round trip is skipped
 	}
@@ -611,11 +613,11 @@
 		}
 	}
 	p.before, p.cur, p.full = cur, window{}, false
-	p.counts, p.end = now+Tenths(p.trip), now+Tenths(trips*p.trip)
+	p.counts, p.end = now+timeunit.Ticks(p.trip), now+timeunit.Ticks(trips*p.trip)
 }
 
 // gauged moves the pool where no experiment is needed to know the answer.
-func (p *pool) gauged(g Gauges, now Tenths, waiting int) {
+func (p *pool) gauged(g Gauges, now timeunit.Ticks, waiting int) {
 	toward(&p.onCores, g.OnCores, smoothing)
 	idle := p.cores - g.OnCores // while they read idle and work waits, more can run
 	if p.in >= p.room() && waiting > 0 && idle >= 1 && g.CoreUse < idleCores {
@@ -625,7 +627,7 @@
 	// windows see (slow cores, storms of reading); harms where the gauge counts what does not compete.
 	if over := p.onCores - crowded*p.cores; over > 0 && now >= p.relief {
 		p.size = max(p.cores, min(p.size, float64(p.in))-math.Ceil(over))
-		p.relief = now + Tenths(p.trip)
+		p.relief = now + timeunit.Ticks(p.trip)
 	}
 }
 
@@ -646,18 +648,18 @@
 	shared           bool
 	in               int
 	most, left, span float64 // in hand in the mean; what is left of that; the span of the mean
-	at, linger       Tenths
-	lingering        []Tenths // ends of calls given up
-	quick            spread   // times of calls while they were not slow
-	lately, servers  float64  // time of calls; of the fleet
-	spread, turn     float64  // when its turns come, as part of all; the length of all while calls are quick
-	part, partOf     float64  // of the time are its turns, worked out for so many allowed and servers
-	warm             int      // few/2 or more after a call that went well; four in a row outlast a bad one
+	at, linger       timeunit.Ticks
+	lingering        []timeunit.Ticks // ends of calls given up
+	quick            spread           // times of calls while they were not slow
+	lately, servers  float64          // time of calls; of the fleet
+	spread, turn     float64          // when its turns come, as part of all; the length of all while calls are quick
+	part, partOf     float64          // of the time are its turns, worked out for so many allowed and servers
+	warm             int              // few/2 or more after a call that went well; four in a row outlast a bad one
 }
 
 func (c *calls) slow() bool { return c.lately > slowCalls*float64(c.quick.at(0.25)) }
 
-func (c *calls) took(t Tenths) {
+func (c *calls) took(t timeunit.Ticks) {
 	if c.quick.n < few || !c.slow() {
 		c.quick.add(t) // a jam does not teach what is quick
 	}
@@ -666,7 +668,7 @@
 
 // room gives until when another call may be in hand; now and earlier is not at all. The mean in hand, those
 // given up included while they linger, stays within the share: what that allows piles up, calls use it.
-func (c *calls) room(now Tenths, effects bool) Tenths {
+func (c *calls) room(now timeunit.Ticks, effects bool) timeunit.Ticks {
 	for len(c.lingering) > 0 && c.lingering[0] <= now {
 		c.lingering = c.lingering[1:]
 	}
@@ -684,7 +686,7 @@
 // myTurn gives until when the call by which a part is rounded up may be in hand: always, where few come of it
 // if all do so or calls go well and quickly; else in turns that the seed spreads. Guards what is below, cold
 // or back again, against all rounding up at once; harms where calls outlast a turn: they are given up.
-func (c *calls) myTurn(now Tenths, effects bool) Tenths {
+func (c *calls) myTurn(now timeunit.Ticks, effects bool) timeunit.Ticks {
 	if c.partOf != c.most*c.servers {
 		for c.part = 1; c.part > alike && (c.tooMany(c.servers) || c.tooMany(c.servers*growth)); {
 			c.part -= alike / 2
@@ -703,7 +705,7 @@
 	}
 	at := math.Mod(float64(now)/turn*c.part+c.spread, 1) / c.part // in turns: the first is this server's
 	if left := (1-at)*turn - float64(c.linger); left > need {
-		return now + Tenths(left)
+		return now + timeunit.Ticks(left)
 	}
 	return now
 }
@@ -714,7 +716,7 @@
 	return servers*(whole+c.part)+chance*math.Sqrt(servers*c.part*(1-c.part)) > n+2*math.Sqrt(n)+1
 }
 
-func (c *calls) over(now Tenths, givenUp bool) {
+func (c *calls) over(now timeunit.Ticks, givenUp bool) {
 	c.room(now, false) // up to now it was in hand
 	c.in--
 	if givenUp {
@@ -726,7 +728,7 @@
 type callers struct {
 	tongue             Tongue
 	marked             bool // later tries are
-	maxAway            Tenths
+	maxAway            timeunit.Ticks
 	known              map[int]caller
 	all                caller  // as if all were one
 	said, sum, squares float64 // to them; of the work items taken of late, by caller
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"thistlequay/timeunit"
 )
 
 // busy is a host that keeps what was started and called for, and nothing else.
@@ -12,18 +14,18 @@
 	called  []*WorkItem
 }
 
-func (b *busy) Run(w *WorkItem)            { b.started = append(b.started, w) }
-func (b *busy) Call(w *WorkItem, _ Tenths) { b.called = append(b.called, w) }
+func (b *busy) Run(w *WorkItem)                    { b.started = append(b.started, w) }
+func (b *busy) Call(w *WorkItem, _ timeunit.Ticks) { b.called = append(b.called, w) }
 
-func (*busy) Decline(*WorkItem, Tenths, bool) {}
-func (*busy) BreakOff(*WorkItem)              {}
-func (*busy) Remember(*WorkItem, Tenths)      {}
-func (*busy) Forget(*WorkItem)                {}
-func (*busy) Say(float64)                     {}
-func (*busy) Health(bool, bool)               {}
-func (*busy) CloseIdle(Tenths)                {}
-func (*busy) Wake(Tenths)                     {}
-func (*busy) Over(*WorkItem)                  {}
+func (*busy) Decline(*WorkItem, timeunit.Ticks, bool) {}
+func (*busy) BreakOff(*WorkItem)                      {}
+func (*busy) Remember(*WorkItem, timeunit.Ticks)      {}
+func (*busy) Forget(*WorkItem)                        {}
+func (*busy) Say(float64)                             {}
+func (*busy) Health(bool, bool)                       {}
+func (*busy) CloseIdle(timeunit.Ticks)                {}
+func (*busy) Wake(timeunit.Ticks)                     {}
+func (*busy) Over(*WorkItem)                          {}
 
 // One newcomer, one start, one call and one end in a batch, with so many that wait.
 func BenchmarkBatch(b *testing.B) {
@@ -34,7 +36,7 @@
 				SharedBelow: true, CallShare: 100, CallsOver: 50_000, Linger: 100, Tongue: Allowed, Categories: []Category{
 					{Gain: 1, Contract: 1 << 40, Expiry: 1 << 41, LateShare: 0.2},
 					{Gain: 2, Contract: 1 << 40, Expiry: 1 << 41, Effect: Stamped, Window: 100}}}, host, 0)
-			now, n := Tenths(0), 0
+			now, n := timeunit.Ticks(0), 0
 			take := func() {
 				n++
 				s.Take(Arrival{HeldKb: 1, Category: n % 2, Caller: n % 4, Left: 1 << 41, Door: uint64(n)})
--- a/admission/books.go
+++ b/admission/books.go
@@ -1,18 +1,20 @@
 package admission
 
+import "thistlequay/timeunit"
+
 // This file owns the two ways in which the module keeps its books: coarse histograms of times, and a heap of moments.
 // It must never decide anything, nor hold a figure that was tuned.
 
 // spread is a histogram of times.
 type spread struct {
-	width Tenths
+	width timeunit.Ticks
 	n     float64
 	count [bins]float64
 }
 
-func spreadOver(scale Tenths) spread { return spread{width: max(1, scale/binsAScale)} }
+func spreadOver(scale timeunit.Ticks) spread { return spread{width: max(1, scale/binsAScale)} }
 
-func (s *spread) add(t Tenths) {
+func (s *spread) add(t timeunit.Ticks) {
 	s.count[max(0, min(int(t/s.width), bins-1))]++
 	if s.n++; s.n >= enough {
 		s.n /= 2
@@ -23,11 +25,11 @@
 }
 
 // at gives the time that the share q of all counted stays under; 0 while nothing is known.
-func (s *spread) at(q float64) Tenths {
+func (s *spread) at(q float64) timeunit.Ticks {
 	left := q * s.n
 	for i, c := range s.count {
 		if left <= c && c > 0 {
-			return Tenths((float64(i) + left/c) * float64(s.width))
+			return timeunit.Ticks((float64(i) + left/c) * float64(s.width))
 		}
 		left -= c
 	}
@@ -35,10 +37,10 @@
 }
 
 // under gives the share of all counted that stays under t; all while nothing is known.
-func (s *spread) under(t Tenths) float64 {
+func (s *spread) under(t timeunit.Ticks) float64 {
 	sum := 0.0
 	for i, c := range s.count {
-		sum += c * max(0, min(1, float64(t-Tenths(i)*s.width)/float64(s.width)))
+		sum += c * max(0, min(1, float64(t-timeunit.Ticks(i)*s.width)/float64(s.width)))
 	}
 	if s.n == 0 {
 		return 1
@@ -47,7 +49,7 @@
 }
 
 // level gives the least time that as many stay under as under t; less than all times where that is none.
-func (s *spread) level(t Tenths) Tenths {
+func (s *spread) level(t timeunit.Ticks) timeunit.Ticks {
 	i := max(0, min(int(t/s.width), bins))
 	if t >= 0 && i < bins && s.count[i] > 0 {
 		return t
@@ -58,7 +60,7 @@
 	if i == 0 {
 		return -forever
 	}
-	return Tenths(i) * s.width
+	return timeunit.Ticks(i) * s.width
 }
 
 // learnt and teach copy counts out and in; those that are no counts of this shape are passed over.
@@ -119,7 +121,7 @@
 type Books struct {
 	Held, Running, AtCalls, Calling, Lingering, Entries int
 	Pool, CallsAllowed, CallsLeft, OnCores              float64
-	Unread, Trip, CallsLately, CallsQuick               Tenths
+	Unread, Trip, CallsLately, CallsQuick               timeunit.Ticks
 	MemoryKb                                            float64
 }
 
@@ -132,6 +134,6 @@
 func (s *Server) Books() Books {
 	return Books{Held: s.hold.n, Running: s.pool.in, AtCalls: s.pool.atCalls, Calling: s.calls.in, Lingering: len(s.calls.lingering),
 		Entries: s.entries, Pool: s.pool.size, CallsAllowed: s.calls.most, CallsLeft: s.calls.left, OnCores: s.pool.onCores,
-		Unread: Tenths(s.pool.unread), Trip: Tenths(s.pool.trip), CallsLately: Tenths(s.calls.lately),
+		Unread: timeunit.Ticks(s.pool.unread), Trip: timeunit.Ticks(s.pool.trip), CallsLately: timeunit.Ticks(s.calls.lately),
 		CallsQuick: s.calls.quick.at(0.25), MemoryKb: s.memory}
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -4,12 +4,14 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/timeunit"
 )
 
 type nobody struct{ Host }
 
-func (nobody) CloseIdle(Tenths)  {}
-func (nobody) Health(bool, bool) {}
+func (nobody) CloseIdle(timeunit.Ticks) {}
+func (nobody) Health(bool, bool)        {}
 
 // The part of the calls below follows the number of servers, and comes back to where it was whatever lay between.
 func TestPartOfTheCallsFollowsTheFleet(t *testing.T) {
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // recorder passes what a server tells its host on to another host and adds each of it to a history: a number that
@@ -31,7 +32,7 @@
 	r.Host.Share(w)
 }
 
-func (r recorder) Decline(w *WorkItem, stayAway Tenths, nowhereElse bool) {
+func (r recorder) Decline(w *WorkItem, stayAway timeunit.Ticks, nowhereElse bool) {
 	r.history.Add(3, w.Door, int64(stayAway), nowhereElse)
 	r.Host.Decline(w, stayAway, nowhereElse)
 }
@@ -46,7 +47,7 @@
 	r.Host.Stop(w)
 }
 
-func (r recorder) Call(w *WorkItem, until Tenths) {
+func (r recorder) Call(w *WorkItem, until timeunit.Ticks) {
 	r.history.Add(6, w.Door, int64(until))
 	r.Host.Call(w, until)
 }
@@ -56,7 +57,7 @@
 	r.Host.Skip(w)
 }
 
-func (r recorder) Remember(w *WorkItem, span Tenths) {
+func (r recorder) Remember(w *WorkItem, span timeunit.Ticks) {
 	r.history.Add(8, w.Door, int64(span))
 	r.Host.Remember(w, span)
 }
@@ -76,12 +77,12 @@
 	r.Host.Health(good, fromStore)
 }
 
-func (r recorder) CloseIdle(after Tenths) {
+func (r recorder) CloseIdle(after timeunit.Ticks) {
 	r.history.Add(12, int64(after))
 	r.Host.CloseIdle(after)
 }
 
-func (r recorder) Wake(after Tenths) {
+func (r recorder) Wake(after timeunit.Ticks) {
 	r.history.Add(13, int64(after))
 	r.Host.Wake(after)
 }
@@ -117,9 +118,9 @@
 	calling  bool
 	answered bool
 	stopped  bool
-	began    Tenths
-	next     Tenths // end of the run's present part, or of its call
-	called   Tenths
+	began    timeunit.Ticks
+	next     timeunit.Ticks // end of the run's present part, or of its call
+	called   timeunit.Ticks
 }
 
 // schedule is a host that drives one server by random events in virtual time.
@@ -128,7 +129,7 @@
 	record     recorder
 	deployment Deployment
 	server     *Server
-	now, wake  Tenths
+	now, wake  timeunit.Ticks
 	marks      uint64
 	live       map[uint64]*scheduled
 	order      []uint64
@@ -137,7 +138,7 @@
 
 func (s *schedule) pick(least, most int) int { return least + s.chance.Intn(most-least+1) }
 
-func (s *schedule) span(least, most int) Tenths { return Tenths(s.pick(least, most)) }
+func (s *schedule) span(least, most int) timeunit.Ticks { return timeunit.Ticks(s.pick(least, most)) }
 
 func (s *schedule) oneIn(n int) bool { return s.chance.Intn(n) == 0 }
 
@@ -156,12 +157,12 @@
 	s.begin(w)
 }
 
-func (s *schedule) Decline(*WorkItem, Tenths, bool) {}
+func (s *schedule) Decline(*WorkItem, timeunit.Ticks, bool) {}
 
 func (s *schedule) BreakOff(w *WorkItem) { s.of(w).answered = true }
 func (s *schedule) Stop(w *WorkItem)     { s.of(w).stopped = true }
 
-func (s *schedule) Call(w *WorkItem, until Tenths) {
+func (s *schedule) Call(w *WorkItem, until timeunit.Ticks) {
 	it := s.of(w)
 	it.waiting, it.calling, it.called = false, true, s.now
 	it.next = min(until, s.now+s.span(1, s.pick(1, 3000)))
@@ -173,19 +174,19 @@
 	it.next = s.now + s.span(1, 2000)
 }
 
-func (s *schedule) Remember(w *WorkItem, _ Tenths) { s.remembered = append(s.remembered, w) }
+func (s *schedule) Remember(w *WorkItem, _ timeunit.Ticks) { s.remembered = append(s.remembered, w) }
 
 func (s *schedule) Forget(w *WorkItem) {
 	s.remembered = slices.DeleteFunc(s.remembered, func(other *WorkItem) bool { return other == w })
 }
 
-func (s *schedule) Say(float64)         {}
-func (s *schedule) Health(_, _ bool)    {}
-func (s *schedule) CloseIdle(Tenths)    {}
-func (s *schedule) Wake(after Tenths)   { s.wake = s.now + after }
-func (s *schedule) Over(w *WorkItem)    { delete(s.live, w.Door) }
-func (s *schedule) fraction() float64   { return float64(s.pick(0, 4)) / 4 }
-func (s *schedule) either(a, b int) int { return []int{a, b}[s.chance.Intn(2)] }
+func (s *schedule) Say(float64)               {}
+func (s *schedule) Health(_, _ bool)          {}
+func (s *schedule) CloseIdle(timeunit.Ticks)  {}
+func (s *schedule) Wake(after timeunit.Ticks) { s.wake = s.now + after }
+func (s *schedule) Over(w *WorkItem)          { delete(s.live, w.Door) }
+func (s *schedule) fraction() float64         { return float64(s.pick(0, 4)) / 4 }
+func (s *schedule) either(a, b int) int       { return []int{a, b}[s.chance.Intn(2)] }
 
 // settings draws a deployment in which every defence may have to act.
 func (s *schedule) settings() Deployment {
--- a/admission/hold.go
+++ b/admission/hold.go
@@ -7,6 +7,8 @@
 	"cmp"
 
 	"github.com/google/btree"
+
+	"thistlequay/timeunit"
 )
 
 // degree is that of the trees; almostAll is a quantile that rounding does not carry over the top.
@@ -70,7 +72,7 @@
 }
 
 // from gives the first in line whose contract time ends at this moment or later and that passes the test.
-func (h *hold) from(line *btree.BTreeG[*WorkItem], end Tenths, test func(*WorkItem) bool) (first *WorkItem) {
+func (h *hold) from(line *btree.BTreeG[*WorkItem], end timeunit.Ticks, test func(*WorkItem) bool) (first *WorkItem) {
 	h.seek.contract = end
 	line.AscendGreaterOrEqual(&h.seek, func(w *WorkItem) bool {
 		if test(w) {
@@ -107,10 +109,10 @@
 }
 
 // queue is how long the oldest has waited that would run before w.
-func (s *Server) queue(w *WorkItem) (waits Tenths) {
+func (s *Server) queue(w *WorkItem) (waits timeunit.Ticks) {
 	value := w.value()
 	for i, line := range s.hold.due {
-		c, end := s.categories[i], Tenths(-forever)
+		c, end := s.categories[i], timeunit.Ticks(-forever)
 		if c == w.category && w.within {
 			end = s.now + c.runs.level(w.contract-s.now)
 		} else if w.within {
--- a/admission/host.go
+++ b/admission/host.go
@@ -1,8 +1,7 @@
 // Package admission decides, inside one server of a fleet, which work items it takes, runs and turns away.
 package admission
 
-// Tenths is a point or a span of time in tenths of a millisecond.
-type Tenths int64
+import "thistlequay/timeunit"
 
 // Effect says what a second run of a work item would do.
 type Effect int
@@ -40,9 +39,9 @@
 	Gain      float64
 	LateShare float64 // share of the gain left between contract time and expiry
 	Poorer    float64 // and of an answer made without the call below; 0 where there is none
-	Contract  Tenths
-	Expiry    Tenths
-	Window    Tenths // how long a stamped work item may come again
+	Contract  timeunit.Ticks
+	Expiry    timeunit.Ticks
+	Window    timeunit.Ticks // how long a stamped work item may come again
 	Effect    Effect
 }
 
@@ -53,29 +52,29 @@
 	Marked     bool // further tries are marked (Arrival.Again)
 	Servers    int  // of the fleet, at this start
 	Cores      int
-	Memory     float64 // kilobytes
-	RunFactor  float64 // memory of a running work item over that of a held one
-	EntryKb    float64 // memory of a remembered stamp
-	Entries    int     // the most stamps remembered; 0 where the memory alone bounds them
-	Period     Tenths  // batches come at most this often
-	Grace      Tenths  // what comes later than this after the notice to leave is not run
-	Fresh      Tenths  // for how long the result of a read may serve others; 0 for never
+	Memory     float64        // kilobytes
+	RunFactor  float64        // memory of a running work item over that of a held one
+	EntryKb    float64        // memory of a remembered stamp
+	Entries    int            // the most stamps remembered; 0 where the memory alone bounds them
+	Period     timeunit.Ticks // batches come at most this often
+	Grace      timeunit.Ticks // what comes later than this after the notice to leave is not run
+	Fresh      timeunit.Ticks // for how long the result of a read may serve others; 0 for never
 
 	Cold     bool
-	ColdFrom float64 // share of its speed that a cold server starts at
-	ColdFor  Tenths  // it is warm after this
-	Crowd    float64 // running work items for each core that a warm server survives
+	ColdFrom float64        // share of its speed that a cold server starts at
+	ColdFor  timeunit.Ticks // it is warm after this
+	Crowd    float64        // running work items for each core that a warm server survives
 
-	SharedBelow bool    // one dependency for the whole fleet
-	CallShare   float64 // this server's part of the calls in hand that it survives
-	CallsOver   Tenths  // in the mean of this span
-	Spread      float64 // from 0 to 1, another on each server: when its turns at what is shared come
-	Linger      Tenths  // a call given up stays in its hands for this long
+	SharedBelow bool           // one dependency for the whole fleet
+	CallShare   float64        // this server's part of the calls in hand that it survives
+	CallsOver   timeunit.Ticks // in the mean of this span
+	Spread      float64        // from 0 to 1, another on each server: when its turns at what is shared come
+	Linger      timeunit.Ticks // a call given up stays in its hands for this long
 
 	Tongue   Tongue
-	MaxAway  Tenths // the longest time to stay away that callers heed; 0 where advice is not passed on
-	IdleMost Tenths // callers close idle connections after this; 0 where that is not told
-	Stops    bool   // running work can be stopped, its progress is lost
+	MaxAway  timeunit.Ticks // the longest time to stay away that callers heed; 0 where advice is not passed on
+	IdleMost timeunit.Ticks // callers close idle connections after this; 0 where that is not told
+	Stops    bool           // running work can be stopped, its progress is lost
 
 	Learnt *Learnt // by an earlier life, as far as it still holds; nil where there is none
 }
@@ -93,15 +92,15 @@
 	Category int
 	Caller   int
 	HeldKb   float64
-	Unread   Tenths    // time since it reached the machine
-	Left     Tenths    // time its caller still waits; 0 where that is not told
-	Again    bool      // marked as a further try
-	Repeats  bool      // another try of the same stamped work item is held here or has run; or another read of the same
-	Earlier  *WorkItem // that try, where the host still has its handle
-	Reads    bool      // its result may serve others for a while (Deployment.Fresh)
-	Turn     float64   // it waits while others do whose turn has come (see Server.Turn); 0: for nobody
-	Behind   Tenths    // how long what has turns before it, of its own tenant, will take; 0 where that is not told
-	Door     uint64    // the host's own mark, never read here
+	Unread   timeunit.Ticks // time since it reached the machine
+	Left     timeunit.Ticks // time its caller still waits; 0 where that is not told
+	Again    bool           // marked as a further try
+	Repeats  bool           // another try of the same stamped work item is held here or has run; or another read of the same
+	Earlier  *WorkItem      // that try, where the host still has its handle
+	Reads    bool           // its result may serve others for a while (Deployment.Fresh)
+	Turn     float64        // it waits while others do whose turn has come (see Server.Turn); 0: for nobody
+	Behind   timeunit.Ticks // how long what has turns before it, of its own tenant, will take; 0 where that is not told
+	Door     uint64         // the host's own mark, never read here
 }
 
 // Gauges are the server's own meters.
@@ -115,16 +114,16 @@
 type Host interface {
 	Run(w *WorkItem)
 	Share(w *WorkItem) // answer with the result of the try that w repeats
-	Decline(w *WorkItem, stayAway Tenths, nowhereElse bool)
+	Decline(w *WorkItem, stayAway timeunit.Ticks, nowhereElse bool)
 	BreakOff(w *WorkItem)
 	Stop(w *WorkItem)
-	Call(w *WorkItem, until Tenths) // until is clock time
-	Skip(w *WorkItem)               // go on without the call; only where the category has a poorer answer
-	Remember(w *WorkItem, span Tenths)
+	Call(w *WorkItem, until timeunit.Ticks) // until is clock time
+	Skip(w *WorkItem)                       // go on without the call; only where the category has a poorer answer
+	Remember(w *WorkItem, span timeunit.Ticks)
 	Forget(w *WorkItem)
 	Say(value float64)
 	Health(good, fromStore bool)
-	CloseIdle(after Tenths) // connections that carry nothing for so long
-	Wake(after Tenths)
+	CloseIdle(after timeunit.Ticks) // connections that carry nothing for so long
+	Wake(after timeunit.Ticks)
 	Over(w *WorkItem) // the handle is of no more use
 }
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // A scenario in testdata is played line by line; README.md there has the notation.
@@ -29,13 +30,13 @@
 type stage struct {
 	*require.Assertions
 	server     *Server
-	now        Tenths
+	now        timeunit.Ticks
 	deployment Deployment
 	items      map[string]*WorkItem
 	names      map[uint64]string
 	done       []string
 	said       string
-	wakes      []Tenths
+	wakes      []timeunit.Ticks
 	history    *golden.History
 }
 
@@ -94,7 +95,7 @@
 	s.server.At(s.now)
 }
 
-func (s *stage) until(end Tenths, f map[string]float64) {
+func (s *stage) until(end timeunit.Ticks, f map[string]float64) {
 	if len(f) == 0 { // the cores are busy and not crowded
 		f = map[string]float64{"use": 1, "cores": s.server.pool.cores}
 	}
@@ -118,14 +119,14 @@
 			"entries":  func(v float64) { d.Entries = int(v) },
 			"stops":    func(v float64) { d.Stops = v == 1 },
 			"share":    func(v float64) { d.SharedBelow, d.CallShare = true, v },
-			"linger":   func(v float64) { d.Linger = Tenths(v * 10) },
+			"linger":   func(v float64) { d.Linger = timeunit.Ticks(v * 10) },
 			"coldfrom": func(v float64) { d.Cold, d.ColdFrom = true, v },
-			"coldfor":  func(v float64) { d.ColdFor = Tenths(v * 10) },
+			"coldfor":  func(v float64) { d.ColdFor = timeunit.Ticks(v * 10) },
 			"servers":  func(v float64) { d.Servers = int(v) },
 			"callers":  func(v float64) { d.Callers = int(v) },
-			"idle":     func(v float64) { d.IdleMost = Tenths(v * 10) },
+			"idle":     func(v float64) { d.IdleMost = timeunit.Ticks(v * 10) },
 			"tongue":   func(v float64) { d.Tongue = Tongue(v) },
-			"fresh":    func(v float64) { d.Fresh = Tenths(v * 10) },
+			"fresh":    func(v float64) { d.Fresh = timeunit.Ticks(v * 10) },
 			"marked":   func(v float64) { d.Marked = v == 1 },
 			"crowd":    func(v float64) { d.Crowd = v },
 		})
@@ -134,8 +135,8 @@
 		effect := map[string]Effect{"harmless": Harmless, "stamped": Stamped, "oneshot": OneShot}
 		s.Contains(effect, word[1], where)
 		d.Categories = append(d.Categories, Category{Gain: f["gain"], LateShare: f["late"], Poorer: f["poorer"],
-			Contract: Tenths(f["contract"] * 10), Expiry: Tenths(f["expiry"] * 10),
-			Window: Tenths(f["window"] * 10), Effect: effect[word[1]]})
+			Contract: timeunit.Ticks(f["contract"] * 10), Expiry: timeunit.Ticks(f["expiry"] * 10),
+			Window: timeunit.Ticks(f["window"] * 10), Effect: effect[word[1]]})
 	case "take":
 		s.take(word[1], word[2:], where)
 	case "leave":
@@ -187,12 +188,12 @@
 	}
 	s.set(fields, where, map[string]func(float64){
 		"category": func(v float64) { a.Category = int(v) },
-		"left":     func(v float64) { a.Left = Tenths(v * 10) },
+		"left":     func(v float64) { a.Left = timeunit.Ticks(v * 10) },
 		"caller":   func(v float64) { a.Caller = int(v) },
-		"unread":   func(v float64) { a.Unread = Tenths(v * 10) },
+		"unread":   func(v float64) { a.Unread = timeunit.Ticks(v * 10) },
 		"kb":       func(v float64) { a.HeldKb = v },
 		"turn":     func(v float64) { a.Turn = v },
-		"behind":   func(v float64) { a.Behind = Tenths(v * 10) },
+		"behind":   func(v float64) { a.Behind = timeunit.Ticks(v * 10) },
 		"again":    func(v float64) { a.Again = v == 1 },
 		"reads":    func(v float64) { a.Reads = v == 1 },
 	})
@@ -203,10 +204,10 @@
 	}
 }
 
-func (s *stage) tenths(ms, where string) Tenths {
+func (s *stage) tenths(ms, where string) timeunit.Ticks {
 	v, err := strconv.ParseFloat(ms, 64)
 	s.NoError(err, where)
-	return Tenths(v * 10)
+	return timeunit.Ticks(v * 10)
 }
 
 func (s *stage) set(words []string, where string, set map[string]func(float64)) {
@@ -229,20 +230,20 @@
 
 func (s *stage) note(what string, w *WorkItem) { s.done = append(s.done, what+":"+s.names[w.Door]) }
 
-func (s *stage) Run(w *WorkItem)                { s.note("run", w) }
-func (s *stage) Share(w *WorkItem)              { s.note("share", w) }
-func (s *stage) BreakOff(w *WorkItem)           { s.note("breakoff", w) }
-func (s *stage) Stop(w *WorkItem)               { s.note("stop", w) }
-func (s *stage) Remember(w *WorkItem, _ Tenths) { s.note("remember", w) }
-func (s *stage) Forget(w *WorkItem)             { s.note("forget", w) }
-func (s *stage) Skip(w *WorkItem)               { s.note("skip", w) }
-func (s *stage) Call(w *WorkItem, until Tenths) {
+func (s *stage) Run(w *WorkItem)                        { s.note("run", w) }
+func (s *stage) Share(w *WorkItem)                      { s.note("share", w) }
+func (s *stage) BreakOff(w *WorkItem)                   { s.note("breakoff", w) }
+func (s *stage) Stop(w *WorkItem)                       { s.note("stop", w) }
+func (s *stage) Remember(w *WorkItem, _ timeunit.Ticks) { s.note("remember", w) }
+func (s *stage) Forget(w *WorkItem)                     { s.note("forget", w) }
+func (s *stage) Skip(w *WorkItem)                       { s.note("skip", w) }
+func (s *stage) Call(w *WorkItem, until timeunit.Ticks) {
 	s.note("call", w)
 	if until < w.worthUntil() { // it is given up before its answer is worth nothing
 		s.done[len(s.done)-1] += fmt.Sprint("<", float64(until-s.now)/10)
 	}
 }
-func (s *stage) Decline(w *WorkItem, _ Tenths, nowhereElse bool) {
+func (s *stage) Decline(w *WorkItem, _ timeunit.Ticks, nowhereElse bool) {
 	if nowhereElse {
 		s.note("declinelast", w)
 	} else {
@@ -250,7 +251,7 @@
 	}
 }
 func (s *stage) Over(*WorkItem) {}
-func (s *stage) CloseIdle(after Tenths) {
+func (s *stage) CloseIdle(after timeunit.Ticks) {
 	if after > 0 { // told in this scenario
 		s.done = append(s.done, fmt.Sprint("closeidle:", after/10))
 	}
@@ -261,7 +262,7 @@
 	}
 }
 func (s *stage) Say(v float64) { s.said = strconv.FormatFloat(v, 'f', -1, 64) }
-func (s *stage) Wake(after Tenths) {
+func (s *stage) Wake(after timeunit.Ticks) {
 	s.wakes = append(s.wakes, s.now+after)
 	sort.Slice(s.wakes, func(i, j int) bool { return s.wakes[i] < s.wakes[j] })
 }
--- a/admission/sum_test.go
+++ b/admission/sum_test.go
@@ -10,14 +10,15 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // below is one dependency of many servers, in virtual time: it counts what is in its hands.
 type below struct {
-	now     Tenths
+	now     timeunit.Ticks
 	chance  *rand.Rand
 	down    bool
-	takes   [2]Tenths // the least and the most that a call takes
+	takes   [2]timeunit.Ticks // the least and the most that a call takes
 	inHand  int
 	most    int
 	servers []*caged
@@ -35,26 +36,26 @@
 
 type out struct {
 	w          *WorkItem
-	made, ends Tenths
+	made, ends timeunit.Ticks
 	well       bool
-	given      Tenths // up at this moment; it lingers
+	given      timeunit.Ticks // up at this moment; it lingers
 }
 
-const lingers = Tenths(1000)
+const lingers = timeunit.Ticks(1000)
 
-func (c *caged) Run(w *WorkItem)                 { w.AtCall() }
-func (c *caged) Decline(*WorkItem, Tenths, bool) {}
-func (c *caged) BreakOff(w *WorkItem)            {}
-func (c *caged) Stop(*WorkItem)                  {}
-func (c *caged) Say(float64)                     {}
-func (c *caged) Health(bool, bool)               {}
-func (c *caged) CloseIdle(Tenths)                {}
-func (c *caged) Wake(Tenths)                     {}
-func (c *caged) Over(*WorkItem)                  {}
-func (c *caged) Skip(*WorkItem)                  {}
-func (c *caged) Call(w *WorkItem, until Tenths) {
+func (c *caged) Run(w *WorkItem)                         { w.AtCall() }
+func (c *caged) Decline(*WorkItem, timeunit.Ticks, bool) {}
+func (c *caged) BreakOff(w *WorkItem)                    {}
+func (c *caged) Stop(*WorkItem)                          {}
+func (c *caged) Say(float64)                             {}
+func (c *caged) Health(bool, bool)                       {}
+func (c *caged) CloseIdle(timeunit.Ticks)                {}
+func (c *caged) Wake(timeunit.Ticks)                     {}
+func (c *caged) Over(*WorkItem)                          {}
+func (c *caged) Skip(*WorkItem)                          {}
+func (c *caged) Call(w *WorkItem, until timeunit.Ticks) {
 	b := c.b
-	o := &out{w: w, made: b.now, ends: b.now + b.takes[0] + Tenths(b.chance.Int63n(int64(b.takes[1]-b.takes[0])+1)), well: true}
+	o := &out{w: w, made: b.now, ends: b.now + b.takes[0] + timeunit.Ticks(b.chance.Int63n(int64(b.takes[1]-b.takes[0])+1)), well: true}
 	if o.ends > until {
 		o.ends, o.well = max(until, b.now+1), false
 	}
@@ -81,7 +82,7 @@
 }
 
 // to plays on in steps.
-func (b *below) to(end Tenths) {
+func (b *below) to(end timeunit.Ticks) {
 	for ; b.now < end; b.now += 250 {
 		for _, c := range b.servers {
 			c.s.At(b.now)
@@ -114,7 +115,7 @@
 }
 
 func newBelow(seed int64) *below {
-	return &below{now: 1 << 44, chance: rand.New(rand.NewSource(seed)), takes: [2]Tenths{200, 40_000}}
+	return &below{now: 1 << 44, chance: rand.New(rand.NewSource(seed)), takes: [2]timeunit.Ticks{200, 40_000}}
 }
 
 // play has what lies below be cold, gone, back again and slow while the fleet may grow to twice its size, and then warm.
@@ -129,14 +130,14 @@
 	b.to(start + 40_000)
 	b.down = true
 	b.to(start + 60_000)
-	b.down, b.takes = false, [2]Tenths{20_000, 90_000}
+	b.down, b.takes = false, [2]timeunit.Ticks{20_000, 90_000}
 	b.to(start + 90_000)
 	if grows {
 		b.add(servers, 2*servers, share)
 	}
 	b.to(start + 120_000)
 	most, b.most = b.most, 0
-	b.takes = [2]Tenths{100, 600} // it is warm: quick, whatever comes at once
+	b.takes = [2]timeunit.Ticks{100, 600} // it is warm: quick, whatever comes at once
 	b.to(start + 150_000)
 	return most
 }
--- a/cmd/thistlequay/shares.go
+++ b/cmd/thistlequay/shares.go
@@ -24,6 +24,7 @@
 	"thistlequay/internal/quota"
 	"thistlequay/internal/quota/service"
 	"thistlequay/internal/server"
+	"thistlequay/timeunit"
 )
 
 const sharesAt = "/shares"
@@ -181,7 +182,7 @@
 		return err
 	}
 	if begin {
-		from := quota.Moment(s.peers.Now()) + of.Limits()[0].Linger
+		from := timeunit.Milliseconds(s.peers.Now()) + of.Limits()[0].Linger
 		me := s.peers.Me()
 		for _, l := range of.Limits() {
 			s.shares.Holders = append(s.shares.Holders, quota.NewHolder(service.HolderName(me), l, true, from))
--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -9,6 +9,7 @@
 
 	"thistlequay/internal/recovery"
 	"thistlequay/internal/segmentlog"
+	"thistlequay/timeunit"
 )
 
 type stores struct {
@@ -24,7 +25,7 @@
 }
 
 func (a *storeArgs) recovery(now recovery.Clock) *recovery.Recovery {
-	in := func(d time.Duration) recovery.Tenths { return recovery.Tenths(d / (100 * time.Microsecond)) }
+	in := func(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / (100 * time.Microsecond)) }
 	return recovery.NewRecovery(recovery.Terms{Window: in(a.Window), Doubt: in(a.Doubt), Most: 1 << 30}, now)
 }
 
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -14,6 +14,7 @@
 	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/tenancy"
+	"thistlequay/timeunit"
 )
 
 // Terms are what one file sets. Its zero value is what holds without a file: all is off.
@@ -190,7 +191,7 @@
 	return t
 }
 
-func tenths(d time.Duration) fairqueue.Tenths { return fairqueue.Tenths(d / (100 * time.Microsecond)) }
+func tenths(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / (100 * time.Microsecond)) }
 
 // Tenancy makes what tells whose a request is.
 func (f *FairQueues) Tenancy() *tenancy.Table {
--- a/internal/config/shares.go
+++ b/internal/config/shares.go
@@ -13,6 +13,7 @@
 	"thistlequay/internal/deployment"
 	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/quota"
+	"thistlequay/timeunit"
 )
 
 // Shares is the section of docs/quota/operating.md.
@@ -88,9 +89,9 @@
 
 // Limits are what the section shares, in the order of SharedLimits; a limit that it does not name is not among them.
 func (s *Shares) Limits() (limits []quota.Terms) {
-	length := quota.Moment(max(lengthLeast, lengthEach*time.Duration(s.Slots)).Milliseconds())
+	length := timeunit.Milliseconds(max(lengthLeast, lengthEach*time.Duration(s.Slots)).Milliseconds())
 	calls := quota.Terms{Whole: quota.Amount(s.Calls) * quota.Unit, Floor: quota.Amount(s.Floor) * quota.Unit, Slots: s.Slots, Length: length,
-		Linger: quota.Moment(s.Longest.Milliseconds()), Drift: s.Drift, Least: quota.Unit, Still: 0.1, Grain: quota.Unit}
+		Linger: timeunit.Milliseconds(s.Longest.Milliseconds()), Drift: s.Drift, Least: quota.Unit, Still: 0.1, Grain: quota.Unit}
 	limits = append(limits, calls)
 	if s.Rate > 0 {
 		rate := calls
--- a/internal/consensus/agreement.go
+++ b/internal/consensus/agreement.go
@@ -17,17 +17,16 @@
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
-)
 
-// Moment is a point or a span of time in milliseconds, by a clock of one process that never goes back.
-type Moment int64
+	"thistlequay/timeunit"
+)
 
 // Terms are what a voter goes by.
 type Terms struct {
-	Me       uint64 // a number for one memory: who has lost it comes back under another
-	Patience Moment // a leader that was not heard of for this, or up to twice as long, is stood against
-	Beat     Moment // between two words of a leader
-	Keep     uint64 // entries kept for voters that are behind, when the log is cut
+	Me       uint64                // a number for one memory: who has lost it comes back under another
+	Patience timeunit.Milliseconds // a leader that was not heard of for this, or up to twice as long, is stood against
+	Beat     timeunit.Milliseconds // between two words of a leader
+	Keep     uint64                // entries kept for voters that are behind, when the log is cut
 }
 
 // DefaultTerms fit servers of one place: a word a tenth of a second, ten lost ones for another leader.
@@ -69,31 +68,31 @@
 	raw     *raft.RawNode
 	kept    *raft.MemoryStorage
 	chance  *rand.Rand
-	now     Moment
-	leader  Moment // when a leader was last heard of
-	stood   Moment // when this one last stood
-	wait    Moment // how long it waits for the next leader
-	sure    Moment // when a majority last said that it leads, or it began to
-	beat    Moment
+	now     timeunit.Milliseconds
+	leader  timeunit.Milliseconds // when a leader was last heard of
+	stood   timeunit.Milliseconds // when this one last stood
+	wait    timeunit.Milliseconds // how long it waits for the next leader
+	sure    timeunit.Milliseconds // when a majority last said that it leads, or it began to
+	beat    timeunit.Milliseconds
 	token   uint64
 	conf    raftpb.ConfState
 	applied uint64
 	term    uint64 // of the newest entry that was applied
 	want    []uint64
-	changed Moment // when another set of voters was last proposed
-	snaps   []snap // that are on their way
-	stale   bool   // the state that is kept names other voters than there are: it would not do for a newcomer
+	changed timeunit.Milliseconds // when another set of voters was last proposed
+	snaps   []snap                // that are on their way
+	stale   bool                  // the state that is kept names other voters than there are: it would not do for a newcomer
 	broken  error
 }
 
 type snap struct {
 	to uint64
-	at Moment
+	at timeunit.Milliseconds
 }
 
 // New begins a voter. First names the voters of a log that begins with them, this one among them; a voter that joins a log
 // later has none. A saved one goes on where it was; first then means nothing.
-func New(t Terms, saved *Saved, first []uint64, chance *rand.Rand, now Moment) (n *Node, err error) {
+func New(t Terms, saved *Saved, first []uint64, chance *rand.Rand, now timeunit.Milliseconds) (n *Node, err error) {
 	n = &Node{terms: t, kept: raft.NewMemoryStorage(), chance: chance, now: now, leader: now}
 	n.draw()
 	switch {
@@ -162,10 +161,12 @@
 	return Saved{Hard: hard, Snapshot: snapshot}
 }
 
-func (n *Node) draw() { n.wait = n.terms.Patience + Moment(n.chance.Int63n(int64(n.terms.Patience)+1)) }
+func (n *Node) draw() {
+	n.wait = n.terms.Patience + timeunit.Milliseconds(n.chance.Int63n(int64(n.terms.Patience)+1))
+}
 
 // At moves the time on: a leader speaks, one that hears none stands.
-func (n *Node) At(now Moment) {
+func (n *Node) At(now timeunit.Milliseconds) {
 	n.now = max(n.now, now)
 	if n.broken != nil {
 		return
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // world is voters in virtual time: letters are lost, late and come twice, links are cut one way and both, voters stand still, die
@@ -17,15 +18,15 @@
 type world struct {
 	t       *testing.T
 	chance  *rand.Rand
-	now     Moment
+	now     timeunit.Milliseconds
 	voters  []*voter
 	cut     map[[2]int]bool
 	loss    float64
 	mail    []parcel
 	numbers uint64
-	log     [][]byte          // what was agreed on, as the first to apply it had it
-	led     map[uint64]Moment // by term, since when some voter knew that it leads
-	asked   map[[2]uint64]Moment
+	log     [][]byte                         // what was agreed on, as the first to apply it had it
+	led     map[uint64]timeunit.Milliseconds // by term, since when some voter knew that it leads
+	asked   map[[2]uint64]timeunit.Milliseconds
 	next    uint64
 	wrong   int // confirmed though another led before it was asked
 	sure    int
@@ -37,12 +38,12 @@
 	number  uint64
 	saved   Saved
 	at      int // entries applied
-	stopped Moment
+	stopped timeunit.Milliseconds
 	down    bool
 }
 
 type parcel struct {
-	at     Moment
+	at     timeunit.Milliseconds
 	to     uint64
 	from   uint64
 	text   []byte
@@ -50,7 +51,7 @@
 }
 
 func newWorld(t *testing.T, seed int64, n int) *world {
-	w := &world{t: t, chance: rand.New(rand.NewSource(seed)), cut: map[[2]int]bool{}, led: map[uint64]Moment{}, asked: map[[2]uint64]Moment{}}
+	w := &world{t: t, chance: rand.New(rand.NewSource(seed)), cut: map[[2]int]bool{}, led: map[uint64]timeunit.Milliseconds{}, asked: map[[2]uint64]timeunit.Milliseconds{}}
 	var first []uint64
 	for i := range n {
 		first = append(first, uint64(i+1))
@@ -109,7 +110,7 @@
 			}
 			for range 1 + w.chance.Intn(10)/9 {
 				if !w.cut[[2]int{i, j}] && w.chance.Float64() >= w.loss {
-					w.mail = append(w.mail, parcel{w.now + Moment(1+w.chance.Intn(120)), l.To, v.number, l.Text, l.To})
+					w.mail = append(w.mail, parcel{w.now + timeunit.Milliseconds(1+w.chance.Intn(120)), l.To, v.number, l.Text, l.To})
 				}
 			}
 		}
@@ -195,7 +196,7 @@
 	case 0: // dies and comes back with what it saved
 		v.down = true
 	case 1:
-		v.stopped = w.now + Moment(w.chance.Intn(6000))
+		v.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(6000))
 	case 2:
 		of := w.chance.Perm(len(w.voters))
 		for a := range of {
@@ -237,7 +238,7 @@
 func (w *world) play() (healed bool) {
 	for range 10 {
 		w.trouble()
-		for end := w.now + Moment(200+w.chance.Intn(4000)); w.now < end; {
+		for end := w.now + timeunit.Milliseconds(200+w.chance.Intn(4000)); w.now < end; {
 			w.round()
 		}
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -13,6 +13,7 @@
 	"thistlequay/admission"
 	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/fairqueue"
+	"thistlequay/timeunit"
 )
 
 // Terms are what one server is told when it starts.
@@ -209,5 +210,5 @@
 
 // The two ways to round milliseconds to tenths: down for clocks and time left, so that nothing is answered
 // late; up for spans that have passed.
-func Down(ms float64) admission.Tenths { return admission.Tenths(math.Floor(ms*10 + 1e-6)) }
-func Up(ms float64) admission.Tenths   { return admission.Tenths(math.Ceil(ms*10 - 1e-6)) }
+func Down(ms float64) timeunit.Ticks { return timeunit.Ticks(math.Floor(ms*10 + 1e-6)) }
+func Up(ms float64) timeunit.Ticks   { return timeunit.Ticks(math.Ceil(ms*10 - 1e-6)) }
--- a/internal/fairqueue/claim.go
+++ b/internal/fairqueue/claim.go
@@ -1,5 +1,7 @@
 package fairqueue
 
+import "thistlequay/timeunit"
+
 // This file owns the life of a claim: from a work item's coming to its end, and what is told to one turned away. It
 // must never charge a work item twice, nor one that did not run.
 
@@ -14,8 +16,8 @@
 
 // Claim is one work item's place in the books. The zero claim is nobody's: nothing is charged, its turn has come.
 type Claim struct {
-	Turn   float64 // for admission.Arrival
-	Behind Tenths  // and this: until its turn comes, if its tenant goes on as it does
+	Turn   float64        // for admission.Arrival
+	Behind timeunit.Ticks // and this: until its turn comes, if its tenant goes on as it does
 	of     *account
 	hash   uint64
 	kind   int // its category
@@ -27,7 +29,7 @@
 }
 
 // Open books a work item that has come, its tenant as the host knows it. Turn is up to where turns have come.
-func (l *Ledger) Open(tenant []byte, category int, turn float64, now Tenths) Claim {
+func (l *Ledger) Open(tenant []byte, category int, turn float64, now timeunit.Ticks) Claim {
 	l.turn = turn
 	l.at(now)
 	a, hash := l.find(tenant)
@@ -42,7 +44,7 @@
 	a.finish = max(a.finish, l.Floor(turn))
 	c.Turn = a.finish + a.overdue()/w
 	if ahead := (c.Turn - turn) * w; ahead > 0 {
-		c.Behind = Tenths(min(ahead/a.part(a.rate), 1<<40))
+		c.Behind = timeunit.Ticks(min(ahead/a.part(a.rate), 1<<40))
 	}
 	a.finish += c.booked / w
 	return c
@@ -66,7 +68,7 @@
 }
 
 // Began: its run begins.
-func (c *Claim) Began(now Tenths) {
+func (c *Claim) Began(now timeunit.Ticks) {
 	if c.of == nil || c.stage != waiting {
 		return
 	}
@@ -86,7 +88,7 @@
 }
 
 // Undone: it is proven that its run never began after all.
-func (c *Claim) Undone(now Tenths) {
+func (c *Claim) Undone(now timeunit.Ticks) {
 	c.Resumed(now)
 	if c.of == nil || c.stage != running {
 		return
@@ -96,7 +98,7 @@
 }
 
 // Called: its run waits for what lies below and needs no core.
-func (c *Claim) Called(now Tenths) {
+func (c *Claim) Called(now timeunit.Ticks) {
 	if c.of == nil || c.stage != running {
 		return
 	}
@@ -107,7 +109,7 @@
 }
 
 // Resumed: its run goes on.
-func (c *Claim) Resumed(now Tenths) {
+func (c *Claim) Resumed(now timeunit.Ticks) {
 	if c.of == nil || c.stage != away {
 		return
 	}
@@ -118,7 +120,7 @@
 }
 
 // Close ends the claim. What ran is charged what it took; what did not run gets its charge back. Nothing happens twice.
-func (c *Claim) Close(now Tenths) {
+func (c *Claim) Close(now timeunit.Ticks) {
 	if c.of == nil || c.stage == none {
 		return
 	}
@@ -152,7 +154,7 @@
 // Return is how long a work item that is being declined should stay away: until its tenant has room, one place after
 // the other at the rate that the tenant can count on, within the most that callers heed. Least is what the server
 // asks of everybody; where that is nothing, nothing is told.
-func (c *Claim) Return(least, most, now Tenths) Tenths {
+func (c *Claim) Return(least, most, now timeunit.Ticks) timeunit.Ticks {
 	if c.of == nil || least <= 0 || most <= 0 {
 		return min(least, most)
 	}
@@ -160,7 +162,7 @@
 	l := a.ledger
 	l.at(now)
 	l.turned = true
-	gap := Tenths(max(1, min(c.booked/a.part(a.lasting()), 1<<40)))
+	gap := timeunit.Ticks(max(1, min(c.booked/a.part(a.lasting()), 1<<40)))
 	// Half of what waits before it will be through by then: there is room, and no core stands idle for it.
 	a.told = max(a.told, l.now+min(max(c.Behind, least)/2, most)) + gap
 	if at := a.told - l.now; at <= most {
@@ -168,5 +170,5 @@
 	}
 	// More are turned away than have room within what callers heed: they are spread over the later half of it.
 	a.told = l.now + most
-	return most/2 + Tenths(l.chance.Int63n(int64(most/2)+1))
+	return most/2 + timeunit.Ticks(l.chance.Int63n(int64(most/2)+1))
 }
--- a/internal/fairqueue/elsewhere.go
+++ b/internal/fairqueue/elsewhere.go
@@ -8,6 +8,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"thistlequay/timeunit"
 )
 
 // Service is what a named tenant was given by one life of a server, from that life's start, in core time.
@@ -18,7 +20,7 @@
 
 // source is one life of another server.
 type source struct {
-	heard Tenths
+	heard timeunit.Ticks
 	total map[string]float64
 }
 
@@ -40,7 +42,7 @@
 
 // Elsewhere takes what a life of another server said so long ago. Totals only grow: what comes late, twice or not at all is made
 // good by the next. The first word of a life, and one after a long silence, only tells where to count from.
-func (l *Ledger) Elsewhere(life string, age Tenths, given []Service, now Tenths) {
+func (l *Ledger) Elsewhere(life string, age timeunit.Ticks, given []Service, now timeunit.Ticks) {
 	l.at(now)
 	s := l.sources[life]
 	if s == nil {
@@ -65,7 +67,7 @@
 }
 
 // elsewhere moves a tenant's finish on.
-func (a *account) elsewhere(time float64, now Tenths) {
+func (a *account) elsewhere(time float64, now timeunit.Ticks) {
 	l := a.ledger
 	most := l.turn + mostAge*float64(l.terms.Cores*(1+len(l.sources)))/l.sum
 	if next := max(a.finish, l.Floor(l.turn)) + time/a.weight(); next <= most {
--- a/internal/fairqueue/elsewhere_test.go
+++ b/internal/fairqueue/elsewhere_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // doors are servers of one core that are always asked for more than they can do, by tenants at some of them; words on what was
@@ -21,18 +22,18 @@
 	}
 	for range servers {
 		all = append(all, New(Terms{Tenants: names, Others: 0.01, Newcomers: 0.25, Books: 4, Groups: 4, Burst: 2000, History: 50_000, Reshuffle: 300_000, Cores: 1,
-			Contracts: []Tenths{40_000}}, rand.New(rand.NewSource(1)), 0))
+			Contracts: []timeunit.Ticks{40_000}}, rand.New(rand.NewSource(1)), 0))
 	}
 	const run = 100 // tenths that each work item takes
 	given := map[string]float64{}
 	turns := make([]float64, servers)
 	type word struct {
 		from int
-		at   Tenths
+		at   timeunit.Ticks
 		of   []Service
 	}
 	var words []word
-	for now := Tenths(run); now < Tenths(seconds)*10_000; now += run {
+	for now := timeunit.Ticks(run); now < timeunit.Ticks(seconds)*10_000; now += run {
 		for i, l := range all {
 			var best Claim
 			var who string
@@ -57,7 +58,7 @@
 			history.Add(now, i, who, best.Turn, best.Behind)
 			best.Began(now - run)
 			best.Close(now)
-			if now > Tenths(seconds)*5_000 {
+			if now > timeunit.Ticks(seconds)*5_000 {
 				given[who] += run
 			}
 		}
@@ -116,9 +117,9 @@
 // What was said is counted once whatever comes again; a first word and one after a long silence only tell where to count from.
 func TestElsewhereCountsOnce(t *testing.T) {
 	l := New(Terms{Tenants: []Tenant{{"acme", 1}}, Others: 1, Newcomers: 0.25, Books: 4, Groups: 4, Burst: 10, History: 1, Reshuffle: 1 << 40, Cores: 1,
-		Contracts: []Tenths{100}}, rand.New(rand.NewSource(1)), 0)
+		Contracts: []timeunit.Ticks{100}}, rand.New(rand.NewSource(1)), 0)
 	finish := func() float64 { return l.named["acme"].finish }
-	say := func(life string, age Tenths, total float64, now Tenths) {
+	say := func(life string, age timeunit.Ticks, total float64, now timeunit.Ticks) {
 		l.Elsewhere(life, age, []Service{{"acme", total}, {"nobody", 5}}, now)
 	}
 	before := finish()
--- a/internal/fairqueue/golden_test.go
+++ b/internal/fairqueue/golden_test.go
@@ -6,10 +6,13 @@
 	"testing"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // addClaim adds what a claim told its holder.
-func addClaim(history *golden.History, c *Claim, now Tenths) { history.Add(now, c.Turn, c.Behind) }
+func addClaim(history *golden.History, c *Claim, now timeunit.Ticks) {
+	history.Add(now, c.Turn, c.Behind)
+}
 
 // addLedger adds what a ledger tells of itself.
 func addLedger(history *golden.History, l *Ledger) {
@@ -47,14 +50,14 @@
 	r := rand.New(rand.NewSource(seed))
 	settings := func() Terms {
 		t := terms(2 + r.Intn(3))
-		t.Books, t.Groups, t.Contracts = 1+r.Intn(5), 4+4*r.Intn(2), []Tenths{6_400, 1_600}
+		t.Books, t.Groups, t.Contracts = 1+r.Intn(5), 4+4*r.Intn(2), []timeunit.Ticks{6_400, 1_600}
 		t.History, t.Reshuffle = 10_000, 20_000
 		return t
 	}
 	l := New(settings(), rand.New(rand.NewSource(seed)), 0)
 	turn, total := 0.0, 0.0
 	var open []*Claim
-	for now := Tenths(0); now < 100_000; now += Tenths(r.Intn(60)) {
+	for now := timeunit.Ticks(0); now < 100_000; now += timeunit.Ticks(r.Intn(60)) {
 		switch k := r.Intn(100); {
 		case k < 35:
 			c := l.Open(fmt.Append(nil, "tenant-", min(r.Intn(40), r.Intn(40))), r.Intn(2), turn, now)
@@ -64,11 +67,11 @@
 		case k < 40:
 			c := l.Open(fmt.Append(nil, "new-", r.Intn(1000)), r.Intn(2), turn, now)
 			addClaim(history, &c, now)
-			history.Add(c.Return(Tenths(r.Intn(200)), Tenths(r.Intn(20_000)), now))
+			history.Add(c.Return(timeunit.Ticks(r.Intn(200)), timeunit.Ticks(r.Intn(20_000)), now))
 			c.Close(now)
 		case k < 42:
 			total += float64(r.Intn(2_000))
-			l.Elsewhere(fmt.Sprint("life-", r.Intn(3)), Tenths(r.Intn(3_000)), []Service{{fmt.Sprint("tenant-", r.Intn(4)), total}}, now)
+			l.Elsewhere(fmt.Sprint("life-", r.Intn(3)), timeunit.Ticks(r.Intn(3_000)), []Service{{fmt.Sprint("tenant-", r.Intn(4)), total}}, now)
 		case k == 42 && r.Intn(10) == 0:
 			l.Change(settings(), now)
 		case len(open) > 0:
--- a/internal/fairqueue/heavy.go
+++ b/internal/fairqueue/heavy.go
@@ -6,13 +6,15 @@
 import (
 	"cmp"
 	"slices"
+
+	"thistlequay/timeunit"
 )
 
 // candidate is one that may deserve a book.
 type candidate struct {
 	hash  uint64
-	since Tenths
-	seen  Tenths
+	since timeunit.Ticks
+	seen  timeunit.Ticks
 	used  float64 // with what it took over
 	over  float64 // from the one whose place it has
 }
@@ -27,7 +29,7 @@
 }
 
 // hear gives a tenant a place, that of the one that has used least where all are taken.
-func (s *candidates) hear(hash uint64, now Tenths) {
+func (s *candidates) hear(hash uint64, now timeunit.Ticks) {
 	if i, known := s.at[hash]; known {
 		s.table[i].seen = now
 		return
--- a/internal/fairqueue/ledger.go
+++ b/internal/fairqueue/ledger.go
@@ -14,12 +14,9 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
-// Tenths is a point or a span of time in tenths of a millisecond.
-type Tenths = admission.Tenths
-
 // Tenant is one that is known by name.
 type Tenant struct {
 	Name  string
@@ -29,15 +26,15 @@
 // Terms are what the books are kept by.
 type Terms struct {
 	Tenants   []Tenant
-	Others    float64  // weight of all that are not named, together; above 0
-	Newcomers float64  // part of that, above 0 and under 1, for those without a history
-	Books     int      // that are kept exactly for tenants not named, the heaviest
-	Groups    int      // that all others are hashed into
-	Burst     Tenths   // of the whole server's work: what may be had at once after a rest
-	History   Tenths   // a tenant must have been asking for so long to get a book
-	Reshuffle Tenths   // the groups are made anew after this
-	Cores     int      // what the server has
-	Contracts []Tenths // contract times by category: runs are first taken to need a small part of them
+	Others    float64          // weight of all that are not named, together; above 0
+	Newcomers float64          // part of that, above 0 and under 1, for those without a history
+	Books     int              // that are kept exactly for tenants not named, the heaviest
+	Groups    int              // that all others are hashed into
+	Burst     timeunit.Ticks   // of the whole server's work: what may be had at once after a rest
+	History   timeunit.Ticks   // a tenant must have been asking for so long to get a book
+	Reshuffle timeunit.Ticks   // the groups are made anew after this
+	Cores     int              // what the server has
+	Contracts []timeunit.Ticks // contract times by category: runs are first taken to need a small part of them
 }
 
 const (
@@ -57,7 +54,7 @@
 type Ledger struct {
 	terms  Terms
 	chance *rand.Rand
-	now    Tenths
+	now    timeunit.Ticks
 	turn   float64
 
 	named  map[string]*account
@@ -66,13 +63,13 @@
 	order  []*account // of named and heavy, that no decision hangs on the order of a map
 	seed   uint64     // of the hash that tells tenants apart
 	salt   uint64     // of the hash that puts them into groups
-	salted Tenths
+	salted timeunit.Ticks
 	heard  candidates
 
 	clock   float64 // core time that one run had which never waited
 	on      int     // runs that want a core
 	usual   []float64
-	beaten  Tenths
+	beaten  timeunit.Ticks
 	work    float64 // charged since the last beat
 	rate    float64 // core time a tenth that the server gets done while some wait
 	sum     float64 // of all weights
@@ -108,13 +105,13 @@
 	total  float64 // work charged here from the start
 	beside float64 // work given elsewhere since the last beat: turns go by it too
 	used   float64 // of late
-	seen   Tenths
+	seen   timeunit.Ticks
 	active bool
-	told   Tenths // the last return time that was told
+	told   timeunit.Ticks // the last return time that was told
 }
 
 // New opens the books. The hash that tells tenants apart and all spreading come from chance.
-func New(t Terms, chance *rand.Rand, now Tenths) *Ledger {
+func New(t Terms, chance *rand.Rand, now timeunit.Ticks) *Ledger {
 	l := &Ledger{chance: chance, now: now, beaten: now, salted: now, named: map[string]*account{},
 		heavy: map[uint64]*account{}, sources: map[string]*source{}, seed: chance.Uint64(), salt: chance.Uint64(), heard: newCandidates(tracked)}
 	l.rate = float64(t.Cores)
@@ -126,7 +123,7 @@
 }
 
 // Change takes up other terms, for the same cores and categories. Tenants that stay keep their books; claims of those that go end on the books they began on.
-func (l *Ledger) Change(t Terms, now Tenths) {
+func (l *Ledger) Change(t Terms, now timeunit.Ticks) {
 	l.at(now)
 	t.Cores = l.terms.Cores
 	l.keep(t)
@@ -226,7 +223,7 @@
 func (a *account) lasting() float64 { return a.used * (1 - forget) / beat }
 
 // at moves the clocks on.
-func (l *Ledger) at(now Tenths) {
+func (l *Ledger) at(now timeunit.Ticks) {
 	if now > l.now {
 		l.clock += float64(now-l.now) * min(1, float64(l.terms.Cores)/float64(max(1, l.on)))
 		l.now = now
--- a/internal/fairqueue/ledger_test.go
+++ b/internal/fairqueue/ledger_test.go
@@ -10,11 +10,12 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 func terms(named int) Terms {
 	t := Terms{Others: 0.1, Newcomers: 0.25, Books: 256, Groups: 128, Burst: 2_000, History: 50_000,
-		Reshuffle: 300_000, Cores: 4, Contracts: []Tenths{6_400}}
+		Reshuffle: 300_000, Cores: 4, Contracts: []timeunit.Ticks{6_400}}
 	for i := range named {
 		t.Tenants = append(t.Tenants, Tenant{Name: fmt.Sprint("tenant-", i), Share: 1})
 	}
@@ -35,7 +36,7 @@
 	l := New(terms(4), rand.New(rand.NewSource(1)), 0)
 	var first uint64
 	for i := range 10_000 {
-		now := Tenths(i * 60)
+		now := timeunit.Ticks(i * 60)
 		c := l.Open(fmt.Append(nil, "new-", i), 0, 0, now)
 		c.Began(now)
 		c.Close(now + 50)
@@ -61,10 +62,10 @@
 func playClaims(t *testing.T, seed int64, history *golden.History) {
 	r := rand.New(rand.NewSource(seed))
 	l := New(terms(3), rand.New(rand.NewSource(seed)), 0)
-	now, turn := Tenths(0), 0.0
+	now, turn := timeunit.Ticks(0), 0.0
 	var open [][2]*Claim
 	for range 200 {
-		now += Tenths(r.Intn(300))
+		now += timeunit.Ticks(r.Intn(300))
 		switch k := r.Intn(6); {
 		case k == 0:
 			a, b := l.Open([]byte("tenant-0"), 0, turn, now), l.Open([]byte("tenant-1"), 0, turn, now)
@@ -113,20 +114,20 @@
 // quiet is a host that takes note of nothing.
 type quiet struct{ run []*admission.WorkItem }
 
-func (q *quiet) Run(w *admission.WorkItem)                         { q.run = append(q.run, w) }
-func (*quiet) Share(*admission.WorkItem)                           {}
-func (*quiet) Decline(*admission.WorkItem, admission.Tenths, bool) {}
-func (*quiet) BreakOff(*admission.WorkItem)                        {}
-func (*quiet) Stop(*admission.WorkItem)                            {}
-func (*quiet) Skip(*admission.WorkItem)                            {}
-func (*quiet) Call(*admission.WorkItem, admission.Tenths)          {}
-func (*quiet) Remember(*admission.WorkItem, admission.Tenths)      {}
-func (*quiet) Forget(*admission.WorkItem)                          {}
-func (*quiet) Say(float64)                                         {}
-func (*quiet) Health(bool, bool)                                   {}
-func (*quiet) CloseIdle(admission.Tenths)                          {}
-func (*quiet) Wake(admission.Tenths)                               {}
-func (*quiet) Over(*admission.WorkItem)                            {}
+func (q *quiet) Run(w *admission.WorkItem)                       { q.run = append(q.run, w) }
+func (*quiet) Share(*admission.WorkItem)                         {}
+func (*quiet) Decline(*admission.WorkItem, timeunit.Ticks, bool) {}
+func (*quiet) BreakOff(*admission.WorkItem)                      {}
+func (*quiet) Stop(*admission.WorkItem)                          {}
+func (*quiet) Skip(*admission.WorkItem)                          {}
+func (*quiet) Call(*admission.WorkItem, timeunit.Ticks)          {}
+func (*quiet) Remember(*admission.WorkItem, timeunit.Ticks)      {}
+func (*quiet) Forget(*admission.WorkItem)                        {}
+func (*quiet) Say(float64)                                       {}
+func (*quiet) Health(bool, bool)                                 {}
+func (*quiet) CloseIdle(timeunit.Ticks)                          {}
+func (*quiet) Wake(timeunit.Ticks)                               {}
+func (*quiet) Over(*admission.WorkItem)                          {}
 
 // One start and one newcomer, with so many held and so many tenants.
 func BenchmarkDecide(b *testing.B) {
@@ -137,13 +138,13 @@
 				s := admission.New(admission.Deployment{Cores: 1, Memory: 1e12, RunFactor: 2, Categories: []admission.Category{
 					{Gain: 1, Contract: 1 << 40, Expiry: 1 << 41}, {Gain: 2, Contract: 1 << 40, Expiry: 1 << 41}}}, q, 0)
 				t := terms(min(tenants, 4))
-				t.Contracts = []Tenths{6_400, 6_400}
+				t.Contracts = []timeunit.Ticks{6_400, 6_400}
 				l := New(t, rand.New(rand.NewSource(1)), 0)
 				names := make([][]byte, tenants)
 				for i := range names {
 					names[i] = fmt.Append(nil, "tenant-", i)
 				}
-				now, n := admission.Tenths(0), 0
+				now, n := timeunit.Ticks(0), 0
 				take := func() {
 					a := admission.Arrival{HeldKb: 1, Category: n % 2}
 					if tenants > 0 {
@@ -183,7 +184,7 @@
 			for i := range names {
 				names[i] = fmt.Append(nil, "name-", i)
 			}
-			now, i := Tenths(0), 0
+			now, i := timeunit.Ticks(0), 0
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
--- a/internal/fairqueue/scenario_test.go
+++ b/internal/fairqueue/scenario_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // A scenario in testdata is played line by line; README.md there has the notation.
@@ -34,7 +35,7 @@
 	*require.Assertions
 	terms  Terms
 	l      *Ledger
-	now    Tenths
+	now    timeunit.Ticks
 	turn   float64
 	claims map[string]*Claim
 
@@ -46,7 +47,7 @@
 	require.NoError(t, err)
 	defer f.Close()
 	s := &stageOf{Assertions: require.New(t), history: history, claims: map[string]*Claim{}, terms: Terms{Others: 1, Newcomers: 0.25, Books: 2,
-		Groups: 4, Burst: 1, History: 10_000, Reshuffle: 1 << 50, Cores: 1, Contracts: []Tenths{1_600}}}
+		Groups: 4, Burst: 1, History: 10_000, Reshuffle: 1 << 50, Cores: 1, Contracts: []timeunit.Ticks{1_600}}}
 	in := bufio.NewScanner(f)
 	for n := 1; in.Scan(); n++ {
 		line, _, _ := strings.Cut(in.Text(), "#")
@@ -77,9 +78,9 @@
 			case "groups":
 				s.terms.Groups = int(v)
 			case "burst":
-				s.terms.Burst = Tenths(v * 10)
+				s.terms.Burst = timeunit.Ticks(v * 10)
 			case "reshuffle":
-				s.terms.Reshuffle = Tenths(v * 10)
+				s.terms.Reshuffle = timeunit.Ticks(v * 10)
 			case "cores":
 				s.terms.Cores = int(v)
 			default:
@@ -93,7 +94,7 @@
 			s.l.Change(s.terms, s.now)
 		}
 	case "at":
-		s.now = Tenths(s.number(word[1], where) * 10)
+		s.now = timeunit.Ticks(s.number(word[1], where) * 10)
 		if len(word) > 2 {
 			s.step(word[2:], where)
 		}
@@ -109,8 +110,8 @@
 			s.InDelta(s.number(text, where), got, 0.11, where)
 		}
 	case "runs": // TENANT EVERY TOOK UNTIL: a run after the other, in milliseconds
-		every, took := Tenths(s.number(word[2], where)*10), Tenths(s.number(word[3], where)*10)
-		for end := Tenths(s.number(word[4], where) * 10); s.now < end; s.now += every {
+		every, took := timeunit.Ticks(s.number(word[2], where)*10), timeunit.Ticks(s.number(word[3], where)*10)
+		for end := timeunit.Ticks(s.number(word[4], where) * 10); s.now < end; s.now += every {
 			c := s.l.Open([]byte(word[1]), 0, s.turn, s.now)
 			s.history.Add(s.now, c.Turn, c.Behind)
 			c.Began(s.now)
@@ -146,7 +147,7 @@
 			for i := range v {
 				v[i] = s.number(word[2+i], where)
 			}
-			got := float64(c.Return(Tenths(v[0]*10), Tenths(v[1]*10), s.now)) / 10
+			got := float64(c.Return(timeunit.Ticks(v[0]*10), timeunit.Ticks(v[1]*10), s.now)) / 10
 			s.history.Add(s.now, got)
 			s.True(got >= v[2] && got <= v[3], "%s: %v", where, got)
 		default:
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -17,6 +17,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"thistlequay/internal/membership"
+	"thistlequay/timeunit"
 )
 
 // rumour is a word on its way round; a newer one of the same life takes its place.
@@ -146,7 +147,7 @@
 
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, trip time.Duration, _ []byte) {
 	if id, ok := idOf(n.Name); ok {
-		(*Peers)(d).do(func() { d.view.Answered(id, membership.Moment(trip.Milliseconds())) })
+		(*Peers)(d).do(func() { d.view.Answered(id, timeunit.Milliseconds(trip.Milliseconds())) })
 	}
 }
 
@@ -215,7 +216,7 @@
 	}
 	for range pingTries {
 		if trip, err := p.list.Ping(nodeName(m.ID), at); err == nil {
-			p.do(func() { p.view.Answered(m.ID, membership.Moment(trip.Milliseconds())) })
+			p.do(func() { p.view.Answered(m.ID, timeunit.Milliseconds(trip.Milliseconds())) })
 			return true
 		}
 	}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -19,10 +19,11 @@
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/membership"
+	"thistlequay/timeunit"
 )
 
 // goldenMember makes a member without sockets whose identity, key and clock are the same in every run.
-func goldenMember(number int, now membership.Moment) *Peers {
+func goldenMember(number int, now timeunit.Milliseconds) *Peers {
 	id := membership.ID{Name: fmt.Sprintf("n%04d", number), Life: 0x1122334455667700 + uint64(number)}
 	p := &Peers{terms: Terms{Members: membership.DefaultTerms(id)}, inbox: make(chan func(), 16)}
 	p.terms.Members.Zone = "zone-a"
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -23,6 +23,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"thistlequay/internal/membership"
+	"thistlequay/timeunit"
 )
 
 const (
@@ -199,8 +200,8 @@
 }
 
 // now is the clock of the view: milliseconds since the start, by the monotonic clock.
-func (p *Peers) now() membership.Moment {
-	return membership.Moment(p.terms.Now().Sub(p.begun).Milliseconds()) + 1
+func (p *Peers) now() timeunit.Milliseconds {
+	return timeunit.Milliseconds(p.terms.Now().Sub(p.begun).Milliseconds()) + 1
 }
 
 // do has the worker do something. What finds the inbox full is dropped and counted: all of it comes again.
@@ -237,7 +238,7 @@
 func (p *Peers) Me() membership.ID { return p.terms.Members.Me }
 
 // Now is the clock of the view.
-func (p *Peers) Now() membership.Moment { return p.now() }
+func (p *Peers) Now() timeunit.Milliseconds { return p.now() }
 
 // Post sends a letter of a kind to one member at its address. Whether it comes nobody says; what finds no room is dropped.
 func (p *Peers) Post(to membership.ID, address string, kind byte, text []byte) {
@@ -335,7 +336,7 @@
 	}
 }
 
-func (p *Peers) look() { p.view.At(p.now(), membership.Moment(tick/time.Millisecond)) }
+func (p *Peers) look() { p.view.At(p.now(), timeunit.Milliseconds(tick/time.Millisecond)) }
 
 // say sends the server's own word where it is due.
 func (p *Peers) say(now bool) {
--- a/internal/membership/accord.go
+++ b/internal/membership/accord.go
@@ -10,6 +10,8 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"thistlequay/timeunit"
 )
 
 // Voter is a life and its address: another life there proves that this one is over.
@@ -20,11 +22,11 @@
 
 // Fleet is what was agreed upon.
 type Fleet struct {
-	Epoch  uint64  `cbor:"1,keyasint"` // 0: none yet
-	Voters []Voter `cbor:"2,keyasint"`
-	Count  int     `cbor:"3,keyasint"`           // members when it was agreed on
-	Lease  Moment  `cbor:"4,keyasint"`           // how long support holds in it
-	Born   uint64  `cbor:"5,keyasint,omitempty"` // the epoch of the fleet that this one came from without a break
+	Epoch  uint64                `cbor:"1,keyasint"` // 0: none yet
+	Voters []Voter               `cbor:"2,keyasint"`
+	Count  int                   `cbor:"3,keyasint"`           // members when it was agreed on
+	Lease  timeunit.Milliseconds `cbor:"4,keyasint"`           // how long support holds in it
+	Born   uint64                `cbor:"5,keyasint,omitempty"` // the epoch of the fleet that this one came from without a break
 }
 
 // Ballot orders proposals for what follows one fleet.
@@ -53,14 +55,14 @@
 
 // Note is one message between two members.
 type Note struct {
-	Kind   Kind   `cbor:"1,keyasint"`
-	From   ID     `cbor:"2,keyasint"`
-	Epoch  uint64 `cbor:"3,keyasint"`           // the fleet that the sender goes by
-	Asked  Moment `cbor:"4,keyasint,omitempty"` // by the asker's clock, given back as it came
-	Ballot Ballot `cbor:"5,keyasint,omitempty"`
-	Before Ballot `cbor:"6,keyasint,omitempty"` // under which the fleet was accepted
-	Fleet  *Fleet `cbor:"7,keyasint,omitempty"`
-	To     ID     `cbor:"8,keyasint"`
+	Kind   Kind                  `cbor:"1,keyasint"`
+	From   ID                    `cbor:"2,keyasint"`
+	Epoch  uint64                `cbor:"3,keyasint"`           // the fleet that the sender goes by
+	Asked  timeunit.Milliseconds `cbor:"4,keyasint,omitempty"` // by the asker's clock, given back as it came
+	Ballot Ballot                `cbor:"5,keyasint,omitempty"`
+	Before Ballot                `cbor:"6,keyasint,omitempty"` // under which the fleet was accepted
+	Fleet  *Fleet                `cbor:"7,keyasint,omitempty"`
+	To     ID                    `cbor:"8,keyasint"`
 }
 
 // Accord is one server's part in the agreement.
@@ -68,9 +70,9 @@
 	view    *View
 	terms   Terms
 	fleet   Fleet
-	from    Moment // in force
-	torn    bool   // two fleets of one epoch were heard of
-	awake   Moment // a new life votes on a first fleet from then on
+	from    timeunit.Milliseconds // in force
+	torn    bool                  // two fleets of one epoch were heard of
+	awake   timeunit.Milliseconds // a new life votes on a first fleet from then on
 	highest uint64
 
 	promised, accepted Ballot // as a voter, for what follows
@@ -81,14 +83,14 @@
 	best     Ballot
 	promises []ID
 	accepts  []ID
-	retry    Moment
+	retry    timeunit.Milliseconds
 	round    uint64
 
-	leases  map[ID]Moment // as one who asks: until when each voter supports it
-	nextAsk Moment
-	wish    Moment // since when another fleet is wished for
+	leases  map[ID]timeunit.Milliseconds // as one who asks: until when each voter supports it
+	nextAsk timeunit.Milliseconds
+	wish    timeunit.Milliseconds // since when another fleet is wished for
 	stood   Standing
-	since   Moment
+	since   timeunit.Milliseconds
 	out     []Note
 	Changes int  // fleets that were taken up
 	Renew   bool // the next fleet begins a line of its own: what the line kept in memory is lost
@@ -97,7 +99,7 @@
 // NewAccord begins without a fleet.
 func NewAccord(v *View) *Accord {
 	t := v.terms
-	return &Accord{view: v, terms: t, awake: v.now + 2*t.Lease + t.Settle, leases: map[ID]Moment{}, wish: forever, stood: Alone, since: v.now}
+	return &Accord{view: v, terms: t, awake: v.now + 2*t.Lease + t.Settle, leases: map[ID]timeunit.Milliseconds{}, wish: forever, stood: Alone, since: v.now}
 }
 
 // Fleet is the one that was agreed on last.
@@ -134,7 +136,7 @@
 
 const (
 	mostVoters = 15
-	mostLease  = 60 * Second
+	mostLease  = 60 * timeunit.MillisecondsPerSecond
 	askParts   = 3 // support is asked for so often in a lease
 )
 
@@ -209,7 +211,7 @@
 		}
 	case Support:
 		if a.fleet.voter(n.From) && n.Asked <= now {
-			until := n.Asked + Moment(float64(a.fleet.Lease)*(1-a.terms.Drift))
+			until := n.Asked + timeunit.Milliseconds(float64(a.fleet.Lease)*(1-a.terms.Drift))
 			a.leases[n.From] = max(a.leases[n.From], until)
 		}
 	case Prepare:
@@ -272,7 +274,7 @@
 		return
 	}
 	lease := max(a.fleet.Lease, f.Lease, a.terms.Lease)
-	a.fleet, a.torn, a.from = f, false, a.view.now+Moment(math.Ceil(float64(lease)*(1+a.terms.Drift)))
+	a.fleet, a.torn, a.from = f, false, a.view.now+timeunit.Milliseconds(math.Ceil(float64(lease)*(1+a.terms.Drift)))
 	a.view.agreed, a.highest = f.Count, max(a.highest, f.Epoch)
 	a.promised, a.accepted, a.value = Ballot{}, Ballot{}, nil
 	a.ballot, a.proposal, a.best, a.promises, a.accepts = Ballot{}, nil, Ballot{}, nil, nil
@@ -337,14 +339,14 @@
 	if count < quorum || rank < 0 || now < a.retry || need < urgent && now-a.wish < a.terms.Settle {
 		return
 	}
-	if rank > 0 && (need == another || now-a.wish < a.terms.Settle*Moment(2+rank)) { // the first has its time, and the say on counts
+	if rank > 0 && (need == another || now-a.wish < a.terms.Settle*timeunit.Milliseconds(2+rank)) { // the first has its time, and the say on counts
 		return
 	}
 	next := a.next(there)
 	if next.Count <= a.least()/2 {
 		return
 	}
-	a.retry = now + a.terms.Settle/2*Moment(1+rank)
+	a.retry = now + a.terms.Settle/2*timeunit.Milliseconds(1+rank)
 	a.begin(next)
 }
 
@@ -426,7 +428,7 @@
 	if a.forms() || a.Renew {
 		f.Born = f.Epoch
 	}
-	f.Lease = max(a.terms.Lease, Moment(f.Count)*leaseForEach)
+	f.Lease = max(a.terms.Lease, timeunit.Milliseconds(f.Count)*leaseForEach)
 	most := oddUpTo(min(f.Count, a.terms.Voters))
 	zones := map[string]int{}
 	add := func(m *Member) {
@@ -457,4 +459,4 @@
 	return f
 }
 
-const leaseForEach Moment = 5 // ms of a lease for each member, so that what voters are asked stays flat
+const leaseForEach timeunit.Milliseconds = 5 // ms of a lease for each member, so that what voters are asked stays flat
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // The histories hold only bytes as they go over the wire and numbers, so that no renaming moves them.
@@ -143,7 +144,7 @@
 	chance *rand.Rand
 	view   *View
 	accord *Accord
-	now    Moment
+	now    timeunit.Milliseconds
 }
 
 func newCaller(seed int64) *caller {
@@ -203,7 +204,7 @@
 	if c.chance.Intn(4) == 0 {
 		return nil
 	}
-	f := &Fleet{Epoch: uint64(c.chance.Intn(4)), Lease: Moment(c.chance.Intn(8)-1) * 1000, Born: uint64(c.chance.Intn(2))}
+	f := &Fleet{Epoch: uint64(c.chance.Intn(4)), Lease: timeunit.Milliseconds(c.chance.Intn(8)-1) * 1000, Born: uint64(c.chance.Intn(2))}
 	for i := range c.chance.Intn(4) {
 		f.Voters = append(f.Voters, Voter{ID{fmt.Sprint("n", i), uint64(1 + c.chance.Intn(3))}, fmt.Sprint("a", i)})
 	}
@@ -212,7 +213,7 @@
 }
 
 func (c *caller) message() Note {
-	n := Note{Kind: Kind(c.chance.Intn(9)), From: c.id(), To: c.view.terms.Me, Epoch: c.accord.fleet.Epoch, Asked: c.now - Moment(c.chance.Intn(400)-100)}
+	n := Note{Kind: Kind(c.chance.Intn(9)), From: c.id(), To: c.view.terms.Me, Epoch: c.accord.fleet.Epoch, Asked: c.now - timeunit.Milliseconds(c.chance.Intn(400)-100)}
 	if c.chance.Intn(5) == 0 {
 		n.Epoch = uint64(c.chance.Intn(4))
 	}
@@ -228,7 +229,7 @@
 	case 0, 1, 2, 3:
 		return flag(c.view.Hear(c.update()))
 	case 4:
-		c.view.Answered(c.id(), Moment(c.chance.Intn(90)))
+		c.view.Answered(c.id(), timeunit.Milliseconds(c.chance.Intn(90)))
 	case 5:
 		c.view.Missed(c.id())
 	case 6:
@@ -251,7 +252,7 @@
 		if c.chance.Intn(10) == 0 {
 			c.accord.Renew = true
 		}
-		c.now += Moment(c.chance.Intn(2500) - 50)
+		c.now += timeunit.Milliseconds(c.chance.Intn(2500) - 50)
 		return int64(c.view.At(c.now, 200))
 	case 15:
 		for range 1 + c.chance.Intn(12) {
--- a/internal/membership/judge.go
+++ b/internal/membership/judge.go
@@ -4,7 +4,11 @@
 // evidence one kind of trouble is told from another. It must never hold a member for failed on this server's word alone,
 // nor on any word while this server itself was standing still.
 
-import "slices"
+import (
+	"slices"
+
+	"thistlequay/timeunit"
+)
 
 // Dial is what came of a connection that was tried to the address of a member that does not answer.
 type Dial int
@@ -17,7 +21,7 @@
 
 // Answered: a member answered this server itself, after so long. One that is held for failed comes back only by refuting
 // that: its last answers may still be on their way here.
-func (v *View) Answered(id ID, trip Moment) {
+func (v *View) Answered(id ID, trip timeunit.Milliseconds) {
 	m := v.all[id]
 	if m == nil || m.over {
 		return
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -10,13 +10,9 @@
 	"cmp"
 	"math"
 	"slices"
-)
-
-// Moment is a point or a span of time in milliseconds, by a clock of this process that never goes back.
-type Moment int64
 
-// Second is a thousand milliseconds.
-const Second Moment = 1000
+	"thistlequay/timeunit"
+)
 
 // ID is one life of a named server: one start of its process. Of two lives of a name the greater began later by the
 // process's own word; the name is held by the one that Holder says.
@@ -135,52 +131,52 @@
 	Word
 	State   State // concluded; its own word's is in Word
 	Cause   Cause
-	Since   Moment // it stands so
-	First   Moment // when it was first heard of
-	Heard   Moment // when its newest word was said, by this server's clock
-	Direct  Moment // when it last answered this server itself
-	Trip    Moment // how long such an answer took, of late
-	changes []Moment
-	over    bool   // for good: no later word brings it back
-	counted bool   // it counts in the size of the fleet
-	swings  Moment // until when a change of it moves nothing
+	Since   timeunit.Milliseconds // it stands so
+	First   timeunit.Milliseconds // when it was first heard of
+	Heard   timeunit.Milliseconds // when its newest word was said, by this server's clock
+	Direct  timeunit.Milliseconds // when it last answered this server itself
+	Trip    timeunit.Milliseconds // how long such an answer took, of late
+	changes []timeunit.Milliseconds
+	over    bool                  // for good: no later word brings it back
+	counted bool                  // it counts in the size of the fleet
+	swings  timeunit.Milliseconds // until when a change of it moves nothing
 }
 
 // Age is how old what it says of itself is.
-func (m *Member) Age(now Moment) Moment { return max(0, now-m.Heard) }
+func (m *Member) Age(now timeunit.Milliseconds) timeunit.Milliseconds { return max(0, now-m.Heard) }
 
 // Terms are what a view goes by. All are spans in milliseconds but where another unit is named.
 type Terms struct {
 	Me        ID
 	Zone      string
-	Founders  []string // names of which all must agree before there is a first fleet
-	Size      int      // servers the installation is meant to have at first: more than half make a fleet
-	Lease     Moment   // how long a voter's support holds
-	Drift     float64  // how much faster one clock may run than another, as a part
-	Settle    Moment   // how long a view must stand before a fleet is agreed on it
-	Most      int      // members that are kept; the rest are passed over
-	Keep      Moment   // what is gone is shown for so long
-	Voters    int      // of a fleet, at most
-	SwingMost int      // changes within SwingIn from which on a member flaps
-	SwingIn   Moment
-	SwingFor  Moment // how long it counts as it did, from its last change
+	Founders  []string              // names of which all must agree before there is a first fleet
+	Size      int                   // servers the installation is meant to have at first: more than half make a fleet
+	Lease     timeunit.Milliseconds // how long a voter's support holds
+	Drift     float64               // how much faster one clock may run than another, as a part
+	Settle    timeunit.Milliseconds // how long a view must stand before a fleet is agreed on it
+	Most      int                   // members that are kept; the rest are passed over
+	Keep      timeunit.Milliseconds // what is gone is shown for so long
+	Voters    int                   // of a fleet, at most
+	SwingMost int                   // changes within SwingIn from which on a member flaps
+	SwingIn   timeunit.Milliseconds
+	SwingFor  timeunit.Milliseconds // how long it counts as it did, from its last change
 }
 
 // DefaultTerms are those of a fleet in one place: reasons in docs/membership/design.md.
 func DefaultTerms(me ID) Terms {
-	return Terms{Me: me, Size: 1, Lease: 1500, Drift: 0.1, Settle: 2 * Second, Most: 4096, Keep: 60 * Second, Voters: 7,
-		SwingMost: 3, SwingIn: 30 * Second, SwingFor: 10 * Second}
+	return Terms{Me: me, Size: 1, Lease: 1500, Drift: 0.1, Settle: 2 * timeunit.MillisecondsPerSecond, Most: 4096, Keep: 60 * timeunit.MillisecondsPerSecond, Voters: 7,
+		SwingMost: 3, SwingIn: 30 * timeunit.MillisecondsPerSecond, SwingFor: 10 * timeunit.MillisecondsPerSecond}
 }
 
 // View is what one server holds of the others. It is for one goroutine at a time.
 type View struct {
 	terms   Terms
-	now     Moment
+	now     timeunit.Milliseconds
 	me      *Member
 	all     map[ID]*Member
 	named   map[string][]*Member // lives of a name in their order
 	holders map[string]ID
-	slept   Moment // when this server last woke from standing still
+	slept   timeunit.Milliseconds // when this server last woke from standing still
 	size    float64
 	agreed  int // members of the fleet that was last agreed on
 	Counts  Counts
@@ -207,7 +203,7 @@
 }
 
 // NewView opens a view in which only the server itself is.
-func NewView(t Terms, now Moment) *View {
+func NewView(t Terms, now timeunit.Milliseconds) *View {
 	v := &View{terms: t, now: now, all: map[ID]*Member{}, named: map[string][]*Member{}, holders: map[string]ID{}, slept: -forever}
 	v.me = &Member{Word: Word{ID: t.Me, Zone: t.Zone}, First: now, Heard: now, Since: now}
 	v.add(v.me)
@@ -216,11 +212,11 @@
 	return v
 }
 
-const forever Moment = 1 << 60
+const forever timeunit.Milliseconds = 1 << 60
 
 // At moves the time on. A gap shows that this server stood still: until it has heard the others again it distrusts its
 // own eyes first.
-func (v *View) At(now Moment, every Moment) (slept Moment) {
+func (v *View) At(now timeunit.Milliseconds, every timeunit.Milliseconds) (slept timeunit.Milliseconds) {
 	if gap := now - v.now; gap > stillMost*every {
 		slept = gap
 		v.slept = now
@@ -273,7 +269,7 @@
 			v.Counts.Full++
 			return false
 		}
-		m = &Member{Word: w, First: v.now, Heard: v.now - Moment(w.AgeMs), Since: v.now, Direct: -forever, State: w.State}
+		m = &Member{Word: w, First: v.now, Heard: v.now - timeunit.Milliseconds(w.AgeMs), Since: v.now, Direct: -forever, State: w.State}
 		v.add(m)
 		v.events = append(v.events, Event{w.ID, Gone, w.State, None})
 		v.name(w.Name)
@@ -284,7 +280,7 @@
 		return false
 	}
 	asleep := w.SleptMs > 0 && w.SleptMs != m.SleptMs
-	m.Word, m.Heard = w, max(m.Heard, v.now-Moment(w.AgeMs))
+	m.Word, m.Heard = w, max(m.Heard, v.now-timeunit.Milliseconds(w.AgeMs))
 	switch {
 	case m.over || m.Cause == NameTaken: // what is over does not come back; what has no name waits for it
 	case m.State == Failed || m.State == Suspected: // told below: only an answer or the library's word brings it back
@@ -330,7 +326,7 @@
 func (v *View) Me() *Member { return v.me }
 
 // Now is the moment that was told last.
-func (v *View) Now() Moment { return v.now }
+func (v *View) Now() timeunit.Milliseconds { return v.now }
 
 // Events gives what has changed since it was last asked.
 func (v *View) Events() []Event {
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -10,6 +10,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/timeunit"
 )
 
 // Scenarios are text files; testdata/README.md explains their notation.
@@ -93,11 +95,11 @@
 		p.accord = NewAccord(p.view)
 		p.view.Say(Word{Address: "here", State: Serving})
 	case "at":
-		p.view.At(Moment(p.number(with[0])), 200)
+		p.view.At(timeunit.Milliseconds(p.number(with[0])), 200)
 		p.accord.Tick()
 		p.view.Judge(p.accord.Standing())
 	case "pass": // time goes by in small steps
-		for end := p.view.now + Moment(p.number(with[0])); p.view.now < end; {
+		for end := p.view.now + timeunit.Milliseconds(p.number(with[0])); p.view.now < end; {
 			p.view.At(p.view.now+200, 200)
 			p.accord.Tick()
 			p.view.Judge(p.accord.Standing())
--- a/internal/membership/schedule_test.go
+++ b/internal/membership/schedule_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // world is a network of views and accords in virtual time: words and notes are lost, late, doubled and out of order, links
@@ -16,7 +17,7 @@
 // silence, as the library would.
 type world struct {
 	chance *rand.Rand
-	now    Moment // true time
+	now    timeunit.Milliseconds // true time
 	nodes  []*node
 	cut    map[[2]int]bool // from, to
 	loss   float64
@@ -30,7 +31,7 @@
 }
 
 type packet struct {
-	at   Moment
+	at   timeunit.Milliseconds
 	to   int
 	life uint64
 	word *Word
@@ -44,17 +45,19 @@
 	view    *View
 	accord  *Accord
 	rate    float64 // of its clock
-	offset  Moment
-	stopped Moment // until
+	offset  timeunit.Milliseconds
+	stopped timeunit.Milliseconds // until
 	down    bool
-	heard   map[ID]Moment
+	heard   map[ID]timeunit.Milliseconds
 	lost    map[ID]bool
 	leaving bool
 }
 
-const step = 100 * Moment(1)
+const step = 100 * timeunit.Milliseconds(1)
 
-func (w *world) clock(n *node) Moment { return Moment(float64(w.now)*n.rate) + n.offset }
+func (w *world) clock(n *node) timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(w.now)*n.rate) + n.offset
+}
 
 func (w *world) begin(i int) {
 	n := w.nodes[i]
@@ -67,15 +70,15 @@
 	n.down, n.stopped, n.leaving = false, 0, false
 	n.view = NewView(t, w.clock(n))
 	n.accord = NewAccord(n.view)
-	n.heard, n.lost = map[ID]Moment{}, map[ID]bool{}
+	n.heard, n.lost = map[ID]timeunit.Milliseconds{}, map[ID]bool{}
 	n.view.Say(Word{Address: n.address, State: Serving})
 }
 
 func newWorld(seed int64, servers int) *world {
-	w := &world{chance: rand.New(rand.NewSource(seed)), now: Second, cut: map[[2]int]bool{}}
+	w := &world{chance: rand.New(rand.NewSource(seed)), now: timeunit.MillisecondsPerSecond, cut: map[[2]int]bool{}}
 	for i := range servers {
 		w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i), zone: fmt.Sprint("z", i%3), address: fmt.Sprint("a", i),
-			rate: 1 + 0.04*(w.chance.Float64()-0.5), offset: Moment(w.chance.Intn(100000))})
+			rate: 1 + 0.04*(w.chance.Float64()-0.5), offset: timeunit.Milliseconds(w.chance.Intn(100000))})
 	}
 	for i := range w.nodes {
 		w.begin(i)
@@ -96,7 +99,7 @@
 	copies := 1 + w.chance.Intn(10)/9 // now and then twice
 	for range copies {
 		if !w.cut[[2]int{from, to}] && w.chance.Float64() >= w.loss {
-			p.at, p.to, p.life = w.now+Moment(1+w.chance.Intn(250)), to, w.nodes[to].view.terms.Me.Life
+			p.at, p.to, p.life = w.now+timeunit.Milliseconds(1+w.chance.Intn(250)), to, w.nodes[to].view.terms.Me.Life
 			w.queue = append(w.queue, p)
 		}
 	}
@@ -144,9 +147,9 @@
 			}
 		}
 		for _, m := range n.view.Members() {
-			if at, known := n.heard[m.ID]; known && m.there() && n.view.now-at > 3*Second {
+			if at, known := n.heard[m.ID]; known && m.there() && n.view.now-at > 3*timeunit.MillisecondsPerSecond {
 				n.view.Doubted(m.ID)
-			} else if known && m.State == Suspected && n.view.now-at > 5*Second {
+			} else if known && m.State == Suspected && n.view.now-at > 5*timeunit.MillisecondsPerSecond {
 				n.view.Lost(m.ID)
 				n.lost[m.ID] = true
 			}
@@ -193,7 +196,7 @@
 	n.accord.Tick()
 }
 
-func (w *world) rounds(span Moment) {
+func (w *world) rounds(span timeunit.Milliseconds) {
 	for end := w.now + span; w.now < end; {
 		w.round()
 	}
@@ -210,7 +213,7 @@
 			w.begin(i)
 		}
 	case 1:
-		n.stopped = w.now + Moment(w.chance.Intn(8000))
+		n.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(8000))
 	case 2: // any groups
 		groups := 2 + w.chance.Intn(2)
 		of := make([]int, len(w.nodes))
@@ -242,14 +245,14 @@
 
 // play puts the world through trouble, then lets it heal.
 func (w *world) play() {
-	w.rounds(10 * Second)
+	w.rounds(10 * timeunit.MillisecondsPerSecond)
 	for range 12 {
 		w.trouble()
-		w.rounds(Moment(200 + w.chance.Intn(6000)))
+		w.rounds(timeunit.Milliseconds(200 + w.chance.Intn(6000)))
 	}
 	clear(w.cut)
 	w.loss = 0
-	w.rounds(30 * Second)
+	w.rounds(30 * timeunit.MillisecondsPerSecond)
 }
 
 // No two fleets are ever in force at once, whatever happens to the network and the processes; and where things are well
--- a/internal/membership/size_test.go
+++ b/internal/membership/size_test.go
@@ -9,6 +9,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/timeunit"
 )
 
 // Large fleets without the library: forty members are views and accords in full, the others speak and die. Who carries the talk
@@ -23,7 +25,7 @@
 		chance := rand.New(rand.NewSource(int64(n)))
 		const full = 40
 		id := func(i int) ID { return ID{fmt.Sprintf("n%04d", i), uint64(i + 1)} }
-		now := Second
+		now := timeunit.MillisecondsPerSecond
 		var views []*View
 		var accords []*Accord
 		for i := range full {
@@ -32,22 +34,22 @@
 			views = append(views, NewView(terms, now))
 			accords = append(accords, NewAccord(views[i]))
 		}
-		wordEvery := max(Second, 33*Moment(n))
-		due := make([]Moment, n) // of each member's next word
+		wordEvery := max(timeunit.MillisecondsPerSecond, 33*timeunit.Milliseconds(n))
+		due := make([]timeunit.Milliseconds, n) // of each member's next word
 		seq := make([]uint64, n)
 		for i := range due {
-			due[i] = now + Moment(chance.Intn(int(2*Second)))
+			due[i] = now + timeunit.Milliseconds(chance.Intn(int(2*timeunit.MillisecondsPerSecond)))
 		}
-		spread := Moment(200 * math.Ceil(math.Log(float64(n))/math.Log(4)))
+		spread := timeunit.Milliseconds(200 * math.Ceil(math.Log(float64(n))/math.Log(4)))
 		type late struct {
-			at   Moment
+			at   timeunit.Milliseconds
 			to   int
 			word Word
 			note *Note
 		}
 		var mail []late
 		heard, bytes, dead := 0, 0, -1
-		died, lost := Moment(0), make([]Moment, full) // when the carrier holds the dead one for dead
+		died, lost := timeunit.Milliseconds(0), make([]timeunit.Milliseconds, full) // when the carrier holds the dead one for dead
 		round := func() {
 			now += 200
 			for i := range due {
@@ -60,7 +62,7 @@
 					}
 					for j := range views {
 						if j != i {
-							mail = append(mail, late{at: now + Moment(chance.Int63n(int64(spread))), to: j, word: w})
+							mail = append(mail, late{at: now + timeunit.Milliseconds(chance.Int63n(int64(spread))), to: j, word: w})
 						}
 					}
 				}
@@ -99,27 +101,27 @@
 			return true
 		}
 		begun := now
-		for now-begun < 300*Second && !agreed() {
+		for now-begun < 300*timeunit.MillisecondsPerSecond && !agreed() {
 			round()
 		}
 		require.True(t, agreed(), "%d members never agreed", n)
 		converge := now - begun
 		heard, bytes = 0, 0
 		from := now
-		window := max(30*Second, 2*wordEvery)
+		window := max(30*timeunit.MillisecondsPerSecond, 2*wordEvery)
 		for now-from < window {
 			round()
 		}
-		rate := float64(bytes) / float64(window/Second) / full
+		rate := float64(bytes) / float64(window/timeunit.MillisecondsPerSecond) / full
 		dead, died = n-1, now
-		probe := died + Moment(chance.ExpFloat64()*500)
-		suspicion := Moment(4 * max(1, math.Log10(float64(n))) * 500)
+		probe := died + timeunit.Milliseconds(chance.ExpFloat64()*500)
+		suspicion := timeunit.Milliseconds(4 * max(1, math.Log10(float64(n))) * 500)
 		for i := range lost {
-			lost[i] = probe + suspicion + Moment(chance.Int63n(int64(spread)))
+			lost[i] = probe + suspicion + timeunit.Milliseconds(chance.Int63n(int64(spread)))
 		}
-		var detect []Moment
+		var detect []timeunit.Milliseconds
 		knows := make([]bool, full)
-		for now-died < 60*Second && len(detect) < full {
+		for now-died < 60*timeunit.MillisecondsPerSecond && len(detect) < full {
 			round()
 			for i, v := range views {
 				if m := v.Member(id(dead)); !knows[i] && (m == nil || m.State >= Failed) {
@@ -135,7 +137,7 @@
 			require.Equal(t, n-1, v.Present())
 		}
 		t.Logf("measured members-at-size members=%d converge_ms=%d detect_p50_ms=%d detect_p99_ms=%d false_alarms=%d words_a_second=%.1f bytes_a_second=%.0f",
-			n, converge, detect[full/2], detect[full-1], alarms, float64(heard)/float64(window/Second)/full, rate)
+			n, converge, detect[full/2], detect[full-1], alarms, float64(heard)/float64(window/timeunit.MillisecondsPerSecond)/full, rate)
 		require.Less(t, rate, 40.0*wordBytes) // flat, however many there are
 		require.Zero(t, alarms)
 	}
--- a/internal/membership/standing.go
+++ b/internal/membership/standing.go
@@ -3,7 +3,11 @@
 // This file owns what a server may hold of its own view, and what is allowed in each case. It must never let two parts
 // act as the whole.
 
-import "slices"
+import (
+	"slices"
+
+	"thistlequay/timeunit"
+)
 
 // Standing is what a server says of its own view.
 type Standing int
@@ -33,11 +37,11 @@
 }
 
 // Until is when the server ceases to be with the whole unless it hears from the voters; long ago where it is not.
-func (a *Accord) Until() Moment {
+func (a *Accord) Until() timeunit.Milliseconds {
 	if a.fleet.Epoch == 0 || a.torn || 2*a.view.Present() <= a.fleet.Count {
 		return -forever
 	}
-	var ends []Moment
+	var ends []timeunit.Milliseconds
 	for _, v := range a.fleet.Voters {
 		if end, is := a.leases[v.ID]; is {
 			ends = append(ends, end)
@@ -52,7 +56,7 @@
 }
 
 // Since is when it began to stand so, as of the last Tick.
-func (a *Accord) Since() Moment { return a.since }
+func (a *Accord) Since() timeunit.Milliseconds { return a.since }
 
 // Use is something that servers do together.
 type Use int
--- a/internal/plugin/chain/conduct.go
+++ b/internal/plugin/chain/conduct.go
@@ -5,6 +5,8 @@
 
 import (
 	"math/rand"
+
+	"thistlequay/timeunit"
 )
 
 // State is how a plug-in stands.
@@ -20,7 +22,7 @@
 var States = [...]string{"live", "quarantined", "on trial"}
 
 const (
-	second    = Tenths(10_000)
+	second    = timeunit.Ticks(10_000)
 	trials    = 3  // good ones in a row that end a quarantine
 	heals     = 10 // quarantines' worth of good time after which the next wait is the first again
 	smoothing = 1.0 / 16
@@ -39,12 +41,12 @@
 	row, good int
 	rate      float64 // share of calls that ended in a fault, of late
 	seen      int
-	wait      Tenths // of the last quarantine
-	until     Tenths // its end
-	since     Tenths // live
-	trying    bool   // a trial is out
+	wait      timeunit.Ticks // of the last quarantine
+	until     timeunit.Ticks // its end
+	since     timeunit.Ticks // live
+	trying    bool           // a trial is out
 	room      float64
-	roomAt    Tenths
+	roomAt    timeunit.Ticks
 	apart     []apart // oldest first
 }
 
@@ -52,25 +54,25 @@
 type apart struct {
 	tenant string
 	row    int
-	wait   Tenths
-	until  Tenths
+	wait   timeunit.Ticks
+	until  timeunit.Ticks
 }
 
 // Until is the end of its last quarantine.
-func (c *Conduct) Until() Tenths { return c.until }
+func (c *Conduct) Until() timeunit.Ticks { return c.until }
 
-func newConduct(chance *rand.Rand, now Tenths) *Conduct {
+func newConduct(chance *rand.Rand, now timeunit.Ticks) *Conduct {
 	return &Conduct{chance: chance, since: now, room: float64(second), roomAt: now}
 }
 
 // fill lets its share of a core run up, no further than a second's worth.
-func (c *Conduct) fill(now Tenths, g *Grant) {
+func (c *Conduct) fill(now timeunit.Ticks, g *Grant) {
 	c.room = min(c.room+float64(now-c.roomAt)*g.Core, float64(second)*g.Core)
 	c.roomAt = now
 }
 
 // may says whether the plug-in may be asked now.
-func (c *Conduct) may(tenant string, now Tenths, g *Grant) bool {
+func (c *Conduct) may(tenant string, now timeunit.Ticks, g *Grant) bool {
 	if c.fill(now, g); c.room <= 0 {
 		return false
 	}
@@ -101,7 +103,7 @@
 }
 
 // judge books how a call went and says whether the plug-in went into quarantine by it.
-func (c *Conduct) judge(tenant string, f Fault, failed bool, took, now Tenths, g *Grant) (quarantined bool) {
+func (c *Conduct) judge(tenant string, f Fault, failed bool, took, now timeunit.Ticks, g *Grant) (quarantined bool) {
 	c.fill(now, g)
 	c.room -= float64(took)
 	wasTrial := c.State == Trial && c.trying
@@ -136,17 +138,17 @@
 }
 
 // quarantine: ever longer, and not to the moment, so that a fleet's plug-ins don't come back together.
-func (c *Conduct) quarantine(now Tenths, g *Grant) {
+func (c *Conduct) quarantine(now timeunit.Ticks, g *Grant) {
 	if c.State == Live && now-c.since > heals*max(c.wait, g.Wait) {
 		c.wait = 0
 	}
 	c.wait = min(max(g.Wait, 2*c.wait), g.Longest)
-	c.until = now + c.wait + Tenths(c.chance.Float64()*spread*float64(c.wait))
+	c.until = now + c.wait + timeunit.Ticks(c.chance.Float64()*spread*float64(c.wait))
 	c.State, c.row, c.good = Quarantined, 0, 0
 }
 
 // blame books a fault with the tenant whose work item it was, and says whether it is the plug-in's own matter.
-func (c *Conduct) blame(tenant string, now Tenths, g *Grant) (own bool) {
+func (c *Conduct) blame(tenant string, now timeunit.Ticks, g *Grant) (own bool) {
 	a := c.of(tenant)
 	if a == nil {
 		if len(c.apart) >= mostApart {
--- a/internal/plugin/chain/golden_test.go
+++ b/internal/plugin/chain/golden_test.go
@@ -5,10 +5,11 @@
 	"testing"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // addWalk adds where a walk stands: which plug-in is asked, for how long, and what came of it so far.
-func addWalk(history *golden.History, w *Walk, p *Plugin, within, now Tenths) {
+func addWalk(history *golden.History, w *Walk, p *Plugin, within, now timeunit.Ticks) {
 	asked := -1
 	if p != nil {
 		asked = p.Place
--- a/internal/plugin/chain/hooks.go
+++ b/internal/plugin/chain/hooks.go
@@ -8,12 +8,9 @@
 import (
 	"math/rand"
 
-	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
-// Tenths is a point or a span of time in tenths of a millisecond.
-type Tenths = admission.Tenths
-
 // Point is where a plug-in is asked.
 type Point int
 
@@ -41,24 +38,24 @@
 	To         []bool // categories that it may have work items treated as
 	Tags       bool
 	Rewrites   bool
-	Call       Tenths  // the most that one call may take
-	Share      float64 // and of the time that the work item has left, with all others together
-	Core       float64 // share of a core that it may use, over a second
-	Every      Tenths  // between ticks
+	Call       timeunit.Ticks // the most that one call may take
+	Share      float64        // and of the time that the work item has left, with all others together
+	Core       float64        // share of a core that it may use, over a second
+	Every      timeunit.Ticks // between ticks
 	Otherwise  Otherwise
 	Alone      bool // faults at one tenant's work items count against it there first
 	Row        int  // faults in a row that end in quarantine
 	Rate       float64
-	Wait       Tenths // the first quarantine; each next is twice as long
-	Longest    Tenths
+	Wait       timeunit.Ticks // the first quarantine; each next is twice as long
+	Longest    timeunit.Ticks
 }
 
 // Item is what the walk needs to know of a work item.
 type Item struct {
 	Category int
 	Tenant   string
-	Left     Tenths // that its caller still waits
-	Fixed    bool   // it is stamped or one-shot: its category is its identity
+	Left     timeunit.Ticks // that its caller still waits
+	Fixed    bool           // it is stamped or one-shot: its category is its identity
 }
 
 // Verdict is what a plug-in says, as it came: nothing in it has been believed yet.
@@ -110,7 +107,7 @@
 
 // NewChain makes a chain of grants. A name that was in the chain before goes on with the conduct it had there, unless
 // fresh says that it is another one now.
-func NewChain(grants []Grant, before *Chain, fresh func(name string) bool, chance *rand.Rand, now Tenths) *Chain {
+func NewChain(grants []Grant, before *Chain, fresh func(name string) bool, chance *rand.Rand, now timeunit.Ticks) *Chain {
 	c := &Chain{}
 	for i, g := range grants {
 		p := &Plugin{Grant: g, Place: i}
@@ -154,7 +151,7 @@
 	at    Point
 	item  Item
 	next  int
-	until Tenths
+	until timeunit.Ticks
 	asked *Plugin
 
 	// What came of it.
@@ -167,13 +164,13 @@
 }
 
 // Begin begins one. Body is the result, at that point.
-func (c *Chain) Begin(at Point, it Item, body []byte, now Tenths) *Walk {
+func (c *Chain) Begin(at Point, it Item, body []byte, now timeunit.Ticks) *Walk {
 	c.Under++
 	return &Walk{chain: c, at: at, item: it, until: now + min(longestWalk, it.Left/2), Category: it.Category, Body: body}
 }
 
 // Tick has a plug-in asked about nothing; nil where it may not be asked now.
-func (c *Chain) Tick(p *Plugin, now Tenths) *Walk {
+func (c *Chain) Tick(p *Plugin, now timeunit.Ticks) *Walk {
 	if !p.may("", now, &p.Grant) {
 		return nil
 	}
@@ -186,14 +183,14 @@
 
 // Next gives the plug-in to be asked now and how long it may take; none when the walk is over. A plug-in that may not be
 // asked is passed over as its settings say.
-func (w *Walk) Next(now Tenths) (p *Plugin, within Tenths) {
+func (w *Walk) Next(now timeunit.Ticks) (p *Plugin, within timeunit.Ticks) {
 	for w.next < len(w.chain.Plugins) && !w.Declined {
 		p := w.chain.Plugins[w.next]
 		w.next++
 		if !p.sees(w.at, &w.item) {
 			continue
 		}
-		within = min(p.Call, Tenths(float64(w.item.Left)*p.Share), w.until-now)
+		within = min(p.Call, timeunit.Ticks(float64(w.item.Left)*p.Share), w.until-now)
 		if within <= 0 || !p.may(w.item.Tenant, now, &p.Grant) {
 			w.otherwise(p)
 			continue
@@ -213,7 +210,7 @@
 }
 
 // Failed: no verdict came. It says whether the plug-in went into quarantine by it.
-func (w *Walk) Failed(f Fault, took, now Tenths) (quarantined bool) {
+func (w *Walk) Failed(f Fault, took, now timeunit.Ticks) (quarantined bool) {
 	p := w.asked
 	if w.asked = nil; p == nil {
 		return false
@@ -223,7 +220,7 @@
 }
 
 // Said takes a verdict. What was not granted, or cannot be meant, is a fault and counts for nothing, all of it.
-func (w *Walk) Said(v Verdict, took, now Tenths) (f Fault, wrong, quarantined bool) {
+func (w *Walk) Said(v Verdict, took, now timeunit.Ticks) (f Fault, wrong, quarantined bool) {
 	p := w.asked
 	if p == nil {
 		return 0, false, false
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // A scenario in testdata is played line by line; README.md there has the notation.
@@ -47,7 +48,7 @@
 	grants []Grant
 	chain  *Chain
 	walks  map[string]*Walk
-	now    Tenths
+	now    timeunit.Ticks
 
 	history *golden.History
 }
@@ -92,7 +93,7 @@
 			case "to":
 				g.To[int(s.number(text, where))] = true
 			case "call":
-				g.Call = Tenths(s.number(text, where) * 10)
+				g.Call = timeunit.Ticks(s.number(text, where) * 10)
 			case "share":
 				g.Share = s.number(text, where)
 			case "core":
@@ -114,7 +115,7 @@
 		s.chain = NewChain(s.grants, s.chain, func(name string) bool { return fresh[name] }, rand.New(rand.NewSource(1)), s.now)
 		s.grants = nil
 	case "at":
-		s.now = Tenths(s.number(word[1], where) * 10)
+		s.now = timeunit.Ticks(s.number(word[1], where) * 10)
 		if len(word) > 2 {
 			s.step(word[2:], where)
 		}
@@ -130,7 +131,7 @@
 			case "tenant":
 				it.Tenant = text
 			case "left":
-				it.Left = Tenths(s.number(text, where) * 10)
+				it.Left = timeunit.Ticks(s.number(text, where) * 10)
 			case "fixed":
 				it.Fixed = true
 			case "body":
@@ -158,13 +159,13 @@
 				v.Replace, v.Body = true, []byte(text)
 			}
 		}
-		f, wrong, off := w.Said(v, Tenths(s.number(word[2], where)*10), s.now)
+		f, wrong, off := w.Said(v, timeunit.Ticks(s.number(word[2], where)*10), s.now)
 		s.history.Add(s.now, int(f), wrong, off)
 		s.outcome(w, f, wrong, off, word[i+1:], where)
 	case "fails": // NAME FAULT TOOK => as above
 		w := s.walks[word[1]]
 		f := faultNames[word[2]]
-		off := w.Failed(f, Tenths(s.number(word[3], where)*10), s.now)
+		off := w.Failed(f, timeunit.Ticks(s.number(word[3], where)*10), s.now)
 		s.history.Add(s.now, int(f), off)
 		s.outcome(w, f, false, off, word[5:], where)
 	case "state":
@@ -239,11 +240,11 @@
 			Otherwise: Otherwise(r.Intn(2)), Alone: flip(), Row: 1 + r.Intn(3), Rate: r.Float64(), Wait: 100, Longest: 1000})
 	}
 	chain := NewChain(grants, nil, func(string) bool { return true }, r, 0)
-	now := Tenths(0)
+	now := timeunit.Ticks(0)
 	for range 100 {
-		now += Tenths(r.Intn(100))
+		now += timeunit.Ticks(r.Intn(100))
 		at := Point(r.Intn(2))
-		it := Item{Category: r.Intn(3), Tenant: fmt.Sprint(r.Intn(3)), Left: Tenths(r.Intn(5000)), Fixed: flip()}
+		it := Item{Category: r.Intn(3), Tenant: fmt.Sprint(r.Intn(3)), Left: timeunit.Ticks(r.Intn(5000)), Fixed: flip()}
 		body := []byte("0123456789"[:r.Intn(10)])
 		w := chain.Begin(at, it, body, now)
 		begun := now
@@ -256,7 +257,7 @@
 			for i := range p.To {
 				granted.To[i] = granted.To[i] || p.To[i]
 			}
-			took := Tenths(r.Intn(int(within) + 1))
+			took := timeunit.Ticks(r.Intn(int(within) + 1))
 			now += took
 			if flip() {
 				off := w.Failed(Fault(r.Intn(len(Words))), took, now)
@@ -295,7 +296,7 @@
 				grants = append(grants, g)
 			}
 			chain := NewChain(grants, nil, func(string) bool { return true }, rand.New(rand.NewSource(1)), 0)
-			now := Tenths(0)
+			now := timeunit.Ticks(0)
 			it := Item{Tenant: "acme", Left: 10_000}
 			for b.Loop() {
 				now += 10
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -8,6 +8,8 @@
 	"cmp"
 	"maps"
 	"slices"
+
+	"thistlequay/timeunit"
 )
 
 // Decision is one entry of the log.
@@ -58,14 +60,14 @@
 	wished   uint64 // revision that is under way
 	wholes   []Amount
 	elected  bool
-	since    Moment // elected
-	opening  bool   // under way
-	next     Moment // when it decides again
-	Strange  int    // requests by other terms
+	since    timeunit.Milliseconds // elected
+	opening  bool                  // under way
+	next     timeunit.Milliseconds // when it decides again
+	Strange  int                   // requests by other terms
 }
 
 // decideEvery bounds the rate of entries: so many milliseconds lie between two.
-const decideEvery Moment = 250
+const decideEvery timeunit.Milliseconds = 250
 
 // NewBook keeps limits of which nothing is granted, not opened yet, by a log of this number.
 func NewBook(limits []Terms, digest uint32, revision, log uint64) *Book {
@@ -83,7 +85,7 @@
 func (b *Book) Opened() bool     { return b.opened }
 func (b *Book) Revision() uint64 { return b.revision }
 
-func (b *Book) span() (longest Moment) {
+func (b *Book) span() (longest timeunit.Milliseconds) {
 	for _, k := range b.keepers {
 		longest = max(longest, k.span())
 	}
@@ -91,7 +93,7 @@
 }
 
 // Elected: this keeper decides from now on, or no longer.
-func (b *Book) Elected(is bool, now Moment) {
+func (b *Book) Elected(is bool, now timeunit.Milliseconds) {
 	b.elected, b.since, b.opening, b.wished, b.next = is, now, false, 0, now
 	for _, k := range b.keepers {
 		k.Elected(is, now)
@@ -99,7 +101,7 @@
 }
 
 // Apply takes a decision that was agreed on.
-func (b *Book) Apply(d Decision, now Moment) {
+func (b *Book) Apply(d Decision, now timeunit.Milliseconds) {
 	if d.Open {
 		b.opened, b.opening = true, false
 	}
@@ -114,7 +116,7 @@
 }
 
 // Ask takes what a server asks. Whoever answers must have heard from a majority after it came.
-func (b *Book) Ask(a Asking, now Moment) (answers Answers, granted bool) {
+func (b *Book) Ask(a Asking, now timeunit.Milliseconds) (answers Answers, granted bool) {
 	if !b.elected || len(a.Of) != len(b.keepers) || len(a.Wholes) != len(b.keepers) {
 		return answers, false
 	}
@@ -138,7 +140,7 @@
 }
 
 // Decide gives what should be agreed on next, not too often.
-func (b *Book) Decide(now Moment) (d Decision, due bool) {
+func (b *Book) Decide(now timeunit.Milliseconds) (d Decision, due bool) {
 	if !b.elected || now < b.next {
 		return d, false
 	}
@@ -199,7 +201,7 @@
 }
 
 // Restore takes a state in the place of all that was applied.
-func (b *Book) Restore(s Saved, now Moment) {
+func (b *Book) Restore(s Saved, now timeunit.Milliseconds) {
 	b.opened, b.revision = s.Opened, s.Revision
 	for i, k := range b.keepers {
 		*k = *NewKeeper(k.terms, k.log)
@@ -220,16 +222,16 @@
 
 // Line is what one server holds of one limit, for operators.
 type Line struct {
-	Server  string `json:"server"`
-	Amount  Amount `json:"amount"`
-	Counts  Amount `json:"counts"` // older amounts included that it may not have left yet
-	Wants   Amount `json:"wants"`
-	LeftMs  Moment `json:"left_ms"` // of what is known here; the elected keeper knows best
-	HeardMs Moment `json:"heard_ms"`
+	Server  string                `json:"server"`
+	Amount  Amount                `json:"amount"`
+	Counts  Amount                `json:"counts"` // older amounts included that it may not have left yet
+	Wants   Amount                `json:"wants"`
+	LeftMs  timeunit.Milliseconds `json:"left_ms"` // of what is known here; the elected keeper knows best
+	HeardMs timeunit.Milliseconds `json:"heard_ms"`
 }
 
 // Lines are the grants of a limit, the largest first.
-func (k *Keeper) Lines(now Moment) (lines []Line) {
+func (k *Keeper) Lines(now timeunit.Milliseconds) (lines []Line) {
 	for name, g := range k.grants {
 		lines = append(lines, Line{Server: name, Amount: g.amount, Counts: g.counts(), Wants: g.wants, LeftMs: max(0, g.until-now), HeardMs: max(0, now-g.heard)})
 	}
--- a/internal/quota/coordinator/keepers.go
+++ b/internal/quota/coordinator/keepers.go
@@ -14,11 +14,9 @@
 
 	"thistlequay/internal/consensus"
 	"thistlequay/internal/quota"
+	"thistlequay/timeunit"
 )
 
-// Moment is a point or a span of time in milliseconds, by a clock of one process that never goes back.
-type Moment int64
-
 // Terms are what a keeper goes by.
 type Terms struct {
 	Number   func(log uint64) uint64 // that of this life in a log without a disk: another life of its name has another
@@ -41,11 +39,11 @@
 
 // Sight is what the view says at one moment.
 type Sight struct {
-	Until   Moment // the server acts with the whole until then, unless it hears more; long ago where it does not
-	Born    uint64 // the fleet's line without a break
-	First   bool   // the fleet is the first of its line
-	Voters  []Seat // of the fleet, in order
-	Members []Seat // that are there
+	Until   timeunit.Milliseconds // the server acts with the whole until then, unless it hears more; long ago where it does not
+	Born    uint64                // the fleet's line without a break
+	First   bool                  // the fleet is the first of its line
+	Voters  []Seat                // of the fleet, in order
+	Members []Seat                // that are there
 }
 
 // Identity is the number under which a keeper takes part in a log.
@@ -82,7 +80,7 @@
 type Core struct {
 	terms   Terms
 	chance  *rand.Rand
-	now     Moment
+	now     timeunit.Milliseconds
 	sight   Sight
 	id      Identity
 	node    *consensus.Node
@@ -92,16 +90,16 @@
 	waiting []asked
 	round   []asked // that wait for the token
 	token   uint64
-	put     Moment // when that was
+	put     timeunit.Milliseconds // when that was
 	replies []Reply
-	led     Moment // when a leader was last known, or there was no whole to lead
-	gone    uint64 // the number of a memory that was given up: it is never taken again
-	Agreed  int    // entries, from the start
-	Lost    int    // memories that had to be given up
+	led     timeunit.Milliseconds // when a leader was last known, or there was no whole to lead
+	gone    uint64                // the number of a memory that was given up: it is never taken again
+	Agreed  int                   // entries, from the start
+	Lost    int                   // memories that had to be given up
 }
 
 // New is a server that is no keeper yet.
-func New(t Terms, chance *rand.Rand, now Moment) *Core {
+func New(t Terms, chance *rand.Rand, now timeunit.Milliseconds) *Core {
 	return &Core{terms: t, chance: chance, now: now, id: Identity{Log: t.Log}, book: quota.NewBook(t.Limits, t.Digest, t.Revision, t.Log)}
 }
 
@@ -117,7 +115,7 @@
 func (c *Core) begin(id Identity, saved *consensus.Saved, first []uint64) (err error) {
 	c.id, c.term, c.round = id, 0, nil
 	c.book = quota.NewBook(c.terms.Limits, c.terms.Digest, c.terms.Revision, c.id.Log)
-	if c.node, err = consensus.New(consensus.DefaultTerms(id.Voter), saved, first, c.chance, consensus.Moment(c.now)); err != nil {
+	if c.node, err = consensus.New(consensus.DefaultTerms(id.Voter), saved, first, c.chance, timeunit.Milliseconds(c.now)); err != nil {
 		c.node = nil
 		return err
 	}
@@ -162,7 +160,7 @@
 func (c *Core) Whole() bool { return c.now < c.sight.Until }
 
 // See takes what the view says.
-func (c *Core) See(s Sight, now Moment) {
+func (c *Core) See(s Sight, now timeunit.Milliseconds) {
 	c.now, c.sight = max(c.now, now), s
 	if len(c.terms.Named) == 0 {
 		c.follow()
@@ -237,7 +235,7 @@
 // runs out before the new one grants anything.
 func (c *Core) Stuck() bool { return len(c.terms.Named) == 0 && c.now-c.led > stuckAfter }
 
-const stuckAfter Moment = 10_000
+const stuckAfter timeunit.Milliseconds = 10_000
 
 // Letter takes a message of another keeper in the same log.
 func (c *Core) Letter(from, log uint64, text []byte) {
@@ -264,10 +262,10 @@
 	return 0
 }
 
-const roundMost Moment = 1000 // a majority that says nothing for so long is asked anew
+const roundMost timeunit.Milliseconds = 1000 // a majority that says nothing for so long is asked anew
 
 // At moves the time on. It is to be called some times in a tenth of a second.
-func (c *Core) At(now Moment) {
+func (c *Core) At(now timeunit.Milliseconds) {
 	c.now = max(c.now, now)
 	if c.Leader() != 0 || !c.Whole() {
 		c.led = c.now
@@ -276,7 +274,7 @@
 		c.waiting = nil
 		return
 	}
-	c.node.At(consensus.Moment(c.now))
+	c.node.At(timeunit.Milliseconds(c.now))
 	c.lead()
 	if c.term == 0 {
 		return
@@ -292,7 +290,7 @@
 	if !c.Whole() {
 		return
 	}
-	if d, due := c.book.Decide(quota.Moment(c.now)); due {
+	if d, due := c.book.Decide(timeunit.Milliseconds(c.now)); due {
 		text, err := cbor.Marshal(d)
 		if err != nil || !c.node.Propose(text) {
 			c.book.Undecided(d)
@@ -310,7 +308,7 @@
 		return
 	}
 	c.term, c.round = term, nil
-	c.book.Elected(term > 0, quota.Moment(c.now))
+	c.book.Elected(term > 0, timeunit.Milliseconds(c.now))
 	for _, w := range c.waiting {
 		c.replies = append(c.replies, Reply{To: w.to, Leader: c.other()})
 	}
@@ -342,7 +340,7 @@
 	for _, text := range n.Agreed {
 		var d quota.Decision
 		if decisions.Unmarshal(text, &d) == nil {
-			c.book.Apply(d, quota.Moment(c.now))
+			c.book.Apply(d, timeunit.Milliseconds(c.now))
 			c.Agreed++
 		}
 	}
@@ -352,7 +350,7 @@
 			continue
 		}
 		for _, a := range c.round {
-			answers, granted := c.book.Ask(a.asking, quota.Moment(c.now))
+			answers, granted := c.book.Ask(a.asking, timeunit.Milliseconds(c.now))
 			o.Replies = append(o.Replies, Reply{To: a.to, Answers: answers, Granted: granted, Leader: c.id.Voter})
 		}
 		c.round = nil
@@ -384,8 +382,8 @@
 func (c *Core) restore(state []byte) {
 	var s quota.Saved
 	if len(state) > 0 && decisions.Unmarshal(state, &s) == nil {
-		c.book.Restore(s, quota.Moment(c.now))
+		c.book.Restore(s, timeunit.Milliseconds(c.now))
 	} else {
-		c.book.Restore(quota.Saved{}, quota.Moment(c.now))
+		c.book.Restore(quota.Saved{}, timeunit.Milliseconds(c.now))
 	}
 }
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -13,6 +13,7 @@
 	"thistlequay/internal/consensus"
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
+	"thistlequay/timeunit"
 )
 
 // world is servers in virtual time, each with a keeper's core and a holder of one limit: letters, requests and answers are lost,
@@ -21,7 +22,7 @@
 // all that went before has run out.
 type world struct {
 	chance  *rand.Rand
-	now     quota.Moment // true time
+	now     timeunit.Milliseconds // true time
 	terms   Terms
 	limit   quota.Terms
 	servers []*server
@@ -31,9 +32,9 @@
 	lives   uint64
 	sight   Sight // of the side that is whole
 	side    []int
-	from    quota.Moment // the sight is in force
-	last    quota.Moment // when any server was whole
-	ghosts  []quota.Moment
+	from    timeunit.Milliseconds // the sight is in force
+	last    timeunit.Milliseconds // when any server was whole
+	ghosts  []timeunit.Milliseconds
 	force   quota.Amount
 	over    int
 	looks   int
@@ -97,29 +98,29 @@
 	name     string
 	life     uint64
 	rate     float64
-	offset   quota.Moment
-	stopped  quota.Moment
+	offset   timeunit.Milliseconds
+	stopped  timeunit.Milliseconds
 	down     bool
 	id       Identity // saved
 	saved    *consensus.Saved
 	disk     int // 0: it works, 1: full, 2: slow
-	parts    []quota.Moment
+	parts    []timeunit.Milliseconds
 	load     quota.Amount
-	sees     quota.Moment
+	sees     timeunit.Milliseconds
 	wholes   quota.Amount
 	revision uint64
 	leader   uint64
 }
 
 type parcel struct {
-	at   quota.Moment
+	at   timeunit.Milliseconds
 	from int
 	to   int
 	life uint64
 	do   func(*server)
 }
 
-const lease quota.Moment = 1650
+const lease timeunit.Milliseconds = 1650
 
 func voterOf(s *server, log uint64) uint64 { return s.life*1000 + log }
 
@@ -133,7 +134,7 @@
 		w.terms.Named, w.terms.Log = []string{"s0", "s1", "s2"}, 99
 	}
 	for i := range n {
-		w.servers = append(w.servers, &server{name: fmt.Sprint("s", i), rate: 1 + 0.18*(w.chance.Float64()-0.5), offset: quota.Moment(w.chance.Intn(1e6)),
+		w.servers = append(w.servers, &server{name: fmt.Sprint("s", i), rate: 1 + 0.18*(w.chance.Float64()-0.5), offset: timeunit.Milliseconds(w.chance.Intn(1e6)),
 			wholes: w.limit.Whole, revision: 1})
 		w.birth(i, true)
 	}
@@ -141,8 +142,8 @@
 	return w
 }
 
-func (w *world) clock(s *server) quota.Moment {
-	return quota.Moment(float64(w.now)*s.rate) + s.offset
+func (w *world) clock(s *server) timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(w.now)*s.rate) + s.offset
 }
 
 func (w *world) birth(i int, first bool) {
@@ -152,7 +153,7 @@
 	t := w.terms
 	life := s.life
 	t.Number = func(log uint64) uint64 { return life*1000 + log }
-	s.core = New(t, rand.New(rand.NewSource(w.chance.Int63())), Moment(w.clock(s)))
+	s.core = New(t, rand.New(rand.NewSource(w.chance.Int63())), timeunit.Milliseconds(w.clock(s)))
 	s.holder = quota.NewHolder(fmt.Sprint(s.name, ".", s.life), w.limit, true, w.clock(s)+w.limit.Linger)
 	if slices.Contains(t.Named, s.name) {
 		switch {
@@ -248,7 +249,7 @@
 	s, v := w.servers[i], w.sight
 	v.Until = -1
 	if slices.Contains(w.side, i) && w.now >= w.from {
-		v.Until, w.last = Moment(w.clock(s))+1200, w.now+1500
+		v.Until, w.last = timeunit.Milliseconds(w.clock(s))+1200, w.now+1500
 	}
 	for j, o := range w.servers {
 		if w.reach(i, j) && o.core != nil {
@@ -261,7 +262,7 @@
 func (w *world) post(from, to int, do func(*server)) {
 	for range 1 + w.chance.Intn(10)/9 {
 		if !w.cut[[2]int{from, to}] && w.chance.Float64() >= w.loss {
-			w.mail = append(w.mail, parcel{w.now + quota.Moment(1+w.chance.Intn(80)), from, to, w.servers[to].life, do})
+			w.mail = append(w.mail, parcel{w.now + timeunit.Milliseconds(1+w.chance.Intn(80)), from, to, w.servers[to].life, do})
 		}
 	}
 }
@@ -286,14 +287,14 @@
 	}
 	w.view()
 	sum := quota.Amount(0)
-	w.ghosts = slices.DeleteFunc(w.ghosts, func(end quota.Moment) bool { return end <= w.now })
+	w.ghosts = slices.DeleteFunc(w.ghosts, func(end timeunit.Milliseconds) bool { return end <= w.now })
 	sum += quota.Amount(len(w.ghosts)) * quota.Unit
 	var lead *Core
 	for i, s := range w.servers {
 		if s.down {
 			continue
 		}
-		s.parts = slices.DeleteFunc(s.parts, func(end quota.Moment) bool { return end <= w.now })
+		s.parts = slices.DeleteFunc(s.parts, func(end timeunit.Milliseconds) bool { return end <= w.now })
 		inHand := quota.Amount(len(s.parts)) * quota.Unit
 		if s.stopped > w.now {
 			sum += max(inHand, w.limit.Floor)
@@ -302,12 +303,12 @@
 		now := w.clock(s)
 		if now-s.sees >= 200 || now < s.sees {
 			s.sees = now
-			s.core.See(w.see(i), Moment(now))
+			s.core.See(w.see(i), timeunit.Milliseconds(now))
 		}
-		w.atWork(s, func() { s.core.At(Moment(now)); w.carry(i) })
+		w.atWork(s, func() { s.core.At(timeunit.Milliseconds(now)); w.carry(i) })
 		s.holder.Uses(inHand, 0, now)
 		for s.load > quota.Amount(len(s.parts))*quota.Unit && s.holder.Begin(quota.Unit, now) {
-			s.parts = append(s.parts, w.now+quota.Moment(50+w.chance.Intn(300)))
+			s.parts = append(s.parts, w.now+timeunit.Milliseconds(50+w.chance.Intn(300)))
 		}
 		if r, due := s.holder.Ask(now); due {
 			w.ask(i, quota.Asking{Terms: 7, Revision: s.revision, Wholes: []quota.Amount{s.wholes}, Of: []quota.Request{r}})
@@ -394,7 +395,7 @@
 	case s.disk == 1:
 		return false
 	case s.disk == 2:
-		s.stopped = w.now + quota.Moment(w.chance.Intn(700))
+		s.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(700))
 	}
 	if o.Begin {
 		s.id, s.saved = s.core.Identity(), &consensus.Saved{Hard: o.Save.Hard, Snapshot: o.Save.Snapshot}
@@ -422,7 +423,7 @@
 	return len(s.Entries)
 }
 
-func (w *world) rounds(span quota.Moment) {
+func (w *world) rounds(span timeunit.Milliseconds) {
 	for end := w.now + span; w.now < end; {
 		w.round()
 	}
@@ -446,7 +447,7 @@
 			w.birth(i, false)
 		}
 	case 1:
-		s.stopped = w.now + quota.Moment(w.chance.Intn(10000))
+		s.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(10000))
 	case 2: // any groups
 		of := make([]int, len(w.servers))
 		for k := range of {
@@ -509,7 +510,7 @@
 	w.rounds(12000)
 	for range 12 {
 		w.trouble()
-		w.rounds(quota.Moment(200 + w.chance.Intn(5000)))
+		w.rounds(timeunit.Milliseconds(200 + w.chance.Intn(5000)))
 		require.Zero(t, w.over, "seed %d at %d", seed, w.now)
 	}
 	clear(w.cut)
--- a/internal/quota/coordinator/size_test.go
+++ b/internal/quota/coordinator/size_test.go
@@ -8,10 +8,11 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/quota"
+	"thistlequay/timeunit"
 )
 
 // until plays until something is so, and gives how long that took; negative where it did not come to be.
-func (w *world) until(most quota.Moment, is func() bool) quota.Moment {
+func (w *world) until(most timeunit.Milliseconds, is func() bool) timeunit.Milliseconds {
 	for begun := w.now; w.now-begun < most; w.round() {
 		if is() {
 			return w.now - begun
@@ -39,7 +40,7 @@
 	}
 	for _, n := range sizes {
 		w := newWorld(int64(n), n, false)
-		w.limit.Length = quota.Moment(max(2000, 20*n))
+		w.limit.Length = timeunit.Milliseconds(max(2000, 20*n))
 		w.terms.Limits = []quota.Terms{w.limit}
 		for i := range w.servers {
 			w.birth(i, true)
@@ -57,7 +58,7 @@
 		w.rounds(10_000)
 		lead := w.leading()
 		require.NotNil(t, lead)
-		before, granted, span := lead.core.Agreed, w.granted, quota.Moment(30_000)
+		before, granted, span := lead.core.Agreed, w.granted, timeunit.Milliseconds(30_000)
 		w.used, w.wholes, w.busy = 0, 0, 0
 		w.rounds(span)
 		part, entries := float64(w.used)/float64(w.wholes), float64(lead.core.Agreed-before)/float64(span)*1000
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -12,6 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // The whole history of seeded schedules: every request, answer and entry, and what each holder may use after each round.
@@ -58,15 +59,17 @@
 	}
 	var log []Decision
 	var applied [3]int
-	clock := func(book int, now Moment) Moment { return now + Moment(book)*5000 }
-	catchUp := func(book int, now Moment) {
+	clock := func(book int, now timeunit.Milliseconds) timeunit.Milliseconds {
+		return now + timeunit.Milliseconds(book)*5000
+	}
+	catchUp := func(book int, now timeunit.Milliseconds) {
 		for ; applied[book] < len(log); applied[book]++ {
 			books[book].Apply(log[applied[book]], clock(book, now))
 		}
 	}
 	leader, revision, wholes := 0, uint64(1), []Amount{calls.Whole, rate.Whole}
 	books[0].Elected(true, 0)
-	for now := Moment(0); now < 30_000; now += 50 {
+	for now := timeunit.Milliseconds(0); now < 30_000; now += 50 {
 		switch chance.Intn(100) {
 		case 0: // another leads
 			books[leader].Elected(false, clock(leader, now))
@@ -107,7 +110,7 @@
 }
 
 // playHolder has one server use what it may and ask when that is due; requests and answers are lost now and then.
-func playHolder(t *testing.T, chance *rand.Rand, history *golden.History, book *Book, holders [2]*Holder, asking Asking, now, bookNow Moment) {
+func playHolder(t *testing.T, chance *rand.Rand, history *golden.History, book *Book, holders [2]*Holder, asking Asking, now, bookNow timeunit.Milliseconds) {
 	t.Helper()
 	calls, rate := holders[0], holders[1]
 	switch chance.Intn(4) {
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -4,40 +4,44 @@
 // the server's own clock, so that one that stood still finds its grant over before it uses it. It must never use more than
 // its floor without a grant, nor say that it keeps to one while it has more in hand.
 
-import "math"
+import (
+	"math"
+
+	"thistlequay/timeunit"
+)
 
 // Holder is one server's part of one limit. Its methods take the time by the server's clock; they allocate nothing.
 type Holder struct {
 	terms  Terms
 	name   string
-	slot   bool   // it has a floor
-	from   Moment // and may use it from then on
+	slot   bool                  // it has a floor
+	from   timeunit.Milliseconds // and may use it from then on
 	log    uint64
 	serial uint64
 	amount Amount
-	until  Moment
+	until  timeunit.Milliseconds
 	inHand Amount
 	peak   Amount // the most that was in hand since the last request
 	short  bool   // and something was turned away
 	area   int64  // what was in hand and waited since then, times how long
 	waits  Amount
-	at     Moment // of the last change of these
-	since  Moment
+	at     timeunit.Milliseconds // of the last change of these
+	since  timeunit.Milliseconds
 	needs  Amount
 	units  int64 // that may be taken, in thousandths of a thousandth, where the limit is a rate
-	filled Moment
+	filled timeunit.Milliseconds
 	taken  Amount // since the last request
-	next   Moment
+	next   timeunit.Milliseconds
 }
 
 // NewHolder holds nothing but its floor, where it has a slot, and that from a moment on: what an earlier life of the server
 // began may linger until then.
-func NewHolder(name string, t Terms, slot bool, from Moment) *Holder {
+func NewHolder(name string, t Terms, slot bool, from timeunit.Milliseconds) *Holder {
 	return &Holder{terms: t, name: name, slot: slot, from: from}
 }
 
 // Usable is what may be in hand now, in all.
-func (h *Holder) Usable(now Moment) Amount {
+func (h *Holder) Usable(now timeunit.Milliseconds) Amount {
 	sum := Amount(0)
 	if h.slot && now >= h.from {
 		sum = h.terms.Floor
@@ -49,14 +53,14 @@
 }
 
 // Length is that of a grant.
-func (h *Holder) Length() Moment { return h.terms.Length }
+func (h *Holder) Length() timeunit.Milliseconds { return h.terms.Length }
 
 // Ends is when what is usable falls back to the floor unless another answer comes; long ago without a grant.
-func (h *Holder) Ends() Moment { return h.until }
+func (h *Holder) Ends() timeunit.Milliseconds { return h.until }
 
 // Take takes one unit of a limit of so many a second, and says whether there was one. Unused units are kept for a tenth of a
 // second, one at least.
-func (h *Holder) Take(now Moment) bool {
+func (h *Holder) Take(now timeunit.Milliseconds) bool {
 	rate := h.Usable(now)
 	h.units = min(h.units+int64(rate)*int64(max(0, now-h.filled)), max(int64(Unit)*second, int64(rate)*second/10))
 	h.filled = now
@@ -72,12 +76,12 @@
 const second = 1000 // milliseconds
 
 // Uses tells what is in hand, for those that count it themselves, and what waits to be.
-func (h *Holder) Uses(inHand, waits Amount, now Moment) {
+func (h *Holder) Uses(inHand, waits Amount, now timeunit.Milliseconds) {
 	h.book(now)
 	h.inHand, h.peak, h.waits = inHand, max(h.peak, inHand), waits
 }
 
-func (h *Holder) book(now Moment) {
+func (h *Holder) book(now timeunit.Milliseconds) {
 	if now > h.at {
 		h.area += int64(h.inHand+h.waits) * int64(now-h.at)
 		h.at = now
@@ -85,7 +89,7 @@
 }
 
 // Begin takes a part into use, and says whether there was room. What is turned away is asked for.
-func (h *Holder) Begin(n Amount, now Moment) bool {
+func (h *Holder) Begin(n Amount, now timeunit.Milliseconds) bool {
 	if h.book(now); h.inHand+n > h.Usable(now) {
 		h.short = true
 		return false
@@ -101,7 +105,7 @@
 const askParts = 4 // a grant is asked for so often in its length
 
 // Ask gives the request that is due; none between two.
-func (h *Holder) Ask(now Moment) (r Request, due bool) {
+func (h *Holder) Ask(now timeunit.Milliseconds) (r Request, due bool) {
 	if now < h.next {
 		return r, false
 	}
@@ -136,14 +140,14 @@
 
 // Answered takes an answer: of a later number, or the same once more. It holds from when it was asked, less what clocks may
 // run apart. A smaller amount is in force at once.
-func (h *Holder) Answered(a Answer, now Moment) {
+func (h *Holder) Answered(a Answer, now timeunit.Milliseconds) {
 	if a.Log > h.log && now >= h.until { // a later log grants nothing before all of the last one is over
 		h.log, h.serial, h.amount = a.Log, 0, 0
 	}
 	if a.Log != h.log || a.Serial < h.serial || a.Asked > now || a.Amount < 0 || a.Length != h.terms.Length {
 		return
 	}
-	until := a.Asked + Moment(float64(h.terms.Length)*(1-h.terms.Drift))
+	until := a.Asked + timeunit.Milliseconds(float64(h.terms.Length)*(1-h.terms.Drift))
 	if a.Serial > h.serial {
 		h.serial, h.amount, h.until = a.Serial, a.Amount, until
 	}
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -4,13 +4,15 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/timeunit"
 )
 
 // A limit of so many a second lets no more through than it says, a tenth of a second's worth at once, and asks by what it used.
 func TestUnitsASecond(t *testing.T) {
 	terms := Terms{Whole: 1000 * Unit, Floor: 5 * Unit, Slots: 10, Length: 2000, Drift: 0.1, Rate: true}
 	h := NewHolder("a", terms, true, 0)
-	took := func(from, to Moment) (n int) {
+	took := func(from, to timeunit.Milliseconds) (n int) {
 		for now := from; now < to; now++ {
 			for h.Take(now) {
 				n++
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -10,6 +10,8 @@
 	"cmp"
 	"maps"
 	"slices"
+
+	"thistlequay/timeunit"
 )
 
 // Amount is a part of a limit in thousandths of its unit: whole numbers, so that sums are exact.
@@ -18,21 +20,18 @@
 // Unit is one call in hand, or one call a second.
 const Unit Amount = 1000
 
-// Moment is a point or a span of time in milliseconds, by a clock of one process that never goes back.
-type Moment int64
-
 // Terms are what one limit is kept by, the same at all keepers and servers.
 type Terms struct {
 	Whole  Amount
-	Floor  Amount  // what each slot may use without asking, for ever; of the whole, what is not floors is granted
-	Slots  int     // servers that may exist; 0 floors for others
-	Length Moment  // of a grant, from when it was asked for
-	Linger Moment  // how long what was begun under a grant may outlast it
-	Drift  float64 // how much faster one clock may run than another, as a part
-	Least  Amount  // a newcomer's first part, as far as there is room
-	Still  float64 // a wish that differs from the grant by less than this part moves nothing
-	Rate   bool    // units a second, not in hand
-	Grain  Amount  // grants are whole numbers of this; 0 where any amount will do
+	Floor  Amount                // what each slot may use without asking, for ever; of the whole, what is not floors is granted
+	Slots  int                   // servers that may exist; 0 floors for others
+	Length timeunit.Milliseconds // of a grant, from when it was asked for
+	Linger timeunit.Milliseconds // how long what was begun under a grant may outlast it
+	Drift  float64               // how much faster one clock may run than another, as a part
+	Least  Amount                // a newcomer's first part, as far as there is room
+	Still  float64               // a wish that differs from the grant by less than this part moves nothing
+	Rate   bool                  // units a second, not in hand
+	Grain  Amount                // grants are whole numbers of this; 0 where any amount will do
 }
 
 // Sane says whether the terms can hold: floors for all slots leave something of the whole.
@@ -57,21 +56,21 @@
 
 // Request is what a server asks, a few times in the length of a grant.
 type Request struct {
-	Server string `cbor:"1,keyasint"`
-	Asked  Moment `cbor:"2,keyasint"` // by the server's clock, given back as it came
-	Holds  uint64 `cbor:"3,keyasint"` // the number of the grant that it keeps to, with all that it has in hand
-	Wants  Amount `cbor:"4,keyasint"` // beyond its floor
-	Needs  Amount `cbor:"6,keyasint"` // of that, what it would surely use: the rest is room to grow, where nobody needs it
-	Log    uint64 `cbor:"5,keyasint"` // whose number that is
+	Server string                `cbor:"1,keyasint"`
+	Asked  timeunit.Milliseconds `cbor:"2,keyasint"` // by the server's clock, given back as it came
+	Holds  uint64                `cbor:"3,keyasint"` // the number of the grant that it keeps to, with all that it has in hand
+	Wants  Amount                `cbor:"4,keyasint"` // beyond its floor
+	Needs  Amount                `cbor:"6,keyasint"` // of that, what it would surely use: the rest is room to grow, where nobody needs it
+	Log    uint64                `cbor:"5,keyasint"` // whose number that is
 }
 
 // Answer is what it is told.
 type Answer struct {
-	Asked  Moment `cbor:"1,keyasint"`
-	Serial uint64 `cbor:"2,keyasint"`
-	Amount Amount `cbor:"3,keyasint"`
-	Length Moment `cbor:"4,keyasint"`
-	Log    uint64 `cbor:"5,keyasint"` // serials of different logs are not to be compared
+	Asked  timeunit.Milliseconds `cbor:"1,keyasint"`
+	Serial uint64                `cbor:"2,keyasint"`
+	Amount Amount                `cbor:"3,keyasint"`
+	Length timeunit.Milliseconds `cbor:"4,keyasint"`
+	Log    uint64                `cbor:"5,keyasint"` // serials of different logs are not to be compared
 }
 
 // grant is what a server may hold: every amount under a number that it may not have left yet counts.
@@ -79,10 +78,10 @@
 	serial uint64
 	amount Amount
 	older  []older
-	until  Moment // by the elected keeper's clock; nothing of it is usable after
+	until  timeunit.Milliseconds // by the elected keeper's clock; nothing of it is usable after
 	wants  Amount
 	needs  Amount
-	heard  Moment // when it last asked
+	heard  timeunit.Milliseconds // when it last asked
 }
 
 type older struct {
@@ -107,7 +106,7 @@
 	grants  map[string]*grant
 	serial  uint64
 	elected bool
-	now     Moment
+	now     timeunit.Milliseconds
 	pending map[string]Amount // decided and not applied yet
 	set     Amount            // the whole that is to be, 0 for none: nothing is granted between its entry and its taking effect
 	setting bool
@@ -118,13 +117,13 @@
 	return &Keeper{terms: t, log: log, target: t.Whole, grants: map[string]*grant{}, pending: map[string]Amount{}}
 }
 
-func (k *Keeper) span() Moment {
-	return Moment(float64(k.terms.Length)*(1+k.terms.Drift)) + k.terms.Linger + 1
+func (k *Keeper) span() timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(k.terms.Length)*(1+k.terms.Drift)) + k.terms.Linger + 1
 }
 
 // Elected: this keeper decides from now on, or no longer. It cannot know when grants were given out before, so all count for
 // their whole length from now.
-func (k *Keeper) Elected(is bool, now Moment) {
+func (k *Keeper) Elected(is bool, now timeunit.Milliseconds) {
 	k.elected, k.now, k.set, k.setting = is, now, 0, false
 	clear(k.pending)
 	for _, g := range k.grants {
@@ -133,7 +132,7 @@
 }
 
 // Apply takes an entry that was agreed on, in the order of all keepers.
-func (k *Keeper) Apply(e Entry, now Moment) {
+func (k *Keeper) Apply(e Entry, now timeunit.Milliseconds) {
 	k.now = max(k.now, now)
 	if e.Server == "" {
 		k.target, k.setting = max(e.Whole, Amount(k.terms.Slots)*k.terms.Floor), false // floors are used without asking
@@ -195,7 +194,7 @@
 
 // Ask takes a server's request. The answer is what is granted now and holds from when it was asked; a change comes by
 // Decide, and with a later answer. Without a grant there is no answer yet.
-func (k *Keeper) Ask(r Request, now Moment) (a Answer, granted bool) {
+func (k *Keeper) Ask(r Request, now timeunit.Milliseconds) (a Answer, granted bool) {
 	k.now = max(k.now, now)
 	if !k.elected || r.Server == "" || r.Wants < 0 || r.Needs < 0 || r.Needs > r.Wants {
 		return a, false
@@ -230,7 +229,7 @@
 
 // Decide gives what should be agreed on next: few changes, those that give back first, never more than is free by what is
 // applied and what is under way. It is to be called some times in the length of a grant.
-func (k *Keeper) Decide(now Moment) (entries []Entry) {
+func (k *Keeper) Decide(now timeunit.Milliseconds) (entries []Entry) {
 	k.now = max(k.now, now)
 	if !k.elected || k.setting {
 		return nil
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -8,13 +8,14 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // world is keepers and holders in virtual time: one log, keepers that are elected and deposed with what they have under way lost,
 // requests and answers that are lost, late and come again, clocks that run apart, holders that stand still with parts in hand.
 type world struct {
 	chance  *rand.Rand
-	now     Moment // true time
+	now     timeunit.Milliseconds // true time
 	terms   Terms
 	keepers []*Keeper
 	behind  []int // entries of the log that each keeper has applied
@@ -48,24 +49,26 @@
 type player struct {
 	holder  *Holder
 	rate    float64
-	offset  Moment
-	stopped Moment
+	offset  timeunit.Milliseconds
+	stopped timeunit.Milliseconds
 	gone    bool
 	load    Amount
-	parts   []Moment // ends of what is in hand, by true time
+	parts   []timeunit.Milliseconds // ends of what is in hand, by true time
 }
 
 type letter struct {
-	at      Moment
+	at      timeunit.Milliseconds
 	holder  int
 	of      *Holder // the life that it is for
 	request *Request
 	answer  *Answer
 }
 
-func (w *world) clock(p *player) Moment { return Moment(float64(w.now)*p.rate) + p.offset }
-func (w *world) keeperClock(i int) Moment {
-	return Moment(float64(w.now)*(1+0.03*float64(i-1))) + Moment(i)*100000
+func (w *world) clock(p *player) timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(w.now)*p.rate) + p.offset
+}
+func (w *world) keeperClock(i int) timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(w.now)*(1+0.03*float64(i-1))) + timeunit.Milliseconds(i)*100000
 }
 
 func newWorld(seed int64, servers int) *world {
@@ -76,7 +79,7 @@
 		w.behind = append(w.behind, 0)
 	}
 	for i := range servers {
-		w.holders = append(w.holders, &player{rate: 1 + 0.08*(w.chance.Float64()-0.5), offset: Moment(w.chance.Intn(1e6))})
+		w.holders = append(w.holders, &player{rate: 1 + 0.08*(w.chance.Float64()-0.5), offset: timeunit.Milliseconds(w.chance.Intn(1e6))})
 		w.birth(i)
 	}
 	return w
@@ -112,7 +115,7 @@
 	}
 	for range 1 + w.chance.Intn(10)/9 {
 		if w.chance.Intn(8) > 0 {
-			m.at = w.now + Moment(1+w.chance.Intn(300))
+			m.at = w.now + timeunit.Milliseconds(1+w.chance.Intn(300))
 			w.mail = append(w.mail, m)
 		}
 	}
@@ -160,7 +163,7 @@
 			continue
 		}
 		for p.load > Amount(len(p.parts))*Unit && p.holder.Begin(Unit, w.clock(p)) {
-			p.parts = append(p.parts, w.now+Moment(50+w.chance.Intn(300)))
+			p.parts = append(p.parts, w.now+timeunit.Milliseconds(50+w.chance.Intn(300)))
 		}
 		if r, due := p.holder.Ask(w.clock(p)); due {
 			w.post(letter{holder: i, of: p.holder, request: &r})
@@ -180,7 +183,7 @@
 	}
 }
 
-func (w *world) rounds(span Moment) {
+func (w *world) rounds(span timeunit.Milliseconds) {
 	for end := w.now + span; w.now < end; {
 		w.round()
 	}
@@ -195,7 +198,7 @@
 	case 1:
 		w.elect(-1)
 	case 2:
-		p.stopped = w.now + Moment(w.chance.Intn(10000))
+		p.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(10000))
 	case 3:
 		if p.gone = !p.gone; !p.gone {
 			w.birth(i)
@@ -223,7 +226,7 @@
 	w.elect(0)
 	for range 25 {
 		w.trouble()
-		w.rounds(Moment(100 + w.chance.Intn(4000)))
+		w.rounds(timeunit.Milliseconds(100 + w.chance.Intn(4000)))
 		require.Zero(t, w.over, "seed %d", seed)
 	}
 	w.elect(0) // a lowered whole comes into force, once what was granted before has run out
--- a/internal/quota/service/sharing.go
+++ b/internal/quota/service/sharing.go
@@ -21,6 +21,7 @@
 	"thistlequay/internal/membership"
 	"thistlequay/internal/quota"
 	"thistlequay/internal/quota/coordinator"
+	"thistlequay/timeunit"
 )
 
 const (
@@ -106,7 +107,7 @@
 	if len(t.Named) > 0 {
 		t.Log = xxh3.HashString(s.terms.Fleet) | 1
 	}
-	s.core = coordinator.New(t, rand.New(rand.NewSource(s.terms.Seed)), coordinator.Moment(p.Now()))
+	s.core = coordinator.New(t, rand.New(rand.NewSource(s.terms.Seed)), timeunit.Milliseconds(p.Now()))
 	if err := s.remember(); err != nil {
 		return err
 	}
@@ -169,10 +170,10 @@
 	}
 }
 
-func (s *Sharing) now() coordinator.Moment { return coordinator.Moment(s.peers.Now()) }
+func (s *Sharing) now() timeunit.Milliseconds { return timeunit.Milliseconds(s.peers.Now()) }
 
 // Now is the clock of grants, in milliseconds: one that never goes back.
-func (s *Sharing) Now() quota.Moment { return quota.Moment(s.peers.Now()) }
+func (s *Sharing) Now() timeunit.Milliseconds { return timeunit.Milliseconds(s.peers.Now()) }
 
 func (s *Sharing) work() {
 	defer s.ended.Done()
@@ -204,7 +205,7 @@
 		f := a.Fleet()
 		a.Renew = stuck
 		if a.Standing().Allows(membership.ShareUse) == membership.Full {
-			sight.Until = coordinator.Moment(a.Until())
+			sight.Until = timeunit.Milliseconds(a.Until())
 		}
 		sight.Born, sight.First = f.Born, f.Born == f.Epoch
 		s.fleet = s.fleet[:0]
--- a/internal/quota/service/status.go
+++ b/internal/quota/service/status.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"thistlequay/internal/quota"
+	"thistlequay/timeunit"
 )
 
 // Report is what one server knows of shares.
@@ -27,21 +28,21 @@
 
 // Limit is one of them, in units.
 type Limit struct {
-	Name    string       `json:"name"`
-	Whole   float64      `json:"whole"` // in force
-	Target  float64      `json:"target"`
-	Floors  float64      `json:"floors"` // of the whole, kept for all slots
-	Out     float64      `json:"granted"`
-	Length  quota.Moment `json:"length_ms"`
-	Usable  float64      `json:"usable_here"`
-	EndsMs  quota.Moment `json:"ends_ms"` // of what is granted here; 0 where it lives on its floor
-	Servers []quota.Line `json:"servers"`
+	Name    string                `json:"name"`
+	Whole   float64               `json:"whole"` // in force
+	Target  float64               `json:"target"`
+	Floors  float64               `json:"floors"` // of the whole, kept for all slots
+	Out     float64               `json:"granted"`
+	Length  timeunit.Milliseconds `json:"length_ms"`
+	Usable  float64               `json:"usable_here"`
+	EndsMs  timeunit.Milliseconds `json:"ends_ms"` // of what is granted here; 0 where it lives on its floor
+	Servers []quota.Line          `json:"servers"`
 }
 
 // Here is what the loop knows of a limit on this server.
 type Here struct {
 	Usable quota.Amount
-	Ends   quota.Moment
+	Ends   timeunit.Milliseconds
 }
 
 const lookWithin = time.Second
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -12,6 +12,7 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 func addRecords(h *golden.History, records []Record) {
@@ -40,9 +41,9 @@
 				r.Damaged(Damage(chance.Intn(4)), fmt.Sprint("file", chance.Intn(3)), int64(chance.Intn(100)), chance.Intn(2) == 0)
 				continue
 			}
-			wall := Tenths(chance.Intn(2_100))
-			one := Record{Kind: Kind(1 + chance.Intn(5)), Try: uint64(chance.Intn(4)), Key: fmt.Sprint("k", chance.Intn(6)), Until: wall + Tenths(chance.Intn(900)),
-				At: Clock{Wall: wall, Mono: wall - Tenths(chance.Intn(600)), Boot: 1 + uint64(chance.Intn(2))}, Well: chance.Intn(2) == 0}
+			wall := timeunit.Ticks(chance.Intn(2_100))
+			one := Record{Kind: Kind(1 + chance.Intn(5)), Try: uint64(chance.Intn(4)), Key: fmt.Sprint("k", chance.Intn(6)), Until: wall + timeunit.Ticks(chance.Intn(900)),
+				At: Clock{Wall: wall, Mono: wall - timeunit.Ticks(chance.Intn(600)), Boot: 1 + uint64(chance.Intn(2))}, Well: chance.Intn(2) == 0}
 			one.Print[0] = byte(chance.Intn(256))
 			one.Result = []byte{byte(chance.Intn(256))}
 			r.Record(one)
@@ -69,10 +70,10 @@
 			h.Add("promise", room.Promise(int64(chance.Intn(200)), int64(chance.Intn(300))))
 		case 3, 4:
 			if _, promised, _ := room.Figures(); promised > 0 {
-				room.Wrote(int64(chance.Intn(200)), min(promised, int64(chance.Intn(200))), Tenths(10*i+chance.Intn(400)))
+				room.Wrote(int64(chance.Intn(200)), min(promised, int64(chance.Intn(200))), timeunit.Ticks(10*i+chance.Intn(400)))
 			}
 		case 5:
-			h.Add("aged", room.Aged(Tenths(10*i)))
+			h.Add("aged", room.Aged(timeunit.Ticks(10*i)))
 		}
 		used, promised, records := room.Figures()
 		id, bytes, until := room.Newest()
@@ -106,7 +107,7 @@
 	require.NoError(t, err)
 	require.Equal(t, string(text), string(repeated))
 	got := string(text) + "\n"
-	for age := Tenths(0); age < 8*halfLife; age += halfLife / 2 {
+	for age := timeunit.Ticks(0); age < 8*halfLife; age += halfLife / 2 {
 		if l := again.Weigh(again.At+age, again.Settings); l != nil {
 			got += fmt.Sprintln(int64(age), l.Pool, l.Runs, l.Quiet, l.Quick)
 		} else {
--- a/internal/recovery/lasting.go
+++ b/internal/recovery/lasting.go
@@ -9,12 +9,9 @@
 	"cmp"
 	"slices"
 
-	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
-// Tenths is a point or a span of time in tenths of a millisecond.
-type Tenths = admission.Tenths
-
 // Kind of a record.
 type Kind byte
 
@@ -28,7 +25,7 @@
 
 // Clock is what the machine's clocks said at one moment. Wall may step; Mono does not, but counts from the machine's start.
 type Clock struct {
-	Wall, Mono Tenths
+	Wall, Mono timeunit.Ticks
 	Boot       uint64 // which start of the machine
 }
 
@@ -37,9 +34,9 @@
 	Kind   Kind
 	Try    uint64 // which try of its key: a void one takes back its own intent and no other
 	Key    string
-	Print  [32]byte // of the body, in an intent
-	Until  Tenths   // tries that reached the machine before this repeat it, by the wall then
-	At     Clock    // when it was written
+	Print  [32]byte       // of the body, in an intent
+	Until  timeunit.Ticks // tries that reached the machine before this repeat it, by the wall then
+	At     Clock          // when it was written
 	Well   bool
 	Result []byte
 }
@@ -67,17 +64,17 @@
 
 // Terms are what recovery goes by.
 type Terms struct {
-	Window Tenths // the longest of all categories
-	Doubt  Tenths // by how much the wall may be off after another start of the machine
-	Most   int    // stamps that can be remembered
+	Window timeunit.Ticks // the longest of all categories
+	Doubt  timeunit.Ticks // by how much the wall may be off after another start of the machine
+	Most   int            // stamps that can be remembered
 }
 
 // Fate is what a repeat of a stamped work item gets.
 type Fate struct {
 	Key    string
 	Print  [32]byte
-	Until  Tenths // by the wall of now
-	Ended  bool   // else it is broken off: it may have run
+	Until  timeunit.Ticks // by the wall of now
+	Ended  bool           // else it is broken off: it may have run
 	Well   bool
 	Result []byte
 	tries  []uint64 // whose intents stand
@@ -92,7 +89,7 @@
 	last   Clock // of the newest record
 	closed bool  // the newest record says so
 	open   bool  // damage was found and nothing valid came since
-	until  Tenths
+	until  timeunit.Ticks
 	learnt []byte
 	Found  []Found
 	Seen   int
@@ -116,7 +113,7 @@
 
 // here turns a moment of an earlier clock into one of the wall of now. Within one start of the machine the steps of the
 // wall are known; over another they are in doubt. What ends later is safe, so nothing is made to end sooner.
-func (r *Recovery) here(t Tenths, at Clock) Tenths {
+func (r *Recovery) here(t timeunit.Ticks, at Clock) timeunit.Ticks {
 	if at.Boot != r.now.Boot {
 		return t + r.terms.Doubt
 	}
@@ -164,7 +161,7 @@
 	}
 }
 
-func (r *Recovery) declineUntil(t Tenths) { r.until = max(r.until, t) }
+func (r *Recovery) declineUntil(t timeunit.Ticks) { r.until = max(r.until, t) }
 
 // Damaged takes what is no record. Last says that nothing comes after it in the last segment.
 func (r *Recovery) Damaged(d Damage, file string, offset int64, last bool) {
@@ -186,9 +183,9 @@
 // Conclusion is what holds from now on.
 type Conclusion struct {
 	Fates        []Fate
-	DeclineUntil Tenths // stamped work items without a fate are declined until then; 0 for none
-	Learnt       []byte // the newest snapshot, as it was written; nil for none
-	Forgotten    int    // fates that there was no room for, which is why
+	DeclineUntil timeunit.Ticks // stamped work items without a fate are declined until then; 0 for none
+	Learnt       []byte         // the newest snapshot, as it was written; nil for none
+	Forgotten    int            // fates that there was no room for, which is why
 }
 
 // Finish concludes.
@@ -219,7 +216,7 @@
 	return c
 }
 
-func (r *Recovery) doubt() Tenths {
+func (r *Recovery) doubt() timeunit.Ticks {
 	if r.last.Boot != r.now.Boot {
 		return r.terms.Doubt
 	}
--- a/internal/recovery/learnt.go
+++ b/internal/recovery/learnt.go
@@ -6,6 +6,7 @@
 	"math"
 
 	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
 const (
@@ -16,15 +17,15 @@
 
 // Snapshot is what was learnt, when, and under which settings.
 type Snapshot struct {
-	At       Tenths  `json:"At"`       // by the wall then
-	Settings uint64  `json:"Settings"` // a hash of them
-	Cores    float64 `json:"Cores"`
+	At       timeunit.Ticks `json:"At"`       // by the wall then
+	Settings uint64         `json:"Settings"` // a hash of them
+	Cores    float64        `json:"Cores"`
 	admission.Learnt
 }
 
 // Weigh gives what of a snapshot a new life begins with: older ones count for less, those of other settings, of the future or
 // with figures that cannot be for nothing.
-func (s *Snapshot) Weigh(now Tenths, settings uint64) *admission.Learnt {
+func (s *Snapshot) Weigh(now timeunit.Ticks, settings uint64) *admission.Learnt {
 	if s == nil || s.Settings != settings || now < s.At || !(s.Cores > 0) || !(s.Pool >= 0 && s.Pool < 1e6) {
 		return nil
 	}
--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
 )
 
 // The model: two tries of one key in a first life, a crash at any moment, a repeat in a second life, another crash and a
@@ -106,7 +107,7 @@
 }
 
 // recovered concludes from what is left, as a later life does, and says whether a repeat would run.
-func recovered(left []Record, wall Tenths) (runs bool, c Conclusion) {
+func recovered(left []Record, wall timeunit.Ticks) (runs bool, c Conclusion) {
 	r := NewRecovery(Terms{Window: 900, Doubt: 100, Most: 10}, Clock{Wall: wall, Mono: wall, Boot: 1})
 	r.Segment(Machine)
 	for _, one := range left {
--- a/internal/recovery/room.go
+++ b/internal/recovery/room.go
@@ -1,5 +1,7 @@
 package recovery
 
+import "thistlequay/timeunit"
+
 // This file owns the room in a store: what may be promised, what is needed, which segments can go. It must never promise
 // the same byte twice, nor let go of a segment that a repeat may still need.
 
@@ -17,7 +19,7 @@
 	id    uint64
 	bytes int64
 	count int
-	until Tenths // the last of its windows
+	until timeunit.Ticks // the last of its windows
 }
 
 // Promise takes room for an intent and for the result that must follow it; false where there is none: then its work item
@@ -40,7 +42,7 @@
 }
 
 // Wrote books bytes in the newest segment, what of them had been promised, and until when they are needed.
-func (r *Room) Wrote(bytes, promised int64, until Tenths) {
+func (r *Room) Wrote(bytes, promised int64, until timeunit.Ticks) {
 	s := &r.segments[len(r.segments)-1]
 	s.bytes += bytes
 	s.count++
@@ -51,7 +53,7 @@
 }
 
 // Newest is the id of the segment being written and its size; Last the end of all windows in it.
-func (r *Room) Newest() (id uint64, bytes int64, until Tenths) {
+func (r *Room) Newest() (id uint64, bytes int64, until timeunit.Ticks) {
 	if len(r.segments) == 0 {
 		return 0, 0, 0
 	}
@@ -61,7 +63,7 @@
 
 // Aged gives the segments that no repeat needs any more, and forgets them. The newest stays. A segment goes only with all
 // that are older: a gap would be a loss.
-func (r *Room) Aged(now Tenths) (gone []uint64) {
+func (r *Room) Aged(now timeunit.Ticks) (gone []uint64) {
 	for len(r.segments) > 1 && r.segments[0].until <= now {
 		s := r.segments[0]
 		gone = append(gone, s.id)
--- a/internal/segmentlog/codec.go
+++ b/internal/segmentlog/codec.go
@@ -10,6 +10,7 @@
 	"github.com/zeebo/xxh3"
 
 	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
 )
 
 // A segment is a header and records, little-endian. The header: magic (8), version (2), mode (1), 0 (5), id (64), the end
@@ -39,7 +40,7 @@
 type head struct {
 	mode   recovery.Mode
 	id     uint64
-	before recovery.Tenths // the last window of the segment before it
+	before timeunit.Ticks // the last window of the segment before it
 	at     recovery.Clock
 }
 
@@ -53,7 +54,7 @@
 }
 
 func clockOf(b []byte) recovery.Clock {
-	return recovery.Clock{Wall: recovery.Tenths(binary.LittleEndian.Uint64(b)), Mono: recovery.Tenths(binary.LittleEndian.Uint64(b[8:])),
+	return recovery.Clock{Wall: timeunit.Ticks(binary.LittleEndian.Uint64(b)), Mono: timeunit.Ticks(binary.LittleEndian.Uint64(b[8:])),
 		Boot: binary.LittleEndian.Uint64(b[16:])}
 }
 
@@ -79,7 +80,7 @@
 		return h, errHeader
 	}
 	return head{mode: recovery.Mode(b[10]), id: binary.LittleEndian.Uint64(b[16:]),
-		before: recovery.Tenths(binary.LittleEndian.Uint64(b[24:])), at: clockOf(b[32:])}, nil
+		before: timeunit.Ticks(binary.LittleEndian.Uint64(b[24:])), at: clockOf(b[32:])}, nil
 }
 
 func sizeOf(kind recovery.Kind, key, result int) int64 {
@@ -134,7 +135,7 @@
 	if binary.LittleEndian.Uint64(b[n-sumSize:]) != xxh3.Hash(b[:n-sumSize]) {
 		return r, 0, errGarbled
 	}
-	r.Well, r.Until, r.At = b[3] == 1, recovery.Tenths(binary.LittleEndian.Uint64(b[8:])), clockOf(b[16:])
+	r.Well, r.Until, r.At = b[3] == 1, timeunit.Ticks(binary.LittleEndian.Uint64(b[8:])), clockOf(b[16:])
 	r.Try = binary.LittleEndian.Uint64(b[40:])
 	at := fixed
 	if r.Kind == recovery.Intent {
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -13,6 +13,7 @@
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
 )
 
 func goldenRecords() (records []recovery.Record) {
@@ -65,7 +66,7 @@
 func (s *seededClock) now() recovery.Clock {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	passed := recovery.Tenths(s.chance.Intn(20_000))
+	passed := timeunit.Ticks(s.chance.Intn(20_000))
 	s.c.Wall += passed
 	s.c.Mono += passed
 	return s.c
@@ -98,7 +99,7 @@
 		for i := range 20 {
 			key := fmt.Sprint("key-", chance.Intn(30))
 			l.next = uint64(100*lives + i)
-			require.NoError(t, store.Intend(recovery.Record{Key: key, Until: 1e9 + recovery.Tenths(chance.Intn(1_000_000)), Try: l.next}, l.next))
+			require.NoError(t, store.Intend(recovery.Record{Key: key, Until: 1e9 + timeunit.Ticks(chance.Intn(1_000_000)), Try: l.next}, l.next))
 			require.NoError(t, l.wait().Err)
 			switch chance.Intn(4) {
 			case 0:
--- a/internal/segmentlog/store.go
+++ b/internal/segmentlog/store.go
@@ -12,6 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
 )
 
 // Terms are how a store is kept.
@@ -19,9 +20,9 @@
 	Mode     recovery.Mode
 	Bytes    int64
 	Records  int
-	Segment  int64           // a new one is begun beyond
-	Window   recovery.Tenths // the longest of all categories
-	Doubt    recovery.Tenths
+	Segment  int64          // a new one is begun beyond
+	Window   timeunit.Ticks // the longest of all categories
+	Doubt    timeunit.Ticks
 	Most     int  // stamps that can be remembered
 	Fresh    bool // an empty directory is as it should be
 	Now      func() recovery.Clock
@@ -151,7 +152,7 @@
 	*Store
 	file  File
 	text  []byte
-	until recovery.Tenths
+	until timeunit.Ticks
 	wait  time.Duration
 }
 
@@ -314,10 +315,10 @@
 
 // MachineClock reads the machine's clocks.
 func MachineClock() recovery.Clock {
-	c := recovery.Clock{Wall: recovery.Tenths(time.Now().UnixMicro() / 100)}
+	c := recovery.Clock{Wall: timeunit.Ticks(time.Now().UnixMicro() / 100)}
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) == nil {
-		c.Mono = recovery.Tenths(ts.Nano() / 100_000)
+		c.Mono = timeunit.Ticks(ts.Nano() / 100_000)
 	}
 	if text, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
 		c.Boot = xxh3.HashString(strings.TrimSpace(string(text)))
--- a/internal/segmentlog/store_test.go
+++ b/internal/segmentlog/store_test.go
@@ -11,9 +11,10 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
 )
 
-const window = recovery.Tenths(350_000)
+const window = timeunit.Ticks(350_000)
 
 // life is a server's use of a store: an intent, the run once it is durable, its result.
 type life struct {
@@ -47,7 +48,7 @@
 	}
 }
 
-func (l *life) intend(key string, until recovery.Tenths) bool {
+func (l *life) intend(key string, until timeunit.Ticks) bool {
 	l.next++
 	if l.s.Intend(recovery.Record{Key: key, Until: until, Try: l.next}, l.next) != nil {
 		return false
@@ -66,7 +67,7 @@
 }
 
 // repeat says what a later life does with a try of a key: run it, decline it, or answer from what is kept.
-func repeat(s *Store, key string, now recovery.Tenths) string {
+func repeat(s *Store, key string, now timeunit.Ticks) string {
 	for _, f := range s.Fates {
 		if f.Key == key {
 			if f.Ended {
@@ -258,7 +259,7 @@
 // The wall steps over a restart, within one start of the machine and over another.
 func TestClocks(t *testing.T) {
 	for _, c := range []struct {
-		wall, mono recovery.Tenths
+		wall, mono timeunit.Ticks
 		boot       uint64
 		want       string
 	}{
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -11,7 +11,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
 const (
@@ -63,7 +63,7 @@
 	d.out = fmt.Appendf(d.buffer(), "PUT /dir/nodes/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
 		d.app.place.Name, d.app.place.Directory, len(body), body)
 	d.owed = true
-	d.app.set(&d.next, d.app.now+min(answerIn*admission.Tenths(1+d.silent), reportEvery)) // one that stays silent is not pressed
+	d.app.set(&d.next, d.app.now+min(answerIn*timeunit.Ticks(1+d.silent), reportEvery)) // one that stays silent is not pressed
 }
 
 // failed: it is not there.
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"thistlequay/admission"
 	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
 	"thistlequay/internal/quota/service"
+	"thistlequay/timeunit"
 )
 
 // Talk is the talk with other servers.
@@ -112,7 +112,7 @@
 		for _, u := range told[id].of {
 			given = append(given, fairqueue.Service{Tenant: u.Tenant, Time: u.Time})
 		}
-		a.ledger.Elsewhere(service.HolderName(id), admission.Tenths(time.Since(told[id].said)/(100*time.Microsecond)), given, a.now)
+		a.ledger.Elsewhere(service.HolderName(id), timeunit.Ticks(time.Since(told[id].said)/(100*time.Microsecond)), given, a.now)
 	}
 	for _, g := range a.ledger.Given() {
 		if len(used) < membership.MostUsed {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -10,11 +10,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/admission"
 	"thistlequay/internal/golden"
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
 	"thistlequay/internal/plugin/chain"
+	"thistlequay/timeunit"
 )
 
 // transcript is a golden file of the bytes that go in and out, a line each.
@@ -54,7 +54,7 @@
 }
 
 // pass moves the time on and fires what is due.
-func pass(a *App, span admission.Tenths) {
+func pass(a *App, span timeunit.Ticks) {
 	a.now += span
 	a.server.At(a.now)
 	a.goOn()
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -12,6 +12,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
 const (
@@ -36,8 +37,8 @@
 // call is one call in the hands of the index, or on its way there.
 type call struct {
 	it    *item
-	made  admission.Tenths
-	until admission.Tenths
+	made  timeunit.Ticks
+	until timeunit.Ticks
 	limit alarm
 	lane  *lane // that carries it, nil while it waits for one
 }
@@ -50,8 +51,8 @@
 	call  *call  // the one on it
 	last  string // the work item of the call before
 	carry []byte
-	since admission.Tenths // at rest
-	of    int              // so many moves
+	since timeunit.Ticks // at rest
+	of    int            // so many moves
 }
 
 func (x *index) start(a *App) {
@@ -60,7 +61,7 @@
 }
 
 // make makes the call that a run waits for. The index holds no time limit, so it is given up here.
-func (x *index) make(it *item, until admission.Tenths) {
+func (x *index) make(it *item, until timeunit.Ticks) {
 	it.app.must(it.call == nil && it.begun && !it.ended, "a call beside another or without a run")
 	c := &call{it: it, made: x.app.now, until: until}
 	c.limit.ring = func() { x.end(c, x.leave(c)) }
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -15,29 +15,30 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/deployment"
+	"thistlequay/timeunit"
 )
 
 const (
 	mostLine  = 256 << 10
-	leastWait = admission.Tenths(10) // gauges are waited for so long at least
-	trips     = 4                    // and else so many round trips
-	lostWith  = second / 10          // commands sent so short before a link broke may be lost: twice what is told
+	leastWait = timeunit.Ticks(10) // gauges are waited for so long at least
+	trips     = 4                  // and else so many round trips
+	lostWith  = second / 10        // commands sent so short before a link broke may be lost: twice what is told
 )
 
 type interpreter struct {
 	wire
-	link    *dialled         // the one that stands
-	next    *dialled         // a dial under way
-	since   admission.Tenths // that commands could go out
-	up      bool             // commands may go out: the interpreter is up and what it replays has been taken
+	link    *dialled       // the one that stands
+	next    *dialled       // a dial under way
+	since   timeunit.Ticks // that commands could go out
+	up      bool           // commands may go out: the interpreter is up and what it replays has been taken
 	last    uint64
 	carry   []byte
 	kinds   [][]byte // names of categories as JSON
 	again   alarm
 	backOff backOff
 	gauges  admission.Gauges
-	read    admission.Tenths // when they were
-	asked   admission.Tenths // 0 while no question is out
+	read    timeunit.Ticks // when they were
+	asked   timeunit.Ticks // 0 while no question is out
 	trip    float64
 	wanted  bool  // the module's wake waits for them
 	enough  alarm // but no longer than this
@@ -128,7 +129,7 @@
 	l.app.unset(&l.again)
 }
 
-func (l *interpreter) doubtful(said admission.Tenths) bool { return l.app.now-said < lostWith }
+func (l *interpreter) doubtful(said timeunit.Ticks) bool { return l.app.now-said < lostWith }
 
 // ready: from now on commands go out, first those that waited for a link.
 func (l *interpreter) ready() {
@@ -193,7 +194,7 @@
 		return
 	}
 	l.wanted = true
-	l.app.set(&l.enough, l.app.now+max(leastWait, admission.Tenths(trips*l.trip)))
+	l.app.set(&l.enough, l.app.now+max(leastWait, timeunit.Ticks(trips*l.trip)))
 	if l.asked == 0 {
 		l.asked = l.app.now
 		l.question()
@@ -322,7 +323,7 @@
 }
 
 // banner starts the module's server the first time, as cold or warm as the interpreter says it was.
-func (l *interpreter) banner(state string, since admission.Tenths) {
+func (l *interpreter) banner(state string, since timeunit.Ticks) {
 	a := l.app
 	if a.server == nil {
 		terms := onSockets(a.place.Terms)
--- a/internal/server/items.go
+++ b/internal/server/items.go
@@ -14,6 +14,7 @@
 	"thistlequay/internal/fastcgi"
 	"thistlequay/internal/plugin/chain"
 	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
 )
 
 const (
@@ -51,29 +52,29 @@
 	key        []byte // as it came, good until it is admitted, as the next three
 	tenant     []byte
 	arrival    admission.Arrival
-	reached    admission.Tenths // the machine
-	until      admission.Tenths // its caller waits
-	intent     admission.Tenths // the end of its window as it was written, 0 where nothing is to be concluded
-	try        uint64           // and its number
-	limit      alarm            // while it is being written
+	reached    timeunit.Ticks // the machine
+	until      timeunit.Ticks // its caller waits
+	intent     timeunit.Ticks // the end of its window as it was written, 0 where nothing is to be concluded
+	try        uint64         // and its number
+	limit      alarm          // while it is being written
 	lastingKey string
 	who        string      // its tenant, where plug-ins are there
 	tag        string      // that one of them gave it
 	host       *pluginHost // the process that it began with
 	body       []byte
-	taken      admission.Tenths
+	taken      timeunit.Ticks
 	claim      fairqueue.Claim
 	stamp      *stamp // its own, or the one it shares
 	shares     bool
 	begun      bool // the module had it run
 	toRun      bool // the interpreter has yet to be told so
 	sent       bool // it was told, on some link
-	sentAt     admission.Tenths
+	sentAt     timeunit.Ticks
 	toStop     bool
 	stopped    bool   // the interpreter was told to stop it
 	toGoOn     []byte // with this reply
 	reply      []byte // the last one passed on, until the run is heard of again
-	repliedAt  admission.Tenths
+	repliedAt  timeunit.Ticks
 	heard      bool   // the interpreter has spoken of the run
 	doubt      bool   // a link broke before it did: the run may never have begun
 	ended      bool   // and has told its end
@@ -91,7 +92,7 @@
 	ended   bool              // and is over
 	well    bool              // with this result
 	result  []byte            // as the interpreter gave it
-	until   admission.Tenths  // tries that reached the machine before this repeat it
+	until   timeunit.Ticks    // tries that reached the machine before this repeat it
 	fade    alarm             // none that did can still be unread after this
 	faded   bool              // it is after this, and a try still runs
 	sharers []*item
@@ -104,7 +105,7 @@
 
 // kept is how long a stamp is kept from the Received-At of the try that ran: after its window a repeat that came within it
 // may lie unread until its caller gives up, by a clock that may be ahead.
-func kept(c admission.Category) admission.Tenths { return c.Window + c.Expiry + ahead*10 }
+func kept(c admission.Category) timeunit.Ticks { return c.Window + c.Expiry + ahead*10 }
 
 func (t *items) inHand() int { return len(t.byID) }
 
@@ -171,7 +172,7 @@
 }
 
 // margin is what the module itself adds to windows, at least.
-func (t *items) margin() admission.Tenths { return 2*t.app.place.Terms.Period + 2 }
+func (t *items) margin() timeunit.Ticks { return 2*t.app.place.Terms.Period + 2 }
 
 // stampKey names the tries of one stamped work item: no result for another category.
 func (t *items) stampKey(it *item) string {
@@ -342,7 +343,7 @@
 		return it, "400 Once-Key"
 	}
 	it.key = f[fieldKey]
-	it.reached = admission.Tenths(stampedAt*10) - shift
+	it.reached = timeunit.Ticks(stampedAt*10) - shift
 	it.until = it.reached + min(deployment.Down(budget), of.Expiry) // no answer counts after that, whoever waits
 	it.arrival.Caller, it.arrival.HeldKb = int(caller), held
 	if it.tenant = f[fieldTenant]; t.app.place.Tenancy != nil {
@@ -434,7 +435,7 @@
 }
 
 // runEnded: the interpreter tells the end of its run.
-func (it *item) runEnded(how admission.Outcome, took admission.Tenths, result []byte) {
+func (it *item) runEnded(how admission.Outcome, took timeunit.Ticks, result []byte) {
 	if it.ended || !it.begun || it.over {
 		return
 	}
@@ -447,7 +448,7 @@
 }
 
 // settle answers with the end of its run and closes the books on it.
-func (it *item) settle(how admission.Outcome, took admission.Tenths, result []byte) {
+func (it *item) settle(how admission.Outcome, took timeunit.Ticks, result []byte) {
 	switch how {
 	case admission.Well:
 		it.answer("200 OK", "", result)
@@ -499,7 +500,7 @@
 	}
 }
 
-func (t *items) Decline(w *admission.WorkItem, stayAway admission.Tenths, nowhereElse bool) {
+func (t *items) Decline(w *admission.WorkItem, stayAway timeunit.Ticks, nowhereElse bool) {
 	it := t.of(w)
 	t.app.must(!it.begun && it.conn != nil, "declined after its run or its answer")
 	if t.app.stop == never {
@@ -513,7 +514,7 @@
 }
 
 // backOffFor is the header that tells how long to stay away, empty for not at all.
-func backOffFor(away admission.Tenths) string {
+func backOffFor(away timeunit.Ticks) string {
 	if away <= 0 {
 		return ""
 	}
@@ -530,9 +531,9 @@
 
 func (t *items) Skip(*admission.WorkItem) { t.app.must(false, "went on without a call") }
 
-func (t *items) Call(w *admission.WorkItem, until admission.Tenths) { t.app.index.make(t.of(w), until) }
+func (t *items) Call(w *admission.WorkItem, until timeunit.Ticks) { t.app.index.make(t.of(w), until) }
 
-func (t *items) Remember(w *admission.WorkItem, span admission.Tenths) {
+func (t *items) Remember(w *admission.WorkItem, span timeunit.Ticks) {
 	it := t.of(w)
 	m := it.stamp
 	// The window counts from Received-At, also where that is ahead of this clock; the module, which counts from when it was
@@ -574,7 +575,7 @@
 func (t *items) Say(value float64)           { t.app.routers.say(value) }
 func (t *items) Health(good, fromStore bool) { t.app.routers.good = good }
 
-func (t *items) CloseIdle(after admission.Tenths) {
+func (t *items) CloseIdle(after timeunit.Ticks) {
 	if after > 0 {
 		t.app.routers.idleFor = after
 		t.app.routers.closeIdle() // those that came before this was said
@@ -582,4 +583,4 @@
 }
 
 // Wake leaves one wake: the module sets the next at each, so one that an earlier one overtook tells it nothing.
-func (t *items) Wake(after admission.Tenths) { t.app.set(&t.wake, t.app.now+after) }
+func (t *items) Wake(after timeunit.Ticks) { t.app.set(&t.wake, t.app.now+after) }
--- a/internal/server/lasting.go
+++ b/internal/server/lasting.go
@@ -13,6 +13,7 @@
 	"thistlequay/admission"
 	"thistlequay/internal/recovery"
 	"thistlequay/internal/segmentlog"
+	"thistlequay/timeunit"
 )
 
 // answerAhead is how much before its due time a work item is answered that still waits for the disk.
@@ -30,11 +31,11 @@
 	waits    map[uint64]*item // for their intents, by tag
 	next     uint64
 	closing  bool
-	until    admission.Tenths // stamped work items that nothing is known of are declined until then
-	full     int              // declined as there was no room
-	late     int              // or their intents were not written in time
-	ill      int              // or the disk could not be written
-	doubtful int              // or something may have been lost
+	until    timeunit.Ticks // stamped work items that nothing is known of are declined until then
+	full     int            // declined as there was no room
+	late     int            // or their intents were not written in time
+	ill      int            // or the disk could not be written
+	doubtful int            // or something may have been lost
 }
 
 // start takes up what the store concluded.
@@ -45,7 +46,7 @@
 	}
 	k.store, k.until = l.Store, l.Store.DeclineUntil
 	k.next = uint64(a.clock.now()) << 20 // tries of other lives have other numbers
-	longest := admission.Tenths(ahead * 10)
+	longest := timeunit.Ticks(ahead * 10)
 	for _, c := range a.place.Terms.Categories {
 		longest = max(longest, c.Expiry+ahead*10)
 	}
@@ -104,7 +105,7 @@
 }
 
 // latest is when a work item that waits for its intent must be answered all the same.
-func (k *keeping) latest(it *item) admission.Tenths {
+func (k *keeping) latest(it *item) timeunit.Ticks {
 	return max(k.app.now, min(it.until, k.app.stop)-answerAhead)
 }
 
@@ -123,7 +124,7 @@
 	}
 }
 
-func (k *keeping) decline(it *item, count *int, why string, away admission.Tenths) {
+func (k *keeping) decline(it *item, count *int, why string, away timeunit.Ticks) {
 	k.note(count, why)
 	k.app.items.untaken(it)
 	it.answer("503 Declined", backOffFor(min(away, k.app.place.Terms.MaxAway)), nil)
@@ -176,7 +177,7 @@
 }
 
 // end has all that is in hand made durable, and calls done after that, or when the time is over.
-func (k *keeping) end(within admission.Tenths, done func()) {
+func (k *keeping) end(within timeunit.Ticks, done func()) {
 	if k.store == nil {
 		done()
 		return
--- a/internal/server/life.go
+++ b/internal/server/life.go
@@ -12,7 +12,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
-	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
 // phase is where the process is in its life. It only moves on.
@@ -117,7 +117,7 @@
 type parting struct {
 	app   *App
 	conn  gnet.Conn
-	until admission.Tenths
+	until timeunit.Ticks
 	left  int  // bytes
 	shut  bool // its write side
 	look  alarm
--- a/internal/server/links_test.go
+++ b/internal/server/links_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/admission"
 	"thistlequay/internal/deployment"
 	"thistlequay/internal/logs"
+	"thistlequay/timeunit"
 )
 
 const job = "00000000000000aa"
@@ -122,7 +122,7 @@
 	a, c := running(t)
 	require.NoError(t, a.interpreter.traffic([]byte(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
 	require.Contains(t, string(c.out), "Status: 200 OK\r\n\r\nx")
-	again := func(reached string, now admission.Tenths) string {
+	again := func(reached string, now timeunit.Ticks) string {
 		return takes(t, a, c, "00000000000000ab", reached, now)
 	}
 	require.Contains(t, again("1004999", 10_060_000), "Status: 200 OK\r\n\r\nx") // read after the window, sent within
@@ -134,7 +134,7 @@
 // A wake brings the gauges as they are then, and comes without an answer where the link is slow.
 func TestAWakeWaitsForItsGaugesNotForLong(t *testing.T) {
 	a, _ := running(t)
-	pass := func(span admission.Tenths, answered bool) int {
+	pass := func(span timeunit.Ticks, answered bool) int {
 		before := a.interpreter.ages.n
 		for end := a.now + span; a.now < end; a.ring() {
 			a.now++
@@ -178,13 +178,13 @@
 	a, _ := running(t)
 	a.thread = noLoop{}
 	l := &a.interpreter
-	breaks := func(stood admission.Tenths) (dialled bool) {
+	breaks := func(stood timeunit.Ticks) (dialled bool) {
 		l.next, l.conn, l.up, l.since = nil, nowhere{}, true, a.now-stood
 		l.closed()
 		return l.next != nil
 	}
 	require.True(t, breaks(redialAfter))
-	waits := func(most admission.Tenths) { // by chance within the later half: many servers lose their links at once
+	waits := func(most timeunit.Ticks) { // by chance within the later half: many servers lose their links at once
 		require.LessOrEqual(t, l.again.at, a.now+most)
 		require.GreaterOrEqual(t, l.again.at, a.now+most/2)
 	}
@@ -197,7 +197,7 @@
 
 // A connection that rested long may have been forgotten and carries no call, though the alarm that closes it is late.
 func TestAConnectionLongAtRestCarriesNoCall(t *testing.T) {
-	for rested, used := range map[admission.Tenths]bool{restMost - 1: true, restMost: false} {
+	for rested, used := range map[timeunit.Ticks]bool{restMost - 1: true, restMost: false} {
 		a, _, l := calling(t)
 		require.NoError(t, l.traffic([]byte(job+" HIT 0\r\n\r\n")))
 		a.now += rested
@@ -208,7 +208,7 @@
 }
 
 // takes feeds one more try of the request at this moment and gives what is answered in the batch.
-func takes(t *testing.T, a *App, c *router, id, reached string, now admission.Tenths) string {
+func takes(t *testing.T, a *App, c *router, id, reached string, now timeunit.Ticks) string {
 	a.now = max(a.now, now)
 	a.server.At(a.now)
 	c.out = nil
@@ -239,7 +239,7 @@
 func TestARunBeyondItsWindow(t *testing.T) {
 	a, c := running(t)
 	a.routers.most = 100
-	for s := admission.Tenths(1); s <= 30; s++ {
+	for s := timeunit.Ticks(1); s <= 30; s++ {
 		c = knocking(a)
 		at := 10_000_000 + s*10_000
 		takes(t, a, c, fmt.Sprintf("%016x", 0xb0+s), fmt.Sprint(int64(at/10)), at)
@@ -270,7 +270,7 @@
 		set = set.Add(by)
 		now := c.now()
 		require.Equal(t, before+second, now, "set by %v", by)
-		require.Equal(t, admission.Tenths(set.Add(even).UnixMicro()/100), now+c.shift)
+		require.Equal(t, timeunit.Ticks(set.Add(even).UnixMicro()/100), now+c.shift)
 		before = now
 	}
 	a, _ := running(t)
@@ -278,7 +278,7 @@
 	a.clock.shift = 3_600_000 // six minutes: routers' stamps are by so much ahead of the app's time by now
 	require.Empty(t, takes(t, a, r, "00000000000000c1", "1364000", 10_050_000), "a new one, in time")
 	require.NotNil(t, a.items.byID["00000000000000c1"])
-	require.Equal(t, admission.Tenths(10_040_000), a.items.byID["00000000000000c1"].reached)
+	require.Equal(t, timeunit.Ticks(10_040_000), a.items.byID["00000000000000c1"].reached)
 }
 
 // What the protocol of sockets has no word for is not decided by, whatever the settings say for the simulator's wire.
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -29,14 +29,15 @@
 	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/logs"
 	"thistlequay/internal/tenancy"
+	"thistlequay/timeunit"
 )
 
 // Place is where an app server stands and what it may use.
 type Place struct {
 	Name, Listen, Interpreter, Index, Directory string
-	StopIn                                      admission.Tenths // from the notice to leave to the stop
-	Sockets                                     int              // descriptors it may hold
-	Memory                                      int              // bytes
+	StopIn                                      timeunit.Ticks // from the notice to leave to the stop
+	Sockets                                     int            // descriptors it may hold
+	Memory                                      int            // bytes
 	Terms                                       *deployment.Terms
 	Cores                                       float64 // of the machine, for this process
 	Seed                                        int64
@@ -49,7 +50,7 @@
 }
 
 const (
-	second      = admission.Tenths(10_000)
+	second      = timeunit.Ticks(10_000)
 	keptBack    = 32              // descriptors for the loop, the listener and links other than the index's
 	dialWithin  = 1 * time.Second // a dial that takes longer has failed
 	knockAgain  = 50 * time.Millisecond
@@ -60,7 +61,7 @@
 	stoodStill  = second / 50 // where an alarm is later than this, the machine stood still
 )
 
-const never admission.Tenths = 1 << 60
+const never timeunit.Ticks = 1 << 60
 
 // App is one app server.
 type App struct {
@@ -73,7 +74,7 @@
 	ledger   *fairqueue.Ledger // nil where no queues are fair
 	chance   *rand.Rand
 	clock    clock
-	now      admission.Tenths
+	now      timeunit.Ticks
 	queued   bool               // a flush is on its way
 	dirty    []*wire            // what has output for the end of the batch
 	unreadOn map[*wire]struct{} // what the other side has not read all of
@@ -81,7 +82,7 @@
 
 	alarms alarms
 	timer  *time.Timer
-	armed  admission.Tenths
+	armed  timeunit.Ticks
 	round  int // after a standstill
 
 	routers     routers
@@ -94,8 +95,8 @@
 	holding     holding
 	lingering   lingering
 	phase       phase
-	orders      chan func()      // from outside the loop: to leave, to move
-	stop        admission.Tenths // when all must be answered, never before the notice to leave
+	orders      chan func()    // from outside the loop: to leave, to move
+	stop        timeunit.Ticks // when all must be answered, never before the notice to leave
 	ending      bool
 	late        lags // of the timer
 	bad         int  // connections closed for what came on them
@@ -314,24 +315,24 @@
 // would hold every answer until it had caught up, one set forward would end every wait.
 type clock struct {
 	read  func() (set time.Time, even time.Duration) // the system's clock, and what has passed since the start
-	began admission.Tenths
-	shift admission.Tenths // that the system's clock is ahead of it by now
+	began timeunit.Ticks
+	shift timeunit.Ticks // that the system's clock is ahead of it by now
 }
 
-const setBy = admission.Tenths(10) // less between the two is how they were read
+const setBy = timeunit.Ticks(10) // less between the two is how they were read
 
 func newClock() clock {
 	began := time.Now()
-	return clock{began: admission.Tenths(began.UnixMicro() / 100), read: func() (time.Time, time.Duration) {
+	return clock{began: timeunit.Ticks(began.UnixMicro() / 100), read: func() (time.Time, time.Duration) {
 		t := time.Now()
 		return t, t.Sub(began)
 	}}
 }
 
-func (c *clock) now() admission.Tenths {
+func (c *clock) now() timeunit.Ticks {
 	set, even := c.read()
-	now := c.began + admission.Tenths(even/(time.Millisecond/10))
-	if by := admission.Tenths(set.UnixMicro()/100) - now - c.shift; by > setBy || by < -setBy {
+	now := c.began + timeunit.Ticks(even/(time.Millisecond/10))
+	if by := timeunit.Ticks(set.UnixMicro()/100) - now - c.shift; by > setBy || by < -setBy {
 		c.shift += by
 	}
 	return now
@@ -382,7 +383,7 @@
 
 // alarm is a moment at which something is due. There is one timer for all.
 type alarm struct {
-	at    admission.Tenths
+	at    timeunit.Ticks
 	place int // in the heap plus one, 0 outside
 	ring  func()
 }
@@ -399,7 +400,7 @@
 	return m
 }
 
-func (a *App) set(m *alarm, at admission.Tenths) {
+func (a *App) set(m *alarm, at timeunit.Ticks) {
 	a.unset(m)
 	m.at = at
 	heap.Push(&a.alarms, m)
@@ -479,7 +480,7 @@
 }
 
 // endAll ends every connection, and the process after the time given.
-func (a *App) endAll(in admission.Tenths) {
+func (a *App) endAll(in timeunit.Ticks) {
 	a.enter(stopped)
 	a.routers.closeAll()
 	a.index.closeAll()
@@ -576,7 +577,7 @@
 	count [20]int
 }
 
-func (l *lags) add(t admission.Tenths) {
+func (l *lags) add(t timeunit.Ticks) {
 	l.count[min(bits.Len64(uint64(max(0, t))), len(l.count)-1)]++
 	if l.n++; l.n >= 4096 {
 		l.n = 0
@@ -588,7 +589,7 @@
 }
 
 // most gives what 99 in 100 stayed under.
-func (l *lags) most() admission.Tenths {
+func (l *lags) most() timeunit.Ticks {
 	left := l.n / 100
 	for i := len(l.count) - 1; i > 0; i-- {
 		if left -= l.count[i]; left < 0 {
@@ -672,16 +673,16 @@
 }
 
 // backOff is how much later the next dial comes, ever later up to a bound.
-type backOff struct{ last admission.Tenths }
+type backOff struct{ last timeunit.Ticks }
 
-func (b *backOff) next() admission.Tenths {
+func (b *backOff) next() timeunit.Ticks {
 	b.last = min(max(redialAfter, 2*b.last), redialMost)
 	return b.last
 }
 
 // spread gives a time up to the one given, so that what befell many servers at once is not followed by all at once.
-func (a *App) spread(most admission.Tenths) admission.Tenths {
-	return most/2 + admission.Tenths(a.chance.Int63n(int64(most/2)+1))
+func (a *App) spread(most timeunit.Ticks) timeunit.Ticks {
+	return most/2 + timeunit.Ticks(a.chance.Int63n(int64(most/2)+1))
 }
 
 // engineLog passes on what gnet has to say that matters.
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -17,12 +17,13 @@
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
 	"thistlequay/internal/plugin/chain"
+	"thistlequay/timeunit"
 )
 
 const (
-	mostAsked    = 256                  // calls out at once
-	onTheWay     = admission.Tenths(20) // that a verdict may take from the process to the loop
-	mostOld      = 4                    // processes that wait for the last work item that began with them
+	mostAsked    = 256                // calls out at once
+	onTheWay     = timeunit.Ticks(20) // that a verdict may take from the process to the loop
+	mostOld      = 4                  // processes that wait for the last work item that began with them
 	mostCounters = 64
 	mostKept     = 1 << 20 // bytes of all plug-ins' memories that are kept here for the next process
 )
@@ -78,7 +79,7 @@
 	plugin *chain.Plugin
 	call   uint64
 	limit  alarm
-	within admission.Tenths
+	within timeunit.Ticks
 	done   func(w *chain.Walk)
 }
 
@@ -331,7 +332,7 @@
 }
 
 // send asks one plug-in; false where that can't be.
-func (k *asking) send(one *chain.Plugin, within admission.Tenths) bool {
+func (k *asking) send(one *chain.Plugin, within timeunit.Ticks) bool {
 	h := k.host
 	p := h.plugins
 	if h.ended || h.conn == nil || len(p.calls) >= mostAsked {
@@ -369,7 +370,7 @@
 	p.app.unset(&k.limit)
 }
 
-func (k *asking) failed(f chain.Fault, took admission.Tenths) {
+func (k *asking) failed(f chain.Fault, took timeunit.Ticks) {
 	k.told(k.walk.Failed(f, took, k.host.plugins.app.now), f)
 	k.step()
 }
@@ -427,7 +428,7 @@
 		return
 	}
 	k.away()
-	took := admission.Tenths(spent.Microseconds()/100) + 1
+	took := timeunit.Ticks(spent.Microseconds()/100) + 1
 	if how != plugin.Fine {
 		k.failed(faults[how], took)
 		return
--- a/internal/server/routers.go
+++ b/internal/server/routers.go
@@ -11,8 +11,8 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"thistlequay/admission"
 	"thistlequay/internal/fastcgi"
+	"thistlequay/timeunit"
 )
 
 const (
@@ -29,7 +29,7 @@
 	all     *list.List // of *router
 	fresh   *list.List // of those that brought no whole request yet, the oldest first
 	idle    *list.List // of those that did and carry nothing, the longest idle first
-	idleFor admission.Tenths
+	idleFor timeunit.Ticks
 	closing alarm
 	full    int // connections turned away
 	evicted int // closed to make room
@@ -52,7 +52,7 @@
 	life   life
 	place  *list.Element // in the list of all
 	spot   *list.Element // in that of fresh or of idle ones
-	since  admission.Tenths
+	since  timeunit.Ticks
 	limit  alarm
 	peer   netip.Addr // the other end, read where tenants go by it
 	stuck  bool       // it was so at the limit before, and no request has come whole since
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -11,8 +11,8 @@
 	"github.com/panjf2000/gnet/v2"
 	"github.com/stretchr/testify/require"
 
-	"thistlequay/admission"
 	"thistlequay/internal/fastcgi"
+	"thistlequay/timeunit"
 )
 
 // nowhere is a connection that nothing leaves, noLoop its loop.
@@ -44,8 +44,8 @@
 	first.conn = nowhere{}
 	conns, open := []*router{first, knocking(a)}, 1
 	ids, notices, before := 0, 0, a.broken
-	keys, reached := map[string]byte{job: 'k'}, map[string]admission.Tenths{job: a.now} // by id
-	runs, ran := map[string]bool{}, map[byte]admission.Tenths{}                         // by id; by key, when its try came
+	keys, reached := map[string]byte{job: 'k'}, map[string]timeunit.Ticks{job: a.now} // by id
+	runs, ran := map[string]bool{}, map[byte]timeunit.Ticks{}                         // by id; by key, when its try came
 	hear := func(format string, args ...any) {
 		require.NoError(t, a.interpreter.traffic([]byte(fmt.Sprintf(format, args...)+"\n")))
 	}
@@ -93,7 +93,7 @@
 		b := a.server.Books()
 		see(int64(a.now), a.items.inHand(), a.index.out, a.index.lanes, len(a.items.stamps), b.Held, b.Running, b.AtCalls)
 	}
-	pass := func(span admission.Tenths) {
+	pass := func(span timeunit.Ticks) {
 		a.now += span
 		a.server.At(a.now)
 		a.goOn() // as after a standstill: the steps are long
@@ -178,7 +178,7 @@
 			}
 		}
 		decide()
-		pass(admission.Tenths(n) * 4)
+		pass(timeunit.Ticks(n) * 4)
 	}
 	for range 900 { // all that is owed is due by then
 		pass(100)
--- a/internal/server/shares.go
+++ b/internal/server/shares.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
-	"thistlequay/admission"
 	"thistlequay/internal/quota"
 	"thistlequay/internal/quota/service"
+	"thistlequay/timeunit"
 )
 
 // Shares are what this server holds of the fleet's limits: calls in hand, and calls a second where that is limited.
@@ -56,9 +56,9 @@
 	beat  alarm
 	over  alarm
 	pace  alarm
-	at    quota.Moment // of the last look
-	ends  quota.Moment // of the grant that the alarm is set for
-	calls int          // that were given up as their grant was over
+	at    timeunit.Milliseconds // of the last look
+	ends  timeunit.Milliseconds // of the grant that the alarm is set for
+	calls int                   // that were given up as their grant was over
 }
 
 const holdingLooks = 8 // in the length of a grant, at least
@@ -80,7 +80,9 @@
 	h.beat.ring()
 }
 
-func (h *holding) tenths(t quota.Moment) admission.Tenths { return admission.Tenths(max(1, t) * 10) }
+func (h *holding) tenths(t timeunit.Milliseconds) timeunit.Ticks {
+	return timeunit.Ticks(max(1, t) * 10)
+}
 
 // settle takes up what was granted, tells the module, and asks where that is due.
 func (h *holding) settle() {
@@ -153,7 +155,7 @@
 	}
 }
 
-const pauseLeast quota.Moment = 5 // milliseconds from a decision to its being carried out that call for another look
+const pauseLeast timeunit.Milliseconds = 5 // milliseconds from a decision to its being carried out that call for another look
 
 // may says whether a call may go out at this moment by the limit of calls a second; where it may not, the next look is set.
 func (h *holding) may() bool {
@@ -164,7 +166,7 @@
 	if rate.Take(now) {
 		return true
 	}
-	h.app.set(&h.pace, h.app.now+h.tenths(quota.Moment(int64(quota.Unit)*1000/max(1, int64(rate.Usable(now))))))
+	h.app.set(&h.pace, h.app.now+h.tenths(timeunit.Milliseconds(int64(quota.Unit)*1000/max(1, int64(rate.Usable(now))))))
 	return false
 }
 
