--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -8,6 +8,7 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/deployment"
+	"thistlequay/timeunit"
 )
 
 // create starts an instance from the wire's settings. Keys that are not known here are passed over.
@@ -36,7 +37,7 @@
 	h.out.WriteString(strconv.FormatUint(w.Door, 10))
 }
 
-func (h *host) span(key string, t admission.Tenths) {
+func (h *host) span(key string, t timeunit.Ticks) {
 	h.out.WriteByte(' ')
 	h.out.WriteString(key)
 	h.out.WriteByte('=')
@@ -58,7 +59,7 @@
 func (h *host) Forget(w *admission.WorkItem)   { h.plain("EVICT", w) }
 func (h *host) Over(w *admission.WorkItem)     { delete(h.items, w.Door) }
 
-func (h *host) Decline(w *admission.WorkItem, stayAway admission.Tenths, nowhereElse bool) {
+func (h *host) Decline(w *admission.WorkItem, stayAway timeunit.Ticks, nowhereElse bool) {
 	h.line("TURN_AWAY", w)
 	if stayAway > 0 {
 		h.span("NotBeforeFor", stayAway)
@@ -69,13 +70,13 @@
 	h.end()
 }
 
-func (h *host) Call(w *admission.WorkItem, until admission.Tenths) {
+func (h *host) Call(w *admission.WorkItem, until timeunit.Ticks) {
 	h.line("INVOKE", w)
 	h.span("Until", until)
 	h.end()
 }
 
-func (h *host) Remember(w *admission.WorkItem, span admission.Tenths) {
+func (h *host) Remember(w *admission.WorkItem, span timeunit.Ticks) {
 	h.line("MEMO", w)
 	h.span("HoldFor", span)
 	h.end()
@@ -96,7 +97,7 @@
 	fmt.Fprintf(&h.out, "MARK_HEALTH Cheap=%d Want=%d\n", cheap, want)
 }
 
-func (h *host) CloseIdle(after admission.Tenths) {
+func (h *host) CloseIdle(after timeunit.Ticks) {
 	if after > 0 {
 		h.out.WriteString("IDLE")
 		h.span("HoldFor", max(after, 100)) // the wire takes 10 ms at least
@@ -104,7 +105,7 @@
 	}
 }
 
-func (h *host) Wake(after admission.Tenths) {
+func (h *host) Wake(after timeunit.Ticks) {
 	h.out.WriteString("WAKE_AT")
 	h.span("SleepFor", after)
 	h.out.WriteString(" Token=look\n")
--- a/internal/simadapter/simwire.go
+++ b/internal/simadapter/simwire.go
@@ -15,6 +15,7 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/deployment"
+	"thistlequay/timeunit"
 )
 
 // instance is one simulated server, the ids of its work items and the reply that it is owed.
@@ -23,7 +24,7 @@
 	server *admission.Server
 	items  map[uint64]*admission.WorkItem
 	terms  *deployment.Terms
-	now    admission.Tenths
+	now    timeunit.Ticks
 	out    bytes.Buffer
 	events bool
 }
@@ -53,7 +54,7 @@
 	instances map[string]*instance
 	current   *instance
 	busy      []*instance
-	now       admission.Tenths
+	now       timeunit.Ticks
 }
 
 // next reads a line; io.EOF comes only where the input ends between lines.
@@ -343,7 +344,7 @@
 	}
 }
 
-func (f *fields) time(key string, round func(float64) admission.Tenths) admission.Tenths {
+func (f *fields) time(key string, round func(float64) timeunit.Ticks) timeunit.Ticks {
 	return round(f.number(key))
 }
 
--- a/internal/simulation/fair_test.go
+++ b/internal/simulation/fair_test.go
@@ -11,6 +11,7 @@
 	"thistlequay/admission"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/fairqueue"
+	"thistlequay/timeunit"
 )
 
 func stream(tenant string, share, rate, gain float64) *emulator.Stream {
@@ -37,7 +38,7 @@
 
 func terms(streams []*emulator.Stream) *fairqueue.Terms {
 	t := &fairqueue.Terms{Others: 0.1, Newcomers: 0.25, Books: 128, Groups: 64, Burst: 2_000, History: 50_000,
-		Reshuffle: 300_000, Cores: 4, Contracts: []fairqueue.Tenths{20_000}}
+		Reshuffle: 300_000, Cores: 4, Contracts: []timeunit.Ticks{20_000}}
 	for _, s := range streams {
 		if s.Name == nil && s.Share > 0 {
 			t.Tenants = append(t.Tenants, fairqueue.Tenant{Name: s.Tenant, Share: s.Share})
@@ -174,9 +175,9 @@
 	d.Change = func(at float64, l *fairqueue.Ledger) {
 		switch at {
 		case 15:
-			l.Change(after, fairqueue.Tenths(at*perSecond)) // kirken is one of the others now
+			l.Change(after, timeunit.Ticks(at*perSecond)) // kirken is one of the others now
 		case 25:
-			l.Change(before, fairqueue.Tenths(at*perSecond))
+			l.Change(before, timeunit.Ticks(at*perSecond))
 		}
 	}
 	d.LeaveAt = 35
--- a/internal/simulation/life_test.go
+++ b/internal/simulation/life_test.go
@@ -9,6 +9,7 @@
 
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/fairqueue"
+	"thistlequay/timeunit"
 )
 
 // Forty-five minutes in which every work item comes by a caller that was never seen and every third by a new tenant: what is
@@ -32,7 +33,7 @@
 	chance := rand.New(rand.NewSource(3))
 	var held []float64
 	d.OnSecond = func(second int, l *fairqueue.Ledger) {
-		now := fairqueue.Tenths(second) * perSecond
+		now := timeunit.Ticks(second) * perSecond
 		claim := l.Open([]byte{byte(chance.Intn(256)), byte(chance.Intn(256)), byte(chance.Intn(256))}, 0, 0, now)
 		claim.Close(now)
 		if second%675 == 300 {
--- a/internal/simulation/rehearsal.go
+++ b/internal/simulation/rehearsal.go
@@ -10,6 +10,7 @@
 	"thistlequay/admission"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/fairqueue"
+	"thistlequay/timeunit"
 )
 
 // Day is what is played.
@@ -21,8 +22,8 @@
 	Memory     float64 // kilobytes
 	Categories []admission.Category
 	Streams    []*emulator.Stream
-	MaxAway    admission.Tenths
-	Cold       admission.Tenths // it is cold for so long
+	MaxAway    timeunit.Ticks
+	Cold       timeunit.Ticks   // it is cold for so long
 	Fair       *fairqueue.Terms // nil: no turns
 	LeaveAt    float64          // 0: never
 	Strangers  bool             // each work item comes by a caller that was never seen
@@ -73,7 +74,7 @@
 
 const perSecond = 10_000
 
-func (s *stage) tenths() admission.Tenths { return admission.Tenths(s.now * perSecond) }
+func (s *stage) tenths() timeunit.Ticks { return timeunit.Ticks(s.now * perSecond) }
 
 // Play plays a day.
 func Play(d Day) Outcome {
@@ -110,7 +111,7 @@
 			s.server.Leave(perSecond * 3)
 		}
 		for _, it := range s.stopped {
-			it.handle.RunEnded(admission.Cut, admission.Tenths((s.now-it.job.Began)*perSecond))
+			it.handle.RunEnded(admission.Cut, timeunit.Ticks((s.now-it.job.Began)*perSecond))
 		}
 		s.stopped = s.stopped[:0]
 		for j := s.cores.Ended(); j != nil; j = s.cores.Ended() {
@@ -166,7 +167,7 @@
 			of.Late++
 		}
 	}
-	it.handle.RunEnded(admission.Well, admission.Tenths((s.now-j.Began)*perSecond))
+	it.handle.RunEnded(admission.Well, timeunit.Ticks((s.now-j.Began)*perSecond))
 }
 
 func (s *stage) answered(it *item) {
@@ -186,7 +187,7 @@
 	s.jobs[it.job] = it
 }
 
-func (s *stage) Decline(w *admission.WorkItem, away admission.Tenths, _ bool) {
+func (s *stage) Decline(w *admission.WorkItem, away timeunit.Ticks, _ bool) {
 	it := s.items[w.Door]
 	s.answered(it)
 	if s.ledger != nil {
@@ -219,13 +220,13 @@
 	delete(s.items, w.Door)
 }
 
-func (s *stage) Wake(after admission.Tenths) { s.wake = min(s.wake, s.now+float64(after)/perSecond) }
+func (s *stage) Wake(after timeunit.Ticks) { s.wake = min(s.wake, s.now+float64(after)/perSecond) }
 
-func (s *stage) Share(*admission.WorkItem)                      {}
-func (s *stage) Skip(*admission.WorkItem)                       {}
-func (s *stage) Call(*admission.WorkItem, admission.Tenths)     {}
-func (s *stage) Remember(*admission.WorkItem, admission.Tenths) {}
-func (s *stage) Forget(*admission.WorkItem)                     {}
-func (s *stage) Say(float64)                                    {}
-func (s *stage) Health(bool, bool)                              {}
-func (s *stage) CloseIdle(admission.Tenths)                     {}
+func (s *stage) Share(*admission.WorkItem)                    {}
+func (s *stage) Skip(*admission.WorkItem)                     {}
+func (s *stage) Call(*admission.WorkItem, timeunit.Ticks)     {}
+func (s *stage) Remember(*admission.WorkItem, timeunit.Ticks) {}
+func (s *stage) Forget(*admission.WorkItem)                   {}
+func (s *stage) Say(float64)                                  {}
+func (s *stage) Health(bool, bool)                            {}
+func (s *stage) CloseIdle(timeunit.Ticks)                     {}
