--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -31,8 +31,8 @@
 	*require.Assertions
 	server     *Server
 	now        timeunit.Ticks
-	deployment Deployment
-	items      map[string]*WorkItem
+	deployment Config
+	items      map[string]*Request
 	names      map[uint64]string
 	done       []string
 	said       string
@@ -44,10 +44,10 @@
 	f, err := os.Open(file)
 	require.NoError(t, err)
 	defer f.Close()
-	s := &stage{Assertions: require.New(t), items: map[string]*WorkItem{}, names: map[uint64]string{},
+	s := &stage{Assertions: require.New(t), items: map[string]*Request{}, names: map[uint64]string{},
 		history: golden.NewHistory()}
-	s.deployment = Deployment{Callers: 1, CallsOver: 50000, Cores: 2, Memory: 1e6, RunFactor: 4, EntryKb: 1,
-		Period: 10, Grace: 1000, Crowd: 8, MaxAway: 10000, Tongue: Allowed}
+	s.deployment = Config{Routers: 1, DownstreamWindow: 50000, Cores: 2, MemoryKB: 1e6, RunMemoryFactor: 4, EntryKB: 1,
+		BatchInterval: 10, DrainGrace: 1000, OverloadThreshold: 8, MaxRetryAfter: 10000, LoadReportMode: ReportLimit}
 	open, checked := false, true
 	in := bufio.NewScanner(f)
 	for n := 1; in.Scan(); n++ {
@@ -60,7 +60,7 @@
 		switch word[0] {
 		case "=>": // closes the batch
 			if open {
-				s.server.Decide()
+				s.server.Dispatch()
 			}
 			open, checked = false, true
 			s.Equal(strings.Join(word[1:], " "), strings.Join(s.done, " "), where)
@@ -92,18 +92,18 @@
 // at opens a batch.
 func (s *stage) at() {
 	s.history.Add(int64(s.now))
-	s.server.At(s.now)
+	s.server.Advance(s.now)
 }
 
 func (s *stage) until(end timeunit.Ticks, f map[string]float64) {
 	if len(f) == 0 { // the cores are busy and not crowded
-		f = map[string]float64{"use": 1, "cores": s.server.pool.cores}
+		f = map[string]float64{"use": 1, "cores": s.server.limiter.cores}
 	}
 	for len(s.wakes) > 0 && s.wakes[0] <= end {
 		s.now, s.wakes = s.wakes[0], s.wakes[1:]
 		s.at()
-		s.server.Woken(Gauges{CoreUse: f["use"], OnCores: f["cores"]})
-		s.server.Decide()
+		s.server.OnTimer(Gauges{CoreUtilization: f["use"], RunnableRequests: f["cores"]})
+		s.server.Dispatch()
 	}
 	s.now = end
 }
@@ -114,46 +114,46 @@
 	case "server":
 		s.set(word[1:], where, map[string]func(float64){
 			"cores":    func(v float64) { d.Cores = int(v) },
-			"memory":   func(v float64) { d.Memory = v },
-			"entry":    func(v float64) { d.EntryKb = v },
-			"entries":  func(v float64) { d.Entries = int(v) },
-			"stops":    func(v float64) { d.Stops = v == 1 },
-			"share":    func(v float64) { d.SharedBelow, d.CallShare = true, v },
-			"linger":   func(v float64) { d.Linger = timeunit.Ticks(v * 10) },
-			"coldfrom": func(v float64) { d.Cold, d.ColdFrom = true, v },
-			"coldfor":  func(v float64) { d.ColdFor = timeunit.Ticks(v * 10) },
+			"memory":   func(v float64) { d.MemoryKB = v },
+			"entry":    func(v float64) { d.EntryKB = v },
+			"entries":  func(v float64) { d.MaxEntries = int(v) },
+			"stops":    func(v float64) { d.CanStopRuns = v == 1 },
+			"share":    func(v float64) { d.SharedDependency, d.DownstreamLimit = true, v },
+			"linger":   func(v float64) { d.AbandonedCallTime = timeunit.Ticks(v * 10) },
+			"coldfrom": func(v float64) { d.StartsCold, d.ColdSpeed = true, v },
+			"coldfor":  func(v float64) { d.WarmUpTime = timeunit.Ticks(v * 10) },
 			"servers":  func(v float64) { d.Servers = int(v) },
-			"callers":  func(v float64) { d.Callers = int(v) },
-			"idle":     func(v float64) { d.IdleMost = timeunit.Ticks(v * 10) },
-			"tongue":   func(v float64) { d.Tongue = Tongue(v) },
-			"fresh":    func(v float64) { d.Fresh = timeunit.Ticks(v * 10) },
-			"marked":   func(v float64) { d.Marked = v == 1 },
-			"crowd":    func(v float64) { d.Crowd = v },
+			"callers":  func(v float64) { d.Routers = int(v) },
+			"idle":     func(v float64) { d.MaxIdleTime = timeunit.Ticks(v * 10) },
+			"tongue":   func(v float64) { d.LoadReportMode = LoadReportMode(v) },
+			"fresh":    func(v float64) { d.ResultTTL = timeunit.Ticks(v * 10) },
+			"marked":   func(v float64) { d.RetriesMarked = v == 1 },
+			"crowd":    func(v float64) { d.OverloadThreshold = v },
 		})
 	case "category":
 		f := s.fields(word[2:], where)
-		effect := map[string]Effect{"harmless": Harmless, "stamped": Stamped, "oneshot": OneShot}
+		effect := map[string]Idempotency{"harmless": Idempotent, "stamped": Keyed, "oneshot": NonIdempotent}
 		s.Contains(effect, word[1], where)
-		d.Categories = append(d.Categories, Category{Gain: f["gain"], LateShare: f["late"], Poorer: f["poorer"],
-			Contract: timeunit.Ticks(f["contract"] * 10), Expiry: timeunit.Ticks(f["expiry"] * 10),
-			Window: timeunit.Ticks(f["window"] * 10), Effect: effect[word[1]]})
+		d.Categories = append(d.Categories, Category{Weight: f["gain"], LateValue: f["late"], DegradedValue: f["poorer"],
+			SoftDeadline: timeunit.Ticks(f["contract"] * 10), Deadline: timeunit.Ticks(f["expiry"] * 10),
+			DeduplicationWindow: timeunit.Ticks(f["window"] * 10), Idempotency: effect[word[1]]})
 	case "take":
 		s.take(word[1], word[2:], where)
 	case "leave":
-		s.server.Leave(s.tenths(word[1], where))
+		s.server.Drain(s.tenths(word[1], where))
 	case "woken":
 		f := s.fields(word[1:], where)
-		s.server.Woken(Gauges{CoreUse: f["use"], OnCores: f["cores"], Stale: f["stale"] == 1})
+		s.server.OnTimer(Gauges{CoreUtilization: f["use"], RunnableRequests: f["cores"], IsStale: f["stale"] == 1})
 	default:
 		w := s.items[word[1]]
 		s.NotNil(w, where)
-		outcome := map[string]Outcome{"well": Well, "badly": Badly, "unseen": Unseen, "unknown": Unknown,
-			"cut": Cut, "neverbegun": NeverBegun}
+		outcome := map[string]Outcome{"well": Succeeded, "badly": Failed, "unseen": NotExecuted, "unknown": Indeterminate,
+			"cut": Aborted, "neverbegun": NeverStarted}
 		switch word[0] {
 		case "gone":
-			w.Gone()
+			w.Cancel()
 		case "atcall":
-			w.AtCall()
+			w.NeedsCall()
 		case "called":
 			s.Contains(outcome, word[2], where)
 			w.CallEnded(outcome[word[2]], s.tenths(word[3], where))
@@ -177,30 +177,30 @@
 			names = append(names, stem+strconv.Itoa(i))
 		}
 	}
-	a := Arrival{HeldKb: 1}
+	a := Arrival{QueuedKB: 1}
 	var fields []string
 	for _, r := range rest {
 		if earlier, is := strings.CutPrefix(r, "repeats="); is {
-			a.Repeats, a.Earlier = true, s.items[earlier]
+			a.IsRepeat, a.RepeatOf = true, s.items[earlier]
 		} else {
 			fields = append(fields, r)
 		}
 	}
 	s.set(fields, where, map[string]func(float64){
 		"category": func(v float64) { a.Category = int(v) },
-		"left":     func(v float64) { a.Left = timeunit.Ticks(v * 10) },
-		"caller":   func(v float64) { a.Caller = int(v) },
-		"unread":   func(v float64) { a.Unread = timeunit.Ticks(v * 10) },
-		"kb":       func(v float64) { a.HeldKb = v },
-		"turn":     func(v float64) { a.Turn = v },
-		"behind":   func(v float64) { a.Behind = timeunit.Ticks(v * 10) },
-		"again":    func(v float64) { a.Again = v == 1 },
-		"reads":    func(v float64) { a.Reads = v == 1 },
+		"left":     func(v float64) { a.TimeLeft = timeunit.Ticks(v * 10) },
+		"caller":   func(v float64) { a.Router = int(v) },
+		"unread":   func(v float64) { a.UnreadTime = timeunit.Ticks(v * 10) },
+		"kb":       func(v float64) { a.QueuedKB = v },
+		"turn":     func(v float64) { a.StartTag = v },
+		"behind":   func(v float64) { a.ExpectedDelay = timeunit.Ticks(v * 10) },
+		"again":    func(v float64) { a.IsRetry = v == 1 },
+		"reads":    func(v float64) { a.Cacheable = v == 1 },
 	})
 	for _, name := range names {
-		a.Door = uint64(len(s.names) + 1)
-		s.names[a.Door] = name
-		s.items[name] = s.server.Take(a)
+		a.ID = uint64(len(s.names) + 1)
+		s.names[a.ID] = name
+		s.items[name] = s.server.Enqueue(a)
 	}
 }
 
@@ -228,41 +228,41 @@
 	return f
 }
 
-func (s *stage) note(what string, w *WorkItem) { s.done = append(s.done, what+":"+s.names[w.Door]) }
+func (s *stage) note(what string, w *Request) { s.done = append(s.done, what+":"+s.names[w.ID]) }
 
-func (s *stage) Run(w *WorkItem)                        { s.note("run", w) }
-func (s *stage) Share(w *WorkItem)                      { s.note("share", w) }
-func (s *stage) BreakOff(w *WorkItem)                   { s.note("breakoff", w) }
-func (s *stage) Stop(w *WorkItem)                       { s.note("stop", w) }
-func (s *stage) Remember(w *WorkItem, _ timeunit.Ticks) { s.note("remember", w) }
-func (s *stage) Forget(w *WorkItem)                     { s.note("forget", w) }
-func (s *stage) Skip(w *WorkItem)                       { s.note("skip", w) }
-func (s *stage) Call(w *WorkItem, until timeunit.Ticks) {
+func (s *stage) Run(w *Request)                         { s.note("run", w) }
+func (s *stage) ShareResult(w *Request)                 { s.note("share", w) }
+func (s *stage) Abort(w *Request)                       { s.note("breakoff", w) }
+func (s *stage) StopRun(w *Request)                     { s.note("stop", w) }
+func (s *stage) KeepEntry(w *Request, _ timeunit.Ticks) { s.note("remember", w) }
+func (s *stage) DropEntry(w *Request)                   { s.note("forget", w) }
+func (s *stage) SkipCall(w *Request)                    { s.note("skip", w) }
+func (s *stage) StartCall(w *Request, until timeunit.Ticks) {
 	s.note("call", w)
-	if until < w.worthUntil() { // it is given up before its answer is worth nothing
+	if until < w.valuableUntil() { // it is given up before its answer is worth nothing
 		s.done[len(s.done)-1] += fmt.Sprint("<", float64(until-s.now)/10)
 	}
 }
-func (s *stage) Decline(w *WorkItem, _ timeunit.Ticks, nowhereElse bool) {
+func (s *stage) Reject(w *Request, _ timeunit.Ticks, nowhereElse bool) {
 	if nowhereElse {
 		s.note("declinelast", w)
 	} else {
 		s.note("decline", w)
 	}
 }
-func (s *stage) Over(*WorkItem) {}
-func (s *stage) CloseIdle(after timeunit.Ticks) {
+func (s *stage) Release(*Request) {}
+func (s *stage) CloseIdleConnections(after timeunit.Ticks) {
 	if after > 0 { // told in this scenario
 		s.done = append(s.done, fmt.Sprint("closeidle:", after/10))
 	}
 }
-func (s *stage) Health(good, _ bool) {
+func (s *stage) SetHealth(good, _ bool) {
 	if !good {
 		s.done = append(s.done, "unhealthy")
 	}
 }
-func (s *stage) Say(v float64) { s.said = strconv.FormatFloat(v, 'f', -1, 64) }
-func (s *stage) Wake(after timeunit.Ticks) {
+func (s *stage) ReportLoad(v float64) { s.said = strconv.FormatFloat(v, 'f', -1, 64) }
+func (s *stage) SetTimer(after timeunit.Ticks) {
 	s.wakes = append(s.wakes, s.now+after)
 	sort.Slice(s.wakes, func(i, j int) bool { return s.wakes[i] < s.wakes[j] })
 }
--- a/admission/sum_test.go
+++ b/admission/sum_test.go
@@ -35,7 +35,7 @@
 }
 
 type out struct {
-	w          *WorkItem
+	w          *Request
 	made, ends timeunit.Ticks
 	well       bool
 	given      timeunit.Ticks // up at this moment; it lingers
@@ -43,17 +43,17 @@
 
 const lingers = timeunit.Ticks(1000)
 
-func (c *caged) Run(w *WorkItem)                         { w.AtCall() }
-func (c *caged) Decline(*WorkItem, timeunit.Ticks, bool) {}
-func (c *caged) BreakOff(w *WorkItem)                    {}
-func (c *caged) Stop(*WorkItem)                          {}
-func (c *caged) Say(float64)                             {}
-func (c *caged) Health(bool, bool)                       {}
-func (c *caged) CloseIdle(timeunit.Ticks)                {}
-func (c *caged) Wake(timeunit.Ticks)                     {}
-func (c *caged) Over(*WorkItem)                          {}
-func (c *caged) Skip(*WorkItem)                          {}
-func (c *caged) Call(w *WorkItem, until timeunit.Ticks) {
+func (c *caged) Run(w *Request)                        { w.NeedsCall() }
+func (c *caged) Reject(*Request, timeunit.Ticks, bool) {}
+func (c *caged) Abort(w *Request)                      {}
+func (c *caged) StopRun(*Request)                      {}
+func (c *caged) ReportLoad(float64)                    {}
+func (c *caged) SetHealth(bool, bool)                  {}
+func (c *caged) CloseIdleConnections(timeunit.Ticks)   {}
+func (c *caged) SetTimer(timeunit.Ticks)               {}
+func (c *caged) Release(*Request)                      {}
+func (c *caged) SkipCall(*Request)                     {}
+func (c *caged) StartCall(w *Request, until timeunit.Ticks) {
 	b := c.b
 	o := &out{w: w, made: b.now, ends: b.now + b.takes[0] + timeunit.Ticks(b.chance.Int63n(int64(b.takes[1]-b.takes[0])+1)), well: true}
 	if o.ends > until {
@@ -74,9 +74,9 @@
 		if b.history != nil {
 			host = recorder{c, b.history}
 		}
-		c.s = New(Deployment{Categories: []Category{{Gain: 1, Contract: 30_000, Expiry: 60_000}}, Callers: 3, Servers: servers, Cores: 4,
-			Memory: 1e6, RunFactor: 4, Period: 20, Crowd: 8, SharedBelow: true, CallShare: share, CallsOver: 50_000, Linger: lingers,
-			Spread: b.chance.Float64()}, host, b.now)
+		c.s = New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 30_000, Deadline: 60_000}}, Routers: 3, Servers: servers, Cores: 4,
+			MemoryKB: 1e6, RunMemoryFactor: 4, BatchInterval: 20, OverloadThreshold: 8, SharedDependency: true, DownstreamLimit: share, DownstreamWindow: 50_000, AbandonedCallTime: lingers,
+			TurnOffset: b.chance.Float64()}, host, b.now)
 		b.servers = append(b.servers, c)
 	}
 }
@@ -85,9 +85,9 @@
 func (b *below) to(end timeunit.Ticks) {
 	for ; b.now < end; b.now += 250 {
 		for _, c := range b.servers {
-			c.s.At(b.now)
+			c.s.Advance(b.now)
 			if c.ask++; c.ask%3 == 0 {
-				c.s.Take(Arrival{HeldKb: 1, Left: 60_000, Caller: c.ask % 3})
+				c.s.Enqueue(Arrival{QueuedKB: 1, TimeLeft: 60_000, Router: c.ask % 3})
 			}
 			calls := c.calls[:0]
 			for _, o := range c.calls {
@@ -97,19 +97,19 @@
 				case o.given > 0:
 					b.inHand--
 				case o.ends == o.made:
-					o.w.CallEnded(Unseen, 0)
+					o.w.CallEnded(NotExecuted, 0)
 				case o.well:
 					b.inHand--
-					o.w.CallEnded(Well, b.now-o.made)
-					o.w.RunEnded(Well, b.now-o.made)
+					o.w.CallEnded(Succeeded, b.now-o.made)
+					o.w.RunEnded(Succeeded, b.now-o.made)
 				default:
 					o.given = b.now
 					calls = append(calls, o)
-					o.w.CallEnded(Unknown, b.now-o.made)
+					o.w.CallEnded(Indeterminate, b.now-o.made)
 				}
 			}
 			c.calls = calls
-			c.s.Decide()
+			c.s.Dispatch()
 		}
 	}
 }
@@ -157,7 +157,7 @@
 				most = max(most, b.play(servers, n, seed%2 == 1))
 				warm = max(warm, b.most)
 				for _, c := range b.servers {
-					well += float64(c.s.calls.quick.n)
+					well += float64(c.s.downstream.quickTimes.total)
 				}
 			}
 			allowed := n + 2*math.Sqrt(n) + 2
--- a/cmd/thistlequay/configure.go
+++ b/cmd/thistlequay/configure.go
@@ -28,7 +28,7 @@
 )
 
 // configure reads the configuration. Its faults come all at once, each with its place.
-func configure(path string) (p server.Place, err error) {
+func configure(path string) (p server.Config, err error) {
 	if path == "" {
 		return p, errors.New("PROXY_CONFIG names no configuration")
 	}
@@ -46,8 +46,8 @@
 		}
 		Settings json.RawMessage
 	}
-	if err := diagnostics.JSON(text, &c); err != nil {
-		return p, diagnostics.Of(err).In(path)
+	if err := diagnostics.DecodeJSON(text, &c); err != nil {
+		return p, diagnostics.FromError(err).InFile(path)
 	}
 	var l diagnostics.List
 	for _, a := range []struct{ key, address string }{{"listen", c.Listen}, {"vm", c.VM}, {"lookup", c.Lookup}, {"index", c.Index}} {
@@ -67,21 +67,21 @@
 	figure("limits.cores", c.Limits.Cores, 1e-3, 1e4)
 	figure("limits.memory_mb", c.Limits.MemoryMb, leastMemory, 1e7)
 	figure("limits.sockets", float64(c.Limits.Sockets), leastSockets, 1<<20)
-	var terms *deployment.Terms
+	var terms *deployment.Config
 	if c.Settings == nil {
 		l.Add("settings", "the deployment's settings", "is missing")
 	} else if terms, err = deployment.Read(c.Settings); err != nil {
-		for _, f := range diagnostics.Of(err) {
+		for _, f := range diagnostics.FromError(err) {
 			f.Path, f.Line = "settings."+f.Path, 0
 			l = append(l, f)
 		}
 	}
 	if len(l) > 0 {
-		return p, diagnostics.LocateJSON(text, l).In(path)
+		return p, diagnostics.LocateJSON(text, l).InFile(path)
 	}
-	return server.Place{Name: c.Name, Listen: c.Listen, Interpreter: c.VM, Index: c.Index, Directory: c.Lookup,
-		StopIn: deployment.Down(c.StopMs), Sockets: descriptors(c.Limits.Sockets), Memory: int(c.Limits.MemoryMb) << 20,
-		Cores: c.Limits.Cores, Terms: terms, Seed: int64(xxh3.HashString(c.Seed + c.Name))}, nil
+	return server.Config{Name: c.Name, Listen: c.Listen, Interpreter: c.VM, Index: c.Index, Directory: c.Lookup,
+		ShutdownTimeout: deployment.RoundDown(c.StopMs), MaxSockets: descriptors(c.Limits.Sockets), MemoryBytes: int(c.Limits.MemoryMb) << 20,
+		Cores: c.Limits.Cores, Settings: terms, Seed: int64(xxh3.HashString(c.Seed + c.Name))}, nil
 }
 
 // descriptors are those that the process may hold: the system's limit goes before the configuration's, as at the first one
@@ -95,11 +95,11 @@
 }
 
 // apply has the process keep to its limits.
-func apply(p server.Place) {
+func apply(p server.Config) {
 	procs := max(1, int(p.Cores))
-	if p.Lasting != nil { // a write that waits for the disk must not keep the loop's
+	if p.Recovery != nil { // a write that waits for the disk must not keep the loop's
 		procs++
 	}
 	runtime.GOMAXPROCS(procs)
-	debug.SetMemoryLimit(int64(math.Round(float64(p.Memory) * heapPart)))
+	debug.SetMemoryLimit(int64(math.Round(float64(p.MemoryBytes) * heapPart)))
 }
--- a/cmd/thistlequay/fair_test.go
+++ b/cmd/thistlequay/fair_test.go
@@ -149,10 +149,10 @@
 	vm, err := emulator.NewInterpreter(2, 3)
 	r.NoError(err)
 	defer vm.Close()
-	vm.Calls = 0.2
-	vm.Script = func(n int) emulator.Spoil {
-		return map[int]emulator.Spoil{40: emulator.Twice, 60: emulator.Remark, 80: emulator.Pieces, 120: emulator.Cut,
-			160: emulator.Withhold}[n]
+	vm.CallProbability = 0.2
+	vm.NoticeScript = func(n int) emulator.Corruption {
+		return map[int]emulator.Corruption{40: emulator.Duplicated, 60: emulator.PrecededByTrace, 80: emulator.SplitInTwo, 120: emulator.LinkCutMidway,
+			160: emulator.Withheld}[n]
 	}
 	index, err := emulator.NewIndex()
 	r.NoError(err)
@@ -169,21 +169,21 @@
 		length = 30
 	}
 	index.Script = hits(index.Script)
-	load := &emulator.Send{Address: r.listen, Seed: 5, Length: length, Cores: 2, Categories: []string{"look"},
-		Contract: 4 * time.Second, Expiry: 7 * time.Second, Streams: []*emulator.Stream{
-			{Tenant: "acme", Share: 0.5, Rate: 20, To: length, Work: 0.03, Gain: 1},
-			{Tenant: "beta", Share: 0.5, Rate: 300, To: length, Work: 0.03, Gain: 1}}}
-	books, err := load.Play()
+	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
+		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
+			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 20, To: length, MeanCoreSeconds: 0.03, PriorityWeight: 1},
+			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 300, To: length, MeanCoreSeconds: 0.03, PriorityWeight: 1}}}
+	books, err := load.Run()
 	r.NoError(err)
 	for _, a := range books {
 		t.Logf("measured fair-queues-sockets %s", a)
-		r.Equal(a.Asked, a.Fulfilled+a.Late+a.Declined+a.Lost, "work items without an answer")
+		r.Equal(a.Requested, a.OnTime+a.Late+a.Rejected+a.Aborted, "work items without an answer")
 	}
-	r.Zero(load.Broken())
-	r.GreaterOrEqual(books[0].Part(), 0.9)
-	r.Greater(books[1].Declined, books[1].Asked/4)
-	vm.Look(func(v *emulator.Interpreter) {
-		for id, runs := range v.Runs {
+	r.Zero(load.BrokenRequests())
+	r.GreaterOrEqual(books[0].DeliveredShare(), 0.9)
+	r.Greater(books[1].Rejected, books[1].Requested/4)
+	vm.Inspect(func(v *emulator.Interpreter) {
+		for id, runs := range v.RunsByRequest {
 			r.Equal(1, runs, id)
 		}
 	})
--- a/cmd/thistlequay/fleet_test.go
+++ b/cmd/thistlequay/fleet_test.go
@@ -34,25 +34,25 @@
 	}{
 		{"cold-together", 0.4, func(g *together) {
 			for _, s := range g.Servers {
-				s.VM.Cold = true
+				s.Interpreter.ReportsCold = true
 			}
 		}, nil},
 		{"routers-reconnect", 0.8, nil, func(_ *together, t *clustertest.Traffic) {
-			t.At[length/2] = func(r *clustertest.Routers) { r.Reconnect(0.7) }
+			t.Actions[length/2] = func(r *clustertest.Routers) { r.Reconnect(0.7) }
 		}},
 		{"directory-gone", 0.9, nil, func(g *together, t *clustertest.Traffic) {
-			t.At[length/4] = func(*clustertest.Routers) { g.Directory.Listener.Listener.Close() }
-			t.At[length*3/4] = func(*clustertest.Routers) { _ = g.Directory.Reopen() }
+			t.Actions[length/4] = func(*clustertest.Routers) { g.Directory.Listener.Listener.Close() }
+			t.Actions[length*3/4] = func(*clustertest.Routers) { _ = g.Directory.Reopen() }
 		}},
 		{"one-in-eight-slow", 0.7, func(g *together) {
 			for i := 0; i < len(g.Servers); i += 8 {
-				g.Servers[i].VM.Look(func(v *emulator.Interpreter) { v.Cores.N = 0.2 })
+				g.Servers[i].Interpreter.Inspect(func(v *emulator.Interpreter) { v.Cores.Count = 0.2 })
 			}
 		}, nil},
 		{"late-lists", 0.5, nil, func(g *together, t *clustertest.Traffic) {
 			gone := g.Servers[0]
-			t.At[length/2] = func(r *clustertest.Routers) { r.Kill(gone) }
-			t.Lists = func(at time.Duration) []*clustertest.Server { // two seconds late
+			t.Actions[length/2] = func(r *clustertest.Routers) { r.Kill(gone) }
+			t.EndpointsAt = func(at time.Duration) []*clustertest.Server { // two seconds late
 				if at > length/2+2*time.Second {
 					return g.Servers[1:]
 				}
@@ -60,18 +60,18 @@
 			}
 		}},
 		{"index-short", 0.3, func(g *together) {
-			g.Index.Delay, g.Index.Most = 40*time.Millisecond, 4
+			g.Index.ReplyDelay, g.Index.MaxInFlight = 40*time.Millisecond, 4
 			for _, s := range g.Servers {
-				s.VM.Calls = 0.8
+				s.Interpreter.CallProbability = 0.8
 			}
 		}, nil},
 		{"half-leave", 0.5, nil, func(g *together, t *clustertest.Traffic) {
-			t.At[length/2] = func(*clustertest.Routers) {
+			t.Actions[length/2] = func(*clustertest.Routers) {
 				for _, s := range half(g) {
 					_ = s.Signal(syscall.SIGTERM)
 				}
 			}
-			t.Lists = func(at time.Duration) []*clustertest.Server {
+			t.EndpointsAt = func(at time.Duration) []*clustertest.Server {
 				if at > length/2+time.Second {
 					return g.Servers[len(g.Servers)/2:]
 				}
@@ -90,19 +90,19 @@
 			}
 			g.up(g.Servers)
 			// Some half of what the cores can do, two a server.
-			traffic := clustertest.Traffic{Routers: 10, Rate: float64(servers) * 2 / 0.04 * 0.5, Length: length, WorkMs: 40, Contract: 4 * time.Second,
-				Expiry: 7 * time.Second, Harmless: "look", Stamped: "book", Stamps: 0.3, Tries: 3, At: map[time.Duration]func(*clustertest.Routers){},
-				Lists: func(time.Duration) []*clustertest.Server { return g.Servers }}
+			traffic := clustertest.Traffic{Routers: 10, RequestsPerSecond: float64(servers) * 2 / 0.04 * 0.5, Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
+				Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.3, MaxAttempts: 3, Actions: map[time.Duration]func(*clustertest.Routers){},
+				EndpointsAt: func(time.Duration) []*clustertest.Server { return g.Servers }}
 			if day.load != nil {
 				day.load(g, &traffic)
 			}
 			o := g.Play(traffic)
 			t.Logf("measured fleetdays day=%s servers=%d asked=%d in_time=%.3f declined=%d failed=%d unsent=%d lost=%d double=%d late=%d worst_second=%.2f",
-				day.name, servers, o.Asked, float64(o.InTime)/float64(o.Asked), o.Declined, o.Failed, o.Unsent, o.Lost, o.Double, o.Late, o.Worst)
-			g.Zero(o.Lost)
-			g.Zero(o.Double)
-			g.Zero(o.Late)
-			g.Greater(float64(o.InTime), day.least*float64(o.Asked))
+				day.name, servers, o.Requested, float64(o.OnTime)/float64(o.Requested), o.Rejected, o.Failed, o.Unsent, o.Unanswered, o.DuplicateRuns, o.PastDeadline, o.WorstSecond)
+			g.Zero(o.Unanswered)
+			g.Zero(o.DuplicateRuns)
+			g.Zero(o.PastDeadline)
+			g.Greater(float64(o.OnTime), day.least*float64(o.Requested))
 			for _, s := range g.Servers {
 				select {
 				case <-s.Ended():
--- a/cmd/thistlequay/golden_test.go
+++ b/cmd/thistlequay/golden_test.go
@@ -94,12 +94,12 @@
 	o.run("shares")
 
 	for _, kind := range []string{"good", "other-version", "foreign", "truncated"} {
-		o.run("plugin", "check", o.file(kind+".wasm", string(emulator.Plugin(kind))))
+		o.run("plugin", "check", o.file(kind+".wasm", string(emulator.PluginModule(kind))))
 	}
 	for _, hook := range []string{"read", "result", "tick", "none"} {
 		request := o.file(hook+"-request.json", fmt.Sprintf(`{"hook":%q,"left_ms":500,"category":"look","tenant":"acme","tag":"t","body":"a long body"}`, hook))
 		for _, kind := range []string{"good", "declines", "recategorise", "tags", "shortens", "status-9999"} {
-			o.WriteString(o.run("plugin", "run", "--call", "2s", "--request", request, o.file(kind+".wasm", string(emulator.Plugin(kind)))))
+			o.WriteString(o.run("plugin", "run", "--call", "2s", "--request", request, o.file(kind+".wasm", string(emulator.PluginModule(kind)))))
 		}
 	}
 	o.store()
@@ -111,24 +111,24 @@
 	directory := filepath.Join(o.dir, "store")
 	files, err := segmentlog.OpenDirectory(directory)
 	require.NoError(o.t, err)
-	done := make(chan []segmentlog.Done, 100)
-	s, err := segmentlog.Open(files, segmentlog.Terms{Bytes: 1 << 20, Records: 1000, Segment: 1 << 16, Window: 600_000, Most: 10, Fresh: true,
-		Now: segmentlog.MachineClock, Answered: func(d []segmentlog.Done) { done <- d }})
+	done := make(chan []segmentlog.WriteResult, 100)
+	s, err := segmentlog.Open(files, segmentlog.Config{MaxBytes: 1 << 20, MaxRecords: 1000, SegmentBytes: 1 << 16, MaxWindow: 600_000, MaxOutcomes: 10, AllowEmpty: true,
+		Now: segmentlog.MachineClock, OnWritten: func(d []segmentlog.WriteResult) { done <- d }})
 	require.NoError(o.t, err)
 	until := segmentlog.MachineClock().Wall + 36_000_000
 	for i, key := range []string{"open", "kept", "failed", "void"} {
-		require.NoError(o.t, s.Intend(recovery.Record{Kind: recovery.Intent, Key: key, Try: uint64(i + 1), Until: until, At: segmentlog.MachineClock()}, uint64(i)))
+		require.NoError(o.t, s.AppendIntent(recovery.Record{Kind: recovery.KindIntent, Key: key, Attempt: uint64(i + 1), WindowEnd: until, WrittenAt: segmentlog.MachineClock()}, uint64(i)))
 		<-done
 	}
-	for _, r := range []recovery.Record{{Kind: recovery.Result, Key: "kept", Try: 2, Well: true, Result: []byte("result")},
-		{Kind: recovery.Result, Key: "failed", Try: 3}, {Kind: recovery.Void, Key: "void", Try: 4}} {
-		r.Until, r.At = until, segmentlog.MachineClock()
-		s.Conclude(r, r.Try+10)
+	for _, r := range []recovery.Record{{Kind: recovery.KindCompletion, Key: "kept", Attempt: 2, Succeeded: true, Payload: []byte("result")},
+		{Kind: recovery.KindCompletion, Key: "failed", Attempt: 3}, {Kind: recovery.KindCancellation, Key: "void", Attempt: 4}} {
+		r.WindowEnd, r.WrittenAt = until, segmentlog.MachineClock()
+		s.AppendCompletion(r, r.Attempt+10)
 		<-done
 	}
 	o.run("store", "compact", directory)
 	s.Close()
-	<-s.Ended()
+	<-s.Done()
 	require.NoError(o.t, files.Close())
 	o.numbers(o.run("store", "inspect", "--all", "--window", "60s", "--doubt", time.Minute.String(), directory))
 	o.numbers(o.run("store", "verify", directory))
--- a/cmd/thistlequay/hostile_test.go
+++ b/cmd/thistlequay/hostile_test.go
@@ -17,28 +17,28 @@
 // spoilt, of 64 KiB and of kinds that nobody knows: none of it is taken, all is counted, and its own word still holds.
 func TestPeersAndALiar(t *testing.T) {
 	t.Parallel()
-	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 8, Talk: true, Size: 4})
+	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 8, Gossip: true, ConfiguredServers: 4})
 	all, home := g.Servers, g.Servers[:4]
 	for _, s := range home {
 		g.NoError(s.Start())
 	}
 	g.sees("four are there", home, settled(4))
-	listen, advertise, err := all[4].Talk()
+	listen, advertise, err := all[4].GossipAddresses()
 	g.NoError(err)
 	key, err := base64.StdEncoding.DecodeString(clustertest.Key)
 	g.NoError(err)
-	_, first, err := all[0].Talk()
+	_, first, err := all[0].GossipAddresses()
 	g.NoError(err)
-	terms := membership.DefaultTerms(membership.ID{Name: "liar", Life: uint64(time.Now().UnixMicro())})
-	liar, err := gossip.Start(gossip.Terms{Members: terms, Listen: listen, Advertise: advertise, First: []string{first}, Fleet: "rig", Keys: [][]byte{key}})
+	terms := membership.DefaultConfig(membership.ID{Name: "liar", Incarnation: uint64(time.Now().UnixMicro())})
+	liar, err := gossip.Start(gossip.Config{Membership: terms, ListenAddress: listen, AdvertiseAddress: advertise, SeedAddresses: []string{first}, ClusterName: "rig", Keys: [][]byte{key}})
 	g.NoError(err)
-	defer liar.End()
-	liar.Say(gossip.Own{State: membership.Serving})
+	defer liar.Close()
+	liar.SetLocalState(gossip.LocalState{State: membership.StateServing})
 	g.sees("it is one of them", home, is("liar", "serving"))
 	before, err := all[1].View()
 	g.NoError(err)
 	var victim, target membership.Member
-	g.NoError(liar.Look(func(v *membership.View, _ *membership.Accord) {
+	g.NoError(liar.Inspect(func(v *membership.View, _ *membership.Agreement) {
 		for _, m := range v.Members() {
 			switch m.Name {
 			case "n00":
@@ -54,23 +54,23 @@
 		return b
 	}
 	lies := map[byte][][]byte{
-		1: {text(membership.Word{ID: victim.ID, Seq: 1 << 40, State: membership.Leaving}), text(membership.Word{ID: target.ID, Seq: 1 << 40, State: membership.Leaving})},
-		2: {text(membership.Note{Kind: membership.Chosen, From: victim.ID, To: target.ID, Epoch: 1 << 40,
-			Fleet: &membership.Fleet{Epoch: 1 << 40, Count: 1, Lease: 60000, Voters: []membership.Voter{{ID: terms.Me}}}}), []byte("spoilt")},
-		gossip.FirstMail: {text(map[int]any{1: victim.ID, 2: target.ID, 3: []byte("for another")}), make([]byte, 64<<10)},
-		200:              {bytes.Repeat([]byte{0x9f}, 900), make([]byte, 64<<10)},
+		1: {text(membership.StateUpdate{ID: victim.ID, Sequence: 1 << 40, State: membership.StateDraining}), text(membership.StateUpdate{ID: target.ID, Sequence: 1 << 40, State: membership.StateDraining})},
+		2: {text(membership.Message{Kind: membership.MessageCommitted, From: victim.ID, To: target.ID, Epoch: 1 << 40,
+			Configuration: &membership.Configuration{Epoch: 1 << 40, MemberCount: 1, LeaseDuration: 60000, Voters: []membership.Voter{{ID: terms.Self}}}}), []byte("spoilt")},
+		gossip.FirstEnvelopeKind: {text(map[int]any{1: victim.ID, 2: target.ID, 3: []byte("for another")}), make([]byte, 64<<10)},
+		200:                      {bytes.Repeat([]byte{0x9f}, 900), make([]byte, 64<<10)},
 	}
 	for kind, messages := range lies {
 		for _, m := range messages {
-			g.NoError(liar.Lie(target.ID, target.Address, kind, m))
+			g.NoError(liar.SendRaw(target.ID, target.Address, kind, m))
 		}
 	}
-	g.sees("the lies were counted", all[1:2], func(r gossip.Report) bool {
-		return r.Counts.Foreign >= before.Counts.Foreign+1 && r.Garbled >= before.Garbled+1
+	g.sees("the lies were counted", all[1:2], func(r gossip.Status) bool {
+		return r.Rejected.Forged >= before.Rejected.Forged+1 && r.Malformed >= before.Malformed+1
 	})
-	g.sees("none of them was taken", home, func(r gossip.Report) bool {
-		return line(r, "n00").State == "serving" && line(r, "n01").State == "serving" && r.Epoch < 1<<40 && r.Standing == "whole"
+	g.sees("none of them was taken", home, func(r gossip.Status) bool {
+		return line(r, "n00").State == "serving" && line(r, "n01").State == "serving" && r.Epoch < 1<<40 && r.QuorumStatus == "whole"
 	})
-	liar.Say(gossip.Own{State: membership.Leaving})
+	liar.SetLocalState(gossip.LocalState{State: membership.StateDraining})
 	g.sees("what it says of itself holds", home, is("liar", "leaving", "left"))
 }
--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -63,7 +63,7 @@
 		}
 		type got struct {
 			key string
-			emulator.Answer
+			emulator.Response
 		}
 		came := make(chan got, 100)
 		ends := make(chan struct{}, 3)
@@ -74,7 +74,7 @@
 			}
 			go func() {
 				for {
-					a, err := c.Answer()
+					a, err := c.ReadResponse()
 					if err != nil {
 						ends <- struct{}{}
 						return
@@ -98,8 +98,8 @@
 		for range 3 {
 			<-ends
 		}
-		vm.Look(func(v *emulator.Interpreter) {
-			for body, n := range v.Keys {
+		vm.Inspect(func(v *emulator.Interpreter) {
+			for body, n := range v.RunsByBody {
 				runs[body] += n
 			}
 		})
--- a/cmd/thistlequay/main.go
+++ b/cmd/thistlequay/main.go
@@ -52,8 +52,8 @@
 line is wrong.`
 
 func main() {
-	if len(os.Args) == 2 && os.Args[1] == plugin.Command { // begun by a server, see internal/plugin
-		if err := plugin.Main(plugin.Descriptor()); err != nil {
+	if len(os.Args) == 2 && os.Args[1] == plugin.HostVerb { // begun by a server, see internal/plugin
+		if err := plugin.RunHost(plugin.HostDescriptor()); err != nil {
 			os.Exit(exitFailed)
 		}
 		return
@@ -95,18 +95,18 @@
 type serve struct {
 	Config     string `env:"PROXY_CONFIG" placeholder:"FILE" help:"The platform's configuration, JSON."`
 	Service    string `env:"THISTLEQUAY_SERVICE" placeholder:"FILE" help:"Our own settings, YAML; a section a subsystem. Without it all of them are off."`
-	app        *server.App
+	app        *server.Server
 	section    *config.Plugins // that the running ones were begun by
 	running    *server.Plugins
 	kept       *config.Store // that the open one was opened by
-	lasting    *server.Lasting
-	peers      *gossip.Peers
-	heard      *server.Talk
-	sharing    *service.Sharing
-	shares     *server.Shares
-	granted    *config.Shares // that the running ones were begun by
-	ClockShift time.Duration  `hidden:"" help:"For tests: how wrong this machine's clock is."`
-	Log        logs.Format    `enum:"text,json" default:"text" help:"How log lines look: ${enum}."`
+	lasting    *server.Recovery
+	peers      *gossip.Node
+	heard      *server.Gossip
+	sharing    *service.Service
+	shares     *server.Quota
+	granted    *config.Quota // that the running ones were begun by
+	ClockShift time.Duration `hidden:"" help:"For tests: how wrong this machine's clock is."`
+	Log        logs.Format   `enum:"text,json" default:"text" help:"How log lines look: ${enum}."`
 }
 
 // Run serves until the notice to leave has been carried out.
@@ -124,7 +124,7 @@
 	s.app = app
 	go func() {
 		for range leave {
-			app.Leave()
+			app.Shutdown()
 		}
 	}()
 	go func() {
@@ -132,18 +132,18 @@
 			if place, err := s.place(); err != nil {
 				_ = said(log, "configuration_kept", err)
 			} else {
-				app.Move(place)
+				app.Reconfigure(place)
 			}
 		}
 	}()
 	err = app.Run()
 	if s.sharing != nil {
-		s.sharing.End()
+		s.sharing.Close()
 	}
 	if s.peers != nil {
-		s.peers.End()
+		s.peers.Close()
 	}
-	if errors.Is(err, server.ErrLoop) {
+	if errors.Is(err, server.ErrLoopEnded) {
 		return said(log, "failed", err)
 	} else if err != nil {
 		return said(log, "cannot_start", err)
@@ -152,15 +152,15 @@
 }
 
 // said logs each fault as a line of its own.
-func said(log logs.Log, event string, err error) error {
-	for _, f := range diagnostics.Of(err) {
+func said(log logs.Logger, event string, err error) error {
+	for _, f := range diagnostics.FromError(err) {
 		log.Event(event).Str("reason", f.Error()).Send()
 	}
 	return errSaid
 }
 
 // place reads both files: all of what they say takes hold, or nothing.
-func (s *serve) place() (p server.Place, err error) {
+func (s *serve) place() (p server.Config, err error) {
 	p, err = configure(s.Config)
 	if err != nil {
 		return p, err
@@ -169,17 +169,17 @@
 	if err != nil {
 		return p, err
 	}
-	if err := own.Against(p.Terms, p.Memory); err != nil {
+	if err := own.ValidateAgainst(p.Settings, p.MemoryBytes); err != nil {
 		return p, err
 	}
-	p.Fair, p.Tenancy = own.FairQueues.Ledger(p.Terms), own.FairQueues.Tenancy()
+	p.FairQueue, p.Tenancy = own.FairQueues.SchedulerConfig(p.Settings), own.FairQueues.TenantTable()
 	if p.Plugins, err = s.plugins(own.Plugins, p); err != nil {
 		return p, err
 	}
-	if p.Lasting, err = s.store(own.Store, p); err != nil {
+	if p.Recovery, err = s.store(own.Store, p); err != nil {
 		return p, err
 	}
-	if err = s.share(own.Shares, own.Peers, &p, logs.New(os.Stderr, s.Log)); err != nil {
+	if err = s.share(own.Quota, own.Gossip, &p, logs.New(os.Stderr, s.Log)); err != nil {
 		return p, err
 	}
 	apply(p)
@@ -187,7 +187,7 @@
 }
 
 // store opens the store at the start. What is open stays: another section is told as one that can't change while running.
-func (s *serve) store(of *config.Store, p server.Place) (*server.Lasting, error) {
+func (s *serve) store(of *config.Store, p server.Config) (*server.Recovery, error) {
 	if s.app != nil {
 		if reflect.DeepEqual(of, s.kept) {
 			return s.lasting, nil
@@ -197,38 +197,38 @@
 	if s.kept = of; of == nil {
 		return nil, nil
 	}
-	files, err := segmentlog.OpenDirectory(of.Path(s.Service))
+	files, err := segmentlog.OpenDirectory(of.DirectoryPath(s.Service))
 	if err != nil {
-		return nil, fmt.Errorf("the store in %s: %w", of.Path(s.Service), err)
+		return nil, fmt.Errorf("the store in %s: %w", of.DirectoryPath(s.Service), err)
 	}
-	var tell atomic.Pointer[func([]segmentlog.Done)]
-	terms := of.Terms(p.Terms, p.Memory)
-	terms.Answered = func(done []segmentlog.Done) {
+	var tell atomic.Pointer[func([]segmentlog.WriteResult)]
+	terms := of.LogConfig(p.Settings, p.MemoryBytes)
+	terms.OnWritten = func(done []segmentlog.WriteResult) {
 		if to := tell.Load(); to != nil {
 			(*to)(done)
 		}
 	}
 	opened, err := segmentlog.Open(files, terms)
 	if err != nil {
-		return nil, fmt.Errorf("the store in %s: %w", of.Path(s.Service), err)
+		return nil, fmt.Errorf("the store in %s: %w", of.DirectoryPath(s.Service), err)
 	}
 	log := logs.New(os.Stderr, s.Log)
-	for _, f := range opened.Found {
-		log.Event("store_damage").Str("file", f.File).Int64("offset", f.Offset).Str("what", recovery.Words[f.Damage]).Bool("lost", f.Lost).Send()
+	for _, f := range opened.Findings {
+		log.Event("store_damage").Str("file", f.File).Int64("offset", f.Offset).Str("what", recovery.CorruptionTexts[f.Corruption]).Bool("lost", f.DataLoss).Send()
 	}
-	wait := max(0, opened.DeclineUntil-terms.Now().Wall)
-	if opened.DeclineUntil == 0 {
+	wait := max(0, opened.RejectUntil-terms.Now().Wall)
+	if opened.RejectUntil == 0 {
 		wait = 0
 	}
-	log.Event("store_open").Str("directory", of.Path(s.Service)).Int("records", opened.Records).Int("stamps", len(opened.Fates)).
+	log.Event("store_open").Str("directory", of.DirectoryPath(s.Service)).Int("records", opened.RecordCount).Int("stamps", len(opened.Outcomes)).
 		Int64("declines_for_ms", int64(wait/10)).Send()
-	s.lasting = &server.Lasting{Store: opened, Tell: func(f func([]segmentlog.Done)) { tell.Store(&f) }}
+	s.lasting = &server.Recovery{Store: opened, OnDurable: func(f func([]segmentlog.WriteResult)) { tell.Store(&f) }}
 	return s.lasting, nil
 }
 
 // plugins begins a process of plug-ins where the settings or a module's bytes are others than before: it compiles them
 // and tries them on their samples, and only then anything is asked there.
-func (s *serve) plugins(of *config.Plugins, p server.Place) (*server.Plugins, error) {
+func (s *serve) plugins(of *config.Plugins, p server.Config) (*server.Plugins, error) {
 	if of == nil {
 		s.running, s.section = nil, nil
 		return nil, nil
@@ -236,16 +236,16 @@
 	if s.running != nil && reflect.DeepEqual(s.section, of) {
 		return s.running, nil
 	}
-	t := &server.Plugins{Grants: of.Grants(p.Terms), Drop: of.Drop(),
-		Begin: func(kept map[string]map[string][]byte) (*plugin.Process, error) {
-			return plugin.Start(of.Spec(kept), of.Ready, os.Stderr)
+	t := &server.Plugins{Grants: of.Grants(p.Settings), DropState: of.DiscardsState(),
+		Start: func(kept map[string]map[string][]byte) (*plugin.Process, error) {
+			return plugin.Start(of.ProcessSpec(kept), of.ReadyTimeout, os.Stderr)
 		}}
 	var kept map[string]map[string][]byte
 	if s.app != nil {
-		kept = s.app.Kept()
+		kept = s.app.PluginState()
 	}
 	var err error
-	if t.Process, err = t.Begin(kept); err != nil {
+	if t.Process, err = t.Start(kept); err != nil {
 		return nil, err
 	}
 	s.running, s.section = t, of
@@ -260,14 +260,14 @@
 func (c *check) Run(out io.Writer) error {
 	found := 0
 	tell := func(err error) bool {
-		for _, f := range diagnostics.Of(err) {
+		for _, f := range diagnostics.FromError(err) {
 			found++
 			fmt.Fprintln(out, f.Error())
 		}
 		return err == nil
 	}
-	var places []server.Place
-	var own []*config.Terms
+	var places []server.Config
+	var own []*config.Config
 	for _, file := range c.Files {
 		switch {
 		case strings.HasSuffix(file, ".json"):
@@ -279,12 +279,12 @@
 				own = append(own, t)
 			}
 		default:
-			tell(diagnostics.List{{File: file, What: "is of no known kind", Want: "a name that ends in .json, .yaml or .yml"}})
+			tell(diagnostics.List{{File: file, Problem: "is of no known kind", Expected: "a name that ends in .json, .yaml or .yml"}})
 		}
 	}
 	for _, p := range places {
 		for _, t := range own {
-			tell(t.Against(p.Terms, p.Memory))
+			tell(t.ValidateAgainst(p.Settings, p.MemoryBytes))
 		}
 	}
 	if found > 0 {
--- a/cmd/thistlequay/members.go
+++ b/cmd/thistlequay/members.go
@@ -35,7 +35,7 @@
 		_, err := tea.NewProgram(&watch{at: m.Address}, tea.WithOutput(out)).Run()
 		return err
 	}
-	r, err := gossip.Fetch(m.Address)
+	r, err := gossip.FetchStatus(m.Address)
 	if err != nil {
 		return err
 	}
@@ -55,12 +55,12 @@
 }
 
 type fetched struct {
-	r   gossip.Report
+	r   gossip.Status
 	err error
 }
 
 func (w *watch) fetch() tea.Msg {
-	r, err := gossip.Fetch(w.at)
+	r, err := gossip.FetchStatus(w.at)
 	return fetched{r, err}
 }
 
@@ -83,20 +83,20 @@
 
 func (w *watch) View() string { return w.text + "q leaves\n" }
 
-func drawn(r gossip.Report) string {
+func drawn(r gossip.Status) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s stands with the %s for %s; fleet %d of %d members, voters %s; %d servers are reckoned with\n", r.Name, r.Standing,
-		span(r.SinceMs), r.Epoch, r.Agreed, strings.Join(r.Voters, " "), r.Size)
+	fmt.Fprintf(&b, "%s stands with the %s for %s; fleet %d of %d members, voters %s; %d servers are reckoned with\n", r.Name, r.QuorumStatus,
+		span(r.SinceMs), r.Epoch, r.AgreedSize, strings.Join(r.Voters, " "), r.ExpectedSize)
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"name", "life", "zone", "state", "for", "cause", "heard", "answered", "trip ms", "pool", "load", "free", "index ms", "version"})
 	for _, m := range r.Members {
-		t.AppendRow(table.Row{m.Name, m.Life[8:], m.Zone, m.State, span(m.SinceMs), m.Cause, span(m.AgeMs), span(m.Direct), m.TripMs, m.Pool,
-			m.Load, m.Free, m.IndexMs, m.Version})
+		t.AppendRow(table.Row{m.Name, m.Incarnation[8:], m.Zone, m.State, span(m.SinceMs), m.Cause, span(m.AgeMs), span(m.LastReplyMs), m.RoundTripMs, m.ConcurrencyLimit,
+			m.InFlight, m.AvailableCapacity, m.IndexLatencyMs, m.Version})
 	}
 	b.WriteString(t.Render())
-	fmt.Fprintf(&b, "\nturned away: %d unusable, %d old, %d garbled, %d for want of room; %d false alarms, %d names taken\n", r.Counts.Insane, r.Counts.Old,
-		r.Garbled, r.Counts.Full+int(r.Dropped), r.Counts.FalseAlarms, r.Counts.NameTaken)
+	fmt.Fprintf(&b, "\nturned away: %d unusable, %d old, %d garbled, %d for want of room; %d false alarms, %d names taken\n", r.Rejected.Invalid, r.Rejected.Stale,
+		r.Malformed, r.Rejected.NoCapacity+int(r.Dropped), r.Rejected.FalsePositives, r.Rejected.NameConflicts)
 	return b.String()
 }
 
@@ -110,39 +110,39 @@
 
 // talk begins the talk with other servers where a section asks for it. A section that changes while the server runs has no
 // effect but for its keys.
-func (s *serve) talk(of *config.Peers, p server.Place, log logs.Log, more func(*gossip.Terms)) (*server.Talk, error) {
+func (s *serve) talk(of *config.Gossip, p server.Config, log logs.Logger, more func(*gossip.Config)) (*server.Gossip, error) {
 	if of == nil {
 		return nil, nil
 	}
-	keys, err := of.Keys(s.Service)
+	keys, err := of.LoadKeys(s.Service)
 	if err != nil {
 		return nil, err
 	}
 	if s.peers != nil {
-		if err := s.peers.Keys(keys); err != nil {
+		if err := s.peers.RotateKeys(keys); err != nil {
 			return nil, err
 		}
 		return s.heard, nil
 	}
 	begun := time.Now().Add(s.ClockShift)
-	terms := membership.DefaultTerms(membership.ID{Name: p.Name, Life: uint64(begun.UnixMicro())})
-	terms.Zone, terms.Founders, terms.Size = of.Zone, of.Founders, of.Servers
-	heard := &server.Talk{}
-	t := gossip.Terms{Members: terms, Listen: of.Listen, Advertise: of.Advertise, First: of.First, Fleet: of.Fleet, Keys: keys,
-		Version: revision(), Settings: digest(s.Config, s.Service), Changed: heard.Changed,
-		Log: func(event string, id membership.ID, from, to membership.State, why membership.Cause) {
-			log.Event(event).Str("member", id.Name).Str("life", fmt.Sprintf("%016x", id.Life)).Stringer("from", from).
+	terms := membership.DefaultConfig(membership.ID{Name: p.Name, Incarnation: uint64(begun.UnixMicro())})
+	terms.Zone, terms.Founders, terms.InitialSize = of.Zone, of.InitialVoters, of.ExpectedServers
+	heard := &server.Gossip{}
+	t := gossip.Config{Membership: terms, ListenAddress: of.Listen, AdvertiseAddress: of.Advertise, SeedAddresses: of.SeedAddresses, ClusterName: of.FleetName, Keys: keys,
+		Version: revision(), SettingsDigest: digest(s.Config, s.Service), OnChange: heard.ClusterChanged,
+		OnMemberEvent: func(event string, id membership.ID, from, to membership.State, why membership.Cause) {
+			log.Event(event).Str("member", id.Name).Str("life", fmt.Sprintf("%016x", id.Incarnation)).Stringer("from", from).
 				Stringer("to", to).Stringer("cause", why).Send()
 		},
-		Status: func(standing membership.Standing, size int, epoch uint64) {
+		OnQuorumChange: func(standing membership.QuorumStatus, size int, epoch uint64) {
 			log.Event("standing").Stringer("with", standing).Int("servers", size).Uint64("epoch", epoch).Send()
 		}}
-	t.Used = heard.Used
+	t.OnUsage = heard.UsageReported
 	more(&t)
 	if s.peers, err = gossip.Start(t); err != nil {
 		return nil, fmt.Errorf("the talk among servers: %w", err)
 	}
-	heard.Peers, s.heard = s.peers, heard
+	heard.Node, s.heard = s.peers, heard
 	return heard, nil
 }
 
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -24,12 +24,12 @@
 // together is a fleet of processes that know each other.
 type together struct {
 	*require.Assertions
-	*clustertest.Rig
+	*clustertest.Cluster
 	t *testing.T
 }
 
 func talking(t *testing.T, servers int, seed int64) *together {
-	g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: seed, Talk: true})
+	g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: seed, Gossip: true})
 	for _, s := range g.Servers {
 		g.NoError(s.Start())
 	}
@@ -42,7 +42,7 @@
 	r.NoError(json.Unmarshal([]byte(settings), &of))
 	program, err := os.Executable()
 	r.NoError(err)
-	p.Dir, p.Program, p.Env, p.Cores = t.TempDir(), program, []string{asProgram + "=1"}, 2
+	p.WorkDirectory, p.Program, p.Env, p.Cores = t.TempDir(), program, []string{asProgram + "=1"}, 2
 	if p.Settings == nil {
 		p.Settings = of
 	}
@@ -72,7 +72,7 @@
 }
 
 // sees waits until each of the servers sees what the test wants, and gives how long each took.
-func (g *together) sees(what string, of []*clustertest.Server, is func(gossip.Report) bool) (took []time.Duration) {
+func (g *together) sees(what string, of []*clustertest.Server, is func(gossip.Status) bool) (took []time.Duration) {
 	begun := time.Now()
 	left := slices.Clone(of)
 	for len(left) > 0 {
@@ -89,12 +89,12 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	slices.Sort(took)
-	g.Tell("", "%s seen by %d", what, len(of))
+	g.Record("", "%s seen by %d", what, len(of))
 	return took
 }
 
 // line is how a report shows the life of a name that fares best: the one that holds it.
-func line(r gossip.Report, name string) (of gossip.Line) {
+func line(r gossip.Status, name string) (of gossip.MemberStatus) {
 	for _, l := range r.Members {
 		if l.Name == name && (of.Name == "" || slices.Index(membership.StateNames, l.State) < slices.Index(membership.StateNames, of.State)) {
 			of = l
@@ -103,22 +103,22 @@
 	return of
 }
 
-func is(name, state string, causes ...string) func(gossip.Report) bool {
-	return func(r gossip.Report) bool {
+func is(name, state string, causes ...string) func(gossip.Status) bool {
+	return func(r gossip.Status) bool {
 		l := line(r, name)
 		return l.State == state && (len(causes) == 0 || slices.Contains(causes, l.Cause))
 	}
 }
 
-func whole(n int) func(gossip.Report) bool {
-	return func(r gossip.Report) bool {
+func whole(n int) func(gossip.Status) bool {
+	return func(r gossip.Status) bool {
 		there := 0
 		for _, l := range r.Members {
 			if l.State == "serving" {
 				there++
 			}
 		}
-		return r.Standing == "whole" && there == n
+		return r.QuorumStatus == "whole" && there == n
 	}
 }
 
@@ -127,9 +127,9 @@
 }
 
 // settled: the whole, and agreed on by those who are there.
-func settled(n int) func(gossip.Report) bool {
-	return func(r gossip.Report) bool {
-		ok := whole(n)(r) && r.Agreed == n
+func settled(n int) func(gossip.Status) bool {
+	return func(r gossip.Status) bool {
+		ok := whole(n)(r) && r.AgreedSize == n
 		for _, name := range r.Voters {
 			ok = ok && line(r, name).State == "serving"
 		}
@@ -164,7 +164,7 @@
 	g.sees("it goes on", awake, is(all[n-2].Name, "serving"))
 
 	// One direction between two is lost: they are still there for all, and the one that cannot reach says so.
-	g.Link(all[3].Index, all[4].Index, clustertest.Fault{Cut: true})
+	g.SetFault(all[3].Index, all[4].Index, clustertest.Fault{Cut: true})
 	g.sees("a one-way loss", all[3:4], is(all[4].Name, "serving", "unreachable from here alone"))
 	for _, s := range awake {
 		r, err := s.View()
@@ -175,20 +175,20 @@
 	g.sees("it is reached again", all[3:4], is(all[4].Name, "serving", ""))
 
 	// A zone is cut off: it is a part, the others remain the whole; then they meet.
-	g.Split(func(s *clustertest.Server) int { return s.Index % 3 })
+	g.Partition(func(s *clustertest.Server) int { return s.Index % 3 })
 	zones := map[int][]*clustertest.Server{}
 	for _, s := range rest {
 		zones[s.Index%3] = append(zones[s.Index%3], s)
 	}
-	g.sees("three parts", rest, func(r gossip.Report) bool { return r.Standing == "part" })
-	g.Split(func(s *clustertest.Server) int { return min(1, s.Index%3) })
-	g.sees("the zone", zones[0], func(r gossip.Report) bool { return r.Standing == "part" })
-	g.sees("the others", append(slices.Clone(zones[1]), zones[2]...), func(r gossip.Report) bool { return r.Standing == "whole" })
+	g.sees("three parts", rest, func(r gossip.Status) bool { return r.QuorumStatus == "part" })
+	g.Partition(func(s *clustertest.Server) int { return min(1, s.Index%3) })
+	g.sees("the zone", zones[0], func(r gossip.Status) bool { return r.QuorumStatus == "part" })
+	g.sees("the others", append(slices.Clone(zones[1]), zones[2]...), func(r gossip.Status) bool { return r.QuorumStatus == "whole" })
 	for _, s := range zones[0] {
 		r, err := s.View()
 		g.NoError(err)
-		g.Equal("part", r.Standing)
-		g.GreaterOrEqual(r.Size, n-1, "a part takes no more than its part")
+		g.Equal("part", r.QuorumStatus)
+		g.GreaterOrEqual(r.ExpectedSize, n-1, "a part takes no more than its part")
 	}
 	g.Heal()
 	heal := g.sees("they meet", rest, whole(n-1))
@@ -205,11 +205,11 @@
 	for _, s := range all {
 		r, err := s.View()
 		g.NoError(err)
-		alarms, garbled = alarms+r.Counts.FalseAlarms, garbled+r.Garbled
+		alarms, garbled = alarms+r.Rejected.FalsePositives, garbled+r.Malformed
 	}
 	last, err := all[5].View()
 	g.NoError(err)
-	rate := float64(last.Sent-first.Sent) / time.Since(before).Seconds()
+	rate := float64(last.SentBytes-first.SentBytes) / time.Since(before).Seconds()
 	t.Logf("measured peers members=%d detect_p50_ms=%d detect_p99_ms=%d false_alarms=%d converge_ms=%d heal_ms=%d both_whole=%d bytes_a_second=%.0f rss_kb=%d garbled=%d",
 		n, detect[len(detect)/2].Milliseconds(), detect[len(detect)-1].Milliseconds(), alarms, converge[len(converge)-1].Milliseconds(),
 		heal[len(heal)-1].Milliseconds(), both(), rate, anonymous(g, all[5].Process()), garbled)
@@ -229,7 +229,7 @@
 	g.t.Cleanup(func() { close(ended) })
 	go func() {
 		for {
-			for _, s := range g.All() {
+			for _, s := range g.CurrentServers() {
 				select {
 				case <-ended:
 					return
@@ -274,7 +274,7 @@
 // that repeats and cuts short. None of it is taken, and nobody falls for it.
 func TestPeersThatDoNotBelong(t *testing.T) {
 	t.Parallel()
-	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 2, Talk: true, Size: 4})
+	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 2, Gossip: true, ConfiguredServers: 4})
 	all := g.Servers
 	key := func(text string) string { return base64.StdEncoding.EncodeToString([]byte(text)) }
 	next := key("the key of later")
@@ -284,20 +284,20 @@
 	home := all[:4]
 	g.sees("four are there", home, whole(4))
 	strangers := map[string]func(s *clustertest.Server){
-		"another fleet":     func(s *clustertest.Server) { s.As("x1", "other", clustertest.Key) },
-		"a wrong key":       func(s *clustertest.Server) { s.As("x2", "rig", key("a key of nowhere")) },
-		"a key of tomorrow": func(s *clustertest.Server) { s.As("x3", "rig", next) },
+		"another fleet":     func(s *clustertest.Server) { s.Configure("x1", "other", clustertest.Key) },
+		"a wrong key":       func(s *clustertest.Server) { s.Configure("x2", "rig", key("a key of nowhere")) },
+		"a key of tomorrow": func(s *clustertest.Server) { s.Configure("x3", "rig", next) },
 	}
 	for what, as := range strangers {
 		as(all[4])
 		g.NoError(all[4].Start())
-		g.sees(what, all[4:], func(r gossip.Report) bool { return r.Standing == "alone" && len(r.Members) == 1 })
+		g.sees(what, all[4:], func(r gossip.Status) bool { return r.QuorumStatus == "alone" && len(r.Members) == 1 })
 		g.NoError(all[4].Kill())
 	}
 	// A second process under a name that is taken, begun with a clock a minute behind or ahead: the first one keeps it.
-	all[4].As("n03", "rig", clustertest.Key, "--clock-shift=1m")
+	all[4].Configure("n03", "rig", clustertest.Key, "--clock-shift=1m")
 	g.NoError(all[4].Start())
-	taken := func(r gossip.Report) bool {
+	taken := func(r gossip.Status) bool {
 		lives := 0
 		for _, l := range r.Members {
 			if l.Name == "n03" && l.State == "gone" && l.Cause == "name taken" {
@@ -309,7 +309,7 @@
 	g.sees("a name that is taken", home, taken)
 	g.NoError(all[4].Kill())
 	// The network repeats, reorders, cuts short: views hold.
-	g.Everywhere(clustertest.Fault{Loss: 0.3, Twice: 0.2, Short: 0.05, Jitter: 50 * time.Millisecond, Replayed: 700 * time.Millisecond})
+	g.SetFaultEverywhere(clustertest.Fault{Loss: 0.3, Duplication: 0.2, Truncation: 0.05, Jitter: 50 * time.Millisecond, ReplayAfter: 700 * time.Millisecond})
 	g.NoError(all[0].Kill())
 	g.sees("a crash under loss", home[1:], is("n00", "failed"))
 	g.Heal()
@@ -325,15 +325,15 @@
 	// Keys change while all talk: both are understood before any speaks under the new one, then the old one goes.
 	for _, keys := range []string{clustertest.Key + "\n" + next, next + "\n" + clustertest.Key, next} {
 		for _, s := range home {
-			g.NoError(s.Again(keys))
+			g.NoError(s.ReloadWithKeys(keys))
 		}
 	}
 	g.NoError(all[3].Kill())
-	g.NoError(all[3].As("", "", next).Start())
+	g.NoError(all[3].Configure("", "", next).Start())
 	g.sees("under the new key", home, whole(4))
-	all[4].As("x4", "rig", clustertest.Key)
+	all[4].Configure("x4", "rig", clustertest.Key)
 	g.NoError(all[4].Start())
-	g.sees("the old key", all[4:], func(r gossip.Report) bool { return r.Standing == "alone" && len(r.Members) == 1 })
+	g.sees("the old key", all[4:], func(r gossip.Status) bool { return r.QuorumStatus == "alone" && len(r.Members) == 1 })
 	g.NoError(all[4].Kill())
 	g.sees("the first is with the whole", all[:1], settled(4))
 	var out bytes.Buffer
@@ -356,17 +356,17 @@
 	}
 	for i, s := range all {
 		if i == 4 { // its clock was a minute ahead before and is right now, or the other way round
-			s.As("", "", "", "--clock-shift=-1m")
+			s.Configure("", "", "", "--clock-shift=-1m")
 		}
 		g.NoError(s.Start())
 	}
 	g.sees("six are there again", all, whole(6))
-	g.NoError(all[4].As("", "", "").Kill())
-	g.NoError(all[4].As("", "", "", "--clock-shift=-5m").Start())
+	g.NoError(all[4].Configure("", "", "").Kill())
+	g.NoError(all[4].Configure("", "", "", "--clock-shift=-5m").Start())
 	g.sees("a clock that was set back", all, settled(6))
 	for _, s := range all[3:] { // in one instant: three of five voters may be among them
 		g.NoError(s.Signal(syscall.SIGTERM))
-		more, err := g.Add(len(g.Servers))
+		more, err := g.AddServer(len(g.Servers))
 		g.NoError(err)
 		g.NoError(more.Start())
 	}
@@ -395,7 +395,7 @@
 	halves := func(s *clustertest.Server) int { return s.Index % 2 }
 	for begun, cut := time.Now(), false; time.Since(begun) < span; time.Sleep(200 * time.Millisecond) {
 		if cut = !cut; cut {
-			g.Split(halves)
+			g.Partition(halves)
 		} else {
 			g.Heal()
 		}
@@ -425,15 +425,15 @@
 		return 0
 	}
 	for i := 6; i < 8; i++ {
-		_, err := g.Add(i)
+		_, err := g.AddServer(i)
 		g.NoError(err)
 	}
-	g.Split(side)
+	g.Partition(side)
 	for _, s := range g.Servers[6:] {
 		g.NoError(s.Start())
 	}
 	g.sees("on the side of the first", append(slices.Clone(all[:4]), g.Servers[6]), whole(5))
-	g.sees("on the other side", g.Servers[7:], func(r gossip.Report) bool { return r.Standing != "whole" })
+	g.sees("on the other side", g.Servers[7:], func(r gossip.Status) bool { return r.QuorumStatus != "whole" })
 	g.Heal()
 	met := g.sees("they meet", g.Servers, settled(8))
 	t.Logf("measured peers-unsteady flapping_s=%.0f settled_after_ms=%d standing_changes=%d late_held_failed=%d met_after_ms=%d both_whole=%d", span.Seconds(),
@@ -455,10 +455,10 @@
 	for _, talk := range []bool{false, true} {
 		index, err := emulator.NewIndex()
 		require.NoError(t, err)
-		index.Delay, index.Most = 50*time.Millisecond, 16
-		g := fleetOf(t, clustertest.Plan{Servers: 8, Seed: 5, Talk: talk, Settings: of, Index: index})
+		index.ReplyDelay, index.MaxInFlight = 50*time.Millisecond, 16
+		g := fleetOf(t, clustertest.Plan{Servers: 8, Seed: 5, Gossip: talk, Settings: of, Index: index})
 		for _, s := range g.Servers {
-			s.VM.Calls = 1
+			s.Interpreter.CallProbability = 1
 			g.NoError(s.Start())
 		}
 		g.up(g.Servers)
@@ -467,14 +467,14 @@
 		}
 		cost[talk] = g.latency(g.Servers[0], 300)
 		rest := g.Servers[2:]
-		o := g.Play(clustertest.Traffic{Routers: 8, Rate: 270, Length: length, WorkMs: 5, Contract: time.Second, Expiry: 2 * time.Second,
-			Harmless: "look", Stamped: "book", Stamps: 0.2, Tries: 1, Lists: func(time.Duration) []*clustertest.Server { return rest },
-			At: map[time.Duration]func(*clustertest.Routers){time.Second: func(r *clustertest.Routers) { r.Kill(g.Servers[0]); r.Kill(g.Servers[1]) }}})
-		late := o.Seconds[len(o.Seconds)*2/3:]
+		o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: 270, Length: length, WorkMs: 5, SoftDeadline: time.Second, Deadline: 2 * time.Second,
+			IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.2, MaxAttempts: 1, EndpointsAt: func(time.Duration) []*clustertest.Server { return rest },
+			Actions: map[time.Duration]func(*clustertest.Routers){time.Second: func(r *clustertest.Routers) { r.Kill(g.Servers[0]); r.Kill(g.Servers[1]) }}})
+		late := o.OnTimeShareBySecond[len(o.OnTimeShareBySecond)*2/3:]
 		for _, part := range late {
 			served[talk] += part / float64(len(late))
 		}
-		g.Zero(o.Lost + o.Late + o.Double)
+		g.Zero(o.Unanswered + o.PastDeadline + o.DuplicateRuns)
 		g.Close()
 	}
 	t.Logf("measured peers-gain servers=8 killed=2 in_time_without=%.3f in_time_with=%.3f item_ms_without=%.3f item_ms_with=%.3f cost_ratio=%.3f", served[false],
@@ -490,9 +490,9 @@
 	var took []time.Duration
 	for i := range n {
 		begun := time.Now()
-		_, err := link.Write(emulator.Request(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i), emulator.Fields(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
+		_, err := link.Write(emulator.FastCGIRequest(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i), emulator.RequestParameters(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
 		g.NoError(err)
-		a, err := link.Answer()
+		a, err := link.ReadResponse()
 		g.NoError(err)
 		g.Equal(200, a.Status)
 		took = append(took, time.Since(begun))
--- a/cmd/thistlequay/plugin.go
+++ b/cmd/thistlequay/plugin.go
@@ -29,10 +29,10 @@
 	Hooks    []string      `default:"read" enum:"read,result,tick" help:"What it is to be asked: ${enum}."`
 }
 
-var hookNumbers = map[string]int{"read": abi.Read, "result": abi.Result, "tick": abi.Tick}
+var hookNumbers = map[string]int{"read": abi.HookRead, "result": abi.HookResult, "tick": abi.HookTick}
 
-func (b *bounds) one(file string) plugin.One {
-	one := plugin.One{Name: file, File: file, MemoryKB: b.MemoryKB, CodeKB: b.CodeKB, KeepKB: 64, Start: b.Start,
+func (b *bounds) one(file string) plugin.ModuleConfig {
+	one := plugin.ModuleConfig{Name: file, File: file, MemoryKB: b.MemoryKB, MaxCodeKB: b.CodeKB, MaxStateKB: 64, StartTimeout: b.Start,
 		Compile: b.Engine == "compiler"}
 	for _, h := range b.Hooks {
 		one.Hooks[hookNumbers[h]] = true
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: sha256 %s, ready after %v, %d KB of memory an instance\n", c.File, t.SHA256, t.Ready.Round(time.Microsecond), t.MemoryKB)
+	_, err = fmt.Fprintf(out, "%s: sha256 %s, ready after %v, %d KB of memory an instance\n", c.File, t.SHA256, t.StartupTime.Round(time.Microsecond), t.MemoryKB)
 	return err
 }
 
@@ -73,15 +73,15 @@
 		Left                        uint32 `json:"left_ms"`
 		Category, Tenant, Tag, Body string
 	}{Hook: "read", Left: 1000}
-	if err := diagnostics.JSON(text, &q); err != nil {
-		return diagnostics.Of(err).In(c.Request)
+	if err := diagnostics.DecodeJSON(text, &q); err != nil {
+		return diagnostics.FromError(err).InFile(c.Request)
 	}
 	hook, known := hookNumbers[q.Hook]
 	if !known {
-		return diagnostics.LocateJSON(text, diagnostics.List{{Path: "hook", What: fmt.Sprintf("%q", q.Hook), Want: "one of read, result, tick"}}).In(c.Request)
+		return diagnostics.LocateJSON(text, diagnostics.List{{Path: "hook", Problem: fmt.Sprintf("%q", q.Hook), Expected: "one of read, result, tick"}}).InFile(c.Request)
 	}
 	c.Hooks = append(c.Hooks, q.Hook)
-	t, err := plugin.Try(c.one(c.File), &abi.Request{Hook: hook, Left: q.Left, Now: time.Now().UnixMilli(), Category: q.Category,
+	t, err := plugin.Try(c.one(c.File), &abi.Request{Hook: hook, TimeLeftMS: q.Left, UnixMS: time.Now().UnixMilli(), Category: q.Category,
 		Tenant: q.Tenant, Tag: q.Tag, Body: []byte(q.Body)}, c.Times, c.Call)
 	if err != nil {
 		return err
@@ -90,8 +90,8 @@
 	for _, d := range []struct {
 		bit  int
 		word string
-	}{{abi.Declines, "decline"}, {abi.Categorises, "categorise"}, {abi.Tags, "tag"}, {abi.Replaces, "rewrite"}} {
-		if t.Verdict.Does&d.bit != 0 {
+	}{{abi.ActionReject, "decline"}, {abi.ActionCategorize, "categorise"}, {abi.ActionTag, "tag"}, {abi.ActionReplace, "rewrite"}} {
+		if t.Verdict.Actions&d.bit != 0 {
 			does = append(does, d.word)
 		}
 	}
@@ -100,5 +100,5 @@
 	}
 	return json.NewEncoder(out).Encode(map[string]any{"does": strings.Join(does, " "), "status": t.Verdict.Status,
 		"category": t.Verdict.Category, "tag": t.Verdict.Tag, "body": string(t.Verdict.Body),
-		"took_us": t.Took.Microseconds(), "memory_kb": t.MemoryKB, "says": t.Says})
+		"took_us": t.LongestCall.Microseconds(), "memory_kb": t.MemoryKB, "says": t.LogLines})
 }
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -21,7 +21,7 @@
 // module writes a plug-in of a kind and gives its file.
 func (r *rig) module(kind string) string {
 	file := filepath.Join(r.t.TempDir(), kind+".wasm")
-	r.NoError(os.WriteFile(file, emulator.Plugin(kind), 0o600))
+	r.NoError(os.WriteFile(file, emulator.PluginModule(kind), 0o600))
 	return file
 }
 
@@ -199,18 +199,18 @@
 	if os.Getenv("MEASURE") == "full" {
 		length = 20
 	}
-	load := &emulator.Send{Address: r.listen, Seed: 5, Length: length, Cores: 2, Categories: []string{"look"},
-		Contract: 4 * time.Second, Expiry: 7 * time.Second, Streams: []*emulator.Stream{
-			{Tenant: "acme", Share: 0.5, Rate: 250, To: length, Work: 0.002, Gain: 1},
-			{Tenant: "beta", Share: 0.5, Rate: 250, To: length, Work: 0.002, Gain: 1}}}
+	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
+		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
+			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002, PriorityWeight: 1},
+			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002, PriorityWeight: 1}}}
 	var all sync.WaitGroup
 	if during != nil {
 		all.Go(func() { during(r) })
 	}
-	books, err := load.Play()
+	books, err := load.Run()
 	r.NoError(err)
 	all.Wait()
-	r.Zero(load.Broken())
+	r.Zero(load.BrokenRequests())
 	return r, books[0], books[1], vm
 }
 
@@ -246,11 +246,11 @@
 			})
 			late, lost, double := 0, 0, 0
 			for _, a := range []*emulator.Account{acme, beta} {
-				late += a.Overdue
-				lost += a.Asked - a.Fulfilled - a.Late - a.Declined - a.Lost - a.Refused
+				late += a.PastDeadline
+				lost += a.Requested - a.OnTime - a.Late - a.Rejected - a.Aborted - a.BadRequests
 			}
-			vm.Look(func(v *emulator.Interpreter) {
-				for _, runs := range v.Runs {
+			vm.Inspect(func(v *emulator.Interpreter) {
+				for _, runs := range v.RunsByRequest {
 					double += runs - 1
 				}
 			})
@@ -259,7 +259,7 @@
 				kind, late, lost, double, alive, most, float64(beta.Times.ValueAtQuantile(99))/float64(calm.Times.ValueAtQuantile(99)),
 				float64(acme.Times.ValueAtQuantile(50))/1000, float64(acme.Times.ValueAtQuantile(99))/1000)
 			r.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
-			r.Zero(beta.Refused + beta.Lost)
+			r.Zero(beta.BadRequests + beta.Aborted)
 		})
 	}
 }
@@ -275,8 +275,8 @@
 		}
 	})
 	for _, a := range []*emulator.Account{acme, beta} {
-		r.Equal(a.Asked, a.Fulfilled+a.Late+a.Declined, a)
-		r.Zero(a.Overdue)
+		r.Equal(a.Requested, a.OnTime+a.Late+a.Rejected, a)
+		r.Zero(a.PastDeadline)
 	}
 	r.Equal(40, strings.Count(logOf(r), "event=configuration_read"))
 	_, n := resident(r)
--- a/cmd/thistlequay/races_test.go
+++ b/cmd/thistlequay/races_test.go
@@ -23,7 +23,7 @@
 
 // whole reads to the end of the other side's bytes and says that it was no reset, which would have taken bytes along.
 func (r *rig) whole(l *link) []byte {
-	rest, err := io.ReadAll(l.In)
+	rest, err := io.ReadAll(l.Reader)
 	r.NoError(err)
 	return rest
 }
@@ -64,7 +64,7 @@
 	result := strings.Repeat("r", 4000)
 	send := func(keep byte) {
 		id := r.id()
-		text := emulator.Request(1, "/rpc/look", "b", fields(id))
+		text := emulator.FastCGIRequest(1, "/rpc/look", "b", fields(id))
 		text[10] = keep // the flags of the first record
 		_, err := c.Write(text)
 		r.NoError(err)
@@ -122,7 +122,7 @@
 	first := c.look(1, "stays")
 	v.applied(first, "stays")
 	id := r.id()
-	text := emulator.Request(2, "/rpc/look", "ends", fields(id))
+	text := emulator.FastCGIRequest(2, "/rpc/look", "ends", fields(id))
 	text[10] = 0
 	_, err := c.Write(text)
 	r.NoError(err)
@@ -138,9 +138,9 @@
 func TestARequestBehindTheEnd(t *testing.T) {
 	r, v := start(t)
 	c := r.router()
-	last := emulator.Request(1, "/health", "", nil)
+	last := emulator.FastCGIRequest(1, "/health", "", nil)
 	last[10] = 0
-	_, err := c.Write(append(last, emulator.Request(2, "/rpc/look", "crosses", fields(r.id()))...))
+	_, err := c.Write(append(last, emulator.FastCGIRequest(2, "/rpc/look", "crosses", fields(r.id()))...))
 	r.NoError(err)
 	c.answered(1, 200, "")
 	r.Empty(r.whole(c.link))
@@ -151,7 +151,7 @@
 func TestAnAnswerBeforeABadRecord(t *testing.T) {
 	r, _ := start(t)
 	c := r.router()
-	_, err := c.Write(append(emulator.Request(1, "/health", "", nil), "GET / HTTP/1.1\r\n\r\n"...))
+	_, err := c.Write(append(emulator.FastCGIRequest(1, "/health", "", nil), "GET / HTTP/1.1\r\n\r\n"...))
 	r.NoError(err)
 	c.answered(1, 200, "")
 	r.Empty(r.whole(c.link))
@@ -174,7 +174,7 @@
 	for r.line(d) != "" {
 	}
 	mode := make([]byte, len(`{"mode":"closed"}`))
-	_, err := io.ReadFull(d.In, mode)
+	_, err := io.ReadFull(d.Reader, mode)
 	r.NoError(err)
 	r.Equal(`{"mode":"closed"}`, string(mode))
 	r.say(v, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
@@ -238,7 +238,7 @@
 		r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.line(d))
 		for r.line(d) != "" {
 		}
-		_, err := io.ReadFull(d.In, make([]byte, len(`{"mode":"open"}`)))
+		_, err := io.ReadFull(d.Reader, make([]byte, len(`{"mode":"open"}`)))
 		r.NoError(err)
 	}
 	d := r.link(r.directory)
@@ -344,7 +344,7 @@
 func TestAPortInTimeWaitAndALateInterpreter(t *testing.T) {
 	r, v := start(t)
 	c := r.router()
-	last := emulator.Request(1, "/health", "", nil)
+	last := emulator.FastCGIRequest(1, "/health", "", nil)
 	last[10] = 0 // and the program ends the connection
 	_, err := c.Write(last)
 	r.NoError(err)
@@ -427,7 +427,7 @@
 	ran := map[string]int{}
 	go func() {
 		for {
-			line, err := v.In.ReadString('\n')
+			line, err := v.Reader.ReadString('\n')
 			if err != nil {
 				return
 			}
@@ -471,7 +471,7 @@
 	read := func(l *link, d *drained) {
 		defer done.Done()
 		for {
-			if _, err := l.Answer(); err != nil {
+			if _, err := l.ReadResponse(); err != nil {
 				if !errors.Is(err, io.EOF) {
 					d.err = err
 				}
@@ -487,7 +487,7 @@
 		d := &drained{kind: kind, id: r.id()}
 		all = append(all, d)
 		with := fields(d.id)
-		text := emulator.Request(2, "/rpc/look", "b", with)
+		text := emulator.FastCGIRequest(2, "/rpc/look", "b", with)
 		if whole {
 			d.received, _ = strconv.ParseInt(with["HTTP_RECEIVED_AT"], 10, 64)
 		} else {
@@ -579,11 +579,11 @@
 			switch idle++; i % 4 {
 			case 0: // says nothing
 			case 1:
-				_, _ = c.Write(emulator.Request(1, "/health", "", nil))
+				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil))
 			case 2:
-				_, _ = c.Write(emulator.Request(1, "/health", "", nil)[:30])
+				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil)[:30])
 			case 3:
-				_, _ = c.Write(emulator.Request(1, "/health", "", nil))
+				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil))
 				c.Conn.(*net.TCPConn).SetLinger(0)
 				c.Close() // at once, by a reset
 			}
@@ -659,9 +659,9 @@
 						}
 						c.SetDeadline(time.Now().Add(5 * time.Second))
 						if knocker > 0 { // and asks for work, or says nothing
-							_, _ = c.Write(emulator.Request(1, "/rpc/look", "b", fields("0000000000000001"))[:knocker*60])
-						} else if _, err = c.Write(emulator.Request(1, "/health", "", nil)); err == nil {
-							if a, err := c.Answer(); err == nil && a.Status == 200 {
+							_, _ = c.Write(emulator.FastCGIRequest(1, "/rpc/look", "b", fields("0000000000000001"))[:knocker*60])
+						} else if _, err = c.Write(emulator.FastCGIRequest(1, "/health", "", nil)); err == nil {
+							if a, err := c.ReadResponse(); err == nil && a.Status == 200 {
 								in[i] = time.Since(begun[i])
 								t.Cleanup(func() { c.Close() }) // it stays: its port is in TIME_WAIT, or worse, after the kill
 								return
--- a/cmd/thistlequay/shares.go
+++ b/cmd/thistlequay/shares.go
@@ -43,8 +43,8 @@
 	if c.Address == "" {
 		return fmt.Errorf("an address to ask, or --chart with logs")
 	}
-	var r service.Report
-	if err := gossip.FetchFrom(c.Address, sharesAt, &r); err != nil {
+	var r service.Status
+	if err := gossip.FetchJSON(c.Address, sharesAt, &r); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -56,18 +56,18 @@
 	return err
 }
 
-func drawnShares(r service.Report) string {
+func drawnShares(r service.Status) string {
 	var b strings.Builder
 	role := "is no keeper"
 	switch {
-	case r.Leads:
+	case r.IsLeader:
 		role = "leads the keepers"
 	case r.Voter != 0:
 		role = "is a keeper"
 	}
 	doubt := ""
 	switch {
-	case !r.Whole && r.Leads:
+	case !r.HasQuorum && r.IsLeader:
 		doubt = "; it is not with the whole and grants nothing"
 	case r.Voter != 0 && !r.Opened:
 		doubt = "; grants wait until those of an earlier log are over"
@@ -75,14 +75,14 @@
 	fmt.Fprintf(&b, "%s %s; asked is %s; keepers %s%s\n", r.Name, role, r.Leader, strings.Join(r.Voters, " "), doubt)
 	for _, l := range r.Limits {
 		place := "on its floor"
-		if l.EndsMs > 0 {
-			place = "for " + span(int64(l.EndsMs))
+		if l.ExpiresInMs > 0 {
+			place = "for " + span(int64(l.ExpiresInMs))
 		}
-		fmt.Fprintf(&b, "%s: whole %v", l.Name, l.Whole)
-		if l.Target != l.Whole {
+		fmt.Fprintf(&b, "%s: whole %v", l.Name, l.Total)
+		if l.Target != l.Total {
 			fmt.Fprintf(&b, " on its way to %v", l.Target)
 		}
-		fmt.Fprintf(&b, ", floors %v, granted %v; here %v %s\n", l.Floors, l.Out, l.Usable, place)
+		fmt.Fprintf(&b, ", floors %v, granted %v; here %v %s\n", l.Guaranteed, l.Outstanding, l.UsableHere, place)
 		if r.Voter == 0 {
 			continue
 		}
@@ -91,12 +91,12 @@
 		t.AppendHeader(table.Row{"server", "granted", "counts", "wants", "counts for", "asked"})
 		for _, s := range l.Servers {
 			units := func(a quota.Amount) float64 { return float64(a) / float64(quota.Unit) }
-			t.AppendRow(table.Row{s.Server, units(s.Amount), units(s.Counts), units(s.Wants), span(int64(s.LeftMs)), span(int64(s.HeardMs)) + " ago"})
+			t.AppendRow(table.Row{s.Server, units(s.Amount), units(s.Outstanding), units(s.Desired), span(int64(s.RemainingMS)), span(int64(s.SinceRequestMS)) + " ago"})
 		}
 		b.WriteString(t.Render() + "\n")
 	}
-	if r.Strange+r.Lost > 0 {
-		fmt.Fprintf(&b, "%d requests of servers with other settings, %d memories lost\n", r.Strange, r.Lost)
+	if r.MismatchedRequests+r.DiscardedStates > 0 {
+		fmt.Fprintf(&b, "%d requests of servers with other settings, %d memories lost\n", r.MismatchedRequests, r.DiscardedStates)
 	}
 	return b.String()
 }
@@ -166,7 +166,7 @@
 
 // share begins the talk and the shares over it, where sections ask for them. Of a section that changes while the server runs
 // the wholes are taken up, under a later revision.
-func (s *serve) share(of *config.Shares, talk *config.Peers, p *server.Place, log logs.Log) (err error) {
+func (s *serve) share(of *config.Quota, talk *config.Gossip, p *server.Config, log logs.Logger) (err error) {
 	begin := of != nil && s.peers == nil
 	if begin {
 		if err := s.newSharing(of, talk, *p, log); err != nil {
@@ -174,58 +174,58 @@
 		}
 	}
 	first := s.peers == nil
-	if p.Talk, err = s.talk(talk, *p, log, func(t *gossip.Terms) {
+	if p.Gossip, err = s.talk(talk, *p, log, func(t *gossip.Config) {
 		if begin {
-			t.Mail = s.sharing.Mail()
+			t.Handlers = s.sharing.Handlers()
 		}
 	}); err != nil {
 		return err
 	}
 	if begin {
-		from := timeunit.Milliseconds(s.peers.Now()) + of.Limits()[0].Linger
-		me := s.peers.Me()
+		from := timeunit.Milliseconds(s.peers.Now()) + of.Limits()[0].GracePeriod
+		me := s.peers.LocalID()
 		for _, l := range of.Limits() {
-			s.shares.Holders = append(s.shares.Holders, quota.NewHolder(service.HolderName(me), l, true, from))
+			s.shares.LeaseHolders = append(s.shares.LeaseHolders, quota.NewLeaseHolder(service.HolderName(me), l, true, from))
 		}
 		if err := s.sharing.Start(s.peers); err != nil {
 			return fmt.Errorf("the shares of the fleet: %w", err)
 		}
 		s.granted = of
 	}
-	if first && talk != nil && talk.Status != "" {
+	if first && talk != nil && talk.StatusAddress != "" {
 		more := map[string]func() (any, error){}
 		if s.sharing != nil {
-			more[sharesAt] = func() (any, error) { return s.sharing.Report(s.shares.Here()) }
+			more[sharesAt] = func() (any, error) { return s.sharing.Status(s.shares.LocalState()) }
 		}
-		if err := s.peers.Serve(talk.Status, more); err != nil {
+		if err := s.peers.ServeStatus(talk.StatusAddress, more); err != nil {
 			return fmt.Errorf("the talk among servers: %w", err)
 		}
 	}
 	if !begin && s.sharing != nil && of != nil && of.Revision > s.granted.Revision && of.Digest() == s.granted.Digest() {
-		s.sharing.Reform(uint64(of.Revision), of.Wholes())
+		s.sharing.UpdateTotals(uint64(of.Revision), of.Totals())
 		s.granted = of
 	}
-	if s.granted != nil && (of == nil || of.Digest() != s.granted.Digest() || of.Revision == s.granted.Revision && !reflect.DeepEqual(of.Wholes(), s.granted.Wholes())) {
+	if s.granted != nil && (of == nil || of.Digest() != s.granted.Digest() || of.Revision == s.granted.Revision && !reflect.DeepEqual(of.Totals(), s.granted.Totals())) {
 		log.Event("shares_kept").Str("reason", "while it runs only the wholes change, and those under a later revision").Send()
 	}
-	p.Shares = s.shares
+	p.Quota = s.shares
 	return nil
 }
 
-func (s *serve) newSharing(of *config.Shares, talk *config.Peers, p server.Place, log logs.Log) error {
-	s.shares = &server.Shares{}
+func (s *serve) newSharing(of *config.Quota, talk *config.Gossip, p server.Config, log logs.Logger) error {
+	s.shares = &server.Quota{}
 	limits := of.Limits()
-	t := service.Terms{Names: config.SharedLimits[:len(limits)], Limits: limits, Digest: of.Digest(), Revision: uint64(of.Revision), Named: of.Keepers,
-		Name: p.Name, Fresh: of.Fresh, Fleet: talk.Fleet, Seed: p.Seed, Answered: s.shares.Answered,
+	t := service.Config{LimitNames: config.LimitNames[:len(limits)], Limits: limits, ConfigDigest: of.Digest(), Revision: uint64(of.Revision), Coordinators: of.Coordinators,
+		ServerName: p.Name, BootstrapLog: of.StartFresh, ClusterName: talk.FleetName, Seed: p.Seed, OnResponse: s.shares.DeliverAnswers,
 		Log: func(event string, keys ...any) { log.Event(event).Fields(keys).Send() }}
 	if of.Directory != "" {
-		file, err := service.OpenFile(of.Path(s.Service))
+		file, err := service.OpenFileStorage(of.DirectoryPath(s.Service))
 		if err != nil {
-			return fmt.Errorf("the keeper's memory in %s: %w", of.Path(s.Service), err)
+			return fmt.Errorf("the keeper's memory in %s: %w", of.DirectoryPath(s.Service), err)
 		}
-		t.Disk = file
+		t.Storage = file
 	}
 	s.sharing = service.New(t)
-	s.shares.Sharing = s.sharing
+	s.shares.Service = s.sharing
 	return nil
 }
--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -25,19 +25,19 @@
 func sharingFleet(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string) *together {
 	index, err := emulator.NewIndex()
 	require.NoError(t, err)
-	index.Delay = delay
+	index.ReplyDelay = delay
 	var of map[string]any
 	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`, fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
 		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(settings)), &of))
-	p := clustertest.Plan{Servers: servers, Seed: seed, Talk: slots > 0, Settings: of, Index: index}
+	p := clustertest.Plan{Servers: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
 	if slots > 0 {
-		p.Service = func(s *clustertest.Server) string {
+		p.ServiceYAML = func(s *clustertest.Server) string {
 			return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", calls, slots) + strings.ReplaceAll(more, "{name}", s.Name)
 		}
 	}
 	g := fleetOf(t, p)
 	for _, s := range g.Servers {
-		s.VM.Calls = 1
+		s.Interpreter.CallProbability = 1
 		g.NoError(s.Start())
 	}
 	g.up(g.Servers)
@@ -45,7 +45,7 @@
 }
 
 // share waits until each of the servers tells of its shares what the test wants.
-func (g *together) share(what string, of []*clustertest.Server, is func(service.Report) bool) time.Duration {
+func (g *together) share(what string, of []*clustertest.Server, is func(service.Status) bool) time.Duration {
 	begun := time.Now()
 	for left := slices.Clone(of); len(left) > 0; time.Sleep(50 * time.Millisecond) {
 		left = slices.DeleteFunc(left, func(s *clustertest.Server) bool {
@@ -57,18 +57,20 @@
 			g.FailNow(what, "%s tells otherwise: %+v %v\n%v", left[0].Name, r, err, g.History())
 		}
 	}
-	g.Tell("", "%s told by %d", what, len(of))
+	g.Record("", "%s told by %d", what, len(of))
 	return time.Since(begun)
 }
 
-func granted(r service.Report) bool { return r.Limits[0].EndsMs > 0 && r.Limits[0].Usable > 1 }
-func onFloor(r service.Report) bool { return r.Limits[0].EndsMs == 0 && r.Limits[0].Usable == 1 }
+func granted(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere > 1 }
+func onFloor(r service.Status) bool {
+	return r.Limits[0].ExpiresInMs == 0 && r.Limits[0].UsableHere == 1
+}
 
 // leader is who leads the keepers.
 func (g *together) leader(of []*clustertest.Server) (leader *clustertest.Server) {
 	g.Eventually(func() bool {
 		for _, s := range of {
-			if r, err := s.Shares(); err == nil && r.Leads && r.Whole && r.Opened {
+			if r, err := s.Shares(); err == nil && r.IsLeader && r.HasQuorum && r.Opened {
 				leader = s
 				return true
 			}
@@ -90,9 +92,9 @@
 				return
 			default:
 			}
-			o := g.Play(clustertest.Traffic{Routers: 6, Rate: rate, Length: time.Second, WorkMs: 2, Contract: time.Second, Expiry: 2 * time.Second,
-				Harmless: "look", Stamped: "book", Tries: 1, Lists: func(time.Duration) []*clustertest.Server { return list() }})
-			sum.Asked, sum.InTime, sum.Late = sum.Asked+o.Asked, sum.InTime+o.InTime, sum.Late+o.Late
+			o := g.Play(clustertest.Traffic{Routers: 6, RequestsPerSecond: rate, Length: time.Second, WorkMs: 2, SoftDeadline: time.Second, Deadline: 2 * time.Second,
+				IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: func(time.Duration) []*clustertest.Server { return list() }})
+			sum.Requested, sum.OnTime, sum.PastDeadline = sum.Requested+o.Requested, sum.OnTime+o.OnTime, sum.PastDeadline+o.PastDeadline
 		}
 	}()
 	return func() clustertest.Tally { close(over); return <-done }
@@ -109,11 +111,11 @@
 	serving := func(of []*clustertest.Server) { lock.Lock(); list = of; lock.Unlock() }
 	g.share("grants", all, granted)
 	end := g.load(600, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
-	g.Eventually(func() bool { return g.Index.Peak() > calls/2 }, patience, 100*time.Millisecond, "the load asks for too little")
+	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, patience, 100*time.Millisecond, "the load asks for too little")
 	over, peaks := 0, 0
 	within := func(what string, whole int) {
-		peak := g.Index.Peak()
-		g.Tell("", "%s: %d in hand at most", what, peak)
+		peak := g.Index.PeakInFlight()
+		g.Record("", "%s: %d in hand at most", what, peak)
 		if peaks = max(peaks, peak); peak > whole {
 			over++
 			t.Logf("%s: %d calls in hand, %d are the whole", what, peak, whole)
@@ -151,12 +153,12 @@
 	}
 
 	// Two and three: the two live on their floors, the three take over what ran out.
-	five := func(r service.Report) bool {
+	five := func(r service.Status) bool {
 		return r.Voter != 0 && len(r.Voters) == 5 && !slices.Contains(r.Voters, "?")
 	}
 	g.share("five keepers", all, five)
 	two := []*clustertest.Server{all[0], all[1]}
-	g.Split(func(s *clustertest.Server) int { return boolInt(s.Index > 1) })
+	g.Partition(func(s *clustertest.Server) int { return boolInt(s.Index > 1) })
 	g.share("the two", two, onFloor)
 	g.share("the three", all[2:], granted)
 	within("split", calls)
@@ -166,23 +168,23 @@
 
 	// The whole is lowered by half in use, at one server after the other.
 	half := calls / 2
-	g.Service = func(*clustertest.Server) string {
+	g.ServiceYAML = func(*clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: %d\n  slots: 8\n  revision: 2\n", half)
 	}
 	for _, s := range all {
-		g.NoError(s.Again(clustertest.Key))
+		g.NoError(s.ReloadWithKeys(clustertest.Key))
 	}
-	g.share("a lowered whole", []*clustertest.Server{g.leader(all)}, func(r service.Report) bool { return r.Limits[0].Whole == float64(half) })
+	g.share("a lowered whole", []*clustertest.Server{g.leader(all)}, func(r service.Status) bool { return r.Limits[0].Total == float64(half) })
 	within("lowered", calls)
 	time.Sleep(500 * time.Millisecond) // calls that were begun before come to their ends
-	g.Index.Peak()
+	g.Index.PeakInFlight()
 	time.Sleep(2 * time.Second)
 	within("at half", half)
-	g.Service = func(*clustertest.Server) string {
+	g.ServiceYAML = func(*clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: %d\n  slots: 8\n  revision: 3\n", calls)
 	}
 	for _, s := range all {
-		g.NoError(s.Again(clustertest.Key))
+		g.NoError(s.ReloadWithKeys(clustertest.Key))
 	}
 	g.leader(all)
 
@@ -200,9 +202,9 @@
 	again := g.share("after all died", all, granted)
 	within("all restarted", calls)
 	o := end()
-	t.Logf("measured shares-faults servers=5 whole=%d over=%d peak=%d asked=%d in_time=%d late=%d granted_again_ms=%d", calls, over, peaks, o.Asked, o.InTime, o.Late, again.Milliseconds())
+	t.Logf("measured shares-faults servers=5 whole=%d over=%d peak=%d asked=%d in_time=%d late=%d granted_again_ms=%d", calls, over, peaks, o.Requested, o.OnTime, o.PastDeadline, again.Milliseconds())
 	g.Zero(over)
-	g.Greater(o.InTime, o.Asked/10)
+	g.Greater(o.OnTime, o.Requested/10)
 
 	var out bytes.Buffer
 	g.Zero(command([]string{"shares", g.leader(all).Status}, &out, &out), out.String())
@@ -256,10 +258,10 @@
 	}
 	more := map[string]string{"split": "  floor: 3\n"}[name] // floors as such a fleet would have them
 	g := sharingFleet(t, begun, slots, calls, part, seed, delay, more)
-	g.Index.Crowd = calls
+	g.Index.SlowdownThreshold = calls
 	all := slices.Clone(g.Servers)
 	if how == "shares" {
-		g.share("grants", all, func(r service.Report) bool { return r.Limits[0].EndsMs > 0 && r.Limits[0].Usable >= 1 })
+		g.share("grants", all, func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere >= 1 })
 	}
 	able := float64(calls) / delay.Seconds()
 	lists := func(at time.Duration) []*clustertest.Server { return all }
@@ -280,7 +282,9 @@
 		}
 		trouble[length/4] = func(r *clustertest.Routers) { r.Kill(all[0]); r.Kill(all[1]) }
 	case "split":
-		trouble[length/4] = func(*clustertest.Routers) { g.Split(func(s *clustertest.Server) int { return boolInt(s.Index < 2) }) }
+		trouble[length/4] = func(*clustertest.Routers) {
+			g.Partition(func(s *clustertest.Server) int { return boolInt(s.Index < 2) })
+		}
 		trouble[length/4+6*time.Second] = func(*clustertest.Routers) { g.Heal() }
 	case "growing":
 		var lock sync.Mutex
@@ -289,34 +293,34 @@
 		rate = 0.5 * able // three servers have their floors and what is no floor: fifteen of twenty-four
 		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
-				s, err := g.Add(i)
+				s, err := g.AddServer(i)
 				if err != nil || s.Start() != nil || ready(s.Listen) != nil {
 					t.Error(err)
 					return
 				}
-				s.VM.Calls = 1
+				s.Interpreter.CallProbability = 1
 			}
 			if how == "shares" { // routers hear of them once they are members with a grant
-				g.share("newcomers", g.All(), func(r service.Report) bool { return r.Limits[0].EndsMs > 0 })
+				g.share("newcomers", g.CurrentServers(), func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
 			}
 			lock.Lock()
-			now = g.All()
+			now = g.CurrentServers()
 			lock.Unlock()
 		}
 	}
-	o := g.Play(clustertest.Traffic{Routers: 8, Rate: rate, Length: length, WorkMs: 2, Contract: time.Second, Expiry: 2 * time.Second,
-		Harmless: "look", Stamped: "book", Tries: 2, Lists: lists, At: trouble})
+	o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: rate, Length: length, WorkMs: 2, SoftDeadline: time.Second, Deadline: 2 * time.Second,
+		IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 2, EndpointsAt: lists, Actions: trouble})
 	served := 0.0
-	late := o.Seconds[len(o.Seconds)/2 : len(o.Seconds)-1]
+	late := o.OnTimeShareBySecond[len(o.OnTimeShareBySecond)/2 : len(o.OnTimeShareBySecond)-1]
 	for _, part := range late {
 		served += part / float64(len(late))
 	}
-	peak := g.Index.Peak()
-	t.Logf("measured shares-day day=%s how=%s servers=%d in_time=%.3f declined=%d failed=%d peak=%d whole=%d late=%d lost=%d", name, how, begun, served, o.Declined, o.Failed, peak, calls, o.Late, o.Lost)
+	peak := g.Index.PeakInFlight()
+	t.Logf("measured shares-day day=%s how=%s servers=%d in_time=%.3f declined=%d failed=%d peak=%d whole=%d late=%d lost=%d", name, how, begun, served, o.Rejected, o.Failed, peak, calls, o.PastDeadline, o.Unanswered)
 	if how == "shares" {
 		require.LessOrEqual(t, peak, calls)
 	}
-	require.Zero(t, o.Late+o.Double)
+	require.Zero(t, o.PastDeadline+o.DuplicateRuns)
 	g.Close()
 	return served
 }
@@ -328,7 +332,7 @@
 	g := sharingFleet(t, 4, 4, 12, 3, 9, 30*time.Millisecond, "  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n")
 	all := slices.Clone(g.Servers)
 	g.share("grants", all, granted)
-	directory := func(s *clustertest.Server) string { return filepath.Join(g.Dir, "keeper-"+s.Name) }
+	directory := func(s *clustertest.Server) string { return filepath.Join(g.WorkDirectory, "keeper-"+s.Name) }
 	files := func(s *clustertest.Server) (names []string) {
 		names, err := filepath.Glob(filepath.Join(directory(s), "*"))
 		g.NoError(err)
@@ -339,7 +343,7 @@
 		g.NoError(err)
 		return r.Voter
 	}
-	g.Service = func(s *clustertest.Server) string {
+	g.ServiceYAML = func(s *clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n", s.Name)
 	}
 	killed, torn, gone := all[0], all[1], all[2]
@@ -363,7 +367,7 @@
 		g.share("the others go on", without(all, one.s), granted)
 		g.NoError(one.s.Start())
 		g.NoError(ready(one.s.Listen))
-		g.share("it is a voter again", all[:3], func(r service.Report) bool {
+		g.share("it is a voter again", all[:3], func(r service.Status) bool {
 			return len(r.Voters) == 3 && !slices.Contains(r.Voters, "?") && r.Opened
 		})
 		g.share("grants again", all, granted)
@@ -403,7 +407,7 @@
 			var of map[string]any
 			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`, twoTenants(day.acme, 1-day.acme), `"Servers":3`,
 				fmt.Sprintf(`"Servers":%d`, servers)).Replace(settings)), &of))
-			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: 31, Talk: talk, Settings: of, Service: func(*clustertest.Server) string { return "fair_queues:\n" }})
+			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of, ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
 			for _, s := range g.Servers {
 				g.NoError(s.Start())
 			}
@@ -422,12 +426,12 @@
 				both.Add(1)
 				go func() {
 					defer both.Done()
-					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6, Rate: rate * float64(len(of)), Length: length, WorkMs: 40, Contract: 4 * time.Second,
-						Expiry: 7 * time.Second, Harmless: "look", Stamped: "book", Tries: 1, Lists: at(of)})
+					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6, RequestsPerSecond: rate * float64(len(of)), Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
+						Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
 					lock.Lock()
 					defer lock.Unlock()
 					// By when the answers came: by when the work did, what is held comes and goes for some seconds each way.
-					for _, done := range o.Done[int(length/time.Second)/3 : int(length/time.Second)] {
+					for _, done := range o.OnTimeBySecond[int(length/time.Second)/3 : int(length/time.Second)] {
 						served[tenant] += float64(done)
 					}
 				}()
@@ -455,17 +459,17 @@
 	end := g.load(500, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
 	over := 0
 	within := func(what string) {
-		peak := g.Index.Peak()
-		if g.Tell("", "%s: %d in hand at most", what, peak); peak > calls {
+		peak := g.Index.PeakInFlight()
+		if g.Record("", "%s: %d in hand at most", what, peak); peak > calls {
 			over++
 			t.Logf("%s: %d calls in hand, %d are the whole", what, peak, calls)
 		}
 	}
 	more := func(n int) (new []*clustertest.Server) {
 		for range n {
-			s, err := g.Add(len(g.Servers))
+			s, err := g.AddServer(len(g.Servers))
 			g.NoError(err)
-			s.VM.Calls = 1
+			s.Interpreter.CallProbability = 1
 			g.NoError(s.Start())
 			new = append(new, s)
 		}
@@ -488,7 +492,7 @@
 	g.share("half are replaced", now, granted)
 	within("half replaced")
 	now = append(now, more(4)...)
-	g.share("twice as many", now, func(r service.Report) bool { return r.Limits[0].EndsMs > 0 })
+	g.share("twice as many", now, func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
 	serving(now)
 	g.sees("eight are agreed on", now, settled(8))
 	within("doubled")
@@ -498,7 +502,7 @@
 	g.share("as many as before", now, granted)
 	within("shrunk")
 	serving(now[:1]) // it asks for everything
-	g.share("one takes what the others leave", now[:1], func(r service.Report) bool { return r.Limits[0].Usable > calls/3 })
+	g.share("one takes what the others leave", now[:1], func(r service.Status) bool { return r.Limits[0].UsableHere > calls/3 })
 	within("greedy")
 	serving(now)
 	g.sees("four are agreed on", now, settled(4))
@@ -525,6 +529,6 @@
 	g.share("agreement again", now, granted)
 	within("agreement again")
 	o := end()
-	t.Logf("measured shares-changes whole=%d over=%d asked=%d in_time=%d", calls, over, o.Asked, o.InTime)
+	t.Logf("measured shares-changes whole=%d over=%d asked=%d in_time=%d", calls, over, o.Requested, o.OnTime)
 	g.Zero(over)
 }
--- a/cmd/thistlequay/socket_test.go
+++ b/cmd/thistlequay/socket_test.go
@@ -258,7 +258,7 @@
 	r.NoError(r.process.Process.Signal(syscall.SIGHUP))
 	moved := r.up(v.n)
 	moved.n = v.n
-	_, err := v.In.ReadString(0)
+	_, err := v.Reader.ReadString(0)
 	r.Error(err) // the old link is closed
 	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.line(r.link(r.directory)))
 	r.say(old, "%s HIT 2\r\nok\r", id)
@@ -358,7 +358,7 @@
 		for r.line(d) != "" {
 		}
 		body := make([]byte, len(`{"mode":""}`)+len(mode))
-		_, err := d.In.Read(body)
+		_, err := d.Reader.Read(body)
 		r.NoError(err)
 		r.Equal(`{"mode":"`+mode+`"}`, string(body))
 	}
@@ -455,7 +455,7 @@
 	c.answered(2, 200, "e")
 	go func() { // runs go on to be answered while there is grace
 		for {
-			line, err := v.In.ReadString('\n')
+			line, err := v.Reader.ReadString('\n')
 			if err != nil {
 				return
 			}
--- a/cmd/thistlequay/standins_test.go
+++ b/cmd/thistlequay/standins_test.go
@@ -90,7 +90,7 @@
 }
 
 func (r *rig) line(l *link) string {
-	text, err := l.In.ReadString('\n')
+	text, err := l.Reader.ReadString('\n')
 	r.NoError(err)
 	return strings.TrimRight(text, "\r\n")
 }
@@ -113,7 +113,7 @@
 	r := &rig{Assertions: require.New(t), t: t}
 	r.vm, r.index, r.directory = r.standIn(), r.standIn(), r.standIn()
 	var err error
-	r.listen, err = emulator.Free()
+	r.listen, err = emulator.FreeAddress()
 	r.NoError(err)
 	r.config = fmt.Sprintf(`{"name":"n3","listen":%q,"vm":%q,"lookup":%q,"index":%q,"seed":"8c1f30d27a5be964",
 "stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":%s}`,
@@ -170,7 +170,7 @@
 }
 
 // lines is a log that is read while it is written.
-type lines = clustertest.Text
+type lines = clustertest.LogBuffer
 
 func logOf(r *rig) string { return r.log.String() }
 
@@ -278,12 +278,16 @@
 	return fmt.Sprintf("%016x", 0xabc0000+r.ids)
 }
 
-func fields(id string) map[string]string { return emulator.Fields(id, "acme", 7*time.Second) }
+func fields(id string) map[string]string {
+	return emulator.RequestParameters(id, "acme", 7*time.Second)
+}
 
-func fcgi(kind byte, slot uint16, content string) []byte { return emulator.Record(kind, slot, content) }
+func fcgi(kind byte, slot uint16, content string) []byte {
+	return emulator.FastCGIRecord(kind, slot, content)
+}
 
 func (c *router) ask(slot uint16, path, body string, with map[string]string) {
-	_, err := c.Write(emulator.Request(slot, path, body, with))
+	_, err := c.Write(emulator.FastCGIRequest(slot, path, body, with))
 	c.r.NoError(err)
 }
 
@@ -311,7 +315,7 @@
 
 // answer gives the next answer on the connection: its slot, status, headers and body.
 func (c *router) answer() (slot uint16, status int, headers, body string) {
-	a, err := c.Answer()
+	a, err := c.ReadResponse()
 	c.r.NoError(err)
 	return a.Slot, a.Status, a.Headers, a.Body
 }
@@ -334,7 +338,7 @@
 func (c *router) over() { c.r.over(c.link) }
 
 func (r *rig) over(l *link) {
-	_, err := io.Copy(io.Discard, l.In)
+	_, err := io.Copy(io.Discard, l.Reader)
 	if err != nil {
 		r.ErrorIs(err, syscall.ECONNRESET)
 	}
--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -24,25 +24,25 @@
 	Doubt     time.Duration `default:"1m" help:"As clock_doubt in the settings."`
 }
 
-func (a *storeArgs) recovery(now recovery.Clock) *recovery.Recovery {
+func (a *storeArgs) recovery(now recovery.ClockReading) *recovery.Analysis {
 	in := func(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / (100 * time.Microsecond)) }
-	return recovery.NewRecovery(recovery.Terms{Window: in(a.Window), Doubt: in(a.Doubt), Most: 1 << 30}, now)
+	return recovery.NewAnalysis(recovery.Config{MaxWindow: in(a.Window), ClockUncertainty: in(a.Doubt), MaxOutcomes: 1 << 30}, now)
 }
 
-func (a *storeArgs) scan(out io.Writer, see func(string, int64, *recovery.Record)) (segmentlog.Scanned, recovery.Clock, error) {
+func (a *storeArgs) scan(out io.Writer, see func(string, int64, *recovery.Record)) (segmentlog.ScanResult, recovery.ClockReading, error) {
 	now := segmentlog.MachineClock()
-	s, err := segmentlog.Scan(segmentlog.ReadDirectory(a.Directory), a.recovery(now), now, false, see)
+	s, err := segmentlog.Scan(segmentlog.OpenDirectoryReadOnly(a.Directory), a.recovery(now), now, false, see)
 	if err != nil {
 		return s, now, err
 	}
-	for _, f := range s.Found {
-		fmt.Fprintf(out, "%s offset %d: %s, lost=%v\n", f.File, f.Offset, recovery.Words[f.Damage], f.Lost)
+	for _, f := range s.Findings {
+		fmt.Fprintf(out, "%s offset %d: %s, lost=%v\n", f.File, f.Offset, recovery.CorruptionTexts[f.Corruption], f.DataLoss)
 	}
 	wait := time.Duration(0)
-	if s.DeclineUntil > 0 {
-		wait = time.Duration(s.DeclineUntil-now.Wall) * 100 * time.Microsecond
+	if s.RejectUntil > 0 {
+		wait = time.Duration(s.RejectUntil-now.Wall) * 100 * time.Microsecond
 	}
-	fmt.Fprintf(out, "%d records, %d stamps that a repeat may still meet, unknown stamped work items declined for %v\n", s.Records, len(s.Fates), wait)
+	fmt.Fprintf(out, "%d records, %d stamps that a repeat may still meet, unknown stamped work items declined for %v\n", s.RecordCount, len(s.Outcomes), wait)
 	return s, now, nil
 }
 
@@ -51,29 +51,29 @@
 	All       bool `help:"Each record, not only what is concluded."`
 }
 
-var kindWords = map[recovery.Kind]string{recovery.Intent: "intent", recovery.Result: "result", recovery.Void: "void", recovery.Closed: "closed", recovery.Learnt: "learnt"}
+var kindWords = map[recovery.RecordKind]string{recovery.KindIntent: "intent", recovery.KindCompletion: "result", recovery.KindCancellation: "void", recovery.KindShutdown: "closed", recovery.KindWarmStart: "learnt"}
 
 // Run lists.
 func (i *storeInspect) Run(out io.Writer) error {
 	now := segmentlog.MachineClock()
 	s, _, err := i.scan(out, func(file string, offset int64, r *recovery.Record) {
 		if i.All {
-			fmt.Fprintf(out, "%s %d %s key=%q try=%x well=%v bytes=%d age=%v\n", file, offset, kindWords[r.Kind], r.Key, r.Try, r.Well,
-				len(r.Result), time.Duration(now.Wall-r.At.Wall)*100*time.Microsecond)
+			fmt.Fprintf(out, "%s %d %s key=%q try=%x well=%v bytes=%d age=%v\n", file, offset, kindWords[r.Kind], r.Key, r.Attempt, r.Succeeded,
+				len(r.Payload), time.Duration(now.Wall-r.WrittenAt.Wall)*100*time.Microsecond)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	for _, f := range s.Fates {
+	for _, f := range s.Outcomes {
 		gets := "is broken off: it may have run"
-		if f.Ended {
+		if f.Completed {
 			gets = fmt.Sprintf("gets the kept result, %d bytes", len(f.Result))
 		}
-		if f.Ended && !f.Well {
+		if f.Completed && !f.Succeeded {
 			gets = "is broken off, as its run was"
 		}
-		fmt.Fprintf(out, "key %q: a repeat %s, for %v\n", f.Key, gets, time.Duration(f.Until-now.Wall)*100*time.Microsecond)
+		fmt.Fprintf(out, "key %q: a repeat %s, for %v\n", f.Key, gets, time.Duration(f.WindowEnd-now.Wall)*100*time.Microsecond)
 	}
 	return nil
 }
@@ -88,8 +88,8 @@
 	if err != nil {
 		return err
 	}
-	for _, f := range s.Found {
-		if f.Lost {
+	for _, f := range s.Findings {
+		if f.DataLoss {
 			return errSaid
 		}
 	}
--- a/cmd/thistlequay/try.go
+++ b/cmd/thistlequay/try.go
@@ -79,7 +79,7 @@
 		if i == 3 {
 			rate = t.Greed * share * tryCores / tryWork
 		}
-		all = append(all, &emulator.Stream{Tenant: name, Share: share, Rate: rate, To: t.Seconds, Work: tryWork, Gain: 1})
+		all = append(all, &emulator.Stream{Tenant: name, Weight: share, ArrivalsPerSecond: rate, To: t.Seconds, MeanCoreSeconds: tryWork, PriorityWeight: 1})
 	}
 	return all
 }
@@ -97,7 +97,7 @@
 		return err
 	}
 	defer one.lookup.Close()
-	address, err := emulator.Free()
+	address, err := emulator.FreeAddress()
 	if err != nil {
 		return err
 	}
@@ -108,9 +108,9 @@
 	if err := ready(address); err != nil {
 		return err
 	}
-	load := &emulator.Send{Address: address, Seed: t.Seed, Length: t.Seconds, Cores: tryCores, Categories: []string{"look"},
-		Contract: tryContract, Expiry: tryExpiry, Streams: t.streams()}
-	one.books, err = load.Play()
+	load := &emulator.LoadRun{Address: address, Seed: t.Seed, Seconds: t.Seconds, Cores: tryCores, Categories: []string{"look"},
+		SoftDeadline: tryContract, Deadline: tryExpiry, Streams: t.streams()}
+	one.books, err = load.Run()
 	return err
 }
 
@@ -133,7 +133,7 @@
 	var service strings.Builder
 	service.WriteString("fair_queues:\n  tenants:\n")
 	for _, s := range t.streams() {
-		fmt.Fprintf(&service, "    - {name: %s, share: %v}\n", s.Tenant, s.Share)
+		fmt.Fprintf(&service, "    - {name: %s, share: %v}\n", s.Tenant, s.Weight)
 	}
 	files := []struct{ name, text string }{{name + ".json", string(text)}, {name + ".yaml", service.String()}}
 	args := []string{"serve"}
@@ -179,8 +179,8 @@
 		if err != nil {
 			continue
 		}
-		c.Write(emulator.Request(1, "/rpc/none", "", nil))
-		a, err := c.Answer()
+		c.Write(emulator.FastCGIRequest(1, "/rpc/none", "", nil))
+		a, err := c.ReadResponse()
 		c.Close()
 		if err == nil && a.Status == 404 {
 			return nil
@@ -196,9 +196,9 @@
 	w.AppendHeader(table.Row{"", "", "fair queues off", "", "", "", "", "fair queues on", "", "", "", ""}, table.RowConfig{AutoMerge: true})
 	w.AppendHeader(table.Row{"tenant", "asked", "in time", "late", "declined", "broken off", "of entitled", "in time", "late", "declined", "broken off", "of entitled"})
 	row := func(a, b *emulator.Account) table.Row {
-		r := table.Row{a.Tenant, a.Asked}
+		r := table.Row{a.Tenant, a.Requested}
 		for _, x := range []*emulator.Account{a, b} {
-			r = append(r, x.Fulfilled, x.Late, x.Declined, x.Lost, fmt.Sprintf("%.0f%%", 100*x.Part()))
+			r = append(r, x.OnTime, x.Late, x.Rejected, x.Aborted, fmt.Sprintf("%.0f%%", 100*x.DeliveredShare()))
 		}
 		return r
 	}
--- a/internal/clustertest/fleet.go
+++ b/internal/clustertest/fleet.go
@@ -27,36 +27,36 @@
 
 // Plan is what a rig is begun with.
 type Plan struct {
-	Servers  int
-	Seed     int64
-	Dir      string   // for files
-	Program  string   // and its environment, beyond this process's
-	Env      []string //
-	Settings map[string]any
-	Cores    float64 // of each interpreter
-	Talk     bool    // the servers know each other
-	Size     int     // servers that the section names; Servers where 0
-	StopIn   time.Duration
-	Index    *emulator.Index        // shared by all
-	Memory   int                    // MB
-	Service  func(s *Server) string // more sections of the YAML of a server; nil for none
+	Servers           int
+	Seed              int64
+	WorkDirectory     string   // for files
+	Program           string   // and its environment, beyond this process's
+	Env               []string //
+	Settings          map[string]any
+	Cores             float64 // of each interpreter
+	Gossip            bool    // the servers know each other
+	ConfiguredServers int     // servers that the section names; Servers where 0
+	StopTimeout       time.Duration
+	Index             *emulator.Index        // shared by all
+	MemoryMB          int                    // MB
+	ServiceYAML       func(s *Server) string // more sections of the YAML of a server; nil for none
 }
 
-// Rig is a fleet of processes.
-type Rig struct {
+// Cluster is a fleet of processes.
+type Cluster struct {
 	Plan
 	Servers   []*Server
 	Directory *emulator.Directory
 	relays    *relays
 	lock      sync.Mutex
-	begun     time.Time
-	history   []Happened
+	startedAt time.Time
+	history   []Event
 	closed    bool
-	tries     atomic.Uint64 // that routers sent
+	attempts  atomic.Uint64 // that routers sent
 }
 
-// Happened is one entry of the history.
-type Happened struct {
+// Event is one entry of the history.
+type Event struct {
 	At     time.Duration
 	Server string
 	What   string
@@ -64,35 +64,35 @@
 
 // Server is one process with its stand-ins.
 type Server struct {
-	rig     *Rig
-	Index   int
-	Name    string
-	Zone    string
-	Listen  string // for routers
-	Status  string
-	VM      *emulator.Interpreter
-	relay   *relay
-	process *exec.Cmd
-	ended   chan struct{}
-	Log     *Text
-	args    []string
-	key     string
-	fleet   string
+	cluster     *Cluster
+	Index       int
+	Name        string
+	Zone        string
+	Listen      string // for routers
+	Status      string
+	Interpreter *emulator.Interpreter
+	relay       *relay
+	process     *exec.Cmd
+	exited      chan struct{}
+	Log         *LogBuffer
+	args        []string
+	key         string
+	fleet       string
 }
 
-// Text is a log that is read while it is written.
-type Text struct {
+// LogBuffer is a log that is read while it is written.
+type LogBuffer struct {
 	lock sync.Mutex
 	text strings.Builder
 }
 
-func (t *Text) Write(b []byte) (int, error) {
+func (t *LogBuffer) Write(b []byte) (int, error) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.text.Write(b)
 }
 
-func (t *Text) String() string {
+func (t *LogBuffer) String() string {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.text.String()
@@ -105,8 +105,8 @@
 var Key = base64.StdEncoding.EncodeToString([]byte("the key of a rig"))
 
 // New makes the parties; Start starts a server.
-func New(p Plan) (*Rig, error) {
-	r := &Rig{Plan: p, relays: newRelays(p.Seed), begun: time.Now()}
+func New(p Plan) (*Cluster, error) {
+	r := &Cluster{Plan: p, relays: newRelays(p.Seed), startedAt: time.Now()}
 	var err error
 	if r.Directory, err = emulator.NewDirectory(); err != nil {
 		return nil, err
@@ -117,32 +117,32 @@
 		}
 	}
 	for i := range p.Servers {
-		if _, err := r.Add(i); err != nil {
+		if _, err := r.AddServer(i); err != nil {
 			return nil, err
 		}
 	}
 	return r, nil
 }
 
-// Add makes one more server, with the number given as its place.
-func (r *Rig) Add(i int) (s *Server, err error) {
-	s = &Server{rig: r, Index: i, Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprint("z", i%3), Log: &Text{}, key: Key, fleet: "rig"}
+// AddServer makes one more server, with the number given as its place.
+func (r *Cluster) AddServer(i int) (s *Server, err error) {
+	s = &Server{cluster: r, Index: i, Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprint("z", i%3), Log: &LogBuffer{}, key: Key, fleet: "rig"}
 	// Hosts of their own: a connection that leaves from 127.0.0.1 meanwhile takes none of these ports.
 	host := func(net int) string {
 		return fmt.Sprintf("127.%d.%d.%d", net, (r.Seed*37+int64(os.Getpid()))&255, i+1)
 	}
-	if s.Listen, err = free(host(76)); err != nil {
+	if s.Listen, err = freeAddress(host(76)); err != nil {
 		return nil, err
 	}
-	if s.Status, err = free(host(75)); err != nil {
+	if s.Status, err = freeAddress(host(75)); err != nil {
 		return nil, err
 	}
-	if s.VM, err = emulator.NewInterpreter(r.Cores, r.Seed+int64(i)); err != nil {
+	if s.Interpreter, err = emulator.NewInterpreter(r.Cores, r.Seed+int64(i)); err != nil {
 		return nil, err
 	}
-	if r.Talk {
-		at, errAt := free(host(78))
-		behind, errBehind := free(host(77))
+	if r.Gossip {
+		at, errAt := freeAddress(host(78))
+		behind, errBehind := freeAddress(host(77))
 		if errAt != nil || errBehind != nil {
 			return nil, fmt.Errorf("no address for the talk: %v %v", errAt, errBehind)
 		}
@@ -159,15 +159,15 @@
 	return s, nil
 }
 
-// All are the servers that there are now, for those who look on beside the test.
-func (r *Rig) All() []*Server {
+// CurrentServers are the servers that there are now, for those who look on beside the test.
+func (r *Cluster) CurrentServers() []*Server {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return slices.Clone(r.Servers)
 }
 
-// free is an address of the host on which neither TCP nor UDP is in use.
-func free(host string) (string, error) {
+// freeAddress is an address of the host on which neither TCP nor UDP is in use.
+func freeAddress(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return "", err
@@ -176,22 +176,22 @@
 	return l.Addr().String(), nil
 }
 
-// Tell notes something in the history.
-func (r *Rig) Tell(server, what string, args ...any) {
+// Record notes something in the history.
+func (r *Cluster) Record(server, what string, args ...any) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.history = append(r.history, Happened{time.Since(r.begun), server, fmt.Sprintf(what, args...)})
+	r.history = append(r.history, Event{time.Since(r.startedAt), server, fmt.Sprintf(what, args...)})
 }
 
 // History is what was done and concluded so far.
-func (r *Rig) History() []Happened {
+func (r *Cluster) History() []Event {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return append([]Happened(nil), r.history...)
+	return append([]Event(nil), r.history...)
 }
 
-// As changes what a server is begun with: its name, its fleet, its key (base64, a line each), more arguments.
-func (s *Server) As(name, fleet, key string, args ...string) *Server {
+// Configure changes what a server is begun with: its name, its fleet, its key (base64, a line each), more arguments.
+func (s *Server) Configure(name, fleet, key string, args ...string) *Server {
 	if name != "" {
 		s.Name = name
 	}
@@ -207,32 +207,32 @@
 
 // Start starts the process of a server. What an earlier life of it knew is gone.
 func (s *Server) Start() error {
-	r := s.rig
-	stop, memory := r.StopIn, r.Memory
+	r := s.cluster
+	stop, memory := r.StopTimeout, r.MemoryMB
 	if stop == 0 {
 		stop = 3 * time.Second
 	}
 	if memory == 0 {
 		memory = 64
 	}
-	config := map[string]any{"name": s.Name, "listen": s.Listen, "vm": s.VM.Address, "index": r.Index.Address, "lookup": r.Directory.Address,
+	config := map[string]any{"name": s.Name, "listen": s.Listen, "vm": s.Interpreter.Address, "index": r.Index.Address, "lookup": r.Directory.Address,
 		"seed": fmt.Sprintf("%016x", r.Seed+int64(s.Index)), "stop_ms": stop.Milliseconds(),
 		"limits": map[string]any{"cores": 1, "memory_mb": memory, "sockets": 512}, "settings": r.Settings}
 	text, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	args := []string{"serve", "--config=" + s.base() + ".json"}
-	if err := os.WriteFile(s.base()+".json", text, 0o600); err != nil {
+	args := []string{"serve", "--config=" + s.basePath() + ".json"}
+	if err := os.WriteFile(s.basePath()+".json", text, 0o600); err != nil {
 		return err
 	}
-	if r.Talk || r.Service != nil {
-		if err := s.write(); err != nil {
+	if r.Gossip || r.ServiceYAML != nil {
+		if err := s.writeFiles(); err != nil {
 			return err
 		}
-		args = append(args, "--service="+s.base()+".yaml")
+		args = append(args, "--service="+s.basePath()+".yaml")
 	}
-	if r.Talk {
+	if r.Gossip {
 		if err := s.relay.up(); err != nil {
 			return err
 		}
@@ -244,7 +244,7 @@
 		return err
 	}
 	ended, process := make(chan struct{}), s.process
-	s.ended = ended
+	s.exited = ended
 	go func() {
 		process.Wait()
 		if s.relay != nil {
@@ -252,43 +252,43 @@
 		}
 		close(ended)
 	}()
-	r.Tell(s.Name, "started")
+	r.Record(s.Name, "started")
 	return nil
 }
 
-func (s *Server) base() string {
-	return filepath.Join(s.rig.Dir, fmt.Sprint(s.Name, "-", s.Index))
+func (s *Server) basePath() string {
+	return filepath.Join(s.cluster.WorkDirectory, fmt.Sprint(s.Name, "-", s.Index))
 }
 
-// write writes the server's own settings and its keys.
-func (s *Server) write() error {
-	r, text := s.rig, ""
-	if r.Talk {
+// writeFiles writes the server's own settings and its keys.
+func (s *Server) writeFiles() error {
+	r, text := s.cluster, ""
+	if r.Gossip {
 		var first, founders []string
 		for i := range min(Founders, r.Plan.Servers) {
 			first = append(first, r.Servers[i].relay.address)
 			founders = append(founders, fmt.Sprintf("n%02d", i))
 		}
-		size := r.Size
+		size := r.ConfiguredServers
 		if size == 0 {
 			size = r.Plan.Servers
 		}
 		text = fmt.Sprintf("peers:\n  listen: %s\n  advertise: %s\n  first: [%s]\n  founders: [%s]\n  fleet: %s\n  servers: %d\n  zone: %s\n  key_file: %s\n  status: %s\n",
-			s.relay.behind, s.relay.address, strings.Join(first, ", "), strings.Join(founders, ", "), s.fleet, size, s.Zone, filepath.Base(s.base()+".keys"), s.Status)
-		if err := os.WriteFile(s.base()+".keys", []byte(s.key+"\n"), 0o600); err != nil {
+			s.relay.behind, s.relay.address, strings.Join(first, ", "), strings.Join(founders, ", "), s.fleet, size, s.Zone, filepath.Base(s.basePath()+".keys"), s.Status)
+		if err := os.WriteFile(s.basePath()+".keys", []byte(s.key+"\n"), 0o600); err != nil {
 			return err
 		}
 	}
-	if r.Service != nil {
-		text += r.Service(s)
+	if r.ServiceYAML != nil {
+		text += r.ServiceYAML(s)
 	}
-	return os.WriteFile(s.base()+".yaml", []byte(text), 0o600)
+	return os.WriteFile(s.basePath()+".yaml", []byte(text), 0o600)
 }
 
-// Again gives the server other keys, has it read its files again, and waits until it has said so.
-func (s *Server) Again(keys string) error {
+// ReloadWithKeys gives the server other keys, has it read its files again, and waits until it has said so.
+func (s *Server) ReloadWithKeys(keys string) error {
 	s.key = keys
-	if err := s.write(); err != nil {
+	if err := s.writeFiles(); err != nil {
 		return err
 	}
 	read := func() int { return strings.Count(s.Log.String(), "event=configuration_") }
@@ -307,19 +307,19 @@
 
 // Signal sends a signal to the process of a server.
 func (s *Server) Signal(what os.Signal) error {
-	s.rig.Tell(s.Name, "%v", what)
+	s.cluster.Record(s.Name, "%v", what)
 	return s.process.Process.Signal(what)
 }
 
 // Kill kills it and waits for its end; connections to its address are refused from then on.
 func (s *Server) Kill() error {
 	err := s.Signal(syscall.SIGKILL)
-	<-s.ended
+	<-s.exited
 	return err
 }
 
 // Ended is closed when the process has ended.
-func (s *Server) Ended() <-chan struct{} { return s.ended }
+func (s *Server) Ended() <-chan struct{} { return s.exited }
 
 // Exit is its exit code, once it has ended.
 func (s *Server) Exit() int { return s.process.ProcessState.ExitCode() }
@@ -328,13 +328,13 @@
 func (s *Server) Process() int { return s.process.Process.Pid }
 
 // Shares asks the server for what it knows of shares.
-func (s *Server) Shares() (r service.Report, err error) {
-	err = gossip.FetchFrom(s.Status, "/shares", &r)
+func (s *Server) Shares() (r service.Status, err error) {
+	err = gossip.FetchJSON(s.Status, "/shares", &r)
 	return r, err
 }
 
-// Talk gives the addresses of a server that the test itself speaks for: where to listen and where others reach it.
-func (s *Server) Talk() (listen, advertise string, err error) {
+// GossipAddresses gives the addresses of a server that the test itself speaks for: where to listen and where others reach it.
+func (s *Server) GossipAddresses() (listen, advertise string, err error) {
 	if s.process == nil {
 		err = s.relay.up()
 	}
@@ -342,44 +342,44 @@
 }
 
 // View asks the server for its view.
-func (s *Server) View() (gossip.Report, error) { return gossip.Fetch(s.Status) }
+func (s *Server) View() (gossip.Status, error) { return gossip.FetchStatus(s.Status) }
 
-// Link sets the fault of one direction.
-func (r *Rig) Link(from, to int, f Fault) {
+// SetFault sets the fault of one direction.
+func (r *Cluster) SetFault(from, to int, f Fault) {
 	r.relays.lock.Lock()
 	defer r.relays.lock.Unlock()
 	r.relays.faults[[2]int{from, to}] = f
 }
 
-// Everywhere sets the fault of all directions.
-func (r *Rig) Everywhere(f Fault) {
-	r.Tell("", "everywhere %+v", f)
+// SetFaultEverywhere sets the fault of all directions.
+func (r *Cluster) SetFaultEverywhere(f Fault) {
+	r.Record("", "everywhere %+v", f)
 	for i := range r.Servers {
 		for j := range r.Servers {
 			if i != j {
-				r.Link(r.Servers[i].Index, r.Servers[j].Index, f)
+				r.SetFault(r.Servers[i].Index, r.Servers[j].Index, f)
 			}
 		}
 	}
 }
 
 // Heal takes all faults away.
-func (r *Rig) Heal() { r.Everywhere(Fault{}) }
+func (r *Cluster) Heal() { r.SetFaultEverywhere(Fault{}) }
 
-// Split cuts the servers into groups by what of gives for each; all else is as it is without faults.
-func (r *Rig) Split(of func(s *Server) int) {
-	r.Tell("", "split")
+// Partition cuts the servers into groups by what of gives for each; all else is as it is without faults.
+func (r *Cluster) Partition(of func(s *Server) int) {
+	r.Record("", "split")
 	for _, a := range r.Servers {
 		for _, b := range r.Servers {
 			if a != b {
-				r.Link(a.Index, b.Index, Fault{Cut: of(a) != of(b)})
+				r.SetFault(a.Index, b.Index, Fault{Cut: of(a) != of(b)})
 			}
 		}
 	}
 }
 
 // Close ends all that the rig started; a second one does nothing.
-func (r *Rig) Close() {
+func (r *Cluster) Close() {
 	if r.closed {
 		return
 	}
@@ -388,13 +388,13 @@
 	for _, s := range r.Servers {
 		if s.process != nil {
 			_ = s.process.Process.Signal(syscall.SIGKILL)
-			<-s.ended
+			<-s.exited
 		}
 		if s.relay != nil {
 			s.relay.down()
 			s.relay.packets.Close()
 		}
-		s.VM.Close()
+		s.Interpreter.Close()
 	}
 	r.Directory.Close()
 	r.Index.Close()
--- a/internal/clustertest/relay.go
+++ b/internal/clustertest/relay.go
@@ -12,14 +12,14 @@
 
 // Fault is what one direction between two servers does to what is sent.
 type Fault struct {
-	Cut      bool
-	Loss     float64       // part of packets that are lost
-	Twice    float64       // part that comes twice
-	Short    float64       // part that is cut short, and of streams that break in mid-chunk
-	Delay    time.Duration // of all
-	Jitter   time.Duration // on top, at random: reorders packets
-	Trickle  int           // bytes a write of a stream, one each 10 ms; 0 for no bound
-	Replayed time.Duration // each packet comes again so much later
+	Cut           bool
+	Loss          float64       // part of packets that are lost
+	Duplication   float64       // part that comes twice
+	Truncation    float64       // part that is cut short, and of streams that break in mid-chunk
+	Delay         time.Duration // of all
+	Jitter        time.Duration // on top, at random: reorders packets
+	BytesPerWrite int           // bytes a write of a stream, one each 10 ms; 0 for no bound
+	ReplayAfter   time.Duration // each packet comes again so much later
 }
 
 // relays carry the talk of all servers of a rig.
@@ -69,7 +69,7 @@
 	open    map[net.Conn]struct{}
 }
 
-const mostPacket = 64 << 10
+const maxPacketBytes = 64 << 10
 
 func (r *relays) relay(to int, address, behind string) (*relay, error) {
 	at, err := net.ResolveUDPAddr("udp", address)
@@ -89,7 +89,7 @@
 
 // carryPackets passes on what comes, each packet as the fault of its direction has it.
 func (r *relay) carryPackets() {
-	buffer := make([]byte, mostPacket)
+	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, from, err := r.packets.ReadFromUDP(buffer)
 		if err != nil {
@@ -101,7 +101,7 @@
 			continue
 		}
 		packet := append([]byte(nil), buffer[:n]...)
-		if f.Short > 0 && r.draw() < f.Short {
+		if f.Truncation > 0 && r.draw() < f.Truncation {
 			packet = packet[:n/2]
 		}
 		send := func() { _, _ = r.packets.WriteToUDP(packet, r.back) }
@@ -111,11 +111,11 @@
 		} else {
 			send()
 		}
-		if f.Twice > 0 && r.draw() < f.Twice {
+		if f.Duplication > 0 && r.draw() < f.Duplication {
 			time.AfterFunc(wait+time.Millisecond, send)
 		}
-		if f.Replayed > 0 {
-			time.AfterFunc(wait+f.Replayed, send)
+		if f.ReplayAfter > 0 {
+			time.AfterFunc(wait+f.ReplayAfter, send)
 		}
 	}
 }
@@ -202,15 +202,15 @@
 		f := r.fault(from, to)
 		time.Sleep(f.Delay)
 		chunk := buffer[:n]
-		if f.Short > 0 && r.draw() < f.Short {
+		if f.Truncation > 0 && r.draw() < f.Truncation {
 			_, _ = out.Write(chunk[:n/2])
 			return
 		}
-		for f.Trickle > 0 && len(chunk) > f.Trickle {
-			if _, err := out.Write(chunk[:f.Trickle]); err != nil {
+		for f.BytesPerWrite > 0 && len(chunk) > f.BytesPerWrite {
+			if _, err := out.Write(chunk[:f.BytesPerWrite]); err != nil {
 				return
 			}
-			chunk = chunk[f.Trickle:]
+			chunk = chunk[f.BytesPerWrite:]
 			time.Sleep(10 * time.Millisecond)
 		}
 		if _, err := out.Write(chunk); err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -73,7 +73,7 @@
 }
 
 // read reads a text as a file and writes down what is wrong with it. Where faults come in no fixed order, by the text.
-func (b *bench) read(text string) *Terms {
+func (b *bench) read(text string) *Config {
 	file := filepath.Join(b.dir, "own.yaml")
 	require.NoError(b, os.WriteFile(file, []byte(text), 0o600))
 	terms, err := Read(file)
@@ -102,11 +102,11 @@
 	key := base64.StdEncoding.EncodeToString(make([]byte, 32))
 	for _, keys := range []string{"", "# none\n", "x\n", key + "\nQUJD\n\n=\n", strings.Repeat(key+"\n", 9), strings.Repeat(key+"\n# more\n", 8), strings.Repeat("#", 64<<10+1)} {
 		require.NoError(t, os.WriteFile(filepath.Join(b.dir, "k"), []byte(keys), 0o600))
-		taken, err := (&Peers{KeyFile: "k"}).Keys(filepath.Join(b.dir, "own.yaml"))
+		taken, err := (&Gossip{KeyFile: "k"}).LoadKeys(filepath.Join(b.dir, "own.yaml"))
 		fmt.Fprintln(b, len(keys), len(taken))
 		b.fault(err)
 	}
-	_, err = (&Peers{KeyFile: filepath.Join(b.dir, "none")}).Keys("")
+	_, err = (&Gossip{KeyFile: filepath.Join(b.dir, "none")}).LoadKeys("")
 	b.fault(err)
 	golden.Check(t, "diagnostics.txt", b.Bytes())
 }
@@ -121,24 +121,24 @@
 		fmt.Fprintf(b, "\n%q\n", text)
 		own := b.read(text)
 		require.NotNil(t, own, text)
-		b.fault(own.Against(of, 64<<20))
+		b.fault(own.ValidateAgainst(of, 64<<20))
 		if f := own.FairQueues; f != nil {
-			l := f.Ledger(of)
-			fmt.Fprintln(b, l.Others, l.Newcomers, l.Books, l.Groups, int64(l.Burst), int64(l.History), int64(l.Reshuffle), f.Tenancy() != nil)
+			l := f.SchedulerConfig(of)
+			fmt.Fprintln(b, l.OthersWeight, l.NewcomerFraction, l.MaxHeavyHitters, l.SharedFlows, int64(l.Burst), int64(l.MinHistory), int64(l.RehashInterval), f.TenantTable() != nil)
 			for _, one := range l.Tenants {
-				fmt.Fprintln(b, one.Name, one.Share)
+				fmt.Fprintln(b, one.Name, one.Weight)
 			}
 		}
-		if s := own.Shares; s != nil {
-			fmt.Fprintln(b, s.Digest(), s.Revision, strings.ReplaceAll(s.Path(filepath.Join(b.dir, "own.yaml")), b.dir, "DIR"), s.Fresh, s.Keepers)
+		if s := own.Quota; s != nil {
+			fmt.Fprintln(b, s.Digest(), s.Revision, strings.ReplaceAll(s.DirectoryPath(filepath.Join(b.dir, "own.yaml")), b.dir, "DIR"), s.StartFresh, s.Coordinators)
 			for i, l := range s.Limits() {
-				fmt.Fprintln(b, SharedLimits[i], int64(l.Whole), int64(l.Floor), l.Slots, int64(l.Length), int64(l.Linger), l.Drift, int64(l.Least),
-					l.Still, l.Rate, int64(l.Grain))
+				fmt.Fprintln(b, LimitNames[i], int64(l.Total), int64(l.GuaranteedMinimum), l.Slots, int64(l.LeaseDuration), int64(l.GracePeriod), l.ClockDrift, int64(l.InitialAmount),
+					l.Hysteresis, l.IsRate, int64(l.Granularity))
 			}
 		}
 		if s := own.Store; s != nil {
-			l := s.Terms(of, 64<<20)
-			fmt.Fprintln(b, int(l.Mode), l.Bytes, l.Records, l.Segment, int64(l.Window), int64(l.Doubt), l.Most, l.Fresh, s.Path("/e/own.yaml"))
+			l := s.LogConfig(of, 64<<20)
+			fmt.Fprintln(b, int(l.Durability), l.MaxBytes, l.MaxRecords, l.SegmentBytes, int64(l.MaxWindow), int64(l.ClockUncertainty), l.MaxOutcomes, l.AllowEmpty, s.DirectoryPath("/e/own.yaml"))
 		}
 		if p := own.Plugins; p != nil {
 			b.plugins(p, of)
@@ -147,24 +147,24 @@
 	golden.Check(t, "settings.txt", b.Bytes())
 }
 
-func (b *bench) plugins(p *Plugins, of *deployment.Terms) {
-	spec := p.Spec(map[string]map[string][]byte{"p": {"k": []byte("v")}, "q": {"k": []byte("w")}})
-	fmt.Fprintln(b, spec.Workers, spec.MemoryMB, p.Drop(), int64(p.Ready))
+func (b *bench) plugins(p *Plugins, of *deployment.Config) {
+	spec := p.ProcessSpec(map[string]map[string][]byte{"p": {"k": []byte("v")}, "q": {"k": []byte("w")}})
+	fmt.Fprintln(b, spec.Workers, spec.MemoryMB, p.DiscardsState(), int64(p.ReadyTimeout))
 	for _, o := range spec.Plugins {
-		fmt.Fprintln(b, o.Name, strings.ReplaceAll(o.File, b.dir, "DIR"), o.SHA256, o.MemoryKB, o.CodeKB, int64(o.Start), o.Compile, o.Hooks, o.Keep, o.KeepKB, o.Seed)
+		fmt.Fprintln(b, o.Name, strings.ReplaceAll(o.File, b.dir, "DIR"), o.SHA256, o.MemoryKB, o.MaxCodeKB, int64(o.StartTimeout), o.Compile, o.Hooks, o.State, o.MaxStateKB, o.Seed)
 		for _, s := range o.Samples {
 			does := -1
-			if s.Does != nil {
-				does = *s.Does
+			if s.ExpectedActions != nil {
+				does = *s.ExpectedActions
 			}
-			fmt.Fprintln(b, s.Hook, s.Category, s.Tenant, s.Body, does, s.Status)
+			fmt.Fprintln(b, s.Hook, s.Category, s.Tenant, s.Body, does, s.ExpectedStatus)
 		}
 	}
-	for i := range p.List { // a category that the settings don't have is no one's
-		p.List[i].To = slices.DeleteFunc(p.List[i].To, func(name string) bool { return name == "none" })
+	for i := range p.Entries { // a category that the settings don't have is no one's
+		p.Entries[i].TargetCategories = slices.DeleteFunc(p.Entries[i].TargetCategories, func(name string) bool { return name == "none" })
 	}
 	for _, g := range p.Grants(of) {
-		fmt.Fprintln(b, g.Name, g.At, g.Categories, slices.Sorted(maps.Keys(g.Tenants)), g.Declines, g.To, g.Tags, g.Rewrites, int64(g.Call), g.Share, g.Core,
-			int64(g.Every), int(g.Otherwise), g.Alone, g.Row, g.Rate, int64(g.Wait), int64(g.Longest))
+		fmt.Fprintln(b, g.Name, g.Hooks, g.Categories, slices.Sorted(maps.Keys(g.Tenants)), g.MayReject, g.TargetCategories, g.MayTag, g.MayRewrite, int64(g.CallTimeout), g.MaxTimeFraction, g.CoreFraction,
+			int64(g.TickInterval), int(g.Fallback), g.FaultsByTenant, g.MaxConsecutiveFaults, g.MaxFaultRate, int64(g.MinQuarantine), int64(g.MaxQuarantine))
 	}
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -14,29 +14,29 @@
 	"thistlequay/internal/diagnostics"
 )
 
-// Peers is the section of docs/membership/operating.md.
-type Peers struct {
-	Listen    string   `yaml:"listen" min:"1" need:"yes"`
-	Advertise string   `yaml:"advertise"`
-	First     []string `yaml:"first"`
-	Founders  []string `yaml:"founders"`
-	Fleet     string   `yaml:"fleet" min:"1" need:"yes"`
-	Servers   int      `yaml:"servers" min:"1" max:"4096" need:"yes"`
-	Zone      string   `yaml:"zone"`
-	KeyFile   string   `yaml:"key_file" min:"1" need:"yes"`
-	Status    string   `yaml:"status"`
+// Gossip is the section of docs/membership/operating.md.
+type Gossip struct {
+	Listen          string   `yaml:"listen" min:"1" need:"yes"`
+	Advertise       string   `yaml:"advertise"`
+	SeedAddresses   []string `yaml:"first"`
+	InitialVoters   []string `yaml:"founders"`
+	FleetName       string   `yaml:"fleet" min:"1" need:"yes"`
+	ExpectedServers int      `yaml:"servers" min:"1" max:"4096" need:"yes"`
+	Zone            string   `yaml:"zone"`
+	KeyFile         string   `yaml:"key_file" min:"1" need:"yes"`
+	StatusAddress   string   `yaml:"status"`
 }
 
 // Default is what the section has where it says nothing.
-func (p *Peers) Default() { *p = Peers{} }
+func (p *Gossip) Default() { *p = Gossip{} }
 
 const (
-	mostPeers    = 64
-	mostKeyBytes = 64 << 10
-	mostKeys     = 8
+	maxSeedAddresses = 64
+	maxKeyFileBytes  = 64 << 10
+	maxKeys          = 8
 )
 
-func (p *Peers) check() error {
+func (p *Gossip) validate() error {
 	if p == nil {
 		return nil
 	}
@@ -47,34 +47,34 @@
 		}
 	}
 	at("listen", p.Listen)
-	for path, address := range map[string]string{"advertise": p.Advertise, "status": p.Status} {
+	for path, address := range map[string]string{"advertise": p.Advertise, "status": p.StatusAddress} {
 		if address != "" {
 			at(path, address)
 		}
 	}
-	for i, address := range p.First[:min(len(p.First), mostPeers)] {
+	for i, address := range p.SeedAddresses[:min(len(p.SeedAddresses), maxSeedAddresses)] {
 		at(fmt.Sprintf("first[%d]", i), address)
 	}
-	if len(p.First) > mostPeers {
-		l.Add("peers.first", fmt.Sprintf("%d at most", mostPeers), "%d addresses", len(p.First))
+	if len(p.SeedAddresses) > maxSeedAddresses {
+		l.Add("peers.first", fmt.Sprintf("%d at most", maxSeedAddresses), "%d addresses", len(p.SeedAddresses))
 	}
-	if len(p.Founders) > 15 || len(p.Founders)%2 == 0 && len(p.Founders) > 0 {
-		l.Add("peers.founders", "an odd number of names, 15 at most", "%d names", len(p.Founders))
+	if len(p.InitialVoters) > 15 || len(p.InitialVoters)%2 == 0 && len(p.InitialVoters) > 0 {
+		l.Add("peers.founders", "an odd number of names, 15 at most", "%d names", len(p.InitialVoters))
 	}
-	for i, name := range p.Founders {
-		if name == "" || slices.Index(p.Founders, name) < i {
+	for i, name := range p.InitialVoters {
+		if name == "" || slices.Index(p.InitialVoters, name) < i {
 			l.Add(fmt.Sprintf("peers.founders[%d]", i), "each name once", "%q stands twice or is empty", name)
 		}
 	}
-	if len(p.Founders) > p.Servers {
-		l.Add("peers.servers", "at least the founders", "%d servers with %d founders", p.Servers, len(p.Founders))
+	if len(p.InitialVoters) > p.ExpectedServers {
+		l.Add("peers.servers", "at least the founders", "%d servers with %d founders", p.ExpectedServers, len(p.InitialVoters))
 	}
-	return l.Or()
+	return l.Err()
 }
 
-// Keys reads the key file, which lies beside the file that names it unless it is a whole path: a key a line in base64, of 16,
+// LoadKeys reads the key file, which lies beside the file that names it unless it is a whole path: a key a line in base64, of 16,
 // 24 or 32 bytes. The first is spoken under, all are understood.
-func (p *Peers) Keys(file string) (keys [][]byte, err error) {
+func (p *Gossip) LoadKeys(file string) (keys [][]byte, err error) {
 	path := p.KeyFile
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(file), path)
@@ -84,8 +84,8 @@
 		return nil, err
 	}
 	var l diagnostics.List
-	if len(text) > mostKeyBytes {
-		return nil, diagnostics.List{{File: path, What: "is too long", Want: "64 KiB at most"}}
+	if len(text) > maxKeyFileBytes {
+		return nil, diagnostics.List{{File: path, Problem: "is too long", Expected: "64 KiB at most"}}
 	}
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
 		line = bytes.TrimSpace(line)
@@ -94,13 +94,13 @@
 		}
 		key, err := base64.StdEncoding.AppendDecode(nil, line)
 		if err != nil || len(key) != 16 && len(key) != 24 && len(key) != 32 {
-			l = append(l, diagnostics.Fault{File: path, Line: i + 1, Column: 1, What: "is no key", Want: "16, 24 or 32 bytes in base64"})
+			l = append(l, diagnostics.Diagnostic{File: path, Line: i + 1, Column: 1, Problem: "is no key", Expected: "16, 24 or 32 bytes in base64"})
 			continue
 		}
 		keys = append(keys, key)
 	}
-	if len(l) == 0 && (len(keys) == 0 || len(keys) > mostKeys) {
-		l = append(l, diagnostics.Fault{File: path, What: fmt.Sprintf("%d keys", len(keys)), Want: fmt.Sprintf("1 to %d", mostKeys)})
+	if len(l) == 0 && (len(keys) == 0 || len(keys) > maxKeys) {
+		l = append(l, diagnostics.Diagnostic{File: path, Problem: fmt.Sprintf("%d keys", len(keys)), Expected: fmt.Sprintf("1 to %d", maxKeys)})
 	}
-	return keys, l.Or()
+	return keys, l.Err()
 }
--- a/internal/config/service_test.go
+++ b/internal/config/service_test.go
@@ -13,7 +13,7 @@
 	"thistlequay/internal/deployment"
 )
 
-func read(t testing.TB, text string) (*Terms, error) {
+func read(t testing.TB, text string) (*Config, error) {
 	file := filepath.Join(t.TempDir(), "service.yaml")
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	terms, err := Read(file)
@@ -26,13 +26,13 @@
 func TestSections(t *testing.T) {
 	terms, err := Read("")
 	require.NoError(t, err)
-	require.Nil(t, terms.FairQueues.Ledger(&deployment.Terms{}))
+	require.Nil(t, terms.FairQueues.SchedulerConfig(&deployment.Config{}))
 	terms, err = read(t, "# nothing set\n")
 	require.NoError(t, err)
 	require.Nil(t, terms.FairQueues)
 	terms, err = read(t, "fair_queues:\n")
 	require.NoError(t, err)
-	require.Equal(t, 256, terms.FairQueues.Books)
+	require.Equal(t, 256, terms.FairQueues.MaxTrackedTenants)
 	terms, err = read(t, `
 fair_queues:
   tenants:
@@ -48,10 +48,10 @@
 	require.NoError(t, err)
 	f := terms.FairQueues
 	require.Equal(t, time.Second, f.Burst)
-	l := f.Ledger(&deployment.Terms{})
-	require.Equal(t, 2.25, l.Others) // the mean of the shares
+	l := f.SchedulerConfig(&deployment.Config{})
+	require.Equal(t, 2.25, l.OthersWeight) // the mean of the shares
 	require.Equal(t, 10_000, int(l.Burst))
-	require.NotNil(t, f.Tenancy())
+	require.NotNil(t, f.TenantTable())
 }
 
 // badFiles are what is said of bad sections for fair queues.
@@ -94,8 +94,8 @@
 	f.Add("fair_queues:\n  tenants: [{name: a, share: 1}]\n  burst: 1s\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if terms, err := read(t, text); err == nil {
-			terms.FairQueues.Ledger(&deployment.Terms{})
-			terms.FairQueues.Tenancy()
+			terms.FairQueues.SchedulerConfig(&deployment.Config{})
+			terms.FairQueues.TenantTable()
 		}
 	})
 }
@@ -119,7 +119,7 @@
 
 // Shares that cannot be kept are turned down with their places; what holds for a fleet holds in its terms.
 func TestSharesSection(t *testing.T) {
-	read := func(text string) (*Terms, error) {
+	read := func(text string) (*Config, error) {
 		file := filepath.Join(t.TempDir(), "own.yaml")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		return Read(file)
@@ -131,14 +131,14 @@
 	}
 	own, err := read(peersPart + "shares: {calls: 800, slots: 400, calls_a_second: 2000}\n")
 	require.NoError(t, err)
-	limits := own.Shares.Limits()
+	limits := own.Quota.Limits()
 	require.Len(t, limits, 2)
 	for _, l := range limits {
 		require.True(t, l.Sane())
-		require.EqualValues(t, 8000, l.Length)
+		require.EqualValues(t, 8000, l.LeaseDuration)
 	}
 	more, err := read(peersPart + "shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
 	require.NoError(t, err)
-	require.Equal(t, own.Shares.Digest(), more.Shares.Digest(), "wholes may differ")
-	require.NotEqual(t, own.Shares.Wholes(), more.Shares.Wholes())
+	require.Equal(t, own.Quota.Digest(), more.Quota.Digest(), "wholes may differ")
+	require.NotEqual(t, own.Quota.Totals(), more.Quota.Totals())
 }
--- a/internal/consensus/agreement.go
+++ b/internal/consensus/agreement.go
@@ -21,410 +21,412 @@
 	"thistlequay/timeunit"
 )
 
-// Terms are what a voter goes by.
-type Terms struct {
-	Me       uint64                // a number for one memory: who has lost it comes back under another
-	Patience timeunit.Milliseconds // a leader that was not heard of for this, or up to twice as long, is stood against
-	Beat     timeunit.Milliseconds // between two words of a leader
-	Keep     uint64                // entries kept for voters that are behind, when the log is cut
+// Config are what a voter goes by.
+type Config struct {
+	ID                uint64                // a number for one memory: who has lost it comes back under another
+	ElectionTimeout   timeunit.Milliseconds // a leader that was not heard of for this, or up to twice as long, is stood against
+	HeartbeatInterval timeunit.Milliseconds // between two words of a leader
+	RetainedEntries   uint64                // entries kept for voters that are behind, when the log is cut
 }
 
-// DefaultTerms fit servers of one place: a word a tenth of a second, ten lost ones for another leader.
-func DefaultTerms(me uint64) Terms { return Terms{Me: me, Patience: 1000, Beat: 100, Keep: 128} }
+// DefaultConfig fit servers of one place: a word a tenth of a second, ten lost ones for another leader.
+func DefaultConfig(me uint64) Config {
+	return Config{ID: me, ElectionTimeout: 1000, HeartbeatInterval: 100, RetainedEntries: 128}
+}
 
-// Saved is what a voter must find again, or come back as another.
-type Saved struct {
-	Hard     raftpb.HardState
-	Snapshot raftpb.Snapshot // empty where there is none
-	Entries  []Entry
+// PersistentState is what a voter must find again, or come back as another.
+type PersistentState struct {
+	HardState raftpb.HardState
+	Snapshot  raftpb.Snapshot // empty where there is none
+	Entries   []Entry
 }
 
-// Empty says that there is nothing to save.
-func (s *Saved) Empty() bool {
-	return raft.IsEmptyHardState(s.Hard) && raft.IsEmptySnap(s.Snapshot) && len(s.Entries) == 0
+// IsEmpty says that there is nothing to save.
+func (s *PersistentState) IsEmpty() bool {
+	return raft.IsEmptyHardState(s.HardState) && raft.IsEmptySnap(s.Snapshot) && len(s.Entries) == 0
 }
 
 // Entry is one of the log.
 type Entry = raftpb.Entry
 
-// Letter is a message to another voter.
-type Letter struct {
+// Message is a message to another voter.
+type Message struct {
 	To   uint64
-	Text []byte
+	Data []byte
 }
 
-// Output is what has come of what was heard. Save is to be durable before Letters go out; Restored comes before Agreed.
-type Output struct {
-	Save      Saved
-	Letters   []Letter
-	Restored  []byte   // a state that takes the place of all before, nil for none
-	Agreed    [][]byte // in their order
-	Confirmed []uint64 // tokens of Confirm: a majority still took this one for leader after that
+// Ready is what has come of what was heard. Save is to be durable before Letters go out; Restored comes before Agreed.
+type Ready struct {
+	State          PersistentState
+	Messages       []Message
+	Snapshot       []byte   // a state that takes the place of all before, nil for none
+	Committed      [][]byte // in their order
+	ConfirmedReads []uint64 // tokens of Confirm: a majority still took this one for leader after that
 }
 
-// Node is one voter. It is for one goroutine at a time.
-type Node struct {
-	terms   Terms
-	raw     *raft.RawNode
-	kept    *raft.MemoryStorage
-	chance  *rand.Rand
-	now     timeunit.Milliseconds
-	leader  timeunit.Milliseconds // when a leader was last heard of
-	stood   timeunit.Milliseconds // when this one last stood
-	wait    timeunit.Milliseconds // how long it waits for the next leader
-	sure    timeunit.Milliseconds // when a majority last said that it leads, or it began to
-	beat    timeunit.Milliseconds
-	token   uint64
-	conf    raftpb.ConfState
-	applied uint64
-	term    uint64 // of the newest entry that was applied
-	want    []uint64
-	changed timeunit.Milliseconds // when another set of voters was last proposed
-	snaps   []snap                // that are on their way
-	stale   bool                  // the state that is kept names other voters than there are: it would not do for a newcomer
-	broken  error
+// Voter is one voter. It is for one goroutine at a time.
+type Voter struct {
+	config               Config
+	raftNode             *raft.RawNode
+	storage              *raft.MemoryStorage
+	random               *rand.Rand
+	now                  timeunit.Milliseconds
+	leaderHeardAt        timeunit.Milliseconds // when a leader was last heard of
+	campaignedAt         timeunit.Milliseconds // when this one last stood
+	electionTimeout      timeunit.Milliseconds // how long it waits for the next leader
+	quorumHeardAt        timeunit.Milliseconds // when a majority last said that it leads, or it began to
+	tickedAt             timeunit.Milliseconds
+	readToken            uint64
+	membership           raftpb.ConfState
+	appliedIndex         uint64
+	appliedTerm          uint64 // of the newest entry that was applied
+	desiredVoters        []uint64
+	membershipProposedAt timeunit.Milliseconds // when another set of voters was last proposed
+	pendingSnapshots     []pendingSnapshot     // that are on their way
+	membershipChanged    bool                  // the state that is kept names other voters than there are: it would not do for a newcomer
+	failure              error
 }
 
-type snap struct {
-	to uint64
-	at timeunit.Milliseconds
+type pendingSnapshot struct {
+	to     uint64
+	sentAt timeunit.Milliseconds
 }
 
 // New begins a voter. First names the voters of a log that begins with them, this one among them; a voter that joins a log
 // later has none. A saved one goes on where it was; first then means nothing.
-func New(t Terms, saved *Saved, first []uint64, chance *rand.Rand, now timeunit.Milliseconds) (n *Node, err error) {
-	n = &Node{terms: t, kept: raft.NewMemoryStorage(), chance: chance, now: now, leader: now}
-	n.draw()
+func New(t Config, saved *PersistentState, first []uint64, chance *rand.Rand, now timeunit.Milliseconds) (n *Voter, err error) {
+	n = &Voter{config: t, storage: raft.NewMemoryStorage(), random: chance, now: now, leaderHeardAt: now}
+	n.drawElectionTimeout()
 	switch {
 	case saved != nil:
 		if !raft.IsEmptySnap(saved.Snapshot) {
-			if err := n.kept.ApplySnapshot(saved.Snapshot); err != nil {
+			if err := n.storage.ApplySnapshot(saved.Snapshot); err != nil {
 				return nil, err
 			}
 		}
-		if err := n.kept.Append(saved.Entries); err != nil {
+		if err := n.storage.Append(saved.Entries); err != nil {
 			return nil, err
 		}
-		if err := n.kept.SetHardState(saved.Hard); err != nil {
+		if err := n.storage.SetHardState(saved.HardState); err != nil {
 			return nil, err
 		}
 	case len(first) > 0:
 		first = slices.Clone(first)
 		slices.Sort(first)
 		begin := raftpb.Snapshot{Data: []byte{}, Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: raftpb.ConfState{Voters: first}}}
-		if err := n.kept.ApplySnapshot(begin); err != nil {
+		if err := n.storage.ApplySnapshot(begin); err != nil {
 			return nil, err
 		}
-		if err := n.kept.SetHardState(raftpb.HardState{Term: 1, Commit: 1}); err != nil {
+		if err := n.storage.SetHardState(raftpb.HardState{Term: 1, Commit: 1}); err != nil {
 			return nil, err
 		}
 	}
-	snapshot, err := n.kept.Snapshot()
+	snapshot, err := n.storage.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	n.conf, n.applied, n.term = snapshot.Metadata.ConfState, snapshot.Metadata.Index, snapshot.Metadata.Term
-	defer n.guard(&err)
-	n.raw, err = raft.NewRawNode(&raft.Config{ID: t.Me, ElectionTick: never, HeartbeatTick: 1, Storage: n.kept, Applied: n.applied,
-		MaxSizePerMsg: mostAppend, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: mostPending, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
+	n.membership, n.appliedIndex, n.appliedTerm = snapshot.Metadata.ConfState, snapshot.Metadata.Index, snapshot.Metadata.Term
+	defer n.recoverPanic(&err)
+	n.raftNode, err = raft.NewRawNode(&raft.Config{ID: t.ID, ElectionTick: noElectionTick, HeartbeatTick: 1, Storage: n.storage, Applied: n.appliedIndex,
+		MaxSizePerMsg: maxAppendBytes, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: maxUncommittedBytes, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
 		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
 	return n, err
 }
 
 const (
-	never       = 1 << 30 // ticks until the engine would stand by itself: its chance is no seeded one, so this package has it stand
-	mostAppend  = 48 << 10
-	mostPending = 256 << 10
-	cutAfter    = 256 // entries applied since the last snapshot from which on the log is cut
+	noElectionTick      = 1 << 30 // ticks until the engine would stand by itself: its chance is no seeded one, so this package has it stand
+	maxAppendBytes      = 48 << 10
+	maxUncommittedBytes = 256 << 10
+	compactionThreshold = 256 // entries applied since the last snapshot from which on the log is cut
 )
 
-// ErrBroken: what was heard cannot be: this voter has no memory that it can go on with.
-var ErrBroken = errors.New("the log contradicts itself")
+// ErrInconsistentLog: what was heard cannot be: this voter has no memory that it can go on with.
+var ErrInconsistentLog = errors.New("the log contradicts itself")
 
-// guard turns the engine's word that something cannot be into the end of this voter alone.
-func (n *Node) guard(err *error) {
+// recoverPanic turns the engine's word that something cannot be into the end of this voter alone.
+func (n *Voter) recoverPanic(err *error) {
 	if r := recover(); r != nil {
-		n.broken = fmt.Errorf("%w: %v", ErrBroken, r)
+		n.failure = fmt.Errorf("%w: %v", ErrInconsistentLog, r)
 		if err != nil {
-			*err = n.broken
+			*err = n.failure
 		}
 	}
 }
 
-// Broken is why the voter no longer takes part; nil where it does.
-func (n *Node) Broken() error { return n.broken }
+// Err is why the voter no longer takes part; nil where it does.
+func (n *Voter) Err() error { return n.failure }
 
-// Initial is what a begun voter must save before anything else.
-func (n *Node) Initial() Saved {
-	hard, _, _ := n.kept.InitialState()
-	snapshot, _ := n.kept.Snapshot()
-	return Saved{Hard: hard, Snapshot: snapshot}
+// InitialState is what a begun voter must save before anything else.
+func (n *Voter) InitialState() PersistentState {
+	hard, _, _ := n.storage.InitialState()
+	snapshot, _ := n.storage.Snapshot()
+	return PersistentState{HardState: hard, Snapshot: snapshot}
 }
 
-func (n *Node) draw() {
-	n.wait = n.terms.Patience + timeunit.Milliseconds(n.chance.Int63n(int64(n.terms.Patience)+1))
+func (n *Voter) drawElectionTimeout() {
+	n.electionTimeout = n.config.ElectionTimeout + timeunit.Milliseconds(n.random.Int63n(int64(n.config.ElectionTimeout)+1))
 }
 
-// At moves the time on: a leader speaks, one that hears none stands.
-func (n *Node) At(now timeunit.Milliseconds) {
+// Tick moves the time on: a leader speaks, one that hears none stands.
+func (n *Voter) Tick(now timeunit.Milliseconds) {
 	n.now = max(n.now, now)
-	if n.broken != nil {
+	if n.failure != nil {
 		return
 	}
-	defer n.guard(nil)
-	if n.now-n.beat >= n.terms.Beat {
-		n.beat = n.now
-		n.raw.Tick()
-		n.doubt()
-		n.change()
-		n.snaps = slices.DeleteFunc(n.snaps, func(s snap) bool { // one that came has been answered by now
-			if n.now-s.at < n.terms.Patience {
+	defer n.recoverPanic(nil)
+	if n.now-n.tickedAt >= n.config.HeartbeatInterval {
+		n.tickedAt = n.now
+		n.raftNode.Tick()
+		n.checkQuorum()
+		n.proposeMembershipChange()
+		n.pendingSnapshots = slices.DeleteFunc(n.pendingSnapshots, func(s pendingSnapshot) bool { // one that came has been answered by now
+			if n.now-s.sentAt < n.config.ElectionTimeout {
 				return false
 			}
-			n.raw.ReportSnapshot(s.to, raft.SnapshotFailure)
+			n.raftNode.ReportSnapshot(s.to, raft.SnapshotFailure)
 			return true
 		})
 	}
-	if !n.led() && n.now-max(n.leader, n.stood) > n.wait && n.votes(n.terms.Me) {
-		n.stood = n.now
-		n.draw()
-		_ = n.raw.Campaign()
+	if !n.isRaftLeader() && n.now-max(n.leaderHeardAt, n.campaignedAt) > n.electionTimeout && n.isVoter(n.config.ID) {
+		n.campaignedAt = n.now
+		n.drawElectionTimeout()
+		_ = n.raftNode.Campaign()
 	}
 }
 
-// doubt has a leader that no majority answers give up, as if it had heard of a later term: others must not wait for it.
-func (n *Node) doubt() {
+// checkQuorum has a leader that no majority answers give up, as if it had heard of a later term: others must not wait for it.
+func (n *Voter) checkQuorum() {
 	switch {
-	case !n.led():
-		n.sure = n.now
-	case n.now-n.sure > doubtAfter*n.terms.Patience:
-		for _, id := range n.conf.Voters {
-			if id != n.terms.Me {
-				_ = n.raw.Step(raftpb.Message{Type: raftpb.MsgAppResp, From: id, To: n.terms.Me, Term: n.raw.BasicStatus().Term + 1})
+	case !n.isRaftLeader():
+		n.quorumHeardAt = n.now
+	case n.now-n.quorumHeardAt > quorumTimeoutFactor*n.config.ElectionTimeout:
+		for _, id := range n.membership.Voters {
+			if id != n.config.ID {
+				_ = n.raftNode.Step(raftpb.Message{Type: raftpb.MsgAppResp, From: id, To: n.config.ID, Term: n.raftNode.BasicStatus().Term + 1})
 				break
 			}
 		}
-		n.leader = n.now - n.terms.Patience
-	case n.Leads() && n.now-n.sure > n.terms.Patience/2:
-		n.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, ownToken))
+		n.leaderHeardAt = n.now - n.config.ElectionTimeout
+	case n.IsLeader() && n.now-n.quorumHeardAt > n.config.ElectionTimeout/2:
+		n.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, quorumCheckToken))
 	}
 }
 
 const (
-	doubtAfter = 3
-	ownToken   = 0
+	quorumTimeoutFactor = 3
+	quorumCheckToken    = 0
 )
 
-func (n *Node) led() bool { return n.raw.BasicStatus().RaftState == raft.StateLeader }
+func (n *Voter) isRaftLeader() bool { return n.raftNode.BasicStatus().RaftState == raft.StateLeader }
 
-func (n *Node) votes(id uint64) bool {
-	return slices.Contains(n.conf.Voters, id) || slices.Contains(n.conf.VotersOutgoing, id)
+func (n *Voter) isVoter(id uint64) bool {
+	return slices.Contains(n.membership.Voters, id) || slices.Contains(n.membership.VotersOutgoing, id)
 }
 
 // Voters are those that the log names now.
-func (n *Node) Voters() []uint64 { return slices.Clone(n.conf.Voters) }
+func (n *Voter) Voters() []uint64 { return slices.Clone(n.membership.Voters) }
 
-// Leads says whether this one leads and knows all that was agreed on before it did. Others may act on it only as far as a
+// IsLeader says whether this one leads and knows all that was agreed on before it did. Others may act on it only as far as a
 // token was confirmed after they asked.
-func (n *Node) Leads() bool {
-	if n.broken != nil {
+func (n *Voter) IsLeader() bool {
+	if n.failure != nil {
 		return false
 	}
-	s := n.raw.BasicStatus()
-	return s.RaftState == raft.StateLeader && n.term == s.Term
+	s := n.raftNode.BasicStatus()
+	return s.RaftState == raft.StateLeader && n.appliedTerm == s.Term
 }
 
 // Leader is who leads as far as is known, 0 for nobody.
-func (n *Node) Leader() uint64 {
-	s := n.raw.BasicStatus()
-	if n.broken != nil || s.RaftState != raft.StateLeader && n.now-n.leader > 2*n.terms.Patience {
+func (n *Voter) Leader() uint64 {
+	s := n.raftNode.BasicStatus()
+	if n.failure != nil || s.RaftState != raft.StateLeader && n.now-n.leaderHeardAt > 2*n.config.ElectionTimeout {
 		return 0
 	}
 	return s.Lead
 }
 
 // Term is the present one.
-func (n *Node) Term() uint64 { return n.raw.BasicStatus().Term }
+func (n *Voter) Term() uint64 { return n.raftNode.BasicStatus().Term }
 
-// transfer is how the engine marks a vote that the leader itself asked for.
-const transfer = "CampaignTransfer"
+// leaderTransferContext is how the engine marks a vote that the leader itself asked for.
+const leaderTransferContext = "CampaignTransfer"
 
 // Step takes a message that came from a voter.
-func (n *Node) Step(from uint64, text []byte) {
-	if n.broken != nil {
+func (n *Voter) Step(from uint64, text []byte) {
+	if n.failure != nil {
 		return
 	}
 	var m raftpb.Message
-	if m.Unmarshal(text) != nil || m.From != from || m.To != n.terms.Me {
+	if m.Unmarshal(text) != nil || m.From != from || m.To != n.config.ID {
 		return
 	}
-	defer n.guard(nil)
+	defer n.recoverPanic(nil)
 	switch m.Type {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		if m.Term >= n.raw.BasicStatus().Term {
-			n.leader = n.now
+		if m.Term >= n.raftNode.BasicStatus().Term {
+			n.leaderHeardAt = n.now
 		}
 	case raftpb.MsgPreVote, raftpb.MsgVote: // who hears a leader has no other
-		if n.now-n.leader < n.terms.Patience && !n.led() && n.raw.BasicStatus().Lead != raft.None && string(m.Context) != transfer {
+		if n.now-n.leaderHeardAt < n.config.ElectionTimeout && !n.isRaftLeader() && n.raftNode.BasicStatus().Lead != raft.None && string(m.Context) != leaderTransferContext {
 			return
 		}
 	case raftpb.MsgAppResp, raftpb.MsgVoteResp, raftpb.MsgPreVoteResp, raftpb.MsgHeartbeatResp, raftpb.MsgTimeoutNow:
 	default:
 		return
 	}
-	_ = n.raw.Step(m)
+	_ = n.raftNode.Step(m)
 }
 
 // Propose puts something to the voters; false where this one does not lead or too much is under way. That it will be
 // agreed on is not said by that.
-func (n *Node) Propose(text []byte) (ok bool) {
-	if !n.Leads() {
+func (n *Voter) Propose(text []byte) (ok bool) {
+	if !n.IsLeader() {
 		return false
 	}
-	defer n.guard(nil)
-	return n.raw.Propose(text) == nil
+	defer n.recoverPanic(nil)
+	return n.raftNode.Propose(text) == nil
 }
 
-// Confirm asks a majority whether this one still leads. The token comes in an Output once it has said so.
-func (n *Node) Confirm() (token uint64, ok bool) {
-	if !n.Leads() {
+// ReadIndex asks a majority whether this one still leads. The token comes in an Output once it has said so.
+func (n *Voter) ReadIndex() (token uint64, ok bool) {
+	if !n.IsLeader() {
 		return 0, false
 	}
-	defer n.guard(nil)
-	n.token++
-	n.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, n.token))
-	return n.token, true
+	defer n.recoverPanic(nil)
+	n.readToken++
+	n.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, n.readToken))
+	return n.readToken, true
 }
 
-// Want has the leader see to it that these are the voters, by way of a joint set. None is no wish.
-func (n *Node) Want(voters []uint64) {
-	n.want = slices.Clone(voters)
-	slices.Sort(n.want)
+// SetDesiredVoters has the leader see to it that these are the voters, by way of a joint set. None is no wish.
+func (n *Voter) SetDesiredVoters(voters []uint64) {
+	n.desiredVoters = slices.Clone(voters)
+	slices.Sort(n.desiredVoters)
 }
 
-// change proposes the voters that are wanted, one change at a time. A leader that is not among them hands over first.
-func (n *Node) change() {
-	if len(n.want) == 0 || !n.Leads() || len(n.conf.VotersOutgoing) > 0 || n.now-n.changed < n.terms.Patience || slices.Equal(n.want, sorted(n.conf.Voters)) {
+// proposeMembershipChange proposes the voters that are wanted, one change at a time. A leader that is not among them hands over first.
+func (n *Voter) proposeMembershipChange() {
+	if len(n.desiredVoters) == 0 || !n.IsLeader() || len(n.membership.VotersOutgoing) > 0 || n.now-n.membershipProposedAt < n.config.ElectionTimeout || slices.Equal(n.desiredVoters, sortedIDs(n.membership.Voters)) {
 		return
 	}
-	n.changed = n.now
-	if !slices.Contains(n.want, n.terms.Me) {
-		for id, p := range n.raw.Status().Progress {
-			if slices.Contains(n.want, id) && p.RecentActive && p.Match+cutAfter > n.applied && id == n.able() {
-				n.raw.TransferLeader(id)
+	n.membershipProposedAt = n.now
+	if !slices.Contains(n.desiredVoters, n.config.ID) {
+		for id, p := range n.raftNode.Status().Progress {
+			if slices.Contains(n.desiredVoters, id) && p.RecentActive && p.Match+compactionThreshold > n.appliedIndex && id == n.transferTarget() {
+				n.raftNode.TransferLeader(id)
 				return
 			}
 		}
 	}
 	c := raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionAuto}
-	for _, id := range n.want {
-		if !slices.Contains(n.conf.Voters, id) {
+	for _, id := range n.desiredVoters {
+		if !slices.Contains(n.membership.Voters, id) {
 			c.Changes = append(c.Changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode, NodeID: id})
 		}
 	}
-	for _, id := range n.conf.Voters {
-		if !slices.Contains(n.want, id) && (id != n.terms.Me || n.able() == 0) {
+	for _, id := range n.membership.Voters {
+		if !slices.Contains(n.desiredVoters, id) && (id != n.config.ID || n.transferTarget() == 0) {
 			c.Changes = append(c.Changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode, NodeID: id})
 		}
 	}
 	if len(c.Changes) > 0 {
-		_ = n.raw.ProposeConfChange(c)
+		_ = n.raftNode.ProposeConfChange(c)
 	}
 }
 
-// able is the first of the voters that are wanted and there already, 0 for none.
-func (n *Node) able() uint64 {
-	for _, id := range n.want {
-		if id != n.terms.Me && slices.Contains(n.conf.Voters, id) {
+// transferTarget is the first of the voters that are wanted and there already, 0 for none.
+func (n *Voter) transferTarget() uint64 {
+	for _, id := range n.desiredVoters {
+		if id != n.config.ID && slices.Contains(n.membership.Voters, id) {
 			return id
 		}
 	}
 	return 0
 }
 
-func sorted(ids []uint64) []uint64 {
+func sortedIDs(ids []uint64) []uint64 {
 	ids = slices.Clone(ids)
 	slices.Sort(ids)
 	return ids
 }
 
-// Take gives what has come of all that was heard since; more is false where there is nothing. Done follows, once Save is
+// Ready gives what has come of all that was heard since; more is false where there is nothing. Done follows, once Save is
 // durable and Letters are on their way.
-func (n *Node) Take() (o Output, more bool) {
-	if n.broken != nil || !n.raw.HasReady() {
+func (n *Voter) Ready() (o Ready, more bool) {
+	if n.failure != nil || !n.raftNode.HasReady() {
 		return o, false
 	}
-	defer n.guard(nil)
-	r := n.raw.Ready()
-	o.Save = Saved{Hard: r.HardState, Snapshot: r.Snapshot, Entries: r.Entries}
+	defer n.recoverPanic(nil)
+	r := n.raftNode.Ready()
+	o.State = PersistentState{HardState: r.HardState, Snapshot: r.Snapshot, Entries: r.Entries}
 	if !raft.IsEmptySnap(r.Snapshot) {
-		if err := n.kept.ApplySnapshot(r.Snapshot); err != nil {
-			n.broken = fmt.Errorf("%w: %v", ErrBroken, err)
+		if err := n.storage.ApplySnapshot(r.Snapshot); err != nil {
+			n.failure = fmt.Errorf("%w: %v", ErrInconsistentLog, err)
 			return o, false
 		}
-		n.conf, n.applied, n.term = r.Snapshot.Metadata.ConfState, r.Snapshot.Metadata.Index, r.Snapshot.Metadata.Term
-		o.Restored = r.Snapshot.Data
-		if o.Restored == nil {
-			o.Restored = []byte{}
+		n.membership, n.appliedIndex, n.appliedTerm = r.Snapshot.Metadata.ConfState, r.Snapshot.Metadata.Index, r.Snapshot.Metadata.Term
+		o.Snapshot = r.Snapshot.Data
+		if o.Snapshot == nil {
+			o.Snapshot = []byte{}
 		}
 	}
-	_ = n.kept.Append(r.Entries)
+	_ = n.storage.Append(r.Entries)
 	if !raft.IsEmptyHardState(r.HardState) {
-		_ = n.kept.SetHardState(r.HardState)
+		_ = n.storage.SetHardState(r.HardState)
 	}
 	for _, m := range r.Messages {
 		if text, err := m.Marshal(); err == nil {
-			o.Letters = append(o.Letters, Letter{m.To, text})
+			o.Messages = append(o.Messages, Message{m.To, text})
 		}
 		if m.Type == raftpb.MsgSnap {
-			n.snaps = append(n.snaps, snap{m.To, n.now})
+			n.pendingSnapshots = append(n.pendingSnapshots, pendingSnapshot{m.To, n.now})
 		}
 	}
 	for _, e := range r.CommittedEntries {
-		n.applied, n.term = e.Index, e.Term
+		n.appliedIndex, n.appliedTerm = e.Index, e.Term
 		switch e.Type {
 		case raftpb.EntryConfChangeV2:
 			var c raftpb.ConfChangeV2
 			if c.Unmarshal(e.Data) == nil {
-				n.conf, n.stale = *n.raw.ApplyConfChange(c), true
+				n.membership, n.membershipChanged = *n.raftNode.ApplyConfChange(c), true
 			}
 		case raftpb.EntryConfChange:
 			var c raftpb.ConfChange
 			if c.Unmarshal(e.Data) == nil {
-				n.conf, n.stale = *n.raw.ApplyConfChange(c), true
+				n.membership, n.membershipChanged = *n.raftNode.ApplyConfChange(c), true
 			}
 		default:
 			if len(e.Data) > 0 {
-				o.Agreed = append(o.Agreed, e.Data)
+				o.Committed = append(o.Committed, e.Data)
 			}
 		}
 	}
 	for _, s := range r.ReadStates {
-		if n.sure = n.now; len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) != ownToken {
-			o.Confirmed = append(o.Confirmed, binary.BigEndian.Uint64(s.RequestCtx))
+		if n.quorumHeardAt = n.now; len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) != quorumCheckToken {
+			o.ConfirmedReads = append(o.ConfirmedReads, binary.BigEndian.Uint64(s.RequestCtx))
 		}
 	}
-	n.raw.Advance(r)
+	n.raftNode.Advance(r)
 	return o, true
 }
 
-// Long says that the log should be cut: Cut then takes the state as of all that was agreed on.
-func (n *Node) Long() bool {
-	first, err := n.kept.FirstIndex()
-	return n.broken == nil && err == nil && (n.stale || n.applied > first+cutAfter+n.terms.Keep)
+// NeedsCompaction says that the log should be cut: Cut then takes the state as of all that was agreed on.
+func (n *Voter) NeedsCompaction() bool {
+	first, err := n.storage.FirstIndex()
+	return n.failure == nil && err == nil && (n.membershipChanged || n.appliedIndex > first+compactionThreshold+n.config.RetainedEntries)
 }
 
-// Cut has the log begin with a state. What it gives is to be saved in the place of what was.
-func (n *Node) Cut(state []byte) (s Saved, err error) {
-	if s.Snapshot, err = n.kept.CreateSnapshot(n.applied, &n.conf, state); err != nil {
+// Compact has the log begin with a state. What it gives is to be saved in the place of what was.
+func (n *Voter) Compact(state []byte) (s PersistentState, err error) {
+	if s.Snapshot, err = n.storage.CreateSnapshot(n.appliedIndex, &n.membership, state); err != nil {
 		return s, err
 	}
-	n.stale = false
-	if first, _ := n.kept.FirstIndex(); n.applied > first+n.terms.Keep {
-		if err = n.kept.Compact(n.applied - n.terms.Keep); err != nil {
+	n.membershipChanged = false
+	if first, _ := n.storage.FirstIndex(); n.appliedIndex > first+n.config.RetainedEntries {
+		if err = n.storage.Compact(n.appliedIndex - n.config.RetainedEntries); err != nil {
 			return s, err
 		}
 	}
-	s.Hard, _, _ = n.kept.InitialState()
+	s.HardState, _, _ = n.storage.InitialState()
 	return s, nil
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -32,7 +32,7 @@
 }
 
 // record adds a hash of what one voter put out, and of where it stands, to the history.
-func (w *world) record(v *voter, o Output) {
+func (w *cluster) record(v *member, o Ready) {
 	if w.history == nil {
 		return
 	}
@@ -42,33 +42,33 @@
 		number(uint64(len(text)))
 		all = append(all, text...)
 	}
-	if !o.Save.Empty() {
-		add(encoded(w.t, &o.Save.Hard, &raftpb.HardState{}))
-		add(encoded(w.t, &o.Save.Snapshot, &raftpb.Snapshot{}))
-		for i := range o.Save.Entries {
-			add(encoded(w.t, &o.Save.Entries[i], &raftpb.Entry{}))
+	if !o.State.IsEmpty() {
+		add(encoded(w.t, &o.State.HardState, &raftpb.HardState{}))
+		add(encoded(w.t, &o.State.Snapshot, &raftpb.Snapshot{}))
+		for i := range o.State.Entries {
+			add(encoded(w.t, &o.State.Entries[i], &raftpb.Entry{}))
 		}
 	}
-	for _, l := range o.Letters {
+	for _, l := range o.Messages {
 		var m raftpb.Message
-		require.NoError(w.t, m.Unmarshal(l.Text))
+		require.NoError(w.t, m.Unmarshal(l.Data))
 		number(l.To)
 		add(encoded(w.t, &m, &raftpb.Message{}))
 	}
-	if o.Restored != nil {
-		add(o.Restored)
+	if o.Snapshot != nil {
+		add(o.Snapshot)
 	}
-	for _, text := range o.Agreed {
+	for _, text := range o.Committed {
 		add(text)
 	}
-	for _, token := range o.Confirmed {
+	for _, token := range o.ConfirmedReads {
 		number(token)
 	}
-	for _, id := range v.node.Voters() {
+	for _, id := range v.voter.Voters() {
 		number(id)
 	}
-	w.history.Add(int64(w.now), v.number, v.node.Term(), v.node.Leader(), v.node.Leads(), len(o.Save.Entries), len(o.Letters), len(o.Agreed),
-		len(o.Confirmed), o.Restored != nil, len(all), xxh3.Hash(all))
+	w.history.Add(int64(w.now), v.id, v.voter.Term(), v.voter.Leader(), v.voter.IsLeader(), len(o.State.Entries), len(o.Messages), len(o.Committed),
+		len(o.ConfirmedReads), o.Snapshot != nil, len(all), xxh3.Hash(all))
 }
 
 // TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten a line.
@@ -80,10 +80,10 @@
 				t.Parallel()
 				history := golden.NewHistory()
 				for seed := 10 * i; seed < 10*i+10; seed++ {
-					w := newWorld(t, int64(seed), 3+2*(seed%2))
+					w := newCluster(t, int64(seed), 3+2*(seed%2))
 					w.history = history
-					healed := w.play()
-					history.Add("end", seed, healed, len(w.log), len(w.led), w.sure, w.wrong)
+					healed := w.run()
+					history.Add("end", seed, healed, len(w.log), len(w.leaderSince), w.confirmations, w.falseConfirmations)
 				}
 				lines[i] = fmt.Sprintf("seeds %d to %d: %s\n", 10*i, 10*i+9, history)
 			})
@@ -104,10 +104,10 @@
 	entry := Entry{Term: 7, Index: 251, Type: raftpb.EntryConfChangeV2, Data: text}
 	got := fmt.Sprintf("hard %x\nsnapshot %x\nentry %x\n", encoded(t, &hard, &raftpb.HardState{}),
 		encoded(t, &snapshot, &raftpb.Snapshot{}), encoded(t, &entry, &raftpb.Entry{}))
-	n, err := New(DefaultTerms(5), &Saved{Hard: hard, Snapshot: snapshot, Entries: []Entry{entry}}, nil, newWorld(t, 1, 3).chance, 0)
+	n, err := New(DefaultConfig(5), &PersistentState{HardState: hard, Snapshot: snapshot, Entries: []Entry{entry}}, nil, newCluster(t, 1, 3).random, 0)
 	require.NoError(t, err)
-	initial := n.Initial()
-	got += fmt.Sprintf("hard %x\nsnapshot %x\nvoters %v term %d leader %d leads %v\n", encoded(t, &initial.Hard, &raftpb.HardState{}),
-		encoded(t, &initial.Snapshot, &raftpb.Snapshot{}), n.Voters(), n.Term(), n.Leader(), n.Leads())
+	initial := n.InitialState()
+	got += fmt.Sprintf("hard %x\nsnapshot %x\nvoters %v term %d leader %d leads %v\n", encoded(t, &initial.HardState, &raftpb.HardState{}),
+		encoded(t, &initial.Snapshot, &raftpb.Snapshot{}), n.Voters(), n.Term(), n.Leader(), n.IsLeader())
 	golden.Check(t, "state.txt", []byte(got))
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -16,22 +16,22 @@
 	"thistlequay/timeunit"
 )
 
-// Terms are what one server is told when it starts.
-type Terms struct {
-	admission.Deployment
-	Named   map[string]int     // categories by name
-	Pauses  bool               // stopped work keeps its memory until its request is over
-	Shares  []fairqueue.Tenant // of the tenants that are told with one
-	tenants map[string]bool
-	rows    []func(*admission.Gauges) *float64
+// Config are what one server is told when it starts.
+type Config struct {
+	admission.Config
+	CategoryIndex    map[string]int     // categories by name
+	PauseKeepsMemory bool               // stopped work keeps its memory until its request is over
+	TenantWeights    []fairqueue.Tenant // of the tenants that are told with one
+	tenantNames      map[string]bool
+	gaugeFields      []func(*admission.Gauges) *float64
 }
 
-// most is more than any figure can mean: thirty years in milliseconds.
-const most = 1e12
+// maxFigure is more than any figure can mean: thirty years in milliseconds.
+const maxFigure = 1e12
 
 // Read makes Terms of the object. Keys that are not known here are passed over; a word that bears on a rule and is not
 // known, and figures that can't all be meant, are faults with their paths (faults.List).
-func Read(text []byte) (*Terms, error) {
+func Read(text []byte) (*Config, error) {
 	var env struct {
 		Categories []struct {
 			Effect, Name                        string
@@ -63,7 +63,7 @@
 			Cold, ColdFrom, DrainGrace, TipMultiple float64
 		}
 	}
-	if err := diagnostics.JSON(text, &env); err != nil {
+	if err := diagnostics.DecodeJSON(text, &env); err != nil {
 		return nil, err
 	}
 	info, rules := &env.FamilyInfo, &env.Rules
@@ -75,7 +75,7 @@
 		l.Add("FamilyInfo.Cores", "at least one core", "%d", info.Cores)
 	}
 	figure := func(path string, v float64) {
-		if !(v >= 0 && v <= most) {
+		if !(v >= 0 && v <= maxFigure) {
 			l.Add(path, "from 0 to 1e12", "%v is out of range", v)
 		}
 	}
@@ -98,17 +98,17 @@
 	for i, c := range env.Categories {
 		at := fmt.Sprintf("Categories[%d]", i)
 		for path, v := range map[string]float64{"HardLimit": c.HardLimit, "LateWorth": c.LateWorth, "OnTime": c.OnTime,
-			"Worth": c.Worth, "Window": window(c.Window)} {
+			"Worth": c.Worth, "Window": windowOrZero(c.Window)} {
 			figure(at+"."+path, v)
 		}
-		if word(at+".Effect", c.Effect, effectWords); c.Effect == "" {
-			l.Add(at+".Effect", "one of "+strings.Join(effectWords, ", "), "is missing")
+		if word(at+".Effect", c.Effect, effectNames); c.Effect == "" {
+			l.Add(at+".Effect", "one of "+strings.Join(effectNames, ", "), "is missing")
 		}
 		if names[c.Name] && c.Name != "" {
 			l.Add(at+".Name", "each name once", "%q stands twice", c.Name)
 		}
 		names[c.Name] = true
-		if c.OnTime > c.HardLimit && c.OnTime <= most {
+		if c.OnTime > c.HardLimit && c.OnTime <= maxFigure {
 			l.Add(at+".OnTime", fmt.Sprintf("at most HardLimit, %v", c.HardLimit), "%v: the answer is wanted within more than its caller waits", c.OnTime)
 		}
 		if c.LateWorth > 1 {
@@ -125,7 +125,7 @@
 	}
 	word("FamilyInfo.Halt", info.Halt, []string{"silent", "drop", "pause"})
 	word("FamilyInfo.Downstream", info.Downstream, []string{"silent", "common", "next_hop"})
-	word("FamilyInfo.Say", info.Say, append([]string{"silent"}, slices.Sorted(maps.Keys(tongues))...))
+	word("FamilyInfo.Say", info.Say, append([]string{"silent"}, slices.Sorted(maps.Keys(loadReportModes))...))
 	tenants := map[string]bool{}
 	for i, tenant := range env.Tenants {
 		if tenants[tenant.Name] {
@@ -135,72 +135,74 @@
 		figure(fmt.Sprintf("Tenants[%d].Share", i), tenant.Share)
 	}
 	if len(l) > 0 {
-		slices.SortStableFunc(l, func(a, b diagnostics.Fault) int { return strings.Compare(a.Path, b.Path) })
+		slices.SortStableFunc(l, func(a, b diagnostics.Diagnostic) int { return strings.Compare(a.Path, b.Path) })
 		return nil, l
 	}
-	t := &Terms{Named: map[string]int{}, Pauses: info.Halt == "pause", tenants: map[string]bool{}, Deployment: admission.Deployment{
-		Callers: info.Callers, Marked: env.Clients.MarksRetry, Servers: env.Servers, Cores: info.Cores,
-		Memory: info.MemoryKb, RunFactor: info.RunFactor, EntryKb: info.EntryKb, Period: Up(env.Period),
-		Grace: Down(rules.DrainGrace), Fresh: Down(info.Fresh), Cold: info.Cold,
-		ColdFrom: rules.ColdFrom, ColdFor: Up(rules.Cold), Crowd: rules.TipMultiple,
-		SharedBelow: info.Downstream == "common", CallShare: info.CallShare,
-		CallsOver: Down(info.CallsOver), Linger: Up(info.Linger), Tongue: tongues[info.Say],
-		IdleMost: Down(info.KeepaliveMax), Stops: info.Halt == "drop" || info.Halt == "pause"}} // the module stops only what is answered or gone
+	t := &Config{CategoryIndex: map[string]int{}, PauseKeepsMemory: info.Halt == "pause", tenantNames: map[string]bool{}, Config: admission.Config{
+		Routers: info.Callers, RetriesMarked: env.Clients.MarksRetry, Servers: env.Servers, Cores: info.Cores,
+		MemoryKB: info.MemoryKb, RunMemoryFactor: info.RunFactor, EntryKB: info.EntryKb, BatchInterval: RoundUp(env.Period),
+		DrainGrace: RoundDown(rules.DrainGrace), ResultTTL: RoundDown(info.Fresh), StartsCold: info.Cold,
+		ColdSpeed: rules.ColdFrom, WarmUpTime: RoundUp(rules.Cold), OverloadThreshold: rules.TipMultiple,
+		SharedDependency: info.Downstream == "common", DownstreamLimit: info.CallShare,
+		DownstreamWindow: RoundDown(info.CallsOver), AbandonedCallTime: RoundUp(info.Linger), LoadReportMode: loadReportModes[info.Say],
+		MaxIdleTime: RoundDown(info.KeepaliveMax), CanStopRuns: info.Halt == "drop" || info.Halt == "pause"}} // the module stops only what is answered or gone
 	if env.Limits.RetryAfter {
-		t.MaxAway = Down(env.Limits.MaxRetryAfter)
+		t.MaxRetryAfter = RoundDown(env.Limits.MaxRetryAfter)
 	}
 	for i, c := range env.Categories {
-		t.Named[c.Name] = i
-		t.Categories = append(t.Categories, admission.Category{Gain: c.Worth, LateShare: c.LateWorth,
-			Contract: Down(c.OnTime), Expiry: Down(c.HardLimit), Window: Up(window(c.Window)),
-			Effect: effects[c.Effect], Poorer: at(info.ClassSkipWorth, i)})
+		t.CategoryIndex[c.Name] = i
+		t.Categories = append(t.Categories, admission.Category{Weight: c.Worth, LateValue: c.LateWorth,
+			SoftDeadline: RoundDown(c.OnTime), Deadline: RoundDown(c.HardLimit), DeduplicationWindow: RoundUp(windowOrZero(c.Window)),
+			Idempotency: effects[c.Effect], DegradedValue: valueAt(info.ClassSkipWorth, i)})
 	}
 	for _, tenant := range env.Tenants {
-		if t.tenants[tenant.Name] = true; tenant.Share > 0 {
-			t.Shares = append(t.Shares, fairqueue.Tenant{Name: tenant.Name, Share: tenant.Share})
+		if t.tenantNames[tenant.Name] = true; tenant.Share > 0 {
+			t.TenantWeights = append(t.TenantWeights, fairqueue.Tenant{Name: tenant.Name, Weight: tenant.Share})
 		}
 	}
 	for _, meter := range info.Meters {
-		t.rows = append(t.rows, meters[meter])
+		t.gaugeFields = append(t.gaugeFields, gaugeSelectors[meter])
 	}
 	return t, nil
 }
 
-// at is the figure of a category in a list by their places, 0 where there is none.
-func at(list []float64, i int) float64 {
+// valueAt is the figure of a category in a list by their places, 0 where there is none.
+func valueAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
 	}
 	return 0
 }
 
-// window is how long a repeat may come; only by_key has to say.
-func window(told *float64) float64 {
+// windowOrZero is how long a repeat may come; only by_key has to say.
+func windowOrZero(told *float64) float64 {
 	if told == nil {
 		return 0
 	}
 	return *told
 }
 
-// Tenant says whether there is a tenant of this name; where none are told, any may be.
-func (t *Terms) Tenant(name []byte) bool { return len(t.tenants) == 0 || t.tenants[string(name)] }
+// HasTenant says whether there is a tenant of this name; where none are told, any may be.
+func (t *Config) HasTenant(name []byte) bool {
+	return len(t.tenantNames) == 0 || t.tenantNames[string(name)]
+}
 
-var tongues = map[string]admission.Tongue{
-	"min_rank": admission.Rank, "tokens": admission.Allowed, "bias": admission.Odds,
+var loadReportModes = map[string]admission.LoadReportMode{
+	"min_rank": admission.ReportRank, "tokens": admission.ReportLimit, "bias": admission.ReportProbability,
 }
 
-var effectWords = []string{"repeatable", "by_key", "once"}
+var effectNames = []string{"repeatable", "by_key", "once"}
 
-var effects = map[string]admission.Effect{"by_key": admission.Stamped, "once": admission.OneShot}
+var effects = map[string]admission.Idempotency{"by_key": admission.Keyed, "once": admission.NonIdempotent}
 
-var meters = map[string]func(*admission.Gauges) *float64{
-	"core_use": func(g *admission.Gauges) *float64 { return &g.CoreUse },
-	"on_cores": func(g *admission.Gauges) *float64 { return &g.OnCores },
+var gaugeSelectors = map[string]func(*admission.Gauges) *float64{
+	"core_use": func(g *admission.Gauges) *float64 { return &g.CoreUtilization },
+	"on_cores": func(g *admission.Gauges) *float64 { return &g.RunnableRequests },
 }
 
-// Gauges makes gauges of a row of meters, which stand in the order that the settings gave.
-func (t *Terms) Gauges(row []float64) (g admission.Gauges) {
-	for i, field := range t.rows[:min(len(row), len(t.rows))] {
+// GaugesFromRow makes gauges of a row of meters, which stand in the order that the settings gave.
+func (t *Config) GaugesFromRow(row []float64) (g admission.Gauges) {
+	for i, field := range t.gaugeFields[:min(len(row), len(t.gaugeFields))] {
 		if field != nil {
 			*field(&g) = row[i]
 		}
@@ -210,5 +212,5 @@
 
 // The two ways to round milliseconds to tenths: down for clocks and time left, so that nothing is answered
 // late; up for spans that have passed.
-func Down(ms float64) timeunit.Ticks { return timeunit.Ticks(math.Floor(ms*10 + 1e-6)) }
-func Up(ms float64) timeunit.Ticks   { return timeunit.Ticks(math.Ceil(ms*10 - 1e-6)) }
+func RoundDown(ms float64) timeunit.Ticks { return timeunit.Ticks(math.Floor(ms*10 + 1e-6)) }
+func RoundUp(ms float64) timeunit.Ticks   { return timeunit.Ticks(math.Ceil(ms*10 - 1e-6)) }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -21,21 +21,21 @@
 func TestRead(t *testing.T) {
 	terms, err := Read([]byte(good))
 	require.NoError(t, err)
-	require.Equal(t, admission.Stamped, terms.Categories[1].Effect)
-	require.Equal(t, 1, terms.Named["book"])
-	require.Len(t, terms.Shares, 1)
-	require.True(t, terms.Stops && !terms.Pauses)
+	require.Equal(t, admission.Keyed, terms.Categories[1].Idempotency)
+	require.Equal(t, 1, terms.CategoryIndex["book"])
+	require.Len(t, terms.TenantWeights, 1)
+	require.True(t, terms.CanStopRuns && !terms.PauseKeepsMemory)
 	pauses, err := Read([]byte(strings.Replace(good, `"drop"`, `"pause"`, 1)))
 	require.NoError(t, err)
-	require.True(t, pauses.Stops && pauses.Pauses)
-	require.True(t, terms.Tenant([]byte("b")) && !terms.Tenant([]byte("c")))
+	require.True(t, pauses.CanStopRuns && pauses.PauseKeepsMemory)
+	require.True(t, terms.HasTenant([]byte("b")) && !terms.HasTenant([]byte("c")))
 }
 
 // A window of 0 can be meant: no repeat comes. Absent, it is a fault.
 func TestAWindowOfZero(t *testing.T) {
 	terms, err := Read([]byte(strings.Replace(good, `"Window": 35000`, `"Window": 0`, 1)))
 	require.NoError(t, err)
-	require.Zero(t, terms.Categories[1].Window)
+	require.Zero(t, terms.Categories[1].DeduplicationWindow)
 }
 
 // badSettings are good with one thing replaced, where that is pointed at, and what is said of it.
@@ -65,7 +65,7 @@
 		text := []byte(strings.Replace(good, c.from, c.to, 1))
 		_, err := Read(text)
 		require.Error(t, err, c.to)
-		l := diagnostics.LocateJSON(text, diagnostics.Of(err))
+		l := diagnostics.LocateJSON(text, diagnostics.FromError(err))
 		require.Len(t, l, 1)
 		line := strings.Split(string(text), "\n")[l[0].Line-1]
 		require.True(t, strings.HasPrefix(line[l[0].Column-1:], c.at), "%s points at %s", c.fault, line[l[0].Column-1:])
@@ -78,7 +78,7 @@
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := Read(text); err != nil {
-			for _, fault := range diagnostics.LocateJSON(text, diagnostics.Of(err)) {
+			for _, fault := range diagnostics.LocateJSON(text, diagnostics.FromError(err)) {
 				require.Positive(t, fault.Line, fault.Error())
 			}
 		}
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -37,7 +37,7 @@
 	var out bytes.Buffer
 	diagnose := func(text string) {
 		_, err := Read([]byte(text))
-		fmt.Fprintf(&out, "%s\n\n", diagnostics.LocateJSON([]byte(text), diagnostics.Of(err)).Error())
+		fmt.Fprintf(&out, "%s\n\n", diagnostics.LocateJSON([]byte(text), diagnostics.FromError(err)).Error())
 	}
 	for _, c := range badSettings {
 		diagnose(strings.Replace(good, c.from, c.to, 1))
@@ -48,8 +48,8 @@
 	}
 	for _, text := range []string{`[]`, `7`, `{"Categories":{}}`, "{\"Categories\":\n[ []]}", `{"FamilyInfo":[]}`, `{"Rules":true}`} {
 		_, err := Read([]byte(text)) // what is expected here names types of the program: that may change
-		for _, f := range diagnostics.LocateJSON([]byte(text), diagnostics.Of(err)) {
-			fmt.Fprintln(&out, f.Line, f.Column, f.Path, f.What)
+		for _, f := range diagnostics.LocateJSON([]byte(text), diagnostics.FromError(err)) {
+			fmt.Fprintln(&out, f.Line, f.Column, f.Path, f.Problem)
 		}
 	}
 	for cut := 1; cut < len(good); cut += 17 { // wherever a file breaks off
@@ -64,22 +64,22 @@
 		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(everyKey)} {
 		terms, err := Read([]byte(text))
 		require.NoError(t, err)
-		fmt.Fprintln(&out, terms.Callers, terms.Marked, terms.Servers, terms.Cores, terms.Memory, terms.RunFactor, terms.EntryKb,
-			int64(terms.Period), int64(terms.Grace), int64(terms.Fresh), terms.Cold, terms.ColdFrom, int64(terms.ColdFor), terms.Crowd,
-			terms.SharedBelow, terms.CallShare, int64(terms.CallsOver), int64(terms.Linger), int(terms.Tongue), int64(terms.IdleMost),
-			terms.Stops, int64(terms.MaxAway), terms.Pauses, terms.Spread)
+		fmt.Fprintln(&out, terms.Routers, terms.RetriesMarked, terms.Servers, terms.Cores, terms.MemoryKB, terms.RunMemoryFactor, terms.EntryKB,
+			int64(terms.BatchInterval), int64(terms.DrainGrace), int64(terms.ResultTTL), terms.StartsCold, terms.ColdSpeed, int64(terms.WarmUpTime), terms.OverloadThreshold,
+			terms.SharedDependency, terms.DownstreamLimit, int64(terms.DownstreamWindow), int64(terms.AbandonedCallTime), int(terms.LoadReportMode), int64(terms.MaxIdleTime),
+			terms.CanStopRuns, int64(terms.MaxRetryAfter), terms.PauseKeepsMemory, terms.TurnOffset)
 		for _, c := range terms.Categories {
-			fmt.Fprintln(&out, c.Gain, c.LateShare, int64(c.Contract), int64(c.Expiry), int64(c.Window), int(c.Effect), c.Poorer)
+			fmt.Fprintln(&out, c.Weight, c.LateValue, int64(c.SoftDeadline), int64(c.Deadline), int64(c.DeduplicationWindow), int(c.Idempotency), c.DegradedValue)
 		}
-		for _, one := range terms.Shares {
-			fmt.Fprintln(&out, one.Name, one.Share)
+		for _, one := range terms.TenantWeights {
+			fmt.Fprintln(&out, one.Name, one.Weight)
 		}
-		gauges := terms.Gauges([]float64{1, 2, 3, 4})
-		fmt.Fprintln(&out, terms.Named["a"], terms.Named["b"], terms.Named["c"], terms.Tenant([]byte("u")), terms.Tenant([]byte("v")),
-			gauges.CoreUse, gauges.OnCores)
+		gauges := terms.GaugesFromRow([]float64{1, 2, 3, 4})
+		fmt.Fprintln(&out, terms.CategoryIndex["a"], terms.CategoryIndex["b"], terms.CategoryIndex["c"], terms.HasTenant([]byte("u")), terms.HasTenant([]byte("v")),
+			gauges.CoreUtilization, gauges.RunnableRequests)
 	}
 	for _, ms := range []float64{0, 0.01, 0.04, 0.1, 0.10000001, 0.29999999, 12.34, 1e9 + 0.05} {
-		fmt.Fprintln(&out, ms, int64(Down(ms)), int64(Up(ms)))
+		fmt.Fprintln(&out, ms, int64(RoundDown(ms)), int64(RoundUp(ms)))
 	}
 	golden.Check(t, "settings.txt", out.Bytes())
 }
--- a/internal/diagnostics/faults.go
+++ b/internal/diagnostics/faults.go
@@ -12,15 +12,15 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong. Line and Column count from 1; 0 where they are not known.
-type Fault struct {
-	File         string
-	Line, Column int
-	Path         string // of the value, as in settings.Categories[1].Effect
-	What, Want   string
+// Diagnostic is one thing that is wrong. Line and Column count from 1; 0 where they are not known.
+type Diagnostic struct {
+	File              string
+	Line, Column      int
+	Path              string // of the value, as in settings.Categories[1].Effect
+	Problem, Expected string
 }
 
-func (f Fault) Error() string {
+func (f Diagnostic) Error() string {
 	var b strings.Builder
 	if f.File != "" {
 		b.WriteString(f.File + ":")
@@ -34,15 +34,15 @@
 	if f.Path != "" {
 		b.WriteString(f.Path + ": ")
 	}
-	b.WriteString(f.What)
-	if f.Want != "" {
-		b.WriteString("; expected " + f.Want)
+	b.WriteString(f.Problem)
+	if f.Expected != "" {
+		b.WriteString("; expected " + f.Expected)
 	}
 	return b.String()
 }
 
 // List is all that was found, in the order of the file where that is known.
-type List []Fault
+type List []Diagnostic
 
 func (l List) Error() string {
 	lines := make([]string, len(l))
@@ -54,21 +54,21 @@
 
 // Add notes a fault at a path.
 func (l *List) Add(path, want, what string, args ...any) {
-	*l = append(*l, Fault{Path: path, What: fmt.Sprintf(what, args...), Want: want})
+	*l = append(*l, Diagnostic{Path: path, Problem: fmt.Sprintf(what, args...), Expected: want})
 }
 
-// Or gives the list as an error, nil where it is empty.
-func (l List) Or() error {
+// Err gives the list as an error, nil where it is empty.
+func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
 	}
 	return l
 }
 
-// Of makes a list of any error: its own, or one fault.
-func Of(err error) List {
+// FromError makes a list of any error: its own, or one fault.
+func FromError(err error) List {
 	var l List
-	var f Fault
+	var f Diagnostic
 	switch {
 	case err == nil:
 		return nil
@@ -77,11 +77,11 @@
 	case errors.As(err, &f):
 		return List{f}
 	}
-	return List{{What: err.Error()}}
+	return List{{Problem: err.Error()}}
 }
 
-// In names the file of all faults that have none.
-func (l List) In(file string) List {
+// InFile names the file of all faults that have none.
+func (l List) InFile(file string) List {
 	for i := range l {
 		if l[i].File == "" {
 			l[i].File = file
@@ -90,8 +90,8 @@
 	return l
 }
 
-// spot turns a place in a text into line and column.
-func spot(text []byte, offset int) (line, column int) {
+// lineAndColumn turns a place in a text into line and column.
+func lineAndColumn(text []byte, offset int) (line, column int) {
 	before := text[:max(0, min(offset, len(text)))]
 	return 1 + bytes.Count(before, []byte{'\n'}), len(before) - bytes.LastIndexByte(before, '\n')
 }
@@ -99,11 +99,11 @@
 // LocateJSON gives each fault that has a path its line and column in the text; where a value is not there, that of
 // what should hold it.
 func LocateJSON(text []byte, l List) List {
-	at := positions(text)
+	at := jsonOffsets(text)
 	for i := range l {
 		for path := l[i].Path; l[i].Line == 0; {
 			if offset, known := at[path]; known {
-				l[i].Line, l[i].Column = spot(text, offset)
+				l[i].Line, l[i].Column = lineAndColumn(text, offset)
 				break
 			}
 			cut := strings.LastIndexAny(path, ".[")
@@ -117,42 +117,42 @@
 	return l
 }
 
-// JSON reads text into v and says where it can't: a word that is no JSON, a value of another type, or a name that
+// DecodeJSON reads text into v and says where it can't: a word that is no JSON, a value of another type, or a name that
 // comes twice in one object.
-func JSON(text []byte, v any) error {
+func DecodeJSON(text []byte, v any) error {
 	err := json.Unmarshal(text, v)
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	var l List
 	switch {
 	case errors.As(err, &syntax):
-		line, column := spot(text, int(syntax.Offset)-1) // the library has read this byte too
-		return List{{Line: line, Column: column, What: "can't be read: " + strings.TrimPrefix(syntax.Error(), "json: "), Want: "JSON"}}
+		line, column := lineAndColumn(text, int(syntax.Offset)-1) // the library has read this byte too
+		return List{{Line: line, Column: column, Problem: "can't be read: " + strings.TrimPrefix(syntax.Error(), "json: "), Expected: "JSON"}}
 	case errors.As(err, &kind):
 		path, begins := kind.Field, 0 // the library tells where the value ends
-		walk(text, func(p string, offset int, _ bool) {
+		walkJSON(text, func(p string, offset int, _ bool) {
 			if offset < int(kind.Offset) && offset > begins {
 				path, begins = p, offset
 			}
 		})
-		line, column := spot(text, begins)
-		return List{{Line: line, Column: column, Path: path, What: "is a " + kind.Value, Want: "a value of type " + kind.Type.String()}}
+		line, column := lineAndColumn(text, begins)
+		return List{{Line: line, Column: column, Path: path, Problem: "is a " + kind.Value, Expected: "a value of type " + kind.Type.String()}}
 	case err != nil:
 		l.Add("", "", "%s", err)
 		return l
 	}
-	walk(text, func(path string, offset int, again bool) {
+	walkJSON(text, func(path string, offset int, again bool) {
 		if again {
-			line, column := spot(text, offset)
-			l = append(l, Fault{Line: line, Column: column, Path: path, What: "stands twice", Want: "each name once"})
+			line, column := lineAndColumn(text, offset)
+			l = append(l, Diagnostic{Line: line, Column: column, Path: path, Problem: "stands twice", Expected: "each name once"})
 		}
 	})
-	return l.Or()
+	return l.Err()
 }
 
-func positions(text []byte) map[string]int {
+func jsonOffsets(text []byte) map[string]int {
 	at := map[string]int{}
-	walk(text, func(path string, offset int, _ bool) {
+	walkJSON(text, func(path string, offset int, _ bool) {
 		if _, known := at[path]; !known {
 			at[path] = offset
 		}
@@ -160,8 +160,8 @@
 	return at
 }
 
-// walk names each value of a JSON text with its path and where it begins, and whether its name came before.
-func walk(text []byte, see func(path string, offset int, again bool)) {
+// walkJSON names each value of a JSON text with its path and where it begins, and whether its name came before.
+func walkJSON(text []byte, see func(path string, offset int, again bool)) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	start := func() int { // of the next token
 		at := int(d.InputOffset())
--- a/internal/diagnostics/yaml.go
+++ b/internal/diagnostics/yaml.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	deepest = 32      // of a file's structure
-	most    = 1 << 17 // entries in one list
+	maxDepth       = 32      // of a file's structure
+	maxListEntries = 1 << 17 // entries in one list
 )
 
-// Places are where the values of a YAML document stand.
-type Places struct{ root *yaml.Node }
+// Positions are where the values of a YAML document stand.
+type Positions struct{ root *yaml.Node }
 
 // Locate gives each fault that has a path its line and column; where a value is not there, that of what should hold it.
-func (p Places) Locate(l List) List {
+func (p Positions) Locate(l List) List {
 	for i := range l {
 		n := p.root
 		for _, step := range strings.FieldsFunc(l[i].Path, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
@@ -54,54 +54,54 @@
 	return l
 }
 
-// YAML reads one document into the structure that v points to, over what it holds already.
-func YAML(in io.Reader, v any) (Places, error) {
+// DecodeYAML reads one document into the structure that v points to, over what it holds already.
+func DecodeYAML(in io.Reader, v any) (Positions, error) {
 	var doc, next yaml.Node
 	d := yaml.NewDecoder(in)
 	err := d.Decode(&doc)
 	if errors.Is(err, io.EOF) {
-		return Places{}, nil // nothing is set
+		return Positions{}, nil // nothing is set
 	}
 	if err != nil {
-		return Places{}, List{syntax(err)}
+		return Positions{}, List{syntaxDiagnostic(err)}
 	}
 	if err := d.Decode(&next); !errors.Is(err, io.EOF) {
-		return Places{}, List{{Line: max(1, next.Line), Column: max(1, next.Column), What: "a second document", Want: "one document"}}
+		return Positions{}, List{{Line: max(1, next.Line), Column: max(1, next.Column), Problem: "a second document", Expected: "one document"}}
 	}
 	var l List
-	l.read(doc.Content[0], reflect.ValueOf(v).Elem(), "", "", 0)
-	return Places{doc.Content[0]}, l.Or()
+	l.readValue(doc.Content[0], reflect.ValueOf(v).Elem(), "", "", 0)
+	return Positions{doc.Content[0]}, l.Err()
 }
 
-// syntax takes the line out of the library's own words.
-func syntax(err error) Fault {
-	f := Fault{What: strings.TrimPrefix(err.Error(), "yaml: "), Column: 1}
-	if rest, is := strings.CutPrefix(f.What, "line "); is {
+// syntaxDiagnostic takes the line out of the library's own words.
+func syntaxDiagnostic(err error) Diagnostic {
+	f := Diagnostic{Problem: strings.TrimPrefix(err.Error(), "yaml: "), Column: 1}
+	if rest, is := strings.CutPrefix(f.Problem, "line "); is {
 		number, what, _ := strings.Cut(rest, ": ")
 		f.Line, _ = strconv.Atoi(number)
-		f.What = what
+		f.Problem = what
 	}
 	f.Line = max(1, f.Line)
 	return f
 }
 
-func (l *List) at(n *yaml.Node, path, want, what string, args ...any) {
-	*l = append(*l, Fault{Line: n.Line, Column: n.Column, Path: path, What: fmt.Sprintf(what, args...), Want: want})
+func (l *List) addAt(n *yaml.Node, path, want, what string, args ...any) {
+	*l = append(*l, Diagnostic{Line: n.Line, Column: n.Column, Path: path, Problem: fmt.Sprintf(what, args...), Expected: want})
 }
 
-var span = reflect.TypeFor[time.Duration]()
+var durationType = reflect.TypeFor[time.Duration]()
 
-func (l *List) read(n *yaml.Node, v reflect.Value, path string, tag reflect.StructTag, depth int) {
-	if depth > deepest {
-		l.at(n, path, "", "is nested too deep")
+func (l *List) readValue(n *yaml.Node, v reflect.Value, path string, tag reflect.StructTag, depth int) {
+	if depth > maxDepth {
+		l.addAt(n, path, "", "is nested too deep")
 		return
 	}
 	if n.Kind == yaml.AliasNode {
-		l.at(n, path, "the value itself", "is an alias")
+		l.addAt(n, path, "the value itself", "is an alias")
 		return
 	}
 	if n.Tag == "!!null" && v.Kind() != reflect.Pointer {
-		l.at(n, path, "a value", "is empty")
+		l.addAt(n, path, "a value", "is empty")
 		return
 	}
 	if v.Kind() == reflect.Pointer {
@@ -114,14 +114,14 @@
 		if d, is := v.Interface().(interface{ Default() }); is {
 			d.Default()
 		}
-		l.read(n, v.Elem(), path, tag, depth)
+		l.readValue(n, v.Elem(), path, tag, depth)
 		return
 	}
 	if text, is := v.Addr().Interface().(encoding.TextUnmarshaler); is {
 		if n.Kind != yaml.ScalarNode {
-			l.at(n, path, "one value", "is a list or a section")
+			l.addAt(n, path, "one value", "is a list or a section")
 		} else if err := text.UnmarshalText([]byte(n.Value)); err != nil {
-			l.at(n, path, "", "%q: %s", n.Value, err)
+			l.addAt(n, path, "", "%q: %s", n.Value, err)
 		}
 		return
 	}
@@ -130,28 +130,28 @@
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		l.section(n, v, path, depth)
+		l.readMapping(n, v, path, depth)
 	case reflect.Slice:
 		if n.Kind != yaml.SequenceNode {
-			l.at(n, path, "a list", "is no list")
+			l.addAt(n, path, "a list", "is no list")
 			return
 		}
-		if len(n.Content) > most {
-			l.at(n, path, fmt.Sprintf("%d entries at most", most), "has %d", len(n.Content))
+		if len(n.Content) > maxListEntries {
+			l.addAt(n, path, fmt.Sprintf("%d entries at most", maxListEntries), "has %d", len(n.Content))
 			return
 		}
 		v.Set(reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content)))
 		for i, item := range n.Content {
-			l.read(item, v.Index(i), fmt.Sprintf("%s[%d]", path, i), tag, depth+1)
+			l.readValue(item, v.Index(i), fmt.Sprintf("%s[%d]", path, i), tag, depth+1)
 		}
 	default:
-		l.scalar(n, v, path, tag)
+		l.readScalar(n, v, path, tag)
 	}
 }
 
-func (l *List) section(n *yaml.Node, v reflect.Value, path string, depth int) {
+func (l *List) readMapping(n *yaml.Node, v reflect.Value, path string, depth int) {
 	if n.Kind != yaml.MappingNode {
-		l.at(n, path, "a section of key: value", "is none")
+		l.addAt(n, path, "a section of key: value", "is none")
 		return
 	}
 	names, fields := []string{}, map[string]int{}
@@ -167,52 +167,52 @@
 		at, known := fields[key.Value]
 		switch {
 		case key.Kind != yaml.ScalarNode || !known:
-			l.at(key, below, "one of "+strings.Join(names, ", "), "is not known")
+			l.addAt(key, below, "one of "+strings.Join(names, ", "), "is not known")
 		case seen[key.Value]:
-			l.at(key, below, "each key once", "stands twice")
+			l.addAt(key, below, "each key once", "stands twice")
 		default:
-			l.read(value, v.Field(at), below, v.Type().Field(at).Tag, depth+1)
+			l.readValue(value, v.Field(at), below, v.Type().Field(at).Tag, depth+1)
 		}
 		seen[key.Value] = true
 	}
 	for _, name := range names {
 		if !seen[name] && v.Type().Field(fields[name]).Tag.Get("need") == "yes" {
-			l.at(n, strings.TrimPrefix(path+"."+name, "."), "a value", "is missing")
+			l.addAt(n, strings.TrimPrefix(path+"."+name, "."), "a value", "is missing")
 		}
 	}
 }
 
-func (l *List) scalar(n *yaml.Node, v reflect.Value, path string, tag reflect.StructTag) {
+func (l *List) readScalar(n *yaml.Node, v reflect.Value, path string, tag reflect.StructTag) {
 	if n.Kind != yaml.ScalarNode {
-		l.at(n, path, "one value", "is a list or a section")
+		l.addAt(n, path, "one value", "is a list or a section")
 		return
 	}
 	number, bad := math.NaN(), false
 	switch {
-	case v.Type() == span:
+	case v.Type() == durationType:
 		d, err := time.ParseDuration(n.Value)
 		if bad = err != nil; bad {
-			l.at(n, path, "a time with its unit, as in 250ms or 2s", "%q", n.Value)
+			l.addAt(n, path, "a time with its unit, as in 250ms or 2s", "%q", n.Value)
 			return
 		}
 		v.SetInt(int64(d))
 		number = d.Seconds()
 	case v.Kind() == reflect.String:
 		if n.Tag != "!!str" {
-			l.at(n, path, "text; quote it if that is meant", "%q", n.Value)
+			l.addAt(n, path, "text; quote it if that is meant", "%q", n.Value)
 			return
 		}
 		v.SetString(n.Value)
 		if one := tag.Get("one"); one != "" && !slices.Contains(strings.Fields(one), n.Value) {
-			l.at(n, path, "one of "+strings.Join(strings.Fields(one), ", "), "%q", n.Value)
+			l.addAt(n, path, "one of "+strings.Join(strings.Fields(one), ", "), "%q", n.Value)
 		}
 		if least := tag.Get("min"); least != "" && n.Value == "" {
-			l.at(n, path, "a name", "is empty")
+			l.addAt(n, path, "a name", "is empty")
 		}
 		return
 	case v.Kind() == reflect.Bool:
 		if n.Tag != "!!bool" {
-			l.at(n, path, "true or false", "%q", n.Value)
+			l.addAt(n, path, "true or false", "%q", n.Value)
 			return
 		}
 		v.SetBool(n.Value == "true")
@@ -220,7 +220,7 @@
 	case v.CanInt():
 		i, err := strconv.ParseInt(n.Value, 10, 64)
 		if bad = n.Tag != "!!int" || err != nil; bad {
-			l.at(n, path, "a whole number", "%q", n.Value)
+			l.addAt(n, path, "a whole number", "%q", n.Value)
 			return
 		}
 		v.SetInt(i)
@@ -228,7 +228,7 @@
 	case v.CanFloat():
 		f, err := strconv.ParseFloat(n.Value, 64)
 		if bad = n.Tag != "!!int" && n.Tag != "!!float" || err != nil || math.IsNaN(f) || math.IsInf(f, 0); bad {
-			l.at(n, path, "a number", "%q", n.Value)
+			l.addAt(n, path, "a number", "%q", n.Value)
 			return
 		}
 		v.SetFloat(f)
@@ -242,7 +242,7 @@
 			continue
 		}
 		bound, unit := 0.0, text
-		if v.Type() == span {
+		if v.Type() == durationType {
 			d, _ := time.ParseDuration(text)
 			bound = d.Seconds()
 		} else {
@@ -250,7 +250,7 @@
 		}
 		if !test(bound) {
 			words := map[string]string{"min": "at least ", "over": "more than ", "max": "at most ", "under": "less than "}
-			l.at(n, path, words[name]+unit, "%s is out of range", n.Value)
+			l.addAt(n, path, words[name]+unit, "%s is out of range", n.Value)
 		}
 	}
 }
