--- a/internal/emulator/below.go
+++ b/internal/emulator/below.go
@@ -15,17 +15,17 @@
 // Index answers calls.
 type Index struct {
 	*Listener
-	Delay  time.Duration
-	Script func(n int) string // HIT, SHED, BROKEN, SLOW, NOBODY, silence, reset or noise for the n-th call; nil: HIT
-	Most   int                // calls in hand beyond which more are turned away; 0 for no bound
-	Crowd  int                // calls in hand beyond which all take longer, by the square of how many more; 0 for never
-	calls  chan int
-	inHand atomic.Int64
-	peak   atomic.Int64
+	ReplyDelay        time.Duration
+	Script            func(n int) string // HIT, SHED, BROKEN, SLOW, NOBODY, silence, reset or noise for the n-th call; nil: HIT
+	MaxInFlight       int                // calls in hand beyond which more are turned away; 0 for no bound
+	SlowdownThreshold int                // calls in hand beyond which all take longer, by the square of how many more; 0 for never
+	callCount         chan int
+	inFlight          atomic.Int64
+	peakInFlight      atomic.Int64
 }
 
-// Peak is the most calls that were in hand at once since it was last asked.
-func (x *Index) Peak() int { return int(x.peak.Swap(x.inHand.Load())) }
+// PeakInFlight is the most calls that were in hand at once since it was last asked.
+func (x *Index) PeakInFlight() int { return int(x.peakInFlight.Swap(x.inFlight.Load())) }
 
 // NewIndex starts one.
 func NewIndex() (*Index, error) {
@@ -33,8 +33,8 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &Index{Listener: l, calls: make(chan int, 1)}
-	x.calls <- 0
+	x := &Index{Listener: l, callCount: make(chan int, 1)}
+	x.callCount <- 0
 	go func() {
 		for link := range l.Links {
 			go x.serve(link)
@@ -46,7 +46,7 @@
 func (x *Index) serve(link *Link) {
 	defer link.Close()
 	for {
-		text, err := link.In.ReadString('\n')
+		text, err := link.Reader.ReadString('\n')
 		if err != nil {
 			return
 		}
@@ -58,28 +58,28 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.CopyN(io.Discard, link.In, int64(length)+2); err != nil {
+		if _, err := io.CopyN(io.Discard, link.Reader, int64(length)+2); err != nil {
 			return
 		}
-		n := <-x.calls
-		x.calls <- n + 1
+		n := <-x.callCount
+		x.callCount <- n + 1
 		reply := "HIT"
 		if x.Script != nil {
 			reply = x.Script(n)
 		}
-		in := x.inHand.Add(1)
-		for most := x.peak.Load(); in > most && !x.peak.CompareAndSwap(most, in); most = x.peak.Load() {
+		in := x.inFlight.Add(1)
+		for most := x.peakInFlight.Load(); in > most && !x.peakInFlight.CompareAndSwap(most, in); most = x.peakInFlight.Load() {
 		}
-		if x.Most > 0 && in > int64(x.Most) {
+		if x.MaxInFlight > 0 && in > int64(x.MaxInFlight) {
 			reply = "SHED"
 		} else {
-			delay := x.Delay
-			if over := float64(in) / float64(max(1, x.Crowd)); x.Crowd > 0 && over > 1 {
+			delay := x.ReplyDelay
+			if over := float64(in) / float64(max(1, x.SlowdownThreshold)); x.SlowdownThreshold > 0 && over > 1 {
 				delay = time.Duration(float64(delay) * over * over)
 			}
 			time.Sleep(delay)
 		}
-		x.inHand.Add(-1)
+		x.inFlight.Add(-1)
 		switch reply {
 		case "silence":
 		case "reset":
@@ -108,7 +108,7 @@
 			go func() {
 				defer link.Close()
 				for {
-					r, err := http.ReadRequest(link.In)
+					r, err := http.ReadRequest(link.Reader)
 					if err != nil {
 						return
 					}
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -13,16 +13,16 @@
 	net.Listener
 	Address string
 	Links   chan *Link // closed by Close
-	ended   atomic.Bool
+	closed  atomic.Bool
 }
 
 // Link is a connection that is read by lines or records.
 type Link struct {
 	net.Conn
-	In *bufio.Reader
+	Reader *bufio.Reader
 }
 
-const waiting = 64 // connections that nobody has taken up yet
+const acceptBacklog = 64 // connections that nobody has taken up yet
 
 // Listen opens one.
 func Listen() (*Listener, error) {
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Listener{Listener: l, Address: l.Addr().String(), Links: make(chan *Link, waiting)}
+	s := &Listener{Listener: l, Address: l.Addr().String(), Links: make(chan *Link, acceptBacklog)}
 	go s.accept()
 	return s, nil
 }
@@ -39,7 +39,7 @@
 	for l := s.Listener; ; {
 		c, err := l.Accept()
 		if err != nil {
-			if s.ended.Load() {
+			if s.closed.Load() {
 				close(s.Links)
 			}
 			return
@@ -50,7 +50,7 @@
 
 // Close ends it for good.
 func (s *Listener) Close() error {
-	s.ended.Store(true)
+	s.closed.Store(true)
 	return s.Listener.Close()
 }
 
@@ -65,8 +65,8 @@
 // NewLink wraps a connection.
 func NewLink(c net.Conn) *Link { return &Link{c, bufio.NewReaderSize(c, 8<<10)} }
 
-// Free is a loopback address that nothing listens on.
-func Free() (string, error) {
+// FreeAddress is a loopback address that nothing listens on.
+func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -16,14 +16,14 @@
 	"time"
 )
 
-// Record is one FastCGI record.
-func Record(kind byte, slot uint16, content string) []byte {
+// FastCGIRecord is one FastCGI record.
+func FastCGIRecord(kind byte, slot uint16, content string) []byte {
 	head := []byte{1, kind, byte(slot >> 8), byte(slot), byte(len(content) >> 8), byte(len(content)), 0, 0}
 	return append(head, content...)
 }
 
-// Request is one whole request: parameters in the order of their names, which keep to under 128 bytes each.
-func Request(slot uint16, path, body string, with map[string]string) []byte {
+// FastCGIRequest is one whole request: parameters in the order of their names, which keep to under 128 bytes each.
+func FastCGIRequest(slot uint16, path, body string, with map[string]string) []byte {
 	var params strings.Builder
 	put := func(name, value string) {
 		params.Write([]byte{byte(len(name)), byte(len(value))})
@@ -38,23 +38,23 @@
 	for _, name := range names {
 		put(name, with[name])
 	}
-	data := Record(1, slot, "\x00\x01\x01\x00\x00\x00\x00\x00")
-	data = append(append(data, Record(4, slot, params.String())...), Record(4, slot, "")...)
+	data := FastCGIRecord(1, slot, "\x00\x01\x01\x00\x00\x00\x00\x00")
+	data = append(append(data, FastCGIRecord(4, slot, params.String())...), FastCGIRecord(4, slot, "")...)
 	if body != "" {
-		data = append(data, Record(5, slot, body)...)
+		data = append(data, FastCGIRecord(5, slot, body)...)
 	}
-	return append(data, Record(5, slot, "")...)
+	return append(data, FastCGIRecord(5, slot, "")...)
 }
 
-// Answer is one answer of the server.
-type Answer struct {
+// Response is one answer of the server.
+type Response struct {
 	Slot          uint16
 	Status        int
 	Headers, Body string
 }
 
-// Away is the return time that it tells, 0 for none.
-func (a *Answer) Away() time.Duration {
+// RetryAfter is the return time that it tells, 0 for none.
+func (a *Response) RetryAfter() time.Duration {
 	for _, line := range strings.Split(a.Headers, "\r\n") {
 		if text, is := strings.CutPrefix(line, "Back-Off-Ms: "); is {
 			ms, _ := strconv.Atoi(text)
@@ -64,19 +64,19 @@
 	return 0
 }
 
-// errRecord is a record that no answer is made of.
-var errRecord = errors.New("a record that is no part of an answer")
+// errUnexpectedRecord is a record that no answer is made of.
+var errUnexpectedRecord = errors.New("a record that is no part of an answer")
 
-// Answer reads the next answer whose records come one after the other.
-func (l *Link) Answer() (a Answer, err error) {
+// ReadResponse reads the next answer whose records come one after the other.
+func (l *Link) ReadResponse() (a Response, err error) {
 	var out []byte
 	for {
 		head := make([]byte, 8)
-		if _, err := io.ReadFull(l.In, head); err != nil {
+		if _, err := io.ReadFull(l.Reader, head); err != nil {
 			return a, err
 		}
 		content := make([]byte, int(binary.BigEndian.Uint16(head[4:]))+int(head[6]))
-		if _, err := io.ReadFull(l.In, content); err != nil {
+		if _, err := io.ReadFull(l.Reader, content); err != nil {
 			return a, err
 		}
 		if head[1] == 6 {
@@ -84,7 +84,7 @@
 			continue
 		}
 		if head[1] != 3 {
-			return a, errRecord
+			return a, errUnexpectedRecord
 		}
 		a.Slot = binary.BigEndian.Uint16(head[2:])
 		a.Headers, a.Body, _ = strings.Cut(string(out), "\r\n\r\n")
@@ -93,64 +93,64 @@
 	}
 }
 
-// Fields are the parameters of a work item that has just come.
-func Fields(id, tenant string, budget time.Duration) map[string]string {
+// RequestParameters are the parameters of a work item that has just come.
+func RequestParameters(id, tenant string, budget time.Duration) map[string]string {
 	return map[string]string{"HTTP_REQUEST_ID": id, "HTTP_RECEIVED_AT": strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"HTTP_SENT_BY": "1", "HTTP_ACCOUNT": tenant, "HTTP_BUDGET_MS": strconv.FormatInt(budget.Milliseconds(), 10),
 		"HTTP_FOOTPRINT_KB": "24.5", "HTTP_PRIORITY_RANK": "0.6250", "REQUEST_METHOD": "POST"}
 }
 
-// Send is a load against one server.
-type Send struct {
-	Address          string
-	Seed             int64
-	Length           float64 // seconds
-	Cores            float64 // of the interpreter: what there is to divide
-	Categories       []string
-	Contract, Expiry time.Duration
-	Streams          []*Stream
-	lock             sync.Mutex
-	books            *Accounts
-	conns            []*sender
-	broken           int // work items whose connection broke
-	begun            time.Time
-	load             *Load
-	again            chan struct{}
+// LoadRun is a load against one server.
+type LoadRun struct {
+	Address                string
+	Seed                   int64
+	Seconds                float64 // seconds
+	Cores                  float64 // of the interpreter: what there is to divide
+	Categories             []string
+	SoftDeadline, Deadline time.Duration
+	Streams                []*Stream
+	lock                   sync.Mutex
+	accounts               *Accounts
+	connections            []*loadConnection
+	brokenRequests         int // work items whose connection broke
+	startedAt              time.Time
+	load                   *Load
+	retryReady             chan struct{}
 }
 
-const slots = 32 // open requests a connection
+const slotsPerConnection = 32 // open requests a connection
 
-type sender struct {
+type loadConnection struct {
 	*Link
-	s    *Send
-	open map[uint16]*sent
+	run  *LoadRun
+	open map[uint16]*sentAttempt
 	next uint16
 }
 
-type sent struct {
-	ask *Ask
-	at  time.Time
+type sentAttempt struct {
+	attempt *Attempt
+	sentAt  time.Time
 }
 
-// Play sends the load and waits for the last answer.
-func (s *Send) Play() ([]*Account, error) {
-	s.load, s.books = NewLoad(s.Seed, s.Streams), NewAccounts(s.Streams)
-	s.begun, s.again = time.Now(), make(chan struct{}, 1)
+// Run sends the load and waits for the last answer.
+func (s *LoadRun) Run() ([]*Account, error) {
+	s.load, s.accounts = NewLoad(s.Seed, s.Streams), NewAccounts(s.Streams)
+	s.startedAt, s.retryReady = time.Now(), make(chan struct{}, 1)
 	for s.pending() {
 		s.lock.Lock()
 		next := s.load.Next()
 		s.lock.Unlock()
-		if wait := next - time.Since(s.begun).Seconds(); wait > 0 {
+		if wait := next - time.Since(s.startedAt).Seconds(); wait > 0 {
 			t := time.NewTimer(time.Duration(min(wait, 1) * float64(time.Second)))
 			select {
 			case <-t.C:
-			case <-s.again:
+			case <-s.retryReady:
 				t.Stop()
 			}
 			continue
 		}
 		s.lock.Lock()
-		err := s.send(s.load.Take())
+		err := s.send(s.load.Pop())
 		s.lock.Unlock()
 		if err != nil {
 			return nil, err
@@ -158,31 +158,31 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	for _, c := range s.conns {
+	for _, c := range s.connections {
 		c.Close()
 	}
-	return s.books.Entitle(s.Cores * s.Length), nil
+	return s.accounts.Entitle(s.Cores * s.Seconds), nil
 }
 
 // pending says whether more is to be sent or answered.
-func (s *Send) pending() bool {
+func (s *LoadRun) pending() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if !math.IsInf(s.load.Next(), 1) {
 		return true
 	}
-	for _, c := range s.conns {
+	for _, c := range s.connections {
 		if len(c.open) > 0 {
-			return time.Since(s.begun).Seconds() < s.Length+2*s.Expiry.Seconds()
+			return time.Since(s.startedAt).Seconds() < s.Seconds+2*s.Deadline.Seconds()
 		}
 	}
 	return false
 }
 
-func (s *Send) send(a *Ask) error {
-	var c *sender
-	for _, one := range s.conns {
-		if len(one.open) < slots {
+func (s *LoadRun) send(a *Attempt) error {
+	var c *loadConnection
+	for _, one := range s.connections {
+		if len(one.open) < slotsPerConnection {
 			c = one
 		}
 	}
@@ -191,67 +191,67 @@
 		if err != nil {
 			return err
 		}
-		c = &sender{Link: link, s: s, open: map[uint16]*sent{}}
-		s.conns = append(s.conns, c)
-		go c.answers()
+		c = &loadConnection{Link: link, run: s, open: map[uint16]*sentAttempt{}}
+		s.connections = append(s.connections, c)
+		go c.readResponses()
 	}
 	for c.next++; c.next == 0 || c.open[c.next] != nil; c.next++ {
 	}
-	s.books.Asked(a)
-	c.open[c.next] = &sent{a, time.Now()}
-	id := fmt.Sprintf("%08x%08x", a.n, a.Try)
-	_, err := c.Write(Request(c.next, "/rpc/"+s.Categories[a.Stream.Category], fmt.Sprintf("%.2f %d", a.Work*1000, a.n),
-		Fields(id, a.Tenant, s.Expiry)))
+	s.accounts.Asked(a)
+	c.open[c.next] = &sentAttempt{a, time.Now()}
+	id := fmt.Sprintf("%08x%08x", a.sequence, a.Retries)
+	_, err := c.Write(FastCGIRequest(c.next, "/rpc/"+s.Categories[a.Stream.Category], fmt.Sprintf("%.2f %d", a.CoreSeconds*1000, a.sequence),
+		RequestParameters(id, a.Tenant, s.Deadline)))
 	return err
 }
 
-func (c *sender) answers() {
-	s := c.s
+func (c *loadConnection) readResponses() {
+	s := c.run
 	for {
-		a, err := c.Answer()
+		a, err := c.ReadResponse()
 		s.lock.Lock()
 		if err != nil {
-			s.broken += len(c.open)
+			s.brokenRequests += len(c.open)
 			clear(c.open)
 			s.lock.Unlock()
 			return
 		}
 		if of := c.open[a.Slot]; of != nil {
 			delete(c.open, a.Slot)
-			book := s.books.Of(of.ask)
-			took := time.Since(of.at)
+			book := s.accounts.Account(of.attempt)
+			took := time.Since(of.sentAt)
 			_ = book.Times.RecordValue(min(took.Microseconds(), 60e6))
-			if took > s.Expiry {
-				book.Overdue++
+			if took > s.Deadline {
+				book.PastDeadline++
 			}
-			switch late := took > s.Contract; {
+			switch late := took > s.SoftDeadline; {
 			case a.Status == 200 && late:
 				book.Late++
 			case a.Status == 200:
-				book.Fulfilled++
-				book.Gain += of.ask.Stream.Gain
+				book.OnTime++
+				book.Value += of.attempt.Stream.PriorityWeight
 			case a.Status == 503:
-				book.Declined++
-				if away := a.Away(); away > 0 && of.ask.Try < of.ask.Stream.Returns {
-					s.load.Again(of.ask, time.Since(s.begun).Seconds()+away.Seconds())
+				book.Rejected++
+				if away := a.RetryAfter(); away > 0 && of.attempt.Retries < of.attempt.Stream.MaxRetries {
+					s.load.Retry(of.attempt, time.Since(s.startedAt).Seconds()+away.Seconds())
 				}
 			case a.Status < 500:
-				book.Refused++
+				book.BadRequests++
 			default:
-				book.Lost++
+				book.Aborted++
 			}
 		}
 		s.lock.Unlock()
 		select {
-		case s.again <- struct{}{}:
+		case s.retryReady <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Broken counts the work items whose connection ended before their answer.
-func (s *Send) Broken() int {
+// BrokenRequests counts the work items whose connection ended before their answer.
+func (s *LoadRun) BrokenRequests() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.broken
+	return s.brokenRequests
 }
--- a/internal/emulator/wasm.go
+++ b/internal/emulator/wasm.go
@@ -70,11 +70,13 @@
 	return out
 }
 
-// at is a pointer and a length as a hook returns them.
-func at(pointer, length uint32) []byte { return i64(int64(uint64(pointer)<<32 | uint64(length))) }
+// pointerAndLength is a pointer and a length as a hook returns them.
+func pointerAndLength(pointer, length uint32) []byte {
+	return i64(int64(uint64(pointer)<<32 | uint64(length)))
+}
 
-// shape is what differs from module to module.
-type shape struct {
+// moduleSpec is what differs from module to module.
+type moduleSpec struct {
 	version            int64
 	read, result, tick []byte // bodies, which leave an i64
 	start              []byte
@@ -83,70 +85,90 @@
 }
 
 var (
-	goOn    = i64(0)
-	forever = []byte{0x03, 0x40, 0x0c, 0x00, 0x0b} // loop, br 0, end
-	trap    = []byte{0x00}
-	trapTen = join(i32(0), i32(0), []byte{0x28, 2, 0}, i32(1), []byte{0x6a, 0x36, 2, 0}, // memory[0]++
+	continueResult = i64(0)
+	infiniteLoop   = []byte{0x03, 0x40, 0x0c, 0x00, 0x0b} // loop, br 0, end
+	trap           = []byte{0x00}
+	trapOneInTen   = join(i32(0), i32(0), []byte{0x28, 2, 0}, i32(1), []byte{0x6a, 0x36, 2, 0}, // memory[0]++
 		i32(0), []byte{0x28, 2, 0}, i32(10), []byte{0x70, 0x45, 0x04, 0x40, 0x00, 0x0b}) // if memory[0]%10 == 0: trap
 	recurse = func(fn byte) []byte { return []byte{0x20, 0, 0x20, 1, 0x10, fn} }
 	// busy waits for so many milliseconds by the clock.
-	busyFor = func(ms int64) []byte {
+	busyWait = func(ms int64) []byte {
 		return join([]byte{0x10, fnNow, 0x21, 2, 0x03, 0x40, 0x10, fnNow, 0x20, 2, 0x7d}, i64(ms), []byte{0x53, 0x0d, 0, 0x0b})
 	}
 )
 
-func verdictOf(v abi.Verdict) []byte { return v.Append(nil) }
+func encodedVerdict(v abi.Verdict) []byte { return v.Append(nil) }
 
-var shapes = map[string]func() shape{
-	"good":         func() shape { return shape{} },
-	"declines":     func() shape { return shape{verdict: verdictOf(abi.Verdict{Does: abi.Declines, Status: 403})} },
-	"shortens":     func() shape { return shape{verdict: verdictOf(abi.Verdict{Does: abi.Replaces, Body: []byte("short")})} },
-	"tags":         func() shape { return shape{verdict: verdictOf(abi.Verdict{Does: abi.Tags, Tag: "vip"})} },
-	"recategorise": func() shape { return shape{verdict: verdictOf(abi.Verdict{Does: abi.Categorises, Category: "brief"})} },
-	"loops": func() shape {
-		return shape{read: join(forever, goOn), result: join(forever, goOn), tick: join(forever, goOn)}
+var moduleSpecs = map[string]func() moduleSpec{
+	"good": func() moduleSpec { return moduleSpec{} },
+	"declines": func() moduleSpec {
+		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionReject, Status: 403})}
+	},
+	"shortens": func() moduleSpec {
+		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("short")})}
+	},
+	"tags": func() moduleSpec {
+		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionTag, Tag: "vip"})}
+	},
+	"recategorise": func() moduleSpec {
+		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionCategorize, Category: "brief"})}
+	},
+	"loops": func() moduleSpec {
+		return moduleSpec{read: join(infiniteLoop, continueResult), result: join(infiniteLoop, continueResult), tick: join(infiniteLoop, continueResult)}
+	},
+	"loops-at-start": func() moduleSpec { return moduleSpec{start: infiniteLoop} },
+	"asks-4gib":      func() moduleSpec { return moduleSpec{read: join(i32(65535), []byte{0x40, 0, 0x1a}, continueResult)} },
+	"asks-bit-by-bit": func() moduleSpec {
+		return moduleSpec{read: join([]byte{0x03, 0x40}, i32(1), []byte{0x40, 0, 0x1a, 0x0c, 0, 0x0b}, continueResult)}
+	},
+	"recurses": func() moduleSpec { return moduleSpec{read: recurse(fnRead), result: recurse(fnResult)} },
+	"traps": func() moduleSpec {
+		return moduleSpec{read: join(trap, continueResult), result: join(trap, continueResult)}
+	},
+	"traps-one-in-ten": func() moduleSpec {
+		return moduleSpec{read: join(trapOneInTen, continueResult), result: join(trapOneInTen, continueResult)}
+	},
+	"points-outside": func() moduleSpec {
+		return moduleSpec{read: pointerAndLength(0xfffffff0, 64), result: pointerAndLength(0xfffffff0, 64)}
+	},
+	"answers-1gib": func() moduleSpec {
+		return moduleSpec{read: pointerAndLength(0, 1<<30), result: pointerAndLength(0, 1<<30)}
+	},
+	"status-9999": func() moduleSpec {
+		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionReject, Status: 9999})}
 	},
-	"loops-at-start": func() shape { return shape{start: forever} },
-	"asks-4gib":      func() shape { return shape{read: join(i32(65535), []byte{0x40, 0, 0x1a}, goOn)} },
-	"asks-bit-by-bit": func() shape {
-		return shape{read: join([]byte{0x03, 0x40}, i32(1), []byte{0x40, 0, 0x1a, 0x0c, 0, 0x0b}, goOn)}
+	"no-such-category": func() moduleSpec {
+		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionCategorize, Category: "nowhere"})}
 	},
-	"recurses":         func() shape { return shape{read: recurse(fnRead), result: recurse(fnResult)} },
-	"traps":            func() shape { return shape{read: join(trap, goOn), result: join(trap, goOn)} },
-	"traps-one-in-ten": func() shape { return shape{read: join(trapTen, goOn), result: join(trapTen, goOn)} },
-	"points-outside":   func() shape { return shape{read: at(0xfffffff0, 64), result: at(0xfffffff0, 64)} },
-	"answers-1gib":     func() shape { return shape{read: at(0, 1<<30), result: at(0, 1<<30)} },
-	"status-9999":      func() shape { return shape{verdict: verdictOf(abi.Verdict{Does: abi.Declines, Status: 9999})} },
-	"no-such-category": func() shape {
-		return shape{verdict: verdictOf(abi.Verdict{Does: abi.Categorises, Category: "nowhere"})}
+	"noise": func() moduleSpec { return moduleSpec{verdict: []byte("\xff\x00 no verdict at all")} },
+	"logs-without-end": func() moduleSpec {
+		return moduleSpec{read: join([]byte{0x03, 0x40}, i32(0), i32(64), []byte{0x10, fnLog, 0x0c, 0, 0x0b}, continueResult)}
 	},
-	"noise": func() shape { return shape{verdict: []byte("\xff\x00 no verdict at all")} },
-	"logs-without-end": func() shape {
-		return shape{read: join([]byte{0x03, 0x40}, i32(0), i32(64), []byte{0x10, fnLog, 0x0c, 0, 0x0b}, goOn)}
+	"other-version": func() moduleSpec { return moduleSpec{version: 7} },
+	"foreign":       func() moduleSpec { return moduleSpec{foreign: true} },
+	"slow-4ms": func() moduleSpec {
+		return moduleSpec{read: join(busyWait(4), continueResult), result: join(busyWait(4), continueResult)}
 	},
-	"other-version": func() shape { return shape{version: 7} },
-	"foreign":       func() shape { return shape{foreign: true} },
-	"slow-4ms":      func() shape { return shape{read: join(busyFor(4), goOn), result: join(busyFor(4), goOn)} },
 }
 
-// Plugins lists the kinds of plug-in that Plugin makes.
-func Plugins() []string { return slices.Sorted(maps.Keys(shapes)) }
+// PluginKinds lists the kinds of plug-in that Plugin makes.
+func PluginKinds() []string { return slices.Sorted(maps.Keys(moduleSpecs)) }
 
-// Plugin makes a module of a kind.
-func Plugin(kind string) []byte {
+// PluginModule makes a module of a kind.
+func PluginModule(kind string) []byte {
 	if kind == "truncated" {
-		whole := Plugin("good")
+		whole := PluginModule("good")
 		return whole[:len(whole)/2]
 	}
-	s := shapes[kind]()
+	s := moduleSpecs[kind]()
 	if s.version == 0 {
 		s.version = abi.Version
 	}
 	for _, body := range []*[]byte{&s.read, &s.result, &s.tick} {
 		if *body == nil {
-			*body = goOn
+			*body = continueResult
 			if s.verdict != nil {
-				*body = at(verdictAt, uint32(len(s.verdict)))
+				*body = pointerAndLength(verdictAt, uint32(len(s.verdict)))
 			}
 		}
 	}
--- a/internal/fairqueue/elsewhere.go
+++ b/internal/fairqueue/elsewhere.go
@@ -12,80 +12,82 @@
 	"thistlequay/timeunit"
 )
 
-// Service is what a named tenant was given by one life of a server, from that life's start, in core time.
-type Service struct {
-	Tenant string
-	Time   float64
+// Usage is what a named tenant was given by one life of a server, from that life's start, in core time.
+type Usage struct {
+	Tenant   string
+	CoreTime float64
 }
 
-// source is one life of another server.
-type source struct {
-	heard timeunit.Ticks
-	total map[string]float64
+// remoteServer is one life of another server.
+type remoteServer struct {
+	lastReport timeunit.Ticks
+	reported   map[string]float64
 }
 
 const (
-	mostSources = 4096
-	mostAge     = 100_000 // what was said longer ago is no news of what is given now, and nobody is put back by more than all servers' work in that time: 10 s
+	maxRemoteServers = 4096
+	maxReportAge     = 100_000 // what was said longer ago is no news of what is given now, and nobody is put back by more than all servers' work in that time: 10 s
 )
 
-// Given is what named tenants were given here, the most of late first.
-func (l *Ledger) Given() (list []Service) {
-	for _, t := range l.terms.Tenants {
-		if a := l.named[t.Name]; a != nil && a.total > 0 {
-			list = append(list, Service{t.Name, a.total})
+// LocalUsage is what named tenants were given here, the most of late first.
+func (l *Scheduler) LocalUsage() (list []Usage) {
+	for _, t := range l.config.Tenants {
+		if a := l.namedFlows[t.Name]; a != nil && a.localTotal > 0 {
+			list = append(list, Usage{t.Name, a.localTotal})
 		}
 	}
-	slices.SortStableFunc(list, func(x, y Service) int { return -cmp.Compare(l.named[x.Tenant].used, l.named[y.Tenant].used) })
+	slices.SortStableFunc(list, func(x, y Usage) int {
+		return -cmp.Compare(l.namedFlows[x.Tenant].recentUsage, l.namedFlows[y.Tenant].recentUsage)
+	})
 	return list
 }
 
-// Elsewhere takes what a life of another server said so long ago. Totals only grow: what comes late, twice or not at all is made
+// RecordRemoteUsage takes what a life of another server said so long ago. Totals only grow: what comes late, twice or not at all is made
 // good by the next. The first word of a life, and one after a long silence, only tells where to count from.
-func (l *Ledger) Elsewhere(life string, age timeunit.Ticks, given []Service, now timeunit.Ticks) {
-	l.at(now)
-	s := l.sources[life]
+func (l *Scheduler) RecordRemoteUsage(life string, age timeunit.Ticks, given []Usage, now timeunit.Ticks) {
+	l.advance(now)
+	s := l.remoteServers[life]
 	if s == nil {
-		if len(l.sources) >= mostSources {
-			l.forgetSources()
+		if len(l.remoteServers) >= maxRemoteServers {
+			l.forgetRemoteServers()
 		}
-		s = &source{total: map[string]float64{}, heard: -1 << 60}
-		l.sources[life] = s
+		s = &remoteServer{reported: map[string]float64{}, lastReport: -1 << 60}
+		l.remoteServers[life] = s
 	}
-	fresh := age >= 0 && age <= mostAge && l.now-s.heard <= 2*mostAge
+	fresh := age >= 0 && age <= maxReportAge && l.now-s.lastReport <= 2*maxReportAge
 	for _, g := range given {
-		a, before := l.named[g.Tenant], s.total[g.Tenant]
-		if a == nil || !(g.Time > before) {
+		a, before := l.namedFlows[g.Tenant], s.reported[g.Tenant]
+		if a == nil || !(g.CoreTime > before) {
 			continue
 		}
-		s.total[g.Tenant] = g.Time
+		s.reported[g.Tenant] = g.CoreTime
 		if fresh {
-			a.elsewhere(g.Time-before, l.now)
+			a.chargeRemoteUsage(g.CoreTime-before, l.now)
 		}
 	}
-	s.heard = l.now - max(0, age)
+	s.lastReport = l.now - max(0, age)
 }
 
-// elsewhere moves a tenant's finish on.
-func (a *account) elsewhere(time float64, now timeunit.Ticks) {
-	l := a.ledger
-	most := l.turn + mostAge*float64(l.terms.Cores*(1+len(l.sources)))/l.sum
-	if next := max(a.finish, l.Floor(l.turn)) + time/a.weight(); next <= most {
-		a.finish = next
+// chargeRemoteUsage moves a tenant's finish on.
+func (a *flow) chargeRemoteUsage(time float64, now timeunit.Ticks) {
+	l := a.scheduler
+	most := l.virtualTime + maxReportAge*float64(l.config.Cores*(1+len(l.remoteServers)))/l.totalWeight
+	if next := max(a.finishTag, l.MinStartTag(l.virtualTime)) + time/a.weight(); next <= most {
+		a.finishTag = next
 	} else {
-		a.finish = max(a.finish, most)
+		a.finishTag = max(a.finishTag, most)
 	}
-	a.beside += time
+	a.remoteSinceMeasured += time
 }
 
-// forgetSources drops lives that have said nothing for long; all of them where none has.
-func (l *Ledger) forgetSources() {
-	for life, s := range l.sources {
-		if l.now-s.heard > 2*mostAge {
-			delete(l.sources, life)
+// forgetRemoteServers drops lives that have said nothing for long; all of them where none has.
+func (l *Scheduler) forgetRemoteServers() {
+	for life, s := range l.remoteServers {
+		if l.now-s.lastReport > 2*maxReportAge {
+			delete(l.remoteServers, life)
 		}
 	}
-	if len(l.sources) >= mostSources {
-		clear(l.sources)
+	if len(l.remoteServers) >= maxRemoteServers {
+		clear(l.remoteServers)
 	}
 }
--- a/internal/fairqueue/elsewhere_test.go
+++ b/internal/fairqueue/elsewhere_test.go
@@ -15,14 +15,14 @@
 // given go between them, some lost, late or twice.
 func doors(t *testing.T, servers int, weights map[string]float64, asks func(tenant string, server int, second int) bool, seconds int, loss float64, history *golden.History) map[string]float64 {
 	chance := rand.New(rand.NewSource(7))
-	var all []*Ledger
+	var all []*Scheduler
 	var names []Tenant
 	for _, name := range []string{"acme", "beta"} {
-		names = append(names, Tenant{Name: name, Share: weights[name]})
+		names = append(names, Tenant{Name: name, Weight: weights[name]})
 	}
 	for range servers {
-		all = append(all, New(Terms{Tenants: names, Others: 0.01, Newcomers: 0.25, Books: 4, Groups: 4, Burst: 2000, History: 50_000, Reshuffle: 300_000, Cores: 1,
-			Contracts: []timeunit.Ticks{40_000}}, rand.New(rand.NewSource(1)), 0))
+		all = append(all, New(Config{Tenants: names, OthersWeight: 0.01, NewcomerFraction: 0.25, MaxHeavyHitters: 4, SharedFlows: 4, Burst: 2000, MinHistory: 50_000, RehashInterval: 300_000, Cores: 1,
+			SoftDeadlines: []timeunit.Ticks{40_000}}, rand.New(rand.NewSource(1)), 0))
 	}
 	const run = 100 // tenths that each work item takes
 	given := map[string]float64{}
@@ -30,43 +30,43 @@
 	type word struct {
 		from int
 		at   timeunit.Ticks
-		of   []Service
+		of   []Usage
 	}
 	var words []word
 	for now := timeunit.Ticks(run); now < timeunit.Ticks(seconds)*10_000; now += run {
 		for i, l := range all {
-			var best Claim
+			var best Reservation
 			var who string
 			for _, n := range names { // one of each waits at all times
 				if !asks(n.Name, i, int(now/10_000)) {
 					continue
 				}
-				c := l.Open([]byte(n.Name), 0, turns[i], now-run)
-				if best.of == nil || c.Turn < best.Turn {
-					if best.of != nil {
-						best.Close(now - run)
+				c := l.Reserve([]byte(n.Name), 0, turns[i], now-run)
+				if best.flow == nil || c.StartTag < best.StartTag {
+					if best.flow != nil {
+						best.Release(now - run)
 					}
 					best, who = c, n.Name
 				} else {
-					c.Close(now - run)
+					c.Release(now - run)
 				}
 			}
-			if best.of == nil {
+			if best.flow == nil {
 				continue
 			}
-			turns[i] = max(turns[i], best.Turn)
-			history.Add(now, i, who, best.Turn, best.Behind)
-			best.Began(now - run)
-			best.Close(now)
+			turns[i] = max(turns[i], best.StartTag)
+			history.Add(now, i, who, best.StartTag, best.ExpectedDelay)
+			best.Start(now - run)
+			best.Release(now)
 			if now > timeunit.Ticks(seconds)*5_000 {
 				given[who] += run
 			}
 		}
 		if now%10_000 == 0 {
 			for i, l := range all {
-				words = append(words, word{i, now, l.Given()})
+				words = append(words, word{i, now, l.LocalUsage()})
 				for _, g := range words[len(words)-1].of {
-					history.Add(now, i, g.Tenant, g.Time)
+					history.Add(now, i, g.Tenant, g.CoreTime)
 				}
 			}
 		}
@@ -74,7 +74,7 @@
 			for j, l := range all {
 				late := now - w.at
 				if j != w.from && chance.Float64() >= loss && (late == 0 || late == 3000 || late == 20_000) { // at once, again, and much later
-					l.Elsewhere(string(rune('a'+w.from)), late, w.of, now)
+					l.RecordRemoteUsage(string(rune('a'+w.from)), late, w.of, now)
 				}
 			}
 		}
@@ -116,11 +116,11 @@
 
 // What was said is counted once whatever comes again; a first word and one after a long silence only tell where to count from.
 func TestElsewhereCountsOnce(t *testing.T) {
-	l := New(Terms{Tenants: []Tenant{{"acme", 1}}, Others: 1, Newcomers: 0.25, Books: 4, Groups: 4, Burst: 10, History: 1, Reshuffle: 1 << 40, Cores: 1,
-		Contracts: []timeunit.Ticks{100}}, rand.New(rand.NewSource(1)), 0)
-	finish := func() float64 { return l.named["acme"].finish }
+	l := New(Config{Tenants: []Tenant{{"acme", 1}}, OthersWeight: 1, NewcomerFraction: 0.25, MaxHeavyHitters: 4, SharedFlows: 4, Burst: 10, MinHistory: 1, RehashInterval: 1 << 40, Cores: 1,
+		SoftDeadlines: []timeunit.Ticks{100}}, rand.New(rand.NewSource(1)), 0)
+	finish := func() float64 { return l.namedFlows["acme"].finishTag }
 	say := func(life string, age timeunit.Ticks, total float64, now timeunit.Ticks) {
-		l.Elsewhere(life, age, []Service{{"acme", total}, {"nobody", 5}}, now)
+		l.RecordRemoteUsage(life, age, []Usage{{"acme", total}, {"nobody", 5}}, now)
 	}
 	before := finish()
 	say("a.1", 0, 5000, 1000)
@@ -131,10 +131,10 @@
 	say("a.1", 0, 5200, 2500)
 	say("a.1", 1500, 5100, 2600)
 	require.Equal(t, moved, finish(), "twice and late")
-	say("a.1", mostAge+1, 9000, 3000)
+	say("a.1", maxReportAge+1, 9000, 3000)
 	require.Equal(t, moved, finish(), "too old")
 	say("a.2", 0, 300, 4000)
 	require.Equal(t, moved, finish(), "another life")
 	say("a.2", 0, 1e12, 5000)
-	require.LessOrEqual(t, finish(), l.turn+float64(mostAge)*3, "no more than all servers could do")
+	require.LessOrEqual(t, finish(), l.virtualTime+float64(maxReportAge)*3, "no more than all servers could do")
 }
--- a/internal/fairqueue/golden_test.go
+++ b/internal/fairqueue/golden_test.go
@@ -10,16 +10,16 @@
 )
 
 // addClaim adds what a claim told its holder.
-func addClaim(history *golden.History, c *Claim, now timeunit.Ticks) {
-	history.Add(now, c.Turn, c.Behind)
+func addClaim(history *golden.History, c *Reservation, now timeunit.Ticks) {
+	history.Add(now, c.StartTag, c.ExpectedDelay)
 }
 
 // addLedger adds what a ledger tells of itself.
-func addLedger(history *golden.History, l *Ledger) {
-	f := l.Figures()
-	history.Add(f.Books, f.Groups, f.Rate, f.Heard)
-	for _, g := range l.Given() {
-		history.Add(g.Tenant, g.Time)
+func addLedger(history *golden.History, l *Scheduler) {
+	f := l.Stats()
+	history.Add(f.HeavyHitters, f.ActiveSharedFlows, f.ServiceRate, f.Candidates)
+	for _, g := range l.LocalUsage() {
+		history.Add(g.Tenant, g.CoreTime)
 	}
 }
 
@@ -48,45 +48,45 @@
 
 func playTenants(_ *testing.T, seed int64, history *golden.History) {
 	r := rand.New(rand.NewSource(seed))
-	settings := func() Terms {
+	settings := func() Config {
 		t := terms(2 + r.Intn(3))
-		t.Books, t.Groups, t.Contracts = 1+r.Intn(5), 4+4*r.Intn(2), []timeunit.Ticks{6_400, 1_600}
-		t.History, t.Reshuffle = 10_000, 20_000
+		t.MaxHeavyHitters, t.SharedFlows, t.SoftDeadlines = 1+r.Intn(5), 4+4*r.Intn(2), []timeunit.Ticks{6_400, 1_600}
+		t.MinHistory, t.RehashInterval = 10_000, 20_000
 		return t
 	}
 	l := New(settings(), rand.New(rand.NewSource(seed)), 0)
 	turn, total := 0.0, 0.0
-	var open []*Claim
+	var open []*Reservation
 	for now := timeunit.Ticks(0); now < 100_000; now += timeunit.Ticks(r.Intn(60)) {
 		switch k := r.Intn(100); {
 		case k < 35:
-			c := l.Open(fmt.Append(nil, "tenant-", min(r.Intn(40), r.Intn(40))), r.Intn(2), turn, now)
+			c := l.Reserve(fmt.Append(nil, "tenant-", min(r.Intn(40), r.Intn(40))), r.Intn(2), turn, now)
 			addClaim(history, &c, now)
 			open = append(open, &c)
-			turn = max(turn, c.Turn*r.Float64())
+			turn = max(turn, c.StartTag*r.Float64())
 		case k < 40:
-			c := l.Open(fmt.Append(nil, "new-", r.Intn(1000)), r.Intn(2), turn, now)
+			c := l.Reserve(fmt.Append(nil, "new-", r.Intn(1000)), r.Intn(2), turn, now)
 			addClaim(history, &c, now)
-			history.Add(c.Return(timeunit.Ticks(r.Intn(200)), timeunit.Ticks(r.Intn(20_000)), now))
-			c.Close(now)
+			history.Add(c.RetryAfter(timeunit.Ticks(r.Intn(200)), timeunit.Ticks(r.Intn(20_000)), now))
+			c.Release(now)
 		case k < 42:
 			total += float64(r.Intn(2_000))
-			l.Elsewhere(fmt.Sprint("life-", r.Intn(3)), timeunit.Ticks(r.Intn(3_000)), []Service{{fmt.Sprint("tenant-", r.Intn(4)), total}}, now)
+			l.RecordRemoteUsage(fmt.Sprint("life-", r.Intn(3)), timeunit.Ticks(r.Intn(3_000)), []Usage{{fmt.Sprint("tenant-", r.Intn(4)), total}}, now)
 		case k == 42 && r.Intn(10) == 0:
-			l.Change(settings(), now)
+			l.Reconfigure(settings(), now)
 		case len(open) > 0:
 			i := r.Intn(len(open))
 			switch c := open[i]; k % 6 {
 			case 0, 1:
-				c.Began(now)
+				c.Start(now)
 			case 2:
-				c.Called(now)
+				c.Suspend(now)
 			case 3:
-				c.Resumed(now)
+				c.Resume(now)
 			case 4:
-				c.Undone(now)
+				c.UndoStart(now)
 			default:
-				c.Close(now)
+				c.Release(now)
 				open[i] = open[len(open)-1]
 				open = open[:len(open)-1]
 			}
--- a/internal/fairqueue/heavy.go
+++ b/internal/fairqueue/heavy.go
@@ -12,127 +12,127 @@
 
 // candidate is one that may deserve a book.
 type candidate struct {
-	hash  uint64
-	since timeunit.Ticks
-	seen  timeunit.Ticks
-	used  float64 // with what it took over
-	over  float64 // from the one whose place it has
+	hash         uint64
+	firstSeen    timeunit.Ticks
+	lastSeen     timeunit.Ticks
+	usage        float64 // with what it took over
+	overestimate float64 // from the one whose place it has
 }
 
-type candidates struct {
-	table []candidate
-	at    map[uint64]int
+type candidateTable struct {
+	entries []candidate
+	index   map[uint64]int
 }
 
-func newCandidates(n int) candidates {
-	return candidates{table: make([]candidate, 0, n), at: make(map[uint64]int, n)}
+func newCandidateTable(n int) candidateTable {
+	return candidateTable{entries: make([]candidate, 0, n), index: make(map[uint64]int, n)}
 }
 
-// hear gives a tenant a place, that of the one that has used least where all are taken.
-func (s *candidates) hear(hash uint64, now timeunit.Ticks) {
-	if i, known := s.at[hash]; known {
-		s.table[i].seen = now
+// observe gives a tenant a place, that of the one that has used least where all are taken.
+func (s *candidateTable) observe(hash uint64, now timeunit.Ticks) {
+	if i, known := s.index[hash]; known {
+		s.entries[i].lastSeen = now
 		return
 	}
-	fresh := candidate{hash: hash, since: now, seen: now}
-	if len(s.table) < cap(s.table) {
-		s.at[hash] = len(s.table)
-		s.table = append(s.table, fresh)
+	fresh := candidate{hash: hash, firstSeen: now, lastSeen: now}
+	if len(s.entries) < cap(s.entries) {
+		s.index[hash] = len(s.entries)
+		s.entries = append(s.entries, fresh)
 		return
 	}
 	least := 0
-	for i := range s.table {
-		if c, l := &s.table[i], &s.table[least]; c.used < l.used || c.used == l.used && c.seen < l.seen {
+	for i := range s.entries {
+		if c, l := &s.entries[i], &s.entries[least]; c.usage < l.usage || c.usage == l.usage && c.lastSeen < l.lastSeen {
 			least = i
 		}
 	}
-	fresh.used, fresh.over = s.table[least].used, s.table[least].used
-	delete(s.at, s.table[least].hash)
-	s.at[hash], s.table[least] = least, fresh
+	fresh.usage, fresh.overestimate = s.entries[least].usage, s.entries[least].usage
+	delete(s.index, s.entries[least].hash)
+	s.index[hash], s.entries[least] = least, fresh
 }
 
-func (s *candidates) charge(hash uint64, work float64) {
-	if i, known := s.at[hash]; known {
-		s.table[i].used += work
+func (s *candidateTable) charge(hash uint64, work float64) {
+	if i, known := s.index[hash]; known {
+		s.entries[i].usage += work
 	}
 }
 
-func (s *candidates) fade(left float64) {
-	for i := range s.table {
-		s.table[i].used *= left
-		s.table[i].over *= left
+func (s *candidateTable) decay(left float64) {
+	for i := range s.entries {
+		s.entries[i].usage *= left
+		s.entries[i].overestimate *= left
 	}
 }
 
-func (s *candidates) drop(i int) {
-	last := len(s.table) - 1
-	delete(s.at, s.table[i].hash)
+func (s *candidateTable) remove(i int) {
+	last := len(s.entries) - 1
+	delete(s.index, s.entries[i].hash)
 	if i < last {
-		s.table[i] = s.table[last]
-		s.at[s.table[i].hash] = i
+		s.entries[i] = s.entries[last]
+		s.index[s.entries[i].hash] = i
 	}
-	s.table = s.table[:last]
+	s.entries = s.entries[:last]
 }
 
-func byUse(books []*account) {
-	slices.SortFunc(books, func(a, b *account) int {
-		return cmp.Or(cmp.Compare(b.used, a.used), cmp.Compare(a.hash, b.hash))
+func sortByUsage(books []*flow) {
+	slices.SortFunc(books, func(a, b *flow) int {
+		return cmp.Or(cmp.Compare(b.recentUsage, a.recentUsage), cmp.Compare(a.tenantHash, b.tenantHash))
 	})
 }
 
-// promote gives books to candidates with a history and takes them from those that have used next to nothing.
-func (l *Ledger) promote() {
-	least := lightest * beat
-	l.order = slices.DeleteFunc(l.order, func(a *account) bool {
-		if a.kind != heavy || a.inHand > 0 || a.used >= least {
+// promoteCandidates gives books to candidates with a history and takes them from those that have used next to nothing.
+func (l *Scheduler) promoteCandidates() {
+	least := minUsageFraction * measureInterval
+	l.individualFlows = slices.DeleteFunc(l.individualFlows, func(a *flow) bool {
+		if a.kind != heavyHitterFlow || a.openReservations > 0 || a.recentUsage >= least {
 			return false
 		}
-		delete(l.heavy, a.hash)
+		delete(l.heavyHitters, a.tenantHash)
 		return true
 	})
-	for i := len(l.heard.table) - 1; i >= 0; i-- {
-		c := l.heard.table[i]
-		proven := c.used - c.over
-		if l.now-c.since < l.terms.History || l.now-c.seen > l.terms.History || proven < least {
+	for i := len(l.candidates.entries) - 1; i >= 0; i-- {
+		c := l.candidates.entries[i]
+		proven := c.usage - c.overestimate
+		if l.now-c.firstSeen < l.config.MinHistory || l.now-c.lastSeen > l.config.MinHistory || proven < least {
 			continue
 		}
-		if len(l.heavy) >= l.terms.Books && !l.evict(proven) {
+		if len(l.heavyHitters) >= l.config.MaxHeavyHitters && !l.evictHeavyHitter(proven) {
 			continue
 		}
-		a := l.account(heavy)
+		a := l.newFlow(heavyHitterFlow)
 		// What it had in its group's time is not forgotten: it starts no further back than now.
-		a.hash, a.finish, a.used, a.seen = c.hash, l.turn, proven, c.seen
-		l.heavy[c.hash] = a
-		l.order = append(l.order, a)
-		l.heard.drop(i)
+		a.tenantHash, a.finishTag, a.recentUsage, a.lastSeen = c.hash, l.virtualTime, proven, c.lastSeen
+		l.heavyHitters[c.hash] = a
+		l.individualFlows = append(l.individualFlows, a)
+		l.candidates.remove(i)
 	}
 }
 
-// evict takes the book of the lightest, if it has nothing in hand and used far less than the one that comes.
-func (l *Ledger) evict(used float64) bool {
+// evictHeavyHitter takes the book of the lightest, if it has nothing in hand and used far less than the one that comes.
+func (l *Scheduler) evictHeavyHitter(used float64) bool {
 	least := -1
-	for i, a := range l.order {
-		if a.kind == heavy && a.inHand == 0 && (least < 0 || a.used < l.order[least].used) {
+	for i, a := range l.individualFlows {
+		if a.kind == heavyHitterFlow && a.openReservations == 0 && (least < 0 || a.recentUsage < l.individualFlows[least].recentUsage) {
 			least = i
 		}
 	}
-	if least < 0 || l.order[least].used*displace > used {
+	if least < 0 || l.individualFlows[least].recentUsage*evictionFactor > used {
 		return false
 	}
-	delete(l.heavy, l.order[least].hash)
-	l.order = slices.Delete(l.order, least, least+1)
+	delete(l.heavyHitters, l.individualFlows[least].tenantHash)
+	l.individualFlows = slices.Delete(l.individualFlows, least, least+1)
 	return true
 }
 
-// Figures are what the books look like, for logs.
-type Figures struct {
-	Books  int     // of tenants not named
-	Groups int     // that are active
-	Rate   float64 // cores' worth of work that the server gets done
-	Heard  int     // candidates for a book
+// Stats are what the books look like, for logs.
+type Stats struct {
+	HeavyHitters      int     // of tenants not named
+	ActiveSharedFlows int     // that are active
+	ServiceRate       float64 // cores' worth of work that the server gets done
+	Candidates        int     // candidates for a book
 }
 
-// Figures tells them.
-func (l *Ledger) Figures() Figures {
-	return Figures{Books: len(l.heavy), Groups: l.groupsN, Rate: l.rate, Heard: len(l.heard.table)}
+// Stats tells them.
+func (l *Scheduler) Stats() Stats {
+	return Stats{HeavyHitters: len(l.heavyHitters), ActiveSharedFlows: l.activeSharedFlows, ServiceRate: l.serviceRate, Candidates: len(l.candidates.entries)}
 }
--- a/internal/fairqueue/ledger_test.go
+++ b/internal/fairqueue/ledger_test.go
@@ -13,11 +13,11 @@
 	"thistlequay/timeunit"
 )
 
-func terms(named int) Terms {
-	t := Terms{Others: 0.1, Newcomers: 0.25, Books: 256, Groups: 128, Burst: 2_000, History: 50_000,
-		Reshuffle: 300_000, Cores: 4, Contracts: []timeunit.Ticks{6_400}}
+func terms(named int) Config {
+	t := Config{OthersWeight: 0.1, NewcomerFraction: 0.25, MaxHeavyHitters: 256, SharedFlows: 128, Burst: 2_000, MinHistory: 50_000,
+		RehashInterval: 300_000, Cores: 4, SoftDeadlines: []timeunit.Ticks{6_400}}
 	for i := range named {
-		t.Tenants = append(t.Tenants, Tenant{Name: fmt.Sprint("tenant-", i), Share: 1})
+		t.Tenants = append(t.Tenants, Tenant{Name: fmt.Sprint("tenant-", i), Weight: 1})
 	}
 	return t
 }
@@ -37,18 +37,18 @@
 	var first uint64
 	for i := range 10_000 {
 		now := timeunit.Ticks(i * 60)
-		c := l.Open(fmt.Append(nil, "new-", i), 0, 0, now)
-		c.Began(now)
-		c.Close(now + 50)
+		c := l.Reserve(fmt.Append(nil, "new-", i), 0, 0, now)
+		c.Start(now)
+		c.Release(now + 50)
 		if i == 170 {
 			first = held() - before
 		}
 	}
 	last := held() - before
-	t.Logf("measured fair-queues memory_after_1s=%d memory_after_60s=%d books=%d", first, last, l.Figures().Books)
+	t.Logf("measured fair-queues memory_after_1s=%d memory_after_60s=%d books=%d", first, last, l.Stats().HeavyHitters)
 	require.Less(t, last, uint64(512<<10))
 	require.Less(t, last, first+first/4+4096)
-	require.Zero(t, l.Figures().Books)
+	require.Zero(t, l.Stats().HeavyHitters)
 }
 
 // Whatever comes in whatever order, what was not run is not charged, and nothing is charged twice: when all is over, two
@@ -63,48 +63,48 @@
 	r := rand.New(rand.NewSource(seed))
 	l := New(terms(3), rand.New(rand.NewSource(seed)), 0)
 	now, turn := timeunit.Ticks(0), 0.0
-	var open [][2]*Claim
+	var open [][2]*Reservation
 	for range 200 {
 		now += timeunit.Ticks(r.Intn(300))
 		switch k := r.Intn(6); {
 		case k == 0:
-			a, b := l.Open([]byte("tenant-0"), 0, turn, now), l.Open([]byte("tenant-1"), 0, turn, now)
-			open = append(open, [2]*Claim{&a, &b})
-			no := l.Open([]byte("tenant-2"), 0, turn, now)
-			told := no.Return(100, 10_000, now)
+			a, b := l.Reserve([]byte("tenant-0"), 0, turn, now), l.Reserve([]byte("tenant-1"), 0, turn, now)
+			open = append(open, [2]*Reservation{&a, &b})
+			no := l.Reserve([]byte("tenant-2"), 0, turn, now)
+			told := no.RetryAfter(100, 10_000, now)
 			addClaim(history, &a, now)
 			addClaim(history, &b, now)
 			addClaim(history, &no, now)
 			history.Add(told)
 			require.True(t, told > 0 && told <= 10_000, told)
-			no.Close(now)
-			no.Close(now)
+			no.Release(now)
+			no.Release(now)
 		case len(open) > 0:
 			i := r.Intn(len(open))
 			for _, c := range open[i] {
 				switch k {
 				case 1:
-					c.Began(now)
+					c.Start(now)
 				case 2:
-					c.Called(now)
+					c.Suspend(now)
 				case 3:
-					c.Resumed(now)
+					c.Resume(now)
 				case 4:
-					c.Close(now)
-					c.Close(now)
+					c.Release(now)
+					c.Release(now)
 				case 5:
-					c.Undone(now)
+					c.UndoStart(now)
 				}
 			}
 		}
 	}
 	for _, pair := range open {
-		pair[0].Close(now)
-		pair[1].Close(now)
+		pair[0].Release(now)
+		pair[1].Release(now)
 	}
-	a, b, c := l.Open([]byte("tenant-0"), 0, turn, now), l.Open([]byte("tenant-1"), 0, turn, now), l.Open([]byte("tenant-2"), 0, turn, now)
-	require.InDelta(t, a.Turn, b.Turn, 1e-6)
-	require.InDelta(t, l.Floor(turn), c.Turn, 1e-6)
+	a, b, c := l.Reserve([]byte("tenant-0"), 0, turn, now), l.Reserve([]byte("tenant-1"), 0, turn, now), l.Reserve([]byte("tenant-2"), 0, turn, now)
+	require.InDelta(t, a.StartTag, b.StartTag, 1e-6)
+	require.InDelta(t, l.MinStartTag(turn), c.StartTag, 1e-6)
 	addClaim(history, &a, now)
 	addClaim(history, &b, now)
 	addClaim(history, &c, now)
@@ -112,22 +112,22 @@
 }
 
 // quiet is a host that takes note of nothing.
-type quiet struct{ run []*admission.WorkItem }
+type quiet struct{ run []*admission.Request }
 
-func (q *quiet) Run(w *admission.WorkItem)                       { q.run = append(q.run, w) }
-func (*quiet) Share(*admission.WorkItem)                         {}
-func (*quiet) Decline(*admission.WorkItem, timeunit.Ticks, bool) {}
-func (*quiet) BreakOff(*admission.WorkItem)                      {}
-func (*quiet) Stop(*admission.WorkItem)                          {}
-func (*quiet) Skip(*admission.WorkItem)                          {}
-func (*quiet) Call(*admission.WorkItem, timeunit.Ticks)          {}
-func (*quiet) Remember(*admission.WorkItem, timeunit.Ticks)      {}
-func (*quiet) Forget(*admission.WorkItem)                        {}
-func (*quiet) Say(float64)                                       {}
-func (*quiet) Health(bool, bool)                                 {}
-func (*quiet) CloseIdle(timeunit.Ticks)                          {}
-func (*quiet) Wake(timeunit.Ticks)                               {}
-func (*quiet) Over(*admission.WorkItem)                          {}
+func (q *quiet) Run(w *admission.Request)                      { q.run = append(q.run, w) }
+func (*quiet) ShareResult(*admission.Request)                  {}
+func (*quiet) Reject(*admission.Request, timeunit.Ticks, bool) {}
+func (*quiet) Abort(*admission.Request)                        {}
+func (*quiet) StopRun(*admission.Request)                      {}
+func (*quiet) SkipCall(*admission.Request)                     {}
+func (*quiet) StartCall(*admission.Request, timeunit.Ticks)    {}
+func (*quiet) KeepEntry(*admission.Request, timeunit.Ticks)    {}
+func (*quiet) DropEntry(*admission.Request)                    {}
+func (*quiet) ReportLoad(float64)                              {}
+func (*quiet) SetHealth(bool, bool)                            {}
+func (*quiet) CloseIdleConnections(timeunit.Ticks)             {}
+func (*quiet) SetTimer(timeunit.Ticks)                         {}
+func (*quiet) Release(*admission.Request)                      {}
 
 // One start and one newcomer, with so many held and so many tenants.
 func BenchmarkDecide(b *testing.B) {
@@ -135,10 +135,10 @@
 		for _, tenants := range []int{0, 10, 1_000, 100_000} {
 			b.Run(fmt.Sprintf("held=%d/tenants=%d", held, tenants), func(b *testing.B) {
 				q := &quiet{}
-				s := admission.New(admission.Deployment{Cores: 1, Memory: 1e12, RunFactor: 2, Categories: []admission.Category{
-					{Gain: 1, Contract: 1 << 40, Expiry: 1 << 41}, {Gain: 2, Contract: 1 << 40, Expiry: 1 << 41}}}, q, 0)
+				s := admission.New(admission.Config{Cores: 1, MemoryKB: 1e12, RunMemoryFactor: 2, Categories: []admission.Category{
+					{Weight: 1, SoftDeadline: 1 << 40, Deadline: 1 << 41}, {Weight: 2, SoftDeadline: 1 << 40, Deadline: 1 << 41}}}, q, 0)
 				t := terms(min(tenants, 4))
-				t.Contracts = []timeunit.Ticks{6_400, 6_400}
+				t.SoftDeadlines = []timeunit.Ticks{6_400, 6_400}
 				l := New(t, rand.New(rand.NewSource(1)), 0)
 				names := make([][]byte, tenants)
 				for i := range names {
@@ -146,30 +146,30 @@
 				}
 				now, n := timeunit.Ticks(0), 0
 				take := func() {
-					a := admission.Arrival{HeldKb: 1, Category: n % 2}
+					a := admission.Arrival{QueuedKB: 1, Category: n % 2}
 					if tenants > 0 {
-						c := l.Open(names[n*7919%tenants], n%2, s.Turn(), now)
-						a.Turn = c.Turn
-						c.Close(now)
+						c := l.Reserve(names[n*7919%tenants], n%2, s.VirtualTime(), now)
+						a.StartTag = c.StartTag
+						c.Release(now)
 					}
 					n++
-					s.Take(a)
+					s.Enqueue(a)
 				}
 				for range held + 1 {
 					take()
 				}
-				s.Decide()
+				s.Dispatch()
 				b.ReportAllocs()
 				for b.Loop() {
 					now++
-					s.At(now)
+					s.Advance(now)
 					run := q.run
 					q.run = q.run[:0:0]
 					for _, w := range run {
-						w.RunEnded(admission.Well, 10)
+						w.RunEnded(admission.Succeeded, 10)
 					}
 					take()
-					s.Decide()
+					s.Dispatch()
 				}
 			})
 		}
@@ -189,9 +189,9 @@
 			for b.Loop() {
 				now++
 				i++
-				c := l.Open(names[i*7919%tenants], 0, 0, now)
-				c.Began(now)
-				c.Close(now)
+				c := l.Reserve(names[i*7919%tenants], 0, 0, now)
+				c.Start(now)
+				c.Release(now)
 			}
 		})
 	}
--- a/internal/fairqueue/scenario_test.go
+++ b/internal/fairqueue/scenario_test.go
@@ -33,11 +33,11 @@
 
 type stageOf struct {
 	*require.Assertions
-	terms  Terms
-	l      *Ledger
+	terms  Config
+	l      *Scheduler
 	now    timeunit.Ticks
 	turn   float64
-	claims map[string]*Claim
+	claims map[string]*Reservation
 
 	history *golden.History
 }
@@ -46,8 +46,8 @@
 	f, err := os.Open(file)
 	require.NoError(t, err)
 	defer f.Close()
-	s := &stageOf{Assertions: require.New(t), history: history, claims: map[string]*Claim{}, terms: Terms{Others: 1, Newcomers: 0.25, Books: 2,
-		Groups: 4, Burst: 1, History: 10_000, Reshuffle: 1 << 50, Cores: 1, Contracts: []timeunit.Ticks{1_600}}}
+	s := &stageOf{Assertions: require.New(t), history: history, claims: map[string]*Reservation{}, terms: Config{OthersWeight: 1, NewcomerFraction: 0.25, MaxHeavyHitters: 2,
+		SharedFlows: 4, Burst: 1, MinHistory: 10_000, RehashInterval: 1 << 50, Cores: 1, SoftDeadlines: []timeunit.Ticks{1_600}}}
 	in := bufio.NewScanner(f)
 	for n := 1; in.Scan(); n++ {
 		line, _, _ := strings.Cut(in.Text(), "#")
@@ -72,26 +72,26 @@
 			v := s.number(text, where)
 			switch key {
 			case "others":
-				s.terms.Others = v
+				s.terms.OthersWeight = v
 			case "books":
-				s.terms.Books = int(v)
+				s.terms.MaxHeavyHitters = int(v)
 			case "groups":
-				s.terms.Groups = int(v)
+				s.terms.SharedFlows = int(v)
 			case "burst":
 				s.terms.Burst = timeunit.Ticks(v * 10)
 			case "reshuffle":
-				s.terms.Reshuffle = timeunit.Ticks(v * 10)
+				s.terms.RehashInterval = timeunit.Ticks(v * 10)
 			case "cores":
 				s.terms.Cores = int(v)
 			default:
 				s.True(strings.HasPrefix(key, "."), where)
-				s.terms.Tenants = append(s.terms.Tenants, Tenant{Name: key[1:], Share: v})
+				s.terms.Tenants = append(s.terms.Tenants, Tenant{Name: key[1:], Weight: v})
 			}
 		}
 		if s.l == nil {
 			s.l = New(s.terms, rand.New(rand.NewSource(1)), s.now)
 		} else {
-			s.l.Change(s.terms, s.now)
+			s.l.Reconfigure(s.terms, s.now)
 		}
 	case "at":
 		s.now = timeunit.Ticks(s.number(word[1], where) * 10)
@@ -101,53 +101,53 @@
 	case "turn":
 		s.turn = s.number(word[1], where)
 	case "open": // NAME TENANT [turn=T] [behind=MS]
-		c := s.l.Open([]byte(word[2]), 0, s.turn, s.now)
+		c := s.l.Reserve([]byte(word[2]), 0, s.turn, s.now)
 		s.claims[word[1]] = &c
-		s.history.Add(s.now, c.Turn, c.Behind)
+		s.history.Add(s.now, c.StartTag, c.ExpectedDelay)
 		for _, w := range word[3:] {
 			key, text, _ := strings.Cut(w, "=")
-			got := map[string]float64{"turn": c.Turn, "behind": float64(c.Behind) / 10}[key]
+			got := map[string]float64{"turn": c.StartTag, "behind": float64(c.ExpectedDelay) / 10}[key]
 			s.InDelta(s.number(text, where), got, 0.11, where)
 		}
 	case "runs": // TENANT EVERY TOOK UNTIL: a run after the other, in milliseconds
 		every, took := timeunit.Ticks(s.number(word[2], where)*10), timeunit.Ticks(s.number(word[3], where)*10)
 		for end := timeunit.Ticks(s.number(word[4], where) * 10); s.now < end; s.now += every {
-			c := s.l.Open([]byte(word[1]), 0, s.turn, s.now)
-			s.history.Add(s.now, c.Turn, c.Behind)
-			c.Began(s.now)
-			c.Close(s.now + took)
+			c := s.l.Reserve([]byte(word[1]), 0, s.turn, s.now)
+			s.history.Add(s.now, c.StartTag, c.ExpectedDelay)
+			c.Start(s.now)
+			c.Release(s.now + took)
 		}
 	case "book": // TENANT KIND: what kind of book it has
-		a, _ := s.l.find([]byte(word[1]))
-		s.Equal(word[2], map[kind]string{named: "named", heavy: "heavy", group: "group"}[a.kind], where)
+		a, _ := s.l.flowOf([]byte(word[1]))
+		s.Equal(word[2], map[flowKind]string{namedFlow: "named", heavyHitterFlow: "heavy", sharedFlow: "group"}[a.kind], where)
 	case "apart": // TENANT TENANT: no longer in one group
-		a, _ := s.l.find([]byte(word[1]))
-		b, _ := s.l.find([]byte(word[2]))
+		a, _ := s.l.flowOf([]byte(word[1]))
+		b, _ := s.l.flowOf([]byte(word[2]))
 		s.NotSame(a, b, where)
 	case "together":
-		a, _ := s.l.find([]byte(word[1]))
-		b, _ := s.l.find([]byte(word[2]))
+		a, _ := s.l.flowOf([]byte(word[1]))
+		b, _ := s.l.flowOf([]byte(word[2]))
 		s.Same(a, b, where)
 	default:
 		c := s.claims[word[1]]
 		s.NotNil(c, where)
 		switch word[0] {
 		case "began":
-			c.Began(s.now)
+			c.Start(s.now)
 		case "called":
-			c.Called(s.now)
+			c.Suspend(s.now)
 		case "resumed":
-			c.Resumed(s.now)
+			c.Resume(s.now)
 		case "undone":
-			c.Undone(s.now)
+			c.UndoStart(s.now)
 		case "close":
-			c.Close(s.now)
+			c.Release(s.now)
 		case "return": // NAME LEAST MOST FROM TO
 			v := make([]float64, 4)
 			for i := range v {
 				v[i] = s.number(word[2+i], where)
 			}
-			got := float64(c.Return(timeunit.Ticks(v[0]*10), timeunit.Ticks(v[1]*10), s.now)) / 10
+			got := float64(c.RetryAfter(timeunit.Ticks(v[0]*10), timeunit.Ticks(v[1]*10), s.now)) / 10
 			s.history.Add(s.now, got)
 			s.True(got >= v[2] && got <= v[3], "%s: %v", where, got)
 		default:
--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -10,74 +10,74 @@
 )
 
 const (
-	version   = 1
-	headerLen = 8
-
-	beginRequest    = 1
-	abortRequest    = 2
-	endRequest      = 3
-	params          = 4
-	stdin           = 5
-	stdout          = 6
-	getValues       = 9
-	getValuesResult = 10
-	unknownType     = 11
-
-	responder = 1
-	keepConn  = 1
+	version    = 1
+	headerSize = 8
+
+	typeBeginRequest    = 1
+	typeAbortRequest    = 2
+	typeEndRequest      = 3
+	typeParams          = 4
+	typeStdin           = 5
+	typeStdout          = 6
+	typeGetValues       = 9
+	typeGetValuesResult = 10
+	typeUnknownType     = 11
+
+	roleResponder      = 1
+	flagKeepConnection = 1
 
 	// MostOpen is how many requests may be open on one connection.
-	MostOpen = 32
+	MaxOpenRequests = 32
 )
 
 // Ends of a request, as END_REQUEST tells them.
 const (
-	Complete    = 0
-	Overloaded  = 2
-	UnknownRole = 3
+	StatusRequestComplete = 0
+	StatusOverloaded      = 2
+	StatusUnknownRole     = 3
 )
 
 // What makes a connection not worth going on with.
 var (
-	ErrVersion  = errors.New("record of another version")
-	ErrOrder    = errors.New("record out of order")
-	ErrLength   = errors.New("record or parameters beyond the bounds")
-	ErrOpen     = errors.New("request id is open already")
-	ErrTooMany  = errors.New("too many open requests")
-	errTruncate = errors.New("name or value runs past the end")
+	ErrVersion         = errors.New("record of another version")
+	ErrRecordOrder     = errors.New("record out of order")
+	ErrLength          = errors.New("record or parameters beyond the bounds")
+	ErrDuplicateID     = errors.New("request id is open already")
+	ErrTooManyRequests = errors.New("too many open requests")
+	errTruncated       = errors.New("name or value runs past the end")
 )
 
-// Peer is what a Parser calls. No call may feed the same Parser.
-type Peer interface {
-	Whole(*Stream)    // a request has come whole
-	Overlong(*Stream) // its body is beyond the buffer; what still comes of it is passed over once it is ended
-	Aborted(*Stream)  // its sender stopped waiting for it; it stays open until End
-	Reply([]byte)     // records that are owed at once
-	Room() bool       // whether there is room for another request's buffers
-	Buffer() []byte   // an empty buffer of the one size
-	Free([]byte)      // and its return
+// Handler is what a Parser calls. No call may feed the same Parser.
+type Handler interface {
+	HandleRequest(*Request)     // a request has come whole
+	HandleBodyTooLong(*Request) // its body is beyond the buffer; what still comes of it is passed over once it is ended
+	HandleAbort(*Request)       // its sender stopped waiting for it; it stays open until End
+	Send([]byte)                // records that are owed at once
+	HasCapacity() bool          // whether there is room for another request's buffers
+	AcquireBuffer() []byte      // an empty buffer of the one size
+	ReleaseBuffer([]byte)       // and its return
 }
 
-// Stream is one open request.
-type Stream struct {
-	ID     uint16
-	Keep   bool   // the connection stays open after the answer
-	Body   []byte // in a buffer of the peer's; whoever takes it sets nil here
-	Mark   any    // the peer's own
-	Late   bool   // the peer's own too
-	fields []byte // name-value pairs
-	state  int
+// Request is one open request.
+type Request struct {
+	ID             uint16
+	KeepConnection bool   // the connection stays open after the answer
+	Body           []byte // in a buffer of the peer's; whoever takes it sets nil here
+	Owner          any    // the peer's own
+	Overdue        bool   // the peer's own too
+	params         []byte // name-value pairs
+	state          int
 }
 
 const (
-	inParams = iota
-	inBody
-	whole
+	stateParams = iota
+	stateBody
+	stateComplete
 )
 
-// Field gives the value of a parameter, nil where it did not come. It is good until Whole returns.
-func (s *Stream) Field(name string) (value []byte) {
-	_ = pairs(s.fields, func(n, v []byte) {
+// Param gives the value of a parameter, nil where it did not come. It is good until Whole returns.
+func (s *Request) Param(name string) (value []byte) {
+	_ = forEachPair(s.params, func(n, v []byte) {
 		if string(n) == name {
 			value = v
 		}
@@ -85,10 +85,10 @@
 	return value
 }
 
-// Fields puts the values of these parameters into their places, nil where one did not come, and says whether one
+// Params puts the values of these parameters into their places, nil where one did not come, and says whether one
 // came twice. They are good until Whole returns.
-func (s *Stream) Fields(names []string, values [][]byte) (twice bool) {
-	_ = pairs(s.fields, func(n, v []byte) {
+func (s *Request) Params(names []string, values [][]byte) (twice bool) {
+	_ = forEachPair(s.params, func(n, v []byte) {
 		for i, name := range names {
 			if string(n) == name {
 				twice = twice || values[i] != nil
@@ -101,164 +101,164 @@
 
 // Parser takes the bytes of one connection.
 type Parser struct {
-	open    []*Stream
-	header  [headerLen]byte
-	got     int // bytes of the header
-	left    int // content still to come
-	padding int
-	small   []byte // content of records that are handled whole: begin, abort, management
+	requests       []*Request
+	header         [headerSize]byte
+	headerBytes    int // bytes of the header
+	contentLeft    int // content still to come
+	paddingLeft    int
+	controlContent []byte // content of records that are handled whole: begin, abort, management
 }
 
-// mostSmall bounds the records that are handled whole.
-const mostSmall = 1024
+// maxControlContent bounds the records that are handled whole.
+const maxControlContent = 1024
 
-// Open is how many requests are open.
-func (p *Parser) Open() int { return len(p.open) }
+// OpenRequests is how many requests are open.
+func (p *Parser) OpenRequests() int { return len(p.requests) }
 
-// Clean says that the last byte fed ended a record and no request is open.
-func (p *Parser) Clean() bool { return p.got == 0 && len(p.open) == 0 }
+// Idle says that the last byte fed ended a record and no request is open.
+func (p *Parser) Idle() bool { return p.headerBytes == 0 && len(p.requests) == 0 }
 
-// Partial says that a record or a request has begun and is not whole.
-func (p *Parser) Partial() bool {
-	return p.got > 0 || slices.ContainsFunc(p.open, func(s *Stream) bool { return s.state != whole })
+// HasIncomplete says that a record or a request has begun and is not whole.
+func (p *Parser) HasIncomplete() bool {
+	return p.headerBytes > 0 || slices.ContainsFunc(p.requests, func(s *Request) bool { return s.state != stateComplete })
 }
 
-// Halves gives the open requests that are not whole.
-func (p *Parser) Halves() (halves []*Stream) {
-	for _, s := range p.open {
-		if s.state != whole {
+// IncompleteRequests gives the open requests that are not whole.
+func (p *Parser) IncompleteRequests() (halves []*Request) {
+	for _, s := range p.requests {
+		if s.state != stateComplete {
 			halves = append(halves, s)
 		}
 	}
 	return halves
 }
 
-// End takes an answered request off the open ones. A buffer still with it goes back to the peer.
-func (p *Parser) End(s *Stream, peer Peer) {
-	for i, o := range p.open {
+// Finish takes an answered request off the open ones. A buffer still with it goes back to the peer.
+func (p *Parser) Finish(s *Request, peer Handler) {
+	for i, o := range p.requests {
 		if o == s {
-			p.open[i] = p.open[len(p.open)-1]
-			p.open[len(p.open)-1] = nil
-			p.open = p.open[:len(p.open)-1]
+			p.requests[i] = p.requests[len(p.requests)-1]
+			p.requests[len(p.requests)-1] = nil
+			p.requests = p.requests[:len(p.requests)-1]
 			break
 		}
 	}
-	p.release(s, peer)
+	p.releaseBuffers(s, peer)
 }
 
-func (p *Parser) release(s *Stream, peer Peer) {
-	for _, b := range [][]byte{s.fields, s.Body} {
+func (p *Parser) releaseBuffers(s *Request, peer Handler) {
+	for _, b := range [][]byte{s.params, s.Body} {
 		if b != nil {
-			peer.Free(b)
+			peer.ReleaseBuffer(b)
 		}
 	}
-	s.fields, s.Body = nil, nil
+	s.params, s.Body = nil, nil
 }
 
-// Lost gives all open requests to each and forgets them: the connection is gone.
-func (p *Parser) Lost(peer Peer, each func(*Stream)) {
-	for _, s := range p.open {
+// Abandon gives all open requests to each and forgets them: the connection is gone.
+func (p *Parser) Abandon(peer Handler, each func(*Request)) {
+	for _, s := range p.requests {
 		each(s)
-		p.release(s, peer)
+		p.releaseBuffers(s, peer)
 	}
-	p.open = nil
+	p.requests = nil
 }
 
 // Feed takes the next bytes. An error is final for the connection.
-func (p *Parser) Feed(data []byte, peer Peer) error {
+func (p *Parser) Feed(data []byte, peer Handler) error {
 	for len(data) > 0 {
-		if p.got < headerLen {
-			n := copy(p.header[p.got:], data)
-			p.got += n
+		if p.headerBytes < headerSize {
+			n := copy(p.header[p.headerBytes:], data)
+			p.headerBytes += n
 			data = data[n:]
-			if p.got < headerLen {
+			if p.headerBytes < headerSize {
 				return nil
 			}
-			p.left, p.padding = int(binary.BigEndian.Uint16(p.header[4:])), int(p.header[6])
-			p.small = p.small[:0]
-			if err := p.opens(); err != nil {
+			p.contentLeft, p.paddingLeft = int(binary.BigEndian.Uint16(p.header[4:])), int(p.header[6])
+			p.controlContent = p.controlContent[:0]
+			if err := p.beginRecord(); err != nil {
 				return err
 			}
-			if p.left == 0 {
-				if err := p.ends(peer); err != nil {
+			if p.contentLeft == 0 {
+				if err := p.endRecord(peer); err != nil {
 					return err
 				}
 			}
 		}
-		if n := min(p.left, len(data)); n > 0 {
-			if err := p.content(data[:n], peer); err != nil {
+		if n := min(p.contentLeft, len(data)); n > 0 {
+			if err := p.takeContent(data[:n], peer); err != nil {
 				return err
 			}
-			p.left -= n
+			p.contentLeft -= n
 			data = data[n:]
-			if p.left == 0 {
-				if err := p.ends(peer); err != nil {
+			if p.contentLeft == 0 {
+				if err := p.endRecord(peer); err != nil {
 					return err
 				}
 			}
 		}
-		if p.left == 0 {
-			n := min(p.padding, len(data))
-			p.padding -= n
+		if p.contentLeft == 0 {
+			n := min(p.paddingLeft, len(data))
+			p.paddingLeft -= n
 			data = data[n:]
-			if p.padding == 0 {
-				p.got = 0
+			if p.paddingLeft == 0 {
+				p.headerBytes = 0
 			}
 		}
 	}
 	return nil
 }
 
-func (p *Parser) kind() byte { return p.header[1] }
-func (p *Parser) id() uint16 { return binary.BigEndian.Uint16(p.header[2:]) }
+func (p *Parser) recordType() byte  { return p.header[1] }
+func (p *Parser) requestID() uint16 { return binary.BigEndian.Uint16(p.header[2:]) }
 
-func (p *Parser) stream() *Stream {
-	for _, s := range p.open {
-		if s.ID == p.id() {
+func (p *Parser) request() *Request {
+	for _, s := range p.requests {
+		if s.ID == p.requestID() {
 			return s
 		}
 	}
 	return nil
 }
 
-// opens looks at a header that is whole.
-func (p *Parser) opens() error {
+// beginRecord looks at a header that is whole.
+func (p *Parser) beginRecord() error {
 	if p.header[0] != version {
 		return ErrVersion
 	}
-	streamed := p.id() != 0 && (p.kind() == params || p.kind() == stdin)
-	if !streamed && p.left > mostSmall {
+	streamed := p.requestID() != 0 && (p.recordType() == typeParams || p.recordType() == typeStdin)
+	if !streamed && p.contentLeft > maxControlContent {
 		return ErrLength
 	}
-	if s := p.stream(); s != nil {
-		if p.kind() == params && s.state != inParams || p.kind() == stdin && s.state != inBody {
-			return ErrOrder
+	if s := p.request(); s != nil {
+		if p.recordType() == typeParams && s.state != stateParams || p.recordType() == typeStdin && s.state != stateBody {
+			return ErrRecordOrder
 		}
 	}
 	return nil
 }
 
-// content takes a part of a record's content.
-func (p *Parser) content(data []byte, peer Peer) error {
-	s := p.stream()
+// takeContent takes a part of a record's content.
+func (p *Parser) takeContent(data []byte, peer Handler) error {
+	s := p.request()
 	switch {
-	case p.id() == 0 || p.kind() == beginRequest || p.kind() == abortRequest:
-		p.small = append(p.small, data...)
+	case p.requestID() == 0 || p.recordType() == typeBeginRequest || p.recordType() == typeAbortRequest:
+		p.controlContent = append(p.controlContent, data...)
 	case s == nil: // of no open request: passed over, as the specification has it
-	case p.kind() == params:
-		if s.fields == nil {
-			s.fields = peer.Buffer()
+	case p.recordType() == typeParams:
+		if s.params == nil {
+			s.params = peer.AcquireBuffer()
 		}
-		if len(s.fields)+len(data) > cap(s.fields) {
+		if len(s.params)+len(data) > cap(s.params) {
 			return ErrLength
 		}
-		s.fields = append(s.fields, data...)
-	case p.kind() == stdin:
+		s.params = append(s.params, data...)
+	case p.recordType() == typeStdin:
 		if s.Body == nil {
-			s.Body = peer.Buffer()
+			s.Body = peer.AcquireBuffer()
 		}
 		if len(data) > cap(s.Body)-len(s.Body) { // answered now, not when the last byte has come
-			peer.Overlong(s)
+			peer.HandleBodyTooLong(s)
 			return nil
 		}
 		s.Body = append(s.Body, data...)
@@ -266,64 +266,64 @@
 	return nil
 }
 
-// ends acts on a record whose content is whole.
-func (p *Parser) ends(peer Peer) error {
+// endRecord acts on a record whose content is whole.
+func (p *Parser) endRecord(peer Handler) error {
 	length := int(binary.BigEndian.Uint16(p.header[4:]))
-	if p.id() == 0 {
-		return p.management(peer)
+	if p.requestID() == 0 {
+		return p.handleManagement(peer)
 	}
-	s := p.stream()
-	switch p.kind() {
-	case beginRequest:
+	s := p.request()
+	switch p.recordType() {
+	case typeBeginRequest:
 		switch {
 		case length != 8:
 			return ErrLength
 		case s != nil:
-			return ErrOpen
-		case binary.BigEndian.Uint16(p.small) != responder:
-			peer.Reply(AppendEnd(nil, p.id(), UnknownRole))
+			return ErrDuplicateID
+		case binary.BigEndian.Uint16(p.controlContent) != roleResponder:
+			peer.Send(AppendEndRequest(nil, p.requestID(), StatusUnknownRole))
 			return nil
-		case len(p.open) >= MostOpen:
-			return ErrTooMany
-		case !peer.Room(): // what else comes of it is passed over
-			peer.Reply(AppendEnd(nil, p.id(), Overloaded))
+		case len(p.requests) >= MaxOpenRequests:
+			return ErrTooManyRequests
+		case !peer.HasCapacity(): // what else comes of it is passed over
+			peer.Send(AppendEndRequest(nil, p.requestID(), StatusOverloaded))
 			return nil
 		}
-		p.open = append(p.open, &Stream{ID: p.id(), Keep: p.small[2]&keepConn != 0})
-	case abortRequest:
+		p.requests = append(p.requests, &Request{ID: p.requestID(), KeepConnection: p.controlContent[2]&flagKeepConnection != 0})
+	case typeAbortRequest:
 		if s != nil {
-			peer.Aborted(s)
+			peer.HandleAbort(s)
 		}
-	case params:
+	case typeParams:
 		if s != nil && length == 0 {
-			if err := pairs(s.fields, func(_, _ []byte) {}); err != nil {
+			if err := forEachPair(s.params, func(_, _ []byte) {}); err != nil {
 				return ErrLength
 			}
-			s.state = inBody
+			s.state = stateBody
 		}
-	case stdin:
+	case typeStdin:
 		if s != nil && length == 0 {
-			s.state = whole
-			peer.Whole(s)
-			if s.fields != nil {
-				peer.Free(s.fields)
-				s.fields = nil
+			s.state = stateComplete
+			peer.HandleRequest(s)
+			if s.params != nil {
+				peer.ReleaseBuffer(s.params)
+				s.params = nil
 			}
 		}
-	case endRequest, stdout, 7, 8: // none of these is ours to read; the data stream is of no use to a Responder
+	case typeEndRequest, typeStdout, 7, 8: // none of these is ours to read; the data stream is of no use to a Responder
 	default:
-		peer.Reply(unknown(p.kind()))
+		peer.Send(unknownTypeRecord(p.recordType()))
 	}
 	return nil
 }
 
-func (p *Parser) management(peer Peer) error {
-	if p.kind() != getValues {
-		peer.Reply(unknown(p.kind()))
+func (p *Parser) handleManagement(peer Handler) error {
+	if p.recordType() != typeGetValues {
+		peer.Send(unknownTypeRecord(p.recordType()))
 		return nil
 	}
 	var out []byte
-	err := pairs(p.small, func(name, _ []byte) {
+	err := forEachPair(p.controlContent, func(name, _ []byte) {
 		if string(name) == "FCGI_MPXS_CONNS" { // how many are taken is decided item by item: no figure for that
 			out = appendPair(out, name, "1")
 		}
@@ -331,21 +331,21 @@
 	if err != nil {
 		return ErrLength
 	}
-	peer.Reply(append(appendHeader(nil, getValuesResult, 0, len(out)), out...))
+	peer.Send(append(appendHeader(nil, typeGetValuesResult, 0, len(out)), out...))
 	return nil
 }
 
-func unknown(kind byte) []byte {
-	return append(appendHeader(nil, unknownType, 0, 8), kind, 0, 0, 0, 0, 0, 0, 0)
+func unknownTypeRecord(kind byte) []byte {
+	return append(appendHeader(nil, typeUnknownType, 0, 8), kind, 0, 0, 0, 0, 0, 0, 0)
 }
 
-// pairs calls each for every name and value.
-func pairs(data []byte, each func(name, value []byte)) error {
+// forEachPair calls each for every name and value.
+func forEachPair(data []byte, each func(name, value []byte)) error {
 	for len(data) > 0 {
-		n, rest, ok := pairLen(data)
-		v, rest, ok2 := pairLen(rest)
+		n, rest, ok := readLength(data)
+		v, rest, ok2 := readLength(rest)
 		if !ok || !ok2 || n > len(rest) || v > len(rest)-n {
-			return errTruncate
+			return errTruncated
 		}
 		each(rest[:n], rest[n:n+v])
 		data = rest[n+v:]
@@ -353,7 +353,7 @@
 	return nil
 }
 
-func pairLen(data []byte) (n int, rest []byte, ok bool) {
+func readLength(data []byte) (n int, rest []byte, ok bool) {
 	switch {
 	case len(data) == 0:
 		return 0, nil, false
@@ -374,20 +374,20 @@
 	return append(dst, version, kind, byte(id>>8), byte(id), byte(length>>8), byte(length), 0, 0)
 }
 
-// AppendOut appends a part of an answer, in as many STDOUT records as it takes.
-func AppendOut(dst []byte, id uint16, data []byte) []byte {
+// AppendStdout appends a part of an answer, in as many STDOUT records as it takes.
+func AppendStdout(dst []byte, id uint16, data []byte) []byte {
 	for len(data) > 0 {
 		n := min(len(data), 0xffff)
-		dst = append(appendHeader(dst, stdout, id, n), data[:n]...)
+		dst = append(appendHeader(dst, typeStdout, id, n), data[:n]...)
 		data = data[n:]
 	}
 	return dst
 }
 
-// AppendEnd appends the end of an answer, which closes the request.
-func AppendEnd(dst []byte, id uint16, how byte) []byte {
-	if how == Complete {
-		dst = appendHeader(dst, stdout, id, 0) // the end of the stream
+// AppendEndRequest appends the end of an answer, which closes the request.
+func AppendEndRequest(dst []byte, id uint16, how byte) []byte {
+	if how == StatusRequestComplete {
+		dst = appendHeader(dst, typeStdout, id, 0) // the end of the stream
 	}
-	return append(appendHeader(dst, endRequest, id, 8), 0, 0, 0, 0, how, 0, 0, 0)
+	return append(appendHeader(dst, typeEndRequest, id, 8), 0, 0, 0, 0, how, 0, 0, 0)
 }
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -27,114 +27,114 @@
 )
 
 const (
-	tick        = 200 * time.Millisecond // between two looks at the view
-	mostWaiting = 1024                   // of what was heard and not taken up yet
-	mostMessage = 1200                   // bytes of one word or note
-	mostMail    = 256 << 10              // of a letter; what does not go in a packet goes on a connection
-	mostCarried = 4                      // of those at once
-	wordLeast   = time.Second            // a word goes out so often
-	wordEach    = 33 * time.Millisecond  // and less often with each member, so that what each hears stays flat
-	leaveSends  = 3                      // more times that a last word is passed on
-	wordSends   = 1                      // by how many a word is passed on, times the logarithm of the members
-	pingEvery   = time.Second
-	pingTries   = 3
-	dialWithin  = 500 * time.Millisecond
-	joinEvery   = time.Second // while nobody is found; ever later up to the next figure
-	joinMost    = 10 * time.Second
-	mostSync    = 256 // words handed over at a full exchange
-	leaveWithin = 500 * time.Millisecond
+	tickInterval            = 200 * time.Millisecond // between two looks at the view
+	maxQueuedTasks          = 1024                   // of what was heard and not taken up yet
+	maxPacketMessage        = 1200                   // bytes of one word or note
+	maxEnvelope             = 256 << 10              // of a letter; what does not go in a packet goes on a connection
+	maxStreams              = 4                      // of those at once
+	minUpdateInterval       = time.Second            // a word goes out so often
+	updateIntervalPerMember = 33 * time.Millisecond  // and less often with each member, so that what each hears stays flat
+	leaveRebroadcasts       = 3                      // more times that a last word is passed on
+	retransmitMultiplier    = 1                      // by how many a word is passed on, times the logarithm of the members
+	pingInterval            = time.Second
+	pingAttempts            = 3
+	dialTimeout             = 500 * time.Millisecond
+	minJoinInterval         = time.Second // while nobody is found; ever later up to the next figure
+	maxJoinInterval         = 10 * time.Second
+	maxPushPullUpdates      = 256 // words handed over at a full exchange
+	leaveTimeout            = 500 * time.Millisecond
 )
 
-// Terms are what the talk is begun with.
-type Terms struct {
-	Members   membership.Terms
-	Listen    string   // address to talk on
-	Advertise string   // where others reach it, if that is another
-	First     []string // addresses to find others by
-	Fleet     string   // its name: words of another are not understood
-	Keys      [][]byte // the first is spoken under, all are understood
-	Transport memberlist.Transport
-	Version   string
-	Settings  uint32
-	Probe     time.Duration // between two probes of the library; 0 for its own figure
-	Now       func() time.Time
-	Changed   func(size int, standing membership.Standing) // called by the worker
-	Log       func(event string, id membership.ID, from, to membership.State, why membership.Cause)
-	Status    func(standing membership.Standing, members int, epoch uint64)
-	Used      func(of membership.ID, age time.Duration, used []membership.Used) // a word was heard; called by the worker, must not block
-	Mail      map[byte]func(from membership.ID, text []byte)                    // by kind, from FirstMail on; called by the worker, must not block
+// Config are what the talk is begun with.
+type Config struct {
+	Membership       membership.Config
+	ListenAddress    string   // address to talk on
+	AdvertiseAddress string   // where others reach it, if that is another
+	SeedAddresses    []string // addresses to find others by
+	ClusterName      string   // its name: words of another are not understood
+	Keys             [][]byte // the first is spoken under, all are understood
+	Transport        memberlist.Transport
+	Version          string
+	SettingsDigest   uint32
+	ProbeInterval    time.Duration // between two probes of the library; 0 for its own figure
+	Now              func() time.Time
+	OnChange         func(size int, standing membership.QuorumStatus) // called by the worker
+	OnMemberEvent    func(event string, id membership.ID, from, to membership.State, why membership.Cause)
+	OnQuorumChange   func(standing membership.QuorumStatus, members int, epoch uint64)
+	OnUsage          func(of membership.ID, age time.Duration, used []membership.TenantUsage) // a word was heard; called by the worker, must not block
+	Handlers         map[byte]func(from membership.ID, text []byte)                           // by kind, from FirstMail on; called by the worker, must not block
 }
 
-// Own is what the server says of itself.
-type Own struct {
-	State                   membership.State
-	Pool, Load, Free, Index float64
-	Late                    time.Duration
-	Used                    []membership.Used
+// LocalState is what the server says of itself.
+type LocalState struct {
+	State                                                         membership.State
+	ConcurrencyLimit, InFlight, AvailableCapacity, IndexLatencyMs float64
+	LoopLag                                                       time.Duration
+	Usage                                                         []membership.TenantUsage
 }
 
-// Keeping is what the server says of itself as a keeper of what is agreed on.
-type Keeping struct{ Keeper, Group uint64 }
-
-// Peers is the talk of one server. Its methods may be called from anywhere.
-type Peers struct {
-	terms    Terms
-	list     *memberlist.Memberlist
-	keyring  *memberlist.Keyring // nil where the fleet talks without keys
-	queue    *memberlist.TransmitLimitedQueue
-	inbox    chan func()
-	own      atomic.Pointer[Own]
-	keeping  atomic.Pointer[Keeping]
-	carried  chan struct{} // a place for each letter on its way by a connection
-	kick     chan struct{}
-	done     chan struct{}
-	ended    sync.WaitGroup
-	begun    time.Time
-	view     *membership.View
-	accord   *membership.Accord
-	nextWord time.Time
-	lastSize int
-	lastWord membership.Standing
-	secret   ed25519.PrivateKey // of this life
-	keys     map[membership.ID]ed25519.PublicKey
-	words    map[membership.ID]sealed // the newest of each life, as it was sealed
-	joined   map[membership.ID]bool   // lives that the library holds to be there
-	sync     atomic.Pointer[[][]byte] // words as they go out at a full exchange, made anew at each look
-	Dropped  atomic.Int64             // messages that found the inbox full
-	Garbled  atomic.Int64             // messages that were not understood
-	Sent     atomic.Int64             // bytes
+// CoordinatorIdentity is what the server says of itself as a keeper of what is agreed on.
+type CoordinatorIdentity struct{ VoterID, LogID uint64 }
+
+// Node is the talk of one server. Its methods may be called from anywhere.
+type Node struct {
+	config        Config
+	memberlist    *memberlist.Memberlist
+	keyring       *memberlist.Keyring // nil where the fleet talks without keys
+	broadcasts    *memberlist.TransmitLimitedQueue
+	tasks         chan func()
+	localState    atomic.Pointer[LocalState]
+	coordinator   atomic.Pointer[CoordinatorIdentity]
+	streamSlots   chan struct{} // a place for each letter on its way by a connection
+	publishNow    chan struct{}
+	done          chan struct{}
+	goroutines    sync.WaitGroup
+	started       time.Time
+	view          *membership.View
+	agreement     *membership.Agreement
+	nextUpdate    time.Time
+	lastSize      int
+	lastStatus    membership.QuorumStatus
+	privateKey    ed25519.PrivateKey // of this life
+	publicKeys    map[membership.ID]ed25519.PublicKey
+	signedUpdates map[membership.ID]signedMessage // the newest of each life, as it was sealed
+	joined        map[membership.ID]bool          // lives that the library holds to be there
+	pushPullState atomic.Pointer[[][]byte]        // words as they go out at a full exchange, made anew at each look
+	Dropped       atomic.Int64                    // messages that found the inbox full
+	Malformed     atomic.Int64                    // messages that were not understood
+	SentBytes     atomic.Int64                    // bytes
 }
 
 // Start begins to talk. An address that cannot be listened on or a key of a wrong length is an error.
-func Start(t Terms) (*Peers, error) {
+func Start(t Config) (*Node, error) {
 	if t.Now == nil {
 		t.Now = time.Now
 	}
-	p := &Peers{terms: t, inbox: make(chan func(), mostWaiting), kick: make(chan struct{}, 1), done: make(chan struct{}), begun: t.Now()}
-	p.own.Store(&Own{State: membership.Joining})
-	p.keeping.Store(&Keeping{})
-	p.carried = make(chan struct{}, mostCarried)
+	p := &Node{config: t, tasks: make(chan func(), maxQueuedTasks), publishNow: make(chan struct{}, 1), done: make(chan struct{}), started: t.Now()}
+	p.localState.Store(&LocalState{State: membership.StateJoining})
+	p.coordinator.Store(&CoordinatorIdentity{})
+	p.streamSlots = make(chan struct{}, maxStreams)
 	p.joined = map[membership.ID]bool{}
-	p.keys, p.words = map[membership.ID]ed25519.PublicKey{}, map[membership.ID]sealed{}
+	p.publicKeys, p.signedUpdates = map[membership.ID]ed25519.PublicKey{}, map[membership.ID]signedMessage{}
 	_, secret, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return nil, err
 	}
-	p.secret = secret
-	p.view = membership.NewView(t.Members, p.now())
-	p.accord = membership.NewAccord(p.view)
+	p.privateKey = secret
+	p.view = membership.NewView(t.Membership, p.now())
+	p.agreement = membership.NewAgreement(p.view)
 	config := memberlist.DefaultLANConfig()
-	config.Name = nodeName(t.Members.Me)
+	config.Name = nodeName(t.Membership.Self)
 	config.ProbeInterval, config.ProbeTimeout = 500*time.Millisecond, 250*time.Millisecond
-	if t.Probe > 0 {
-		config.ProbeInterval, config.ProbeTimeout = t.Probe, t.Probe/2
+	if t.ProbeInterval > 0 {
+		config.ProbeInterval, config.ProbeTimeout = t.ProbeInterval, t.ProbeInterval/2
 	}
 	config.TCPTimeout = 2 * time.Second
 	config.PushPullInterval = 15 * time.Second
 	config.GossipToTheDeadTime = 10 * time.Second
-	config.Label = t.Fleet
+	config.Label = t.ClusterName
 	config.RequireNodeNames = false
-	config.HandoffQueueDepth = mostWaiting
+	config.HandoffQueueDepth = maxQueuedTasks
 	config.EnableCompression = false // words are small, and a bomb would be unpacked
 	config.LogOutput, config.Logger = nil, log.New(io.Discard, "", 0)
 	config.Delegate, config.Events, config.Ping, config.Alive = (*delegate)(p), (*delegate)(p), (*delegate)(p), (*delegate)(p)
@@ -145,52 +145,52 @@
 		}
 		config.Keyring = p.keyring
 	}
-	if config.BindAddr, config.BindPort, err = addressOf(t.Listen); err != nil {
+	if config.BindAddr, config.BindPort, err = splitAddress(t.ListenAddress); err != nil {
 		return nil, err
 	}
 	config.AdvertiseAddr, config.AdvertisePort = config.BindAddr, config.BindPort
-	if t.Advertise != "" {
-		if config.AdvertiseAddr, config.AdvertisePort, err = addressOf(t.Advertise); err != nil {
+	if t.AdvertiseAddress != "" {
+		if config.AdvertiseAddr, config.AdvertisePort, err = splitAddress(t.AdvertiseAddress); err != nil {
 			return nil, err
 		}
 	}
 	config.Transport = t.Transport
 	if t.Transport == nil {
-		if config.Transport, err = listen(config.BindAddr, config.BindPort, &p.Sent); err != nil {
+		if config.Transport, err = newTransport(config.BindAddr, config.BindPort, &p.SentBytes); err != nil {
 			return nil, err
 		}
 	}
-	p.queue = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return max(1, p.members()) }, RetransmitMult: wordSends}
-	if p.list, err = memberlist.Create(config); err != nil {
+	p.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return max(1, p.memberCount()) }, RetransmitMult: retransmitMultiplier}
+	if p.memberlist, err = memberlist.Create(config); err != nil {
 		return nil, err
 	}
-	p.ended.Add(3)
-	go p.work()
-	go p.join()
-	go p.ping()
+	p.goroutines.Add(3)
+	go p.run()
+	go p.joinLoop()
+	go p.pingLoop()
 	return p, nil
 }
 
-func (p *Peers) members() int {
-	if p.list == nil {
+func (p *Node) memberCount() int {
+	if p.memberlist == nil {
 		return 1
 	}
-	return p.list.NumMembers()
+	return p.memberlist.NumMembers()
 }
 
-func nodeName(id membership.ID) string { return fmt.Sprintf("%s.%016x", id.Name, id.Life) }
+func nodeName(id membership.ID) string { return fmt.Sprintf("%s.%016x", id.Name, id.Incarnation) }
 
-// idOf reads the name that a member has in the library.
-func idOf(node string) (id membership.ID, ok bool) {
+// parseNodeName reads the name that a member has in the library.
+func parseNodeName(node string) (id membership.ID, ok bool) {
 	i := strings.LastIndexByte(node, '.')
 	if i <= 0 {
 		return id, false
 	}
 	life, err := strconv.ParseUint(node[i+1:], 16, 64)
-	return membership.ID{Name: node[:i], Life: life}, err == nil && life > 0
+	return membership.ID{Name: node[:i], Incarnation: life}, err == nil && life > 0
 }
 
-func addressOf(text string) (host string, port int, err error) {
+func splitAddress(text string) (host string, port int, err error) {
 	host, service, err := net.SplitHostPort(text)
 	if err != nil {
 		return "", 0, err
@@ -200,61 +200,61 @@
 }
 
 // now is the clock of the view: milliseconds since the start, by the monotonic clock.
-func (p *Peers) now() timeunit.Milliseconds {
-	return timeunit.Milliseconds(p.terms.Now().Sub(p.begun).Milliseconds()) + 1
+func (p *Node) now() timeunit.Milliseconds {
+	return timeunit.Milliseconds(p.config.Now().Sub(p.started).Milliseconds()) + 1
 }
 
-// do has the worker do something. What finds the inbox full is dropped and counted: all of it comes again.
-func (p *Peers) do(what func()) {
+// enqueue has the worker do something. What finds the inbox full is dropped and counted: all of it comes again.
+func (p *Node) enqueue(what func()) {
 	select {
-	case p.inbox <- what:
+	case p.tasks <- what:
 	default:
 		p.Dropped.Add(1)
 	}
 }
 
-// Say tells the others how this server is, at the next word; a change of state at once.
-func (p *Peers) Say(o Own) {
-	before := p.own.Swap(&o)
+// SetLocalState tells the others how this server is, at the next word; a change of state at once.
+func (p *Node) SetLocalState(o LocalState) {
+	before := p.localState.Swap(&o)
 	if before.State != o.State {
 		select {
-		case p.kick <- struct{}{}:
+		case p.publishNow <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Keep tells the others which keeper this server is.
-func (p *Peers) Keep(k Keeping) {
-	if before := p.keeping.Swap(&k); *before != k {
+// SetCoordinatorIdentity tells the others which keeper this server is.
+func (p *Node) SetCoordinatorIdentity(k CoordinatorIdentity) {
+	if before := p.coordinator.Swap(&k); *before != k {
 		select {
-		case p.kick <- struct{}{}:
+		case p.publishNow <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Me is this life.
-func (p *Peers) Me() membership.ID { return p.terms.Members.Me }
+// LocalID is this life.
+func (p *Node) LocalID() membership.ID { return p.config.Membership.Self }
 
 // Now is the clock of the view.
-func (p *Peers) Now() timeunit.Milliseconds { return p.now() }
+func (p *Node) Now() timeunit.Milliseconds { return p.now() }
 
-// Post sends a letter of a kind to one member at its address. Whether it comes nobody says; what finds no room is dropped.
-func (p *Peers) Post(to membership.ID, address string, kind byte, text []byte) {
-	_, message := p.seal(kind, letter{From: p.terms.Members.Me, To: to, Text: text})
-	host, port, err := addressOf(address)
+// Send sends a letter of a kind to one member at its address. Whether it comes nobody says; what finds no room is dropped.
+func (p *Node) Send(to membership.ID, address string, kind byte, text []byte) {
+	_, message := p.sign(kind, envelope{From: p.config.Membership.Self, To: to, Payload: text})
+	host, port, err := splitAddress(address)
 	switch {
-	case err != nil || len(message) > mostMail:
+	case err != nil || len(message) > maxEnvelope:
 		p.Dropped.Add(1)
-	case len(message) <= mostMessage:
-		_ = p.list.SendToAddress(memberlist.Address{Addr: address, Name: nodeName(to)}, message)
+	case len(message) <= maxPacketMessage:
+		_ = p.memberlist.SendToAddress(memberlist.Address{Addr: address, Name: nodeName(to)}, message)
 	default:
 		select {
-		case p.carried <- struct{}{}:
+		case p.streamSlots <- struct{}{}:
 			go func() {
-				defer func() { <-p.carried }()
-				_ = p.list.SendReliable(&memberlist.Node{Name: nodeName(to), Addr: net.ParseIP(host), Port: uint16(port)}, message)
+				defer func() { <-p.streamSlots }()
+				_ = p.memberlist.SendReliable(&memberlist.Node{Name: nodeName(to), Addr: net.ParseIP(host), Port: uint16(port)}, message)
 			}()
 		default:
 			p.Dropped.Add(1)
@@ -262,23 +262,23 @@
 	}
 }
 
-// Lie is for tests: it sends a message of any kind under this life's seal, whatever is in it.
-func (p *Peers) Lie(to membership.ID, address string, kind byte, text []byte) error {
-	_, message := p.sealText(kind, text)
-	host, port, err := addressOf(address)
+// SendRaw is for tests: it sends a message of any kind under this life's seal, whatever is in it.
+func (p *Node) SendRaw(to membership.ID, address string, kind byte, text []byte) error {
+	_, message := p.signPayload(kind, text)
+	host, port, err := splitAddress(address)
 	if err != nil {
 		return err
 	}
-	return p.list.SendReliable(&memberlist.Node{Name: nodeName(to), Addr: net.ParseIP(host), Port: uint16(port)}, message)
+	return p.memberlist.SendReliable(&memberlist.Node{Name: nodeName(to), Addr: net.ParseIP(host), Port: uint16(port)}, message)
 }
 
-// Look has something read the view. It waits for the worker, at most for a second; after an error the worker has not
+// Inspect has something read the view. It waits for the worker, at most for a second; after an error the worker has not
 // looked and will not: what the caller has it write is the caller's again.
-func (p *Peers) Look(at func(*membership.View, *membership.Accord)) error {
+func (p *Node) Inspect(at func(*membership.View, *membership.Agreement)) error {
 	looked, taken := make(chan struct{}), atomic.Bool{} // by the worker, or by the end of the wait
-	p.do(func() {
+	p.enqueue(func() {
 		if taken.CompareAndSwap(false, true) {
-			at(p.view, p.accord)
+			at(p.view, p.agreement)
 			close(looked)
 		}
 	})
@@ -295,157 +295,161 @@
 	return nil
 }
 
-// Keys has it speak under the first of the keys and understand all of them.
-func (p *Peers) Keys(keys [][]byte) error {
-	return (*delegate)(p).ring(keys)
+// RotateKeys has it speak under the first of the keys and understand all of them.
+func (p *Node) RotateKeys(keys [][]byte) error {
+	return (*delegate)(p).replaceKeys(keys)
 }
 
-// End says good-bye and stops talking.
-func (p *Peers) End() {
-	_ = p.list.Leave(leaveWithin)
+// Close says good-bye and stops talking.
+func (p *Node) Close() {
+	_ = p.memberlist.Leave(leaveTimeout)
 	close(p.done)
-	_ = p.list.Shutdown()
-	p.ended.Wait()
+	_ = p.memberlist.Shutdown()
+	p.goroutines.Wait()
 }
 
-// work is the worker: it alone touches the view.
-func (p *Peers) work() {
-	defer p.ended.Done()
-	t := time.NewTicker(tick)
+// run is the worker: it alone touches the view.
+func (p *Node) run() {
+	defer p.goroutines.Done()
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-p.done:
 			return
-		case what := <-p.inbox:
-			p.look()
+		case what := <-p.tasks:
+			p.advanceClock()
 			what()
-		case <-p.kick:
-			p.look()
-			p.say(true)
+		case <-p.publishNow:
+			p.advanceClock()
+			p.publish(true)
 		case <-t.C:
-			p.look()
-			p.say(false)
-			p.accord.Tick()
-			p.view.Judge(p.accord.Standing())
-			p.share()
-			p.tidy()
+			p.advanceClock()
+			p.publish(false)
+			p.agreement.Tick()
+			p.view.Tick(p.agreement.QuorumStatus())
+			p.buildPushPullState()
+			p.forgetDroppedMembers()
 		}
-		p.send()
-		p.tell()
+		p.sendPaxosMessages()
+		p.reportChanges()
 	}
 }
 
-func (p *Peers) look() { p.view.At(p.now(), timeunit.Milliseconds(tick/time.Millisecond)) }
+func (p *Node) advanceClock() {
+	p.view.Advance(p.now(), timeunit.Milliseconds(tickInterval/time.Millisecond))
+}
 
-// say sends the server's own word where it is due.
-func (p *Peers) say(now bool) {
-	if at := p.terms.Now(); now || !at.Before(p.nextWord) {
-		p.nextWord = at.Add(max(wordLeast, wordEach*time.Duration(p.members())))
-		own := *p.own.Load()
-		w := p.view.Say(membership.Word{Address: (*delegate)(p).here(), Version: p.terms.Version, Settings: p.terms.Settings, State: own.State,
-			Used: own.Used, Keeper: p.keeping.Load().Keeper, Group: p.keeping.Load().Group, Pool: own.Pool, Load: own.Load, Free: own.Free, IndexMs: own.Index, LateMs: own.Late.Milliseconds(), Epoch: p.accord.Fleet().Epoch})
-		p.pass(w)
+// publish sends the server's own word where it is due.
+func (p *Node) publish(now bool) {
+	if at := p.config.Now(); now || !at.Before(p.nextUpdate) {
+		p.nextUpdate = at.Add(max(minUpdateInterval, updateIntervalPerMember*time.Duration(p.memberCount())))
+		own := *p.localState.Load()
+		w := p.view.UpdateSelf(membership.StateUpdate{Address: (*delegate)(p).advertisedAddress(), Version: p.config.Version, SettingsDigest: p.config.SettingsDigest, State: own.State,
+			Usage: own.Usage, QuotaVoter: p.coordinator.Load().VoterID, QuotaLog: p.coordinator.Load().LogID, ConcurrencyLimit: own.ConcurrencyLimit, Load: own.InFlight, AvailableCapacity: own.AvailableCapacity, IndexLatencyMs: own.IndexLatencyMs, LoopLagMs: own.LoopLag.Milliseconds(), Epoch: p.agreement.Configuration().Epoch})
+		p.broadcastOwnUpdate(w)
 	}
 }
 
-// pass has the server's own word go round.
-func (p *Peers) pass(w membership.Word) {
-	s, text := p.seal(wordMessage, w)
-	p.words[w.ID] = s
-	if len(text) <= mostMessage {
-		p.goRound(w, text)
+// broadcastOwnUpdate has the server's own word go round.
+func (p *Node) broadcastOwnUpdate(w membership.StateUpdate) {
+	s, text := p.sign(kindStateUpdate, w)
+	p.signedUpdates[w.ID] = s
+	if len(text) <= maxPacketMessage {
+		p.broadcast(w, text)
 	}
 }
 
-// goRound passes a word on. One that a member leaves by is passed on some times more: few words, or none, come after it, and who
+// broadcast passes a word on. One that a member leaves by is passed on some times more: few words, or none, come after it, and who
 // missed it would hold the member for failed.
-func (p *Peers) goRound(w membership.Word, text []byte) {
-	send := func() { p.queue.QueueBroadcast(&rumour{id: w.ID, seq: w.Seq, text: text}) }
+func (p *Node) broadcast(w membership.StateUpdate, text []byte) {
+	send := func() {
+		p.broadcasts.QueueBroadcast(&updateBroadcast{sender: w.ID, sequence: w.Sequence, message: text})
+	}
 	send()
-	for n := range leaveSends {
-		if w.State == membership.Leaving {
-			time.AfterFunc(tick*time.Duration(n+1), send)
+	for n := range leaveRebroadcasts {
+		if w.State == membership.StateDraining {
+			time.AfterFunc(tickInterval*time.Duration(n+1), send)
 		}
 	}
 }
 
-// share makes the words that a full exchange hands over: the newest first.
-func (p *Peers) share() {
+// buildPushPullState makes the words that a full exchange hands over: the newest first.
+func (p *Node) buildPushPullState() {
 	list := p.view.Members()
-	slices.SortStableFunc(list, func(a, b *membership.Member) int { return int(b.Heard - a.Heard) })
+	slices.SortStableFunc(list, func(a, b *membership.Member) int { return int(b.LastUpdate - a.LastUpdate) })
 	var words [][]byte
 	for _, m := range list {
-		if s, is := p.words[m.ID]; is && len(words) < mostSync && m.State < membership.Failed {
+		if s, is := p.signedUpdates[m.ID]; is && len(words) < maxPushPullUpdates && m.State < membership.StateFailed {
 			s.AgeMs = int64(m.Age(p.view.Now()))
-			words = append(words, encode(wordMessage, s))
+			words = append(words, encodeMessage(kindStateUpdate, s))
 		}
 	}
-	p.sync.Store(&words)
+	p.pushPullState.Store(&words)
 }
 
-// send sends the notes of the agreement, each to one member.
-func (p *Peers) send() {
-	for _, n := range p.accord.Out() {
+// sendPaxosMessages sends the notes of the agreement, each to one member.
+func (p *Node) sendPaxosMessages() {
+	for _, n := range p.agreement.TakeMessages() {
 		m := p.view.Member(n.To)
 		if m == nil || m.Address == "" {
 			continue
 		}
 		to := memberlist.Address{Addr: m.Address, Name: nodeName(n.To)}
-		if _, text := p.seal(noteMessage, n); len(text) <= mostMessage {
-			_ = p.list.SendToAddress(to, text)
+		if _, text := p.sign(kindPaxos, n); len(text) <= maxPacketMessage {
+			_ = p.memberlist.SendToAddress(to, text)
 		}
 	}
 }
 
-// tell passes on what has changed.
-func (p *Peers) tell() {
+// reportChanges passes on what has changed.
+func (p *Node) reportChanges() {
 	for _, e := range p.view.Events() {
-		if p.terms.Log != nil {
-			p.terms.Log("member", e.ID, e.From, e.To, e.Cause)
+		if p.config.OnMemberEvent != nil {
+			p.config.OnMemberEvent("member", e.ID, e.From, e.To, e.Cause)
 		}
-		if e.To == membership.Suspected || e.To == membership.Failed {
+		if e.To == membership.StateSuspected || e.To == membership.StateFailed {
 			if m := p.view.Member(e.ID); m != nil {
-				go p.dial(e.ID, m.Address) // bounded by the members, each for half a second
+				go p.diagnoseAddress(e.ID, m.Address) // bounded by the members, each for half a second
 			}
 		}
 	}
-	size, standing := p.view.Size(), p.accord.Standing()
-	if standing != p.lastWord && p.terms.Status != nil {
-		p.terms.Status(standing, size, p.accord.Fleet().Epoch)
+	size, standing := p.view.EffectiveSize(), p.agreement.QuorumStatus()
+	if standing != p.lastStatus && p.config.OnQuorumChange != nil {
+		p.config.OnQuorumChange(standing, size, p.agreement.Configuration().Epoch)
 	}
-	if (size != p.lastSize || standing != p.lastWord) && p.terms.Changed != nil {
-		p.terms.Changed(size, standing)
+	if (size != p.lastSize || standing != p.lastStatus) && p.config.OnChange != nil {
+		p.config.OnChange(size, standing)
 	}
-	p.lastSize, p.lastWord = size, standing
+	p.lastSize, p.lastStatus = size, standing
 }
 
-// dial finds out what is at the address of a member that does not answer.
-func (p *Peers) dial(id membership.ID, at string) {
-	how := membership.DialTaken
-	c, err := net.DialTimeout("tcp", at, dialWithin)
+// diagnoseAddress finds out what is at the address of a member that does not answer.
+func (p *Node) diagnoseAddress(id membership.ID, at string) {
+	how := membership.DialAccepted
+	c, err := net.DialTimeout("tcp", at, dialTimeout)
 	switch {
 	case err == nil:
 		c.Close()
 	case isRefused(err):
 		how = membership.DialRefused
 	default:
-		how = membership.DialNothing
+		how = membership.DialTimedOut
 	}
-	p.do(func() { p.view.Dialled(id, how) })
+	p.enqueue(func() { p.view.DialFinished(id, how) })
 }
 
-// join looks for others until some are found, and again whenever nobody is left.
-func (p *Peers) join() {
-	defer p.ended.Done()
-	wait := joinEvery
+// joinLoop looks for others until some are found, and again whenever nobody is left.
+func (p *Node) joinLoop() {
+	defer p.goroutines.Done()
+	wait := minJoinInterval
 	for {
-		if p.members() < 2 && len(p.terms.First) > 0 {
-			if _, err := p.list.Join(p.terms.First); err != nil {
-				wait = min(2*wait, joinMost)
+		if p.memberCount() < 2 && len(p.config.SeedAddresses) > 0 {
+			if _, err := p.memberlist.Join(p.config.SeedAddresses); err != nil {
+				wait = min(2*wait, maxJoinInterval)
 			}
 		} else {
-			wait = joinEvery
+			wait = minJoinInterval
 		}
 		select {
 		case <-p.done:
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -13,49 +13,49 @@
 	"github.com/hashicorp/memberlist"
 )
 
-type transport struct {
+type countingTransport struct {
 	*memberlist.NetTransport
-	from net.IP
-	sent *atomic.Int64
+	localIP   net.IP
+	sentBytes *atomic.Int64
 }
 
-func listen(host string, port int, sent *atomic.Int64) (memberlist.Transport, error) {
+func newTransport(host string, port int, sent *atomic.Int64) (memberlist.Transport, error) {
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port,
 		Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
 		return nil, err
 	}
-	return &transport{t, net.ParseIP(host), sent}, nil
+	return &countingTransport{t, net.ParseIP(host), sent}, nil
 }
 
-func (t *transport) WriteTo(b []byte, to string) (time.Time, error) {
-	t.sent.Add(int64(len(b)))
+func (t *countingTransport) WriteTo(b []byte, to string) (time.Time, error) {
+	t.sentBytes.Add(int64(len(b)))
 	return t.NetTransport.WriteTo(b, to)
 }
 
-func (t *transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+func (t *countingTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, to.Addr)
 }
 
-func (t *transport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: t.from}}
+func (t *countingTransport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: t.localIP}}
 	c, err := d.Dial("tcp", to)
 	if err != nil {
 		return nil, err
 	}
-	return &counted{c, t.sent}, nil
+	return &countingConn{c, t.sentBytes}, nil
 }
 
-func (t *transport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
+func (t *countingTransport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
 	return t.DialTimeout(to.Addr, within)
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
-	sent *atomic.Int64
+	sentBytes *atomic.Int64
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	c.sent.Add(int64(len(b)))
+func (c *countingConn) Write(b []byte) (int, error) {
+	c.sentBytes.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
--- a/internal/gossip/virtual_test.go
+++ b/internal/gossip/virtual_test.go
@@ -20,56 +20,56 @@
 	"thistlequay/internal/membership"
 )
 
-// air carries the talk of many members in one process, in the virtual time of a synctest bubble.
-type air struct {
-	lock  sync.Mutex
-	rand  *rand.Rand
-	ports map[string]*port
-	cut   func(from, to string) bool
-	loss  float64
-	open  bool // the fleet talks without keys
-	bytes atomic.Int64
+// virtualNetwork carries the talk of many members in one process, in the virtual time of a synctest bubble.
+type virtualNetwork struct {
+	lock        sync.Mutex
+	random      *rand.Rand
+	transports  map[string]*virtualTransport
+	isCut       func(from, to string) bool
+	lossRate    float64
+	withoutKeys bool // the fleet talks without keys
+	sentBytes   atomic.Int64
 }
 
-type port struct {
-	air     *air
-	at      string
+type virtualTransport struct {
+	network *virtualNetwork
+	address string
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	closed  atomic.Bool
 }
 
-var errCut = errors.New("nothing comes back")
+var errUnreachable = errors.New("nothing comes back")
 
-func (a *air) port(n int) *port {
-	p := &port{air: a, at: fmt.Sprintf("10.%d.%d.%d:7946", n>>16, n>>8&255, n&255), packets: make(chan *memberlist.Packet, 4096), streams: make(chan net.Conn, 64)}
+func (a *virtualNetwork) newTransport(n int) *virtualTransport {
+	p := &virtualTransport{network: a, address: fmt.Sprintf("10.%d.%d.%d:7946", n>>16, n>>8&255, n&255), packets: make(chan *memberlist.Packet, 4096), streams: make(chan net.Conn, 64)}
 	a.lock.Lock()
-	a.ports[p.at] = p
+	a.transports[p.address] = p
 	a.lock.Unlock()
 	return p
 }
 
-func (p *port) way(to string) (*port, time.Duration) {
-	a := p.air
+func (p *virtualTransport) route(to string) (*virtualTransport, time.Duration) {
+	a := p.network
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	q := a.ports[to]
-	if q == nil || q.closed.Load() || p.closed.Load() || a.cut != nil && a.cut(p.at, to) || a.rand.Float64() < a.loss {
+	q := a.transports[to]
+	if q == nil || q.closed.Load() || p.closed.Load() || a.isCut != nil && a.isCut(p.address, to) || a.random.Float64() < a.lossRate {
 		return nil, 0
 	}
-	return q, time.Duration(200+a.rand.Intn(2000)) * time.Microsecond
+	return q, time.Duration(200+a.random.Intn(2000)) * time.Microsecond
 }
 
-func (p *port) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, n, err := addressOf(p.at)
+func (p *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	host, n, err := splitAddress(p.address)
 	return net.ParseIP(host), n, err
 }
 
-func (p *port) WriteTo(b []byte, to string) (time.Time, error) {
-	p.air.bytes.Add(int64(len(b)))
-	if q, wait := p.way(to); q != nil {
+func (p *virtualTransport) WriteTo(b []byte, to string) (time.Time, error) {
+	p.network.sentBytes.Add(int64(len(b)))
+	if q, wait := p.route(to); q != nil {
 		b = slices.Clone(b)
-		from, _ := net.ResolveUDPAddr("udp", p.at)
+		from, _ := net.ResolveUDPAddr("udp", p.address)
 		time.AfterFunc(wait, func() {
 			select {
 			case q.packets <- &memberlist.Packet{Buf: b, From: from, Timestamp: time.Now()}:
@@ -80,40 +80,40 @@
 	return time.Now(), nil
 }
 
-func (p *port) DialTimeout(to string, _ time.Duration) (net.Conn, error) {
-	q, _ := p.way(to)
+func (p *virtualTransport) DialTimeout(to string, _ time.Duration) (net.Conn, error) {
+	q, _ := p.route(to)
 	if q == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	here, there := net.Pipe()
 	select {
 	case q.streams <- there:
-		return &counted{here, &p.air.bytes}, nil
+		return &countingConn{here, &p.network.sentBytes}, nil
 	default:
-		return nil, errCut
+		return nil, errUnreachable
 	}
 }
 
-func (p *port) PacketCh() <-chan *memberlist.Packet { return p.packets }
-func (p *port) StreamCh() <-chan net.Conn           { return p.streams }
-func (p *port) Shutdown() error                     { p.closed.Store(true); return nil }
+func (p *virtualTransport) PacketCh() <-chan *memberlist.Packet { return p.packets }
+func (p *virtualTransport) StreamCh() <-chan net.Conn           { return p.streams }
+func (p *virtualTransport) Shutdown() error                     { p.closed.Store(true); return nil }
 
-var _ io.Writer = (*counted)(nil)
+var _ io.Writer = (*countingConn)(nil)
 
-// crowd starts so many members that find each other by the first three.
-func crowd(t *testing.T, a *air, n int) (all []*Peers) {
+// startNodes starts so many members that find each other by the first three.
+func startNodes(t *testing.T, a *virtualNetwork, n int) (all []*Node) {
 	for i := range n {
-		q := a.port(i + 1)
-		terms := membership.DefaultTerms(membership.ID{Name: fmt.Sprintf("n%04d", i), Life: uint64(i + 1)})
-		terms.Size, terms.Founders, terms.Zone = n, []string{"n0000", "n0001", "n0002"}, fmt.Sprint("z", i%3)
+		q := a.newTransport(i + 1)
+		terms := membership.DefaultConfig(membership.ID{Name: fmt.Sprintf("n%04d", i), Incarnation: uint64(i + 1)})
+		terms.InitialSize, terms.Founders, terms.Zone = n, []string{"n0000", "n0001", "n0002"}, fmt.Sprint("z", i%3)
 		keys := [][]byte{[]byte("0123456789abcdef")}
-		if a.open {
+		if a.withoutKeys {
 			keys = nil
 		}
-		p, err := Start(Terms{Members: terms, Listen: q.at, First: []string{"10.0.0.1:7946", "10.0.0.2:7946", "10.0.0.3:7946"},
-			Fleet: "test", Keys: keys, Transport: q})
+		p, err := Start(Config{Membership: terms, ListenAddress: q.address, SeedAddresses: []string{"10.0.0.1:7946", "10.0.0.2:7946", "10.0.0.3:7946"},
+			ClusterName: "test", Keys: keys, Transport: q})
 		require.NoError(t, err)
-		p.Say(Own{State: membership.Serving})
+		p.SetLocalState(LocalState{State: membership.StateServing})
 		all = append(all, p)
 		if i%50 == 49 {
 			time.Sleep(time.Second)
@@ -122,8 +122,8 @@
 	return all
 }
 
-// until waits in virtual time and gives how long it took; negative where it did not come to be.
-func until(most time.Duration, is func() bool) time.Duration {
+// waitUntil waits in virtual time and gives how long it took; negative where it did not come to be.
+func waitUntil(most time.Duration, is func() bool) time.Duration {
 	for begun := time.Now(); time.Since(begun) < most; time.Sleep(250 * time.Millisecond) {
 		if is() {
 			return time.Since(begun)
@@ -132,11 +132,11 @@
 	return -1
 }
 
-func agree(all []*Peers, there int, standing membership.Standing) bool {
+func allAgree(all []*Node, there int, standing membership.QuorumStatus) bool {
 	for _, p := range all {
 		ok := false
-		if p.Look(func(v *membership.View, a *membership.Accord) {
-			ok = len(v.There()) == there && a.Standing() == standing
+		if p.Inspect(func(v *membership.View, a *membership.Agreement) {
+			ok = len(v.Alive()) == there && a.QuorumStatus() == standing
 		}) != nil || !ok {
 			return false
 		}
@@ -152,24 +152,24 @@
 	}
 	for _, n := range sizes {
 		synctest.Test(t, func(t *testing.T) {
-			a := &air{rand: rand.New(rand.NewSource(int64(n))), ports: map[string]*port{}}
-			all := crowd(t, a, n)
-			converge := until(3*time.Minute, func() bool { return agree(all, n, membership.Whole) })
+			a := &virtualNetwork{random: rand.New(rand.NewSource(int64(n))), transports: map[string]*virtualTransport{}}
+			all := startNodes(t, a, n)
+			converge := waitUntil(3*time.Minute, func() bool { return allAgree(all, n, membership.Majority) })
 			require.Positive(t, converge, "the members never agreed")
-			before, at := a.bytes.Load(), time.Now()
+			before, at := a.sentBytes.Load(), time.Now()
 			time.Sleep(20 * time.Second)
-			rate := float64(a.bytes.Load()-before) / time.Since(at).Seconds() / float64(n)
+			rate := float64(a.sentBytes.Load()-before) / time.Since(at).Seconds() / float64(n)
 			victim := all[n-1]
-			a.ports[victim.terms.Listen].closed.Store(true) // nothing of it comes through any more
+			a.transports[victim.config.ListenAddress].closed.Store(true) // nothing of it comes through any more
 			died := time.Now()
 			var detect []time.Duration
 			rest := all[:n-1]
-			knows := map[*Peers]bool{}
-			until(time.Minute, func() bool {
+			knows := map[*Node]bool{}
+			waitUntil(time.Minute, func() bool {
 				for _, p := range rest {
 					if !knows[p] {
-						_ = p.Look(func(v *membership.View, _ *membership.Accord) {
-							if m := v.Member(victim.terms.Members.Me); m == nil || m.State >= membership.Failed {
+						_ = p.Inspect(func(v *membership.View, _ *membership.Agreement) {
+							if m := v.Member(victim.config.Membership.Self); m == nil || m.State >= membership.StateFailed {
 								knows[p] = true
 								detect = append(detect, time.Since(died))
 							}
@@ -180,7 +180,7 @@
 			})
 			alarms := 0
 			for _, p := range rest {
-				_ = p.Look(func(v *membership.View, _ *membership.Accord) { alarms += v.Counts.FalseAlarms })
+				_ = p.Inspect(func(v *membership.View, _ *membership.Agreement) { alarms += v.Counts.FalsePositives })
 			}
 			require.Len(t, detect, len(rest))
 			slices.Sort(detect)
@@ -188,7 +188,7 @@
 				converge.Milliseconds(), detect[len(detect)/2].Milliseconds(), detect[len(detect)*99/100].Milliseconds(), alarms, rate)
 			require.Zero(t, alarms)
 			for _, p := range all {
-				p.End()
+				p.Close()
 			}
 			time.Sleep(time.Minute) // what the library still waits for comes to its end
 		})
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -16,26 +16,26 @@
 type Format string
 
 const (
-	Text Format = "text" // time event=name key=value ...
-	JSON Format = "json"
+	FormatText Format = "text" // time event=name key=value ...
+	FormatJSON Format = "json"
 )
 
-const stamp = "2006-01-02T15:04:05.000000Z"
+const timestampLayout = "2006-01-02T15:04:05.000000Z"
 
-// Log writes events.
-type Log struct{ to zerolog.Logger }
+// Logger writes events.
+type Logger struct{ writer zerolog.Logger }
 
 // New writes to out, which gets one whole line a call.
-func New(out io.Writer, as Format) Log {
-	if as == Text {
+func New(out io.Writer, as Format) Logger {
+	if as == FormatText {
 		out = zerolog.ConsoleWriter{Out: out, NoColor: true, PartsOrder: []string{zerolog.TimestampFieldName},
 			FieldsOrder:     []string{"event", "name", "in_hand"},
 			FormatTimestamp: func(t any) string { return fmt.Sprint(t) }}
 	}
-	return Log{zerolog.New(out)}
+	return Logger{zerolog.New(out)}
 }
 
 // Event begins a line; Send ends it.
-func (l Log) Event(name string) *zerolog.Event {
-	return l.to.Log().Str(zerolog.TimestampFieldName, time.Now().UTC().Format(stamp)).Str("event", name)
+func (l Logger) Event(name string) *zerolog.Event {
+	return l.writer.Log().Str(zerolog.TimestampFieldName, time.Now().UTC().Format(timestampLayout)).Str("event", name)
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,10 +11,10 @@
 
 func TestBothFormats(t *testing.T) {
 	var out bytes.Buffer
-	New(&out, Text).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
+	New(&out, FormatText).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
 	require.Regexp(t, `^\d{4}-\d\d-\d\dT[\d:.]+Z event=bad_peer count=3 reason="two words"\n$`, out.String())
 	out.Reset()
-	New(&out, JSON).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
+	New(&out, FormatJSON).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
 	var line map[string]any
 	require.NoError(t, json.Unmarshal(out.Bytes(), &line))
 	require.Equal(t, "two words", line["reason"])
@@ -22,7 +22,7 @@
 }
 
 func BenchmarkEvent(b *testing.B) {
-	for _, as := range []Format{Text, JSON} {
+	for _, as := range []Format{FormatText, FormatJSON} {
 		b.Run(string(as), func(b *testing.B) {
 			l := New(io.Discard, as)
 			b.ReportAllocs()
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-func crowded(n int) (*View, *Accord, []Word) {
-	v := NewView(DefaultTerms(ID{"me", 1}), 0)
-	var words []Word
+func crowded(n int) (*View, *Agreement, []StateUpdate) {
+	v := NewView(DefaultConfig(ID{"me", 1}), 0)
+	var words []StateUpdate
 	for i := range n {
-		w := Word{ID: ID{fmt.Sprint("n", i), uint64(i + 2)}, Seq: 1, Address: fmt.Sprint("a", i), State: Serving}
-		v.Hear(w)
+		w := StateUpdate{ID: ID{fmt.Sprint("n", i), uint64(i + 2)}, Sequence: 1, Address: fmt.Sprint("a", i), State: StateServing}
+		v.ApplyUpdate(w)
 		words = append(words, w)
 	}
-	return v, NewAccord(v), words
+	return v, NewAgreement(v), words
 }
 
 func BenchmarkHear(b *testing.B) {
@@ -22,8 +22,8 @@
 			v, _, words := crowded(n)
 			for i := 0; b.Loop(); i++ {
 				w := &words[i%n]
-				w.Seq++
-				v.Hear(*w)
+				w.Sequence++
+				v.ApplyUpdate(*w)
 			}
 		})
 	}
@@ -34,9 +34,9 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			v, a, _ := crowded(n)
 			for b.Loop() {
-				v.At(v.now+200, 200)
+				v.Advance(v.now+200, 200)
 				a.Tick()
-				v.Judge(a.Standing())
+				v.Tick(a.QuorumStatus())
 			}
 		})
 	}
@@ -46,6 +46,6 @@
 	v, a, _ := crowded(300)
 	_ = v
 	for b.Loop() {
-		_ = a.Standing()
+		_ = a.QuorumStatus()
 	}
 }
--- a/internal/membership/interleaving_test.go
+++ b/internal/membership/interleaving_test.go
@@ -11,10 +11,10 @@
 
 // synod is three voters of one fleet and the notes under way between them.
 type synod struct {
-	accords [3]*Accord
-	flying  []Note
+	accords [3]*Agreement
+	flying  []Message
 	left    [3]int // proposals that each may still begin
-	chosen  []Fleet
+	chosen  []Configuration
 }
 
 func newSynod() *synod {
@@ -24,13 +24,13 @@
 		voters = append(voters, Voter{ID{fmt.Sprint("n", i), 1}, fmt.Sprint("a", i)})
 	}
 	for i := range s.accords {
-		v := NewView(DefaultTerms(voters[i].ID), 0)
-		v.Say(Word{Address: voters[i].Address, State: Serving})
+		v := NewView(DefaultConfig(voters[i].ID), 0)
+		v.UpdateSelf(StateUpdate{Address: voters[i].Address, State: StateServing})
 		for _, o := range voters {
-			v.Hear(Word{ID: o.ID, Seq: 1, Address: o.Address, State: Serving})
+			v.ApplyUpdate(StateUpdate{ID: o.ID, Sequence: 1, Address: o.Address, State: StateServing})
 		}
-		s.accords[i] = NewAccord(v)
-		s.accords[i].adopt(Fleet{Epoch: 1, Voters: voters, Count: 3, Lease: 1500})
+		s.accords[i] = NewAgreement(v)
+		s.accords[i].learn(Configuration{Epoch: 1, Voters: voters, MemberCount: 3, LeaseDuration: 1500})
 	}
 	return s
 }
@@ -41,7 +41,7 @@
 		if left > 0 {
 			if n == 0 {
 				s.left[i]--
-				s.accords[i].begin(Fleet{Epoch: 2, Voters: s.accords[i].fleet.Voters[:1+i], Count: 3 + i + 10*left, Lease: 1500})
+				s.accords[i].startProposal(Configuration{Epoch: 2, Voters: s.accords[i].configuration.Voters[:1+i], MemberCount: 3 + i + 10*left, LeaseDuration: 1500})
 				s.gather()
 				return true
 			}
@@ -53,19 +53,19 @@
 	}
 	note := s.flying[n]
 	s.flying = slices.Delete(s.flying, n, n+1)
-	s.accords[note.To.Name[1]-'0'].Take(note)
+	s.accords[note.To.Name[1]-'0'].Step(note)
 	s.gather()
 	return true
 }
 
 func (s *synod) gather() {
 	for _, a := range s.accords {
-		for _, note := range a.Out() {
-			if note.Kind >= Prepare { // support is no part of the choice
+		for _, note := range a.TakeMessages() {
+			if note.Kind >= MessagePrepare { // support is no part of the choice
 				s.flying = append(s.flying, note)
 			}
 		}
-		if f := a.fleet; f.Epoch == 2 && !slices.ContainsFunc(s.chosen, func(g Fleet) bool { return g.same(&f) }) {
+		if f := a.configuration; f.Epoch == 2 && !slices.ContainsFunc(s.chosen, func(g Configuration) bool { return g.equal(&f) }) {
 			s.chosen = append(s.chosen, f)
 		}
 	}
@@ -75,14 +75,14 @@
 func (s *synod) mark() string {
 	var b strings.Builder
 	for _, a := range s.accords {
-		fmt.Fprint(&b, a.fleet.Epoch, a.fleet.Count, a.promised, a.accepted, a.value, a.ballot, a.best, a.promises, a.accepts, a.round, a.torn)
+		fmt.Fprint(&b, a.configuration.Epoch, a.configuration.MemberCount, a.promised, a.acceptedBallot, a.acceptedValue, a.ballot, a.highestAccepted, a.promises, a.acceptances, a.round, a.conflicting)
 		if a.proposal != nil {
-			fmt.Fprint(&b, a.proposal.Count)
+			fmt.Fprint(&b, a.proposal.MemberCount)
 		}
 	}
 	var notes []string
 	for _, n := range s.flying {
-		notes = append(notes, fmt.Sprint(n.Kind, n.From, n.To, n.Epoch, n.Ballot, n.Before, n.Fleet))
+		notes = append(notes, fmt.Sprint(n.Kind, n.From, n.To, n.Epoch, n.Ballot, n.AcceptedBallot, n.Configuration))
 	}
 	slices.Sort(notes)
 	fmt.Fprint(&b, s.left, notes)
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -46,7 +46,7 @@
 type player struct {
 	*require.Assertions
 	view   *View
-	accord *Accord
+	accord *Agreement
 	seqs   map[ID]uint64
 	where  string
 }
@@ -86,29 +86,29 @@
 func (p *player) play(what string, with []string) {
 	switch what {
 	case "me":
-		t := DefaultTerms(p.id(with[0]))
+		t := DefaultConfig(p.id(with[0]))
 		if text := p.keys(with[1:])["servers"]; text != "" {
-			t.Size = int(p.number(text))
+			t.InitialSize = int(p.number(text))
 		}
 		t.Founders = strings.Split(p.keys(with[1:])["founders"], ",")
 		p.view = NewView(t, 0)
-		p.accord = NewAccord(p.view)
-		p.view.Say(Word{Address: "here", State: Serving})
+		p.accord = NewAgreement(p.view)
+		p.view.UpdateSelf(StateUpdate{Address: "here", State: StateServing})
 	case "at":
-		p.view.At(timeunit.Milliseconds(p.number(with[0])), 200)
+		p.view.Advance(timeunit.Milliseconds(p.number(with[0])), 200)
 		p.accord.Tick()
-		p.view.Judge(p.accord.Standing())
+		p.view.Tick(p.accord.QuorumStatus())
 	case "pass": // time goes by in small steps
 		for end := p.view.now + timeunit.Milliseconds(p.number(with[0])); p.view.now < end; {
-			p.view.At(p.view.now+200, 200)
+			p.view.Advance(p.view.now+200, 200)
 			p.accord.Tick()
-			p.view.Judge(p.accord.Standing())
+			p.view.Tick(p.accord.QuorumStatus())
 		}
 	case "hear":
 		id, of := p.id(with[0]), p.keys(with[2:])
 		p.seqs[id]++
-		w := Word{ID: id, Seq: p.seqs[id], Address: "a-" + id.Name, State: p.state(with[1]), Zone: of["zone"]}
-		for key, to := range map[string]*int64{"slept": &w.SleptMs, "late": &w.LateMs, "age": &w.AgeMs} {
+		w := StateUpdate{ID: id, Sequence: p.seqs[id], Address: "a-" + id.Name, State: p.state(with[1]), Zone: of["zone"]}
+		for key, to := range map[string]*int64{"slept": &w.PausedMs, "late": &w.LoopLagMs, "age": &w.AgeMs} {
 			if of[key] != "" {
 				*to = p.number(of[key])
 			}
@@ -117,26 +117,26 @@
 			w.Address = of["at"]
 		}
 		if of["seq"] != "" {
-			w.Seq = uint64(p.number(of["seq"]))
+			w.Sequence = uint64(p.number(of["seq"]))
 		}
 		if of["misses"] != "" {
-			w.Misses = strings.Split(of["misses"], ",")
+			w.Unreachable = strings.Split(of["misses"], ",")
 		}
-		p.view.Hear(w)
+		p.view.ApplyUpdate(w)
 	case "answered":
-		p.view.Answered(p.id(with[0]), 10)
+		p.view.ProbeSucceeded(p.id(with[0]), 10)
 	case "missed":
-		p.view.Missed(p.id(with[0]))
+		p.view.ProbeFailed(p.id(with[0]))
 	case "doubted":
-		p.view.Doubted(p.id(with[0]))
+		p.view.Suspected(p.id(with[0]))
 	case "lost":
-		p.view.Lost(p.id(with[0]))
+		p.view.Failed(p.id(with[0]))
 	case "back":
-		p.view.Back(p.id(with[0]))
+		p.view.Refuted(p.id(with[0]))
 	case "left":
 		p.view.Left(p.id(with[0]))
 	case "dialled":
-		p.view.Dialled(p.id(with[0]), map[string]Dial{"refused": DialRefused, "taken": DialTaken, "nothing": DialNothing}[with[1]])
+		p.view.DialFinished(p.id(with[0]), map[string]DialResult{"refused": DialRefused, "taken": DialAccepted, "nothing": DialTimedOut}[with[1]])
 	case "is":
 		m := p.view.Member(p.id(with[0]))
 		p.NotNil(m, p.where)
@@ -144,28 +144,28 @@
 	case "unknown":
 		p.Nil(p.view.Member(p.id(with[0])), p.where)
 	case "holds":
-		id, known := p.view.Holder(with[0])
+		id, known := p.view.NameOwner(with[0])
 		p.True(known, p.where)
-		p.Equal(with[1], fmt.Sprint(id.Name, ".", id.Life), p.where)
+		p.Equal(with[1], fmt.Sprint(id.Name, ".", id.Incarnation), p.where)
 	case "size":
-		p.Equal(p.number(with[0]), int64(p.view.Size()), p.where)
+		p.Equal(p.number(with[0]), int64(p.view.EffectiveSize()), p.where)
 	case "stands":
-		p.Equal(with[0], p.accord.Standing().String(), p.where)
+		p.Equal(with[0], p.accord.QuorumStatus().String(), p.where)
 	case "chosen": // a fleet of these voters is heard of
-		f := Fleet{Epoch: uint64(p.number(with[0])), Lease: 1500, Count: len(with) - 1}
+		f := Configuration{Epoch: uint64(p.number(with[0])), LeaseDuration: 1500, MemberCount: len(with) - 1}
 		for _, text := range with[1:] {
 			id := p.id(text)
 			f.Voters = append(f.Voters, Voter{id, "a-" + id.Name})
 		}
-		p.accord.Take(Note{Kind: Chosen, Epoch: f.Epoch, Fleet: &f})
+		p.accord.Step(Message{Kind: MessageCommitted, Epoch: f.Epoch, Configuration: &f})
 	case "supported":
 		for _, text := range with {
-			p.accord.Take(Note{Kind: Support, From: p.id(text), Epoch: p.accord.fleet.Epoch, Asked: p.view.now})
+			p.accord.Step(Message{Kind: MessageLeaseGrant, From: p.id(text), Epoch: p.accord.configuration.Epoch, RequestedAt: p.view.now})
 		}
 	case "counts":
 		for key, value := range p.keys(with) {
 			c := p.view.Counts
-			p.Equal(p.number(value), int64(map[string]int{"insane": c.Insane, "old": c.Old, "alarms": c.FalseAlarms, "taken": c.NameTaken}[key]), p.where)
+			p.Equal(p.number(value), int64(map[string]int{"insane": c.Invalid, "old": c.Stale, "alarms": c.FalsePositives, "taken": c.NameConflicts}[key]), p.where)
 		}
 	default:
 		p.FailNow(p.where)
--- a/internal/membership/schedule_test.go
+++ b/internal/membership/schedule_test.go
@@ -34,8 +34,8 @@
 	at   timeunit.Milliseconds
 	to   int
 	life uint64
-	word *Word
-	note *Note
+	word *StateUpdate
+	note *Message
 }
 
 type node struct {
@@ -43,7 +43,7 @@
 	zone    string
 	address string
 	view    *View
-	accord  *Accord
+	accord  *Agreement
 	rate    float64 // of its clock
 	offset  timeunit.Milliseconds
 	stopped timeunit.Milliseconds // until
@@ -62,16 +62,16 @@
 func (w *world) begin(i int) {
 	n := w.nodes[i]
 	w.lives++
-	t := DefaultTerms(ID{n.name, uint64(w.chance.Intn(1000)+1)<<32 | w.lives}) // clocks are set back between two lives
-	t.Zone, t.Size = n.zone, len(w.nodes)
+	t := DefaultConfig(ID{n.name, uint64(w.chance.Intn(1000)+1)<<32 | w.lives}) // clocks are set back between two lives
+	t.Zone, t.InitialSize = n.zone, len(w.nodes)
 	for _, f := range w.nodes[:3] {
 		t.Founders = append(t.Founders, f.name)
 	}
 	n.down, n.stopped, n.leaving = false, 0, false
 	n.view = NewView(t, w.clock(n))
-	n.accord = NewAccord(n.view)
+	n.accord = NewAgreement(n.view)
 	n.heard, n.lost = map[ID]timeunit.Milliseconds{}, map[ID]bool{}
-	n.view.Say(Word{Address: n.address, State: Serving})
+	n.view.UpdateSelf(StateUpdate{Address: n.address, State: StateServing})
 }
 
 func newWorld(seed int64, servers int) *world {
@@ -88,7 +88,7 @@
 
 func (w *world) index(id ID) (int, bool) {
 	for i, n := range w.nodes {
-		if n.view.terms.Me == id {
+		if n.view.config.Self == id {
 			return i, true
 		}
 	}
@@ -99,7 +99,7 @@
 	copies := 1 + w.chance.Intn(10)/9 // now and then twice
 	for range copies {
 		if !w.cut[[2]int{from, to}] && w.chance.Float64() >= w.loss {
-			p.at, p.to, p.life = w.now+timeunit.Milliseconds(1+w.chance.Intn(250)), to, w.nodes[to].view.terms.Me.Life
+			p.at, p.to, p.life = w.now+timeunit.Milliseconds(1+w.chance.Intn(250)), to, w.nodes[to].view.config.Self.Incarnation
 			w.queue = append(w.queue, p)
 		}
 	}
@@ -114,19 +114,19 @@
 		switch {
 		case p.at > w.now || n.stopped > w.now && !n.down:
 			later = append(later, p)
-		case n.down || n.view.terms.Me.Life != p.life:
+		case n.down || n.view.config.Self.Incarnation != p.life:
 		default:
-			n.view.At(w.clock(n), 2*step)
+			n.view.Advance(w.clock(n), 2*step)
 			if p.word != nil {
-				n.view.Hear(*p.word)
+				n.view.ApplyUpdate(*p.word)
 				n.heard[p.word.ID] = n.view.now
 				if n.lost[p.word.ID] {
 					delete(n.lost, p.word.ID)
-					n.view.Back(p.word.ID)
+					n.view.Refuted(p.word.ID)
 				}
-				n.view.Answered(p.word.ID, 10)
+				n.view.ProbeSucceeded(p.word.ID, 10)
 			} else {
-				n.accord.Take(*p.note)
+				n.accord.Step(*p.note)
 			}
 		}
 	}
@@ -135,32 +135,32 @@
 		if n.down || n.stopped > w.now {
 			continue
 		}
-		n.view.At(w.clock(n), 2*step)
-		state := Serving
+		n.view.Advance(w.clock(n), 2*step)
+		state := StateServing
 		if n.leaving {
-			state = Leaving
+			state = StateDraining
 		}
-		word := n.view.Say(Word{Address: n.address, State: state, Epoch: n.accord.fleet.Epoch})
+		word := n.view.UpdateSelf(StateUpdate{Address: n.address, State: state, Epoch: n.accord.configuration.Epoch})
 		for j := range w.nodes {
 			if j != i {
 				w.send(i, j, packet{word: &word})
 			}
 		}
 		for _, m := range n.view.Members() {
-			if at, known := n.heard[m.ID]; known && m.there() && n.view.now-at > 3*timeunit.MillisecondsPerSecond {
-				n.view.Doubted(m.ID)
-			} else if known && m.State == Suspected && n.view.now-at > 5*timeunit.MillisecondsPerSecond {
-				n.view.Lost(m.ID)
+			if at, known := n.heard[m.ID]; known && m.isAlive() && n.view.now-at > 3*timeunit.MillisecondsPerSecond {
+				n.view.Suspected(m.ID)
+			} else if known && m.State == StateSuspected && n.view.now-at > 5*timeunit.MillisecondsPerSecond {
+				n.view.Failed(m.ID)
 				n.lost[m.ID] = true
 			}
 		}
 		w.tick(n)
-		n.view.Judge(n.accord.Standing())
+		n.view.Tick(n.accord.QuorumStatus())
 		if w.history != nil {
 			w.history.Add(i, wire(word))
 			addState(w.history, n.view, n.accord)
 		}
-		for _, note := range n.accord.Out() {
+		for _, note := range n.accord.TakeMessages() {
 			if w.history != nil {
 				w.history.Add(wire(note))
 			}
@@ -170,18 +170,18 @@
 		}
 	}
 	// At one moment all that hold themselves for the whole go by one fleet.
-	var first *Fleet
+	var first *Configuration
 	for _, n := range w.nodes {
 		if n.down || n.stopped > w.now {
 			continue
 		}
-		n.view.At(w.clock(n), 2*step)
+		n.view.Advance(w.clock(n), 2*step)
 		w.looks++
-		if n.accord.Standing() == Whole {
+		if n.accord.QuorumStatus() == Majority {
 			w.wholes++
-			if f := n.accord.Fleet(); first == nil {
+			if f := n.accord.Configuration(); first == nil {
 				first = &f
-			} else if !f.same(first) {
+			} else if !f.equal(first) {
 				w.both++
 			}
 		}
@@ -267,13 +267,13 @@
 		w := newWorld(int64(seed), 3+seed%7)
 		w.play()
 		for _, n := range w.nodes {
-			if !n.down && n.accord.Standing() == Whole {
+			if !n.down && n.accord.QuorumStatus() == Majority {
 				healed++
 				break
 			}
 		}
 		for _, n := range w.nodes {
-			changes += n.accord.Changes
+			changes += n.accord.ConfigurationChanges
 		}
 		both, wholes, looks = both+w.both, wholes+w.wholes, looks+w.looks
 		require.Zero(t, w.both, "seed %d", seed)
--- a/internal/membership/size_test.go
+++ b/internal/membership/size_test.go
@@ -27,12 +27,12 @@
 		id := func(i int) ID { return ID{fmt.Sprintf("n%04d", i), uint64(i + 1)} }
 		now := timeunit.MillisecondsPerSecond
 		var views []*View
-		var accords []*Accord
+		var accords []*Agreement
 		for i := range full {
-			terms := DefaultTerms(id(i))
-			terms.Size, terms.Zone, terms.Founders = n, fmt.Sprint("z", i%3), []string{"n0000", "n0001", "n0002"}
+			terms := DefaultConfig(id(i))
+			terms.InitialSize, terms.Zone, terms.Founders = n, fmt.Sprint("z", i%3), []string{"n0000", "n0001", "n0002"}
 			views = append(views, NewView(terms, now))
-			accords = append(accords, NewAccord(views[i]))
+			accords = append(accords, NewAgreement(views[i]))
 		}
 		wordEvery := max(timeunit.MillisecondsPerSecond, 33*timeunit.Milliseconds(n))
 		due := make([]timeunit.Milliseconds, n) // of each member's next word
@@ -44,8 +44,8 @@
 		type late struct {
 			at   timeunit.Milliseconds
 			to   int
-			word Word
-			note *Note
+			word StateUpdate
+			note *Message
 		}
 		var mail []late
 		heard, bytes, dead := 0, 0, -1
@@ -56,9 +56,9 @@
 				if due[i] <= now && i != dead {
 					due[i] = now + wordEvery
 					seq[i]++
-					w := Word{ID: id(i), Seq: seq[i], Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), State: Serving, Pool: 8}
+					w := StateUpdate{ID: id(i), Sequence: seq[i], Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), State: StateServing, ConcurrencyLimit: 8}
 					if i < full {
-						w = views[i].Say(Word{Address: w.Address, State: Serving, Pool: 8, Epoch: accords[i].Fleet().Epoch})
+						w = views[i].UpdateSelf(StateUpdate{Address: w.Address, State: StateServing, ConcurrencyLimit: 8, Epoch: accords[i].Configuration().Epoch})
 					}
 					for j := range views {
 						if j != i {
@@ -71,22 +71,22 @@
 				if m.at > now {
 					return false
 				}
-				if views[m.to].At(now, 200); m.note != nil {
-					accords[m.to].Take(*m.note)
-				} else if views[m.to].Hear(m.word) {
+				if views[m.to].Advance(now, 200); m.note != nil {
+					accords[m.to].Step(*m.note)
+				} else if views[m.to].ApplyUpdate(m.word) {
 					heard, bytes = heard+1, bytes+wordBytes
 				}
 				return true
 			})
 			for i, v := range views {
-				v.At(now, 200)
+				v.Advance(now, 200)
 				accords[i].Tick()
 				if lost[i] > 0 && now >= lost[i] {
-					v.Lost(id(dead))
+					v.Failed(id(dead))
 				}
-				v.Judge(accords[i].Standing())
-				for _, note := range accords[i].Out() {
-					if j := int(note.To.Life) - 1; j < full {
+				v.Tick(accords[i].QuorumStatus())
+				for _, note := range accords[i].TakeMessages() {
+					if j := int(note.To.Incarnation) - 1; j < full {
 						mail = append(mail, late{at: now + 20, to: j, note: &note})
 					}
 				}
@@ -94,7 +94,7 @@
 		}
 		agreed := func() bool {
 			for i, v := range views {
-				if accords[i].Standing() != Whole || v.Present() != n {
+				if accords[i].QuorumStatus() != Majority || v.AliveCount() != n {
 					return false
 				}
 			}
@@ -124,7 +124,7 @@
 		for now-died < 60*timeunit.MillisecondsPerSecond && len(detect) < full {
 			round()
 			for i, v := range views {
-				if m := v.Member(id(dead)); !knows[i] && (m == nil || m.State >= Failed) {
+				if m := v.Member(id(dead)); !knows[i] && (m == nil || m.State >= StateFailed) {
 					knows[i] = true
 					detect = append(detect, now-died)
 				}
@@ -133,8 +133,8 @@
 		require.Len(t, detect, full)
 		alarms := 0
 		for _, v := range views {
-			alarms += v.Counts.FalseAlarms
-			require.Equal(t, n-1, v.Present())
+			alarms += v.Counts.FalsePositives
+			require.Equal(t, n-1, v.AliveCount())
 		}
 		t.Logf("measured members-at-size members=%d converge_ms=%d detect_p50_ms=%d detect_p99_ms=%d false_alarms=%d words_a_second=%.1f bytes_a_second=%.0f",
 			n, converge, detect[full/2], detect[full-1], alarms, float64(heard)/float64(window/timeunit.MillisecondsPerSecond)/full, rate)
--- a/internal/membership/standing.go
+++ b/internal/membership/standing.go
@@ -9,83 +9,83 @@
 	"thistlequay/timeunit"
 )
 
-// Standing is what a server says of its own view.
-type Standing int
+// QuorumStatus is what a server says of its own view.
+type QuorumStatus int
 
 const (
-	Alone Standing = iota // it hears nobody
-	Part                  // it hears some, a minority of the fleet that was agreed on, or cannot tell
-	Whole                 // a majority of the voters supports it and it hears more than half of that fleet
+	Isolated QuorumStatus = iota // it hears nobody
+	Minority                     // it hears some, a minority of the fleet that was agreed on, or cannot tell
+	Majority                     // a majority of the voters supports it and it hears more than half of that fleet
 )
 
-// StandingNames as operators read them.
-var StandingNames = []string{"alone", "part", "whole"}
+// QuorumStatusNames as operators read them.
+var QuorumStatusNames = []string{"alone", "part", "whole"}
 
-func (s Standing) String() string { return StandingNames[s] }
+func (s QuorumStatus) String() string { return QuorumStatusNames[s] }
 
-// Standing is worked out anew at each use, so that a server that stood still finds out before it acts.
-func (a *Accord) Standing() Standing {
-	if a.view.now < a.Until() && a.view.now >= a.from {
-		return Whole
+// QuorumStatus is worked out anew at each use, so that a server that stood still finds out before it acts.
+func (a *Agreement) QuorumStatus() QuorumStatus {
+	if a.view.now < a.MajorityUntil() && a.view.now >= a.inForceFrom {
+		return Majority
 	}
-	for _, m := range a.view.all {
-		if m != a.view.me && m.there() {
-			return Part
+	for _, m := range a.view.members {
+		if m != a.view.self && m.isAlive() {
+			return Minority
 		}
 	}
-	return Alone
+	return Isolated
 }
 
-// Until is when the server ceases to be with the whole unless it hears from the voters; long ago where it is not.
-func (a *Accord) Until() timeunit.Milliseconds {
-	if a.fleet.Epoch == 0 || a.torn || 2*a.view.Present() <= a.fleet.Count {
+// MajorityUntil is when the server ceases to be with the whole unless it hears from the voters; long ago where it is not.
+func (a *Agreement) MajorityUntil() timeunit.Milliseconds {
+	if a.configuration.Epoch == 0 || a.conflicting || 2*a.view.AliveCount() <= a.configuration.MemberCount {
 		return -forever
 	}
 	var ends []timeunit.Milliseconds
-	for _, v := range a.fleet.Voters {
+	for _, v := range a.configuration.Voters {
 		if end, is := a.leases[v.ID]; is {
 			ends = append(ends, end)
 		}
 	}
 	slices.Sort(ends)
-	quorum := len(a.fleet.Voters)/2 + 1
+	quorum := len(a.configuration.Voters)/2 + 1
 	if len(ends) < quorum {
 		return -forever
 	}
 	return ends[len(ends)-quorum]
 }
 
-// Since is when it began to stand so, as of the last Tick.
-func (a *Accord) Since() timeunit.Milliseconds { return a.since }
+// StatusSince is when it began to stand so, as of the last Tick.
+func (a *Agreement) StatusSince() timeunit.Milliseconds { return a.statusSince }
 
-// Use is something that servers do together.
-type Use int
+// Operation is something that servers do together.
+type Operation int
 
 const (
-	SizeUse        Use = iota // the figure of servers that the module reckons with
-	ShareUse                  // parts of a limit of the whole fleet
-	TurnUse                   // turns at what must not come together
-	EntitlementUse            // tenants' parts over the fleet
-	RolloutUse                // steps of a rolling change
+	SizeOperation        Operation = iota // the figure of servers that the module reckons with
+	QuotaOperation                        // parts of a limit of the whole fleet
+	ExclusiveOperation                    // turns at what must not come together
+	EntitlementOperation                  // tenants' parts over the fleet
+	RolloutOperation                      // steps of a rolling change
 )
 
-// Grant is how much of a use is allowed.
-type Grant int
+// Permission is how much of a use is allowed.
+type Permission int
 
 const (
-	NoPart Grant = iota // none of it: the server does what is safe alone
-	Floors              // what is kept for each who may exist, and what it holds until that ends
-	Held                // no less than was agreed on
-	Full                // as the whole
+	NotPermitted      Permission = iota // none of it: the server does what is safe alone
+	GuaranteedMinimum                   // what is kept for each who may exist, and what it holds until that ends
+	ConfiguredMinimum                   // no less than was agreed on
+	Unrestricted                        // as the whole
 )
 
-var grants = map[Use][3]Grant{ // alone, part, whole
-	SizeUse:        {Held, Held, Full},
-	ShareUse:       {Floors, Floors, Full},
-	TurnUse:        {NoPart, NoPart, Full},
-	EntitlementUse: {Floors, Floors, Full},
-	RolloutUse:     {NoPart, NoPart, Full},
+var permissions = map[Operation][3]Permission{ // alone, part, whole
+	SizeOperation:        {ConfiguredMinimum, ConfiguredMinimum, Unrestricted},
+	QuotaOperation:       {GuaranteedMinimum, GuaranteedMinimum, Unrestricted},
+	ExclusiveOperation:   {NotPermitted, NotPermitted, Unrestricted},
+	EntitlementOperation: {GuaranteedMinimum, GuaranteedMinimum, Unrestricted},
+	RolloutOperation:     {NotPermitted, NotPermitted, Unrestricted},
 }
 
-// Allows says how much of a use is allowed to a server that stands so. Docs/peers/design.md has the reasons.
-func (s Standing) Allows(u Use) Grant { return grants[u][s] }
+// Permits says how much of a use is allowed to a server that stands so. Docs/peers/design.md has the reasons.
+func (s QuorumStatus) Permits(u Operation) Permission { return permissions[u][s] }
--- a/internal/plugin/chain/conduct.go
+++ b/internal/plugin/chain/conduct.go
@@ -13,124 +13,124 @@
 type State int
 
 const (
-	Live State = iota
-	Quarantined
-	Trial // it is asked about one work item at a time
+	StateActive State = iota
+	StateQuarantined
+	StateProbation // it is asked about one work item at a time
 )
 
-// States are words for logs.
-var States = [...]string{"live", "quarantined", "on trial"}
+// StateNames are words for logs.
+var StateNames = [...]string{"live", "quarantined", "on trial"}
 
 const (
-	second    = timeunit.Ticks(10_000)
-	trials    = 3  // good ones in a row that end a quarantine
-	heals     = 10 // quarantines' worth of good time after which the next wait is the first again
-	smoothing = 1.0 / 16
-	enough    = 32 // calls before a rate says anything
-	mostApart = 64 // tenants for whom it may be off alone
-	apartAll  = 4  // off for so many at once it is the plug-in's own matter
-	spread    = 0.2
+	second               = timeunit.Ticks(10_000)
+	trialsToRecover      = 3  // good ones in a row that end a quarantine
+	quarantinesToReset   = 10 // quarantines' worth of good time after which the next wait is the first again
+	faultRateSmoothing   = 1.0 / 16
+	minSampledCalls      = 32 // calls before a rate says anything
+	maxTenantBreakers    = 64 // tenants for whom it may be off alone
+	tenantsToBlamePlugin = 4  // off for so many at once it is the plug-in's own matter
+	quarantineJitter     = 0.2
 )
 
-// Conduct is the record of one plug-in.
-type Conduct struct {
-	State     State
-	Calls     int
-	Faults    [len(Words)]int
-	chance    *rand.Rand
-	row, good int
-	rate      float64 // share of calls that ended in a fault, of late
-	seen      int
-	wait      timeunit.Ticks // of the last quarantine
-	until     timeunit.Ticks // its end
-	since     timeunit.Ticks // live
-	trying    bool           // a trial is out
-	room      float64
-	roomAt    timeunit.Ticks
-	apart     []apart // oldest first
+// CircuitBreaker is the record of one plug-in.
+type CircuitBreaker struct {
+	State                               State
+	Calls                               int
+	Faults                              [len(FaultNames)]int
+	random                              *rand.Rand
+	consecutiveFaults, successfulTrials int
+	faultRate                           float64 // share of calls that ended in a fault, of late
+	sampledCalls                        int
+	quarantineLength                    timeunit.Ticks // of the last quarantine
+	quarantineEnd                       timeunit.Ticks // its end
+	activeSince                         timeunit.Ticks // live
+	trialInFlight                       bool           // a trial is out
+	coreBudget                          float64
+	coreBudgetAt                        timeunit.Ticks
+	tenants                             []tenantBreaker // oldest first
 }
 
-// apart is a tenant at whose work items it failed.
-type apart struct {
-	tenant string
-	row    int
-	wait   timeunit.Ticks
-	until  timeunit.Ticks
+// tenantBreaker is a tenant at whose work items it failed.
+type tenantBreaker struct {
+	tenant            string
+	consecutiveFaults int
+	quarantineLength  timeunit.Ticks
+	quarantineEnd     timeunit.Ticks
 }
 
-// Until is the end of its last quarantine.
-func (c *Conduct) Until() timeunit.Ticks { return c.until }
+// QuarantineEnd is the end of its last quarantine.
+func (c *CircuitBreaker) QuarantineEnd() timeunit.Ticks { return c.quarantineEnd }
 
-func newConduct(chance *rand.Rand, now timeunit.Ticks) *Conduct {
-	return &Conduct{chance: chance, since: now, room: float64(second), roomAt: now}
+func newCircuitBreaker(chance *rand.Rand, now timeunit.Ticks) *CircuitBreaker {
+	return &CircuitBreaker{random: chance, activeSince: now, coreBudget: float64(second), coreBudgetAt: now}
 }
 
-// fill lets its share of a core run up, no further than a second's worth.
-func (c *Conduct) fill(now timeunit.Ticks, g *Grant) {
-	c.room = min(c.room+float64(now-c.roomAt)*g.Core, float64(second)*g.Core)
-	c.roomAt = now
+// refillCoreBudget lets its share of a core run up, no further than a second's worth.
+func (c *CircuitBreaker) refillCoreBudget(now timeunit.Ticks, g *Policy) {
+	c.coreBudget = min(c.coreBudget+float64(now-c.coreBudgetAt)*g.CoreFraction, float64(second)*g.CoreFraction)
+	c.coreBudgetAt = now
 }
 
-// may says whether the plug-in may be asked now.
-func (c *Conduct) may(tenant string, now timeunit.Ticks, g *Grant) bool {
-	if c.fill(now, g); c.room <= 0 {
+// allow says whether the plug-in may be asked now.
+func (c *CircuitBreaker) allow(tenant string, now timeunit.Ticks, g *Policy) bool {
+	if c.refillCoreBudget(now, g); c.coreBudget <= 0 {
 		return false
 	}
-	if c.State == Quarantined && now >= c.until {
-		c.State, c.good = Trial, 0
+	if c.State == StateQuarantined && now >= c.quarantineEnd {
+		c.State, c.successfulTrials = StateProbation, 0
 	}
-	if c.State == Quarantined || c.State == Trial && c.trying {
+	if c.State == StateQuarantined || c.State == StateProbation && c.trialInFlight {
 		return false
 	}
-	if a := c.of(tenant); a != nil && a.row >= g.Row {
-		if now < a.until {
+	if a := c.tenant(tenant); a != nil && a.consecutiveFaults >= g.MaxConsecutiveFaults {
+		if now < a.quarantineEnd {
 			return false
 		}
-		a.until = now + a.wait // one trial for this tenant
+		a.quarantineEnd = now + a.quarantineLength // one trial for this tenant
 	}
-	c.trying = c.State == Trial
+	c.trialInFlight = c.State == StateProbation
 	c.Calls++
 	return true
 }
 
-func (c *Conduct) of(tenant string) *apart {
-	for i := range c.apart {
-		if c.apart[i].tenant == tenant {
-			return &c.apart[i]
+func (c *CircuitBreaker) tenant(tenant string) *tenantBreaker {
+	for i := range c.tenants {
+		if c.tenants[i].tenant == tenant {
+			return &c.tenants[i]
 		}
 	}
 	return nil
 }
 
-// judge books how a call went and says whether the plug-in went into quarantine by it.
-func (c *Conduct) judge(tenant string, f Fault, failed bool, took, now timeunit.Ticks, g *Grant) (quarantined bool) {
-	c.fill(now, g)
-	c.room -= float64(took)
-	wasTrial := c.State == Trial && c.trying
-	c.trying = false
-	if failed && f == Absent {
+// record books how a call went and says whether the plug-in went into quarantine by it.
+func (c *CircuitBreaker) record(tenant string, f Fault, failed bool, took, now timeunit.Ticks, g *Policy) (quarantined bool) {
+	c.refillCoreBudget(now, g)
+	c.coreBudget -= float64(took)
+	wasTrial := c.State == StateProbation && c.trialInFlight
+	c.trialInFlight = false
+	if failed && f == FaultUnavailable {
 		return false
 	}
 	if !failed {
-		c.row = 0
-		c.seen = min(c.seen+1, enough)
-		c.rate -= c.rate * smoothing
-		c.forgive(tenant)
+		c.consecutiveFaults = 0
+		c.sampledCalls = min(c.sampledCalls+1, minSampledCalls)
+		c.faultRate -= c.faultRate * faultRateSmoothing
+		c.forgiveTenant(tenant)
 		if wasTrial {
-			if c.good++; c.good >= trials {
-				c.State, c.since, c.rate, c.seen = Live, now, 0, 0
+			if c.successfulTrials++; c.successfulTrials >= trialsToRecover {
+				c.State, c.activeSince, c.faultRate, c.sampledCalls = StateActive, now, 0, 0
 			}
 		}
 		return false
 	}
 	c.Faults[f]++
-	if g.Alone && f != Died && tenant != "" && !c.blame(tenant, now, g) {
+	if g.FaultsByTenant && f != FaultProcessDied && tenant != "" && !c.blameTenant(tenant, now, g) {
 		return false
 	}
-	c.row++
-	c.seen = min(c.seen+1, enough)
-	c.rate += (1 - c.rate) * smoothing
-	if c.State == Live && (c.row >= g.Row || c.seen >= enough && c.rate > g.Rate) || wasTrial {
+	c.consecutiveFaults++
+	c.sampledCalls = min(c.sampledCalls+1, minSampledCalls)
+	c.faultRate += (1 - c.faultRate) * faultRateSmoothing
+	if c.State == StateActive && (c.consecutiveFaults >= g.MaxConsecutiveFaults || c.sampledCalls >= minSampledCalls && c.faultRate > g.MaxFaultRate) || wasTrial {
 		c.quarantine(now, g)
 		return true
 	}
@@ -138,42 +138,42 @@
 }
 
 // quarantine: ever longer, and not to the moment, so that a fleet's plug-ins don't come back together.
-func (c *Conduct) quarantine(now timeunit.Ticks, g *Grant) {
-	if c.State == Live && now-c.since > heals*max(c.wait, g.Wait) {
-		c.wait = 0
+func (c *CircuitBreaker) quarantine(now timeunit.Ticks, g *Policy) {
+	if c.State == StateActive && now-c.activeSince > quarantinesToReset*max(c.quarantineLength, g.MinQuarantine) {
+		c.quarantineLength = 0
 	}
-	c.wait = min(max(g.Wait, 2*c.wait), g.Longest)
-	c.until = now + c.wait + timeunit.Ticks(c.chance.Float64()*spread*float64(c.wait))
-	c.State, c.row, c.good = Quarantined, 0, 0
+	c.quarantineLength = min(max(g.MinQuarantine, 2*c.quarantineLength), g.MaxQuarantine)
+	c.quarantineEnd = now + c.quarantineLength + timeunit.Ticks(c.random.Float64()*quarantineJitter*float64(c.quarantineLength))
+	c.State, c.consecutiveFaults, c.successfulTrials = StateQuarantined, 0, 0
 }
 
-// blame books a fault with the tenant whose work item it was, and says whether it is the plug-in's own matter.
-func (c *Conduct) blame(tenant string, now timeunit.Ticks, g *Grant) (own bool) {
-	a := c.of(tenant)
+// blameTenant books a fault with the tenant whose work item it was, and says whether it is the plug-in's own matter.
+func (c *CircuitBreaker) blameTenant(tenant string, now timeunit.Ticks, g *Policy) (own bool) {
+	a := c.tenant(tenant)
 	if a == nil {
-		if len(c.apart) >= mostApart {
-			c.apart = append(c.apart[:0], c.apart[1:]...)
+		if len(c.tenants) >= maxTenantBreakers {
+			c.tenants = append(c.tenants[:0], c.tenants[1:]...)
 		}
-		c.apart = append(c.apart, apart{tenant: tenant})
-		a = &c.apart[len(c.apart)-1]
+		c.tenants = append(c.tenants, tenantBreaker{tenant: tenant})
+		a = &c.tenants[len(c.tenants)-1]
 	}
-	if a.row++; a.row >= g.Row {
-		a.wait = min(max(g.Wait, 2*a.wait), g.Longest)
-		a.until = now + a.wait
+	if a.consecutiveFaults++; a.consecutiveFaults >= g.MaxConsecutiveFaults {
+		a.quarantineLength = min(max(g.MinQuarantine, 2*a.quarantineLength), g.MaxQuarantine)
+		a.quarantineEnd = now + a.quarantineLength
 	}
 	off := 0
-	for _, other := range c.apart {
-		if other.row >= g.Row {
+	for _, other := range c.tenants {
+		if other.consecutiveFaults >= g.MaxConsecutiveFaults {
 			off++
 		}
 	}
-	return off >= apartAll
+	return off >= tenantsToBlamePlugin
 }
 
-func (c *Conduct) forgive(tenant string) {
-	for i := range c.apart {
-		if c.apart[i].tenant == tenant {
-			c.apart = append(c.apart[:i], c.apart[i+1:]...)
+func (c *CircuitBreaker) forgiveTenant(tenant string) {
+	for i := range c.tenants {
+		if c.tenants[i].tenant == tenant {
+			c.tenants = append(c.tenants[:i], c.tenants[i+1:]...)
 			return
 		}
 	}
--- a/internal/plugin/chain/golden_test.go
+++ b/internal/plugin/chain/golden_test.go
@@ -9,20 +9,20 @@
 )
 
 // addWalk adds where a walk stands: which plug-in is asked, for how long, and what came of it so far.
-func addWalk(history *golden.History, w *Walk, p *Plugin, within, now timeunit.Ticks) {
+func addWalk(history *golden.History, w *Evaluation, p *Plugin, within, now timeunit.Ticks) {
 	asked := -1
 	if p != nil {
-		asked = p.Place
+		asked = p.Index
 	}
-	history.Add(now, asked, within, w.Declined, w.Status, w.Category, w.Tag, string(w.Body), w.Rewrote)
+	history.Add(now, asked, within, w.Rejected, w.Status, w.Category, w.Tag, string(w.Body), w.Rewritten)
 }
 
 // addPlugins adds how each plug-in of a chain stands.
 func addPlugins(history *golden.History, c *Chain) {
 	for _, p := range c.Plugins {
-		history.Add(p.Place, int(p.State), p.Calls, p.Faults, p.Until())
+		history.Add(p.Index, int(p.State), p.Calls, p.Faults, p.QuarantineEnd())
 	}
-	history.Add(c.Under)
+	history.Add(c.OpenEvaluations)
 }
 
 // TestGoldenWalks plays a hundred seeded schedules; what came of every walk, ten seeds a line, is as it was recorded.
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -29,7 +29,7 @@
 			f, err := os.Open(file)
 			require.NoError(t, err)
 			defer f.Close()
-			s := &scene{Assertions: require.New(t), walks: map[string]*Walk{}, history: history}
+			s := &scene{Assertions: require.New(t), walks: map[string]*Evaluation{}, history: history}
 			in := bufio.NewScanner(f)
 			for n := 1; in.Scan(); n++ {
 				line, _, _ := strings.Cut(in.Text(), "#")
@@ -45,9 +45,9 @@
 
 type scene struct {
 	*require.Assertions
-	grants []Grant
+	grants []Policy
 	chain  *Chain
-	walks  map[string]*Walk
+	walks  map[string]*Evaluation
 	now    timeunit.Ticks
 
 	history *golden.History
@@ -61,47 +61,47 @@
 	return v
 }
 
-var faultNames = map[string]Fault{"late": Late, "trap": Trap, "nonsense": Nonsense, "beyond": Beyond, "died": Died, "absent": Absent}
+var faultNames = map[string]Fault{"late": FaultTimeout, "trap": FaultTrap, "nonsense": FaultMalformed, "beyond": FaultNotPermitted, "died": FaultProcessDied, "absent": FaultUnavailable}
 
 func (s *scene) step(word []string, where string) {
 	switch word[0] {
 	case "plugin":
-		g := Grant{Name: word[1], Categories: []bool{true, true, true}, To: make([]bool, categories), Tenants: map[string]bool{},
-			Call: 50, Share: 0.5, Core: 1, Row: 3, Rate: 1, Wait: 1_000, Longest: 10_000}
+		g := Policy{Name: word[1], Categories: []bool{true, true, true}, TargetCategories: make([]bool, categories), Tenants: map[string]bool{},
+			CallTimeout: 50, MaxTimeFraction: 0.5, CoreFraction: 1, MaxConsecutiveFaults: 3, MaxFaultRate: 1, MinQuarantine: 1_000, MaxQuarantine: 10_000}
 		for _, w := range word[2:] {
 			key, text, _ := strings.Cut(w, "=")
 			switch key {
 			case "read":
-				g.At[Read] = true
+				g.Hooks[HookRead] = true
 			case "result":
-				g.At[Result] = true
+				g.Hooks[HookResult] = true
 			case "declines":
-				g.Declines = true
+				g.MayReject = true
 			case "tags":
-				g.Tags = true
+				g.MayTag = true
 			case "rewrites":
-				g.Rewrites = true
+				g.MayRewrite = true
 			case "alone":
-				g.Alone = true
+				g.FaultsByTenant = true
 			case "otherwise-decline":
-				g.Otherwise = Decline
+				g.Fallback = FallbackReject
 			case "only":
 				g.Categories = make([]bool, categories)
 				g.Categories[int(s.number(text, where))] = true
 			case "tenant":
 				g.Tenants[text] = true
 			case "to":
-				g.To[int(s.number(text, where))] = true
+				g.TargetCategories[int(s.number(text, where))] = true
 			case "call":
-				g.Call = timeunit.Ticks(s.number(text, where) * 10)
+				g.CallTimeout = timeunit.Ticks(s.number(text, where) * 10)
 			case "share":
-				g.Share = s.number(text, where)
+				g.MaxTimeFraction = s.number(text, where)
 			case "core":
-				g.Core = s.number(text, where)
+				g.CoreFraction = s.number(text, where)
 			case "row":
-				g.Row = int(s.number(text, where))
+				g.MaxConsecutiveFaults = int(s.number(text, where))
 			case "rate":
-				g.Rate = s.number(text, where)
+				g.MaxFaultRate = s.number(text, where)
 			default:
 				s.Fail("unknown grant", where)
 			}
@@ -112,7 +112,7 @@
 		for _, w := range word[1:] {
 			fresh[w] = true
 		}
-		s.chain = NewChain(s.grants, s.chain, func(name string) bool { return fresh[name] }, rand.New(rand.NewSource(1)), s.now)
+		s.chain = New(s.grants, s.chain, func(name string) bool { return fresh[name] }, rand.New(rand.NewSource(1)), s.now)
 		s.grants = nil
 	case "at":
 		s.now = timeunit.Ticks(s.number(word[1], where) * 10)
@@ -120,7 +120,7 @@
 			s.step(word[2:], where)
 		}
 	case "read", "result": // NAME [category=N tenant=T left=MS fixed body=TEXT] => asked plug-in, how long, or what came of it
-		it := Item{Tenant: "acme", Left: 10_000}
+		it := Request{Tenant: "acme", TimeLeft: 10_000}
 		body := ""
 		i := 2
 		for ; i < len(word) && word[i] != "=>"; i++ {
@@ -131,14 +131,14 @@
 			case "tenant":
 				it.Tenant = text
 			case "left":
-				it.Left = timeunit.Ticks(s.number(text, where) * 10)
+				it.TimeLeft = timeunit.Ticks(s.number(text, where) * 10)
 			case "fixed":
-				it.Fixed = true
+				it.CategoryFixed = true
 			case "body":
 				body = text
 			}
 		}
-		point := map[string]Point{"read": Read, "result": Result}[word[0]]
+		point := map[string]Hook{"read": HookRead, "result": HookResult}[word[0]]
 		w := s.chain.Begin(point, it, []byte(body), s.now)
 		s.walks[word[1]] = w
 		s.next(w, word[i+1:], where)
@@ -150,7 +150,7 @@
 			key, text, _ := strings.Cut(word[i], "=")
 			switch key {
 			case "decline":
-				v.Decline, v.Status = true, int(s.number(text, where))
+				v.Reject, v.Status = true, int(s.number(text, where))
 			case "to":
 				v.Category = int(s.number(text, where))
 			case "tag":
@@ -159,19 +159,19 @@
 				v.Replace, v.Body = true, []byte(text)
 			}
 		}
-		f, wrong, off := w.Said(v, timeunit.Ticks(s.number(word[2], where)*10), s.now)
+		f, wrong, off := w.ApplyVerdict(v, timeunit.Ticks(s.number(word[2], where)*10), s.now)
 		s.history.Add(s.now, int(f), wrong, off)
 		s.outcome(w, f, wrong, off, word[i+1:], where)
 	case "fails": // NAME FAULT TOOK => as above
 		w := s.walks[word[1]]
 		f := faultNames[word[2]]
-		off := w.Failed(f, timeunit.Ticks(s.number(word[3], where)*10), s.now)
+		off := w.RecordFault(f, timeunit.Ticks(s.number(word[3], where)*10), s.now)
 		s.history.Add(s.now, int(f), off)
 		s.outcome(w, f, false, off, word[5:], where)
 	case "state":
-		s.Equal(strings.Join(word[2:], " "), States[s.plugin(word[1]).State], where)
+		s.Equal(strings.Join(word[2:], " "), StateNames[s.plugin(word[1]).State], where)
 	case "under":
-		s.Equal(word[1], strconv.Itoa(s.chain.Under), where)
+		s.Equal(word[1], strconv.Itoa(s.chain.OpenEvaluations), where)
 	default:
 		s.Fail("unknown line", where)
 	}
@@ -186,10 +186,10 @@
 	return nil
 }
 
-func (s *scene) outcome(w *Walk, f Fault, wrong, off bool, want []string, where string) {
+func (s *scene) outcome(w *Evaluation, f Fault, wrong, off bool, want []string, where string) {
 	var said []string
 	if wrong {
-		said = append(said, "fault:"+strings.Fields(Words[f])[0])
+		said = append(said, "fault:"+strings.Fields(FaultNames[f])[0])
 	}
 	if off {
 		said = append(said, "off")
@@ -200,23 +200,23 @@
 }
 
 // next goes on with a walk and checks who is asked, for how long, or what came of it.
-func (s *scene) next(w *Walk, want []string, where string) {
+func (s *scene) next(w *Evaluation, want []string, where string) {
 	p, within := w.Next(s.now)
 	addWalk(s.history, w, p, within, s.now)
 	addPlugins(s.history, s.chain)
 	var got []string
 	if p != nil {
 		got = []string{"ask:" + p.Name, fmt.Sprint(float64(within) / 10)}
-	} else if got = []string{"over"}; w.Declined {
+	} else if got = []string{"over"}; w.Rejected {
 		got = append(got, fmt.Sprint("declined:", w.Status))
 	} else {
-		if w.Category != w.item.Category {
+		if w.Category != w.request.Category {
 			got = append(got, fmt.Sprint("to:", w.Category))
 		}
 		if w.Tag != "" {
 			got = append(got, "tag:"+w.Tag)
 		}
-		if w.Rewrote {
+		if w.Rewritten {
 			got = append(got, "body:"+string(w.Body))
 		}
 	}
@@ -233,76 +233,76 @@
 func playWalks(t *testing.T, seed int64, history *golden.History) {
 	r := rand.New(rand.NewSource(seed))
 	flip := func() bool { return r.Intn(2) == 0 }
-	var grants []Grant
+	var grants []Policy
 	for i := range 1 + r.Intn(3) {
-		grants = append(grants, Grant{Name: fmt.Sprint(i), At: [3]bool{flip(), flip(), flip()}, Categories: []bool{flip(), flip(), flip()},
-			To: []bool{flip(), flip(), flip()}, Declines: flip(), Tags: flip(), Rewrites: flip(), Call: 50, Share: r.Float64(), Core: r.Float64(),
-			Otherwise: Otherwise(r.Intn(2)), Alone: flip(), Row: 1 + r.Intn(3), Rate: r.Float64(), Wait: 100, Longest: 1000})
+		grants = append(grants, Policy{Name: fmt.Sprint(i), Hooks: [3]bool{flip(), flip(), flip()}, Categories: []bool{flip(), flip(), flip()},
+			TargetCategories: []bool{flip(), flip(), flip()}, MayReject: flip(), MayTag: flip(), MayRewrite: flip(), CallTimeout: 50, MaxTimeFraction: r.Float64(), CoreFraction: r.Float64(),
+			Fallback: FallbackPolicy(r.Intn(2)), FaultsByTenant: flip(), MaxConsecutiveFaults: 1 + r.Intn(3), MaxFaultRate: r.Float64(), MinQuarantine: 100, MaxQuarantine: 1000})
 	}
-	chain := NewChain(grants, nil, func(string) bool { return true }, r, 0)
+	chain := New(grants, nil, func(string) bool { return true }, r, 0)
 	now := timeunit.Ticks(0)
 	for range 100 {
 		now += timeunit.Ticks(r.Intn(100))
-		at := Point(r.Intn(2))
-		it := Item{Category: r.Intn(3), Tenant: fmt.Sprint(r.Intn(3)), Left: timeunit.Ticks(r.Intn(5000)), Fixed: flip()}
+		at := Hook(r.Intn(2))
+		it := Request{Category: r.Intn(3), Tenant: fmt.Sprint(r.Intn(3)), TimeLeft: timeunit.Ticks(r.Intn(5000)), CategoryFixed: flip()}
 		body := []byte("0123456789"[:r.Intn(10)])
 		w := chain.Begin(at, it, body, now)
 		begun := now
-		granted := Grant{To: make([]bool, 3)}
+		granted := Policy{TargetCategories: make([]bool, 3)}
 		for p, within := w.Next(now); p != nil; p, within = w.Next(now) {
 			addWalk(history, w, p, within, now)
-			require.True(t, within > 0 && within <= p.Call && now+within <= begun+it.Left/2+1)
-			granted.Declines = granted.Declines || p.Declines
-			granted.Tags, granted.Rewrites = granted.Tags || p.Tags, granted.Rewrites || p.Rewrites
-			for i := range p.To {
-				granted.To[i] = granted.To[i] || p.To[i]
+			require.True(t, within > 0 && within <= p.CallTimeout && now+within <= begun+it.TimeLeft/2+1)
+			granted.MayReject = granted.MayReject || p.MayReject
+			granted.MayTag, granted.MayRewrite = granted.MayTag || p.MayTag, granted.MayRewrite || p.MayRewrite
+			for i := range p.TargetCategories {
+				granted.TargetCategories[i] = granted.TargetCategories[i] || p.TargetCategories[i]
 			}
 			took := timeunit.Ticks(r.Intn(int(within) + 1))
 			now += took
 			if flip() {
-				off := w.Failed(Fault(r.Intn(len(Words))), took, now)
+				off := w.RecordFault(Fault(r.Intn(len(FaultNames))), took, now)
 				history.Add(off)
 			} else {
-				f, wrong, off := w.Said(Verdict{Decline: flip(), Status: r.Intn(700), Category: r.Intn(6) - 2, HasTag: flip(), Tag: "x", Replace: flip(),
+				f, wrong, off := w.ApplyVerdict(Verdict{Reject: flip(), Status: r.Intn(700), Category: r.Intn(6) - 2, HasTag: flip(), Tag: "x", Replace: flip(),
 					Body: []byte("0123456789"[:r.Intn(10)])}, took, now)
 				history.Add(int(f), wrong, off)
 			}
 		}
 		addWalk(history, w, nil, 0, now)
 		addPlugins(history, chain)
-		if w.Declined {
-			require.True(t, at == Read && (w.Status == busy || granted.Declines && w.Status >= 400 && w.Status < 500))
+		if w.Rejected {
+			require.True(t, at == HookRead && (w.Status == statusUnavailable || granted.MayReject && w.Status >= 400 && w.Status < 500))
 		}
 		if w.Category != it.Category {
-			require.True(t, at == Read && !it.Fixed && granted.To[w.Category])
+			require.True(t, at == HookRead && !it.CategoryFixed && granted.TargetCategories[w.Category])
 		}
-		require.True(t, w.Tag == "" || granted.Tags)
-		require.True(t, !w.Rewrote || at == Result && granted.Rewrites && len(w.Body) < len(body))
+		require.True(t, w.Tag == "" || granted.MayTag)
+		require.True(t, !w.Rewritten || at == HookResult && granted.MayRewrite && len(w.Body) < len(body))
 	}
-	require.Zero(t, chain.Under)
+	require.Zero(t, chain.OpenEvaluations)
 }
 
 // One plug-in of many is asked.
 func BenchmarkWalk(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint("loaded=", n), func(b *testing.B) {
-			var grants []Grant
+			var grants []Policy
 			for i := range n {
-				g := Grant{Name: fmt.Sprint(i), Categories: []bool{false, true}, To: []bool{false, false}, Call: 50, Share: 0.5, Core: 1, Row: 3, Rate: 1, Wait: 1, Longest: 1}
-				g.At[Read] = true
+				g := Policy{Name: fmt.Sprint(i), Categories: []bool{false, true}, TargetCategories: []bool{false, false}, CallTimeout: 50, MaxTimeFraction: 0.5, CoreFraction: 1, MaxConsecutiveFaults: 3, MaxFaultRate: 1, MinQuarantine: 1, MaxQuarantine: 1}
+				g.Hooks[HookRead] = true
 				if i == n/2 {
 					g.Categories[0] = true
 				}
 				grants = append(grants, g)
 			}
-			chain := NewChain(grants, nil, func(string) bool { return true }, rand.New(rand.NewSource(1)), 0)
+			chain := New(grants, nil, func(string) bool { return true }, rand.New(rand.NewSource(1)), 0)
 			now := timeunit.Ticks(0)
-			it := Item{Tenant: "acme", Left: 10_000}
+			it := Request{Tenant: "acme", TimeLeft: 10_000}
 			for b.Loop() {
 				now += 10
-				w := chain.Begin(Read, it, nil, now)
+				w := chain.Begin(HookRead, it, nil, now)
 				for p, _ := w.Next(now); p != nil; p, _ = w.Next(now) {
-					w.Said(Verdict{Category: -1}, 0, now)
+					w.ApplyVerdict(Verdict{Category: -1}, 0, now)
 				}
 			}
 		})
--- a/internal/plugin/engine.go
+++ b/internal/plugin/engine.go
@@ -22,83 +22,83 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// One is one plug-in as the settings have it.
-type One struct {
-	Name     string            `json:"Name"`
-	File     string            `json:"File"`
-	SHA256   string            `json:"SHA256"`   // hex; refused if the file differs; any where empty
-	MemoryKB int               `json:"MemoryKB"` // linear memory of one instance, in pages of 64
-	CodeKB   int               `json:"CodeKB"`   // the most the file may have
-	Start    time.Duration     `json:"Start"`    // for its start and for each sample
-	Compile  bool              `json:"Compile"`  // to machine code; else interpreted
-	Hooks    [3]bool           `json:"Hooks"`
-	Samples  []Sample          `json:"Samples"`
-	Keep     map[string][]byte `json:"Keep"`   // its memory from the process before
-	KeepKB   int               `json:"KeepKB"` // the most that memory may have, keys and values
-	Seed     int64             `json:"Seed"`
+// ModuleConfig is one plug-in as the settings have it.
+type ModuleConfig struct {
+	Name         string            `json:"Name"`
+	File         string            `json:"File"`
+	SHA256       string            `json:"SHA256"`   // hex; refused if the file differs; any where empty
+	MemoryKB     int               `json:"MemoryKB"` // linear memory of one instance, in pages of 64
+	MaxCodeKB    int               `json:"CodeKB"`   // the most the file may have
+	StartTimeout time.Duration     `json:"Start"`    // for its start and for each sample
+	Compile      bool              `json:"Compile"`  // to machine code; else interpreted
+	Hooks        [3]bool           `json:"Hooks"`
+	Samples      []Sample          `json:"Samples"`
+	State        map[string][]byte `json:"Keep"`   // its memory from the process before
+	MaxStateKB   int               `json:"KeepKB"` // the most that memory may have, keys and values
+	Seed         int64             `json:"Seed"`
 }
 
 // Sample is a request that a new version must answer before any work item sees it.
 type Sample struct {
-	Hook     int    `json:"Hook"`
-	Category string `json:"Category"`
-	Tenant   string `json:"Tenant"`
-	Body     string `json:"Body"`
-	Does     *int   `json:"Does"` // what it must do, where that is told
-	Status   int    `json:"Status"`
+	Hook            int    `json:"Hook"`
+	Category        string `json:"Category"`
+	Tenant          string `json:"Tenant"`
+	Body            string `json:"Body"`
+	ExpectedActions *int   `json:"Does"` // what it must do, where that is told
+	ExpectedStatus  int    `json:"Status"`
 }
 
 // Bounds that hold for every plug-in.
 const (
-	page        = 64 << 10
-	mostVerdict = 16 << 10
-	mostKey     = 128
-	mostValue   = 4 << 10
-	mostKeys    = 1024
-	mostLine    = 256
-	linesBurst  = 20 // log lines at once, and so many a second
-	mostName    = 32
-	mostNames   = 32 // of counters
+	wasmPageSize       = 64 << 10
+	maxVerdictSize     = 16 << 10
+	maxKeySize         = 128
+	maxValueSize       = 4 << 10
+	maxKeys            = 1024
+	maxLogLineSize     = 256
+	logLinesPerSecond  = 20 // log lines at once, and so many a second
+	maxCounterNameSize = 32
+	maxCounters        = 32 // of counters
 )
 
-// ErrNonsense is a verdict that cannot be read: pointers outside the memory, too long, no message.
-var ErrNonsense = errors.New("what it gave cannot be read")
+// ErrMalformedVerdict is a verdict that cannot be read: pointers outside the memory, too long, no message.
+var ErrMalformedVerdict = errors.New("what it gave cannot be read")
 
-// guest is one plug-in, compiled once.
-type guest struct {
-	One
-	runtime  wazero.Runtime
-	code     wazero.CompiledModule
-	idle     chan *instance
-	tell     func(kind byte, payload []byte)
-	lock     sync.Mutex
-	keep     map[string][]byte
-	kept     int
-	counters map[string]int64
-	lines    float64
-	linesAt  time.Time
-	muted    int
-	chance   *rand.Rand
+// module is one plug-in, compiled once.
+type module struct {
+	ModuleConfig
+	runtime         wazero.Runtime
+	compiled        wazero.CompiledModule
+	idleInstances   chan *instance
+	emit            func(kind byte, payload []byte)
+	mu              sync.Mutex
+	state           map[string][]byte
+	stateSize       int
+	counters        map[string]int64
+	logTokens       float64
+	logTokensAt     time.Time
+	suppressedLines int
+	random          *rand.Rand
 }
 
 // instance is one running copy; it is asked by one worker at a time.
 type instance struct {
-	module api.Module
-	buffer api.Function
-	hooks  [3]api.Function
-	stack  []uint64
+	module         api.Module
+	bufferFunction api.Function
+	hookFunctions  [3]api.Function
+	stack          []uint64
 }
 
-var exports = [3]string{"tq_read", "tq_result", "tq_tick"}
+var hookExports = [3]string{"tq_read", "tq_result", "tq_tick"}
 
-// load compiles a plug-in, starts one instance and tries it on its samples.
-func load(ctx context.Context, one One, instances int, tell func(kind byte, payload []byte)) (*guest, error) {
+// loadModule compiles a plug-in, starts one instance and tries it on its samples.
+func loadModule(ctx context.Context, one ModuleConfig, instances int, tell func(kind byte, payload []byte)) (*module, error) {
 	info, err := os.Stat(one.File)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > int64(one.CodeKB)<<10 {
-		return nil, fmt.Errorf("%s has %d KB, %d at most", one.File, info.Size()>>10, one.CodeKB)
+	if info.Size() > int64(one.MaxCodeKB)<<10 {
+		return nil, fmt.Errorf("%s has %d KB, %d at most", one.File, info.Size()>>10, one.MaxCodeKB)
 	}
 	text, err := os.ReadFile(one.File)
 	if err != nil {
@@ -114,56 +114,56 @@
 	if one.Compile {
 		config = wazero.NewRuntimeConfigCompiler()
 	}
-	g := &guest{One: one, keep: map[string][]byte{}, counters: map[string]int64{}, lines: linesBurst, linesAt: time.Now(),
-		chance: rand.New(rand.NewSource(one.Seed)), tell: tell, idle: make(chan *instance, instances)}
-	for k, v := range one.Keep {
-		g.keep[k] = v
-		g.kept += len(k) + len(v)
+	g := &module{ModuleConfig: one, state: map[string][]byte{}, counters: map[string]int64{}, logTokens: logLinesPerSecond, logTokensAt: time.Now(),
+		random: rand.New(rand.NewSource(one.Seed)), emit: tell, idleInstances: make(chan *instance, instances)}
+	for k, v := range one.State {
+		g.state[k] = v
+		g.stateSize += len(k) + len(v)
 	}
 	g.runtime = wazero.NewRuntimeWithConfig(ctx, config.WithCloseOnContextDone(true).
-		WithMemoryLimitPages(uint32(max(1, one.MemoryKB<<10/page))))
+		WithMemoryLimitPages(uint32(max(1, one.MemoryKB<<10/wasmPageSize))))
 	if _, err := wasi_snapshot_preview1.Instantiate(ctx, g.runtime); err != nil {
 		return nil, err
 	}
-	if err := g.offer(ctx); err != nil {
+	if err := g.exportHostFunctions(ctx); err != nil {
 		return nil, err
 	}
-	if g.code, err = g.runtime.CompileModule(ctx, text); err != nil {
+	if g.compiled, err = g.runtime.CompileModule(ctx, text); err != nil {
 		return nil, fmt.Errorf("is no module that can be run: %w", err)
 	}
-	i, err := g.instance(ctx)
+	i, err := g.newInstance(ctx)
 	if err != nil {
 		return nil, err
 	}
-	g.idle <- i
+	g.idleInstances <- i
 	for n, s := range one.Samples {
-		q := abi.Request{Hook: s.Hook, Left: 1000, Now: time.Now().UnixMilli(), Category: s.Category, Tenant: s.Tenant, Body: []byte(s.Body)}
-		out, _, err := g.ask(ctx, s.Hook, q.Append(nil), one.Start)
+		q := abi.Request{Hook: s.Hook, TimeLeftMS: 1000, UnixMS: time.Now().UnixMilli(), Category: s.Category, Tenant: s.Tenant, Body: []byte(s.Body)}
+		out, _, err := g.call(ctx, s.Hook, q.Append(nil), one.StartTimeout)
 		if err != nil {
 			return nil, fmt.Errorf("sample %d: %w", n+1, err)
 		}
-		v, err := abi.ReadVerdict(out)
+		v, err := abi.ParseVerdict(out)
 		if err != nil {
 			return nil, fmt.Errorf("sample %d: %w", n+1, err)
 		}
-		if s.Does != nil && (v.Does != *s.Does || s.Status != 0 && v.Status != s.Status) {
-			return nil, fmt.Errorf("sample %d: does %d with status %d, expected %d with %d", n+1, v.Does, v.Status, *s.Does, s.Status)
+		if s.ExpectedActions != nil && (v.Actions != *s.ExpectedActions || s.ExpectedStatus != 0 && v.Status != s.ExpectedStatus) {
+			return nil, fmt.Errorf("sample %d: does %d with status %d, expected %d with %d", n+1, v.Actions, v.Status, *s.ExpectedActions, s.ExpectedStatus)
 		}
 	}
 	return g, nil
 }
 
-// instance starts a copy, within the time for that.
-func (g *guest) instance(ctx context.Context) (i *instance, err error) {
-	within, cancel := context.WithTimeout(ctx, g.Start)
+// newInstance starts a copy, within the time for that.
+func (g *module) newInstance(ctx context.Context) (i *instance, err error) {
+	within, cancel := context.WithTimeout(ctx, g.StartTimeout)
 	defer cancel()
-	m, err := g.runtime.InstantiateModule(within, g.code, wazero.NewModuleConfig().WithName("").
+	m, err := g.runtime.InstantiateModule(within, g.compiled, wazero.NewModuleConfig().WithName("").
 		WithStartFunctions("_initialize").WithRandSource(rand.New(rand.NewSource(g.Seed))))
 	if err != nil {
 		return nil, fmt.Errorf("does not start: %w", err)
 	}
-	i = &instance{module: m, buffer: m.ExportedFunction("tq_buffer"), stack: make([]uint64, 4)}
-	if i.module.Memory() == nil || i.buffer == nil || len(i.buffer.Definition().ParamTypes()) != 1 || len(i.buffer.Definition().ResultTypes()) != 1 {
+	i = &instance{module: m, bufferFunction: m.ExportedFunction("tq_buffer"), stack: make([]uint64, 4)}
+	if i.module.Memory() == nil || i.bufferFunction == nil || len(i.bufferFunction.Definition().ParamTypes()) != 1 || len(i.bufferFunction.Definition().ResultTypes()) != 1 {
 		return nil, errors.New("exports no memory or no tq_buffer(length) pointer")
 	}
 	version := m.ExportedFunction("tq_abi")
@@ -177,7 +177,7 @@
 	if uint32(got[0]) != abi.Version {
 		return nil, fmt.Errorf("is of version %d, this program speaks %d", uint32(got[0]), abi.Version)
 	}
-	for hook, name := range exports {
+	for hook, name := range hookExports {
 		if !g.Hooks[hook] {
 			continue
 		}
@@ -186,19 +186,19 @@
 			f.Definition().ResultTypes()[0] != api.ValueTypeI64 {
 			return nil, fmt.Errorf("is granted a hook but exports no %s(pointer, length) i64", name)
 		}
-		i.hooks[hook] = f
+		i.hookFunctions[hook] = f
 	}
 	return i, nil
 }
 
-// ask has the plug-in answer a request. The bytes given are its own copy. An instance that broke, or was cut, is thrown
+// call has the plug-in answer a request. The bytes given are its own copy. An instance that broke, or was cut, is thrown
 // away and another takes its place when one is needed.
-func (g *guest) ask(ctx context.Context, hook int, request []byte, within time.Duration) (out []byte, took time.Duration, err error) {
+func (g *module) call(ctx context.Context, hook int, request []byte, within time.Duration) (out []byte, took time.Duration, err error) {
 	var i *instance
 	select {
-	case i = <-g.idle:
+	case i = <-g.idleInstances:
 	default:
-		if i, err = g.instance(ctx); err != nil {
+		if i, err = g.newInstance(ctx); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -212,7 +212,7 @@
 		return nil, took, err
 	}
 	select {
-	case g.idle <- i:
+	case g.idleInstances <- i:
 	default:
 		i.module.Close(context.Background())
 	}
@@ -220,17 +220,17 @@
 }
 
 func (i *instance) call(ctx context.Context, hook int, request []byte) ([]byte, error) {
-	f := i.hooks[hook]
+	f := i.hookFunctions[hook]
 	if f == nil {
 		return nil, errors.New("has no such hook")
 	}
 	i.stack[0] = uint64(len(request))
-	if err := i.buffer.CallWithStack(ctx, i.stack); err != nil {
+	if err := i.bufferFunction.CallWithStack(ctx, i.stack); err != nil {
 		return nil, err
 	}
 	at := uint32(i.stack[0])
 	if !i.module.Memory().Write(at, request) {
-		return nil, ErrNonsense
+		return nil, ErrMalformedVerdict
 	}
 	i.stack[0], i.stack[1] = uint64(at), uint64(len(request))
 	if err := f.CallWithStack(ctx, i.stack); err != nil {
@@ -240,25 +240,25 @@
 	if n == 0 {
 		return nil, nil
 	}
-	if n > mostVerdict {
-		return nil, ErrNonsense
+	if n > maxVerdictSize {
+		return nil, ErrMalformedVerdict
 	}
 	view, ok := i.module.Memory().Read(at, n)
 	if !ok {
-		return nil, ErrNonsense
+		return nil, ErrMalformedVerdict
 	}
 	return append([]byte(nil), view...), nil
 }
 
-// cut says whether an error is that the time was over.
-func cut(err error) bool {
+// isTimeout says whether an error is that the time was over.
+func isTimeout(err error) bool {
 	var exit *sys.ExitError
 	return errors.Is(err, context.DeadlineExceeded) ||
 		errors.As(err, &exit) && (exit.ExitCode() == sys.ExitCodeDeadlineExceeded || exit.ExitCode() == sys.ExitCodeContextCanceled)
 }
 
-// offer gives plug-ins what they may call. Whatever they pass is checked; what does not fit does nothing.
-func (g *guest) offer(ctx context.Context) error {
+// exportHostFunctions gives plug-ins what they may call. Whatever they pass is checked; what does not fit does nothing.
+func (g *module) exportHostFunctions(ctx context.Context) error {
 	text := func(m api.Module, at, n uint32, most int) (string, bool) {
 		if n > uint32(most) {
 			return "", false
@@ -268,23 +268,23 @@
 	}
 	b := g.runtime.NewHostModuleBuilder("thistlequay")
 	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, at, n uint32) {
-		if line, ok := text(m, at, min(n, mostLine), mostLine); ok {
-			g.say(line)
+		if line, ok := text(m, at, min(n, maxLogLineSize), maxLogLineSize); ok {
+			g.log(line)
 		}
 	}).Export("log")
 	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, at, n uint32, by int64) {
-		if name, ok := text(m, at, n, mostName); ok {
-			g.count(name, by)
+		if name, ok := text(m, at, n, maxCounterNameSize); ok {
+			g.addToCounter(name, by)
 		}
 	}).Export("count")
 	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, key, keyN, to, room uint32) int32 {
-		name, ok := text(m, key, keyN, mostKey)
+		name, ok := text(m, key, keyN, maxKeySize)
 		if !ok {
 			return -1
 		}
-		g.lock.Lock()
-		value, found := g.keep[name]
-		g.lock.Unlock()
+		g.mu.Lock()
+		value, found := g.state[name]
+		g.mu.Unlock()
 		if !found {
 			return -1
 		}
@@ -294,74 +294,74 @@
 		return int32(len(value))
 	}).Export("get")
 	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, key, keyN, at, n uint32) int32 {
-		name, ok := text(m, key, keyN, mostKey)
-		value, ok2 := text(m, at, n, mostValue)
-		if !ok || !ok2 || !g.put(name, value) {
+		name, ok := text(m, key, keyN, maxKeySize)
+		value, ok2 := text(m, at, n, maxValueSize)
+		if !ok || !ok2 || !g.putState(name, value) {
 			return -1
 		}
 		return 0
 	}).Export("put")
 	b.NewFunctionBuilder().WithFunc(func(context.Context) int64 { return time.Now().UnixMilli() }).Export("now")
 	b.NewFunctionBuilder().WithFunc(func(context.Context) int64 {
-		g.lock.Lock()
-		defer g.lock.Unlock()
-		return g.chance.Int63()
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		return g.random.Int63()
 	}).Export("chance")
 	_, err := b.Instantiate(ctx)
 	return err
 }
 
-// say passes a line on, so many a second and no more.
-func (g *guest) say(line string) {
-	g.lock.Lock()
-	defer g.lock.Unlock()
+// log passes a line on, so many a second and no more.
+func (g *module) log(line string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := time.Now()
-	g.lines = min(linesBurst, g.lines+now.Sub(g.linesAt).Seconds()*linesBurst)
-	if g.linesAt = now; g.lines < 1 {
-		g.muted++
+	g.logTokens = min(logLinesPerSecond, g.logTokens+now.Sub(g.logTokensAt).Seconds()*logLinesPerSecond)
+	if g.logTokensAt = now; g.logTokens < 1 {
+		g.suppressedLines++
 		return
 	}
-	g.lines--
-	if g.muted > 0 {
-		line = fmt.Sprintf("%s (%d lines before it were not passed on)", line, g.muted)
-		g.muted = 0
+	g.logTokens--
+	if g.suppressedLines > 0 {
+		line = fmt.Sprintf("%s (%d lines before it were not passed on)", line, g.suppressedLines)
+		g.suppressedLines = 0
 	}
-	g.tell(frameLog, []byte(line))
+	g.emit(frameLog, []byte(line))
 }
 
-func (g *guest) count(name string, by int64) {
-	g.lock.Lock()
-	defer g.lock.Unlock()
-	if _, known := g.counters[name]; known || len(g.counters) < mostNames {
+func (g *module) addToCounter(name string, by int64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if _, known := g.counters[name]; known || len(g.counters) < maxCounters {
 		g.counters[name] += by
 	}
 }
 
-// put keeps a value, an empty one for nothing, within the bound on all.
-func (g *guest) put(key, value string) bool {
-	g.lock.Lock()
-	defer g.lock.Unlock()
-	before, had := g.keep[key]
+// putState keeps a value, an empty one for nothing, within the bound on all.
+func (g *module) putState(key, value string) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	before, had := g.state[key]
 	more := len(key) + len(value)
 	if had {
 		more -= len(key) + len(before)
 	}
 	if value == "" {
 		if had {
-			g.kept -= len(key) + len(before)
-			delete(g.keep, key)
+			g.stateSize -= len(key) + len(before)
+			delete(g.state, key)
 		}
-	} else if g.kept+more > g.KeepKB<<10 || !had && len(g.keep) >= mostKeys {
+	} else if g.stateSize+more > g.MaxStateKB<<10 || !had && len(g.state) >= maxKeys {
 		return false
 	} else {
-		g.kept += more
-		g.keep[key] = []byte(value)
+		g.stateSize += more
+		g.state[key] = []byte(value)
 	}
-	g.tell(frameKeep, append(append([]byte{byte(len(key))}, key...), value...))
+	g.emit(frameState, append(append([]byte{byte(len(key))}, key...), value...))
 	return true
 }
 
-func (g *guest) close() {
+func (g *module) close() {
 	if g.runtime != nil {
 		g.runtime.Close(context.Background())
 	}
--- a/internal/plugin/engine_test.go
+++ b/internal/plugin/engine_test.go
@@ -13,16 +13,16 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-func one(t testing.TB, kind string) One {
+func one(t testing.TB, kind string) ModuleConfig {
 	file := filepath.Join(t.TempDir(), kind+".wasm")
-	require.NoError(t, os.WriteFile(file, emulator.Plugin(kind), 0o600))
-	return One{Name: kind, File: file, MemoryKB: 1024, CodeKB: 64, KeepKB: 1, Start: 200 * time.Millisecond, Hooks: [3]bool{true, true, true}}
+	require.NoError(t, os.WriteFile(file, emulator.PluginModule(kind), 0o600))
+	return ModuleConfig{Name: kind, File: file, MemoryKB: 1024, MaxCodeKB: 64, MaxStateKB: 1, StartTimeout: 200 * time.Millisecond, Hooks: [3]bool{true, true, true}}
 }
 
-func loaded(t testing.TB, kind string, compile bool) *guest {
+func loaded(t testing.TB, kind string, compile bool) *module {
 	o := one(t, kind)
 	o.Compile = compile
-	g, err := load(context.Background(), o, 1, func(byte, []byte) {})
+	g, err := loadModule(context.Background(), o, 1, func(byte, []byte) {})
 	require.NoError(t, err, kind)
 	t.Cleanup(g.close)
 	return g
@@ -32,21 +32,21 @@
 func TestRefused(t *testing.T) {
 	for kind, why := range map[string]string{"truncated": "is no module that can be run", "other-version": "is of version 7",
 		"foreign": "open_socket", "loops-at-start": "does not start"} {
-		_, err := load(context.Background(), one(t, kind), 1, nil)
+		_, err := loadModule(context.Background(), one(t, kind), 1, nil)
 		require.ErrorContains(t, err, why, kind)
 	}
 	o := one(t, "good")
 	o.SHA256 = "00"
-	_, err := load(context.Background(), o, 1, nil)
+	_, err := loadModule(context.Background(), o, 1, nil)
 	require.ErrorContains(t, err, "the settings pin 00")
 	o = one(t, "good")
-	o.CodeKB = 0
-	_, err = load(context.Background(), o, 1, nil)
+	o.MaxCodeKB = 0
+	_, err = loadModule(context.Background(), o, 1, nil)
 	require.ErrorContains(t, err, "0 at most")
 	o = one(t, "declines")
 	does := 0
-	o.Samples = []Sample{{Does: &does}}
-	_, err = load(context.Background(), o, 1, nil)
+	o.Samples = []Sample{{ExpectedActions: &does}}
+	_, err = loadModule(context.Background(), o, 1, nil)
 	require.ErrorContains(t, err, "sample 1: does 1 with status 403")
 }
 
@@ -62,13 +62,13 @@
 			}
 			g := loaded(t, kind, compile)
 			for range 3 {
-				_, took, err := g.ask(context.Background(), abi.Read, request, 30*time.Millisecond)
+				_, took, err := g.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
 				got := ""
 				switch {
 				case err == nil:
-				case cut(err):
+				case isTimeout(err):
 					got = "cut"
-				case err == ErrNonsense:
+				case err == ErrMalformedVerdict:
 					got = "nonsense"
 				default:
 					got = "broke"
@@ -83,24 +83,24 @@
 // Its memory is bounded in keys, values and sum.
 func TestItsMemoryIsBounded(t *testing.T) {
 	g := loaded(t, "good", false)
-	require.True(t, g.put("a", string(make([]byte, 600))))
-	require.False(t, g.put("b", string(make([]byte, 600))))
-	require.True(t, g.put("a", "short"))
-	require.True(t, g.put("b", string(make([]byte, 600))))
-	require.True(t, g.put("b", ""))
-	require.Equal(t, 6, g.kept)
+	require.True(t, g.putState("a", string(make([]byte, 600))))
+	require.False(t, g.putState("b", string(make([]byte, 600))))
+	require.True(t, g.putState("a", "short"))
+	require.True(t, g.putState("b", string(make([]byte, 600))))
+	require.True(t, g.putState("b", ""))
+	require.Equal(t, 6, g.stateSize)
 }
 
 func FuzzFrames(f *testing.F) {
 	f.Add(AppendFrame(nil, FrameVerdict, 1, 2, []byte{0, 1, 0, 0, 0, 1}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for {
-			f, rest, ok, err := Cut(data)
+			f, rest, ok, err := ParseFrame(data)
 			if err != nil || !ok {
 				return
 			}
-			f.Told()
-			f.Kept()
+			f.Verdict()
+			f.StateEntry()
 			require.Less(t, len(rest), len(data))
 			data = rest
 		}
@@ -115,7 +115,7 @@
 				g := loaded(b, kind, compile)
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, _, err := g.ask(context.Background(), abi.Read, request, time.Second); err != nil {
+					if _, _, err := g.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/plugin/start.go
+++ b/internal/plugin/start.go
@@ -17,23 +17,23 @@
 
 // Process is one that is ready: every plug-in has been compiled, started and tried.
 type Process struct {
-	Spec    Spec
-	Conn    net.Conn // to the app server's loop, frames both ways
-	Command *exec.Cmd
-	Took    time.Duration
+	Spec        HostSpec
+	Conn        net.Conn // to the app server's loop, frames both ways
+	Command     *exec.Cmd
+	StartupTime time.Duration
 }
 
-// Command is the word on the command line that has the program be such a process.
-const Command = "plugin-host"
+// HostVerb is the word on the command line that has the program be such a process.
+const HostVerb = "plugin-host"
 
-const descriptor = 3
+const hostDescriptor = 3
 
-// Descriptor is where the process finds its connection.
-func Descriptor() uintptr { return descriptor }
+// HostDescriptor is where the process finds its connection.
+func HostDescriptor() uintptr { return hostDescriptor }
 
 // Start begins a process and waits until it is ready, for so long at most. The error tells which plug-in was refused
 // and why. What the process has to say besides frames goes to errs.
-func Start(spec Spec, within time.Duration, errs io.Writer) (*Process, error) {
+func Start(spec HostSpec, within time.Duration, errs io.Writer) (*Process, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		theirs.Close()
 		return nil, err
 	}
-	p := &Process{Spec: spec, Conn: conn, Command: exec.Command(program, Command)}
+	p := &Process{Spec: spec, Conn: conn, Command: exec.Command(program, HostVerb)}
 	p.Command.ExtraFiles = []*os.File{theirs} // the first is descriptor 3
 	p.Command.Stderr = errs
 	begun := time.Now()
@@ -59,15 +59,15 @@
 		conn.Close()
 		return nil, err
 	}
-	if err := p.greet(within); err != nil {
-		p.End()
+	if err := p.handshake(within); err != nil {
+		p.Stop()
 		return nil, err
 	}
-	p.Took = time.Since(begun)
+	p.StartupTime = time.Since(begun)
 	return p, nil
 }
 
-func (p *Process) greet(within time.Duration) error {
+func (p *Process) handshake(within time.Duration) error {
 	text, err := json.Marshal(p.Spec)
 	if err != nil {
 		return err
@@ -79,22 +79,22 @@
 		return err
 	}
 	for {
-		f, err := readFrame(p.Conn, MostFrame)
+		f, err := readFrame(p.Conn, MaxFrameSize)
 		switch {
 		case os.IsTimeout(err):
 			return fmt.Errorf("the plug-ins were not ready within %v", within)
 		case err != nil:
 			return fmt.Errorf("the process of the plug-ins ended while it loaded them: %w", err)
-		case f.Kind == FrameRefused && f.Place < len(p.Spec.Plugins):
-			return fmt.Errorf("plug-in %s %s", p.Spec.Plugins[f.Place].Name, f.Payload)
+		case f.Kind == FrameRefused && f.PluginIndex < len(p.Spec.Plugins):
+			return fmt.Errorf("plug-in %s %s", p.Spec.Plugins[f.PluginIndex].Name, f.Payload)
 		case f.Kind == FrameReady:
 			return p.Conn.SetDeadline(time.Time{})
 		}
 	}
 }
 
-// End ends the process and waits for that.
-func (p *Process) End() {
+// Stop ends the process and waits for that.
+func (p *Process) Stop() {
 	p.Conn.Close()
 	if p.Command.Process != nil {
 		_ = p.Command.Process.Kill()
@@ -102,22 +102,22 @@
 	}
 }
 
-// Ask writes a question.
-func Ask(to []byte, place, hook int, call uint64, within int64, request []byte) []byte {
+// AppendCall writes a question.
+func AppendCall(to []byte, place, hook int, call uint64, within int64, request []byte) []byte {
 	head := binary.LittleEndian.AppendUint32([]byte{byte(hook)}, uint32(within))
-	return AppendFrame(to, FrameAsk, place, call, head, request)
+	return AppendFrame(to, FrameCall, place, call, head, request)
 }
 
-// Told reads what a verdict's frame holds.
-func (f *Frame) Told() (how byte, took time.Duration, verdict []byte, ok bool) {
+// Verdict reads what a verdict's frame holds.
+func (f *Frame) Verdict() (how byte, took time.Duration, verdict []byte, ok bool) {
 	if len(f.Payload) < 5 {
 		return 0, 0, nil, false
 	}
 	return f.Payload[0], time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * time.Microsecond, f.Payload[5:], true
 }
 
-// Kept reads what a frame on its memory holds.
-func (f *Frame) Kept() (key string, value []byte, ok bool) {
+// StateEntry reads what a frame on its memory holds.
+func (f *Frame) StateEntry() (key string, value []byte, ok bool) {
 	if len(f.Payload) < 1 || len(f.Payload) < 1+int(f.Payload[0]) {
 		return "", nil, false
 	}
