--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -12,187 +12,187 @@
 	"thistlequay/timeunit"
 )
 
-// Decision is one entry of the log.
-type Decision struct {
-	Open     bool    `cbor:"1,keyasint,omitempty"` // what any earlier log granted is over
-	Revision uint64  `cbor:"2,keyasint,omitempty"` // of the settings that the wholes are by; 0 where they stay
-	Entries  []Entry `cbor:"3,keyasint,omitempty"`
-}
-
-// MostEntries are agreed on at once.
-const MostEntries = 128
-
-// Asking is what one life of a server asks: a request for each limit, in their order.
-type Asking struct {
-	Terms    uint32    `cbor:"1,keyasint"` // digest of all that is not a whole: who goes by others is granted nothing
-	Revision uint64    `cbor:"2,keyasint"` // of its settings; wholes of a later one are taken up
-	Wholes   []Amount  `cbor:"3,keyasint"`
-	Of       []Request `cbor:"4,keyasint"`
-}
-
-// Answers are one for each limit; of a serial of 0: nothing is granted.
-type Answers struct {
-	Of []Answer `cbor:"1,keyasint"`
-}
-
-// Saved is the state of a keeper, as another goes on with it.
-type Saved struct {
-	Opened   bool         `cbor:"1,keyasint"`
-	Revision uint64       `cbor:"2,keyasint"`
-	Limits   []SavedLimit `cbor:"3,keyasint"`
-}
-
-// SavedLimit is the state of one limit.
-type SavedLimit struct {
-	Serial uint64  `cbor:"1,keyasint"`
-	Target Amount  `cbor:"2,keyasint"`
-	Force  Amount  `cbor:"3,keyasint"`
-	Grants []Entry `cbor:"4,keyasint"` // those of one server in their order, the one in force last
-}
-
-// Book keeps all limits at one keeper.
-type Book struct {
-	digest   uint32
-	keepers  []*Keeper
-	opened   bool
-	revision uint64
-	first    uint64 // revision of its own settings, by which the log begins
-	wished   uint64 // revision that is under way
-	wholes   []Amount
-	elected  bool
-	since    timeunit.Milliseconds // elected
-	opening  bool                  // under way
-	next     timeunit.Milliseconds // when it decides again
-	Strange  int                   // requests by other terms
-}
-
-// decideEvery bounds the rate of entries: so many milliseconds lie between two.
-const decideEvery timeunit.Milliseconds = 250
-
-// NewBook keeps limits of which nothing is granted, not opened yet, by a log of this number.
-func NewBook(limits []Terms, digest uint32, revision, log uint64) *Book {
-	b := &Book{digest: digest, first: revision}
+// Command is one entry of the log.
+type Command struct {
+	Open     bool     `cbor:"1,keyasint,omitempty"` // what any earlier log granted is over
+	Revision uint64   `cbor:"2,keyasint,omitempty"` // of the settings that the wholes are by; 0 where they stay
+	Changes  []Change `cbor:"3,keyasint,omitempty"`
+}
+
+// MaxChanges are agreed on at once.
+const MaxChanges = 128
+
+// Request is what one life of a server asks: a request for each limit, in their order.
+type Request struct {
+	ConfigDigest uint32         `cbor:"1,keyasint"` // digest of all that is not a whole: who goes by others is granted nothing
+	Revision     uint64         `cbor:"2,keyasint"` // of its settings; wholes of a later one are taken up
+	Totals       []Amount       `cbor:"3,keyasint"`
+	Limits       []LimitRequest `cbor:"4,keyasint"`
+}
+
+// Response are one for each limit; of a serial of 0: nothing is granted.
+type Response struct {
+	Limits []LimitResponse `cbor:"1,keyasint"`
+}
+
+// Snapshot is the state of a keeper, as another goes on with it.
+type Snapshot struct {
+	Opened   bool            `cbor:"1,keyasint"`
+	Revision uint64          `cbor:"2,keyasint"`
+	Limits   []LimitSnapshot `cbor:"3,keyasint"`
+}
+
+// LimitSnapshot is the state of one limit.
+type LimitSnapshot struct {
+	LastVersion    uint64   `cbor:"1,keyasint"`
+	TargetTotal    Amount   `cbor:"2,keyasint"`
+	EffectiveTotal Amount   `cbor:"3,keyasint"`
+	Leases         []Change `cbor:"4,keyasint"` // those of one server in their order, the one in force last
+}
+
+// LimitSet keeps all limits at one keeper.
+type LimitSet struct {
+	configDigest       uint32
+	allocators         []*Allocator
+	opened             bool
+	revision           uint64
+	initialRevision    uint64 // revision of its own settings, by which the log begins
+	proposedRevision   uint64 // revision that is under way
+	proposedTotals     []Amount
+	isLeader           bool
+	leaderSince        timeunit.Milliseconds // elected
+	openProposed       bool                  // under way
+	nextDecisionAt     timeunit.Milliseconds // when it decides again
+	MismatchedRequests int                   // requests by other terms
+}
+
+// decisionInterval bounds the rate of entries: so many milliseconds lie between two.
+const decisionInterval timeunit.Milliseconds = 250
+
+// NewLimitSet keeps limits of which nothing is granted, not opened yet, by a log of this number.
+func NewLimitSet(limits []LimitConfig, digest uint32, revision, log uint64) *LimitSet {
+	b := &LimitSet{configDigest: digest, initialRevision: revision}
 	for _, t := range limits {
-		b.keepers = append(b.keepers, NewKeeper(t, log))
+		b.allocators = append(b.allocators, NewAllocator(t, log))
 	}
 	return b
 }
 
-// Keepers are those of the limits, in their order.
-func (b *Book) Keepers() []*Keeper { return b.keepers }
+// Allocators are those of the limits, in their order.
+func (b *LimitSet) Allocators() []*Allocator { return b.allocators }
 
 // Opened says that grants may be given, Revision by which settings.
-func (b *Book) Opened() bool     { return b.opened }
-func (b *Book) Revision() uint64 { return b.revision }
+func (b *LimitSet) Opened() bool     { return b.opened }
+func (b *LimitSet) Revision() uint64 { return b.revision }
 
-func (b *Book) span() (longest timeunit.Milliseconds) {
-	for _, k := range b.keepers {
-		longest = max(longest, k.span())
+func (b *LimitSet) maxLeaseSpan() (longest timeunit.Milliseconds) {
+	for _, k := range b.allocators {
+		longest = max(longest, k.maxLeaseSpan())
 	}
 	return longest
 }
 
-// Elected: this keeper decides from now on, or no longer.
-func (b *Book) Elected(is bool, now timeunit.Milliseconds) {
-	b.elected, b.since, b.opening, b.wished, b.next = is, now, false, 0, now
-	for _, k := range b.keepers {
-		k.Elected(is, now)
+// SetLeader: this keeper decides from now on, or no longer.
+func (b *LimitSet) SetLeader(is bool, now timeunit.Milliseconds) {
+	b.isLeader, b.leaderSince, b.openProposed, b.proposedRevision, b.nextDecisionAt = is, now, false, 0, now
+	for _, k := range b.allocators {
+		k.SetLeader(is, now)
 	}
 }
 
 // Apply takes a decision that was agreed on.
-func (b *Book) Apply(d Decision, now timeunit.Milliseconds) {
+func (b *LimitSet) Apply(d Command, now timeunit.Milliseconds) {
 	if d.Open {
-		b.opened, b.opening = true, false
+		b.opened, b.openProposed = true, false
 	}
 	if d.Revision > 0 {
-		b.revision, b.wished = max(b.revision, d.Revision), 0
+		b.revision, b.proposedRevision = max(b.revision, d.Revision), 0
 	}
-	for _, e := range d.Entries {
-		if e.Limit >= 0 && e.Limit < len(b.keepers) {
-			b.keepers[e.Limit].Apply(e, now)
+	for _, e := range d.Changes {
+		if e.LimitIndex >= 0 && e.LimitIndex < len(b.allocators) {
+			b.allocators[e.LimitIndex].Apply(e, now)
 		}
 	}
 }
 
-// Ask takes what a server asks. Whoever answers must have heard from a majority after it came.
-func (b *Book) Ask(a Asking, now timeunit.Milliseconds) (answers Answers, granted bool) {
-	if !b.elected || len(a.Of) != len(b.keepers) || len(a.Wholes) != len(b.keepers) {
+// HandleRequest takes what a server asks. Whoever answers must have heard from a majority after it came.
+func (b *LimitSet) HandleRequest(a Request, now timeunit.Milliseconds) (answers Response, granted bool) {
+	if !b.isLeader || len(a.Limits) != len(b.allocators) || len(a.Totals) != len(b.allocators) {
 		return answers, false
 	}
-	if a.Terms != b.digest {
-		b.Strange++
+	if a.ConfigDigest != b.configDigest {
+		b.MismatchedRequests++
 		return answers, false
 	}
-	if a.Revision > max(b.revision, b.wished) && b.opened {
-		b.wished, b.wholes = a.Revision, slices.Clone(a.Wholes)
-		for i, k := range b.keepers {
-			k.Set(a.Wholes[i])
+	if a.Revision > max(b.revision, b.proposedRevision) && b.opened {
+		b.proposedRevision, b.proposedTotals = a.Revision, slices.Clone(a.Totals)
+		for i, k := range b.allocators {
+			k.RequestTotal(a.Totals[i])
 		}
 	}
-	answers.Of = make([]Answer, len(b.keepers))
-	for i, k := range b.keepers {
-		if answer, is := k.Ask(a.Of[i], now); is && b.opened {
-			answers.Of[i], granted = answer, true
+	answers.Limits = make([]LimitResponse, len(b.allocators))
+	for i, k := range b.allocators {
+		if answer, is := k.HandleRequest(a.Limits[i], now); is && b.opened {
+			answers.Limits[i], granted = answer, true
 		}
 	}
 	return answers, granted
 }
 
-// Decide gives what should be agreed on next, not too often.
-func (b *Book) Decide(now timeunit.Milliseconds) (d Decision, due bool) {
-	if !b.elected || now < b.next {
+// NextCommand gives what should be agreed on next, not too often.
+func (b *LimitSet) NextCommand(now timeunit.Milliseconds) (d Command, due bool) {
+	if !b.isLeader || now < b.nextDecisionAt {
 		return d, false
 	}
-	b.next = now + decideEvery
+	b.nextDecisionAt = now + decisionInterval
 	if !b.opened {
-		if !b.opening && now-b.since > b.span() {
-			b.opening = true
-			d = Decision{Open: true, Revision: b.first}
-			for i, k := range b.keepers {
-				d.Entries = append(d.Entries, Entry{Limit: i, Whole: k.terms.Whole})
+		if !b.openProposed && now-b.leaderSince > b.maxLeaseSpan() {
+			b.openProposed = true
+			d = Command{Open: true, Revision: b.initialRevision}
+			for i, k := range b.allocators {
+				d.Changes = append(d.Changes, Change{LimitIndex: i, Total: k.config.Total})
 			}
 			return d, true
 		}
 		return d, false
 	}
 	setting := false
-	for i, k := range b.keepers {
-		for _, e := range k.Decide(now) {
-			e.Limit = i
+	for i, k := range b.allocators {
+		for _, e := range k.NextChanges(now) {
+			e.LimitIndex = i
 			setting = setting || e.Server == ""
-			d.Entries = append(d.Entries, e)
+			d.Changes = append(d.Changes, e)
 		}
 	}
-	if setting && b.wished > b.revision {
-		d.Revision = b.wished
+	if setting && b.proposedRevision > b.revision {
+		d.Revision = b.proposedRevision
 	}
-	return d, len(d.Entries) > 0
+	return d, len(d.Changes) > 0
 }
 
-// Undecided: what Decide gave last was not put to the others. What was put to them before still may be agreed on.
-func (b *Book) Undecided(d Decision) {
+// ProposalFailed: what Decide gave last was not put to the others. What was put to them before still may be agreed on.
+func (b *LimitSet) ProposalFailed(d Command) {
 	if d.Open {
-		b.opening = false
+		b.openProposed = false
 		return
 	}
-	for _, e := range d.Entries {
-		b.keepers[e.Limit].undecided(e)
+	for _, e := range d.Changes {
+		b.allocators[e.LimitIndex].proposalFailed(e)
 	}
 }
 
-// Save gives the state as of all that was applied.
-func (b *Book) Save() Saved {
-	s := Saved{Opened: b.opened, Revision: b.revision}
-	for _, k := range b.keepers {
-		l := SavedLimit{Serial: k.serial, Target: k.target, Force: k.terms.Whole}
-		for _, name := range slices.Sorted(maps.Keys(k.grants)) {
-			g := k.grants[name]
-			for _, o := range g.older {
-				l.Grants = append(l.Grants, Entry{Server: name, Serial: o.serial, Amount: o.amount})
+// Snapshot gives the state as of all that was applied.
+func (b *LimitSet) Snapshot() Snapshot {
+	s := Snapshot{Opened: b.opened, Revision: b.revision}
+	for _, k := range b.allocators {
+		l := LimitSnapshot{LastVersion: k.lastVersion, TargetTotal: k.targetTotal, EffectiveTotal: k.config.Total}
+		for _, name := range slices.Sorted(maps.Keys(k.leases)) {
+			g := k.leases[name]
+			for _, o := range g.previous {
+				l.Leases = append(l.Leases, Change{Server: name, LeaseVersion: o.version, Amount: o.amount})
 			}
-			if g.serial > 0 {
-				l.Grants = append(l.Grants, Entry{Server: name, Serial: g.serial, Amount: g.amount})
+			if g.version > 0 {
+				l.Leases = append(l.Leases, Change{Server: name, LeaseVersion: g.version, Amount: g.amount})
 			}
 		}
 		s.Limits = append(s.Limits, l)
@@ -201,44 +201,46 @@
 }
 
 // Restore takes a state in the place of all that was applied.
-func (b *Book) Restore(s Saved, now timeunit.Milliseconds) {
+func (b *LimitSet) Restore(s Snapshot, now timeunit.Milliseconds) {
 	b.opened, b.revision = s.Opened, s.Revision
-	for i, k := range b.keepers {
-		*k = *NewKeeper(k.terms, k.log)
+	for i, k := range b.allocators {
+		*k = *NewAllocator(k.config, k.logID)
 		if i >= len(s.Limits) {
 			continue
 		}
 		l := s.Limits[i]
-		k.serial, k.target, k.terms.Whole = l.Serial, l.Target, l.Force
-		for _, e := range l.Grants {
+		k.lastVersion, k.targetTotal, k.config.Total = l.LastVersion, l.TargetTotal, l.EffectiveTotal
+		for _, e := range l.Leases {
 			k.Apply(e, now)
 		}
-		k.terms.Whole = max(k.terms.Whole, l.Force)
+		k.config.Total = max(k.config.Total, l.EffectiveTotal)
 	}
-	if b.elected {
-		b.Elected(true, now)
+	if b.isLeader {
+		b.SetLeader(true, now)
 	}
 }
 
-// Line is what one server holds of one limit, for operators.
-type Line struct {
-	Server  string                `json:"server"`
-	Amount  Amount                `json:"amount"`
-	Counts  Amount                `json:"counts"` // older amounts included that it may not have left yet
-	Wants   Amount                `json:"wants"`
-	LeftMs  timeunit.Milliseconds `json:"left_ms"` // of what is known here; the elected keeper knows best
-	HeardMs timeunit.Milliseconds `json:"heard_ms"`
+// StatusRow is what one server holds of one limit, for operators.
+type StatusRow struct {
+	Server         string                `json:"server"`
+	Amount         Amount                `json:"amount"`
+	Outstanding    Amount                `json:"counts"` // older amounts included that it may not have left yet
+	Desired        Amount                `json:"wants"`
+	RemainingMS    timeunit.Milliseconds `json:"left_ms"` // of what is known here; the elected keeper knows best
+	SinceRequestMS timeunit.Milliseconds `json:"heard_ms"`
 }
 
-// Lines are the grants of a limit, the largest first.
-func (k *Keeper) Lines(now timeunit.Milliseconds) (lines []Line) {
-	for name, g := range k.grants {
-		lines = append(lines, Line{Server: name, Amount: g.amount, Counts: g.counts(), Wants: g.wants, LeftMs: max(0, g.until-now), HeardMs: max(0, now-g.heard)})
+// StatusRows are the grants of a limit, the largest first.
+func (k *Allocator) StatusRows(now timeunit.Milliseconds) (lines []StatusRow) {
+	for name, g := range k.leases {
+		lines = append(lines, StatusRow{Server: name, Amount: g.amount, Outstanding: g.outstanding(), Desired: g.desired, RemainingMS: max(0, g.expiresAt-now), SinceRequestMS: max(0, now-g.lastRequestAt)})
 	}
-	slices.SortFunc(lines, func(a, b Line) int { return cmp.Or(-cmp.Compare(a.Counts, b.Counts), cmp.Compare(a.Server, b.Server)) })
+	slices.SortFunc(lines, func(a, b StatusRow) int {
+		return cmp.Or(-cmp.Compare(a.Outstanding, b.Outstanding), cmp.Compare(a.Server, b.Server))
+	})
 	return lines
 }
 
-// Terms are what the limit is kept by now; Target is the whole that was set last.
-func (k *Keeper) Terms() Terms   { return k.terms }
-func (k *Keeper) Target() Amount { return k.target }
+// Config are what the limit is kept by now; Target is the whole that was set last.
+func (k *Allocator) Config() LimitConfig { return k.config }
+func (k *Allocator) TargetTotal() Amount { return k.targetTotal }
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -20,7 +20,7 @@
 	for first := 0; first < 100; first += 10 {
 		history := golden.NewHistory()
 		for seed := first; seed < first+10; seed++ {
-			playSchedule(t, seed, history)
+			runSchedule(t, seed, history)
 		}
 		fmt.Fprintf(&recorded, "seeds %d to %d: %s\n", first, first+9, history)
 	}
@@ -33,16 +33,16 @@
 	again := func(name string, value, decoded any) {
 		text, err := cbor.Marshal(value)
 		require.NoError(t, err)
-		require.NoError(t, decisions.Unmarshal(text, decoded))
+		require.NoError(t, logDecoder.Unmarshal(text, decoded))
 		same, err := cbor.Marshal(decoded)
 		require.NoError(t, err)
 		require.Equal(t, text, same)
 		fmt.Fprintf(&recorded, "%s %s\n", name, hex.EncodeToString(text))
 	}
-	again("identity", Identity{Log: 1 << 40, Voter: 77}, &Identity{})
-	again("entry", quota.Decision{Open: true, Revision: 9, Entries: []quota.Entry{{Whole: 400_000}, {Server: "b.1", Serial: 7, Over: true, Limit: 1}}}, &quota.Decision{})
-	again("snapshot", quota.Saved{Opened: true, Revision: 9, Limits: []quota.SavedLimit{{Serial: 7, Target: 400_000, Force: 500_000,
-		Grants: []quota.Entry{{Server: "a.1", Serial: 3, Amount: 9000}, {Server: "a.1", Serial: 5, Amount: 4000}}}, {}}}, &quota.Saved{})
-	again("empty snapshot", quota.Saved{}, &quota.Saved{})
+	again("identity", Identity{LogID: 1 << 40, VoterID: 77}, &Identity{})
+	again("entry", quota.Command{Open: true, Revision: 9, Changes: []quota.Change{{Total: 400_000}, {Server: "b.1", LeaseVersion: 7, Expired: true, LimitIndex: 1}}}, &quota.Command{})
+	again("snapshot", quota.Snapshot{Opened: true, Revision: 9, Limits: []quota.LimitSnapshot{{LastVersion: 7, TargetTotal: 400_000, EffectiveTotal: 500_000,
+		Leases: []quota.Change{{Server: "a.1", LeaseVersion: 3, Amount: 9000}, {Server: "a.1", LeaseVersion: 5, Amount: 4000}}}, {}}}, &quota.Snapshot{})
+	again("empty snapshot", quota.Snapshot{}, &quota.Snapshot{})
 	golden.Check(t, "records.txt", recorded.Bytes())
 }
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -16,35 +16,35 @@
 	"thistlequay/timeunit"
 )
 
-// world is servers in virtual time, each with a keeper's core and a holder of one limit: letters, requests and answers are lost,
+// cluster is servers in virtual time, each with a keeper's core and a holder of one limit: letters, requests and answers are lost,
 // late and come twice, links are cut, processes stand still, die and come back with or without what they saved, clocks run
 // apart. What the view says is as package members has it: one side at most is the whole, and what follows is in force only when
 // all that went before has run out.
-type world struct {
-	chance  *rand.Rand
-	now     timeunit.Milliseconds // true time
-	terms   Terms
-	limit   quota.Terms
-	servers []*server
-	cut     map[[2]int]bool
-	loss    float64
-	mail    []parcel
-	lives   uint64
-	sight   Sight // of the side that is whole
-	side    []int
-	from    timeunit.Milliseconds // the sight is in force
-	last    timeunit.Milliseconds // when any server was whole
-	ghosts  []timeunit.Milliseconds
-	force   quota.Amount
-	over    int
-	looks   int
-	used    quota.Amount
-	wholes  quota.Amount
-	granted int
-	leaders map[uint64]bool
-	turns   int
-	busy    time.Duration   // that the leader's core took
-	history *golden.History // nil: nothing is recorded
+type cluster struct {
+	random          *rand.Rand
+	now             timeunit.Milliseconds // true time
+	config          Config
+	limit           quota.LimitConfig
+	servers         []*server
+	blocked         map[[2]int]bool
+	lossRate        float64
+	inFlight        []envelope
+	lastIncarnation uint64
+	view            ClusterView // of the side that is whole
+	majoritySide    []int
+	viewInForceFrom timeunit.Milliseconds // the sight is in force
+	lastMajorityAt  timeunit.Milliseconds // when any server was whole
+	abandonedCalls  []timeunit.Milliseconds
+	effectiveTotal  quota.Amount
+	violations      int
+	checks          int
+	usedSum         quota.Amount
+	totalSum        quota.Amount
+	leasesGranted   int
+	seenLeaders     map[uint64]bool
+	leaderChanges   int
+	leaderBusy      time.Duration   // that the leader's core took
+	history         *golden.History // nil: nothing is recorded
 }
 
 // What a record of the history is about; the numbers are part of the golden files.
@@ -56,133 +56,133 @@
 	eventRound
 )
 
-func (w *world) record(values ...any) {
+func (w *cluster) record(values ...any) {
 	if w.history != nil {
 		w.history.Add(values...)
 	}
 }
 
-// recordOutput records all that a core gives, byte for byte.
-func (w *world) recordOutput(i int, o *Output) {
+// recordReady records all that a core gives, byte for byte.
+func (w *cluster) recordReady(i int, o *Ready) {
 	if w.history == nil {
 		return
 	}
-	at := o.Save.Snapshot.Metadata
-	w.record(eventSave, i, o.Begin, o.Save.Hard.Term, o.Save.Hard.Vote, o.Save.Hard.Commit, at.Index, at.Term, at.ConfState.Voters, string(o.Save.Snapshot.Data))
-	for _, e := range o.Save.Entries {
+	at := o.State.Snapshot.Metadata
+	w.record(eventSave, i, o.IsNewState, o.State.HardState.Term, o.State.HardState.Vote, o.State.HardState.Commit, at.Index, at.Term, at.ConfState.Voters, string(o.State.Snapshot.Data))
+	for _, e := range o.State.Entries {
 		w.record(eventSave, e.Index, e.Term, int(e.Type), string(e.Data))
 	}
-	for _, l := range o.Letters {
-		w.record(eventLetter, i, l.To, string(l.Text))
+	for _, l := range o.Messages {
+		w.record(eventLetter, i, l.To, string(l.Data))
 	}
 	for _, r := range o.Replies {
-		w.record(eventReply, i, r.To, r.Granted, r.Leader)
-		for _, a := range r.Answers.Of {
-			w.record(eventReply, int64(a.Asked), a.Serial, a.Amount, int64(a.Length), a.Log)
+		w.record(eventReply, i, r.RequestID, r.Granted, r.Leader)
+		for _, a := range r.Response.Limits {
+			w.record(eventReply, int64(a.RequestedAt), a.LeaseVersion, a.Amount, int64(a.LeaseDuration), a.LogID)
 		}
 	}
 }
 
 // recordServer records where a server stands at the end of its part of a round.
-func (w *world) recordServer(i int, s *server, usable quota.Amount) {
+func (w *cluster) recordServer(i int, s *server, usable quota.Amount) {
 	if w.history == nil {
 		return
 	}
-	id := s.core.Identity()
-	w.record(eventServer, i, usable, len(s.parts), s.core.Leads(), s.core.Whole(), s.core.Leader(), id.Log, id.Voter, s.core.Voters(), s.core.Stuck(), s.core.Agreed, s.core.Lost)
+	id := s.coordinator.Identity()
+	w.record(eventServer, i, usable, len(s.releaseTimes), s.coordinator.IsLeader(), s.coordinator.InMajority(), s.coordinator.Leader(), id.LogID, id.VoterID, s.coordinator.Voters(), s.coordinator.LeaderLost(), s.coordinator.AppliedCommands, s.coordinator.DiscardedStates)
 }
 
 type server struct {
-	core     *Core
-	holder   *quota.Holder
-	name     string
-	life     uint64
-	rate     float64
-	offset   timeunit.Milliseconds
-	stopped  timeunit.Milliseconds
-	down     bool
-	id       Identity // saved
-	saved    *consensus.Saved
-	disk     int // 0: it works, 1: full, 2: slow
-	parts    []timeunit.Milliseconds
-	load     quota.Amount
-	sees     timeunit.Milliseconds
-	wholes   quota.Amount
-	revision uint64
-	leader   uint64
+	coordinator  *Coordinator
+	holder       *quota.LeaseHolder
+	name         string
+	incarnation  uint64
+	clockRate    float64
+	clockOffset  timeunit.Milliseconds
+	pausedUntil  timeunit.Milliseconds
+	isDown       bool
+	identity     Identity // saved
+	state        *consensus.PersistentState
+	disk         int // 0: it works, 1: full, 2: slow
+	releaseTimes []timeunit.Milliseconds
+	load         quota.Amount
+	viewedAt     timeunit.Milliseconds
+	total        quota.Amount
+	revision     uint64
+	leader       uint64
 }
 
-type parcel struct {
-	at   timeunit.Milliseconds
-	from int
-	to   int
-	life uint64
-	do   func(*server)
+type envelope struct {
+	deliverAt   timeunit.Milliseconds
+	from        int
+	to          int
+	incarnation uint64
+	deliver     func(*server)
 }
 
-const lease timeunit.Milliseconds = 1650
+const viewLease timeunit.Milliseconds = 1650
 
-func voterOf(s *server, log uint64) uint64 { return s.life*1000 + log }
+func voterID(s *server, log uint64) uint64 { return s.incarnation*1000 + log }
 
-func newWorld(seed int64, n int, named bool) *world {
-	w := &world{chance: rand.New(rand.NewSource(seed)), now: 1000, cut: map[[2]int]bool{}, leaders: map[uint64]bool{},
-		limit: quota.Terms{Whole: quota.Amount(n) * 10 * quota.Unit, Floor: quota.Unit, Slots: n, Length: 2000, Linger: 500, Drift: 0.1,
-			Least: quota.Unit, Still: 0.1, Grain: quota.Unit}}
-	w.force = w.limit.Whole
-	w.terms = Terms{Limits: []quota.Terms{w.limit}, Digest: 7, Revision: 1}
+func newCluster(seed int64, n int, named bool) *cluster {
+	w := &cluster{random: rand.New(rand.NewSource(seed)), now: 1000, blocked: map[[2]int]bool{}, seenLeaders: map[uint64]bool{},
+		limit: quota.LimitConfig{Total: quota.Amount(n) * 10 * quota.Unit, GuaranteedMinimum: quota.Unit, Slots: n, LeaseDuration: 2000, GracePeriod: 500, ClockDrift: 0.1,
+			InitialAmount: quota.Unit, Hysteresis: 0.1, Granularity: quota.Unit}}
+	w.effectiveTotal = w.limit.Total
+	w.config = Config{Limits: []quota.LimitConfig{w.limit}, ConfigDigest: 7, Revision: 1}
 	if named {
-		w.terms.Named, w.terms.Log = []string{"s0", "s1", "s2"}, 99
+		w.config.NamedCoordinators, w.config.LogID = []string{"s0", "s1", "s2"}, 99
 	}
 	for i := range n {
-		w.servers = append(w.servers, &server{name: fmt.Sprint("s", i), rate: 1 + 0.18*(w.chance.Float64()-0.5), offset: timeunit.Milliseconds(w.chance.Intn(1e6)),
-			wholes: w.limit.Whole, revision: 1})
-		w.birth(i, true)
+		w.servers = append(w.servers, &server{name: fmt.Sprint("s", i), clockRate: 1 + 0.18*(w.random.Float64()-0.5), clockOffset: timeunit.Milliseconds(w.random.Intn(1e6)),
+			total: w.limit.Total, revision: 1})
+		w.startServer(i, true)
 	}
-	w.view()
+	w.updateView()
 	return w
 }
 
-func (w *world) clock(s *server) timeunit.Milliseconds {
-	return timeunit.Milliseconds(float64(w.now)*s.rate) + s.offset
+func (w *cluster) clock(s *server) timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(w.now)*s.clockRate) + s.clockOffset
 }
 
-func (w *world) birth(i int, first bool) {
+func (w *cluster) startServer(i int, first bool) {
 	s := w.servers[i]
-	w.lives++
-	s.life, s.down, s.stopped, s.parts, s.leader = w.lives, false, 0, nil, 0
-	t := w.terms
-	life := s.life
-	t.Number = func(log uint64) uint64 { return life*1000 + log }
-	s.core = New(t, rand.New(rand.NewSource(w.chance.Int63())), timeunit.Milliseconds(w.clock(s)))
-	s.holder = quota.NewHolder(fmt.Sprint(s.name, ".", s.life), w.limit, true, w.clock(s)+w.limit.Linger)
-	if slices.Contains(t.Named, s.name) {
+	w.lastIncarnation++
+	s.incarnation, s.isDown, s.pausedUntil, s.releaseTimes, s.leader = w.lastIncarnation, false, 0, nil, 0
+	t := w.config
+	life := s.incarnation
+	t.VoterID = func(log uint64) uint64 { return life*1000 + log }
+	s.coordinator = New(t, rand.New(rand.NewSource(w.random.Int63())), timeunit.Milliseconds(w.clock(s)))
+	s.holder = quota.NewLeaseHolder(fmt.Sprint(s.name, ".", s.incarnation), w.limit, true, w.clock(s)+w.limit.GracePeriod)
+	if slices.Contains(t.NamedCoordinators, s.name) {
 		switch {
-		case s.saved != nil:
-			_ = s.core.Resume(s.id, *s.saved)
+		case s.state != nil:
+			_ = s.coordinator.Resume(s.identity, *s.state)
 		case first:
-			_ = s.core.Begin(uint64(i+1), []uint64{1, 2, 3})
+			_ = s.coordinator.Start(uint64(i+1), []uint64{1, 2, 3})
 		default:
-			_ = s.core.Begin(1000+s.life, nil)
+			_ = s.coordinator.Start(1000+s.incarnation, nil)
 		}
 	}
 }
 
-func (w *world) reach(a, b int) bool {
-	return !w.cut[[2]int{a, b}] && !w.cut[[2]int{b, a}] && !w.servers[a].down && !w.servers[b].down && w.servers[a].stopped <= w.now && w.servers[b].stopped <= w.now
+func (w *cluster) canReach(a, b int) bool {
+	return !w.blocked[[2]int{a, b}] && !w.blocked[[2]int{b, a}] && !w.servers[a].isDown && !w.servers[b].isDown && w.servers[a].pausedUntil <= w.now && w.servers[b].pausedUntil <= w.now
 }
 
-// view settles which side is the whole, at most one, and by which voters.
-func (w *world) view() {
+// updateView settles which side is the whole, at most one, and by which voters.
+func (w *cluster) updateView() {
 	alive := map[uint64]int{}
 	for i, s := range w.servers {
-		if !s.down {
-			alive[s.life] = i
+		if !s.isDown {
+			alive[s.incarnation] = i
 		}
 	}
-	w.side = nil
+	w.majoritySide = nil
 	lost := 0
-	for _, v := range w.sight.Voters {
-		i, is := alive[v.Voter/1000]
+	for _, v := range w.view.Voters {
+		i, is := alive[v.VoterID/1000]
 		if !is {
 			lost++
 			continue
@@ -190,194 +190,194 @@
 		var side []int
 		votes := 0
 		for j := range w.servers {
-			if j == i || w.reach(i, j) {
+			if j == i || w.canReach(i, j) {
 				side = append(side, j)
 			}
 		}
-		for _, o := range w.sight.Voters {
-			if k, is := alive[o.Voter/1000]; is && slices.Contains(side, k) && w.servers[k].stopped <= w.now {
+		for _, o := range w.view.Voters {
+			if k, is := alive[o.VoterID/1000]; is && slices.Contains(side, k) && w.servers[k].pausedUntil <= w.now {
 				votes++
 			}
 		}
-		if votes > len(w.sight.Voters)/2 && w.side == nil {
-			w.side = side
+		if votes > len(w.view.Voters)/2 && w.majoritySide == nil {
+			w.majoritySide = side
 		}
 	}
 	switch {
-	case w.sight.Born == 0 || 2*lost > len(w.sight.Voters) && w.now-w.last > lease: // a line of its own
+	case w.view.GenesisEpoch == 0 || 2*lost > len(w.view.Voters) && w.now-w.lastMajorityAt > viewLease: // a line of its own
 		var all []int
 		for i := range w.servers {
-			if w.reach(i, i) {
+			if w.canReach(i, i) {
 				all = append(all, i)
 			}
 		}
 		if len(all) <= len(w.servers)/2 {
 			return
 		}
-		w.seat(all, w.sight.Born+1, true)
-		w.side = all
-	case w.side != nil && w.stuck(): // another log, by a fleet that follows
-		w.seat(w.side, w.sight.Born+1, true)
-	case w.side != nil && lost > 0: // another fleet of the same line
-		w.seat(w.side, w.sight.Born, false)
+		w.formCluster(all, w.view.GenesisEpoch+1, true)
+		w.majoritySide = all
+	case w.majoritySide != nil && w.leaderLost(): // another log, by a fleet that follows
+		w.formCluster(w.majoritySide, w.view.GenesisEpoch+1, true)
+	case w.majoritySide != nil && lost > 0: // another fleet of the same line
+		w.formCluster(w.majoritySide, w.view.GenesisEpoch, false)
 	}
 }
 
-// stuck: the first of the fleet's voters finds that its log has lost most of its own.
-func (w *world) stuck() bool {
-	for _, v := range w.sight.Voters {
-		for _, i := range w.side {
-			if s := w.servers[i]; s.life == v.Voter/1000 && !s.down && s.stopped <= w.now {
-				return s.core.Stuck()
+// leaderLost: the first of the fleet's voters finds that its log has lost most of its own.
+func (w *cluster) leaderLost() bool {
+	for _, v := range w.view.Voters {
+		for _, i := range w.majoritySide {
+			if s := w.servers[i]; s.incarnation == v.VoterID/1000 && !s.isDown && s.pausedUntil <= w.now {
+				return s.coordinator.LeaderLost()
 			}
 		}
 	}
 	return false
 }
 
-func (w *world) seat(of []int, born uint64, first bool) {
-	w.sight = Sight{Born: born, First: first}
+func (w *cluster) formCluster(of []int, born uint64, first bool) {
+	w.view = ClusterView{GenesisEpoch: born, IsGenesis: first}
 	for _, i := range of {
-		w.sight.Voters = append(w.sight.Voters, Seat{Name: w.servers[i].name, Voter: voterOf(w.servers[i], born), Log: born})
+		w.view.Voters = append(w.view.Voters, Candidate{Name: w.servers[i].name, VoterID: voterID(w.servers[i], born), LogID: born})
 	}
-	w.sight.Voters = w.sight.Voters[:oddUpTo(min(len(w.sight.Voters), 5))]
-	w.from = w.now + lease
+	w.view.Voters = w.view.Voters[:largestOddUpTo(min(len(w.view.Voters), 5))]
+	w.viewInForceFrom = w.now + viewLease
 }
 
-// see is what the view tells one server: whole for a lease, where it is on the side and that is in force.
-func (w *world) see(i int) Sight {
-	s, v := w.servers[i], w.sight
-	v.Until = -1
-	if slices.Contains(w.side, i) && w.now >= w.from {
-		v.Until, w.last = timeunit.Milliseconds(w.clock(s))+1200, w.now+1500
+// viewOf is what the view tells one server: whole for a lease, where it is on the side and that is in force.
+func (w *cluster) viewOf(i int) ClusterView {
+	s, v := w.servers[i], w.view
+	v.MajorityUntil = -1
+	if slices.Contains(w.majoritySide, i) && w.now >= w.viewInForceFrom {
+		v.MajorityUntil, w.lastMajorityAt = timeunit.Milliseconds(w.clock(s))+1200, w.now+1500
 	}
 	for j, o := range w.servers {
-		if w.reach(i, j) && o.core != nil {
-			v.Members = append(v.Members, Seat{Name: o.name, Voter: o.core.Identity().Voter, Log: o.core.Identity().Log})
+		if w.canReach(i, j) && o.coordinator != nil {
+			v.Members = append(v.Members, Candidate{Name: o.name, VoterID: o.coordinator.Identity().VoterID, LogID: o.coordinator.Identity().LogID})
 		}
 	}
 	return v
 }
 
-func (w *world) post(from, to int, do func(*server)) {
-	for range 1 + w.chance.Intn(10)/9 {
-		if !w.cut[[2]int{from, to}] && w.chance.Float64() >= w.loss {
-			w.mail = append(w.mail, parcel{w.now + timeunit.Milliseconds(1+w.chance.Intn(80)), from, to, w.servers[to].life, do})
+func (w *cluster) send(from, to int, do func(*server)) {
+	for range 1 + w.random.Intn(10)/9 {
+		if !w.blocked[[2]int{from, to}] && w.random.Float64() >= w.lossRate {
+			w.inFlight = append(w.inFlight, envelope{w.now + timeunit.Milliseconds(1+w.random.Intn(80)), from, to, w.servers[to].incarnation, do})
 		}
 	}
 }
 
-func (w *world) voter(id uint64) int {
-	return slices.IndexFunc(w.servers, func(s *server) bool { return s.core.Identity().Voter == id && !s.down })
+func (w *cluster) serverOf(id uint64) int {
+	return slices.IndexFunc(w.servers, func(s *server) bool { return s.coordinator.Identity().VoterID == id && !s.isDown })
 }
 
-func (w *world) round() {
+func (w *cluster) step() {
 	w.now += 20
-	mail := w.mail
-	w.mail = nil
+	mail := w.inFlight
+	w.inFlight = nil
 	for _, p := range mail {
 		s := w.servers[p.to]
 		switch {
-		case s.down || s.life != p.life:
-		case p.at > w.now || s.stopped > w.now:
-			w.mail = append(w.mail, p)
+		case s.isDown || s.incarnation != p.incarnation:
+		case p.deliverAt > w.now || s.pausedUntil > w.now:
+			w.inFlight = append(w.inFlight, p)
 		default:
-			w.atWork(s, func() { p.do(s); w.carry(p.to) })
+			w.timed(s, func() { p.deliver(s); w.deliverReady(p.to) })
 		}
 	}
-	w.view()
+	w.updateView()
 	sum := quota.Amount(0)
-	w.ghosts = slices.DeleteFunc(w.ghosts, func(end timeunit.Milliseconds) bool { return end <= w.now })
-	sum += quota.Amount(len(w.ghosts)) * quota.Unit
-	var lead *Core
+	w.abandonedCalls = slices.DeleteFunc(w.abandonedCalls, func(end timeunit.Milliseconds) bool { return end <= w.now })
+	sum += quota.Amount(len(w.abandonedCalls)) * quota.Unit
+	var lead *Coordinator
 	for i, s := range w.servers {
-		if s.down {
+		if s.isDown {
 			continue
 		}
-		s.parts = slices.DeleteFunc(s.parts, func(end timeunit.Milliseconds) bool { return end <= w.now })
-		inHand := quota.Amount(len(s.parts)) * quota.Unit
-		if s.stopped > w.now {
-			sum += max(inHand, w.limit.Floor)
+		s.releaseTimes = slices.DeleteFunc(s.releaseTimes, func(end timeunit.Milliseconds) bool { return end <= w.now })
+		inHand := quota.Amount(len(s.releaseTimes)) * quota.Unit
+		if s.pausedUntil > w.now {
+			sum += max(inHand, w.limit.GuaranteedMinimum)
 			continue
 		}
 		now := w.clock(s)
-		if now-s.sees >= 200 || now < s.sees {
-			s.sees = now
-			s.core.See(w.see(i), timeunit.Milliseconds(now))
+		if now-s.viewedAt >= 200 || now < s.viewedAt {
+			s.viewedAt = now
+			s.coordinator.UpdateView(w.viewOf(i), timeunit.Milliseconds(now))
 		}
-		w.atWork(s, func() { s.core.At(timeunit.Milliseconds(now)); w.carry(i) })
-		s.holder.Uses(inHand, 0, now)
-		for s.load > quota.Amount(len(s.parts))*quota.Unit && s.holder.Begin(quota.Unit, now) {
-			s.parts = append(s.parts, w.now+timeunit.Milliseconds(50+w.chance.Intn(300)))
+		w.timed(s, func() { s.coordinator.Tick(timeunit.Milliseconds(now)); w.deliverReady(i) })
+		s.holder.ReportUsage(inHand, 0, now)
+		for s.load > quota.Amount(len(s.releaseTimes))*quota.Unit && s.holder.TryAcquire(quota.Unit, now) {
+			s.releaseTimes = append(s.releaseTimes, w.now+timeunit.Milliseconds(50+w.random.Intn(300)))
 		}
-		if r, due := s.holder.Ask(now); due {
-			w.ask(i, quota.Asking{Terms: 7, Revision: s.revision, Wholes: []quota.Amount{s.wholes}, Of: []quota.Request{r}})
+		if r, due := s.holder.NextRequest(now); due {
+			w.sendRequest(i, quota.Request{ConfigDigest: 7, Revision: s.revision, Totals: []quota.Amount{s.total}, Limits: []quota.LimitRequest{r}})
 		}
-		inHand = quota.Amount(len(s.parts)) * quota.Unit
-		w.used += inHand
+		inHand = quota.Amount(len(s.releaseTimes)) * quota.Unit
+		w.usedSum += inHand
 		sum += max(inHand, s.holder.Usable(now))
 		w.recordServer(i, s, s.holder.Usable(now))
-		if s.core.Leads() && s.core.Whole() && (lead == nil || s.core.term > lead.term) {
-			lead = s.core
-			if !w.leaders[s.life<<20|s.core.term] {
-				w.leaders[s.life<<20|s.core.term] = true
-				w.turns++
+		if s.coordinator.IsLeader() && s.coordinator.InMajority() && (lead == nil || s.coordinator.leaderTerm > lead.leaderTerm) {
+			lead = s.coordinator
+			if !w.seenLeaders[s.incarnation<<20|s.coordinator.leaderTerm] {
+				w.seenLeaders[s.incarnation<<20|s.coordinator.leaderTerm] = true
+				w.leaderChanges++
 			}
 		}
 	}
-	if lead != nil && lead.Book().Opened() {
-		w.force = lead.Book().Keepers()[0].Whole()
+	if lead != nil && lead.Limits().Opened() {
+		w.effectiveTotal = lead.Limits().Allocators()[0].EffectiveTotal()
 	}
-	w.record(eventRound, int64(w.now), w.force, sum)
-	w.wholes += w.limit.Whole
-	w.looks++
-	if sum > w.force {
-		w.over++
+	w.record(eventRound, int64(w.now), w.effectiveTotal, sum)
+	w.totalSum += w.limit.Total
+	w.checks++
+	if sum > w.effectiveTotal {
+		w.violations++
 	}
 }
 
-// ask sends a request to whom the server takes for the leader.
-func (w *world) ask(i int, a quota.Asking) {
+// sendRequest sends a request to whom the server takes for the leader.
+func (w *cluster) sendRequest(i int, a quota.Request) {
 	s := w.servers[i]
-	to := w.voter(s.leader)
+	to := w.serverOf(s.leader)
 	if s.leader == 0 || to < 0 {
-		if to = w.voter(w.sight.Voters[w.chance.Intn(len(w.sight.Voters))].Voter); to < 0 {
-			to = w.chance.Intn(len(w.servers))
+		if to = w.serverOf(w.view.Voters[w.random.Intn(len(w.view.Voters))].VoterID); to < 0 {
+			to = w.random.Intn(len(w.servers))
 		}
-		s.leader = w.servers[to].core.Identity().Voter
+		s.leader = w.servers[to].coordinator.Identity().VoterID
 	}
-	life := s.life
-	w.post(i, to, func(k *server) { k.core.Ask(uint64(i)<<32|life, a) })
+	life := s.incarnation
+	w.send(i, to, func(k *server) { k.coordinator.HandleRequest(uint64(i)<<32|life, a) })
 }
 
-// carry saves and sends what a core gives.
-func (w *world) carry(i int) {
+// deliverReady saves and sends what a core gives.
+func (w *cluster) deliverReady(i int) {
 	s := w.servers[i]
 	for {
-		o, more := s.core.Take()
+		o, more := s.coordinator.Ready()
 		if !more {
 			return
 		}
-		w.recordOutput(i, &o)
-		if !w.save(s, &o) {
-			s.core.Forget()
-			s.saved = nil
+		w.recordReady(i, &o)
+		if !w.persist(s, &o) {
+			s.coordinator.DiscardState()
+			s.state = nil
 			continue
 		}
-		id := s.core.Identity()
-		for _, l := range o.Letters {
-			if to := w.voter(l.To); to >= 0 {
-				w.post(i, to, func(k *server) { k.core.Letter(id.Voter, id.Log, l.Text) })
+		id := s.coordinator.Identity()
+		for _, l := range o.Messages {
+			if to := w.serverOf(l.To); to >= 0 {
+				w.send(i, to, func(k *server) { k.coordinator.Step(id.VoterID, id.LogID, l.Data) })
 			}
 		}
 		for _, r := range o.Replies {
-			to, life := int(r.To>>32), r.To&(1<<32-1)
-			w.post(i, to, func(k *server) {
+			to, life := int(r.RequestID>>32), r.RequestID&(1<<32-1)
+			w.send(i, to, func(k *server) {
 				switch {
-				case k.life != life:
+				case k.incarnation != life:
 				case r.Granted:
-					w.granted++
-					k.holder.Answered(r.Answers.Of[0], w.clock(k))
+					w.leasesGranted++
+					k.holder.HandleResponse(r.Response.Limits[0], w.clock(k))
 				default:
 					k.leader = r.Leader
 				}
@@ -386,35 +386,35 @@
 	}
 }
 
-// save is a disk that is whole, full or slow; without named keepers there is none.
-func (w *world) save(s *server, o *Output) bool {
-	if len(w.terms.Named) == 0 || !o.Begin && o.Save.Empty() {
+// persist is a disk that is whole, full or slow; without named keepers there is none.
+func (w *cluster) persist(s *server, o *Ready) bool {
+	if len(w.config.NamedCoordinators) == 0 || !o.IsNewState && o.State.IsEmpty() {
 		return true
 	}
 	switch {
 	case s.disk == 1:
 		return false
 	case s.disk == 2:
-		s.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(700))
+		s.pausedUntil = w.now + timeunit.Milliseconds(w.random.Intn(700))
 	}
-	if o.Begin {
-		s.id, s.saved = s.core.Identity(), &consensus.Saved{Hard: o.Save.Hard, Snapshot: o.Save.Snapshot}
+	if o.IsNewState {
+		s.identity, s.state = s.coordinator.Identity(), &consensus.PersistentState{HardState: o.State.HardState, Snapshot: o.State.Snapshot}
 		return true
 	}
-	if len(o.Save.Entries) > 0 {
-		s.saved.Entries = append(slices.Clone(s.saved.Entries[:w.before(s.saved, o.Save.Entries[0].Index)]), o.Save.Entries...)
+	if len(o.State.Entries) > 0 {
+		s.state.Entries = append(slices.Clone(s.state.Entries[:w.entriesBefore(s.state, o.State.Entries[0].Index)]), o.State.Entries...)
 	}
-	if o.Save.Hard.Term > 0 {
-		s.saved.Hard = o.Save.Hard
+	if o.State.HardState.Term > 0 {
+		s.state.HardState = o.State.HardState
 	}
-	if at := o.Save.Snapshot.Metadata.Index; at > 0 {
-		s.saved.Snapshot = o.Save.Snapshot
-		s.saved.Entries = slices.Clone(s.saved.Entries[w.before(s.saved, at+1):])
+	if at := o.State.Snapshot.Metadata.Index; at > 0 {
+		s.state.Snapshot = o.State.Snapshot
+		s.state.Entries = slices.Clone(s.state.Entries[w.entriesBefore(s.state, at+1):])
 	}
 	return true
 }
 
-func (w *world) before(s *consensus.Saved, index uint64) int {
+func (w *cluster) entriesBefore(s *consensus.PersistentState, index uint64) int {
 	for i, e := range s.Entries {
 		if e.Index >= index {
 			return i
@@ -423,107 +423,107 @@
 	return len(s.Entries)
 }
 
-func (w *world) rounds(span timeunit.Milliseconds) {
+func (w *cluster) run(span timeunit.Milliseconds) {
 	for end := w.now + span; w.now < end; {
-		w.round()
+		w.step()
 	}
 }
 
-func (w *world) kill(i int) {
+func (w *cluster) stopServer(i int) {
 	s := w.servers[i]
-	if !s.down {
-		s.down = true
-		w.ghosts = append(w.ghosts, s.parts...)
-		s.parts = nil
+	if !s.isDown {
+		s.isDown = true
+		w.abandonedCalls = append(w.abandonedCalls, s.releaseTimes...)
+		s.releaseTimes = nil
 	}
 }
 
-func (w *world) trouble() {
-	i := w.chance.Intn(len(w.servers))
+func (w *cluster) injectFault() {
+	i := w.random.Intn(len(w.servers))
 	s := w.servers[i]
-	switch w.chance.Intn(13) {
+	switch w.random.Intn(13) {
 	case 0: // killed, perhaps begun again at once
-		if w.kill(i); w.chance.Intn(2) == 0 {
-			w.birth(i, false)
+		if w.stopServer(i); w.random.Intn(2) == 0 {
+			w.startServer(i, false)
 		}
 	case 1:
-		s.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(10000))
+		s.pausedUntil = w.now + timeunit.Milliseconds(w.random.Intn(10000))
 	case 2: // any groups
 		of := make([]int, len(w.servers))
 		for k := range of {
-			of[k] = w.chance.Intn(2 + w.chance.Intn(2))
+			of[k] = w.random.Intn(2 + w.random.Intn(2))
 		}
 		for a := range of {
 			for b := range of {
-				w.cut[[2]int{a, b}] = of[a] != of[b]
+				w.blocked[[2]int{a, b}] = of[a] != of[b]
 			}
 		}
 	case 3:
-		w.cut[[2]int{i, w.chance.Intn(len(w.servers))}] = true
+		w.blocked[[2]int{i, w.random.Intn(len(w.servers))}] = true
 	case 4, 5:
-		clear(w.cut)
-		w.loss = 0
+		clear(w.blocked)
+		w.lossRate = 0
 	case 6:
-		w.loss = w.chance.Float64() * 0.4
+		w.lossRate = w.random.Float64() * 0.4
 	case 7:
-		w.mend()
+		w.restartStopped()
 	case 8: // one asks for everything
-		s.load = 10 * w.limit.Whole
+		s.load = 10 * w.limit.Total
 	case 9:
 		for _, o := range w.servers {
-			o.load = quota.Amount(w.chance.Intn(30)) * quota.Unit
+			o.load = quota.Amount(w.random.Intn(30)) * quota.Unit
 		}
 	case 10: // the whole is set anew while in use, at one server first
 		s.revision = uint64(w.now)
-		s.wholes = w.limit.Whole * quota.Amount(1+w.chance.Intn(4)) / 2
+		s.total = w.limit.Total * quota.Amount(1+w.random.Intn(4)) / 2
 	case 11: // its disk is gone, full or slow
-		if s.disk = w.chance.Intn(3); w.chance.Intn(3) == 0 {
-			s.saved = nil
-			w.kill(i)
+		if s.disk = w.random.Intn(3); w.random.Intn(3) == 0 {
+			s.state = nil
+			w.stopServer(i)
 		}
 	case 12: // who leads stands still or dies
 		for k, o := range w.servers {
-			if o.core.Leads() && !o.down {
-				if w.chance.Intn(2) == 0 {
-					o.stopped = w.now + 5000
+			if o.coordinator.IsLeader() && !o.isDown {
+				if w.random.Intn(2) == 0 {
+					o.pausedUntil = w.now + 5000
 				} else {
-					w.kill(k)
+					w.stopServer(k)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) mend() {
+func (w *cluster) restartStopped() {
 	for k, m := range w.servers {
-		if m.disk = 0; m.down {
-			w.birth(k, false)
+		if m.disk = 0; m.isDown {
+			w.startServer(k, false)
 		}
 	}
 }
 
-// playSchedule plays the faults that a seed draws, mends everything and plays on; it records what happens where a history is given.
-func playSchedule(t *testing.T, seed int, history *golden.History) *world {
+// runSchedule plays the faults that a seed draws, mends everything and plays on; it records what happens where a history is given.
+func runSchedule(t *testing.T, seed int, history *golden.History) *cluster {
 	t.Helper()
-	w := newWorld(int64(seed), 3+seed%6, seed%2 == 1)
+	w := newCluster(int64(seed), 3+seed%6, seed%2 == 1)
 	w.history = history
-	w.rounds(12000)
+	w.run(12000)
 	for range 12 {
-		w.trouble()
-		w.rounds(timeunit.Milliseconds(200 + w.chance.Intn(5000)))
-		require.Zero(t, w.over, "seed %d at %d", seed, w.now)
+		w.injectFault()
+		w.run(timeunit.Milliseconds(200 + w.random.Intn(5000)))
+		require.Zero(t, w.violations, "seed %d at %d", seed, w.now)
 	}
-	clear(w.cut)
-	w.loss = 0
-	w.mend()
+	clear(w.blocked)
+	w.lossRate = 0
+	w.restartStopped()
 	for _, s := range w.servers {
-		s.stopped, s.load = 0, 20*quota.Unit
-		s.wholes, s.revision = w.limit.Whole, uint64(w.now)
+		s.pausedUntil, s.load = 0, 20*quota.Unit
+		s.total, s.revision = w.limit.Total, uint64(w.now)
 	}
-	w.rounds(25000)
-	w.used, w.wholes = 0, 0
-	w.rounds(5000)
-	require.Zero(t, w.over, "seed %d at the end", seed)
+	w.run(25000)
+	w.usedSum, w.totalSum = 0, 0
+	w.run(5000)
+	require.Zero(t, w.violations, "seed %d at the end", seed)
 	return w
 }
 
@@ -536,11 +536,11 @@
 	}
 	looks, turns, granted, healed := 0, 0, 0, 0
 	for seed := range seeds {
-		w := playSchedule(t, seed, nil)
-		if 10*w.used > 7*w.wholes {
+		w := runSchedule(t, seed, nil)
+		if 10*w.usedSum > 7*w.totalSum {
 			healed++
 		}
-		looks, turns, granted = looks+w.looks, turns+w.turns, granted+w.granted
+		looks, turns, granted = looks+w.checks, turns+w.leaderChanges, granted+w.leasesGranted
 	}
 	t.Logf("measured keepers-schedules seeds=%d looks=%d over=0 leaders=%d granted=%d healed=%d", seeds, looks, turns, granted, healed)
 	require.Greater(t, turns, seeds)
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -20,286 +20,286 @@
 // Unit is one call in hand, or one call a second.
 const Unit Amount = 1000
 
-// Terms are what one limit is kept by, the same at all keepers and servers.
-type Terms struct {
-	Whole  Amount
-	Floor  Amount                // what each slot may use without asking, for ever; of the whole, what is not floors is granted
-	Slots  int                   // servers that may exist; 0 floors for others
-	Length timeunit.Milliseconds // of a grant, from when it was asked for
-	Linger timeunit.Milliseconds // how long what was begun under a grant may outlast it
-	Drift  float64               // how much faster one clock may run than another, as a part
-	Least  Amount                // a newcomer's first part, as far as there is room
-	Still  float64               // a wish that differs from the grant by less than this part moves nothing
-	Rate   bool                  // units a second, not in hand
-	Grain  Amount                // grants are whole numbers of this; 0 where any amount will do
+// LimitConfig are what one limit is kept by, the same at all keepers and servers.
+type LimitConfig struct {
+	Total             Amount
+	GuaranteedMinimum Amount                // what each slot may use without asking, for ever; of the whole, what is not floors is granted
+	Slots             int                   // servers that may exist; 0 floors for others
+	LeaseDuration     timeunit.Milliseconds // of a grant, from when it was asked for
+	GracePeriod       timeunit.Milliseconds // how long what was begun under a grant may outlast it
+	ClockDrift        float64               // how much faster one clock may run than another, as a part
+	InitialAmount     Amount                // a newcomer's first part, as far as there is room
+	Hysteresis        float64               // a wish that differs from the grant by less than this part moves nothing
+	IsRate            bool                  // units a second, not in hand
+	Granularity       Amount                // grants are whole numbers of this; 0 where any amount will do
 }
 
 // Sane says whether the terms can hold: floors for all slots leave something of the whole.
-func (t *Terms) Sane() bool {
-	return t.Whole > 0 && t.Floor >= 0 && t.Slots >= 0 && Amount(t.Slots)*t.Floor <= t.Whole && t.Length > 0 && t.Linger >= 0 &&
-		t.Drift >= 0 && t.Drift < 0.5 && t.Least >= 0 && t.Still >= 0 && t.Still < 1
+func (t *LimitConfig) Sane() bool {
+	return t.Total > 0 && t.GuaranteedMinimum >= 0 && t.Slots >= 0 && Amount(t.Slots)*t.GuaranteedMinimum <= t.Total && t.LeaseDuration > 0 && t.GracePeriod >= 0 &&
+		t.ClockDrift >= 0 && t.ClockDrift < 0.5 && t.InitialAmount >= 0 && t.Hysteresis >= 0 && t.Hysteresis < 1
 }
 
 // Free is what of the whole is granted, floors taken off.
-func (t *Terms) free() Amount { return t.Whole - Amount(t.Slots)*t.Floor }
+func (t *LimitConfig) allocatable() Amount { return t.Total - Amount(t.Slots)*t.GuaranteedMinimum }
 
-// Entry is one decision, as keepers apply it: from now on so much is granted to a server, under a number that grows; or the
+// Change is one decision, as keepers apply it: from now on so much is granted to a server, under a number that grows; or the
 // whole is another.
-type Entry struct {
-	Server string `cbor:"1,keyasint,omitempty"`
-	Serial uint64 `cbor:"2,keyasint,omitempty"`
-	Amount Amount `cbor:"3,keyasint,omitempty"`
-	Whole  Amount `cbor:"4,keyasint,omitempty"` // of an entry that names no server
-	Over   bool   `cbor:"5,keyasint,omitempty"` // the grant is over on every clock: only now others may have it
-	Limit  int    `cbor:"6,keyasint,omitempty"` // of which limit, in a Decision
+type Change struct {
+	Server       string `cbor:"1,keyasint,omitempty"`
+	LeaseVersion uint64 `cbor:"2,keyasint,omitempty"`
+	Amount       Amount `cbor:"3,keyasint,omitempty"`
+	Total        Amount `cbor:"4,keyasint,omitempty"` // of an entry that names no server
+	Expired      bool   `cbor:"5,keyasint,omitempty"` // the grant is over on every clock: only now others may have it
+	LimitIndex   int    `cbor:"6,keyasint,omitempty"` // of which limit, in a Decision
 }
 
-// Request is what a server asks, a few times in the length of a grant.
-type Request struct {
-	Server string                `cbor:"1,keyasint"`
-	Asked  timeunit.Milliseconds `cbor:"2,keyasint"` // by the server's clock, given back as it came
-	Holds  uint64                `cbor:"3,keyasint"` // the number of the grant that it keeps to, with all that it has in hand
-	Wants  Amount                `cbor:"4,keyasint"` // beyond its floor
-	Needs  Amount                `cbor:"6,keyasint"` // of that, what it would surely use: the rest is room to grow, where nobody needs it
-	Log    uint64                `cbor:"5,keyasint"` // whose number that is
+// LimitRequest is what a server asks, a few times in the length of a grant.
+type LimitRequest struct {
+	Server      string                `cbor:"1,keyasint"`
+	RequestedAt timeunit.Milliseconds `cbor:"2,keyasint"` // by the server's clock, given back as it came
+	HeldVersion uint64                `cbor:"3,keyasint"` // the number of the grant that it keeps to, with all that it has in hand
+	Desired     Amount                `cbor:"4,keyasint"` // beyond its floor
+	Required    Amount                `cbor:"6,keyasint"` // of that, what it would surely use: the rest is room to grow, where nobody needs it
+	LogID       uint64                `cbor:"5,keyasint"` // whose number that is
 }
 
-// Answer is what it is told.
-type Answer struct {
-	Asked  timeunit.Milliseconds `cbor:"1,keyasint"`
-	Serial uint64                `cbor:"2,keyasint"`
-	Amount Amount                `cbor:"3,keyasint"`
-	Length timeunit.Milliseconds `cbor:"4,keyasint"`
-	Log    uint64                `cbor:"5,keyasint"` // serials of different logs are not to be compared
+// LimitResponse is what it is told.
+type LimitResponse struct {
+	RequestedAt   timeunit.Milliseconds `cbor:"1,keyasint"`
+	LeaseVersion  uint64                `cbor:"2,keyasint"`
+	Amount        Amount                `cbor:"3,keyasint"`
+	LeaseDuration timeunit.Milliseconds `cbor:"4,keyasint"`
+	LogID         uint64                `cbor:"5,keyasint"` // serials of different logs are not to be compared
 }
 
-// grant is what a server may hold: every amount under a number that it may not have left yet counts.
-type grant struct {
-	serial uint64
-	amount Amount
-	older  []older
-	until  timeunit.Milliseconds // by the elected keeper's clock; nothing of it is usable after
-	wants  Amount
-	needs  Amount
-	heard  timeunit.Milliseconds // when it last asked
+// lease is what a server may hold: every amount under a number that it may not have left yet counts.
+type lease struct {
+	version       uint64
+	amount        Amount
+	previous      []previousLease
+	expiresAt     timeunit.Milliseconds // by the elected keeper's clock; nothing of it is usable after
+	desired       Amount
+	required      Amount
+	lastRequestAt timeunit.Milliseconds // when it last asked
 }
 
-type older struct {
-	serial uint64
-	amount Amount
+type previousLease struct {
+	version uint64
+	amount  Amount
 }
 
-// counts is the most that the server may be using.
-func (g *grant) counts() Amount {
+// outstanding is the most that the server may be using.
+func (g *lease) outstanding() Amount {
 	most := g.amount
-	for _, o := range g.older {
+	for _, o := range g.previous {
 		most = max(most, o.amount)
 	}
 	return most
 }
 
-// Keeper is one keeper's state of one limit.
-type Keeper struct {
-	terms   Terms
-	log     uint64
-	target  Amount // the whole as it was set last; terms.Whole is what is in force
-	grants  map[string]*grant
-	serial  uint64
-	elected bool
-	now     timeunit.Milliseconds
-	pending map[string]Amount // decided and not applied yet
-	set     Amount            // the whole that is to be, 0 for none: nothing is granted between its entry and its taking effect
-	setting bool
+// Allocator is one keeper's state of one limit.
+type Allocator struct {
+	config             LimitConfig
+	logID              uint64
+	targetTotal        Amount // the whole as it was set last; terms.Whole is what is in force
+	leases             map[string]*lease
+	lastVersion        uint64
+	isLeader           bool
+	now                timeunit.Milliseconds
+	pending            map[string]Amount // decided and not applied yet
+	requestedTotal     Amount            // the whole that is to be, 0 for none: nothing is granted between its entry and its taking effect
+	totalChangePending bool
 }
 
-// NewKeeper keeps a limit of which nothing is granted, by a log.
-func NewKeeper(t Terms, log uint64) *Keeper {
-	return &Keeper{terms: t, log: log, target: t.Whole, grants: map[string]*grant{}, pending: map[string]Amount{}}
+// NewAllocator keeps a limit of which nothing is granted, by a log.
+func NewAllocator(t LimitConfig, log uint64) *Allocator {
+	return &Allocator{config: t, logID: log, targetTotal: t.Total, leases: map[string]*lease{}, pending: map[string]Amount{}}
 }
 
-func (k *Keeper) span() timeunit.Milliseconds {
-	return timeunit.Milliseconds(float64(k.terms.Length)*(1+k.terms.Drift)) + k.terms.Linger + 1
+func (k *Allocator) maxLeaseSpan() timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(k.config.LeaseDuration)*(1+k.config.ClockDrift)) + k.config.GracePeriod + 1
 }
 
-// Elected: this keeper decides from now on, or no longer. It cannot know when grants were given out before, so all count for
+// SetLeader: this keeper decides from now on, or no longer. It cannot know when grants were given out before, so all count for
 // their whole length from now.
-func (k *Keeper) Elected(is bool, now timeunit.Milliseconds) {
-	k.elected, k.now, k.set, k.setting = is, now, 0, false
+func (k *Allocator) SetLeader(is bool, now timeunit.Milliseconds) {
+	k.isLeader, k.now, k.requestedTotal, k.totalChangePending = is, now, 0, false
 	clear(k.pending)
-	for _, g := range k.grants {
-		g.until, g.wants, g.needs, g.heard = now+k.span(), g.amount, g.amount, now
+	for _, g := range k.leases {
+		g.expiresAt, g.desired, g.required, g.lastRequestAt = now+k.maxLeaseSpan(), g.amount, g.amount, now
 	}
 }
 
 // Apply takes an entry that was agreed on, in the order of all keepers.
-func (k *Keeper) Apply(e Entry, now timeunit.Milliseconds) {
+func (k *Allocator) Apply(e Change, now timeunit.Milliseconds) {
 	k.now = max(k.now, now)
 	if e.Server == "" {
-		k.target, k.setting = max(e.Whole, Amount(k.terms.Slots)*k.terms.Floor), false // floors are used without asking
-		k.settle()
+		k.targetTotal, k.totalChangePending = max(e.Total, Amount(k.config.Slots)*k.config.GuaranteedMinimum), false // floors are used without asking
+		k.updateEffectiveTotal()
 		return
 	}
 	delete(k.pending, e.Server)
-	k.serial = max(k.serial, e.Serial)
-	g := k.grants[e.Server]
+	k.lastVersion = max(k.lastVersion, e.LeaseVersion)
+	g := k.leases[e.Server]
 	if g == nil {
-		g = &grant{}
-		k.grants[e.Server] = g
+		g = &lease{}
+		k.leases[e.Server] = g
 	}
-	if e.Over {
-		if g.amount, g.older, g.serial = 0, nil, 0; !k.elected || k.now-g.heard > k.span() {
-			delete(k.grants, e.Server)
+	if e.Expired {
+		if g.amount, g.previous, g.version = 0, nil, 0; !k.isLeader || k.now-g.lastRequestAt > k.maxLeaseSpan() {
+			delete(k.leases, e.Server)
 		}
-		k.settle()
+		k.updateEffectiveTotal()
 		return
 	}
 	if g.amount > 0 {
-		g.older = append(g.older, older{g.serial, g.amount})
+		g.previous = append(g.previous, previousLease{g.version, g.amount})
 	}
-	g.serial, g.amount, g.until = e.Serial, e.Amount, k.now+k.span()
+	g.version, g.amount, g.expiresAt = e.LeaseVersion, e.Amount, k.now+k.maxLeaseSpan()
 }
 
-// settle has the whole in force follow what was set: larger at once, smaller as far as what is out allows.
-func (k *Keeper) settle() {
-	floors := Amount(k.terms.Slots) * k.terms.Floor
-	k.terms.Whole = max(k.target, min(k.terms.Whole, floors+k.reserved()))
+// updateEffectiveTotal has the whole in force follow what was set: larger at once, smaller as far as what is out allows.
+func (k *Allocator) updateEffectiveTotal() {
+	floors := Amount(k.config.Slots) * k.config.GuaranteedMinimum
+	k.config.Total = max(k.targetTotal, min(k.config.Total, floors+k.reserved()))
 }
 
-// Out is the sum of what may be in use beyond floors.
-func (k *Keeper) Out() (sum Amount) {
-	for _, g := range k.grants {
-		sum += g.counts()
+// Outstanding is the sum of what may be in use beyond floors.
+func (k *Allocator) Outstanding() (sum Amount) {
+	for _, g := range k.leases {
+		sum += g.outstanding()
 	}
 	return sum
 }
 
 // reserved is that sum with all that is under way: a grant that was decided when an older one counted as much must still
 // have its room when that one is over.
-func (k *Keeper) reserved() (sum Amount) {
-	sum = k.Out()
+func (k *Allocator) reserved() (sum Amount) {
+	sum = k.Outstanding()
 	for name, amount := range k.pending {
 		sum += amount
-		if g := k.grants[name]; g != nil {
-			sum -= min(amount, g.counts())
+		if g := k.leases[name]; g != nil {
+			sum -= min(amount, g.outstanding())
 		}
 	}
 	return sum
 }
 
-// Whole is what is in force: what was set, or more until old grants have run out.
-func (k *Keeper) Whole() Amount { return k.terms.Whole }
+// EffectiveTotal is what is in force: what was set, or more until old grants have run out.
+func (k *Allocator) EffectiveTotal() Amount { return k.config.Total }
 
-// Set asks for another whole, at the keeper that is elected: larger at once, smaller as old grants run out.
-func (k *Keeper) Set(whole Amount) { k.set = whole }
+// RequestTotal asks for another whole, at the keeper that is elected: larger at once, smaller as old grants run out.
+func (k *Allocator) RequestTotal(whole Amount) { k.requestedTotal = whole }
 
-// Ask takes a server's request. The answer is what is granted now and holds from when it was asked; a change comes by
+// HandleRequest takes a server's request. The answer is what is granted now and holds from when it was asked; a change comes by
 // Decide, and with a later answer. Without a grant there is no answer yet.
-func (k *Keeper) Ask(r Request, now timeunit.Milliseconds) (a Answer, granted bool) {
+func (k *Allocator) HandleRequest(r LimitRequest, now timeunit.Milliseconds) (a LimitResponse, granted bool) {
 	k.now = max(k.now, now)
-	if !k.elected || r.Server == "" || r.Wants < 0 || r.Needs < 0 || r.Needs > r.Wants {
+	if !k.isLeader || r.Server == "" || r.Desired < 0 || r.Required < 0 || r.Required > r.Desired {
 		return a, false
 	}
-	g := k.grants[r.Server]
+	g := k.leases[r.Server]
 	if g == nil {
-		if len(k.grants) >= mostServers {
+		if len(k.leases) >= maxServers {
 			return a, false
 		}
-		g = &grant{}
-		k.grants[r.Server] = g
+		g = &lease{}
+		k.leases[r.Server] = g
 	}
-	g.wants, g.needs, g.heard = min(r.Wants, k.terms.Whole), min(r.Needs, k.terms.Whole), k.now
+	g.desired, g.required, g.lastRequestAt = min(r.Desired, k.config.Total), min(r.Required, k.config.Total), k.now
 	// What it says that it keeps to takes all older amounts off, as it has nothing in hand beyond it.
-	if r.Log == k.log {
-		g.older = slices.DeleteFunc(g.older, func(o older) bool { return o.serial < r.Holds || r.Holds == g.serial })
+	if r.LogID == k.logID {
+		g.previous = slices.DeleteFunc(g.previous, func(o previousLease) bool { return o.version < r.HeldVersion || r.HeldVersion == g.version })
 	}
-	k.settle()
-	if g.serial == 0 || k.isPending(r.Server) || g.until <= k.now {
+	k.updateEffectiveTotal()
+	if g.version == 0 || k.isPending(r.Server) || g.expiresAt <= k.now {
 		return a, false // none yet, or it is over and is being taken back
 	}
-	g.until = max(g.until, k.now+k.span())
-	return Answer{Log: k.log, Asked: r.Asked, Serial: g.serial, Amount: g.amount, Length: k.terms.Length}, true
+	g.expiresAt = max(g.expiresAt, k.now+k.maxLeaseSpan())
+	return LimitResponse{LogID: k.logID, RequestedAt: r.RequestedAt, LeaseVersion: g.version, Amount: g.amount, LeaseDuration: k.config.LeaseDuration}, true
 }
 
-func (k *Keeper) isPending(server string) bool {
+func (k *Allocator) isPending(server string) bool {
 	_, is := k.pending[server]
 	return is
 }
 
-const mostServers = 4096
+const maxServers = 4096
 
-// Decide gives what should be agreed on next: few changes, those that give back first, never more than is free by what is
+// NextChanges gives what should be agreed on next: few changes, those that give back first, never more than is free by what is
 // applied and what is under way. It is to be called some times in the length of a grant.
-func (k *Keeper) Decide(now timeunit.Milliseconds) (entries []Entry) {
+func (k *Allocator) NextChanges(now timeunit.Milliseconds) (entries []Change) {
 	k.now = max(k.now, now)
-	if !k.elected || k.setting {
+	if !k.isLeader || k.totalChangePending {
 		return nil
 	}
-	if k.set > 0 { // by itself: a grant reckoned by the whole before must not come after it
+	if k.requestedTotal > 0 { // by itself: a grant reckoned by the whole before must not come after it
 		if len(k.pending) == 0 {
-			entries, k.set, k.setting = []Entry{{Whole: k.set}}, 0, true
+			entries, k.requestedTotal, k.totalChangePending = []Change{{Total: k.requestedTotal}}, 0, true
 		}
 		return entries
 	}
-	for _, name := range slices.Sorted(maps.Keys(k.grants)) {
-		if g := k.grants[name]; g.until <= k.now && g.counts() > 0 && !k.isPending(name) {
-			k.serial++
+	for _, name := range slices.Sorted(maps.Keys(k.leases)) {
+		if g := k.leases[name]; g.expiresAt <= k.now && g.outstanding() > 0 && !k.isPending(name) {
+			k.lastVersion++
 			k.pending[name] = 0
-			entries = append(entries, Entry{Server: name, Serial: k.serial, Over: true})
-		} else if g.counts() == 0 && k.now-g.heard > k.span() && !k.isPending(name) {
-			delete(k.grants, name)
+			entries = append(entries, Change{Server: name, LeaseVersion: k.lastVersion, Expired: true})
+		} else if g.outstanding() == 0 && k.now-g.lastRequestAt > k.maxLeaseSpan() && !k.isPending(name) {
+			delete(k.leases, name)
 		}
 	}
-	aims := k.aims()
-	room := min(k.target, k.terms.Whole) - Amount(k.terms.Slots)*k.terms.Floor - k.reserved()
-	for _, name := range slices.Sorted(maps.Keys(k.grants)) {
-		g, aim := k.grants[name], aims[name]
+	aims := k.targetAmounts()
+	room := min(k.targetTotal, k.config.Total) - Amount(k.config.Slots)*k.config.GuaranteedMinimum - k.reserved()
+	for _, name := range slices.Sorted(maps.Keys(k.leases)) {
+		g, aim := k.leases[name], aims[name]
 		off := aim - g.amount
 		switch {
-		case k.isPending(name) || len(g.older) >= mostOlder || off == 0:
+		case k.isPending(name) || len(g.previous) >= maxPreviousLeases || off == 0:
 			continue
-		case off > 0 && g.serial > 0 && float64(off) < k.terms.Still*float64(g.amount):
+		case off > 0 && g.version > 0 && float64(off) < k.config.Hysteresis*float64(g.amount):
 			continue
-		case off < 0 && float64(-off) < k.terms.Still*float64(g.amount) && aim > 0 && k.terms.Whole == k.target:
+		case off < 0 && float64(-off) < k.config.Hysteresis*float64(g.amount) && aim > 0 && k.config.Total == k.targetTotal:
 			continue
 		case off > 0 && room < 0: // an older amount that counts here may be another's by now, as a keeper before this one knew
 			continue
 		case off > 0:
-			more := aim - max(g.amount, g.counts())
+			more := aim - max(g.amount, g.outstanding())
 			if more > room {
-				aim = k.whole(aim - (more - max(0, room)))
+				aim = k.roundDown(aim - (more - max(0, room)))
 			}
 			if aim <= g.amount {
 				continue
 			}
-			room -= max(0, aim-g.counts())
+			room -= max(0, aim-g.outstanding())
 		}
-		k.serial++
+		k.lastVersion++
 		k.pending[name] = aim
-		entries = append(entries, Entry{Server: name, Serial: k.serial, Amount: aim})
+		entries = append(entries, Change{Server: name, LeaseVersion: k.lastVersion, Amount: aim})
 	}
 	return entries
 }
 
-func (k *Keeper) undecided(e Entry) {
+func (k *Allocator) proposalFailed(e Change) {
 	if e.Server == "" {
-		k.set, k.setting = e.Whole, false
+		k.requestedTotal, k.totalChangePending = e.Total, false
 		return
 	}
 	delete(k.pending, e.Server)
 }
 
-const mostOlder = 4
+const maxPreviousLeases = 4
 
-// aims divides what is free: max-min among those who ask, by what they need, what is left of it by what they want.
-func (k *Keeper) aims() map[string]Amount {
-	aims := make(map[string]Amount, len(k.grants))
-	left := max(0, k.target-Amount(k.terms.Slots)*k.terms.Floor)
-	for _, wish := range []func(*grant) Amount{k.need, k.wish} {
-		more := func(name string) Amount { return max(0, wish(k.grants[name])-aims[name]) }
-		names := slices.Sorted(maps.Keys(k.grants))
+// targetAmounts divides what is free: max-min among those who ask, by what they need, what is left of it by what they want.
+func (k *Allocator) targetAmounts() map[string]Amount {
+	aims := make(map[string]Amount, len(k.leases))
+	left := max(0, k.targetTotal-Amount(k.config.Slots)*k.config.GuaranteedMinimum)
+	for _, wish := range []func(*lease) Amount{k.requiredAmount, k.desiredAmount} {
+		more := func(name string) Amount { return max(0, wish(k.leases[name])-aims[name]) }
+		names := slices.Sorted(maps.Keys(k.leases))
 		slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(more(a), more(b)) })
 		for i, name := range names {
-			part := k.whole(min(more(name), left/Amount(len(names)-i)))
+			part := k.roundDown(min(more(name), left/Amount(len(names)-i)))
 			aims[name] += part
 			left -= part
 		}
@@ -307,18 +307,22 @@
 	return aims
 }
 
-// whole rounds down to what can be granted.
-func (k *Keeper) whole(a Amount) Amount { return a - a%max(1, k.terms.Grain) }
+// roundDown rounds down to what can be granted.
+func (k *Allocator) roundDown(a Amount) Amount { return a - a%max(1, k.config.Granularity) }
 
-// wish is what a server asks for, at least the first part: it cannot know what it could use before it has some.
-func (k *Keeper) wish(g *grant) Amount { return k.up(max(g.wants, k.terms.Least)) }
+// desiredAmount is what a server asks for, at least the first part: it cannot know what it could use before it has some.
+func (k *Allocator) desiredAmount(g *lease) Amount {
+	return k.roundUp(max(g.desired, k.config.InitialAmount))
+}
 
-// need is what it would surely use; a newcomer's is a first part, before it can know.
-func (k *Keeper) need(g *grant) Amount {
-	if g.needs == 0 && g.serial > 0 {
+// requiredAmount is what it would surely use; a newcomer's is a first part, before it can know.
+func (k *Allocator) requiredAmount(g *lease) Amount {
+	if g.required == 0 && g.version > 0 {
 		return 0
 	}
-	return k.up(max(g.needs, k.terms.Least))
+	return k.roundUp(max(g.required, k.config.InitialAmount))
 }
 
-func (k *Keeper) up(a Amount) Amount { return k.whole(a + max(1, k.terms.Grain) - 1) }
+func (k *Allocator) roundUp(a Amount) Amount {
+	return k.roundDown(a + max(1, k.config.Granularity) - 1)
+}
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -11,24 +11,24 @@
 	"thistlequay/timeunit"
 )
 
-// world is keepers and holders in virtual time: one log, keepers that are elected and deposed with what they have under way lost,
+// cluster is keepers and holders in virtual time: one log, keepers that are elected and deposed with what they have under way lost,
 // requests and answers that are lost, late and come again, clocks that run apart, holders that stand still with parts in hand.
-type world struct {
-	chance  *rand.Rand
-	now     timeunit.Milliseconds // true time
-	terms   Terms
-	keepers []*Keeper
-	behind  []int // entries of the log that each keeper has applied
-	log     []Entry
-	leader  int // -1: none
-	holders []*player
-	mail    []letter
-	over    int
-	looks   int
-	force   Amount // the whole as the last keeper that was elected had it
-	used    Amount
-	wholes  Amount
-	history *golden.History // nil: nothing is recorded
+type cluster struct {
+	random         *rand.Rand
+	now            timeunit.Milliseconds // true time
+	config         LimitConfig
+	allocators     []*Allocator
+	applied        []int // entries of the log that each keeper has applied
+	log            []Change
+	leader         int // -1: none
+	servers        []*server
+	inFlight       []envelope
+	violations     int
+	checks         int
+	effectiveTotal Amount // the whole as the last keeper that was elected had it
+	usedSum        Amount
+	totalSum       Amount
+	history        *golden.History // nil: nothing is recorded
 }
 
 // What a record of the history is about; the numbers are part of the golden files.
@@ -40,199 +40,199 @@
 	eventRound
 )
 
-func (w *world) record(values ...any) {
+func (w *cluster) record(values ...any) {
 	if w.history != nil {
 		w.history.Add(values...)
 	}
 }
 
-type player struct {
-	holder  *Holder
-	rate    float64
-	offset  timeunit.Milliseconds
-	stopped timeunit.Milliseconds
-	gone    bool
-	load    Amount
-	parts   []timeunit.Milliseconds // ends of what is in hand, by true time
+type server struct {
+	holder       *LeaseHolder
+	clockRate    float64
+	clockOffset  timeunit.Milliseconds
+	pausedUntil  timeunit.Milliseconds
+	isDown       bool
+	load         Amount
+	releaseTimes []timeunit.Milliseconds // ends of what is in hand, by true time
 }
 
-type letter struct {
-	at      timeunit.Milliseconds
-	holder  int
-	of      *Holder // the life that it is for
-	request *Request
-	answer  *Answer
+type envelope struct {
+	deliverAt timeunit.Milliseconds
+	server    int
+	addressee *LeaseHolder // the life that it is for
+	request   *LimitRequest
+	response  *LimitResponse
 }
 
-func (w *world) clock(p *player) timeunit.Milliseconds {
-	return timeunit.Milliseconds(float64(w.now)*p.rate) + p.offset
+func (w *cluster) clock(p *server) timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(w.now)*p.clockRate) + p.clockOffset
 }
-func (w *world) keeperClock(i int) timeunit.Milliseconds {
+func (w *cluster) allocatorClock(i int) timeunit.Milliseconds {
 	return timeunit.Milliseconds(float64(w.now)*(1+0.03*float64(i-1))) + timeunit.Milliseconds(i)*100000
 }
 
-func newWorld(seed int64, servers int) *world {
-	w := &world{chance: rand.New(rand.NewSource(seed)), leader: -1, force: Amount(servers) * 10 * Unit, terms: Terms{Whole: Amount(servers) * 10 * Unit, Floor: Unit,
-		Slots: servers, Length: 2000, Linger: 500, Drift: 0.1, Least: Unit, Still: 0.1}}
+func newCluster(seed int64, servers int) *cluster {
+	w := &cluster{random: rand.New(rand.NewSource(seed)), leader: -1, effectiveTotal: Amount(servers) * 10 * Unit, config: LimitConfig{Total: Amount(servers) * 10 * Unit, GuaranteedMinimum: Unit,
+		Slots: servers, LeaseDuration: 2000, GracePeriod: 500, ClockDrift: 0.1, InitialAmount: Unit, Hysteresis: 0.1}}
 	for range 3 {
-		w.keepers = append(w.keepers, NewKeeper(w.terms, 1))
-		w.behind = append(w.behind, 0)
+		w.allocators = append(w.allocators, NewAllocator(w.config, 1))
+		w.applied = append(w.applied, 0)
 	}
 	for i := range servers {
-		w.holders = append(w.holders, &player{rate: 1 + 0.08*(w.chance.Float64()-0.5), offset: timeunit.Milliseconds(w.chance.Intn(1e6))})
-		w.birth(i)
+		w.servers = append(w.servers, &server{clockRate: 1 + 0.08*(w.random.Float64()-0.5), clockOffset: timeunit.Milliseconds(w.random.Intn(1e6))})
+		w.startServer(i)
 	}
 	return w
 }
 
-func (w *world) birth(i int) {
-	p := w.holders[i]
-	p.holder, p.gone, p.parts, p.stopped = NewHolder(string(rune('A'+i)), w.terms, true, 0), false, nil, 0
+func (w *cluster) startServer(i int) {
+	p := w.servers[i]
+	p.holder, p.isDown, p.releaseTimes, p.pausedUntil = NewLeaseHolder(string(rune('A'+i)), w.config, true, 0), false, nil, 0
 }
 
-func (w *world) elect(i int) {
+func (w *cluster) elect(i int) {
 	if w.leader >= 0 {
-		w.keepers[w.leader].Elected(false, w.keeperClock(w.leader))
+		w.allocators[w.leader].SetLeader(false, w.allocatorClock(w.leader))
 	}
 	if w.leader = i; i >= 0 {
-		w.catchUp(i)
-		w.keepers[i].Elected(true, w.keeperClock(i))
+		w.applyCommitted(i)
+		w.allocators[i].SetLeader(true, w.allocatorClock(i))
 	}
 }
 
-func (w *world) catchUp(i int) {
-	for ; w.behind[i] < len(w.log); w.behind[i]++ {
-		w.keepers[i].Apply(w.log[w.behind[i]], w.keeperClock(i))
+func (w *cluster) applyCommitted(i int) {
+	for ; w.applied[i] < len(w.log); w.applied[i]++ {
+		w.allocators[i].Apply(w.log[w.applied[i]], w.allocatorClock(i))
 	}
 }
 
-func (w *world) post(m letter) {
+func (w *cluster) send(m envelope) {
 	if r := m.request; r != nil {
-		w.record(eventRequest, m.holder, r.Server, int64(r.Asked), r.Holds, r.Wants, r.Needs, r.Log)
+		w.record(eventRequest, m.server, r.Server, int64(r.RequestedAt), r.HeldVersion, r.Desired, r.Required, r.LogID)
 	}
-	if a := m.answer; a != nil {
-		w.record(eventAnswer, m.holder, int64(a.Asked), a.Serial, a.Amount, int64(a.Length), a.Log)
+	if a := m.response; a != nil {
+		w.record(eventAnswer, m.server, int64(a.RequestedAt), a.LeaseVersion, a.Amount, int64(a.LeaseDuration), a.LogID)
 	}
-	for range 1 + w.chance.Intn(10)/9 {
-		if w.chance.Intn(8) > 0 {
-			m.at = w.now + timeunit.Milliseconds(1+w.chance.Intn(300))
-			w.mail = append(w.mail, m)
+	for range 1 + w.random.Intn(10)/9 {
+		if w.random.Intn(8) > 0 {
+			m.deliverAt = w.now + timeunit.Milliseconds(1+w.random.Intn(300))
+			w.inFlight = append(w.inFlight, m)
 		}
 	}
 }
 
-func (w *world) round() {
+func (w *cluster) step() {
 	w.now += 20
-	mail, later := w.mail, []letter(nil)
-	w.mail = nil
+	mail, later := w.inFlight, []envelope(nil)
+	w.inFlight = nil
 	for _, m := range mail {
-		p := w.holders[m.holder]
+		p := w.servers[m.server]
 		switch {
-		case m.at > w.now || m.answer != nil && p.stopped > w.now:
+		case m.deliverAt > w.now || m.response != nil && p.pausedUntil > w.now:
 			later = append(later, m)
 		case m.request != nil && w.leader >= 0:
-			if a, granted := w.keepers[w.leader].Ask(*m.request, w.keeperClock(w.leader)); granted {
-				w.post(letter{holder: m.holder, of: m.of, answer: &a})
+			if a, granted := w.allocators[w.leader].HandleRequest(*m.request, w.allocatorClock(w.leader)); granted {
+				w.send(envelope{server: m.server, addressee: m.addressee, response: &a})
 			}
-		case m.answer != nil && m.of == p.holder && !p.gone:
-			p.holder.Answered(*m.answer, w.clock(p))
+		case m.response != nil && m.addressee == p.holder && !p.isDown:
+			p.holder.HandleResponse(*m.response, w.clock(p))
 		}
 	}
-	w.mail = append(w.mail, later...)
+	w.inFlight = append(w.inFlight, later...)
 	if w.leader >= 0 {
-		for _, e := range w.keepers[w.leader].Decide(w.keeperClock(w.leader)) {
-			w.record(eventEntry, e.Server, e.Serial, e.Amount, e.Whole, e.Over, e.Limit)
+		for _, e := range w.allocators[w.leader].NextChanges(w.allocatorClock(w.leader)) {
+			w.record(eventEntry, e.Server, e.LeaseVersion, e.Amount, e.Total, e.Expired, e.LimitIndex)
 			w.log = append(w.log, e) // agreed on; others apply it when they come to it
 		}
-		w.catchUp(w.leader)
+		w.applyCommitted(w.leader)
 	}
 	sum := Amount(0)
-	for i, p := range w.holders {
-		live := p.parts[:0]
-		for _, end := range p.parts {
+	for i, p := range w.servers {
+		live := p.releaseTimes[:0]
+		for _, end := range p.releaseTimes {
 			if end > w.now {
 				live = append(live, end)
-			} else if !p.gone {
-				p.holder.End(Unit)
+			} else if !p.isDown {
+				p.holder.Release(Unit)
 			}
 		}
-		p.parts = live
-		inHand := Amount(len(p.parts)) * Unit
-		if p.gone || p.stopped > w.now {
-			sum += max(inHand, w.terms.Floor)
+		p.releaseTimes = live
+		inHand := Amount(len(p.releaseTimes)) * Unit
+		if p.isDown || p.pausedUntil > w.now {
+			sum += max(inHand, w.config.GuaranteedMinimum)
 			continue
 		}
-		for p.load > Amount(len(p.parts))*Unit && p.holder.Begin(Unit, w.clock(p)) {
-			p.parts = append(p.parts, w.now+timeunit.Milliseconds(50+w.chance.Intn(300)))
+		for p.load > Amount(len(p.releaseTimes))*Unit && p.holder.TryAcquire(Unit, w.clock(p)) {
+			p.releaseTimes = append(p.releaseTimes, w.now+timeunit.Milliseconds(50+w.random.Intn(300)))
 		}
-		if r, due := p.holder.Ask(w.clock(p)); due {
-			w.post(letter{holder: i, of: p.holder, request: &r})
+		if r, due := p.holder.NextRequest(w.clock(p)); due {
+			w.send(envelope{server: i, addressee: p.holder, request: &r})
 		}
-		w.used += Amount(len(p.parts)) * Unit
-		sum += max(p.holder.Usable(w.clock(p)), Amount(len(p.parts))*Unit)
-		w.record(eventHolder, i, p.holder.Usable(w.clock(p)), len(p.parts))
+		w.usedSum += Amount(len(p.releaseTimes)) * Unit
+		sum += max(p.holder.Usable(w.clock(p)), Amount(len(p.releaseTimes))*Unit)
+		w.record(eventHolder, i, p.holder.Usable(w.clock(p)), len(p.releaseTimes))
 	}
 	if w.leader >= 0 {
-		w.force = w.keepers[w.leader].Whole()
-		w.record(eventRound, int64(w.now), w.leader, w.force, w.keepers[w.leader].Out())
+		w.effectiveTotal = w.allocators[w.leader].EffectiveTotal()
+		w.record(eventRound, int64(w.now), w.leader, w.effectiveTotal, w.allocators[w.leader].Outstanding())
 	}
-	w.wholes += w.terms.Whole
-	w.looks++
-	if sum > w.force {
-		w.over++
+	w.totalSum += w.config.Total
+	w.checks++
+	if sum > w.effectiveTotal {
+		w.violations++
 	}
 }
 
-func (w *world) rounds(span timeunit.Milliseconds) {
+func (w *cluster) run(span timeunit.Milliseconds) {
 	for end := w.now + span; w.now < end; {
-		w.round()
+		w.step()
 	}
 }
 
-func (w *world) trouble() {
-	i := w.chance.Intn(len(w.holders))
-	p := w.holders[i]
-	switch w.chance.Intn(8) {
+func (w *cluster) injectFault() {
+	i := w.random.Intn(len(w.servers))
+	p := w.servers[i]
+	switch w.random.Intn(8) {
 	case 0:
-		w.elect(w.chance.Intn(len(w.keepers)))
+		w.elect(w.random.Intn(len(w.allocators)))
 	case 1:
 		w.elect(-1)
 	case 2:
-		p.stopped = w.now + timeunit.Milliseconds(w.chance.Intn(10000))
+		p.pausedUntil = w.now + timeunit.Milliseconds(w.random.Intn(10000))
 	case 3:
-		if p.gone = !p.gone; !p.gone {
-			w.birth(i)
+		if p.isDown = !p.isDown; !p.isDown {
+			w.startServer(i)
 		}
 	case 4: // one asks for everything, the others for what they had
-		p.load = w.terms.Whole
+		p.load = w.config.Total
 	case 5:
 		p.load = 0
 	case 7: // the whole is set anew while in use
 		if w.leader >= 0 {
-			w.keepers[w.leader].Set(w.terms.Whole * Amount(1+w.chance.Intn(4)) / 2)
+			w.allocators[w.leader].RequestTotal(w.config.Total * Amount(1+w.random.Intn(4)) / 2)
 		}
 	case 6:
-		for _, o := range w.holders {
-			o.load = Amount(w.chance.Intn(30)) * Unit
+		for _, o := range w.servers {
+			o.load = Amount(w.random.Intn(30)) * Unit
 		}
 	}
 }
 
-// playSchedule plays the faults that a seed draws, and records what happens where a history is given.
-func playSchedule(t *testing.T, seed int, history *golden.History) *world {
+// runSchedule plays the faults that a seed draws, and records what happens where a history is given.
+func runSchedule(t *testing.T, seed int, history *golden.History) *cluster {
 	t.Helper()
-	w := newWorld(int64(seed), 3+seed%10)
+	w := newCluster(int64(seed), 3+seed%10)
 	w.history = history
 	w.elect(0)
 	for range 25 {
-		w.trouble()
-		w.rounds(timeunit.Milliseconds(100 + w.chance.Intn(4000)))
-		require.Zero(t, w.over, "seed %d", seed)
+		w.injectFault()
+		w.run(timeunit.Milliseconds(100 + w.random.Intn(4000)))
+		require.Zero(t, w.violations, "seed %d", seed)
 	}
 	w.elect(0) // a lowered whole comes into force, once what was granted before has run out
-	w.rounds(8000)
-	require.Equal(t, w.keepers[0].target, w.keepers[0].Whole(), "seed %d", seed)
-	require.Zero(t, w.over, "seed %d", seed)
+	w.run(8000)
+	require.Equal(t, w.allocators[0].targetTotal, w.allocators[0].EffectiveTotal(), "seed %d", seed)
+	require.Zero(t, w.violations, "seed %d", seed)
 	return w
 }
 
@@ -244,7 +244,7 @@
 	}
 	looks := 0
 	for seed := range seeds {
-		looks += playSchedule(t, seed, nil).looks
+		looks += runSchedule(t, seed, nil).checks
 	}
 	t.Logf("measured shares-schedules seeds=%d looks=%d over=0", seeds, looks)
 }
@@ -259,31 +259,31 @@
 		{"uneven", func(i int) Amount { return []Amount{40, 30, 5, 2, 1, 30, 12, 3}[i] * Unit }},
 		{"greedy", func(i int) Amount { return []Amount{800, 8, 8, 8, 8, 8, 8, 8}[i] * Unit }},
 	} {
-		w := newWorld(1, 8)
+		w := newCluster(1, 8)
 		w.elect(0)
 		asked := Amount(0)
-		for i, p := range w.holders {
+		for i, p := range w.servers {
 			p.load = of.load(i)
 			asked += p.load
 		}
-		w.rounds(10_000)
-		w.used, w.wholes = 0, 0
+		w.run(10_000)
+		w.usedSum, w.totalSum = 0, 0
 		before := len(w.log)
-		w.rounds(60_000)
-		part := float64(w.used) / float64(min(asked*3000, w.wholes))
-		t.Logf("measured shares day=%s servers=8 over=%d used_of_possible=%.3f proposals_a_second=%.2f", of.name, w.over, part, float64(len(w.log)-before)/60)
-		require.Zero(t, w.over)
+		w.run(60_000)
+		part := float64(w.usedSum) / float64(min(asked*3000, w.totalSum))
+		t.Logf("measured shares day=%s servers=8 over=%d used_of_possible=%.3f proposals_a_second=%.2f", of.name, w.violations, part, float64(len(w.log)-before)/60)
+		require.Zero(t, w.violations)
 		require.Greater(t, part, 0.8)
 	}
 }
 
 func BenchmarkUse(b *testing.B) {
-	h := NewHolder("a", Terms{Whole: 100 * Unit, Floor: Unit, Slots: 10, Length: 2000, Drift: 0.1}, true, 0)
-	h.Answered(Answer{Asked: 1, Serial: 1, Amount: 20 * Unit, Length: 2000}, 2)
+	h := NewLeaseHolder("a", LimitConfig{Total: 100 * Unit, GuaranteedMinimum: Unit, Slots: 10, LeaseDuration: 2000, ClockDrift: 0.1}, true, 0)
+	h.HandleResponse(LimitResponse{RequestedAt: 1, LeaseVersion: 1, Amount: 20 * Unit, LeaseDuration: 2000}, 2)
 	b.ReportAllocs()
 	for b.Loop() {
-		if h.Begin(Unit, 3) {
-			h.End(Unit)
+		if h.TryAcquire(Unit, 3) {
+			h.Release(Unit)
 		}
 	}
 }
--- a/internal/quota/service/disk.go
+++ b/internal/quota/service/disk.go
@@ -24,41 +24,41 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-// File is a keeper's memory in one file.
-type File struct {
+// FileStorage is a keeper's memory in one file.
+type FileStorage struct {
 	path string
 	db   *bolt.DB
 }
 
 const (
-	fileName   = "keeper.db"
-	lockWithin = 200 * time.Millisecond
+	databaseFile = "keeper.db"
+	lockTimeout  = 200 * time.Millisecond
 )
 
 var (
-	stateBucket = []byte("state")
-	entryBucket = []byte("entries")
-	identityKey = []byte("identity")
-	hardKey     = []byte("hard")
-	snapshotKey = []byte("snapshot")
-	lastKey     = []byte("last") // index of the newest entry, so that none can be missing
+	stateBucket  = []byte("state")
+	entryBucket  = []byte("entries")
+	identityKey  = []byte("identity")
+	hardStateKey = []byte("hard")
+	snapshotKey  = []byte("snapshot")
+	lastIndexKey = []byte("last") // index of the newest entry, so that none can be missing
 )
 
 // Each value stands behind a checksum: the library has one for the pages that tell which state is the last, none for the others.
-func sealedText(text []byte) []byte {
+func addChecksum(text []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, xxh3.Hash(text)), text...)
 }
 
-func unsealed(value []byte) []byte {
+func verifyChecksum(value []byte) []byte {
 	if len(value) < 8 || binary.BigEndian.Uint64(value) != xxh3.Hash(value[8:]) {
 		return nil
 	}
 	return value[8:]
 }
 
-// heads says whether both pages that tell which state is the last are whole. Where one is not, the other may tell of a state
+// metaPagesIntact says whether both pages that tell which state is the last are whole. Where one is not, the other may tell of a state
 // before a vote: whether a crash tore it or the disk lost it cannot be known, so the memory counts as lost.
-func (f *File) heads(t *bolt.Tx) bool {
+func (f *FileStorage) metaPagesIntact(t *bolt.Tx) bool {
 	const at, checked = 16, 56 // behind a page's head: what is summed up, and the sum
 	in, err := os.Open(f.path)
 	if err != nil {
@@ -79,43 +79,43 @@
 	return true
 }
 
-// ErrTaken: another process has the file.
-var ErrTaken = errors.New("another process has this keeper's memory")
+// ErrLocked: another process has the file.
+var ErrLocked = errors.New("another process has this keeper's memory")
 
-// OpenFile opens the memory in a directory, which is made where it is not there.
-func OpenFile(directory string) (*File, error) {
+// OpenFileStorage opens the memory in a directory, which is made where it is not there.
+func OpenFileStorage(directory string) (*FileStorage, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, err
 	}
-	f := &File{path: filepath.Join(directory, fileName)}
+	f := &FileStorage{path: filepath.Join(directory, databaseFile)}
 	return f, f.open()
 }
 
-func (f *File) open() (err error) {
-	if f.db, err = openBolt(f.path); errors.Is(err, bolt.ErrTimeout) {
-		return ErrTaken
+func (f *FileStorage) open() (err error) {
+	if f.db, err = openDatabase(f.path); errors.Is(err, bolt.ErrTimeout) {
+		return ErrLocked
 	} else if err == nil {
 		return nil
 	}
 	if _, is := errors.AsType[*fs.PathError](err); is {
 		return err
 	}
-	return f.aside(err) // it cannot be read
+	return f.replaceCorrupt(err) // it cannot be read
 }
 
-// openBolt has what the library cannot mean be an error: it stops the program on some spoilt pages.
-func openBolt(path string) (db *bolt.DB, err error) {
+// openDatabase has what the library cannot mean be an error: it stops the program on some spoilt pages.
+func openDatabase(path string) (db *bolt.DB, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // what is read lies in the file itself
 	defer func() {
 		if r := recover(); r != nil {
 			db, err = nil, fmt.Errorf("%v", r)
 		}
 	}()
-	return bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWithin, FreelistType: bolt.FreelistMapType})
+	return bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType})
 }
 
-// aside keeps the spoilt file under another name and begins an empty one.
-func (f *File) aside(why error) error {
+// replaceCorrupt keeps the spoilt file under another name and begins an empty one.
+func (f *FileStorage) replaceCorrupt(why error) error {
 	if f.db != nil {
 		_ = f.db.Close()
 		f.db = nil
@@ -124,75 +124,75 @@
 		return errors.Join(why, err)
 	}
 	var err error
-	f.db, err = openBolt(f.path)
+	f.db, err = openDatabase(f.path)
 	return err
 }
 
-// Spoilt sets aside what cannot be gone on with.
-func (f *File) Spoilt() error { return f.aside(nil) }
+// SetAside sets aside what cannot be gone on with.
+func (f *FileStorage) SetAside() error { return f.replaceCorrupt(nil) }
 
 // Close gives the file free.
-func (f *File) Close() error {
+func (f *FileStorage) Close() error {
 	if f.db == nil {
 		return nil
 	}
 	return f.db.Close()
 }
 
-var errUnread = errors.New("the keeper's memory cannot be read")
+var errUnreadable = errors.New("the keeper's memory cannot be read")
 
 // Load reads all of it. What cannot be read is set aside: nothing is there then.
-func (f *File) Load() (id coordinator.Identity, saved *consensus.Saved, err error) {
+func (f *FileStorage) Load() (id coordinator.Identity, saved *consensus.PersistentState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if r := recover(); r != nil || errors.Is(err, errUnread) {
+		if r := recover(); r != nil || errors.Is(err, errUnreadable) {
 			id, saved = coordinator.Identity{}, nil
-			err = f.aside(errUnread)
+			err = f.replaceCorrupt(errUnreadable)
 		}
 	}()
 	err = f.db.View(func(t *bolt.Tx) error {
-		if info, err := os.Stat(f.path); err != nil || info.Size() < t.Size() || !f.heads(t) {
-			return errUnread // its tail is torn off, or one of the two pages that tell which state is the last
+		if info, err := os.Stat(f.path); err != nil || info.Size() < t.Size() || !f.metaPagesIntact(t) {
+			return errUnreadable // its tail is torn off, or one of the two pages that tell which state is the last
 		}
 		b := t.Bucket(stateBucket)
 		if b == nil || b.Get(identityKey) == nil {
 			return nil
 		}
-		s := &consensus.Saved{}
+		s := &consensus.PersistentState{}
 		get := func(key []byte) (text []byte) {
 			if v := b.Get(key); v != nil {
-				if text = unsealed(v); text == nil {
-					panic(errUnread)
+				if text = verifyChecksum(v); text == nil {
+					panic(errUnreadable)
 				}
 			}
 			return text
 		}
-		if cbor.Unmarshal(get(identityKey), &id) != nil || s.Hard.Unmarshal(get(hardKey)) != nil || s.Snapshot.Unmarshal(get(snapshotKey)) != nil {
-			return errUnread
+		if cbor.Unmarshal(get(identityKey), &id) != nil || s.HardState.Unmarshal(get(hardStateKey)) != nil || s.Snapshot.Unmarshal(get(snapshotKey)) != nil {
+			return errUnreadable
 		}
-		last := get(lastKey)
+		last := get(lastIndexKey)
 		entries := t.Bucket(entryBucket)
 		if entries == nil {
-			return errUnread
+			return errUnreadable
 		}
 		next := s.Snapshot.Metadata.Index + 1
 		err := entries.ForEach(func(k, v []byte) error {
 			var e raftpb.Entry
-			if len(k) != 8 || unsealed(v) == nil || e.Unmarshal(unsealed(v)) != nil || e.Index != binary.BigEndian.Uint64(k) {
-				return errUnread
+			if len(k) != 8 || verifyChecksum(v) == nil || e.Unmarshal(verifyChecksum(v)) != nil || e.Index != binary.BigEndian.Uint64(k) {
+				return errUnreadable
 			}
 			if e.Index < next {
 				return nil
 			}
 			if e.Index != next {
-				return errUnread
+				return errUnreadable
 			}
 			next++
 			s.Entries = append(s.Entries, e)
 			return nil
 		})
 		if saved = s; err == nil && len(last) == 8 && binary.BigEndian.Uint64(last) != next-1 {
-			return errUnread
+			return errUnreadable
 		}
 		return err
 	})
@@ -200,7 +200,7 @@
 }
 
 // Begin begins another memory; what was there is gone.
-func (f *File) Begin(id coordinator.Identity, s consensus.Saved) error {
+func (f *FileStorage) Begin(id coordinator.Identity, s consensus.PersistentState) error {
 	text, err := cbor.Marshal(id)
 	if err != nil {
 		return err
@@ -216,24 +216,24 @@
 				return err
 			}
 		}
-		if err := t.Bucket(stateBucket).Put(identityKey, sealedText(text)); err != nil {
+		if err := t.Bucket(stateBucket).Put(identityKey, addChecksum(text)); err != nil {
 			return err
 		}
-		return put(t, &s)
+		return putState(t, &s)
 	})
 }
 
 // Save saves on top of what is there.
-func (f *File) Save(s consensus.Saved) error {
+func (f *FileStorage) Save(s consensus.PersistentState) error {
 	return f.update(func(t *bolt.Tx) error {
 		if t.Bucket(stateBucket) == nil {
-			return errUnread
+			return errUnreadable
 		}
-		return put(t, &s)
+		return putState(t, &s)
 	})
 }
 
-func (f *File) update(do func(*bolt.Tx) error) (err error) {
+func (f *FileStorage) update(do func(*bolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -241,19 +241,19 @@
 		}
 	}()
 	if f.db == nil {
-		return errUnread
+		return errUnreadable
 	}
 	return f.db.Update(do)
 }
 
-func put(t *bolt.Tx, s *consensus.Saved) error {
+func putState(t *bolt.Tx, s *consensus.PersistentState) error {
 	state, entries := t.Bucket(stateBucket), t.Bucket(entryBucket)
-	if !raft.IsEmptyHardState(s.Hard) {
-		text, err := s.Hard.Marshal()
+	if !raft.IsEmptyHardState(s.HardState) {
+		text, err := s.HardState.Marshal()
 		if err != nil {
 			return err
 		}
-		if err := state.Put(hardKey, sealedText(text)); err != nil {
+		if err := state.Put(hardStateKey, addChecksum(text)); err != nil {
 			return err
 		}
 	}
@@ -262,7 +262,7 @@
 		if err != nil {
 			return err
 		}
-		if err := entries.Put(binary.BigEndian.AppendUint64(nil, e.Index), sealedText(text)); err != nil {
+		if err := entries.Put(binary.BigEndian.AppendUint64(nil, e.Index), addChecksum(text)); err != nil {
 			return err
 		}
 	}
@@ -270,8 +270,8 @@
 	if n := len(s.Entries); n > 0 {
 		last = s.Entries[n-1].Index
 	}
-	if before := unsealed(state.Get(lastKey)); last > 0 && (len(s.Entries) > 0 || before == nil || binary.BigEndian.Uint64(before) < last) {
-		if err := state.Put(lastKey, sealedText(binary.BigEndian.AppendUint64(nil, last))); err != nil {
+	if before := verifyChecksum(state.Get(lastIndexKey)); last > 0 && (len(s.Entries) > 0 || before == nil || binary.BigEndian.Uint64(before) < last) {
+		if err := state.Put(lastIndexKey, addChecksum(binary.BigEndian.AppendUint64(nil, last))); err != nil {
 			return err
 		}
 	}
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	if err := state.Put(snapshotKey, sealedText(text)); err != nil {
+	if err := state.Put(snapshotKey, addChecksum(text)); err != nil {
 		return err
 	}
 	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= s.Snapshot.Metadata.Index; k, _ = c.First() {
--- a/internal/quota/service/sharing.go
+++ b/internal/quota/service/sharing.go
@@ -25,295 +25,295 @@
 )
 
 const (
-	tick        = 50 * time.Millisecond
-	lookEvery   = 200 * time.Millisecond
-	mostWaiting = 1024 // letters and requests that wait for the worker
-	mostMissed  = 2    // requests without an answer, and another keeper is asked
-	againAfter  = 10 * time.Second
+	tickInterval    = 50 * time.Millisecond
+	refreshInterval = 200 * time.Millisecond
+	maxQueuedTasks  = 1024 // letters and requests that wait for the worker
+	maxUnanswered   = 2    // requests without an answer, and another keeper is asked
+	rejoinDelay     = 10 * time.Second
 )
 
 // The letters among servers.
 const (
-	raftMail byte = gossip.FirstMail + iota
-	askMail
-	answerMail
+	kindRaft byte = gossip.FirstEnvelopeKind + iota
+	kindRequest
+	kindResponse
 )
 
-// Terms are what a server takes part with.
-type Terms struct {
-	Name     string   // of this server
-	Names    []string // of the limits
-	Limits   []quota.Terms
-	Digest   uint32
-	Revision uint64
-	Named    []string
-	Fresh    bool // an empty disk of a named keeper is as it should be
-	Fleet    string
-	Disk     Disk // nil: nothing lasts
-	Seed     int64
-	Answered func(quota.Answers) // called by the worker
-	Log      func(event string, keys ...any)
+// Config are what a server takes part with.
+type Config struct {
+	ServerName   string   // of this server
+	LimitNames   []string // of the limits
+	Limits       []quota.LimitConfig
+	ConfigDigest uint32
+	Revision     uint64
+	Coordinators []string
+	BootstrapLog bool // an empty disk of a named keeper is as it should be
+	ClusterName  string
+	Storage      Storage // nil: nothing lasts
+	Seed         int64
+	OnResponse   func(quota.Response) // called by the worker
+	Log          func(event string, keys ...any)
 }
 
-// Sharing is one server's part. Its methods may be called from anywhere.
-type Sharing struct {
-	terms   Terms
-	peers   *gossip.Peers
-	me      membership.ID
-	core    *coordinator.Core
-	inbox   chan func()
-	done    chan struct{}
-	ended   sync.WaitGroup
-	looked  time.Time
-	seats   map[uint64]membership.Member // by number, who is there
-	byID    map[membership.ID]string     // addresses
-	fleet   []membership.ID              // voters of the fleet
-	askers  map[uint64]membership.ID     // who waits for a reply
-	nextAsk uint64
-	leader  membership.ID // that is asked
-	missed  int
-	asked   *quota.Asking // with no answer yet
-	again   time.Time     // when a memory that was lost is begun anew
-	term    bool
-	opened  bool
-	wholes  []quota.Amount
+// Service is one server's part. Its methods may be called from anywhere.
+type Service struct {
+	config         Config
+	gossip         *gossip.Node
+	localID        membership.ID
+	coordinator    *coordinator.Coordinator
+	tasks          chan func()
+	done           chan struct{}
+	goroutines     sync.WaitGroup
+	lastRefresh    time.Time
+	membersByVoter map[uint64]membership.Member // by number, who is there
+	addresses      map[membership.ID]string     // addresses
+	clusterVoters  []membership.ID              // voters of the fleet
+	requesters     map[uint64]membership.ID     // who waits for a reply
+	lastRequestID  uint64
+	leader         membership.ID // that is asked
+	unanswered     int
+	pending        *quota.Request // with no answer yet
+	nextRejoin     time.Time      // when a memory that was lost is begun anew
+	wasLeader      bool
+	wasOpened      bool
+	totals         []quota.Amount
 }
 
-// Mail are the letters that are for it, for peers.Terms: they are given to the worker.
-func (s *Sharing) Mail() map[byte]func(membership.ID, []byte) {
+// Handlers are the letters that are for it, for peers.Terms: they are given to the worker.
+func (s *Service) Handlers() map[byte]func(membership.ID, []byte) {
 	to := func(do func(membership.ID, []byte)) func(membership.ID, []byte) {
-		return func(from membership.ID, text []byte) { s.do(func() { do(from, text) }) }
+		return func(from membership.ID, text []byte) { s.enqueue(func() { do(from, text) }) }
 	}
-	return map[byte]func(membership.ID, []byte){raftMail: to(s.raft), askMail: to(s.wasAsked), answerMail: to(s.answered)}
+	return map[byte]func(membership.ID, []byte){kindRaft: to(s.handleRaftMessage), kindRequest: to(s.handleRequest), kindResponse: to(s.handleResponse)}
 }
 
 // New makes it; Start has it take part over a talk that was begun with its Mail.
-func New(t Terms) *Sharing {
+func New(t Config) *Service {
 	if t.Log == nil {
 		t.Log = func(string, ...any) {}
 	}
-	s := &Sharing{terms: t, inbox: make(chan func(), mostWaiting), done: make(chan struct{}), seats: map[uint64]membership.Member{},
-		byID: map[membership.ID]string{}, askers: map[uint64]membership.ID{}}
+	s := &Service{config: t, tasks: make(chan func(), maxQueuedTasks), done: make(chan struct{}), membersByVoter: map[uint64]membership.Member{},
+		addresses: map[membership.ID]string{}, requesters: map[uint64]membership.ID{}}
 	for _, l := range t.Limits {
-		s.wholes = append(s.wholes, l.Whole)
+		s.totals = append(s.totals, l.Total)
 	}
 	return s
 }
 
 // Start begins.
-func (s *Sharing) Start(p *gossip.Peers) error {
-	s.peers, s.me = p, p.Me()
-	t := coordinator.Terms{Number: func(log uint64) uint64 { return number(s.me, log) }, Limits: s.terms.Limits, Digest: s.terms.Digest, Revision: s.terms.Revision, Named: s.terms.Named}
-	if len(t.Named) > 0 {
-		t.Log = xxh3.HashString(s.terms.Fleet) | 1
-	}
-	s.core = coordinator.New(t, rand.New(rand.NewSource(s.terms.Seed)), timeunit.Milliseconds(p.Now()))
-	if err := s.remember(); err != nil {
+func (s *Service) Start(p *gossip.Node) error {
+	s.gossip, s.localID = p, p.LocalID()
+	t := coordinator.Config{VoterID: func(log uint64) uint64 { return voterNumber(s.localID, log) }, Limits: s.config.Limits, ConfigDigest: s.config.ConfigDigest, Revision: s.config.Revision, NamedCoordinators: s.config.Coordinators}
+	if len(t.NamedCoordinators) > 0 {
+		t.LogID = xxh3.HashString(s.config.ClusterName) | 1
+	}
+	s.coordinator = coordinator.New(t, rand.New(rand.NewSource(s.config.Seed)), timeunit.Milliseconds(p.Now()))
+	if err := s.restoreState(); err != nil {
 		return err
 	}
-	s.ended.Add(1)
-	go s.work()
+	s.goroutines.Add(1)
+	go s.run()
 	return nil
 }
 
-// remember begins with what is on the disk. A named keeper whose disk is empty or spoilt is another voter from now on, unless
+// restoreState begins with what is on the disk. A named keeper whose disk is empty or spoilt is another voter from now on, unless
 // its settings say that the log has never been.
-func (s *Sharing) remember() error {
-	if s.terms.Disk == nil || !slices.Contains(s.terms.Named, s.terms.Name) {
+func (s *Service) restoreState() error {
+	if s.config.Storage == nil || !slices.Contains(s.config.Coordinators, s.config.ServerName) {
 		return nil
 	}
-	id, saved, err := s.terms.Disk.Load()
+	id, saved, err := s.config.Storage.Load()
 	if err != nil {
 		return err
 	}
 	if saved != nil {
-		if err := s.core.Resume(id, *saved); err == nil {
-			s.terms.Log("keeper", "voter", id.Voter, "with", "its memory")
+		if err := s.coordinator.Resume(id, *saved); err == nil {
+			s.config.Log("keeper", "voter", id.VoterID, "with", "its memory")
 			return nil
 		}
-		if err := s.terms.Disk.Spoilt(); err != nil {
+		if err := s.config.Storage.SetAside(); err != nil {
 			return err
 		}
 	}
-	if s.terms.Fresh && saved == nil {
+	if s.config.BootstrapLog && saved == nil {
 		var first []uint64
-		for _, name := range s.terms.Named {
-			first = append(first, number(membership.ID{Name: name}, 0))
+		for _, name := range s.config.Coordinators {
+			first = append(first, voterNumber(membership.ID{Name: name}, 0))
 		}
-		s.terms.Log("keeper", "voter", number(membership.ID{Name: s.terms.Name}, 0), "with", "a first log")
-		return s.core.Begin(number(membership.ID{Name: s.terms.Name}, 0), first)
+		s.config.Log("keeper", "voter", voterNumber(membership.ID{Name: s.config.ServerName}, 0), "with", "a first log")
+		return s.coordinator.Start(voterNumber(membership.ID{Name: s.config.ServerName}, 0), first)
 	}
-	voter := number(s.me, uint64(time.Now().UnixNano()))
-	s.terms.Log("keeper", "voter", voter, "with", "no memory, as another voter")
-	return s.core.Begin(voter, nil)
+	voter := voterNumber(s.localID, uint64(time.Now().UnixNano()))
+	s.config.Log("keeper", "voter", voter, "with", "no memory, as another voter")
+	return s.coordinator.Start(voter, nil)
 }
 
-// number is that of a voter: of one life in one log, where nothing lasts.
-func number(id membership.ID, log uint64) uint64 {
-	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(id.Name), id.Life), log)
+// voterNumber is that of a voter: of one life in one log, where nothing lasts.
+func voterNumber(id membership.ID, log uint64) uint64 {
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(id.Name), id.Incarnation), log)
 	return xxh3.Hash(b) | 1
 }
 
-func (s *Sharing) do(what func()) {
+func (s *Service) enqueue(what func()) {
 	select {
-	case s.inbox <- what:
+	case s.tasks <- what:
 	default: // all of it comes again
 	}
 }
 
-// End stops taking part. What was granted runs out by itself.
-func (s *Sharing) End() {
+// Close stops taking part. What was granted runs out by itself.
+func (s *Service) Close() {
 	close(s.done)
-	s.ended.Wait()
-	if s.terms.Disk != nil {
-		s.terms.Disk.Close()
+	s.goroutines.Wait()
+	if s.config.Storage != nil {
+		s.config.Storage.Close()
 	}
 }
 
-func (s *Sharing) now() timeunit.Milliseconds { return timeunit.Milliseconds(s.peers.Now()) }
+func (s *Service) now() timeunit.Milliseconds { return timeunit.Milliseconds(s.gossip.Now()) }
 
 // Now is the clock of grants, in milliseconds: one that never goes back.
-func (s *Sharing) Now() timeunit.Milliseconds { return timeunit.Milliseconds(s.peers.Now()) }
+func (s *Service) Now() timeunit.Milliseconds { return timeunit.Milliseconds(s.gossip.Now()) }
 
-func (s *Sharing) work() {
-	defer s.ended.Done()
-	t := time.NewTicker(tick)
+func (s *Service) run() {
+	defer s.goroutines.Done()
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-s.done:
 			return
-		case what := <-s.inbox:
+		case what := <-s.tasks:
 			what()
 		case <-t.C:
-			if time.Since(s.looked) >= lookEvery {
-				s.looked = time.Now()
-				s.look()
+			if time.Since(s.lastRefresh) >= refreshInterval {
+				s.lastRefresh = time.Now()
+				s.refreshView()
 			}
 		}
-		s.core.At(s.now())
-		s.carry()
+		s.coordinator.Tick(s.now())
+		s.processReady()
 	}
 }
 
-// look takes what the view says.
-func (s *Sharing) look() {
-	sight := coordinator.Sight{Until: -1}
+// refreshView takes what the view says.
+func (s *Service) refreshView() {
+	sight := coordinator.ClusterView{MajorityUntil: -1}
 	var there []membership.Member
-	stuck := s.core.Stuck()
-	if s.peers.Look(func(v *membership.View, a *membership.Accord) {
-		f := a.Fleet()
-		a.Renew = stuck
-		if a.Standing().Allows(membership.ShareUse) == membership.Full {
-			sight.Until = timeunit.Milliseconds(a.Until())
+	stuck := s.coordinator.LeaderLost()
+	if s.gossip.Inspect(func(v *membership.View, a *membership.Agreement) {
+		f := a.Configuration()
+		a.StartNewGenesis = stuck
+		if a.QuorumStatus().Permits(membership.QuotaOperation) == membership.Unrestricted {
+			sight.MajorityUntil = timeunit.Milliseconds(a.MajorityUntil())
 		}
-		sight.Born, sight.First = f.Born, f.Born == f.Epoch
-		s.fleet = s.fleet[:0]
+		sight.GenesisEpoch, sight.IsGenesis = f.GenesisEpoch, f.GenesisEpoch == f.Epoch
+		s.clusterVoters = s.clusterVoters[:0]
 		for _, one := range f.Voters {
-			s.fleet = append(s.fleet, one.ID)
+			s.clusterVoters = append(s.clusterVoters, one.ID)
 		}
 		for _, m := range v.Members() {
-			if m.State < membership.Suspected {
+			if m.State < membership.StateSuspected {
 				there = append(there, *m)
 			}
 		}
 	}) != nil {
 		return
 	}
-	clear(s.seats)
-	clear(s.byID)
+	clear(s.membersByVoter)
+	clear(s.addresses)
 	for _, m := range there {
-		voter, of := m.Keeper, m.Group
-		if len(s.terms.Named) == 0 {
-			voter, of = number(m.ID, sight.Born), sight.Born
+		voter, of := m.QuotaVoter, m.QuotaLog
+		if len(s.config.Coordinators) == 0 {
+			voter, of = voterNumber(m.ID, sight.GenesisEpoch), sight.GenesisEpoch
 		}
-		if m.ID == s.me {
-			voter, of = s.core.Identity().Voter, s.core.Identity().Log
+		if m.ID == s.localID {
+			voter, of = s.coordinator.Identity().VoterID, s.coordinator.Identity().LogID
 		}
 		if voter != 0 {
-			s.seats[voter] = m
+			s.membersByVoter[voter] = m
 		}
-		s.byID[m.ID] = m.Address
-		sight.Members = append(sight.Members, coordinator.Seat{Name: m.Name, Voter: voter, Log: of})
-	}
-	for _, id := range s.fleet {
-		sight.Voters = append(sight.Voters, coordinator.Seat{Name: id.Name, Voter: number(id, sight.Born), Log: sight.Born})
-	}
-	s.core.See(sight, s.now())
-	id := s.core.Identity()
-	s.peers.Keep(gossip.Keeping{Keeper: id.Voter, Group: id.Log})
-	if len(s.terms.Named) > 0 && s.terms.Disk != nil && id.Voter == 0 && slices.Contains(s.terms.Named, s.terms.Name) && time.Now().After(s.again) {
-		s.again = time.Now().Add(againAfter) // its memory was lost: it is another voter
-		if s.terms.Disk.Spoilt() == nil {
-			_ = s.core.Begin(number(s.me, uint64(time.Now().UnixNano())), nil)
+		s.addresses[m.ID] = m.Address
+		sight.Members = append(sight.Members, coordinator.Candidate{Name: m.Name, VoterID: voter, LogID: of})
+	}
+	for _, id := range s.clusterVoters {
+		sight.Voters = append(sight.Voters, coordinator.Candidate{Name: id.Name, VoterID: voterNumber(id, sight.GenesisEpoch), LogID: sight.GenesisEpoch})
+	}
+	s.coordinator.UpdateView(sight, s.now())
+	id := s.coordinator.Identity()
+	s.gossip.SetCoordinatorIdentity(gossip.CoordinatorIdentity{VoterID: id.VoterID, LogID: id.LogID})
+	if len(s.config.Coordinators) > 0 && s.config.Storage != nil && id.VoterID == 0 && slices.Contains(s.config.Coordinators, s.config.ServerName) && time.Now().After(s.nextRejoin) {
+		s.nextRejoin = time.Now().Add(rejoinDelay) // its memory was lost: it is another voter
+		if s.config.Storage.SetAside() == nil {
+			_ = s.coordinator.Start(voterNumber(s.localID, uint64(time.Now().UnixNano())), nil)
 		}
 	}
 }
 
-// carry saves and sends what has come of what was heard.
-func (s *Sharing) carry() {
+// processReady saves and sends what has come of what was heard.
+func (s *Service) processReady() {
 	for {
-		o, more := s.core.Take()
+		o, more := s.coordinator.Ready()
 		if !more {
 			break
 		}
-		if err := s.save(&o); err != nil {
-			s.terms.Log("keeper_lost", "reason", err.Error())
-			s.core.Forget()
-			s.again = time.Now().Add(againAfter)
+		if err := s.persist(&o); err != nil {
+			s.config.Log("keeper_lost", "reason", err.Error())
+			s.coordinator.DiscardState()
+			s.nextRejoin = time.Now().Add(rejoinDelay)
 			continue
 		}
-		for _, l := range o.Letters {
-			if m, is := s.seats[l.To]; is {
-				id := s.core.Identity()
-				text, err := cbor.Marshal(raftLetter{Log: id.Log, From: id.Voter, Text: l.Text})
+		for _, l := range o.Messages {
+			if m, is := s.membersByVoter[l.To]; is {
+				id := s.coordinator.Identity()
+				text, err := cbor.Marshal(raftMessage{LogID: id.LogID, From: id.VoterID, Payload: l.Data})
 				if err == nil {
-					s.peers.Post(m.ID, m.Address, raftMail, text)
+					s.gossip.Send(m.ID, m.Address, kindRaft, text)
 				}
 			}
 		}
 		for _, r := range o.Replies {
-			s.reply(r)
+			s.sendReply(r)
 		}
 	}
-	if leads, opened := s.core.Leads(), s.core.Book().Opened(); leads != s.term || opened != s.opened {
-		s.term, s.opened = leads, opened
-		s.terms.Log("keeping", "leads", leads, "opened", opened, "voter", s.core.Identity().Voter, "log", s.core.Identity().Log, "entries", s.core.Agreed)
+	if leads, opened := s.coordinator.IsLeader(), s.coordinator.Limits().Opened(); leads != s.wasLeader || opened != s.wasOpened {
+		s.wasLeader, s.wasOpened = leads, opened
+		s.config.Log("keeping", "leads", leads, "opened", opened, "voter", s.coordinator.Identity().VoterID, "log", s.coordinator.Identity().LogID, "entries", s.coordinator.AppliedCommands)
 	}
 }
 
-func (s *Sharing) save(o *coordinator.Output) error {
-	if s.terms.Disk == nil {
+func (s *Service) persist(o *coordinator.Ready) error {
+	if s.config.Storage == nil {
 		return nil
 	}
-	if o.Begin {
-		return s.terms.Disk.Begin(s.core.Identity(), o.Save)
+	if o.IsNewState {
+		return s.config.Storage.Begin(s.coordinator.Identity(), o.State)
 	}
-	if o.Save.Empty() {
+	if o.State.IsEmpty() {
 		return nil
 	}
-	return s.terms.Disk.Save(o.Save)
+	return s.config.Storage.Save(o.State)
 }
 
-type raftLetter struct {
-	Log  uint64 `cbor:"1,keyasint"`
-	From uint64 `cbor:"2,keyasint"`
-	Text []byte `cbor:"3,keyasint"`
+type raftMessage struct {
+	LogID   uint64 `cbor:"1,keyasint"`
+	From    uint64 `cbor:"2,keyasint"`
+	Payload []byte `cbor:"3,keyasint"`
 }
 
-func (s *Sharing) raft(from membership.ID, text []byte) {
-	var l raftLetter
-	if letters.Unmarshal(text, &l) != nil {
+func (s *Service) handleRaftMessage(from membership.ID, text []byte) {
+	var l raftMessage
+	if messageDecoder.Unmarshal(text, &l) != nil {
 		return
 	}
-	if m, is := s.seats[l.From]; !is || m.ID != from { // it speaks for a voter that it is not, or is not known yet
+	if m, is := s.membersByVoter[l.From]; !is || m.ID != from { // it speaks for a voter that it is not, or is not known yet
 		return
 	}
-	s.core.Letter(l.From, l.Log, l.Text)
+	s.coordinator.Step(l.From, l.LogID, l.Payload)
 }
 
-// letters are read within these bounds.
-var letters = func() cbor.DecMode {
+// messageDecoder are read within these bounds.
+var messageDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1024, MaxMapPairs: 4096, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err)
@@ -321,146 +321,146 @@
 	return m
 }()
 
-// question and answer carry a request and what it is told.
-type question struct {
-	Number uint64       `cbor:"1,keyasint"`
-	Asking quota.Asking `cbor:"2,keyasint"`
+// leaseRequest and answer carry a request and what it is told.
+type leaseRequest struct {
+	RequestID uint64        `cbor:"1,keyasint"`
+	Request   quota.Request `cbor:"2,keyasint"`
 }
 
-type answer struct {
-	Answers quota.Answers  `cbor:"2,keyasint"`
-	Granted bool           `cbor:"3,keyasint"`
-	Leader  *membership.ID `cbor:"4,keyasint,omitempty"`
+type leaseResponse struct {
+	Response quota.Response `cbor:"2,keyasint"`
+	Granted  bool           `cbor:"3,keyasint"`
+	Leader   *membership.ID `cbor:"4,keyasint,omitempty"`
 }
 
-func (s *Sharing) wasAsked(from membership.ID, text []byte) {
-	var q question
-	if letters.Unmarshal(text, &q) != nil || len(q.Asking.Of) == 0 {
+func (s *Service) handleRequest(from membership.ID, text []byte) {
+	var q leaseRequest
+	if messageDecoder.Unmarshal(text, &q) != nil || len(q.Request.Limits) == 0 {
 		return
 	}
-	for _, r := range q.Asking.Of {
+	for _, r := range q.Request.Limits {
 		if r.Server != HolderName(from) { // nobody asks for another
 			return
 		}
 	}
-	s.ask(from, q.Asking)
+	s.admitRequest(from, q.Request)
 }
 
-func (s *Sharing) ask(from membership.ID, a quota.Asking) {
-	if len(s.askers) >= mostAskers {
-		clear(s.askers)
+func (s *Service) admitRequest(from membership.ID, a quota.Request) {
+	if len(s.requesters) >= maxRequesters {
+		clear(s.requesters)
 	}
-	s.nextAsk++
-	s.askers[s.nextAsk] = from
-	s.core.Ask(s.nextAsk, a)
+	s.lastRequestID++
+	s.requesters[s.lastRequestID] = from
+	s.coordinator.HandleRequest(s.lastRequestID, a)
 }
 
-const mostAskers = 8192
+const maxRequesters = 8192
 
 // HolderName is one life of a server, as grants name it.
 func HolderName(id membership.ID) string {
-	return fmt.Sprintf("%s.%016x", id.Name, id.Life)
+	return fmt.Sprintf("%s.%016x", id.Name, id.Incarnation)
 }
 
-func (s *Sharing) reply(r coordinator.Reply) {
-	to, is := s.askers[r.To]
+func (s *Service) sendReply(r coordinator.Reply) {
+	to, is := s.requesters[r.RequestID]
 	if !is {
 		return
 	}
-	delete(s.askers, r.To)
-	a := answer{Answers: r.Answers, Granted: r.Granted}
-	if m, is := s.seats[r.Leader]; is && r.Leader != 0 {
+	delete(s.requesters, r.RequestID)
+	a := leaseResponse{Response: r.Response, Granted: r.Granted}
+	if m, is := s.membersByVoter[r.Leader]; is && r.Leader != 0 {
 		a.Leader = &m.ID
 	}
-	if to == s.me {
-		s.heard(s.me, a)
+	if to == s.localID {
+		s.recordResponse(s.localID, a)
 		return
 	}
-	if text, err := cbor.Marshal(a); err == nil && s.byID[to] != "" {
-		s.peers.Post(to, s.byID[to], answerMail, text)
+	if text, err := cbor.Marshal(a); err == nil && s.addresses[to] != "" {
+		s.gossip.Send(to, s.addresses[to], kindResponse, text)
 	}
 }
 
-func (s *Sharing) answered(from membership.ID, text []byte) {
-	var a answer
-	if letters.Unmarshal(text, &a) == nil {
-		s.heard(from, a)
+func (s *Service) handleResponse(from membership.ID, text []byte) {
+	var a leaseResponse
+	if messageDecoder.Unmarshal(text, &a) == nil {
+		s.recordResponse(from, a)
 	}
 }
 
-// heard: an answer, of whom it asked or of one it asked before. What an answer grants holds whoever brings it: it says when
+// recordResponse: an answer, of whom it asked or of one it asked before. What an answer grants holds whoever brings it: it says when
 // it was asked for.
-func (s *Sharing) heard(from membership.ID, a answer) {
+func (s *Service) recordResponse(from membership.ID, a leaseResponse) {
 	switch {
 	case a.Granted:
-		s.leader, s.missed, s.asked = from, 0, nil
-		s.terms.Answered(a.Answers)
+		s.leader, s.unanswered, s.pending = from, 0, nil
+		s.config.OnResponse(a.Response)
 	case a.Leader != nil && *a.Leader == from: // it leads, and has nothing to grant yet
-		s.leader, s.missed, s.asked = from, 0, nil
+		s.leader, s.unanswered, s.pending = from, 0, nil
 	case a.Leader != nil:
 		s.leader = *a.Leader
 	default:
-		if s.asked != nil && from == s.leader {
-			s.missed++
+		if s.pending != nil && from == s.leader {
+			s.unanswered++
 		}
 	}
 }
 
-// Ask sends the server's request to the keeper that leads, as far as it is known.
-func (s *Sharing) Ask(a quota.Asking) {
-	s.do(func() {
-		a.Terms, a.Revision, a.Wholes = s.terms.Digest, s.terms.Revision, s.wholes
-		if s.asked != nil {
-			s.missed++
+// Request sends the server's request to the keeper that leads, as far as it is known.
+func (s *Service) Request(a quota.Request) {
+	s.enqueue(func() {
+		a.ConfigDigest, a.Revision, a.Totals = s.config.ConfigDigest, s.config.Revision, s.totals
+		if s.pending != nil {
+			s.unanswered++
 		}
-		s.asked = &a
-		if s.core.Leads() {
-			s.leader, s.missed = s.me, 0
-		} else if s.byID[s.leader] == "" || s.missed > mostMissed || s.leader == s.me {
-			s.another()
+		s.pending = &a
+		if s.coordinator.IsLeader() {
+			s.leader, s.unanswered = s.localID, 0
+		} else if s.addresses[s.leader] == "" || s.unanswered > maxUnanswered || s.leader == s.localID {
+			s.selectNextCoordinator()
 		}
-		if s.leader == s.me {
-			s.ask(s.me, a)
-		} else if text, err := cbor.Marshal(question{Asking: a}); err == nil && s.byID[s.leader] != "" {
-			s.peers.Post(s.leader, s.byID[s.leader], askMail, text)
+		if s.leader == s.localID {
+			s.admitRequest(s.localID, a)
+		} else if text, err := cbor.Marshal(leaseRequest{Request: a}); err == nil && s.addresses[s.leader] != "" {
+			s.gossip.Send(s.leader, s.addresses[s.leader], kindRequest, text)
 		}
 	})
 }
 
-// Reform takes up other wholes, by a later revision of the settings.
-func (s *Sharing) Reform(revision uint64, wholes []quota.Amount) {
-	s.do(func() { s.terms.Revision, s.wholes = revision, wholes })
+// UpdateTotals takes up other wholes, by a later revision of the settings.
+func (s *Service) UpdateTotals(revision uint64, wholes []quota.Amount) {
+	s.enqueue(func() { s.config.Revision, s.totals = revision, wholes })
 }
 
-// another is the next keeper to be asked.
-func (s *Sharing) another() {
-	s.missed = 0
-	if m, is := s.seats[s.core.Leader()]; is && m.ID != s.leader && m.ID != s.me {
+// selectNextCoordinator is the next keeper to be asked.
+func (s *Service) selectNextCoordinator() {
+	s.unanswered = 0
+	if m, is := s.membersByVoter[s.coordinator.Leader()]; is && m.ID != s.leader && m.ID != s.localID {
 		s.leader = m.ID
 		return
 	}
 	var able []membership.ID
-	if len(s.terms.Named) > 0 {
-		for _, m := range s.seats {
-			if slices.Contains(s.terms.Named, m.Name) {
+	if len(s.config.Coordinators) > 0 {
+		for _, m := range s.membersByVoter {
+			if slices.Contains(s.config.Coordinators, m.Name) {
 				able = append(able, m.ID)
 			}
 		}
 		slices.SortFunc(able, membership.ID.Compare)
 	} else {
-		able = s.fleet[:min(len(s.fleet), coordinator.Most)]
+		able = s.clusterVoters[:min(len(s.clusterVoters), coordinator.MaxVoters)]
 	}
-	able = slices.DeleteFunc(slices.Clone(able), func(id membership.ID) bool { return id == s.me })
+	able = slices.DeleteFunc(slices.Clone(able), func(id membership.ID) bool { return id == s.localID })
 	if len(able) > 0 {
 		s.leader = able[(slices.Index(able, s.leader)+1)%len(able)]
 	}
 }
 
-// Disk keeps what a keeper must find again.
-type Disk interface {
-	Load() (id coordinator.Identity, saved *consensus.Saved, err error) // nil: nothing is there
-	Begin(id coordinator.Identity, s consensus.Saved) error             // another memory
-	Save(s consensus.Saved) error                                       // durable when it returns
-	Spoilt() error                                                      // sets aside what cannot be gone on with
+// Storage keeps what a keeper must find again.
+type Storage interface {
+	Load() (id coordinator.Identity, saved *consensus.PersistentState, err error) // nil: nothing is there
+	Begin(id coordinator.Identity, s consensus.PersistentState) error             // another memory
+	Save(s consensus.PersistentState) error                                       // durable when it returns
+	SetAside() error                                                              // sets aside what cannot be gone on with
 	Close() error
 }
--- a/internal/recovery/learnt_test.go
+++ b/internal/recovery/learnt_test.go
@@ -10,28 +10,28 @@
 )
 
 func TestWeigh(t *testing.T) {
-	fresh := func() *Snapshot {
-		return &Snapshot{At: 1e9, Settings: 7, Cores: 2, Learnt: admission.Learnt{Pool: 10, Runs: [][]float64{{8, 0}}, Quiet: [][]float64{{4, 2}}, Quick: []float64{1}}}
+	fresh := func() *WarmStartState {
+		return &WarmStartState{CapturedAt: 1e9, SettingsHash: 7, Cores: 2, WarmStartState: admission.WarmStartState{Limit: 10, RunTimes: [][]float64{{8, 0}}, QuietRunTimes: [][]float64{{4, 2}}, QuickCallTimes: []float64{1}}}
 	}
-	l := fresh().Weigh(1e9, 7)
-	require.Equal(t, &admission.Learnt{Pool: 10, Runs: [][]float64{{4, 0}}, Quiet: [][]float64{{2, 1}}, Quick: []float64{0.5}}, l)
-	l = fresh().Weigh(1e9+halfLife, 7)
-	require.Equal(t, 6.0, l.Pool)
-	require.Equal(t, 2.0, l.Runs[0][0])
-	require.Nil(t, (*Snapshot)(nil).Weigh(1e9, 7))
-	require.Nil(t, fresh().Weigh(1e9, 8), "other settings")
-	require.Nil(t, fresh().Weigh(1e9-1, 7), "of the future")
-	require.Nil(t, fresh().Weigh(1e9+10*halfLife, 7), "too old")
-	for _, spoil := range []func(s *Snapshot){
-		func(s *Snapshot) { s.Pool = math.NaN() },
-		func(s *Snapshot) { s.Pool = 1e9 },
-		func(s *Snapshot) { s.Cores = 0 },
-		func(s *Snapshot) { s.Runs[0][0] = -1 },
-		func(s *Snapshot) { s.Quiet[0][0] = math.Inf(1) },
-		func(s *Snapshot) { s.Quick[0] = math.NaN() },
+	l := fresh().Decay(1e9, 7)
+	require.Equal(t, &admission.WarmStartState{Limit: 10, RunTimes: [][]float64{{4, 0}}, QuietRunTimes: [][]float64{{2, 1}}, QuickCallTimes: []float64{0.5}}, l)
+	l = fresh().Decay(1e9+warmStartHalfLife, 7)
+	require.Equal(t, 6.0, l.Limit)
+	require.Equal(t, 2.0, l.RunTimes[0][0])
+	require.Nil(t, (*WarmStartState)(nil).Decay(1e9, 7))
+	require.Nil(t, fresh().Decay(1e9, 8), "other settings")
+	require.Nil(t, fresh().Decay(1e9-1, 7), "of the future")
+	require.Nil(t, fresh().Decay(1e9+10*warmStartHalfLife, 7), "too old")
+	for _, spoil := range []func(s *WarmStartState){
+		func(s *WarmStartState) { s.Limit = math.NaN() },
+		func(s *WarmStartState) { s.Limit = 1e9 },
+		func(s *WarmStartState) { s.Cores = 0 },
+		func(s *WarmStartState) { s.RunTimes[0][0] = -1 },
+		func(s *WarmStartState) { s.QuietRunTimes[0][0] = math.Inf(1) },
+		func(s *WarmStartState) { s.QuickCallTimes[0] = math.NaN() },
 	} {
 		s := fresh()
 		spoil(s)
-		require.Nil(t, s.Weigh(1e9, 7))
+		require.Nil(t, s.Decay(1e9, 7))
 	}
 }
--- a/internal/recovery/room.go
+++ b/internal/recovery/room.go
@@ -5,74 +5,76 @@
 // This file owns the room in a store: what may be promised, what is needed, which segments can go. It must never promise
 // the same byte twice, nor let go of a segment that a repeat may still need.
 
-// Room is the books on a store's bytes.
-type Room struct {
-	Most     int64 // bytes
-	Records  int   // and records
-	used     int64
-	count    int
-	promised int64
-	segments []span // oldest first; the last is being written
+// Space is the books on a store's bytes.
+type Space struct {
+	MaxBytes      int64 // bytes
+	MaxRecords    int   // and records
+	usedBytes     int64
+	recordCount   int
+	reservedBytes int64
+	segments      []segmentUsage // oldest first; the last is being written
 }
 
-type span struct {
-	id    uint64
-	bytes int64
-	count int
-	until timeunit.Ticks // the last of its windows
+type segmentUsage struct {
+	id        uint64
+	bytes     int64
+	records   int
+	windowEnd timeunit.Ticks // the last of its windows
 }
 
-// Promise takes room for an intent and for the result that must follow it; false where there is none: then its work item
+// Reserve takes room for an intent and for the result that must follow it; false where there is none: then its work item
 // is declined before its run.
-func (r *Room) Promise(intent, result int64) bool {
-	if r.used+r.promised+intent+result > r.Most || r.count >= r.Records {
+func (r *Space) Reserve(intent, result int64) bool {
+	if r.usedBytes+r.reservedBytes+intent+result > r.MaxBytes || r.recordCount >= r.MaxRecords {
 		return false
 	}
-	r.promised += intent + result
+	r.reservedBytes += intent + result
 	return true
 }
 
-// Return gives a promise back that was not, or not wholly, used.
-func (r *Room) Return(bytes int64) { r.promised -= bytes }
+// Release gives a promise back that was not, or not wholly, used.
+func (r *Space) Release(bytes int64) { r.reservedBytes -= bytes }
 
-// Begin begins a segment.
-func (r *Room) Begin(id uint64, bytes int64) {
-	r.segments = append(r.segments, span{id: id, bytes: bytes})
-	r.used += bytes
+// StartSegment begins a segment.
+func (r *Space) StartSegment(id uint64, bytes int64) {
+	r.segments = append(r.segments, segmentUsage{id: id, bytes: bytes})
+	r.usedBytes += bytes
 }
 
-// Wrote books bytes in the newest segment, what of them had been promised, and until when they are needed.
-func (r *Room) Wrote(bytes, promised int64, until timeunit.Ticks) {
+// CommitWrite books bytes in the newest segment, what of them had been promised, and until when they are needed.
+func (r *Space) CommitWrite(bytes, promised int64, until timeunit.Ticks) {
 	s := &r.segments[len(r.segments)-1]
 	s.bytes += bytes
-	s.count++
-	s.until = max(s.until, until)
-	r.used += bytes
-	r.count++
-	r.promised -= promised
+	s.records++
+	s.windowEnd = max(s.windowEnd, until)
+	r.usedBytes += bytes
+	r.recordCount++
+	r.reservedBytes -= promised
 }
 
-// Newest is the id of the segment being written and its size; Last the end of all windows in it.
-func (r *Room) Newest() (id uint64, bytes int64, until timeunit.Ticks) {
+// CurrentSegment is the id of the segment being written and its size; Last the end of all windows in it.
+func (r *Space) CurrentSegment() (id uint64, bytes int64, until timeunit.Ticks) {
 	if len(r.segments) == 0 {
 		return 0, 0, 0
 	}
 	s := r.segments[len(r.segments)-1]
-	return s.id, s.bytes, s.until
+	return s.id, s.bytes, s.windowEnd
 }
 
-// Aged gives the segments that no repeat needs any more, and forgets them. The newest stays. A segment goes only with all
+// RemoveExpired gives the segments that no repeat needs any more, and forgets them. The newest stays. A segment goes only with all
 // that are older: a gap would be a loss.
-func (r *Room) Aged(now timeunit.Ticks) (gone []uint64) {
-	for len(r.segments) > 1 && r.segments[0].until <= now {
+func (r *Space) RemoveExpired(now timeunit.Ticks) (gone []uint64) {
+	for len(r.segments) > 1 && r.segments[0].windowEnd <= now {
 		s := r.segments[0]
 		gone = append(gone, s.id)
-		r.used -= s.bytes
-		r.count -= s.count
+		r.usedBytes -= s.bytes
+		r.recordCount -= s.records
 		r.segments = r.segments[1:]
 	}
 	return gone
 }
 
-// Figures are the bytes used and promised, and the records.
-func (r *Room) Figures() (used, promised int64, records int) { return r.used, r.promised, r.count }
+// Usage are the bytes used and promised, and the records.
+func (r *Space) Usage() (used, promised int64, records int) {
+	return r.usedBytes, r.reservedBytes, r.recordCount
+}
--- a/internal/segmentlog/disk_test.go
+++ b/internal/segmentlog/disk_test.go
@@ -11,43 +11,43 @@
 	"thistlequay/internal/recovery"
 )
 
-// step is one thing that was done to the disk, in order.
-type step struct {
-	what string // create, write, sync, names, remove
-	name string
-	data []byte
+// diskStep is one thing that was done to the disk, in order.
+type diskStep struct {
+	operation string // create, write, sync, names, remove
+	name      string
+	data      []byte
 }
 
-// disk is a directory in memory that notes each step and fails on demand.
-type disk struct {
-	lock  sync.Mutex
-	steps []step
+// memoryDisk is a directory in memory that notes each step and fails on demand.
+type memoryDisk struct {
+	mutex sync.Mutex
+	steps []diskStep
 	files map[string][]byte
 	fail  func(what string, n int) error // by the number of the step
 	stall chan struct{}                  // syncs wait for it, where there is one
 }
 
-func newDisk() *disk { return &disk{files: map[string][]byte{}} }
+func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
 
-func (d *disk) do(s step) error {
-	d.lock.Lock()
+func (d *memoryDisk) apply(s diskStep) error {
+	d.mutex.Lock()
 	stall := d.stall
-	d.lock.Unlock()
-	if stall != nil && s.what == "sync" {
+	d.mutex.Unlock()
+	if stall != nil && s.operation == "sync" {
 		<-stall
 	}
-	d.lock.Lock()
-	defer d.lock.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	if d.fail != nil {
-		if err := d.fail(s.what, len(d.steps)); err != nil {
-			if s.what == "write" { // a part of it may be there
+		if err := d.fail(s.operation, len(d.steps)); err != nil {
+			if s.operation == "write" { // a part of it may be there
 				d.files[s.name] = append(d.files[s.name], s.data[:len(s.data)/2]...)
 			}
 			return err
 		}
 	}
 	d.steps = append(d.steps, s)
-	switch s.what {
+	switch s.operation {
 	case "create":
 		if _, there := d.files[s.name]; there {
 			return os.ErrExist
@@ -61,15 +61,15 @@
 	return nil
 }
 
-func (d *disk) count() int {
-	d.lock.Lock()
-	defer d.lock.Unlock()
+func (d *memoryDisk) count() int {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	return len(d.steps)
 }
 
-func (d *disk) List() (names []string, _ error) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
+func (d *memoryDisk) List() (names []string, _ error) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	for name := range d.files {
 		names = append(names, name)
 	}
@@ -77,56 +77,58 @@
 	return names, nil
 }
 
-func (d *disk) Open(name string) (io.ReadCloser, error) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
+func (d *memoryDisk) Open(name string) (io.ReadCloser, error) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	return io.NopCloser(bytes.NewReader(bytes.Clone(d.files[name]))), nil
 }
 
-func (d *disk) Create(name string) (File, error) {
-	if err := d.do(step{what: "create", name: name}); err != nil {
+func (d *memoryDisk) Create(name string) (SegmentFile, error) {
+	if err := d.apply(diskStep{operation: "create", name: name}); err != nil {
 		return nil, err
 	}
-	return &diskFile{d, name}, nil
+	return &memoryFile{d, name}, nil
+}
+func (d *memoryDisk) Remove(name string) error {
+	return d.apply(diskStep{operation: "remove", name: name})
 }
-func (d *disk) Remove(name string) error { return d.do(step{what: "remove", name: name}) }
-func (d *disk) SyncNames() error         { return d.do(step{what: "names"}) }
+func (d *memoryDisk) SyncDirectory() error { return d.apply(diskStep{operation: "names"}) }
 
-type diskFile struct {
-	d    *disk
+type memoryFile struct {
+	disk *memoryDisk
 	name string
 }
 
-func (f *diskFile) Write(b []byte) (int, error) {
-	if err := f.d.do(step{what: "write", name: f.name, data: bytes.Clone(b)}); err != nil {
+func (f *memoryFile) Write(b []byte) (int, error) {
+	if err := f.disk.apply(diskStep{operation: "write", name: f.name, data: bytes.Clone(b)}); err != nil {
 		return 0, err
 	}
 	return len(b), nil
 }
-func (f *diskFile) Sync() error  { return f.d.do(step{what: "sync", name: f.name}) }
-func (f *diskFile) Close() error { return nil }
+func (f *memoryFile) Sync() error  { return f.disk.apply(diskStep{operation: "sync", name: f.name}) }
+func (f *memoryFile) Close() error { return nil }
 
 var errDisk = errors.New("input/output error")
 
-// after gives the directory as it is after the first n steps, where writes that no sync made sure of are taken as lost says:
+// crashedDisk gives the directory as it is after the first n steps, where writes that no sync made sure of are taken as lost says:
 // by the number of the write among those.
-func after(steps []step, n int, lost func(unsynced int) (keep bool)) *disk {
-	d := newDisk()
+func crashedDisk(steps []diskStep, n int, lost func(unsynced int) (keep bool)) *memoryDisk {
+	d := newMemoryDisk()
 	synced := make([]bool, n)
 	for i := range n { // what a later sync of the same file covers is there
-		if steps[i].what != "write" {
+		if steps[i].operation != "write" {
 			synced[i] = true
 			continue
 		}
 		for j := i + 1; j < n; j++ {
-			if steps[j].what == "sync" && steps[j].name == steps[i].name {
+			if steps[j].operation == "sync" && steps[j].name == steps[i].name {
 				synced[i] = true
 			}
 		}
 	}
 	unsynced := 0
 	for i, s := range steps[:n] {
-		switch s.what {
+		switch s.operation {
 		case "create":
 			d.files[s.name] = nil
 		case "write":
@@ -145,16 +147,16 @@
 	return d
 }
 
-// at is a clock that a test moves: life n begins where the one before ended.
-type at struct {
-	lock sync.Mutex
-	c    recovery.Clock
+// testClock is a clock that a test moves: life n begins where the one before ended.
+type testClock struct {
+	mutex   sync.Mutex
+	reading recovery.ClockReading
 }
 
-func (a *at) now() recovery.Clock {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	a.c.Wall++
-	a.c.Mono++
-	return a.c
+func (a *testClock) now() recovery.ClockReading {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.reading.Wall++
+	a.reading.Monotonic++
+	return a.reading
 }
--- a/internal/segmentlog/files.go
+++ b/internal/segmentlog/files.go
@@ -15,60 +15,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// File is a segment that is being written.
-type File interface {
+// SegmentFile is a segment that is being written.
+type SegmentFile interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Files is a directory of segments. Tests put one in its place that fails, forgets and reorders.
-type Files interface {
+// Storage is a directory of segments. Tests put one in its place that fails, forgets and reorders.
+type Storage interface {
 	List() ([]string, error) // names, sorted
 	Open(name string) (io.ReadCloser, error)
-	Create(name string) (File, error) // durable as a name once SyncNames returns
+	Create(name string) (SegmentFile, error) // durable as a name once SyncNames returns
 	Remove(name string) error
-	SyncNames() error
+	SyncDirectory() error
 }
 
 // Directory is the real one.
 type Directory struct {
-	path string
-	lock *os.File
+	path     string
+	lockFile *os.File
 }
 
-// ErrTaken: another process has the directory.
-var ErrTaken = errors.New("another process has this store")
+// ErrLocked: another process has the directory.
+var ErrLocked = errors.New("another process has this store")
 
-const lockName = "lock"
+const lockFileName = "lock"
 
 // OpenDirectory makes the directory where it is not there and takes it for this process.
 func OpenDirectory(path string) (*Directory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, ErrTaken
+		return nil, ErrLocked
 	}
 	return &Directory{path, lock}, nil
 }
 
-// ReadDirectory only reads, whoever has it.
-func ReadDirectory(path string) *Directory { return &Directory{path: path} }
+// OpenDirectoryReadOnly only reads, whoever has it.
+func OpenDirectoryReadOnly(path string) *Directory { return &Directory{path: path} }
 
 // Close gives it free.
-func (d *Directory) Close() error { return d.lock.Close() }
+func (d *Directory) Close() error { return d.lockFile.Close() }
 
 // List gives the names of segments.
 func (d *Directory) List() (names []string, err error) {
 	entries, err := os.ReadDir(d.path)
 	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), suffix) {
+		if strings.HasSuffix(e.Name(), segmentSuffix) {
 			names = append(names, e.Name())
 		}
 	}
@@ -82,15 +82,15 @@
 }
 
 // Create begins one; a name that is there is an error.
-func (d *Directory) Create(name string) (File, error) {
+func (d *Directory) Create(name string) (SegmentFile, error) {
 	return os.OpenFile(filepath.Join(d.path, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
 // Remove takes one away.
 func (d *Directory) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
-// SyncNames makes names durable.
-func (d *Directory) SyncNames() error {
+// SyncDirectory makes names durable.
+func (d *Directory) SyncDirectory() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -17,14 +17,14 @@
 )
 
 func goldenRecords() (records []recovery.Record) {
-	at := recovery.Clock{Wall: 0x0102030405, Mono: 0x060708, Boot: 0xf1f2f3f4f5f6f7f8}
-	for kind := recovery.Intent; kind <= recovery.Learnt; kind++ {
-		r := recovery.Record{Kind: kind, Try: 0xa1a2a3a4, Key: fmt.Sprint("key ", int(kind)), Until: at.Wall + 350_000, At: at, Result: []byte{}}
+	at := recovery.ClockReading{Wall: 0x0102030405, Monotonic: 0x060708, BootID: 0xf1f2f3f4f5f6f7f8}
+	for kind := recovery.KindIntent; kind <= recovery.KindWarmStart; kind++ {
+		r := recovery.Record{Kind: kind, Attempt: 0xa1a2a3a4, Key: fmt.Sprint("key ", int(kind)), WindowEnd: at.Wall + 350_000, WrittenAt: at, Payload: []byte{}}
 		records = append(records, r)
-		r.Well, r.Key, r.Result = true, "", []byte("result")
-		for i := range r.Print {
-			if kind == recovery.Intent {
-				r.Print[i] = byte(i)
+		r.Succeeded, r.Key, r.Payload = true, "", []byte("result")
+		for i := range r.BodyHash {
+			if kind == recovery.KindIntent {
+				r.BodyHash[i] = byte(i)
 			}
 		}
 		records = append(records, r)
@@ -35,22 +35,22 @@
 // TestGoldenFormat compares the bytes of a segment's header and of records of every kind, which are read and written again.
 func TestGoldenFormat(t *testing.T) {
 	var got bytes.Buffer
-	for _, mode := range []recovery.Mode{recovery.Process, recovery.Machine} {
-		h := head{mode: mode, id: 0x1122, before: 0x3344, at: recovery.Clock{Wall: 5, Mono: 6, Boot: 7}}
+	for _, mode := range []recovery.Durability{recovery.DurabilityProcess, recovery.DurabilityMachine} {
+		h := segmentHeader{durability: mode, id: 0x1122, previousWindowEnd: 0x3344, createdAt: recovery.ClockReading{Wall: 5, Monotonic: 6, BootID: 7}}
 		text := h.append(nil)
-		again, err := headOf(text)
+		again, err := parseHeader(text)
 		require.NoError(t, err)
 		require.Equal(t, text, again.append(nil))
-		fmt.Fprintf(&got, "header %s %s\n", nameOf(h.id), hex.EncodeToString(text))
+		fmt.Fprintf(&got, "header %s %s\n", segmentName(h.id), hex.EncodeToString(text))
 	}
 	for _, r := range goldenRecords() {
 		text := appendRecord(nil, &r)
-		again, n, err := recordOf(text)
+		again, n, err := parseRecord(text)
 		require.NoError(t, err)
 		require.Equal(t, len(text), n)
 		require.Equal(t, r, again)
 		require.Equal(t, text, appendRecord(nil, &again))
-		require.EqualValues(t, n, sizeOf(r.Kind, len(r.Key), len(r.Result)))
+		require.EqualValues(t, n, recordSize(r.Kind, len(r.Key), len(r.Payload)))
 		fmt.Fprintf(&got, "record %d %s\n", r.Kind, hex.EncodeToString(text))
 	}
 	golden.Check(t, "format.txt", got.Bytes())
@@ -60,72 +60,72 @@
 type seededClock struct {
 	lock   sync.Mutex
 	chance *rand.Rand
-	c      recovery.Clock
+	c      recovery.ClockReading
 }
 
-func (s *seededClock) now() recovery.Clock {
+func (s *seededClock) now() recovery.ClockReading {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	passed := timeunit.Ticks(s.chance.Intn(20_000))
 	s.c.Wall += passed
-	s.c.Mono += passed
+	s.c.Monotonic += passed
 	return s.c
 }
 
-func addScanned(h *golden.History, s *Scanned) {
-	h.Add("scanned", int64(s.DeclineUntil), hex.EncodeToString(s.Learnt), s.Forgotten, s.Records, s.next)
-	for _, f := range s.Fates {
-		h.Add("fate", f.Key, int64(f.Until), f.Ended, f.Well, hex.EncodeToString(f.Result))
+func addScanned(h *golden.History, s *ScanResult) {
+	h.Add("scanned", int64(s.RejectUntil), hex.EncodeToString(s.WarmStart), s.Dropped, s.RecordCount, s.nextID)
+	for _, f := range s.Outcomes {
+		h.Add("fate", f.Key, int64(f.WindowEnd), f.Completed, f.Succeeded, hex.EncodeToString(f.Result))
 	}
-	for _, f := range s.Found {
-		h.Add("found", int(f.Damage), f.File, f.Offset, f.Lost)
+	for _, f := range s.Findings {
+		h.Add("found", int(f.Corruption), f.File, f.Offset, f.DataLoss)
 	}
-	used, promised, records := s.room.Figures()
+	used, promised, records := s.space.Usage()
 	h.Add("room", used, promised, records)
 }
 
 // playLives has three lives write to one disk, each after another kind of harm, and adds every step on the disk.
 func playLives(t *testing.T, h *golden.History, seed int64) {
 	chance := rand.New(rand.NewSource(seed))
-	d := newDisk()
-	clock := &seededClock{chance: rand.New(rand.NewSource(seed)), c: recovery.Clock{Wall: 1e9, Mono: 1e6, Boot: 1}}
+	d := newMemoryDisk()
+	clock := &seededClock{chance: rand.New(rand.NewSource(seed)), c: recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: 1}}
 	for lives := range 3 {
-		l := &life{Assertions: require.New(t), done: make(chan Done, 64)}
-		store, err := Open(d, Terms{Mode: recovery.Mode(seed % 2), Bytes: 1 << 20, Records: 10_000, Segment: 2048, Window: window, Doubt: 10_000, Most: 12,
-			Fresh: lives == 0, Now: clock.now, Answered: func(done []Done) { l.done <- done[0] }})
+		l := &session{Assertions: require.New(t), results: make(chan WriteResult, 64)}
+		store, err := Open(d, Config{Durability: recovery.Durability(seed % 2), MaxBytes: 1 << 20, MaxRecords: 10_000, SegmentBytes: 2048, MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12,
+			AllowEmpty: lives == 0, Now: clock.now, OnWritten: func(done []WriteResult) { l.results <- done[0] }})
 		require.NoError(t, err)
-		l.s = store
-		addScanned(h, &store.Scanned)
+		l.log = store
+		addScanned(h, &store.ScanResult)
 		for i := range 20 {
 			key := fmt.Sprint("key-", chance.Intn(30))
-			l.next = uint64(100*lives + i)
-			require.NoError(t, store.Intend(recovery.Record{Key: key, Until: 1e9 + timeunit.Ticks(chance.Intn(1_000_000)), Try: l.next}, l.next))
-			require.NoError(t, l.wait().Err)
+			l.lastAttempt = uint64(100*lives + i)
+			require.NoError(t, store.AppendIntent(recovery.Record{Key: key, WindowEnd: 1e9 + timeunit.Ticks(chance.Intn(1_000_000)), Attempt: l.lastAttempt}, l.lastAttempt))
+			require.NoError(t, l.nextResult().Err)
 			switch chance.Intn(4) {
 			case 0:
-				l.conclude(key, recovery.Void, l.next, "")
+				l.complete(key, recovery.KindCancellation, l.lastAttempt, "")
 			case 1:
-				store.Learn([]byte(key))
-				l.wait()
+				store.AppendWarmStart([]byte(key))
+				l.nextResult()
 			case 2:
-				l.conclude(key, recovery.Result, l.next, string(make([]byte, chance.Intn(300))))
+				l.complete(key, recovery.KindCompletion, l.lastAttempt, string(make([]byte, chance.Intn(300))))
 			}
 		}
 		l.close()
 		harm(d, chance, clock)
 	}
 	for _, s := range d.steps {
-		h.Add("step", s.what, s.name, hex.EncodeToString(s.data))
+		h.Add("step", s.operation, s.name, hex.EncodeToString(s.data))
 	}
-	kept, gone, err := Compact(d, recovery.NewRecovery(recovery.Terms{Window: window, Doubt: 10_000, Most: 12}, clock.c), clock.c)
+	kept, gone, err := Compact(d, recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12}, clock.c), clock.c)
 	h.Add("compacted", kept, gone, err == nil)
 	for _, s := range d.steps {
-		h.Add("step", s.what, s.name, hex.EncodeToString(s.data))
+		h.Add("step", s.operation, s.name, hex.EncodeToString(s.data))
 	}
 }
 
 // harm spoils the newest or a middle segment, or has the machine start again.
-func harm(d *disk, chance *rand.Rand, clock *seededClock) {
+func harm(d *memoryDisk, chance *rand.Rand, clock *seededClock) {
 	names, _ := d.List()
 	newest, middle := names[len(names)-1], names[len(names)/2]
 	switch chance.Intn(5) {
@@ -140,8 +140,8 @@
 	case 2:
 		delete(d.files, middle)
 	case 3:
-		clock.c.Boot++
-		clock.c.Mono = 100
+		clock.c.BootID++
+		clock.c.Monotonic = 100
 	}
 }
 
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -9,76 +9,76 @@
 	"thistlequay/internal/recovery"
 )
 
-// Scanned is what lies in a directory.
-type Scanned struct {
-	recovery.Conclusion
-	Found   []recovery.Found
-	Records int
-	room    recovery.Room
-	next    uint64
+// ScanResult is what lies in a directory.
+type ScanResult struct {
+	recovery.RecoveredState
+	Findings    []recovery.Finding
+	RecordCount int
+	space       recovery.Space
+	nextID      uint64
 }
 
-// mostSegment is the most that is read of one file: it is written no longer than this.
-const mostSegment = 64 << 20
+// maxSegmentBytes is the most that is read of one file: it is written no longer than this.
+const maxSegmentBytes = 64 << 20
 
 // Scan reads all segments and has the recovery conclude. See, where given, is shown each record.
-func Scan(files Files, recovered *recovery.Recovery, now recovery.Clock, fresh bool, see func(file string, offset int64, r *recovery.Record)) (s Scanned, err error) {
+func Scan(files Storage, recovered *recovery.Analysis, now recovery.ClockReading, fresh bool, see func(file string, offset int64, r *recovery.Record)) (s ScanResult, err error) {
 	names, err := files.List()
 	if err != nil {
 		return s, err
 	}
-	s.next = 1
+	s.nextID = 1
 	if len(names) == 0 && !fresh {
-		recovered.Damaged(recovery.Nothing, "", 0, true)
+		recovered.AddCorruption(recovery.CorruptionNoSegment, "", 0, true)
 	}
 	before := uint64(0)
 	for i, name := range names {
-		id, ok := idOf(name)
+		id, ok := segmentID(name)
 		if !ok {
-			recovered.Damaged(recovery.Garbled, name, 0, false)
+			recovered.AddCorruption(recovery.CorruptionInvalid, name, 0, false)
 			continue
 		}
 		in, err := files.Open(name)
 		if err != nil {
 			return s, err
 		}
-		text, err := io.ReadAll(io.LimitReader(in, mostSegment))
+		text, err := io.ReadAll(io.LimitReader(in, maxSegmentBytes))
 		in.Close()
 		if err != nil {
 			return s, fmt.Errorf("%s: %w", name, err)
 		}
-		s.next = id + 1
-		s.room.Begin(id, int64(len(text)))
+		s.nextID = id + 1
+		s.space.StartSegment(id, int64(len(text)))
 		last := i == len(names)-1
-		h, err := headOf(text)
+		h, err := parseHeader(text)
 		switch {
-		case errors.Is(err, errVersion):
+		case errors.Is(err, errUnsupportedVersion):
 			return s, fmt.Errorf("%s %w", name, err)
 		case err != nil && last && len(text) < headerSize: // it was being begun, nothing in it was acknowledged
-			recovered.Damaged(recovery.Short, name, 0, true)
+			recovered.AddCorruption(recovery.CorruptionTruncated, name, 0, true)
 			continue
 		case err != nil:
-			recovered.Damaged(recovery.Garbled, name, 0, false)
+			recovered.AddCorruption(recovery.CorruptionInvalid, name, 0, false)
 			text = text[min(len(text), 1):]
 		default:
-			if before > 0 && id != before+1 || before == 0 && h.before > now.Wall {
-				recovered.Damaged(recovery.Missing, nameOf(id-1), 0, false)
+			if before > 0 && id != before+1 || before == 0 && h.previousWindowEnd > now.Wall {
+				recovered.AddCorruption(recovery.CorruptionMissingSegment, segmentName(id-1), 0, false)
 			}
-			recovered.Segment(h.mode)
+			recovered.StartSegment(h.durability)
 		}
 		before = id
-		s.records(text, min(len(text), headerSize), name, last, recovered, see)
+		s.scanRecords(text, min(len(text), headerSize), name, last, recovered, see)
 	}
-	s.Conclusion, s.Found, s.Records = recovered.Finish(), recovered.Found, recovered.Seen
+	s.RecoveredState, s.Findings, s.RecordCount = recovered.Finish(), recovered.Findings, recovered.RecordCount
 	return s, nil
 }
 
-func (s *Scanned) records(text []byte, at int, name string, last bool, recovered *recovery.Recovery, see func(string, int64, *recovery.Record)) {
+func (s *ScanResult) scanRecords(text []byte, at int, name string, last bool, recovered *recovery.Analysis, see func(string, int64, *recovery.Record)) {
 	for at < len(text) {
-		r, n, err := recordOf(text[at:])
+		r, n, err := parseRecord(text[at:])
 		if err == nil {
-			recovered.Record(r)
-			s.room.Wrote(0, 0, r.Until)
+			recovered.AddRecord(r)
+			s.space.CommitWrite(0, 0, r.WindowEnd)
 			if see != nil {
 				see(name, int64(at), &r)
 			}
@@ -93,17 +93,17 @@
 				break
 			}
 			if from += k; from < len(text) {
-				if _, _, err := recordOf(text[from:]); err == nil {
+				if _, _, err := parseRecord(text[from:]); err == nil {
 					next = from
 				}
 			}
 			from++
 		}
-		what := recovery.Garbled
-		if err == errShort && next < 0 {
-			what = recovery.Short
+		what := recovery.CorruptionInvalid
+		if err == errTruncated && next < 0 {
+			what = recovery.CorruptionTruncated
 		}
-		recovered.Damaged(what, name, int64(at), last && next < 0)
+		recovered.AddCorruption(what, name, int64(at), last && next < 0)
 		if next < 0 {
 			return
 		}
--- a/internal/segmentlog/store.go
+++ b/internal/segmentlog/store.go
@@ -15,185 +15,185 @@
 	"thistlequay/timeunit"
 )
 
-// Terms are how a store is kept.
-type Terms struct {
-	Mode     recovery.Mode
-	Bytes    int64
-	Records  int
-	Segment  int64          // a new one is begun beyond
-	Window   timeunit.Ticks // the longest of all categories
-	Doubt    timeunit.Ticks
-	Most     int  // stamps that can be remembered
-	Fresh    bool // an empty directory is as it should be
-	Now      func() recovery.Clock
-	Answered func(done []Done) // called by the writer: what became of what was put
+// Config are how a store is kept.
+type Config struct {
+	Durability       recovery.Durability
+	MaxBytes         int64
+	MaxRecords       int
+	SegmentBytes     int64          // a new one is begun beyond
+	MaxWindow        timeunit.Ticks // the longest of all categories
+	ClockUncertainty timeunit.Ticks
+	MaxOutcomes      int  // stamps that can be remembered
+	AllowEmpty       bool // an empty directory is as it should be
+	Now              func() recovery.ClockReading
+	OnWritten        func(done []WriteResult) // called by the writer: what became of what was put
 }
 
-// Done is what became of a record.
-type Done struct {
+// WriteResult is what became of a record.
+type WriteResult struct {
 	Tag uint64 // as it was put
 	Err error  // it is not durable, and never will be
 }
 
 const (
-	queued     = 1024 // records that wait for the writer
-	batch      = 256  // of which so many are written at once
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 5 * time.Second
+	queueCapacity = 1024 // records that wait for the writer
+	maxBatch      = 256  // of which so many are written at once
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
 // ErrFull: there is no room, or the queue is.
 var ErrFull = errors.New("the store is full")
 
-// ErrIll: the disk refused a write; the store is trying to begin a new segment.
-var ErrIll = errors.New("the store cannot be written")
+// ErrUnavailable: the disk refused a write; the store is trying to begin a new segment.
+var ErrUnavailable = errors.New("the store cannot be written")
 
-// Store is one that is open. Put and Close may be called by one goroutine, the loop.
-type Store struct {
-	Scanned
-	terms Terms
-	files Files
-	queue chan entry
-	ended chan struct{}
+// Log is one that is open. Put and Close may be called by one goroutine, the loop.
+type Log struct {
+	ScanResult
+	config  Config
+	storage Storage
+	queue   chan queuedRecord
+	done    chan struct{}
 
-	lock  sync.Mutex // of what the writer and the loop share, never held over the disk
-	room  recovery.Room
-	ill   error
-	again time.Time // when the next intent may try a new segment
+	mutex   sync.Mutex // of what the writer and the loop share, never held over the disk
+	space   recovery.Space
+	failure error
+	retryAt time.Time // when the next intent may try a new segment
 }
 
-type entry struct {
-	record   recovery.Record
-	tag      uint64
-	promised int64
+type queuedRecord struct {
+	record        recovery.Record
+	tag           uint64
+	reservedBytes int64
 }
 
 // Open scans the directory, concludes, and begins a segment of its own.
-func Open(files Files, t Terms) (*Store, error) {
+func Open(files Storage, t Config) (*Log, error) {
 	now := t.Now()
-	s := &Store{terms: t, files: files, queue: make(chan entry, queued), ended: make(chan struct{})}
-	recovered := recovery.NewRecovery(recovery.Terms{Window: t.Window, Doubt: t.Doubt, Most: t.Most}, now)
+	s := &Log{config: t, storage: files, queue: make(chan queuedRecord, queueCapacity), done: make(chan struct{})}
+	recovered := recovery.NewAnalysis(recovery.Config{MaxWindow: t.MaxWindow, ClockUncertainty: t.ClockUncertainty, MaxOutcomes: t.MaxOutcomes}, now)
 	var err error
-	if s.Scanned, err = Scan(files, recovered, now, t.Fresh, nil); err != nil {
+	if s.ScanResult, err = Scan(files, recovered, now, t.AllowEmpty, nil); err != nil {
 		return nil, err
 	}
-	s.room = s.Scanned.room
-	s.room.Most, s.room.Records = t.Bytes, t.Records
-	w := &writer{Store: s}
-	if err := w.begin(); err != nil {
+	s.space = s.ScanResult.space
+	s.space.MaxBytes, s.space.MaxRecords = t.MaxBytes, t.MaxRecords
+	w := &writer{Log: s}
+	if err := w.startSegment(); err != nil {
 		return nil, err
 	}
 	go w.run()
 	return s, nil
 }
 
-// Intend puts an intent, with room for the result that must follow it. An error is at once: nothing was put.
-func (s *Store) Intend(r recovery.Record, tag uint64) error {
-	intent, result := sizeOf(recovery.Intent, len(r.Key), 0), sizeOf(recovery.Result, len(r.Key), mostResult/2)
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if s.ill != nil && time.Now().Before(s.again) {
-		return s.ill
+// AppendIntent puts an intent, with room for the result that must follow it. An error is at once: nothing was put.
+func (s *Log) AppendIntent(r recovery.Record, tag uint64) error {
+	intent, result := recordSize(recovery.KindIntent, len(r.Key), 0), recordSize(recovery.KindCompletion, len(r.Key), maxPayloadBytes/2)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.failure != nil && time.Now().Before(s.retryAt) {
+		return s.failure
 	}
-	if len(s.queue) >= queued/2 || !s.room.Promise(intent, result) {
+	if len(s.queue) >= queueCapacity/2 || !s.space.Reserve(intent, result) {
 		select {
-		case s.queue <- entry{}: // that the writer looks what may go
+		case s.queue <- queuedRecord{}: // that the writer looks what may go
 		default:
 		}
 		return ErrFull
 	}
-	r.Kind = recovery.Intent
-	s.queue <- entry{r, tag, intent}
+	r.Kind = recovery.KindIntent
+	s.queue <- queuedRecord{r, tag, intent}
 	return nil
 }
 
-// Conclude puts what became of an intent: a result, or that it never began. Its room was promised; half of the queue is kept
+// AppendCompletion puts what became of an intent: a result, or that it never began. Its room was promised; half of the queue is kept
 // for these. It is not waited for.
-func (s *Store) Conclude(r recovery.Record, tag uint64) {
-	if len(r.Result) > mostResult/2 {
-		r.Result, r.Well = nil, false
+func (s *Log) AppendCompletion(r recovery.Record, tag uint64) {
+	if len(r.Payload) > maxPayloadBytes/2 {
+		r.Payload, r.Succeeded = nil, false
 	}
 	select {
-	case s.queue <- entry{r, tag, sizeOf(recovery.Result, len(r.Key), mostResult/2)}:
+	case s.queue <- queuedRecord{r, tag, recordSize(recovery.KindCompletion, len(r.Key), maxPayloadBytes/2)}:
 	default: // more ended at once than were ever let in: a repeat will be broken off after a restart
-		s.lock.Lock()
-		s.room.Return(sizeOf(recovery.Result, len(r.Key), mostResult/2))
-		s.lock.Unlock()
+		s.mutex.Lock()
+		s.space.Release(recordSize(recovery.KindCompletion, len(r.Key), maxPayloadBytes/2))
+		s.mutex.Unlock()
 	}
 }
 
-// Learn puts a snapshot, where there is time and room for it.
-func (s *Store) Learn(snapshot []byte) {
-	if len(snapshot) > mostResult/2 || len(s.queue) > 0 {
+// AppendWarmStart puts a snapshot, where there is time and room for it.
+func (s *Log) AppendWarmStart(snapshot []byte) {
+	if len(snapshot) > maxPayloadBytes/2 || len(s.queue) > 0 {
 		return
 	}
 	select {
-	case s.queue <- entry{record: recovery.Record{Kind: recovery.Learnt, Result: snapshot}}:
+	case s.queue <- queuedRecord{record: recovery.Record{Kind: recovery.KindWarmStart, Payload: snapshot}}:
 	default:
 	}
 }
 
-// Figures are what it holds.
-func (s *Store) Figures() (used, promised int64, records int, ill error) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	used, promised, records = s.room.Figures()
-	return used, promised, records, s.ill
+// Usage are what it holds.
+func (s *Log) Usage() (used, promised int64, records int, ill error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	used, promised, records = s.space.Usage()
+	return used, promised, records, s.failure
 }
 
 // Close has the writer write all that was put and say that the life ended in order. Ended is closed after that.
-func (s *Store) Close() { close(s.queue) }
+func (s *Log) Close() { close(s.queue) }
 
-// Ended is closed when the writer is through.
-func (s *Store) Ended() <-chan struct{} { return s.ended }
+// Done is closed when the writer is through.
+func (s *Log) Done() <-chan struct{} { return s.done }
 
 // writer is the one goroutine that touches the disk.
 type writer struct {
-	*Store
-	file  File
-	text  []byte
-	until timeunit.Ticks
-	wait  time.Duration
+	*Log
+	file       SegmentFile
+	buffer     []byte
+	until      timeunit.Ticks
+	retryDelay time.Duration
 }
 
-// begin begins a segment: its header is durable before anything is put in it.
-func (w *writer) begin() error {
-	w.lock.Lock()
-	_, _, before := w.room.Newest()
-	w.lock.Unlock()
-	id := w.next
-	w.next++
-	f, err := w.files.Create(nameOf(id))
+// startSegment begins a segment: its header is durable before anything is put in it.
+func (w *writer) startSegment() error {
+	w.mutex.Lock()
+	_, _, before := w.space.CurrentSegment()
+	w.mutex.Unlock()
+	id := w.nextID
+	w.nextID++
+	f, err := w.storage.Create(segmentName(id))
 	if err != nil {
 		return err
 	}
-	text := head{mode: w.terms.Mode, id: id, before: before, at: w.terms.Now()}.append(nil)
-	if _, err = f.Write(text); err == nil && w.terms.Mode == recovery.Machine {
+	text := segmentHeader{durability: w.config.Durability, id: id, previousWindowEnd: before, createdAt: w.config.Now()}.append(nil)
+	if _, err = f.Write(text); err == nil && w.config.Durability == recovery.DurabilityMachine {
 		if err = f.Sync(); err == nil {
-			err = w.files.SyncNames()
+			err = w.storage.SyncDirectory()
 		}
 	}
 	if err != nil {
 		f.Close()
-		_ = w.files.Remove(nameOf(id))
+		_ = w.storage.Remove(segmentName(id))
 		return err
 	}
 	if w.file != nil {
 		w.file.Close()
 	}
 	w.file = f
-	w.lock.Lock()
-	w.room.Begin(id, int64(len(text)))
-	w.lock.Unlock()
+	w.mutex.Lock()
+	w.space.StartSegment(id, int64(len(text)))
+	w.mutex.Unlock()
 	return nil
 }
 
 func (w *writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for first := range w.queue {
-		group := append(make([]entry, 0, batch), first)
+		group := append(make([]queuedRecord, 0, maxBatch), first)
 	more:
-		for len(group) < batch {
+		for len(group) < maxBatch {
 			select {
 			case e, open := <-w.queue:
 				if !open {
@@ -204,124 +204,124 @@
 				break more
 			}
 		}
-		group = slices.DeleteFunc(group, func(e entry) bool { return e.record.Kind == 0 })
+		group = slices.DeleteFunc(group, func(e queuedRecord) bool { return e.record.Kind == 0 })
 		if len(group) > 0 {
-			w.write(group)
+			w.writeBatch(group)
 		}
-		w.age()
+		w.removeExpired()
 	}
 	if w.file != nil {
-		w.put([]entry{{record: recovery.Record{Kind: recovery.Closed}}})
+		w.appendBatch([]queuedRecord{{record: recovery.Record{Kind: recovery.KindShutdown}}})
 		w.file.Close()
 	}
 }
 
-// write writes a group and tells what became of it.
-func (w *writer) write(group []entry) {
-	err := w.ready()
+// writeBatch writes a group and tells what became of it.
+func (w *writer) writeBatch(group []queuedRecord) {
+	err := w.ensureSegment()
 	if err == nil {
-		err = w.put(group)
+		err = w.appendBatch(group)
 	}
-	done := make([]Done, len(group))
+	done := make([]WriteResult, len(group))
 	for i, e := range group {
-		done[i] = Done{Tag: e.tag, Err: err}
-		if err != nil && e.record.Kind == recovery.Intent { // it will not be run: the promise for its result goes too
-			w.lock.Lock()
-			w.room.Return(e.promised + sizeOf(recovery.Result, len(e.record.Key), mostResult/2))
-			w.lock.Unlock()
+		done[i] = WriteResult{Tag: e.tag, Err: err}
+		if err != nil && e.record.Kind == recovery.KindIntent { // it will not be run: the promise for its result goes too
+			w.mutex.Lock()
+			w.space.Release(e.reservedBytes + recordSize(recovery.KindCompletion, len(e.record.Key), maxPayloadBytes/2))
+			w.mutex.Unlock()
 		} else if err != nil {
-			w.lock.Lock()
-			w.room.Return(e.promised)
-			w.lock.Unlock()
+			w.mutex.Lock()
+			w.space.Release(e.reservedBytes)
+			w.mutex.Unlock()
 		}
 	}
-	if w.terms.Answered != nil {
-		w.terms.Answered(done)
+	if w.config.OnWritten != nil {
+		w.config.OnWritten(done)
 	}
 }
 
-// ready begins a segment where the last is full, or was given up.
-func (w *writer) ready() error {
-	w.lock.Lock()
-	ill := w.ill
-	_, bytes, _ := w.room.Newest()
-	w.lock.Unlock()
-	if ill == nil && bytes < w.terms.Segment {
+// ensureSegment begins a segment where the last is full, or was given up.
+func (w *writer) ensureSegment() error {
+	w.mutex.Lock()
+	ill := w.failure
+	_, bytes, _ := w.space.CurrentSegment()
+	w.mutex.Unlock()
+	if ill == nil && bytes < w.config.SegmentBytes {
 		return nil
 	}
-	if err := w.begin(); err != nil {
-		return w.fail(err)
+	if err := w.startSegment(); err != nil {
+		return w.noteFailure(err)
 	}
-	w.lock.Lock()
-	w.ill = nil
-	w.lock.Unlock()
-	w.wait = 0
+	w.mutex.Lock()
+	w.failure = nil
+	w.mutex.Unlock()
+	w.retryDelay = 0
 	return nil
 }
 
-// fail gives the segment up: whatever a later sync says, what was in it is not known to be durable.
-func (w *writer) fail(err error) error {
-	w.wait = min(max(retryFirst, 2*w.wait), retryMost)
-	ill := errors.Join(ErrIll, err)
-	w.lock.Lock()
-	w.ill, w.again = ill, time.Now().Add(w.wait)
-	w.lock.Unlock()
+// noteFailure gives the segment up: whatever a later sync says, what was in it is not known to be durable.
+func (w *writer) noteFailure(err error) error {
+	w.retryDelay = min(max(minRetryDelay, 2*w.retryDelay), maxRetryDelay)
+	ill := errors.Join(ErrUnavailable, err)
+	w.mutex.Lock()
+	w.failure, w.retryAt = ill, time.Now().Add(w.retryDelay)
+	w.mutex.Unlock()
 	return ill
 }
 
-func (w *writer) put(group []entry) error {
-	now := w.terms.Now()
-	w.text = w.text[:0]
+func (w *writer) appendBatch(group []queuedRecord) error {
+	now := w.config.Now()
+	w.buffer = w.buffer[:0]
 	for i := range group {
-		group[i].record.At = now
-		w.text = appendRecord(w.text, &group[i].record)
+		group[i].record.WrittenAt = now
+		w.buffer = appendRecord(w.buffer, &group[i].record)
 	}
-	if _, err := w.file.Write(w.text); err != nil {
-		return w.fail(err)
+	if _, err := w.file.Write(w.buffer); err != nil {
+		return w.noteFailure(err)
 	}
-	if w.terms.Mode == recovery.Machine {
+	if w.config.Durability == recovery.DurabilityMachine {
 		if err := w.file.Sync(); err != nil {
-			return w.fail(err)
+			return w.noteFailure(err)
 		}
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	for _, e := range group {
-		w.room.Wrote(sizeOf(e.record.Kind, len(e.record.Key), len(e.record.Result)), e.promised, e.record.Until)
+		w.space.CommitWrite(recordSize(e.record.Kind, len(e.record.Key), len(e.record.Payload)), e.reservedBytes, e.record.WindowEnd)
 	}
 	return nil
 }
 
-// age removes segments that no repeat needs.
-func (w *writer) age() {
-	now := w.terms.Now().Wall - w.terms.Doubt
-	w.lock.Lock()
-	_, bytes, until := w.room.Newest()
-	used, _, _ := w.room.Figures()
-	ill := w.ill
-	w.lock.Unlock()
-	if ill == nil && bytes > headerSize && until <= now && used > w.terms.Bytes/2 {
-		if err := w.begin(); err != nil { // so that this one can go too
-			_ = w.fail(err)
+// removeExpired removes segments that no repeat needs.
+func (w *writer) removeExpired() {
+	now := w.config.Now().Wall - w.config.ClockUncertainty
+	w.mutex.Lock()
+	_, bytes, until := w.space.CurrentSegment()
+	used, _, _ := w.space.Usage()
+	ill := w.failure
+	w.mutex.Unlock()
+	if ill == nil && bytes > headerSize && until <= now && used > w.config.MaxBytes/2 {
+		if err := w.startSegment(); err != nil { // so that this one can go too
+			_ = w.noteFailure(err)
 		}
 	}
-	w.lock.Lock()
-	gone := w.room.Aged(now)
-	w.lock.Unlock()
+	w.mutex.Lock()
+	gone := w.space.RemoveExpired(now)
+	w.mutex.Unlock()
 	for _, id := range gone {
-		_ = w.files.Remove(nameOf(id)) // what stays is aged out at the next start
+		_ = w.storage.Remove(segmentName(id)) // what stays is aged out at the next start
 	}
 }
 
 // MachineClock reads the machine's clocks.
-func MachineClock() recovery.Clock {
-	c := recovery.Clock{Wall: timeunit.Ticks(time.Now().UnixMicro() / 100)}
+func MachineClock() recovery.ClockReading {
+	c := recovery.ClockReading{Wall: timeunit.Ticks(time.Now().UnixMicro() / 100)}
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) == nil {
-		c.Mono = timeunit.Ticks(ts.Nano() / 100_000)
+		c.Monotonic = timeunit.Ticks(ts.Nano() / 100_000)
 	}
 	if text, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
-		c.Boot = xxh3.HashString(strings.TrimSpace(string(text)))
+		c.BootID = xxh3.HashString(strings.TrimSpace(string(text)))
 	}
 	return c
 }
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -5,24 +5,26 @@
 import "github.com/panjf2000/gnet/v2"
 
 const (
-	bufferSize = 8 << 10
-	mostSpare  = 256       // buffers kept for later
-	mostUnread = 192 << 10 // output that a router may leave unread: more than all its open requests can be owed
-	memoryPart = 16        // one part in so many of the memory goes to buffers, and as much to unread output in sum
-	mostOnLink = 4 << 20   // and one of the few other parties, which are given all that goes on while they stand still
+	bufferSize          = 8 << 10
+	maxSpareBuffers     = 256       // buffers kept for later
+	maxUnreadPerRouter  = 192 << 10 // output that a router may leave unread: more than all its open requests can be owed
+	bufferMemoryDivisor = 16        // one part in so many of the memory goes to buffers, and as much to unread output in sum
+	maxUnreadPerLink    = 4 << 20   // and one of the few other parties, which are given all that goes on while they stand still
 )
 
-type buffers struct {
+type bufferPool struct {
 	spare [][]byte
-	out   int
-	most  int // in use before no further request is begun
+	inUse int
+	limit int // in use before no further request is begun
 }
 
-// bound has the buffers take no more than a small part of the memory.
-func (b *buffers) bound(memory int) { b.most = max(mostSpare, memory/memoryPart/bufferSize) }
+// setLimit has the buffers take no more than a small part of the memory.
+func (b *bufferPool) setLimit(memory int) {
+	b.limit = max(maxSpareBuffers, memory/bufferMemoryDivisor/bufferSize)
+}
 
-func (b *buffers) take() []byte {
-	b.out++
+func (b *bufferPool) take() []byte {
+	b.inUse++
 	if n := len(b.spare); n > 0 {
 		buffer := b.spare[n-1]
 		b.spare = b.spare[:n-1]
@@ -31,79 +33,79 @@
 	return make([]byte, 0, bufferSize)
 }
 
-func (b *buffers) give(buffer []byte) {
-	b.out--
-	if cap(buffer) == bufferSize && len(b.spare) < mostSpare {
+func (b *bufferPool) give(buffer []byte) {
+	b.inUse--
+	if cap(buffer) == bufferSize && len(b.spare) < maxSpareBuffers {
 		b.spare = append(b.spare, buffer[:0])
 	}
 }
 
-// wire is the output side of a connection.
-type wire struct {
-	app   *App
-	conn  gnet.Conn // nil while there is none
-	out   []byte
-	after bool // close it once this is written
-	most  int  // output that may lie unread
+// outputBuffer is the output side of a connection.
+type outputBuffer struct {
+	server          *Server
+	conn            gnet.Conn // nil while there is none
+	output          []byte
+	closeAfterWrite bool // close it once this is written
+	maxUnread       int  // output that may lie unread
 }
 
 // buffer gives what to append output to; the connection is written at the end of the batch.
-func (w *wire) buffer() []byte {
-	if w.out == nil {
-		w.out = w.app.pool.take()
-		w.app.dirty = append(w.app.dirty, w)
+func (w *outputBuffer) buffer() []byte {
+	if w.output == nil {
+		w.output = w.server.buffers.take()
+		w.server.pendingWrites = append(w.server.pendingWrites, w)
 	}
-	return w.out
+	return w.output
 }
 
-func (w *wire) push() {
+func (w *outputBuffer) flushAndRelease() {
 	w.flush()
-	w.app.pool.give(w.out)
-	if w.out = nil; w.after {
-		w.shut()
+	w.server.buffers.give(w.output)
+	if w.output = nil; w.closeAfterWrite {
+		w.closeGracefully()
 	}
 }
 
 // flush writes what there is before the batch ends.
-func (w *wire) flush() {
-	if w.conn != nil && len(w.out) > 0 {
-		if _, err := w.conn.Write(w.out); err == nil && w.conn != nil {
-			w.app.lying(w)
+func (w *outputBuffer) flush() {
+	if w.conn != nil && len(w.output) > 0 {
+		if _, err := w.conn.Write(w.output); err == nil && w.conn != nil {
+			w.server.enforceUnreadLimit(w)
 		}
 	}
-	w.out = w.out[:0]
+	w.output = w.output[:0]
 }
 
-// shut ends the connection; closed() of its peer is called within.
-func (w *wire) shut() {
+// closeGracefully ends the connection; closed() of its peer is called within.
+func (w *outputBuffer) closeGracefully() {
 	if c := w.conn; c != nil {
-		w.app.part(c)
+		w.server.closeGracefully(c)
 	}
 }
 
-// lying closes a connection on which too much lies unread, and where too much does in sum the one with the most.
-func (a *App) lying(w *wire) {
+// enforceUnreadLimit closes a connection on which too much lies unread, and where too much does in sum the one with the most.
+func (a *Server) enforceUnreadLimit(w *outputBuffer) {
 	lies := w.conn.OutboundBuffered()
 	if lies == 0 {
-		delete(a.unreadOn, w)
+		delete(a.unreadConnections, w)
 		return
 	}
-	a.unreadOn[w] = struct{}{}
+	a.unreadConnections[w] = struct{}{}
 	sum, most, worst := 0, -1, w
-	for o := range a.unreadOn {
+	for o := range a.unreadConnections {
 		if o.conn == nil {
-			delete(a.unreadOn, o)
-		} else if n := o.conn.OutboundBuffered(); o.most == mostUnread {
+			delete(a.unreadConnections, o)
+		} else if n := o.conn.OutboundBuffered(); o.maxUnread == maxUnreadPerRouter {
 			if sum += n; n > most {
 				most, worst = n, o
 			}
 		}
 	}
-	if lies > w.most {
+	if lies > w.maxUnread {
 		worst = w
-	} else if sum <= a.pool.most*bufferSize {
+	} else if sum <= a.buffers.limit*bufferSize {
 		return
 	}
-	a.unread++
-	_ = a.thread.Close(worst.conn) // at once: what lies on it is what there is too much of
+	a.unreadClosed++
+	_ = a.loop.Close(worst.conn) // at once: what lies on it is what there is too much of
 }
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -15,112 +15,112 @@
 )
 
 const (
-	lapse       = 3 * second // an entry is taken off after this
-	reportEvery = lapse / 4
-	answerIn    = lapse / 10 // a report that is not answered by then is made again, on a new link
-	registerIn  = lapse / 15 // where there is no link, the next is dialled after this at most
-	mostAnswer  = 8 << 10
+	entryLifetime        = 3 * second // an entry is taken off after this
+	reportInterval       = entryLifetime / 4
+	answerTimeout        = entryLifetime / 10 // a report that is not answered by then is made again, on a new link
+	maxRegistrationDelay = entryLifetime / 15 // where there is no link, the next is dialled after this at most
+	maxAnswerBytes       = 8 << 10
 )
 
-type directory struct {
-	wire
-	link    *dialled // from its dial on
-	owed    bool     // a report has not been answered
-	carry   []byte
-	next    alarm
-	backOff backOff
-	missed  int // reports that were not answered
-	silent  int // of them in a row
+type directoryClient struct {
+	outputBuffer
+	link              *outgoingConnection // from its dial on
+	awaitingAnswer    bool                // a report has not been answered
+	partial           []byte
+	reportTimer       timer
+	backoff           backoff
+	missedReports     int // reports that were not answered
+	consecutiveMisses int // of them in a row
 }
 
-func (d *directory) start(a *App) {
-	d.wire = wire{app: a, most: mostOnLink}
-	d.next.ring = d.report
+func (d *directoryClient) start(a *Server) {
+	d.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink}
+	d.reportTimer.fire = d.report
 }
 
 // report sends one report, or dials for one: the entry lapses unless one in some comes through, whatever became of the
 // link. A connection on which the last one was not answered is given up.
-func (d *directory) report() {
-	if d.app.phase >= stopped {
+func (d *directoryClient) report() {
+	if d.server.phase >= phaseStopped {
 		return
 	}
-	if d.owed {
-		d.missed++
-		d.silent++
-		d.shut()
+	if d.awaitingAnswer {
+		d.missedReports++
+		d.consecutiveMisses++
+		d.closeGracefully()
 	}
 	if d.conn == nil {
 		if d.link == nil {
-			d.link = d.app.dial(d.app.place.Directory, time.Duration(answerIn)*(time.Millisecond/10), d, d.failed)
+			d.link = d.server.dial(d.server.config.Directory, time.Duration(answerTimeout)*(time.Millisecond/10), d, d.dialFailed)
 		}
 		return
 	}
 	state := "open"
-	if !d.app.good() {
+	if !d.server.isHealthy() {
 		state = "closed"
 	}
 	body := `{"mode":"` + state + `"}`
-	d.out = fmt.Appendf(d.buffer(), "PUT /dir/nodes/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
-		d.app.place.Name, d.app.place.Directory, len(body), body)
-	d.owed = true
-	d.app.set(&d.next, d.app.now+min(answerIn*timeunit.Ticks(1+d.silent), reportEvery)) // one that stays silent is not pressed
+	d.output = fmt.Appendf(d.buffer(), "PUT /dir/nodes/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
+		d.server.config.Name, d.server.config.Directory, len(body), body)
+	d.awaitingAnswer = true
+	d.server.setTimer(&d.reportTimer, d.server.now+min(answerTimeout*timeunit.Ticks(1+d.consecutiveMisses), reportInterval)) // one that stays silent is not pressed
 }
 
-// failed: it is not there.
-func (d *directory) failed() {
+// dialFailed: it is not there.
+func (d *directoryClient) dialFailed() {
 	d.link = nil
-	d.soon()
+	d.scheduleRedial()
 }
 
-// soon has the next dial come; those of many servers do not come at one moment.
-func (d *directory) soon() {
-	d.app.set(&d.next, d.app.now+d.app.spread(min(d.backOff.next(), registerIn)))
+// scheduleRedial has the next dial come; those of many servers do not come at one moment.
+func (d *directoryClient) scheduleRedial() {
+	d.server.setTimer(&d.reportTimer, d.server.now+d.server.jitter(min(d.backoff.next(), maxRegistrationDelay)))
 }
 
-func (d *directory) opened(c gnet.Conn) {
-	d.conn, d.owed, d.carry = c, false, d.carry[:0]
+func (d *directoryClient) opened(c gnet.Conn) {
+	d.conn, d.awaitingAnswer, d.partial = c, false, d.partial[:0]
 	d.report()
 }
 
 // closed: the link is lost, and another is dialled soon.
-func (d *directory) closed() {
-	d.conn, d.link, d.owed = nil, nil, false
-	d.soon()
+func (d *directoryClient) closed() {
+	d.conn, d.link, d.awaitingAnswer = nil, nil, false
+	d.scheduleRedial()
 }
 
-// leave ends the link, or the dial that is under way.
-func (d *directory) leave() {
+// disconnect ends the link, or the dial that is under way.
+func (d *directoryClient) disconnect() {
 	d.link.drop()
-	d.conn, d.link, d.owed = nil, nil, false
+	d.conn, d.link, d.awaitingAnswer = nil, nil, false
 }
 
-// part ends the link, and the reports with it.
-func (d *directory) part() {
-	d.leave()
-	d.app.unset(&d.next)
+// close ends the link, and the reports with it.
+func (d *directoryClient) close() {
+	d.disconnect()
+	d.server.stopTimer(&d.reportTimer)
 }
 
-// move: the directory is at another address now, and hears from there at once.
-func (d *directory) move() {
-	d.leave()
+// reconnect: the directory is at another address now, and hears from there at once.
+func (d *directoryClient) reconnect() {
+	d.disconnect()
 	d.report()
 }
 
-var errAnswer = errors.New("an answer from the directory that is none")
+var errInvalidAnswer = errors.New("an answer from the directory that is none")
 
-func (d *directory) traffic(data []byte) error {
-	d.carry = append(d.carry, data...)
+func (d *directoryClient) receive(data []byte) error {
+	d.partial = append(d.partial, data...)
 	for {
-		head, rest, whole := bytes.Cut(d.carry, []byte("\r\n\r\n"))
+		head, rest, whole := bytes.Cut(d.partial, []byte("\r\n\r\n"))
 		if !whole {
-			if len(d.carry) > mostAnswer {
-				return errAnswer
+			if len(d.partial) > maxAnswerBytes {
+				return errInvalidAnswer
 			}
 			return nil
 		}
 		lines := bytes.Split(head, []byte("\r\n"))
 		if status := bytes.Fields(lines[0]); len(status) < 2 || !bytes.HasPrefix(status[0], []byte("HTTP/1.")) {
-			return errAnswer
+			return errInvalidAnswer
 		}
 		size := 0
 		for _, line := range lines[1:] {
@@ -128,7 +128,7 @@
 			if bytes.EqualFold(name, []byte("Content-Length")) {
 				n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 12)
 				if err != nil {
-					return errAnswer
+					return errInvalidAnswer
 				}
 				size = int(n)
 			}
@@ -136,10 +136,10 @@
 		if len(rest) < size {
 			return nil
 		}
-		if d.owed {
-			d.owed, d.silent, d.backOff = false, 0, backOff{}
-			d.app.set(&d.next, d.app.now+reportEvery)
+		if d.awaitingAnswer {
+			d.awaitingAnswer, d.consecutiveMisses, d.backoff = false, 0, backoff{}
+			d.server.setTimer(&d.reportTimer, d.server.now+reportInterval)
 		}
-		d.carry = append(d.carry[:0], rest[size:]...)
+		d.partial = append(d.partial[:0], rest[size:]...)
 	}
 }
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -14,49 +14,49 @@
 	"thistlequay/timeunit"
 )
 
-// Talk is the talk with other servers.
-type Talk struct {
-	Peers    *gossip.Peers
+// Gossip is the talk with other servers.
+type Gossip struct {
+	Node     *gossip.Node
 	lock     sync.Mutex
 	size     int
-	standing membership.Standing
-	changed  func()
-	used     map[membership.ID]usage // what tenants were given elsewhere, as it was told last
+	quorum   membership.QuorumStatus
+	onChange func()
+	usage    map[membership.ID]tenantUsage // what tenants were given elsewhere, as it was told last
 }
 
-type usage struct {
-	said time.Time
-	of   []membership.Used
+type tenantUsage struct {
+	reportedAt time.Time
+	tenants    []membership.TenantUsage
 }
 
-const sayEvery = second
+const gossipInterval = second
 
-// Changed is called by the talk's worker; it hands over and does not wait.
-func (t *Talk) Changed(size int, standing membership.Standing) {
+// ClusterChanged is called by the talk's worker; it hands over and does not wait.
+func (t *Gossip) ClusterChanged(size int, standing membership.QuorumStatus) {
 	t.lock.Lock()
-	t.size, t.standing = size, standing
-	changed := t.changed
+	t.size, t.quorum = size, standing
+	changed := t.onChange
 	t.lock.Unlock()
 	if changed != nil {
 		changed()
 	}
 }
 
-// Used is called by the talk's worker with what another server gave tenants.
-func (t *Talk) Used(of membership.ID, age time.Duration, used []membership.Used) {
+// UsageReported is called by the talk's worker with what another server gave tenants.
+func (t *Gossip) UsageReported(of membership.ID, age time.Duration, used []membership.TenantUsage) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	if t.used == nil {
-		t.used = map[membership.ID]usage{}
+	if t.usage == nil {
+		t.usage = map[membership.ID]tenantUsage{}
 	}
-	t.used[of] = usage{time.Now().Add(-age), used}
+	t.usage[of] = tenantUsage{time.Now().Add(-age), used}
 }
 
-// elsewhere gives what was told since it was last asked, in the order of lives.
-func (t *Talk) elsewhere() (lives []membership.ID, used map[membership.ID]usage) {
+// takeUsage gives what was told since it was last asked, in the order of lives.
+func (t *Gossip) takeUsage() (lives []membership.ID, used map[membership.ID]tenantUsage) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	used, t.used = t.used, nil
+	used, t.usage = t.usage, nil
 	for id := range used {
 		lives = append(lives, id)
 	}
@@ -64,84 +64,84 @@
 	return lives, used
 }
 
-// listen has the loop told of each change.
-func (t *Talk) listen(changed func()) {
+// subscribe has the loop told of each change.
+func (t *Gossip) subscribe(changed func()) {
 	t.lock.Lock()
-	t.changed = changed
+	t.onChange = changed
 	t.lock.Unlock()
 }
 
-func (t *Talk) look() int {
+func (t *Gossip) clusterSize() int {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.size
 }
 
-// talk begins to tell and to listen, once the loop is there.
-func (a *App) talk() {
-	t := a.place.Talk
+// startGossip begins to tell and to listen, once the loop is there.
+func (a *Server) startGossip() {
+	t := a.config.Gossip
 	if t == nil {
 		return
 	}
-	t.listen(func() { a.wake(a.follow) })
-	a.word.ring = func() {
-		a.say()
-		a.set(&a.word, a.now+sayEvery)
+	t.subscribe(func() { a.trySubmit(a.applyClusterSize) })
+	a.gossipTimer.fire = func() {
+		a.publishState()
+		a.setTimer(&a.gossipTimer, a.now+gossipInterval)
 	}
-	a.word.ring()
+	a.gossipTimer.fire()
 }
 
-// follow has the module reckon with the servers that there are.
-func (a *App) follow() {
-	if t := a.place.Talk; t != nil && a.server != nil {
-		if n := t.look(); n > 0 {
-			a.server.Fleet(n)
-			a.holding.last = -1 // its part of the calls is what is granted, where that is
+// applyClusterSize has the module reckon with the servers that there are.
+func (a *Server) applyClusterSize() {
+	if t := a.config.Gossip; t != nil && a.admission != nil {
+		if n := t.clusterSize(); n > 0 {
+			a.admission.SetFleetSize(n)
+			a.quota.admissionLimit = -1 // its part of the calls is what is granted, where that is
 		}
 	}
 }
 
-// tenants has the ledger count what they were given elsewhere, and gives what they were given here.
-func (a *App) tenants() (used []membership.Used) {
-	if a.ledger == nil {
+// exchangeTenantUsage has the ledger count what they were given elsewhere, and gives what they were given here.
+func (a *Server) exchangeTenantUsage() (used []membership.TenantUsage) {
+	if a.fairScheduler == nil {
 		return nil
 	}
-	lives, told := a.place.Talk.elsewhere()
+	lives, told := a.config.Gossip.takeUsage()
 	for _, id := range lives {
-		var given []fairqueue.Service
-		for _, u := range told[id].of {
-			given = append(given, fairqueue.Service{Tenant: u.Tenant, Time: u.Time})
+		var given []fairqueue.Usage
+		for _, u := range told[id].tenants {
+			given = append(given, fairqueue.Usage{Tenant: u.Tenant, CoreTime: u.CoreTime})
 		}
-		a.ledger.Elsewhere(service.HolderName(id), timeunit.Ticks(time.Since(told[id].said)/(100*time.Microsecond)), given, a.now)
+		a.fairScheduler.RecordRemoteUsage(service.HolderName(id), timeunit.Ticks(time.Since(told[id].reportedAt)/(100*time.Microsecond)), given, a.now)
 	}
-	for _, g := range a.ledger.Given() {
-		if len(used) < membership.MostUsed {
-			used = append(used, membership.Used{Tenant: g.Tenant, Time: g.Time})
+	for _, g := range a.fairScheduler.LocalUsage() {
+		if len(used) < membership.MaxUsageEntries {
+			used = append(used, membership.TenantUsage{Tenant: g.Tenant, CoreTime: g.CoreTime})
 		}
 	}
 	return used
 }
 
-// say tells how this server is.
-func (a *App) say() {
-	t := a.place.Talk
+// publishState tells how this server is.
+func (a *Server) publishState() {
+	t := a.config.Gossip
 	if t == nil {
 		return
 	}
-	own := gossip.Own{Used: a.tenants(), State: membership.Joining, Late: time.Duration(a.late.most()) * (time.Millisecond / 10)}
+	own := gossip.LocalState{Usage: a.exchangeTenantUsage(), State: membership.StateJoining, LoopLag: time.Duration(a.timerLateness.percentile99()) * (time.Millisecond / 10)}
 	switch {
-	case a.stop < never:
-		own.State = membership.Leaving
-	case a.server != nil:
-		own.State = membership.Serving
-		if a.server.IsCold() {
-			own.State = membership.Cold
+	case a.shutdownDeadline < noDeadline:
+		own.State = membership.StateDraining
+	case a.admission != nil:
+		own.State = membership.StateServing
+		if a.admission.IsWarmingUp() {
+			own.State = membership.StateWarmingUp
 		}
 	}
-	if a.server != nil {
-		b := a.server.Books()
-		own.Pool, own.Load, own.Free, own.Index = b.Pool, float64(b.Held+b.Running), max(0, b.Pool-float64(b.Running)), float64(b.CallsLately)/10
-		a.follow()
+	if a.admission != nil {
+		b := a.admission.Stats()
+		own.ConcurrencyLimit, own.InFlight, own.AvailableCapacity, own.IndexLatencyMs = b.Limit, float64(b.Queued+b.Running), max(0, b.Limit-float64(b.Running)), float64(b.CallTime)/10
+		a.applyClusterSize()
 	}
-	t.Peers.Say(own)
+	t.Node.SetLocalState(own)
 }
