--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -25,9 +25,9 @@
 func (s *transcript) check(t *testing.T, name string) { golden.Check(t, name, []byte(s.text.String())) }
 
 // takeOut returns what is to be written to a connection, and empties it.
-func takeOut(w *wire) string {
-	out := string(w.out)
-	w.out = nil
+func takeOut(w *outputBuffer) string {
+	out := string(w.output)
+	w.output = nil
 	return out
 }
 
@@ -48,16 +48,16 @@
 }
 
 // batch ends a batch by hand.
-func batch(a *App) {
-	a.items.settle()
-	a.server.Decide()
+func batch(a *Server) {
+	a.requests.settle()
+	a.admission.Dispatch()
 }
 
 // pass moves the time on and fires what is due.
-func pass(a *App, span timeunit.Ticks) {
+func pass(a *Server, span timeunit.Ticks) {
 	a.now += span
-	a.server.At(a.now)
-	a.goOn()
+	a.admission.Advance(a.now)
+	a.resumeAfterStandstill()
 	batch(a)
 }
 
@@ -74,7 +74,7 @@
 	{"path", []string{"SCRIPT_NAME", "/x"}, "x"},
 	{"category", []string{"SCRIPT_NAME", "/rpc/b"}, "x"},
 	{"method", []string{"REQUEST_METHOD", "GET"}, "x"},
-	{"long body", nil, strings.Repeat("x", mostBody+1)},
+	{"long body", nil, strings.Repeat("x", maxBodyBytes+1)},
 	{"overlong body", nil, strings.Repeat("x", 60_000)},
 	{"length", []string{"CONTENT_LENGTH", "2"}, "x"},
 	{"id is not hex", []string{"HTTP_REQUEST_ID", "zzzzzzzzzzzzzzzz"}, "x"},
@@ -92,7 +92,7 @@
 	{"rank beyond", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_PRIORITY_RANK", "1"}, "x"},
 	{"account", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_ACCOUNT", strings.Repeat("a", 100)}, "x"},
 	{"no key", []string{"HTTP_REQUEST_ID", "00000000000000a6", "HTTP_ONCE_KEY", ""}, "x"},
-	{"key beyond", []string{"HTTP_REQUEST_ID", "00000000000000a7", "HTTP_ONCE_KEY", strings.Repeat("k", mostKey+1)}, "x"},
+	{"key beyond", []string{"HTTP_REQUEST_ID", "00000000000000a7", "HTTP_ONCE_KEY", strings.Repeat("k", maxKeyBytes+1)}, "x"},
 	{"two faults", []string{"REQUEST_METHOD", "GET", "HTTP_REQUEST_ID", "1", "HTTP_SENT_BY", ""}, "x"},
 }
 
@@ -100,48 +100,48 @@
 func TestGoldenRequests(t *testing.T) {
 	var s transcript
 	a, first := running(t)
-	a.thread, first.conn, a.routers.most = noLoop{}, nowhere{}, 1000
+	a.loop, first.conn, a.routers.maxConnections = noLoop{}, nowhere{}, 1000
 	feed := func(name string, keep byte, fields [][2]string, body string) {
 		c := knocking(a)
 		text := records(keep, fields, body)
 		closes := c.parser.Feed([]byte(text), c) != nil
 		batch(a)
-		s.add(name, fmt.Sprint(closes, " ", c.after, " ", takeOut(&c.wire)))
+		s.add(name, fmt.Sprint(closes, " ", c.closeAfterWrite, " ", takeOut(&c.outputBuffer)))
 	}
-	s.add("first run", takeOut(&a.interpreter.wire))
+	s.add("first run", takeOut(&a.interpreter.outputBuffer))
 	for _, one := range goldenRequests {
 		feed(one.name, 1, fieldsWith(one.changes...), one.body)
 	}
 	feed("a field twice", 1, append(fieldsWith(), [2]string{"HTTP_SENT_BY", "2"}), "x")
 	feed("not kept", 0, fieldsWith("SCRIPT_NAME", "/health"), "")
-	s.add("runs", takeOut(&a.interpreter.wire))
+	s.add("runs", takeOut(&a.interpreter.outputBuffer))
 	aborted := knocking(a)
 	require.NoError(t, aborted.parser.Feed([]byte(records(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000b1", "HTTP_ONCE_KEY", "n"), "x")), aborted))
 	require.NoError(t, aborted.parser.Feed([]byte{1, 2, 0, 1, 0, 0, 0, 0}, aborted))
 	batch(a)
-	s.add("aborted", takeOut(&aborted.wire))
+	s.add("aborted", takeOut(&aborted.outputBuffer))
 	half := knocking(a)
 	require.NoError(t, half.parser.Feed([]byte(records(1, fieldsWith(), "x"))[:40], half))
-	pass(a, firstWithin)
-	s.add("half a request", fmt.Sprint(half.after, " ", takeOut(&half.wire)))
-	a.routers.say(0.25)
+	pass(a, firstRequestTimeout)
+	s.add("half a request", fmt.Sprint(half.closeAfterWrite, " ", takeOut(&half.outputBuffer)))
+	a.routers.setLoadReport(0.25)
 	feed("with the free value", 1, fieldsWith("SCRIPT_NAME", "/health"), "")
 	a.directory.opened(nowhere{})
-	takeOut(&a.directory.wire)
-	a.leave()
-	s.add("directory", takeOut(&a.directory.wire))
+	takeOut(&a.directory.outputBuffer)
+	a.beginShutdown()
+	s.add("directory", takeOut(&a.directory.outputBuffer))
 	feed("leaving: health", 1, fieldsWith("SCRIPT_NAME", "/health"), "")
 	feed("leaving: request", 1, fieldsWith("HTTP_REQUEST_ID", "00000000000000c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500"), "x")
 	for range 70 {
 		pass(a, second/10)
 	}
-	s.add("at its deadline", takeOut(&first.wire))
-	s.add("to the interpreter", takeOut(&a.interpreter.wire))
-	fresh := New(a.place, a.log)
-	fresh.now, fresh.thread = 10_000_000, noLoop{}
+	s.add("at its deadline", takeOut(&first.outputBuffer))
+	s.add("to the interpreter", takeOut(&a.interpreter.outputBuffer))
+	fresh := New(a.config, a.log)
+	fresh.now, fresh.loop = 10_000_000, noLoop{}
 	c := knocking(fresh)
 	require.NoError(t, c.parser.Feed([]byte(wholeRequest), c))
-	s.add("starting", takeOut(&c.wire))
+	s.add("starting", takeOut(&c.outputBuffer))
 	s.check(t, "requests.txt")
 }
 
@@ -168,29 +168,29 @@
 		`{"type":"ERROR","state":"BREAK","job":"JOB"}`,
 		`{"type":"TRACE","n":9}`,
 		`{"type":"BANNER","state":"COLD","took":3}`,
-		`{"type":"OTHER"}`, `[]`, ` `, strings.Repeat("x", mostLine+1),
+		`{"type":"OTHER"}`, `[]`, ` `, strings.Repeat("x", maxLineBytes+1),
 	} {
 		a, c, l := awaiting(t)
-		closes := a.interpreter.traffic([]byte(strings.ReplaceAll(lines, "JOB", job)+"\n")) != nil
+		closes := a.interpreter.receive([]byte(strings.ReplaceAll(lines, "JOB", job)+"\n")) != nil
 		batch(a)
 		s.add("notice", lines[:min(len(lines), 200)])
-		s.add("closes", fmt.Sprint(closes, " ", a.interpreter.last, " ", a.items.inHand(), " ", a.index.out))
-		s.add("router", takeOut(&c.wire))
-		s.add("interpreter", takeOut(&a.interpreter.wire))
-		if it := a.items.byID[job]; it != nil && it.call != nil {
-			l = it.call.lane
+		s.add("closes", fmt.Sprint(closes, " ", a.interpreter.lastNotice, " ", a.requests.count(), " ", a.index.inFlight))
+		s.add("router", takeOut(&c.outputBuffer))
+		s.add("interpreter", takeOut(&a.interpreter.outputBuffer))
+		if it := a.requests.byID[job]; it != nil && it.call != nil {
+			l = it.call.connection
 			l.opened(nowhere{})
-			s.add("index", takeOut(&l.wire))
+			s.add("index", takeOut(&l.outputBuffer))
 		}
 	}
 	s.check(t, "notices.txt")
 }
 
 // awaiting is an app server with one request that runs, and its thread.
-func awaiting(t *testing.T) (*App, *router, *lane) {
+func awaiting(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
 	a, c := running(t)
-	a.thread, c.conn = noLoop{}, nowhere{}
-	takeOut(&a.interpreter.wire)
+	a.loop, c.conn = noLoop{}, nowhere{}
+	takeOut(&a.interpreter.outputBuffer)
 	return a, c, nil
 }
 
@@ -205,23 +205,23 @@
 	} {
 		a, c, l := calling(t)
 		c.conn = nowhere{}
-		a.interpreter.out = nil
-		s.add("call", takeOut(&l.wire))
-		closes := l.traffic([]byte(strings.ReplaceAll(text, "JOB", job))) != nil
+		a.interpreter.output = nil
+		s.add("call", takeOut(&l.outputBuffer))
+		closes := l.receive([]byte(strings.ReplaceAll(text, "JOB", job))) != nil
 		if closes {
 			l.closed()
 		}
 		batch(a)
 		s.add("reply", text)
-		s.add("closes", fmt.Sprint(closes, " ", a.index.out, " ", len(a.index.resting), " ", a.index.lanes))
-		s.add("router", takeOut(&c.wire))
-		s.add("interpreter", takeOut(&a.interpreter.wire))
+		s.add("closes", fmt.Sprint(closes, " ", a.index.inFlight, " ", len(a.index.idle), " ", a.index.connections))
+		s.add("router", takeOut(&c.outputBuffer))
+		s.add("interpreter", takeOut(&a.interpreter.outputBuffer))
 	}
 	a, _, l := calling(t)
-	takeOut(&l.wire)
-	a.interpreter.out = nil
+	takeOut(&l.outputBuffer)
+	a.interpreter.output = nil
 	pass(a, 100_000)
-	s.add("given up", fmt.Sprint(l.call == nil, " ", a.index.out, " ", takeOut(&a.interpreter.wire)))
+	s.add("given up", fmt.Sprint(l.call == nil, " ", a.index.inFlight, " ", takeOut(&a.interpreter.outputBuffer)))
 	s.check(t, "replies.txt")
 }
 
@@ -233,24 +233,24 @@
 		a.interpreter.conn = nowhere{}
 		a.interpreter.closed()
 		a.interpreter.opened(nowhere{})
-		s.add("connect", takeOut(&a.interpreter.wire))
-		require.NoError(t, a.interpreter.traffic([]byte(`{"type":"BANNER","state":"WARM","took":1}`+"\n")))
-		s.add("fence", takeOut(&a.interpreter.wire))
-		require.NoError(t, a.interpreter.traffic([]byte(fmt.Sprintf(`{"type":"TOPS","ref":"%s","gauges":[1,2]}`+"\n", a.interpreter.fence))))
-		s.add("ready", takeOut(&a.interpreter.wire))
+		s.add("connect", takeOut(&a.interpreter.outputBuffer))
+		require.NoError(t, a.interpreter.receive([]byte(`{"type":"BANNER","state":"WARM","took":1}`+"\n")))
+		s.add("fence", takeOut(&a.interpreter.outputBuffer))
+		require.NoError(t, a.interpreter.receive([]byte(fmt.Sprintf(`{"type":"TOPS","ref":"%s","gauges":[1,2]}`+"\n", a.interpreter.replayFence))))
+		s.add("ready", takeOut(&a.interpreter.outputBuffer))
 		if i == 0 {
-			require.NoError(t, a.interpreter.traffic([]byte(`{"type":"AWAIT","n":1,"job":"`+job+`","data":"cQ=="}`+"\n")))
+			require.NoError(t, a.interpreter.receive([]byte(`{"type":"AWAIT","n":1,"job":"`+job+`","data":"cQ=="}`+"\n")))
 			batch(a)
-			l := a.items.byID[job].call.lane
+			l := a.requests.byID[job].call.connection
 			l.opened(nowhere{})
-			s.add("call", takeOut(&l.wire))
-			require.NoError(t, l.traffic([]byte(job+" HIT 2\r\nok\r\n")))
-			s.add("resolve", takeOut(&a.interpreter.wire))
+			s.add("call", takeOut(&l.outputBuffer))
+			require.NoError(t, l.receive([]byte(job+" HIT 2\r\nok\r\n")))
+			s.add("resolve", takeOut(&a.interpreter.outputBuffer))
 		}
 	}
-	require.NoError(t, a.interpreter.traffic([]byte(`{"type":"VALUE","n":2,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
+	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":2,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
 	batch(a)
-	s.add("router", takeOut(&c.wire))
+	s.add("router", takeOut(&c.outputBuffer))
 	s.check(t, "reconnect.txt")
 }
 
@@ -259,19 +259,19 @@
 	var s transcript
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 404 No\r\ncontent-length:0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
-		"FTP/1.1 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", strings.Repeat("x", mostAnswer+1), strings.Repeat("x", mostAnswer), "HTTP/1.1 200 OK\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
+		"FTP/1.1 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", strings.Repeat("x", maxAnswerBytes+1), strings.Repeat("x", maxAnswerBytes), "HTTP/1.1 200 OK\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
 		a, _, _ := awaiting(t)
 		d := &a.directory
-		a.place.Directory = "directory:1"
-		a.routers.good = len(text)%2 == 0
+		a.config.Directory = "directory:1"
+		a.routers.admissionHealthy = len(text)%2 == 0
 		d.opened(nowhere{})
-		s.add("report", takeOut(&d.wire))
-		closes := d.traffic([]byte(text)) != nil
+		s.add("report", takeOut(&d.outputBuffer))
+		closes := d.receive([]byte(text)) != nil
 		s.add("answer", text[:min(len(text), 100)])
-		s.add("closes", fmt.Sprint(closes, " ", d.owed, " ", int64(d.next.at-a.now), " ", len(d.carry)))
-		pass(a, reportEvery)
-		s.add("next", fmt.Sprint(d.missed, " ", d.silent, " ", takeOut(&d.wire)))
+		s.add("closes", fmt.Sprint(closes, " ", d.awaitingAnswer, " ", int64(d.reportTimer.deadline-a.now), " ", len(d.partial)))
+		pass(a, reportInterval)
+		s.add("next", fmt.Sprint(d.missedReports, " ", d.consecutiveMisses, " ", takeOut(&d.outputBuffer)))
 	}
 	s.check(t, "directory.txt")
 }
@@ -296,16 +296,16 @@
 
 // withPlugins is an app server whose requests are shown to one plug-in that may do everything, on a connection that
 // nothing leaves.
-func withPlugins(t *testing.T) (*App, *pluginHost) {
+func withPlugins(t *testing.T) (*Server, *pluginConnection) {
 	a, _, _ := awaiting(t)
-	pluginChain := chain.NewChain([]chain.Grant{{Name: "p", At: [3]bool{true, true, true}, Categories: []bool{true}, Declines: true,
-		To: []bool{true}, Tags: true, Rewrites: true, Call: 100, Share: 0.5, Core: 1, Every: 10 * second, Row: 3, Rate: 1, Wait: 1000, Longest: 10_000}},
-		nil, nil, a.chance, a.now)
+	pluginChain := chain.New([]chain.Policy{{Name: "p", Hooks: [3]bool{true, true, true}, Categories: []bool{true}, MayReject: true,
+		TargetCategories: []bool{true}, MayTag: true, MayRewrite: true, CallTimeout: 100, MaxTimeFraction: 0.5, CoreFraction: 1, TickInterval: 10 * second, MaxConsecutiveFaults: 3, MaxFaultRate: 1, MinQuarantine: 1000, MaxQuarantine: 10_000}},
+		nil, nil, a.random, a.now)
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { _ = theirs.Close() })
-	h := &pluginHost{plugins: &a.plugins, terms: &Plugins{}, chain: pluginChain, process: &plugin.Process{Conn: ours, Command: &exec.Cmd{}}}
-	h.wire = wire{app: a, most: mostOnLink, conn: nowhere{}}
-	a.plugins.terms, a.plugins.live, a.plugins.chain = h.terms, h, pluginChain
+	h := &pluginConnection{part: &a.plugins, config: &Plugins{}, chain: pluginChain, process: &plugin.Process{Conn: ours, Command: &exec.Cmd{}}}
+	h.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink, conn: nowhere{}}
+	a.plugins.config, a.plugins.live, a.plugins.chain = h.config, h, pluginChain
 	return a, h
 }
 
@@ -315,65 +315,65 @@
 	verdict := func(how byte, v abi.Verdict) []byte {
 		return v.Append([]byte{how, 100, 0, 0, 0})
 	}
-	nothing := verdict(plugin.Fine, abi.Verdict{})
+	nothing := verdict(plugin.CallSucceeded, abi.Verdict{})
 	for _, one := range []struct {
 		name         string
 		read, result []byte
 	}{
 		{"nothing said", nothing, nothing},
-		{"no verdict at all", []byte{plugin.Fine, 1, 0, 0, 0}, nothing},
-		{"declined", verdict(plugin.Fine, abi.Verdict{Does: abi.Declines, Status: 403}), nothing},
-		{"declined as busy", verdict(plugin.Fine, abi.Verdict{Does: abi.Declines, Status: 503}), nothing},
-		{"declined with a status that is none", verdict(plugin.Fine, abi.Verdict{Does: abi.Declines, Status: 200}), nothing},
-		{"tagged", verdict(plugin.Fine, abi.Verdict{Does: abi.Tags, Tag: "vip"}), nothing},
-		{"another category", verdict(plugin.Fine, abi.Verdict{Does: abi.Categorises, Category: "a"}), nothing},
-		{"an unknown category", verdict(plugin.Fine, abi.Verdict{Does: abi.Categorises, Category: "b"}), nothing},
-		{"cut", verdict(plugin.WasCut, abi.Verdict{}), verdict(plugin.Broke, abi.Verdict{})},
-		{"unreadable", verdict(plugin.Unreadable, abi.Verdict{}), verdict(plugin.NotAsked, abi.Verdict{})},
-		{"bytes that are none", []byte{plugin.Fine, 1, 0, 0, 0, 9}, []byte{1}},
-		{"another result", nothing, verdict(plugin.Fine, abi.Verdict{Does: abi.Replaces, Body: []byte("y")})},
-		{"a longer result", nothing, verdict(plugin.Fine, abi.Verdict{Does: abi.Replaces, Body: []byte("longer")})},
+		{"no verdict at all", []byte{plugin.CallSucceeded, 1, 0, 0, 0}, nothing},
+		{"declined", verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionReject, Status: 403}), nothing},
+		{"declined as busy", verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionReject, Status: 503}), nothing},
+		{"declined with a status that is none", verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionReject, Status: 200}), nothing},
+		{"tagged", verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionTag, Tag: "vip"}), nothing},
+		{"another category", verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionCategorize, Category: "a"}), nothing},
+		{"an unknown category", verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), nothing},
+		{"cut", verdict(plugin.CallTimedOut, abi.Verdict{}), verdict(plugin.CallTrapped, abi.Verdict{})},
+		{"unreadable", verdict(plugin.CallMalformed, abi.Verdict{}), verdict(plugin.CallNotStarted, abi.Verdict{})},
+		{"bytes that are none", []byte{plugin.CallSucceeded, 1, 0, 0, 0, 9}, []byte{1}},
+		{"another result", nothing, verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
+		{"a longer result", nothing, verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
 		{"silent", nil, nil},
 	} {
 		a, h := withPlugins(t)
 		c := knocking(a)
 		say := func(point string, payload []byte) {
-			s.add(point+": asked", takeOut(&h.wire))
+			s.add(point+": asked", takeOut(&h.outputBuffer))
 			if payload == nil {
 				pass(a, 200)
 			} else {
-				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, a.plugins.next, payload)
-				require.NoError(t, inPieces(string(frame), 7, h.traffic))
+				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, a.plugins.lastCall, payload)
+				require.NoError(t, inPieces(string(frame), 7, h.receive))
 			}
 			batch(a)
-			s.add(point+": router", takeOut(&c.wire))
-			s.add(point+": interpreter", takeOut(&a.interpreter.wire))
+			s.add(point+": router", takeOut(&c.outputBuffer))
+			s.add(point+": interpreter", takeOut(&a.interpreter.outputBuffer))
 		}
 		s.add("plug-in", one.name)
 		text := records(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body")
 		require.NoError(t, c.parser.Feed([]byte(text), c))
 		batch(a)
 		say("read", one.read)
-		require.NoError(t, a.interpreter.traffic([]byte(`{"type":"VALUE","n":1,"job":"00000000000000a1","state":"OK","data":"eHh4"}`+"\n")))
+		require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"00000000000000a1","state":"OK","data":"eHh4"}`+"\n")))
 		batch(a)
 		say("result", one.result)
-		s.add("books", fmt.Sprint(h.out, " ", h.held, " ", a.plugins.dropped, " ", a.items.inHand(), " ", h.chain.Plugins[0].Faults))
+		s.add("books", fmt.Sprint(h.pendingCalls, " ", h.requests, " ", a.plugins.lateVerdicts, " ", a.requests.count(), " ", h.chain.Plugins[0].Faults))
 	}
 	a, h := withPlugins(t)
 	c := knocking(a)
 	require.NoError(t, c.parser.Feed([]byte(records(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body")), c))
 	keep := func(key, value string) {
 		payload := append([]byte{byte(len(key))}, key+value...)
-		require.NoError(t, h.traffic(plugin.AppendFrame(nil, plugin.FrameKeep, 0, 0, payload)))
+		require.NoError(t, h.receive(plugin.AppendFrame(nil, plugin.FrameState, 0, 0, payload)))
 	}
 	keep("k", "v")
 	keep("l", "w")
 	keep("l", "")
-	require.NoError(t, h.traffic(plugin.AppendFrame(nil, plugin.FrameCount, 0, 0, []byte(`{"seen":3}`))))
-	s.add("kept", fmt.Sprint(a.plugins.snapshot(), " ", a.plugins.bytes, " ", a.plugins.counts))
-	s.add("place beyond", fmt.Sprint(h.traffic(plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)) != nil))
+	require.NoError(t, h.receive(plugin.AppendFrame(nil, plugin.FrameCounters, 0, 0, []byte(`{"seen":3}`))))
+	s.add("kept", fmt.Sprint(a.plugins.snapshot(), " ", a.plugins.stateBytes, " ", a.plugins.counters))
+	s.add("place beyond", fmt.Sprint(h.receive(plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)) != nil))
 	h.closed()
 	batch(a)
-	s.add("process died: interpreter", takeOut(&a.interpreter.wire))
+	s.add("process died: interpreter", takeOut(&a.interpreter.outputBuffer))
 	s.check(t, "plugins.txt")
 }
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -19,219 +19,221 @@
 )
 
 const (
-	mostLine  = 256 << 10
-	leastWait = timeunit.Ticks(10) // gauges are waited for so long at least
-	trips     = 4                  // and else so many round trips
-	lostWith  = second / 10        // commands sent so short before a link broke may be lost: twice what is told
+	maxLineBytes        = 256 << 10
+	minGaugeWait        = timeunit.Ticks(10) // gauges are waited for so long at least
+	gaugeWaitRoundTrips = 4                  // and else so many round trips
+	commandLossWindow   = second / 10        // commands sent so short before a link broke may be lost: twice what is told
 )
 
-type interpreter struct {
-	wire
-	link    *dialled       // the one that stands
-	next    *dialled       // a dial under way
-	since   timeunit.Ticks // that commands could go out
-	up      bool           // commands may go out: the interpreter is up and what it replays has been taken
-	last    uint64
-	carry   []byte
-	kinds   [][]byte // names of categories as JSON
-	again   alarm
-	backOff backOff
-	gauges  admission.Gauges
-	read    timeunit.Ticks // when they were
-	asked   timeunit.Ticks // 0 while no question is out
-	trip    float64
-	wanted  bool  // the module's wake waits for them
-	enough  alarm // but no longer than this
-	ages    lags  // of what it was given
-	tags    uint64
-	fence   string // the question whose answer ends what is replayed
-	errs    int
-	links   int
+type interpreterClient struct {
+	outputBuffer
+	link          *outgoingConnection // the one that stands
+	dialing       *outgoingConnection // a dial under way
+	readySince    timeunit.Ticks      // that commands could go out
+	ready         bool                // commands may go out: the interpreter is up and what it replays has been taken
+	lastNotice    uint64
+	partialLine   []byte
+	categoryJSON  [][]byte // names of categories as JSON
+	redialTimer   timer
+	backoff       backoff
+	gauges        admission.Gauges
+	gaugesAt      timeunit.Ticks // when they were
+	gaugesAskedAt timeunit.Ticks // 0 while no question is out
+	roundTrip     float64
+	wakeupPending bool         // the module's wake waits for them
+	gaugeTimer    timer        // but no longer than this
+	gaugeAges     lagHistogram // of what it was given
+	lastTag       uint64
+	replayFence   string // the question whose answer ends what is replayed
+	errorCount    int
+	linkCount     int
 }
 
-func (l *interpreter) start(a *App) {
-	l.wire = wire{app: a, most: mostOnLink}
-	l.again.ring, l.enough.ring = l.dial, l.woken
-	l.kinds = make([][]byte, len(a.place.Terms.Categories))
-	for name, i := range a.place.Terms.Named {
-		l.kinds[i], _ = json.Marshal(name)
+func (l *interpreterClient) start(a *Server) {
+	l.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink}
+	l.redialTimer.fire, l.gaugeTimer.fire = l.dial, l.deliverGauges
+	l.categoryJSON = make([][]byte, len(a.config.Settings.Categories))
+	for name, i := range a.config.Settings.CategoryIndex {
+		l.categoryJSON[i], _ = json.Marshal(name)
 	}
 }
 
-func (l *interpreter) dial() {
-	if l.app.phase >= stopped {
+func (l *interpreterClient) dial() {
+	if l.server.phase >= phaseStopped {
 		return
 	}
-	l.app.unset(&l.again)
-	l.next.drop()
-	l.next = l.app.dial(l.app.place.Interpreter, dialWithin, l, func() {
-		l.next = nil
-		l.app.set(&l.again, l.app.now+l.app.spread(l.backOff.next()))
+	l.server.stopTimer(&l.redialTimer)
+	l.dialing.drop()
+	l.dialing = l.server.dial(l.server.config.Interpreter, dialTimeout, l, func() {
+		l.dialing = nil
+		l.server.setTimer(&l.redialTimer, l.server.now+l.server.jitter(l.backoff.next()))
 	})
 }
 
-// move: the interpreter is at another address now. The old link is used until the new one stands and replaces it.
-func (l *interpreter) move() { l.dial() }
+// reconnect: the interpreter is at another address now. The old link is used until the new one stands and replaces it.
+func (l *interpreterClient) reconnect() { l.dial() }
 
-func (l *interpreter) opened(c gnet.Conn) {
+func (l *interpreterClient) opened(c gnet.Conn) {
 	if l.conn != nil {
 		l.link.drop()
-		l.lost()
+		l.linkLost()
 	}
-	l.link, l.next = l.next, nil
-	l.conn, l.carry, l.asked = c, l.carry[:0], 0
-	l.links++
-	l.out = strconv.AppendUint(append(l.buffer(), `{"type":"CONNECT","n":`...), l.last, 10)
-	l.out = append(l.out, "}\n"...)
+	l.link, l.dialing = l.dialing, nil
+	l.conn, l.partialLine, l.gaugesAskedAt = c, l.partialLine[:0], 0
+	l.linkCount++
+	l.output = strconv.AppendUint(append(l.buffer(), `{"type":"CONNECT","n":`...), l.lastNotice, 10)
+	l.output = append(l.output, "}\n"...)
 }
 
-func (l *interpreter) closed() {
-	stood := l.up && l.app.now-l.since >= redialAfter
-	l.lost()
+func (l *interpreterClient) closed() {
+	stood := l.ready && l.server.now-l.readySince >= minRedialDelay
+	l.linkLost()
 	switch {
-	case l.next != nil: // one is being dialled already
+	case l.dialing != nil: // one is being dialled already
 	case stood:
-		l.backOff = backOff{}
+		l.backoff = backoff{}
 		l.dial()
 	default:
-		l.app.set(&l.again, l.app.now+l.app.spread(l.backOff.next()))
+		l.server.setTimer(&l.redialTimer, l.server.now+l.server.jitter(l.backoff.next()))
 	}
 }
 
-// lost: runs go on without a link. The last commands on it may have been lost with it, so they are given again once
+// linkLost: runs go on without a link. The last commands on it may have been lost with it, so they are given again once
 // what is replayed has been taken. That begins no second run: an APPLY does nothing where its request runs, and
 // starts nothing where that is over. One with effects is left to its time where it went out long before.
-func (l *interpreter) lost() {
-	if l.up {
-		l.app.log.Event("interpreter_lost").Uint64("after_notice", l.last).Int("in_hand", l.app.items.inHand()).Send()
+func (l *interpreterClient) linkLost() {
+	if l.ready {
+		l.server.log.Event("interpreter_lost").Uint64("after_notice", l.lastNotice).Int("in_hand", l.server.requests.count()).Send()
 	}
-	l.conn, l.up = nil, false
-	if l.out != nil {
-		l.out = l.out[:0] // nothing meant for this link goes out on the next
+	l.conn, l.ready = nil, false
+	if l.output != nil {
+		l.output = l.output[:0] // nothing meant for this link goes out on the next
 	}
-	for _, it := range l.app.items.byID {
-		if it.sent && !it.heard {
-			it.toRun = l.app.place.Terms.Categories[it.category].Effect == admission.Harmless || l.doubtful(it.sentAt)
-			it.doubt = !it.toRun
+	for _, it := range l.server.requests.byID {
+		if it.runSent && !it.runConfirmed {
+			it.runPending = l.server.config.Settings.Categories[it.category].Idempotency == admission.Idempotent || l.mayBeLost(it.runSentAt)
+			it.runInDoubt = !it.runPending
 		}
-		if it.reply != nil && l.doubtful(it.repliedAt) {
-			it.toGoOn = it.reply
+		if it.lastReply != nil && l.mayBeLost(it.lastReplyAt) {
+			it.pendingReply = it.lastReply
 		}
-		it.toStop = it.toStop || it.stopped
+		it.stopPending = it.stopPending || it.stopSent
 	}
 }
 
-// part ends the link for good: all is answered, and no other is dialled.
-func (l *interpreter) part() {
-	l.next.drop()
+// close ends the link for good: all is answered, and no other is dialled.
+func (l *interpreterClient) close() {
+	l.dialing.drop()
 	l.link.drop()
-	l.conn, l.up = nil, false
-	l.app.unset(&l.again)
+	l.conn, l.ready = nil, false
+	l.server.stopTimer(&l.redialTimer)
 }
 
-func (l *interpreter) doubtful(said timeunit.Ticks) bool { return l.app.now-said < lostWith }
+func (l *interpreterClient) mayBeLost(said timeunit.Ticks) bool {
+	return l.server.now-said < commandLossWindow
+}
 
-// ready: from now on commands go out, first those that waited for a link.
-func (l *interpreter) ready() {
-	l.up, l.fence, l.since = true, "", l.app.now
-	for _, it := range l.app.items.byID {
+// becomeReady: from now on commands go out, first those that waited for a link.
+func (l *interpreterClient) becomeReady() {
+	l.ready, l.replayFence, l.readySince = true, "", l.server.now
+	for _, it := range l.server.requests.byID {
 		switch {
-		case it.ended:
-		case it.toRun && it.conn == nil && !it.sent: // nobody waits for it, and it never left
+		case it.runDone:
+		case it.runPending && it.router == nil && !it.runSent: // nobody waits for it, and it never left
 			it.neverBegun()
-		case it.toRun && !it.heard:
+		case it.runPending && !it.runConfirmed:
 			l.run(it)
-		case it.toGoOn != nil && it.conn != nil:
-			l.goOn(it, it.toGoOn)
+		case it.pendingReply != nil && it.router != nil:
+			l.resolve(it, it.pendingReply)
 		}
-		if it.toStop {
+		if it.stopPending {
 			l.stop(it)
 		}
 	}
 }
 
-func (l *interpreter) command(name string, it *item) []byte {
+func (l *interpreterClient) beginCommand(name string, it *request) []byte {
 	out := append(append(append(l.buffer(), `{"type":"`...), name...), `","job":"`...)
 	return append(append(out, it.id...), '"')
 }
 
-func withData(out, data []byte) []byte {
+func appendData(out, data []byte) []byte {
 	out = append(out, `,"data":"`...)
 	return append(base64.StdEncoding.AppendEncode(out, data), "\"}\n"...)
 }
 
-func (l *interpreter) run(it *item) {
-	if it.toRun = !l.up; l.up {
-		it.sent, it.sentAt = true, l.app.now
-		out := append(append(l.command("APPLY", it), `,"kind":`...), l.kinds[it.category]...)
-		l.out = withData(out, it.body)
+func (l *interpreterClient) run(it *request) {
+	if it.runPending = !l.ready; l.ready {
+		it.runSent, it.runSentAt = true, l.server.now
+		out := append(append(l.beginCommand("APPLY", it), `,"kind":`...), l.categoryJSON[it.category]...)
+		l.output = appendData(out, it.body)
 	}
 }
 
-func (l *interpreter) stop(it *item) {
-	if it.toStop = !l.up; l.up && !it.ended {
-		it.stopped = true
-		l.out = append(l.command("BREAK", it), "}\n"...)
+func (l *interpreterClient) stop(it *request) {
+	if it.stopPending = !l.ready; l.ready && !it.runDone {
+		it.stopSent = true
+		l.output = append(l.beginCommand("BREAK", it), "}\n"...)
 	}
 }
 
-// goOn passes the reply to a run's call on.
-func (l *interpreter) goOn(it *item, reply []byte) {
-	it.claim.Resumed(l.app.now)
-	if it.toGoOn = nil; l.up {
-		it.reply, it.repliedAt = reply, l.app.now
-		l.out = withData(l.command("RESOLVE", it), reply)
+// resolve passes the reply to a run's call on.
+func (l *interpreterClient) resolve(it *request, reply []byte) {
+	it.reservation.Resume(l.server.now)
+	if it.pendingReply = nil; l.ready {
+		it.lastReply, it.lastReplyAt = reply, l.server.now
+		l.output = appendData(l.beginCommand("RESOLVE", it), reply)
 	} else {
-		it.toGoOn = reply
+		it.pendingReply = reply
 	}
 }
 
-// wake: the module is due for the gauges. What else is due is decided in this batch; only the wake waits for them,
+// onWakeup: the module is due for the gauges. What else is due is decided in this batch; only the wake waits for them,
 // and not for long where the link is slow.
-func (l *interpreter) wake() {
-	if !l.up {
-		l.woken()
+func (l *interpreterClient) onWakeup() {
+	if !l.ready {
+		l.deliverGauges()
 		return
 	}
-	l.wanted = true
-	l.app.set(&l.enough, l.app.now+max(leastWait, timeunit.Ticks(trips*l.trip)))
-	if l.asked == 0 {
-		l.asked = l.app.now
-		l.question()
+	l.wakeupPending = true
+	l.server.setTimer(&l.gaugeTimer, l.server.now+max(minGaugeWait, timeunit.Ticks(gaugeWaitRoundTrips*l.roundTrip)))
+	if l.gaugesAskedAt == 0 {
+		l.gaugesAskedAt = l.server.now
+		l.askGauges()
 	}
 }
 
-func (l *interpreter) woken() {
-	l.wanted = false
-	l.app.unset(&l.enough)
-	l.ages.add(l.app.now - l.read)
-	l.gauges.Stale = l.read < l.app.now // the link is down, or the answer late
-	l.app.server.Woken(l.gauges)
+func (l *interpreterClient) deliverGauges() {
+	l.wakeupPending = false
+	l.server.stopTimer(&l.gaugeTimer)
+	l.gaugeAges.add(l.server.now - l.gaugesAt)
+	l.gauges.IsStale = l.gaugesAt < l.server.now // the link is down, or the answer late
+	l.server.admission.OnTimer(l.gauges)
 }
 
-func (l *interpreter) question() (tag string) {
-	l.tags++
-	tag = strconv.FormatUint(l.tags, 10)
-	l.out = append(append(append(l.buffer(), `{"type":"TOP","ref":"`...), tag...), "\"}\n"...)
+func (l *interpreterClient) askGauges() (tag string) {
+	l.lastTag++
+	tag = strconv.FormatUint(l.lastTag, 10)
+	l.output = append(append(append(l.buffer(), `{"type":"TOP","ref":"`...), tag...), "\"}\n"...)
 	return tag
 }
 
-func (l *interpreter) traffic(data []byte) error {
+func (l *interpreterClient) receive(data []byte) error {
 	for len(data) > 0 {
 		line, rest, whole := bytes.Cut(data, []byte{'\n'})
 		data = rest
-		if len(l.carry)+len(line) > mostLine {
+		if len(l.partialLine)+len(line) > maxLineBytes {
 			return errors.New("a line from the interpreter is beyond the bound")
 		}
-		if !whole || len(l.carry) > 0 {
-			l.carry = append(l.carry, line...)
-			line = l.carry
+		if !whole || len(l.partialLine) > 0 {
+			l.partialLine = append(l.partialLine, line...)
+			line = l.partialLine
 		}
 		if !whole {
 			return nil
 		}
-		err := l.notice(line)
-		l.carry = l.carry[:0]
+		err := l.handleNotice(line)
+		l.partialLine = l.partialLine[:0]
 		if err != nil {
 			return err
 		}
@@ -239,7 +241,7 @@
 	return nil
 }
 
-func (l *interpreter) notice(line []byte) error {
+func (l *interpreterClient) handleNotice(line []byte) error {
 	var n struct {
 		Type   string          `json:"type"`
 		N      uint64          `json:"n"`
@@ -260,44 +262,44 @@
 		return errors.New("a notice with a time that cannot be meant")
 	}
 	if n.N > 0 {
-		if n.N <= l.last {
+		if n.N <= l.lastNotice {
 			return nil // replayed though it was read
 		}
-		l.last = n.N
+		l.lastNotice = n.N
 	}
-	it := l.app.items.byID[n.Job]
+	it := l.server.requests.byID[n.Job]
 	if it != nil && n.N > 0 {
-		it.reply, it.toGoOn = nil, nil // what comes of the run after a reply tells that it was taken
+		it.lastReply, it.pendingReply = nil, nil // what comes of the run after a reply tells that it was taken
 	}
 	switch n.Type {
 	case "BANNER":
-		l.banner(n.State, deployment.Up(n.Took))
+		l.onBanner(n.State, deployment.RoundUp(n.Took))
 	case "VALUE":
-		how, known := ends[n.State]
+		how, known := runOutcomes[n.State]
 		if !known {
 			return errors.New("a run's end that is none")
 		}
 		switch {
 		case it == nil:
-		case how == admission.NeverBegun:
+		case how == admission.NeverStarted:
 			it.neverBegun()
 		default:
-			it.heard, it.doubt = true, false
-			it.runEnded(how, deployment.Up(n.Took), n.Data)
+			it.runConfirmed, it.runInDoubt = true, false
+			it.runEnded(how, deployment.RoundUp(n.Took), n.Data)
 		}
 	case "AWAIT":
-		if it != nil && it.begun && !it.ended {
-			it.heard, it.doubt, it.asks = true, false, n.Data
-			it.claim.Called(l.app.now)
-			it.handle.AtCall()
+		if it != nil && it.runStarted && !it.runDone {
+			it.runConfirmed, it.runInDoubt, it.callBody = true, false, n.Data
+			it.reservation.Suspend(l.server.now)
+			it.handle.NeedsCall()
 		}
 	case "TOPS":
-		return l.tops(n.Ref, n.Gauges)
+		return l.onGauges(n.Ref, n.Gauges)
 	case "ERROR":
-		if often(&l.errs) {
-			l.app.log.Event("interpreter_error").Str("command", n.State).Str("id", n.Job).Int("count", l.errs).Send()
+		if countAndSample(&l.errorCount) {
+			l.server.log.Event("interpreter_error").Str("command", n.State).Str("id", n.Job).Int("count", l.errorCount).Send()
 		}
-		if it != nil && it.begun && n.State == "APPLY" {
+		if it != nil && it.runStarted && n.State == "APPLY" {
 			it.neverBegun()
 		}
 	case "TRACE":
@@ -307,58 +309,58 @@
 	return nil
 }
 
-var ends = map[string]admission.Outcome{"OK": admission.Well, "ERROR": admission.Badly,
-	"STOPPED": admission.Cut, "MOOT": admission.NeverBegun}
+var runOutcomes = map[string]admission.Outcome{"OK": admission.Succeeded, "ERROR": admission.Failed,
+	"STOPPED": admission.Aborted, "MOOT": admission.NeverStarted}
 
-// onSockets is what the settings mean where the protocol of sockets has no word for it: later tries bear no mark, runs do not
+// socketDeployment is what the settings mean where the protocol of sockets has no word for it: later tries bear no mark, runs do not
 // go on without a call, and the interpreter may read an answer after the order to stop, which pauses for good what is not over.
-func onSockets(of *deployment.Terms) admission.Deployment {
-	d := of.Deployment
-	d.Marked, d.Stops, d.Fresh = false, d.Stops && !of.Pauses, 0
+func socketDeployment(of *deployment.Config) admission.Config {
+	d := of.Config
+	d.RetriesMarked, d.CanStopRuns, d.ResultTTL = false, d.CanStopRuns && !of.PauseKeepsMemory, 0
 	d.Categories = slices.Clone(d.Categories)
 	for i, c := range d.Categories {
-		d.Categories[i].Window, d.Categories[i].Poorer = kept(c), 0
+		d.Categories[i].DeduplicationWindow, d.Categories[i].DegradedValue = retention(c), 0
 	}
 	return d
 }
 
-// banner starts the module's server the first time, as cold or warm as the interpreter says it was.
-func (l *interpreter) banner(state string, since timeunit.Ticks) {
-	a := l.app
-	if a.server == nil {
-		terms := onSockets(a.place.Terms)
-		terms.Cold, terms.Spread = state == "COLD", a.chance.Float64()
+// onBanner starts the module's server the first time, as cold or warm as the interpreter says it was.
+func (l *interpreterClient) onBanner(state string, since timeunit.Ticks) {
+	a := l.server
+	if a.admission == nil {
+		terms := socketDeployment(a.config.Settings)
+		terms.StartsCold, terms.TurnOffset = state == "COLD", a.random.Float64()
 		// Stamps and results lie in this process's memory, not in the interpreter's that the settings speak of.
-		terms.EntryKb, terms.Entries = 0, max(1, a.place.Memory/stampsPart/stampSize-a.keeping.recalled())
-		terms.Learnt = a.keeping.begin()
-		a.server = admission.New(terms, &a.items, a.now-since)
-		a.server.At(a.now)
-		a.log.Event("interpreter_up").Str("name", a.place.Name).Str("state", state).Int64("since_ms", int64(since/10)).Send()
-		a.tellLeave()
-		a.enter(ready)
-		l.ready()
+		terms.EntryKB, terms.MaxEntries = 0, max(1, a.config.MemoryBytes/idempotencyMemoryDivisor/idempotencyEntryBytes-a.recovery.restoredEntries())
+		terms.WarmStart = a.recovery.loadWarmStart()
+		a.admission = admission.New(terms, &a.requests, a.now-since)
+		a.admission.Advance(a.now)
+		a.log.Event("interpreter_up").Str("name", a.config.Name).Str("state", state).Int64("since_ms", int64(since/10)).Send()
+		a.notifyAdmissionOfDrain()
+		a.advancePhase(phaseReady)
+		l.becomeReady()
 		return
 	}
-	a.log.Event("interpreter_back").Str("name", a.place.Name).Int("links", l.links).Send()
-	l.fence = l.question()
+	a.log.Event("interpreter_back").Str("name", a.config.Name).Int("links", l.linkCount).Send()
+	l.replayFence = l.askGauges()
 }
 
-func (l *interpreter) tops(ref string, row json.RawMessage) error {
+func (l *interpreterClient) onGauges(ref string, row json.RawMessage) error {
 	var values []float64
 	if err := json.Unmarshal(row, &values); err != nil {
 		return errors.New("gauges that are no numbers")
 	}
-	now := l.app.now
-	l.gauges, l.read = l.app.place.Terms.Gauges(values), now
-	if l.asked > 0 {
-		l.trip += (float64(now-l.asked) - l.trip) / 8
-		l.asked = 0
+	now := l.server.now
+	l.gauges, l.gaugesAt = l.server.config.Settings.GaugesFromRow(values), now
+	if l.gaugesAskedAt > 0 {
+		l.roundTrip += (float64(now-l.gaugesAskedAt) - l.roundTrip) / 8
+		l.gaugesAskedAt = 0
 	}
-	if l.wanted {
-		l.woken()
+	if l.wakeupPending {
+		l.deliverGauges()
 	}
-	if l.fence != "" && ref == l.fence {
-		l.ready()
+	if l.replayFence != "" && ref == l.replayFence {
+		l.becomeReady()
 	}
 	return nil
 }
--- a/internal/server/invariant_debug.go
+++ b/internal/server/invariant_debug.go
@@ -4,7 +4,7 @@
 // once. It must never be the way that bad input is answered.
 package server
 
-func (*App) must(holds bool, what string) {
+func (*Server) checkInvariant(holds bool, what string) {
 	if !holds {
 		panic("invariant broken: " + what)
 	}
--- a/internal/server/invariant_release.go
+++ b/internal/server/invariant_release.go
@@ -4,8 +4,8 @@
 // logged, each count that is a power of two. It must never stop the program.
 package server
 
-func (a *App) must(holds bool, what string) {
-	if !holds && often(&a.broken) {
-		a.log.Event("invariant_broken").Str("what", what).Int("count", a.broken).Send()
+func (a *Server) checkInvariant(holds bool, what string) {
+	if !holds && countAndSample(&a.brokenInvariants) {
+		a.log.Event("invariant_broken").Str("what", what).Int("count", a.brokenInvariants).Send()
 	}
 }
--- a/internal/server/lasting.go
+++ b/internal/server/lasting.go
@@ -16,168 +16,168 @@
 	"thistlequay/timeunit"
 )
 
-// answerAhead is how much before its due time a work item is answered that still waits for the disk.
-const answerAhead = second / 50
+// answerMargin is how much before its due time a work item is answered that still waits for the disk.
+const answerMargin = second / 50
 
-// Lasting is a store that is open.
-type Lasting struct {
-	Store *segmentlog.Store
-	Tell  func(func(done []segmentlog.Done)) // has the writer call this
+// Recovery is a store that is open.
+type Recovery struct {
+	Store     *segmentlog.Log
+	OnDurable func(func(done []segmentlog.WriteResult)) // has the writer call this
 }
 
-type keeping struct {
-	app      *App
-	store    *segmentlog.Store
-	waits    map[uint64]*item // for their intents, by tag
-	next     uint64
-	closing  bool
-	until    timeunit.Ticks // stamped work items that nothing is known of are declined until then
-	full     int            // declined as there was no room
-	late     int            // or their intents were not written in time
-	ill      int            // or the disk could not be written
-	doubtful int            // or something may have been lost
+type recoveryPart struct {
+	server         *Server
+	store          *segmentlog.Log
+	pending        map[uint64]*request // for their intents, by tag
+	lastAttempt    uint64
+	closing        bool
+	doubtUntil     timeunit.Ticks // stamped work items that nothing is known of are declined until then
+	rejectedFull   int            // declined as there was no room
+	rejectedLate   int            // or their intents were not written in time
+	rejectedFailed int            // or the disk could not be written
+	rejectedDoubt  int            // or something may have been lost
 }
 
 // start takes up what the store concluded.
-func (k *keeping) start(a *App, l *Lasting) {
-	k.app, k.waits = a, map[uint64]*item{}
+func (k *recoveryPart) start(a *Server, l *Recovery) {
+	k.server, k.pending = a, map[uint64]*request{}
 	if l == nil {
 		return
 	}
-	k.store, k.until = l.Store, l.Store.DeclineUntil
-	k.next = uint64(a.clock.now()) << 20 // tries of other lives have other numbers
-	longest := timeunit.Ticks(ahead * 10)
-	for _, c := range a.place.Terms.Categories {
-		longest = max(longest, c.Expiry+ahead*10)
+	k.store, k.doubtUntil = l.Store, l.Store.RejectUntil
+	k.lastAttempt = uint64(a.clock.now()) << 20 // tries of other lives have other numbers
+	longest := timeunit.Ticks(maxClockSkewMs * 10)
+	for _, c := range a.config.Settings.Categories {
+		longest = max(longest, c.Deadline+maxClockSkewMs*10)
 	}
-	l.Tell(func(done []segmentlog.Done) { a.do(func() { k.told(done) }) })
-	for _, f := range l.Store.Fates {
-		m := &stamp{key: f.Key, body: f.Print, ran: true, ended: true, well: f.Ended && f.Well, result: f.Result, until: f.Until}
-		m.fade.ring = func() { a.items.drop(m) }
-		a.items.stamps[f.Key] = m
-		a.set(&m.fade, m.until+longest)
+	l.OnDurable(func(done []segmentlog.WriteResult) { a.submit(func() { k.onDurable(done) }) })
+	for _, f := range l.Store.Outcomes {
+		m := &idempotencyEntry{key: f.Key, bodyHash: f.BodyHash, ran: true, ended: true, succeeded: f.Completed && f.Succeeded, result: f.Result, matchUntil: f.WindowEnd}
+		m.expiryTimer.fire = func() { a.requests.removeEntry(m) }
+		a.requests.entries[f.Key] = m
+		a.setTimer(&m.expiryTimer, m.matchUntil+longest)
 	}
 }
 
-// recalled is how many stamps an earlier life left.
-func (k *keeping) recalled() int {
+// restoredEntries is how many stamps an earlier life left.
+func (k *recoveryPart) restoredEntries() int {
 	if k.store == nil {
 		return 0
 	}
-	return len(k.store.Fates)
+	return len(k.store.Outcomes)
 }
 
-// intend has the intent of a stamped work item written; false where none is needed, and the work item goes on at once.
+// writeIntent has the intent of a stamped work item written; false where none is needed, and the work item goes on at once.
 // Without a place for it, it is declined before its run.
-func (k *keeping) intend(it *item, tenant []byte) bool {
-	t := &k.app.items
-	key := t.stampKey(it)
+func (k *recoveryPart) writeIntent(it *request, tenant []byte) bool {
+	t := &k.server.requests
+	key := t.idempotencyKey(it)
 	if k.store == nil || key == "" {
 		return false
 	}
-	if before := t.before(it); before != nil && before.ran {
+	if before := t.existingEntry(it); before != nil && before.ran {
 		return false // it repeats what ran
 	} else if k.closing {
-		k.decline(it, &k.full, "closing", k.app.place.Terms.MaxAway)
+		k.reject(it, &k.rejectedFull, "closing", k.server.config.Settings.MaxRetryAfter)
 		return true
-	} else if before == nil && k.until > k.app.now {
-		k.decline(it, &k.doubtful, "doubt", k.until-k.app.now)
+	} else if before == nil && k.doubtUntil > k.server.now {
+		k.reject(it, &k.rejectedDoubt, "doubt", k.doubtUntil-k.server.now)
 		return true
 	}
-	k.next++
-	until := it.reached + k.app.clock.shift + k.app.place.Terms.Categories[it.category].Window + k.app.items.margin()
-	err := k.store.Intend(recovery.Record{Key: key, Print: sha256.Sum256(it.body), Until: until, Try: k.next}, k.next)
+	k.lastAttempt++
+	until := it.receivedAt + k.server.clock.systemOffset + k.server.config.Settings.Categories[it.category].DeduplicationWindow + k.server.requests.windowMargin()
+	err := k.store.AppendIntent(recovery.Record{Key: key, BodyHash: sha256.Sum256(it.body), WindowEnd: until, Attempt: k.lastAttempt}, k.lastAttempt)
 	switch {
 	case err == segmentlog.ErrFull:
-		k.decline(it, &k.full, "full", k.app.place.Terms.MaxAway)
+		k.reject(it, &k.rejectedFull, "full", k.server.config.Settings.MaxRetryAfter)
 		return true
 	case err != nil:
-		k.decline(it, &k.ill, err.Error(), k.app.place.Terms.MaxAway)
+		k.reject(it, &k.rejectedFailed, err.Error(), k.server.config.Settings.MaxRetryAfter)
 		return true
 	}
 	it.tenant, it.key = append([]byte(nil), tenant...), append([]byte(nil), it.key...) // a buffer is used again
-	it.intent, it.try = until, k.next
-	k.waits[k.next] = it
-	it.limit.ring = func() { k.overdue(it) }
-	k.app.set(&it.limit, k.latest(it))
-	k.app.server.Beside(it.arrival.HeldKb)
+	it.intentUntil, it.attempt = until, k.lastAttempt
+	k.pending[k.lastAttempt] = it
+	it.intentTimer.fire = func() { k.onIntentTimeout(it) }
+	k.server.setTimer(&it.intentTimer, k.answerDeadline(it))
+	k.server.admission.ReserveMemory(it.arrival.QueuedKB)
 	return true
 }
 
-// latest is when a work item that waits for its intent must be answered all the same.
-func (k *keeping) latest(it *item) timeunit.Ticks {
-	return max(k.app.now, min(it.until, k.app.stop)-answerAhead)
+// answerDeadline is when a work item that waits for its intent must be answered all the same.
+func (k *recoveryPart) answerDeadline(it *request) timeunit.Ticks {
+	return max(k.server.now, min(it.deadline, k.server.shutdownDeadline)-answerMargin)
 }
 
-// overdue: the disk did not come back in time. It is declined, and its intent taken back once it is there.
-func (k *keeping) overdue(it *item) {
-	k.note(&k.late, "late")
-	it.answer("503 Declined", "", nil)
+// onIntentTimeout: the disk did not come back in time. It is declined, and its intent taken back once it is there.
+func (k *recoveryPart) onIntentTimeout(it *request) {
+	k.logRejection(&k.rejectedLate, "late")
+	it.respond("503 Declined", "", nil)
 }
 
-// leave: what waits must be answered before the stop.
-func (k *keeping) leave() {
-	for _, it := range k.waits {
-		if it.limit.place > 0 {
-			k.app.set(&it.limit, k.latest(it))
+// onDrain: what waits must be answered before the stop.
+func (k *recoveryPart) onDrain() {
+	for _, it := range k.pending {
+		if it.intentTimer.heapPosition > 0 {
+			k.server.setTimer(&it.intentTimer, k.answerDeadline(it))
 		}
 	}
 }
 
-func (k *keeping) decline(it *item, count *int, why string, away timeunit.Ticks) {
-	k.note(count, why)
-	k.app.items.untaken(it)
-	it.answer("503 Declined", backOffFor(min(away, k.app.place.Terms.MaxAway)), nil)
+func (k *recoveryPart) reject(it *request, count *int, why string, away timeunit.Ticks) {
+	k.logRejection(count, why)
+	k.server.requests.remove(it)
+	it.respond("503 Declined", backOffFor(min(away, k.server.config.Settings.MaxRetryAfter)), nil)
 }
 
-func (k *keeping) note(count *int, why string) {
-	if often(count) {
-		k.app.log.Event("store_declines").Str("why", why).Int("count", *count).Send()
+func (k *recoveryPart) logRejection(count *int, why string) {
+	if countAndSample(count) {
+		k.server.log.Event("store_declines").Str("why", why).Int("count", *count).Send()
 	}
 }
 
-// told: the writer is through with these.
-func (k *keeping) told(done []segmentlog.Done) {
+// onDurable: the writer is through with these.
+func (k *recoveryPart) onDurable(done []segmentlog.WriteResult) {
 	for _, d := range done {
-		it := k.waits[d.Tag]
+		it := k.pending[d.Tag]
 		if it == nil {
 			continue
 		}
-		delete(k.waits, d.Tag)
-		k.app.unset(&it.limit)
-		k.app.server.Beside(-it.arrival.HeldKb)
+		delete(k.pending, d.Tag)
+		k.server.stopTimer(&it.intentTimer)
+		k.server.admission.ReserveMemory(-it.arrival.QueuedKB)
 		switch {
 		case d.Err != nil:
-			it.intent = 0
-			if it.conn == nil {
-				k.app.items.untaken(it)
+			it.intentUntil = 0
+			if it.router == nil {
+				k.server.requests.remove(it)
 			} else {
-				k.decline(it, &k.ill, d.Err.Error(), k.app.place.Terms.MaxAway)
+				k.reject(it, &k.rejectedFailed, d.Err.Error(), k.server.config.Settings.MaxRetryAfter)
 			}
-		case it.conn == nil: // its caller left meanwhile
-			k.conclude(it, recovery.Void, false, nil)
-			k.app.items.untaken(it)
+		case it.router == nil: // its caller left meanwhile
+			k.conclude(it, recovery.KindCancellation, false, nil)
+			k.server.requests.remove(it)
 		default:
-			k.app.items.admit(it, it.tenant)
+			k.server.requests.admit(it, it.tenant)
 		}
 	}
 }
 
 // conclude writes what became of an intent, once.
-func (k *keeping) conclude(it *item, how recovery.Kind, well bool, result []byte) {
-	if it.intent == 0 || k.closing {
+func (k *recoveryPart) conclude(it *request, how recovery.RecordKind, well bool, result []byte) {
+	if it.intentUntil == 0 || k.closing {
 		return
 	}
-	key := it.lastingKey
+	key := it.recoveryKey
 	if key == "" {
-		key = k.app.items.stampKey(it)
+		key = k.server.requests.idempotencyKey(it)
 	}
-	k.store.Conclude(recovery.Record{Kind: how, Key: key, Until: it.intent, Try: it.try, Well: well, Result: result}, 0)
-	it.intent = 0
+	k.store.AppendCompletion(recovery.Record{Kind: how, Key: key, WindowEnd: it.intentUntil, Attempt: it.attempt, Succeeded: well, Payload: result}, 0)
+	it.intentUntil = 0
 }
 
-// end has all that is in hand made durable, and calls done after that, or when the time is over.
-func (k *keeping) end(within timeunit.Ticks, done func()) {
+// close has all that is in hand made durable, and calls done after that, or when the time is over.
+func (k *recoveryPart) close(within timeunit.Ticks, done func()) {
 	if k.store == nil {
 		done()
 		return
@@ -187,48 +187,48 @@
 	s.Close()
 	go func() {
 		select {
-		case <-s.Ended():
+		case <-s.Done():
 		case <-time.After(time.Duration(within) * (time.Millisecond / 10)):
 		}
-		k.app.do(done)
+		k.server.submit(done)
 	}()
 }
 
-// tell adds how the store does to the line on the state.
-func (k *keeping) tell(e *zerolog.Event) {
+// logState adds how the store does to the line on the state.
+func (k *recoveryPart) logState(e *zerolog.Event) {
 	if k.store == nil {
 		return
 	}
-	used, promised, records, ill := k.store.Figures()
-	e.Int64("store_bytes", used).Int64("store_promised", promised).Int("store_records", records).Int("store_waits", len(k.waits)).
-		Int("store_full", k.full).Int("store_late", k.late).Bool("store_ill", ill != nil)
+	used, promised, records, ill := k.store.Usage()
+	e.Int64("store_bytes", used).Int64("store_promised", promised).Int("store_records", records).Int("store_waits", len(k.pending)).
+		Int("store_full", k.rejectedFull).Int("store_late", k.rejectedLate).Bool("store_ill", ill != nil)
 }
 
-// learn writes what was learnt, now and then, and begin reads it: a warm start that is weighed by its age.
-func (k *keeping) learn() {
-	if k.store == nil || k.closing || k.app.server == nil {
+// saveWarmStart writes what was learnt, now and then, and begin reads it: a warm start that is weighed by its age.
+func (k *recoveryPart) saveWarmStart() {
+	if k.store == nil || k.closing || k.server.admission == nil {
 		return
 	}
-	text, err := json.Marshal(recovery.Snapshot{At: k.app.now, Settings: k.settings(), Cores: float64(k.app.place.Terms.Cores), Learnt: k.app.server.Learnt()})
+	text, err := json.Marshal(recovery.WarmStartState{CapturedAt: k.server.now, SettingsHash: k.settingsHash(), Cores: float64(k.server.config.Settings.Cores), WarmStartState: k.server.admission.WarmStartState()})
 	if err == nil {
-		k.store.Learn(text)
+		k.store.AppendWarmStart(text)
 	}
 }
 
-func (k *keeping) begin() *admission.Learnt {
-	if k.store == nil || len(k.store.Learnt) == 0 {
+func (k *recoveryPart) loadWarmStart() *admission.WarmStartState {
+	if k.store == nil || len(k.store.WarmStart) == 0 {
 		return nil
 	}
-	var s recovery.Snapshot
-	if json.Unmarshal(k.store.Learnt, &s) != nil {
+	var s recovery.WarmStartState
+	if json.Unmarshal(k.store.WarmStart, &s) != nil {
 		return nil
 	}
-	l := s.Weigh(k.app.now, k.settings())
-	k.app.log.Event("warm_start").Bool("taken", l != nil).Int64("age_ms", int64((k.app.now-s.At)/10)).Send()
+	l := s.Decay(k.server.now, k.settingsHash())
+	k.server.log.Event("warm_start").Bool("taken", l != nil).Int64("age_ms", int64((k.server.now-s.CapturedAt)/10)).Send()
 	return l
 }
 
-// settings is a hash of what the decisions go by.
-func (k *keeping) settings() uint64 {
-	return xxh3.HashString(k.app.place.Terms.Deployment.StoredForm())
+// settingsHash is a hash of what the decisions go by.
+func (k *recoveryPart) settingsHash() uint64 {
+	return xxh3.HashString(k.server.config.Settings.Config.StoredForm())
 }
--- a/internal/server/life.go
+++ b/internal/server/life.go
@@ -19,174 +19,174 @@
 type phase int
 
 const (
-	starting phase = iota // the interpreter is not there yet
-	ready
-	draining // it was told to leave; what came within the grace is run
-	closing  // the grace is over by far: connections end as soon as they carry nothing
-	stopped  // all that was read is answered; every connection ends
+	phaseStarting phase = iota // the interpreter is not there yet
+	phaseReady
+	phaseDraining // it was told to leave; what came within the grace is run
+	phaseClosing  // the grace is over by far: connections end as soon as they carry nothing
+	phaseStopped  // all that was read is answered; every connection ends
 )
 
-func (a *App) enter(p phase) { a.phase = max(a.phase, p) }
+func (a *Server) advancePhase(p phase) { a.phase = max(a.phase, p) }
 
-// good is what health checks and the directory hear.
-func (a *App) good() bool { return a.phase < draining && a.routers.good }
+// isHealthy is what health checks and the directory hear.
+func (a *Server) isHealthy() bool { return a.phase < phaseDraining && a.routers.admissionHealthy }
 
-// life is where a router's connection is in its.
-type life int
+// connectionState is where a router's connection is in its.
+type connectionState int
 
 const (
-	fresh   life = iota // it brought no whole request yet
-	busy                // it did, and carries something
-	resting             // and carries nothing
-	ending              // it ends once no request is open on it
-	closed
+	connectionNew      connectionState = iota // it brought no whole request yet
+	connectionActive                          // it did, and carries something
+	connectionIdle                            // and carries nothing
+	connectionDraining                        // it ends once no request is open on it
+	connectionClosed
 )
 
-// become moves it on and keeps the lists of fresh and resting ones.
-func (c *router) become(to life) {
-	r := &c.app.routers
-	if c.life == to || c.life == closed {
+// transition moves it on and keeps the lists of fresh and resting ones.
+func (c *routerConnection) transition(to connectionState) {
+	r := &c.server.routers
+	if c.state == to || c.state == connectionClosed {
 		return
 	}
-	switch c.life {
-	case fresh:
-		r.fresh.Remove(c.spot)
-	case resting:
-		r.idle.Remove(c.spot)
+	switch c.state {
+	case connectionNew:
+		r.newConnections.Remove(c.stateElement)
+	case connectionIdle:
+		r.idleConnections.Remove(c.stateElement)
 	}
-	c.life, c.spot = to, nil
+	c.state, c.stateElement = to, nil
 	switch to {
-	case resting:
-		c.since = c.app.now
-		c.spot = r.idle.PushBack(c)
-		if r.idleFor < never && r.closing.place == 0 {
-			c.app.set(&r.closing, c.since+r.idleFor)
+	case connectionIdle:
+		c.stateSince = c.server.now
+		c.stateElement = r.idleConnections.PushBack(c)
+		if r.idleTimeout < noDeadline && r.idleTimer.heapPosition == 0 {
+			c.server.setTimer(&r.idleTimer, c.stateSince+r.idleTimeout)
 		}
-	case ending:
-		c.settle()
+	case connectionDraining:
+		c.updateState()
 	}
 }
 
-// settle has it rest, or end, where nothing is open on it.
-func (c *router) settle() {
+// updateState has it rest, or end, where nothing is open on it.
+func (c *routerConnection) updateState() {
 	switch {
 	case c.conn == nil:
-	case c.life == ending && c.parser.Open() == 0:
+	case c.state == connectionDraining && c.parser.OpenRequests() == 0:
 		c.buffer() // what is owed goes out with this batch
-		c.after = true
-	case c.life == busy && c.parser.Clean():
-		if c.app.phase >= closing {
-			c.become(ending)
+		c.closeAfterWrite = true
+	case c.state == connectionActive && c.parser.Idle():
+		if c.server.phase >= phaseClosing {
+			c.transition(connectionDraining)
 		} else {
-			c.become(resting)
+			c.transition(connectionIdle)
 		}
 	}
 }
 
-// closeResting is the first step of the end: what carries nothing, or soon does, goes while there is time to end it well.
-func (r *routers) closeResting() {
-	for e := r.idle.Front(); e != nil; e = r.idle.Front() {
-		e.Value.(*router).become(ending)
+// drainIdle is the first step of the end: what carries nothing, or soon does, goes while there is time to end it well.
+func (r *routerTable) drainIdle() {
+	for e := r.idleConnections.Front(); e != nil; e = r.idleConnections.Front() {
+		e.Value.(*routerConnection).transition(connectionDraining)
 	}
 }
 
 // closeAll is the last: nothing is owed any more. Half a request that lies here never ran.
-func (r *routers) closeAll() {
+func (r *routerTable) closeAll() {
 	for e := r.all.Front(); e != nil; {
-		c := e.Value.(*router)
+		c := e.Value.(*routerConnection)
 		e = e.Next()
-		c.shut()
+		c.closeGracefully()
 	}
 }
 
 const (
-	flushFor    = 2 * second // for the other side to take what was written
-	flushAgain  = second / 200
-	lingerFor   = second / 2 // ten times what the protocol lets a request cross a close
-	lingerBytes = 256 << 10  // whoever sends more after the end is not crossing it
-	lingerPart  = 32         // one descriptor in so many is for connections that end, whatever the table holds
+	flushTimeout            = 2 * second // for the other side to take what was written
+	flushPollInterval       = second / 200
+	lingerTimeout           = second / 2 // ten times what the protocol lets a request cross a close
+	maxLingerBytes          = 256 << 10  // whoever sends more after the end is not crossing it
+	lingerDescriptorDivisor = 32         // one descriptor in so many is for connections that end, whatever the table holds
 )
 
-// lingering are the connections that end.
-type lingering struct {
-	all  list.List // of *parting, the oldest first
-	most int
+// closingConnections are the connections that end.
+type closingConnections struct {
+	connections list.List // of *parting, the oldest first
+	reserved    int
 }
 
-// parting is one of them, in the place of the peer that it had.
-type parting struct {
-	app   *App
-	conn  gnet.Conn
-	until timeunit.Ticks
-	left  int  // bytes
-	shut  bool // its write side
-	look  alarm
-	spot  *list.Element
+// closingConnection is one of them, in the place of the peer that it had.
+type closingConnection struct {
+	server    *Server
+	conn      gnet.Conn
+	deadline  timeunit.Ticks
+	bytesLeft int  // bytes
+	writeShut bool // its write side
+	timer     timer
+	element   *list.Element
 }
 
-var errFlood = errors.New("more after the end than can have crossed it")
+var errFloodAfterEnd = errors.New("more after the end than can have crossed it")
 
-// part ends a connection; its peer hears so at once.
-func (a *App) part(c gnet.Conn) {
-	p, _ := c.Context().(peer)
-	if r, is := p.(*router); is {
+// closeGracefully ends a connection; its peer hears so at once.
+func (a *Server) closeGracefully(c gnet.Conn) {
+	p, _ := c.Context().(connectionHandler)
+	if r, is := p.(*routerConnection); is {
 		r.flush() // answers of this batch
 	}
-	g, l := &parting{app: a, conn: c, until: a.now + flushFor, left: lingerBytes}, &a.lingering
+	g, l := &closingConnection{server: a, conn: c, deadline: a.now + flushTimeout, bytesLeft: maxLingerBytes}, &a.closing
 	c.SetContext(g)
-	g.look.ring = g.goOn
-	g.spot = l.all.PushBack(g)
+	g.timer.fire = g.advance
+	g.element = l.connections.PushBack(g)
 	if p != nil {
 		p.closed()
 	}
-	g.goOn()
-	a.makeRoom(0)
+	g.advance()
+	a.evictClosing(0)
 }
 
-// makeRoom closes the oldest of those that end where they and the open ones leave no room for so many more: what the
+// evictClosing closes the oldest of those that end where they and the open ones leave no room for so many more: what the
 // table does not use is theirs, as when all end at once, until newcomers want it.
-func (a *App) makeRoom(more int) {
-	for l, r := &a.lingering, &a.routers; l.all.Len() > 0 && l.all.Len()+r.open+more > l.most+r.most; {
-		l.all.Front().Value.(*parting).close()
+func (a *Server) evictClosing(more int) {
+	for l, r := &a.closing, &a.routers; l.connections.Len() > 0 && l.connections.Len()+r.openCount+more > l.reserved+r.maxConnections; {
+		l.connections.Front().Value.(*closingConnection).close()
 	}
 }
 
-func (g *parting) goOn() {
+func (g *closingConnection) advance() {
 	switch {
-	case g.spot == nil:
+	case g.element == nil:
 		return
-	case g.app.now >= g.until:
+	case g.server.now >= g.deadline:
 		g.close()
 		return
-	case !g.shut && g.conn.OutboundBuffered() == 0:
-		g.shut, g.until = true, g.app.now+lingerFor
+	case !g.writeShut && g.conn.OutboundBuffered() == 0:
+		g.writeShut, g.deadline = true, g.server.now+lingerTimeout
 		_ = unix.Shutdown(g.conn.Fd(), unix.SHUT_WR)
 	}
-	next := g.until
-	if !g.shut {
-		next = min(next, g.app.now+flushAgain)
+	next := g.deadline
+	if !g.writeShut {
+		next = min(next, g.server.now+flushPollInterval)
 	}
-	g.app.set(&g.look, next)
+	g.server.setTimer(&g.timer, next)
 }
 
-func (g *parting) close() {
+func (g *closingConnection) close() {
 	g.closed()
-	_ = g.app.thread.Close(g.conn)
+	_ = g.server.loop.Close(g.conn)
 }
 
-func (g *parting) opened(gnet.Conn) {}
+func (g *closingConnection) opened(gnet.Conn) {}
 
-func (g *parting) traffic(data []byte) error {
-	if g.left -= len(data); g.left < 0 {
-		return errFlood
+func (g *closingConnection) receive(data []byte) error {
+	if g.bytesLeft -= len(data); g.bytesLeft < 0 {
+		return errFloodAfterEnd
 	}
 	return nil
 }
 
-func (g *parting) closed() {
-	if g.spot != nil {
-		g.app.unset(&g.look)
-		g.app.lingering.all.Remove(g.spot)
-		g.spot = nil
+func (g *closingConnection) closed() {
+	if g.element != nil {
+		g.server.stopTimer(&g.timer)
+		g.server.closing.connections.Remove(g.element)
+		g.element = nil
 	}
 }
--- a/internal/server/links_test.go
+++ b/internal/server/links_test.go
@@ -17,36 +17,36 @@
 const job = "00000000000000aa"
 
 // running makes an app server without an engine, with one work item that runs. Nothing leaves it.
-func running(t *testing.T) (*App, *router) {
+func running(t *testing.T) (*Server, *routerConnection) {
 	terms, err := deployment.Read([]byte(`{"Categories":[{"Effect":"by_key","HardLimit":8000,"Name":"a","OnTime":4000,
 "Window":5000,"Worth":1}],"FamilyInfo":{"CallShare":9,"CallsOver":5000,"Cores":2,"Downstream":"common","MemoryKb":80000,
 "Meters":["core_use","on_cores"],"RunFactor":8,"Halt":"drop"},"Servers":1,"Rules":{"TipMultiple":8}}`))
 	require.NoError(t, err)
-	a := New(Place{Name: "n", Sockets: 64, Memory: 64 << 20, Terms: terms}, logs.New(io.Discard, logs.Text))
+	a := New(Config{Name: "n", MaxSockets: 64, MemoryBytes: 64 << 20, Settings: terms}, logs.New(io.Discard, logs.FormatText))
 	a.now = 10_000_000
-	require.NoError(t, a.interpreter.traffic([]byte(`{"type":"BANNER","state":"WARM","took":1}`+"\n")))
+	require.NoError(t, a.interpreter.receive([]byte(`{"type":"BANNER","state":"WARM","took":1}`+"\n")))
 	c := knocking(a)
 	c.conn = nil
 	require.NoError(t, c.parser.Feed([]byte(wholeRequest), c))
-	a.server.Decide()
-	require.Contains(t, string(a.interpreter.out), `{"type":"APPLY","job":"`+job+`","kind":"a","data":"eA=="}`)
+	a.admission.Dispatch()
+	require.Contains(t, string(a.interpreter.output), `{"type":"APPLY","job":"`+job+`","kind":"a","data":"eA=="}`)
 	return a, c
 }
 
 // knocking makes a router's connection that nothing leaves.
-func knocking(a *App) *router {
-	c := a.routers.accept().(*router)
+func knocking(a *Server) *routerConnection {
+	c := a.routers.accept().(*routerConnection)
 	c.opened(nowhere{})
 	return c
 }
 
 // calling makes one whose run stands at a call that is out on a connection.
-func calling(t *testing.T) (*App, *router, *lane) {
+func calling(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
 	a, c := running(t)
-	a.thread = noLoop{}
-	a.items.byID[job].handle.AtCall()
-	a.server.Decide()
-	l := a.items.byID[job].call.lane
+	a.loop = noLoop{}
+	a.requests.byID[job].handle.NeedsCall()
+	a.admission.Dispatch()
+	l := a.requests.byID[job].call.connection
 	l.opened(nowhere{})
 	return a, c, l
 }
@@ -93,8 +93,8 @@
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		heard := func(size int) string {
 			a, c := running(t)
-			err := inPieces(text, size, a.interpreter.traffic)
-			return fmt.Sprint(err, a.interpreter.last, a.interpreter.gauges, a.items.inHand(), string(c.out))
+			err := inPieces(text, size, a.interpreter.receive)
+			return fmt.Sprint(err, a.interpreter.lastNotice, a.interpreter.gauges, a.requests.count(), string(c.output))
 		}
 		require.Equal(t, heard(max(1, len(text))), heard(1+max(0, size)%61))
 	})
@@ -109,8 +109,8 @@
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		heard := func(size int) string {
 			a, c, l := calling(t)
-			err := inPieces(text, size, l.traffic)
-			return fmt.Sprint(err, a.index.out, string(c.out), string(a.interpreter.out))
+			err := inPieces(text, size, l.receive)
+			return fmt.Sprint(err, a.index.inFlight, string(c.output), string(a.interpreter.output))
 		}
 		require.Equal(t, heard(max(1, len(text))), heard(1+max(0, size)%61))
 	})
@@ -120,103 +120,103 @@
 // with its result: no sweep, no growth.
 func TestStampsLastTheirWindow(t *testing.T) {
 	a, c := running(t)
-	require.NoError(t, a.interpreter.traffic([]byte(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
-	require.Contains(t, string(c.out), "Status: 200 OK\r\n\r\nx")
+	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
+	require.Contains(t, string(c.output), "Status: 200 OK\r\n\r\nx")
 	again := func(reached string, now timeunit.Ticks) string {
 		return takes(t, a, c, "00000000000000ab", reached, now)
 	}
 	require.Contains(t, again("1004999", 10_060_000), "Status: 200 OK\r\n\r\nx") // read after the window, sent within
 	require.Empty(t, again("1005100", 10_060_000))                               // sent after it: another run
-	require.Len(t, a.items.stamps, 1)
-	require.True(t, a.items.byID["00000000000000ab"].begun)
+	require.Len(t, a.requests.entries, 1)
+	require.True(t, a.requests.byID["00000000000000ab"].runStarted)
 }
 
 // A wake brings the gauges as they are then, and comes without an answer where the link is slow.
 func TestAWakeWaitsForItsGaugesNotForLong(t *testing.T) {
 	a, _ := running(t)
 	pass := func(span timeunit.Ticks, answered bool) int {
-		before := a.interpreter.ages.n
-		for end := a.now + span; a.now < end; a.ring() {
+		before := a.interpreter.gaugeAges.total
+		for end := a.now + span; a.now < end; a.fireTimers() {
 			a.now++
-			a.server.At(a.now)
-			if answered && a.interpreter.wanted {
-				require.NoError(t, a.interpreter.traffic([]byte(`{"type":"TOPS","ref":"1","gauges":[1,2]}`+"\n")))
+			a.admission.Advance(a.now)
+			if answered && a.interpreter.wakeupPending {
+				require.NoError(t, a.interpreter.receive([]byte(`{"type":"TOPS","ref":"1","gauges":[1,2]}`+"\n")))
 			}
 		}
-		return a.interpreter.ages.n - before
+		return a.interpreter.gaugeAges.total - before
 	}
-	a.items.Wake(30)
-	a.items.Wake(10)
+	a.requests.SetTimer(30)
+	a.requests.SetTimer(10)
 	require.Equal(t, 0, pass(10, true))
-	require.True(t, a.interpreter.wanted)
+	require.True(t, a.interpreter.wakeupPending)
 	require.Equal(t, 1, pass(30, true))
-	require.Equal(t, 2.0, a.interpreter.gauges.OnCores)
-	require.False(t, a.interpreter.gauges.Stale)
-	a.items.Wake(10)
-	require.Equal(t, 0, pass(10+leastWait-1, false))
+	require.Equal(t, 2.0, a.interpreter.gauges.RunnableRequests)
+	require.False(t, a.interpreter.gauges.IsStale)
+	a.requests.SetTimer(10)
+	require.Equal(t, 0, pass(10+minGaugeWait-1, false))
 	require.Equal(t, 1, pass(1, false))
-	require.True(t, a.interpreter.gauges.Stale)
+	require.True(t, a.interpreter.gauges.IsStale)
 }
 
 // After a standstill neither alarms nor the module speak before the sockets have been read once more.
 func TestAStandstillLetsTheSocketsGoFirst(t *testing.T) {
 	a, _ := running(t)
-	a.thread = noLoop{}
+	a.loop = noLoop{}
 	rang := 0
-	a.set(&alarm{ring: func() { rang++ }}, a.now+1)
-	a.now += stoodStill + 2
-	a.ring()
-	require.True(t, a.afterStandstill())
+	a.setTimer(&timer{fire: func() { rang++ }}, a.now+1)
+	a.now += standstillThreshold + 2
+	a.fireTimers()
+	require.True(t, a.awaitingSockets())
 	require.Zero(t, rang)
-	a.goOn()
-	require.False(t, a.afterStandstill())
+	a.resumeAfterStandstill()
+	require.False(t, a.awaitingSockets())
 	require.Equal(t, 1, rang)
 }
 
 // A link that stood and breaks is dialled again at once; one that does not stand waits ever longer.
 func TestABrokenLinkIsDialledAtOnce(t *testing.T) {
 	a, _ := running(t)
-	a.thread = noLoop{}
+	a.loop = noLoop{}
 	l := &a.interpreter
 	breaks := func(stood timeunit.Ticks) (dialled bool) {
-		l.next, l.conn, l.up, l.since = nil, nowhere{}, true, a.now-stood
+		l.dialing, l.conn, l.ready, l.readySince = nil, nowhere{}, true, a.now-stood
 		l.closed()
-		return l.next != nil
+		return l.dialing != nil
 	}
-	require.True(t, breaks(redialAfter))
+	require.True(t, breaks(minRedialDelay))
 	waits := func(most timeunit.Ticks) { // by chance within the later half: many servers lose their links at once
-		require.LessOrEqual(t, l.again.at, a.now+most)
-		require.GreaterOrEqual(t, l.again.at, a.now+most/2)
+		require.LessOrEqual(t, l.redialTimer.deadline, a.now+most)
+		require.GreaterOrEqual(t, l.redialTimer.deadline, a.now+most/2)
 	}
-	require.False(t, breaks(redialAfter-1))
-	waits(redialAfter)
-	require.False(t, breaks(redialAfter-1))
-	waits(2 * redialAfter)
-	require.True(t, breaks(redialAfter))
+	require.False(t, breaks(minRedialDelay-1))
+	waits(minRedialDelay)
+	require.False(t, breaks(minRedialDelay-1))
+	waits(2 * minRedialDelay)
+	require.True(t, breaks(minRedialDelay))
 }
 
 // A connection that rested long may have been forgotten and carries no call, though the alarm that closes it is late.
 func TestAConnectionLongAtRestCarriesNoCall(t *testing.T) {
-	for rested, used := range map[timeunit.Ticks]bool{restMost - 1: true, restMost: false} {
+	for rested, used := range map[timeunit.Ticks]bool{idleConnectionTimeout - 1: true, idleConnectionTimeout: false} {
 		a, _, l := calling(t)
-		require.NoError(t, l.traffic([]byte(job+" HIT 0\r\n\r\n")))
+		require.NoError(t, l.receive([]byte(job+" HIT 0\r\n\r\n")))
 		a.now += rested
-		c := &call{it: &item{id: "another"}}
-		a.index.place(c)
-		require.Equal(t, used, c.lane == l)
+		c := &indexCall{request: &request{id: "another"}}
+		a.index.assign(c)
+		require.Equal(t, used, c.connection == l)
 	}
 }
 
 // takes feeds one more try of the request at this moment and gives what is answered in the batch.
-func takes(t *testing.T, a *App, c *router, id, reached string, now timeunit.Ticks) string {
+func takes(t *testing.T, a *Server, c *routerConnection, id, reached string, now timeunit.Ticks) string {
 	a.now = max(a.now, now)
-	a.server.At(a.now)
-	c.out = nil
+	a.admission.Advance(a.now)
+	c.output = nil
 	text := strings.Replace(strings.Replace(wholeRequest, job, id, 1), "1000000", reached, 1)
 	require.NoError(t, c.parser.Feed([]byte(text), c))
-	a.items.settle()
-	a.server.Decide()
-	return string(c.out)
+	a.requests.settle()
+	a.admission.Dispatch()
+	return string(c.output)
 }
 
 // A window counts from Received-At, also where that router's clock was ahead, and a repeat counts as come when it was
@@ -224,8 +224,8 @@
 func TestAWindowWhereClocksAreAhead(t *testing.T) {
 	a, c := running(t) // it came at 1,000,000 ms, for 5,000
 	hear := func(id string) {
-		a.interpreter.last = 0
-		require.NoError(t, a.interpreter.traffic([]byte(`{"type":"VALUE","n":1,"job":"`+id+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
+		a.interpreter.lastNotice = 0
+		require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+id+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
 	}
 	hear(job)
 	require.Contains(t, takes(t, a, c, "00000000000000a1", "1005900", 10_049_900), "200 OK", "ahead by 910 ms, read within the window")
@@ -238,62 +238,62 @@
 // A run may last longer than its window and all that is kept after it: a repeat that waits for it waits on.
 func TestARunBeyondItsWindow(t *testing.T) {
 	a, c := running(t)
-	a.routers.most = 100
+	a.routers.maxConnections = 100
 	for s := timeunit.Ticks(1); s <= 30; s++ {
 		c = knocking(a)
 		at := 10_000_000 + s*10_000
 		takes(t, a, c, fmt.Sprintf("%016x", 0xb0+s), fmt.Sprint(int64(at/10)), at)
-		for len(a.alarms) > 0 && a.alarms[0].at <= a.now {
-			a.now = max(a.now, a.alarms[0].at)
-			a.goOn()
+		for len(a.deadlines) > 0 && a.deadlines[0].deadline <= a.now {
+			a.now = max(a.now, a.deadlines[0].deadline)
+			a.resumeAfterStandstill()
 		}
-		a.items.settle()
-		require.Empty(t, c.out, "%d s", s)
+		a.requests.settle()
+		require.Empty(t, c.output, "%d s", s)
 	}
-	require.Len(t, a.items.stamps, 1)
-	require.NoError(t, a.interpreter.traffic([]byte(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
-	a.items.settle()
-	require.Contains(t, string(c.out), "Status: 200 OK\r\n\r\nx")
-	a.server.Decide()
-	require.Empty(t, a.items.stamps, "it was kept for the run alone")
+	require.Len(t, a.requests.entries, 1)
+	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
+	a.requests.settle()
+	require.Contains(t, string(c.output), "Status: 200 OK\r\n\r\nx")
+	a.admission.Dispatch()
+	require.Empty(t, a.requests.entries, "it was kept for the run alone")
 }
 
 // The system's clock is set, an hour back or ahead: the app's own time goes on evenly, and what a router says by the new
 // clock is understood by it.
 func TestAClockThatIsSet(t *testing.T) {
 	c := newClock()
-	even, set := time.Duration(0), time.UnixMicro(int64(c.began)*100)
-	c.read = func() (time.Time, time.Duration) { return set.Add(even), even }
+	even, set := time.Duration(0), time.UnixMicro(int64(c.startedAt)*100)
+	c.readSystem = func() (time.Time, time.Duration) { return set.Add(even), even }
 	before := c.now()
 	for _, by := range []time.Duration{-time.Hour, 2 * time.Hour, -time.Millisecond * 500} {
 		even += time.Second
 		set = set.Add(by)
 		now := c.now()
 		require.Equal(t, before+second, now, "set by %v", by)
-		require.Equal(t, timeunit.Ticks(set.Add(even).UnixMicro()/100), now+c.shift)
+		require.Equal(t, timeunit.Ticks(set.Add(even).UnixMicro()/100), now+c.systemOffset)
 		before = now
 	}
 	a, _ := running(t)
 	r := knocking(a)
-	a.clock.shift = 3_600_000 // six minutes: routers' stamps are by so much ahead of the app's time by now
+	a.clock.systemOffset = 3_600_000 // six minutes: routers' stamps are by so much ahead of the app's time by now
 	require.Empty(t, takes(t, a, r, "00000000000000c1", "1364000", 10_050_000), "a new one, in time")
-	require.NotNil(t, a.items.byID["00000000000000c1"])
-	require.Equal(t, timeunit.Ticks(10_040_000), a.items.byID["00000000000000c1"].reached)
+	require.NotNil(t, a.requests.byID["00000000000000c1"])
+	require.Equal(t, timeunit.Ticks(10_040_000), a.requests.byID["00000000000000c1"].receivedAt)
 }
 
 // What the protocol of sockets has no word for is not decided by, whatever the settings say for the simulator's wire.
 func TestWhatSocketsHaveNoWordFor(t *testing.T) {
-	read := func(halt string) *deployment.Terms {
+	read := func(halt string) *deployment.Config {
 		terms, err := deployment.Read([]byte(`{"Categories":[{"Effect":"repeatable","HardLimit":8000,"Name":"a","OnTime":4000,"Worth":1}],"Clients":{"MarksRetry":true},
 "FamilyInfo":{"Cores":2,"Halt":"` + halt + `","Fresh":1000,"ClassSkipWorth":[0.5]}}`))
 		require.NoError(t, err)
 		return terms
 	}
 	paused, dropped := read("pause"), read("drop")
-	d := onSockets(paused)
-	require.False(t, d.Marked || d.Stops)
-	require.Zero(t, d.Fresh)
-	require.Zero(t, d.Categories[0].Poorer)
-	require.Equal(t, 0.5, paused.Categories[0].Poorer) // the settings' own are not written
-	require.True(t, onSockets(dropped).Stops)
+	d := socketDeployment(paused)
+	require.False(t, d.RetriesMarked || d.CanStopRuns)
+	require.Zero(t, d.ResultTTL)
+	require.Zero(t, d.Categories[0].DegradedValue)
+	require.Equal(t, 0.5, paused.Categories[0].DegradedValue) // the settings' own are not written
+	require.True(t, socketDeployment(dropped).CanStopRuns)
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -32,136 +32,136 @@
 	"thistlequay/timeunit"
 )
 
-// Place is where an app server stands and what it may use.
-type Place struct {
+// Config is where an app server stands and what it may use.
+type Config struct {
 	Name, Listen, Interpreter, Index, Directory string
-	StopIn                                      timeunit.Ticks // from the notice to leave to the stop
-	Sockets                                     int            // descriptors it may hold
-	Memory                                      int            // bytes
-	Terms                                       *deployment.Terms
+	ShutdownTimeout                             timeunit.Ticks // from the notice to leave to the stop
+	MaxSockets                                  int            // descriptors it may hold
+	MemoryBytes                                 int            // bytes
+	Settings                                    *deployment.Config
 	Cores                                       float64 // of the machine, for this process
 	Seed                                        int64
-	Fair                                        *fairqueue.Terms // nil: no fair queues
-	Tenancy                                     *tenancy.Table   // nil: tenants go by account
-	Plugins                                     *Plugins         // nil: there are none
-	Lasting                                     *Lasting         // nil: nothing outlives the process
-	Talk                                        *Talk            // nil: it knows no other servers
-	Shares                                      *Shares          // nil: its part of the fleet's limits is by the settings
+	FairQueue                                   *fairqueue.Config // nil: no fair queues
+	Tenancy                                     *tenancy.Table    // nil: tenants go by account
+	Plugins                                     *Plugins          // nil: there are none
+	Recovery                                    *Recovery         // nil: nothing outlives the process
+	Gossip                                      *Gossip           // nil: it knows no other servers
+	Quota                                       *Quota            // nil: its part of the fleet's limits is by the settings
 }
 
 const (
-	second      = timeunit.Ticks(10_000)
-	keptBack    = 32              // descriptors for the loop, the listener and links other than the index's
-	dialWithin  = 1 * time.Second // a dial that takes longer has failed
-	knockAgain  = 50 * time.Millisecond
-	redialAfter = second / 10 // and the next is made so much later, ever later up to the next figure
-	redialMost  = second
-	leaveEarly  = second / 10 // of the time to the stop, what the end of the process itself may take
-	stateEvery  = 20 * second
-	stoodStill  = second / 50 // where an alarm is later than this, the machine stood still
+	second              = timeunit.Ticks(10_000)
+	reservedDescriptors = 32              // descriptors for the loop, the listener and links other than the index's
+	dialTimeout         = 1 * time.Second // a dial that takes longer has failed
+	selfConnectInterval = 50 * time.Millisecond
+	minRedialDelay      = second / 10 // and the next is made so much later, ever later up to the next figure
+	maxRedialDelay      = second
+	shutdownMargin      = second / 10 // of the time to the stop, what the end of the process itself may take
+	stateLogInterval    = 20 * second
+	standstillThreshold = second / 50 // where an alarm is later than this, the machine stood still
 )
 
-const never timeunit.Ticks = 1 << 60
+const noDeadline timeunit.Ticks = 1 << 60
 
-// App is one app server.
-type App struct {
+// Server is one app server.
+type Server struct {
 	gnet.BuiltinEventEngine
-	place  Place
-	thread gnet.EventLoop
-	begun  chan struct{} // closed once the loop is known
-
-	server   *admission.Server // nil until the interpreter is up
-	ledger   *fairqueue.Ledger // nil where no queues are fair
-	chance   *rand.Rand
-	clock    clock
-	now      timeunit.Ticks
-	queued   bool               // a flush is on its way
-	dirty    []*wire            // what has output for the end of the batch
-	unreadOn map[*wire]struct{} // what the other side has not read all of
-	pool     buffers
-
-	alarms alarms
-	timer  *time.Timer
-	armed  timeunit.Ticks
-	round  int // after a standstill
-
-	routers     routers
-	items       items
-	interpreter interpreter
-	index       index
-	directory   directory
-	plugins     plugins
-	keeping     keeping
-	holding     holding
-	lingering   lingering
-	phase       phase
-	orders      chan func()    // from outside the loop: to leave, to move
-	stop        timeunit.Ticks // when all must be answered, never before the notice to leave
-	ending      bool
-	late        lags // of the timer
-	bad         int  // connections closed for what came on them
-	unread      int  // and for what lay on them unread
-	unreached   int  // dials that failed
-	state       alarm
-	word        alarm // to the other servers
-	log         logs.Log
-	broken      int // what had to hold and did not
+	config    Config
+	loop      gnet.EventLoop
+	loopKnown chan struct{} // closed once the loop is known
+
+	admission         *admission.Server    // nil until the interpreter is up
+	fairScheduler     *fairqueue.Scheduler // nil where no queues are fair
+	random            *rand.Rand
+	clock             clock
+	now               timeunit.Ticks
+	flushQueued       bool                       // a flush is on its way
+	pendingWrites     []*outputBuffer            // what has output for the end of the batch
+	unreadConnections map[*outputBuffer]struct{} // what the other side has not read all of
+	buffers           bufferPool
+
+	deadlines   deadlineHeap
+	systemTimer *time.Timer
+	armedFor    timeunit.Ticks
+	standstill  int // after a standstill
+
+	routers          routerTable
+	requests         requestTable
+	interpreter      interpreterClient
+	index            indexClient
+	directory        directoryClient
+	plugins          pluginPart
+	recovery         recoveryPart
+	quota            quotaPart
+	closing          closingConnections
+	phase            phase
+	commands         chan func()    // from outside the loop: to leave, to move
+	shutdownDeadline timeunit.Ticks // when all must be answered, never before the notice to leave
+	ended            bool
+	timerLateness    lagHistogram // of the timer
+	badPeers         int          // connections closed for what came on them
+	unreadClosed     int          // and for what lay on them unread
+	failedDials      int          // dials that failed
+	stateTimer       timer
+	gossipTimer      timer // to the other servers
+	log              logs.Logger
+	brokenInvariants int // what had to hold and did not
 }
 
 // New makes an app server; Run starts it.
-func New(p Place, l logs.Log) *App {
-	a := &App{place: p, log: l, armed: never, stop: never, orders: make(chan func(), 8), unreadOn: map[*wire]struct{}{},
-		begun: make(chan struct{}), clock: newClock()}
-	a.chance = rand.New(rand.NewSource(p.Seed))
-	a.pool.bound(p.Memory)
-	a.fair()
+func New(p Config, l logs.Logger) *Server {
+	a := &Server{config: p, log: l, armedFor: noDeadline, shutdownDeadline: noDeadline, commands: make(chan func(), 8), unreadConnections: map[*outputBuffer]struct{}{},
+		loopKnown: make(chan struct{}), clock: newClock()}
+	a.random = rand.New(rand.NewSource(p.Seed))
+	a.buffers.setLimit(p.MemoryBytes)
+	a.configureFairQueue()
 	a.index.start(a)
 	a.routers.start(a)
-	a.items.start(a)
+	a.requests.start(a)
 	a.interpreter.start(a)
 	a.directory.start(a)
 	a.plugins.start(a)
-	a.keeping.start(a, p.Lasting)
+	a.recovery.start(a, p.Recovery)
 	return a
 }
 
-// fair opens, changes or closes the books on tenants. Claims that are open end on the books that they began on.
-func (a *App) fair() {
-	switch t := a.place.Fair; {
+// configureFairQueue opens, changes or closes the books on tenants. Claims that are open end on the books that they began on.
+func (a *Server) configureFairQueue() {
+	switch t := a.config.FairQueue; {
 	case t == nil:
-		a.ledger = nil
-	case a.ledger == nil:
+		a.fairScheduler = nil
+	case a.fairScheduler == nil:
 		of := *t
-		of.Cores, of.Contracts = a.place.Terms.Cores, nil
-		for _, c := range a.place.Terms.Categories {
-			of.Contracts = append(of.Contracts, c.Contract)
+		of.Cores, of.SoftDeadlines = a.config.Settings.Cores, nil
+		for _, c := range a.config.Settings.Categories {
+			of.SoftDeadlines = append(of.SoftDeadlines, c.SoftDeadline)
 		}
-		a.ledger = fairqueue.New(of, a.chance, a.clock.now())
+		a.fairScheduler = fairqueue.New(of, a.random, a.clock.now())
 	default:
-		a.ledger.Change(*t, a.now)
+		a.fairScheduler.Reconfigure(*t, a.now)
 	}
 }
 
-// ErrLoop is what Run gives where the loop ended though nobody asked for it.
-var ErrLoop = errors.New("the loop ended by itself")
+// ErrLoopEnded is what Run gives where the loop ended though nobody asked for it.
+var ErrLoopEnded = errors.New("the loop ended by itself")
 
 // Run serves until the notice to leave has been carried out. An address in use is an error before anything else.
-func (a *App) Run() error {
-	if err := taken(a.place.Listen); err != nil {
+func (a *Server) Run() error {
+	if err := checkAddressFree(a.config.Listen); err != nil {
 		return err
 	}
-	err := gnet.Run(a, "tcp://"+a.place.Listen, gnet.WithNumEventLoop(1), gnet.WithReusePort(true),
+	err := gnet.Run(a, "tcp://"+a.config.Listen, gnet.WithNumEventLoop(1), gnet.WithReusePort(true),
 		gnet.WithReuseAddr(true), gnet.WithReadBufferCap(1<<16), gnet.WithWriteBufferCap(bufferSize),
 		gnet.WithLogger(engineLog{a.log}))
-	if err == nil && !a.ending {
-		err = ErrLoop
+	if err == nil && !a.ended {
+		err = ErrLoopEnded
 	}
 	return err
 }
 
-// taken tells if another process listens on the address: gnet, where one loop also accepts, would share it with that one
+// checkAddressFree tells if another process listens on the address: gnet, where one loop also accepts, would share it with that one
 // by SO_REUSEPORT. It only binds: a socket that listened and closed again would reset whom it met in between.
-func taken(address string) error {
+func checkAddressFree(address string) error {
 	at, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return err
@@ -179,29 +179,29 @@
 	return os.NewSyscallError("bind", unix.Bind(fd, to))
 }
 
-// Leave is the notice to leave. A second one changes nothing.
-func (a *App) Leave() { a.orders <- a.leave }
+// Shutdown is the notice to leave. A second one changes nothing.
+func (a *Server) Shutdown() { a.commands <- a.beginShutdown }
 
-// Move is a new configuration: the addresses of the other parties change, while what is in hand stays.
-func (a *App) Move(p Place) { a.orders <- func() { a.move(p) } }
+// Reconfigure is a new configuration: the addresses of the other parties change, while what is in hand stays.
+func (a *Server) Reconfigure(p Config) { a.commands <- func() { a.reconfigure(p) } }
 
-// Kept gives what plug-ins keep, for a process that is begun outside the loop. It waits for the loop.
-func (a *App) Kept() map[string]map[string][]byte {
+// PluginState gives what plug-ins keep, for a process that is begun outside the loop. It waits for the loop.
+func (a *Server) PluginState() map[string]map[string][]byte {
 	kept := make(chan map[string]map[string][]byte, 1)
-	a.orders <- func() { kept <- a.plugins.snapshot() }
+	a.commands <- func() { kept <- a.plugins.snapshot() }
 	return <-kept
 }
 
 // OnBoot knocks at the own door, as only a connection tells which loop there is, and does so until one has come: a crowd
 // that waits there already may have the first knock turned away.
-func (a *App) OnBoot(gnet.Engine) gnet.Action {
+func (a *Server) OnBoot(gnet.Engine) gnet.Action {
 	go func() {
-		for again := time.NewTicker(knockAgain); ; {
-			if c, err := net.DialTimeout("tcp", a.place.Listen, knockAgain); err == nil {
+		for again := time.NewTicker(selfConnectInterval); ; {
+			if c, err := net.DialTimeout("tcp", a.config.Listen, selfConnectInterval); err == nil {
 				c.Close()
 			}
 			select {
-			case <-a.begun:
+			case <-a.loopKnown:
 				again.Stop()
 				return
 			case <-again.C:
@@ -211,100 +211,100 @@
 	return gnet.None
 }
 
-// peer is a connection as an object.
-type peer interface {
+// connectionHandler is a connection as an object.
+type connectionHandler interface {
 	opened(c gnet.Conn)
-	traffic(data []byte) error // an error closes it
+	receive(data []byte) error // an error closes it
 	closed()
 }
 
-func (a *App) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	if a.thread == nil {
-		a.begin(c.EventLoop())
+func (a *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
+	if a.loop == nil {
+		a.start(c.EventLoop())
 	}
-	a.event()
-	p, known := c.Context().(peer)
-	if !known && a.phase < stopped {
+	a.beginBatch()
+	p, known := c.Context().(connectionHandler)
+	if !known && a.phase < phaseStopped {
 		if p = a.routers.accept(); p != nil {
 			c.SetContext(p)
 		}
 	}
 	if p == nil { // no room, or too late
-		a.part(c)
+		a.closeGracefully(c)
 	} else {
 		p.opened(c)
 	}
 	return nil, gnet.None
 }
 
-func (a *App) OnTraffic(c gnet.Conn) gnet.Action {
-	p, known := c.Context().(peer)
+func (a *Server) OnTraffic(c gnet.Conn) gnet.Action {
+	p, known := c.Context().(connectionHandler)
 	data, err := c.Next(-1)
 	if !known || err != nil {
 		return gnet.Close
 	}
-	a.event()
-	if err := p.traffic(data); err != nil {
-		if err != errDone && often(&a.bad) {
-			a.log.Event("bad_peer").Stringer("peer", c.RemoteAddr()).Stringer("local", c.LocalAddr()).Str("reason", err.Error()).Int("count", a.bad).Send()
+	a.beginBatch()
+	if err := p.receive(data); err != nil {
+		if err != errConnectionDone && countAndSample(&a.badPeers) {
+			a.log.Event("bad_peer").Stringer("peer", c.RemoteAddr()).Stringer("local", c.LocalAddr()).Str("reason", err.Error()).Int("count", a.badPeers).Send()
 		}
-		if err == errFlood {
+		if err == errFloodAfterEnd {
 			return gnet.Close
 		}
-		a.part(c)
+		a.closeGracefully(c)
 	}
 	return gnet.None
 }
 
-// errDone closes a connection that has served its turn: nothing bad came on it.
-var errDone = errors.New("done")
+// errConnectionDone closes a connection that has served its turn: nothing bad came on it.
+var errConnectionDone = errors.New("done")
 
-func (a *App) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if p, known := c.Context().(peer); known && !a.ending {
-		a.event()
+func (a *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
+	if p, known := c.Context().(connectionHandler); known && !a.ended {
+		a.beginBatch()
 		p.closed()
 	}
 	return gnet.None
 }
 
-// begin runs once, when the loop is known.
-func (a *App) begin(thread gnet.EventLoop) {
-	a.thread, a.now = thread, a.clock.now()
-	close(a.begun)
-	a.timer = time.AfterFunc(time.Hour, func() { a.do(a.ring) })
+// start runs once, when the loop is known.
+func (a *Server) start(thread gnet.EventLoop) {
+	a.loop, a.now = thread, a.clock.now()
+	close(a.loopKnown)
+	a.systemTimer = time.AfterFunc(time.Hour, func() { a.submit(a.fireTimers) })
 	go func() {
-		for order := range a.orders {
-			a.do(order)
+		for order := range a.commands {
+			a.submit(order)
 		}
 	}()
 	a.interpreter.dial()
 	a.directory.report()
-	if a.place.Plugins != nil {
-		a.plugins.adopt(a.place.Plugins)
+	if a.config.Plugins != nil {
+		a.plugins.adopt(a.config.Plugins)
 	}
-	a.talk()
-	a.holding.start(a)
-	a.state.ring = a.tell
-	a.set(&a.state, a.now+stateEvery)
-	a.log.Event("listening").Str("name", a.place.Name).Str("address", a.place.Listen).Int("connections", a.routers.most).Send()
+	a.startGossip()
+	a.quota.start(a)
+	a.stateTimer.fire = a.logState
+	a.setTimer(&a.stateTimer, a.now+stateLogInterval)
+	a.log.Event("listening").Str("name", a.config.Name).Str("address", a.config.Listen).Int("connections", a.routers.maxConnections).Send()
 }
 
-// wake has the loop do something soon; where many wait already, the next batch or word does it.
-func (a *App) wake(what func()) {
+// trySubmit has the loop do something soon; where many wait already, the next batch or word does it.
+func (a *Server) trySubmit(what func()) {
 	select {
-	case a.orders <- what:
+	case a.commands <- what:
 	default:
 	}
 }
 
-// do has the loop do something; it may be called from anywhere.
-func (a *App) do(what func()) {
-	_ = a.thread.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		if !a.ending {
-			a.event()
+// submit has the loop do something; it may be called from anywhere.
+func (a *Server) submit(what func()) {
+	_ = a.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		if !a.ended {
+			a.beginBatch()
 			what()
 		}
-		if a.ending {
+		if a.ended {
 			return gerrors.ErrEngineShutdown
 		}
 		return nil
@@ -314,389 +314,394 @@
 // clock is the app's own time. It begins as the system's Unix clock and goes on evenly where that is set: a clock set back
 // would hold every answer until it had caught up, one set forward would end every wait.
 type clock struct {
-	read  func() (set time.Time, even time.Duration) // the system's clock, and what has passed since the start
-	began timeunit.Ticks
-	shift timeunit.Ticks // that the system's clock is ahead of it by now
+	readSystem   func() (set time.Time, even time.Duration) // the system's clock, and what has passed since the start
+	startedAt    timeunit.Ticks
+	systemOffset timeunit.Ticks // that the system's clock is ahead of it by now
 }
 
-const setBy = timeunit.Ticks(10) // less between the two is how they were read
+const clockSetThreshold = timeunit.Ticks(10) // less between the two is how they were read
 
 func newClock() clock {
 	began := time.Now()
-	return clock{began: timeunit.Ticks(began.UnixMicro() / 100), read: func() (time.Time, time.Duration) {
+	return clock{startedAt: timeunit.Ticks(began.UnixMicro() / 100), readSystem: func() (time.Time, time.Duration) {
 		t := time.Now()
 		return t, t.Sub(began)
 	}}
 }
 
 func (c *clock) now() timeunit.Ticks {
-	set, even := c.read()
-	now := c.began + timeunit.Ticks(even/(time.Millisecond/10))
-	if by := timeunit.Ticks(set.UnixMicro()/100) - now - c.shift; by > setBy || by < -setBy {
-		c.shift += by
+	set, even := c.readSystem()
+	now := c.startedAt + timeunit.Ticks(even/(time.Millisecond/10))
+	if by := timeunit.Ticks(set.UnixMicro()/100) - now - c.systemOffset; by > clockSetThreshold || by < -clockSetThreshold {
+		c.systemOffset += by
 	}
 	return now
 }
 
-// event opens a batch, or goes on with the one that is open.
-func (a *App) event() {
+// beginBatch opens a batch, or goes on with the one that is open.
+func (a *Server) beginBatch() {
 	a.now = max(a.now, a.clock.now())
-	if a.server != nil {
-		a.server.At(a.now)
+	if a.admission != nil {
+		a.admission.Advance(a.now)
 	}
-	if !a.queued {
-		a.queued = true
-		_ = a.thread.Execute(context.Background(), gnet.RunnableFunc(a.flush))
+	if !a.flushQueued {
+		a.flushQueued = true
+		_ = a.loop.Execute(context.Background(), gnet.RunnableFunc(a.endBatch))
 	}
 }
 
-// flush ends the batch: the module decides once, and each connection is written once.
-func (a *App) flush(context.Context) error {
-	if a.ending {
+// endBatch ends the batch: the module decides once, and each connection is written once.
+func (a *Server) endBatch(context.Context) error {
+	if a.ended {
 		return gerrors.ErrEngineShutdown
 	}
 	a.now = max(a.now, a.clock.now())
-	if a.afterStandstill() {
-		a.queued = false
+	if a.awaitingSockets() {
+		a.flushQueued = false
 		return nil
 	}
-	a.round = usual
-	if a.server != nil {
-		a.server.At(a.now)
-		a.items.settle()
-		a.holding.settle()
-		a.server.Decide()
+	a.standstill = noStandstill
+	if a.admission != nil {
+		a.admission.Advance(a.now)
+		a.requests.settle()
+		a.quota.update()
+		a.admission.Dispatch()
 	}
-	a.queued = false // what is left to settle, or a write closes, opens the next batch
-	if a.items.unsettled() {
-		a.event()
+	a.flushQueued = false // what is left to settle, or a write closes, opens the next batch
+	if a.requests.unsettled() {
+		a.beginBatch()
 	}
-	a.holding.decided()
-	dirty := a.dirty
-	a.dirty, a.index.fresh = nil, a.index.fresh[:0]
+	a.quota.afterBatch()
+	dirty := a.pendingWrites
+	a.pendingWrites, a.index.unwritten = nil, a.index.unwritten[:0]
 	for _, w := range dirty {
-		w.push()
+		w.flushAndRelease()
 	}
-	a.arm()
+	a.armSystemTimer()
 	return nil
 }
 
-// alarm is a moment at which something is due. There is one timer for all.
-type alarm struct {
-	at    timeunit.Ticks
-	place int // in the heap plus one, 0 outside
-	ring  func()
+// timer is a moment at which something is due. There is one timer for all.
+type timer struct {
+	deadline     timeunit.Ticks
+	heapPosition int // in the heap plus one, 0 outside
+	fire         func()
 }
 
-type alarms []*alarm
+type deadlineHeap []*timer
 
-func (l alarms) Len() int           { return len(l) }
-func (l alarms) Less(i, j int) bool { return l[i].at < l[j].at }
-func (l alarms) Swap(i, j int)      { l[i], l[j] = l[j], l[i]; l[i].place, l[j].place = i+1, j+1 }
-func (l *alarms) Push(x any)        { m := x.(*alarm); *l = append(*l, m); m.place = len(*l) }
-func (l *alarms) Pop() any {
+func (l deadlineHeap) Len() int           { return len(l) }
+func (l deadlineHeap) Less(i, j int) bool { return l[i].deadline < l[j].deadline }
+func (l deadlineHeap) Swap(i, j int) {
+	l[i], l[j] = l[j], l[i]
+	l[i].heapPosition, l[j].heapPosition = i+1, j+1
+}
+func (l *deadlineHeap) Push(x any) { m := x.(*timer); *l = append(*l, m); m.heapPosition = len(*l) }
+func (l *deadlineHeap) Pop() any {
 	m := (*l)[len(*l)-1]
-	*l, m.place = (*l)[:len(*l)-1], 0
+	*l, m.heapPosition = (*l)[:len(*l)-1], 0
 	return m
 }
 
-func (a *App) set(m *alarm, at timeunit.Ticks) {
-	a.unset(m)
-	m.at = at
-	heap.Push(&a.alarms, m)
+func (a *Server) setTimer(m *timer, at timeunit.Ticks) {
+	a.stopTimer(m)
+	m.deadline = at
+	heap.Push(&a.deadlines, m)
 }
 
-func (a *App) unset(m *alarm) {
-	if m.place > 0 {
-		heap.Remove(&a.alarms, m.place-1)
+func (a *Server) stopTimer(m *timer) {
+	if m.heapPosition > 0 {
+		heap.Remove(&a.deadlines, m.heapPosition-1)
 	}
 }
 
 // Rounds after a standstill.
 const (
-	usual   = iota
-	waiting // the sockets are being read
-	read    // and have been
+	noStandstill   = iota
+	readingSockets // the sockets are being read
+	socketsRead    // and have been
 )
 
-// afterStandstill says that decisions wait until the sockets have been read once more. Where the machine stood
+// awaitingSockets says that decisions wait until the sockets have been read once more. Where the machine stood
 // still, in whatever the loop was doing, what came in meanwhile (an answer, a caller's leave) goes before late alarms.
-func (a *App) afterStandstill() bool {
-	if a.round == usual && len(a.alarms) > 0 && a.now-a.alarms[0].at > stoodStill {
-		a.round = waiting
-		time.AfterFunc(0, func() { a.do(a.goOn) }) // from outside the loop: it polls before it takes this up
+func (a *Server) awaitingSockets() bool {
+	if a.standstill == noStandstill && len(a.deadlines) > 0 && a.now-a.deadlines[0].deadline > standstillThreshold {
+		a.standstill = readingSockets
+		time.AfterFunc(0, func() { a.submit(a.resumeAfterStandstill) }) // from outside the loop: it polls before it takes this up
 	}
-	return a.round == waiting
+	return a.standstill == readingSockets
 }
 
-func (a *App) goOn() {
-	a.round = read
-	a.ring()
+func (a *Server) resumeAfterStandstill() {
+	a.standstill = socketsRead
+	a.fireTimers()
 }
 
-// ring is the timer.
-func (a *App) ring() {
-	a.armed = never
-	if a.afterStandstill() {
+// fireTimers is the timer.
+func (a *Server) fireTimers() {
+	a.armedFor = noDeadline
+	if a.awaitingSockets() {
 		return
 	}
-	if len(a.alarms) > 0 {
-		a.late.add(a.now - a.alarms[0].at)
+	if len(a.deadlines) > 0 {
+		a.timerLateness.add(a.now - a.deadlines[0].deadline)
 	}
-	for len(a.alarms) > 0 && a.alarms[0].at <= a.now {
-		heap.Pop(&a.alarms).(*alarm).ring()
+	for len(a.deadlines) > 0 && a.deadlines[0].deadline <= a.now {
+		heap.Pop(&a.deadlines).(*timer).fire()
 	}
 }
 
-func (a *App) arm() {
-	if a.timer == nil || len(a.alarms) == 0 || a.alarms[0].at == a.armed {
+func (a *Server) armSystemTimer() {
+	if a.systemTimer == nil || len(a.deadlines) == 0 || a.deadlines[0].deadline == a.armedFor {
 		return
 	}
-	a.armed = a.alarms[0].at
-	a.timer.Reset(time.Duration(max(0, a.armed-a.clock.now())) * (time.Millisecond / 10))
+	a.armedFor = a.deadlines[0].deadline
+	a.systemTimer.Reset(time.Duration(max(0, a.armedFor-a.clock.now())) * (time.Millisecond / 10))
 }
 
-// leave tells the module how long there is, and ends the program in time.
-func (a *App) leave() {
-	if a.stop < never {
+// beginShutdown tells the module how long there is, and ends the program in time.
+func (a *Server) beginShutdown() {
+	if a.shutdownDeadline < noDeadline {
 		return
 	}
-	left := max(0, a.place.StopIn-min(leaveEarly, a.place.StopIn/4))
-	a.log.Event("leaving").Str("name", a.place.Name).Int64("within_ms", int64(left/10)).Int("in_hand", a.items.inHand()).Send()
-	a.stop = a.now + left
-	a.enter(draining)
-	a.say() // before anything is declined for it
-	a.keeping.leave()
-	a.keeping.learn()
-	a.tellLeave()
+	left := max(0, a.config.ShutdownTimeout-min(shutdownMargin, a.config.ShutdownTimeout/4))
+	a.log.Event("leaving").Str("name", a.config.Name).Int64("within_ms", int64(left/10)).Int("in_hand", a.requests.count()).Send()
+	a.shutdownDeadline = a.now + left
+	a.advancePhase(phaseDraining)
+	a.publishState() // before anything is declined for it
+	a.recovery.onDrain()
+	a.recovery.saveWarmStart()
+	a.notifyAdmissionOfDrain()
 	a.directory.report()
-	late := max(left-a.place.Terms.Grace, left/4) // what is after the grace; half of it goes to connections' ends
-	a.set(&alarm{ring: func() {
-		a.enter(closing)
-		a.routers.closeResting()
-	}}, a.stop-late/2)
+	late := max(left-a.config.Settings.DrainGrace, left/4) // what is after the grace; half of it goes to connections' ends
+	a.setTimer(&timer{fire: func() {
+		a.advancePhase(phaseClosing)
+		a.routers.drainIdle()
+	}}, a.shutdownDeadline-late/2)
 	// The batch in which the stop comes is decided before anything ends: where the loop is late, that answers what is due.
-	a.set(&alarm{ring: func() { a.set(&alarm{ring: func() { a.endAll((a.place.StopIn - left) / 2) }}, a.now+1) }}, a.stop)
+	a.setTimer(&timer{fire: func() {
+		a.setTimer(&timer{fire: func() { a.closeConnections((a.config.ShutdownTimeout - left) / 2) }}, a.now+1)
+	}}, a.shutdownDeadline)
 }
 
-// endAll ends every connection, and the process after the time given.
-func (a *App) endAll(in timeunit.Ticks) {
-	a.enter(stopped)
+// closeConnections ends every connection, and the process after the time given.
+func (a *Server) closeConnections(in timeunit.Ticks) {
+	a.advancePhase(phaseStopped)
 	a.routers.closeAll()
-	a.index.closeAll()
-	a.interpreter.part()
-	a.directory.part()
-	a.keeping.end(in, func() { a.set(&alarm{ring: a.end}, a.now+in/2) })
+	a.index.closeIdle()
+	a.interpreter.close()
+	a.directory.close()
+	a.recovery.close(in, func() { a.setTimer(&timer{fire: a.stopLoop}, a.now+in/2) })
 }
 
-// move takes up the addresses of a new configuration. What a running server can't change is said, and stays.
-func (a *App) move(p Place) {
+// reconfigure takes up the addresses of a new configuration. What a running server can't change is said, and stays.
+func (a *Server) reconfigure(p Config) {
 	var kept []string
-	for name, differs := range map[string]bool{"name": p.Name != a.place.Name, "listen": p.Listen != a.place.Listen,
-		"stop_ms": p.StopIn != a.place.StopIn, "sockets": p.Sockets != a.place.Sockets,
-		"store":    p.Lasting != a.place.Lasting,
-		"peers":    p.Talk != a.place.Talk,
-		"settings": !reflect.DeepEqual(p.Terms.Deployment, a.place.Terms.Deployment)} {
+	for name, differs := range map[string]bool{"name": p.Name != a.config.Name, "listen": p.Listen != a.config.Listen,
+		"stop_ms": p.ShutdownTimeout != a.config.ShutdownTimeout, "sockets": p.MaxSockets != a.config.MaxSockets,
+		"store":    p.Recovery != a.config.Recovery,
+		"peers":    p.Gossip != a.config.Gossip,
+		"settings": !reflect.DeepEqual(p.Settings.Config, a.config.Settings.Config)} {
 		if differs {
 			kept = append(kept, name)
 		}
 	}
 	slices.Sort(kept)
-	a.log.Event("configuration_read").Str("name", a.place.Name).Str("vm", p.Interpreter).Str("index", p.Index).
+	a.log.Event("configuration_read").Str("name", a.config.Name).Str("vm", p.Interpreter).Str("index", p.Index).
 		Str("lookup", p.Directory).Str("kept_as_it_was", strings.Join(kept, " ")).Send()
-	before := a.place
-	a.place.Interpreter, a.place.Index, a.place.Directory = p.Interpreter, p.Index, p.Directory
-	if !reflect.DeepEqual(p.Fair, before.Fair) {
-		a.place.Fair = p.Fair
-		a.fair()
+	before := a.config
+	a.config.Interpreter, a.config.Index, a.config.Directory = p.Interpreter, p.Index, p.Directory
+	if !reflect.DeepEqual(p.FairQueue, before.FairQueue) {
+		a.config.FairQueue = p.FairQueue
+		a.configureFairQueue()
 	}
-	a.place.Tenancy = p.Tenancy
+	a.config.Tenancy = p.Tenancy
 	if p.Plugins != before.Plugins { // the same where nothing about them changed
-		a.place.Plugins = p.Plugins
+		a.config.Plugins = p.Plugins
 		a.plugins.adopt(p.Plugins)
 	}
 	if before.Interpreter != p.Interpreter {
-		a.interpreter.move()
+		a.interpreter.reconnect()
 	}
 	if before.Index != p.Index {
-		a.index.move()
+		a.index.reconnect()
 	}
 	if before.Directory != p.Directory {
-		a.directory.move()
+		a.directory.reconnect()
 	}
 }
 
-func (a *App) tellLeave() {
-	if a.server != nil && a.stop < never {
-		a.server.Leave(max(0, a.stop-a.now))
+func (a *Server) notifyAdmissionOfDrain() {
+	if a.admission != nil && a.shutdownDeadline < noDeadline {
+		a.admission.Drain(max(0, a.shutdownDeadline-a.now))
 	}
 }
 
-// tell logs how it stands, now and then.
-func (a *App) tell() {
-	a.log.Event("state").Int("in_hand", a.items.inHand()).Int("connections", a.routers.open).Int("stamps", len(a.items.stamps)).
-		Int("calls", a.index.out).Int64("gauges_age_ms", int64(a.interpreter.ages.most()/10)).
-		Int64("timer_late_ms", int64(a.late.most()/10)).Int("links", a.interpreter.links).
-		Int("reports_missed", a.directory.missed).Int("bad_peers", a.bad).Int("unread_closed", a.unread).
+// logState logs how it stands, now and then.
+func (a *Server) logState() {
+	a.log.Event("state").Int("in_hand", a.requests.count()).Int("connections", a.routers.openCount).Int("stamps", len(a.requests.entries)).
+		Int("calls", a.index.inFlight).Int64("gauges_age_ms", int64(a.interpreter.gaugeAges.percentile99()/10)).
+		Int64("timer_late_ms", int64(a.timerLateness.percentile99()/10)).Int("links", a.interpreter.linkCount).
+		Int("reports_missed", a.directory.missedReports).Int("bad_peers", a.badPeers).Int("unread_closed", a.unreadClosed).
 		Int("evicted", a.routers.evicted).Func(func(e *zerolog.Event) {
-		if a.ledger != nil {
-			f := a.ledger.Figures()
-			e.Int("fair_books", f.Books).Int("fair_groups", f.Groups).Int("fair_candidates", f.Heard).
-				Int("fair_core_percent", int(100*f.Rate))
+		if a.fairScheduler != nil {
+			f := a.fairScheduler.Stats()
+			e.Int("fair_books", f.HeavyHitters).Int("fair_groups", f.ActiveSharedFlows).Int("fair_candidates", f.Candidates).
+				Int("fair_core_percent", int(100*f.ServiceRate))
 		}
-		a.plugins.tell(e)
-		a.keeping.tell(e)
-		a.holding.tell(e)
-	}).Func(a.tellBooks).Send()
-	a.keeping.learn()
-	a.set(&a.state, a.now+stateEvery)
+		a.plugins.logState(e)
+		a.recovery.logState(e)
+		a.quota.logState(e)
+	}).Func(a.logAdmissionState).Send()
+	a.recovery.saveWarmStart()
+	a.setTimer(&a.stateTimer, a.now+stateLogInterval)
 }
 
-// tellBooks adds how the module's books stand.
-func (a *App) tellBooks(e *zerolog.Event) {
-	if a.server == nil {
+// logAdmissionState adds how the module's books stand.
+func (a *Server) logAdmissionState(e *zerolog.Event) {
+	if a.admission == nil {
 		return
 	}
-	b := a.server.Books()
-	e.Int("held", b.Held).Int("running", b.Running).Int("at_calls", b.AtCalls).Int("calling", b.Calling).Int("lingering", b.Lingering).
-		Int("entries", b.Entries).Float64("pool", b.Pool).Float64("calls_allowed", b.CallsAllowed).Float64("calls_left", b.CallsLeft).
-		Float64("on_cores", b.OnCores).Int64("unread_ms", int64(b.Unread/10)).Int64("trip_ms", int64(b.Trip/10)).
-		Int64("calls_lately_ms", int64(b.CallsLately/10)).Int64("calls_quick_ms", int64(b.CallsQuick/10)).
-		Float64("booked_kb", math.Round(b.MemoryKb)).Int("lanes", a.index.lanes).Int("queued_calls", len(a.index.queue))
+	b := a.admission.Stats()
+	e.Int("held", b.Queued).Int("running", b.Running).Int("at_calls", b.WaitingAtCalls).Int("calling", b.CallsInFlight).Int("lingering", b.AbandonedCalls).
+		Int("entries", b.Entries).Float64("pool", b.Limit).Float64("calls_allowed", b.DownstreamLimit).Float64("calls_left", b.DownstreamCredit).
+		Float64("on_cores", b.RunnableRequests).Int64("unread_ms", int64(b.UnreadTime/10)).Int64("trip_ms", int64(b.RoundTrip/10)).
+		Int64("calls_lately_ms", int64(b.CallTime/10)).Int64("calls_quick_ms", int64(b.QuickCallTime/10)).
+		Float64("booked_kb", math.Round(b.MemoryKB)).Int("lanes", a.index.connections).Int("queued_calls", len(a.index.waiting))
 }
 
-// often counts and says whether that is worth a line in the log: at each power of two.
-func often(count *int) bool {
+// countAndSample counts and says whether that is worth a line in the log: at each power of two.
+func countAndSample(count *int) bool {
 	*count++
 	return *count&(*count-1) == 0
 }
 
-// lags is a histogram of short times, by powers of two, halved when it is full.
-type lags struct {
-	n     int
-	count [20]int
+// lagHistogram is a histogram of short times, by powers of two, halved when it is full.
+type lagHistogram struct {
+	total   int
+	buckets [20]int
 }
 
-func (l *lags) add(t timeunit.Ticks) {
-	l.count[min(bits.Len64(uint64(max(0, t))), len(l.count)-1)]++
-	if l.n++; l.n >= 4096 {
-		l.n = 0
-		for i := range l.count {
-			l.count[i] /= 2
-			l.n += l.count[i]
+func (l *lagHistogram) add(t timeunit.Ticks) {
+	l.buckets[min(bits.Len64(uint64(max(0, t))), len(l.buckets)-1)]++
+	if l.total++; l.total >= 4096 {
+		l.total = 0
+		for i := range l.buckets {
+			l.buckets[i] /= 2
+			l.total += l.buckets[i]
 		}
 	}
 }
 
-// most gives what 99 in 100 stayed under.
-func (l *lags) most() timeunit.Ticks {
-	left := l.n / 100
-	for i := len(l.count) - 1; i > 0; i-- {
-		if left -= l.count[i]; left < 0 {
+// percentile99 gives what 99 in 100 stayed under.
+func (l *lagHistogram) percentile99() timeunit.Ticks {
+	left := l.total / 100
+	for i := len(l.buckets) - 1; i > 0; i-- {
+		if left -= l.buckets[i]; left < 0 {
 			return 1 << i
 		}
 	}
 	return 0
 }
 
-func (a *App) end() {
-	a.log.Event("ended").Str("name", a.place.Name).Int("in_hand", a.items.inHand()).Int("broken_invariants", a.broken).Send()
-	a.ending = true
+func (a *Server) stopLoop() {
+	a.log.Event("ended").Str("name", a.config.Name).Int("in_hand", a.requests.count()).Int("broken_invariants", a.brokenInvariants).Send()
+	a.ended = true
 }
 
-// dialled is a connection to another party, from its dial on. Once it is dropped nothing of it reaches its peer,
+// outgoingConnection is a connection to another party, from its dial on. Once it is dropped nothing of it reaches its peer,
 // neither a dial that was under way to an address that is left nor the end of a link that another has replaced.
-type dialled struct {
-	peer
-	app     *App
+type outgoingConnection struct {
+	connectionHandler
+	server  *Server
 	conn    gnet.Conn
 	failed  func()
 	dropped bool
 }
 
 // dial connects to another party off the loop and gives the connection to p, or calls failed on the loop.
-func (a *App) dial(address string, within time.Duration, p peer, failed func()) *dialled {
-	d := &dialled{peer: p, app: a, failed: failed}
+func (a *Server) dial(address string, within time.Duration, p connectionHandler, failed func()) *outgoingConnection {
+	d := &outgoingConnection{connectionHandler: p, server: a, failed: failed}
 	go func() {
 		c, err := net.DialTimeout("tcp", address, within)
 		if err == nil {
 			var enrolled <-chan gnet.RegisteredResult
-			if enrolled, err = a.thread.Enroll(gnet.NewContext(context.Background(), d), c); err == nil {
+			if enrolled, err = a.loop.Enroll(gnet.NewContext(context.Background(), d), c); err == nil {
 				err = (<-enrolled).Err // no descriptor was left, say
 			}
 		}
 		if err != nil {
-			a.do(func() { d.fail(address, err) })
+			a.submit(func() { d.fail(address, err) })
 		}
 	}()
 	return d
 }
 
-func (d *dialled) fail(address string, err error) {
+func (d *outgoingConnection) fail(address string, err error) {
 	if d.dropped {
 		return
 	}
-	if often(&d.app.unreached) {
-		d.app.log.Event("not_reached").Str("address", address).Str("reason", err.Error()).Int("count", d.app.unreached).Send()
+	if countAndSample(&d.server.failedDials) {
+		d.server.log.Event("not_reached").Str("address", address).Str("reason", err.Error()).Int("count", d.server.failedDials).Send()
 	}
 	d.failed()
 }
 
-func (d *dialled) opened(c gnet.Conn) {
+func (d *outgoingConnection) opened(c gnet.Conn) {
 	if d.conn = c; d.dropped {
-		d.app.part(c)
+		d.server.closeGracefully(c)
 	} else {
-		d.peer.opened(c)
+		d.connectionHandler.opened(c)
 	}
 }
 
-func (d *dialled) traffic(data []byte) error {
+func (d *outgoingConnection) receive(data []byte) error {
 	if d.dropped {
 		return nil
 	}
-	return d.peer.traffic(data)
+	return d.connectionHandler.receive(data)
 }
 
-func (d *dialled) closed() {
+func (d *outgoingConnection) closed() {
 	if !d.dropped {
-		d.peer.closed()
+		d.connectionHandler.closed()
 	}
 }
 
 // drop closes it and has nothing more said of it; without a connection it does nothing.
-func (d *dialled) drop() {
+func (d *outgoingConnection) drop() {
 	if d != nil && !d.dropped {
 		if d.dropped = true; d.conn != nil {
-			d.app.part(d.conn)
+			d.server.closeGracefully(d.conn)
 		}
 	}
 }
 
-// backOff is how much later the next dial comes, ever later up to a bound.
-type backOff struct{ last timeunit.Ticks }
+// backoff is how much later the next dial comes, ever later up to a bound.
+type backoff struct{ last timeunit.Ticks }
 
-func (b *backOff) next() timeunit.Ticks {
-	b.last = min(max(redialAfter, 2*b.last), redialMost)
+func (b *backoff) next() timeunit.Ticks {
+	b.last = min(max(minRedialDelay, 2*b.last), maxRedialDelay)
 	return b.last
 }
 
-// spread gives a time up to the one given, so that what befell many servers at once is not followed by all at once.
-func (a *App) spread(most timeunit.Ticks) timeunit.Ticks {
-	return most/2 + timeunit.Ticks(a.chance.Int63n(int64(most/2)+1))
+// jitter gives a time up to the one given, so that what befell many servers at once is not followed by all at once.
+func (a *Server) jitter(most timeunit.Ticks) timeunit.Ticks {
+	return most/2 + timeunit.Ticks(a.random.Int63n(int64(most/2)+1))
 }
 
 // engineLog passes on what gnet has to say that matters.
-type engineLog struct{ logs.Log }
+type engineLog struct{ logs.Logger }
 
 func (engineLog) Debugf(string, ...any)          {}
 func (engineLog) Infof(string, ...any)           {}
-func (l engineLog) Warnf(f string, args ...any)  { l.say("engine_warning", f, args) }
-func (l engineLog) Errorf(f string, args ...any) { l.say("engine_error", f, args) }
+func (l engineLog) Warnf(f string, args ...any)  { l.write("engine_warning", f, args) }
+func (l engineLog) Errorf(f string, args ...any) { l.write("engine_error", f, args) }
 func (l engineLog) Fatalf(f string, args ...any) {
-	l.say("engine_fatal", f, args)
+	l.write("engine_fatal", f, args)
 	os.Exit(1)
 }
 
-func (l engineLog) say(event, f string, args []any) {
+func (l engineLog) write(event, f string, args []any) {
 	l.Event(event).Str("text", fmt.Sprintf(f, args...)).Send()
 }
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -21,87 +21,87 @@
 )
 
 const (
-	mostAsked    = 256                // calls out at once
-	onTheWay     = timeunit.Ticks(20) // that a verdict may take from the process to the loop
-	mostOld      = 4                  // processes that wait for the last work item that began with them
-	mostCounters = 64
-	mostKept     = 1 << 20 // bytes of all plug-ins' memories that are kept here for the next process
+	maxPluginCalls      = 256                // calls out at once
+	verdictTransitTime  = timeunit.Ticks(20) // that a verdict may take from the process to the loop
+	maxRetiredProcesses = 4                  // processes that wait for the last work item that began with them
+	maxPluginCounters   = 64
+	maxPluginStateBytes = 1 << 20 // bytes of all plug-ins' memories that are kept here for the next process
 )
 
 // Plugins is a process that is ready and what its plug-ins may do, in its order.
 type Plugins struct {
-	Process *plugin.Process
-	Grants  []chain.Grant
-	Drop    map[string]bool                                                  // plug-ins whose memory does not pass to this version
-	Begin   func(kept map[string]map[string][]byte) (*plugin.Process, error) // another such process; may take its time
+	Process   *plugin.Process
+	Grants    []chain.Policy
+	DropState map[string]bool                                                  // plug-ins whose memory does not pass to this version
+	Start     func(kept map[string]map[string][]byte) (*plugin.Process, error) // another such process; may take its time
 }
 
-type plugins struct {
-	app     *App
-	names   []string // of categories
-	room    []byte   // that requests are written in
-	old     []*pluginHost
-	live    *pluginHost // that new walks are asked at
-	terms   *Plugins
-	chain   *chain.Chain // of the terms, also while no process is there
-	calls   map[uint64]*asking
-	next    uint64
-	kept    map[string]map[string][]byte
-	bytes   int
-	counts  map[string]int64
-	dropped int // late verdicts
-	died    int
-	again   alarm
-	backOff backOff
+type pluginPart struct {
+	server        *Server
+	categoryNames []string // of categories
+	frameBuffer   []byte   // that requests are written in
+	retired       []*pluginConnection
+	live          *pluginConnection // that new walks are asked at
+	config        *Plugins
+	chain         *chain.Chain // of the terms, also while no process is there
+	calls         map[uint64]*chainEvaluation
+	lastCall      uint64
+	state         map[string]map[string][]byte
+	stateBytes    int
+	counters      map[string]int64
+	lateVerdicts  int // late verdicts
+	exits         int
+	restartTimer  timer
+	backoff       backoff
 }
 
-// pluginHost is one process as a connection.
-type pluginHost struct {
-	wire
-	plugins *plugins
-	terms   *Plugins
-	process *plugin.Process
-	chain   *chain.Chain
-	carry   []byte
-	out     int  // calls that are out
-	held    int  // work items that began with it and are not over
-	retired bool // another took its place
-	ticks   []*alarm
-	ended   bool
+// pluginConnection is one process as a connection.
+type pluginConnection struct {
+	outputBuffer
+	part         *pluginPart
+	config       *Plugins
+	process      *plugin.Process
+	chain        *chain.Chain
+	partial      []byte
+	pendingCalls int  // calls that are out
+	requests     int  // work items that began with it and are not over
+	retired      bool // another took its place
+	tickTimers   []*timer
+	ended        bool
 }
 
-// asking is one walk under way, at a work item or at none.
-type asking struct {
-	it     *item
-	host   *pluginHost
-	walk   *chain.Walk
-	at     chain.Point
-	plugin *chain.Plugin
-	call   uint64
-	limit  alarm
-	within timeunit.Ticks
-	done   func(w *chain.Walk)
+// chainEvaluation is one walk under way, at a work item or at none.
+type chainEvaluation struct {
+	request    *request
+	connection *pluginConnection
+	evaluation *chain.Evaluation
+	point      chain.Hook
+	plugin     *chain.Plugin
+	call       uint64
+	timer      timer
+	timeLimit  timeunit.Ticks
+	done       func(w *chain.Evaluation)
 }
 
-func (p *plugins) start(a *App) {
-	p.app, p.calls, p.kept, p.counts = a, map[uint64]*asking{}, map[string]map[string][]byte{}, map[string]int64{}
-	p.again.ring, p.room = p.begin, make([]byte, 0, plugin.MostFrame)
-	p.names = make([]string, len(a.place.Terms.Categories))
-	for name, i := range a.place.Terms.Named {
-		p.names[i] = name
+func (p *pluginPart) start(a *Server) {
+	p.server, p.calls, p.state, p.counters = a, map[uint64]*chainEvaluation{}, map[string]map[string][]byte{}, map[string]int64{}
+	p.restartTimer.fire, p.frameBuffer = p.restart, make([]byte, 0, plugin.MaxFrameSize)
+	p.categoryNames = make([]string, len(a.config.Settings.Categories))
+	for name, i := range a.config.Settings.CategoryIndex {
+		p.categoryNames[i] = name
 	}
 }
 
 // adopt has a process take the place of the one before, once the loop speaks with it: until then the old one is asked.
 // Walks under way end where they began.
-func (p *plugins) adopt(t *Plugins) {
-	if p.terms = t; t == nil {
+func (p *pluginPart) adopt(t *Plugins) {
+	if p.config = t; t == nil {
 		p.retire()
 		p.chain = nil
 		return
 	}
-	fresh := func(name string) bool { return t.Drop[name] }
-	pluginChain := chain.NewChain(t.Grants, p.chain, fresh, p.app.chance, p.app.now)
+	fresh := func(name string) bool { return t.DropState[name] }
+	pluginChain := chain.New(t.Grants, p.chain, fresh, p.server.random, p.server.now)
 	if p.live == nil { // nobody is asked meanwhile
 		p.chain = pluginChain
 	}
@@ -109,48 +109,48 @@
 }
 
 // retire has no new work item begin with the live process.
-func (p *plugins) retire() {
+func (p *pluginPart) retire() {
 	old := p.live
 	if p.live = nil; old == nil {
 		return
 	}
 	old.retired = true
-	p.old = append(slices.DeleteFunc(p.old, func(h *pluginHost) bool { return h.ended }), old)
-	if old.rest(); len(p.old) > mostOld { // what began with the oldest goes on without it
-		p.old[0].shut()
-		p.old[0].closed()
+	p.retired = append(slices.DeleteFunc(p.retired, func(h *pluginConnection) bool { return h.ended }), old)
+	if old.closeIfUnused(); len(p.retired) > maxRetiredProcesses { // what began with the oldest goes on without it
+		p.retired[0].closeGracefully()
+		p.retired[0].closed()
 	}
 }
 
 // enrol has the loop speak with a process.
-func (p *plugins) enrol(t *Plugins, pluginChain *chain.Chain) {
-	h := &pluginHost{plugins: p, terms: t, chain: pluginChain, process: t.Process}
-	h.wire = wire{app: p.app, most: mostOnLink}
+func (p *pluginPart) enrol(t *Plugins, pluginChain *chain.Chain) {
+	h := &pluginConnection{part: p, config: t, chain: pluginChain, process: t.Process}
+	h.outputBuffer = outputBuffer{server: p.server, maxUnread: maxUnreadPerLink}
 	go func() {
-		enrolled, err := p.app.thread.Enroll(gnet.NewContext(context.Background(), h), h.process.Conn)
+		enrolled, err := p.server.loop.Enroll(gnet.NewContext(context.Background(), h), h.process.Conn)
 		if err == nil {
 			err = (<-enrolled).Err
 		}
 		if err != nil {
-			p.app.do(func() { h.closed() })
+			p.server.submit(func() { h.closed() })
 		}
 	}()
 }
 
-func (h *pluginHost) opened(c gnet.Conn) {
-	p := h.plugins
-	if h.conn = c; p.terms != h.terms { // others came meanwhile
+func (h *pluginConnection) opened(c gnet.Conn) {
+	p := h.part
+	if h.conn = c; p.config != h.config { // others came meanwhile
 		h.retired = true
-		h.rest()
+		h.closeIfUnused()
 		return
 	}
 	p.retire()
-	for name := range h.terms.Drop {
-		if h.terms.Drop[name] {
-			for key, value := range p.kept[name] {
-				p.bytes -= len(key) + len(value)
+	for name := range h.config.DropState {
+		if h.config.DropState[name] {
+			for key, value := range p.state[name] {
+				p.stateBytes -= len(key) + len(value)
 			}
-			delete(p.kept, name)
+			delete(p.state, name)
 		}
 	}
 	p.live, p.chain = h, h.chain
@@ -158,77 +158,77 @@
 	for i, one := range h.chain.Plugins {
 		names[i] = one.Name
 	}
-	p.app.log.Event("plugins_ready").Str("plugins", strings.Join(names, " ")).Int64("took_ms", h.process.Took.Milliseconds()).
+	p.server.log.Event("plugins_ready").Str("plugins", strings.Join(names, " ")).Int64("took_ms", h.process.StartupTime.Milliseconds()).
 		Int("process", h.process.Command.Process.Pid).Send()
 	for _, one := range h.chain.Plugins {
-		if !one.At[chain.Tick] {
+		if !one.Hooks[chain.HookTick] {
 			continue
 		}
-		tick := &alarm{}
-		tick.ring = func() {
+		tick := &timer{}
+		tick.fire = func() {
 			if h.retired || h.ended {
 				return
 			}
-			h.plugins.app.set(tick, h.plugins.app.now+one.Every)
-			if w := h.chain.Tick(one, h.plugins.app.now); w != nil {
-				k := &asking{host: h, walk: w, at: chain.Tick, done: func(*chain.Walk) {}}
-				if !k.send(one, min(one.Call, one.Every)) {
-					w.Failed(chain.Absent, 0, h.plugins.app.now)
+			h.part.server.setTimer(tick, h.part.server.now+one.TickInterval)
+			if w := h.chain.BeginTick(one, h.part.server.now); w != nil {
+				k := &chainEvaluation{connection: h, evaluation: w, point: chain.HookTick, done: func(*chain.Evaluation) {}}
+				if !k.send(one, min(one.CallTimeout, one.TickInterval)) {
+					w.RecordFault(chain.FaultUnavailable, 0, h.part.server.now)
 				}
 			}
 		}
-		h.plugins.app.set(tick, h.plugins.app.now+one.Every)
-		h.ticks = append(h.ticks, tick)
+		h.part.server.setTimer(tick, h.part.server.now+one.TickInterval)
+		h.tickTimers = append(h.tickTimers, tick)
 	}
 }
 
 // closed: the process ended, or was retired. What it was asked about goes on without it.
-func (h *pluginHost) closed() {
+func (h *pluginConnection) closed() {
 	if h.ended {
 		return
 	}
 	h.ended, h.conn = true, nil
-	p := h.plugins
-	for _, tick := range h.ticks {
-		p.app.unset(tick)
+	p := h.part
+	for _, tick := range h.tickTimers {
+		p.server.stopTimer(tick)
 	}
-	go h.process.End()
+	go h.process.Stop()
 	for call, k := range p.calls {
-		if k.host == h {
+		if k.connection == h {
 			delete(p.calls, call)
-			h.out--
-			p.app.unset(&k.limit)
-			k.failed(chain.Died, 0)
+			h.pendingCalls--
+			p.server.stopTimer(&k.timer)
+			k.failed(chain.FaultProcessDied, 0)
 		}
 	}
-	if p.live == h || p.terms == h.terms && !h.retired {
+	if p.live == h || p.config == h.config && !h.retired {
 		if p.live == h {
 			p.live = nil
 		}
-		if often(&p.died) {
-			p.app.log.Event("plugins_died").Int("count", p.died).Send()
+		if countAndSample(&p.exits) {
+			p.server.log.Event("plugins_died").Int("count", p.exits).Send()
 		}
-		p.app.set(&p.again, p.app.now+p.backOff.next())
+		p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
 	}
 }
 
-// begin has another process begun beside the loop.
-func (p *plugins) begin() {
-	t, kept := p.terms, p.snapshot()
+// restart has another process begun beside the loop.
+func (p *pluginPart) restart() {
+	t, kept := p.config, p.snapshot()
 	if t == nil {
 		return
 	}
 	go func() {
-		process, err := t.Begin(kept)
-		p.app.do(func() {
+		process, err := t.Start(kept)
+		p.server.submit(func() {
 			switch {
-			case p.terms != t || p.live != nil: // other terms came meanwhile
+			case p.config != t || p.live != nil: // other terms came meanwhile
 				if err == nil {
-					go process.End()
+					go process.Stop()
 				}
 			case err != nil:
-				p.app.log.Event("plugins_refused").Str("reason", err.Error()).Send()
-				p.app.set(&p.again, p.app.now+p.backOff.next())
+				p.server.log.Event("plugins_refused").Str("reason", err.Error()).Send()
+				p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
 			default:
 				t.Process = process
 				p.enrol(t, p.chain)
@@ -238,9 +238,9 @@
 }
 
 // snapshot copies what plug-ins keep.
-func (p *plugins) snapshot() map[string]map[string][]byte {
+func (p *pluginPart) snapshot() map[string]map[string][]byte {
 	all := map[string]map[string][]byte{}
-	for name, values := range p.kept {
+	for name, values := range p.state {
 		all[name] = map[string][]byte{}
 		for key, value := range values {
 			all[name][key] = value // replaced, never changed
@@ -249,240 +249,240 @@
 	return all
 }
 
-// rest closes a retired process once nothing is asked there.
-func (h *pluginHost) rest() {
-	if h.retired && h.out == 0 && h.held == 0 {
-		h.shut()
+// closeIfUnused closes a retired process once nothing is asked there.
+func (h *pluginConnection) closeIfUnused() {
+	if h.retired && h.pendingCalls == 0 && h.requests == 0 {
+		h.closeGracefully()
 		h.closed()
 	}
 }
 
-// begins has a work item that was read end with the plug-ins that it began with.
-func (p *plugins) begins(it *item) {
+// attach has a work item that was read end with the plug-ins that it began with.
+func (p *pluginPart) attach(it *request) {
 	if p.chain == nil {
 		return
 	}
-	it.who = string(it.tenant)
-	if it.host = p.live; it.host != nil {
-		it.host.held++
+	it.pluginTenant = string(it.tenant)
+	if it.pluginConnection = p.live; it.pluginConnection != nil {
+		it.pluginConnection.requests++
 	}
 }
 
-// ends: it is over, or will never be taken.
-func (p *plugins) ends(it *item) {
-	if h := it.host; h != nil {
-		it.host = nil
-		h.held--
-		h.rest()
+// detach: it is over, or will never be taken.
+func (p *pluginPart) detach(it *request) {
+	if h := it.pluginConnection; h != nil {
+		it.pluginConnection = nil
+		h.requests--
+		h.closeIfUnused()
 	}
 }
 
-// about makes what a walk needs to know.
-func (p *plugins) about(it *item) chain.Item {
-	return chain.Item{Category: it.category, Tenant: it.who, Left: max(0, min(it.until, p.app.stop)-p.app.now),
-		Fixed: p.app.place.Terms.Categories[it.category].Effect != admission.Harmless}
+// describe makes what a walk needs to know.
+func (p *pluginPart) describe(it *request) chain.Request {
+	return chain.Request{Category: it.category, Tenant: it.pluginTenant, TimeLeft: max(0, min(it.deadline, p.server.shutdownDeadline)-p.server.now),
+		CategoryFixed: p.server.config.Settings.Categories[it.category].Idempotency != admission.Idempotent}
 }
 
-// aside begins the walk of a work item that has been read; false where no plug-in sees it.
-func (p *plugins) aside(it *item, begin func(), done func(w *chain.Walk)) bool {
-	about := p.about(it)
-	if !p.chain.Asked(chain.Read, &about) {
+// evaluateRequest begins the walk of a work item that has been read; false where no plug-in sees it.
+func (p *pluginPart) evaluateRequest(it *request, begin func(), done func(w *chain.Evaluation)) bool {
+	about := p.describe(it)
+	if !p.chain.Applies(chain.HookRead, &about) {
 		return false
 	}
 	begin()
-	k := &asking{it: it, host: it.host, at: chain.Read, done: done}
-	if k.host == nil { // no process is there: the walk passes over all as their settings say
-		k.host = &pluginHost{plugins: p, chain: p.chain, ended: true}
+	k := &chainEvaluation{request: it, connection: it.pluginConnection, point: chain.HookRead, done: done}
+	if k.connection == nil { // no process is there: the walk passes over all as their settings say
+		k.connection = &pluginConnection{part: p, chain: p.chain, ended: true}
 	}
-	k.walk = k.host.chain.Begin(chain.Read, about, nil, p.app.now)
+	k.evaluation = k.connection.chain.Begin(chain.HookRead, about, nil, p.server.now)
 	k.step()
 	return true
 }
 
-// review begins the walk of a result that is to be answered; false where no plug-in sees it.
-func (p *plugins) review(it *item, result []byte, done func(w *chain.Walk)) bool {
-	h := it.host
-	if h == nil || it.conn == nil && it.stamp == nil {
+// evaluateResult begins the walk of a result that is to be answered; false where no plug-in sees it.
+func (p *pluginPart) evaluateResult(it *request, result []byte, done func(w *chain.Evaluation)) bool {
+	h := it.pluginConnection
+	if h == nil || it.router == nil && it.entry == nil {
 		return false
 	}
-	about := p.about(it)
-	if !h.chain.Asked(chain.Result, &about) {
+	about := p.describe(it)
+	if !h.chain.Applies(chain.HookResult, &about) {
 		return false
 	}
-	k := &asking{it: it, host: h, at: chain.Result, done: done, walk: h.chain.Begin(chain.Result, about, result, p.app.now)}
+	k := &chainEvaluation{request: it, connection: h, point: chain.HookResult, done: done, evaluation: h.chain.Begin(chain.HookResult, about, result, p.server.now)}
 	k.step()
 	return true
 }
 
 // step asks the next plug-in, or ends the walk.
-func (k *asking) step() {
-	a := k.host.plugins.app
+func (k *chainEvaluation) step() {
+	a := k.connection.part.server
 	for {
-		one, within := k.walk.Next(a.now)
+		one, within := k.evaluation.Next(a.now)
 		if one == nil {
-			k.done(k.walk)
-			k.host.rest()
+			k.done(k.evaluation)
+			k.connection.closeIfUnused()
 			return
 		}
 		if k.send(one, within) {
 			return
 		}
-		k.walk.Failed(chain.Absent, 0, a.now)
+		k.evaluation.RecordFault(chain.FaultUnavailable, 0, a.now)
 	}
 }
 
 // send asks one plug-in; false where that can't be.
-func (k *asking) send(one *chain.Plugin, within timeunit.Ticks) bool {
-	h := k.host
-	p := h.plugins
-	if h.ended || h.conn == nil || len(p.calls) >= mostAsked {
+func (k *chainEvaluation) send(one *chain.Plugin, within timeunit.Ticks) bool {
+	h := k.connection
+	p := h.part
+	if h.ended || h.conn == nil || len(p.calls) >= maxPluginCalls {
 		return false
 	}
-	q := abi.Request{Hook: int(k.at), Now: int64(p.app.now / 10)}
-	if it := k.it; it != nil {
-		about := k.walk.Item()
-		q.Left, q.Category, q.Tenant, q.Tag = uint32(about.Left/10), p.names[it.category], about.Tenant, it.tag
-		if q.Body = it.body; k.at == chain.Result {
-			q.Body = k.walk.Body
+	q := abi.Request{Hook: int(k.point), UnixMS: int64(p.server.now / 10)}
+	if it := k.request; it != nil {
+		about := k.evaluation.Request()
+		q.TimeLeftMS, q.Category, q.Tenant, q.Tag = uint32(about.TimeLeft/10), p.categoryNames[it.category], about.Tenant, it.tag
+		if q.Body = it.body; k.point == chain.HookResult {
+			q.Body = k.evaluation.Body
 		}
-		if k.walk.Tag != "" {
-			q.Tag = k.walk.Tag
+		if k.evaluation.Tag != "" {
+			q.Tag = k.evaluation.Tag
 		}
 	}
-	p.next++
-	k.plugin, k.call, k.within = one, p.next, within
+	p.lastCall++
+	k.plugin, k.call, k.timeLimit = one, p.lastCall, within
 	p.calls[k.call] = k
-	h.out++
-	k.limit.ring = func() {
-		k.away()
-		k.failed(chain.Late, k.within)
+	h.pendingCalls++
+	k.timer.fire = func() {
+		k.unlink()
+		k.failed(chain.FaultTimeout, k.timeLimit)
 	}
-	p.app.set(&k.limit, p.app.now+within+onTheWay)
-	h.wire.out = plugin.Ask(h.buffer(), one.Place, int(k.at), k.call, int64(within), q.Append(p.room[:0]))
+	p.server.setTimer(&k.timer, p.server.now+within+verdictTransitTime)
+	h.outputBuffer.output = plugin.AppendCall(h.buffer(), one.Index, int(k.point), k.call, int64(within), q.Append(p.frameBuffer[:0]))
 	return true
 }
 
-// away: the call is out no more.
-func (k *asking) away() {
-	p := k.host.plugins
+// unlink: the call is out no more.
+func (k *chainEvaluation) unlink() {
+	p := k.connection.part
 	delete(p.calls, k.call)
-	k.host.out--
-	p.app.unset(&k.limit)
+	k.connection.pendingCalls--
+	p.server.stopTimer(&k.timer)
 }
 
-func (k *asking) failed(f chain.Fault, took timeunit.Ticks) {
-	k.told(k.walk.Failed(f, took, k.host.plugins.app.now), f)
+func (k *chainEvaluation) failed(f chain.Fault, took timeunit.Ticks) {
+	k.logQuarantine(k.evaluation.RecordFault(f, took, k.connection.part.server.now), f)
 	k.step()
 }
 
-func (k *asking) told(quarantined bool, f chain.Fault) {
-	if a := k.host.plugins.app; quarantined {
-		a.log.Event("plugin_quarantined").Str("name", k.plugin.Name).Str("fault", chain.Words[f]).
-			Int64("wait_ms", int64((k.plugin.Until()-a.now)/10)).Send()
+func (k *chainEvaluation) logQuarantine(quarantined bool, f chain.Fault) {
+	if a := k.connection.part.server; quarantined {
+		a.log.Event("plugin_quarantined").Str("name", k.plugin.Name).Str("fault", chain.FaultNames[f]).
+			Int64("wait_ms", int64((k.plugin.QuarantineEnd()-a.now)/10)).Send()
 	}
 }
 
 // how a call ended, as the process tells it, and what that is.
-var faults = map[byte]chain.Fault{plugin.WasCut: chain.Late, plugin.Broke: chain.Trap, plugin.Unreadable: chain.Nonsense,
-	plugin.NotAsked: chain.Absent}
+var callFaults = map[byte]chain.Fault{plugin.CallTimedOut: chain.FaultTimeout, plugin.CallTrapped: chain.FaultTrap, plugin.CallMalformed: chain.FaultMalformed,
+	plugin.CallNotStarted: chain.FaultUnavailable}
 
-func (h *pluginHost) traffic(data []byte) error {
-	if len(h.carry) > 0 {
-		data = append(h.carry, data...)
+func (h *pluginConnection) receive(data []byte) error {
+	if len(h.partial) > 0 {
+		data = append(h.partial, data...)
 	}
 	for {
-		f, rest, whole, err := plugin.Cut(data)
+		f, rest, whole, err := plugin.ParseFrame(data)
 		if err != nil {
 			return err
 		}
 		if !whole {
-			h.carry = append(h.carry[:0:0], data...)
+			h.partial = append(h.partial[:0:0], data...)
 			return nil
 		}
 		data = rest
-		if f.Place >= len(h.chain.Plugins) {
-			return errDone
+		if f.PluginIndex >= len(h.chain.Plugins) {
+			return errConnectionDone
 		}
-		name := h.chain.Plugins[f.Place].Name
+		name := h.chain.Plugins[f.PluginIndex].Name
 		switch f.Kind {
 		case plugin.FrameVerdict:
-			h.verdict(f)
-		case plugin.FrameKeep:
-			if key, value, ok := f.Kept(); ok && !h.retired {
-				h.plugins.keep(name, key, value)
+			h.onVerdict(f)
+		case plugin.FrameState:
+			if key, value, ok := f.StateEntry(); ok && !h.retired {
+				h.part.keepState(name, key, value)
 			}
 		case plugin.FrameLog:
-			h.plugins.app.log.Event("plugin_says").Str("name", name).Str("text", string(f.Payload)).Send()
-		case plugin.FrameCount:
-			h.plugins.count(name, f.Payload)
+			h.part.server.log.Event("plugin_says").Str("name", name).Str("text", string(f.Payload)).Send()
+		case plugin.FrameCounters:
+			h.part.addCounters(name, f.Payload)
 		}
 	}
 }
 
-func (h *pluginHost) verdict(f plugin.Frame) {
-	p := h.plugins
-	how, spent, bytes, ok := f.Told()
-	k := p.calls[f.Call]
-	if !ok || k == nil || k.host != h {
-		p.dropped++ // it comes late: its work item went on
+func (h *pluginConnection) onVerdict(f plugin.Frame) {
+	p := h.part
+	how, spent, bytes, ok := f.Verdict()
+	k := p.calls[f.CallID]
+	if !ok || k == nil || k.connection != h {
+		p.lateVerdicts++ // it comes late: its work item went on
 		return
 	}
-	k.away()
+	k.unlink()
 	took := timeunit.Ticks(spent.Microseconds()/100) + 1
-	if how != plugin.Fine {
-		k.failed(faults[how], took)
+	if how != plugin.CallSucceeded {
+		k.failed(callFaults[how], took)
 		return
 	}
-	said, err := abi.ReadVerdict(bytes)
+	said, err := abi.ParseVerdict(bytes)
 	if err != nil {
-		k.failed(chain.Nonsense, took)
+		k.failed(chain.FaultMalformed, took)
 		return
 	}
-	v := chain.Verdict{Decline: said.Does&abi.Declines != 0, Status: said.Status, Category: -1, HasTag: said.Does&abi.Tags != 0,
-		Tag: said.Tag, Replace: said.Does&abi.Replaces != 0, Body: append([]byte(nil), said.Body...)}
-	if said.Does&abi.Categorises != 0 {
-		to, known := p.app.place.Terms.Named[said.Category]
+	v := chain.Verdict{Reject: said.Actions&abi.ActionReject != 0, Status: said.Status, Category: -1, HasTag: said.Actions&abi.ActionTag != 0,
+		Tag: said.Tag, Replace: said.Actions&abi.ActionReplace != 0, Body: append([]byte(nil), said.Body...)}
+	if said.Actions&abi.ActionCategorize != 0 {
+		to, known := p.server.config.Settings.CategoryIndex[said.Category]
 		if v.Category = to; !known {
-			v.Category = len(p.names)
+			v.Category = len(p.categoryNames)
 		}
 	}
-	if fault, wrong, quarantined := k.walk.Said(v, took, p.app.now); wrong {
-		k.told(quarantined, fault)
+	if fault, wrong, quarantined := k.evaluation.ApplyVerdict(v, took, p.server.now); wrong {
+		k.logQuarantine(quarantined, fault)
 	}
 	k.step()
 }
 
-// keep holds what a plug-in wants kept, for the process after this one.
-func (p *plugins) keep(name, key string, value []byte) {
-	of := p.kept[name]
+// keepState holds what a plug-in wants kept, for the process after this one.
+func (p *pluginPart) keepState(name, key string, value []byte) {
+	of := p.state[name]
 	if of == nil {
 		of = map[string][]byte{}
-		p.kept[name] = of
+		p.state[name] = of
 	}
 	if before, had := of[key]; had {
-		p.bytes -= len(key) + len(before)
+		p.stateBytes -= len(key) + len(before)
 		delete(of, key)
 	}
-	if len(value) > 0 && p.bytes+len(key)+len(value) <= mostKept {
-		p.bytes += len(key) + len(value)
+	if len(value) > 0 && p.stateBytes+len(key)+len(value) <= maxPluginStateBytes {
+		p.stateBytes += len(key) + len(value)
 		of[key] = append([]byte(nil), value...)
 	}
 }
 
-func (p *plugins) count(name string, text []byte) {
+func (p *pluginPart) addCounters(name string, text []byte) {
 	var moved map[string]int64
 	if json.Unmarshal(text, &moved) != nil {
 		return
 	}
 	for counter, by := range moved {
-		if key := name + "." + counter; len(p.counts) < mostCounters || p.counts[key] != 0 {
-			p.counts[key] += by
+		if key := name + "." + counter; len(p.counters) < maxPluginCounters || p.counters[key] != 0 {
+			p.counters[key] += by
 		}
 	}
 }
 
-// tell adds how plug-ins do to the line on the state.
-func (p *plugins) tell(e *zerolog.Event) {
+// logState adds how plug-ins do to the line on the state.
+func (p *pluginPart) logState(e *zerolog.Event) {
 	if p.chain == nil {
 		return
 	}
@@ -492,12 +492,12 @@
 		for _, n := range one.Faults {
 			bad += n
 		}
-		if one.State != chain.Live {
+		if one.State != chain.StateActive {
 			off++
 		}
 	}
-	e.Int("plugin_calls", calls).Int("plugin_faults", bad).Int("plugins_off", off).Int("plugin_verdicts_late", p.dropped)
-	for _, key := range slices.Sorted(maps.Keys(p.counts)) {
-		e.Int64(key, p.counts[key])
+	e.Int("plugin_calls", calls).Int("plugin_faults", bad).Int("plugins_off", off).Int("plugin_verdicts_late", p.lateVerdicts)
+	for _, key := range slices.Sorted(maps.Keys(p.counters)) {
+		e.Int64(key, p.counters[key])
 	}
 }
--- a/internal/server/routers.go
+++ b/internal/server/routers.go
@@ -16,221 +16,223 @@
 )
 
 const (
-	firstWithin = 2 * second  // a connection that brings no whole request so long is closed
-	wholeWithin = 1 * second  // and a request not whole after one to two of these is answered as it is
-	newcomer    = second / 10 // what came later may have its first request on the way
-	freshPart   = 4           // unless those without one take up more than one place in so many
+	firstRequestTimeout  = 2 * second  // a connection that brings no whole request so long is closed
+	requestReadTimeout   = 1 * second  // and a request not whole after one to two of these is answered as it is
+	newConnectionGrace   = second / 10 // what came later may have its first request on the way
+	newConnectionDivisor = 4           // unless those without one take up more than one place in so many
 )
 
-type routers struct {
-	app     *App
-	open    int
-	most    int
-	all     *list.List // of *router
-	fresh   *list.List // of those that brought no whole request yet, the oldest first
-	idle    *list.List // of those that did and carry nothing, the longest idle first
-	idleFor timeunit.Ticks
-	closing alarm
-	full    int // connections turned away
-	evicted int // closed to make room
-	slow    int // closed or answered as no whole request came
-	good    bool
-	hint    string // the header of the free value, empty until it is said
-}
-
-func (r *routers) start(a *App) {
-	r.app, r.all, r.fresh, r.idle, r.idleFor, r.good = a, list.New(), list.New(), list.New(), never, true
-	a.lingering.most = max(1, a.place.Sockets/lingerPart)
-	r.most = max(1, a.place.Sockets-keptBack-2*a.index.most-a.lingering.most)
-	r.closing.ring = r.closeIdle
-}
-
-// router is one connection.
-type router struct {
-	wire
-	parser fastcgi.Parser
-	life   life
-	place  *list.Element // in the list of all
-	spot   *list.Element // in that of fresh or of idle ones
-	since  timeunit.Ticks
-	limit  alarm
-	peer   netip.Addr // the other end, read where tenants go by it
-	stuck  bool       // it was so at the limit before, and no request has come whole since
+type routerTable struct {
+	server           *Server
+	openCount        int
+	maxConnections   int
+	all              *list.List // of *router
+	newConnections   *list.List // of those that brought no whole request yet, the oldest first
+	idleConnections  *list.List // of those that did and carry nothing, the longest idle first
+	idleTimeout      timeunit.Ticks
+	idleTimer        timer
+	rejected         int // connections turned away
+	evicted          int // closed to make room
+	incomplete       int // closed or answered as no whole request came
+	admissionHealthy bool
+	loadReportHeader string // the header of the free value, empty until it is said
+}
+
+func (r *routerTable) start(a *Server) {
+	r.server, r.all, r.newConnections, r.idleConnections, r.idleTimeout, r.admissionHealthy = a, list.New(), list.New(), list.New(), noDeadline, true
+	a.closing.reserved = max(1, a.config.MaxSockets/lingerDescriptorDivisor)
+	r.maxConnections = max(1, a.config.MaxSockets-reservedDescriptors-2*a.index.maxConnections-a.closing.reserved)
+	r.idleTimer.fire = r.closeIdle
+}
+
+// routerConnection is one connection.
+type routerConnection struct {
+	outputBuffer
+	parser        fastcgi.Parser
+	state         connectionState
+	tableElement  *list.Element // in the list of all
+	stateElement  *list.Element // in that of fresh or of idle ones
+	stateSince    timeunit.Ticks
+	requestTimer  timer
+	peerIP        netip.Addr // the other end, read where tenants go by it
+	wasIncomplete bool       // it was so at the limit before, and no request has come whole since
 }
 
 // peerAddress is that of the other end.
-func (c *router) peerAddress() netip.Addr {
-	if a, is := c.conn.RemoteAddr().(*net.TCPAddr); is && !c.peer.IsValid() {
-		c.peer = a.AddrPort().Addr()
+func (c *routerConnection) peerAddress() netip.Addr {
+	if a, is := c.conn.RemoteAddr().(*net.TCPAddr); is && !c.peerIP.IsValid() {
+		c.peerIP = a.AddrPort().Addr()
 	}
-	return c.peer
+	return c.peerIP
 }
 
 // accept makes room for a newcomer where the table is full: silent connections and such as asked once and stay must
 // not keep routers out.
-func (r *routers) accept() peer {
-	if r.open >= r.most {
-		c := r.leastClaim()
+func (r *routerTable) accept() connectionHandler {
+	if r.openCount >= r.maxConnections {
+		c := r.evictionCandidate()
 		if c == nil {
-			if often(&r.full) {
-				r.app.log.Event("table_full").Int("connections", r.open).Int("turned_away", r.full).Send()
+			if countAndSample(&r.rejected) {
+				r.server.log.Event("table_full").Int("connections", r.openCount).Int("turned_away", r.rejected).Send()
 			}
 			return nil
 		}
-		if often(&r.evicted) {
-			r.app.log.Event("made_room").Int("connections", r.open).Int("closed", r.evicted).Send()
+		if countAndSample(&r.evicted) {
+			r.server.log.Event("made_room").Int("connections", r.openCount).Int("closed", r.evicted).Send()
 		}
-		c.shut()
+		c.closeGracefully()
 	}
-	r.app.makeRoom(1)
-	return &router{wire: wire{app: r.app, most: mostUnread}}
+	r.server.evictClosing(1)
+	return &routerConnection{outputBuffer: outputBuffer{server: r.server, maxUnread: maxUnreadPerRouter}}
 }
 
-// leastClaim gives the connection whose place goes to a newcomer: one that never brought a whole request, unless that
+// evictionCandidate gives the connection whose place goes to a newcomer: one that never brought a whole request, unless that
 // may be on its way, else the longest idle; none where all carry something.
-func (r *routers) leastClaim() *router {
-	first, idle := r.fresh.Front(), r.idle.Front()
+func (r *routerTable) evictionCandidate() *routerConnection {
+	first, idle := r.newConnections.Front(), r.idleConnections.Front()
 	switch {
-	case first != nil && (idle == nil || r.fresh.Len() > r.most/freshPart ||
-		r.app.now-first.Value.(*router).since > newcomer):
-		return first.Value.(*router)
+	case first != nil && (idle == nil || r.newConnections.Len() > r.maxConnections/newConnectionDivisor ||
+		r.server.now-first.Value.(*routerConnection).stateSince > newConnectionGrace):
+		return first.Value.(*routerConnection)
 	case idle != nil:
-		return idle.Value.(*router)
+		return idle.Value.(*routerConnection)
 	}
 	return nil
 }
 
-func (c *router) opened(conn gnet.Conn) {
-	r := &c.app.routers
-	c.conn, c.since = conn, c.app.now
-	r.open++
-	c.place, c.spot = r.all.PushBack(c), r.fresh.PushBack(c)
-	c.limit.ring = c.overdue
-	c.app.set(&c.limit, c.since+firstWithin)
+func (c *routerConnection) opened(conn gnet.Conn) {
+	r := &c.server.routers
+	c.conn, c.stateSince = conn, c.server.now
+	r.openCount++
+	c.tableElement, c.stateElement = r.all.PushBack(c), r.newConnections.PushBack(c)
+	c.requestTimer.fire = c.onRequestTimeout
+	c.server.setTimer(&c.requestTimer, c.stateSince+firstRequestTimeout)
 }
 
-func (c *router) traffic(data []byte) error {
-	if c.after { // it crosses the end, which comes with this batch
+func (c *routerConnection) receive(data []byte) error {
+	if c.closeAfterWrite { // it crosses the end, which comes with this batch
 		return nil
 	}
-	if c.life == resting {
-		c.become(busy)
+	if c.state == connectionIdle {
+		c.transition(connectionActive)
 	}
 	err := c.parser.Feed(data, c)
 	if err != nil {
 		return err
 	}
-	if c.settle(); c.life != fresh && c.limit.place == 0 && c.parser.Partial() {
-		c.app.set(&c.limit, c.app.now+wholeWithin)
+	if c.updateState(); c.state != connectionNew && c.requestTimer.heapPosition == 0 && c.parser.HasIncomplete() {
+		c.server.setTimer(&c.requestTimer, c.server.now+requestReadTimeout)
 	}
 	return nil
 }
 
-// overdue: what was begun must be whole in its time, or it keeps its place and buffers for ever; a little at a time
+// onRequestTimeout: what was begun must be whole in its time, or it keeps its place and buffers for ever; a little at a time
 // is no help. Such a request is answered, and a connection closed that has nothing else open and brings none whole.
-func (c *router) overdue() {
-	for _, s := range c.parser.Halves() {
-		if s.Late || c.life == fresh {
-			c.answer(s, "408 Not whole in time", "", nil)
+func (c *routerConnection) onRequestTimeout() {
+	for _, s := range c.parser.IncompleteRequests() {
+		if s.Overdue || c.state == connectionNew {
+			c.respond(s, "408 Not whole in time", "", nil)
 		}
-		s.Late = true
+		s.Overdue = true
 	}
-	switch partial := c.parser.Partial(); {
-	case c.parser.Open() == 0 && (c.life == fresh || partial && c.stuck):
-		if often(&c.app.routers.slow) {
-			c.app.log.Event("not_whole_in_time").Int("count", c.app.routers.slow).Send()
+	switch partial := c.parser.HasIncomplete(); {
+	case c.parser.OpenRequests() == 0 && (c.state == connectionNew || partial && c.wasIncomplete):
+		if countAndSample(&c.server.routers.incomplete) {
+			c.server.log.Event("not_whole_in_time").Int("count", c.server.routers.incomplete).Send()
 		}
 		c.buffer()
-		c.after = true
+		c.closeAfterWrite = true
 	case partial:
-		c.stuck = true
-		c.app.set(&c.limit, c.app.now+wholeWithin)
+		c.wasIncomplete = true
+		c.server.setTimer(&c.requestTimer, c.server.now+requestReadTimeout)
 	}
 }
 
-func (c *router) closed() {
-	c.become(closed)
-	c.app.unset(&c.limit)
+func (c *routerConnection) closed() {
+	c.transition(connectionClosed)
+	c.server.stopTimer(&c.requestTimer)
 	c.conn = nil
-	c.app.routers.open--
-	c.app.routers.all.Remove(c.place)
-	c.parser.Lost(c, func(s *fastcgi.Stream) {
-		if it, is := s.Mark.(*item); is {
-			it.gone()
+	c.server.routers.openCount--
+	c.server.routers.all.Remove(c.tableElement)
+	c.parser.Abandon(c, func(s *fastcgi.Request) {
+		if it, is := s.Owner.(*request); is {
+			it.routerGone()
 		}
 	})
 }
 
-func (r *routers) closeIdle() {
-	for e := r.idle.Front(); e != nil; e = r.idle.Front() {
-		c := e.Value.(*router)
-		if due := c.since + r.idleFor; due > r.app.now {
-			r.app.set(&r.closing, due)
+func (r *routerTable) closeIdle() {
+	for e := r.idleConnections.Front(); e != nil; e = r.idleConnections.Front() {
+		c := e.Value.(*routerConnection)
+		if due := c.stateSince + r.idleTimeout; due > r.server.now {
+			r.server.setTimer(&r.idleTimer, due)
 			return
 		}
-		c.shut()
+		c.closeGracefully()
 	}
 }
 
 // The parser's calls.
 
-func (c *router) Buffer() []byte       { return c.app.pool.take() }
-func (c *router) Free(b []byte)        { c.app.pool.give(b) }
-func (c *router) Reply(records []byte) { c.out = append(c.buffer(), records...) }
+func (c *routerConnection) AcquireBuffer() []byte  { return c.server.buffers.take() }
+func (c *routerConnection) ReleaseBuffer(b []byte) { c.server.buffers.give(b) }
+func (c *routerConnection) Send(records []byte)    { c.output = append(c.buffer(), records...) }
 
-func (c *router) Room() bool { return c.app.pool.out < c.app.pool.most }
+func (c *routerConnection) HasCapacity() bool { return c.server.buffers.inUse < c.server.buffers.limit }
 
-func (c *router) Whole(s *fastcgi.Stream) {
-	if c.after { // behind the one that wanted the connection closed: never run
+func (c *routerConnection) HandleRequest(s *fastcgi.Request) {
+	if c.closeAfterWrite { // behind the one that wanted the connection closed: never run
 		return
 	}
-	if c.stuck = false; c.life == fresh {
-		c.become(busy)
-		c.app.unset(&c.limit)
+	if c.wasIncomplete = false; c.state == connectionNew {
+		c.transition(connectionActive)
+		c.server.stopTimer(&c.requestTimer)
 	}
-	if string(s.Field("SCRIPT_NAME")) == "/health" {
+	if string(s.Param("SCRIPT_NAME")) == "/health" {
 		status := "200 OK"
-		if !c.app.good() {
+		if !c.server.isHealthy() {
 			status = "503 Leaving"
 		}
-		c.answer(s, status, "", nil)
+		c.respond(s, status, "", nil)
 		return
 	}
-	c.app.items.take(c, s)
+	c.server.requests.accept(c, s)
 }
 
-func (c *router) Overlong(s *fastcgi.Stream) { c.answer(s, tooLong, "", nil) }
+func (c *routerConnection) HandleBodyTooLong(s *fastcgi.Request) {
+	c.respond(s, statusBodyTooLong, "", nil)
+}
 
-func (c *router) Aborted(s *fastcgi.Stream) {
-	if it, is := s.Mark.(*item); is {
-		it.gone()
+func (c *routerConnection) HandleAbort(s *fastcgi.Request) {
+	if it, is := s.Owner.(*request); is {
+		it.routerGone()
 	}
-	c.out = fastcgi.AppendEnd(c.buffer(), s.ID, fastcgi.Complete)
-	c.done(s)
+	c.output = fastcgi.AppendEndRequest(c.buffer(), s.ID, fastcgi.StatusRequestComplete)
+	c.finishRequest(s)
 }
 
-// answer writes the one answer to an open request.
-func (c *router) answer(s *fastcgi.Stream, status, headers string, body []byte) {
-	head := c.app.pool.take()
+// respond writes the one answer to an open request.
+func (c *routerConnection) respond(s *fastcgi.Request, status, headers string, body []byte) {
+	head := c.server.buffers.take()
 	head = append(append(head, "Status: "...), status...)
-	head = append(append(head, "\r\n"...), c.app.routers.hint...)
+	head = append(append(head, "\r\n"...), c.server.routers.loadReportHeader...)
 	head = append(append(head, headers...), "\r\n"...)
 	head = append(head, body...)
-	c.out = fastcgi.AppendOut(c.buffer(), s.ID, head)
-	c.out = fastcgi.AppendEnd(c.out, s.ID, fastcgi.Complete)
-	c.app.pool.give(head)
-	c.done(s)
+	c.output = fastcgi.AppendStdout(c.buffer(), s.ID, head)
+	c.output = fastcgi.AppendEndRequest(c.output, s.ID, fastcgi.StatusRequestComplete)
+	c.server.buffers.give(head)
+	c.finishRequest(s)
 }
 
-func (c *router) done(s *fastcgi.Stream) {
-	s.Mark = nil
-	c.parser.End(s, c)
-	if !s.Keep {
-		c.become(ending) // what else is open on it is answered first
+func (c *routerConnection) finishRequest(s *fastcgi.Request) {
+	s.Owner = nil
+	c.parser.Finish(s, c)
+	if !s.KeepConnection {
+		c.transition(connectionDraining) // what else is open on it is answered first
 	}
-	c.settle()
+	c.updateState()
 }
 
-func (r *routers) say(value float64) {
-	r.hint = "Server-Hint: " + strconv.FormatFloat(value, 'f', -1, 64) + "\r\n"
+func (r *routerTable) setLoadReport(value float64) {
+	r.loadReportHeader = "Server-Hint: " + strconv.FormatFloat(value, 'f', -1, 64) + "\r\n"
 }
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -39,34 +39,34 @@
 // comes back with one work item in hand at most: several are gone through in no order.
 func playSeen(t *testing.T, data []byte, same bool, see func(...any)) {
 	a, first := running(t)
-	a.thread = noLoop{}
+	a.loop = noLoop{}
 	a.interpreter.conn = nowhere{}
 	first.conn = nowhere{}
-	conns, open := []*router{first, knocking(a)}, 1
-	ids, notices, before := 0, 0, a.broken
+	conns, open := []*routerConnection{first, knocking(a)}, 1
+	ids, notices, before := 0, 0, a.brokenInvariants
 	keys, reached := map[string]byte{job: 'k'}, map[string]timeunit.Ticks{job: a.now} // by id
 	runs, ran := map[string]bool{}, map[byte]timeunit.Ticks{}                         // by id; by key, when its try came
 	hear := func(format string, args ...any) {
-		require.NoError(t, a.interpreter.traffic([]byte(fmt.Sprintf(format, args...)+"\n")))
+		require.NoError(t, a.interpreter.receive([]byte(fmt.Sprintf(format, args...)+"\n")))
 	}
-	numbers := map[*wire]int{} // of connections, as they are first written to
-	seen := func(w *wire) {
-		if len(w.out) == 0 {
+	numbers := map[*outputBuffer]int{} // of connections, as they are first written to
+	seen := func(w *outputBuffer) {
+		if len(w.output) == 0 {
 			return
 		}
 		if _, known := numbers[w]; !known {
 			numbers[w] = len(numbers)
 		}
-		see(numbers[w], string(w.out))
+		see(numbers[w], string(w.output))
 	}
 	answerQuestions := func() {
-		seen(&a.interpreter.wire)
-		for _, l := range strings.Split(string(a.interpreter.out), "\n") {
+		seen(&a.interpreter.outputBuffer)
+		for _, l := range strings.Split(string(a.interpreter.output), "\n") {
 			if tag, found := strings.CutPrefix(l, `{"type":"TOP","ref":"`); found && a.interpreter.conn != nil {
 				defer hear(`{"type":"TOPS","ref":"%s","gauges":[0.5,1]}`, strings.TrimSuffix(tag, `"}`))
 			}
 		}
-		for _, m := range applied.FindAllSubmatch(a.interpreter.out, -1) {
+		for _, m := range applied.FindAllSubmatch(a.interpreter.output, -1) {
 			id := string(m[1])
 			if runs[id] {
 				continue // it does nothing where its request runs, and starts nothing where that is over
@@ -75,34 +75,34 @@
 			require.False(t, before && reached[id] < last+50_000, "a run begun twice")
 			runs[id], ran[keys[id]] = true, reached[id]
 		}
-		a.interpreter.out = nil
+		a.interpreter.output = nil
 	}
 	decide := func() {
 		for range 3 {
-			a.items.settle()
-			a.server.Decide()
+			a.requests.settle()
+			a.admission.Dispatch()
 			answerQuestions()
 		}
-		for _, w := range a.dirty { // what would have gone out
-			if w != &a.interpreter.wire {
+		for _, w := range a.pendingWrites { // what would have gone out
+			if w != &a.interpreter.outputBuffer {
 				seen(w)
-				w.out = nil
+				w.output = nil
 			}
 		}
-		a.dirty, a.pool.out = nil, 0
-		b := a.server.Books()
-		see(int64(a.now), a.items.inHand(), a.index.out, a.index.lanes, len(a.items.stamps), b.Held, b.Running, b.AtCalls)
+		a.pendingWrites, a.buffers.inUse = nil, 0
+		b := a.admission.Stats()
+		see(int64(a.now), a.requests.count(), a.index.inFlight, a.index.connections, len(a.requests.entries), b.Queued, b.Running, b.WaitingAtCalls)
 	}
 	pass := func(span timeunit.Ticks) {
 		a.now += span
-		a.server.At(a.now)
-		a.goOn() // as after a standstill: the steps are long
+		a.admission.Advance(a.now)
+		a.resumeAfterStandstill() // as after a standstill: the steps are long
 		decide()
 	}
-	pick := func(n byte) *item { // any in hand, the same each time
-		var best *item
+	pick := func(n byte) *request { // any in hand, the same each time
+		var best *request
 		for id := 0; id <= ids && best == nil; id++ {
-			best = a.items.byID[fmt.Sprintf("%016x", 0xaa+(id+int(n))%(ids+1))]
+			best = a.requests.byID[fmt.Sprintf("%016x", 0xaa+(id+int(n))%(ids+1))]
 		}
 		return best
 	}
@@ -115,7 +115,7 @@
 		it := pick(n)
 		switch c := conns[n%2]; what {
 		case 0, 1, 2: // a request
-			if c.conn == nil || c.parser.Open() == fastcgi.MostOpen || open > 200 {
+			if c.conn == nil || c.parser.OpenRequests() == fastcgi.MaxOpenRequests || open > 200 {
 				break
 			}
 			ids++
@@ -130,38 +130,38 @@
 			}
 			require.NoError(t, c.parser.Feed(text, c))
 		case 3: // its caller stops waiting
-			if it != nil && it.conn != nil {
+			if it != nil && it.router != nil {
 				slot := it.stream.ID
-				require.NoError(t, it.conn.parser.Feed([]byte{1, 2, byte(slot >> 8), byte(slot), 0, 0, 0, 0}, it.conn))
+				require.NoError(t, it.router.parser.Feed([]byte{1, 2, byte(slot >> 8), byte(slot), 0, 0, 0, 0}, it.router))
 			}
 		case 4:
-			if it != nil && it.sent && a.interpreter.conn != nil {
+			if it != nil && it.runSent && a.interpreter.conn != nil {
 				notices++
-				if ends[n%4] == "MOOT" && !it.heard && !it.ended {
+				if ends[n%4] == "MOOT" && !it.runConfirmed && !it.runDone {
 					delete(ran, keys[it.id]) // it never ran
 				}
 				hear(`{"type":"VALUE","n":%d,"job":"%s","state":"%s","took":9,"data":"eA=="}`, notices, it.id, ends[n%4])
 			}
 		case 5:
-			if it != nil && it.sent && it.call == nil && a.interpreter.conn != nil {
+			if it != nil && it.runSent && it.call == nil && a.interpreter.conn != nil {
 				notices++
 				hear(`{"type":"AWAIT","n":%d,"job":"%s","data":"eA=="}`, notices, it.id)
 			}
 		case 6: // the index answers, or comes up, or goes
 			switch {
-			case it == nil || it.call == nil || it.call.lane == nil:
-			case it.call.lane.conn == nil:
-				it.call.lane.opened(nowhere{})
+			case it == nil || it.call == nil || it.call.connection == nil:
+			case it.call.connection.conn == nil:
+				it.call.connection.opened(nowhere{})
 			case n > 200:
-				it.call.lane.closed()
+				it.call.connection.closed()
 			default:
-				l := it.call.lane
-				if l.traffic([]byte(it.id+" "+answers[n%5]+"\r\n")) != nil {
+				l := it.call.connection
+				if l.receive([]byte(it.id+" "+answers[n%5]+"\r\n")) != nil {
 					l.closed()
 				}
 			}
 		case 7: // the interpreter's link breaks, or comes back
-			if same && a.items.inHand() > 1 {
+			if same && a.requests.count() > 1 {
 				break
 			}
 			if a.interpreter.conn != nil {
@@ -174,7 +174,7 @@
 			if n > 250 && c.conn != nil {
 				c.closed()
 			} else if n == 7 {
-				a.server.Leave(20_000)
+				a.admission.Drain(20_000)
 			}
 		}
 		decide()
@@ -184,9 +184,9 @@
 		pass(100)
 	}
 	for _, c := range conns {
-		require.Zero(t, c.parser.Open(), "requests without an answer")
+		require.Zero(t, c.parser.OpenRequests(), "requests without an answer")
 	}
-	require.Equal(t, before, a.broken)
+	require.Equal(t, before, a.brokenInvariants)
 }
 
 func FuzzSequences(f *testing.F) {
--- a/internal/server/shares.go
+++ b/internal/server/shares.go
@@ -14,22 +14,22 @@
 	"thistlequay/timeunit"
 )
 
-// Shares are what this server holds of the fleet's limits: calls in hand, and calls a second where that is limited.
-type Shares struct {
-	Sharing *service.Sharing
-	Holders []*quota.Holder
-	lock    sync.Mutex
-	answers []quota.Answers
-	wake    func()
-	here    atomic.Pointer[[]service.Here]
+// Quota are what this server holds of the fleet's limits: calls in hand, and calls a second where that is limited.
+type Quota struct {
+	Service      *service.Service
+	LeaseHolders []*quota.LeaseHolder
+	lock         sync.Mutex
+	answers      []quota.Response
+	wake         func()
+	localState   atomic.Pointer[[]service.LocalLease]
 }
 
-const mostAnswers = 16 // that wait for the loop
+const maxQueuedAnswers = 16 // that wait for the loop
 
-// Answered is called by the worker; it hands over and does not wait.
-func (s *Shares) Answered(a quota.Answers) {
+// DeliverAnswers is called by the worker; it hands over and does not wait.
+func (s *Quota) DeliverAnswers(a quota.Response) {
 	s.lock.Lock()
-	if len(s.answers) < mostAnswers {
+	if len(s.answers) < maxQueuedAnswers {
 		s.answers = append(s.answers, a)
 	}
 	wake := s.wake
@@ -39,140 +39,140 @@
 	}
 }
 
-// Here is what the loop last knew.
-func (s *Shares) Here() []service.Here {
-	if h := s.here.Load(); h != nil {
+// LocalState is what the loop last knew.
+func (s *Quota) LocalState() []service.LocalLease {
+	if h := s.localState.Load(); h != nil {
 		return *h
 	}
 	return nil
 }
 
-// holding is the loop's side.
-type holding struct {
-	app   *App
-	of    *Shares      // nil: the server's part is by the settings
-	last  quota.Amount // that the module was told, -1 where it must be told again
-	told  quota.Amount // and the log
-	beat  alarm
-	over  alarm
-	pace  alarm
-	at    timeunit.Milliseconds // of the last look
-	ends  timeunit.Milliseconds // of the grant that the alarm is set for
-	calls int                   // that were given up as their grant was over
+// quotaPart is the loop's side.
+type quotaPart struct {
+	server         *Server
+	quota          *Quota       // nil: the server's part is by the settings
+	admissionLimit quota.Amount // that the module was told, -1 where it must be told again
+	loggedLimit    quota.Amount // and the log
+	pollTimer      timer
+	leaseTimer     timer
+	rateTimer      timer
+	checkedAt      timeunit.Milliseconds // of the last look
+	leaseEnds      timeunit.Milliseconds // of the grant that the alarm is set for
+	cancelledCalls int                   // that were given up as their grant was over
 }
 
-const holdingLooks = 8 // in the length of a grant, at least
+const pollsPerLease = 8 // in the length of a grant, at least
 
-func (h *holding) start(a *App) {
-	h.app, h.of, h.last = a, a.place.Shares, -1
-	if h.of == nil {
+func (h *quotaPart) start(a *Server) {
+	h.server, h.quota, h.admissionLimit = a, a.config.Quota, -1
+	if h.quota == nil {
 		return
 	}
-	h.beat.ring = func() {
-		h.settle()
-		a.set(&h.beat, a.now+h.tenths(h.of.Holders[0].Length()/holdingLooks))
+	h.pollTimer.fire = func() {
+		h.update()
+		a.setTimer(&h.pollTimer, a.now+h.ticks(h.quota.LeaseHolders[0].LeaseDuration()/pollsPerLease))
 	}
-	h.over.ring = h.settle
-	h.pace.ring = a.index.goOn
-	h.of.lock.Lock()
-	h.of.wake = func() { a.wake(h.settle) }
-	h.of.lock.Unlock()
-	h.beat.ring()
+	h.leaseTimer.fire = h.update
+	h.rateTimer.fire = a.index.sendRateLimited
+	h.quota.lock.Lock()
+	h.quota.wake = func() { a.trySubmit(h.update) }
+	h.quota.lock.Unlock()
+	h.pollTimer.fire()
 }
 
-func (h *holding) tenths(t timeunit.Milliseconds) timeunit.Ticks {
+func (h *quotaPart) ticks(t timeunit.Milliseconds) timeunit.Ticks {
 	return timeunit.Ticks(max(1, t) * 10)
 }
 
-// settle takes up what was granted, tells the module, and asks where that is due.
-func (h *holding) settle() {
-	if h.of == nil {
+// update takes up what was granted, tells the module, and asks where that is due.
+func (h *quotaPart) update() {
+	if h.quota == nil {
 		return
 	}
-	now := h.of.Sharing.Now()
-	h.of.lock.Lock()
-	answers := h.of.answers
-	h.of.answers = nil
-	h.of.lock.Unlock()
+	now := h.quota.Service.Now()
+	h.quota.lock.Lock()
+	answers := h.quota.answers
+	h.quota.answers = nil
+	h.quota.lock.Unlock()
 	for _, a := range answers {
-		for i, one := range a.Of {
-			if i < len(h.of.Holders) && one.Serial > 0 {
-				h.of.Holders[i].Answered(one, now)
+		for i, one := range a.Limits {
+			if i < len(h.quota.LeaseHolders) && one.LeaseVersion > 0 {
+				h.quota.LeaseHolders[i].HandleResponse(one, now)
 			}
 		}
 	}
-	h.at = now
-	calls := h.of.Holders[0]
+	h.checkedAt = now
+	calls := h.quota.LeaseHolders[0]
 	usable := calls.Usable(now)
-	for now >= calls.Ends() && h.app.index.out > int(usable/quota.Unit) && h.app.index.giveBack() { // the grant is over
-		h.calls++
+	for now >= calls.ExpiresAt() && h.server.index.inFlight > int(usable/quota.Unit) && h.server.index.cancelNewest() { // the grant is over
+		h.cancelledCalls++
 	}
-	if h.app.server != nil {
-		if usable != h.last {
-			h.last = usable
-			h.app.server.CallShare(float64(usable) / float64(quota.Unit))
+	if h.server.admission != nil {
+		if usable != h.admissionLimit {
+			h.admissionLimit = usable
+			h.server.admission.SetDownstreamLimit(float64(usable) / float64(quota.Unit))
 		}
-		if usable != h.told {
-			h.told = usable
-			h.app.log.Event("share").Str("limit", "calls").Float64("usable", float64(usable)/float64(quota.Unit)).Int64("ends_ms", max(0, int64(calls.Ends()-now))).Send()
+		if usable != h.loggedLimit {
+			h.loggedLimit = usable
+			h.server.log.Event("share").Str("limit", "calls").Float64("usable", float64(usable)/float64(quota.Unit)).Int64("ends_ms", max(0, int64(calls.ExpiresAt()-now))).Send()
 		}
 	}
-	var asking quota.Asking
-	for _, one := range h.of.Holders {
-		if r, due := one.Ask(now); due {
-			asking.Of = append(asking.Of, r)
+	var asking quota.Request
+	for _, one := range h.quota.LeaseHolders {
+		if r, due := one.NextRequest(now); due {
+			asking.Limits = append(asking.Limits, r)
 		}
 	}
-	if len(asking.Of) == len(h.of.Holders) {
-		here := make([]service.Here, 0, len(h.of.Holders))
-		for _, one := range h.of.Holders {
-			here = append(here, service.Here{Usable: one.Usable(now), Ends: one.Ends()})
+	if len(asking.Limits) == len(h.quota.LeaseHolders) {
+		here := make([]service.LocalLease, 0, len(h.quota.LeaseHolders))
+		for _, one := range h.quota.LeaseHolders {
+			here = append(here, service.LocalLease{Usable: one.Usable(now), ExpiresAt: one.ExpiresAt()})
 		}
-		h.of.here.Store(&here)
-		h.of.Sharing.Ask(asking)
+		h.quota.localState.Store(&here)
+		h.quota.Service.Request(asking)
 	}
-	if ends := calls.Ends(); ends > now && ends != h.ends {
-		h.ends = ends
-		h.app.set(&h.over, h.app.now+h.tenths(ends-now))
+	if ends := calls.ExpiresAt(); ends > now && ends != h.leaseEnds {
+		h.leaseEnds = ends
+		h.server.setTimer(&h.leaseTimer, h.server.now+h.ticks(ends-now))
 	}
 }
 
-// decided books what is in hand now that the module has decided. Where the process stood still since, what was not written yet
+// afterBatch books what is in hand now that the module has decided. Where the process stood still since, what was not written yet
 // is looked at once more.
-func (h *holding) decided() {
-	if h.of == nil {
+func (h *quotaPart) afterBatch() {
+	if h.quota == nil {
 		return
 	}
-	now := h.of.Sharing.Now()
-	if h.app.server != nil {
-		in, stands := h.app.server.Calls()
-		h.of.Holders[0].Uses(quota.Amount(in)*quota.Unit, quota.Amount(stands)*quota.Unit, now)
+	now := h.quota.Service.Now()
+	if h.server.admission != nil {
+		in, stands := h.server.admission.DownstreamCalls()
+		h.quota.LeaseHolders[0].ReportUsage(quota.Amount(in)*quota.Unit, quota.Amount(stands)*quota.Unit, now)
 	}
-	if now-h.at < pauseLeast {
+	if now-h.checkedAt < recheckAfter {
 		return
 	}
-	for usable := int(h.of.Holders[0].Usable(now) / quota.Unit); h.app.index.out > usable && h.app.index.withdraw(); h.calls++ {
+	for usable := int(h.quota.LeaseHolders[0].Usable(now) / quota.Unit); h.server.index.inFlight > usable && h.server.index.withdrawUnwritten(); h.cancelledCalls++ {
 	}
 }
 
-const pauseLeast timeunit.Milliseconds = 5 // milliseconds from a decision to its being carried out that call for another look
+const recheckAfter timeunit.Milliseconds = 5 // milliseconds from a decision to its being carried out that call for another look
 
-// may says whether a call may go out at this moment by the limit of calls a second; where it may not, the next look is set.
-func (h *holding) may() bool {
-	if h.of == nil || len(h.of.Holders) < 2 {
+// mayCall says whether a call may go out at this moment by the limit of calls a second; where it may not, the next look is set.
+func (h *quotaPart) mayCall() bool {
+	if h.quota == nil || len(h.quota.LeaseHolders) < 2 {
 		return true
 	}
-	rate, now := h.of.Holders[1], h.of.Sharing.Now()
-	if rate.Take(now) {
+	rate, now := h.quota.LeaseHolders[1], h.quota.Service.Now()
+	if rate.TakeToken(now) {
 		return true
 	}
-	h.app.set(&h.pace, h.app.now+h.tenths(timeunit.Milliseconds(int64(quota.Unit)*1000/max(1, int64(rate.Usable(now))))))
+	h.server.setTimer(&h.rateTimer, h.server.now+h.ticks(timeunit.Milliseconds(int64(quota.Unit)*1000/max(1, int64(rate.Usable(now))))))
 	return false
 }
 
-func (h *holding) tell(e *zerolog.Event) {
-	if h.of == nil {
+func (h *quotaPart) logState(e *zerolog.Event) {
+	if h.quota == nil {
 		return
 	}
-	e.Float64("share_calls", float64(h.last)/float64(quota.Unit)).Int("share_given_up", h.calls)
+	e.Float64("share_calls", float64(h.admissionLimit)/float64(quota.Unit)).Int("share_given_up", h.cancelledCalls)
 }
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -12,7 +12,7 @@
 )
 
 // create starts an instance from the wire's settings. Keys that are not known here are passed over.
-func (i *instance) create(f *fields) error {
+func (i *instance) create(f *message) error {
 	if !f.has("Env") {
 		return errors.New("CREATE has no Env")
 	}
@@ -20,73 +20,73 @@
 	if err != nil {
 		return fmt.Errorf("CREATE: %w", err)
 	}
-	terms.Spread = math.Mod(float64(f.whole("Prng")%(1<<20))*math.Phi, 1)
+	terms.TurnOffset = math.Mod(float64(f.unsigned("Prng")%(1<<20))*math.Phi, 1)
 	i.terms = terms
-	i.items = map[uint64]*admission.WorkItem{}
-	i.out.Reset()
-	i.server = admission.New(terms.Deployment, (*host)(i), i.now)
+	i.requests = map[uint64]*admission.Request{}
+	i.reply.Reset()
+	i.server = admission.New(terms.Config, (*host)(i), i.now)
 	return nil
 }
 
 // host writes what the server of an instance answers as lines of its reply.
 type host instance
 
-func (h *host) line(name string, w *admission.WorkItem) {
-	h.out.WriteString(name)
-	h.out.WriteString(" Xid=")
-	h.out.WriteString(strconv.FormatUint(w.Door, 10))
+func (h *host) beginLine(name string, w *admission.Request) {
+	h.reply.WriteString(name)
+	h.reply.WriteString(" Xid=")
+	h.reply.WriteString(strconv.FormatUint(w.ID, 10))
 }
 
-func (h *host) span(key string, t timeunit.Ticks) {
-	h.out.WriteByte(' ')
-	h.out.WriteString(key)
-	h.out.WriteByte('=')
-	h.out.WriteString(strconv.FormatFloat(float64(t)/10, 'f', 1, 64))
+func (h *host) writeTicks(key string, t timeunit.Ticks) {
+	h.reply.WriteByte(' ')
+	h.reply.WriteString(key)
+	h.reply.WriteByte('=')
+	h.reply.WriteString(strconv.FormatFloat(float64(t)/10, 'f', 1, 64))
 }
 
-func (h *host) end() { h.out.WriteByte('\n') }
+func (h *host) endLine() { h.reply.WriteByte('\n') }
 
-func (h *host) plain(name string, w *admission.WorkItem) {
-	h.line(name, w)
-	h.end()
+func (h *host) writeLine(name string, w *admission.Request) {
+	h.beginLine(name, w)
+	h.endLine()
 }
 
-func (h *host) Run(w *admission.WorkItem)      { h.plain("EXECUTE", w) }
-func (h *host) Share(w *admission.WorkItem)    { h.plain("SHARE", w) }
-func (h *host) BreakOff(w *admission.WorkItem) { h.plain("FINISH_ERROR", w) }
-func (h *host) Skip(w *admission.WorkItem)     { h.plain("OMIT", w) }
-func (h *host) Stop(w *admission.WorkItem)     { h.plain("INTERRUPT", w) }
-func (h *host) Forget(w *admission.WorkItem)   { h.plain("EVICT", w) }
-func (h *host) Over(w *admission.WorkItem)     { delete(h.items, w.Door) }
+func (h *host) Run(w *admission.Request)         { h.writeLine("EXECUTE", w) }
+func (h *host) ShareResult(w *admission.Request) { h.writeLine("SHARE", w) }
+func (h *host) Abort(w *admission.Request)       { h.writeLine("FINISH_ERROR", w) }
+func (h *host) SkipCall(w *admission.Request)    { h.writeLine("OMIT", w) }
+func (h *host) StopRun(w *admission.Request)     { h.writeLine("INTERRUPT", w) }
+func (h *host) DropEntry(w *admission.Request)   { h.writeLine("EVICT", w) }
+func (h *host) Release(w *admission.Request)     { delete(h.requests, w.ID) }
 
-func (h *host) Decline(w *admission.WorkItem, stayAway timeunit.Ticks, nowhereElse bool) {
-	h.line("TURN_AWAY", w)
+func (h *host) Reject(w *admission.Request, stayAway timeunit.Ticks, nowhereElse bool) {
+	h.beginLine("TURN_AWAY", w)
 	if stayAway > 0 {
-		h.span("NotBeforeFor", stayAway)
+		h.writeTicks("NotBeforeFor", stayAway)
 	}
 	if nowhereElse {
-		h.out.WriteString(" NoRetry=1")
+		h.reply.WriteString(" NoRetry=1")
 	}
-	h.end()
+	h.endLine()
 }
 
-func (h *host) Call(w *admission.WorkItem, until timeunit.Ticks) {
-	h.line("INVOKE", w)
-	h.span("Until", until)
-	h.end()
+func (h *host) StartCall(w *admission.Request, until timeunit.Ticks) {
+	h.beginLine("INVOKE", w)
+	h.writeTicks("Until", until)
+	h.endLine()
 }
 
-func (h *host) Remember(w *admission.WorkItem, span timeunit.Ticks) {
-	h.line("MEMO", w)
-	h.span("HoldFor", span)
-	h.end()
+func (h *host) KeepEntry(w *admission.Request, span timeunit.Ticks) {
+	h.beginLine("MEMO", w)
+	h.writeTicks("HoldFor", span)
+	h.endLine()
 }
 
-func (h *host) Say(value float64) {
-	fmt.Fprintf(&h.out, "ANNOUNCE X=%s\n", strconv.FormatFloat(value, 'f', -1, 64))
+func (h *host) ReportLoad(value float64) {
+	fmt.Fprintf(&h.reply, "ANNOUNCE X=%s\n", strconv.FormatFloat(value, 'f', -1, 64))
 }
 
-func (h *host) Health(good, fromStore bool) {
+func (h *host) SetHealth(good, fromStore bool) {
 	want, cheap := 0, 0
 	if good {
 		want = 1
@@ -94,19 +94,19 @@
 	if fromStore {
 		cheap = 1
 	}
-	fmt.Fprintf(&h.out, "MARK_HEALTH Cheap=%d Want=%d\n", cheap, want)
+	fmt.Fprintf(&h.reply, "MARK_HEALTH Cheap=%d Want=%d\n", cheap, want)
 }
 
-func (h *host) CloseIdle(after timeunit.Ticks) {
+func (h *host) CloseIdleConnections(after timeunit.Ticks) {
 	if after > 0 {
-		h.out.WriteString("IDLE")
-		h.span("HoldFor", max(after, 100)) // the wire takes 10 ms at least
-		h.end()
+		h.reply.WriteString("IDLE")
+		h.writeTicks("HoldFor", max(after, 100)) // the wire takes 10 ms at least
+		h.endLine()
 	}
 }
 
-func (h *host) Wake(after timeunit.Ticks) {
-	h.out.WriteString("WAKE_AT")
-	h.span("SleepFor", after)
-	h.out.WriteString(" Token=look\n")
+func (h *host) SetTimer(after timeunit.Ticks) {
+	h.reply.WriteString("WAKE_AT")
+	h.writeTicks("SleepFor", after)
+	h.reply.WriteString(" Token=look\n")
 }
--- a/internal/simadapter/simwire.go
+++ b/internal/simadapter/simwire.go
@@ -20,23 +20,23 @@
 
 // instance is one simulated server, the ids of its work items and the reply that it is owed.
 type instance struct {
-	name   string
-	server *admission.Server
-	items  map[uint64]*admission.WorkItem
-	terms  *deployment.Terms
-	now    timeunit.Ticks
-	out    bytes.Buffer
-	events bool
+	name     string
+	server   *admission.Server
+	requests map[uint64]*admission.Request
+	terms    *deployment.Config
+	now      timeunit.Ticks
+	reply    bytes.Buffer
+	touched  bool
 }
 
 // Serve answers batches until the input ends. A malformed line ends it with an error that names the line.
 func Serve(in io.Reader, out io.Writer) error {
-	d := &door{in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
+	d := &session{in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
 		instances: map[string]*instance{}}
 	for {
-		open, err := d.batch()
+		open, err := d.serveBatch()
 		if err != nil {
-			return fmt.Errorf("line %d: %w", d.line, err)
+			return fmt.Errorf("line %d: %w", d.lineNumber, err)
 		}
 		if !open {
 			return nil
@@ -47,33 +47,33 @@
 	}
 }
 
-type door struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	line      int
-	instances map[string]*instance
-	current   *instance
-	busy      []*instance
-	now       timeunit.Ticks
+type session struct {
+	in         *bufio.Reader
+	out        *bufio.Writer
+	lineNumber int
+	instances  map[string]*instance
+	current    *instance
+	touched    []*instance
+	now        timeunit.Ticks
 }
 
-// next reads a line; io.EOF comes only where the input ends between lines.
-func (d *door) next() (string, error) {
+// readLine reads a line; io.EOF comes only where the input ends between lines.
+func (d *session) readLine() (string, error) {
 	text, err := d.in.ReadString('\n')
 	if err == io.EOF && text == "" {
 		return "", io.EOF
 	}
-	d.line++
+	d.lineNumber++
 	if err == io.EOF {
 		return "", errors.New("the input ends in the middle of a line")
 	}
 	return strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), err
 }
 
-func (d *door) batch() (bool, error) {
-	text, err := d.next()
+func (d *session) serveBatch() (bool, error) {
+	text, err := d.readLine()
 	for err == nil && text == "" {
-		text, err = d.next()
+		text, err = d.readLine()
 	}
 	if err == io.EOF {
 		return false, nil
@@ -81,23 +81,23 @@
 	if err != nil {
 		return false, err
 	}
-	f, err := parse(text)
+	f, err := parseMessage(text)
 	if err != nil {
 		return false, err
 	}
-	if f.name != "MARK" {
-		return false, fmt.Errorf("a batch opens with MARK, not %q", f.name)
+	if f.kind != "MARK" {
+		return false, fmt.Errorf("a batch opens with MARK, not %q", f.kind)
 	}
 	if !f.has("T") {
 		return false, errors.New("MARK has no T")
 	}
-	d.now = f.time("T", deployment.Down)
+	d.now = f.ticks("T", deployment.RoundDown)
 	if f.err != nil {
 		return false, f.err
 	}
-	d.current, d.busy = nil, d.busy[:0]
+	d.current, d.touched = nil, d.touched[:0]
 	for {
-		text, err := d.next()
+		text, err := d.readLine()
 		if err == io.EOF {
 			return false, errors.New("the input ends in the middle of a batch")
 		}
@@ -107,33 +107,33 @@
 		if text == "EOF_BATCH" {
 			break
 		}
-		if err := d.event(text); err != nil {
+		if err := d.applyEvent(text); err != nil {
 			return false, err
 		}
 	}
-	for _, i := range d.busy {
-		i.events = false
+	for _, i := range d.touched {
+		i.touched = false
 		if i.server != nil {
-			i.server.Decide()
+			i.server.Dispatch()
 		}
-		if i.out.Len() > 0 {
+		if i.reply.Len() > 0 {
 			fmt.Fprintf(d.out, "AS Server=%s\n", i.name)
-			d.out.Write(i.out.Bytes())
-			i.out.Reset()
+			d.out.Write(i.reply.Bytes())
+			i.reply.Reset()
 		}
 	}
 	d.out.WriteString("EOR\n")
 	return true, nil
 }
 
-func (d *door) event(text string) error {
-	f, err := parse(text)
+func (d *session) applyEvent(text string) error {
+	f, err := parseMessage(text)
 	if err != nil {
 		return err
 	}
-	switch f.name {
+	switch f.kind {
 	case "MARK", "EOF_BATCH":
-		return fmt.Errorf("%s in the middle of a batch", f.name)
+		return fmt.Errorf("%s in the middle of a batch", f.kind)
 	case "FOR":
 		name := f.values["Server"]
 		if name == "" {
@@ -147,22 +147,22 @@
 	}
 	i := d.current
 	if i == nil {
-		return fmt.Errorf("%s comes before any FOR", f.name)
+		return fmt.Errorf("%s comes before any FOR", f.kind)
 	}
-	apply, known := kinds[f.name]
+	apply, known := eventHandlers[f.kind]
 	if !known {
-		log.Printf("line %d: event %q is not known, passed over", d.line, f.name)
+		log.Printf("line %d: event %q is not known, passed over", d.lineNumber, f.kind)
 		return nil
 	}
-	if i.server == nil && f.name != "CREATE" {
-		return fmt.Errorf("%s for %s, which was never created or is dead", f.name, i.name)
+	if i.server == nil && f.kind != "CREATE" {
+		return fmt.Errorf("%s for %s, which was never created or is dead", f.kind, i.name)
 	}
-	if !i.events {
-		i.events = true
-		d.busy = append(d.busy, i)
+	if !i.touched {
+		i.touched = true
+		d.touched = append(d.touched, i)
 	}
 	if i.now = d.now; i.server != nil {
-		i.server.At(d.now)
+		i.server.Advance(d.now)
 	}
 	if err := apply(i, f); err != nil {
 		return err
@@ -170,83 +170,83 @@
 	return f.err
 }
 
-// kinds holds what each kind of event calls.
-var kinds = map[string]func(*instance, *fields) error{
-	"KILL": func(i *instance, _ *fields) error {
-		i.server, i.items = nil, nil
-		i.out.Reset()
+// eventHandlers holds what each kind of event calls.
+var eventHandlers = map[string]func(*instance, *message) error{
+	"KILL": func(i *instance, _ *message) error {
+		i.server, i.requests = nil, nil
+		i.reply.Reset()
 		return nil
 	},
 	"CREATE":    (*instance).create,
-	"INBOUND":   (*instance).inbound,
-	"WITHDRAWN": withItem(func(w *admission.WorkItem, _ *fields) error { w.Gone(); return nil }),
-	"READY_TO_CALL": withItem(func(w *admission.WorkItem, _ *fields) error {
-		w.AtCall()
+	"INBOUND":   (*instance).arrive,
+	"WITHDRAWN": withRequest(func(w *admission.Request, _ *message) error { w.Cancel(); return nil }),
+	"READY_TO_CALL": withRequest(func(w *admission.Request, _ *message) error {
+		w.NeedsCall()
 		return nil
 	}),
-	"CALLED": withItem(func(w *admission.WorkItem, f *fields) error {
+	"CALLED": withRequest(func(w *admission.Request, f *message) error {
 		how, err := f.outcome()
 		if err == nil {
-			w.CallEnded(how, f.time("Duration", deployment.Up))
+			w.CallEnded(how, f.ticks("Duration", deployment.RoundUp))
 		}
 		return err
 	}),
-	"ENDED": withItem(func(w *admission.WorkItem, f *fields) error {
+	"ENDED": withRequest(func(w *admission.Request, f *message) error {
 		how, err := f.outcome()
 		if err == nil {
-			w.RunEnded(how, f.time("Duration", deployment.Up))
+			w.RunEnded(how, f.ticks("Duration", deployment.RoundUp))
 		}
 		return err
 	}),
-	"DRAIN": func(i *instance, f *fields) error {
-		i.server.Leave(f.time("TimeLeft", deployment.Down))
+	"DRAIN": func(i *instance, f *message) error {
+		i.server.Drain(f.ticks("TimeLeft", deployment.RoundDown))
 		return nil
 	},
-	"DEADLINE_HIT": (*instance).woken,
+	"DEADLINE_HIT": (*instance).wake,
 }
 
-// withItem finds the work item that an event is about; one that is not known here is passed over.
-func withItem(apply func(*admission.WorkItem, *fields) error) func(*instance, *fields) error {
-	return func(i *instance, f *fields) error {
+// withRequest finds the work item that an event is about; one that is not known here is passed over.
+func withRequest(apply func(*admission.Request, *message) error) func(*instance, *message) error {
+	return func(i *instance, f *message) error {
 		if !f.has("Xid") {
-			return fmt.Errorf("%s has no Xid", f.name)
+			return fmt.Errorf("%s has no Xid", f.kind)
 		}
-		id := f.whole("Xid")
+		id := f.unsigned("Xid")
 		if f.err != nil {
 			return f.err
 		}
-		if w := i.items[id]; w != nil {
+		if w := i.requests[id]; w != nil {
 			return apply(w, f)
 		}
 		return nil
 	}
 }
 
-func (i *instance) inbound(f *fields) error {
+func (i *instance) arrive(f *message) error {
 	if !f.has("Xid") {
 		return errors.New("INBOUND has no Xid")
 	}
-	a := admission.Arrival{Door: f.whole("Xid"), Category: f.place("Band"),
-		Caller: f.place("OriginPeer"), HeldKb: f.number("HeldKb"),
-		Unread: f.time("Lay", deployment.Down), Left: f.time("TimeLeft", deployment.Down), Again: f.flag("Retry"),
-		Reads: f.whole("Key") != 0}
+	a := admission.Arrival{ID: f.unsigned("Xid"), Category: f.index("Band"),
+		Router: f.index("OriginPeer"), QueuedKB: f.number("HeldKb"),
+		UnreadTime: f.ticks("Lay", deployment.RoundDown), TimeLeft: f.ticks("TimeLeft", deployment.RoundDown), IsRetry: f.flag("Retry"),
+		Cacheable: f.unsigned("Key") != 0}
 	if f.number("TimeLeft") != 0 {
-		a.Left = max(1, a.Left) // told, however little; none would mean that it was not
+		a.TimeLeft = max(1, a.TimeLeft) // told, however little; none would mean that it was not
 	}
-	if earlier := f.whole("Forerunner"); earlier != 0 {
-		a.Repeats, a.Earlier = true, i.items[earlier]
+	if earlier := f.unsigned("Forerunner"); earlier != 0 {
+		a.IsRepeat, a.RepeatOf = true, i.requests[earlier]
 	}
-	if a.HeldKb < 0 {
+	if a.QueuedKB < 0 {
 		return errors.New("INBOUND: HeldKb is out of range")
 	}
 	if f.err != nil {
 		return f.err
 	}
-	i.items[a.Door] = i.server.Take(a)
+	i.requests[a.ID] = i.server.Enqueue(a)
 	return nil
 }
 
-func (i *instance) woken(f *fields) error {
+func (i *instance) wake(f *message) error {
 	var row []float64
 	for rest := f.values["Usage"]; rest != ""; {
 		var cell string
@@ -257,23 +257,23 @@
 		}
 		row = append(row, v)
 	}
-	i.server.Woken(i.terms.Gauges(row))
+	i.server.OnTimer(i.terms.GaugesFromRow(row))
 	return nil
 }
 
-// fields is one line of the wire. The first value that can't be read is kept in err.
-type fields struct {
-	name   string
+// message is one line of the wire. The first value that can't be read is kept in err.
+type message struct {
+	kind   string
 	values map[string]string
 	err    error
 }
 
-func parse(text string) (*fields, error) {
+func parseMessage(text string) (*message, error) {
 	name, rest, _ := strings.Cut(text, " ")
 	if name == "" {
 		return nil, errors.New("a line without a name")
 	}
-	f := &fields{name: name, values: make(map[string]string, 12)}
+	f := &message{kind: name, values: make(map[string]string, 12)}
 	for rest != "" {
 		key, after, found := strings.Cut(rest, "=")
 		if !found || key == "" || strings.Contains(key, " ") {
@@ -288,81 +288,81 @@
 	return f, nil
 }
 
-func (f *fields) has(key string) bool { return f.values[key] != "" }
+func (f *message) has(key string) bool { return f.values[key] != "" }
 
-// most is more than any number on the wire can mean: thirty years in milliseconds.
-const most = 1e12
+// maxNumber is more than any number on the wire can mean: thirty years in milliseconds.
+const maxNumber = 1e12
 
-func (f *fields) number(key string) float64 {
+func (f *message) number(key string) float64 {
 	text := f.values[key]
 	if text == "" {
 		return 0
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.err = fmt.Errorf("%s: %s=%q is not a number", f.name, key, text)
+		f.err = fmt.Errorf("%s: %s=%q is not a number", f.kind, key, text)
 		return 0
 	}
-	if math.Abs(v) > most {
-		f.err = fmt.Errorf("%s: %s=%q is out of range", f.name, key, text)
+	if math.Abs(v) > maxNumber {
+		f.err = fmt.Errorf("%s: %s=%q is out of range", f.kind, key, text)
 		return 0
 	}
 	return v
 }
 
-func (f *fields) whole(key string) uint64 {
+func (f *message) unsigned(key string) uint64 {
 	text := f.values[key]
 	if text == "" {
 		return 0
 	}
 	v, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		f.err = fmt.Errorf("%s: %s=%q is not a whole number", f.name, key, text)
+		f.err = fmt.Errorf("%s: %s=%q is not a whole number", f.kind, key, text)
 	}
 	return v
 }
 
-// place is a place in a list or the number of a caller; no list is as long as the limit.
-func (f *fields) place(key string) int {
-	v := f.whole(key)
+// index is a place in a list or the number of a caller; no list is as long as the limit.
+func (f *message) index(key string) int {
+	v := f.unsigned(key)
 	if v >= 1<<20 {
-		f.err = fmt.Errorf("%s: %s=%d is out of range", f.name, key, v)
+		f.err = fmt.Errorf("%s: %s=%d is out of range", f.kind, key, v)
 		return 0
 	}
 	return int(v)
 }
 
-func (f *fields) flag(key string) bool {
+func (f *message) flag(key string) bool {
 	switch text := f.values[key]; text {
 	case "", "0":
 		return false
 	case "1":
 		return true
 	default:
-		f.err = fmt.Errorf("%s: %s=%q is neither 1 nor 0", f.name, key, text)
+		f.err = fmt.Errorf("%s: %s=%q is neither 1 nor 0", f.kind, key, text)
 		return false
 	}
 }
 
-func (f *fields) time(key string, round func(float64) timeunit.Ticks) timeunit.Ticks {
+func (f *message) ticks(key string, round func(float64) timeunit.Ticks) timeunit.Ticks {
 	return round(f.number(key))
 }
 
-func (f *fields) outcome() (admission.Outcome, error) {
+func (f *message) outcome() (admission.Outcome, error) {
 	switch text := f.values["Status"]; text {
 	case "GOOD":
-		return admission.Well, nil
+		return admission.Succeeded, nil
 	case "BAD":
-		return admission.Badly, nil
+		return admission.Failed, nil
 	case "FULL", "NOCONN":
-		return admission.Unseen, nil
+		return admission.NotExecuted, nil
 	case "LATE", "RST":
-		return admission.Unknown, nil
+		return admission.Indeterminate, nil
 	case "CXL":
-		return admission.Cut, nil
+		return admission.Aborted, nil
 	case "NOP":
-		return admission.NeverBegun, nil
+		return admission.NeverStarted, nil
 	default:
-		return 0, fmt.Errorf("%s: Status=%q is not an outcome", f.name, text)
+		return 0, fmt.Errorf("%s: Status=%q is not an outcome", f.kind, text)
 	}
 }
--- a/internal/simadapter/simwire_test.go
+++ b/internal/simadapter/simwire_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const start = `MARK T=10.0
+const createBatch = `MARK T=10.0
 FOR Server=server-1
 CREATE Prng=7 Env={"Categories":[{"Effect":"once","HardLimit":100.0,"OnTime":50.0,"Worth":1.0}],` +
 	`"FamilyInfo":{"Cores":1,"MemoryKb":1e6,"RunFactor":2,"Meters":["on_cores","core_use"],"New":[1]},` +
@@ -23,7 +23,7 @@
 	return out.String(), err
 }
 
-const conversation = start + `MARK T=11.05
+const conversation = createBatch + `MARK T=11.05
 FOR Server=server-1
 INBOUND Xid=5 Lay=0.55 HeldKb=1 Novel=x
 INBOUND Xid=6
@@ -99,18 +99,18 @@
 	"MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n":    "before any FOR",
 	"MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH": "never created",
 	"MARK T=1": "middle of a line",
-	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=-5\nEOF_BATCH\n":                       "not a whole number",
-	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 Retry=2\nEOF_BATCH\n":                "neither 1 nor 0",
-	start + "MARK T=11\nFOR Server=server-1\nENDED\nEOF_BATCH\n":                                "no Xid",
-	start + "MARK T=11\nFOR Server=server-1\nINBOUND junk\nEOF_BATCH\n":                         "not name=value",
-	start + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=1,z\nEOF_BATCH\n":               "not a number",
-	start + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=,1\nEOF_BATCH\n":                "not a number",
-	"MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n":                                         "can't be read",
-	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 OriginPeer=99999999999\nEOF_BATCH\n": "out of range",
-	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 TimeLeft=1e300\nEOF_BATCH\n":         "out of range",
-	start + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 HeldKb=-1\nEOF_BATCH\n":              "out of range",
-	strings.Replace(start, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1):                                "out of range",
-	strings.Replace(start, `"OnTime":50.0`, `"OnTime":1e200`, 1):                                "out of range",
+	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=-5\nEOF_BATCH\n":                       "not a whole number",
+	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 Retry=2\nEOF_BATCH\n":                "neither 1 nor 0",
+	createBatch + "MARK T=11\nFOR Server=server-1\nENDED\nEOF_BATCH\n":                                "no Xid",
+	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND junk\nEOF_BATCH\n":                         "not name=value",
+	createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=1,z\nEOF_BATCH\n":               "not a number",
+	createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=,1\nEOF_BATCH\n":                "not a number",
+	"MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n":                                               "can't be read",
+	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 OriginPeer=99999999999\nEOF_BATCH\n": "out of range",
+	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 TimeLeft=1e300\nEOF_BATCH\n":         "out of range",
+	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 HeldKb=-1\nEOF_BATCH\n":              "out of range",
+	strings.Replace(createBatch, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1):                                "out of range",
+	strings.Replace(createBatch, `"OnTime":50.0`, `"OnTime":1e200`, 1):                                "out of range",
 }
 
 func TestMalformed(t *testing.T) {
@@ -187,7 +187,7 @@
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add(start)
+	f.Add(createBatch)
 	f.Fuzz(func(t *testing.T, text string) {
 		_, _ = serve(text) // must not panic
 	})
