--- a/internal/simulation/rehearsal.go
+++ b/internal/simulation/rehearsal.go
@@ -15,218 +15,218 @@
 
 // Day is what is played.
 type Day struct {
-	Seed       int64
-	Length     float64 // seconds
-	Cores      int
-	Drag       float64
-	Memory     float64 // kilobytes
-	Categories []admission.Category
-	Streams    []*emulator.Stream
-	MaxAway    timeunit.Ticks
-	Cold       timeunit.Ticks   // it is cold for so long
-	Fair       *fairqueue.Terms // nil: no turns
-	LeaveAt    float64          // 0: never
-	Strangers  bool             // each work item comes by a caller that was never seen
-	Change     func(at float64, l *fairqueue.Ledger)
-	OnSecond   func(second int, l *fairqueue.Ledger)
+	Seed                 int64
+	Length               float64 // seconds
+	Cores                int
+	Slowdown             float64
+	Memory               float64 // kilobytes
+	Categories           []admission.Category
+	Streams              []*emulator.Stream
+	MaxRetryAfter        timeunit.Ticks
+	SlowStart            timeunit.Ticks    // it is cold for so long
+	FairQueue            *fairqueue.Config // nil: no turns
+	DrainAt              float64           // 0: never
+	NewRouterEachRequest bool              // each work item comes by a caller that was never seen
+	Reconfigure          func(at float64, l *fairqueue.Scheduler)
+	OnSecond             func(second int, l *fairqueue.Scheduler)
 }
 
-// Told is a return time as it was told.
-type Told struct {
-	Tenant string
-	At     float64 // when it is to come back
-	In     float64
+// AdvisedRetry is a return time as it was told.
+type AdvisedRetry struct {
+	Tenant     string
+	At         float64 // when it is to come back
+	RetryAfter float64
 }
 
 // Outcome is what came of it.
 type Outcome struct {
-	Accounts []*emulator.Account
-	Told     []Told
-	Work     float64 // core seconds done
-	Silent   int     // work items without an answer at the end
-	LateAsks int     // answers after the expiry
+	Accounts             []*emulator.Account
+	AdvisedRetries       []AdvisedRetry
+	CoreSeconds          float64 // core seconds done
+	Unanswered           int     // work items without an answer at the end
+	AnsweredPastDeadline int     // answers after the expiry
 }
 
-type item struct {
-	ask     *emulator.Ask
-	handle  *admission.WorkItem
-	claim   fairqueue.Claim
-	job     *emulator.Job
-	answer  bool
-	expires float64
+type request struct {
+	attempt     *emulator.Attempt
+	handle      *admission.Request
+	reservation fairqueue.Reservation
+	job         *emulator.Job
+	answered    bool
+	deadline    float64
 }
 
-type stage struct {
-	day     Day
-	server  *admission.Server
-	ledger  *fairqueue.Ledger
-	cores   *emulator.Cores
-	load    *emulator.Load
-	books   *emulator.Accounts
-	items   map[uint64]*item
-	jobs    map[*emulator.Job]*item
-	next    uint64
-	now     float64
-	wake    float64
-	stopped []*item
-	out     Outcome
+type host struct {
+	day           Day
+	server        *admission.Server
+	fairQueue     *fairqueue.Scheduler
+	cores         *emulator.Cores
+	load          *emulator.Load
+	accounts      *emulator.Accounts
+	requests      map[uint64]*request
+	requestsByJob map[*emulator.Job]*request
+	nextID        uint64
+	now           float64
+	timer         float64
+	stopped       []*request
+	outcome       Outcome
 }
 
 const perSecond = 10_000
 
-func (s *stage) tenths() timeunit.Ticks { return timeunit.Ticks(s.now * perSecond) }
+func (s *host) ticks() timeunit.Ticks { return timeunit.Ticks(s.now * perSecond) }
 
 // Play plays a day.
 func Play(d Day) Outcome {
-	s := &stage{day: d, cores: &emulator.Cores{N: float64(d.Cores), Drag: d.Drag}, load: emulator.NewLoad(d.Seed, d.Streams),
-		books: emulator.NewAccounts(d.Streams), items: map[uint64]*item{}, jobs: map[*emulator.Job]*item{}, wake: math.Inf(1)}
-	if d.Fair != nil {
-		s.ledger = fairqueue.New(*d.Fair, rand.New(rand.NewSource(d.Seed)), 0)
+	s := &host{day: d, cores: &emulator.Cores{Count: float64(d.Cores), Slowdown: d.Slowdown}, load: emulator.NewLoad(d.Seed, d.Streams),
+		accounts: emulator.NewAccounts(d.Streams), requests: map[uint64]*request{}, requestsByJob: map[*emulator.Job]*request{}, timer: math.Inf(1)}
+	if d.FairQueue != nil {
+		s.fairQueue = fairqueue.New(*d.FairQueue, rand.New(rand.NewSource(d.Seed)), 0)
 	}
-	s.server = admission.New(admission.Deployment{Categories: d.Categories, Callers: 4, Cores: d.Cores, Memory: d.Memory,
-		RunFactor: 4, EntryKb: 1, Period: 10, Grace: 20000, Crowd: 8, MaxAway: d.MaxAway, Stops: true,
-		Cold: d.Cold > 0, ColdFrom: 0.3, ColdFor: d.Cold}, s, 0)
+	s.server = admission.New(admission.Config{Categories: d.Categories, Routers: 4, Cores: d.Cores, MemoryKB: d.Memory,
+		RunMemoryFactor: 4, EntryKB: 1, BatchInterval: 10, DrainGrace: 20000, OverloadThreshold: 8, MaxRetryAfter: d.MaxRetryAfter, CanStopRuns: true,
+		StartsCold: d.SlowStart > 0, ColdSpeed: 0.3, WarmUpTime: d.SlowStart}, s, 0)
 	second, left := 0, false
 	for {
-		at := min(s.cores.Next(), s.load.Next(), s.wake)
+		at := min(s.cores.NextCompletion(), s.load.Next(), s.timer)
 		if len(s.stopped) > 0 {
 			at = s.now
 		}
 		if math.IsInf(at, 1) || at > d.Length+60 {
 			break
 		}
-		s.cores.To(at)
+		s.cores.AdvanceTo(at)
 		s.now = at
 		for ; float64(second) <= at && at < d.Length; second++ {
 			if d.OnSecond != nil {
-				d.OnSecond(second, s.ledger)
+				d.OnSecond(second, s.fairQueue)
 			}
-			if d.Change != nil {
-				d.Change(float64(second), s.ledger)
+			if d.Reconfigure != nil {
+				d.Reconfigure(float64(second), s.fairQueue)
 			}
 		}
-		s.server.At(s.tenths())
-		if d.LeaveAt > 0 && at >= d.LeaveAt && !left {
+		s.server.Advance(s.ticks())
+		if d.DrainAt > 0 && at >= d.DrainAt && !left {
 			left = true
-			s.server.Leave(perSecond * 3)
+			s.server.Drain(perSecond * 3)
 		}
 		for _, it := range s.stopped {
-			it.handle.RunEnded(admission.Cut, timeunit.Ticks((s.now-it.job.Began)*perSecond))
+			it.handle.RunEnded(admission.Aborted, timeunit.Ticks((s.now-it.job.StartedAt)*perSecond))
 		}
 		s.stopped = s.stopped[:0]
-		for j := s.cores.Ended(); j != nil; j = s.cores.Ended() {
-			s.ended(j)
+		for j := s.cores.PopCompleted(); j != nil; j = s.cores.PopCompleted() {
+			s.completed(j)
 		}
 		for s.load.Next() <= at {
-			s.take(s.load.Take())
+			s.arrive(s.load.Pop())
 		}
-		if s.wake <= at {
-			s.wake = math.Inf(1)
+		if s.timer <= at {
+			s.timer = math.Inf(1)
 			use, wants := s.cores.Gauges()
-			s.server.Woken(admission.Gauges{CoreUse: use, OnCores: wants})
+			s.server.OnTimer(admission.Gauges{CoreUtilization: use, RunnableRequests: wants})
 		}
-		s.server.Decide()
+		s.server.Dispatch()
 	}
-	for _, it := range s.items {
-		if !it.answer {
-			s.out.Silent++
+	for _, it := range s.requests {
+		if !it.answered {
+			s.outcome.Unanswered++
 		}
 	}
-	s.out.Work = s.cores.Done
-	s.out.Accounts = s.books.Entitle(float64(d.Cores) * d.Length)
-	return s.out
+	s.outcome.CoreSeconds = s.cores.CoreSeconds
+	s.outcome.Accounts = s.accounts.Entitle(float64(d.Cores) * d.Length)
+	return s.outcome
 }
 
-func (s *stage) take(a *emulator.Ask) {
-	s.books.Asked(a)
-	s.next++
-	it := &item{ask: a, expires: s.now + float64(s.day.Categories[a.Stream.Category].Expiry)/perSecond}
-	s.items[s.next] = it
-	arrival := admission.Arrival{Category: a.Stream.Category, Caller: a.Caller % 4, HeldKb: 10, Door: s.next,
-		Left: s.day.Categories[a.Stream.Category].Expiry}
-	if s.day.Strangers {
-		arrival.Caller = int(s.next)
+func (s *host) arrive(a *emulator.Attempt) {
+	s.accounts.Asked(a)
+	s.nextID++
+	it := &request{attempt: a, deadline: s.now + float64(s.day.Categories[a.Stream.Category].Deadline)/perSecond}
+	s.requests[s.nextID] = it
+	arrival := admission.Arrival{Category: a.Stream.Category, Router: a.Router % 4, QueuedKB: 10, ID: s.nextID,
+		TimeLeft: s.day.Categories[a.Stream.Category].Deadline}
+	if s.day.NewRouterEachRequest {
+		arrival.Router = int(s.nextID)
 	}
-	if s.ledger != nil {
-		it.claim = s.ledger.Open([]byte(a.Tenant), a.Stream.Category, s.server.Turn(), s.tenths())
-		arrival.Turn, arrival.Behind = it.claim.Turn, it.claim.Behind
+	if s.fairQueue != nil {
+		it.reservation = s.fairQueue.Reserve([]byte(a.Tenant), a.Stream.Category, s.server.VirtualTime(), s.ticks())
+		arrival.StartTag, arrival.ExpectedDelay = it.reservation.StartTag, it.reservation.ExpectedDelay
 	}
-	it.handle = s.server.Take(arrival)
+	it.handle = s.server.Enqueue(arrival)
 }
 
-func (s *stage) ended(j *emulator.Job) {
-	it := s.jobs[j]
-	delete(s.jobs, j)
-	a := it.ask
-	if of := s.books.Of(a); !it.answer {
+func (s *host) completed(j *emulator.Job) {
+	it := s.requestsByJob[j]
+	delete(s.requestsByJob, j)
+	a := it.attempt
+	if of := s.accounts.Account(a); !it.answered {
 		s.answered(it)
-		if s.now <= a.At+float64(s.day.Categories[a.Stream.Category].Contract)/perSecond {
-			of.Fulfilled++
-			of.Gain += a.Stream.Gain
+		if s.now <= a.At+float64(s.day.Categories[a.Stream.Category].SoftDeadline)/perSecond {
+			of.OnTime++
+			of.Value += a.Stream.PriorityWeight
 		} else {
 			of.Late++
 		}
 	}
-	it.handle.RunEnded(admission.Well, timeunit.Ticks((s.now-j.Began)*perSecond))
+	it.handle.RunEnded(admission.Succeeded, timeunit.Ticks((s.now-j.StartedAt)*perSecond))
 }
 
-func (s *stage) answered(it *item) {
-	it.answer = true
-	if s.now > it.expires {
-		s.out.LateAsks++
+func (s *host) answered(it *request) {
+	it.answered = true
+	if s.now > it.deadline {
+		s.outcome.AnsweredPastDeadline++
 	}
 }
 
-func (s *stage) Run(w *admission.WorkItem) {
-	it := s.items[w.Door]
-	it.claim.Began(s.tenths())
-	if it.ask.Try > 0 {
-		s.books.Of(it.ask).BacksTaken++
+func (s *host) Run(w *admission.Request) {
+	it := s.requests[w.ID]
+	it.reservation.Start(s.ticks())
+	if it.attempt.Retries > 0 {
+		s.accounts.Account(it.attempt).RetriesAdmitted++
 	}
-	it.job = s.cores.Add("", it.ask.Work)
-	s.jobs[it.job] = it
+	it.job = s.cores.Start("", it.attempt.CoreSeconds)
+	s.requestsByJob[it.job] = it
 }
 
-func (s *stage) Decline(w *admission.WorkItem, away timeunit.Ticks, _ bool) {
-	it := s.items[w.Door]
+func (s *host) Reject(w *admission.Request, away timeunit.Ticks, _ bool) {
+	it := s.requests[w.ID]
 	s.answered(it)
-	if s.ledger != nil {
-		away = it.claim.Return(away, s.day.MaxAway, s.tenths())
+	if s.fairQueue != nil {
+		away = it.reservation.RetryAfter(away, s.day.MaxRetryAfter, s.ticks())
 	}
 	in := float64(away) / perSecond
-	a := it.ask
-	s.out.Told = append(s.out.Told, Told{Tenant: a.Tenant, At: s.now + in, In: in})
-	if s.books.Of(a).Declined++; a.Try < a.Stream.Returns && in > 0 {
-		s.load.Again(a, s.now+in)
+	a := it.attempt
+	s.outcome.AdvisedRetries = append(s.outcome.AdvisedRetries, AdvisedRetry{Tenant: a.Tenant, At: s.now + in, RetryAfter: in})
+	if s.accounts.Account(a).Rejected++; a.Retries < a.Stream.MaxRetries && in > 0 {
+		s.load.Retry(a, s.now+in)
 	}
 }
 
-func (s *stage) BreakOff(w *admission.WorkItem) {
-	it := s.items[w.Door]
+func (s *host) Abort(w *admission.Request) {
+	it := s.requests[w.ID]
 	s.answered(it)
-	s.books.Of(it.ask).Lost++
+	s.accounts.Account(it.attempt).Aborted++
 }
 
-func (s *stage) Stop(w *admission.WorkItem) {
-	it := s.items[w.Door]
-	s.cores.Drop(it.job)
-	delete(s.jobs, it.job)
+func (s *host) StopRun(w *admission.Request) {
+	it := s.requests[w.ID]
+	s.cores.Abort(it.job)
+	delete(s.requestsByJob, it.job)
 	s.stopped = append(s.stopped, it) // the module is told in a batch to come
 }
 
-func (s *stage) Over(w *admission.WorkItem) {
-	it := s.items[w.Door]
-	it.claim.Close(s.tenths())
-	delete(s.items, w.Door)
+func (s *host) Release(w *admission.Request) {
+	it := s.requests[w.ID]
+	it.reservation.Release(s.ticks())
+	delete(s.requests, w.ID)
 }
 
-func (s *stage) Wake(after timeunit.Ticks) { s.wake = min(s.wake, s.now+float64(after)/perSecond) }
+func (s *host) SetTimer(after timeunit.Ticks) { s.timer = min(s.timer, s.now+float64(after)/perSecond) }
 
-func (s *stage) Share(*admission.WorkItem)                    {}
-func (s *stage) Skip(*admission.WorkItem)                     {}
-func (s *stage) Call(*admission.WorkItem, timeunit.Ticks)     {}
-func (s *stage) Remember(*admission.WorkItem, timeunit.Ticks) {}
-func (s *stage) Forget(*admission.WorkItem)                   {}
-func (s *stage) Say(float64)                                  {}
-func (s *stage) Health(bool, bool)                            {}
-func (s *stage) CloseIdle(timeunit.Ticks)                     {}
+func (s *host) ShareResult(*admission.Request)               {}
+func (s *host) SkipCall(*admission.Request)                  {}
+func (s *host) StartCall(*admission.Request, timeunit.Ticks) {}
+func (s *host) KeepEntry(*admission.Request, timeunit.Ticks) {}
+func (s *host) DropEntry(*admission.Request)                 {}
+func (s *host) ReportLoad(float64)                           {}
+func (s *host) SetHealth(bool, bool)                         {}
+func (s *host) CloseIdleConnections(timeunit.Ticks)          {}
--- a/internal/subsetting/subsets.go
+++ b/internal/subsetting/subsets.go
@@ -17,11 +17,11 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Terms are what all servers place by alike.
-type Terms struct {
-	Seed  uint64
-	Most  int     // servers of a tenant; fewer where there are fewer
-	Slack float64 // how much more than its part a server may have, as a part of it
+// Config are what all servers place by alike.
+type Config struct {
+	Seed       uint64
+	SubsetSize int     // servers of a tenant; fewer where there are fewer
+	LoadSlack  float64 // how much more than its part a server may have, as a part of it
 }
 
 // Server is one that may be used.
@@ -30,17 +30,17 @@
 	Zone string
 }
 
-// Placing is what one view of servers and tenants comes to. It is not changed after it was made.
-type Placing struct {
-	terms   Terms
-	servers []Server
-	room    int
-	of      map[string][]int // by tenant, its servers as it ranks them
-	load    []int
-	full    map[string]int // servers that a tenant would have had if they had had room
+// Assignment is what one view of servers and tenants comes to. It is not changed after it was made.
+type Assignment struct {
+	config      Config
+	servers     []Server
+	capacity    int
+	subsets     map[string][]int // by tenant, its servers as it ranks them
+	load        []int
+	skippedFull map[string]int // servers that a tenant would have had if they had had room
 }
 
-func (t *Terms) hash(parts ...string) uint64 {
+func (t *Config) hash(parts ...string) uint64 {
 	h := t.Seed
 	for _, p := range parts {
 		h = xxh3.HashStringSeed(p, h)
@@ -48,8 +48,8 @@
 	return h
 }
 
-// Place works out the subsets of all tenants that are known by name. Doubled names count once.
-func Place(t Terms, servers []Server, tenants []string) *Placing {
+// Assign works out the subsets of all tenants that are known by name. Doubled names count once.
+func Assign(t Config, servers []Server, tenants []string) *Assignment {
 	servers, tenants = slices.Clone(servers), slices.Clone(tenants)
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
 	servers = slices.CompactFunc(servers, func(a, b Server) bool { return a.Name == b.Name })
@@ -58,32 +58,32 @@
 	slices.SortFunc(tenants, func(a, b string) int {
 		return cmp.Or(cmp.Compare(t.hash("order", a), t.hash("order", b)), cmp.Compare(a, b))
 	})
-	p := &Placing{terms: t, servers: servers, of: make(map[string][]int, len(tenants)), load: make([]int, len(servers)), full: map[string]int{}}
+	p := &Assignment{config: t, servers: servers, subsets: make(map[string][]int, len(tenants)), load: make([]int, len(servers)), skippedFull: map[string]int{}}
 	if len(servers) == 0 {
 		return p
 	}
-	most := max(1, min(t.Most, len(servers)))
-	p.room = roomOf(float64(len(tenants)*most)/float64(len(servers)), t.Slack)
+	most := max(1, min(t.SubsetSize, len(servers)))
+	p.capacity = capacityFor(float64(len(tenants)*most)/float64(len(servers)), t.LoadSlack)
 	for _, tenant := range tenants {
-		p.of[tenant] = p.place(tenant, most)
+		p.subsets[tenant] = p.assign(tenant, most)
 	}
 	return p
 }
 
-// roomOf is how much a server may have where so much is its part. It goes by steps of a sixteenth, so that a server that comes
+// capacityFor is how much a server may have where so much is its part. It goes by steps of a sixteenth, so that a server that comes
 // or goes seldom changes it: each change would move some of all.
-func roomOf(part, slack float64) int {
+func capacityFor(part, slack float64) int {
 	step := math.Pow(2, math.Floor(math.Log2(max(1, part)))) / 16
-	return int(math.Ceil(math.Floor(part/step+between) * step * (1 + slack/2)))
+	return int(math.Ceil(math.Floor(part/step+stepOffset) * step * (1 + slack/2)))
 }
 
-// between keeps the steps off round numbers, which fleets often have.
-const between = 1.4
+// stepOffset keeps the steps off round numbers, which fleets often have.
+const stepOffset = 1.4
 
-// place takes the first servers of a tenant's ranking that have room, spread over zones as far as these go; if too few have
+// assign takes the first servers of a tenant's ranking that have room, spread over zones as far as these go; if too few have
 // room, those that come first without.
-func (p *Placing) place(tenant string, most int) (chosen []int) {
-	ranks := p.rank(tenant)
+func (p *Assignment) assign(tenant string, most int) (chosen []int) {
+	ranks := p.ranking(tenant)
 	zones, parts := map[string]int{}, map[string]int{}
 	for _, s := range p.servers {
 		parts[s.Zone]++
@@ -98,9 +98,9 @@
 			case len(chosen) == most:
 				return chosen
 			case slices.Contains(chosen, i):
-			case pass < 2 && p.load[i] >= p.room:
+			case pass < 2 && p.load[i] >= p.capacity:
 				if pass == 0 {
-					p.full[tenant]++
+					p.skippedFull[tenant]++
 				}
 			case pass < 1 && zones[zone] >= limit(zone):
 			default:
@@ -113,14 +113,14 @@
 	return chosen
 }
 
-func (p *Placing) rank(tenant string) []int {
+func (p *Assignment) ranking(tenant string) []int {
 	type ranked struct {
 		i    int
 		hash uint64
 	}
 	all := make([]ranked, len(p.servers))
 	for i, s := range p.servers {
-		all[i] = ranked{i, p.terms.hash("rank", tenant, s.Name)}
+		all[i] = ranked{i, p.config.hash("rank", tenant, s.Name)}
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.i, b.i)) })
 	ranks := make([]int, len(all))
@@ -130,13 +130,13 @@
 	return ranks
 }
 
-// Of is a tenant's subset as it ranks it: the first is asked first. A tenant that is not known by name has the first ones of its
+// Subset is a tenant's subset as it ranks it: the first is asked first. A tenant that is not known by name has the first ones of its
 // ranking, whatever these have: how many such there are is not known.
-func (p *Placing) Of(tenant string) []Server {
-	chosen, known := p.of[tenant]
+func (p *Assignment) Subset(tenant string) []Server {
+	chosen, known := p.subsets[tenant]
 	if !known {
-		chosen = p.rank(tenant)
-		chosen = chosen[:max(0, min(len(chosen), max(1, p.terms.Most)))]
+		chosen = p.ranking(tenant)
+		chosen = chosen[:max(0, min(len(chosen), max(1, p.config.SubsetSize)))]
 	}
 	list := make([]Server, len(chosen))
 	for k, i := range chosen {
@@ -145,11 +145,11 @@
 	return list
 }
 
-// Has says whether a server is in a tenant's subset. It is meant for the path of a work item of a tenant that is known by name.
-func (p *Placing) Has(tenant, server string) bool {
-	chosen, known := p.of[tenant]
+// Contains says whether a server is in a tenant's subset. It is meant for the path of a work item of a tenant that is known by name.
+func (p *Assignment) Contains(tenant, server string) bool {
+	chosen, known := p.subsets[tenant]
 	if !known {
-		return slices.ContainsFunc(p.Of(tenant), func(s Server) bool { return s.Name == server })
+		return slices.ContainsFunc(p.Subset(tenant), func(s Server) bool { return s.Name == server })
 	}
 	for _, i := range chosen {
 		if p.servers[i].Name == server {
@@ -159,17 +159,17 @@
 	return false
 }
 
-// Why is a subset with its reasons, for operators.
-type Why struct {
-	Servers []Server
-	Full    int // servers that came before some of these and had no room
-	Room    int // of each server
-	Load    []int
+// Explanation is a subset with its reasons, for operators.
+type Explanation struct {
+	Servers     []Server
+	SkippedFull int // servers that came before some of these and had no room
+	Capacity    int // of each server
+	Load        []int
 }
 
 // Explain tells why a tenant has its subset.
-func (p *Placing) Explain(tenant string) (w Why) {
-	w.Servers, w.Full, w.Room = p.Of(tenant), p.full[tenant], p.room
+func (p *Assignment) Explain(tenant string) (w Explanation) {
+	w.Servers, w.SkippedFull, w.Capacity = p.Subset(tenant), p.skippedFull[tenant], p.capacity
 	for _, s := range w.Servers {
 		i, _ := slices.BinarySearchFunc(p.servers, s.Name, func(s Server, name string) int { return cmp.Compare(s.Name, name) })
 		w.Load = append(w.Load, p.load[i])
@@ -177,8 +177,8 @@
 	return w
 }
 
-// Spread is the most that any server has over the mean; 0 where there is nothing.
-func (p *Placing) Spread() float64 {
+// MaxOverMean is the most that any server has over the mean; 0 where there is nothing.
+func (p *Assignment) MaxOverMean() float64 {
 	most, sum := 0, 0
 	for _, n := range p.load {
 		most, sum = max(most, n), sum+n
--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -12,42 +12,42 @@
 
 // Table is built once and then only read.
 type Table struct {
-	networks  bart.Table[string]
-	fronts    bart.Lite
-	unmatched string
+	networks        bart.Table[string]
+	trustedProxies  bart.Lite
+	unmatchedTenant string
 }
 
 // New makes an empty table. What no prefix holds is of the tenant named here, all together.
-func New(unmatched string) *Table { return &Table{unmatched: unmatched} }
+func New(unmatched string) *Table { return &Table{unmatchedTenant: unmatched} }
 
-// Plain is a prefix as the table keeps it: addresses of the fourth version mapped into the sixth are of the fourth.
-func Plain(p netip.Prefix) netip.Prefix {
+// Normalize is a prefix as the table keeps it: addresses of the fourth version mapped into the sixth are of the fourth.
+func Normalize(p netip.Prefix) netip.Prefix {
 	if a := p.Addr(); a.Is4In6() && p.Bits() >= 96 {
 		return netip.PrefixFrom(a.Unmap(), p.Bits()-96).Masked()
 	}
 	return p.Masked()
 }
 
-// Add has a tenant own the addresses under a prefix, but for those under a longer one.
-func (t *Table) Add(p netip.Prefix, tenant string) { t.networks.Insert(Plain(p), tenant) }
+// AddNetwork has a tenant own the addresses under a prefix, but for those under a longer one.
+func (t *Table) AddNetwork(p netip.Prefix, tenant string) { t.networks.Insert(Normalize(p), tenant) }
 
-// Trust has the word of the fronts under a prefix believed.
-func (t *Table) Trust(p netip.Prefix) { t.fronts.Insert(Plain(p)) }
+// TrustProxies has the word of the fronts under a prefix believed.
+func (t *Table) TrustProxies(p netip.Prefix) { t.trustedProxies.Insert(Normalize(p)) }
 
-// Tenant tells whose a request is. Peer is the other end of the connection; remote is what the front says of the client
+// Lookup tells whose a request is. Peer is the other end of the connection; remote is what the front says of the client
 // (REMOTE_ADDR), which counts only from a trusted front. Without such word the peer itself is the client; a front that
 // is trusted and says nothing that can be read has its request booked with what nothing matches.
-func (t *Table) Tenant(peer netip.Addr, remote []byte) string {
+func (t *Table) Lookup(peer netip.Addr, remote []byte) string {
 	client := peer.Unmap()
-	if t.fronts.Contains(client) {
+	if t.trustedProxies.Contains(client) {
 		a, err := netip.ParseAddr(string(remote))
 		if err != nil {
-			return t.unmatched
+			return t.unmatchedTenant
 		}
 		client = a.Unmap().WithZone("")
 	}
 	if tenant, found := t.networks.Lookup(client); found {
 		return tenant
 	}
-	return t.unmatched
+	return t.unmatchedTenant
 }
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -12,10 +12,10 @@
 	table := New("elsewhere")
 	for prefix, tenant := range map[string]string{"10.0.0.0/8": "wide", "10.1.0.0/16": "narrow", "10.1.2.3/32": "one",
 		"2001:db8::/32": "six", "2001:db8:1::/48": "six-narrow", "::ffff:192.0.2.0/120": "mapped"} {
-		table.Add(netip.MustParsePrefix(prefix), tenant)
+		table.AddNetwork(netip.MustParsePrefix(prefix), tenant)
 	}
-	table.Trust(netip.MustParsePrefix("127.0.0.0/8"))
-	table.Trust(netip.MustParsePrefix("::1/128"))
+	table.TrustProxies(netip.MustParsePrefix("127.0.0.0/8"))
+	table.TrustProxies(netip.MustParsePrefix("::1/128"))
 	for _, c := range []struct{ peer, remote, tenant string }{
 		{"127.0.0.1", "10.9.9.9", "wide"},
 		{"127.0.0.1", "10.1.9.9", "narrow"},
@@ -32,9 +32,9 @@
 		{"10.1.2.3", "10.9.9.9", "one"}, // no trust: what it says of itself counts for nothing
 		{"10.9.9.9", "10.1.2.3", "wide"},
 	} {
-		require.Equal(t, c.tenant, table.Tenant(netip.MustParseAddr(c.peer), []byte(c.remote)), fmt.Sprint(c))
+		require.Equal(t, c.tenant, table.Lookup(netip.MustParseAddr(c.peer), []byte(c.remote)), fmt.Sprint(c))
 	}
-	require.Equal(t, "elsewhere", New("elsewhere").Tenant(netip.Addr{}, nil))
+	require.Equal(t, "elsewhere", New("elsewhere").Lookup(netip.Addr{}, nil))
 }
 
 func BenchmarkTenant(b *testing.B) {
@@ -43,13 +43,13 @@
 			table := New("elsewhere")
 			for i := range n {
 				p := netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 32)
-				table.Add(p, "t")
+				table.AddNetwork(p, "t")
 			}
-			table.Trust(netip.MustParsePrefix("127.0.0.1/32"))
+			table.TrustProxies(netip.MustParsePrefix("127.0.0.1/32"))
 			peer := netip.MustParseAddr("127.0.0.1")
 			b.ReportAllocs()
 			for b.Loop() {
-				table.Tenant(peer, []byte("10.0.3.7"))
+				table.Lookup(peer, []byte("10.0.3.7"))
 			}
 		})
 	}
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -14,66 +14,66 @@
 
 // Bounds of one request.
 const (
-	MostVars   = 64      // variables
-	MostName   = 128     // bytes of a name
-	MostBlock  = 8 << 10 // bytes of all variables
-	headerSize = 4
+	MaxVariables  = 64      // variables
+	MaxNameBytes  = 128     // bytes of a name
+	MaxBlockBytes = 8 << 10 // bytes of all variables
+	headerSize    = 4
 )
 
 // Modifiers that are understood.
 const (
-	Request = 0   // a request with variables of WSGI
-	Ping    = 100 // asks whether anybody is there
+	ModifierRequest = 0   // a request with variables of WSGI
+	ModifierPing    = 100 // asks whether anybody is there
 )
 
-// Fault is why a request cannot be taken; its text is the status that tells so.
-type Fault string
+// StatusError is why a request cannot be taken; its text is the status that tells so.
+type StatusError string
 
-func (f Fault) Error() string { return string(f) }
+func (f StatusError) Error() string { return string(f) }
 
 // Faults by name.
 const (
-	ErrModifier = Fault("501 Modifier is not supported")
-	ErrBlock    = Fault("431 Variables too large")
-	ErrVars     = Fault("400 Variables that cannot be read")
-	ErrLength   = Fault("400 Content-Length")
-	ErrBody     = Fault("413 Body too long")
+	ErrModifier            = StatusError("501 Modifier is not supported")
+	ErrBlockTooLarge       = StatusError("431 Variables too large")
+	ErrUnreadableVariables = StatusError("400 Variables that cannot be read")
+	ErrContentLength       = StatusError("400 Content-Length")
+	ErrBodyTooLong         = StatusError("413 Body too long")
 )
 
-// errOver: bytes came after the end of the one request.
-var errOver = errors.New("bytes after the end of the request")
+// errTrailingBytes: bytes came after the end of the one request.
+var errTrailingBytes = errors.New("bytes after the end of the request")
 
 // Parser reads one request. Its zero value, with the bound on bodies set, is ready.
 type Parser struct {
-	MostBody int
+	MaxBodyBytes int
 
-	Modifier byte // once the header is there
-	head     [headerSize]byte
-	have     int // bytes of the header
-	block    []byte
-	size     int // of the block
-	names    [MostVars][2]int32
-	values   [MostVars][2]int32
-	vars     int
-	length   int // of the body
-	body     []byte
-	state    state
+	Modifier      byte // once the header is there
+	header        [headerSize]byte
+	headerBytes   int // bytes of the header
+	block         []byte
+	blockSize     int // of the block
+	names         [MaxVariables][2]int32
+	values        [MaxVariables][2]int32
+	variableCount int
+	contentLength int // of the body
+	body          []byte
+	state         state
 }
 
 type state int
 
 const (
-	header state = iota
-	variables
-	content
-	whole
+	stateHeader state = iota
+	stateVariables
+	stateBody
+	stateComplete
 )
 
-// Begun says whether anything of a request has come, Whole whether all of it has.
-func (p *Parser) Begun() bool { return p.have > 0 }
+// Started says whether anything of a request has come, Whole whether all of it has.
+func (p *Parser) Started() bool { return p.headerBytes > 0 }
 
-// Whole says whether the request, or the ping, is there in full.
-func (p *Parser) Whole() bool { return p.state == whole }
+// Complete says whether the request, or the ping, is there in full.
+func (p *Parser) Complete() bool { return p.state == stateComplete }
 
 // Body is the body, good until the parser is used again.
 func (p *Parser) Body() []byte { return p.body }
@@ -82,70 +82,70 @@
 func (p *Parser) Feed(data []byte) error {
 	for len(data) > 0 {
 		switch p.state {
-		case header:
-			n := copy(p.head[p.have:], data)
-			p.have += n
-			if data = data[n:]; p.have < headerSize {
+		case stateHeader:
+			n := copy(p.header[p.headerBytes:], data)
+			p.headerBytes += n
+			if data = data[n:]; p.headerBytes < headerSize {
 				return nil
 			}
-			p.Modifier, p.size = p.head[0], int(binary.LittleEndian.Uint16(p.head[1:]))
+			p.Modifier, p.blockSize = p.header[0], int(binary.LittleEndian.Uint16(p.header[1:]))
 			switch {
-			case p.Modifier == Ping && p.size == 0:
-				p.state = whole
-			case p.Modifier != Request || p.head[3] != 0:
+			case p.Modifier == ModifierPing && p.blockSize == 0:
+				p.state = stateComplete
+			case p.Modifier != ModifierRequest || p.header[3] != 0:
 				return ErrModifier
-			case p.size > MostBlock:
-				return ErrBlock
+			case p.blockSize > MaxBlockBytes:
+				return ErrBlockTooLarge
 			default:
-				p.state = variables
-				if err := p.begun(); err != nil {
+				p.state = stateVariables
+				if err := p.beginBody(); err != nil {
 					return err
 				}
 			}
-		case variables:
-			n := min(len(data), p.size-len(p.block))
+		case stateVariables:
+			n := min(len(data), p.blockSize-len(p.block))
 			p.block, data = append(p.block, data[:n]...), data[n:]
-			if err := p.begun(); err != nil {
+			if err := p.beginBody(); err != nil {
 				return err
 			}
-		case content:
-			n := min(len(data), p.length-len(p.body))
+		case stateBody:
+			n := min(len(data), p.contentLength-len(p.body))
 			p.body, data = append(p.body, data[:n]...), data[n:]
-			if len(p.body) == p.length {
-				p.state = whole
+			if len(p.body) == p.contentLength {
+				p.state = stateComplete
 			}
-		case whole:
-			return errOver
+		case stateComplete:
+			return errTrailingBytes
 		}
 	}
 	return nil
 }
 
-// begun goes on to the body once the block of variables is there.
-func (p *Parser) begun() error {
-	if len(p.block) < p.size {
+// beginBody goes on to the body once the block of variables is there.
+func (p *Parser) beginBody() error {
+	if len(p.block) < p.blockSize {
 		return nil
 	}
-	if err := p.read(); err != nil {
+	if err := p.indexVariables(); err != nil {
 		return err
 	}
-	if text := p.Var("CONTENT_LENGTH"); len(text) > 0 {
+	if text := p.Variable("CONTENT_LENGTH"); len(text) > 0 {
 		n, err := strconv.ParseUint(string(text), 10, 31)
 		if err != nil {
-			return ErrLength
+			return ErrContentLength
 		}
-		if p.length = int(n); p.length > p.MostBody {
-			return ErrBody
+		if p.contentLength = int(n); p.contentLength > p.MaxBodyBytes {
+			return ErrBodyTooLong
 		}
 	}
-	if p.state = content; p.length == 0 {
-		p.state = whole
+	if p.state = stateBody; p.contentLength == 0 {
+		p.state = stateComplete
 	}
 	return nil
 }
 
-// read finds the variables in their block.
-func (p *Parser) read() error {
+// indexVariables finds the variables in their block.
+func (p *Parser) indexVariables() error {
 	text := func(at int) (from, to int, ok bool) {
 		if at+2 > len(p.block) {
 			return 0, 0, false
@@ -154,28 +154,28 @@
 		to = from + int(binary.LittleEndian.Uint16(p.block[at:]))
 		return from, to, to <= len(p.block)
 	}
-	for at := 0; at < len(p.block); p.vars++ {
+	for at := 0; at < len(p.block); p.variableCount++ {
 		from, to, ok := text(at)
-		if !ok || to == from || to-from > MostName {
-			return ErrVars
+		if !ok || to == from || to-from > MaxNameBytes {
+			return ErrUnreadableVariables
 		}
-		if p.vars == MostVars {
-			return ErrBlock
+		if p.variableCount == MaxVariables {
+			return ErrBlockTooLarge
 		}
-		p.names[p.vars] = [2]int32{int32(from), int32(to)}
+		p.names[p.variableCount] = [2]int32{int32(from), int32(to)}
 		if from, to, ok = text(to); !ok {
-			return ErrVars
+			return ErrUnreadableVariables
 		}
-		p.values[p.vars] = [2]int32{int32(from), int32(to)}
+		p.values[p.variableCount] = [2]int32{int32(from), int32(to)}
 		at = to
 	}
 	return nil
 }
 
-// Var gives a variable's value, nil where it is not there. The last of a name counts, as it does where requests are put into a
+// Variable gives a variable's value, nil where it is not there. The last of a name counts, as it does where requests are put into a
 // table.
-func (p *Parser) Var(name string) []byte {
-	for i := p.vars - 1; i >= 0; i-- {
+func (p *Parser) Variable(name string) []byte {
+	for i := p.variableCount - 1; i >= 0; i-- {
 		if n := p.names[i]; string(p.block[n[0]:n[1]]) == name {
 			v := p.values[i]
 			return p.block[v[0]:v[1]]
@@ -184,9 +184,9 @@
 	return nil
 }
 
-// Fields gives the values of several names, and whether any of them came twice.
-func (p *Parser) Fields(names []string, values [][]byte) (twice bool) {
-	for i := range p.vars {
+// Variables gives the values of several names, and whether any of them came twice.
+func (p *Parser) Variables(names []string, values [][]byte) (twice bool) {
+	for i := range p.variableCount {
 		n, v := p.names[i], p.values[i]
 		for k, name := range names {
 			if string(p.block[n[0]:n[1]]) == name {
@@ -199,10 +199,10 @@
 }
 
 // AppendPong answers a ping.
-func AppendPong(to []byte) []byte { return append(to, Ping, 0, 0, 0) }
+func AppendPong(to []byte) []byte { return append(to, ModifierPing, 0, 0, 0) }
 
-// AppendAnswer writes an answer as HTTP; the connection's end ends it.
-func AppendAnswer(to []byte, status, headers string, body []byte) []byte {
+// AppendResponse writes an answer as HTTP; the connection's end ends it.
+func AppendResponse(to []byte, status, headers string, body []byte) []byte {
 	to = append(append(append(to, "HTTP/1.0 "...), status...), "\r\n"...)
 	to = append(append(to, headers...), "Content-Length: "...)
 	to = append(strconv.AppendInt(to, int64(len(body)), 10), "\r\n\r\n"...)
@@ -215,10 +215,10 @@
 	for _, p := range pairs {
 		size += 4 + len(p[0]) + len(p[1])
 	}
-	if size > MostBlock {
-		return to, ErrBlock
+	if size > MaxBlockBytes {
+		return to, ErrBlockTooLarge
 	}
-	to = append(to, Request, byte(size), byte(size>>8), 0)
+	to = append(to, ModifierRequest, byte(size), byte(size>>8), 0)
 	for _, p := range pairs {
 		for _, text := range p {
 			to = append(binary.LittleEndian.AppendUint16(to, uint16(len(text))), text...)
@@ -227,22 +227,22 @@
 	return append(to, body...), nil
 }
 
-// Reply reads an answer as HTTP from what has come so far; whole is false where more must come. Closed says that nothing will.
-func Reply(data []byte, closed bool, most int) (status int, body []byte, whole bool, err error) {
+// ParseResponse reads an answer as HTTP from what has come so far; whole is false where more must come. Closed says that nothing will.
+func ParseResponse(data []byte, closed bool, most int) (status int, body []byte, whole bool, err error) {
 	head, rest, there := bytes.Cut(data, []byte("\r\n\r\n"))
 	if !there {
 		if closed || len(data) > most {
-			return 0, nil, false, ErrVars
+			return 0, nil, false, ErrUnreadableVariables
 		}
 		return 0, nil, false, nil
 	}
 	lines := bytes.Split(head, []byte("\r\n"))
 	word := bytes.Fields(lines[0])
 	if len(word) < 2 || !bytes.HasPrefix(word[0], []byte("HTTP/1.")) {
-		return 0, nil, false, ErrVars
+		return 0, nil, false, ErrUnreadableVariables
 	}
 	if status, err = strconv.Atoi(string(word[1])); err != nil || status < 100 || status > 599 {
-		return 0, nil, false, ErrVars
+		return 0, nil, false, ErrUnreadableVariables
 	}
 	length := -1
 	for _, line := range lines[1:] {
@@ -250,20 +250,20 @@
 		if bytes.EqualFold(name, []byte("Content-Length")) {
 			n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 31)
 			if err != nil || length >= 0 && length != int(n) {
-				return 0, nil, false, ErrLength
+				return 0, nil, false, ErrContentLength
 			}
 			length = int(n)
 		}
 	}
 	switch {
 	case length > most || len(rest) > most:
-		return 0, nil, false, ErrBody
+		return 0, nil, false, ErrBodyTooLong
 	case length >= 0 && len(rest) > length:
-		return 0, nil, false, ErrLength
+		return 0, nil, false, ErrContentLength
 	case length >= 0 && len(rest) == length, length < 0 && closed:
 		return status, rest, true, nil
 	case closed: // cut off
-		return 0, nil, false, ErrLength
+		return 0, nil, false, ErrContentLength
 	}
 	return 0, nil, false, nil
 }
