--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -178,7 +178,7 @@
 	r.Contains(out, "garbled, lost=true")
 	// What may be lost is declined, with a return time; what is harmless is served.
 	r.reborn(t, config)
-	r.Contains(logOf(r), "event=store_damage")
+	r.Contains(logOf(r), "event=store_corruption")
 	c = r.router()
 	c.bookAs(1, "never heard of")
 	_, status, headers, _ := c.answer()
--- a/cmd/thistlequay/main.go
+++ b/cmd/thistlequay/main.go
@@ -130,7 +130,7 @@
 	go func() {
 		for range again {
 			if place, err := s.place(); err != nil {
-				_ = said(log, "configuration_kept", err)
+				_ = said(log, "configuration_rejected", err)
 			} else {
 				app.Reconfigure(place)
 			}
@@ -214,14 +214,14 @@
 	}
 	log := logs.New(os.Stderr, s.Log)
 	for _, f := range opened.Findings {
-		log.Event("store_damage").Str("file", f.File).Int64("offset", f.Offset).Str("what", recovery.CorruptionTexts[f.Corruption]).Bool("lost", f.DataLoss).Send()
+		log.Event("store_corruption").Str("file", f.File).Int64("offset", f.Offset).Str("kind", recovery.CorruptionTexts[f.Corruption]).Bool("lost", f.DataLoss).Send()
 	}
 	wait := max(0, opened.RejectUntil-terms.Now().Wall)
 	if opened.RejectUntil == 0 {
 		wait = 0
 	}
-	log.Event("store_open").Str("directory", of.DirectoryPath(s.Service)).Int("records", opened.RecordCount).Int("stamps", len(opened.Outcomes)).
-		Int64("declines_for_ms", int64(wait/10)).Send()
+	log.Event("store_open").Str("directory", of.DirectoryPath(s.Service)).Int("records", opened.RecordCount).Int("idempotency_entries", len(opened.Outcomes)).
+		Int64("rejects_for_ms", int64(wait/10)).Send()
 	s.lasting = &server.Recovery{Store: opened, OnDurable: func(f func([]segmentlog.WriteResult)) { tell.Store(&f) }}
 	return s.lasting, nil
 }
--- a/cmd/thistlequay/members.go
+++ b/cmd/thistlequay/members.go
@@ -131,11 +131,11 @@
 	t := gossip.Config{Membership: terms, ListenAddress: of.Listen, AdvertiseAddress: of.Advertise, SeedAddresses: of.SeedAddresses, ClusterName: of.FleetName, Keys: keys,
 		Version: revision(), SettingsDigest: digest(s.Config, s.Service), OnChange: heard.ClusterChanged,
 		OnMemberEvent: func(event string, id membership.ID, from, to membership.State, why membership.Cause) {
-			log.Event(event).Str("member", id.Name).Str("life", fmt.Sprintf("%016x", id.Incarnation)).Stringer("from", from).
+			log.Event(event).Str("member", id.Name).Str("incarnation", fmt.Sprintf("%016x", id.Incarnation)).Stringer("from", from).
 				Stringer("to", to).Stringer("cause", why).Send()
 		},
 		OnQuorumChange: func(standing membership.QuorumStatus, size int, epoch uint64) {
-			log.Event("standing").Stringer("with", standing).Int("servers", size).Uint64("epoch", epoch).Send()
+			log.Event("quorum_status").Stringer("status", standing).Int("servers", size).Uint64("epoch", epoch).Send()
 		}}
 	t.OnUsage = heard.UsageReported
 	more(&t)
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -404,7 +404,7 @@
 	flapped := g.sees("after flapping", all, settled(6))
 	changes := map[string]int{}
 	for _, s := range all {
-		changes[s.Name] = strings.Count(s.Log.String(), "event=standing")
+		changes[s.Name] = strings.Count(s.Log.String(), "event=quorum_status")
 	}
 	late := all[4]
 	for begun := time.Now(); time.Since(begun) < span; time.Sleep(300 * time.Millisecond) {
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -179,7 +179,7 @@
 	c.answered(4, 200, "r")
 	code, log := r.exit()
 	r.Zero(code)
-	r.Contains(log, "event=plugins_died")
+	r.Contains(log, "event=plugin_process_exited")
 }
 
 // under plays load for a second or so against a server with these plug-ins; acme is seen by them, beta is not.
@@ -369,7 +369,7 @@
 	v := r.up(0)
 	c := r.router()
 	v.serves(c, 1, "heard")
-	r.Eventually(func() bool { return strings.Count(logOf(r), "event=plugin_says") >= 20 }, patience, time.Millisecond)
+	r.Eventually(func() bool { return strings.Count(logOf(r), "event=plugin_log") >= 20 }, patience, time.Millisecond)
 	v.serves(c, 2, "heard again")
-	r.LessOrEqual(strings.Count(logOf(r), "event=plugin_says"), 100)
+	r.LessOrEqual(strings.Count(logOf(r), "event=plugin_log"), 100)
 }
--- a/cmd/thistlequay/races_test.go
+++ b/cmd/thistlequay/races_test.go
@@ -166,7 +166,7 @@
 	d := r.link(r.directory)
 	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.line(d))
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=leaving") }, patience, time.Millisecond)
+	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=shutting_down") }, patience, time.Millisecond)
 	c := r.router()
 	c.ask(1, "/health", "", nil)
 	c.answered(1, 503, "")
@@ -190,7 +190,7 @@
 	c := r.router()
 	v.applied(c.look(1, "never ends"), "never ends")
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=leaving") }, patience, time.Millisecond)
+	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=shutting_down") }, patience, time.Millisecond)
 	r.NoError(r.process.Process.Signal(syscall.SIGSTOP))
 	stop := time.Now().Add(1500 * time.Millisecond)
 	r.Eventually(func() bool { return time.Now().After(stop) }, patience, time.Millisecond)
@@ -226,7 +226,7 @@
 	}()
 	code, log := r.exit()
 	r.Equal(0, code, log)
-	r.Contains(log, "event=leaving")
+	r.Contains(log, "event=shutting_down")
 	r.Less(time.Since(begun), patience/4) // 1.5 s where the machine has nothing else to do
 	_ = os.Remove(r.path)
 }
@@ -258,7 +258,7 @@
 	r.Less(least[false], 600*time.Millisecond, "after none")
 	r.directory.Listener.Close() // it is gone, and back
 	d.Close()
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=not_reached") }, patience, time.Millisecond)
+	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=dial_failed") }, patience, time.Millisecond)
 	r.NoError(r.directory.Reopen())
 	report(r.link(r.directory))
 }
@@ -536,7 +536,7 @@
 	r.Equal(0, code, log)
 	r.Less(ended, patience/4) // 1.5 s where the machine has nothing else to do: the figure is below
 	lost, double, late, reset, refused := 0, 0, 0, 0, 0
-	said, _, _ := strings.Cut(log[strings.LastIndex(log[:strings.Index(log, " event=leaving")], "\n")+1:], " ")
+	said, _, _ := strings.Cut(log[strings.LastIndex(log[:strings.Index(log, " event=shutting_down")], "\n")+1:], " ")
 	left, err := time.Parse(time.RFC3339Nano, said)
 	r.NoError(err)
 	graceEnd := left.Add(350 * time.Millisecond).UnixMilli() // 300, and 50 of slack
--- a/cmd/thistlequay/shares.go
+++ b/cmd/thistlequay/shares.go
@@ -102,7 +102,7 @@
 }
 
 // shareLine is what a server logs where its share of the calls changes.
-var shareLine = regexp.MustCompile(`^(\S+) .*event=share .*limit=calls .*usable=([0-9.]+)`)
+var shareLine = regexp.MustCompile(`^(\S+) .*event=(?:quota|share) .*limit=calls .*usable=([0-9.]+)`)
 
 const (
 	chartWide = 100
@@ -145,7 +145,7 @@
 		lines = append(lines, points)
 	}
 	if first.IsZero() {
-		return fmt.Errorf("no line event=share in %s", strings.Join(files, ", "))
+		return fmt.Errorf("no line event=quota in %s", strings.Join(files, ", "))
 	}
 	drawn := make([][]float64, len(lines))
 	for i, points := range lines {
@@ -206,7 +206,7 @@
 		s.granted = of
 	}
 	if s.granted != nil && (of == nil || of.Digest() != s.granted.Digest() || of.Revision == s.granted.Revision && !reflect.DeepEqual(of.Totals(), s.granted.Totals())) {
-		log.Event("shares_kept").Str("reason", "while it runs only the wholes change, and those under a later revision").Send()
+		log.Event("quota_settings_unchanged").Str("reason", "while it runs only the wholes change, and those under a later revision").Send()
 	}
 	p.Quota = s.shares
 	return nil
--- a/cmd/thistlequay/socket_test.go
+++ b/cmd/thistlequay/socket_test.go
@@ -276,7 +276,7 @@
 	moved.serves(c, 2, "goes on")
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
 	_, log := r.exit()
-	r.Contains(log, "event=configuration_kept reason=")
+	r.Contains(log, "event=configuration_rejected reason=")
 }
 
 func TestALineThatIsNoNotice(t *testing.T) {
@@ -474,7 +474,7 @@
 	c.answered(1, 500, "") // before the stop
 	code, log := r.exit()
 	r.Equal(0, code)
-	r.Contains(log, "event=ended name=n3 in_hand=1 ") // the run itself, its answer is given
+	r.Contains(log, "event=ended name=n3 requests=1 ") // the run itself, its answer is given
 	c.over()
 }
 
--- a/internal/quota/service/sharing.go
+++ b/internal/quota/service/sharing.go
@@ -128,7 +128,7 @@
 	}
 	if saved != nil {
 		if err := s.coordinator.Resume(id, *saved); err == nil {
-			s.config.Log("keeper", "voter", id.VoterID, "with", "its memory")
+			s.config.Log("coordinator_started", "voter", id.VoterID, "state", "its memory")
 			return nil
 		}
 		if err := s.config.Storage.SetAside(); err != nil {
@@ -140,11 +140,11 @@
 		for _, name := range s.config.Coordinators {
 			first = append(first, voterNumber(membership.ID{Name: name}, 0))
 		}
-		s.config.Log("keeper", "voter", voterNumber(membership.ID{Name: s.config.ServerName}, 0), "with", "a first log")
+		s.config.Log("coordinator_started", "voter", voterNumber(membership.ID{Name: s.config.ServerName}, 0), "state", "a first log")
 		return s.coordinator.Start(voterNumber(membership.ID{Name: s.config.ServerName}, 0), first)
 	}
 	voter := voterNumber(s.localID, uint64(time.Now().UnixNano()))
-	s.config.Log("keeper", "voter", voter, "with", "no memory, as another voter")
+	s.config.Log("coordinator_started", "voter", voter, "state", "no memory, as another voter")
 	return s.coordinator.Start(voter, nil)
 }
 
@@ -258,7 +258,7 @@
 			break
 		}
 		if err := s.persist(&o); err != nil {
-			s.config.Log("keeper_lost", "reason", err.Error())
+			s.config.Log("coordinator_state_lost", "reason", err.Error())
 			s.coordinator.DiscardState()
 			s.nextRejoin = time.Now().Add(rejoinDelay)
 			continue
@@ -278,7 +278,7 @@
 	}
 	if leads, opened := s.coordinator.IsLeader(), s.coordinator.Limits().Opened(); leads != s.wasLeader || opened != s.wasOpened {
 		s.wasLeader, s.wasOpened = leads, opened
-		s.config.Log("keeping", "leads", leads, "opened", opened, "voter", s.coordinator.Identity().VoterID, "log", s.coordinator.Identity().LogID, "entries", s.coordinator.AppliedCommands)
+		s.config.Log("coordinator_status", "is_leader", leads, "opened", opened, "voter", s.coordinator.Identity().VoterID, "log", s.coordinator.Identity().LogID, "entries", s.coordinator.AppliedCommands)
 	}
 }
 
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -103,7 +103,7 @@
 // starts nothing where that is over. One with effects is left to its time where it went out long before.
 func (l *interpreterClient) linkLost() {
 	if l.ready {
-		l.server.log.Event("interpreter_lost").Uint64("after_notice", l.lastNotice).Int("in_hand", l.server.requests.count()).Send()
+		l.server.log.Event("interpreter_lost").Uint64("last_notice", l.lastNotice).Int("requests", l.server.requests.count()).Send()
 	}
 	l.conn, l.ready = nil, false
 	if l.output != nil {
@@ -297,7 +297,7 @@
 		return l.onGauges(n.Ref, n.Gauges)
 	case "ERROR":
 		if countAndSample(&l.errorCount) {
-			l.server.log.Event("interpreter_error").Str("command", n.State).Str("id", n.Job).Int("count", l.errorCount).Send()
+			l.server.log.Event("interpreter_error").Str("command", n.State).Str("request_id", n.Job).Int("count", l.errorCount).Send()
 		}
 		if it != nil && it.runStarted && n.State == "APPLY" {
 			it.neverBegun()
@@ -341,7 +341,7 @@
 		l.becomeReady()
 		return
 	}
-	a.log.Event("interpreter_back").Str("name", a.config.Name).Int("links", l.linkCount).Send()
+	a.log.Event("interpreter_reconnected").Str("name", a.config.Name).Int("interpreter_links", l.linkCount).Send()
 	l.replayFence = l.askGauges()
 }
 
--- a/internal/server/invariant_release.go
+++ b/internal/server/invariant_release.go
@@ -6,6 +6,6 @@
 
 func (a *Server) checkInvariant(holds bool, what string) {
 	if !holds && countAndSample(&a.brokenInvariants) {
-		a.log.Event("invariant_broken").Str("what", what).Int("count", a.brokenInvariants).Send()
+		a.log.Event("invariant_violated").Str("what", what).Int("count", a.brokenInvariants).Send()
 	}
 }
--- a/internal/server/items.go
+++ b/internal/server/items.go
@@ -142,7 +142,7 @@
 
 func (t *requestTable) logInvalid(status string) {
 	if countAndSample(&t.invalid) {
-		t.server.log.Event("unusable_request").Str("status", status).Int("count", t.invalid).Send()
+		t.server.log.Event("invalid_request").Str("status", status).Int("count", t.invalid).Send()
 	}
 }
 
--- a/internal/server/lasting.go
+++ b/internal/server/lasting.go
@@ -132,7 +132,7 @@
 
 func (k *recoveryPart) logRejection(count *int, why string) {
 	if countAndSample(count) {
-		k.server.log.Event("store_declines").Str("why", why).Int("count", *count).Send()
+		k.server.log.Event("store_rejections").Str("reason", why).Int("count", *count).Send()
 	}
 }
 
@@ -200,8 +200,8 @@
 		return
 	}
 	used, promised, records, ill := k.store.Usage()
-	e.Int64("store_bytes", used).Int64("store_promised", promised).Int("store_records", records).Int("store_waits", len(k.pending)).
-		Int("store_full", k.rejectedFull).Int("store_late", k.rejectedLate).Bool("store_ill", ill != nil)
+	e.Int64("store_bytes", used).Int64("store_reserved_bytes", promised).Int("store_records", records).Int("store_intents_pending", len(k.pending)).
+		Int("store_rejected_full", k.rejectedFull).Int("store_rejected_late", k.rejectedLate).Bool("store_failed", ill != nil)
 }
 
 // saveWarmStart writes what was learnt, now and then, and begin reads it: a warm start that is weighed by its age.
@@ -224,7 +224,7 @@
 		return nil
 	}
 	l := s.Decay(k.server.now, k.settingsHash())
-	k.server.log.Event("warm_start").Bool("taken", l != nil).Int64("age_ms", int64((k.server.now-s.CapturedAt)/10)).Send()
+	k.server.log.Event("warm_start").Bool("used", l != nil).Int64("age_ms", int64((k.server.now-s.CapturedAt)/10)).Send()
 	return l
 }
 
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -465,7 +465,7 @@
 		return
 	}
 	left := max(0, a.config.ShutdownTimeout-min(shutdownMargin, a.config.ShutdownTimeout/4))
-	a.log.Event("leaving").Str("name", a.config.Name).Int64("within_ms", int64(left/10)).Int("in_hand", a.requests.count()).Send()
+	a.log.Event("shutting_down").Str("name", a.config.Name).Int64("within_ms", int64(left/10)).Int("requests", a.requests.count()).Send()
 	a.shutdownDeadline = a.now + left
 	a.advancePhase(phaseDraining)
 	a.publishState() // before anything is declined for it
@@ -507,8 +507,8 @@
 		}
 	}
 	slices.Sort(kept)
-	a.log.Event("configuration_read").Str("name", a.config.Name).Str("vm", p.Interpreter).Str("index", p.Index).
-		Str("lookup", p.Directory).Str("kept_as_it_was", strings.Join(kept, " ")).Send()
+	a.log.Event("configuration_read").Str("name", a.config.Name).Str("interpreter", p.Interpreter).Str("index", p.Index).
+		Str("directory", p.Directory).Str("requires_restart", strings.Join(kept, " ")).Send()
 	before := a.config
 	a.config.Interpreter, a.config.Index, a.config.Directory = p.Interpreter, p.Index, p.Directory
 	if !reflect.DeepEqual(p.FairQueue, before.FairQueue) {
@@ -539,14 +539,14 @@
 
 // logState logs how it stands, now and then.
 func (a *Server) logState() {
-	a.log.Event("state").Int("in_hand", a.requests.count()).Int("connections", a.routers.openCount).Int("stamps", len(a.requests.entries)).
-		Int("calls", a.index.inFlight).Int64("gauges_age_ms", int64(a.interpreter.gaugeAges.percentile99()/10)).
-		Int64("timer_late_ms", int64(a.timerLateness.percentile99()/10)).Int("links", a.interpreter.linkCount).
-		Int("reports_missed", a.directory.missedReports).Int("bad_peers", a.badPeers).Int("unread_closed", a.unreadClosed).
-		Int("evicted", a.routers.evicted).Func(func(e *zerolog.Event) {
+	a.log.Event("state").Int("requests", a.requests.count()).Int("connections", a.routers.openCount).Int("idempotency_entries", len(a.requests.entries)).
+		Int("downstream_calls", a.index.inFlight).Int64("gauges_age_ms", int64(a.interpreter.gaugeAges.percentile99()/10)).
+		Int64("timer_late_ms", int64(a.timerLateness.percentile99()/10)).Int("interpreter_links", a.interpreter.linkCount).
+		Int("directory_reports_missed", a.directory.missedReports).Int("bad_peers", a.badPeers).Int("unread_closed", a.unreadClosed).
+		Int("connections_evicted", a.routers.evicted).Func(func(e *zerolog.Event) {
 		if a.fairScheduler != nil {
 			f := a.fairScheduler.Stats()
-			e.Int("fair_books", f.HeavyHitters).Int("fair_groups", f.ActiveSharedFlows).Int("fair_candidates", f.Candidates).
+			e.Int("fair_flows", f.HeavyHitters).Int("fair_shared_flows", f.ActiveSharedFlows).Int("fair_candidates", f.Candidates).
 				Int("fair_core_percent", int(100*f.ServiceRate))
 		}
 		a.plugins.logState(e)
@@ -563,11 +563,11 @@
 		return
 	}
 	b := a.admission.Stats()
-	e.Int("held", b.Queued).Int("running", b.Running).Int("at_calls", b.WaitingAtCalls).Int("calling", b.CallsInFlight).Int("lingering", b.AbandonedCalls).
-		Int("entries", b.Entries).Float64("pool", b.Limit).Float64("calls_allowed", b.DownstreamLimit).Float64("calls_left", b.DownstreamCredit).
-		Float64("on_cores", b.RunnableRequests).Int64("unread_ms", int64(b.UnreadTime/10)).Int64("trip_ms", int64(b.RoundTrip/10)).
-		Int64("calls_lately_ms", int64(b.CallTime/10)).Int64("calls_quick_ms", int64(b.QuickCallTime/10)).
-		Float64("booked_kb", math.Round(b.MemoryKB)).Int("lanes", a.index.connections).Int("queued_calls", len(a.index.waiting))
+	e.Int("queued", b.Queued).Int("running", b.Running).Int("awaiting_downstream", b.WaitingAtCalls).Int("downstream_in_flight", b.CallsInFlight).Int("abandoned_calls", b.AbandonedCalls).
+		Int("admission_idempotency_entries", b.Entries).Float64("concurrency_limit", b.Limit).Float64("downstream_limit", b.DownstreamLimit).Float64("downstream_limit_left", b.DownstreamCredit).
+		Float64("on_cores", b.RunnableRequests).Int64("read_delay_ms", int64(b.UnreadTime/10)).Int64("round_trip_ms", int64(b.RoundTrip/10)).
+		Int64("downstream_latency_recent_ms", int64(b.CallTime/10)).Int64("downstream_latency_baseline_ms", int64(b.QuickCallTime/10)).
+		Float64("reserved_kb", math.Round(b.MemoryKB)).Int("pooled_connections", a.index.connections).Int("downstream_calls_waiting", len(a.index.waiting))
 }
 
 // countAndSample counts and says whether that is worth a line in the log: at each power of two.
@@ -605,7 +605,7 @@
 }
 
 func (a *Server) stopLoop() {
-	a.log.Event("ended").Str("name", a.config.Name).Int("in_hand", a.requests.count()).Int("broken_invariants", a.brokenInvariants).Send()
+	a.log.Event("ended").Str("name", a.config.Name).Int("requests", a.requests.count()).Int("broken_invariants", a.brokenInvariants).Send()
 	a.ended = true
 }
 
@@ -642,7 +642,7 @@
 		return
 	}
 	if countAndSample(&d.server.failedDials) {
-		d.server.log.Event("not_reached").Str("address", address).Str("reason", err.Error()).Int("count", d.server.failedDials).Send()
+		d.server.log.Event("dial_failed").Str("address", address).Str("reason", err.Error()).Int("count", d.server.failedDials).Send()
 	}
 	d.failed()
 }
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -206,7 +206,7 @@
 			p.live = nil
 		}
 		if countAndSample(&p.exits) {
-			p.server.log.Event("plugins_died").Int("count", p.exits).Send()
+			p.server.log.Event("plugin_process_exited").Int("count", p.exits).Send()
 		}
 		p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
 	}
@@ -227,7 +227,7 @@
 					go process.Stop()
 				}
 			case err != nil:
-				p.server.log.Event("plugins_refused").Str("reason", err.Error()).Send()
+				p.server.log.Event("plugin_restart_failed").Str("reason", err.Error()).Send()
 				p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
 			default:
 				t.Process = process
@@ -412,7 +412,7 @@
 				h.part.keepState(name, key, value)
 			}
 		case plugin.FrameLog:
-			h.part.server.log.Event("plugin_says").Str("name", name).Str("text", string(f.Payload)).Send()
+			h.part.server.log.Event("plugin_log").Str("name", name).Str("text", string(f.Payload)).Send()
 		case plugin.FrameCounters:
 			h.part.addCounters(name, f.Payload)
 		}
@@ -496,7 +496,7 @@
 			off++
 		}
 	}
-	e.Int("plugin_calls", calls).Int("plugin_faults", bad).Int("plugins_off", off).Int("plugin_verdicts_late", p.lateVerdicts)
+	e.Int("plugin_calls", calls).Int("plugin_faults", bad).Int("plugins_quarantined", off).Int("plugin_verdicts_late", p.lateVerdicts)
 	for _, key := range slices.Sorted(maps.Keys(p.counters)) {
 		e.Int64(key, p.counters[key])
 	}
--- a/internal/server/routers.go
+++ b/internal/server/routers.go
@@ -73,12 +73,12 @@
 		c := r.evictionCandidate()
 		if c == nil {
 			if countAndSample(&r.rejected) {
-				r.server.log.Event("table_full").Int("connections", r.openCount).Int("turned_away", r.rejected).Send()
+				r.server.log.Event("table_full").Int("connections", r.openCount).Int("rejected", r.rejected).Send()
 			}
 			return nil
 		}
 		if countAndSample(&r.evicted) {
-			r.server.log.Event("made_room").Int("connections", r.openCount).Int("closed", r.evicted).Send()
+			r.server.log.Event("connection_evicted").Int("connections", r.openCount).Int("evicted", r.evicted).Send()
 		}
 		c.closeGracefully()
 	}
@@ -138,7 +138,7 @@
 	switch partial := c.parser.HasIncomplete(); {
 	case c.parser.OpenRequests() == 0 && (c.state == connectionNew || partial && c.wasIncomplete):
 		if countAndSample(&c.server.routers.incomplete) {
-			c.server.log.Event("not_whole_in_time").Int("count", c.server.routers.incomplete).Send()
+			c.server.log.Event("request_read_timeout").Int("count", c.server.routers.incomplete).Send()
 		}
 		c.buffer()
 		c.closeAfterWrite = true
--- a/internal/server/shares.go
+++ b/internal/server/shares.go
@@ -114,7 +114,7 @@
 		}
 		if usable != h.loggedLimit {
 			h.loggedLimit = usable
-			h.server.log.Event("share").Str("limit", "calls").Float64("usable", float64(usable)/float64(quota.Unit)).Int64("ends_ms", max(0, int64(calls.ExpiresAt()-now))).Send()
+			h.server.log.Event("quota").Str("limit", "calls").Float64("usable", float64(usable)/float64(quota.Unit)).Int64("ends_ms", max(0, int64(calls.ExpiresAt()-now))).Send()
 		}
 	}
 	var asking quota.Request
@@ -174,5 +174,5 @@
 	if h.quota == nil {
 		return
 	}
-	e.Float64("share_calls", float64(h.admissionLimit)/float64(quota.Unit)).Int("share_given_up", h.cancelledCalls)
+	e.Float64("quota_calls", float64(h.admissionLimit)/float64(quota.Unit)).Int("quota_calls_cancelled", h.cancelledCalls)
 }
