--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -137,7 +137,7 @@
 	vm.Close()
 	r.reborn(t, config)
 	r.Contains(logOf(r), "event=store_open")
-	r.Regexp("event=warm_start .*taken=true", logOf(r))
+	r.Regexp("event=warm_start .*used=true", logOf(r))
 	c = r.router()
 	c.bookAs(1, "k")
 	c.answered(1, 200, "result of 1 entry k")
@@ -222,6 +222,6 @@
 			float64(n)/time.Since(begun).Seconds(), times["stamped"].ValueAtQuantile(50), times["stamped"].ValueAtQuantile(99),
 			times["stamped"].ValueAtQuantile(50)-base["stamped"].ValueAtQuantile(50),
 			float64(times["harmless"].ValueAtQuantile(50))/float64(base["harmless"].ValueAtQuantile(50)))
-		require.False(t, strings.Contains(logOf(r), "store_declines"))
+		require.False(t, strings.Contains(logOf(r), "store_rejections"))
 	}
 }
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -56,7 +56,7 @@
 				t.Log(s.Name + ":\n" + s.Log.String())
 			}
 			r.NotContains(s.Log.String(), "DATA RACE")
-			r.NotContains(s.Log.String(), "invariant_broken")
+			r.NotContains(s.Log.String(), "invariant_violated")
 			r.NotContains(s.Log.String(), "panic:")
 		}
 	})
--- a/cmd/thistlequay/standins_test.go
+++ b/cmd/thistlequay/standins_test.go
@@ -165,7 +165,7 @@
 			r.t.Log(log.String())
 		}
 		r.NotContains(log.String(), "DATA RACE")
-		r.NotContains(log.String(), "invariant_broken")
+		r.NotContains(log.String(), "invariant_violated")
 	})
 }
 
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -29,7 +29,7 @@
 func New(out io.Writer, as Format) Logger {
 	if as == FormatText {
 		out = zerolog.ConsoleWriter{Out: out, NoColor: true, PartsOrder: []string{zerolog.TimestampFieldName},
-			FieldsOrder:     []string{"event", "name", "in_hand"},
+			FieldsOrder:     []string{"event", "name", "requests"},
 			FormatTimestamp: func(t any) string { return fmt.Sprint(t) }}
 	}
 	return Logger{zerolog.New(out)}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -27,7 +27,7 @@
 			l := New(io.Discard, as)
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Event("state").Int("in_hand", 7).Int("connections", 40).Int("stamps", 900).Int("calls", 3).Str("name", "n3").Send()
+				l.Event("state").Int("requests", 7).Int("connections", 40).Int("stamps", 900).Int("calls", 3).Str("name", "n3").Send()
 			}
 		})
 	}
--- a/timeunit/timeunit.go
+++ b/timeunit/timeunit.go
@@ -1,6 +1,6 @@
-// Package timeunit has the two units in which thistlequay counts time. A value is either a span or a point on a clock of
-// one process that never runs backwards; which of the two it is, its name tells. No value of this package is a wall-clock
-// time unless its name says so.
+// Package timeunit has the two units in which thistlequay counts time. A value is either a span or a point on a clock
+// of one process that never runs backwards; which of the two it is, its name tells. No value of this package is a
+// wall-clock time unless its name says so.
 package timeunit
 
 import "time"
