--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -23,6 +23,11 @@
 
 // sharingFleet is processes with a limit of calls in hand over all of them; without slots each keeps to a part of its own.
 func sharingFleet(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string) *together {
+	return sharingFleetOf(t, servers, slots, calls, part, seed, delay, more, func([]*clustertest.Server) {})
+}
+
+// sharingFleetOf is sharingFleet with a change to the servers before they are started.
+func sharingFleetOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string, prepare func([]*clustertest.Server)) *together {
 	index, err := emulator.NewIndex()
 	require.NoError(t, err)
 	index.ReplyDelay = delay
@@ -36,6 +41,7 @@
 		}
 	}
 	g := fleetOf(t, p)
+	prepare(g.Servers)
 	for _, s := range g.Servers {
 		s.Interpreter.CallProbability = 1
 		g.NoError(s.Start())
--- a/cmd/thistlequay/standins_test.go
+++ b/cmd/thistlequay/standins_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"encoding/base64"
 	"encoding/json"
 	"fmt"
@@ -58,6 +59,7 @@
 	path      string
 	args      []string // of the program
 	wrap      []string // a command that becomes it
+	program   string   // another build of it; the test binary itself where empty
 	service   string   // our own settings; none where empty
 	process   *exec.Cmd
 	log       *lines
@@ -148,7 +150,7 @@
 func (r *rig) start() {
 	program, err := os.Executable()
 	r.NoError(err)
-	line := append(append(r.wrap, program), r.args...)
+	line := append(append(r.wrap, cmp.Or(r.program, program)), r.args...)
 	process, log, ended := exec.Command(line[0], line[1:]...), &lines{}, make(chan struct{})
 	process.Env = append(os.Environ(), asProgram+"=1", "PROXY_CONFIG="+r.path)
 	if r.service != "" {
--- a/internal/clustertest/fleet.go
+++ b/internal/clustertest/fleet.go
@@ -5,6 +5,7 @@
 package clustertest
 
 import (
+	"cmp"
 	"encoding/base64"
 	"encoding/json"
 	"errors"
@@ -70,6 +71,7 @@
 	Zone        string
 	Listen      string // for routers
 	Status      string
+	Program     string // started in place of the plan's where not empty, from the next Start on
 	Interpreter *emulator.Interpreter
 	relay       *relay
 	process     *exec.Cmd
@@ -237,7 +239,7 @@
 			return err
 		}
 	}
-	s.process = exec.Command(r.Program, append(args, s.args...)...)
+	s.process = exec.Command(cmp.Or(s.Program, r.Program), append(args, s.args...)...)
 	s.process.Env = append(append(os.Environ(), r.Env...), "THISTLEQUAY_SERVICE=")
 	s.process.Stdout, s.process.Stderr = s.Log, s.Log
 	if err := s.process.Start(); err != nil {
