--- a/cmd/thistlequay/command_test.go
+++ b/cmd/thistlequay/command_test.go
@@ -26,7 +26,7 @@
 		"check some.toml":    {exitFailed, "is of no known kind"},
 	} {
 		var out, errs bytes.Buffer
-		require.Equal(t, c.code, command(strings.Fields(line), &out, &errs), line)
+		require.Equal(t, c.code, runCommandLine(strings.Fields(line), &out, &errs), line)
 		require.Contains(t, out.String()+errs.String(), c.says, line)
 	}
 }
@@ -39,7 +39,7 @@
 		require.NoError(t, os.WriteFile(json, []byte(config), 0o600))
 		require.NoError(t, os.WriteFile(yaml, []byte(service), 0o600))
 		var out bytes.Buffer
-		code := command([]string{"check", json, yaml}, &out, &out)
+		code := runCommandLine([]string{"check", json, yaml}, &out, &out)
 		return code, strings.ReplaceAll(strings.ReplaceAll(out.String(), json, "c"), yaml, "s")
 	}
 	code, out := check(r.config, "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
--- a/cmd/thistlequay/fair_test.go
+++ b/cmd/thistlequay/fair_test.go
@@ -133,12 +133,12 @@
 	t.Setenv(asProgram, "1")
 	var out, errs bytes.Buffer
 	keep := filepath.Join(t.TempDir(), "kept")
-	require.Zero(t, command([]string{"try", "--seconds", "2", "--config", keep}, &out, &errs), errs.String())
+	require.Zero(t, runCommandLine([]string{"try", "--seconds", "2", "--config", keep}, &out, &errs), errs.String())
 	for _, tenant := range []string{"kirkens", "bymisjon", "fjordhjelpa", "ungdomslaget", "FAIR QUEUES ON"} {
 		require.Contains(t, out.String(), tenant)
 	}
 	out.Reset()
-	require.Zero(t, command([]string{"check", keep + ".fair.json", keep + ".fair.yaml"}, &out, &errs), out.String())
+	require.Zero(t, runCommandLine([]string{"check", keep + ".fair.json", keep + ".fair.yaml"}, &out, &errs), out.String())
 	require.Equal(t, "2 files, no fault\n", out.String())
 }
 
--- a/cmd/thistlequay/golden_test.go
+++ b/cmd/thistlequay/golden_test.go
@@ -37,7 +37,7 @@
 // run gives what a command prints, without what differs from run to run: the folder, addresses of servers and times.
 func (o *outputs) run(args ...string) string {
 	var out, errs bytes.Buffer
-	code := command(args, &out, &errs)
+	code := runCommandLine(args, &out, &errs)
 	line := strings.ReplaceAll(strings.Join(args, " "), o.dir, "DIR")
 	fmt.Fprintf(o, "\n%s: code %d\n", regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllString(line, "ADDRESS"), code)
 	return regexp.MustCompile(`"(took_us|memory_kb)":\d+`).ReplaceAllString(strings.ReplaceAll(out.String(), o.dir, "DIR"), `"$1":0`)
--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -149,7 +149,7 @@
 	c.answered(3, 200, "result of 1 entry new")
 	tool := func(args ...string) (int, string) {
 		var out bytes.Buffer
-		code := command(append([]string{"store"}, args...), &out, &out)
+		code := runCommandLine(append([]string{"store"}, args...), &out, &out)
 		return code, out.String()
 	}
 	code, out := tool("inspect", "--all", directory)
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -337,11 +337,11 @@
 	g.NoError(all[4].Kill())
 	g.sees("the first is with the whole", all[:1], settled(4))
 	var out bytes.Buffer
-	g.Zero(command([]string{"members", all[0].Status}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"members", all[0].Status}, &out, &out), out.String())
 	g.Contains(out.String(), "n00 stands with the ")
 	g.Contains(out.String(), "n03")
 	out.Reset()
-	g.Zero(command([]string{"members", "--json", all[0].Status}, &out, &out))
+	g.Zero(runCommandLine([]string{"members", "--json", all[0].Status}, &out, &out))
 	g.Contains(out.String(), `"state": "serving"`)
 }
 
--- a/cmd/thistlequay/plugin.go
+++ b/cmd/thistlequay/plugin.go
@@ -15,12 +15,12 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-type plugins struct {
+type pluginCommand struct {
 	Check pluginCheck `cmd:"" help:"Compile a module, start it and ask its version, as a server would."`
 	Run   pluginRun   `cmd:"" help:"Ask a module about one request and tell its verdict, time and memory."`
 }
 
-type bounds struct {
+type moduleBounds struct {
 	Engine   string        `enum:"interpreter,compiler" default:"interpreter" help:"How it is run: ${enum}."`
 	MemoryKB int           `name:"memory-kb" default:"4096" help:"Memory of an instance."`
 	CodeKB   int           `name:"code-kb" default:"8192" help:"Size of the file."`
@@ -31,7 +31,7 @@
 
 var hookNumbers = map[string]int{"read": abi.HookRead, "result": abi.HookResult, "tick": abi.HookTick}
 
-func (b *bounds) one(file string) plugin.ModuleConfig {
+func (b *moduleBounds) moduleConfig(file string) plugin.ModuleConfig {
 	one := plugin.ModuleConfig{Name: file, File: file, MemoryKB: b.MemoryKB, MaxCodeKB: b.CodeKB, MaxStateKB: 64, StartTimeout: b.Start,
 		Compile: b.Engine == "compiler"}
 	for _, h := range b.Hooks {
@@ -41,13 +41,13 @@
 }
 
 type pluginCheck struct {
-	bounds `embed:""`
-	File   string `arg:"" name:"FILE" help:"The module."`
+	moduleBounds `embed:""`
+	File         string `arg:"" name:"FILE" help:"The module."`
 }
 
 // Run loads it once.
 func (c *pluginCheck) Run(out io.Writer) error {
-	t, err := plugin.Try(c.one(c.File), nil, 0)
+	t, err := plugin.Try(c.moduleConfig(c.File), nil, 0)
 	if err != nil {
 		return err
 	}
@@ -56,10 +56,10 @@
 }
 
 type pluginRun struct {
-	bounds  `embed:""`
-	File    string `arg:"" name:"FILE" help:"The module."`
-	Request string `required:"" placeholder:"FILE" help:"JSON: hook, left_ms, category, tenant, tag, body."`
-	Times   int    `default:"1" help:"How often it is asked."`
+	moduleBounds `embed:""`
+	File         string `arg:"" name:"FILE" help:"The module."`
+	Request      string `required:"" placeholder:"FILE" help:"JSON: hook, left_ms, category, tenant, tag, body."`
+	Times        int    `default:"1" help:"How often it is asked."`
 }
 
 // Run asks it and prints what it says.
@@ -81,7 +81,7 @@
 		return diagnostics.LocateJSON(text, diagnostics.List{{Path: "hook", Problem: fmt.Sprintf("%q", q.Hook), Expected: "one of read, result, tick"}}).InFile(c.Request)
 	}
 	c.Hooks = append(c.Hooks, q.Hook)
-	t, err := plugin.Try(c.one(c.File), &abi.Request{Hook: hook, TimeLeftMS: q.Left, UnixMS: time.Now().UnixMilli(), Category: q.Category,
+	t, err := plugin.Try(c.moduleConfig(c.File), &abi.Request{Hook: hook, TimeLeftMS: q.Left, UnixMS: time.Now().UnixMilli(), Category: q.Category,
 		Tenant: q.Tenant, Tag: q.Tag, Body: []byte(q.Body)}, c.Times, c.Call)
 	if err != nil {
 		return err
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -298,7 +298,7 @@
 	} {
 		code, rest, _ := strings.Cut(line, " ")
 		var out bytes.Buffer
-		require.Equal(t, code, strconv.Itoa(command(strings.Fields(rest), &out, &out)), out.String())
+		require.Equal(t, code, strconv.Itoa(runCommandLine(strings.Fields(rest), &out, &out)), out.String())
 		require.Contains(t, out.String(), says)
 	}
 }
--- /dev/null
+++ b/cmd/thistlequay/serve_quota.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"fmt"
+	"reflect"
+
+	"thistlequay/internal/config"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/logs"
+	"thistlequay/internal/quota"
+	"thistlequay/internal/quota/service"
+	"thistlequay/internal/server"
+	"thistlequay/timeunit"
+)
+
+// quotaSubsystem owns the quota service of this process. It is started once, with gossip; of a section that changes while
+// the server runs only the totals take effect, under a later revision.
+type quotaSubsystem struct {
+	service  *service.Service
+	onServer *server.Quota
+	section  *config.Quota // that is in force; nil where there are no quotas
+}
+
+// close stops the quota service, where it was made.
+func (q *quotaSubsystem) close() {
+	if q.service != nil {
+		q.service.Close()
+	}
+}
+
+// createQuotaService makes the quota service; it is started once gossip runs.
+func (s *serveCommand) createQuotaService(section *config.Quota, gossipSection *config.Gossip, c server.Config) error {
+	onServer := &server.Quota{}
+	limits := section.Limits()
+	serviceConfig := service.Config{
+		LimitNames:   config.LimitNames[:len(limits)],
+		Limits:       limits,
+		ConfigDigest: section.Digest(),
+		Revision:     uint64(section.Revision),
+		Coordinators: section.Coordinators,
+		ServerName:   c.Name,
+		BootstrapLog: section.StartFresh,
+		ClusterName:  gossipSection.FleetName,
+		Seed:         c.Seed,
+		OnResponse:   onServer.DeliverAnswers,
+		Log:          func(event string, keys ...any) { s.log.Event(event).Fields(keys).Send() },
+	}
+	if section.Directory != "" {
+		path := section.DirectoryPath(s.Service)
+		storage, err := service.OpenFileStorage(path)
+		if err != nil {
+			return fmt.Errorf("the coordinator's state in %s: %w", path, err)
+		}
+		serviceConfig.Storage = storage
+	}
+	s.quota.service = service.New(serviceConfig)
+	onServer.Service = s.quota.service
+	s.quota.onServer = onServer
+	return nil
+}
+
+// start makes a lease holder for each limit and starts the service. A holder keeps to its guaranteed minimum until leases
+// of an earlier incarnation of this server are over.
+func (q *quotaSubsystem) start(section *config.Quota, node *gossip.Node) error {
+	limits := section.Limits()
+	holdersFrom := timeunit.Milliseconds(node.Now()) + limits[0].GracePeriod
+	name := service.HolderName(node.LocalID())
+	for _, limit := range limits {
+		holder := quota.NewLeaseHolder(name, limit, true, holdersFrom)
+		q.onServer.LeaseHolders = append(q.onServer.LeaseHolders, holder)
+	}
+	if err := q.service.Start(node); err != nil {
+		return err
+	}
+	q.section = section
+	return nil
+}
+
+// updateTotals takes up the totals of a section of a later revision that is the same otherwise.
+func (q *quotaSubsystem) updateTotals(section *config.Quota) {
+	if q.service == nil || section == nil {
+		return
+	}
+	isLater := section.Revision > q.section.Revision
+	if isLater && section.Digest() == q.section.Digest() {
+		q.service.UpdateTotals(uint64(section.Revision), section.Totals())
+		q.section = section
+	}
+}
+
+// logIfUnchanged logs that a changed section does not take effect while the server runs.
+func (q *quotaSubsystem) logIfUnchanged(section *config.Quota, log logs.Logger) {
+	if q.section == nil || q.inForce(section) {
+		return
+	}
+	const reason = "while it runs only the totals change, and those under a later revision"
+	log.Event("quota_settings_unchanged").Str("reason", reason).Send()
+}
+
+// inForce reports whether what a section says is what the service goes by.
+func (q *quotaSubsystem) inForce(section *config.Quota) bool {
+	if section == nil || section.Digest() != q.section.Digest() {
+		return false
+	}
+	return section.Revision != q.section.Revision || reflect.DeepEqual(section.Totals(), q.section.Totals())
+}
+
+// status is what the verb shares asks for.
+func (q *quotaSubsystem) status() (any, error) {
+	return q.service.Status(q.onServer.LocalState())
+}
--- /dev/null
+++ b/cmd/thistlequay/serve_store.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"fmt"
+	"reflect"
+	"sync/atomic"
+
+	"thistlequay/internal/config"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
+	"thistlequay/internal/server"
+	"thistlequay/timeunit"
+)
+
+// storeSubsystem owns the store that is open and the section of settings that it was opened by.
+type storeSubsystem struct {
+	section *config.Store
+	open    *server.Recovery
+}
+
+// configureStore opens the store at the start. An open store stays: when the section has changed, the result is nil, which
+// the server logs as a setting that cannot change while it runs.
+func (s *serveCommand) configureStore(section *config.Store, c server.Config) (*server.Recovery, error) {
+	isRunning := s.server != nil
+	if isRunning {
+		if reflect.DeepEqual(section, s.store.section) {
+			return s.store.open, nil
+		}
+		return nil, nil
+	}
+	s.store.section = section
+	if section == nil {
+		return nil, nil // without a section nothing outlives the process, which is no error
+	}
+	path := section.DirectoryPath(s.Service)
+	files, err := segmentlog.OpenDirectory(path)
+	if err != nil {
+		return nil, fmt.Errorf("the store in %s: %w", path, err)
+	}
+	// The server, which does not exist yet, sets who hears of finished writes.
+	var onDurable atomic.Pointer[func([]segmentlog.WriteResult)]
+	logConfig := section.LogConfig(c.Settings, c.MemoryBytes)
+	logConfig.OnWritten = func(results []segmentlog.WriteResult) {
+		if deliver := onDurable.Load(); deliver != nil {
+			(*deliver)(results)
+		}
+	}
+	opened, err := segmentlog.Open(files, logConfig)
+	if err != nil {
+		return nil, fmt.Errorf("the store in %s: %w", path, err)
+	}
+	s.logOpenedStore(path, opened, logConfig.Now().Wall)
+	s.store.open = &server.Recovery{
+		Store:     opened,
+		OnDurable: func(deliver func([]segmentlog.WriteResult)) { onDurable.Store(&deliver) },
+	}
+	return s.store.open, nil
+}
+
+// logOpenedStore logs what was found in a store when it was opened.
+func (s *serveCommand) logOpenedStore(path string, opened *segmentlog.Log, now timeunit.Ticks) {
+	for _, found := range opened.Findings {
+		s.log.Event("store_corruption").Str("file", found.File).Int64("offset", found.Offset).
+			Str("kind", recovery.CorruptionTexts[found.Corruption]).Bool("lost", found.DataLoss).Send()
+	}
+	rejectsFor := timeunit.Ticks(0)
+	if opened.RejectUntil != 0 {
+		rejectsFor = max(0, opened.RejectUntil-now)
+	}
+	s.log.Event("store_open").Str("directory", path).Int("records", opened.RecordCount).
+		Int("idempotency_entries", len(opened.Outcomes)).
+		Int64("rejects_for_ms", int64(rejectsFor/timeunit.TicksPerMillisecond)).Send()
+}
--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -213,13 +213,13 @@
 	g.Greater(o.OnTime, o.Requested/10)
 
 	var out bytes.Buffer
-	g.Zero(command([]string{"shares", g.leader(all).Status}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"shares", g.leader(all).Status}, &out, &out), out.String())
 	g.Contains(out.String(), "leads the keepers")
 	g.Contains(out.String(), "calls: whole 20")
 	log := filepath.Join(t.TempDir(), "log")
 	g.NoError(os.WriteFile(log, []byte(all[2].Log.String()), 0o600))
 	out.Reset()
-	g.Zero(command([]string{"shares", "--chart", log}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"shares", "--chart", log}, &out, &out), out.String())
 	g.Contains(out.String(), "calls in hand that could be used")
 }
 
--- a/cmd/thistlequay/socket_test.go
+++ b/cmd/thistlequay/socket_test.go
@@ -601,9 +601,9 @@
 }
 
 func TestNoConfiguration(t *testing.T) {
-	_, err := configure("")
+	_, err := readPlatformConfig("")
 	require.Error(t, err)
-	_, err = configure("/nonexistent/config.json")
+	_, err = readPlatformConfig("/nonexistent/config.json")
 	require.Error(t, err)
 }
 
--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -12,7 +12,7 @@
 	"thistlequay/timeunit"
 )
 
-type stores struct {
+type storeCommand struct {
 	Inspect storeInspect `cmd:"" help:"List records and what a start now would conclude. Only reads."`
 	Verify  storeVerify  `cmd:"" help:"Find damage; exit code 1 where records that were made sure of may be gone. Only reads."`
 	Compact storeCompact `cmd:"" help:"Keep what repeats may still need and nothing else. The server must be down."`
@@ -90,7 +90,7 @@
 	}
 	for _, f := range s.Findings {
 		if f.DataLoss {
-			return errSaid
+			return errAlreadyReported
 		}
 	}
 	return nil
--- a/cmd/thistlequay/try.go
+++ b/cmd/thistlequay/try.go
@@ -20,7 +20,7 @@
 	"thistlequay/internal/emulator"
 )
 
-type try struct {
+type tryCommand struct {
 	Seconds float64 `default:"10" help:"How long work is sent."`
 	Seed    int64   `default:"7" help:"What the load is drawn from."`
 	Greed   float64 `default:"10" help:"How many times its share the greedy tenant asks for."`
@@ -48,7 +48,7 @@
 }
 
 // Run plays both trials at once, each on a server of its own, and prints the table.
-func (t *try) Run(out io.Writer) error {
+func (t *tryCommand) Run(out io.Writer) error {
 	dir, err := os.MkdirTemp("", "thistlequay-try-")
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 }
 
 // streams are three tenants that ask for less than their shares and one that asks for many times its own.
-func (t *try) streams() (all []*emulator.Stream) {
+func (t *tryCommand) streams() (all []*emulator.Stream) {
 	for i, name := range []string{"kirkens", "bymisjon", "fjordhjelpa", "ungdomslaget"} {
 		share := []float64{0.31, 0.29, 0.23, 0.17}[i]
 		rate := 0.7 * share * tryCores / tryWork
@@ -84,7 +84,7 @@
 	return all
 }
 
-func (one *trial) play(t *try) (err error) {
+func (one *trial) play(t *tryCommand) (err error) {
 	if one.vm, err = emulator.NewInterpreter(tryCores, t.Seed); err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	return err
 }
 
-func (one *trial) start(t *try, address string) error {
+func (one *trial) start(t *tryCommand, address string) error {
 	name := map[bool]string{false: "plain", true: "fair"}[one.fair]
 	config := map[string]any{"name": name, "listen": address, "vm": one.vm.Address, "index": one.index.Address,
 		"lookup": one.lookup.Address, "seed": "0000000000000007", "stop_ms": tryStop.Milliseconds(),
@@ -189,7 +189,7 @@
 	return fmt.Errorf("no server came up at %s", address)
 }
 
-func (t *try) print(out io.Writer, off, on []*emulator.Account) {
+func (t *tryCommand) print(out io.Writer, off, on []*emulator.Account) {
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.SetStyle(table.StyleLight)
