--- a/internal/membership/judge.go
+++ b/internal/membership/failure_detector.go
@@ -1,15 +1,23 @@
 package membership
 
-// This file owns what is concluded from answers that come and do not come: who is suspected, who has failed, and by what
-// evidence one kind of trouble is told from another. It must never hold a member for failed on this server's word alone,
-// nor on any word while this server itself was standing still.
-
 import (
 	"slices"
-
 	"thistlequay/timeunit"
 )
 
+// causeWhileAlive is what a member that answers shows of itself.
+func (v *View) causeWhileAlive(m *Member) Cause {
+	switch {
+	case m.Cause == CauseUnreachableFromHere || m.Cause == CauseUnreachableFromSome:
+		return m.Cause
+	case m.LoopLagMs >= loopLagThreshold:
+		return CauseLoopLag
+	}
+	return CauseNone
+}
+
+const loopLagThreshold = 500 // ms that a loop is late from which on a member is held to be overloaded
+
 // DialResult is what came of a connection that was tried to the address of a member that does not answer.
 type DialResult int
 
@@ -139,70 +147,3 @@
 		v.resolveName(m.Name)
 	}
 }
-
-// recentlyPaused says that this server stood still of late and has not heard the others since for long enough to judge them.
-func (v *View) recentlyPaused() bool { return v.now-v.resumedAt < v.config.StabilityWindow }
-
-// Tick does what time alone does: what has been over for long is dropped, and the size of the fleet follows. It is to be
-// called a few times a second.
-func (v *View) Tick(standing QuorumStatus) {
-	for _, m := range v.members {
-		if m != v.self && m.State >= StateFailed && m.Cause != CauseNameConflict && v.now-m.Since > v.config.Retention {
-			v.remove(m)
-		}
-	}
-	v.updateEffectiveSize(standing)
-}
-
-// Alive are the members that are there and hold their names, the server itself included, in order.
-func (v *View) Alive() (ids []ID) {
-	for _, m := range v.Members() {
-		if m.State < StateSuspected {
-			ids = append(ids, m.ID)
-		}
-	}
-	return ids
-}
-
-// AliveCount is how many those are.
-func (v *View) AliveCount() (n int) {
-	for _, m := range v.members {
-		if m.State < StateSuspected {
-			n++
-		}
-	}
-	return n
-}
-
-// updateEffectiveSize has the size of the fleet follow those that serve, damped: one that comes or goes counts so once it has stood so for
-// a while, one that flaps as it did before it began to. Where this server is not with the whole, the size never falls under
-// what was agreed on: those it cannot see still use their parts.
-func (v *View) updateEffectiveSize(standing QuorumStatus) {
-	n := 0
-	for _, m := range v.members {
-		serves := m.State == StateServing || m.State == StateWarmingUp || m == v.self || m.State == StateSuspected && m.counted
-		if serves != m.counted && v.now-m.Since >= v.config.StabilityWindow && !v.isFlapping(m) {
-			m.counted = serves
-		}
-		if m.counted {
-			n++
-		}
-	}
-	least := 1
-	if standing != Majority {
-		least = max(v.configuredSize, int(v.effectiveSize))
-	}
-	v.effectiveSize = float64(max(1, least, n))
-}
-
-// isFlapping says that a member has changed too often of late for its changes to mean anything.
-func (v *View) isFlapping(m *Member) bool {
-	if len(m.transitions) < v.config.FlapThreshold || v.now-m.transitions[0] > v.config.FlapWindow+v.config.FlapHold {
-		return false
-	}
-	last := m.transitions[len(m.transitions)-1]
-	return last-m.transitions[0] <= v.config.FlapWindow && v.now-last < v.config.FlapHold
-}
-
-// EffectiveSize is how many servers are to be reckoned with: at least one.
-func (v *View) EffectiveSize() int { return int(v.effectiveSize) }
