--- a/internal/membership/agreement.go
+++ b/internal/membership/agreement.go
@@ -43,7 +43,7 @@
 // NewAgreement begins without a fleet.
 func NewAgreement(v *View) *Agreement {
 	t := v.config
-	return &Agreement{view: v, config: t, votesFrom: v.now + 2*t.LeaseDuration + t.StabilityWindow, leases: map[ID]timeunit.Milliseconds{}, changeWantedSince: forever, lastStatus: Isolated, statusSince: v.now}
+	return &Agreement{view: v, config: t, votesFrom: v.now + 2*t.LeaseDuration + t.StabilityWindow, leases: map[ID]timeunit.Milliseconds{}, changeWantedSince: notWanted, lastStatus: Isolated, statusSince: v.now}
 }
 
 // Configuration is the one that was agreed on last.
@@ -153,7 +153,7 @@
 	a.view.configuredSize, a.highestEpoch = f.MemberCount, max(a.highestEpoch, f.Epoch)
 	a.promised, a.acceptedBallot, a.acceptedValue = Ballot{}, Ballot{}, nil
 	a.ballot, a.proposal, a.highestAccepted, a.promises, a.acceptances = Ballot{}, nil, Ballot{}, nil, nil
-	a.changeWantedSince, a.StartNewGenesis = forever, false
+	a.changeWantedSince, a.StartNewGenesis = notWanted, false
 	clear(a.leases)
 	a.nextLeaseRequest = 0
 	a.ConfigurationChanges++
--- a/internal/membership/effective_size.go
+++ b/internal/membership/effective_size.go
@@ -1,34 +1,37 @@
 package membership
 
-// updateEffectiveSize has the size of the fleet follow those that serve, damped: one that comes or goes counts so once it has stood so for
-// a while, one that flaps as it did before it began to. Where this server is not with the whole, the size never falls under
-// what was agreed on: those it cannot see still use their parts.
-func (v *View) updateEffectiveSize(standing QuorumStatus) {
-	n := 0
+// EffectiveSize returns how many servers this server reckons with when it works out its part of anything shared: at
+// least one.
+func (v *View) EffectiveSize() int { return v.effectiveSize }
+
+// updateEffectiveSize has the effective size follow the members that serve, damped: a member that comes or goes
+// counts so after StabilityWindow, and a flapping one counts as it did before it began to flap. Without the majority
+// the size never falls below what was agreed on: members that this server cannot see still use their parts.
+func (v *View) updateEffectiveSize(status QuorumStatus) {
+	count := 0
 	for _, m := range v.members {
-		serves := m.State == StateServing || m.State == StateWarmingUp || m == v.self || m.State == StateSuspected && m.counted
-		if serves != m.counted && v.now-m.Since >= v.config.StabilityWindow && !v.isFlapping(m) {
+		serves := v.serves(m)
+		if serves != m.counted && v.now-m.Since >= v.config.StabilityWindow && !m.isFlapping(v.now, &v.config) {
 			m.counted = serves
 		}
 		if m.counted {
-			n++
+			count++
 		}
 	}
-	least := 1
-	if standing != Majority {
-		least = max(v.configuredSize, int(v.effectiveSize))
+	minimum := 1
+	if status != Majority {
+		minimum = max(v.configuredSize, v.effectiveSize)
 	}
-	v.effectiveSize = float64(max(1, least, n))
+	v.effectiveSize = max(1, minimum, count)
 }
 
-// isFlapping says that a member has changed too often of late for its changes to mean anything.
-func (v *View) isFlapping(m *Member) bool {
-	if len(m.transitions) < v.config.FlapThreshold || v.now-m.transitions[0] > v.config.FlapWindow+v.config.FlapHold {
-		return false
+// serves says whether a member takes part in the work; a suspected one goes on as it was.
+func (v *View) serves(m *Member) bool {
+	switch m.State {
+	case StateServing, StateWarmingUp:
+		return true
+	case StateSuspected:
+		return m.counted || m == v.self
 	}
-	last := m.transitions[len(m.transitions)-1]
-	return last-m.transitions[0] <= v.config.FlapWindow && v.now-last < v.config.FlapHold
+	return m == v.self
 }
-
-// EffectiveSize is how many servers are to be reckoned with: at least one.
-func (v *View) EffectiveSize() int { return int(v.effectiveSize) }
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -2,42 +2,40 @@
 
 import (
 	"slices"
+
 	"thistlequay/timeunit"
 )
 
-// causeWhileAlive is what a member that answers shows of itself.
-func (v *View) causeWhileAlive(m *Member) Cause {
-	switch {
-	case m.Cause == CauseUnreachableFromHere || m.Cause == CauseUnreachableFromSome:
-		return m.Cause
-	case m.LoopLagMs >= loopLagThreshold:
-		return CauseLoopLag
-	}
-	return CauseNone
-}
+// The failure detector: who is suspected, who has failed, and which fault the evidence points to. It never holds a
+// member for failed on the word of this server alone, nor on anything heard while this server itself stood still.
 
-const loopLagThreshold = 500 // ms that a loop is late from which on a member is held to be overloaded
+// loopLagThreshold is the lag of its event loop, in milliseconds, from which on a member is shown as overloaded.
+const loopLagThreshold = 500
 
-// DialResult is what came of a connection that was tried to the address of a member that does not answer.
+// roundTripWeight is the inverse weight of a new sample in Member.RoundTrip.
+const roundTripWeight = 4
+
+// DialResult is what came of a connection attempt to a member that does not answer.
 type DialResult int
 
+// The results of a connection attempt.
 const (
 	DialRefused  DialResult = iota // nobody listens there
-	DialAccepted                   // taken, and nothing said
-	DialTimedOut                   // no answer at all
+	DialAccepted                   // the connection was accepted
+	DialTimedOut                   // there was no answer at all
 )
 
-// ProbeSucceeded: a member answered this server itself, after so long. One that is held for failed comes back only by refuting
-// that: its last answers may still be on their way here.
-func (v *View) ProbeSucceeded(id ID, trip timeunit.Milliseconds) {
+// ProbeSucceeded reports that a member answered this server's own probe after roundTrip. This clears a suspicion, but
+// not a failure: the answer may have been on its way since before it, so a failed member comes back only by refuting.
+func (v *View) ProbeSucceeded(id ID, roundTrip timeunit.Milliseconds) {
 	m := v.members[id]
 	if m == nil || m.terminated {
 		return
 	}
 	if m.RoundTrip == 0 {
-		m.RoundTrip = trip
+		m.RoundTrip = roundTrip
 	}
-	m.RoundTrip += (trip - m.RoundTrip) / 4
+	m.RoundTrip += (roundTrip - m.RoundTrip) / roundTripWeight
 	m.LastReply = v.now
 	if m.Cause == CauseUnreachableFromHere || m.Cause == CauseUnreachableFromSome {
 		m.Cause = CauseNone
@@ -47,42 +45,53 @@
 	}
 }
 
-// ProbeFailed: a member did not answer this server itself, though it was asked a few times. Alone that proves nothing: whether
-// others reach it is asked of their words.
+// ProbeFailed reports that a member did not answer this server's own probe and its retries. Alone that proves nothing
+// against the member; its cause then tells what the updates of the others say about reaching it.
 func (v *View) ProbeFailed(id ID) {
 	m := v.members[id]
 	if m == nil || m == v.self || !m.isAlive() || m.Cause == CauseNameConflict || v.recentlyPaused() {
 		return
 	}
-	others, blind := 0, 0
-	for _, o := range v.members {
-		if o != v.self && o != m && o.isAlive() {
-			others++
-			if slices.Contains(o.Unreachable, m.Name) {
-				blind++
-			}
-		}
-	}
+	others, cannotReach := v.countReachability(m)
 	switch {
 	case m.State == StateDraining:
-	case blind == 0 && others > 0:
+	case cannotReach == 0 && others > 0:
 		m.Cause = CauseUnreachableFromHere
-	case blind > 0 && blind < others:
+	case cannotReach > 0 && cannotReach < others:
 		m.Cause = CauseUnreachableFromSome
 	default:
 		m.Cause = CauseUnreachable
 	}
 }
 
-// Suspected: several members did not get an answer from one, which has some time left to refute.
+// countReachability returns how many other members are alive, and how many of those report that they cannot reach m.
+func (v *View) countReachability(m *Member) (others, cannotReach int) {
+	for _, other := range v.members {
+		if other == v.self || other == m || !other.isAlive() {
+			continue
+		}
+		others++
+		if slices.Contains(other.Unreachable, m.Name) {
+			cannotReach++
+		}
+	}
+	return others, cannotReach
+}
+
+// Suspected reports that several members got no answer from this one. It has until Failed to refute.
 func (v *View) Suspected(id ID) {
-	if m := v.members[id]; m != nil && m != v.self && m.isAlive() && m.Cause != CauseNameConflict && m.State != StateDraining && !v.recentlyPaused() {
-		v.transition(m, StateSuspected, m.Cause)
-		v.resolveName(m.Name)
+	m := v.members[id]
+	if m == nil || m == v.self || !m.isAlive() || m.Cause == CauseNameConflict {
+		return
+	}
+	if m.State == StateDraining || v.recentlyPaused() {
+		return
 	}
+	v.transition(m, StateSuspected, m.Cause)
+	v.resolveName(m.Name)
 }
 
-// Failed: a member did not refute in its time. Where it has said that it would leave, it has left.
+// Failed reports that a member did not refute in time. One that was draining has left.
 func (v *View) Failed(id ID) {
 	m := v.members[id]
 	switch {
@@ -97,8 +106,8 @@
 	v.resolveName(m.Name)
 }
 
-// Refuted: a member that was suspected or held for failed has refuted. Whether that was a false alarm its own word tells:
-// a process that stood still says so.
+// Refuted reports that a member refuted its suspicion or failure. Whether that was a false positive its own update
+// tells: a process that stood still reports its pause.
 func (v *View) Refuted(id ID) {
 	if m := v.members[id]; m != nil && !m.terminated {
 		v.refuted(m)
@@ -109,25 +118,37 @@
 	if m.State != StateSuspected && m.State != StateFailed {
 		return
 	}
-	if m.State == StateFailed && m.Cause != CauseStopped && m.Cause != CausePaused && m.Cause != CauseCrashed && !v.recentlyPaused() {
+	wasPaused := m.Cause == CauseStopped || m.Cause == CausePaused
+	if m.State == StateFailed && !wasPaused && m.Cause != CauseCrashed && !v.recentlyPaused() {
 		v.Counts.FalsePositives++
 	}
-	why := v.causeWhileAlive(m)
-	if m.Cause == CauseStopped || m.Cause == CausePaused {
-		why = CausePaused
+	cause := m.causeWhileAlive()
+	if wasPaused {
+		cause = CausePaused
 	}
-	v.transition(m, m.StateUpdate.State, why)
+	v.transition(m, m.StateUpdate.State, cause)
 	v.resolveName(m.Name)
 }
 
-// DialFinished: what came of a connection that was tried to a member that does not answer. It tells a crash from a stop and
-// both from a network that carries nothing.
-func (v *View) DialFinished(id ID, how DialResult) {
+// causeWhileAlive returns what a member that answers shows of itself.
+func (m *Member) causeWhileAlive() Cause {
+	switch {
+	case m.Cause == CauseUnreachableFromHere || m.Cause == CauseUnreachableFromSome:
+		return m.Cause
+	case m.LoopLagMs >= loopLagThreshold:
+		return CauseLoopLag
+	}
+	return CauseNone
+}
+
+// DialFinished reports what came of a connection attempt to a member that does not answer. It tells a crashed process
+// from a stopped one, and both from a network that carries nothing.
+func (v *View) DialFinished(id ID, result DialResult) {
 	m := v.members[id]
 	if m == nil || m.State != StateSuspected && m.State != StateFailed {
 		return
 	}
-	switch how {
+	switch result {
 	case DialRefused:
 		m.Cause = CauseCrashed
 	case DialAccepted:
@@ -139,11 +160,13 @@
 	}
 }
 
-// Left: a member has said good-bye.
+// Left reports that a member announced that it leaves now.
 func (v *View) Left(id ID) {
-	if m := v.members[id]; m != nil && m != v.self && !m.terminated {
-		m.terminated = true
-		v.transition(m, StateLeft, CauseLeft)
-		v.resolveName(m.Name)
+	m := v.members[id]
+	if m == nil || m == v.self || m.terminated {
+		return
 	}
+	m.terminated = true
+	v.transition(m, StateLeft, CauseLeft)
+	v.resolveName(m.Name)
 }
--- a/internal/membership/name_owner.go
+++ b/internal/membership/name_owner.go
@@ -1,40 +1,32 @@
 package membership
 
-import "slices"
-
-// NameOwner is the life that has a name.
+// NameOwner returns the incarnation that owns a name, and false when nobody does.
 func (v *View) NameOwner(name string) (ID, bool) {
-	id, is := v.nameOwners[name]
-	return id, is
+	id, found := v.nameOwners[name]
+	return id, found
 }
 
-// resolveName settles who has a name, the same way at all who know the same: the earliest life that is there and whose address
-// none has that came after it, so that a second process started by mistake takes nothing from the first.
+// resolveName settles which incarnation owns a name, in the same way on all servers that know the same: the earliest
+// one that is alive and was not superseded. So a second process that was started under the name by mistake takes
+// nothing from the first.
 func (v *View) resolveName(name string) {
-	var lives []*Member
+	var candidates []*Member
 	for _, m := range v.byName[name] {
 		if !m.terminated {
-			lives = append(lives, m)
-		}
-	}
-	var holder *Member
-	for _, m := range lives {
-		if slices.ContainsFunc(lives, func(l *Member) bool { return v.supersedes(l, m) }) {
-			m.terminated = true
-			v.transition(m, StateLeft, CauseReplaced)
-		} else if holder == nil || !holder.isAlive() && m.isAlive() {
-			holder = m
+			candidates = append(candidates, m)
 		}
 	}
-	if holder == nil {
+	owner := v.chooseOwner(candidates)
+	if owner == nil {
 		return
 	}
-	v.nameOwners[name] = holder.ID
-	for _, m := range lives {
+	v.nameOwners[name] = owner.ID
+	for _, m := range candidates {
 		switch {
-		case m.terminated || m == holder && m.Cause != CauseNameConflict:
-		case m == holder:
+		case m.terminated:
+		case m == owner && m.Cause == CauseNameConflict: // the owner before it is over
 			v.transition(m, m.StateUpdate.State, CauseNone)
+		case m == owner:
 		case m.isAlive() && m.Cause != CauseNameConflict:
 			v.Counts.NameConflicts++
 			v.transition(m, StateLeft, CauseNameConflict)
@@ -42,9 +34,34 @@
 	}
 }
 
-// supersedes says that a life came after another on the same address: two processes never listen on one, so the other is over. The
-// numbers of lives don't tell it, as a machine's clock may have been set back; when they were first heard of does, where that
-// was not at nearly the same time.
-func (v *View) supersedes(l, m *Member) bool {
-	return l.Address == m.Address && l.Address != "" && l.FirstSeen-m.FirstSeen > v.config.StabilityWindow
+// chooseOwner terminates the candidates that another one supersedes and returns the first of the rest that is alive;
+// when none is, the first.
+func (v *View) chooseOwner(candidates []*Member) (owner *Member) {
+	for _, m := range candidates {
+		switch {
+		case v.isSuperseded(m, candidates):
+			m.terminated = true
+			v.transition(m, StateLeft, CauseReplaced)
+		case owner == nil, !owner.isAlive() && m.isAlive():
+			owner = m
+		}
+	}
+	return owner
+}
+
+func (v *View) isSuperseded(m *Member, candidates []*Member) bool {
+	for _, other := range candidates {
+		if v.supersedes(other, m) {
+			return true
+		}
+	}
+	return false
+}
+
+// supersedes says that one incarnation started after another on the same address. Two processes never listen on one
+// address, so the earlier one is over. The incarnation numbers do not tell the order, since a machine's clock may
+// have been set back; when the two were first heard of does, unless that was at nearly the same time.
+func (v *View) supersedes(later, earlier *Member) bool {
+	return later.Address == earlier.Address && later.Address != "" &&
+		later.FirstSeen-earlier.FirstSeen > v.config.StabilityWindow
 }
--- a/internal/membership/proposer.go
+++ b/internal/membership/proposer.go
@@ -1,5 +1,10 @@
 package membership
 
+import "thistlequay/timeunit"
+
+// notWanted is the moment since when another configuration is wanted when none is: after every clock.
+const notWanted timeunit.Milliseconds = 1 << 60
+
 // startProposal puts a fleet to those who vote on it, under a ballot above all that this server has seen.
 func (a *Agreement) startProposal(next Configuration) {
 	a.round = max(a.round, a.promised.Round) + 1
--- a/internal/membership/quorum_lease.go
+++ b/internal/membership/quorum_lease.go
@@ -21,7 +21,7 @@
 // MajorityUntil is when the server ceases to be with the whole unless it hears from the voters; long ago where it is not.
 func (a *Agreement) MajorityUntil() timeunit.Milliseconds {
 	if a.configuration.Epoch == 0 || a.conflicting || 2*a.view.AliveCount() <= a.configuration.MemberCount {
-		return -forever
+		return neverHappened
 	}
 	var ends []timeunit.Milliseconds
 	for _, v := range a.configuration.Voters {
@@ -32,7 +32,7 @@
 	slices.Sort(ends)
 	quorum := len(a.configuration.Voters)/2 + 1
 	if len(ends) < quorum {
-		return -forever
+		return neverHappened
 	}
 	return ends[len(ends)-quorum]
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -2,54 +2,61 @@
 
 import "cmp"
 
-// ID is one life of a named server: one start of its process. Of two lives of a name the greater began later by the
-// process's own word; the name is held by the one that Holder says.
+// ID names one incarnation of a server, which is one start of its process. By the process's own clock the incarnation
+// with the greater number started later; View.NameOwner says which incarnation owns the name.
 type ID struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Compare orders lives by name, then by life.
+// Compare orders by name, then by incarnation.
 func (a ID) Compare(b ID) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// State is how a member stands: the first four it says of itself, the others are concluded here.
+// State is the state of a member. A member reports the states up to StateDraining of itself; the later ones are
+// concluded by View. The order matters: every state below StateSuspected counts as alive. The numbers go over the
+// wire.
 type State int
 
+// The states of a member.
 const (
-	StateJoining   State = iota // its process runs, it cannot serve yet
-	StateWarmingUp              // serves, with a part of its speed
-	StateServing                // serves
-	StateDraining               // has had the notice to leave: it takes nothing new
-	StateSuspected              // did not answer of late; it may refute
-	StateFailed                 // did not refute in its time
-	StateLeft                   // its life is over: it left, or another life has its name
+	StateJoining   State = iota // its process runs but cannot serve yet
+	StateWarmingUp              // it serves at a part of its speed (slow start)
+	StateServing                // it serves
+	StateDraining               // it was told to shut down and takes no new requests
+	StateSuspected              // several probes failed; it still has time to refute
+	StateFailed                 // it did not refute in time
+	StateLeft                   // it left, a later incarnation replaced it, or another one owns its name
 )
 
-// Cause is the evidence for what is wrong with a member.
+// Cause is the evidence behind a member's state.
 type Cause int
 
+// The causes, by the evidence for them.
 const (
 	CauseNone                Cause = iota
-	CauseCrashed                   // its address refuses connections: no process is there
-	CauseStopped                   // its address takes connections and its process says nothing
-	CauseUnreachable               // nothing comes back from its address, to anybody that was heard of
-	CauseUnreachableFromHere       // others reach it
-	CauseUnreachableFromSome       // some others do not reach it either
-	CauseLoopLag                   // it answers, later than the others, and says itself that its loop is late
-	CauseLeft                      // it said that it would leave
-	CauseReplaced                  // a later life has its name
-	CauseNameConflict              // an earlier life that still speaks has its name
-	CausePaused                    // it was stopped and has come back
+	CauseCrashed                   // its address refuses connections: no process listens there
+	CauseStopped                   // its address accepts connections but its process does not answer
+	CauseUnreachable               // no server that was heard of gets an answer from its address
+	CauseUnreachableFromHere       // other servers reach it, this one does not
+	CauseUnreachableFromSome       // some other servers do not reach it either
+	CauseLoopLag                   // it answers, but reports that its event loop lags
+	CauseLeft                      // it announced that it would leave
+	CauseReplaced                  // a later incarnation runs on its address
+	CauseNameConflict              // an earlier incarnation that is still alive owns its name
+	CausePaused                    // its process was stopped and has resumed
 )
 
-// Names of states and causes as operators read them.
+// StateNames and CauseNames are the names that operators see in the log and in the status page, by number.
 var (
 	StateNames = []string{"joining", "cold", "serving", "leaving", "suspected", "failed", "gone"}
-	CauseNames = []string{"", "crashed", "stopped", "unreachable", "unreachable from here alone", "unreachable from a part",
-		"late", "left", "replaced", "name taken", "was stopped"}
+	CauseNames = []string{"", "crashed", "stopped", "unreachable", "unreachable from here alone",
+		"unreachable from a part", "late", "left", "replaced", "name taken", "was stopped"}
 )
 
+// String returns the name that operators see.
 func (s State) String() string { return StateNames[s] }
+
+// String returns the name that operators see; it is empty for CauseNone.
 func (c Cause) String() string { return CauseNames[c] }
--- a/internal/membership/succession.go
+++ b/internal/membership/succession.go
@@ -10,16 +10,16 @@
 func (a *Agreement) proposeIfNeeded() {
 	now := a.view.now
 	if !a.mayVote() {
-		a.changeWantedSince = forever
+		a.changeWantedSince = notWanted
 		return
 	}
 	there := a.view.Alive()
 	need := a.changeUrgency(there)
 	if need == noChange {
-		a.changeWantedSince = forever
+		a.changeWantedSince = notWanted
 		return
 	}
-	if a.changeWantedSince == forever {
+	if a.changeWantedSince == notWanted {
 		a.changeWantedSince = now
 	}
 	voters, quorum := a.electorate()
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,44 +1,43 @@
-// Package members concludes, from what a server hears of the others, who is there, who has failed and how, and what holds
-// while they disagree or are cut off.
-//
-// This file owns the words that members say of themselves and the view made of them. It knows no socket, no clock and no
-// goroutine: whoever embeds it tells what was heard and when. It must never let an older word override a newer one, nor
-// take another's word for what only a member itself can say.
 package membership
 
 import (
 	"cmp"
 	"slices"
+
 	"thistlequay/timeunit"
 )
 
-// View is what one server holds of the others. It is for one goroutine at a time.
+// View is what one server knows and concludes about the members of its cluster. It is not safe for concurrent use.
 type View struct {
-	config         Config
-	now            timeunit.Milliseconds
-	self           *Member
-	members        map[ID]*Member
-	byName         map[string][]*Member // lives of a name in their order
-	nameOwners     map[string]ID
-	resumedAt      timeunit.Milliseconds // when this server last woke from standing still
-	effectiveSize  float64
-	configuredSize int // members of the fleet that was last agreed on
-	Counts         Counts
-	events         []Event
-}
-
-// Counts are what was turned away, from the start.
+	config     Config
+	now        timeunit.Milliseconds
+	self       *Member
+	members    map[ID]*Member
+	byName     map[string][]*Member // the incarnations of a name, by number
+	nameOwners map[string]ID
+	resumedAt  timeunit.Milliseconds // when this server last resumed after a pause of its own
+
+	effectiveSize  int
+	configuredSize int // members of the configuration that was learned last
+
+	// Counts are the rejected messages and wrong suspicions since the start; the host adds what it rejects itself.
+	Counts Counts
+	events []Event
+}
+
+// Counts are numbers of rejected messages and wrong conclusions since the start. The JSON keys are part of the status
+// page.
 type Counts struct {
-	Invalid        int `json:"Insane"`
-	Stale          int `json:"Old"`
-	Forged         int `json:"Foreign"`
-	UnknownSender  int `json:"Unknown"`
-	NoCapacity     int `json:"Full"`
-	FalsePositives int `json:"FalseAlarms"`
-	NameConflicts  int `json:"NameTaken"`
+	Invalid        int `json:"Insane"`      // updates that Validate rejected
+	Stale          int `json:"Old"`         // updates that were not newer than what is known
+	Forged         int `json:"Foreign"`     // messages whose seal is not that of the claimed sender
+	UnknownSender  int `json:"Unknown"`     // messages of members that were not heard of
+	NoCapacity     int `json:"Full"`        // updates of new members beyond Config.MaxMembers
+	FalsePositives int `json:"FalseAlarms"` // members held for failed that were running all the time
+	NameConflicts  int `json:"NameTaken"`   // incarnations that found their name owned by another
 }
 
-// Event is one change of state, for the log.
+// Event is one change of a member's state, for the log.
 type Event struct {
 	ID    ID
 	From  State
@@ -46,101 +45,149 @@
 	Cause Cause
 }
 
-// NewView opens a view in which only the server itself is.
-func NewView(t Config, now timeunit.Milliseconds) *View {
-	v := &View{config: t, now: now, members: map[ID]*Member{}, byName: map[string][]*Member{}, nameOwners: map[string]ID{}, resumedAt: -forever}
-	v.self = &Member{StateUpdate: StateUpdate{ID: t.Self, Zone: t.Zone}, FirstSeen: now, LastUpdate: now, Since: now}
+// NewView returns a view that holds only the server itself. now is the host's clock, which must be monotonic.
+func NewView(config Config, now timeunit.Milliseconds) *View {
+	v := &View{
+		config:        config,
+		now:           now,
+		members:       map[ID]*Member{},
+		byName:        map[string][]*Member{},
+		nameOwners:    map[string]ID{},
+		resumedAt:     neverHappened,
+		effectiveSize: max(1, config.InitialSize),
+	}
+	v.self = &Member{
+		StateUpdate: StateUpdate{ID: config.Self, Zone: config.Zone},
+		FirstSeen:   now,
+		LastUpdate:  now,
+		Since:       now,
+	}
 	v.add(v.self)
-	v.nameOwners[t.Self.Name] = t.Self
-	v.effectiveSize = float64(max(1, t.InitialSize))
+	v.nameOwners[config.Self.Name] = config.Self
 	return v
 }
 
-const forever timeunit.Milliseconds = 1 << 60
+// neverHappened is the moment of an event that did not happen yet: before every clock.
+const neverHappened timeunit.Milliseconds = -1 << 60
+
+// pauseThreshold is the number of intervals between two calls of Advance from which on this process must have stood
+// still.
+const pauseThreshold = 4
 
-// Advance moves the time on. A gap shows that this server stood still: until it has heard the others again it distrusts its
-// own eyes first.
-func (v *View) Advance(now timeunit.Milliseconds, every timeunit.Milliseconds) (slept timeunit.Milliseconds) {
-	if gap := now - v.now; gap > pauseThreshold*every {
-		slept = gap
+// Advance moves the clock of the view on to now; interval is the usual time between two calls. When the gap shows
+// that this process stood still, its length is returned, else 0; for the next StabilityWindow the view then concludes
+// nothing against others (recentlyPaused).
+func (v *View) Advance(now, interval timeunit.Milliseconds) (paused timeunit.Milliseconds) {
+	if gap := now - v.now; gap > pauseThreshold*interval {
+		paused = gap
 		v.resumedAt = now
 		v.self.PausedMs = int64(gap)
 	}
 	v.now = max(v.now, now)
-	return slept
+	return paused
 }
 
-const pauseThreshold = 4 // intervals between two looks at the clock that show a standstill
+// recentlyPaused says that this process stood still and has not yet had the time to hear the others again.
+func (v *View) recentlyPaused() bool { return v.now-v.resumedAt < v.config.StabilityWindow }
 
-// UpdateSelf is the server's own word as it goes out, with the next number.
-func (v *View) UpdateSelf(w StateUpdate) StateUpdate {
-	w.ID, w.Zone, w.PausedMs, w.AgeMs = v.config.Self, v.config.Zone, v.self.PausedMs, 0
+// UpdateSelf makes update, completed with what the view knows itself and the next sequence number, the state of this
+// server and returns it as it is to be published. An invalid one changes nothing; the last one is returned again.
+func (v *View) UpdateSelf(update StateUpdate) StateUpdate {
+	update.ID = v.config.Self
+	update.Zone = v.config.Zone
+	update.PausedMs = v.self.PausedMs
 	if v.now-v.resumedAt > v.config.Retention {
-		w.PausedMs = 0
+		update.PausedMs = 0
 	}
-	w.Unreachable = v.unreachableNames()
-	w.Sequence = v.self.Sequence + 1
-	if !w.Sane() {
+	update.AgeMs = 0
+	update.Unreachable = v.unreachableNames()
+	update.Sequence = v.self.Sequence + 1
+	if update.Validate() != nil {
 		return v.self.StateUpdate
 	}
-	v.self.StateUpdate, v.self.LastUpdate, v.self.LastReply = w, v.now, v.now
-	v.transition(v.self, w.State, CauseNone)
-	return w
+	update.sanitize()
+	v.self.StateUpdate = update
+	v.self.LastUpdate = v.now
+	v.self.LastReply = v.now
+	v.transition(v.self, update.State, CauseNone)
+	return update
 }
 
-// unreachableNames are the names that this server itself cannot reach though it holds them to be there or suspects them.
+// unreachableNames returns the names that this server cannot reach although others may.
 func (v *View) unreachableNames() (names []string) {
 	for _, m := range v.Members() {
-		if m != v.self && (m.Cause == CauseUnreachableFromHere || m.State == StateSuspected) && len(names) < MaxUnreachable {
+		isUnreachable := m.Cause == CauseUnreachableFromHere || m.State == StateSuspected
+		if m != v.self && isUnreachable && len(names) < MaxUnreachable {
 			names = append(names, m.Name)
 		}
 	}
 	return names
 }
 
-// ApplyUpdate takes a member's word, from itself or passed on. It says whether it was news.
-func (v *View) ApplyUpdate(w StateUpdate) bool {
-	if !w.Sane() {
+// ApplyUpdate takes a state update that came from the member itself or was passed on by another. It returns whether
+// the update was news; if not, Counts says why.
+func (v *View) ApplyUpdate(update StateUpdate) bool {
+	if update.Validate() != nil {
 		v.Counts.Invalid++
 		return false
 	}
-	if w.ID == v.config.Self {
+	update.sanitize()
+	if update.ID == v.config.Self {
 		return false // only the server itself says how it is
 	}
-	m := v.members[w.ID]
+	m := v.members[update.ID]
 	if m == nil {
-		if len(v.members) >= v.config.MaxMembers && !v.evictOldest() {
-			v.Counts.NoCapacity++
-			return false
-		}
-		m = &Member{StateUpdate: w, FirstSeen: v.now, LastUpdate: v.now - timeunit.Milliseconds(w.AgeMs), Since: v.now, LastReply: -forever, State: w.State}
-		v.add(m)
-		v.events = append(v.events, Event{w.ID, StateLeft, w.State, CauseNone})
-		v.resolveName(w.Name)
-		return true
+		return v.addFrom(&update)
 	}
-	if w.Sequence <= m.Sequence {
+	if update.Sequence <= m.Sequence {
 		v.Counts.Stale++
 		return false
 	}
-	asleep := w.PausedMs > 0 && w.PausedMs != m.PausedMs
-	m.StateUpdate, m.LastUpdate = w, max(m.LastUpdate, v.now-timeunit.Milliseconds(w.AgeMs))
+	v.applyNewer(m, &update)
+	return true
+}
+
+// addFrom adds the member that an update is the first of. It returns false when there is no capacity for it.
+func (v *View) addFrom(update *StateUpdate) bool {
+	if len(v.members) >= v.config.MaxMembers && !v.evictOldest() {
+		v.Counts.NoCapacity++
+		return false
+	}
+	v.add(&Member{
+		StateUpdate: *update,
+		FirstSeen:   v.now,
+		LastUpdate:  v.now - timeunit.Milliseconds(update.AgeMs),
+		Since:       v.now,
+		LastReply:   neverHappened,
+		State:       update.State,
+	})
+	v.events = append(v.events, Event{update.ID, StateLeft, update.State, CauseNone})
+	v.resolveName(update.Name)
+	return true
+}
+
+// applyNewer replaces a member's update by a newer one and concludes its state.
+func (v *View) applyNewer(m *Member, update *StateUpdate) {
+	hasPausedAnew := update.PausedMs > 0 && update.PausedMs != m.PausedMs
+	m.StateUpdate = *update
+	m.LastUpdate = max(m.LastUpdate, v.now-timeunit.Milliseconds(update.AgeMs))
 	switch {
-	case m.terminated || m.Cause == CauseNameConflict: // what is over does not come back; what has no name waits for it
-	case m.State == StateFailed || m.State == StateSuspected: // told below: only an answer or the library's word brings it back
-		if asleep {
+	case m.terminated || m.Cause == CauseNameConflict:
+		// What is over does not come back, and who has no name waits for it.
+	case m.State == StateFailed || m.State == StateSuspected:
+		// The update may be older than the suspicion: only an answer or a refutation clears it.
+		if hasPausedAnew {
 			m.Cause = CausePaused
 		}
-	case w.State == StateDraining:
+	case update.State == StateDraining:
 		v.transition(m, StateDraining, CauseLeft)
 	default:
-		v.transition(m, w.State, v.causeWhileAlive(m))
+		v.transition(m, update.State, m.causeWhileAlive())
 	}
-	v.resolveName(w.Name)
-	return true
+	v.resolveName(update.Name)
 }
 
-// Members are all lives that are kept, in the order of their names.
+// Members returns all incarnations that are kept, ordered by ID.
 func (v *View) Members() []*Member {
 	list := make([]*Member, 0, len(v.members))
 	for _, m := range v.members {
@@ -150,23 +197,56 @@
 	return list
 }
 
-// Member is one life; nil where it is not known.
+// Member returns one incarnation, or nil when it is not known.
 func (v *View) Member(id ID) *Member { return v.members[id] }
 
-// Self is the server itself.
+// Self returns this server.
 func (v *View) Self() *Member { return v.self }
 
-// Now is the moment that was told last.
+// Now returns the latest moment that Advance was told.
 func (v *View) Now() timeunit.Milliseconds { return v.now }
 
-// Events gives what has changed since it was last asked.
+// Events returns the changes of state since the last call.
 func (v *View) Events() []Event {
-	e := v.events
+	events := v.events
 	v.events = nil
-	return e
+	return events
+}
+
+// Alive returns the members that are alive and own their names, this server included, ordered by ID.
+func (v *View) Alive() (ids []ID) {
+	for _, m := range v.Members() {
+		if m.State < StateSuspected {
+			ids = append(ids, m.ID)
+		}
+	}
+	return ids
+}
+
+// AliveCount returns the number of members that Alive would return.
+func (v *View) AliveCount() (count int) {
+	for _, m := range v.members {
+		if m.State < StateSuspected {
+			count++
+		}
+	}
+	return count
+}
+
+// Tick does what follows from time alone: members that left or failed long ago are removed, and the effective size
+// follows the view. The host calls it a few times a second.
+func (v *View) Tick(status QuorumStatus) {
+	for _, m := range v.members {
+		isOver := m.State >= StateFailed && m.Cause != CauseNameConflict
+		if m != v.self && isOver && v.now-m.Since > v.config.Retention {
+			v.remove(m)
+		}
+	}
+	v.updateEffectiveSize(status)
 }
 
-// evictOldest makes room: what has been gone or failed the longest goes first. It says whether there was any.
+// evictOldest makes room for a new member by removing the one that failed or left first. It returns false when there
+// is none.
 func (v *View) evictOldest() bool {
 	var oldest *Member
 	for _, m := range v.Members() {
@@ -183,15 +263,16 @@
 
 func (v *View) add(m *Member) {
 	v.members[m.ID] = m
-	lives := append(v.byName[m.Name], m)
-	slices.SortFunc(lives, func(a, b *Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-	v.byName[m.Name] = lives
+	incarnations := append(v.byName[m.Name], m)
+	slices.SortFunc(incarnations, func(a, b *Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	v.byName[m.Name] = incarnations
 }
 
 func (v *View) remove(m *Member) {
 	delete(v.members, m.ID)
-	lives := slices.DeleteFunc(v.byName[m.Name], func(o *Member) bool { return o == m })
-	if v.byName[m.Name] = lives; len(lives) == 0 {
+	rest := slices.DeleteFunc(v.byName[m.Name], func(other *Member) bool { return other == m })
+	v.byName[m.Name] = rest
+	if len(rest) == 0 {
 		delete(v.byName, m.Name)
 	}
 	if v.nameOwners[m.Name] == m.ID {
@@ -199,50 +280,15 @@
 	}
 }
 
-// transition moves a member to a state.
-func (v *View) transition(m *Member, s State, why Cause) {
-	if m.State == s {
-		m.Cause = why
+// transition sets a member's state and cause. A change of the state is an event and counts towards flapping.
+func (v *View) transition(m *Member, state State, cause Cause) {
+	if m.State == state {
+		m.Cause = cause
 		return
 	}
-	v.events = append(v.events, Event{m.ID, m.State, s, why})
-	m.State, m.Cause, m.Since = s, why, v.now
-	m.transitions = append(m.transitions, v.now)
-	if n := len(m.transitions); n > v.config.FlapThreshold {
-		m.transitions = m.transitions[n-v.config.FlapThreshold:]
-	}
-}
-
-// recentlyPaused says that this server stood still of late and has not heard the others since for long enough to judge them.
-func (v *View) recentlyPaused() bool { return v.now-v.resumedAt < v.config.StabilityWindow }
-
-// Tick does what time alone does: what has been over for long is dropped, and the size of the fleet follows. It is to be
-// called a few times a second.
-func (v *View) Tick(standing QuorumStatus) {
-	for _, m := range v.members {
-		if m != v.self && m.State >= StateFailed && m.Cause != CauseNameConflict && v.now-m.Since > v.config.Retention {
-			v.remove(m)
-		}
-	}
-	v.updateEffectiveSize(standing)
-}
-
-// Alive are the members that are there and hold their names, the server itself included, in order.
-func (v *View) Alive() (ids []ID) {
-	for _, m := range v.Members() {
-		if m.State < StateSuspected {
-			ids = append(ids, m.ID)
-		}
-	}
-	return ids
-}
-
-// AliveCount is how many those are.
-func (v *View) AliveCount() (n int) {
-	for _, m := range v.members {
-		if m.State < StateSuspected {
-			n++
-		}
-	}
-	return n
+	v.events = append(v.events, Event{m.ID, m.State, state, cause})
+	m.State = state
+	m.Cause = cause
+	m.Since = v.now
+	m.recordTransition(v.now, v.config.FlapThreshold)
 }
