--- a/internal/membership/acceptor.go
+++ b/internal/membership/acceptor.go
@@ -2,52 +2,111 @@
 
 import "slices"
 
-// electorate gives those who vote on what follows and how many of them it takes. A first fleet takes all its founders: each
-// may have been part of another that it has forgotten, and only together they know that there is none.
-func (a *Agreement) electorate() (voters []ID, quorum int) {
-	if a.isForming() {
-		for _, name := range a.config.Founders {
-			if id, is := a.view.NameOwner(name); is {
-				voters = append(voters, id)
-			}
+// acceptor is what an elector has promised and accepted for the configuration that follows the current one (the
+// acceptor of Paxos). It begins anew with each configuration that is learned.
+type acceptor struct {
+	promised       Ballot         // nothing under a lower ballot will be accepted
+	acceptedBallot Ballot         // under which accepted was accepted
+	accepted       *Configuration // nil: nothing yet
+}
+
+// promise promises to accept nothing under a lower ballot; it returns false when a higher one was promised before.
+func (p *acceptor) promise(ballot Ballot) bool {
+	if ballot.compare(p.promised) < 0 {
+		return false
+	}
+	p.promised = ballot
+	return true
+}
+
+// accept accepts a configuration under a ballot; it returns false when a higher ballot was promised.
+func (p *acceptor) accept(ballot Ballot, configuration Configuration) bool {
+	if !p.promise(ballot) {
+		return false
+	}
+	p.acceptedBallot = ballot
+	p.accepted = &configuration
+	return true
+}
+
+func (a *Agreement) handlePrepare(m Message) {
+	if !a.mayVote() || !a.acceptor.promise(m.Ballot) {
+		return
+	}
+	a.send(m.From, Message{
+		Kind:           MessagePromise,
+		Ballot:         m.Ballot,
+		AcceptedBallot: a.acceptor.acceptedBallot,
+		Configuration:  a.acceptor.accepted,
+	})
+}
+
+func (a *Agreement) handleAccept(m Message) {
+	if !a.mayVote() || m.Configuration.Validate() != nil || m.Configuration.Epoch <= a.configuration.Epoch {
+		return
+	}
+	if a.acceptor.accept(m.Ballot, *m.Configuration) {
+		a.send(m.From, Message{Kind: MessageAccepted, Ballot: m.Ballot})
+	}
+}
+
+// electorate returns the electors, who vote on the next configuration, and how many of them it takes. A first
+// configuration takes all founders: each may have belonged to an earlier one that it has forgotten, and only together
+// do they know that there is none.
+func (a *Agreement) electorate() (electors []ID, quorum int) {
+	if !a.isForming() {
+		for _, voter := range a.configuration.Voters {
+			electors = append(electors, voter.ID)
 		}
-		return voters, max(1, len(a.config.Founders))
+		return electors, a.configuration.quorum()
 	}
-	for _, v := range a.configuration.Voters {
-		voters = append(voters, v.ID)
+	for _, name := range a.config.Founders {
+		if id, found := a.view.NameOwner(name); found {
+			electors = append(electors, id)
+		}
 	}
-	return voters, len(voters)/2 + 1
+	return electors, max(1, len(a.config.Founders))
+}
+
+func (a *Agreement) isElector(id ID) bool {
+	electors, _ := a.electorate()
+	return slices.Contains(electors, id)
 }
 
-// isForming says that there is no fleet to follow: none was heard of, or every voter of the last one is over for good.
+// isForming says that there is no configuration to follow: none was heard of, or every voter of the last one is gone
+// for good.
 func (a *Agreement) isForming() bool {
 	if a.configuration.Epoch == 0 || a.conflicting {
 		return true
 	}
-	for _, v := range a.configuration.Voters {
-		m := a.view.Member(v.ID)
-		holder, is := a.view.NameOwner(v.Name)
-		over := m != nil && m.terminated
-		// Another life has been on its address for longer than one that is over is held to be there.
-		if h := a.view.Member(holder); is && h != nil && holder != v.ID && h.Address == v.Address && h.isAlive() && a.view.now-h.FirstSeen > a.config.FlapHold {
-			over = true
-		}
-		if !over {
+	for _, voter := range a.configuration.Voters {
+		if !a.isGoneForGood(voter) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayVote says whether this server may vote on what follows now.
+// isGoneForGood says that the incarnation of a voter is over: the view says so, or another incarnation has been alive
+// on its address for longer than a flapping member is taken for alive.
+func (a *Agreement) isGoneForGood(voter Voter) bool {
+	if m := a.view.Member(voter.ID); m != nil && m.terminated {
+		return true
+	}
+	ownerID, found := a.view.NameOwner(voter.Name)
+	if !found || ownerID == voter.ID {
+		return false
+	}
+	owner := a.view.Member(ownerID)
+	return owner != nil && owner.Address == voter.Address && owner.isAlive() &&
+		a.view.now-owner.FirstSeen > a.config.FlapHold
+}
+
+// mayVote says whether this server may vote on the next configuration now. A draining server still may: otherwise
+// half of the voters could not be replaced at once.
 func (a *Agreement) mayVote() bool {
-	if a.isForming() { // one that leaves still votes on what follows it: else half of the voters could not be replaced
+	if a.isForming() {
 		return a.view.now >= a.votesFrom && slices.Contains(a.config.Founders, a.config.Self.Name)
 	}
 	return a.configuration.hasVoter(a.config.Self)
 }
-
-func (a *Agreement) isElector(id ID) bool {
-	voters, _ := a.electorate()
-	return slices.Contains(voters, id)
-}
--- a/internal/membership/agreement.go
+++ b/internal/membership/agreement.go
@@ -2,184 +2,176 @@
 
 import (
 	"math"
-	"slices"
+
 	"thistlequay/timeunit"
 )
 
-// StatusSince is when it began to stand so, as of the last Tick.
-func (a *Agreement) StatusSince() timeunit.Milliseconds { return a.statusSince }
-
-// Agreement is one server's part in the agreement.
+// Agreement is one server's part in agreeing on the cluster's configuration.
+//
+// A configuration is followed by at most one other, which a majority of its voters chooses by single-decree Paxos
+// (Lamport, "Paxos Made Simple", 2001). An elector that has accepted the next configuration grants no more leases in
+// the current one, and the next one comes into force only when every lease granted before has expired on every clock.
+// So two configurations are never in force at once.
+//
+// Voters are incarnations, and nothing is kept on disk: a process that restarts is a new incarnation without a vote,
+// so nobody votes twice for having forgotten its first vote.
+//
+// Agreement is not safe for concurrent use. It shares the goroutine of its View.
 type Agreement struct {
 	view          *View
 	config        Config
-	configuration Configuration
-	inForceFrom   timeunit.Milliseconds // in force
-	conflicting   bool                  // two fleets of one epoch were heard of
-	votesFrom     timeunit.Milliseconds // a new life votes on a first fleet from then on
-	highestEpoch  uint64
-
-	promised, acceptedBallot Ballot // as a voter, for what follows
-	acceptedValue            *Configuration
-
-	ballot          Ballot // as a proposer; no round: none under way
-	proposal        *Configuration
-	highestAccepted Ballot
-	promises        []ID
-	acceptances     []ID
-	retryAfter      timeunit.Milliseconds
-	round           uint64
-
-	leases               map[ID]timeunit.Milliseconds // as one who asks: until when each voter supports it
-	nextLeaseRequest     timeunit.Milliseconds
-	changeWantedSince    timeunit.Milliseconds // since when another fleet is wished for
-	lastStatus           QuorumStatus
-	statusSince          timeunit.Milliseconds
-	outbox               []Message
-	ConfigurationChanges int  // fleets that were taken up
-	StartNewGenesis      bool // the next fleet begins a line of its own: what the line kept in memory is lost
+	configuration Configuration         // the one that was learned last
+	inForceFrom   timeunit.Milliseconds // when configuration comes into force
+	conflicting   bool                  // a different configuration of the same epoch was heard of
+	votesFrom     timeunit.Milliseconds // from when on this incarnation may vote on a first configuration
+	highestEpoch  uint64                // that was heard of
+
+	acceptor acceptor
+	proposer proposer
+	lease    quorumLease
+
+	lastStatus  QuorumStatus // as of the last Tick
+	statusSince timeunit.Milliseconds
+	outbox      []Message
+
+	// ConfigurationChanges is the number of configurations that were learned.
+	ConfigurationChanges int
+	// StartNewGenesis makes the next configuration that this server proposes start a genesis epoch of its own: what the
+	// members kept in memory on behalf of the epochs before is lost. A learned configuration clears it.
+	StartNewGenesis bool
 }
 
-// NewAgreement begins without a fleet.
-func NewAgreement(v *View) *Agreement {
-	t := v.config
-	return &Agreement{view: v, config: t, votesFrom: v.now + 2*t.LeaseDuration + t.StabilityWindow, leases: map[ID]timeunit.Milliseconds{}, changeWantedSince: notWanted, lastStatus: Isolated, statusSince: v.now}
+// NewAgreement returns an agreement without a configuration. It waits before it votes on a first one until every
+// lease that an earlier incarnation of this server may have granted has expired.
+func NewAgreement(view *View) *Agreement {
+	config := view.config
+	return &Agreement{
+		view:        view,
+		config:      config,
+		votesFrom:   view.now + 2*config.LeaseDuration + config.StabilityWindow,
+		proposer:    newProposer(),
+		lease:       newQuorumLease(),
+		lastStatus:  Isolated,
+		statusSince: view.now,
+	}
 }
 
-// Configuration is the one that was agreed on last.
+// Configuration returns the one that was learned last; its epoch is 0 before the first.
 func (a *Agreement) Configuration() Configuration { return a.configuration }
 
-// TakeMessages gives the notes to be sent.
+// TakeMessages returns the messages that are to be sent and forgets them. The host need not send them reliably or in
+// order.
 func (a *Agreement) TakeMessages() []Message {
-	n := a.outbox
+	messages := a.outbox
 	a.outbox = nil
-	return n
+	return messages
 }
 
-func (a *Agreement) send(to ID, n Message) {
-	n.From, n.To, n.Epoch = a.config.Self, to, a.configuration.Epoch
+// send addresses a message. One to this server itself is handled at once.
+func (a *Agreement) send(to ID, m Message) {
+	m.From = a.config.Self
+	m.To = to
+	m.Epoch = a.configuration.Epoch
 	if to == a.config.Self {
-		a.Step(n)
+		a.Step(m)
 		return
 	}
-	a.outbox = append(a.outbox, n)
+	a.outbox = append(a.outbox, m)
 }
 
-// Step takes a note.
-func (a *Agreement) Step(n Message) {
-	now := a.view.now
-	a.highestEpoch = max(a.highestEpoch, n.Epoch)
-	if n.Kind == MessageCommitted {
-		if n.Configuration.sane() {
-			a.learn(*n.Configuration)
-		}
+// Step handles a message from another member, or from this one.
+func (a *Agreement) Step(m Message) {
+	a.highestEpoch = max(a.highestEpoch, m.Epoch)
+	if m.Kind == MessageCommitted {
+		a.handleCommitted(m)
 		return
 	}
-	if n.Epoch != a.configuration.Epoch {
-		if n.Epoch < a.configuration.Epoch {
-			fleet := a.configuration
-			a.send(n.From, Message{Kind: MessageCommitted, Configuration: &fleet})
-		} else if n.Kind != MessageLeaseRequest { // the sender knows more
-			a.send(n.From, Message{Kind: MessageLeaseRequest, RequestedAt: now})
-		}
+	if m.Epoch != a.configuration.Epoch {
+		a.handleOtherEpoch(m)
 		return
 	}
-	switch n.Kind {
+	switch m.Kind {
 	case MessageLeaseRequest:
-		if a.configuration.Epoch > 0 && a.configuration.hasVoter(a.config.Self) && a.acceptedValue == nil && !a.conflicting && a.view.self.StateUpdate.State != StateDraining {
-			a.send(n.From, Message{Kind: MessageLeaseGrant, RequestedAt: n.RequestedAt})
-		}
+		a.handleLeaseRequest(m)
 	case MessageLeaseGrant:
-		if a.configuration.hasVoter(n.From) && n.RequestedAt <= now {
-			until := n.RequestedAt + timeunit.Milliseconds(float64(a.configuration.LeaseDuration)*(1-a.config.MaxClockDrift))
-			a.leases[n.From] = max(a.leases[n.From], until)
-		}
+		a.handleLeaseGrant(m)
 	case MessagePrepare:
-		if a.mayVote() && n.Ballot.compare(a.promised) >= 0 {
-			a.promised = n.Ballot
-			a.send(n.From, Message{Kind: MessagePromise, Ballot: n.Ballot, AcceptedBallot: a.acceptedBallot, Configuration: a.acceptedValue})
-		}
+		a.handlePrepare(m)
 	case MessagePromise:
-		if n.Ballot != a.ballot || a.ballot.Round == 0 || a.acceptances != nil || slices.Contains(a.promises, n.From) || !a.isElector(n.From) {
-			return
-		}
-		a.promises = append(a.promises, n.From)
-		if n.Configuration.sane() && n.AcceptedBallot.compare(a.highestAccepted) > 0 {
-			a.highestAccepted, a.proposal = n.AcceptedBallot, n.Configuration
-		}
-		if voters, quorum := a.electorate(); len(a.promises) >= quorum {
-			a.acceptances = []ID{}
-			for _, id := range voters {
-				a.send(id, Message{Kind: MessageAccept, Ballot: a.ballot, Configuration: a.proposal})
-			}
-		}
+		a.handlePromise(m)
 	case MessageAccept:
-		if a.mayVote() && n.Ballot.compare(a.promised) >= 0 && n.Configuration.sane() && n.Configuration.Epoch > a.configuration.Epoch {
-			fleet := *n.Configuration
-			a.promised, a.acceptedBallot, a.acceptedValue = n.Ballot, n.Ballot, &fleet
-			a.send(n.From, Message{Kind: MessageAccepted, Ballot: n.Ballot})
-		}
+		a.handleAccept(m)
 	case MessageAccepted:
-		if n.Ballot != a.ballot || a.acceptances == nil || slices.Contains(a.acceptances, n.From) || !a.isElector(n.From) {
-			return
-		}
-		a.acceptances = append(a.acceptances, n.From)
-		if voters, quorum := a.electorate(); len(a.acceptances) >= quorum {
-			fleet := *a.proposal
-			for _, v := range fleet.Voters {
-				if !slices.Contains(voters, v.ID) {
-					voters = append(voters, v.ID)
-				}
-			}
-			a.learn(fleet)
-			for _, id := range voters {
-				a.send(id, Message{Kind: MessageCommitted, Configuration: &fleet})
-			}
-		}
+		a.handleAccepted(m)
+	}
+}
+
+// handleOtherEpoch has the two servers share the later configuration: a sender that is behind gets it, and a sender
+// that is ahead is asked for it, by a request that it will find to be behind.
+func (a *Agreement) handleOtherEpoch(m Message) {
+	switch {
+	case m.Epoch < a.configuration.Epoch:
+		configuration := a.configuration
+		a.send(m.From, Message{Kind: MessageCommitted, Configuration: &configuration})
+	case m.Kind != MessageLeaseRequest: // a request answered by a request would go on without end
+		a.send(m.From, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
 	}
 }
 
-// learn takes up a fleet that was chosen. It is in force when all support for the one before has run out, on every clock.
-func (a *Agreement) learn(f Configuration) {
-	if f.Epoch == a.configuration.Epoch && !f.equal(&a.configuration) && f.Epoch > 0 {
-		a.conflicting = true // two first fleets of lives that had forgotten: neither acts, the founders form another
+// handleCommitted learns the configuration that was chosen for an epoch.
+func (a *Agreement) handleCommitted(m Message) {
+	if m.Configuration.Validate() == nil {
+		a.learn(*m.Configuration)
+	}
+}
+
+// learn takes up a chosen configuration if it is later than the current one. It comes into force when all leases in
+// the one before have expired, by the slowest clock.
+func (a *Agreement) learn(next Configuration) {
+	if next.Epoch == a.configuration.Epoch && next.Epoch > 0 && !next.equal(&a.configuration) {
+		// Two first configurations, agreed on by incarnations that did not know of each other: neither is acted on, and
+		// the founders agree on a third.
+		a.conflicting = true
 		return
 	}
-	if f.Epoch <= a.configuration.Epoch {
+	if next.Epoch <= a.configuration.Epoch {
 		return
 	}
-	lease := max(a.configuration.LeaseDuration, f.LeaseDuration, a.config.LeaseDuration)
-	a.configuration, a.conflicting, a.inForceFrom = f, false, a.view.now+timeunit.Milliseconds(math.Ceil(float64(lease)*(1+a.config.MaxClockDrift)))
-	a.view.configuredSize, a.highestEpoch = f.MemberCount, max(a.highestEpoch, f.Epoch)
-	a.promised, a.acceptedBallot, a.acceptedValue = Ballot{}, Ballot{}, nil
-	a.ballot, a.proposal, a.highestAccepted, a.promises, a.acceptances = Ballot{}, nil, Ballot{}, nil, nil
-	a.changeWantedSince, a.StartNewGenesis = notWanted, false
-	clear(a.leases)
-	a.nextLeaseRequest = 0
+	longestLease := max(a.configuration.LeaseDuration, next.LeaseDuration, a.config.LeaseDuration)
+	wait := math.Ceil(float64(longestLease) * (1 + a.config.MaxClockDrift))
+	a.configuration = next
+	a.conflicting = false
+	a.inForceFrom = a.view.now + timeunit.Milliseconds(wait)
+	a.view.configuredSize = next.MemberCount
+	a.highestEpoch = max(a.highestEpoch, next.Epoch)
+	a.acceptor = acceptor{}
+	a.proposer.reset()
+	a.lease.reset()
+	a.StartNewGenesis = false
 	a.ConfigurationChanges++
 }
 
-// Tick asks for support and proposes another fleet where that is due. It is to be called a few times a second.
+// Tick requests lease grants and proposes another configuration where either is due. The host calls it a few times a
+// second.
 func (a *Agreement) Tick() {
-	now := a.view.now
-	if now >= a.nextLeaseRequest {
-		lease := a.configuration.LeaseDuration
-		if lease == 0 {
-			lease = a.config.LeaseDuration
-		}
-		a.nextLeaseRequest = now + lease/leaseRequestsPerLease
-		for _, v := range a.configuration.Voters {
-			a.send(v.ID, Message{Kind: MessageLeaseRequest, RequestedAt: now})
-		}
+	a.requestLease()
+	a.askMemberAhead()
+	a.proposeIfNeeded()
+	if status := a.QuorumStatus(); status != a.lastStatus {
+		a.lastStatus = status
+		a.statusSince = a.view.now
 	}
-	for _, m := range a.view.members { // one that goes by a later fleet tells of it
+}
+
+// askMemberAhead asks one of the members that act on a later configuration for it.
+func (a *Agreement) askMemberAhead() {
+	for _, m := range a.view.members {
 		if m.Epoch > a.configuration.Epoch && m.isAlive() && m != a.view.self {
-			a.send(m.ID, Message{Kind: MessageLeaseRequest, RequestedAt: now})
-			break
+			a.send(m.ID, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
+			return
 		}
 	}
-	a.proposeIfNeeded()
-	if s := a.QuorumStatus(); s != a.lastStatus {
-		a.lastStatus, a.statusSince = s, now
-	}
 }
+
+// StatusSince returns when the quorum status changed last, as of the last Tick.
+func (a *Agreement) StatusSince() timeunit.Milliseconds { return a.statusSince }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -219,7 +219,7 @@
 	}
 	n.Ballot, n.AcceptedBallot, n.Configuration = c.ballot(), c.ballot(), c.configuration()
 	if c.chance.Intn(2) == 0 {
-		n.Ballot = c.accord.ballot
+		n.Ballot = c.accord.proposer.ballot
 	}
 	return n
 }
--- a/internal/membership/interleaving_test.go
+++ b/internal/membership/interleaving_test.go
@@ -75,9 +75,10 @@
 func (s *synod) mark() string {
 	var b strings.Builder
 	for _, a := range s.accords {
-		fmt.Fprint(&b, a.configuration.Epoch, a.configuration.MemberCount, a.promised, a.acceptedBallot, a.acceptedValue, a.ballot, a.highestAccepted, a.promises, a.acceptances, a.round, a.conflicting)
-		if a.proposal != nil {
-			fmt.Fprint(&b, a.proposal.MemberCount)
+		fmt.Fprint(&b, a.configuration.Epoch, a.configuration.MemberCount, a.acceptor.promised, a.acceptor.acceptedBallot, a.acceptor.accepted,
+			a.proposer.ballot, a.proposer.highestAccepted, a.proposer.promises, a.proposer.acceptances, a.proposer.round, a.conflicting)
+		if a.proposer.proposal != nil {
+			fmt.Fprint(&b, a.proposer.proposal.MemberCount)
 		}
 	}
 	var notes []string
--- a/internal/membership/quorum_lease.go
+++ b/internal/membership/quorum_lease.go
@@ -2,10 +2,88 @@
 
 import (
 	"slices"
+
 	"thistlequay/timeunit"
 )
 
-// QuorumStatus is worked out anew at each use, so that a server that stood still finds out before it acts.
+// leaseRequestsPerLease is how often grants are requested within one lease duration, so that two lost messages in a
+// row do not cost the lease.
+const leaseRequestsPerLease = 3
+
+// quorumLease collects the grants by which this server may count itself to the majority: while a majority of the
+// voters grants it, no other configuration is in force.
+type quorumLease struct {
+	grantedUntil map[ID]timeunit.Milliseconds // by voter, by this server's clock
+	nextRequest  timeunit.Milliseconds
+}
+
+func newQuorumLease() quorumLease {
+	return quorumLease{grantedUntil: map[ID]timeunit.Milliseconds{}}
+}
+
+// reset forgets the grants of another configuration; new ones are requested at once.
+func (l *quorumLease) reset() {
+	clear(l.grantedUntil)
+	l.nextRequest = 0
+}
+
+// heldUntil returns until when a majority of the voters grants the lease, or the distant past when too few have
+// granted it at all.
+func (l *quorumLease) heldUntil(configuration *Configuration) timeunit.Milliseconds {
+	ends := make([]timeunit.Milliseconds, 0, maxVoters)
+	for _, voter := range configuration.Voters {
+		if end, found := l.grantedUntil[voter.ID]; found {
+			ends = append(ends, end)
+		}
+	}
+	quorum := configuration.quorum()
+	if len(ends) < quorum {
+		return neverHappened
+	}
+	slices.Sort(ends)
+	return ends[len(ends)-quorum]
+}
+
+// requestLease asks all voters for a grant when that is due.
+func (a *Agreement) requestLease() {
+	now := a.view.now
+	if now < a.lease.nextRequest {
+		return
+	}
+	duration := a.configuration.LeaseDuration
+	if duration == 0 {
+		duration = a.config.LeaseDuration
+	}
+	a.lease.nextRequest = now + duration/leaseRequestsPerLease
+	for _, voter := range a.configuration.Voters {
+		a.send(voter.ID, Message{Kind: MessageLeaseRequest, RequestedAt: now})
+	}
+}
+
+// handleLeaseRequest grants a lease as a voter, unless it has accepted the next configuration, drains, or does not
+// know which of two configurations is right.
+func (a *Agreement) handleLeaseRequest(m Message) {
+	if a.configuration.Epoch == 0 || !a.configuration.hasVoter(a.config.Self) || a.conflicting {
+		return
+	}
+	if a.acceptor.accepted != nil || a.view.self.StateUpdate.State == StateDraining {
+		return
+	}
+	a.send(m.From, Message{Kind: MessageLeaseGrant, RequestedAt: m.RequestedAt})
+}
+
+// handleLeaseGrant records a grant. It counts from when it was requested, by this server's own clock, less what the
+// clocks may differ by. A moment of the request that is yet to come was made up.
+func (a *Agreement) handleLeaseGrant(m Message) {
+	if !a.configuration.hasVoter(m.From) || m.RequestedAt > a.view.now {
+		return
+	}
+	duration := timeunit.Milliseconds(float64(a.configuration.LeaseDuration) * (1 - a.config.MaxClockDrift))
+	a.lease.grantedUntil[m.From] = max(a.lease.grantedUntil[m.From], m.RequestedAt+duration)
+}
+
+// QuorumStatus returns what this server may act as now. It is worked out anew at each call, so that a server that
+// stood still finds its lease expired before it acts.
 func (a *Agreement) QuorumStatus() QuorumStatus {
 	if a.view.now < a.MajorityUntil() && a.view.now >= a.inForceFrom {
 		return Majority
@@ -18,21 +96,14 @@
 	return Isolated
 }
 
-// MajorityUntil is when the server ceases to be with the whole unless it hears from the voters; long ago where it is not.
+// MajorityUntil returns when this server ceases to belong to the majority unless it hears from the voters again.
+// Where it does not belong to it, that is in the distant past.
 func (a *Agreement) MajorityUntil() timeunit.Milliseconds {
-	if a.configuration.Epoch == 0 || a.conflicting || 2*a.view.AliveCount() <= a.configuration.MemberCount {
+	if a.configuration.Epoch == 0 || a.conflicting {
 		return neverHappened
 	}
-	var ends []timeunit.Milliseconds
-	for _, v := range a.configuration.Voters {
-		if end, is := a.leases[v.ID]; is {
-			ends = append(ends, end)
-		}
-	}
-	slices.Sort(ends)
-	quorum := len(a.configuration.Voters)/2 + 1
-	if len(ends) < quorum {
+	if 2*a.view.AliveCount() <= a.configuration.MemberCount {
 		return neverHappened
 	}
-	return ends[len(ends)-quorum]
+	return a.lease.heldUntil(&a.configuration)
 }
--- a/internal/membership/succession.go
+++ b/internal/membership/succession.go
@@ -3,51 +3,98 @@
 import (
 	"cmp"
 	"slices"
+
 	"thistlequay/timeunit"
 )
 
-// proposeIfNeeded: the first of the voters that are there sees to a fleet that fits who is there.
+// When another configuration is proposed, by whom, and which.
+
+// urgency says what calls for another configuration; the greater, the more pressing.
+type urgency int
+
+const (
+	noChange      urgency = iota
+	countDrifted          // it counts other members than are alive, or a new genesis is wanted
+	votersMissing         // there is none, a voter is not alive, or there are too few voters
+	immediate             // a voter drains and must be replaced before it leaves, or a proposal was accepted already
+)
+
+// countDriftFraction: a configuration whose member count is off by more than one in so many is replaced.
+const countDriftFraction = 10
+
+// leasePerMember lengthens the lease with the size of the cluster, so that the rate of lease requests to a voter
+// stays the same.
+const leasePerMember timeunit.Milliseconds = 5
+
+// proposeIfNeeded proposes another configuration when the view calls for one and it is this server's turn.
 func (a *Agreement) proposeIfNeeded() {
-	now := a.view.now
 	if !a.mayVote() {
-		a.changeWantedSince = notWanted
+		a.proposer.changeWantedSince = notWanted
 		return
 	}
-	there := a.view.Alive()
-	need := a.changeUrgency(there)
-	if need == noChange {
-		a.changeWantedSince = notWanted
+	now := a.view.now
+	alive := a.view.Alive()
+	pressing := a.changeUrgency(alive)
+	if pressing == noChange {
+		a.proposer.changeWantedSince = notWanted
 		return
 	}
-	if a.changeWantedSince == notWanted {
-		a.changeWantedSince = now
+	if a.proposer.changeWantedSince == notWanted {
+		a.proposer.changeWantedSince = now
 	}
-	voters, quorum := a.electorate()
-	able, count := voters[:0:0], 0
-	for _, id := range voters {
-		if m := a.view.Member(id); m != nil && m.isAlive() {
-			if count++; m.State != StateDraining {
-				able = append(able, id)
-			}
-		}
-	}
-	slices.SortFunc(able, ID.Compare)
-	rank := slices.Index(able, a.config.Self)
-	if count < quorum || rank < 0 || now < a.retryAfter || need < immediate && now-a.changeWantedSince < a.config.StabilityWindow {
-		return
-	}
-	if rank > 0 && (need == countDrifted || now-a.changeWantedSince < a.config.StabilityWindow*timeunit.Milliseconds(2+rank)) { // the first has its time, and the say on counts
+	rank, mayPropose := a.proposerRank()
+	if !mayPropose || !a.isProposalDue(pressing, rank) {
 		return
 	}
-	next := a.nextConfiguration(there)
+	next := a.nextConfiguration(alive)
 	if next.MemberCount <= a.requiredCount()/2 {
 		return
 	}
-	a.retryAfter = now + a.config.StabilityWindow/2*timeunit.Milliseconds(1+rank)
+	a.proposer.retryAfter = now + a.config.StabilityWindow/2*timeunit.Milliseconds(1+rank)
 	a.startProposal(next)
 }
 
-// requiredCount is what a fleet must have more than half of: the last one's members, and at first those that there are to be.
+// proposerRank returns this server's place, from 0, among the electors that are alive and not draining, ordered by
+// ID. It returns false when this server is none of them or no quorum of the electors is alive.
+func (a *Agreement) proposerRank() (rank int, mayPropose bool) {
+	electors, quorum := a.electorate()
+	var candidates []ID
+	aliveCount := 0
+	for _, id := range electors {
+		m := a.view.Member(id)
+		if m == nil || !m.isAlive() {
+			continue
+		}
+		aliveCount++
+		if m.State != StateDraining {
+			candidates = append(candidates, id)
+		}
+	}
+	slices.SortFunc(candidates, ID.Compare)
+	rank = slices.Index(candidates, a.config.Self)
+	return rank, aliveCount >= quorum && rank >= 0
+}
+
+// isProposalDue says whether the proposer of a rank should propose now. The first waits until the view has stood for
+// StabilityWindow, unless the matter is immediate; each further one gives those before it more time, and a mere drift
+// of the count is left to the first.
+func (a *Agreement) isProposalDue(pressing urgency, rank int) bool {
+	now := a.view.now
+	waited := now - a.proposer.changeWantedSince
+	if now < a.proposer.retryAfter {
+		return false
+	}
+	if pressing < immediate && waited < a.config.StabilityWindow {
+		return false
+	}
+	if rank == 0 {
+		return true
+	}
+	return pressing != countDrifted && waited >= a.config.StabilityWindow*timeunit.Milliseconds(2+rank)
+}
+
+// requiredCount returns the number of members of which the next configuration must have more than half: those of the
+// current one, or at first the intended size of the cluster.
 func (a *Agreement) requiredCount() int {
 	if a.isForming() {
 		return a.config.InitialSize
@@ -55,94 +102,95 @@
 	return a.configuration.MemberCount
 }
 
-// What calls for another fleet, the more pressing later.
-type urgency int
-
-const (
-	noChange      urgency = iota
-	countDrifted          // it counts others than are there
-	votersMissing         // there is none, a voter is not there, or there are too few
-	immediate             // a voter leaves and must be replaced before it has gone, or another fleet has been begun
-)
-
-func (a *Agreement) changeUrgency(there []ID) urgency {
-	if a.acceptedValue != nil {
+// changeUrgency says how pressing another configuration is.
+func (a *Agreement) changeUrgency(alive []ID) urgency {
+	if a.acceptor.accepted != nil {
 		return immediate
 	}
 	if a.configuration.Epoch == 0 || a.conflicting {
 		return votersMissing
 	}
-	n, least := a.countStaying(there), noChange
-	if a.StartNewGenesis {
-		least = countDrifted
+	staying := a.countStaying(alive)
+	result := noChange
+	drift := staying - a.configuration.MemberCount
+	if a.StartNewGenesis || max(drift, -drift) > a.configuration.MemberCount/countDriftFraction {
+		result = countDrifted
 	}
-	if off := n - a.configuration.MemberCount; max(off, -off) > a.configuration.MemberCount/countDriftFraction {
-		least = countDrifted
+	if len(a.configuration.Voters) < largestOdd(min(staying, a.config.MaxVoters)) {
+		result = votersMissing
 	}
-	if len(a.configuration.Voters) < largestOdd(min(n, a.config.MaxVoters)) {
-		least = votersMissing
+	for _, voter := range a.configuration.Voters {
+		result = max(result, a.voterUrgency(voter))
 	}
-	for _, v := range a.configuration.Voters {
-		m := a.view.Member(v.ID)
-		if m != nil && m.isAlive() && m.State == StateDraining {
-			return immediate
-		}
-		if m == nil || !m.isAlive() {
-			least = votersMissing
-		}
-	}
-	return least
+	return result
 }
 
-const countDriftFraction = 10 // a fleet that differs by more than one in so many is another
+func (a *Agreement) voterUrgency(voter Voter) urgency {
+	m := a.view.Member(voter.ID)
+	switch {
+	case m == nil || !m.isAlive():
+		return votersMissing
+	case m.State == StateDraining:
+		return immediate
+	}
+	return noChange
+}
 
+// largestOdd returns the largest odd number up to n: an even number of voters tolerates no more failures than one
+// less.
 func largestOdd(n int) int { return n - (n+1)%2 }
 
-func (a *Agreement) countStaying(there []ID) (n int) {
-	for _, id := range there {
+// countStaying returns how many of the members are not draining.
+func (a *Agreement) countStaying(ids []ID) (count int) {
+	for _, id := range ids {
 		if a.view.Member(id).State != StateDraining {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// nextConfiguration is the fleet of those who are there. Voters that stay keep their places, the others go to the lives that began
-// first, one zone after the other, so that the loss of a zone takes as few as can be.
-func (a *Agreement) nextConfiguration(there []ID) Configuration {
-	f := Configuration{Epoch: max(a.highestEpoch, a.configuration.Epoch) + 1, MemberCount: a.countStaying(there), GenesisEpoch: a.configuration.GenesisEpoch}
+// nextConfiguration returns the configuration of the members that are alive. Voters that stay keep their vote.
+func (a *Agreement) nextConfiguration(alive []ID) Configuration {
+	next := Configuration{
+		Epoch:        max(a.highestEpoch, a.configuration.Epoch) + 1,
+		MemberCount:  a.countStaying(alive),
+		GenesisEpoch: a.configuration.GenesisEpoch,
+	}
 	if a.isForming() || a.StartNewGenesis {
-		f.GenesisEpoch = f.Epoch
+		next.GenesisEpoch = next.Epoch
 	}
-	f.LeaseDuration = max(a.config.LeaseDuration, timeunit.Milliseconds(f.MemberCount)*leasePerMember)
-	most := largestOdd(min(f.MemberCount, a.config.MaxVoters))
-	zones := map[string]int{}
-	add := func(m *Member) {
-		f.Voters = append(f.Voters, Voter{m.ID, m.Address})
-		zones[m.Zone]++
+	next.LeaseDuration = max(a.config.LeaseDuration, timeunit.Milliseconds(next.MemberCount)*leasePerMember)
+	for _, m := range a.chooseVoters(alive, largestOdd(min(next.MemberCount, a.config.MaxVoters))) {
+		next.Voters = append(next.Voters, Voter{m.ID, m.Address})
 	}
+	slices.SortFunc(next.Voters, func(x, y Voter) int { return x.Compare(y.ID) })
+	return next
+}
+
+// chooseVoters returns count members: the current voters first, then always one of the zone that has the fewest, so
+// that the loss of a zone takes as few voters as possible; in a zone the incarnation that started first.
+func (a *Agreement) chooseVoters(alive []ID, count int) (chosen []*Member) {
 	var rest []*Member
-	for _, id := range there {
-		switch m := a.view.Member(id); {
+	perZone := map[string]int{}
+	for _, id := range alive {
+		m := a.view.Member(id)
+		switch {
 		case m.State == StateDraining:
-		case a.configuration.hasVoter(id) && len(f.Voters) < most:
-			add(m)
+		case a.configuration.hasVoter(id) && len(chosen) < count:
+			chosen = append(chosen, m)
+			perZone[m.Zone]++
 		default:
 			rest = append(rest, m)
 		}
 	}
-	for len(f.Voters) < most && len(rest) > 0 {
-		i := 0
-		for j, m := range rest {
-			if cmp.Or(cmp.Compare(zones[m.Zone], zones[rest[i].Zone]), cmp.Compare(m.Incarnation, rest[i].Incarnation)) < 0 {
-				i = j
-			}
-		}
-		add(rest[i])
-		rest = slices.Delete(rest, i, i+1)
+	for len(chosen) < count && len(rest) > 0 {
+		m := slices.MinFunc(rest, func(x, y *Member) int {
+			return cmp.Or(cmp.Compare(perZone[x.Zone], perZone[y.Zone]), cmp.Compare(x.Incarnation, y.Incarnation))
+		})
+		chosen = append(chosen, m)
+		perZone[m.Zone]++
+		rest = slices.DeleteFunc(rest, func(other *Member) bool { return other == m })
 	}
-	slices.SortFunc(f.Voters, func(x, y Voter) int { return x.Compare(y.ID) })
-	return f
+	return chosen
 }
-
-const leasePerMember timeunit.Milliseconds = 5 // ms of a lease for each member, so that what voters are asked stays flat
