--- /dev/null
+++ b/internal/membership/agreement_test.go
@@ -0,0 +1,39 @@
+package membership
+
+import (
+	"os"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Two configurations are never in force at once, whatever happens to the network and the processes; and once the
+// network is well again, one is.
+func TestTwoConfigurationsAreNeverInForceAtOnce(t *testing.T) {
+	seeds := 100
+	if os.Getenv("MEASURE") == "full" {
+		seeds = 5000
+	}
+	splitBrains, majorities, observations, healed, changes := 0, 0, 0, 0, 0
+	for seed := range seeds {
+		c := newCluster(int64(seed), 3+seed%7)
+		c.runFaultSchedule()
+		hasHealed := slices.ContainsFunc(c.nodes, func(n *node) bool {
+			return !n.isDown && n.agreement.QuorumStatus() == Majority
+		})
+		if hasHealed {
+			healed++
+		}
+		for _, n := range c.nodes {
+			changes += n.agreement.ConfigurationChanges
+		}
+		splitBrains += c.splitBrains
+		majorities += c.majorities
+		observations += c.observations
+		require.Zero(t, c.splitBrains, "seed %d", seed)
+	}
+	t.Logf("measured agreement schedules=%d observations=%d majority=%d split_brain=%d changes=%d healed=%d",
+		seeds, observations, majorities, splitBrains, changes, healed)
+	require.Greater(t, healed, seeds/2)
+}
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -5,34 +5,41 @@
 	"testing"
 )
 
-func crowded(n int) (*View, *Agreement, []StateUpdate) {
+// newFullView returns the view of a server that knows n others, and the updates that it knows them by.
+func newFullView(n int) (*View, *Agreement, []StateUpdate) {
 	v := NewView(DefaultConfig(ID{"me", 1}), 0)
-	var words []StateUpdate
+	var updates []StateUpdate
 	for i := range n {
-		w := StateUpdate{ID: ID{fmt.Sprint("n", i), uint64(i + 2)}, Sequence: 1, Address: fmt.Sprint("a", i), State: StateServing}
-		v.ApplyUpdate(w)
-		words = append(words, w)
+		update := StateUpdate{
+			ID:       ID{fmt.Sprint("n", i), uint64(i + 2)},
+			Sequence: 1,
+			Address:  fmt.Sprint("a", i),
+			State:    StateServing,
+		}
+		v.ApplyUpdate(update)
+		updates = append(updates, update)
 	}
-	return v, NewAgreement(v), words
+	return v, NewAgreement(v), updates
 }
 
-func BenchmarkHear(b *testing.B) {
+func BenchmarkApplyUpdate(b *testing.B) {
 	for _, n := range []int{12, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v, _, words := crowded(n)
+			v, _, updates := newFullView(n)
 			for i := 0; b.Loop(); i++ {
-				w := &words[i%n]
-				w.Sequence++
-				v.ApplyUpdate(*w)
+				update := &updates[i%n]
+				update.Sequence++
+				v.ApplyUpdate(*update)
 			}
 		})
 	}
 }
 
-func BenchmarkLook(b *testing.B) { // what is done five times a second
+// BenchmarkTick measures what is done five times a second.
+func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{12, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v, a, _ := crowded(n)
+			v, a, _ := newFullView(n)
 			for b.Loop() {
 				v.Advance(v.now+200, 200)
 				a.Tick()
@@ -42,9 +49,8 @@
 	}
 }
 
-func BenchmarkStanding(b *testing.B) {
-	v, a, _ := crowded(300)
-	_ = v
+func BenchmarkQuorumStatus(b *testing.B) {
+	_, a, _ := newFullView(300)
 	for b.Loop() {
 		_ = a.QuorumStatus()
 	}
--- a/internal/membership/interleaving_test.go
+++ b/internal/membership/interleaving_test.go
@@ -9,112 +9,135 @@
 	"github.com/stretchr/testify/require"
 )
 
-// synod is three voters of one fleet and the notes under way between them.
-type synod struct {
-	accords [3]*Agreement
-	flying  []Message
-	left    [3]int // proposals that each may still begin
-	chosen  []Configuration
+// electors are three voters of one configuration and the messages on their way between them. Its steps are chosen by
+// number, so that a list of numbers is one interleaving.
+type electors struct {
+	agreements    [3]*Agreement
+	inFlight      []Message
+	proposalsLeft [3]int // that each may still start
+	chosen        []Configuration
 }
 
-func newSynod() *synod {
-	s := &synod{left: [3]int{2, 1, 0}}
+func newElectors() *electors {
+	e := &electors{proposalsLeft: [3]int{2, 1, 0}}
 	var voters []Voter
-	for i := range s.accords {
+	for i := range e.agreements {
 		voters = append(voters, Voter{ID{fmt.Sprint("n", i), 1}, fmt.Sprint("a", i)})
 	}
-	for i := range s.accords {
+	for i := range e.agreements {
 		v := NewView(DefaultConfig(voters[i].ID), 0)
 		v.UpdateSelf(StateUpdate{Address: voters[i].Address, State: StateServing})
-		for _, o := range voters {
-			v.ApplyUpdate(StateUpdate{ID: o.ID, Sequence: 1, Address: o.Address, State: StateServing})
+		for _, voter := range voters {
+			v.ApplyUpdate(StateUpdate{ID: voter.ID, Sequence: 1, Address: voter.Address, State: StateServing})
 		}
-		s.accords[i] = NewAgreement(v)
-		s.accords[i].learn(Configuration{Epoch: 1, Voters: voters, MemberCount: 3, LeaseDuration: 1500})
+		e.agreements[i] = NewAgreement(v)
+		e.agreements[i].learn(Configuration{Epoch: 1, Voters: voters, MemberCount: 3, LeaseDuration: 1500})
 	}
-	return s
+	return e
 }
 
-// step does the n-th thing that can be done now. A note that is lost is one that is never delivered. It says whether there was one.
-func (s *synod) step(n int) bool {
-	for i, left := range s.left {
-		if left > 0 {
-			if n == 0 {
-				s.left[i]--
-				s.accords[i].startProposal(Configuration{Epoch: 2, Voters: s.accords[i].configuration.Voters[:1+i], MemberCount: 3 + i + 10*left, LeaseDuration: 1500})
-				s.gather()
-				return true
-			}
-			n--
+// step does the choice-th thing that can be done now: starting a proposal, or delivering one message. A message that
+// is never delivered is lost. It returns false when there is no such choice.
+func (e *electors) step(choice int) bool {
+	for i, left := range e.proposalsLeft {
+		if left == 0 {
+			continue
+		}
+		if choice == 0 {
+			e.propose(i)
+			return true
 		}
+		choice--
 	}
-	if n >= len(s.flying) {
+	if choice >= len(e.inFlight) {
 		return false
 	}
-	note := s.flying[n]
-	s.flying = slices.Delete(s.flying, n, n+1)
-	s.accords[note.To.Name[1]-'0'].Step(note)
-	s.gather()
+	message := e.inFlight[choice]
+	e.inFlight = slices.Delete(e.inFlight, choice, choice+1)
+	e.agreements[message.To.Name[1]-'0'].Step(message)
+	e.collect()
 	return true
 }
 
-func (s *synod) gather() {
-	for _, a := range s.accords {
-		for _, note := range a.TakeMessages() {
-			if note.Kind >= MessagePrepare { // support is no part of the choice
-				s.flying = append(s.flying, note)
+// propose starts a proposal that differs from all others.
+func (e *electors) propose(i int) {
+	left := e.proposalsLeft[i]
+	e.proposalsLeft[i]--
+	e.agreements[i].startProposal(Configuration{
+		Epoch:         2,
+		Voters:        e.agreements[i].configuration.Voters[:1+i],
+		MemberCount:   3 + i + 10*left,
+		LeaseDuration: 1500,
+	})
+	e.collect()
+}
+
+// collect takes up the messages that were sent and the configurations that were chosen.
+func (e *electors) collect() {
+	for _, a := range e.agreements {
+		for _, message := range a.TakeMessages() {
+			if message.Kind >= MessagePrepare { // leases are no part of the choice
+				e.inFlight = append(e.inFlight, message)
 			}
 		}
-		if f := a.configuration; f.Epoch == 2 && !slices.ContainsFunc(s.chosen, func(g Configuration) bool { return g.equal(&f) }) {
-			s.chosen = append(s.chosen, f)
+		configuration := a.configuration
+		isKnown := slices.ContainsFunc(e.chosen, func(c Configuration) bool { return c.equal(&configuration) })
+		if configuration.Epoch == 2 && !isKnown {
+			e.chosen = append(e.chosen, configuration)
 		}
 	}
 }
 
-// mark is what the future depends on.
-func (s *synod) mark() string {
+// state describes all that the future depends on.
+func (e *electors) state() string {
 	var b strings.Builder
-	for _, a := range s.accords {
-		fmt.Fprint(&b, a.configuration.Epoch, a.configuration.MemberCount, a.acceptor.promised, a.acceptor.acceptedBallot, a.acceptor.accepted,
-			a.proposer.ballot, a.proposer.highestAccepted, a.proposer.promises, a.proposer.acceptances, a.proposer.round, a.conflicting)
+	for _, a := range e.agreements {
+		fmt.Fprint(&b, a.configuration.Epoch, a.configuration.MemberCount,
+			a.acceptor.promised, a.acceptor.acceptedBallot, a.acceptor.accepted,
+			a.proposer.ballot, a.proposer.highestAccepted, a.proposer.promises, a.proposer.acceptances,
+			a.proposer.round, a.conflicting)
 		if a.proposer.proposal != nil {
 			fmt.Fprint(&b, a.proposer.proposal.MemberCount)
 		}
 	}
-	var notes []string
-	for _, n := range s.flying {
-		notes = append(notes, fmt.Sprint(n.Kind, n.From, n.To, n.Epoch, n.Ballot, n.AcceptedBallot, n.Configuration))
+	var messages []string
+	for _, m := range e.inFlight {
+		text := fmt.Sprint(m.Kind, m.From, m.To, m.Epoch, m.Ballot, m.AcceptedBallot, m.Configuration)
+		messages = append(messages, text)
 	}
-	slices.Sort(notes)
-	fmt.Fprint(&b, s.left, notes)
+	slices.Sort(messages)
+	fmt.Fprint(&b, e.proposalsLeft, messages)
 	return b.String()
 }
 
-// Every order in which three proposals of two voters can meet, each note delivered at any moment or never, as deep as the time
-// allows: one fleet follows at most.
-func TestEveryInterleavingOfTheSynod(t *testing.T) {
-	seen, most, deepest, chosen := map[string]bool{}, 40_000, 0, 0
+// In every order in which three proposals of two voters can meet, each message delivered at any moment or never, at
+// most one configuration follows. The search is breadth first and ends at a number of states.
+func TestEveryInterleavingChoosesAtMostOneConfiguration(t *testing.T) {
+	const maxStates = 40_000
+	seen := map[string]bool{}
+	deepest := 0
+	chosen := 0
 	paths := [][]byte{nil}
-	for len(paths) > 0 && len(seen) < most { // breadth first
+	for len(paths) > 0 && len(seen) < maxStates {
 		path := paths[0]
 		paths = paths[1:]
-		for n := byte(0); ; n++ {
-			s := newSynod()
+		for choice := byte(0); ; choice++ {
+			e := newElectors()
 			for _, step := range path {
-				s.step(int(step))
+				e.step(int(step))
 			}
-			if !s.step(int(n)) {
+			if !e.step(int(choice)) {
 				break
 			}
-			require.LessOrEqual(t, len(s.chosen), 1, "%v %d", path, n)
-			if mark := s.mark(); !seen[mark] {
-				seen[mark] = true
-				chosen += len(s.chosen)
+			require.LessOrEqual(t, len(e.chosen), 1, "%v %d", path, choice)
+			if state := e.state(); !seen[state] {
+				seen[state] = true
+				chosen += len(e.chosen)
 				deepest = max(deepest, len(path)+1)
-				paths = append(paths, append(slices.Clone(path), n))
+				paths = append(paths, append(slices.Clone(path), choice))
 			}
 		}
 	}
-	t.Logf("measured synod states=%d deepest=%d with_a_choice=%d two_chosen=0", len(seen), deepest, chosen)
+	t.Logf("measured paxos states=%d deepest=%d with_a_choice=%d two_chosen=0", len(seen), deepest, chosen)
 	require.Positive(t, chosen)
 }
--- /dev/null
+++ b/internal/membership/large_cluster_test.go
@@ -0,0 +1,226 @@
+package membership
+
+import (
+	"fmt"
+	"math"
+	"math/rand"
+	"os"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/timeunit"
+)
+
+const (
+	fullMembers        = 40  // members of a large cluster that have a view and an agreement
+	updateBytes        = 260 // of a sealed state update, in the mean of real ones
+	largeClusterTick   = 200
+	largeClusterProbe  = 500 // between two probes of a member, as memberlist does
+	messageDelay       = 20
+	convergenceTimeout = 300 * second
+	detectionTimeout   = 60 * second
+)
+
+// largeCluster simulates large clusters without the gossip library: fullMembers have a view and an agreement, the
+// others only publish updates and crash. The carrier is modelled by what memberlist documents: a probe each half a
+// second in turn, a suspicion that lasts 4 x log10(members) probes, gossip by powers of four each 200 ms, and state
+// updates as package gossip paces them.
+type largeCluster struct {
+	random      *rand.Rand
+	now         timeunit.Milliseconds
+	size        int
+	views       []*View
+	agreements  []*Agreement
+	updateEvery timeunit.Milliseconds
+	nextUpdate  []timeunit.Milliseconds // of each member
+	sequences   []uint64
+	spread      timeunit.Milliseconds // within which an update reaches everybody
+	inFlight    []delayed
+
+	crashed  int                     // -1: nobody
+	failedAt []timeunit.Milliseconds // when the carrier tells each full member of the crash
+
+	updatesHeard int
+}
+
+type delayed struct {
+	arrival timeunit.Milliseconds
+	to      int
+	update  StateUpdate
+	message *Message // nil: it is the update
+}
+
+func newLargeCluster(size int) *largeCluster {
+	c := &largeCluster{
+		random:      rand.New(rand.NewSource(int64(size))),
+		now:         second,
+		size:        size,
+		updateEvery: max(second, 33*timeunit.Milliseconds(size)),
+		nextUpdate:  make([]timeunit.Milliseconds, size),
+		sequences:   make([]uint64, size),
+		spread:      timeunit.Milliseconds(largeClusterTick * math.Ceil(math.Log(float64(size))/math.Log(4))),
+		crashed:     -1,
+		failedAt:    make([]timeunit.Milliseconds, fullMembers),
+	}
+	for i := range fullMembers {
+		config := DefaultConfig(c.id(i))
+		config.InitialSize = size
+		config.Zone = c.zone(i)
+		config.Founders = []string{"n0000", "n0001", "n0002"}
+		c.views = append(c.views, NewView(config, c.now))
+		c.agreements = append(c.agreements, NewAgreement(c.views[i]))
+	}
+	for i := range c.nextUpdate {
+		c.nextUpdate[i] = c.now + timeunit.Milliseconds(c.random.Intn(int(2*second)))
+	}
+	return c
+}
+
+func (c *largeCluster) id(i int) ID       { return ID{fmt.Sprintf("n%04d", i), uint64(i + 1)} }
+func (c *largeCluster) zone(i int) string { return fmt.Sprint("z", i%3) }
+
+func (c *largeCluster) runStep() {
+	c.now += largeClusterTick
+	for i := range c.nextUpdate {
+		if c.nextUpdate[i] <= c.now && i != c.crashed {
+			c.nextUpdate[i] = c.now + c.updateEvery
+			c.publish(i)
+		}
+	}
+	c.inFlight = slices.DeleteFunc(c.inFlight, c.deliver)
+	for i, v := range c.views {
+		v.Advance(c.now, largeClusterTick)
+		c.agreements[i].Tick()
+		if c.failedAt[i] > 0 && c.now >= c.failedAt[i] {
+			v.Failed(c.id(c.crashed))
+		}
+		v.Tick(c.agreements[i].QuorumStatus())
+		for _, message := range c.agreements[i].TakeMessages() {
+			if to := int(message.To.Incarnation) - 1; to < fullMembers {
+				c.inFlight = append(c.inFlight, delayed{arrival: c.now + messageDelay, to: to, message: &message})
+			}
+		}
+	}
+}
+
+// publish sends a member's state update to all full members.
+func (c *largeCluster) publish(i int) {
+	c.sequences[i]++
+	update := StateUpdate{
+		ID:               c.id(i),
+		Sequence:         c.sequences[i],
+		Address:          fmt.Sprint("a", i),
+		Zone:             c.zone(i),
+		State:            StateServing,
+		ConcurrencyLimit: 8,
+	}
+	if i < fullMembers {
+		update = c.views[i].UpdateSelf(StateUpdate{
+			Address:          update.Address,
+			State:            StateServing,
+			ConcurrencyLimit: 8,
+			Epoch:            c.agreements[i].Configuration().Epoch,
+		})
+	}
+	for to := range c.views {
+		if to != i {
+			arrival := c.now + timeunit.Milliseconds(c.random.Int63n(int64(c.spread)))
+			c.inFlight = append(c.inFlight, delayed{arrival: arrival, to: to, update: update})
+		}
+	}
+}
+
+// deliver hands over what has arrived; it returns false for what has not.
+func (c *largeCluster) deliver(d delayed) bool {
+	if d.arrival > c.now {
+		return false
+	}
+	c.views[d.to].Advance(c.now, largeClusterTick)
+	if d.message != nil {
+		c.agreements[d.to].Step(*d.message)
+	} else if c.views[d.to].ApplyUpdate(d.update) {
+		c.updatesHeard++
+	}
+	return true
+}
+
+func (c *largeCluster) run(span timeunit.Milliseconds) {
+	for end := c.now + span; c.now < end; {
+		c.runStep()
+	}
+}
+
+// hasConverged says whether all full members know everybody and act on a configuration.
+func (c *largeCluster) hasConverged() bool {
+	for i, v := range c.views {
+		if c.agreements[i].QuorumStatus() != Majority || v.AliveCount() != c.size {
+			return false
+		}
+	}
+	return true
+}
+
+// crash ends a member and works out when the carrier tells each full member.
+func (c *largeCluster) crash(i int) {
+	c.crashed = i
+	probed := c.now + timeunit.Milliseconds(c.random.ExpFloat64()*largeClusterProbe)
+	suspicion := timeunit.Milliseconds(4 * max(1, math.Log10(float64(c.size))) * largeClusterProbe)
+	for k := range c.failedAt {
+		c.failedAt[k] = probed + suspicion + timeunit.Milliseconds(c.random.Int63n(int64(c.spread)))
+	}
+}
+
+// runUntilDetected returns after what time each full member held the crashed one for failed, in that order.
+func (c *largeCluster) runUntilDetected() (detected []timeunit.Milliseconds) {
+	crashedAt := c.now
+	knows := make([]bool, fullMembers)
+	for c.now-crashedAt < detectionTimeout && len(detected) < fullMembers {
+		c.runStep()
+		for i, v := range c.views {
+			m := v.Member(c.id(c.crashed))
+			if !knows[i] && (m == nil || m.State >= StateFailed) {
+				knows[i] = true
+				detected = append(detected, c.now-crashedAt)
+			}
+		}
+	}
+	return detected
+}
+
+func TestMeasuredLargeClusters(t *testing.T) {
+	sizes := []int{300}
+	if os.Getenv("MEASURE") == "full" {
+		sizes = []int{300, 1000, 3000}
+	}
+	for _, size := range sizes {
+		c := newLargeCluster(size)
+		begun := c.now
+		for c.now-begun < convergenceTimeout && !c.hasConverged() {
+			c.runStep()
+		}
+		require.True(t, c.hasConverged(), "%d members never agreed", size)
+		converged := c.now - begun
+
+		c.updatesHeard = 0
+		window := max(30*second, 2*c.updateEvery)
+		c.run(window)
+		updatesPerSecond := float64(c.updatesHeard) / float64(window/second) / fullMembers
+		bytesPerSecond := updatesPerSecond * updateBytes
+
+		c.crash(size - 1)
+		detected := c.runUntilDetected()
+		require.Len(t, detected, fullMembers)
+		falsePositives := 0
+		for _, v := range c.views {
+			falsePositives += v.Counts.FalsePositives
+			require.Equal(t, size-1, v.AliveCount())
+		}
+		t.Logf("measured large-cluster members=%d converge_ms=%d detect_p50_ms=%d detect_p99_ms=%d false_positives=%d "+
+			"updates_a_second=%.1f bytes_a_second=%.0f", size, converged, detected[fullMembers/2],
+			detected[fullMembers-1], falsePositives, updatesPerSecond, bytesPerSecond)
+		require.Less(t, bytesPerSecond, 40.0*updateBytes) // the same however large the cluster
+		require.Zero(t, falsePositives)
+	}
+}
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -30,8 +30,8 @@
 func playScenario(t *testing.T, file string, done func(*player)) {
 	in, err := os.Open(file)
 	require.NoError(t, err)
-	defer in.Close()
-	p := &player{Assertions: require.New(t), seqs: map[ID]uint64{}}
+	defer func() { require.NoError(t, in.Close()) }()
+	p := &player{Assertions: require.New(t), sequences: map[ID]uint64{}}
 	lines := bufio.NewScanner(in)
 	for n := 1; lines.Scan(); n++ {
 		text, _, _ := strings.Cut(lines.Text(), "#")
@@ -43,12 +43,148 @@
 	}
 }
 
+// player plays the lines of one scenario.
 type player struct {
 	*require.Assertions
-	view   *View
-	accord *Agreement
-	seqs   map[ID]uint64
-	where  string
+	view      *View
+	agreement *Agreement
+	sequences map[ID]uint64 // the last sequence number of each member
+	where     string        // file, line and text, for failures
+}
+
+func (p *player) play(verb string, args []string) {
+	switch verb {
+	case "self":
+		p.start(p.id(args[0]), p.options(args[1:]))
+	case "at":
+		p.tickAt(timeunit.Milliseconds(p.number(args[0])))
+	case "pass":
+		for end := p.view.now + timeunit.Milliseconds(p.number(args[0])); p.view.now < end; {
+			p.tickAt(p.view.now + 200)
+		}
+	case "update":
+		p.view.ApplyUpdate(p.update(args))
+	case "probe-succeeded":
+		p.view.ProbeSucceeded(p.id(args[0]), 10)
+	case "probe-failed":
+		p.view.ProbeFailed(p.id(args[0]))
+	case "suspected":
+		p.view.Suspected(p.id(args[0]))
+	case "failed":
+		p.view.Failed(p.id(args[0]))
+	case "refuted":
+		p.view.Refuted(p.id(args[0]))
+	case "left":
+		p.view.Left(p.id(args[0]))
+	case "dial":
+		p.view.DialFinished(p.id(args[0]), p.dialResult(args[1]))
+	case "committed":
+		p.commit(p.number(args[0]), args[1:])
+	case "granted":
+		p.grant(args)
+	default:
+		p.check(verb, args)
+	}
+}
+
+func (p *player) start(self ID, options map[string]string) {
+	config := DefaultConfig(self)
+	if text := options["servers"]; text != "" {
+		config.InitialSize = int(p.number(text))
+	}
+	config.Founders = strings.Split(options["founders"], ",")
+	p.view = NewView(config, 0)
+	p.agreement = NewAgreement(p.view)
+	p.view.UpdateSelf(StateUpdate{Address: "here", State: StateServing})
+}
+
+func (p *player) tickAt(now timeunit.Milliseconds) {
+	p.view.Advance(now, 200)
+	p.agreement.Tick()
+	p.view.Tick(p.agreement.QuorumStatus())
+}
+
+func (p *player) update(args []string) StateUpdate {
+	id := p.id(args[0])
+	options := p.options(args[2:])
+	p.sequences[id]++
+	update := StateUpdate{
+		ID:       id,
+		Sequence: p.sequences[id],
+		Address:  "a-" + id.Name,
+		State:    p.state(args[1]),
+		Zone:     options["zone"],
+	}
+	numbers := map[string]*int64{"paused": &update.PausedMs, "lag": &update.LoopLagMs, "age": &update.AgeMs}
+	for key, field := range numbers {
+		if options[key] != "" {
+			*field = p.number(options[key])
+		}
+	}
+	if options["address"] != "" {
+		update.Address = options["address"]
+	}
+	if options["sequence"] != "" {
+		update.Sequence = uint64(p.number(options["sequence"]))
+	}
+	if options["unreachable"] != "" {
+		update.Unreachable = strings.Split(options["unreachable"], ",")
+	}
+	return update
+}
+
+func (p *player) commit(epoch int64, voters []string) {
+	c := Configuration{Epoch: uint64(epoch), LeaseDuration: 1500, MemberCount: len(voters)}
+	for _, text := range voters {
+		id := p.id(text)
+		c.Voters = append(c.Voters, Voter{id, "a-" + id.Name})
+	}
+	p.agreement.Step(Message{Kind: MessageCommitted, Epoch: c.Epoch, Configuration: &c})
+}
+
+func (p *player) grant(voters []string) {
+	for _, text := range voters {
+		p.agreement.Step(Message{
+			Kind:        MessageLeaseGrant,
+			From:        p.id(text),
+			Epoch:       p.agreement.configuration.Epoch,
+			RequestedAt: p.view.now,
+		})
+	}
+}
+
+// check plays the lines that say what must hold.
+func (p *player) check(verb string, args []string) {
+	switch verb {
+	case "is":
+		m := p.view.Member(p.id(args[0]))
+		p.NotNil(m, p.where)
+		p.Equal(strings.Join(args[1:], " "), strings.TrimSpace(m.State.String()+" "+m.Cause.String()), p.where)
+	case "unknown":
+		p.Nil(p.view.Member(p.id(args[0])), p.where)
+	case "owner":
+		id, known := p.view.NameOwner(args[0])
+		p.True(known, p.where)
+		p.Equal(args[1], fmt.Sprint(id.Name, ".", id.Incarnation), p.where)
+	case "size":
+		p.Equal(p.number(args[0]), int64(p.view.EffectiveSize()), p.where)
+	case "status":
+		p.Equal(args[0], p.agreement.QuorumStatus().String(), p.where)
+	case "counts":
+		c := p.view.Counts
+		counts := map[string]int{
+			"invalid":         c.Invalid,
+			"stale":           c.Stale,
+			"false-positives": c.FalsePositives,
+			"name-conflicts":  c.NameConflicts,
+		}
+		for key, value := range p.options(args) {
+			p.Contains(counts, key, p.where)
+			p.Equal(p.number(value), int64(counts[key]), p.where)
+		}
+	default:
+		p.FailNow(p.where)
+	}
 }
 
 func (p *player) number(text string) int64 {
@@ -58,9 +194,9 @@
 }
 
 func (p *player) id(text string) ID {
-	name, life, found := strings.Cut(text, ".")
+	name, incarnation, found := strings.Cut(text, ".")
 	p.True(found, p.where)
-	return ID{name, uint64(p.number(life))}
+	return ID{name, uint64(p.number(incarnation))}
 }
 
 func (p *player) state(text string) State {
@@ -73,101 +209,18 @@
 	return 0
 }
 
-// keys reads the words of a line that are key=value.
-func (p *player) keys(words []string) map[string]string {
-	of := map[string]string{}
-	for _, w := range words {
-		k, v, _ := strings.Cut(w, "=")
-		of[k] = v
-	}
-	return of
+func (p *player) dialResult(text string) DialResult {
+	results := map[string]DialResult{"refused": DialRefused, "accepted": DialAccepted, "timed-out": DialTimedOut}
+	p.Contains(results, text, p.where)
+	return results[text]
 }
 
-func (p *player) play(what string, with []string) {
-	switch what {
-	case "me":
-		t := DefaultConfig(p.id(with[0]))
-		if text := p.keys(with[1:])["servers"]; text != "" {
-			t.InitialSize = int(p.number(text))
-		}
-		t.Founders = strings.Split(p.keys(with[1:])["founders"], ",")
-		p.view = NewView(t, 0)
-		p.accord = NewAgreement(p.view)
-		p.view.UpdateSelf(StateUpdate{Address: "here", State: StateServing})
-	case "at":
-		p.view.Advance(timeunit.Milliseconds(p.number(with[0])), 200)
-		p.accord.Tick()
-		p.view.Tick(p.accord.QuorumStatus())
-	case "pass": // time goes by in small steps
-		for end := p.view.now + timeunit.Milliseconds(p.number(with[0])); p.view.now < end; {
-			p.view.Advance(p.view.now+200, 200)
-			p.accord.Tick()
-			p.view.Tick(p.accord.QuorumStatus())
-		}
-	case "hear":
-		id, of := p.id(with[0]), p.keys(with[2:])
-		p.seqs[id]++
-		w := StateUpdate{ID: id, Sequence: p.seqs[id], Address: "a-" + id.Name, State: p.state(with[1]), Zone: of["zone"]}
-		for key, to := range map[string]*int64{"slept": &w.PausedMs, "late": &w.LoopLagMs, "age": &w.AgeMs} {
-			if of[key] != "" {
-				*to = p.number(of[key])
-			}
-		}
-		if of["at"] != "" {
-			w.Address = of["at"]
-		}
-		if of["seq"] != "" {
-			w.Sequence = uint64(p.number(of["seq"]))
-		}
-		if of["misses"] != "" {
-			w.Unreachable = strings.Split(of["misses"], ",")
-		}
-		p.view.ApplyUpdate(w)
-	case "answered":
-		p.view.ProbeSucceeded(p.id(with[0]), 10)
-	case "missed":
-		p.view.ProbeFailed(p.id(with[0]))
-	case "doubted":
-		p.view.Suspected(p.id(with[0]))
-	case "lost":
-		p.view.Failed(p.id(with[0]))
-	case "back":
-		p.view.Refuted(p.id(with[0]))
-	case "left":
-		p.view.Left(p.id(with[0]))
-	case "dialled":
-		p.view.DialFinished(p.id(with[0]), map[string]DialResult{"refused": DialRefused, "taken": DialAccepted, "nothing": DialTimedOut}[with[1]])
-	case "is":
-		m := p.view.Member(p.id(with[0]))
-		p.NotNil(m, p.where)
-		p.Equal(strings.Join(with[1:], " "), strings.TrimSpace(m.State.String()+" "+m.Cause.String()), p.where)
-	case "unknown":
-		p.Nil(p.view.Member(p.id(with[0])), p.where)
-	case "holds":
-		id, known := p.view.NameOwner(with[0])
-		p.True(known, p.where)
-		p.Equal(with[1], fmt.Sprint(id.Name, ".", id.Incarnation), p.where)
-	case "size":
-		p.Equal(p.number(with[0]), int64(p.view.EffectiveSize()), p.where)
-	case "stands":
-		p.Equal(with[0], p.accord.QuorumStatus().String(), p.where)
-	case "chosen": // a fleet of these voters is heard of
-		f := Configuration{Epoch: uint64(p.number(with[0])), LeaseDuration: 1500, MemberCount: len(with) - 1}
-		for _, text := range with[1:] {
-			id := p.id(text)
-			f.Voters = append(f.Voters, Voter{id, "a-" + id.Name})
-		}
-		p.accord.Step(Message{Kind: MessageCommitted, Epoch: f.Epoch, Configuration: &f})
-	case "supported":
-		for _, text := range with {
-			p.accord.Step(Message{Kind: MessageLeaseGrant, From: p.id(text), Epoch: p.accord.configuration.Epoch, RequestedAt: p.view.now})
-		}
-	case "counts":
-		for key, value := range p.keys(with) {
-			c := p.view.Counts
-			p.Equal(p.number(value), int64(map[string]int{"insane": c.Invalid, "old": c.Stale, "alarms": c.FalsePositives, "taken": c.NameConflicts}[key]), p.where)
-		}
-	default:
-		p.FailNow(p.where)
+// options reads the words of a line that are key=value.
+func (p *player) options(words []string) map[string]string {
+	options := map[string]string{}
+	for _, word := range words {
+		key, value, _ := strings.Cut(word, "=")
+		options[key] = value
 	}
+	return options
 }
