--- /dev/null
+++ b/internal/membership/effective_size.go
@@ -0,0 +1,37 @@
+package membership
+
+// EffectiveSize returns how many servers this server reckons with when it works out its part of anything shared: at
+// least one.
+func (v *View) EffectiveSize() int { return v.effectiveSize }
+
+// updateEffectiveSize has the effective size follow the members that serve, damped: a member that comes or goes
+// counts so after StabilityWindow, and a flapping one counts as it did before it began to flap. Without the majority
+// the size never falls below what was agreed on: members that this server cannot see still use their parts.
+func (v *View) updateEffectiveSize(status QuorumStatus) {
+	count := 0
+	for _, m := range v.members {
+		serves := v.serves(m)
+		if serves != m.counted && v.now-m.Since >= v.config.StabilityWindow && !m.isFlapping(v.now, &v.config) {
+			m.counted = serves
+		}
+		if m.counted {
+			count++
+		}
+	}
+	minimum := 1
+	if status != Majority {
+		minimum = max(v.configuredSize, v.effectiveSize)
+	}
+	v.effectiveSize = max(1, minimum, count)
+}
+
+// serves says whether a member takes part in the work; a suspected one goes on as it was.
+func (v *View) serves(m *Member) bool {
+	switch m.State {
+	case StateServing, StateWarmingUp:
+		return true
+	case StateSuspected:
+		return m.counted || m == v.self
+	}
+	return m == v.self
+}
