--- /dev/null
+++ b/admission/drain.go
@@ -0,0 +1,42 @@
+package admission
+
+import (
+	"container/heap"
+	"slices"
+
+	"thistlequay/timeunit"
+)
+
+// drainState is the graceful shutdown of the server.
+type drainState struct {
+	draining bool
+	grace    timeunit.Ticks // from the notice on, in which arriving requests are still run
+	graceEnd timeunit.Ticks // valid while draining
+	stopAt   timeunit.Ticks // all is answered before; noDeadline until the notice
+}
+
+// hasEndedFor says that a request which arrived at this time came too late to be run.
+func (d *drainState) hasEndedFor(arrivedAt timeunit.Ticks) bool {
+	return d.draining && arrivedAt >= d.graceEnd
+}
+
+// Drain is the notice that the process will be stopped after this time. Requests that arrive within the grace
+// (Config.DrainGrace) still run, later ones are rejected, and all get their answers before the stop. Routers
+// are told through health checks and load reports. A second notice does nothing.
+func (s *Server) Drain(stopIn timeunit.Ticks) {
+	d := &s.drain
+	if d.draining {
+		return
+	}
+	d.draining = true
+	d.stopAt = s.now + stopIn
+	d.graceEnd = s.now + d.grace
+	for _, r := range slices.Concat(s.queue.arrivals, s.timers.heap) {
+		r.deadline = min(r.deadline, d.stopAt-s.answerMargin)
+		if r.state != stateFinished {
+			r.checkAt = min(r.checkAt, r.deadline)
+		}
+	}
+	heap.Init(&s.timers.heap)
+	s.host.SetHealth(false, true)
+}
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -299,7 +299,7 @@
 		s.server.Drain(s.span(50, 8000))
 	}
 	if woken {
-		s.wake = forever
+		s.wake = noDeadline
 		s.server.OnTimer(Gauges{CoreUtilization: s.chance.Float64(), RunnableRequests: float64(s.pick(0, 3*s.deployment.Cores)), IsStale: s.oneIn(9)})
 	}
 	s.server.Dispatch()
@@ -309,7 +309,7 @@
 
 // life plays one life of a server that may begin with what an earlier one learnt.
 func (s *schedule) life(learnt *WarmStartState, batches, leaves int) WarmStartState {
-	s.live, s.order, s.remembered, s.wake = map[uint64]*scheduled{}, nil, nil, forever
+	s.live, s.order, s.remembered, s.wake = map[uint64]*scheduled{}, nil, nil, noDeadline
 	s.deployment.WarmStart = learnt
 	s.server = New(s.deployment, s.record, s.now)
 	for n := range batches {
--- /dev/null
+++ b/admission/histogram.go
@@ -0,0 +1,92 @@
+package admission
+
+import "thistlequay/timeunit"
+
+// Shape of the histograms and the number of samples that they go by; ratios and counts of our own.
+const (
+	histogramBins = 24  // bins of a histogram; the last also takes what is longer
+	binsPerScale  = 16  // bins that make up its scale
+	minSamples    = 8   // fewer samples say nothing yet
+	maxSamples    = 256 // at so many samples all counts are halved, so that old ones fade
+)
+
+// histogram is a coarse latency histogram with bins of equal width. Old samples fade.
+type histogram struct {
+	binWidth timeunit.Ticks
+	total    float64
+	counts   [histogramBins]float64
+}
+
+// newHistogram returns an empty histogram whose bins are a sixteenth of the scale wide.
+func newHistogram(scale timeunit.Ticks) histogram {
+	return histogram{binWidth: max(1, scale/binsPerScale)}
+}
+
+// add takes one sample.
+func (h *histogram) add(t timeunit.Ticks) {
+	h.counts[max(0, min(int(t/h.binWidth), histogramBins-1))]++
+	h.total++
+	if h.total >= maxSamples {
+		h.total /= 2
+		for i := range h.counts {
+			h.counts[i] /= 2
+		}
+	}
+}
+
+// quantile is the time below which the share q, from 0 to 1, of all samples lies; 0 while there are none.
+func (h *histogram) quantile(q float64) timeunit.Ticks {
+	left := q * h.total
+	for i, count := range h.counts {
+		if left <= count && count > 0 {
+			return timeunit.Ticks((float64(i) + left/count) * float64(h.binWidth))
+		}
+		left -= count
+	}
+	return 0
+}
+
+// fractionBelow is the share of all samples that lies below t; 1 while there are none.
+func (h *histogram) fractionBelow(t timeunit.Ticks) float64 {
+	sum := 0.0
+	for i, count := range h.counts {
+		sum += count * max(0, min(1, float64(t-timeunit.Ticks(i)*h.binWidth)/float64(h.binWidth)))
+	}
+	if h.total == 0 {
+		return 1
+	}
+	return sum / h.total
+}
+
+// earliestEquivalent is the earliest time with the same fractionBelow as t; -noDeadline where there is no
+// earliest.
+func (h *histogram) earliestEquivalent(t timeunit.Ticks) timeunit.Ticks {
+	i := max(0, min(int(t/h.binWidth), histogramBins))
+	if t >= 0 && i < histogramBins && h.counts[i] > 0 {
+		return t
+	}
+	for i > 0 && h.counts[i-1] == 0 {
+		i--
+	}
+	if i == 0 {
+		return -noDeadline
+	}
+	return timeunit.Ticks(i) * h.binWidth
+}
+
+// snapshot returns a copy of the counts.
+func (h *histogram) snapshot() []float64 { return append([]float64(nil), h.counts[:]...) }
+
+// restore takes the counts of an earlier histogram. Counts of another shape, negative ones and those that
+// would fill the histogram are passed over.
+func (h *histogram) restore(counts []float64) {
+	if len(counts) != histogramBins {
+		return
+	}
+	for i, count := range counts {
+		if count >= 0 && h.total+count < maxSamples {
+			h.counts[i] = count
+			h.total += count
+		}
+	}
+}
--- a/admission/hold_test.go
+++ b/admission/hold_test.go
@@ -31,14 +31,14 @@
 		s := New(d, silent{}, 0)
 		for _, c := range s.categories {
 			for range r.Intn(40) {
-				c.runTimes.add(timeunit.Ticks(r.Intn(int(c.softDeadline) * 2)))
+				c.runTimes.add(timeunit.Ticks(r.Intn(int(c.SoftDeadline) * 2)))
 			}
 		}
 		var all []*Request
 		for range 60 {
 			s.Advance(s.now + timeunit.Ticks(r.Intn(200)))
 			w := s.Enqueue(Arrival{Category: r.Intn(len(s.categories)), UnreadTime: timeunit.Ticks(r.Intn(300)), StartTag: float64(r.Intn(5)), QueuedKB: 1})
-			s.scheduleCheck(w, forever)
+			s.timers.set(w, noDeadline)
 			if all = append(all, w); r.Intn(3) == 0 {
 				i := r.Intn(len(all))
 				s.reject(all[i], 0, false)
--- a/admission/host.go
+++ b/admission/host.go
@@ -1,129 +1,121 @@
-// Package admission decides, inside one server of a fleet, which work items it takes, runs and turns away.
 package admission
 
 import "thistlequay/timeunit"
 
-// Idempotency says what a second run of a work item would do.
-type Idempotency int
+// Outcome is how a run, a shared answer or a downstream call ended.
+type Outcome int
 
+// The zero value is Succeeded.
 const (
-	Idempotent    Idempotency = iota // may run again
-	Keyed                            // carries a mark by which a repeat is known; one run a server and window
-	NonIdempotent                    // must never run twice
+	Succeeded     Outcome = iota
+	Failed                // it failed and may have had its effect
+	NotExecuted           // a call that was rejected or could not connect: it provably never ran
+	Indeterminate         // a call that was given up or whose connection broke: it may have had its effect
+	Aborted               // the run was stopped, or ended where it needed a call
+	NeverStarted          // nothing was started, the request was already over
 )
 
-// Outcome is how a run, a shared answer or a call ended.
-type Outcome int
+// Arrival is what the host knows of a request when it has read it.
+type Arrival struct {
+	// ID is the host's own identifier of the request. The package keeps it and never reads it.
+	ID uint64
 
-const (
-	Succeeded     Outcome = iota // it went well
-	Failed                       // it failed and may have had its effect
-	NotExecuted                  // a call turned away or not connected: it provably never ran
-	Indeterminate                // a call given up or broken off: it may have had its effect
-	Aborted                      // the run was stopped, or ended at a call
-	NeverStarted                 // nothing was begun, the work item was already over
-)
+	// Category is an index of Config.Categories; one outside counts as the nearest inside.
+	Category int
 
-// LoadReportMode is what callers make of the value that goes out with answers.
-type LoadReportMode int
+	// Router says which router sent the request. Any numbering will do.
+	Router int
 
-const (
-	ReportNothing     LoadReportMode = iota // no value is passed on
-	ReportRank                              // callers send nothing of lower rank
-	ReportLimit                             // each caller has at most so many work items out here
-	ReportProbability                       // the chance that a caller does not pass this server over
-)
+	// QueuedKB is the memory that the request takes while it is queued, in kilobytes.
+	QueuedKB float64
 
-// Category is what a deployment says of one kind of work item.
-type Category struct {
-	Weight              float64
-	LateValue           float64 // share of the gain left between contract time and expiry
-	DegradedValue       float64 // and of an answer made without the call below; 0 where there is none
-	SoftDeadline        timeunit.Ticks
-	Deadline            timeunit.Ticks
-	DeduplicationWindow timeunit.Ticks // how long a stamped work item may come again
-	Idempotency         Idempotency
-}
+	// UnreadTime is the time from when the request reached the machine until it was read.
+	UnreadTime timeunit.Ticks
 
-// Config is what a server is told when it starts.
-type Config struct {
-	Categories      []Category
-	Routers         int
-	RetriesMarked   bool // further tries are marked (Arrival.Again)
-	Servers         int  // of the fleet, at this start
-	Cores           int
-	MemoryKB        float64        // kilobytes
-	RunMemoryFactor float64        // memory of a running work item over that of a held one
-	EntryKB         float64        // memory of a remembered stamp
-	MaxEntries      int            // the most stamps remembered; 0 where the memory alone bounds them
-	BatchInterval   timeunit.Ticks // batches come at most this often
-	DrainGrace      timeunit.Ticks // what comes later than this after the notice to leave is not run
-	ResultTTL       timeunit.Ticks // for how long the result of a read may serve others; 0 for never
-
-	StartsCold        bool
-	ColdSpeed         float64        // share of its speed that a cold server starts at
-	WarmUpTime        timeunit.Ticks // it is warm after this
-	OverloadThreshold float64        // running work items for each core that a warm server survives
-
-	SharedDependency  bool           // one dependency for the whole fleet
-	DownstreamLimit   float64        // this server's part of the calls in hand that it survives
-	DownstreamWindow  timeunit.Ticks // in the mean of this span
-	TurnOffset        float64        // from 0 to 1, another on each server: when its turns at what is shared come
-	AbandonedCallTime timeunit.Ticks // a call given up stays in its hands for this long
-
-	LoadReportMode LoadReportMode
-	MaxRetryAfter  timeunit.Ticks // the longest time to stay away that callers heed; 0 where advice is not passed on
-	MaxIdleTime    timeunit.Ticks // callers close idle connections after this; 0 where that is not told
-	CanStopRuns    bool           // running work can be stopped, its progress is lost
-
-	WarmStart *WarmStartState // by an earlier life, as far as it still holds; nil where there is none
-}
+	// TimeLeft is how long its client still waits; 0 where that is not told.
+	TimeLeft timeunit.Ticks
 
-// WarmStartState is what a server has found out that the next one need not: counts of times, by category and bin, and the pool.
-type WarmStartState struct {
-	Limit          float64     `json:"Pool"` // stored under these keys
-	RunTimes       [][]float64 `json:"Runs"`
-	QuietRunTimes  [][]float64 `json:"Quiet"`
-	QuickCallTimes []float64   `json:"Quick"` // calls
-}
+	// IsRetry says that the router marked the request as a retry.
+	IsRetry bool
 
-// Arrival is what a work item says of itself when it has been read.
-type Arrival struct {
-	Category      int
-	Router        int
-	QueuedKB      float64
-	UnreadTime    timeunit.Ticks // time since it reached the machine
-	TimeLeft      timeunit.Ticks // time its caller still waits; 0 where that is not told
-	IsRetry       bool           // marked as a further try
-	IsRepeat      bool           // another try of the same stamped work item is held here or has run; or another read of the same
-	RepeatOf      *Request       // that try, where the host still has its handle
-	Cacheable     bool           // its result may serve others for a while (Deployment.Fresh)
-	StartTag      float64        // it waits while others do whose turn has come (see Server.Turn); 0: for nobody
-	ExpectedDelay timeunit.Ticks // how long what has turns before it, of its own tenant, will take; 0 where that is not told
-	ID            uint64         // the host's own mark, never read here
+	// IsRepeat says that the host keeps an idempotency entry (Host.KeepEntry) for the request: another attempt
+	// of the same Keyed request, or another read of the same data.
+	IsRepeat bool
+
+	// RepeatOf is the request that owns that entry, or nil where the host has no handle of it any more.
+	RepeatOf *Request
+
+	// Cacheable says that the result may answer other requests for a while (Config.ResultTTL).
+	Cacheable bool
+
+	// StartTag is the virtual time at which the request becomes eligible (Server.VirtualTime): until then it
+	// waits while others are eligible. 0 waits for nobody.
+	StartTag float64
+
+	// ExpectedDelay is how long the requests of its own tenant that are ahead of it will take; 0 where not told.
+	ExpectedDelay timeunit.Ticks
 }
 
-// Gauges are the server's own meters.
+// Gauges are readings of the server's own meters.
 type Gauges struct {
-	CoreUtilization  float64 // share of the cores busy, over the last half second
-	RunnableRequests float64 // all that wants a core now
-	IsStale          bool    // they could not be read now: these are of an earlier wake
+	// CoreUtilization is the share of the cores that was busy over the last half second, from 0 to 1.
+	CoreUtilization float64
+
+	// RunnableRequests is the number of requests that run on a core or want one now.
+	RunnableRequests float64
+
+	// IsStale says that the meters could not be read now and these readings are those of an earlier time.
+	IsStale bool
 }
 
-// Host is what the embedding server does for the module. No call may call back.
+// Host is the server that embeds the package and carries its decisions out. No method may call back into the
+// package. Every request is released exactly once; before that it has been answered by exactly one of its run
+// or shared result (Run, ShareResult), Reject or Abort, unless it was cancelled.
 type Host interface {
-	Run(w *Request)
-	ShareResult(w *Request) // answer with the result of the try that w repeats
-	Reject(w *Request, stayAway timeunit.Ticks, nowhereElse bool)
-	Abort(w *Request)
-	StopRun(w *Request)
-	StartCall(w *Request, until timeunit.Ticks) // until is clock time
-	SkipCall(w *Request)                        // go on without the call; only where the category has a poorer answer
-	KeepEntry(w *Request, span timeunit.Ticks)
-	DropEntry(w *Request)
+	// Run starts the request. Its end is told by Request.RunEnded.
+	Run(r *Request)
+
+	// ShareResult answers the request with the result of the attempt that it repeats, now or when that has
+	// ended. That this is done is told by Request.RunEnded.
+	ShareResult(r *Request)
+
+	// Reject answers a request that never ran here. The client should stay away for retryAfter (0: not told),
+	// and where finalRejection is set it should not try another server either.
+	Reject(r *Request, retryAfter timeunit.Ticks, finalRejection bool)
+
+	// Abort answers a request that was started: it failed. Its run may go on until RunEnded.
+	Abort(r *Request)
+
+	// StopRun stops a run that nobody waits for. It is called only with Config.CanStopRuns.
+	StopRun(r *Request)
+
+	// StartCall makes the downstream call that the request needs, and gives it up at the time until. Its end is
+	// told by Request.CallEnded.
+	StartCall(r *Request, until timeunit.Ticks)
+
+	// SkipCall has the run go on without its call, to a degraded answer. Only requests of categories with a
+	// DegradedValue are told so.
+	SkipCall(r *Request)
+
+	// KeepEntry keeps the idempotency entry of the request for this time from now: requests that repeat it
+	// arrive with IsRepeat. A later call replaces the time.
+	KeepEntry(r *Request, lifetime timeunit.Ticks)
+
+	// DropEntry drops the idempotency entry of the request, if it still owns it.
+	DropEntry(r *Request)
+
+	// ReportLoad sets the value that is sent to routers with each answer (Config.LoadReportMode).
 	ReportLoad(value float64)
-	SetHealth(good, fromStore bool)
-	CloseIdleConnections(after timeunit.Ticks) // connections that carry nothing for so long
+
+	// SetHealth sets the answer to health checks. With fromStore it is given without asking the server again.
+	SetHealth(healthy, fromStore bool)
+
+	// CloseIdleConnections has routers' connections closed that carried nothing for so long.
+	CloseIdleConnections(after timeunit.Ticks)
+
+	// SetTimer asks for a batch with OnTimer after this time. An earlier timer may be dropped.
 	SetTimer(after timeunit.Ticks)
-	Release(w *Request) // the handle is of no more use
+
+	// Release says that the handle is of no more use: the request is out of all accounts.
+	Release(r *Request)
 }
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -97,7 +97,7 @@
 
 func (s *stage) until(end timeunit.Ticks, f map[string]float64) {
 	if len(f) == 0 { // the cores are busy and not crowded
-		f = map[string]float64{"use": 1, "cores": s.server.limiter.cores}
+		f = map[string]float64{"use": 1, "cores": s.server.cores.cores}
 	}
 	for len(s.wakes) > 0 && s.wakes[0] <= end {
 		s.now, s.wakes = s.wakes[0], s.wakes[1:]
