--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -347,7 +347,7 @@
 	golden.Check(t, "random-schedules.txt", []byte(lines.String()))
 }
 
-// The same for the schedules of many servers with one dependency below (sum_test.go).
+// The same for the schedules of many servers with one dependency below (dependency_test.go).
 func TestDecisionsOnSharedDependencyAreAsRecorded(t *testing.T) {
 	var lines strings.Builder
 	for _, servers := range []int{1, 8, 20} {
