--- /dev/null
+++ b/admission/schedule_test.go
@@ -0,0 +1,254 @@
+package admission
+
+import (
+	"math/rand"
+	"slices"
+
+	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
+)
+
+// scheduled is one request of a random schedule as its host sees it.
+type scheduled struct {
+	handle      *Request
+	running     bool
+	sharing     bool
+	needsCall   bool // at a call that is not made yet
+	calling     bool
+	answered    bool
+	stopped     bool
+	startedAt   timeunit.Ticks
+	nextAt      timeunit.Ticks // end of the run's present part, or of its call
+	callStarted timeunit.Ticks
+}
+
+// schedule is a host that drives one server by random events in virtual time.
+type schedule struct {
+	random   *rand.Rand
+	record   recorder
+	config   Config
+	server   *Server
+	now      timeunit.Ticks
+	timer    timeunit.Ticks
+	lastID   uint64
+	live     map[uint64]*scheduled
+	order    []uint64
+	ownEntry []*Request
+}
+
+// playRandomSchedule plays two incarnations of a server; the second begins with what the first has found out.
+func playRandomSchedule(seed int64, history *golden.History) {
+	s := &schedule{random: rand.New(rand.NewSource(seed))}
+	s.record = recorder{s, history}
+	s.config = s.randomConfig()
+	batches := 150
+	if seed%40 == 0 { // long enough for histograms to fade
+		batches = 2000
+	}
+	state := s.playIncarnation(nil, batches, -1)
+	s.playIncarnation(&state, batches, batches-50)
+}
+
+// playIncarnation plays so many batches, with the notice of a stop in one of them, and returns the server's state.
+func (s *schedule) playIncarnation(state *WarmStartState, batches, drainIn int) WarmStartState {
+	s.live = map[uint64]*scheduled{}
+	s.order = nil
+	s.ownEntry = nil
+	s.timer = noDeadline
+	s.config.WarmStart = state
+	s.server = New(s.config, s.record, s.now)
+	for n := range batches {
+		s.playBatch(n, drainIn)
+	}
+	last := s.server.WarmStartState()
+	s.record.addWarmStart(last)
+	return last
+}
+
+// playBatch plays one batch of events and dispatches.
+func (s *schedule) playBatch(n, drainIn int) {
+	s.now += s.span(0, 1) * s.span(1, 400)
+	s.record.history.Add(31, int64(s.now))
+	s.server.Advance(s.now)
+	timerIsDue := s.now >= s.timer
+	for range s.pick(0, 3) * s.pick(0, 2) {
+		s.enqueue()
+	}
+	for _, id := range s.order {
+		if it := s.live[id]; it != nil {
+			s.step(it)
+		}
+	}
+	s.reconfigure()
+	if n == drainIn || n == drainIn+5 {
+		s.server.Drain(s.span(50, 8000))
+	}
+	if timerIsDue {
+		s.timer = noDeadline
+		s.server.OnTimer(Gauges{CoreUtilization: s.random.Float64(),
+			RunnableRequests: float64(s.pick(0, 3*s.config.Cores)), IsStale: s.oneIn(9)})
+	}
+	s.server.Dispatch()
+	s.record.addStats(s.server)
+	s.order = slices.DeleteFunc(s.order, func(id uint64) bool { return s.live[id] == nil })
+}
+
+// reconfigure tells the server now and then what its surroundings know.
+func (s *schedule) reconfigure() {
+	if s.oneIn(40) {
+		s.server.SetFleetSize(s.pick(0, 70))
+	}
+	if s.oneIn(40) {
+		s.server.SetDownstreamLimit(float64(s.pick(0, 50)) / 10)
+	}
+	if s.oneIn(20) {
+		s.server.ReserveMemory(float64(s.pick(0, 3)))
+	}
+}
+
+// randomConfig draws settings with which every guard may have to act.
+func (s *schedule) randomConfig() Config {
+	config := Config{Routers: s.either(s.pick(1, 9), 400), RetriesMarked: s.oneIn(2), Servers: s.pick(1, 60),
+		Cores: s.pick(1, 6), MemoryKB: float64(s.either(s.pick(30, 300), 1_000_000)),
+		RunMemoryFactor: float64(s.pick(1, 4)), EntryKB: float64(s.pick(0, 2)), MaxEntries: s.either(0, s.pick(1, 40)),
+		BatchInterval: s.span(5, 30), DrainGrace: s.span(50, 3000), ResultTTL: s.span(0, 1) * s.span(1, 3000),
+		StartsCold: s.oneIn(2), ColdSpeed: 0.2, WarmUpTime: s.span(100, 20_000),
+		OverloadThreshold: float64(s.pick(2, 9)), SharedDependency: s.oneIn(2),
+		DownstreamLimit: float64(s.pick(1, 60)) / 10, DownstreamWindow: s.span(5000, 50_000),
+		TurnOffset: s.random.Float64(), AbandonedCallTime: s.span(10, 1000),
+		LoadReportMode: LoadReportMode(s.pick(0, 3)), MaxRetryAfter: s.span(0, 1) * 10_000, MaxIdleTime: s.span(0, 30_000), CanStopRuns: s.oneIn(2)}
+	for range s.pick(1, 4) {
+		softDeadline := s.span(300, 6000)
+		config.Categories = append(config.Categories, Category{Weight: float64(s.pick(1, 5)),
+			LateValue: s.quarters() * 0.8, DegradedValue: s.quarters() * 0.7, SoftDeadline: softDeadline,
+			Deadline: softDeadline * s.span(1, 3), DeduplicationWindow: s.span(0, 20_000),
+			Idempotency: Idempotency(s.pick(0, 2))})
+	}
+	return config
+}
+
+// enqueue hands the server one request with random properties, a repeat of one with an entry among others.
+func (s *schedule) enqueue() {
+	s.lastID++
+	a := Arrival{Category: s.random.Intn(len(s.config.Categories)), Router: s.random.Intn(5),
+		QueuedKB: float64(s.pick(0, 12)), IsRetry: s.oneIn(6), Cacheable: s.oneIn(2), ID: s.lastID}
+	category := s.config.Categories[a.Category]
+	if s.oneIn(3) {
+		a.UnreadTime = s.span(0, int(category.SoftDeadline))
+	}
+	if s.oneIn(2) {
+		a.TimeLeft = max(1, category.Deadline-a.UnreadTime) // as first attempts mostly wait
+		if s.oneIn(6) {
+			a.TimeLeft = max(1, a.TimeLeft/s.span(1, 4))
+		}
+	}
+	if s.oneIn(4) {
+		a.StartTag = s.server.VirtualTime() + float64(s.pick(-3, 9))
+		a.ExpectedDelay = s.span(0, 3000)
+	}
+	if len(s.ownEntry) > 0 && s.oneIn(3) {
+		a.IsRepeat = true
+		if !s.oneIn(4) {
+			a.RepeatOf = s.ownEntry[s.random.Intn(len(s.ownEntry))]
+		}
+	}
+	it := &scheduled{}
+	s.live[a.ID] = it
+	s.order = append(s.order, a.ID)
+	s.record.history.Add(30, a.Category, a.Router, a.QueuedKB, a.IsRetry, a.Cacheable, int64(a.UnreadTime),
+		int64(a.TimeLeft), a.StartTag, int64(a.ExpectedDelay))
+	it.handle = s.server.Enqueue(a)
+}
+
+// step plays what is due of one request.
+func (s *schedule) step(it *scheduled) {
+	switch {
+	case s.oneIn(150):
+		it.handle.Cancel()
+	case !it.running:
+	case it.needsCall || it.calling && it.nextAt > s.now:
+		if it.answered && s.oneIn(3) {
+			it.handle.RunEnded(Aborted, s.now-it.startedAt)
+		}
+	case it.calling:
+		s.endCall(it)
+	case it.stopped:
+		it.handle.RunEnded(Aborted, s.now-it.startedAt)
+	case it.nextAt > s.now:
+	case it.sharing: // it gets a result, or the host says that there is none
+		it.handle.RunEnded([]Outcome{Succeeded, Failed}[s.random.Intn(2)], s.now-it.startedAt)
+	case s.oneIn(2) && !s.oneIn(3):
+		it.needsCall = true
+		it.handle.NeedsCall()
+	default:
+		outcomes := []Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Failed, Aborted, NeverStarted}
+		it.handle.RunEnded(outcomes[s.random.Intn(len(outcomes))], s.now-it.startedAt)
+	}
+}
+
+// endCall ends the call of a request, successfully or not.
+func (s *schedule) endCall(it *scheduled) {
+	outcomes := []Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Failed, NotExecuted, Indeterminate}
+	outcome := outcomes[s.random.Intn(len(outcomes))]
+	it.calling = false
+	it.needsCall = outcome != Succeeded
+	it.nextAt = s.now + s.span(1, 2000)
+	it.handle.CallEnded(outcome, s.now-it.callStarted)
+}
+
+func (s *schedule) start(r *Request) {
+	it := s.of(r)
+	it.running = true
+	it.startedAt = s.now
+	it.nextAt = s.now + s.span(1, 4000)
+}
+
+func (s *schedule) Run(r *Request) { s.start(r) }
+
+func (s *schedule) ShareResult(r *Request) {
+	s.of(r).sharing = true
+	s.start(r)
+}
+
+func (s *schedule) StartCall(r *Request, until timeunit.Ticks) {
+	it := s.of(r)
+	it.needsCall = false
+	it.calling = true
+	it.callStarted = s.now
+	it.nextAt = min(until, s.now+s.span(1, s.pick(1, 3000)))
+}
+
+func (s *schedule) SkipCall(r *Request) {
+	it := s.of(r)
+	it.needsCall = false
+	it.calling = false
+	it.nextAt = s.now + s.span(1, 2000)
+}
+
+func (s *schedule) DropEntry(r *Request) {
+	s.ownEntry = slices.DeleteFunc(s.ownEntry, func(other *Request) bool { return other == r })
+}
+
+func (s *schedule) Abort(r *Request)                       { s.of(r).answered = true }
+func (s *schedule) StopRun(r *Request)                     { s.of(r).stopped = true }
+func (s *schedule) KeepEntry(r *Request, _ timeunit.Ticks) { s.ownEntry = append(s.ownEntry, r) }
+func (s *schedule) SetTimer(after timeunit.Ticks)          { s.timer = s.now + after }
+func (s *schedule) Release(r *Request)                     { delete(s.live, r.ID) }
+
+func (*schedule) Reject(*Request, timeunit.Ticks, bool) {}
+func (*schedule) ReportLoad(float64)                    {}
+func (*schedule) SetHealth(_, _ bool)                   {}
+func (*schedule) CloseIdleConnections(timeunit.Ticks)   {}
+
+func (s *schedule) of(r *Request) *scheduled { return s.live[r.ID] }
+
+// pick draws a whole number from low to high, both included.
+func (s *schedule) pick(low, high int) int { return low + s.random.Intn(high-low+1) }
+
+func (s *schedule) span(low, high int) timeunit.Ticks { return timeunit.Ticks(s.pick(low, high)) }
+
+func (s *schedule) oneIn(n int) bool { return s.random.Intn(n) == 0 }
+
+func (s *schedule) quarters() float64 { return float64(s.pick(0, 4)) / 4 }
+
+func (s *schedule) either(a, b int) int { return []int{a, b}[s.random.Intn(2)] }
