--- a/admission/doc.go
+++ b/admission/doc.go
@@ -17,8 +17,7 @@
 //	server.OnTimer(gauges)          // the time that Host.SetTimer asked for has come
 //	server.Dispatch()               // last: decides, and calls the Host
 //
-// The host's methods are called from Enqueue, from the handle's methods and from Dispatch; none of them may
-// call back into the package.
+// The host's methods are called from within New and these calls; none of them may call back into the package.
 //
 // # What decides
 //
--- a/admission/host.go
+++ b/admission/host.go
@@ -69,14 +69,14 @@
 }
 
 // Host is the server that embeds the package and carries its decisions out. No method may call back into the
-// package. Every request is released exactly once; before that it has been answered by exactly one of its run
-// or shared result (Run, ShareResult), Reject or Abort, unless it was cancelled.
+// package. Every request gets exactly one answer, by the end of its run or shared result (Run, ShareResult), by
+// Reject or by Abort, unless it is cancelled before. Release comes last.
 type Host interface {
 	// Run starts the request. Its end is told by Request.RunEnded.
 	Run(r *Request)
 
 	// ShareResult answers the request with the result of the attempt that it repeats, now or when that has
-	// ended. That this is done is told by Request.RunEnded.
+	// ended. That this is done is told by Request.RunEnded, as Succeeded, or as Failed where there is no result.
 	ShareResult(r *Request)
 
 	// Reject answers a request that never ran here. The client should stay away for retryAfter (0: not told),
--- a/admission/schedule_test.go
+++ b/admission/schedule_test.go
@@ -116,7 +116,8 @@
 		OverloadThreshold: float64(s.pick(2, 9)), SharedDependency: s.oneIn(2),
 		DownstreamLimit: float64(s.pick(1, 60)) / 10, DownstreamWindow: s.span(5000, 50_000),
 		TurnOffset: s.random.Float64(), AbandonedCallTime: s.span(10, 1000),
-		LoadReportMode: LoadReportMode(s.pick(0, 3)), MaxRetryAfter: s.span(0, 1) * 10_000, MaxIdleTime: s.span(0, 30_000), CanStopRuns: s.oneIn(2)}
+		LoadReportMode: LoadReportMode(s.pick(0, 3)), MaxRetryAfter: s.span(0, 1) * 10_000,
+		MaxIdleTime: s.span(0, 30_000), CanStopRuns: s.oneIn(2)}
 	for range s.pick(1, 4) {
 		softDeadline := s.span(300, 6000)
 		config.Categories = append(config.Categories, Category{Weight: float64(s.pick(1, 5)),
