--- a/admission/histogram.go
+++ b/admission/histogram.go
@@ -37,7 +37,7 @@
 // quantile is the time below which the share q, from 0 to 1, of all samples lies; 0 while there are none.
 func (h *histogram) quantile(q float64) timeunit.Ticks {
 	left := q * h.total
-	for i, count := range h.counts {
+	for i, count := range &h.counts {
 		if left <= count && count > 0 {
 			return timeunit.Ticks((float64(i) + left/count) * float64(h.binWidth))
 		}
@@ -49,7 +49,7 @@
 // fractionBelow is the share of all samples that lies below t; 1 while there are none.
 func (h *histogram) fractionBelow(t timeunit.Ticks) float64 {
 	sum := 0.0
-	for i, count := range h.counts {
+	for i, count := range &h.counts {
 		sum += count * max(0, min(1, float64(t-timeunit.Ticks(i)*h.binWidth)/float64(h.binWidth)))
 	}
 	if h.total == 0 {
