--- /dev/null
+++ b/admission/dependency_test.go
@@ -0,0 +1,200 @@
+package admission
+
+import (
+	"fmt"
+	"math"
+	"math/rand"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
+)
+
+// dependency is what many servers share, in virtual time: it counts the calls that it works on.
+type dependency struct {
+	now         timeunit.Ticks
+	random      *rand.Rand
+	isDown      bool
+	minTime     timeunit.Ticks // that a call takes
+	maxTime     timeunit.Ticks
+	inFlight    int
+	maxInFlight int
+	servers     []*callingServer
+	history     *golden.History // of what servers tell their hosts; nil where nobody asks
+}
+
+// callingServer is one server of them. It always has more to call for than it may.
+type callingServer struct {
+	Host
+	dependency *dependency
+	server     *Server
+	calls      []*pendingCall
+	steps      int
+}
+
+type pendingCall struct {
+	request     *Request
+	startedAt   timeunit.Ticks
+	endsAt      timeunit.Ticks
+	succeeds    bool
+	abandonedAt timeunit.Ticks // the dependency works on for abandonedTime; 0 while it is not given up
+}
+
+const abandonedTime = timeunit.Ticks(1000)
+
+func (c *callingServer) Run(r *Request) { r.NeedsCall() }
+
+func (c *callingServer) StartCall(r *Request, until timeunit.Ticks) {
+	d := c.dependency
+	takes := d.minTime + timeunit.Ticks(d.random.Int63n(int64(d.maxTime-d.minTime)+1))
+	call := &pendingCall{request: r, startedAt: d.now, endsAt: d.now + takes, succeeds: true}
+	if call.endsAt > until {
+		call.endsAt = max(until, d.now+1)
+		call.succeeds = false
+	}
+	if d.isDown { // its connection is refused
+		call.endsAt = d.now
+	} else {
+		d.inFlight++
+		d.maxInFlight = max(d.maxInFlight, d.inFlight)
+	}
+	c.calls = append(c.calls, call)
+}
+
+func (*callingServer) Reject(*Request, timeunit.Ticks, bool) {}
+func (*callingServer) Abort(*Request)                        {}
+func (*callingServer) StopRun(*Request)                      {}
+func (*callingServer) SkipCall(*Request)                     {}
+func (*callingServer) ReportLoad(float64)                    {}
+func (*callingServer) SetHealth(bool, bool)                  {}
+func (*callingServer) CloseIdleConnections(timeunit.Ticks)   {}
+func (*callingServer) SetTimer(timeunit.Ticks)               {}
+func (*callingServer) Release(*Request)                      {}
+
+func newDependency(seed int64) *dependency {
+	return &dependency{now: 1 << 44, random: rand.New(rand.NewSource(seed)), minTime: 200, maxTime: 40_000}
+}
+
+// addServers adds n servers that are told of a fleet of this size.
+func (d *dependency) addServers(n, fleetSize int, limit float64) {
+	for range n {
+		c := &callingServer{dependency: d}
+		host := Host(c)
+		if d.history != nil {
+			host = recorder{c, d.history}
+		}
+		c.server = New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 30_000, Deadline: 60_000}}, Routers: 3,
+			Servers: fleetSize, Cores: 4, MemoryKB: 1e6, RunMemoryFactor: 4, BatchInterval: 20, OverloadThreshold: 8,
+			SharedDependency: true, DownstreamLimit: limit, DownstreamWindow: 50_000, AbandonedCallTime: abandonedTime,
+			TurnOffset: d.random.Float64()}, host, d.now)
+		d.servers = append(d.servers, c)
+	}
+}
+
+// playTo plays on in steps.
+func (d *dependency) playTo(end timeunit.Ticks) {
+	for ; d.now < end; d.now += 250 {
+		for _, c := range d.servers {
+			c.step()
+		}
+	}
+}
+
+// step plays one batch of one server.
+func (c *callingServer) step() {
+	now := c.dependency.now
+	c.server.Advance(now)
+	c.steps++
+	if c.steps%3 == 0 {
+		c.server.Enqueue(Arrival{QueuedKB: 1, TimeLeft: 60_000, Router: c.steps % 3})
+	}
+	calls := c.calls[:0]
+	for _, call := range c.calls {
+		if c.isOut(call, now) {
+			calls = append(calls, call)
+		}
+	}
+	c.calls = calls
+	c.server.Dispatch()
+}
+
+// isOut ends the call if that is due and says whether the dependency still works on it.
+func (c *callingServer) isOut(call *pendingCall, now timeunit.Ticks) bool {
+	took := now - call.startedAt
+	switch {
+	case call.abandonedAt > 0 && now < call.abandonedAt+abandonedTime, call.abandonedAt == 0 && now < call.endsAt:
+		return true
+	case call.abandonedAt > 0:
+		c.dependency.inFlight--
+	case call.endsAt == call.startedAt:
+		call.request.CallEnded(NotExecuted, 0)
+	case call.succeeds:
+		c.dependency.inFlight--
+		call.request.CallEnded(Succeeded, took)
+		call.request.RunEnded(Succeeded, took)
+	default:
+		call.abandonedAt = now
+		call.request.CallEnded(Indeterminate, took)
+		return true
+	}
+	return false
+}
+
+// play has the dependency be cold, down, up again and slow while the fleet may grow to twice its size, and then warm.
+// It returns the largest number of calls that it worked on when it was not warm; maxInFlight is that when it was.
+func (d *dependency) play(servers int, survives float64, fleetGrows bool) (maxInFlight int) {
+	start := d.now
+	limit := survives / float64(servers) // limits are set for the fleet at its largest
+	if fleetGrows {
+		limit /= 2
+	}
+	d.addServers(servers, servers, limit)
+	d.playTo(start + 40_000)
+	d.isDown = true
+	d.playTo(start + 60_000)
+	d.isDown = false
+	d.minTime = 20_000
+	d.maxTime = 90_000
+	d.playTo(start + 90_000)
+	if fleetGrows {
+		d.addServers(servers, 2*servers, limit)
+	}
+	d.playTo(start + 120_000)
+	maxInFlight = d.maxInFlight
+	d.maxInFlight = 0
+	d.minTime = 100 // it is warm: quick, whatever comes at once
+	d.maxTime = 600
+	d.playTo(start + 150_000)
+	return maxInFlight
+}
+
+// Whatever befalls the servers together (all start at once, the dependency is cold, down, up again and slow, the fleet
+// grows to twice its size), the calls of all of them that it works on stay within N and what is put down to chance.
+func TestMeasuredCallsOfFleetStayWithinLimit(t *testing.T) {
+	seeds := 16
+	if os.Getenv("MEASURE") == "full" {
+		seeds = 600
+	}
+	for _, servers := range []int{1, 8, 20, 30} {
+		for _, survives := range []float64{3, 10, 40, 6 * float64(servers)} {
+			maxInFlight := 0
+			maxWarm := 0
+			succeeded := 0.0
+			for seed := range seeds {
+				d := newDependency(int64(seed))
+				maxInFlight = max(maxInFlight, d.play(servers, survives, seed%2 == 1))
+				maxWarm = max(maxWarm, d.maxInFlight)
+				for _, c := range d.servers {
+					succeeded += c.server.downstream.quickTimes.total
+				}
+			}
+			allowed := survives + 2*math.Sqrt(survives) + 2
+			fmt.Printf("measured cold processes=%d n=%.0f most=%d allowed=%.1f most_warm=%d seeds=%d calls_well=%.0f "+
+				"source=virtual\n", servers, survives, maxInFlight, allowed, maxWarm, seeds, succeeded/float64(seeds))
+			require.LessOrEqual(t, float64(maxInFlight), allowed, "%d servers, N %.0f", servers, survives)
+		}
+	}
+}
