--- a/internal/fairqueue/heavyhitters.go
+++ b/internal/fairqueue/heavyhitters.go
@@ -1,8 +1,5 @@
 package fairqueue
 
-// This file owns who gets a book of its own: candidates are counted in a table of fixed size, as Metwally's
-// Space-Saving does, and the heaviest with a history take the place of the lightest. It must never grow.
-
 import (
 	"cmp"
 	"slices"
@@ -10,129 +7,158 @@
 	"thistlequay/timeunit"
 )
 
-// candidate is one that may deserve a book.
+// How heavy hitters are chosen.
+const (
+	// maxCandidates is the size of the table of candidates.
+	maxCandidates = 256
+
+	// evictionFactor is how many times the usage of the lightest heavy hitter a candidate must have to replace it.
+	evictionFactor = 2
+)
+
+// candidate is a tenant that may become a heavy hitter.
 type candidate struct {
 	hash         uint64
 	firstSeen    timeunit.Ticks
 	lastSeen     timeunit.Ticks
-	usage        float64 // with what it took over
-	overestimate float64 // from the one whose place it has
+	usage        float64 // core time, decaying; includes overestimate
+	overestimate float64 // usage taken over from the candidate whose place this one has
 }
 
+// candidateTable counts the usage of the tenants without a flow of their own, in a table of fixed size: the
+// Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005). A new tenant in a full table takes the place and the
+// count of the candidate with the least usage; the count taken over is noted as the overestimate, which proves
+// nothing.
 type candidateTable struct {
 	entries []candidate
-	index   map[uint64]int
+	index   map[uint64]int // from hash to place in entries
 }
 
-func newCandidateTable(n int) candidateTable {
-	return candidateTable{entries: make([]candidate, 0, n), index: make(map[uint64]int, n)}
+func newCandidateTable(size int) candidateTable {
+	return candidateTable{entries: make([]candidate, 0, size), index: make(map[uint64]int, size)}
 }
 
-// observe gives a tenant a place, that of the one that has used least where all are taken.
-func (s *candidateTable) observe(hash uint64, now timeunit.Ticks) {
-	if i, known := s.index[hash]; known {
-		s.entries[i].lastSeen = now
+// observe notes a request of a tenant.
+func (t *candidateTable) observe(hash uint64, now timeunit.Ticks) {
+	if i, known := t.index[hash]; known {
+		t.entries[i].lastSeen = now
 		return
 	}
-	fresh := candidate{hash: hash, firstSeen: now, lastSeen: now}
-	if len(s.entries) < cap(s.entries) {
-		s.index[hash] = len(s.entries)
-		s.entries = append(s.entries, fresh)
+	added := candidate{hash: hash, firstSeen: now, lastSeen: now}
+	if len(t.entries) < cap(t.entries) {
+		t.index[hash] = len(t.entries)
+		t.entries = append(t.entries, added)
 		return
 	}
-	least := 0
-	for i := range s.entries {
-		if c, l := &s.entries[i], &s.entries[least]; c.usage < l.usage || c.usage == l.usage && c.lastSeen < l.lastSeen {
-			least = i
+	place := t.lightest()
+	replaced := t.entries[place]
+	added.usage = replaced.usage
+	added.overestimate = replaced.usage
+	delete(t.index, replaced.hash)
+	t.index[hash] = place
+	t.entries[place] = added
+}
+
+// lightest is the place of the candidate with the least usage, among equals of the one not seen for longest.
+func (t *candidateTable) lightest() int {
+	place := 0
+	least := &t.entries[0]
+	for i := range t.entries {
+		c := &t.entries[i]
+		if c.usage < least.usage || c.usage == least.usage && c.lastSeen < least.lastSeen {
+			place = i
+			least = c
 		}
 	}
-	fresh.usage, fresh.overestimate = s.entries[least].usage, s.entries[least].usage
-	delete(s.index, s.entries[least].hash)
-	s.index[hash], s.entries[least] = least, fresh
+	return place
 }
 
-func (s *candidateTable) charge(hash uint64, work float64) {
-	if i, known := s.index[hash]; known {
-		s.entries[i].usage += work
+// charge adds core time to a candidate's usage, if the tenant is still one.
+func (t *candidateTable) charge(hash uint64, coreTime float64) {
+	if i, known := t.index[hash]; known {
+		t.entries[i].usage += coreTime
 	}
 }
 
-func (s *candidateTable) decay(left float64) {
-	for i := range s.entries {
-		s.entries[i].usage *= left
-		s.entries[i].overestimate *= left
+// decay leaves the given part of all usage.
+func (t *candidateTable) decay(left float64) {
+	for i := range t.entries {
+		t.entries[i].usage *= left
+		t.entries[i].overestimate *= left
 	}
 }
 
-func (s *candidateTable) remove(i int) {
-	last := len(s.entries) - 1
-	delete(s.index, s.entries[i].hash)
-	if i < last {
-		s.entries[i] = s.entries[last]
-		s.index[s.entries[i].hash] = i
+// remove removes the candidate at a place; the last one takes the place.
+func (t *candidateTable) remove(place int) {
+	last := len(t.entries) - 1
+	delete(t.index, t.entries[place].hash)
+	if place < last {
+		t.entries[place] = t.entries[last]
+		t.index[t.entries[place].hash] = place
 	}
-	s.entries = s.entries[:last]
+	t.entries = t.entries[:last]
 }
 
-func sortByUsage(books []*flow) {
-	slices.SortFunc(books, func(a, b *flow) int {
+// sortByUsage sorts flows of heavy hitters, the heaviest first.
+func sortByUsage(flows []*flow) {
+	slices.SortFunc(flows, func(a, b *flow) int {
 		return cmp.Or(cmp.Compare(b.recentUsage, a.recentUsage), cmp.Compare(a.tenantHash, b.tenantHash))
 	})
 }
 
-// promoteCandidates gives books to candidates with a history and takes them from those that have used next to nothing.
-func (l *Scheduler) promoteCandidates() {
-	least := minUsageFraction * measureInterval
-	l.individualFlows = slices.DeleteFunc(l.individualFlows, func(a *flow) bool {
-		if a.kind != heavyHitterFlow || a.openReservations > 0 || a.recentUsage >= least {
+// promoteCandidates takes the flows of heavy hitters that have used next to nothing, and gives a flow to each candidate
+// with a history and proven usage.
+func (s *Scheduler) promoteCandidates() {
+	const minUsage = minUsageFraction * measureInterval
+	s.individualFlows = slices.DeleteFunc(s.individualFlows, func(f *flow) bool {
+		if f.kind != heavyHitterFlow || f.openReservations > 0 || f.recentUsage >= minUsage {
 			return false
 		}
-		delete(l.heavyHitters, a.tenantHash)
+		delete(s.heavyHitters, f.tenantHash)
 		return true
 	})
-	for i := len(l.candidates.entries) - 1; i >= 0; i-- {
-		c := l.candidates.entries[i]
+	for i := len(s.candidates.entries) - 1; i >= 0; i-- {
+		c := s.candidates.entries[i]
 		proven := c.usage - c.overestimate
-		if l.now-c.firstSeen < l.config.MinHistory || l.now-c.lastSeen > l.config.MinHistory || proven < least {
+		hasHistory := s.now-c.firstSeen >= s.config.MinHistory && s.now-c.lastSeen <= s.config.MinHistory
+		if !hasHistory || proven < minUsage {
 			continue
 		}
-		if len(l.heavyHitters) >= l.config.MaxHeavyHitters && !l.evictHeavyHitter(proven) {
-			continue
+		if len(s.heavyHitters) < s.config.MaxHeavyHitters || s.evictHeavyHitter(proven) {
+			s.promote(c, proven)
+			s.candidates.remove(i)
 		}
-		a := l.newFlow(heavyHitterFlow)
-		// What it had in its group's time is not forgotten: it starts no further back than now.
-		a.tenantHash, a.finishTag, a.recentUsage, a.lastSeen = c.hash, l.virtualTime, proven, c.lastSeen
-		l.heavyHitters[c.hash] = a
-		l.individualFlows = append(l.individualFlows, a)
-		l.candidates.remove(i)
 	}
 }
 
-// evictHeavyHitter takes the book of the lightest, if it has nothing in hand and used far less than the one that comes.
-func (l *Scheduler) evictHeavyHitter(used float64) bool {
-	least := -1
-	for i, a := range l.individualFlows {
-		if a.kind == heavyHitterFlow && a.openReservations == 0 && (least < 0 || a.recentUsage < l.individualFlows[least].recentUsage) {
-			least = i
+// promote gives a candidate a flow of its own. Its finish tag starts at the virtual time and not a burst before it:
+// what the tenant used on its shared flow is not forgotten.
+func (s *Scheduler) promote(c candidate, provenUsage float64) {
+	f := s.newFlow(heavyHitterFlow)
+	f.tenantHash = c.hash
+	f.finishTag = s.virtualTime
+	f.recentUsage = provenUsage
+	f.lastSeen = c.lastSeen
+	s.heavyHitters[c.hash] = f
+	s.individualFlows = append(s.individualFlows, f)
+}
+
+// evictHeavyHitter drops the lightest heavy hitter without an open reservation, if it used far less than the candidate
+// that needs its place. It reports whether it did.
+func (s *Scheduler) evictHeavyHitter(candidateUsage float64) bool {
+	lightest := -1
+	for i, f := range s.individualFlows {
+		if f.kind != heavyHitterFlow || f.openReservations > 0 {
+			continue
+		}
+		if lightest < 0 || f.recentUsage < s.individualFlows[lightest].recentUsage {
+			lightest = i
 		}
 	}
-	if least < 0 || l.individualFlows[least].recentUsage*evictionFactor > used {
+	if lightest < 0 || s.individualFlows[lightest].recentUsage*evictionFactor > candidateUsage {
 		return false
 	}
-	delete(l.heavyHitters, l.individualFlows[least].tenantHash)
-	l.individualFlows = slices.Delete(l.individualFlows, least, least+1)
+	delete(s.heavyHitters, s.individualFlows[lightest].tenantHash)
+	s.individualFlows = slices.Delete(s.individualFlows, lightest, lightest+1)
 	return true
 }
-
-// Stats are what the books look like, for logs.
-type Stats struct {
-	HeavyHitters      int     // of tenants not named
-	ActiveSharedFlows int     // that are active
-	ServiceRate       float64 // cores' worth of work that the server gets done
-	Candidates        int     // candidates for a book
-}
-
-// Stats tells them.
-func (l *Scheduler) Stats() Stats {
-	return Stats{HeavyHitters: len(l.heavyHitters), ActiveSharedFlows: l.activeSharedFlows, ServiceRate: l.serviceRate, Candidates: len(l.candidates.entries)}
-}
--- a/internal/fairqueue/remoteusage.go
+++ b/internal/fairqueue/remoteusage.go
@@ -1,10 +1,5 @@
 package fairqueue
 
-// This file owns what tenants are given at other servers of a fleet. A named tenant's finish moves on by that as if it had been
-// given here (start-time fair queueing with the total service as its clock: Wang and Merchant, 2007): one that asks everywhere
-// comes after one that can ask here alone, and nobody's part of the fleet grows by asking at many doors. It must never count
-// the same time twice, nor hold what was given long ago against a tenant.
-
 import (
 	"cmp"
 	"slices"
@@ -12,82 +7,100 @@
 	"thistlequay/timeunit"
 )
 
-// Usage is what a named tenant was given by one life of a server, from that life's start, in core time.
+// Bounds on what other servers report.
+const (
+	// maxRemoteServers bounds the table of other servers' incarnations.
+	maxRemoteServers = 4096
+
+	// maxReportAge is 10 s in ticks. An older report says nothing about what is used now, and no finish tag is moved
+	// ahead by more than all servers' work in that time.
+	maxReportAge = 100_000
+
+	// maxSilence is how long an incarnation may say nothing before its next report is taken as its first.
+	maxSilence = 2 * maxReportAge
+)
+
+// Usage is the core time that one incarnation of a server gave to a named tenant since the incarnation began.
 type Usage struct {
 	Tenant   string
 	CoreTime float64
 }
 
-// remoteServer is one life of another server.
+// remoteServer is one incarnation of another server.
 type remoteServer struct {
 	lastReport timeunit.Ticks
-	reported   map[string]float64
+	reported   map[string]float64 // core time by tenant
 }
 
-const (
-	maxRemoteServers = 4096
-	maxReportAge     = 100_000 // what was said longer ago is no news of what is given now, and nobody is put back by more than all servers' work in that time: 10 s
-)
-
-// LocalUsage is what named tenants were given here, the most of late first.
-func (l *Scheduler) LocalUsage() (list []Usage) {
-	for _, t := range l.config.Tenants {
-		if a := l.namedFlows[t.Name]; a != nil && a.localTotal > 0 {
-			list = append(list, Usage{t.Name, a.localTotal})
+// LocalUsage returns what the named tenants were given here, those that used most of late first.
+func (s *Scheduler) LocalUsage() []Usage {
+	var usages []Usage
+	for _, tenant := range s.config.Tenants {
+		if f := s.namedFlows[tenant.Name]; f != nil && f.localTotal > 0 {
+			usages = append(usages, Usage{Tenant: tenant.Name, CoreTime: f.localTotal})
 		}
 	}
-	slices.SortStableFunc(list, func(x, y Usage) int {
-		return -cmp.Compare(l.namedFlows[x.Tenant].recentUsage, l.namedFlows[y.Tenant].recentUsage)
+	slices.SortStableFunc(usages, func(a, b Usage) int {
+		return cmp.Compare(s.namedFlows[b.Tenant].recentUsage, s.namedFlows[a.Tenant].recentUsage)
 	})
-	return list
+	return usages
 }
 
-// RecordRemoteUsage takes what a life of another server said so long ago. Totals only grow: what comes late, twice or not at all is made
-// good by the next. The first word of a life, and one after a long silence, only tells where to count from.
-func (l *Scheduler) RecordRemoteUsage(life string, age timeunit.Ticks, given []Usage, now timeunit.Ticks) {
-	l.advance(now)
-	s := l.remoteServers[life]
-	if s == nil {
-		if len(l.remoteServers) >= maxRemoteServers {
-			l.forgetRemoteServers()
+// RecordRemoteUsage takes the report of an incarnation of another server, sent the given time ago. A tenant's finish
+// tag moves on as if the reported core time had been used here (start-time fair queueing with the total service as its
+// clock: Wang and Merchant, 2007), so that a tenant which sends to every server comes after one that can send to this
+// one alone, and nobody's part of the fleet grows by the number of servers it sends to.
+//
+// Totals only grow, so a report that is late, repeated or lost is made good by the next and no time counts twice. The
+// first report of an incarnation, and the first after a long silence, only tells where to count from.
+func (s *Scheduler) RecordRemoteUsage(incarnation string, age timeunit.Ticks, usages []Usage, now timeunit.Ticks) {
+	s.advance(now)
+	server := s.remoteServers[incarnation]
+	if server == nil {
+		if len(s.remoteServers) >= maxRemoteServers {
+			s.forgetRemoteServers()
 		}
-		s = &remoteServer{reported: map[string]float64{}, lastReport: -1 << 60}
-		l.remoteServers[life] = s
+		server = &remoteServer{reported: map[string]float64{}, lastReport: neverSeen}
+		s.remoteServers[incarnation] = server
 	}
-	fresh := age >= 0 && age <= maxReportAge && l.now-s.lastReport <= 2*maxReportAge
-	for _, g := range given {
-		a, before := l.namedFlows[g.Tenant], s.reported[g.Tenant]
-		if a == nil || !(g.CoreTime > before) {
+	isRecent := age >= 0 && age <= maxReportAge && s.now-server.lastReport <= maxSilence
+	for _, usage := range usages {
+		f := s.namedFlows[usage.Tenant]
+		before := server.reported[usage.Tenant]
+		if f == nil || !(usage.CoreTime > before) { // a NaN is not greater either
 			continue
 		}
-		s.reported[g.Tenant] = g.CoreTime
-		if fresh {
-			a.chargeRemoteUsage(g.CoreTime-before, l.now)
+		server.reported[usage.Tenant] = usage.CoreTime
+		if isRecent {
+			f.chargeRemoteUsage(usage.CoreTime - before)
 		}
 	}
-	s.lastReport = l.now - max(0, age)
+	server.lastReport = s.now - max(0, age)
 }
 
-// chargeRemoteUsage moves a tenant's finish on.
-func (a *flow) chargeRemoteUsage(time float64, now timeunit.Ticks) {
-	l := a.scheduler
-	most := l.virtualTime + maxReportAge*float64(l.config.Cores*(1+len(l.remoteServers)))/l.totalWeight
-	if next := max(a.finishTag, l.MinStartTag(l.virtualTime)) + time/a.weight(); next <= most {
-		a.finishTag = next
+// chargeRemoteUsage moves the finish tag on by core time used elsewhere, no further ahead of the virtual time than all
+// servers' work within maxReportAge.
+func (f *flow) chargeRemoteUsage(coreTime float64) {
+	s := f.scheduler
+	allCores := float64(s.config.Cores * (1 + len(s.remoteServers)))
+	maxTag := s.virtualTime + maxReportAge*allCores/s.totalWeight
+	next := max(f.finishTag, s.MinStartTag(s.virtualTime)) + coreTime/f.weight()
+	if next <= maxTag {
+		f.finishTag = next
 	} else {
-		a.finishTag = max(a.finishTag, most)
+		f.finishTag = max(f.finishTag, maxTag)
 	}
-	a.remoteSinceMeasured += time
+	f.remoteSinceMeasured += coreTime
 }
 
-// forgetRemoteServers drops lives that have said nothing for long; all of them where none has.
-func (l *Scheduler) forgetRemoteServers() {
-	for life, s := range l.remoteServers {
-		if l.now-s.lastReport > 2*maxReportAge {
-			delete(l.remoteServers, life)
+// forgetRemoteServers drops incarnations that have been silent for long, or all of them if none has.
+func (s *Scheduler) forgetRemoteServers() {
+	for incarnation, server := range s.remoteServers {
+		if s.now-server.lastReport > maxSilence {
+			delete(s.remoteServers, incarnation)
 		}
 	}
-	if len(l.remoteServers) >= maxRemoteServers {
-		clear(l.remoteServers)
+	if len(s.remoteServers) >= maxRemoteServers {
+		clear(s.remoteServers)
 	}
 }
--- a/internal/fairqueue/reservation.go
+++ b/internal/fairqueue/reservation.go
@@ -2,173 +2,206 @@
 
 import "thistlequay/timeunit"
 
-// This file owns the life of a claim: from a work item's coming to its end, and what is told to one turned away. It
-// must never charge a work item twice, nor one that did not run.
+// How the cost of a request is estimated.
+const (
+	// initialCostFraction of its soft deadline is what a request is expected to cost before any was measured.
+	initialCostFraction = 1.0 / 16
+
+	// flowCostSmoothing is the weight of the newest request in a flow's cost factor, a running mean.
+	flowCostSmoothing = 1.0 / 8
+
+	// categoryCostSmoothing is the weight of the newest request in a category's typical cost, a running mean.
+	categoryCostSmoothing = 1.0 / 64
+
+	// maxCostFactor bounds the cost that one request contributes to its flow's cost factor, in typical costs.
+	maxCostFactor = 64
+)
 
+// maxExpectedDelay bounds times computed from a rate, so that they fit timeunit.Ticks.
+const maxExpectedDelay = 1 << 40
+
+// reservationState is where a request stands in the eyes of the scheduler.
 type reservationState int
 
 const (
-	released reservationState = iota
-	queued
-	running
-	suspended // at a call
+	released  reservationState = iota // ended, or never opened
+	queued                            // not started
+	running                           // started and in need of a core
+	suspended                         // started and waiting for a downstream call
 )
 
-// Reservation is one work item's place in the books. The zero claim is nobody's: nothing is charged, its turn has come.
+// Reservation is the place of one request in the accounts of its flow, from arrival to end. The zero Reservation
+// belongs to no flow: nothing is charged and every method does nothing. No request is charged twice, and none that did
+// not run.
 type Reservation struct {
-	StartTag      float64        // for admission.Arrival
-	ExpectedDelay timeunit.Ticks // and this: until its turn comes, if its tenant goes on as it does
-	flow          *flow
-	tenantHash    uint64
-	category      int // its category
-	state         reservationState
-	expectedCost  float64 // what its tenant was charged, of core time
-	weight        float64 // at this weight
-	startedAt     float64 // by the ledger's clock, the time at calls taken out
-	suspendedAt   float64 // when it went to a call
+	// StartTag is the virtual start tag of the request.
+	StartTag float64
+
+	// ExpectedDelay is the time until the virtual time reaches StartTag if the tenant goes on as it does.
+	ExpectedDelay timeunit.Ticks
+
+	flow         *flow
+	tenantHash   uint64
+	category     int
+	state        reservationState
+	expectedCost float64 // core time charged in advance
+	weight       float64 // of the flow when it was charged
+	startedAt    float64 // on the core clock, moved on by the time spent suspended
+	suspendedAt  float64 // on the core clock
 }
 
-// Reserve books a work item that has come, its tenant as the host knows it. Turn is up to where turns have come.
-func (l *Scheduler) Reserve(tenant []byte, category int, turn float64, now timeunit.Ticks) Reservation {
-	l.virtualTime = turn
-	l.advance(now)
-	a, hash := l.flowOf(tenant)
-	w := a.weight()
-	if a.lastSeen, a.openReservations = l.now, a.openReservations+1; !a.active {
-		l.activate(a)
+// Reserve opens a reservation for a request that has arrived. The virtual time is the highest start tag that the server
+// has started.
+func (s *Scheduler) Reserve(tenant []byte, category int, virtualTime float64, now timeunit.Ticks) Reservation {
+	s.virtualTime = virtualTime
+	s.advance(now)
+	f, hash := s.flowOf(tenant)
+	weight := f.weight()
+	f.lastSeen = s.now
+	f.openReservations++
+	if !f.active {
+		s.activate(f)
 	}
-	if a.kind == sharedFlow {
-		l.candidates.observe(hash, l.now)
+	if f.kind == sharedFlow {
+		s.candidates.observe(hash, s.now)
 	}
-	c := Reservation{flow: a, tenantHash: hash, category: category, state: queued, expectedCost: l.typicalCosts[category] * a.costFactor, weight: w}
-	a.finishTag = max(a.finishTag, l.MinStartTag(turn))
-	c.StartTag = a.finishTag + a.overrun()/w
-	if ahead := (c.StartTag - turn) * w; ahead > 0 {
-		c.ExpectedDelay = timeunit.Ticks(min(ahead/a.expectedRate(a.recentRate), 1<<40))
+	f.finishTag = max(f.finishTag, s.MinStartTag(virtualTime))
+	r := Reservation{
+		StartTag:     f.finishTag + f.overrun()/weight,
+		flow:         f,
+		tenantHash:   hash,
+		category:     category,
+		state:        queued,
+		expectedCost: s.typicalCosts[category] * f.costFactor,
+		weight:       weight,
 	}
-	a.finishTag += c.expectedCost / w
-	return c
-}
-
-// activate counts a tenant as active before the next beat does.
-func (l *Scheduler) activate(a *flow) {
-	a.active = true
-	switch a.kind {
-	case heavyHitterFlow:
-		l.activeHeavyHitters++
-	case sharedFlow:
-		l.activeSharedFlows++
+	if ahead := (r.StartTag - virtualTime) * weight; ahead > 0 {
+		r.ExpectedDelay = timeunit.Ticks(min(ahead/f.expectedRate(f.recentRate), maxExpectedDelay))
 	}
-	l.activeWeight += a.weight()
+	f.finishTag += r.expectedCost / weight
+	return r
 }
 
-// overrun is by how much its runs have outgrown what was estimated: it is not waited for their ends to know that.
-func (a *flow) overrun() float64 {
-	return max(0, float64(a.runningRequests)*a.scheduler.coreClock-a.startSum-a.expectedCostSum)
-}
-
-// Start: its run begins.
-func (c *Reservation) Start(now timeunit.Ticks) {
-	if c.flow == nil || c.state != queued {
+// Start notes that the request starts to run.
+func (r *Reservation) Start(now timeunit.Ticks) {
+	if r.flow == nil || r.state != queued {
 		return
 	}
-	l := c.flow.scheduler
-	l.advance(now)
-	c.startedAt = l.coreClock
-	c.setRunning(running, 1)
+	r.flow.scheduler.advance(now)
+	r.startedAt = r.flow.scheduler.coreClock
+	r.occupyCore()
 }
 
-// setRunning takes its run onto the cores (1) or off them (-1).
-func (c *Reservation) setRunning(to reservationState, by int) {
-	c.state = to
-	c.flow.runningRequests += by
-	c.flow.startSum += float64(by) * c.startedAt
-	c.flow.expectedCostSum += float64(by) * c.expectedCost
-	c.flow.scheduler.runningRequests += by
-}
-
-// UndoStart: it is proven that its run never began after all.
-func (c *Reservation) UndoStart(now timeunit.Ticks) {
-	c.Resume(now)
-	if c.flow == nil || c.state != running {
+// UndoStart notes that the request is proven not to have started after all.
+func (r *Reservation) UndoStart(now timeunit.Ticks) {
+	r.Resume(now)
+	if r.flow == nil || r.state != running {
 		return
 	}
-	c.flow.scheduler.advance(now)
-	c.setRunning(queued, -1)
+	r.flow.scheduler.advance(now)
+	r.leaveCore(queued)
 }
 
-// Suspend: its run waits for what lies below and needs no core.
-func (c *Reservation) Suspend(now timeunit.Ticks) {
-	if c.flow == nil || c.state != running {
+// Suspend notes that the request waits for a downstream call and needs no core.
+func (r *Reservation) Suspend(now timeunit.Ticks) {
+	if r.flow == nil || r.state != running {
 		return
 	}
-	l := c.flow.scheduler
-	l.advance(now)
-	c.suspendedAt = l.coreClock
-	c.setRunning(suspended, -1)
+	r.flow.scheduler.advance(now)
+	r.suspendedAt = r.flow.scheduler.coreClock
+	r.leaveCore(suspended)
 }
 
-// Resume: its run goes on.
-func (c *Reservation) Resume(now timeunit.Ticks) {
-	if c.flow == nil || c.state != suspended {
+// Resume notes that the downstream call has ended.
+func (r *Reservation) Resume(now timeunit.Ticks) {
+	if r.flow == nil || r.state != suspended {
 		return
 	}
-	l := c.flow.scheduler
-	l.advance(now)
-	c.startedAt += l.coreClock - c.suspendedAt
-	c.setRunning(running, 1)
+	s := r.flow.scheduler
+	s.advance(now)
+	r.startedAt += s.coreClock - r.suspendedAt
+	r.occupyCore()
+}
+
+// occupyCore counts the request among those that need a core.
+func (r *Reservation) occupyCore() {
+	f := r.flow
+	r.state = running
+	f.runningRequests++
+	f.startSum += r.startedAt
+	f.expectedCostSum += r.expectedCost
+	f.scheduler.runningRequests++
+}
+
+// leaveCore counts the running request among those that need no core, in the state to.
+func (r *Reservation) leaveCore(to reservationState) {
+	f := r.flow
+	r.state = to
+	f.runningRequests--
+	f.startSum -= r.startedAt
+	f.expectedCostSum -= r.expectedCost
+	f.scheduler.runningRequests--
 }
 
-// Release ends the claim. What ran is charged what it took; what did not run gets its charge back. Nothing happens twice.
-func (c *Reservation) Release(now timeunit.Ticks) {
-	if c.flow == nil || c.state == released {
+// Release ends the reservation: the expected cost is replaced by the measured one, which is nothing for a request that
+// did not start. Releasing again does nothing.
+func (r *Reservation) Release(now timeunit.Ticks) {
+	if r.flow == nil || r.state == released {
 		return
 	}
-	a := c.flow
-	l := a.scheduler
-	l.advance(now)
-	took, ran := 0.0, c.state != queued
-	switch c.state {
+	f := r.flow
+	f.scheduler.advance(now)
+	cost := 0.0
+	switch r.state {
 	case running:
-		took = l.coreClock - c.startedAt
-		c.setRunning(released, -1)
+		cost = f.scheduler.coreClock - r.startedAt
+		r.leaveCore(released)
+		r.account(cost)
 	case suspended:
-		took = c.suspendedAt - c.startedAt
+		cost = r.suspendedAt - r.startedAt
+		r.account(cost)
 	}
-	if ran {
-		usual := &l.typicalCosts[c.category]
-		a.costFactor += (min(took / *usual, maxCostFactor) - a.costFactor) * flowCostSmoothing
-		*usual += (max(1, took) - *usual) * categoryCostSmoothing
-		a.localSinceMeasured += took
-		a.localTotal += took
-		l.workSinceMeasured += took
-		if a.kind == sharedFlow {
-			l.candidates.charge(c.tenantHash, took)
-		}
+	f.finishTag += (cost - r.expectedCost) / r.weight
+	f.openReservations--
+	r.state = released
+}
+
+// account adds the measured cost of a request that ran to the estimates and to the usage of its flow.
+func (r *Reservation) account(cost float64) {
+	f := r.flow
+	s := f.scheduler
+	typical := &s.typicalCosts[r.category]
+	f.costFactor += (min(cost / *typical, maxCostFactor) - f.costFactor) * flowCostSmoothing
+	*typical += (max(1, cost) - *typical) * categoryCostSmoothing
+	f.localSinceMeasured += cost
+	f.localTotal += cost
+	s.workSinceMeasured += cost
+	if f.kind == sharedFlow {
+		s.candidates.charge(r.tenantHash, cost)
 	}
-	a.finishTag += (took - c.expectedCost) / c.weight
-	a.openReservations--
-	c.state = released
 }
 
-// RetryAfter is how long a work item that is being declined should stay away: until its tenant has room, one place after
-// the other at the rate that the tenant can count on, within the most that callers heed. Least is what the server
-// asks of everybody; where that is nothing, nothing is told.
-func (c *Reservation) RetryAfter(least, most, now timeunit.Ticks) timeunit.Ticks {
-	if c.flow == nil || least <= 0 || most <= 0 {
-		return min(least, most)
+// RetryAfter is how long the client of a request that is being rejected should wait: until its tenant has capacity,
+// one place after the other at the rate that the tenant can count on, and no longer than clients heed (longest). The
+// server asks every client to wait for shortest; where that is 0 or less it asks for nothing, and the smaller of both
+// is returned.
+func (r *Reservation) RetryAfter(shortest, longest, now timeunit.Ticks) timeunit.Ticks {
+	if r.flow == nil || shortest <= 0 || longest <= 0 {
+		return min(shortest, longest)
 	}
-	a := c.flow
-	l := a.scheduler
-	l.advance(now)
-	l.rejectedSinceMeasured = true
-	gap := timeunit.Ticks(max(1, min(c.expectedCost/a.expectedRate(a.longTermRate()), 1<<40)))
-	// Half of what waits before it will be through by then: there is room, and no core stands idle for it.
-	a.lastReturn = max(a.lastReturn, l.now+min(max(c.ExpectedDelay, least)/2, most)) + gap
-	if at := a.lastReturn - l.now; at <= most {
-		return max(at, 1)
+	f := r.flow
+	s := f.scheduler
+	s.advance(now)
+	s.rejectedSinceMeasured = true
+	timePerRequest := timeunit.Ticks(max(1, min(r.expectedCost/f.expectedRate(f.longTermRate()), maxExpectedDelay)))
+	// Half of the requests that are queued before it will be through by then: there is capacity, and no core stands
+	// idle until it comes back.
+	earliest := s.now + min(max(r.ExpectedDelay, shortest)/2, longest)
+	f.lastReturn = max(f.lastReturn, earliest) + timePerRequest
+	if wait := f.lastReturn - s.now; wait <= longest {
+		return max(wait, 1)
 	}
-	// More are turned away than have room within what callers heed: they are spread over the later half of it.
-	a.lastReturn = l.now + most
-	return most/2 + timeunit.Ticks(l.random.Int63n(int64(most/2)+1))
+	// More are rejected than have capacity within the time that clients heed: they are spread over its later half.
+	f.lastReturn = s.now + longest
+	return longest/2 + timeunit.Ticks(s.random.Int63n(int64(longest/2)+1))
 }
--- a/internal/fairqueue/scheduler.go
+++ b/internal/fairqueue/scheduler.go
@@ -1,15 +1,22 @@
-// Package ledger decides whose turn it is at the door: what each tenant's part of a server's work is, how far ahead of
-// it a tenant is, and when one that was turned away has room again.
+// Package fairqueue divides a server's core time among tenants by weight. It gives each request a virtual start tag, by
+// which the admission queue orders requests, accounts the core time that requests really used, and tells rejected ones
+// when their tenant can expect capacity again.
 //
-// This file owns the books on tenants and their claims. It knows no clock but what it is told, does no I/O and starts
-// nothing. It must never say what is taken, run or declined: it hands out turns, which the admission module orders by.
+// The algorithm is start-time fair queueing (Goyal, Vin and Cheng, 1996). The start tag of a request is the finish tag
+// of its flow, which is the core time charged to the flow over the flow's weight, but lies no further behind the
+// server's virtual time than a burst allowance. A request is charged an expected cost when it arrives and its measured
+// cost when it ends.
 //
-// The turn of a work item is a start tag of start-time fair queueing (Goyal, Vin and Cheng, 1996): what its tenant's
-// work items have been charged, over the tenant's weight, but no further back than a burst behind the turn that
-// the server has come to. A work item is charged an estimate when it comes and what it really took when its run ends.
+// A flow is the state kept for one named tenant, for one heavy hitter among the tenants that are not named, or for all
+// tenants that hash into one shared flow.
+//
+// The package reads no clock, does no I/O and starts no goroutine: time and randomness are passed in. A Scheduler
+// belongs to one goroutine, the event loop. It never decides what is admitted, started or rejected; that is the
+// admission package's task.
 package fairqueue
 
 import (
+	"iter"
 	"math/rand"
 
 	"github.com/zeebo/xxh3"
@@ -17,285 +24,303 @@
 	"thistlequay/timeunit"
 )
 
-// Tenant is one that is known by name.
-type Tenant struct {
-	Name   string
-	Weight float64 // its weight, above 0; only ratios count
-}
+// How rates and usage are measured. The figures were chosen by trials in the simulator.
+const (
+	// measureInterval is the time between two measurements, 250 ms in ticks.
+	measureInterval = 2_500
 
-// Config are what the books are kept by.
-type Config struct {
-	Tenants          []Tenant
-	OthersWeight     float64          // weight of all that are not named, together; above 0
-	NewcomerFraction float64          // part of that, above 0 and under 1, for those without a history
-	MaxHeavyHitters  int              // that are kept exactly for tenants not named, the heaviest
-	SharedFlows      int              // that all others are hashed into
-	Burst            timeunit.Ticks   // of the whole server's work: what may be had at once after a rest
-	MinHistory       timeunit.Ticks   // a tenant must have been asking for so long to get a book
-	RehashInterval   timeunit.Ticks   // the groups are made anew after this
-	Cores            int              // what the server has
-	SoftDeadlines    []timeunit.Ticks // contract times by category: runs are first taken to need a small part of them
-}
+	// rateDecay is the part of a measured rate that is left after one interval.
+	rateDecay = 0.75
 
-const (
-	measureInterval       = 2_500     // rates are measured and the books looked through this often: 250 ms
-	rateDecay             = 0.75      // part of a measured rate that is left after a beat
-	usageDecay            = 0.96      // and of what a tenant has used: half in about four seconds
-	initialCostFraction   = 1.0 / 16  // part of the contract time that a run is taken to need until some have been measured
-	flowCostSmoothing     = 1.0 / 8   // weight of the newest in a running mean
-	categoryCostSmoothing = 1.0 / 64  // and in one over all tenants
-	maxCostFactor         = 64        // a tenant's runs are not expected to take more than so many usual ones
-	evictionFactor        = 2         // a newcomer must have used so many times what the lightest book has
-	maxCandidates         = 256       // candidates for a book
-	minUsageFraction      = 1.0 / 256 // what has used less of a core's beat is not kept for its own sake
+	// usageDecay is the part of a flow's usage that is left after one interval: half after about four seconds.
+	usageDecay = 0.96
+
+	// Beyond so many intervals without a measurement nothing of a rate or of a usage is left worth computing.
+	maxRateDecayIntervals  = 20
+	maxUsageDecayIntervals = 400
+
+	// activeIntervals is how many intervals after its last request a flow without an open reservation counts as active.
+	activeIntervals = 2
+
+	// minUsageFraction of a core's work in one interval is the usage below which a flow is not kept for its own sake.
+	minUsageFraction = 1.0 / 256
 )
 
-// Scheduler is the books of one server.
+// Scheduler is the state of fair queueing on one server.
 type Scheduler struct {
-	config      Config
-	random      *rand.Rand
-	now         timeunit.Ticks
+	config Config
+	random *rand.Rand
+	now    timeunit.Ticks
+
+	// virtualTime is the highest start tag that the server has started, as the admission package reported it last.
 	virtualTime float64
 
-	namedFlows      map[string]*flow
-	heavyHitters    map[uint64]*flow // by hash, so that a book costs the same whatever the name
-	sharedFlows     []flow
-	individualFlows []*flow // of named and heavy, that no decision hangs on the order of a map
-	hashSeed        uint64  // of the hash that tells tenants apart
-	rehashSalt      uint64  // of the hash that puts them into groups
-	rehashedAt      timeunit.Ticks
-	candidates      candidateTable
-
-	coreClock             float64 // core time that one run had which never waited
-	runningRequests       int     // runs that want a core
-	typicalCosts          []float64
-	measuredAt            timeunit.Ticks
-	workSinceMeasured     float64 // charged since the last beat
-	serviceRate           float64 // core time a tenth that the server gets done while some wait
-	totalWeight           float64 // of all weights
-	activeWeight          float64 // of those active
-	activeHeavyHitters    int     // of these that have a book though they are not named
-	activeSharedFlows     int     // of these groups
-	rejectedSinceMeasured bool    // somebody was turned away since the last beat
-	remoteServers         map[string]*remoteServer
-}
+	namedFlows   map[string]*flow
+	heavyHitters map[uint64]*flow // by hash, so that a flow costs the same memory whatever the name
+	sharedFlows  []flow
 
-type flowKind int
+	// individualFlows are the named flows and the heavy hitters in a fixed order, so that no decision depends on the
+	// order of a map.
+	individualFlows []*flow
 
-const (
-	namedFlow flowKind = iota
-	heavyHitterFlow
-	sharedFlow
-)
+	candidates    candidateTable
+	remoteServers map[string]*remoteServer
+
+	hashSeed   uint64 // of the hash that tells tenants apart
+	rehashSalt uint64 // of the hash that puts tenants into shared flows
+	rehashedAt timeunit.Ticks
+
+	// coreClock is the core time that one request would have had which ran since the start. It advances slower than the
+	// wall clock while more requests run than there are cores (processor sharing).
+	coreClock       float64
+	runningRequests int // that need a core
 
-// flow is the book of a tenant or of a group of them.
-type flow struct {
-	scheduler           *Scheduler
-	kind                flowKind
-	configuredWeight    float64 // of a named one
-	tenantHash          uint64
-	finishTag           float64 // the turn after all that it was charged
-	openReservations    int     // claims open
-	runningRequests     int     // of these running
-	startSum            float64 // sum of their beginnings by the ledger's clock
-	expectedCostSum     float64 // and of their estimates
-	costFactor          float64 // what its runs take, in usual ones
-	localSinceMeasured  float64 // work charged since the last beat
-	recentRate          float64 // of late, a tenth
-	localTotal          float64 // work charged here from the start
-	remoteSinceMeasured float64 // work given elsewhere since the last beat: turns go by it too
-	recentUsage         float64 // of late
-	lastSeen            timeunit.Ticks
-	active              bool
-	lastReturn          timeunit.Ticks // the last return time that was told
+	typicalCosts []float64 // running mean of the core time of a request, by category
+
+	measuredAt            timeunit.Ticks
+	workSinceMeasured     float64 // core time accounted since measuredAt
+	rejectedSinceMeasured bool
+	serviceRate           float64 // core time per tick that the server delivers while it rejects requests
+
+	totalWeight        float64
+	activeWeight       float64
+	activeHeavyHitters int
+	activeSharedFlows  int
 }
 
-// New opens the books. The hash that tells tenants apart and all spreading come from chance.
-func New(t Config, chance *rand.Rand, now timeunit.Ticks) *Scheduler {
-	l := &Scheduler{random: chance, now: now, measuredAt: now, rehashedAt: now, namedFlows: map[string]*flow{},
-		heavyHitters: map[uint64]*flow{}, remoteServers: map[string]*remoteServer{}, hashSeed: chance.Uint64(), rehashSalt: chance.Uint64(), candidates: newCandidateTable(maxCandidates)}
-	l.serviceRate = float64(t.Cores)
-	for _, c := range t.SoftDeadlines {
-		l.typicalCosts = append(l.typicalCosts, max(1, float64(c)*initialCostFraction))
+// New returns a scheduler. The hash that tells tenants apart and the spreading of retries draw from random.
+func New(config Config, random *rand.Rand, now timeunit.Ticks) *Scheduler {
+	s := &Scheduler{
+		random:        random,
+		now:           now,
+		measuredAt:    now,
+		rehashedAt:    now,
+		namedFlows:    map[string]*flow{},
+		heavyHitters:  map[uint64]*flow{},
+		remoteServers: map[string]*remoteServer{},
+		hashSeed:      random.Uint64(),
+		rehashSalt:    random.Uint64(),
+		candidates:    newCandidateTable(maxCandidates),
+		serviceRate:   float64(config.Cores),
+	}
+	for _, deadline := range config.SoftDeadlines {
+		s.typicalCosts = append(s.typicalCosts, max(1, float64(deadline)*initialCostFraction))
 	}
-	l.applyConfig(t)
-	return l
+	s.applyConfig(config)
+	return s
 }
 
-// Reconfigure takes up other terms, for the same cores and categories. Tenants that stay keep their books; claims of those that go end on the books they began on.
-func (l *Scheduler) Reconfigure(t Config, now timeunit.Ticks) {
-	l.advance(now)
-	t.Cores = l.config.Cores
-	l.applyConfig(t)
+// Reconfigure changes everything but the number of cores and the categories. Tenants that stay named keep their flows;
+// reservations of tenants that are no longer named end on the flows that they began on.
+func (s *Scheduler) Reconfigure(config Config, now timeunit.Ticks) {
+	s.advance(now)
+	config.Cores = s.config.Cores
+	s.applyConfig(config)
 }
 
-func (l *Scheduler) applyConfig(t Config) {
-	before := l.namedFlows
-	l.config, l.namedFlows, l.individualFlows, l.totalWeight = t, map[string]*flow{}, nil, t.OthersWeight
-	for _, known := range t.Tenants {
-		l.totalWeight += known.Weight
-	}
-	for _, known := range t.Tenants {
-		a := before[known.Name]
-		if a == nil {
-			a = l.newFlow(namedFlow)
-		}
-		a.configuredWeight = known.Weight
-		l.namedFlows[known.Name] = a
-		l.individualFlows = append(l.individualFlows, a)
-		if h := xxh3.HashStringSeed(known.Name, l.hashSeed); l.heavyHitters[h] != nil {
-			a.finishTag = l.heavyHitters[h].finishTag // it was not named until now
-			delete(l.heavyHitters, h)
+func (s *Scheduler) applyConfig(config Config) {
+	before := s.namedFlows
+	s.config = config
+	s.totalWeight = config.totalWeight()
+	s.individualFlows = nil
+	s.nameTenants(before)
+	if len(s.sharedFlows) != config.SharedFlows {
+		s.sharedFlows = make([]flow, config.SharedFlows)
+		for i := range s.sharedFlows {
+			s.sharedFlows[i] = *s.newFlow(sharedFlow)
 		}
 	}
-	if len(l.sharedFlows) != t.SharedFlows {
-		l.sharedFlows = make([]flow, t.SharedFlows)
-		for i := range l.sharedFlows {
-			l.sharedFlows[i] = *l.newFlow(sharedFlow)
-		}
+	for _, f := range before {
+		f.active = false // those that are still named are counted again below
 	}
-	for _, a := range before {
-		a.active = false
+	s.keepHeaviest()
+	s.countActive()
+}
+
+// nameTenants gives each configured tenant its flow: the one it had before, or a new one that goes on from the finish
+// tag that the tenant had as a heavy hitter.
+func (s *Scheduler) nameTenants(before map[string]*flow) {
+	s.namedFlows = map[string]*flow{}
+	for _, tenant := range s.config.Tenants {
+		f := before[tenant.Name]
+		if f == nil {
+			f = s.newFlow(namedFlow)
+		}
+		f.configuredWeight = tenant.Weight
+		s.namedFlows[tenant.Name] = f
+		s.individualFlows = append(s.individualFlows, f)
+		hash := xxh3.HashStringSeed(tenant.Name, s.hashSeed)
+		if heavy := s.heavyHitters[hash]; heavy != nil {
+			f.finishTag = heavy.finishTag
+			delete(s.heavyHitters, hash)
+		}
 	}
-	// Those that keep a book stand behind the named ones, the heaviest first.
-	rest := make([]*flow, 0, len(l.heavyHitters))
-	for _, a := range l.heavyHitters {
-		rest = append(rest, a)
+}
+
+// keepHeaviest lists the heavy hitters behind the named flows, the heaviest first, and drops those beyond the limit.
+func (s *Scheduler) keepHeaviest() {
+	heaviest := make([]*flow, 0, len(s.heavyHitters))
+	for _, f := range s.heavyHitters {
+		heaviest = append(heaviest, f)
 	}
-	sortByUsage(rest)
-	for i, a := range rest {
-		if i < t.MaxHeavyHitters {
-			l.individualFlows = append(l.individualFlows, a)
+	sortByUsage(heaviest)
+	for i, f := range heaviest {
+		if i < s.config.MaxHeavyHitters {
+			s.individualFlows = append(s.individualFlows, f)
 		} else {
-			delete(l.heavyHitters, a.tenantHash)
+			delete(s.heavyHitters, f.tenantHash)
 		}
 	}
-	l.countActive()
-}
-
-func (l *Scheduler) newFlow(k flowKind) *flow {
-	return &flow{scheduler: l, kind: k, finishTag: l.MinStartTag(l.virtualTime), costFactor: 1, lastSeen: -1 << 60}
-}
-
-// burstAllowance is how far turns go back: the work of a burst, as if all had a part in it.
-func (l *Scheduler) burstAllowance() float64 {
-	return float64(l.config.Burst) * float64(l.config.Cores) / l.totalWeight
 }
 
-// MinStartTag is the turn of a tenant that had nothing of late: no more than a burst is kept from times of rest.
-func (l *Scheduler) MinStartTag(turn float64) float64 { return turn - l.burstAllowance() }
-
-// flowOf gives the book that a tenant's work items are charged to.
-func (l *Scheduler) flowOf(tenant []byte) (a *flow, hash uint64) {
-	if a := l.namedFlows[string(tenant)]; a != nil {
-		return a, 0
+// flowOf returns the flow that a tenant's requests are charged to, and the tenant's hash if it is not a named one.
+func (s *Scheduler) flowOf(tenant []byte) (f *flow, hash uint64) {
+	if f := s.namedFlows[string(tenant)]; f != nil {
+		return f, 0
 	}
-	hash = xxh3.HashSeed(tenant, l.hashSeed)
-	if a := l.heavyHitters[hash]; a != nil {
-		return a, hash
+	hash = xxh3.HashSeed(tenant, s.hashSeed)
+	if f := s.heavyHitters[hash]; f != nil {
+		return f, hash
 	}
-	// Two that meet in a group part when the groups are made anew.
-	mixed := (hash ^ l.rehashSalt) * 0x9e3779b97f4a7c15
-	return &l.sharedFlows[mixed>>32%uint64(len(l.sharedFlows))], hash
+	// The salt changes at each rehash, so that two tenants which share a flow do not share it for good.
+	mixed := (hash ^ s.rehashSalt) * fibonacciMultiplier
+	return &s.sharedFlows[mixed>>32%uint64(len(s.sharedFlows))], hash
 }
 
-// weight is a tenant's part of the server's work against the others'. Those not named share one part, newcomers a
-// bounded part of that: a fresh name buys nothing.
-func (a *flow) weight() float64 {
-	t := &a.scheduler.config
-	switch a.kind {
-	case namedFlow:
-		return a.configuredWeight
-	case heavyHitterFlow:
-		return t.OthersWeight * (1 - t.NewcomerFraction) / float64(max(1, a.scheduler.activeHeavyHitters))
+// fibonacciMultiplier is 2^64 over the golden ratio (Knuth's multiplicative hashing).
+const fibonacciMultiplier = 0x9e3779b97f4a7c15
+
+// allFlows yields every flow, in an order that does not change between two changes of the set.
+func (s *Scheduler) allFlows() iter.Seq[*flow] {
+	return func(yield func(*flow) bool) {
+		for _, f := range s.individualFlows {
+			if !yield(f) {
+				return
+			}
+		}
+		for i := range s.sharedFlows {
+			if !yield(&s.sharedFlows[i]) {
+				return
+			}
+		}
 	}
-	return t.OthersWeight * t.NewcomerFraction / float64(max(1, a.scheduler.activeSharedFlows))
 }
 
-// expectedRate is the core time a tenth that the tenant may count on: its part among the active ones, or what it gets where
-// others leave theirs.
-func (a *flow) expectedRate(gets float64) float64 {
-	l, w := a.scheduler, a.weight()
-	return max(gets, l.serviceRate*w/max(w, l.activeWeight), 1e-9)
+// burstAllowance is how far behind the virtual time a finish tag may lie: the tag distance of a burst if every tenant
+// took part in it.
+func (s *Scheduler) burstAllowance() float64 {
+	return float64(s.config.Burst) * float64(s.config.Cores) / s.totalWeight
 }
 
-// longTermRate is what it got in seconds rather than of late: what is promised must not follow a moment.
-func (a *flow) longTermRate() float64 { return a.recentUsage * (1 - usageDecay) / measureInterval }
+// MinStartTag is the start tag of a flow that used nothing of late, at the given virtual time: no more than a burst is
+// saved up while a tenant rests.
+func (s *Scheduler) MinStartTag(virtualTime float64) float64 { return virtualTime - s.burstAllowance() }
 
-// advance moves the clocks on.
-func (l *Scheduler) advance(now timeunit.Ticks) {
-	if now > l.now {
-		l.coreClock += float64(now-l.now) * min(1, float64(l.config.Cores)/float64(max(1, l.runningRequests)))
-		l.now = now
+// advance moves the clocks on to now and measures when an interval is over.
+func (s *Scheduler) advance(now timeunit.Ticks) {
+	if now > s.now {
+		corePerRequest := min(1, float64(s.config.Cores)/float64(max(1, s.runningRequests)))
+		s.coreClock += float64(now-s.now) * corePerRequest
+		s.now = now
 	}
-	if l.now-l.measuredAt >= measureInterval {
-		l.measure()
+	if s.now-s.measuredAt >= measureInterval {
+		s.measure()
 	}
 }
 
-// measure is the beat: rates, who is active, who gets a book and who loses it, new groups.
-func (l *Scheduler) measure() {
-	beats := float64(l.now-l.measuredAt) / measureInterval
-	span := float64(l.now - l.measuredAt)
-	l.measuredAt = l.now
-	if l.rejectedSinceMeasured { // only then the server did all that it could
-		l.serviceRate = min(float64(l.config.Cores), max(l.serviceRate*rateDecay+l.workSinceMeasured/span*(1-rateDecay), float64(l.config.Cores)*minUsageFraction))
-	} else {
-		l.serviceRate = max(l.serviceRate, l.workSinceMeasured/span)
-	}
-	l.workSinceMeasured, l.rejectedSinceMeasured = 0, false
-	fade := rateDecay
-	for range min(int(beats), 20) - 1 {
-		fade *= rateDecay
-	}
-	old := usageDecay
-	for range min(int(beats), 400) - 1 {
-		old *= usageDecay
-	}
-	for _, a := range l.individualFlows {
-		a.settle(span, fade, old)
+// measure ends an interval, which is longer than measureInterval if nothing happened meanwhile: it updates rates and
+// usage, chooses the heavy hitters, rehashes the shared flows when that is due, and counts the active flows.
+func (s *Scheduler) measure() {
+	span := float64(s.now - s.measuredAt)
+	s.measuredAt = s.now
+	s.measureServiceRate(span)
+	intervals := int(span / measureInterval)
+	rateLeft := decay(rateDecay, min(intervals, maxRateDecayIntervals))
+	usageLeft := decay(usageDecay, min(intervals, maxUsageDecayIntervals))
+	for f := range s.allFlows() {
+		f.measure(span, rateLeft, usageLeft)
 	}
-	for i := range l.sharedFlows {
-		l.sharedFlows[i].settle(span, fade, old)
+	s.candidates.decay(usageLeft)
+	s.promoteCandidates()
+	if s.now-s.rehashedAt >= s.config.RehashInterval {
+		s.rehashSalt = s.random.Uint64()
+		s.rehashedAt = s.now
 	}
-	l.candidates.decay(old)
-	l.promoteCandidates()
-	if l.now-l.rehashedAt >= l.config.RehashInterval {
-		l.rehashSalt, l.rehashedAt = l.random.Uint64(), l.now
+	s.countActive()
+}
+
+// decay is what is left after so many intervals, at least one, where left is left after one.
+func decay(left float64, intervals int) float64 {
+	total := left
+	for range intervals - 1 {
+		total *= left
 	}
-	l.countActive()
+	return total
 }
 
-func (a *flow) settle(span, fade, old float64) {
-	a.recentRate = a.recentRate*fade + (a.localSinceMeasured+a.remoteSinceMeasured)/span*(1-fade)
-	a.recentUsage = (a.recentUsage + a.localSinceMeasured) * old
-	a.localSinceMeasured, a.remoteSinceMeasured = 0, 0
+// measureServiceRate takes the work of an interval into the service rate. Only an interval in which requests were
+// rejected shows what the server can do; any other shows that it can do at least as much.
+func (s *Scheduler) measureServiceRate(span float64) {
+	rate := s.workSinceMeasured / span
+	if s.rejectedSinceMeasured {
+		cores := float64(s.config.Cores)
+		s.serviceRate = min(cores, max(s.serviceRate*rateDecay+rate*(1-rateDecay), cores*minUsageFraction))
+	} else {
+		s.serviceRate = max(s.serviceRate, rate)
+	}
+	s.workSinceMeasured = 0
+	s.rejectedSinceMeasured = false
 }
 
-// countActive finds who is active: those that have something in hand or asked since two beats.
-func (l *Scheduler) countActive() {
-	l.activeHeavyHitters, l.activeSharedFlows, l.activeWeight = 0, 0, 0
-	look := func(a *flow) {
-		if a.active = a.openReservations > 0 || l.now-a.lastSeen < 2*measureInterval; a.active && a.kind == heavyHitterFlow {
-			l.activeHeavyHitters++
-		} else if a.active && a.kind == sharedFlow {
-			l.activeSharedFlows++
+// countActive finds the active flows: those with an open reservation, and those that had a request of late.
+func (s *Scheduler) countActive() {
+	s.activeHeavyHitters = 0
+	s.activeSharedFlows = 0
+	for f := range s.allFlows() {
+		f.active = f.openReservations > 0 || s.now-f.lastSeen < activeIntervals*measureInterval
+		if f.active {
+			s.countKind(f)
 		}
 	}
-	for _, a := range l.individualFlows {
-		look(a)
-	}
-	for i := range l.sharedFlows {
-		look(&l.sharedFlows[i])
-	}
-	for _, a := range l.individualFlows {
-		if a.active {
-			l.activeWeight += a.weight()
+	// Weights depend on the counts, so they can only be added up now.
+	s.activeWeight = 0
+	for f := range s.allFlows() {
+		if f.active {
+			s.activeWeight += f.weight()
 		}
 	}
-	for i := range l.sharedFlows {
-		if a := &l.sharedFlows[i]; a.active {
-			l.activeWeight += a.weight()
-		}
+}
+
+// activate counts a flow as active before the next measurement does.
+func (s *Scheduler) activate(f *flow) {
+	f.active = true
+	s.countKind(f)
+	s.activeWeight += f.weight()
+}
+
+func (s *Scheduler) countKind(f *flow) {
+	switch f.kind {
+	case heavyHitterFlow:
+		s.activeHeavyHitters++
+	case sharedFlow:
+		s.activeSharedFlows++
+	}
+}
+
+// Stats are figures on a scheduler for logs.
+type Stats struct {
+	HeavyHitters      int
+	ActiveSharedFlows int
+	ServiceRate       float64 // cores' worth of work that the server delivers while it rejects requests
+	Candidates        int     // tenants that may become heavy hitters
+}
+
+// Stats returns the figures of now.
+func (s *Scheduler) Stats() Stats {
+	return Stats{
+		HeavyHitters:      len(s.heavyHitters),
+		ActiveSharedFlows: s.activeSharedFlows,
+		ServiceRate:       s.serviceRate,
+		Candidates:        len(s.candidates.entries),
 	}
 }
