--- a/internal/fairqueue/golden_test.go
+++ b/internal/fairqueue/golden_test.go
@@ -9,22 +9,25 @@
 	"thistlequay/timeunit"
 )
 
-// addClaim adds what a claim told its holder.
-func addClaim(history *golden.History, c *Reservation, now timeunit.Ticks) {
-	history.Add(now, c.StartTag, c.ExpectedDelay)
+// addReservation adds what a reservation tells its holder.
+func addReservation(history *golden.History, r *Reservation, now timeunit.Ticks) {
+	history.Add(now, r.StartTag, r.ExpectedDelay)
 }
 
-// addLedger adds what a ledger tells of itself.
-func addLedger(history *golden.History, l *Scheduler) {
-	f := l.Stats()
-	history.Add(f.HeavyHitters, f.ActiveSharedFlows, f.ServiceRate, f.Candidates)
-	for _, g := range l.LocalUsage() {
-		history.Add(g.Tenant, g.CoreTime)
+// addScheduler adds what a scheduler tells about itself.
+func addScheduler(history *golden.History, s *Scheduler) {
+	stats := s.Stats()
+	history.Add(stats.HeavyHitters, stats.ActiveSharedFlows, stats.ServiceRate, stats.Candidates)
+	for _, usage := range s.LocalUsage() {
+		history.Add(usage.Tenant, usage.CoreTime)
 	}
 }
 
-// goldenLines plays so many groups of ten seeds, a line each.
-func goldenLines(t *testing.T, groups int, play func(t *testing.T, seed int64, history *golden.History)) (lines []byte) {
+// goldenLines plays groups of ten seeds and returns a line for each group.
+func goldenLines(
+	t *testing.T, groups int, play func(t *testing.T, seed int64, history *golden.History),
+) (lines []byte) {
+	t.Helper()
 	for group := range groups {
 		history := golden.NewHistory()
 		for seed := range 10 {
@@ -35,64 +38,79 @@
 	return lines
 }
 
-// TestGoldenClaims plays seeded schedules of claims; what every claim was told is as it was recorded.
-func TestGoldenClaims(t *testing.T) {
-	golden.Check(t, "claims.txt", goldenLines(t, 20, playClaims))
+// TestGoldenReservations compares seeded schedules of reservations of named tenants with what was recorded.
+func TestGoldenReservations(t *testing.T) {
+	golden.Check(t, "claims.txt", goldenLines(t, 20, playReservations))
 }
 
-// TestGoldenTenants does the same for seeded schedules with tenants that are not named, changes of the terms, and
-// word of other servers.
+// TestGoldenTenants compares seeded schedules with tenants that are not named, reconfigurations and reports of other
+// servers with what was recorded.
 func TestGoldenTenants(t *testing.T) {
 	golden.Check(t, "tenants.txt", goldenLines(t, 20, playTenants))
 }
 
 func playTenants(_ *testing.T, seed int64, history *golden.History) {
-	r := rand.New(rand.NewSource(seed))
-	settings := func() Config {
-		t := terms(2 + r.Intn(3))
-		t.MaxHeavyHitters, t.SharedFlows, t.SoftDeadlines = 1+r.Intn(5), 4+4*r.Intn(2), []timeunit.Ticks{6_400, 1_600}
-		t.MinHistory, t.RehashInterval = 10_000, 20_000
-		return t
-	}
-	l := New(settings(), rand.New(rand.NewSource(seed)), 0)
-	turn, total := 0.0, 0.0
+	random := rand.New(rand.NewSource(seed))
+	s := New(randomConfig(random), rand.New(rand.NewSource(seed)), 0)
+	virtualTime := 0.0
+	remoteTotal := 0.0
 	var open []*Reservation
-	for now := timeunit.Ticks(0); now < 100_000; now += timeunit.Ticks(r.Intn(60)) {
-		switch k := r.Intn(100); {
-		case k < 35:
-			c := l.Reserve(fmt.Append(nil, "tenant-", min(r.Intn(40), r.Intn(40))), r.Intn(2), turn, now)
-			addClaim(history, &c, now)
-			open = append(open, &c)
-			turn = max(turn, c.StartTag*r.Float64())
-		case k < 40:
-			c := l.Reserve(fmt.Append(nil, "new-", r.Intn(1000)), r.Intn(2), turn, now)
-			addClaim(history, &c, now)
-			history.Add(c.RetryAfter(timeunit.Ticks(r.Intn(200)), timeunit.Ticks(r.Intn(20_000)), now))
-			c.Release(now)
-		case k < 42:
-			total += float64(r.Intn(2_000))
-			l.RecordRemoteUsage(fmt.Sprint("life-", r.Intn(3)), timeunit.Ticks(r.Intn(3_000)), []Usage{{fmt.Sprint("tenant-", r.Intn(4)), total}}, now)
-		case k == 42 && r.Intn(10) == 0:
-			l.Reconfigure(settings(), now)
+	for now := timeunit.Ticks(0); now < 100_000; now += timeunit.Ticks(random.Intn(60)) {
+		switch action := random.Intn(100); {
+		case action < 35:
+			tenant := fmt.Append(nil, "tenant-", min(random.Intn(40), random.Intn(40)))
+			r := s.Reserve(tenant, random.Intn(2), virtualTime, now)
+			addReservation(history, &r, now)
+			open = append(open, &r)
+			virtualTime = max(virtualTime, r.StartTag*random.Float64())
+		case action < 40:
+			r := s.Reserve(fmt.Append(nil, "new-", random.Intn(1000)), random.Intn(2), virtualTime, now)
+			addReservation(history, &r, now)
+			history.Add(r.RetryAfter(timeunit.Ticks(random.Intn(200)), timeunit.Ticks(random.Intn(20_000)), now))
+			r.Release(now)
+		case action < 42:
+			remoteTotal += float64(random.Intn(2_000))
+			incarnation := fmt.Sprint("life-", random.Intn(3))
+			age := timeunit.Ticks(random.Intn(3_000))
+			usage := Usage{Tenant: fmt.Sprint("tenant-", random.Intn(4)), CoreTime: remoteTotal}
+			s.RecordRemoteUsage(incarnation, age, []Usage{usage}, now)
+		case action == 42 && random.Intn(10) == 0:
+			s.Reconfigure(randomConfig(random), now)
 		case len(open) > 0:
-			i := r.Intn(len(open))
-			switch c := open[i]; k % 6 {
-			case 0, 1:
-				c.Start(now)
-			case 2:
-				c.Suspend(now)
-			case 3:
-				c.Resume(now)
-			case 4:
-				c.UndoStart(now)
-			default:
-				c.Release(now)
-				open[i] = open[len(open)-1]
-				open = open[:len(open)-1]
-			}
+			open = changeReservation(open, random.Intn(len(open)), action, now)
 		}
-		if r.Intn(50) == 0 {
-			addLedger(history, l)
+		if random.Intn(50) == 0 {
+			addScheduler(history, s)
 		}
 	}
 }
+
+// randomConfig draws how many tenants are named, and how many heavy hitters and shared flows there may be.
+func randomConfig(random *rand.Rand) Config {
+	config := testConfig(2 + random.Intn(3))
+	config.MaxHeavyHitters = 1 + random.Intn(5)
+	config.SharedFlows = 4 + 4*random.Intn(2)
+	config.SoftDeadlines = []timeunit.Ticks{6_400, 1_600}
+	config.MinHistory = 10_000
+	config.RehashInterval = 20_000
+	return config
+}
+
+// changeReservation does something to one reservation, and returns those that are still open.
+func changeReservation(open []*Reservation, i, action int, now timeunit.Ticks) []*Reservation {
+	switch r := open[i]; action % 6 {
+	case 0, 1:
+		r.Start(now)
+	case 2:
+		r.Suspend(now)
+	case 3:
+		r.Resume(now)
+	case 4:
+		r.UndoStart(now)
+	default:
+		r.Release(now)
+		open[i] = open[len(open)-1]
+		open = open[:len(open)-1]
+	}
+	return open
+}
--- a/internal/fairqueue/remoteusage_test.go
+++ b/internal/fairqueue/remoteusage_test.go
@@ -11,130 +11,201 @@
 	"thistlequay/timeunit"
 )
 
-// doors are servers of one core that are always asked for more than they can do, by tenants at some of them; words on what was
-// given go between them, some lost, late or twice.
-func doors(t *testing.T, servers int, weights map[string]float64, asks func(tenant string, server int, second int) bool, seconds int, loss float64, history *golden.History) map[string]float64 {
-	chance := rand.New(rand.NewSource(7))
-	var all []*Scheduler
-	var names []Tenant
-	for _, name := range []string{"acme", "beta"} {
-		names = append(names, Tenant{Name: name, Weight: weights[name]})
+// fleet is some servers of one core that always have more requests than they can run. Reports on usage go between them.
+type fleet struct {
+	tenants  []Tenant
+	sends    func(tenant string, server, second int) bool // whether a tenant sends requests to a server
+	loss     float64                                      // part of the reports that is lost
+	random   *rand.Rand
+	history  *golden.History
+	servers  []*Scheduler
+	virtual  []float64 // virtual time by server
+	reports  []usageReport
+	coreTime map[string]float64 // given to each tenant in the later half
+}
+
+// usageReport is what a server reported at a time.
+type usageReport struct {
+	from   int
+	sentAt timeunit.Ticks
+	usages []Usage
+}
+
+// requestCost is the core time of each request of a fleet.
+const requestCost timeunit.Ticks = 100
+
+func newFleet(servers int, acmeWeight, loss float64, sends func(tenant string, server, second int) bool) *fleet {
+	f := &fleet{
+		tenants:  []Tenant{{Name: "acme", Weight: acmeWeight}, {Name: "beta", Weight: 1 - acmeWeight}},
+		sends:    sends,
+		loss:     loss,
+		random:   rand.New(rand.NewSource(7)),
+		history:  golden.NewHistory(),
+		virtual:  make([]float64, servers),
+		coreTime: map[string]float64{},
 	}
 	for range servers {
-		all = append(all, New(Config{Tenants: names, OthersWeight: 0.01, NewcomerFraction: 0.25, MaxHeavyHitters: 4, SharedFlows: 4, Burst: 2000, MinHistory: 50_000, RehashInterval: 300_000, Cores: 1,
-			SoftDeadlines: []timeunit.Ticks{40_000}}, rand.New(rand.NewSource(1)), 0))
-	}
-	const run = 100 // tenths that each work item takes
-	given := map[string]float64{}
-	turns := make([]float64, servers)
-	type word struct {
-		from int
-		at   timeunit.Ticks
-		of   []Usage
+		config := Config{
+			Tenants:          f.tenants,
+			OthersWeight:     0.01,
+			NewcomerFraction: 0.25,
+			MaxHeavyHitters:  4,
+			SharedFlows:      4,
+			Burst:            2000,
+			MinHistory:       50_000,
+			RehashInterval:   300_000,
+			Cores:            1,
+			SoftDeadlines:    []timeunit.Ticks{40_000},
+		}
+		f.servers = append(f.servers, New(config, rand.New(rand.NewSource(1)), 0))
 	}
-	var words []word
-	for now := timeunit.Ticks(run); now < timeunit.Ticks(seconds)*10_000; now += run {
-		for i, l := range all {
-			var best Reservation
-			var who string
-			for _, n := range names { // one of each waits at all times
-				if !asks(n.Name, i, int(now/10_000)) {
-					continue
-				}
-				c := l.Reserve([]byte(n.Name), 0, turns[i], now-run)
-				if best.flow == nil || c.StartTag < best.StartTag {
-					if best.flow != nil {
-						best.Release(now - run)
-					}
-					best, who = c, n.Name
-				} else {
-					c.Release(now - run)
-				}
-			}
-			if best.flow == nil {
-				continue
-			}
-			turns[i] = max(turns[i], best.StartTag)
-			history.Add(now, i, who, best.StartTag, best.ExpectedDelay)
-			best.Start(now - run)
-			best.Release(now)
-			if now > timeunit.Ticks(seconds)*5_000 {
-				given[who] += run
+	return f
+}
+
+// run lets the fleet work for some seconds.
+func (f *fleet) run(seconds timeunit.Ticks) {
+	for now := requestCost; now < seconds*timeunit.TicksPerSecond; now += requestCost {
+		for server := range f.servers {
+			tenant := f.runRequest(server, now)
+			if tenant != "" && now > seconds*timeunit.TicksPerSecond/2 {
+				f.coreTime[tenant] += float64(requestCost)
 			}
 		}
-		if now%10_000 == 0 {
-			for i, l := range all {
-				words = append(words, word{i, now, l.LocalUsage()})
-				for _, g := range words[len(words)-1].of {
-					history.Add(now, i, g.Tenant, g.CoreTime)
-				}
-			}
+		if now%timeunit.TicksPerSecond == 0 {
+			f.report(now)
 		}
-		for _, w := range words {
-			for j, l := range all {
-				late := now - w.at
-				if j != w.from && chance.Float64() >= loss && (late == 0 || late == 3000 || late == 20_000) { // at once, again, and much later
-					l.RecordRemoteUsage(string(rune('a'+w.from)), late, w.of, now)
-				}
-			}
+		f.deliver(now)
+		if old := len(f.reports) - 4*len(f.servers); old > 0 {
+			f.reports = f.reports[old:]
+		}
+	}
+}
+
+// runRequest runs the request with the lowest start tag of those that wait at a server, one of each tenant, and returns
+// its tenant. It ends now.
+func (f *fleet) runRequest(server int, now timeunit.Ticks) string {
+	start := now - requestCost
+	var first Reservation
+	tenant := ""
+	for _, candidate := range f.tenants {
+		if !f.sends(candidate.Name, server, int(now/timeunit.TicksPerSecond)) {
+			continue
+		}
+		r := f.servers[server].Reserve([]byte(candidate.Name), 0, f.virtual[server], start)
+		if tenant != "" && r.StartTag >= first.StartTag {
+			r.Release(start)
+			continue
+		}
+		first.Release(start)
+		first = r
+		tenant = candidate.Name
+	}
+	if tenant == "" {
+		return ""
+	}
+	f.virtual[server] = max(f.virtual[server], first.StartTag)
+	f.history.Add(now, server, tenant, first.StartTag, first.ExpectedDelay)
+	first.Start(start)
+	first.Release(now)
+	return tenant
+}
+
+// report has every server report its usage.
+func (f *fleet) report(now timeunit.Ticks) {
+	for i, server := range f.servers {
+		usages := server.LocalUsage()
+		f.reports = append(f.reports, usageReport{from: i, sentAt: now, usages: usages})
+		for _, usage := range usages {
+			f.history.Add(now, i, usage.Tenant, usage.CoreTime)
 		}
-		if n := len(words) - 4*servers; n > 0 {
-			words = words[n:]
+	}
+}
+
+// deliver delivers each report three times, at once, again and much later, except for those that are lost.
+func (f *fleet) deliver(now timeunit.Ticks) {
+	for _, report := range f.reports {
+		age := now - report.sentAt
+		for i, server := range f.servers {
+			if i == report.from || f.random.Float64() < f.loss {
+				continue
+			}
+			if age == 0 || age == 3000 || age == 20_000 {
+				server.RecordRemoteUsage(string(rune('a'+report.from)), age, report.usages, now)
+			}
 		}
 	}
-	return given
 }
 
-// A tenant's part is that of the fleet: asking at one door of three it gets there what it does not get elsewhere, asking at all
-// no more than its part; words that are lost, late or doubled change nothing; one that moves to all doors at once keeps its part.
-func TestPartsOverTheFleet(t *testing.T) {
+// TestTenantShareHoldsAcrossServers checks that a tenant's share is one of the fleet: sending to one server of three
+// it gets there what it does not get elsewhere, sending to all no more than its share; reports that are lost, late or
+// doubled change nothing; a tenant that moves to all servers at once keeps its share.
+func TestTenantShareHoldsAcrossServers(t *testing.T) {
+	toFirst := func(servers int) func(string, int, int) bool {
+		return func(tenant string, server, _ int) bool { return tenant == "beta" || server < servers }
+	}
+	movesToAll := func(tenant string, server, second int) bool {
+		return tenant == "beta" || server == 0 || second >= 20
+	}
 	var histories []byte
-	for _, of := range []struct {
-		name    string
-		servers int
-		acme    float64
-		asks    func(tenant string, server, second int) bool
-		want    float64
+	for _, c := range []struct {
+		name       string
+		servers    int
+		acmeWeight float64
+		sends      func(tenant string, server, second int) bool
+		want       float64
 	}{
-		{"one door of three", 3, 0.25, func(n string, s, _ int) bool { return n == "beta" || s == 0 }, 0.25},
-		{"more than its door has", 3, 0.5, func(n string, s, _ int) bool { return n == "beta" || s == 0 }, 1.0 / 3},
-		{"all doors", 3, 0.3, func(string, int, int) bool { return true }, 0.3},
-		{"four doors of twelve", 12, 0.2, func(n string, s, _ int) bool { return n == "beta" || s < 4 }, 0.2},
-		{"moves to all at once", 3, 0.3, func(n string, s, second int) bool { return n == "beta" || s == 0 || second >= 20 }, 0.3},
+		{"one server of three", 3, 0.25, toFirst(1), 0.25},
+		{"more than its server has", 3, 0.5, toFirst(1), 1.0 / 3},
+		{"all servers", 3, 0.3, toFirst(3), 0.3},
+		{"four servers of twelve", 12, 0.2, toFirst(4), 0.2},
+		{"moves to all at once", 3, 0.3, movesToAll, 0.3},
 	} {
 		for _, loss := range []float64{0, 0.4} {
-			history := golden.NewHistory()
-			given := doors(t, of.servers, map[string]float64{"acme": of.acme, "beta": 1 - of.acme}, of.asks, 40, loss, history)
-			histories = fmt.Appendf(histories, "servers=%d part=%g loss=%g %s\n", of.servers, of.acme, loss, history)
-			part := given["acme"] / (given["acme"] + given["beta"])
-			t.Logf("measured tenants-doors case=%q servers=%d loss=%.1f entitled=%.3f part=%.3f", of.name, of.servers, loss, of.want, part)
-			require.InDelta(t, of.want, part, 0.05, of.name)
+			f := newFleet(c.servers, c.acmeWeight, loss, c.sends)
+			f.run(40)
+			histories = fmt.Appendf(histories, "servers=%d part=%g loss=%g %s\n",
+				c.servers, c.acmeWeight, loss, f.history)
+			share := f.coreTime["acme"] / (f.coreTime["acme"] + f.coreTime["beta"])
+			t.Logf("measured tenants-doors case=%q servers=%d loss=%.1f entitled=%.3f part=%.3f",
+				c.name, c.servers, loss, c.want, share)
+			require.InDelta(t, c.want, share, 0.05, c.name)
 		}
 	}
 	golden.Check(t, "fleet.txt", histories)
 }
 
-// What was said is counted once whatever comes again; a first word and one after a long silence only tell where to count from.
-func TestElsewhereCountsOnce(t *testing.T) {
-	l := New(Config{Tenants: []Tenant{{"acme", 1}}, OthersWeight: 1, NewcomerFraction: 0.25, MaxHeavyHitters: 4, SharedFlows: 4, Burst: 10, MinHistory: 1, RehashInterval: 1 << 40, Cores: 1,
-		SoftDeadlines: []timeunit.Ticks{100}}, rand.New(rand.NewSource(1)), 0)
-	finish := func() float64 { return l.namedFlows["acme"].finishTag }
-	say := func(life string, age timeunit.Ticks, total float64, now timeunit.Ticks) {
-		l.RecordRemoteUsage(life, age, []Usage{{"acme", total}, {"nobody", 5}}, now)
+// TestRemoteUsageCountsOnce checks that reported usage counts once whatever is repeated, and that the first report of
+// an incarnation, and the first after a long silence, only tells where to count from.
+func TestRemoteUsageCountsOnce(t *testing.T) {
+	s := New(Config{
+		Tenants:          []Tenant{{"acme", 1}},
+		OthersWeight:     1,
+		NewcomerFraction: 0.25,
+		MaxHeavyHitters:  4,
+		SharedFlows:      4,
+		Burst:            10,
+		MinHistory:       1,
+		RehashInterval:   1 << 40,
+		Cores:            1,
+		SoftDeadlines:    []timeunit.Ticks{100},
+	}, rand.New(rand.NewSource(1)), 0)
+	finishTag := func() float64 { return s.namedFlows["acme"].finishTag }
+	report := func(incarnation string, age timeunit.Ticks, total float64, now timeunit.Ticks) {
+		s.RecordRemoteUsage(incarnation, age, []Usage{{"acme", total}, {"nobody", 5}}, now)
 	}
-	before := finish()
-	say("a.1", 0, 5000, 1000)
-	require.Equal(t, before, finish(), "a first word")
-	say("a.1", 0, 5200, 2000)
-	require.InDelta(t, before+200, finish(), 1)
-	moved := finish()
-	say("a.1", 0, 5200, 2500)
-	say("a.1", 1500, 5100, 2600)
-	require.Equal(t, moved, finish(), "twice and late")
-	say("a.1", maxReportAge+1, 9000, 3000)
-	require.Equal(t, moved, finish(), "too old")
-	say("a.2", 0, 300, 4000)
-	require.Equal(t, moved, finish(), "another life")
-	say("a.2", 0, 1e12, 5000)
-	require.LessOrEqual(t, finish(), l.virtualTime+float64(maxReportAge)*3, "no more than all servers could do")
+	before := finishTag()
+	report("a.1", 0, 5000, 1000)
+	require.Equal(t, before, finishTag(), "a first report")
+	report("a.1", 0, 5200, 2000)
+	require.InDelta(t, before+200, finishTag(), 1)
+	moved := finishTag()
+	report("a.1", 0, 5200, 2500)
+	report("a.1", 1500, 5100, 2600)
+	require.Equal(t, moved, finishTag(), "twice and late")
+	report("a.1", maxReportAge+1, 9000, 3000)
+	require.Equal(t, moved, finishTag(), "too old")
+	report("a.2", 0, 300, 4000)
+	require.Equal(t, moved, finishTag(), "another incarnation")
+	report("a.2", 0, 1e12, 5000)
+	require.LessOrEqual(t, finishTag(), s.virtualTime+float64(maxReportAge)*3, "no more than all servers could do")
 }
--- /dev/null
+++ b/internal/fairqueue/reservation_test.go
@@ -0,0 +1,109 @@
+package fairqueue
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
+)
+
+// FuzzReservations checks that whatever happens in whatever order, a request that did not run is charged nothing and
+// none is charged twice: in the end two tenants with the same requests have the same start tag, and one that was only
+// rejected has the one it began with.
+func FuzzReservations(f *testing.F) {
+	f.Add(int64(1))
+	f.Fuzz(func(t *testing.T, seed int64) { playReservations(t, seed, golden.NewHistory()) })
+}
+
+// playReservations opens reservations of three named tenants and does random things to them. What each reservation
+// tells goes into history.
+func playReservations(t *testing.T, seed int64, history *golden.History) {
+	t.Helper()
+	const virtualTime = 0.0
+	random := rand.New(rand.NewSource(seed))
+	s := New(testConfig(3), rand.New(rand.NewSource(seed)), 0)
+	now := timeunit.Ticks(0)
+	reserve := func(tenant string) *Reservation {
+		r := s.Reserve([]byte(tenant), 0, virtualTime, now)
+		return &r
+	}
+	var open [][2]*Reservation // of tenant-0 and tenant-1, which get the same
+	for range 200 {
+		now += timeunit.Ticks(random.Intn(300))
+		switch action := random.Intn(6); {
+		case action == 0:
+			pair := [2]*Reservation{reserve("tenant-0"), reserve("tenant-1")}
+			open = append(open, pair)
+			rejected := reserve("tenant-2")
+			retryAfter := rejected.RetryAfter(100, 10_000, now)
+			addReservation(history, pair[0], now)
+			addReservation(history, pair[1], now)
+			addReservation(history, rejected, now)
+			history.Add(retryAfter)
+			require.True(t, retryAfter > 0 && retryAfter <= 10_000, retryAfter)
+			rejected.Release(now)
+			rejected.Release(now)
+		case len(open) > 0:
+			for _, r := range open[random.Intn(len(open))] {
+				changeOnce(r, action, now)
+			}
+		}
+	}
+	for _, pair := range open {
+		pair[0].Release(now)
+		pair[1].Release(now)
+	}
+	first := reserve("tenant-0")
+	second := reserve("tenant-1")
+	third := reserve("tenant-2")
+	require.InDelta(t, first.StartTag, second.StartTag, 1e-6)
+	require.InDelta(t, s.MinStartTag(virtualTime), third.StartTag, 1e-6)
+	addReservation(history, first, now)
+	addReservation(history, second, now)
+	addReservation(history, third, now)
+	addScheduler(history, s)
+}
+
+// changeOnce does the action to a reservation; releasing is done twice, as the second must have no effect.
+func changeOnce(r *Reservation, action int, now timeunit.Ticks) {
+	switch action {
+	case 1:
+		r.Start(now)
+	case 2:
+		r.Suspend(now)
+	case 3:
+		r.Resume(now)
+	case 4:
+		r.Release(now)
+		r.Release(now)
+	case 5:
+		r.UndoStart(now)
+	}
+}
+
+// BenchmarkReservation measures the life of one reservation.
+func BenchmarkReservation(b *testing.B) {
+	for _, tenants := range []int{10, 1_000, 100_000} {
+		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
+			s := New(testConfig(4), rand.New(rand.NewSource(1)), 0)
+			names := make([][]byte, tenants)
+			for i := range names {
+				names[i] = fmt.Append(nil, "name-", i)
+			}
+			now := timeunit.Ticks(0)
+			i := 0
+			b.ReportAllocs()
+			for b.Loop() {
+				now++
+				i++
+				r := s.Reserve(names[i*7919%tenants], 0, 0, now)
+				r.Start(now)
+				r.Release(now)
+			}
+		})
+	}
+}
--- a/internal/fairqueue/scenario_test.go
+++ b/internal/fairqueue/scenario_test.go
@@ -16,7 +16,7 @@
 	"thistlequay/timeunit"
 )
 
-// A scenario in testdata is played line by line; README.md there has the notation.
+// TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -25,133 +25,174 @@
 	for _, file := range files {
 		history := golden.NewHistory()
 		name := strings.TrimSuffix(filepath.Base(file), ".txt")
-		t.Run(name, func(t *testing.T) { play(t, file, history) })
+		t.Run(name, func(t *testing.T) { playScenario(t, file, history) })
 		histories = fmt.Appendf(histories, "%s %s\n", name, history)
 	}
 	golden.Check(t, "scenarios.txt", histories)
 }
 
-type stageOf struct {
+// scenario is the state of a scenario that is being played.
+type scenario struct {
 	*require.Assertions
-	terms  Config
-	l      *Scheduler
-	now    timeunit.Ticks
-	turn   float64
-	claims map[string]*Reservation
-
-	history *golden.History
+	config       Config
+	scheduler    *Scheduler
+	now          timeunit.Ticks
+	virtualTime  float64
+	reservations map[string]*Reservation
+	history      *golden.History
+	where        string // the line that is being played
 }
 
-func play(t *testing.T, file string, history *golden.History) {
+func playScenario(t *testing.T, file string, history *golden.History) {
+	t.Helper()
 	f, err := os.Open(file)
 	require.NoError(t, err)
-	defer f.Close()
-	s := &stageOf{Assertions: require.New(t), history: history, claims: map[string]*Reservation{}, terms: Config{OthersWeight: 1, NewcomerFraction: 0.25, MaxHeavyHitters: 2,
-		SharedFlows: 4, Burst: 1, MinHistory: 10_000, RehashInterval: 1 << 50, Cores: 1, SoftDeadlines: []timeunit.Ticks{1_600}}}
-	in := bufio.NewScanner(f)
-	for n := 1; in.Scan(); n++ {
-		line, _, _ := strings.Cut(in.Text(), "#")
-		if word := strings.Fields(line); len(word) > 0 {
-			s.step(word, fmt.Sprintf("%s:%d %s", file, n, strings.TrimSpace(line)))
+	t.Cleanup(func() { require.NoError(t, f.Close()) })
+	s := &scenario{
+		Assertions:   require.New(t),
+		history:      history,
+		reservations: map[string]*Reservation{},
+		config: Config{
+			OthersWeight:     1,
+			NewcomerFraction: 0.25,
+			MaxHeavyHitters:  2,
+			SharedFlows:      4,
+			Burst:            1,
+			MinHistory:       10_000,
+			RehashInterval:   1 << 50,
+			Cores:            1,
+			SoftDeadlines:    []timeunit.Ticks{1_600},
+		},
+	}
+	lines := bufio.NewScanner(f)
+	for number := 1; lines.Scan(); number++ {
+		line, _, _ := strings.Cut(lines.Text(), "#")
+		if words := strings.Fields(line); len(words) > 0 {
+			s.where = fmt.Sprintf("%s:%d %s", file, number, strings.TrimSpace(line))
+			s.step(words[0], words[1:])
 		}
 	}
 }
 
-func (s *stageOf) number(text, where string) float64 {
-	v, err := strconv.ParseFloat(text, 64)
-	s.NoError(err, where)
-	return v
+func (s *scenario) number(text string) float64 {
+	value, err := strconv.ParseFloat(text, 64)
+	s.NoError(err, s.where)
+	return value
 }
 
-func (s *stageOf) step(word []string, where string) {
-	switch word[0] {
-	case "terms": // key=value; a tenant's share under its name with a dot before it
-		s.terms.Tenants = nil
-		for _, w := range word[1:] {
-			key, text, _ := strings.Cut(w, "=")
-			v := s.number(text, where)
-			switch key {
-			case "others":
-				s.terms.OthersWeight = v
-			case "books":
-				s.terms.MaxHeavyHitters = int(v)
-			case "groups":
-				s.terms.SharedFlows = int(v)
-			case "burst":
-				s.terms.Burst = timeunit.Ticks(v * 10)
-			case "reshuffle":
-				s.terms.RehashInterval = timeunit.Ticks(v * 10)
-			case "cores":
-				s.terms.Cores = int(v)
-			default:
-				s.True(strings.HasPrefix(key, "."), where)
-				s.terms.Tenants = append(s.terms.Tenants, Tenant{Name: key[1:], Weight: v})
-			}
-		}
-		if s.l == nil {
-			s.l = New(s.terms, rand.New(rand.NewSource(1)), s.now)
-		} else {
-			s.l.Reconfigure(s.terms, s.now)
-		}
+// ticks reads a time in milliseconds.
+func (s *scenario) ticks(text string) timeunit.Ticks {
+	return timeunit.Ticks(s.number(text) * float64(timeunit.TicksPerMillisecond))
+}
+
+func milliseconds(ticks timeunit.Ticks) float64 {
+	return float64(ticks) / float64(timeunit.TicksPerMillisecond)
+}
+
+func (s *scenario) step(verb string, args []string) {
+	switch verb {
+	case "config":
+		s.configure(args)
 	case "at":
-		s.now = timeunit.Ticks(s.number(word[1], where) * 10)
-		if len(word) > 2 {
-			s.step(word[2:], where)
-		}
-	case "turn":
-		s.turn = s.number(word[1], where)
-	case "open": // NAME TENANT [turn=T] [behind=MS]
-		c := s.l.Reserve([]byte(word[2]), 0, s.turn, s.now)
-		s.claims[word[1]] = &c
-		s.history.Add(s.now, c.StartTag, c.ExpectedDelay)
-		for _, w := range word[3:] {
-			key, text, _ := strings.Cut(w, "=")
-			got := map[string]float64{"turn": c.StartTag, "behind": float64(c.ExpectedDelay) / 10}[key]
-			s.InDelta(s.number(text, where), got, 0.11, where)
-		}
-	case "runs": // TENANT EVERY TOOK UNTIL: a run after the other, in milliseconds
-		every, took := timeunit.Ticks(s.number(word[2], where)*10), timeunit.Ticks(s.number(word[3], where)*10)
-		for end := timeunit.Ticks(s.number(word[4], where) * 10); s.now < end; s.now += every {
-			c := s.l.Reserve([]byte(word[1]), 0, s.turn, s.now)
-			s.history.Add(s.now, c.StartTag, c.ExpectedDelay)
-			c.Start(s.now)
-			c.Release(s.now + took)
+		s.now = s.ticks(args[0])
+		if len(args) > 1 {
+			s.step(args[1], args[2:])
 		}
-	case "book": // TENANT KIND: what kind of book it has
-		a, _ := s.l.flowOf([]byte(word[1]))
-		s.Equal(word[2], map[flowKind]string{namedFlow: "named", heavyHitterFlow: "heavy", sharedFlow: "group"}[a.kind], where)
-	case "apart": // TENANT TENANT: no longer in one group
-		a, _ := s.l.flowOf([]byte(word[1]))
-		b, _ := s.l.flowOf([]byte(word[2]))
-		s.NotSame(a, b, where)
+	case "virtual-time":
+		s.virtualTime = s.number(args[0])
+	case "reserve":
+		s.reserve(args)
+	case "runs":
+		s.runRequests(args)
+	case "kind":
+		kinds := map[flowKind]string{namedFlow: "named", heavyHitterFlow: "heavy", sharedFlow: "shared"}
+		s.Equal(args[1], kinds[s.flow(args[0]).kind], s.where)
+	case "apart":
+		s.NotSame(s.flow(args[0]), s.flow(args[1]), s.where)
 	case "together":
-		a, _ := s.l.flowOf([]byte(word[1]))
-		b, _ := s.l.flowOf([]byte(word[2]))
-		s.Same(a, b, where)
+		s.Same(s.flow(args[0]), s.flow(args[1]), s.where)
 	default:
-		c := s.claims[word[1]]
-		s.NotNil(c, where)
-		switch word[0] {
-		case "began":
-			c.Start(s.now)
-		case "called":
-			c.Suspend(s.now)
-		case "resumed":
-			c.Resume(s.now)
-		case "undone":
-			c.UndoStart(s.now)
-		case "close":
-			c.Release(s.now)
-		case "return": // NAME LEAST MOST FROM TO
-			v := make([]float64, 4)
-			for i := range v {
-				v[i] = s.number(word[2+i], where)
-			}
-			got := float64(c.RetryAfter(timeunit.Ticks(v[0]*10), timeunit.Ticks(v[1]*10), s.now)) / 10
-			s.history.Add(s.now, got)
-			s.True(got >= v[2] && got <= v[3], "%s: %v", where, got)
+		r := s.reservations[args[0]]
+		s.NotNil(r, s.where)
+		s.change(r, verb, args[1:])
+	}
+}
+
+// configure reads KEY=V, where a tenant's weight stands under its name with a dot before it.
+func (s *scenario) configure(args []string) {
+	s.config.Tenants = nil
+	for _, arg := range args {
+		key, text, _ := strings.Cut(arg, "=")
+		value := s.number(text)
+		switch key {
+		case "others":
+			s.config.OthersWeight = value
+		case "heavy-hitters":
+			s.config.MaxHeavyHitters = int(value)
+		case "shared-flows":
+			s.config.SharedFlows = int(value)
+		case "burst":
+			s.config.Burst = s.ticks(text)
+		case "rehash":
+			s.config.RehashInterval = s.ticks(text)
+		case "cores":
+			s.config.Cores = int(value)
 		default:
-			s.Fail("unknown line", where)
+			s.True(strings.HasPrefix(key, "."), s.where)
+			s.config.Tenants = append(s.config.Tenants, Tenant{Name: key[1:], Weight: value})
 		}
 	}
+	if s.scheduler == nil {
+		s.scheduler = New(s.config, rand.New(rand.NewSource(1)), s.now)
+	} else {
+		s.scheduler.Reconfigure(s.config, s.now)
+	}
+}
+
+func (s *scenario) flow(tenant string) *flow {
+	f, _ := s.scheduler.flowOf([]byte(tenant))
+	return f
+}
+
+func (s *scenario) reserve(args []string) {
+	r := s.scheduler.Reserve([]byte(args[1]), 0, s.virtualTime, s.now)
+	s.reservations[args[0]] = &r
+	addReservation(s.history, &r, s.now)
+	for _, arg := range args[2:] {
+		key, text, _ := strings.Cut(arg, "=")
+		got := map[string]float64{"tag": r.StartTag, "delay": milliseconds(r.ExpectedDelay)}[key]
+		s.InDelta(s.number(text), got, 0.11, s.where)
+	}
+}
+
+func (s *scenario) runRequests(args []string) {
+	interval := s.ticks(args[1])
+	cost := s.ticks(args[2])
+	for end := s.ticks(args[3]); s.now < end; s.now += interval {
+		r := s.scheduler.Reserve([]byte(args[0]), 0, s.virtualTime, s.now)
+		addReservation(s.history, &r, s.now)
+		r.Start(s.now)
+		r.Release(s.now + cost)
+	}
+}
+
+func (s *scenario) change(r *Reservation, verb string, args []string) {
+	switch verb {
+	case "start":
+		r.Start(s.now)
+	case "suspend":
+		r.Suspend(s.now)
+	case "resume":
+		r.Resume(s.now)
+	case "undo-start":
+		r.UndoStart(s.now)
+	case "release":
+		r.Release(s.now)
+	case "retry-after":
+		got := milliseconds(r.RetryAfter(s.ticks(args[0]), s.ticks(args[1]), s.now))
+		s.history.Add(s.now, got)
+		s.True(got >= s.number(args[2]) && got <= s.number(args[3]), "%s: %v", s.where, got)
+	default:
+		s.Fail("unknown line", s.where)
+	}
 }
