--- a/internal/plugin/chain/circuitbreaker.go
+++ b/internal/plugin/chain/circuitbreaker.go
@@ -1,56 +1,74 @@
 package chain
 
-// This file owns how each plug-in does: its share of a core, its faults, quarantine and trials. It must never forget a
-// quarantine for the sake of a new work item, nor keep a table that grows.
-
 import (
 	"math/rand"
+	"slices"
 
 	"thistlequay/timeunit"
 )
 
-// State is how a plug-in stands.
+// State is the state of a circuit breaker.
 type State int
 
+// The states. In the words of the circuit breaker pattern they are closed, open and half-open.
 const (
-	StateActive State = iota
-	StateQuarantined
-	StateProbation // it is asked about one work item at a time
+	StateActive      State = iota // called about every request that it sees
+	StateQuarantined              // not called
+	StateProbation                // called about one request at a time, until enough calls in a row succeed
 )
 
-// StateNames are words for logs.
-var StateNames = [...]string{"live", "quarantined", "on trial"}
-
+// When a circuit breaker opens and closes.
 const (
-	second               = timeunit.Ticks(10_000)
-	trialsToRecover      = 3  // good ones in a row that end a quarantine
-	quarantinesToReset   = 10 // quarantines' worth of good time after which the next wait is the first again
-	faultRateSmoothing   = 1.0 / 16
-	minSampledCalls      = 32 // calls before a rate says anything
-	maxTenantBreakers    = 64 // tenants for whom it may be off alone
-	tenantsToBlamePlugin = 4  // off for so many at once it is the plug-in's own matter
-	quarantineJitter     = 0.2
+	// trialsToRecover is the number of successful calls in a row that end the probation.
+	trialsToRecover = 3
+
+	// quarantinesToReset is the time without quarantine, in lengths of the last one, after which the next is as short
+	// as the first.
+	quarantinesToReset = 10
+
+	// faultRateSmoothing is the weight of the newest call in the fault rate, a running mean.
+	faultRateSmoothing = 1.0 / 16
+
+	// minSampledCalls is the number of calls before the fault rate counts.
+	minSampledCalls = 32
+
+	// quarantineJitter is the part of its length by which a quarantine is prolonged at most, by chance.
+	quarantineJitter = 0.2
+
+	// maxTenantBreakers bounds the tenants for which faults are counted apart. The oldest record gives way.
+	maxTenantBreakers = 64
+
+	// tenantsToBlamePlugin is the number of tenants for which the plug-in is blocked at which the fault is taken to be
+	// the plug-in's own.
+	tenantsToBlamePlugin = 4
 )
 
-// CircuitBreaker is the record of one plug-in.
+// CircuitBreaker watches one plug-in: it bounds its use of the core, counts its faults and quarantines it. A
+// quarantine ends by time alone, and no request cuts it short.
 type CircuitBreaker struct {
-	State                               State
-	Calls                               int
-	Faults                              [len(FaultNames)]int
-	random                              *rand.Rand
-	consecutiveFaults, successfulTrials int
-	faultRate                           float64 // share of calls that ended in a fault, of late
-	sampledCalls                        int
-	quarantineLength                    timeunit.Ticks // of the last quarantine
-	quarantineEnd                       timeunit.Ticks // its end
-	activeSince                         timeunit.Ticks // live
-	trialInFlight                       bool           // a trial is out
-	coreBudget                          float64
-	coreBudgetAt                        timeunit.Ticks
-	tenants                             []tenantBreaker // oldest first
+	State  State
+	Calls  int
+	Faults [len(FaultNames)]int
+
+	random *rand.Rand
+
+	consecutiveFaults int
+	successfulTrials  int // in a row
+	faultRate         float64
+	sampledCalls      int // that faultRate rests on, up to minSampledCalls
+
+	quarantineLength timeunit.Ticks // of the last quarantine, without jitter
+	quarantineEnd    timeunit.Ticks
+	activeSince      timeunit.Ticks
+	trialInFlight    bool
+
+	coreBudget   float64 // core time in ticks that may be used at once; below 0 after a long call
+	coreBudgetAt timeunit.Ticks
+
+	tenants []tenantBreaker // oldest first
 }
 
-// tenantBreaker is a tenant at whose work items it failed.
+// tenantBreaker counts the faults at one tenant's requests.
 type tenantBreaker struct {
 	tenant            string
 	consecutiveFaults int
@@ -58,123 +76,164 @@
 	quarantineEnd     timeunit.Ticks
 }
 
-// QuarantineEnd is the end of its last quarantine.
-func (c *CircuitBreaker) QuarantineEnd() timeunit.Ticks { return c.quarantineEnd }
-
-func newCircuitBreaker(chance *rand.Rand, now timeunit.Ticks) *CircuitBreaker {
-	return &CircuitBreaker{random: chance, activeSince: now, coreBudget: float64(second), coreBudgetAt: now}
+func newCircuitBreaker(random *rand.Rand, now timeunit.Ticks) *CircuitBreaker {
+	return &CircuitBreaker{
+		random:       random,
+		activeSince:  now,
+		coreBudget:   float64(timeunit.TicksPerSecond),
+		coreBudgetAt: now,
+	}
 }
 
-// refillCoreBudget lets its share of a core run up, no further than a second's worth.
-func (c *CircuitBreaker) refillCoreBudget(now timeunit.Ticks, g *Policy) {
-	c.coreBudget = min(c.coreBudget+float64(now-c.coreBudgetAt)*g.CoreFraction, float64(second)*g.CoreFraction)
-	c.coreBudgetAt = now
+// QuarantineEnd is the end of the last quarantine.
+func (b *CircuitBreaker) QuarantineEnd() timeunit.Ticks { return b.quarantineEnd }
+
+// refillCoreBudget lets the core budget grow with time, up to a second's worth.
+func (b *CircuitBreaker) refillCoreBudget(now timeunit.Ticks, policy *Policy) {
+	refilled := b.coreBudget + float64(now-b.coreBudgetAt)*policy.CoreFraction
+	b.coreBudget = min(refilled, float64(timeunit.TicksPerSecond)*policy.CoreFraction)
+	b.coreBudgetAt = now
 }
 
-// allow says whether the plug-in may be asked now.
-func (c *CircuitBreaker) allow(tenant string, now timeunit.Ticks, g *Policy) bool {
-	if c.refillCoreBudget(now, g); c.coreBudget <= 0 {
+// allow reports whether the plug-in may be called now about a request of a tenant, and counts the call if so.
+func (b *CircuitBreaker) allow(tenant string, now timeunit.Ticks, policy *Policy) bool {
+	b.refillCoreBudget(now, policy)
+	if b.coreBudget <= 0 {
 		return false
 	}
-	if c.State == StateQuarantined && now >= c.quarantineEnd {
-		c.State, c.successfulTrials = StateProbation, 0
+	if b.State == StateQuarantined && now >= b.quarantineEnd {
+		b.State = StateProbation
+		b.successfulTrials = 0
 	}
-	if c.State == StateQuarantined || c.State == StateProbation && c.trialInFlight {
+	if b.State == StateQuarantined || b.State == StateProbation && b.trialInFlight {
 		return false
 	}
-	if a := c.tenant(tenant); a != nil && a.consecutiveFaults >= g.MaxConsecutiveFaults {
-		if now < a.quarantineEnd {
+	if t := b.tenantBreaker(tenant); t != nil && t.consecutiveFaults >= policy.MaxConsecutiveFaults {
+		if now < t.quarantineEnd {
 			return false
 		}
-		a.quarantineEnd = now + a.quarantineLength // one trial for this tenant
+		t.quarantineEnd = now + t.quarantineLength // this call is the one trial for the tenant
 	}
-	c.trialInFlight = c.State == StateProbation
-	c.Calls++
+	b.trialInFlight = b.State == StateProbation
+	b.Calls++
 	return true
 }
 
-func (c *CircuitBreaker) tenant(tenant string) *tenantBreaker {
-	for i := range c.tenants {
-		if c.tenants[i].tenant == tenant {
-			return &c.tenants[i]
+// tenantBreaker returns the record of a tenant, or nil. It is valid until the next change of the records.
+func (b *CircuitBreaker) tenantBreaker(tenant string) *tenantBreaker {
+	for i := range b.tenants {
+		if b.tenants[i].tenant == tenant {
+			return &b.tenants[i]
 		}
 	}
 	return nil
 }
 
-// record books how a call went and says whether the plug-in went into quarantine by it.
-func (c *CircuitBreaker) record(tenant string, f Fault, failed bool, took, now timeunit.Ticks, g *Policy) (quarantined bool) {
-	c.refillCoreBudget(now, g)
-	c.coreBudget -= float64(took)
-	wasTrial := c.State == StateProbation && c.trialInFlight
-	c.trialInFlight = false
-	if failed && f == FaultUnavailable {
-		return false
+// endCall charges the time that a call took, and reports whether the call was a trial.
+func (b *CircuitBreaker) endCall(took, now timeunit.Ticks, policy *Policy) (wasTrial bool) {
+	b.refillCoreBudget(now, policy)
+	b.coreBudget -= float64(took)
+	wasTrial = b.State == StateProbation && b.trialInFlight
+	b.trialInFlight = false
+	return wasTrial
+}
+
+// recordSuccess takes a call that ended with a verdict that counts.
+func (b *CircuitBreaker) recordSuccess(tenant string, took, now timeunit.Ticks, policy *Policy) {
+	wasTrial := b.endCall(took, now, policy)
+	b.consecutiveFaults = 0
+	b.sampledCalls = min(b.sampledCalls+1, minSampledCalls)
+	b.faultRate -= b.faultRate * faultRateSmoothing
+	b.forgiveTenant(tenant)
+	if !wasTrial {
+		return
 	}
-	if !failed {
-		c.consecutiveFaults = 0
-		c.sampledCalls = min(c.sampledCalls+1, minSampledCalls)
-		c.faultRate -= c.faultRate * faultRateSmoothing
-		c.forgiveTenant(tenant)
-		if wasTrial {
-			if c.successfulTrials++; c.successfulTrials >= trialsToRecover {
-				c.State, c.activeSince, c.faultRate, c.sampledCalls = StateActive, now, 0, 0
-			}
-		}
+	b.successfulTrials++
+	if b.successfulTrials >= trialsToRecover {
+		b.State = StateActive
+		b.activeSince = now
+		b.faultRate = 0
+		b.sampledCalls = 0
+	}
+}
+
+// recordFault takes a call that ended in a fault, and reports whether the plug-in is quarantined because of it. A
+// plug-in that could not be called is not to blame. The death of the process is never put down to a tenant.
+func (b *CircuitBreaker) recordFault(
+	tenant string, fault Fault, took, now timeunit.Ticks, policy *Policy,
+) (quarantined bool) {
+	wasTrial := b.endCall(took, now, policy)
+	if fault == FaultUnavailable {
 		return false
 	}
-	c.Faults[f]++
-	if g.FaultsByTenant && f != FaultProcessDied && tenant != "" && !c.blameTenant(tenant, now, g) {
+	b.Faults[fault]++
+	if policy.FaultsByTenant && fault != FaultProcessDied && tenant != "" && !b.blameTenant(tenant, now, policy) {
 		return false
 	}
-	c.consecutiveFaults++
-	c.sampledCalls = min(c.sampledCalls+1, minSampledCalls)
-	c.faultRate += (1 - c.faultRate) * faultRateSmoothing
-	if c.State == StateActive && (c.consecutiveFaults >= g.MaxConsecutiveFaults || c.sampledCalls >= minSampledCalls && c.faultRate > g.MaxFaultRate) || wasTrial {
-		c.quarantine(now, g)
-		return true
+	b.consecutiveFaults++
+	b.sampledCalls = min(b.sampledCalls+1, minSampledCalls)
+	b.faultRate += (1 - b.faultRate) * faultRateSmoothing
+	if !wasTrial && (b.State != StateActive || !b.exceedsLimits(policy)) {
+		return false
 	}
-	return false
+	b.quarantine(now, policy)
+	return true
+}
+
+// exceedsLimits reports whether the faults of late call for a quarantine.
+func (b *CircuitBreaker) exceedsLimits(policy *Policy) bool {
+	return b.consecutiveFaults >= policy.MaxConsecutiveFaults ||
+		b.sampledCalls >= minSampledCalls && b.faultRate > policy.MaxFaultRate
 }
 
-// quarantine: ever longer, and not to the moment, so that a fleet's plug-ins don't come back together.
-func (c *CircuitBreaker) quarantine(now timeunit.Ticks, g *Policy) {
-	if c.State == StateActive && now-c.activeSince > quarantinesToReset*max(c.quarantineLength, g.MinQuarantine) {
-		c.quarantineLength = 0
+// quarantine begins a quarantine, twice as long as the last one. Its end is jittered, so that the plug-ins of a fleet
+// do not come back together.
+func (b *CircuitBreaker) quarantine(now timeunit.Ticks, policy *Policy) {
+	if b.State == StateActive && now-b.activeSince > quarantinesToReset*max(b.quarantineLength, policy.MinQuarantine) {
+		b.quarantineLength = 0
 	}
-	c.quarantineLength = min(max(g.MinQuarantine, 2*c.quarantineLength), g.MaxQuarantine)
-	c.quarantineEnd = now + c.quarantineLength + timeunit.Ticks(c.random.Float64()*quarantineJitter*float64(c.quarantineLength))
-	c.State, c.consecutiveFaults, c.successfulTrials = StateQuarantined, 0, 0
+	b.quarantineLength = policy.nextQuarantine(b.quarantineLength)
+	jitter := timeunit.Ticks(b.random.Float64() * quarantineJitter * float64(b.quarantineLength))
+	b.quarantineEnd = now + b.quarantineLength + jitter
+	b.State = StateQuarantined
+	b.consecutiveFaults = 0
+	b.successfulTrials = 0
 }
 
-// blameTenant books a fault with the tenant whose work item it was, and says whether it is the plug-in's own matter.
-func (c *CircuitBreaker) blameTenant(tenant string, now timeunit.Ticks, g *Policy) (own bool) {
-	a := c.tenant(tenant)
-	if a == nil {
-		if len(c.tenants) >= maxTenantBreakers {
-			c.tenants = append(c.tenants[:0], c.tenants[1:]...)
+// nextQuarantine is the length of the quarantine after one of the given length, 0 if there was none.
+func (p *Policy) nextQuarantine(last timeunit.Ticks) timeunit.Ticks {
+	return min(max(p.MinQuarantine, 2*last), p.MaxQuarantine)
+}
+
+// blameTenant counts a fault for the tenant whose request it was, and reports whether it is the plug-in's own fault
+// because the plug-in is blocked for many tenants.
+func (b *CircuitBreaker) blameTenant(tenant string, now timeunit.Ticks, policy *Policy) (isPluginsOwn bool) {
+	t := b.tenantBreaker(tenant)
+	if t == nil {
+		if len(b.tenants) >= maxTenantBreakers {
+			b.tenants = slices.Delete(b.tenants, 0, 1)
 		}
-		c.tenants = append(c.tenants, tenantBreaker{tenant: tenant})
-		a = &c.tenants[len(c.tenants)-1]
+		b.tenants = append(b.tenants, tenantBreaker{tenant: tenant})
+		t = &b.tenants[len(b.tenants)-1]
 	}
-	if a.consecutiveFaults++; a.consecutiveFaults >= g.MaxConsecutiveFaults {
-		a.quarantineLength = min(max(g.MinQuarantine, 2*a.quarantineLength), g.MaxQuarantine)
-		a.quarantineEnd = now + a.quarantineLength
+	t.consecutiveFaults++
+	if t.consecutiveFaults >= policy.MaxConsecutiveFaults {
+		t.quarantineLength = policy.nextQuarantine(t.quarantineLength)
+		t.quarantineEnd = now + t.quarantineLength
 	}
-	off := 0
-	for _, other := range c.tenants {
-		if other.consecutiveFaults >= g.MaxConsecutiveFaults {
-			off++
+	blocked := 0
+	for i := range b.tenants {
+		if b.tenants[i].consecutiveFaults >= policy.MaxConsecutiveFaults {
+			blocked++
 		}
 	}
-	return off >= tenantsToBlamePlugin
+	return blocked >= tenantsToBlamePlugin
 }
 
-func (c *CircuitBreaker) forgiveTenant(tenant string) {
-	for i := range c.tenants {
-		if c.tenants[i].tenant == tenant {
-			c.tenants = append(c.tenants[:i], c.tenants[i+1:]...)
-			return
-		}
+// forgiveTenant drops the record of a tenant.
+func (b *CircuitBreaker) forgiveTenant(tenant string) {
+	i := slices.IndexFunc(b.tenants, func(t tenantBreaker) bool { return t.tenant == tenant })
+	if i >= 0 {
+		b.tenants = slices.Delete(b.tenants, i, i+1)
 	}
 }
--- /dev/null
+++ b/internal/plugin/chain/evaluation_test.go
@@ -0,0 +1,186 @@
+package chain
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
+)
+
+// allNew tells New to keep no circuit breaker.
+func allNew(string) bool { return true }
+
+// FuzzEvaluations checks that whatever verdicts come, an evaluation ends, gives nothing that no policy permits and
+// stays within its time.
+func FuzzEvaluations(f *testing.F) {
+	f.Add(int64(1))
+	f.Fuzz(func(t *testing.T, seed int64) { playEvaluations(t, seed, golden.NewHistory()) })
+}
+
+// randomizer draws the parts of a schedule. The order of its draws decides what a seed stands for.
+type randomizer struct{ *rand.Rand }
+
+func (r randomizer) flip() bool { return r.Intn(2) == 0 }
+
+func (r randomizer) policy(name string) Policy {
+	return Policy{
+		Name:                 name,
+		Hooks:                [3]bool{r.flip(), r.flip(), r.flip()},
+		Categories:           []bool{r.flip(), r.flip(), r.flip()},
+		TargetCategories:     []bool{r.flip(), r.flip(), r.flip()},
+		MayReject:            r.flip(),
+		MayTag:               r.flip(),
+		MayRewrite:           r.flip(),
+		CallTimeout:          50,
+		MaxTimeFraction:      r.Float64(),
+		CoreFraction:         r.Float64(),
+		Fallback:             FallbackPolicy(r.Intn(2)),
+		FaultsByTenant:       r.flip(),
+		MaxConsecutiveFaults: 1 + r.Intn(3),
+		MaxFaultRate:         r.Float64(),
+		MinQuarantine:        100,
+		MaxQuarantine:        1000,
+	}
+}
+
+func (r randomizer) request() Request {
+	return Request{
+		Category:      r.Intn(3),
+		Tenant:        fmt.Sprint(r.Intn(3)),
+		TimeLeft:      timeunit.Ticks(r.Intn(5000)),
+		CategoryFixed: r.flip(),
+	}
+}
+
+func (r randomizer) body() []byte { return []byte("0123456789"[:r.Intn(10)]) }
+
+func (r randomizer) verdict() Verdict {
+	return Verdict{
+		Reject:   r.flip(),
+		Status:   r.Intn(700),
+		Category: r.Intn(6) - 2,
+		HasTag:   r.flip(),
+		Tag:      "x",
+		Replace:  r.flip(),
+		Body:     r.body(),
+	}
+}
+
+// playEvaluations runs a hundred evaluations with random verdicts and faults through a random chain, checks each, and
+// adds all that comes of them to history.
+func playEvaluations(t *testing.T, seed int64, history *golden.History) {
+	t.Helper()
+	random := randomizer{rand.New(rand.NewSource(seed))}
+	var policies []Policy
+	for i := range 1 + random.Intn(3) {
+		policies = append(policies, random.policy(fmt.Sprint(i)))
+	}
+	chain := New(policies, nil, allNew, random.Rand, 0)
+	now := timeunit.Ticks(0)
+	for range 100 {
+		now += timeunit.Ticks(random.Intn(100))
+		hook := Hook(random.Intn(2))
+		request := random.request()
+		body := random.body()
+		e := chain.Begin(hook, request, body, now)
+		permitted := permissions{categories: make([]bool, 3)}
+		now = playCalls(t, random, e, &permitted, now, history)
+		addEvaluation(history, e, nil, 0, now)
+		addPlugins(history, chain)
+		if e.Rejected {
+			byPlugin := permitted.reject && e.Status >= 400 && e.Status < 500
+			require.True(t, hook == HookRead && (e.Status == statusUnavailable || byPlugin))
+		}
+		if e.Category != request.Category {
+			require.True(t, hook == HookRead && !request.CategoryFixed && permitted.categories[e.Category])
+		}
+		require.True(t, e.Tag == "" || permitted.tag)
+		require.True(t, !e.Rewritten || hook == HookResult && permitted.rewrite && len(e.Body) < len(body))
+	}
+	require.Zero(t, chain.OpenEvaluations)
+}
+
+// permissions are what the plug-ins that were called may do, together.
+type permissions struct {
+	reject, tag, rewrite bool
+	categories           []bool
+}
+
+func (p *permissions) add(policy *Policy) {
+	p.reject = p.reject || policy.MayReject
+	p.tag = p.tag || policy.MayTag
+	p.rewrite = p.rewrite || policy.MayRewrite
+	for i := range policy.TargetCategories {
+		p.categories[i] = p.categories[i] || policy.TargetCategories[i]
+	}
+}
+
+// playCalls ends each call of an evaluation with a random verdict or fault. It returns the time at its end.
+func playCalls(
+	t *testing.T, random randomizer, e *Evaluation, permitted *permissions, now timeunit.Ticks, history *golden.History,
+) timeunit.Ticks {
+	t.Helper()
+	begin := now
+	for {
+		plugin, timeout := e.Next(now)
+		if plugin == nil {
+			return now
+		}
+		addEvaluation(history, e, plugin, timeout, now)
+		require.True(t, timeout > 0 && timeout <= plugin.CallTimeout && now+timeout <= begin+e.Request().TimeLeft/2+1)
+		permitted.add(&plugin.Policy)
+		took := timeunit.Ticks(random.Intn(int(timeout) + 1))
+		now += took
+		if random.flip() {
+			quarantined := e.RecordFault(Fault(random.Intn(len(FaultNames))), took, now)
+			history.Add(quarantined)
+			continue
+		}
+		fault, isFault, quarantined := e.ApplyVerdict(random.verdict(), took, now)
+		history.Add(int(fault), isFault, quarantined)
+	}
+}
+
+// TestFaultNames checks the names by which logs tell faults apart.
+func TestFaultNames(t *testing.T) {
+	names := [...]string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
+	require.Equal(t, names, FaultNames)
+}
+
+// BenchmarkEvaluation measures an evaluation in which one plug-in of many is called.
+func BenchmarkEvaluation(b *testing.B) {
+	for _, loaded := range []int{1, 10, 100} {
+		b.Run(fmt.Sprint("loaded=", loaded), func(b *testing.B) {
+			var policies []Policy
+			for i := range loaded {
+				policies = append(policies, Policy{
+					Name:                 fmt.Sprint(i),
+					Hooks:                [3]bool{HookRead: true},
+					Categories:           []bool{i == loaded/2, true},
+					TargetCategories:     []bool{false, false},
+					CallTimeout:          50,
+					MaxTimeFraction:      0.5,
+					CoreFraction:         1,
+					MaxConsecutiveFaults: 3,
+					MaxFaultRate:         1,
+					MinQuarantine:        1,
+					MaxQuarantine:        1,
+				})
+			}
+			chain := New(policies, nil, allNew, rand.New(rand.NewSource(1)), 0)
+			now := timeunit.Ticks(0)
+			request := Request{Tenant: "acme", TimeLeft: 10_000}
+			for b.Loop() {
+				now += 10
+				e := chain.Begin(HookRead, request, nil, now)
+				for plugin, _ := e.Next(now); plugin != nil; plugin, _ = e.Next(now) {
+					e.ApplyVerdict(Verdict{Category: NoCategory}, 0, now)
+				}
+			}
+		})
+	}
+}
--- a/internal/plugin/chain/golden_test.go
+++ b/internal/plugin/chain/golden_test.go
@@ -8,30 +8,31 @@
 	"thistlequay/timeunit"
 )
 
-// addWalk adds where a walk stands: which plug-in is asked, for how long, and what came of it so far.
-func addWalk(history *golden.History, w *Evaluation, p *Plugin, within, now timeunit.Ticks) {
-	asked := -1
-	if p != nil {
-		asked = p.Index
+// addEvaluation adds where an evaluation stands: which plug-in is to be called, with which timeout, and the result so
+// far.
+func addEvaluation(history *golden.History, e *Evaluation, plugin *Plugin, timeout, now timeunit.Ticks) {
+	index := -1
+	if plugin != nil {
+		index = plugin.Index
 	}
-	history.Add(now, asked, within, w.Rejected, w.Status, w.Category, w.Tag, string(w.Body), w.Rewritten)
+	history.Add(now, index, timeout, e.Rejected, e.Status, e.Category, e.Tag, string(e.Body), e.Rewritten)
 }
 
-// addPlugins adds how each plug-in of a chain stands.
+// addPlugins adds how each plug-in of a chain has been doing.
 func addPlugins(history *golden.History, c *Chain) {
-	for _, p := range c.Plugins {
-		history.Add(p.Index, int(p.State), p.Calls, p.Faults, p.QuarantineEnd())
+	for _, plugin := range c.Plugins {
+		history.Add(plugin.Index, int(plugin.State), plugin.Calls, plugin.Faults, plugin.QuarantineEnd())
 	}
 	history.Add(c.OpenEvaluations)
 }
 
-// TestGoldenWalks plays a hundred seeded schedules; what came of every walk, ten seeds a line, is as it was recorded.
-func TestGoldenWalks(t *testing.T) {
+// TestGoldenEvaluations compares what came of a hundred seeded schedules, a line for ten seeds, with what was recorded.
+func TestGoldenEvaluations(t *testing.T) {
 	var lines []byte
 	for group := range 10 {
 		history := golden.NewHistory()
 		for seed := range 10 {
-			playWalks(t, int64(group*10+seed), history)
+			playEvaluations(t, int64(group*10+seed), history)
 		}
 		lines = fmt.Appendf(lines, "seeds=%d..%d %s\n", group*10, group*10+9, history)
 	}
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -6,6 +6,7 @@
 	"math/rand"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -16,7 +17,23 @@
 	"thistlequay/timeunit"
 )
 
-// A scenario in testdata is played line by line; README.md there has the notation.
+// Words of the scenarios.
+var (
+	scenarioFaults = [...]string{
+		FaultTimeout:      "timeout",
+		FaultTrap:         "trap",
+		FaultMalformed:    "malformed",
+		FaultNotPermitted: "not-permitted",
+		FaultProcessDied:  "process-died",
+		FaultUnavailable:  "unavailable",
+	}
+	scenarioStates = [...]string{StateActive: "active", StateQuarantined: "quarantined", StateProbation: "probation"}
+)
+
+// scenarioCategories is the number of categories in a scenario.
+const scenarioCategories = 3
+
+// TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -25,286 +42,244 @@
 	for _, file := range files {
 		history := golden.NewHistory()
 		name := strings.TrimSuffix(filepath.Base(file), ".txt")
-		t.Run(name, func(t *testing.T) {
-			f, err := os.Open(file)
-			require.NoError(t, err)
-			defer f.Close()
-			s := &scene{Assertions: require.New(t), walks: map[string]*Evaluation{}, history: history}
-			in := bufio.NewScanner(f)
-			for n := 1; in.Scan(); n++ {
-				line, _, _ := strings.Cut(in.Text(), "#")
-				if word := strings.Fields(line); len(word) > 0 {
-					s.step(word, fmt.Sprintf("%s:%d %s", file, n, strings.TrimSpace(line)))
-				}
-			}
-		})
+		t.Run(name, func(t *testing.T) { playScenario(t, file, history) })
 		histories = fmt.Appendf(histories, "%s %s\n", name, history)
 	}
 	golden.Check(t, "scenarios.txt", histories)
 }
 
-type scene struct {
+// scenario is the state of a scenario that is being played.
+type scenario struct {
 	*require.Assertions
-	grants []Policy
-	chain  *Chain
-	walks  map[string]*Evaluation
-	now    timeunit.Ticks
-
-	history *golden.History
+	policies    []Policy // of the plug-ins noted for the next chain
+	chain       *Chain
+	evaluations map[string]*Evaluation
+	now         timeunit.Ticks
+	history     *golden.History
+	where       string // the line that is being played
 }
 
-const categories = 3
+func playScenario(t *testing.T, file string, history *golden.History) {
+	t.Helper()
+	f, err := os.Open(file)
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, f.Close()) })
+	s := &scenario{Assertions: require.New(t), evaluations: map[string]*Evaluation{}, history: history}
+	lines := bufio.NewScanner(f)
+	for number := 1; lines.Scan(); number++ {
+		line, _, _ := strings.Cut(lines.Text(), "#")
+		if words := strings.Fields(line); len(words) > 0 {
+			s.where = fmt.Sprintf("%s:%d %s", file, number, strings.TrimSpace(line))
+			s.step(words)
+		}
+	}
+}
 
-func (s *scene) number(text, where string) float64 {
-	v, err := strconv.ParseFloat(text, 64)
-	s.NoError(err, where)
-	return v
+func (s *scenario) number(text string) float64 {
+	value, err := strconv.ParseFloat(text, 64)
+	s.NoError(err, s.where)
+	return value
 }
 
-var faultNames = map[string]Fault{"late": FaultTimeout, "trap": FaultTrap, "nonsense": FaultMalformed, "beyond": FaultNotPermitted, "died": FaultProcessDied, "absent": FaultUnavailable}
+// ticks reads a time in milliseconds.
+func (s *scenario) ticks(text string) timeunit.Ticks {
+	return timeunit.Ticks(s.number(text) * float64(timeunit.TicksPerMillisecond))
+}
 
-func (s *scene) step(word []string, where string) {
-	switch word[0] {
+func (s *scenario) step(words []string) {
+	want := []string{}
+	if arrow := slices.Index(words, "=>"); arrow >= 0 {
+		want = words[arrow+1:]
+		words = words[:arrow]
+	}
+	switch verb, args := words[0], words[1:]; verb {
 	case "plugin":
-		g := Policy{Name: word[1], Categories: []bool{true, true, true}, TargetCategories: make([]bool, categories), Tenants: map[string]bool{},
-			CallTimeout: 50, MaxTimeFraction: 0.5, CoreFraction: 1, MaxConsecutiveFaults: 3, MaxFaultRate: 1, MinQuarantine: 1_000, MaxQuarantine: 10_000}
-		for _, w := range word[2:] {
-			key, text, _ := strings.Cut(w, "=")
-			switch key {
-			case "read":
-				g.Hooks[HookRead] = true
-			case "result":
-				g.Hooks[HookResult] = true
-			case "declines":
-				g.MayReject = true
-			case "tags":
-				g.MayTag = true
-			case "rewrites":
-				g.MayRewrite = true
-			case "alone":
-				g.FaultsByTenant = true
-			case "otherwise-decline":
-				g.Fallback = FallbackReject
-			case "only":
-				g.Categories = make([]bool, categories)
-				g.Categories[int(s.number(text, where))] = true
-			case "tenant":
-				g.Tenants[text] = true
-			case "to":
-				g.TargetCategories[int(s.number(text, where))] = true
-			case "call":
-				g.CallTimeout = timeunit.Ticks(s.number(text, where) * 10)
-			case "share":
-				g.MaxTimeFraction = s.number(text, where)
-			case "core":
-				g.CoreFraction = s.number(text, where)
-			case "row":
-				g.MaxConsecutiveFaults = int(s.number(text, where))
-			case "rate":
-				g.MaxFaultRate = s.number(text, where)
-			default:
-				s.Fail("unknown grant", where)
-			}
-		}
-		s.grants = append(s.grants, g)
-	case "chain": // [fresh NAME]
-		fresh := map[string]bool{}
-		for _, w := range word[1:] {
-			fresh[w] = true
-		}
-		s.chain = New(s.grants, s.chain, func(name string) bool { return fresh[name] }, rand.New(rand.NewSource(1)), s.now)
-		s.grants = nil
+		s.policies = append(s.policies, s.policy(args))
+	case "chain":
+		isNew := func(name string) bool { return slices.Contains(args, name) }
+		s.chain = New(s.policies, s.chain, isNew, rand.New(rand.NewSource(1)), s.now)
+		s.policies = nil
 	case "at":
-		s.now = timeunit.Ticks(s.number(word[1], where) * 10)
-		if len(word) > 2 {
-			s.step(word[2:], where)
+		s.now = s.ticks(args[0])
+		if len(args) > 1 {
+			s.step(slices.Concat(args[1:], []string{"=>"}, want))
 		}
-	case "read", "result": // NAME [category=N tenant=T left=MS fixed body=TEXT] => asked plug-in, how long, or what came of it
-		it := Request{Tenant: "acme", TimeLeft: 10_000}
-		body := ""
-		i := 2
-		for ; i < len(word) && word[i] != "=>"; i++ {
-			key, text, _ := strings.Cut(word[i], "=")
-			switch key {
-			case "category":
-				it.Category = int(s.number(text, where))
-			case "tenant":
-				it.Tenant = text
-			case "left":
-				it.TimeLeft = timeunit.Ticks(s.number(text, where) * 10)
-			case "fixed":
-				it.CategoryFixed = true
-			case "body":
-				body = text
-			}
-		}
-		point := map[string]Hook{"read": HookRead, "result": HookResult}[word[0]]
-		w := s.chain.Begin(point, it, []byte(body), s.now)
-		s.walks[word[1]] = w
-		s.next(w, word[i+1:], where)
-	case "says": // NAME TOOK [decline=STATUS to=N tag=T replace=TEXT] => as above
-		w := s.walks[word[1]]
-		v := Verdict{Category: -1}
-		i := 3
-		for ; i < len(word) && word[i] != "=>"; i++ {
-			key, text, _ := strings.Cut(word[i], "=")
-			switch key {
-			case "decline":
-				v.Reject, v.Status = true, int(s.number(text, where))
-			case "to":
-				v.Category = int(s.number(text, where))
-			case "tag":
-				v.HasTag, v.Tag = true, text
-			case "replace":
-				v.Replace, v.Body = true, []byte(text)
-			}
-		}
-		f, wrong, off := w.ApplyVerdict(v, timeunit.Ticks(s.number(word[2], where)*10), s.now)
-		s.history.Add(s.now, int(f), wrong, off)
-		s.outcome(w, f, wrong, off, word[i+1:], where)
-	case "fails": // NAME FAULT TOOK => as above
-		w := s.walks[word[1]]
-		f := faultNames[word[2]]
-		off := w.RecordFault(f, timeunit.Ticks(s.number(word[3], where)*10), s.now)
-		s.history.Add(s.now, int(f), off)
-		s.outcome(w, f, false, off, word[5:], where)
+	case "read":
+		s.begin(HookRead, args, want)
+	case "result":
+		s.begin(HookResult, args, want)
+	case "verdict":
+		e := s.evaluations[args[0]]
+		fault, isFault, quarantined := e.ApplyVerdict(s.verdict(args[2:]), s.ticks(args[1]), s.now)
+		s.history.Add(s.now, int(fault), isFault, quarantined)
+		s.expect(e, fault, isFault, quarantined, want)
+	case "fault":
+		e := s.evaluations[args[0]]
+		fault := Fault(slices.Index(scenarioFaults[:], args[1]))
+		quarantined := e.RecordFault(fault, s.ticks(args[2]), s.now)
+		s.history.Add(s.now, int(fault), quarantined)
+		s.expect(e, fault, false, quarantined, want)
 	case "state":
-		s.Equal(strings.Join(word[2:], " "), StateNames[s.plugin(word[1]).State], where)
-	case "under":
-		s.Equal(word[1], strconv.Itoa(s.chain.OpenEvaluations), where)
+		s.Equal(args[1], scenarioStates[s.plugin(args[0]).State], s.where)
+	case "open":
+		s.Equal(args[0], strconv.Itoa(s.chain.OpenEvaluations), s.where)
 	default:
-		s.Fail("unknown line", where)
+		s.Fail("unknown line", s.where)
 	}
 }
 
-func (s *scene) plugin(name string) *Plugin {
-	for _, p := range s.chain.Plugins {
-		if p.Name == name {
-			return p
+// policy reads NAME and what differs from the default policy.
+func (s *scenario) policy(args []string) Policy {
+	policy := Policy{
+		Name:                 args[0],
+		Categories:           []bool{true, true, true},
+		TargetCategories:     make([]bool, scenarioCategories),
+		Tenants:              map[string]bool{},
+		CallTimeout:          50,
+		MaxTimeFraction:      0.5,
+		CoreFraction:         1,
+		MaxConsecutiveFaults: 3,
+		MaxFaultRate:         1,
+		MinQuarantine:        1_000,
+		MaxQuarantine:        10_000,
+	}
+	for _, arg := range args[1:] {
+		key, text, _ := strings.Cut(arg, "=")
+		switch key {
+		case "read":
+			policy.Hooks[HookRead] = true
+		case "result":
+			policy.Hooks[HookResult] = true
+		case "may-reject":
+			policy.MayReject = true
+		case "may-tag":
+			policy.MayTag = true
+		case "may-rewrite":
+			policy.MayRewrite = true
+		case "faults-by-tenant":
+			policy.FaultsByTenant = true
+		case "fallback-reject":
+			policy.Fallback = FallbackReject
+		case "category":
+			policy.Categories = make([]bool, scenarioCategories)
+			policy.Categories[int(s.number(text))] = true
+		case "tenant":
+			policy.Tenants[text] = true
+		case "to":
+			policy.TargetCategories[int(s.number(text))] = true
+		case "timeout":
+			policy.CallTimeout = s.ticks(text)
+		case "fraction":
+			policy.MaxTimeFraction = s.number(text)
+		case "core":
+			policy.CoreFraction = s.number(text)
+		case "max-faults":
+			policy.MaxConsecutiveFaults = int(s.number(text))
+		case "max-rate":
+			policy.MaxFaultRate = s.number(text)
+		default:
+			s.Fail("unknown policy", s.where)
 		}
 	}
-	return nil
+	return policy
 }
 
-func (s *scene) outcome(w *Evaluation, f Fault, wrong, off bool, want []string, where string) {
-	var said []string
-	if wrong {
-		said = append(said, "fault:"+strings.Fields(FaultNames[f])[0])
-	}
-	if off {
-		said = append(said, "off")
+// begin reads NAME [category=N tenant=T left=MS fixed-category body=TEXT] and begins the evaluation.
+func (s *scenario) begin(hook Hook, args, want []string) {
+	request := Request{Tenant: "acme", TimeLeft: 10_000}
+	body := ""
+	for _, arg := range args[1:] {
+		key, text, _ := strings.Cut(arg, "=")
+		switch key {
+		case "category":
+			request.Category = int(s.number(text))
+		case "tenant":
+			request.Tenant = text
+		case "left":
+			request.TimeLeft = s.ticks(text)
+		case "fixed-category":
+			request.CategoryFixed = true
+		case "body":
+			body = text
+		default:
+			s.Fail("unknown part of a request", s.where)
+		}
 	}
-	s.GreaterOrEqual(len(want), len(said), where)
-	s.Equal(want[:len(said)], append([]string{}, said...), where)
-	s.next(w, want[len(said):], where)
+	e := s.chain.Begin(hook, request, []byte(body), s.now)
+	s.evaluations[args[0]] = e
+	s.next(e, want)
 }
 
-// next goes on with a walk and checks who is asked, for how long, or what came of it.
-func (s *scene) next(w *Evaluation, want []string, where string) {
-	p, within := w.Next(s.now)
-	addWalk(s.history, w, p, within, s.now)
-	addPlugins(s.history, s.chain)
-	var got []string
-	if p != nil {
-		got = []string{"ask:" + p.Name, fmt.Sprint(float64(within) / 10)}
-	} else if got = []string{"over"}; w.Rejected {
-		got = append(got, fmt.Sprint("declined:", w.Status))
-	} else {
-		if w.Category != w.request.Category {
-			got = append(got, fmt.Sprint("to:", w.Category))
-		}
-		if w.Tag != "" {
-			got = append(got, "tag:"+w.Tag)
-		}
-		if w.Rewritten {
-			got = append(got, "body:"+string(w.Body))
+// verdict reads [reject=STATUS to=CATEGORY tag=T replace=TEXT].
+func (s *scenario) verdict(args []string) Verdict {
+	verdict := Verdict{Category: NoCategory}
+	for _, arg := range args {
+		key, text, _ := strings.Cut(arg, "=")
+		switch key {
+		case "reject":
+			verdict.Reject = true
+			verdict.Status = int(s.number(text))
+		case "to":
+			verdict.Category = int(s.number(text))
+		case "tag":
+			verdict.HasTag = true
+			verdict.Tag = text
+		case "replace":
+			verdict.Replace = true
+			verdict.Body = []byte(text)
+		default:
+			s.Fail("unknown action", s.where)
 		}
 	}
-	s.Equal(want, got, where)
+	return verdict
 }
 
-// FuzzWalks: whatever verdicts come, a walk ends, gives nothing that was not granted and stays within its time.
-func FuzzWalks(f *testing.F) {
-	f.Add(int64(1))
-	f.Fuzz(func(t *testing.T, seed int64) { playWalks(t, seed, golden.NewHistory()) })
+func (s *scenario) plugin(name string) *Plugin {
+	for _, plugin := range s.chain.Plugins {
+		if plugin.Name == name {
+			return plugin
+		}
+	}
+	return nil
 }
 
-// playWalks sends a hundred walks with random verdicts through a random chain and adds all that comes of them to history.
-func playWalks(t *testing.T, seed int64, history *golden.History) {
-	r := rand.New(rand.NewSource(seed))
-	flip := func() bool { return r.Intn(2) == 0 }
-	var grants []Policy
-	for i := range 1 + r.Intn(3) {
-		grants = append(grants, Policy{Name: fmt.Sprint(i), Hooks: [3]bool{flip(), flip(), flip()}, Categories: []bool{flip(), flip(), flip()},
-			TargetCategories: []bool{flip(), flip(), flip()}, MayReject: flip(), MayTag: flip(), MayRewrite: flip(), CallTimeout: 50, MaxTimeFraction: r.Float64(), CoreFraction: r.Float64(),
-			Fallback: FallbackPolicy(r.Intn(2)), FaultsByTenant: flip(), MaxConsecutiveFaults: 1 + r.Intn(3), MaxFaultRate: r.Float64(), MinQuarantine: 100, MaxQuarantine: 1000})
+// expect checks what the end of a call came to, and goes on with the evaluation.
+func (s *scenario) expect(e *Evaluation, fault Fault, isFault, quarantined bool, want []string) {
+	got := []string{}
+	if isFault {
+		got = append(got, "fault:"+scenarioFaults[fault])
 	}
-	chain := New(grants, nil, func(string) bool { return true }, r, 0)
-	now := timeunit.Ticks(0)
-	for range 100 {
-		now += timeunit.Ticks(r.Intn(100))
-		at := Hook(r.Intn(2))
-		it := Request{Category: r.Intn(3), Tenant: fmt.Sprint(r.Intn(3)), TimeLeft: timeunit.Ticks(r.Intn(5000)), CategoryFixed: flip()}
-		body := []byte("0123456789"[:r.Intn(10)])
-		w := chain.Begin(at, it, body, now)
-		begun := now
-		granted := Policy{TargetCategories: make([]bool, 3)}
-		for p, within := w.Next(now); p != nil; p, within = w.Next(now) {
-			addWalk(history, w, p, within, now)
-			require.True(t, within > 0 && within <= p.CallTimeout && now+within <= begun+it.TimeLeft/2+1)
-			granted.MayReject = granted.MayReject || p.MayReject
-			granted.MayTag, granted.MayRewrite = granted.MayTag || p.MayTag, granted.MayRewrite || p.MayRewrite
-			for i := range p.TargetCategories {
-				granted.TargetCategories[i] = granted.TargetCategories[i] || p.TargetCategories[i]
-			}
-			took := timeunit.Ticks(r.Intn(int(within) + 1))
-			now += took
-			if flip() {
-				off := w.RecordFault(Fault(r.Intn(len(FaultNames))), took, now)
-				history.Add(off)
-			} else {
-				f, wrong, off := w.ApplyVerdict(Verdict{Reject: flip(), Status: r.Intn(700), Category: r.Intn(6) - 2, HasTag: flip(), Tag: "x", Replace: flip(),
-					Body: []byte("0123456789"[:r.Intn(10)])}, took, now)
-				history.Add(int(f), wrong, off)
-			}
-		}
-		addWalk(history, w, nil, 0, now)
-		addPlugins(history, chain)
-		if w.Rejected {
-			require.True(t, at == HookRead && (w.Status == statusUnavailable || granted.MayReject && w.Status >= 400 && w.Status < 500))
-		}
-		if w.Category != it.Category {
-			require.True(t, at == HookRead && !it.CategoryFixed && granted.TargetCategories[w.Category])
-		}
-		require.True(t, w.Tag == "" || granted.MayTag)
-		require.True(t, !w.Rewritten || at == HookResult && granted.MayRewrite && len(w.Body) < len(body))
+	if quarantined {
+		got = append(got, "quarantined")
 	}
-	require.Zero(t, chain.OpenEvaluations)
+	s.GreaterOrEqual(len(want), len(got), s.where)
+	s.Equal(want[:len(got)], got, s.where)
+	s.next(e, want[len(got):])
 }
 
-// One plug-in of many is asked.
-func BenchmarkWalk(b *testing.B) {
-	for _, n := range []int{1, 10, 100} {
-		b.Run(fmt.Sprint("loaded=", n), func(b *testing.B) {
-			var grants []Policy
-			for i := range n {
-				g := Policy{Name: fmt.Sprint(i), Categories: []bool{false, true}, TargetCategories: []bool{false, false}, CallTimeout: 50, MaxTimeFraction: 0.5, CoreFraction: 1, MaxConsecutiveFaults: 3, MaxFaultRate: 1, MinQuarantine: 1, MaxQuarantine: 1}
-				g.Hooks[HookRead] = true
-				if i == n/2 {
-					g.Categories[0] = true
-				}
-				grants = append(grants, g)
-			}
-			chain := New(grants, nil, func(string) bool { return true }, rand.New(rand.NewSource(1)), 0)
-			now := timeunit.Ticks(0)
-			it := Request{Tenant: "acme", TimeLeft: 10_000}
-			for b.Loop() {
-				now += 10
-				w := chain.Begin(HookRead, it, nil, now)
-				for p, _ := w.Next(now); p != nil; p, _ = w.Next(now) {
-					w.ApplyVerdict(Verdict{Category: -1}, 0, now)
-				}
-			}
-		})
+// next goes on with an evaluation and checks which plug-in is to be called, with which timeout, or the result.
+func (s *scenario) next(e *Evaluation, want []string) {
+	plugin, timeout := e.Next(s.now)
+	addEvaluation(s.history, e, plugin, timeout, s.now)
+	addPlugins(s.history, s.chain)
+	if plugin != nil {
+		milliseconds := float64(timeout) / float64(timeunit.TicksPerMillisecond)
+		s.Equal(want, []string{"call:" + plugin.Name, fmt.Sprint(milliseconds)}, s.where)
+		return
+	}
+	got := []string{"end"}
+	if e.Rejected {
+		s.Equal(want, append(got, fmt.Sprint("rejected:", e.Status)), s.where)
+		return
+	}
+	if e.Category != e.request.Category {
+		got = append(got, fmt.Sprint("to:", e.Category))
+	}
+	if e.Tag != "" {
+		got = append(got, "tag:"+e.Tag)
+	}
+	if e.Rewritten {
+		got = append(got, "body:"+string(e.Body))
 	}
+	s.Equal(want, got, s.where)
 }
