--- a/internal/plugin/abi/abi.go
+++ b/internal/plugin/abi/abi.go
@@ -1,5 +1,7 @@
-// Package abi is the bytes that pass between the program and a plug-in, version 1. docs/plugin/authors.md has them
-// written out. It does no I/O; reading checks every length and must never believe one.
+// Package abi reads and writes the messages that pass between the program and a plug-in, version 1 of the plug-in ABI.
+// docs/plugin/authors.md has their layout. All numbers are little-endian; a text is its length (32 bits) and its bytes.
+//
+// The package does no I/O. Messages come from modules that nobody trusts: every length is checked before it is used.
 package abi
 
 import (
@@ -7,67 +9,130 @@
 	"errors"
 )
 
-// Version of all bytes here.
+// Version is the version of the messages, the first byte of each.
 const Version = 1
 
-// Hooks by their number on the wire.
+// Hooks by their number in a request.
 const (
-	HookRead = iota
-	HookResult
-	HookTick
+	HookRead   = iota // a request was read
+	HookResult        // a result is to be answered
+	HookTick          // an interval is over
 )
 
-// What a verdict does.
+// Actions of a verdict, one bit each.
 const (
-	ActionReject = 1 << iota
-	ActionCategorize
-	ActionTag
-	ActionReplace
-	knownActions = ActionReject | ActionCategorize | ActionTag | ActionReplace
+	ActionReject     = 1 << iota // reject the request with Status
+	ActionCategorize             // treat the request as one of Category
+	ActionTag                    // set Tag
+	ActionReplace                // replace the result by Body
+	knownActions     = ActionReject | ActionCategorize | ActionTag | ActionReplace
 )
 
-// Request is what a plug-in is asked about.
+// Sizes of the numbers in front of the texts of a message.
+const (
+	requestHeaderSize = 16
+	verdictHeaderSize = 4
+	textLengthSize    = 4
+)
+
+// ErrMalformed means that bytes are no message of this version.
+var ErrMalformed = errors.New("bytes that are no message of version 1")
+
+// Request is what a plug-in is called about.
 type Request struct {
 	Hook       int
-	TimeLeftMS uint32 // milliseconds that its caller still waits
-	UnixMS     int64  // Unix milliseconds
+	TimeLeftMS uint32 // milliseconds until the request's deadline
+	UnixMS     int64  // the time, in milliseconds since 1970
 	Category   string
 	Tenant     string
 	Tag        string // set by an earlier plug-in
-	Body       []byte // of the request, or the result
+	Body       []byte // of the request, or the result at HookResult
 }
 
-// Verdict is what it says. Its zero value is "goes on as it is", and so are no bytes at all.
+// Verdict is a plug-in's answer. The zero Verdict changes nothing, and so does an answer without bytes.
 type Verdict struct {
-	Actions  int
+	Actions  int // bits
 	Status   int
 	Category string
 	Tag      string
 	Body     []byte
 }
 
-// ErrMalformed is what no verdict and no request is made of.
-var ErrMalformed = errors.New("bytes that are no message of version 1")
-
-func appendText[T string | []byte](to []byte, text T) []byte {
-	return append(binary.LittleEndian.AppendUint32(to, uint32(len(text))), text...)
-}
-
-// Append writes a request: version, hook, two zeros, left (32), now (64), then category, tenant, tag and body, each
-// with its length (32) in front. All little-endian.
+// Append appends the request to a buffer: version, hook, two zeros, time left (32 bits), time (64), category, tenant,
+// tag and body.
 func (r *Request) Append(to []byte) []byte {
 	to = append(to, Version, byte(r.Hook), 0, 0)
 	to = binary.LittleEndian.AppendUint32(to, r.TimeLeftMS)
 	to = binary.LittleEndian.AppendUint64(to, uint64(r.UnixMS))
-	to = appendText(appendText(appendText(to, r.Category), r.Tenant), r.Tag)
+	to = appendText(to, r.Category)
+	to = appendText(to, r.Tenant)
+	to = appendText(to, r.Tag)
 	return appendText(to, r.Body)
 }
 
+// ParseRequest reads a request; the error is ErrMalformed. The body lies in data.
+func ParseRequest(data []byte) (Request, error) {
+	in := reader{remaining: data}
+	header := in.take(requestHeaderSize)
+	if in.failed || header[0] != Version {
+		return Request{}, ErrMalformed
+	}
+	r := Request{
+		Hook:       int(header[1]),
+		TimeLeftMS: binary.LittleEndian.Uint32(header[4:]),
+		UnixMS:     int64(binary.LittleEndian.Uint64(header[8:])),
+	}
+	r.Category = string(in.text())
+	r.Tenant = string(in.text())
+	r.Tag = string(in.text())
+	r.Body = in.text()
+	if in.failed || len(in.remaining) > 0 {
+		return Request{}, ErrMalformed
+	}
+	return r, nil
+}
+
+// Append appends the verdict to a buffer: version, actions, status (16 bits), category, tag and body.
+func (v *Verdict) Append(to []byte) []byte {
+	to = append(to, Version, byte(v.Actions))
+	to = binary.LittleEndian.AppendUint16(to, uint16(v.Status))
+	to = appendText(to, v.Category)
+	to = appendText(to, v.Tag)
+	return appendText(to, v.Body)
+}
+
+// ParseVerdict reads a verdict; the error is ErrMalformed. The body lies in data.
+func ParseVerdict(data []byte) (Verdict, error) {
+	if len(data) == 0 {
+		return Verdict{}, nil
+	}
+	in := reader{remaining: data}
+	header := in.take(verdictHeaderSize)
+	if in.failed || header[0] != Version || header[1]&^byte(knownActions) != 0 {
+		return Verdict{}, ErrMalformed
+	}
+	v := Verdict{Actions: int(header[1]), Status: int(binary.LittleEndian.Uint16(header[2:]))}
+	v.Category = string(in.text())
+	v.Tag = string(in.text())
+	v.Body = in.text()
+	if in.failed || len(in.remaining) > 0 {
+		return Verdict{}, ErrMalformed
+	}
+	return v, nil
+}
+
+func appendText[T string | []byte](to []byte, text T) []byte {
+	to = binary.LittleEndian.AppendUint32(to, uint32(len(text)))
+	return append(to, text...)
+}
+
+// reader takes a message apart. After a part that was not there, failed is set and all further parts are nil.
 type reader struct {
 	remaining []byte
 	failed    bool
 }
 
+// take returns the next n bytes.
 func (r *reader) take(n int) []byte {
 	if n < 0 || n > len(r.remaining) {
 		r.failed = true
@@ -78,54 +143,16 @@
 	return part
 }
 
+// text returns the next text.
 func (r *reader) text() []byte {
-	head := r.take(4)
+	header := r.take(textLengthSize)
 	if r.failed {
 		return nil
 	}
-	n := binary.LittleEndian.Uint32(head)
-	if uint64(n) > uint64(len(r.remaining)) {
+	length := binary.LittleEndian.Uint32(header)
+	if uint64(length) > uint64(len(r.remaining)) {
 		r.failed = true
 		return nil
 	}
-	return r.take(int(n))
-}
-
-// ParseRequest reads one. Its texts lie in data.
-func ParseRequest(data []byte) (q Request, err error) {
-	r := reader{remaining: data}
-	head := r.take(16)
-	if r.failed || head[0] != Version {
-		return q, ErrMalformed
-	}
-	q.Hook, q.TimeLeftMS, q.UnixMS = int(head[1]), binary.LittleEndian.Uint32(head[4:]), int64(binary.LittleEndian.Uint64(head[8:]))
-	q.Category, q.Tenant, q.Tag, q.Body = string(r.text()), string(r.text()), string(r.text()), r.text()
-	if r.failed || len(r.remaining) > 0 {
-		return Request{}, ErrMalformed
-	}
-	return q, nil
-}
-
-// Append writes a verdict: version, what it does, status (16), then category, tag and body, each with its length.
-func (v *Verdict) Append(to []byte) []byte {
-	to = append(to, Version, byte(v.Actions), byte(v.Status), byte(v.Status>>8))
-	return appendText(appendText(appendText(to, v.Category), v.Tag), v.Body)
-}
-
-// ParseVerdict reads one. Its body lies in data.
-func ParseVerdict(data []byte) (v Verdict, err error) {
-	if len(data) == 0 {
-		return v, nil
-	}
-	r := reader{remaining: data}
-	head := r.take(4)
-	if r.failed || head[0] != Version || head[1]&^byte(knownActions) != 0 {
-		return v, ErrMalformed
-	}
-	v.Actions, v.Status = int(head[1]), int(head[2])|int(head[3])<<8
-	v.Category, v.Tag, v.Body = string(r.text()), string(r.text()), r.text()
-	if r.failed || len(r.remaining) > 0 {
-		return Verdict{}, ErrMalformed
-	}
-	return v, nil
+	return r.take(int(length))
 }
--- a/internal/plugin/abi/abi_test.go
+++ b/internal/plugin/abi/abi_test.go
@@ -6,30 +6,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestThereAndBack(t *testing.T) {
-	q := Request{Hook: HookResult, TimeLeftMS: 7, UnixMS: 1 << 40, Category: "look", Tenant: "acme", Tag: "vip", Body: []byte("body")}
-	got, err := ParseRequest(q.Append(nil))
+// TestMessagesSurviveRoundTrip checks that a message that was written reads as the same, and that no verdict can be cut
+// short unnoticed.
+func TestMessagesSurviveRoundTrip(t *testing.T) {
+	request := Request{
+		Hook:       HookResult,
+		TimeLeftMS: 7,
+		UnixMS:     1 << 40,
+		Category:   "look",
+		Tenant:     "acme",
+		Tag:        "vip",
+		Body:       []byte("body"),
+	}
+	readRequest, err := ParseRequest(request.Append(nil))
 	require.NoError(t, err)
-	require.Equal(t, q, got)
-	v := Verdict{Actions: ActionReject | ActionTag, Status: 403, Category: "x", Tag: "y", Body: []byte("z")}
-	back, err := ParseVerdict(v.Append(nil))
+	require.Equal(t, request, readRequest)
+	verdict := Verdict{
+		Actions:  ActionReject | ActionTag,
+		Status:   403,
+		Category: "x",
+		Tag:      "y",
+		Body:     []byte("z"),
+	}
+	data := verdict.Append(nil)
+	readVerdict, err := ParseVerdict(data)
 	require.NoError(t, err)
-	require.Equal(t, v, back)
-	for n := 1; n < len(v.Append(nil)); n++ {
-		_, err := ParseVerdict(v.Append(nil)[:n])
+	require.Equal(t, verdict, readVerdict)
+	for length := 1; length < len(data); length++ {
+		_, err := ParseVerdict(data[:length])
 		require.ErrorIs(t, err, ErrMalformed)
 	}
 }
 
-func FuzzRead(f *testing.F) {
+// FuzzParse checks that any bytes can be parsed, and that what is a message can be written again.
+func FuzzParse(f *testing.F) {
 	f.Add((&Request{Category: "look"}).Append(nil))
 	f.Add((&Verdict{Actions: ActionTag, Tag: "t"}).Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if v, err := ParseVerdict(data); err == nil && len(data) > 0 {
-			require.Equal(t, data, v.Append(nil))
+		if verdict, err := ParseVerdict(data); err == nil && len(data) > 0 {
+			require.Equal(t, data, verdict.Append(nil))
 		}
-		if q, err := ParseRequest(data); err == nil {
-			_, err := ParseRequest(q.Append(nil))
+		if request, err := ParseRequest(data); err == nil {
+			_, err := ParseRequest(request.Append(nil))
 			require.NoError(t, err)
 		}
 	})
--- a/internal/plugin/abi/golden_test.go
+++ b/internal/plugin/abi/golden_test.go
@@ -9,37 +9,55 @@
 	"thistlequay/internal/golden"
 )
 
-// TestGoldenBytes holds the bytes of requests and verdicts: as they were recorded, and the same when read and written again.
+// TestGoldenBytes compares the bytes of requests and verdicts with what was recorded. Read and written again they are
+// the same.
 func TestGoldenBytes(t *testing.T) {
 	var lines []byte
-	for _, q := range []Request{
-		{},
-		{Hook: HookRead, TimeLeftMS: 1500, UnixMS: 1_700_000_000_123, Category: "mottak", Tenant: "hall-nord", Body: []byte("note=17")},
-		{Hook: HookResult, TimeLeftMS: 1<<32 - 1, UnixMS: -1, Category: "look", Tenant: "acme", Tag: "vip", Body: []byte{0, 1, 255, '\n'}},
-		{Hook: HookTick, UnixMS: 1 << 40},
-	} {
-		data := q.Append(nil)
-		back, err := ParseRequest(data)
+	for _, request := range goldenRequests {
+		data := request.Append(nil)
+		read, err := ParseRequest(data)
 		require.NoError(t, err)
-		require.Equal(t, data, back.Append(nil))
+		require.Equal(t, data, read.Append(nil))
 		lines = fmt.Appendf(lines, "request %x\n", data)
 	}
-	for does := range knownActions + 1 {
-		v := Verdict{Actions: does, Status: 400 + does}
-		if does&ActionCategorize != 0 {
-			v.Category = "pall"
+	for actions := range knownActions + 1 {
+		verdict := Verdict{Actions: actions, Status: 400 + actions}
+		if actions&ActionCategorize != 0 {
+			verdict.Category = "pall"
 		}
-		if does&ActionTag != 0 {
-			v.Tag = "checked"
+		if actions&ActionTag != 0 {
+			verdict.Tag = "checked"
 		}
-		if does&ActionReplace != 0 {
-			v.Body = []byte("short\x00")
+		if actions&ActionReplace != 0 {
+			verdict.Body = []byte("short\x00")
 		}
-		data := v.Append(nil)
-		back, err := ParseVerdict(data)
+		data := verdict.Append(nil)
+		read, err := ParseVerdict(data)
 		require.NoError(t, err)
-		require.Equal(t, data, back.Append(nil))
+		require.Equal(t, data, read.Append(nil))
 		lines = fmt.Appendf(lines, "verdict %x\n", data)
 	}
 	golden.Check(t, "messages.txt", lines)
 }
+
+var goldenRequests = []Request{
+	{},
+	{
+		Hook:       HookRead,
+		TimeLeftMS: 1500,
+		UnixMS:     1_700_000_000_123,
+		Category:   "mottak",
+		Tenant:     "hall-nord",
+		Body:       []byte("note=17"),
+	},
+	{
+		Hook:       HookResult,
+		TimeLeftMS: 1<<32 - 1,
+		UnixMS:     -1,
+		Category:   "look",
+		Tenant:     "acme",
+		Tag:        "vip",
+		Body:       []byte{0, 1, 255, '\n'},
+	},
+	{Hook: HookTick, UnixMS: 1 << 40},
+}
--- /dev/null
+++ b/internal/plugin/frame_test.go
@@ -0,0 +1,24 @@
+package plugin
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// FuzzParseFrame checks that any bytes can be parsed, and that each frame takes some of them.
+func FuzzParseFrame(f *testing.F) {
+	f.Add(AppendFrame(nil, FrameVerdict, 1, 2, []byte{0, 1, 0, 0, 0, 1}))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		for {
+			f, rest, isComplete, err := ParseFrame(data)
+			if err != nil || !isComplete {
+				return
+			}
+			f.Verdict()
+			f.StateEntry()
+			require.Less(t, len(rest), len(data))
+			data = rest
+		}
+	})
+}
--- a/internal/plugin/host.go
+++ b/internal/plugin/host.go
@@ -1,11 +1,7 @@
 package plugin
 
-// This file owns the process that runs plug-ins: its bounds, its workers, the frames it reads and writes. It must never
-// outlive the app server that began it, nor hold more calls than its queue has room for.
-
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"encoding/binary"
 	"encoding/json"
@@ -14,269 +10,194 @@
 	"io"
 	"net"
 	"os"
-	"runtime"
 	"runtime/debug"
-	"strconv"
 	"sync"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
-// HostSpec is what a process is to run.
-type HostSpec struct {
-	Plugins  []ModuleConfig
-	Workers  int
-	MemoryMB int // all that the process may take; it ends itself beyond
-}
+// HostVerb is the command line verb that makes the program a plug-in process.
+const HostVerb = "plugin-host"
 
-// Frames are a length (32, of what follows), a kind, the plug-in's place (16), a call (64) and what is to be said.
-const (
-	frameSpec     = 'S'
-	FrameReady    = 'Y'
-	FrameRefused  = 'N'
-	FrameCall     = 'A' // hook (8), within in tenths of a millisecond (32), the request
-	FrameVerdict  = 'V' // how (8), took in microseconds (32), the verdict
-	frameLog      = 'L'
-	frameState    = 'K' // length of the key (8), key, value
-	frameCounters = 'C' // JSON of counters
+// hostDescriptor is the first of the files that a process inherits behind its standard ones.
+const hostDescriptor = 3
 
-	FrameLog      = frameLog
-	FrameState    = frameState
-	FrameCounters = frameCounters
+// HostDescriptor is the descriptor at which the plug-in process finds its connection to the app server.
+func HostDescriptor() uintptr { return hostDescriptor }
 
-	frameHeaderSize     = 1 + 2 + 8
-	MaxFrameSize        = 64 << 10
-	maxSpecSize         = 16 << 20
-	maxQueuedCalls      = 256
-	niceness            = 10
-	goRuntimeReserve    = 128 << 20             // that Go maps for itself, and does not use
-	memoryCheckInterval = 50 * time.Millisecond // the memory is looked at so often
-)
+// HostSpec tells a plug-in process what to run. It passes as JSON.
+type HostSpec struct {
+	Plugins  []ModuleConfig `json:"Plugins"`
+	Workers  int            `json:"Workers"`  // calls at once
+	MemoryMB int            `json:"MemoryMB"` // resident memory of the whole process; it ends itself beyond
+}
 
-// How a call ended.
 const (
-	CallSucceeded = iota
-	CallTimedOut
-	CallTrapped
-	CallMalformed
-	CallNotStarted // there was no time left when its turn came
+	maxQueuedCalls  = 256 // that wait for a worker; a call beyond them is answered with CallNotStarted
+	hostReadBuffer  = 64 << 10
+	counterInterval = time.Second // between two frames with a plug-in's counters
+	callTimeoutUnit = 100 * time.Microsecond
+	highestHook     = 2 // of the ABI
 )
 
-// AppendFrame writes one.
-func AppendFrame(to []byte, kind byte, place int, call uint64, payload ...[]byte) []byte {
-	n := frameHeaderSize
-	for _, p := range payload {
-		n += len(p)
-	}
-	to = binary.LittleEndian.AppendUint32(to, uint32(n))
-	to = binary.LittleEndian.AppendUint16(append(to, kind), uint16(place))
-	to = binary.LittleEndian.AppendUint64(to, call)
-	for _, p := range payload {
-		to = append(to, p...)
-	}
-	return to
-}
-
-// Frame is one as it was read.
-type Frame struct {
-	Kind        byte
-	PluginIndex int
-	CallID      uint64
-	Payload     []byte
+// host is the plug-in process. Its goroutines live as long as the process: whoever called RunHost exits when it
+// returns.
+type host struct {
+	modules []*module
+	calls   chan callRequest
+	out     *frameWriter
 }
 
-// errMalformedFrame is a frame that is none.
-var errMalformedFrame = errors.New("a frame that is none")
-
-// ParseFrame takes the first whole frame off data; ok is false where there is none yet.
-func ParseFrame(data []byte) (f Frame, rest []byte, ok bool, err error) {
-	if len(data) < 4 {
-		return f, data, false, nil
-	}
-	n := binary.LittleEndian.Uint32(data)
-	if n < frameHeaderSize || n > MaxFrameSize {
-		return f, data, false, errMalformedFrame
-	}
-	if uint32(len(data)-4) < n {
-		return f, data, false, nil
-	}
-	body := data[4 : 4+n]
-	return Frame{Kind: body[0], PluginIndex: int(binary.LittleEndian.Uint16(body[1:])), CallID: binary.LittleEndian.Uint64(body[3:]),
-		Payload: body[frameHeaderSize:]}, data[4+n:], true, nil
-}
-
-func readFrame(in io.Reader, most uint32) (f Frame, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil {
-		return f, err
-	}
-	n := binary.LittleEndian.Uint32(head[:])
-	if n < frameHeaderSize || n > most {
-		return f, errMalformedFrame
-	}
-	body := make([]byte, n)
-	if _, err := io.ReadFull(in, body); err != nil {
-		return f, err
-	}
-	return Frame{Kind: body[0], PluginIndex: int(binary.LittleEndian.Uint16(body[1:])), CallID: binary.LittleEndian.Uint64(body[3:]),
-		Payload: body[frameHeaderSize:]}, nil
-}
-
-// callRequest is one that waits for a worker.
+// callRequest is a call that waits for a worker.
 type callRequest struct {
-	pluginIndex, hook int
-	id                uint64
-	deadline          time.Time
-	request           []byte
+	pluginIndex int
+	hook        int
+	id          uint64
+	deadline    time.Time
+	request     []byte
 }
 
-// RunHost is the process: it speaks on the descriptor that it was given and ends with it. It never returns well.
+// RunHost is the plug-in process: it serves the connection at a descriptor and returns an error when that ends, which
+// it does with the app server. The caller exits then.
 func RunHost(descriptor uintptr) error {
-	file := os.NewFile(descriptor, "app server")
-	conn, err := net.FileConn(file)
+	conn, err := inheritedConn(descriptor)
 	if err != nil {
 		return err
 	}
-	file.Close()
-	in := bufio.NewReaderSize(conn, 64<<10)
-	f, err := readFrame(in, maxSpecSize)
-	if err != nil || f.Kind != frameSpec {
-		return errMalformedFrame
-	}
-	var spec HostSpec
-	if err := json.Unmarshal(f.Payload, &spec); err != nil {
+	in := bufio.NewReaderSize(conn, hostReadBuffer)
+	spec, err := readSpec(in)
+	if err != nil {
 		return err
 	}
 	spec.applyLimits()
-	out := &frameWriter{out: conn}
 	ctx := context.Background()
-	guests := make([]*module, len(spec.Plugins))
-	for i, one := range spec.Plugins {
-		tell := func(kind byte, payload []byte) { out.writeFrame(kind, i, 0, payload) }
-		if guests[i], err = loadModule(ctx, one, spec.Workers, tell); err != nil {
-			out.writeFrame(FrameRefused, i, 0, []byte(err.Error()))
-			return err
-		}
-		debug.FreeOSMemory() // what compiling took
+	h := &host{calls: make(chan callRequest, maxQueuedCalls), out: &frameWriter{out: conn}}
+	if err := h.loadModules(ctx, &spec); err != nil {
+		return err
 	}
-	out.writeFrame(FrameReady, 0, 0, nil)
-	calls := make(chan callRequest, maxQueuedCalls)
+	h.out.writeFrame(FrameReady, 0, 0, nil)
 	for range spec.Workers {
 		go func() {
-			for c := range calls {
-				serveCall(ctx, guests[c.pluginIndex], c, out)
+			for call := range h.calls {
+				h.serveCall(ctx, call)
 			}
 		}()
 	}
-	go reportCounters(guests, out)
+	go h.reportCounters()
+	return h.readCalls(in)
+}
+
+// inheritedConn makes a connection of an inherited descriptor.
+func inheritedConn(descriptor uintptr) (net.Conn, error) {
+	file := os.NewFile(descriptor, "app server")
+	conn, err := net.FileConn(file)
+	_ = file.Close() // the connection has a duplicate
+	return conn, err
+}
+
+// readSpec reads the first frame.
+func readSpec(in io.Reader) (spec HostSpec, err error) {
+	f, err := readFrame(in, maxSpecSize)
+	if err != nil || f.Kind != frameSpec {
+		return spec, errMalformedFrame
+	}
+	err = json.Unmarshal(f.Payload, &spec)
+	return spec, err
+}
+
+// loadModules loads all plug-ins, and tells the app server about the first that can't be loaded.
+func (h *host) loadModules(ctx context.Context, spec *HostSpec) error {
+	for i, config := range spec.Plugins {
+		emit := func(kind byte, payload []byte) { h.out.writeFrame(kind, i, 0, payload) }
+		m, err := loadModule(ctx, config, spec.Workers, emit)
+		if err != nil {
+			h.out.writeFrame(FrameRefused, i, 0, []byte(err.Error()))
+			return fmt.Errorf("load plug-in %s: %w", config.Name, err)
+		}
+		h.modules = append(h.modules, m)
+		debug.FreeOSMemory() // what compiling took
+	}
+	return nil
+}
+
+// readCalls queues the calls that come, and returns when the connection ends or sends something else.
+func (h *host) readCalls(in io.Reader) error {
 	for {
 		f, err := readFrame(in, MaxFrameSize)
 		if err != nil {
 			return err
 		}
-		if f.Kind != FrameCall || f.PluginIndex >= len(guests) || len(f.Payload) < 5 || f.Payload[0] > 2 {
+		isCall := f.Kind == FrameCall && f.PluginIndex < len(h.modules) &&
+			len(f.Payload) >= callHeaderSize && f.Payload[0] <= highestHook
+		if !isCall {
 			return errMalformedFrame
 		}
-		within := time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * 100 * time.Microsecond
-		c := callRequest{pluginIndex: f.PluginIndex, hook: int(f.Payload[0]), id: f.CallID, deadline: time.Now().Add(within), request: f.Payload[5:]}
+		timeout := time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * callTimeoutUnit
+		call := callRequest{
+			pluginIndex: f.PluginIndex,
+			hook:        int(f.Payload[0]),
+			id:          f.CallID,
+			deadline:    time.Now().Add(timeout),
+			request:     f.Payload[callHeaderSize:],
+		}
 		select {
-		case calls <- c:
+		case h.calls <- call:
 		default:
-			out.writeVerdict(c, CallNotStarted, 0, nil)
+			h.out.writeVerdict(call, CallNotStarted, 0, nil)
 		}
 	}
 }
 
-// applyLimits keeps the process to its memory and behind the app server on the cores. Beyond its memory it ends itself: the
-// kernel ends it where one step takes too much, the look at what it holds where it creeps there.
-func (s *HostSpec) applyLimits() {
-	runtime.GOMAXPROCS(s.Workers + 1)
-	_ = unix.Setpriority(unix.PRIO_PROCESS, 0, niceness)
-	most := uint64(s.MemoryMB) << 20
-	debug.SetMemoryLimit(int64(most * 3 / 4))
-	debug.SetGCPercent(50)
-	data := writableBytes() + 2*most + goRuntimeReserve
-	_ = unix.Setrlimit(unix.RLIMIT_DATA, &unix.Rlimit{Cur: data, Max: data})
-	go func() {
-		for range time.Tick(memoryCheckInterval) {
-			if residentBytes() > most {
-				fmt.Fprintln(os.Stderr, "the process of the plug-ins is beyond its memory")
-				os.Exit(3)
-			}
-		}
-	}()
-}
-
-// residentBytes and mapped are what the process holds in memory and what it could write to.
-func residentBytes() uint64 { return statmBytes(1) }
-func writableBytes() uint64 { return statmBytes(5) }
-
-func statmBytes(column int) uint64 {
-	text, err := os.ReadFile("/proc/self/statm")
-	if err != nil {
-		return 0
-	}
-	fields := bytes.Fields(text)
-	if column >= len(fields) {
-		return 0
-	}
-	pages, _ := strconv.ParseUint(string(fields[column]), 10, 64)
-	return pages * uint64(os.Getpagesize())
-}
-
-func serveCall(ctx context.Context, g *module, c callRequest, out *frameWriter) {
-	within := time.Until(c.deadline)
-	if within <= 0 {
-		out.writeVerdict(c, CallNotStarted, 0, nil)
+// serveCall calls the plug-in and sends the outcome.
+func (h *host) serveCall(ctx context.Context, call callRequest) {
+	timeout := time.Until(call.deadline)
+	if timeout <= 0 {
+		h.out.writeVerdict(call, CallNotStarted, 0, nil)
 		return
 	}
-	verdict, took, err := g.call(ctx, c.hook, c.request, within)
+	verdict, took, err := h.modules[call.pluginIndex].call(ctx, call.hook, call.request, timeout)
 	switch {
 	case err == nil:
-		out.writeVerdict(c, CallSucceeded, took, verdict)
+		h.out.writeVerdict(call, CallSucceeded, took, verdict)
 	case isTimeout(err):
-		out.writeVerdict(c, CallTimedOut, took, nil)
+		h.out.writeVerdict(call, CallTimedOut, took, nil)
 	case errors.Is(err, ErrMalformedVerdict):
-		out.writeVerdict(c, CallMalformed, took, nil)
+		h.out.writeVerdict(call, CallMalformed, took, nil)
 	default:
-		out.writeVerdict(c, CallTrapped, took, nil)
+		h.out.writeVerdict(call, CallTrapped, took, nil)
 	}
 }
 
-// reportCounters tells counters that have moved, each second.
-func reportCounters(guests []*module, out *frameWriter) {
-	for range time.Tick(time.Second) {
-		for place, g := range guests {
-			g.mu.Lock()
-			text, _ := json.Marshal(g.counters)
-			moved := len(g.counters) > 0
-			clear(g.counters)
-			g.mu.Unlock()
-			if moved {
-				out.writeFrame(frameCounters, place, 0, text)
+// reportCounters sends the counters that have moved, at intervals and for ever.
+func (h *host) reportCounters() {
+	for range time.Tick(counterInterval) {
+		for i, m := range h.modules {
+			if moved := m.takeCounters(); moved != nil {
+				text, _ := json.Marshal(moved) // a map of numbers always has a JSON text
+				h.out.writeFrame(FrameCounters, i, 0, text)
 			}
 		}
 	}
 }
 
-// frameWriter has whole frames written, whoever writes.
+// frameWriter writes whole frames, from any goroutine.
 type frameWriter struct {
 	mu     sync.Mutex
 	out    io.Writer
 	buffer []byte
 }
 
-func (w *frameWriter) writeFrame(kind byte, place int, call uint64, payload ...[]byte) {
+// writeFrame writes a frame. The process exits if the app server is gone.
+func (w *frameWriter) writeFrame(kind byte, pluginIndex int, callID uint64, payload ...[]byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.buffer = AppendFrame(w.buffer[:0], kind, place, call, payload...)
+	w.buffer = AppendFrame(w.buffer[:0], kind, pluginIndex, callID, payload...)
 	if _, err := w.out.Write(w.buffer); err != nil {
-		os.Exit(0) // the app server is gone
+		os.Exit(0)
 	}
 }
 
-func (w *frameWriter) writeVerdict(c callRequest, how byte, took time.Duration, verdict []byte) {
-	head := binary.LittleEndian.AppendUint32([]byte{how}, uint32(min(took.Microseconds(), 1<<31)))
-	w.writeFrame(FrameVerdict, c.pluginIndex, c.id, head, verdict)
+// writeVerdict answers a call.
+func (w *frameWriter) writeVerdict(call callRequest, outcome byte, took time.Duration, verdict []byte) {
+	header := binary.LittleEndian.AppendUint32([]byte{outcome}, uint32(min(took.Microseconds(), 1<<31)))
+	w.writeFrame(FrameVerdict, call.pluginIndex, call.id, header, verdict)
 }
--- /dev/null
+++ b/internal/plugin/instance.go
@@ -0,0 +1,135 @@
+package plugin
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand"
+
+	"github.com/tetratelabs/wazero"
+	"github.com/tetratelabs/wazero/api"
+
+	"thistlequay/internal/plugin/abi"
+)
+
+// Names that a module exports, as docs/plugin/authors.md has them.
+const (
+	exportInitialize = "_initialize"
+	exportVersion    = "tq_abi"
+	exportBuffer     = "tq_buffer"
+)
+
+// hookExports are the names of the hooks' functions, by hook number of the ABI.
+var hookExports = [3]string{"tq_read", "tq_result", "tq_tick"}
+
+// maxVerdictSize bounds a verdict in bytes.
+const maxVerdictSize = 16 << 10
+
+// instance is one running copy of a module. It serves one call at a time.
+type instance struct {
+	module         api.Module
+	bufferFunction api.Function
+	hookFunctions  [3]api.Function
+	stack          []uint64 // parameters and results of calls, reused
+}
+
+// newInstance starts an instance and checks what it exports, within the module's StartTimeout.
+func (m *module) newInstance(ctx context.Context) (*instance, error) {
+	limited, cancel := context.WithTimeout(ctx, m.StartTimeout)
+	defer cancel()
+	config := wazero.NewModuleConfig().
+		WithName("").
+		WithStartFunctions(exportInitialize).
+		WithRandSource(rand.New(rand.NewSource(m.Seed)))
+	running, err := m.runtime.InstantiateModule(limited, m.compiled, config)
+	if err != nil {
+		return nil, fmt.Errorf("does not start: %w", err)
+	}
+	i := &instance{module: running, bufferFunction: running.ExportedFunction(exportBuffer), stack: make([]uint64, 4)}
+	if running.Memory() == nil || !hasShape(i.bufferFunction, 1, 1) {
+		return nil, errors.New("exports no memory or no tq_buffer(length) pointer")
+	}
+	if err := checkVersion(limited, running); err != nil {
+		return nil, err
+	}
+	for hook, name := range hookExports {
+		if !m.Hooks[hook] {
+			continue
+		}
+		function := running.ExportedFunction(name)
+		if !hasShape(function, 2, 1) || function.Definition().ResultTypes()[0] != api.ValueTypeI64 {
+			return nil, fmt.Errorf("is granted a hook but exports no %s(pointer, length) i64", name)
+		}
+		i.hookFunctions[hook] = function
+	}
+	return i, nil
+}
+
+// hasShape reports whether a function is exported and has so many parameters and results.
+func hasShape(function api.Function, parameters, results int) bool {
+	if function == nil {
+		return false
+	}
+	definition := function.Definition()
+	return len(definition.ParamTypes()) == parameters && len(definition.ResultTypes()) == results
+}
+
+// checkVersion asks the module for the version of the ABI that it was built for.
+func checkVersion(ctx context.Context, running api.Module) error {
+	function := running.ExportedFunction(exportVersion)
+	if !hasShape(function, 0, 1) {
+		return errors.New("exports no tq_abi(), which tells its version")
+	}
+	results, err := function.Call(ctx)
+	if err != nil {
+		return fmt.Errorf("does not tell its version: %w", err)
+	}
+	if version := uint32(results[0]); version != abi.Version {
+		return fmt.Errorf("is of version %d, this program speaks %d", version, abi.Version)
+	}
+	return nil
+}
+
+// call writes a request into the instance's memory, calls a hook and returns a copy of the verdict's bytes, nil for
+// none.
+func (i *instance) call(ctx context.Context, hook int, request []byte) ([]byte, error) {
+	function := i.hookFunctions[hook]
+	if function == nil {
+		return nil, errors.New("has no such hook")
+	}
+	i.stack[0] = uint64(len(request))
+	if err := i.bufferFunction.CallWithStack(ctx, i.stack); err != nil {
+		return nil, err
+	}
+	pointer := uint32(i.stack[0])
+	if !i.module.Memory().Write(pointer, request) {
+		return nil, ErrMalformedVerdict
+	}
+	i.stack[0] = uint64(pointer)
+	i.stack[1] = uint64(len(request))
+	if err := function.CallWithStack(ctx, i.stack); err != nil {
+		return nil, err
+	}
+	return i.readVerdict(i.stack[0])
+}
+
+// readVerdict copies the verdict that a hook's result stands for: its address in the upper half, its length in the
+// lower.
+func (i *instance) readVerdict(result uint64) ([]byte, error) {
+	length := uint32(result)
+	if length == 0 {
+		return nil, nil
+	}
+	if length > maxVerdictSize {
+		return nil, ErrMalformedVerdict
+	}
+	view, ok := i.module.Memory().Read(uint32(result>>32), length)
+	if !ok {
+		return nil, ErrMalformedVerdict
+	}
+	return append([]byte(nil), view...), nil
+}
+
+func (i *instance) close() {
+	_ = i.module.Close(context.Background()) // nothing is left to be done about an instance that is thrown away
+}
--- a/internal/plugin/module.go
+++ b/internal/plugin/module.go
@@ -1,6 +1,8 @@
-// Package plugin runs plug-ins: WebAssembly modules, in a process of their own beside the app server, so that whatever
-// one does to memory or to a core it does there. engine.go owns a module and its instances, process.go the process and
-// its frames, start.go what the app server's side needs to begin one. It must never decide what a verdict is worth.
+// Package plugin runs plug-ins: WebAssembly modules in a process of their own beside the app server, so that whatever
+// one does to memory or to a core happens there.
+//
+// The app server starts the process (StartProcess) and exchanges frames with it; the process (RunHost) loads the
+// modules and calls them. What a verdict may do is not decided here but in internal/plugin/chain.
 package plugin
 
 import (
@@ -15,354 +17,236 @@
 	"time"
 
 	"github.com/tetratelabs/wazero"
-	"github.com/tetratelabs/wazero/api"
 	"github.com/tetratelabs/wazero/imports/wasi_snapshot_preview1"
 	"github.com/tetratelabs/wazero/sys"
 
 	"thistlequay/internal/plugin/abi"
 )
 
-// ModuleConfig is one plug-in as the settings have it.
+// ModuleConfig is one plug-in as the service file has it. It passes to the plug-in process as JSON, under the key names
+// in the tags.
 type ModuleConfig struct {
-	Name         string            `json:"Name"`
-	File         string            `json:"File"`
-	SHA256       string            `json:"SHA256"`   // hex; refused if the file differs; any where empty
-	MemoryKB     int               `json:"MemoryKB"` // linear memory of one instance, in pages of 64
-	MaxCodeKB    int               `json:"CodeKB"`   // the most the file may have
-	StartTimeout time.Duration     `json:"Start"`    // for its start and for each sample
-	Compile      bool              `json:"Compile"`  // to machine code; else interpreted
-	Hooks        [3]bool           `json:"Hooks"`
-	Samples      []Sample          `json:"Samples"`
-	State        map[string][]byte `json:"Keep"`   // its memory from the process before
-	MaxStateKB   int               `json:"KeepKB"` // the most that memory may have, keys and values
-	Seed         int64             `json:"Seed"`
+	Name string `json:"Name"`
+	File string `json:"File"`
+
+	// SHA256 is the hash in hex that the file must have; empty for any. A loaded module has the hash of its file.
+	SHA256 string `json:"SHA256"`
+
+	MemoryKB  int `json:"MemoryKB"` // linear memory of one instance, in whole pages of 64 KB
+	MaxCodeKB int `json:"CodeKB"`   // largest size of the file
+
+	// StartTimeout bounds the start of an instance, and the call for each sample.
+	StartTimeout time.Duration `json:"Start"`
+
+	// Compile compiles the module to machine code; otherwise it is interpreted.
+	Compile bool `json:"Compile"`
+
+	Hooks   [3]bool  `json:"Hooks"` // at which it is called, by hook number of the ABI
+	Samples []Sample `json:"Samples"`
+
+	State      map[string][]byte `json:"Keep"`   // what it stored in the process before this one
+	MaxStateKB int               `json:"KeepKB"` // largest size of its state, keys and values together
+
+	Seed int64 `json:"Seed"` // of its random numbers
 }
 
-// Sample is a request that a new version must answer before any work item sees it.
+// Sample is a request that a new version of a plug-in must answer before it sees any request of the service.
 type Sample struct {
-	Hook            int    `json:"Hook"`
-	Category        string `json:"Category"`
-	Tenant          string `json:"Tenant"`
-	Body            string `json:"Body"`
-	ExpectedActions *int   `json:"Does"` // what it must do, where that is told
-	ExpectedStatus  int    `json:"Status"`
-}
+	Hook     int    `json:"Hook"`
+	Category string `json:"Category"`
+	Tenant   string `json:"Tenant"`
+	Body     string `json:"Body"`
 
-// Bounds that hold for every plug-in.
-const (
-	wasmPageSize       = 64 << 10
-	maxVerdictSize     = 16 << 10
-	maxKeySize         = 128
-	maxValueSize       = 4 << 10
-	maxKeys            = 1024
-	maxLogLineSize     = 256
-	logLinesPerSecond  = 20 // log lines at once, and so many a second
-	maxCounterNameSize = 32
-	maxCounters        = 32 // of counters
-)
+	// ExpectedActions are the actions that the verdict must have, as bits of the ABI; nil for any.
+	ExpectedActions *int `json:"Does"`
 
-// ErrMalformedVerdict is a verdict that cannot be read: pointers outside the memory, too long, no message.
+	// ExpectedStatus is the status that the verdict must have; 0 for any. It only counts with ExpectedActions.
+	ExpectedStatus int `json:"Status"`
+}
+
+// ErrMalformedVerdict means that a plug-in's answer is no message: it lies outside its memory, or is too long.
 var ErrMalformedVerdict = errors.New("what it gave cannot be read")
 
-// module is one plug-in, compiled once.
+// wasmPageSize is the unit of linear memory (WebAssembly core specification).
+const wasmPageSize = 64 << 10
+
+// module is one plug-in, compiled once. Its calls may run at the same time, each on an instance of its own.
 type module struct {
 	ModuleConfig
-	runtime         wazero.Runtime
-	compiled        wazero.CompiledModule
-	idleInstances   chan *instance
-	emit            func(kind byte, payload []byte)
-	mu              sync.Mutex
+
+	runtime       wazero.Runtime
+	compiled      wazero.CompiledModule
+	idleInstances chan *instance
+	emit          func(kind byte, payload []byte) // sends a frame about the plug-in
+
+	mu              sync.Mutex // guards all below
 	state           map[string][]byte
-	stateSize       int
+	stateSize       int // of keys and values in bytes
 	counters        map[string]int64
-	logTokens       float64
+	logTokens       float64 // token bucket of the log lines
 	logTokensAt     time.Time
 	suppressedLines int
 	random          *rand.Rand
 }
 
-// instance is one running copy; it is asked by one worker at a time.
-type instance struct {
-	module         api.Module
-	bufferFunction api.Function
-	hookFunctions  [3]api.Function
-	stack          []uint64
-}
-
-var hookExports = [3]string{"tq_read", "tq_result", "tq_tick"}
-
-// loadModule compiles a plug-in, starts one instance and tries it on its samples.
-func loadModule(ctx context.Context, one ModuleConfig, instances int, tell func(kind byte, payload []byte)) (*module, error) {
-	info, err := os.Stat(one.File)
+// loadModule compiles a plug-in, starts one instance and tries it on its samples. Up to maxIdle instances are kept for
+// further calls. The errors read as a predicate to "plug-in NAME".
+func loadModule(
+	ctx context.Context, config ModuleConfig, maxIdle int, emit func(kind byte, payload []byte),
+) (*module, error) {
+	code, err := readCode(&config)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > int64(one.MaxCodeKB)<<10 {
-		return nil, fmt.Errorf("%s has %d KB, %d at most", one.File, info.Size()>>10, one.MaxCodeKB)
+	m := &module{
+		ModuleConfig:  config,
+		state:         map[string][]byte{},
+		counters:      map[string]int64{},
+		logTokens:     logLinesPerSecond,
+		logTokensAt:   time.Now(),
+		random:        rand.New(rand.NewSource(config.Seed)),
+		emit:          emit,
+		idleInstances: make(chan *instance, maxIdle),
+	}
+	for key, value := range config.State {
+		m.state[key] = value
+		m.stateSize += len(key) + len(value)
+	}
+	if err := m.compile(ctx, code); err != nil {
+		return nil, err
 	}
-	text, err := os.ReadFile(one.File)
+	first, err := m.newInstance(ctx)
 	if err != nil {
 		return nil, err
 	}
-	bytes := sha256.Sum256(text)
-	sum := hex.EncodeToString(bytes[:])
-	if one.SHA256 != "" && sum != one.SHA256 {
-		return nil, fmt.Errorf("%s has sha256 %s, the settings pin %s", one.File, sum, one.SHA256)
-	}
-	one.SHA256 = sum
-	config := wazero.NewRuntimeConfigInterpreter()
-	if one.Compile {
-		config = wazero.NewRuntimeConfigCompiler()
-	}
-	g := &module{ModuleConfig: one, state: map[string][]byte{}, counters: map[string]int64{}, logTokens: logLinesPerSecond, logTokensAt: time.Now(),
-		random: rand.New(rand.NewSource(one.Seed)), emit: tell, idleInstances: make(chan *instance, instances)}
-	for k, v := range one.State {
-		g.state[k] = v
-		g.stateSize += len(k) + len(v)
-	}
-	g.runtime = wazero.NewRuntimeWithConfig(ctx, config.WithCloseOnContextDone(true).
-		WithMemoryLimitPages(uint32(max(1, one.MemoryKB<<10/wasmPageSize))))
-	if _, err := wasi_snapshot_preview1.Instantiate(ctx, g.runtime); err != nil {
-		return nil, err
+	m.idleInstances <- first
+	for i, sample := range config.Samples {
+		if err := m.checkSample(ctx, &sample); err != nil {
+			return nil, fmt.Errorf("sample %d: %w", i+1, err)
+		}
 	}
-	if err := g.exportHostFunctions(ctx); err != nil {
+	return m, nil
+}
+
+// readCode reads the module's file, checks its size and hash, and sets the hash in the configuration.
+func readCode(config *ModuleConfig) ([]byte, error) {
+	info, err := os.Stat(config.File)
+	if err != nil {
 		return nil, err
 	}
-	if g.compiled, err = g.runtime.CompileModule(ctx, text); err != nil {
-		return nil, fmt.Errorf("is no module that can be run: %w", err)
+	if info.Size() > int64(config.MaxCodeKB)<<10 {
+		return nil, fmt.Errorf("%s has %d KB, %d at most", config.File, info.Size()>>10, config.MaxCodeKB)
 	}
-	i, err := g.newInstance(ctx)
+	code, err := os.ReadFile(config.File)
 	if err != nil {
 		return nil, err
 	}
-	g.idleInstances <- i
-	for n, s := range one.Samples {
-		q := abi.Request{Hook: s.Hook, TimeLeftMS: 1000, UnixMS: time.Now().UnixMilli(), Category: s.Category, Tenant: s.Tenant, Body: []byte(s.Body)}
-		out, _, err := g.call(ctx, s.Hook, q.Append(nil), one.StartTimeout)
-		if err != nil {
-			return nil, fmt.Errorf("sample %d: %w", n+1, err)
-		}
-		v, err := abi.ParseVerdict(out)
-		if err != nil {
-			return nil, fmt.Errorf("sample %d: %w", n+1, err)
-		}
-		if s.ExpectedActions != nil && (v.Actions != *s.ExpectedActions || s.ExpectedStatus != 0 && v.Status != s.ExpectedStatus) {
-			return nil, fmt.Errorf("sample %d: does %d with status %d, expected %d with %d", n+1, v.Actions, v.Status, *s.ExpectedActions, s.ExpectedStatus)
-		}
+	digest := sha256.Sum256(code)
+	sum := hex.EncodeToString(digest[:])
+	if config.SHA256 != "" && sum != config.SHA256 {
+		return nil, fmt.Errorf("%s has sha256 %s, the settings pin %s", config.File, sum, config.SHA256)
 	}
-	return g, nil
+	config.SHA256 = sum
+	return code, nil
 }
 
-// newInstance starts a copy, within the time for that.
-func (g *module) newInstance(ctx context.Context) (i *instance, err error) {
-	within, cancel := context.WithTimeout(ctx, g.StartTimeout)
-	defer cancel()
-	m, err := g.runtime.InstantiateModule(within, g.compiled, wazero.NewModuleConfig().WithName("").
-		WithStartFunctions("_initialize").WithRandSource(rand.New(rand.NewSource(g.Seed))))
-	if err != nil {
-		return nil, fmt.Errorf("does not start: %w", err)
+// compile makes the runtime with WASI and the host functions, and compiles the code for it.
+func (m *module) compile(ctx context.Context, code []byte) error {
+	config := wazero.NewRuntimeConfigInterpreter()
+	if m.Compile {
+		config = wazero.NewRuntimeConfigCompiler()
 	}
-	i = &instance{module: m, bufferFunction: m.ExportedFunction("tq_buffer"), stack: make([]uint64, 4)}
-	if i.module.Memory() == nil || i.bufferFunction == nil || len(i.bufferFunction.Definition().ParamTypes()) != 1 || len(i.bufferFunction.Definition().ResultTypes()) != 1 {
-		return nil, errors.New("exports no memory or no tq_buffer(length) pointer")
+	config = config.WithCloseOnContextDone(true).WithMemoryLimitPages(uint32(max(1, m.MemoryKB<<10/wasmPageSize)))
+	m.runtime = wazero.NewRuntimeWithConfig(ctx, config)
+	if _, err := wasi_snapshot_preview1.Instantiate(ctx, m.runtime); err != nil {
+		return err
 	}
-	version := m.ExportedFunction("tq_abi")
-	if version == nil || len(version.Definition().ParamTypes()) != 0 || len(version.Definition().ResultTypes()) != 1 {
-		return nil, errors.New("exports no tq_abi(), which tells its version")
+	if err := m.exportHostFunctions(ctx); err != nil {
+		return err
 	}
-	got, err := version.Call(within)
+	compiled, err := m.runtime.CompileModule(ctx, code)
 	if err != nil {
-		return nil, fmt.Errorf("does not tell its version: %w", err)
+		return fmt.Errorf("is no module that can be run: %w", err)
 	}
-	if uint32(got[0]) != abi.Version {
-		return nil, fmt.Errorf("is of version %d, this program speaks %d", uint32(got[0]), abi.Version)
+	m.compiled = compiled
+	return nil
+}
+
+// checkSample calls the plug-in about a sample and compares the verdict with the expected one.
+func (m *module) checkSample(ctx context.Context, sample *Sample) error {
+	request := abi.Request{
+		Hook:       sample.Hook,
+		TimeLeftMS: sampleTimeLeftMS,
+		UnixMS:     time.Now().UnixMilli(),
+		Category:   sample.Category,
+		Tenant:     sample.Tenant,
+		Body:       []byte(sample.Body),
+	}
+	answer, _, err := m.call(ctx, sample.Hook, request.Append(nil), m.StartTimeout)
+	if err != nil {
+		return err
 	}
-	for hook, name := range hookExports {
-		if !g.Hooks[hook] {
-			continue
-		}
-		f := m.ExportedFunction(name)
-		if f == nil || len(f.Definition().ParamTypes()) != 2 || len(f.Definition().ResultTypes()) != 1 ||
-			f.Definition().ResultTypes()[0] != api.ValueTypeI64 {
-			return nil, fmt.Errorf("is granted a hook but exports no %s(pointer, length) i64", name)
-		}
-		i.hookFunctions[hook] = f
+	verdict, err := abi.ParseVerdict(answer)
+	if err != nil || sample.ExpectedActions == nil {
+		return err
+	}
+	isExpected := verdict.Actions == *sample.ExpectedActions &&
+		(sample.ExpectedStatus == 0 || verdict.Status == sample.ExpectedStatus)
+	if !isExpected {
+		return fmt.Errorf("does %d with status %d, expected %d with %d",
+			verdict.Actions, verdict.Status, *sample.ExpectedActions, sample.ExpectedStatus)
 	}
-	return i, nil
+	return nil
 }
 
-// call has the plug-in answer a request. The bytes given are its own copy. An instance that broke, or was cut, is thrown
-// away and another takes its place when one is needed.
-func (g *module) call(ctx context.Context, hook int, request []byte, within time.Duration) (out []byte, took time.Duration, err error) {
+// sampleTimeLeftMS is the time that a sample says is left to it.
+const sampleTimeLeftMS = 1000
+
+// call has the plug-in answer a request within a time. The answer is a copy, nil for none. An instance that failed or
+// timed out is closed; the next call starts another where none is idle.
+func (m *module) call(
+	ctx context.Context, hook int, request []byte, timeout time.Duration,
+) (answer []byte, took time.Duration, err error) {
 	var i *instance
 	select {
-	case i = <-g.idleInstances:
+	case i = <-m.idleInstances:
 	default:
-		if i, err = g.newInstance(ctx); err != nil {
+		if i, err = m.newInstance(ctx); err != nil {
 			return nil, 0, err
 		}
 	}
-	begun := time.Now()
-	limited, cancel := context.WithTimeout(ctx, within)
+	start := time.Now()
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	out, err = i.call(limited, hook, request)
-	took = time.Since(begun)
+	answer, err = i.call(limited, hook, request)
+	took = time.Since(start)
 	if err != nil {
-		i.module.Close(context.Background())
+		i.close()
 		return nil, took, err
 	}
 	select {
-	case g.idleInstances <- i:
+	case m.idleInstances <- i:
 	default:
-		i.module.Close(context.Background())
+		i.close()
 	}
-	return out, took, nil
+	return answer, took, nil
 }
 
-func (i *instance) call(ctx context.Context, hook int, request []byte) ([]byte, error) {
-	f := i.hookFunctions[hook]
-	if f == nil {
-		return nil, errors.New("has no such hook")
-	}
-	i.stack[0] = uint64(len(request))
-	if err := i.bufferFunction.CallWithStack(ctx, i.stack); err != nil {
-		return nil, err
-	}
-	at := uint32(i.stack[0])
-	if !i.module.Memory().Write(at, request) {
-		return nil, ErrMalformedVerdict
-	}
-	i.stack[0], i.stack[1] = uint64(at), uint64(len(request))
-	if err := f.CallWithStack(ctx, i.stack); err != nil {
-		return nil, err
-	}
-	at, n := uint32(i.stack[0]>>32), uint32(i.stack[0])
-	if n == 0 {
-		return nil, nil
-	}
-	if n > maxVerdictSize {
-		return nil, ErrMalformedVerdict
-	}
-	view, ok := i.module.Memory().Read(at, n)
-	if !ok {
-		return nil, ErrMalformedVerdict
-	}
-	return append([]byte(nil), view...), nil
-}
-
-// isTimeout says whether an error is that the time was over.
+// isTimeout reports whether a call ended because its time was over.
 func isTimeout(err error) bool {
-	var exit *sys.ExitError
-	return errors.Is(err, context.DeadlineExceeded) ||
-		errors.As(err, &exit) && (exit.ExitCode() == sys.ExitCodeDeadlineExceeded || exit.ExitCode() == sys.ExitCodeContextCanceled)
-}
-
-// exportHostFunctions gives plug-ins what they may call. Whatever they pass is checked; what does not fit does nothing.
-func (g *module) exportHostFunctions(ctx context.Context) error {
-	text := func(m api.Module, at, n uint32, most int) (string, bool) {
-		if n > uint32(most) {
-			return "", false
-		}
-		view, ok := m.Memory().Read(at, n)
-		return string(view), ok
+	if errors.Is(err, context.DeadlineExceeded) {
+		return true
 	}
-	b := g.runtime.NewHostModuleBuilder("thistlequay")
-	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, at, n uint32) {
-		if line, ok := text(m, at, min(n, maxLogLineSize), maxLogLineSize); ok {
-			g.log(line)
-		}
-	}).Export("log")
-	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, at, n uint32, by int64) {
-		if name, ok := text(m, at, n, maxCounterNameSize); ok {
-			g.addToCounter(name, by)
-		}
-	}).Export("count")
-	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, key, keyN, to, room uint32) int32 {
-		name, ok := text(m, key, keyN, maxKeySize)
-		if !ok {
-			return -1
-		}
-		g.mu.Lock()
-		value, found := g.state[name]
-		g.mu.Unlock()
-		if !found {
-			return -1
-		}
-		if uint32(len(value)) <= room && !m.Memory().Write(to, value) {
-			return -1
-		}
-		return int32(len(value))
-	}).Export("get")
-	b.NewFunctionBuilder().WithFunc(func(_ context.Context, m api.Module, key, keyN, at, n uint32) int32 {
-		name, ok := text(m, key, keyN, maxKeySize)
-		value, ok2 := text(m, at, n, maxValueSize)
-		if !ok || !ok2 || !g.putState(name, value) {
-			return -1
-		}
-		return 0
-	}).Export("put")
-	b.NewFunctionBuilder().WithFunc(func(context.Context) int64 { return time.Now().UnixMilli() }).Export("now")
-	b.NewFunctionBuilder().WithFunc(func(context.Context) int64 {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.random.Int63()
-	}).Export("chance")
-	_, err := b.Instantiate(ctx)
-	return err
-}
-
-// log passes a line on, so many a second and no more.
-func (g *module) log(line string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := time.Now()
-	g.logTokens = min(logLinesPerSecond, g.logTokens+now.Sub(g.logTokensAt).Seconds()*logLinesPerSecond)
-	if g.logTokensAt = now; g.logTokens < 1 {
-		g.suppressedLines++
-		return
-	}
-	g.logTokens--
-	if g.suppressedLines > 0 {
-		line = fmt.Sprintf("%s (%d lines before it were not passed on)", line, g.suppressedLines)
-		g.suppressedLines = 0
-	}
-	g.emit(frameLog, []byte(line))
-}
-
-func (g *module) addToCounter(name string, by int64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if _, known := g.counters[name]; known || len(g.counters) < maxCounters {
-		g.counters[name] += by
-	}
-}
-
-// putState keeps a value, an empty one for nothing, within the bound on all.
-func (g *module) putState(key, value string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	before, had := g.state[key]
-	more := len(key) + len(value)
-	if had {
-		more -= len(key) + len(before)
-	}
-	if value == "" {
-		if had {
-			g.stateSize -= len(key) + len(before)
-			delete(g.state, key)
-		}
-	} else if g.stateSize+more > g.MaxStateKB<<10 || !had && len(g.state) >= maxKeys {
+	var exit *sys.ExitError
+	if !errors.As(err, &exit) {
 		return false
-	} else {
-		g.stateSize += more
-		g.state[key] = []byte(value)
 	}
-	g.emit(frameState, append(append([]byte{byte(len(key))}, key...), value...))
-	return true
+	return exit.ExitCode() == sys.ExitCodeDeadlineExceeded || exit.ExitCode() == sys.ExitCodeContextCanceled
 }
 
-func (g *module) close() {
-	if g.runtime != nil {
-		g.runtime.Close(context.Background())
+// close frees the runtime with all instances.
+func (m *module) close() {
+	if m.runtime != nil {
+		_ = m.runtime.Close(context.Background()) // nothing is left to be done about a runtime that is thrown away
 	}
 }
--- a/internal/plugin/module_test.go
+++ b/internal/plugin/module_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -13,109 +14,129 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-func one(t testing.TB, kind string) ModuleConfig {
+// testConfig configures a module of one of the emulator's kinds.
+func testConfig(t testing.TB, kind string) ModuleConfig {
+	t.Helper()
 	file := filepath.Join(t.TempDir(), kind+".wasm")
 	require.NoError(t, os.WriteFile(file, emulator.PluginModule(kind), 0o600))
-	return ModuleConfig{Name: kind, File: file, MemoryKB: 1024, MaxCodeKB: 64, MaxStateKB: 1, StartTimeout: 200 * time.Millisecond, Hooks: [3]bool{true, true, true}}
+	return ModuleConfig{
+		Name:         kind,
+		File:         file,
+		MemoryKB:     1024,
+		MaxCodeKB:    64,
+		MaxStateKB:   1,
+		StartTimeout: 200 * time.Millisecond,
+		Hooks:        [3]bool{true, true, true},
+	}
 }
 
-func loaded(t testing.TB, kind string, compile bool) *module {
-	o := one(t, kind)
-	o.Compile = compile
-	g, err := loadModule(context.Background(), o, 1, func(byte, []byte) {})
+// loadTestModule loads a module of one of the emulator's kinds, for as long as the test runs.
+func loadTestModule(t testing.TB, kind string, compile bool) *module {
+	t.Helper()
+	config := testConfig(t, kind)
+	config.Compile = compile
+	m, err := loadModule(context.Background(), config, 1, func(byte, []byte) {})
 	require.NoError(t, err, kind)
-	t.Cleanup(g.close)
-	return g
+	t.Cleanup(m.close)
+	return m
+}
+
+// TestUnusableModuleIsRefused checks that a module which can't be used is refused when it is loaded, with the reason.
+func TestUnusableModuleIsRefused(t *testing.T) {
+	requireRefused := func(config ModuleConfig, reason string) {
+		t.Helper()
+		_, err := loadModule(context.Background(), config, 1, nil)
+		require.ErrorContains(t, err, reason, config.Name)
+	}
+	for kind, reason := range map[string]string{
+		"truncated":      "is no module that can be run",
+		"other-version":  "is of version 7",
+		"foreign":        "open_socket",
+		"loops-at-start": "does not start",
+	} {
+		requireRefused(testConfig(t, kind), reason)
+	}
+	config := testConfig(t, "good")
+	config.SHA256 = "00"
+	requireRefused(config, "the settings pin 00")
+	config = testConfig(t, "good")
+	config.MaxCodeKB = 0
+	requireRefused(config, "0 at most")
+	config = testConfig(t, "declines")
+	noActions := 0
+	config.Samples = []Sample{{ExpectedActions: &noActions}}
+	requireRefused(config, "sample 1: does 1 with status 403")
 }
 
-// What a module may not be is refused before anything sees it, by name.
-func TestRefused(t *testing.T) {
-	for kind, why := range map[string]string{"truncated": "is no module that can be run", "other-version": "is of version 7",
-		"foreign": "open_socket", "loops-at-start": "does not start"} {
-		_, err := loadModule(context.Background(), one(t, kind), 1, nil)
-		require.ErrorContains(t, err, why, kind)
+// outcome names what a call's error stands for in the plug-in process's answer.
+func outcome(err error) string {
+	switch {
+	case err == nil:
+		return "succeeded"
+	case isTimeout(err):
+		return "timed out"
+	case errors.Is(err, ErrMalformedVerdict):
+		return "malformed"
+	default:
+		return "trapped"
 	}
-	o := one(t, "good")
-	o.SHA256 = "00"
-	_, err := loadModule(context.Background(), o, 1, nil)
-	require.ErrorContains(t, err, "the settings pin 00")
-	o = one(t, "good")
-	o.MaxCodeKB = 0
-	_, err = loadModule(context.Background(), o, 1, nil)
-	require.ErrorContains(t, err, "0 at most")
-	o = one(t, "declines")
-	does := 0
-	o.Samples = []Sample{{ExpectedActions: &does}}
-	_, err = loadModule(context.Background(), o, 1, nil)
-	require.ErrorContains(t, err, "sample 1: does 1 with status 403")
 }
 
-// Whatever a module does ends as one of four, and the next call finds a whole instance.
-func TestEachKind(t *testing.T) {
+// TestHostileModuleFailsOnlyItsCall checks that whatever a module does ends in one of four ways, within a bounded time,
+// and that the next call finds a working instance.
+func TestHostileModuleFailsOnlyItsCall(t *testing.T) {
 	request := (&abi.Request{Category: "look", Body: []byte("body")}).Append(nil)
+	outcomes := map[string]string{
+		"good":             "succeeded",
+		"declines":         "succeeded",
+		"asks-4gib":        "succeeded",
+		"loops":            "timed out",
+		"asks-bit-by-bit":  "timed out",
+		"recurses":         "trapped",
+		"traps":            "trapped",
+		"points-outside":   "malformed",
+		"answers-1gib":     "malformed",
+		"slow-4ms":         "succeeded",
+		"logs-without-end": "timed out",
+		"noise":            "succeeded",
+	}
 	for _, compile := range []bool{false, true} {
-		for kind, want := range map[string]string{"good": "", "declines": "", "asks-4gib": "", "loops": "cut", "asks-bit-by-bit": "cut",
-			"recurses": "broke", "traps": "broke", "points-outside": "nonsense", "answers-1gib": "nonsense", "slow-4ms": "",
-			"logs-without-end": "cut", "noise": ""} {
+		for kind, want := range outcomes {
 			if compile && kind == "recurses" {
-				continue // its stack grows to hundreds of MB first: the process's bound is for that
+				continue // its stack grows to hundreds of MB first, which the process's memory limit is for
 			}
-			g := loaded(t, kind, compile)
+			m := loadTestModule(t, kind, compile)
 			for range 3 {
-				_, took, err := g.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
-				got := ""
-				switch {
-				case err == nil:
-				case isTimeout(err):
-					got = "cut"
-				case err == ErrMalformedVerdict:
-					got = "nonsense"
-				default:
-					got = "broke"
-				}
-				require.Equal(t, want, got, "%s compiled=%v: %v", kind, compile, err)
+				_, took, err := m.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
+				require.Equal(t, want, outcome(err), "%s compiled=%v: %v", kind, compile, err)
 				require.Less(t, took, 20*time.Second)
 			}
 		}
 	}
 }
 
-// Its memory is bounded in keys, values and sum.
-func TestItsMemoryIsBounded(t *testing.T) {
-	g := loaded(t, "good", false)
-	require.True(t, g.putState("a", string(make([]byte, 600))))
-	require.False(t, g.putState("b", string(make([]byte, 600))))
-	require.True(t, g.putState("a", "short"))
-	require.True(t, g.putState("b", string(make([]byte, 600))))
-	require.True(t, g.putState("b", ""))
-	require.Equal(t, 6, g.stateSize)
-}
-
-func FuzzFrames(f *testing.F) {
-	f.Add(AppendFrame(nil, FrameVerdict, 1, 2, []byte{0, 1, 0, 0, 0, 1}))
-	f.Fuzz(func(t *testing.T, data []byte) {
-		for {
-			f, rest, ok, err := ParseFrame(data)
-			if err != nil || !ok {
-				return
-			}
-			f.Verdict()
-			f.StateEntry()
-			require.Less(t, len(rest), len(data))
-			data = rest
-		}
-	})
+// TestStateIsBounded checks that keys and values together stay within MaxStateKB.
+func TestStateIsBounded(t *testing.T) {
+	m := loadTestModule(t, "good", false)
+	value := string(make([]byte, 600))
+	require.True(t, m.putState("a", value))
+	require.False(t, m.putState("b", value))
+	require.True(t, m.putState("a", "short"))
+	require.True(t, m.putState("b", value))
+	require.True(t, m.putState("b", ""))
+	require.Equal(t, 6, m.stateSize)
 }
 
-func BenchmarkHook(b *testing.B) {
+// BenchmarkCall measures one call inside the plug-in process.
+func BenchmarkCall(b *testing.B) {
 	request := (&abi.Request{Category: "look", Tenant: "acme", Body: make([]byte, 200)}).Append(nil)
-	for _, compile := range []bool{false, true} {
+	for _, engine := range []string{"interpreted", "compiled"} {
 		for _, kind := range []string{"good", "declines"} {
-			b.Run(map[bool]string{false: "interpreted/", true: "compiled/"}[compile]+kind, func(b *testing.B) {
-				g := loaded(b, kind, compile)
+			b.Run(engine+"/"+kind, func(b *testing.B) {
+				m := loadTestModule(b, kind, engine == "compiled")
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, _, err := g.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
+					if _, _, err := m.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/plugin/process.go
+++ b/internal/plugin/process.go
@@ -1,10 +1,8 @@
 package plugin
 
-// This file owns the beginning of a process of plug-ins, from the app server's side: it must never run on the loop.
-
 import (
-	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,64 +13,69 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is one that is ready: every plug-in has been compiled, started and tried.
+// Process is a plug-in process as the app server sees it. It is ready: every plug-in has been compiled, started and
+// tried.
 type Process struct {
 	Spec        HostSpec
-	Conn        net.Conn // to the app server's loop, frames both ways
+	Conn        net.Conn // carries frames both ways
 	Command     *exec.Cmd
 	StartupTime time.Duration
 }
 
-// HostVerb is the word on the command line that has the program be such a process.
-const HostVerb = "plugin-host"
-
-const hostDescriptor = 3
-
-// HostDescriptor is where the process finds its connection.
-func HostDescriptor() uintptr { return hostDescriptor }
-
-// Start begins a process and waits until it is ready, for so long at most. The error tells which plug-in was refused
-// and why. What the process has to say besides frames goes to errs.
-func Start(spec HostSpec, within time.Duration, errs io.Writer) (*Process, error) {
+// Start starts a plug-in process and waits until it is ready, for timeout at most. The error names the plug-in that
+// could not be loaded and the reason. What the process writes to its standard error goes to errorOutput.
+//
+// Start blocks and must not be called on the event loop. The caller stops the process with Stop.
+func Start(spec HostSpec, timeout time.Duration, errorOutput io.Writer) (*Process, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return nil, err
-	}
-	ours, theirs := os.NewFile(uintptr(pair[0]), "plug-ins"), os.NewFile(uintptr(pair[1]), "app server")
-	conn, err := net.FileConn(ours)
-	ours.Close()
+	conn, inherited, err := connPair()
 	if err != nil {
-		theirs.Close()
 		return nil, err
 	}
 	p := &Process{Spec: spec, Conn: conn, Command: exec.Command(program, HostVerb)}
-	p.Command.ExtraFiles = []*os.File{theirs} // the first is descriptor 3
-	p.Command.Stderr = errs
-	begun := time.Now()
+	p.Command.ExtraFiles = []*os.File{inherited} // the first of them is hostDescriptor
+	p.Command.Stderr = errorOutput
+	start := time.Now()
 	err = p.Command.Start()
-	theirs.Close() // else its end would not be seen here
+	// While this program has the other end too, it would not see the process close it.
+	_ = inherited.Close() // it was only read from here, by the process that has its own duplicate
 	if err != nil {
-		conn.Close()
-		return nil, err
+		return nil, errors.Join(err, conn.Close())
 	}
-	if err := p.handshake(within); err != nil {
+	if err := p.handshake(timeout); err != nil {
 		p.Stop()
 		return nil, err
 	}
-	p.StartupTime = time.Since(begun)
+	p.StartupTime = time.Since(start)
 	return p, nil
 }
 
-func (p *Process) handshake(within time.Duration) error {
+// connPair returns the two ends of a connection: one for this program, one for a process to inherit.
+func connPair() (conn net.Conn, inherited *os.File, err error) {
+	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return nil, nil, err
+	}
+	own := os.NewFile(uintptr(pair[0]), "plug-ins")
+	inherited = os.NewFile(uintptr(pair[1]), "app server")
+	conn, err = net.FileConn(own)
+	_ = own.Close() // the connection has a duplicate
+	if err != nil {
+		return nil, nil, errors.Join(err, inherited.Close())
+	}
+	return conn, inherited, nil
+}
+
+// handshake tells the process what to run and waits until it is ready.
+func (p *Process) handshake(timeout time.Duration) error {
 	text, err := json.Marshal(p.Spec)
 	if err != nil {
 		return err
 	}
-	if err := p.Conn.SetDeadline(time.Now().Add(within)); err != nil {
+	if err := p.Conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	if _, err := p.Conn.Write(AppendFrame(nil, frameSpec, 0, 0, text)); err != nil {
@@ -81,8 +84,8 @@
 	for {
 		f, err := readFrame(p.Conn, MaxFrameSize)
 		switch {
-		case os.IsTimeout(err):
-			return fmt.Errorf("the plug-ins were not ready within %v", within)
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			return fmt.Errorf("the plug-ins were not ready within %v", timeout)
 		case err != nil:
 			return fmt.Errorf("the process of the plug-ins ended while it loaded them: %w", err)
 		case f.Kind == FrameRefused && f.PluginIndex < len(p.Spec.Plugins):
@@ -93,34 +96,11 @@
 	}
 }
 
-// Stop ends the process and waits for that.
+// Stop closes the connection, kills the process and waits for its end.
 func (p *Process) Stop() {
-	p.Conn.Close()
+	_ = p.Conn.Close() // the process is killed anyway
 	if p.Command.Process != nil {
-		_ = p.Command.Process.Kill()
-		_ = p.Command.Wait()
-	}
-}
-
-// AppendCall writes a question.
-func AppendCall(to []byte, place, hook int, call uint64, within int64, request []byte) []byte {
-	head := binary.LittleEndian.AppendUint32([]byte{byte(hook)}, uint32(within))
-	return AppendFrame(to, FrameCall, place, call, head, request)
-}
-
-// Verdict reads what a verdict's frame holds.
-func (f *Frame) Verdict() (how byte, took time.Duration, verdict []byte, ok bool) {
-	if len(f.Payload) < 5 {
-		return 0, 0, nil, false
-	}
-	return f.Payload[0], time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * time.Microsecond, f.Payload[5:], true
-}
-
-// StateEntry reads what a frame on its memory holds.
-func (f *Frame) StateEntry() (key string, value []byte, ok bool) {
-	if len(f.Payload) < 1 || len(f.Payload) < 1+int(f.Payload[0]) {
-		return "", nil, false
+		_ = p.Command.Process.Kill() // fails only if the process has ended
+		_ = p.Command.Wait()         // a killed process always ends with an error
 	}
-	n := 1 + int(f.Payload[0])
-	return string(f.Payload[1:n]), f.Payload[n:], true
 }
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -1,7 +1,5 @@
 package plugin
 
-// This file owns the trial of one module in this process, for those who write plug-ins.
-
 import (
 	"context"
 	"time"
@@ -9,46 +7,50 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// TrialResult is what became of it.
+// TrialResult is what became of the trial of one module.
 type TrialResult struct {
 	SHA256      string
 	StartupTime time.Duration
-	LongestCall time.Duration // the longest call
-	MemoryKB    int           // of an instance after it
-	Verdict     abi.Verdict   // of the last call
-	LogLines    []string      // its log
+	LongestCall time.Duration
+	MemoryKB    int         // of an instance after the calls
+	Verdict     abi.Verdict // of the last call
+	LogLines    []string
 }
 
-// Try loads a module and asks it so often, each time within the time given.
-func Try(one ModuleConfig, q *abi.Request, times int, within ...time.Duration) (t TrialResult, err error) {
+// Try loads a module in this process and calls it the given number of times about a request, for those who write
+// plug-ins. The timeout of each call must be given if there are calls; if there are none, neither it nor the request is
+// read.
+func Try(
+	config ModuleConfig, request *abi.Request, calls int, timeout ...time.Duration,
+) (result TrialResult, err error) {
 	ctx := context.Background()
-	begun := time.Now()
-	g, err := loadModule(ctx, one, 1, func(kind byte, payload []byte) {
-		if kind == frameLog {
-			t.LogLines = append(t.LogLines, string(payload))
+	start := time.Now()
+	m, err := loadModule(ctx, config, 1, func(kind byte, payload []byte) {
+		if kind == FrameLog {
+			result.LogLines = append(result.LogLines, string(payload))
 		}
 	})
 	if err != nil {
-		return t, err
+		return result, err
 	}
-	defer g.close()
-	t.StartupTime = time.Since(begun)
-	t.SHA256 = g.SHA256
-	for range times {
-		out, took, err := g.call(ctx, q.Hook, q.Append(nil), within[0])
+	defer m.close()
+	result.StartupTime = time.Since(start)
+	result.SHA256 = m.SHA256
+	for range calls {
+		answer, took, err := m.call(ctx, request.Hook, request.Append(nil), timeout[0])
 		if err != nil {
-			return t, err
+			return result, err
 		}
-		if t.Verdict, err = abi.ParseVerdict(out); err != nil {
-			return t, err
+		if result.Verdict, err = abi.ParseVerdict(answer); err != nil {
+			return result, err
 		}
-		t.LongestCall = max(t.LongestCall, took)
+		result.LongestCall = max(result.LongestCall, took)
 	}
 	select {
-	case i := <-g.idleInstances:
-		t.MemoryKB = int(i.module.Memory().Size() >> 10)
-		g.idleInstances <- i
+	case i := <-m.idleInstances:
+		result.MemoryKB = int(i.module.Memory().Size() >> 10)
+		m.idleInstances <- i
 	default:
 	}
-	return t, nil
+	return result, nil
 }
