--- /dev/null
+++ b/internal/plugin/trial.go
@@ -0,0 +1,56 @@
+package plugin
+
+import (
+	"context"
+	"time"
+
+	"thistlequay/internal/plugin/abi"
+)
+
+// TrialResult is what became of the trial of one module.
+type TrialResult struct {
+	SHA256      string
+	StartupTime time.Duration
+	LongestCall time.Duration
+	MemoryKB    int         // of an instance after the calls
+	Verdict     abi.Verdict // of the last call
+	LogLines    []string
+}
+
+// Try loads a module in this process and calls it the given number of times about a request, for those who write
+// plug-ins. The timeout of each call must be given if there are calls; if there are none, neither it nor the request is
+// read.
+func Try(
+	config ModuleConfig, request *abi.Request, calls int, timeout ...time.Duration,
+) (result TrialResult, err error) {
+	ctx := context.Background()
+	start := time.Now()
+	m, err := loadModule(ctx, config, 1, func(kind byte, payload []byte) {
+		if kind == FrameLog {
+			result.LogLines = append(result.LogLines, string(payload))
+		}
+	})
+	if err != nil {
+		return result, err
+	}
+	defer m.close()
+	result.StartupTime = time.Since(start)
+	result.SHA256 = m.SHA256
+	for range calls {
+		answer, took, err := m.call(ctx, request.Hook, request.Append(nil), timeout[0])
+		if err != nil {
+			return result, err
+		}
+		if result.Verdict, err = abi.ParseVerdict(answer); err != nil {
+			return result, err
+		}
+		result.LongestCall = max(result.LongestCall, took)
+	}
+	select {
+	case i := <-m.idleInstances:
+		result.MemoryKB = int(i.module.Memory().Size() >> 10)
+		m.idleInstances <- i
+	default:
+	}
+	return result, nil
+}
