--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -27,8 +27,8 @@
 	StatusAddress   string   `yaml:"status"`
 }
 
-// Default is what the section has where it says nothing.
-func (p *Gossip) Default() { *p = Gossip{} }
+// SetDefaults is what the section has where it says nothing.
+func (p *Gossip) SetDefaults() { *p = Gossip{} }
 
 const (
 	maxSeedAddresses = 64
--- a/internal/config/plugins.go
+++ b/internal/config/plugins.go
@@ -70,11 +70,11 @@
 	ExpectedStatus  int      `yaml:"status" min:"0" max:"599"`
 }
 
-// Default is what the section has where it says nothing.
-func (p *Plugins) Default() { *p = Plugins{MemoryMB: 32, Workers: 1, ReadyTimeout: 10 * time.Second} }
+// SetDefaults is what the section has where it says nothing.
+func (p *Plugins) SetDefaults() { *p = Plugins{MemoryMB: 32, Workers: 1, ReadyTimeout: 10 * time.Second} }
 
-// defaults fills in what one plug-in's entry does not say.
-func (p *Plugin) Default() {
+// SetDefaults fills in what one plug-in's entry does not say.
+func (p *Plugin) SetDefaults() {
 	*p = Plugin{Engine: "interpreter", MemoryKB: 1024, CodeKB: 512, StateKB: 16, KeepState: true, StartTimeout: time.Second,
 		CallTimeout: 5 * time.Millisecond, MaxBudgetFraction: 0.1, CoreFraction: 0.1, TickInterval: time.Second, FallbackPolicy: "pass", MaxConsecutiveFaults: 5, MaxFaultRate: 0.5,
 		Quarantine: time.Second, MaxQuarantine: 5 * time.Minute}
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -83,8 +83,8 @@
 
 const maxFileBytes = 4 << 20 // of the file
 
-// Default is what a section has where it says nothing.
-func (f *FairQueues) Default() {
+// SetDefaults is what a section has where it says nothing.
+func (f *FairQueues) SetDefaults() {
 	*f = FairQueues{NewcomerFraction: 0.25, MaxTrackedTenants: 256, HashGroups: 128, Burst: 200 * time.Millisecond,
 		MinHistory: 5 * time.Second, ReshuffleInterval: 30 * time.Second, TenantSource: "account", UnmatchedTenant: "elsewhere"}
 }
--- a/internal/config/shares.go
+++ b/internal/config/shares.go
@@ -31,8 +31,8 @@
 	StartFresh               bool          `yaml:"fresh"`
 }
 
-// Default is what the section has where it says nothing.
-func (s *Quota) Default() {
+// SetDefaults is what the section has where it says nothing.
+func (s *Quota) SetDefaults() {
 	*s = Quota{Revision: 1, GuaranteedCalls: 1, GuaranteedCallsPerSecond: 1, LongestCall: 500 * time.Millisecond, ClockDrift: 0.1}
 }
 
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -22,8 +22,8 @@
 	StartFresh       bool          `yaml:"fresh"`
 }
 
-// Default is what the section has where it says nothing.
-func (s *Store) Default() {
+// SetDefaults is what the section has where it says nothing.
+func (s *Store) SetDefaults() {
 	*s = Store{Durability: "machine", MaxMegabytes: 256, MaxRecords: 1_000_000, SegmentKB: 4096, ClockUncertainty: time.Minute}
 }
 
--- a/internal/diagnostics/yaml.go
+++ b/internal/diagnostics/yaml.go
@@ -111,8 +111,8 @@
 		if v.IsNil() {
 			v.Set(reflect.New(v.Type().Elem()))
 		}
-		if d, is := v.Interface().(interface{ Default() }); is {
-			d.Default()
+		if d, is := v.Interface().(interface{ SetDefaults() }); is {
+			d.SetDefaults()
 		}
 		l.readValue(n, v.Elem(), path, tag, depth)
 		return
@@ -125,8 +125,8 @@
 		}
 		return
 	}
-	if d, is := v.Addr().Interface().(interface{ Default() }); is && v.IsZero() {
-		d.Default()
+	if d, is := v.Addr().Interface().(interface{ SetDefaults() }); is && v.IsZero() {
+		d.SetDefaults()
 	}
 	switch v.Kind() {
 	case reflect.Struct:
