--- /dev/null
+++ b/internal/diagnostics/yaml_reader.go
@@ -0,0 +1,175 @@
+package diagnostics
+
+import (
+	"encoding"
+	"fmt"
+	"reflect"
+	"strings"
+
+	"go.yaml.in/yaml/v3"
+)
+
+// Bounds of a document, so that a file can't make the program recurse or allocate without end.
+const (
+	maxDepth       = 32      // of nested values
+	maxListEntries = 1 << 17 // in one list
+)
+
+// Defaulter is implemented by structures whose absent keys have other values than zero.
+type Defaulter interface {
+	SetDefaults() // sets all fields, before those are read that the document has
+}
+
+// slot is a place in a Go structure that one YAML value is read into.
+type slot struct {
+	value reflect.Value
+	path  string            // as in Diagnostic.Path
+	tag   reflect.StructTag // of the field, see DecodeYAML; entries of a list have that of the list
+	depth int
+}
+
+// yamlReader reads YAML nodes into Go values. It goes on after a fault, so that all of them are told at once.
+type yamlReader struct{ found List }
+
+// add notes a problem with a node.
+func (r *yamlReader) add(node *yaml.Node, path, expected, problem string, args ...any) {
+	r.found = append(r.found, Diagnostic{
+		Line:     node.Line,
+		Column:   node.Column,
+		Path:     path,
+		Problem:  fmt.Sprintf(problem, args...),
+		Expected: expected,
+	})
+}
+
+// readValue reads any node into its slot.
+func (r *yamlReader) readValue(node *yaml.Node, to slot) {
+	isPointer := to.value.Kind() == reflect.Pointer
+	switch {
+	case to.depth > maxDepth:
+		r.add(node, to.path, "", "is nested too deep")
+	case node.Kind == yaml.AliasNode: // small files of aliases can stand for huge values
+		r.add(node, to.path, "the value itself", "is an alias")
+	case node.Tag == "!!null" && !isPointer:
+		r.add(node, to.path, "a value", "is empty")
+	case isPointer:
+		r.readOptional(node, to)
+	default:
+		r.readPresent(node, to)
+	}
+}
+
+// readOptional reads a section that may be absent. A key without a value is a section in which nothing is set.
+func (r *yamlReader) readOptional(node *yaml.Node, to slot) {
+	if node.Tag == "!!null" {
+		node = &yaml.Node{Kind: yaml.MappingNode, Line: node.Line, Column: node.Column, Tag: "!!map"}
+	}
+	if to.value.IsNil() {
+		to.value.Set(reflect.New(to.value.Type().Elem()))
+	}
+	if section, is := to.value.Interface().(Defaulter); is {
+		section.SetDefaults()
+	}
+	to.value = to.value.Elem()
+	r.readValue(node, to)
+}
+
+// readPresent reads a node that is neither null nor an alias into a value that is no pointer.
+func (r *yamlReader) readPresent(node *yaml.Node, to slot) {
+	address := to.value.Addr().Interface()
+	if text, is := address.(encoding.TextUnmarshaler); is {
+		r.readText(node, to.path, text)
+		return
+	}
+	if section, is := address.(Defaulter); is && to.value.IsZero() {
+		section.SetDefaults()
+	}
+	switch to.value.Kind() {
+	case reflect.Struct:
+		r.readMapping(node, to)
+	case reflect.Slice:
+		r.readSequence(node, to)
+	default:
+		r.readScalar(node, to)
+	}
+}
+
+func (r *yamlReader) readText(node *yaml.Node, path string, into encoding.TextUnmarshaler) {
+	if node.Kind != yaml.ScalarNode {
+		r.add(node, path, "one value", "is a list or a section")
+		return
+	}
+	if err := into.UnmarshalText([]byte(node.Value)); err != nil {
+		r.add(node, path, "", "%q: %s", node.Value, err)
+	}
+}
+
+func (r *yamlReader) readSequence(node *yaml.Node, to slot) {
+	if node.Kind != yaml.SequenceNode {
+		r.add(node, to.path, "a list", "is no list")
+		return
+	}
+	count := len(node.Content)
+	if count > maxListEntries {
+		r.add(node, to.path, fmt.Sprintf("%d entries at most", maxListEntries), "has %d", count)
+		return
+	}
+	to.value.Set(reflect.MakeSlice(to.value.Type(), count, count))
+	for i, entry := range node.Content {
+		r.readValue(entry, slot{
+			value: to.value.Index(i),
+			path:  fmt.Sprintf("%s[%d]", to.path, i),
+			tag:   to.tag,
+			depth: to.depth + 1,
+		})
+	}
+}
+
+// readMapping reads the keys of a section into the fields of a structure.
+func (r *yamlReader) readMapping(node *yaml.Node, to slot) {
+	if node.Kind != yaml.MappingNode {
+		r.add(node, to.path, "a section of key: value", "is none")
+		return
+	}
+	fields, names := fieldsByKey(to.value.Type())
+	seen := map[string]bool{}
+	for i := 0; i < len(node.Content); i += 2 {
+		key := node.Content[i]
+		path := joinPath(to.path, key.Value)
+		field, known := fields[key.Value]
+		switch {
+		case key.Kind != yaml.ScalarNode || !known:
+			r.add(key, path, "one of "+strings.Join(names, ", "), "is not known")
+		case seen[key.Value]:
+			r.add(key, path, "each key once", "stands twice")
+		default:
+			r.readValue(node.Content[i+1], slot{
+				value: to.value.FieldByIndex(field.Index),
+				path:  path,
+				tag:   field.Tag,
+				depth: to.depth + 1,
+			})
+		}
+		seen[key.Value] = true
+	}
+	for _, name := range names {
+		if !seen[name] && fields[name].Tag.Get("need") == "yes" {
+			r.add(node, joinPath(to.path, name), "a value", "is missing")
+		}
+	}
+}
+
+// fieldsByKey returns the fields of a structure that have a key, and the keys in the order of the fields.
+func fieldsByKey(structure reflect.Type) (fields map[string]reflect.StructField, names []string) {
+	fields = map[string]reflect.StructField{}
+	for i := range structure.NumField() {
+		field := structure.Field(i)
+		if name := field.Tag.Get("yaml"); name != "" {
+			names = append(names, name)
+			fields[name] = field
+		}
+	}
+	return fields, names
+}
+
+func joinPath(path, name string) string { return strings.TrimPrefix(path+"."+name, ".") }
--- /dev/null
+++ b/internal/diagnostics/yaml_scalar.go
@@ -0,0 +1,122 @@
+package diagnostics
+
+import (
+	"math"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"go.yaml.in/yaml/v3"
+)
+
+var durationType = reflect.TypeFor[time.Duration]()
+
+// readScalar reads a single value: a string, a boolean, a number or a span of time.
+func (r *yamlReader) readScalar(node *yaml.Node, to slot) {
+	if node.Kind != yaml.ScalarNode {
+		r.add(node, to.path, "one value", "is a list or a section")
+		return
+	}
+	switch {
+	case to.value.Type() == durationType:
+		r.readDuration(node, to)
+	case to.value.Kind() == reflect.String:
+		r.readString(node, to)
+	case to.value.Kind() == reflect.Bool:
+		r.readBool(node, to)
+	case to.value.CanInt():
+		r.readInt(node, to)
+	case to.value.CanFloat():
+		r.readFloat(node, to)
+	}
+}
+
+func (r *yamlReader) readDuration(node *yaml.Node, to slot) {
+	duration, err := time.ParseDuration(node.Value)
+	if err != nil {
+		r.add(node, to.path, "a time with its unit, as in 250ms or 2s", "%q", node.Value)
+		return
+	}
+	to.value.SetInt(int64(duration))
+	r.checkRange(node, to, duration.Seconds(), durationBound)
+}
+
+func (r *yamlReader) readString(node *yaml.Node, to slot) {
+	if node.Tag != "!!str" {
+		r.add(node, to.path, "text; quote it if that is meant", "%q", node.Value)
+		return
+	}
+	to.value.SetString(node.Value)
+	accepted := strings.Fields(to.tag.Get("one"))
+	if len(accepted) > 0 && !slices.Contains(accepted, node.Value) {
+		r.add(node, to.path, "one of "+strings.Join(accepted, ", "), "%q", node.Value)
+	}
+	if to.tag.Get("min") != "" && node.Value == "" {
+		r.add(node, to.path, "a name", "is empty")
+	}
+}
+
+func (r *yamlReader) readBool(node *yaml.Node, to slot) {
+	if node.Tag != "!!bool" {
+		r.add(node, to.path, "true or false", "%q", node.Value)
+		return
+	}
+	to.value.SetBool(node.Value == "true")
+}
+
+func (r *yamlReader) readInt(node *yaml.Node, to slot) {
+	number, err := strconv.ParseInt(node.Value, 10, 64)
+	if node.Tag != "!!int" || err != nil {
+		r.add(node, to.path, "a whole number", "%q", node.Value)
+		return
+	}
+	to.value.SetInt(number)
+	r.checkRange(node, to, float64(number), numberBound)
+}
+
+func (r *yamlReader) readFloat(node *yaml.Node, to slot) {
+	number, err := strconv.ParseFloat(node.Value, 64)
+	isNumber := node.Tag == "!!int" || node.Tag == "!!float"
+	if !isNumber || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		r.add(node, to.path, "a number", "%q", node.Value)
+		return
+	}
+	to.value.SetFloat(number)
+	r.checkRange(node, to, number, numberBound)
+}
+
+// bounds are the tags that bound a number, what they say and whether a number is within.
+var bounds = []struct {
+	tag    string
+	words  string
+	within func(number, bound float64) bool
+}{
+	{"min", "at least ", func(number, bound float64) bool { return number >= bound }},
+	{"over", "more than ", func(number, bound float64) bool { return number > bound }},
+	{"max", "at most ", func(number, bound float64) bool { return number <= bound }},
+	{"under", "less than ", func(number, bound float64) bool { return number < bound }},
+}
+
+// checkRange holds a number against the bounds of its field; parse reads a bound in the unit of the number.
+func (r *yamlReader) checkRange(node *yaml.Node, to slot, number float64, parse func(string) float64) {
+	for _, bound := range bounds {
+		text := to.tag.Get(bound.tag)
+		if text != "" && !bound.within(number, parse(text)) {
+			r.add(node, to.path, bound.words+text, "%s is out of range", node.Value)
+		}
+	}
+}
+
+// durationBound parses a bound in seconds. Tags are written by us: one that can't be parsed counts as 0.
+func durationBound(text string) float64 {
+	bound, _ := time.ParseDuration(text)
+	return bound.Seconds()
+}
+
+// numberBound parses a bound without a unit. Tags are written by us: one that can't be parsed counts as 0.
+func numberBound(text string) float64 {
+	bound, _ := strconv.ParseFloat(text, 64)
+	return bound
+}
