--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -18,59 +18,71 @@
   "Tenants": [{"Name": "a", "Share": 0.3}, {"Name": "b"}]
 }`
 
-func TestRead(t *testing.T) {
-	terms, err := Read([]byte(good))
+func TestReadConvertsSettings(t *testing.T) {
+	config, err := Read([]byte(good))
 	require.NoError(t, err)
-	require.Equal(t, admission.Keyed, terms.Categories[1].Idempotency)
-	require.Equal(t, 1, terms.CategoryIndex["book"])
-	require.Len(t, terms.TenantWeights, 1)
-	require.True(t, terms.CanStopRuns && !terms.PauseKeepsMemory)
+	require.Equal(t, admission.Keyed, config.Categories[1].Idempotency)
+	require.Equal(t, 1, config.CategoryIndex["book"])
+	require.Len(t, config.TenantWeights, 1)
+	require.True(t, config.CanStopRuns && !config.PauseKeepsMemory)
 	pauses, err := Read([]byte(strings.Replace(good, `"drop"`, `"pause"`, 1)))
 	require.NoError(t, err)
 	require.True(t, pauses.CanStopRuns && pauses.PauseKeepsMemory)
-	require.True(t, terms.HasTenant([]byte("b")) && !terms.HasTenant([]byte("c")))
+	require.True(t, config.HasTenant([]byte("b")) && !config.HasTenant([]byte("c")))
 }
 
 // A window of 0 can be meant: no repeat comes. Absent, it is a fault.
-func TestAWindowOfZero(t *testing.T) {
-	terms, err := Read([]byte(strings.Replace(good, `"Window": 35000`, `"Window": 0`, 1)))
+func TestWindowOfZeroIsAccepted(t *testing.T) {
+	config, err := Read([]byte(strings.Replace(good, `"Window": 35000`, `"Window": 0`, 1)))
 	require.NoError(t, err)
-	require.Zero(t, terms.Categories[1].DeduplicationWindow)
+	require.Zero(t, config.Categories[1].DeduplicationWindow)
 }
 
-// badSettings are good with one thing replaced, where that is pointed at, and what is said of it.
-var badSettings = []struct{ from, to, at, fault string }{
-	{`by_key`, `by_kye`, `"by_kye"`, `Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
-	{`"Effect": "by_key", `, ``, `{"Name": "book"`, `Categories[1].Effect: is missing; expected one of repeatable, by_key, once`},
+// badSettings are good settings with one thing replaced, the text that the diagnostic points at, and the diagnostic.
+var badSettings = []struct{ from, to, pointsAt, diagnostic string }{
+	{`by_key`, `by_kye`, `"by_kye"`,
+		`Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
+	{`"Effect": "by_key", `, ``, `{"Name": "book"`,
+		`Categories[1].Effect: is missing; expected one of repeatable, by_key, once`},
 	{`"drop"`, `"dorp"`, `"dorp"`, `FamilyInfo.Halt: "dorp" is not known; expected one of silent, drop, pause`},
-	{`"min_rank"`, `"rank"`, `"rank"`, `FamilyInfo.Say: "rank" is not known; expected one of silent, bias, min_rank, tokens`},
-	{`"common"`, `"comon"`, `"comon"`, `FamilyInfo.Downstream: "comon" is not known; expected one of silent, common, next_hop`},
-	{`"book"`, `"look"`, `"look", "Effect": "by_key"`, `Categories[1].Name: "look" stands twice; expected each name once`},
+	{`"min_rank"`, `"rank"`, `"rank"`,
+		`FamilyInfo.Say: "rank" is not known; expected one of silent, bias, min_rank, tokens`},
+	{`"common"`, `"comon"`, `"comon"`,
+		`FamilyInfo.Downstream: "comon" is not known; expected one of silent, common, next_hop`},
+	{`"book"`, `"look"`, `"look", "Effect": "by_key"`,
+		`Categories[1].Name: "look" stands twice; expected each name once`},
 	{`"Name": "b"`, `"Name": "a"`, `"a"}]`, `Tenants[1].Name: "a" stands twice; expected each name once`},
 	{`"OnTime": 3200, "HardLimit": 7100, "LateWorth"`, `"OnTime": 7200, "HardLimit": 7100, "LateWorth"`,
-		`7200,`, `Categories[0].OnTime: 7200: the answer is wanted within more than its caller waits; expected at most HardLimit, 7100`},
-	{`, "Window": 35000`, ``, `{"Name": "book"`, `Categories[1].Window: by_key without a window; expected how long a repeat may come`},
-	{`"LateWorth": 0.2`, `"LateWorth": -1`, `-1,`, `Categories[0].LateWorth: -1 is out of range; expected from 0 to 1e12`},
-	{`"Cores": 6`, `"Cores": 6, "ClassSkipWorth": [0.5, 2]`, `2]`, `FamilyInfo.ClassSkipWorth[1]: 2 is out of range; expected from 0 to 1`},
+		`7200,`, `Categories[0].OnTime: 7200: the answer is wanted within more than its caller waits; ` +
+			`expected at most HardLimit, 7100`},
+	{`, "Window": 35000`, ``, `{"Name": "book"`,
+		`Categories[1].Window: by_key without a window; expected how long a repeat may come`},
+	{`"LateWorth": 0.2`, `"LateWorth": -1`, `-1,`,
+		`Categories[0].LateWorth: -1 is out of range; expected from 0 to 1e12`},
+	{`"Cores": 6`, `"Cores": 6, "ClassSkipWorth": [0.5, 2]`, `2]`,
+		`FamilyInfo.ClassSkipWorth[1]: 2 is out of range; expected from 0 to 1`},
 	{`"Cores": 6`, `"Cores": 6, "Fresh": -1`, `-1,`, `FamilyInfo.Fresh: -1 is out of range; expected from 0 to 1e12`},
 	{`"Cores": 6`, `"Cores": "six"`, `"six"`, `FamilyInfo.Cores: is a string; expected a value of type int`},
-	{`"Worth": 3,`, `"Worth": 3, "effect": "once",`, `"once"`, `Categories[1].effect: stands twice; expected each name once`},
-	{`"Halt"`, `Halt`, `Halt: "drop"`, `can't be read: invalid character 'H' looking for beginning of object key string; expected JSON`},
+	{`"Worth": 3,`, `"Worth": 3, "effect": "once",`, `"once"`,
+		`Categories[1].effect: stands twice; expected each name once`},
+	{`"Halt"`, `Halt`, `Halt: "drop"`,
+		`can't be read: invalid character 'H' looking for beginning of object key string; expected JSON`},
 }
 
-// What bears on a rule is known or it is a fault, told with its place.
-func TestFaultsWithTheirPlaces(t *testing.T) {
+// A value that bears on a rule and is not known is a fault, told with its position.
+func TestReadLocatesEachFault(t *testing.T) {
 	for _, c := range badSettings {
 		require.Contains(t, good, c.from)
 		text := []byte(strings.Replace(good, c.from, c.to, 1))
 		_, err := Read(text)
 		require.Error(t, err, c.to)
-		l := diagnostics.LocateJSON(text, diagnostics.FromError(err))
-		require.Len(t, l, 1)
-		line := strings.Split(string(text), "\n")[l[0].Line-1]
-		require.True(t, strings.HasPrefix(line[l[0].Column-1:], c.at), "%s points at %s", c.fault, line[l[0].Column-1:])
-		l[0].Line = 0
-		require.Equal(t, c.fault, l.Error())
+		found := diagnostics.LocateJSON(text, diagnostics.FromError(err))
+		require.Len(t, found, 1)
+		line := strings.Split(string(text), "\n")[found[0].Line-1]
+		rest := line[found[0].Column-1:]
+		require.True(t, strings.HasPrefix(rest, c.pointsAt), "%s points at %s", c.diagnostic, rest)
+		found[0].Line = 0
+		require.Equal(t, c.diagnostic, found.Error())
 	}
 }
 
@@ -78,8 +90,8 @@
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := Read(text); err != nil {
-			for _, fault := range diagnostics.LocateJSON(text, diagnostics.FromError(err)) {
-				require.Positive(t, fault.Line, fault.Error())
+			for _, diagnostic := range diagnostics.LocateJSON(text, diagnostics.FromError(err)) {
+				require.Positive(t, diagnostic.Line, diagnostic.Error())
 			}
 		}
 	})
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -17,18 +17,21 @@
 {"Name":"a","Effect":"by_key","HardLimit":9001.07,"LateWorth":0.21,"OnTime":3002.04,"Worth":1.5,"Window":35003.01},
 {"Name":"b","Effect":"once","HardLimit":904,"LateWorth":0.22,"OnTime":305,"Worth":2.5},
 {"Name":"c","Effect":"repeatable","HardLimit":806,"LateWorth":0.23,"OnTime":207,"Worth":3.5,"Window":0}],
-"FamilyInfo":{"CallShare":1.25,"CallsOver":508.09,"EntryKb":9,"KeepaliveMax":30010.01,"Fresh":1011.01,"ClassSkipWorth":[0.4,0.5],
-"Linger":212.01,"MemoryKb":4013,"RunFactor":14,"Callers":15,"Cores":16,"Cold":true,"Downstream":"common","Halt":"pause",
+"FamilyInfo":{"CallShare":1.25,"CallsOver":508.09,"EntryKb":9,"KeepaliveMax":30010.01,"Fresh":1011.01,
+"ClassSkipWorth":[0.4,0.5],"Linger":212.01,"MemoryKb":4013,"RunFactor":14,"Callers":15,"Cores":16,"Cold":true,
+"Downstream":"common","Halt":"pause",
 "Say":"bias","Meters":["links","on_cores","core_use"]},"Clients":{"MarksRetry":true},
 "Limits":{"MaxRetryAfter":1017.09,"RetryAfter":true},"Period":2.01,"Servers":18,
-"Tenants":[{"Name":"t","Share":0.25},{"Name":"u"}],"Rules":{"Cold":9019.01,"ColdFrom":0.3,"DrainGrace":320.09,"TipMultiple":8}}`
+"Tenants":[{"Name":"t","Share":0.25},{"Name":"u"}],
+"Rules":{"Cold":9019.01,"ColdFrom":0.3,"DrainGrace":320.09,"TipMultiple":8}}`
 
 // worstValues has something wrong at each place that can be wrong.
 const worstValues = `{"Categories":[
 {"Name":"a","Effect":"by_key","HardLimit":-1,"LateWorth":1e13,"OnTime":-1,"Worth":-1,"Window":-1},
 {"Name":"a","Effect":"by_key","HardLimit":5,"LateWorth":2,"OnTime":6,"Worth":1e13},
 {"Name":"","HardLimit":5,"OnTime":1e13},{"Effect":"twice"}],
-"FamilyInfo":{"CallShare":-1,"CallsOver":-1,"EntryKb":-1,"KeepaliveMax":-1,"Fresh":-1,"ClassSkipWorth":[-0.1,0,1.1],"Linger":-1,
+"FamilyInfo":{"CallShare":-1,"CallsOver":-1,"EntryKb":-1,"KeepaliveMax":-1,"Fresh":-1,"ClassSkipWorth":[-0.1,0,1.1],` +
+	`"Linger":-1,
 "MemoryKb":-1,"RunFactor":-1,"Callers":-1,"Cores":-1,"Downstream":"up","Halt":"stop","Say":"nothing"},
 "Limits":{"MaxRetryAfter":-1},"Period":-1,"Servers":-1,"Tenants":[{"Name":"t","Share":-1},{"Name":"t","Share":1e13}],
 "Rules":{"Cold":-1,"ColdFrom":-1,"DrainGrace":-1,"TipMultiple":-1}}`
@@ -46,10 +49,13 @@
 		`{"Categories":[{"Worth":"x"}]}`, `{"Clients":{"MarksRetry":1}}`, "{\"Rules\":\n\t{\"Cold\":[]}}", `{} {}`} {
 		diagnose(text)
 	}
-	for _, text := range []string{`[]`, `7`, `{"Categories":{}}`, "{\"Categories\":\n[ []]}", `{"FamilyInfo":[]}`, `{"Rules":true}`} {
-		_, err := Read([]byte(text)) // what is expected here names types of the program: that may change
-		for _, f := range diagnostics.LocateJSON([]byte(text), diagnostics.FromError(err)) {
-			fmt.Fprintln(&out, f.Line, f.Column, f.Path, f.Problem)
+	// What is expected here names types of the program, which may change: only the place and the problem stay.
+	for _, text := range []string{
+		`[]`, `7`, `{"Categories":{}}`, "{\"Categories\":\n[ []]}", `{"FamilyInfo":[]}`, `{"Rules":true}`,
+	} {
+		_, err := Read([]byte(text))
+		for _, diagnostic := range diagnostics.LocateJSON([]byte(text), diagnostics.FromError(err)) {
+			fmt.Fprintln(&out, diagnostic.Line, diagnostic.Column, diagnostic.Path, diagnostic.Problem)
 		}
 	}
 	for cut := 1; cut < len(good); cut += 17 { // wherever a file breaks off
@@ -59,24 +65,30 @@
 }
 
 func TestGoldenSettings(t *testing.T) {
+	otherWords := strings.NewReplacer(`"RetryAfter":true`, `"RetryAfter":false`, `"pause"`, `"drop"`,
+		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(everyKey)
 	var out bytes.Buffer
-	for _, text := range []string{good, everyKey, strings.NewReplacer(`"RetryAfter":true`, `"RetryAfter":false`, `"pause"`, `"drop"`,
-		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(everyKey)} {
-		terms, err := Read([]byte(text))
+	for _, text := range []string{good, everyKey, otherWords} {
+		config, err := Read([]byte(text))
 		require.NoError(t, err)
-		fmt.Fprintln(&out, terms.Routers, terms.RetriesMarked, terms.Servers, terms.Cores, terms.MemoryKB, terms.RunMemoryFactor, terms.EntryKB,
-			int64(terms.BatchInterval), int64(terms.DrainGrace), int64(terms.ResultTTL), terms.StartsCold, terms.ColdSpeed, int64(terms.WarmUpTime), terms.OverloadThreshold,
-			terms.SharedDependency, terms.DownstreamLimit, int64(terms.DownstreamWindow), int64(terms.AbandonedCallTime), int(terms.LoadReportMode), int64(terms.MaxIdleTime),
-			terms.CanStopRuns, int64(terms.MaxRetryAfter), terms.PauseKeepsMemory, terms.TurnOffset)
-		for _, c := range terms.Categories {
-			fmt.Fprintln(&out, c.Weight, c.LateValue, int64(c.SoftDeadline), int64(c.Deadline), int64(c.DeduplicationWindow), int(c.Idempotency), c.DegradedValue)
+		fmt.Fprintln(&out, config.Routers, config.RetriesMarked, config.Servers, config.Cores, config.MemoryKB,
+			config.RunMemoryFactor, config.EntryKB, int64(config.BatchInterval), int64(config.DrainGrace),
+			int64(config.ResultTTL), config.StartsCold, config.ColdSpeed, int64(config.WarmUpTime),
+			config.OverloadThreshold, config.SharedDependency, config.DownstreamLimit, int64(config.DownstreamWindow),
+			int64(config.AbandonedCallTime), int(config.LoadReportMode), int64(config.MaxIdleTime), config.CanStopRuns,
+			int64(config.MaxRetryAfter), config.PauseKeepsMemory, config.TurnOffset)
+		for _, category := range config.Categories {
+			fmt.Fprintln(&out, category.Weight, category.LateValue, int64(category.SoftDeadline),
+				int64(category.Deadline), int64(category.DeduplicationWindow), int(category.Idempotency),
+				category.DegradedValue)
 		}
-		for _, one := range terms.TenantWeights {
-			fmt.Fprintln(&out, one.Name, one.Weight)
+		for _, tenant := range config.TenantWeights {
+			fmt.Fprintln(&out, tenant.Name, tenant.Weight)
 		}
-		gauges := terms.GaugesFromRow([]float64{1, 2, 3, 4})
-		fmt.Fprintln(&out, terms.CategoryIndex["a"], terms.CategoryIndex["b"], terms.CategoryIndex["c"], terms.HasTenant([]byte("u")), terms.HasTenant([]byte("v")),
-			gauges.CoreUtilization, gauges.RunnableRequests)
+		gauges := config.GaugesFromRow([]float64{1, 2, 3, 4})
+		fmt.Fprintln(&out, config.CategoryIndex["a"], config.CategoryIndex["b"], config.CategoryIndex["c"],
+			config.HasTenant([]byte("u")), config.HasTenant([]byte("v")), gauges.CoreUtilization,
+			gauges.RunnableRequests)
 	}
 	for _, ms := range []float64{0, 0.01, 0.04, 0.1, 0.10000001, 0.29999999, 12.34, 1e9 + 0.05} {
 		fmt.Fprintln(&out, ms, int64(RoundDown(ms)), int64(RoundUp(ms)))
