--- a/internal/quota/service/status.go
+++ b/internal/quota/service/status.go
@@ -1,8 +1,5 @@
 package service
 
-// This file owns what operators are shown of shares: what this server holds and, at a keeper, who holds what. It must never
-// change anything.
-
 import (
 	"errors"
 	"time"
@@ -11,74 +8,109 @@
 	"thistlequay/timeunit"
 )
 
-// Status is what one server knows of shares.
+// statusTimeout is how long Status waits for the service's goroutine.
+const statusTimeout = time.Second
+
+// unknownVoter stands for a voter that is not alive or not known by name.
+const unknownVoter = "?"
+
+// ErrNoAnswer means that the service's goroutine is busy or has ended.
+var ErrNoAnswer = errors.New("the quota service does not answer")
+
+// Status is what one server knows of the quotas, for operators. Its JSON keys are part of the program's interface.
 type Status struct {
 	Name               string        `json:"name"`
-	Voter              uint64        `json:"voter"` // 0: it is no keeper
+	Voter              uint64        `json:"voter"` // 0 if this server is no coordinator
 	IsLeader           bool          `json:"leads"`
 	Leader             string        `json:"leader"` // as far as is known
-	HasQuorum          bool          `json:"whole"`  // it acts with the whole: a keeper may grant
+	HasQuorum          bool          `json:"whole"`  // the server is in the majority: a coordinator may grant leases
 	Voters             []string      `json:"voters"`
-	Opened             bool          `json:"opened"`
-	AppliedCommands    int           `json:"entries"` // applied since its start
-	DiscardedStates    int           `json:"memories_lost"`
-	MismatchedRequests int           `json:"strange_terms"` // requests of servers with other settings
+	Opened             bool          `json:"opened"`        // all leases of any earlier log have expired
+	AppliedCommands    int           `json:"entries"`       // since the start
+	DiscardedStates    int           `json:"memories_lost"` // since the start
+	MismatchedRequests int           `json:"strange_terms"` // of servers with other settings
 	Limits             []LimitStatus `json:"limits"`
 }
 
-// LimitStatus is one of them, in units.
+// LimitStatus is one limit in a Status, amounts in units of the limit.
 type LimitStatus struct {
 	Name          string                `json:"name"`
 	Total         float64               `json:"whole"` // in force
 	Target        float64               `json:"target"`
-	Guaranteed    float64               `json:"floors"` // of the whole, kept for all slots
+	Guaranteed    float64               `json:"floors"` // the part of Total that is kept as guaranteed minimums
 	Outstanding   float64               `json:"granted"`
 	LeaseDuration timeunit.Milliseconds `json:"length_ms"`
 	UsableHere    float64               `json:"usable_here"`
-	ExpiresInMs   timeunit.Milliseconds `json:"ends_ms"` // of what is granted here; 0 where it lives on its floor
+	ExpiresInMs   timeunit.Milliseconds `json:"ends_ms"` // of the lease here; 0 if only the minimum is usable
 	Servers       []quota.StatusRow     `json:"servers"`
 }
 
-// LocalLease is what the loop knows of a limit on this server.
+// LocalLease is what the event loop knows of one limit on this server.
 type LocalLease struct {
 	Usable    quota.Amount
-	ExpiresAt timeunit.Milliseconds
+	ExpiresAt timeunit.Milliseconds // by Service.Now
 }
 
-const statusTimeout = time.Second
-
-// Status tells how it stands. It waits for the worker, at most for a second.
-func (s *Service) Status(here []LocalLease) (r Status, err error) {
-	told := make(chan struct{})
-	s.enqueue(func() {
-		defer close(told)
-		book, now := s.coordinator.Limits(), s.Now()
-		id := s.coordinator.Identity()
-		r = Status{Name: s.config.ServerName, Voter: id.VoterID, IsLeader: s.coordinator.IsLeader(), HasQuorum: s.coordinator.InMajority(), Opened: book.Opened(), AppliedCommands: s.coordinator.AppliedCommands,
-			DiscardedStates: s.coordinator.DiscardedStates, MismatchedRequests: book.MismatchedRequests, Leader: s.leader.Name, Voters: []string{}}
-		for _, v := range s.coordinator.Voters() {
-			name := "?"
-			if m, is := s.membersByVoter[v]; is {
-				name = m.Name
-			}
-			r.Voters = append(r.Voters, name)
-		}
-		for i, k := range book.Allocators() {
-			t := k.Config()
-			units := func(a quota.Amount) float64 { return float64(a) / float64(quota.Unit) }
-			l := LimitStatus{Name: s.config.LimitNames[i], Total: units(t.Total), Target: units(k.TargetTotal()), Guaranteed: units(t.GuaranteedMinimum * quota.Amount(t.Slots)),
-				Outstanding: units(k.Outstanding()), LeaseDuration: t.LeaseDuration, Servers: k.StatusRows(now)}
-			if i < len(here) {
-				l.UsableHere, l.ExpiresInMs = units(here[i].Usable), max(0, here[i].ExpiresAt-now)
-			}
-			r.Limits = append(r.Limits, l)
-		}
-	})
+// Status returns how things stand. Leases are those of this server, in the order of the limits. The error is
+// ErrNoAnswer if the service's goroutine does not answer within a second.
+func (s *Service) Status(leases []LocalLease) (Status, error) {
+	answer := make(chan Status, 1)
+	s.enqueue(func() { answer <- s.currentStatus(leases) })
 	select {
-	case <-told:
-		return r, nil
+	case status := <-answer:
+		return status, nil
 	case <-s.done:
 	case <-time.After(statusTimeout):
 	}
-	return Status{}, errors.New("the shares do not answer")
+	return Status{}, ErrNoAnswer
+}
+
+// currentStatus makes the status. It must run on the service's goroutine.
+func (s *Service) currentStatus(leases []LocalLease) Status {
+	now := s.Now()
+	limits := s.coordinator.Limits()
+	status := Status{
+		Name:               s.config.ServerName,
+		Voter:              s.coordinator.Identity().VoterID,
+		IsLeader:           s.coordinator.IsLeader(),
+		Leader:             s.leader.Name,
+		HasQuorum:          s.coordinator.InMajority(),
+		Voters:             []string{}, // in JSON an empty list, not null
+		Opened:             limits.Opened(),
+		AppliedCommands:    s.coordinator.AppliedCommands,
+		DiscardedStates:    s.coordinator.DiscardedStates,
+		MismatchedRequests: limits.MismatchedRequests,
+	}
+	for _, voter := range s.coordinator.Voters() {
+		name := unknownVoter
+		if member, isKnown := s.membersByVoter[voter]; isKnown {
+			name = member.Name
+		}
+		status.Voters = append(status.Voters, name)
+	}
+	for i, allocator := range limits.Allocators() {
+		limit := limitStatus(allocator, now)
+		limit.Name = s.config.LimitNames[i]
+		if i < len(leases) {
+			limit.UsableHere = units(leases[i].Usable)
+			limit.ExpiresInMs = max(0, leases[i].ExpiresAt-now)
+		}
+		status.Limits = append(status.Limits, limit)
+	}
+	return status
 }
+
+// limitStatus returns what the coordinator knows of a limit.
+func limitStatus(allocator *quota.Allocator, now timeunit.Milliseconds) LimitStatus {
+	config := allocator.Config()
+	return LimitStatus{
+		Total:         units(config.Total),
+		Target:        units(allocator.TargetTotal()),
+		Guaranteed:    units(config.GuaranteedMinimum * quota.Amount(config.Slots)),
+		Outstanding:   units(allocator.Outstanding()),
+		LeaseDuration: config.LeaseDuration,
+		Servers:       allocator.StatusRows(now),
+	}
+}
+
+func units(amount quota.Amount) float64 { return float64(amount) / float64(quota.Unit) }
