--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -1,16 +1,10 @@
 package gossip
 
-// This file owns what the library asks and tells: words and notes that come and go, members that it holds for there or lost,
-// and the direct pings. It runs on the library's goroutines and must never touch the view, nor block.
-
 import (
 	"bytes"
 	"crypto/ed25519"
-	"errors"
+	"encoding/binary"
 	"fmt"
-	"net"
-	"slices"
-	"syscall"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -20,209 +14,120 @@
 	"thistlequay/timeunit"
 )
 
-// updateBroadcast is a word on its way round; a newer one of the same life takes its place.
-type updateBroadcast struct {
-	sender   membership.ID
-	sequence uint64
-	message  []byte
-}
-
-func (r *updateBroadcast) Invalidates(b memberlist.Broadcast) bool {
-	o, is := b.(*updateBroadcast)
-	return is && o.sender == r.sender && o.sequence <= r.sequence
-}
-func (r *updateBroadcast) Message() []byte { return r.message }
-func (r *updateBroadcast) Finished()       {}
-
-// delegate is the talk as the library sees it.
-type delegate Node
+// delegate is what memberlist calls, on its own goroutines: memberlist.Delegate, EventDelegate, PingDelegate and
+// AliveDelegate. It must never block, nor touch what is the worker's alone other than in a task.
+type delegate struct{ node *Node }
 
-// nodeMetadata is what the others must know of a member before its first word.
-type nodeMetadata struct {
-	PublicKey []byte `cbor:"1,keyasint"` // that its words and notes are sealed by
-	Zone      string `cbor:"2,keyasint,omitempty"`
-}
-
-// NodeMeta is the server's own card.
-func (d *delegate) NodeMeta(limit int) []byte {
-	text, err := cbor.Marshal(nodeMetadata{PublicKey: d.privateKey.Public().(ed25519.PublicKey), Zone: d.config.Membership.Zone})
-	if err != nil || len(text) > limit {
+// NodeMeta returns the metadata of this server, nil if they do not fit.
+func (d delegate) NodeMeta(limit int) []byte {
+	encoded, err := cbor.Marshal(nodeMetadata{
+		PublicKey: d.node.privateKey.Public().(ed25519.PublicKey),
+		Zone:      d.node.config.Membership.Zone,
+	})
+	if err != nil || len(encoded) > limit {
 		return nil
 	}
-	return text
-}
-
-func (d *delegate) advertisedAddress() string {
-	if d.config.AdvertiseAddress != "" {
-		return d.config.AdvertiseAddress
-	}
-	return d.config.ListenAddress
+	return encoded
 }
 
-func (d *delegate) NotifyMsg(text []byte) { (*Node)(d).onMessage(bytes.Clone(text)) }
-
-// onMessage takes a message that came: a word goes on where it was news.
-func (p *Node) onMessage(text []byte) {
-	if len(text) == 0 || len(text) > maxMessageBytes(text[0]) {
-		p.Malformed.Add(1)
-		return
-	}
-	p.enqueue(func() {
-		if w, news := p.receive(text); news && w.AgeMs == 0 {
-			p.broadcast(w, text)
-		}
-	})
-}
+// NotifyMsg takes a message of another member. Memberlist uses its memory again afterwards.
+func (d delegate) NotifyMsg(message []byte) { d.node.onMessage(bytes.Clone(message)) }
 
-func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.broadcasts.GetBroadcasts(overhead, limit)
+// GetBroadcasts returns the updates to pass on in the next packet.
+func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
+	return d.node.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is what a full exchange hands over: words, each behind its length in two bytes.
-func (d *delegate) LocalState(bool) (out []byte) {
-	if words := d.pushPullState.Load(); words != nil {
-		for _, w := range *words {
-			out = append(append(out, byte(len(w)>>8), byte(len(w))), w...)
-		}
+// LocalState returns what a full exchange sends: updates, each behind its length in two bytes, big-endian.
+func (d delegate) LocalState(bool) []byte {
+	updates := d.node.pushPullState.Load()
+	if updates == nil {
+		return nil
+	}
+	var state []byte
+	for _, update := range *updates {
+		state = binary.BigEndian.AppendUint16(state, uint16(len(update)))
+		state = append(state, update...)
 	}
-	return out
+	return state
 }
 
-func (d *delegate) MergeRemoteState(text []byte, _ bool) {
-	for n := 0; len(text) >= 2 && n < maxPushPullUpdates; n++ {
-		size := int(text[0])<<8 | int(text[1])
-		if text = text[2:]; size > len(text) {
+// MergeRemoteState takes what another member's LocalState returned.
+func (d delegate) MergeRemoteState(state []byte, _ bool) {
+	const lengthBytes = 2
+	for taken := 0; len(state) >= lengthBytes && taken < maxPushPullUpdates; taken++ {
+		length := int(binary.BigEndian.Uint16(state))
+		state = state[lengthBytes:]
+		if length > len(state) {
 			break
 		}
-		word := bytes.Clone(text[:size])
-		text = text[size:]
-		(*Node)(d).enqueue(func() { (*Node)(d).receive(word) })
+		update := bytes.Clone(state[:length])
+		state = state[length:]
+		d.node.enqueue(func() { d.node.receive(update) })
 	}
 }
 
-// NotifyAlive turns away what is no member of ours.
-func (d *delegate) NotifyAlive(n *memberlist.Node) error {
-	if _, ok := parseNodeName(n.Name); !ok {
-		return fmt.Errorf("%q names no life of a server", n.Name)
+// NotifyAlive rejects what is no member of this program.
+func (d delegate) NotifyAlive(peer *memberlist.Node) error {
+	if _, ok := parseNodeName(peer.Name); !ok {
+		return fmt.Errorf("%q names no incarnation of a server", peer.Name)
 	}
 	return nil
 }
 
-func (d *delegate) NotifyJoin(n *memberlist.Node) {
-	id, _ := parseNodeName(n.Name)
-	var c nodeMetadata
-	if strictDecoder.Unmarshal(n.Meta, &c) != nil || len(c.PublicKey) != ed25519.PublicKeySize {
-		c = nodeMetadata{} // of another version: its first word binds its key
+// NotifyJoin is called when memberlist holds a member to be alive, for the first time or again.
+func (d delegate) NotifyJoin(peer *memberlist.Node) {
+	id, _ := parseNodeName(peer.Name) // NotifyAlive has let it pass
+	var metadata nodeMetadata
+	if strictDecoder.Unmarshal(peer.Meta, &metadata) != nil || len(metadata.PublicKey) != ed25519.PublicKeySize {
+		metadata = nodeMetadata{} // of another version: the member's first update binds its key
 	}
-	w := membership.StateUpdate{ID: id, Zone: c.Zone, Address: n.Address()} // its own first word has the rest
-	(*Node)(d).enqueue(func() {
-		d.joined[id] = true
-		if _, known := d.publicKeys[id]; !known && c.PublicKey != nil {
-			d.publicKeys[id] = c.PublicKey
-		}
-		if d.view.Member(id) == nil {
-			d.view.ApplyUpdate(w)
-		}
-		d.view.Refuted(id)
-	})
+	address := peer.Address()
+	d.node.enqueue(func() { d.node.memberJoined(id, address, metadata) })
 }
 
-// NotifyLeave: the library holds it for dead, or it has said good-bye.
-func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	id, _ := parseNodeName(n.Name)
-	left := n.State == memberlist.StateLeft
-	(*Node)(d).enqueue(func() {
-		delete(d.joined, id)
-		if left {
-			d.view.Left(id)
-		} else {
-			d.view.Failed(id)
-		}
-	})
+// NotifyLeave is called when memberlist holds a member to have failed or left.
+func (d delegate) NotifyLeave(peer *memberlist.Node) {
+	id, _ := parseNodeName(peer.Name) // NotifyAlive has let it pass
+	hasLeft := peer.State == memberlist.StateLeft
+	d.node.enqueue(func() { d.node.memberLeft(id, hasLeft) })
 }
 
-func (d *delegate) NotifyUpdate(*memberlist.Node) {}
+// NotifyUpdate is called when a member's metadata change, which they never do.
+func (d delegate) NotifyUpdate(*memberlist.Node) {}
 
-func (d *delegate) AckPayload() []byte { return nil }
+// AckPayload returns nothing: an answer to a ping carries no data.
+func (d delegate) AckPayload() []byte { return nil }
 
-func (d *delegate) NotifyPingComplete(n *memberlist.Node, trip time.Duration, _ []byte) {
-	if id, ok := parseNodeName(n.Name); ok {
-		(*Node)(d).enqueue(func() { d.view.ProbeSucceeded(id, timeunit.Milliseconds(trip.Milliseconds())) })
+// NotifyPingComplete is called when a member has answered a probe of memberlist.
+func (d delegate) NotifyPingComplete(peer *memberlist.Node, roundTrip time.Duration, _ []byte) {
+	if id, ok := parseNodeName(peer.Name); ok {
+		d.node.enqueue(func() { d.node.view.ProbeSucceeded(id, milliseconds(roundTrip)) })
 	}
 }
 
-// replaceKeys changes the keys: the new ones are added, the first of them is spoken under, others go.
-func (d *delegate) replaceKeys(keys [][]byte) error {
-	ring := (*Node)(d).keyring
-	if ring == nil || len(keys) == 0 {
-		return errors.New("a fleet that talks without keys cannot be given some while it runs, nor the other way round")
+// memberJoined takes a member into the view, on the worker. Its own first update says the rest of it.
+func (n *Node) memberJoined(id membership.ID, address string, metadata nodeMetadata) {
+	n.joined[id] = true
+	if _, isKnown := n.publicKeys[id]; !isKnown && metadata.PublicKey != nil {
+		n.publicKeys[id] = metadata.PublicKey
 	}
-	for _, key := range keys {
-		if err := ring.AddKey(key); err != nil {
-			return err
-		}
-	}
-	if err := ring.UseKey(keys[0]); err != nil {
-		return err
+	if n.view.Member(id) == nil {
+		n.view.ApplyUpdate(membership.StateUpdate{ID: id, Zone: metadata.Zone, Address: address})
 	}
-	for _, key := range slices.Clone(ring.GetKeys()) {
-		if !slices.ContainsFunc(keys, func(k []byte) bool { return bytes.Equal(k, key) }) {
-			if err := ring.RemoveKey(key); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
+	n.view.Refuted(id)
 }
 
-// pingLoop asks one member after the other whether it answers this server itself: the library asks others to try too, and so
-// never tells that only this one cannot reach it.
-func (p *Node) pingLoop() {
-	defer p.goroutines.Done()
-	next := 0
-	for {
-		select {
-		case <-p.done:
-			return
-		case <-time.After(pingInterval):
-		}
-		var there []membership.Member
-		if p.Inspect(func(v *membership.View, _ *membership.Agreement) {
-			for _, m := range v.Members() {
-				if m != v.Self() && m.State <= membership.StateSuspected && m.Address != "" {
-					there = append(there, *m)
-				}
-			}
-		}) != nil || len(there) == 0 {
-			continue
-		}
-		next = (next + 1) % len(there)
-		m := there[next]
-		if !p.pingMember(&m) {
-			p.enqueue(func() {
-				p.view.ProbeFailed(m.ID)
-				if now := p.view.Member(m.ID); now != nil && now.Cause != membership.CauseUnreachableFromHere {
-					p.view.Suspected(m.ID)
-				}
-			})
-		}
-	}
-}
-
-func (p *Node) pingMember(m *membership.Member) bool {
-	at, err := net.ResolveUDPAddr("udp", m.Address)
-	if err != nil {
-		return false
-	}
-	for range pingAttempts {
-		if trip, err := p.memberlist.Ping(nodeName(m.ID), at); err == nil {
-			p.enqueue(func() { p.view.ProbeSucceeded(m.ID, timeunit.Milliseconds(trip.Milliseconds())) })
-			return true
-		}
+// memberLeft tells the view that a member has left or failed, on the worker.
+func (n *Node) memberLeft(id membership.ID, hasLeft bool) {
+	delete(n.joined, id)
+	if hasLeft {
+		n.view.Left(id)
+		return
 	}
-	return false
+	n.view.Failed(id)
 }
 
-func isRefused(err error) bool {
-	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
+func milliseconds(duration time.Duration) timeunit.Milliseconds {
+	return timeunit.Milliseconds(duration.Milliseconds())
 }
--- /dev/null
+++ b/internal/gossip/probe.go
@@ -0,0 +1,128 @@
+package gossip
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"time"
+
+	"thistlequay/internal/membership"
+)
+
+// Of the probes beside memberlist's own.
+const (
+	pingInterval = time.Second // between two members
+	pingAttempts = 3           // until a member counts as not reachable
+	dialTimeout  = 500 * time.Millisecond
+)
+
+// Of the search for other members.
+const (
+	minJoinInterval = time.Second      // doubled after each attempt in vain
+	maxJoinInterval = 10 * time.Second // the longest it becomes
+)
+
+// pingLoop asks one member after the other whether it answers this server directly. Memberlist's probes also succeed if
+// the member answers others, and so never show that only this server cannot reach it.
+func (n *Node) pingLoop() {
+	defer n.goroutines.Done()
+	next := 0
+	for {
+		select {
+		case <-n.done:
+			return
+		case <-time.After(pingInterval):
+		}
+		members := n.pingableMembers()
+		if len(members) == 0 {
+			continue
+		}
+		next = (next + 1) % len(members)
+		member := members[next]
+		if !n.pingMember(&member) {
+			n.enqueue(func() { n.pingFailed(member.ID) })
+		}
+	}
+}
+
+// pingableMembers returns the other members that may be alive, none if the worker does not answer.
+func (n *Node) pingableMembers() []membership.Member {
+	var members []membership.Member
+	err := n.Inspect(func(view *membership.View, _ *membership.Agreement) {
+		for _, member := range view.Members() {
+			if member != view.Self() && member.State <= membership.StateSuspected && member.Address != "" {
+				members = append(members, *member)
+			}
+		}
+	})
+	if err != nil {
+		return nil
+	}
+	return members
+}
+
+// pingMember reports whether a member answers one of a few pings.
+func (n *Node) pingMember(member *membership.Member) bool {
+	address, err := net.ResolveUDPAddr("udp", member.Address)
+	if err != nil {
+		return false
+	}
+	id := member.ID
+	for range pingAttempts {
+		roundTrip, err := n.memberlist.Ping(nodeName(id), address)
+		if err == nil {
+			n.enqueue(func() { n.view.ProbeSucceeded(id, milliseconds(roundTrip)) })
+			return true
+		}
+	}
+	return false
+}
+
+// pingFailed tells the view that a member does not answer this server, on the worker. Unless only this server cannot
+// reach it, the member is suspected.
+func (n *Node) pingFailed(id membership.ID) {
+	n.view.ProbeFailed(id)
+	member := n.view.Member(id)
+	if member != nil && member.Cause != membership.CauseUnreachableFromHere {
+		n.view.Suspected(id)
+	}
+}
+
+// diagnoseAddress finds out whether a process listens at the address of a member that does not answer, and tells the
+// view.
+func (n *Node) diagnoseAddress(id membership.ID, address string) {
+	result := membership.DialAccepted
+	connection, err := net.DialTimeout("tcp", address, dialTimeout)
+	switch {
+	case err == nil:
+		_ = connection.Close() // nothing was sent on it
+	case isRefused(err):
+		result = membership.DialRefused
+	default:
+		result = membership.DialTimedOut
+	}
+	n.enqueue(func() { n.view.DialFinished(id, result) })
+}
+
+// isRefused reports whether the host answered that nobody listens.
+func isRefused(err error) bool {
+	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
+}
+
+// joinLoop looks for other members at the seed addresses until one is found, and again whenever none is left.
+func (n *Node) joinLoop() {
+	defer n.goroutines.Done()
+	interval := minJoinInterval
+	for {
+		if n.memberCount() >= 2 || len(n.config.SeedAddresses) == 0 {
+			interval = minJoinInterval
+		} else if _, err := n.memberlist.Join(n.config.SeedAddresses); err != nil {
+			interval = min(2*interval, maxJoinInterval)
+		}
+		select {
+		case <-n.done:
+			return
+		case <-time.After(interval):
+		}
+	}
+}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,8 +1,5 @@
 package gossip
 
-// This file owns the sockets of the talk: the library's own transport, whose connections leave from the address that is
-// listened on, and a count of what goes out. It must never touch what is carried.
-
 import (
 	"io"
 	"log"
@@ -13,49 +10,61 @@
 	"github.com/hashicorp/memberlist"
 )
 
+// countingTransport is memberlist's transport with two differences: connections leave from the address that is listened
+// on, and what is sent is counted.
 type countingTransport struct {
 	*memberlist.NetTransport
 	localIP   net.IP
 	sentBytes *atomic.Int64
 }
 
-func newTransport(host string, port int, sent *atomic.Int64) (memberlist.Transport, error) {
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port,
-		Logger: log.New(io.Discard, "", 0)})
+// newTransport listens on an address, for packets and streams, and counts in sentBytes what is sent.
+func newTransport(host string, port int, sentBytes *atomic.Int64) (memberlist.Transport, error) {
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{host},
+		BindPort:  port,
+		Logger:    log.New(io.Discard, "", 0),
+	})
 	if err != nil {
 		return nil, err
 	}
-	return &countingTransport{t, net.ParseIP(host), sent}, nil
+	return &countingTransport{NetTransport: transport, localIP: net.ParseIP(host), sentBytes: sentBytes}, nil
 }
 
-func (t *countingTransport) WriteTo(b []byte, to string) (time.Time, error) {
-	t.sentBytes.Add(int64(len(b)))
-	return t.NetTransport.WriteTo(b, to)
+// WriteTo implements memberlist.Transport.
+func (t *countingTransport) WriteTo(packet []byte, address string) (time.Time, error) {
+	t.sentBytes.Add(int64(len(packet)))
+	return t.NetTransport.WriteTo(packet, address)
 }
 
-func (t *countingTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
-	return t.WriteTo(b, to.Addr)
+// WriteToAddress implements memberlist.NodeAwareTransport.
+func (t *countingTransport) WriteToAddress(packet []byte, to memberlist.Address) (time.Time, error) {
+	return t.WriteTo(packet, to.Addr)
 }
 
-func (t *countingTransport) DialTimeout(to string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: t.localIP}}
-	c, err := d.Dial("tcp", to)
+// DialTimeout implements memberlist.Transport.
+func (t *countingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.localIP}}
+	connection, err := dialer.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{c, t.sentBytes}, nil
+	return &countingConn{Conn: connection, sentBytes: t.sentBytes}, nil
 }
 
-func (t *countingTransport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
-	return t.DialTimeout(to.Addr, within)
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t *countingTransport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(to.Addr, timeout)
 }
 
+// countingConn is a connection that counts what is written.
 type countingConn struct {
 	net.Conn
 	sentBytes *atomic.Int64
 }
 
-func (c *countingConn) Write(b []byte) (int, error) {
-	c.sentBytes.Add(int64(len(b)))
-	return c.Conn.Write(b)
+// Write implements net.Conn.
+func (c *countingConn) Write(data []byte) (int, error) {
+	c.sentBytes.Add(int64(len(data)))
+	return c.Conn.Write(data)
 }
--- /dev/null
+++ b/internal/gossip/virtual_network_test.go
@@ -0,0 +1,203 @@
+package gossip
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math/rand"
+	"net"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/membership"
+)
+
+const (
+	testCluster = "test"
+	testKey     = "0123456789abcdef"
+)
+
+// virtualNetwork carries the gossip of many members in one process, in the virtual time of a synctest bubble.
+type virtualNetwork struct {
+	lock        sync.Mutex
+	random      *rand.Rand
+	transports  map[string]*virtualTransport
+	isCut       func(from, to string) bool
+	lossRate    float64
+	withoutKeys bool // the members do not encrypt
+	sentBytes   atomic.Int64
+}
+
+// virtualTransport is one member's transport on a virtualNetwork.
+type virtualTransport struct {
+	network *virtualNetwork
+	address string
+	packets chan *memberlist.Packet
+	streams chan net.Conn
+	closed  atomic.Bool
+}
+
+var errUnreachable = errors.New("nothing comes back")
+
+var _ io.Writer = (*countingConn)(nil)
+
+func newVirtualNetwork(seed int64) *virtualNetwork {
+	return &virtualNetwork{random: rand.New(rand.NewSource(seed)), transports: map[string]*virtualTransport{}}
+}
+
+// newTransport returns a transport at the address that belongs to a number.
+func (a *virtualNetwork) newTransport(number int) *virtualTransport {
+	transport := &virtualTransport{
+		network: a,
+		address: fmt.Sprintf("10.%d.%d.%d:7946", number>>16, number>>8&255, number&255),
+		packets: make(chan *memberlist.Packet, 4096),
+		streams: make(chan net.Conn, 64),
+	}
+	a.lock.Lock()
+	defer a.lock.Unlock()
+	a.transports[transport.address] = transport
+	return transport
+}
+
+// route returns the transport at an address and how long a packet takes there, nil if it is lost.
+func (p *virtualTransport) route(address string) (*virtualTransport, time.Duration) {
+	network := p.network
+	network.lock.Lock()
+	defer network.lock.Unlock()
+	to := network.transports[address]
+	if to == nil || to.closed.Load() || p.closed.Load() {
+		return nil, 0
+	}
+	if network.isCut != nil && network.isCut(p.address, address) || network.random.Float64() < network.lossRate {
+		return nil, 0
+	}
+	return to, time.Duration(200+network.random.Intn(2000)) * time.Microsecond
+}
+
+func (p *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	host, port, err := splitAddress(p.address)
+	return net.ParseIP(host), port, err
+}
+
+func (p *virtualTransport) WriteTo(packet []byte, address string) (time.Time, error) {
+	p.network.sentBytes.Add(int64(len(packet)))
+	to, delay := p.route(address)
+	if to == nil {
+		return time.Now(), nil
+	}
+	packet = slices.Clone(packet)
+	from, err := net.ResolveUDPAddr("udp", p.address)
+	if err != nil {
+		return time.Now(), err
+	}
+	time.AfterFunc(delay, func() {
+		select {
+		case to.packets <- &memberlist.Packet{Buf: packet, From: from, Timestamp: time.Now()}:
+		default:
+		}
+	})
+	return time.Now(), nil
+}
+
+func (p *virtualTransport) DialTimeout(address string, _ time.Duration) (net.Conn, error) {
+	to, _ := p.route(address)
+	if to == nil {
+		return nil, errUnreachable
+	}
+	here, there := net.Pipe()
+	select {
+	case to.streams <- there:
+		return &countingConn{Conn: here, sentBytes: &p.network.sentBytes}, nil
+	default:
+		return nil, errUnreachable
+	}
+}
+
+func (p *virtualTransport) PacketCh() <-chan *memberlist.Packet { return p.packets }
+func (p *virtualTransport) StreamCh() <-chan net.Conn           { return p.streams }
+
+func (p *virtualTransport) Shutdown() error {
+	p.closed.Store(true)
+	return nil
+}
+
+// testConfig configures the member with a number, counted from 0, in a cluster of a size that has three seeds.
+func testConfig(number, size int, transport memberlist.Transport, address string) Config {
+	id := membership.ID{Name: fmt.Sprintf("n%04d", number), Incarnation: uint64(number + 1)}
+	config := membership.DefaultConfig(id)
+	config.InitialSize = size
+	config.Founders = []string{"n0000", "n0001", "n0002"}
+	return Config{
+		Membership:    config,
+		ListenAddress: address,
+		SeedAddresses: []string{"10.0.0.1:7946", "10.0.0.2:7946", "10.0.0.3:7946"},
+		ClusterName:   testCluster,
+		Keys:          [][]byte{[]byte(testKey)},
+		Transport:     transport,
+	}
+}
+
+// startNodes starts so many members that find each other by the first three.
+func startNodes(t *testing.T, network *virtualNetwork, count int) (nodes []*Node) {
+	t.Helper()
+	for i := range count {
+		transport := network.newTransport(i + 1)
+		config := testConfig(i, count, transport, transport.address)
+		config.Membership.Zone = fmt.Sprint("z", i%3)
+		if network.withoutKeys {
+			config.Keys = nil
+		}
+		node, err := Start(config)
+		require.NoError(t, err)
+		node.SetLocalState(LocalState{State: membership.StateServing})
+		nodes = append(nodes, node)
+		if i%50 == 49 {
+			time.Sleep(time.Second)
+		}
+	}
+	return nodes
+}
+
+// closeNodes closes members and lets what memberlist still waits for come to its end.
+func closeNodes(nodes []*Node) {
+	for _, node := range nodes {
+		node.Close()
+	}
+	time.Sleep(time.Minute)
+}
+
+// waitUntil waits in virtual time and returns how long it took, -1 if a condition did not come to hold.
+func waitUntil(timeout time.Duration, holds func() bool) time.Duration {
+	for begin := time.Now(); time.Since(begin) < timeout; time.Sleep(250 * time.Millisecond) {
+		if holds() {
+			return time.Since(begin)
+		}
+	}
+	return -1
+}
+
+// allInMajority reports whether all nodes see themselves in the majority and so many members alive.
+func allInMajority(nodes []*Node, alive int) bool {
+	for _, node := range nodes {
+		agrees := false
+		err := node.Inspect(func(view *membership.View, agreement *membership.Agreement) {
+			agrees = len(view.Alive()) == alive && agreement.QuorumStatus() == membership.Majority
+		})
+		if err != nil || !agrees {
+			return false
+		}
+	}
+	return true
+}
+
+// inspectView has a function read a node's view.
+func inspectView(t *testing.T, node *Node, inspect func(*membership.View)) {
+	t.Helper()
+	require.NoError(t, node.Inspect(func(view *membership.View, _ *membership.Agreement) { inspect(view) }))
+}
