--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -386,7 +386,7 @@
 	}
 	g.share("after all died", all, granted)
 	for _, s := range all[:3] {
-		g.Contains(s.Log.String(), "its memory")
+		g.Contains(s.Log.String(), "state=restored")
 	}
 }
 
--- a/internal/quota/service/voter.go
+++ b/internal/quota/service/voter.go
@@ -50,7 +50,7 @@
 	}
 	if saved != nil {
 		if err := s.coordinator.Resume(identity, *saved); err == nil {
-			s.config.Log("coordinator_started", "voter", identity.VoterID, "state", "its memory")
+			s.config.Log("coordinator_started", "voter", identity.VoterID, "state", "restored")
 			return nil
 		}
 		if err := s.config.Storage.SetAside(); err != nil {
@@ -61,7 +61,7 @@
 		return s.bootstrapLog()
 	}
 	voter := s.newVoterNumber()
-	s.config.Log("coordinator_started", "voter", voter, "state", "no memory, as another voter")
+	s.config.Log("coordinator_started", "voter", voter, "state", "new_voter")
 	return s.coordinator.Start(voter, nil)
 }
 
@@ -73,7 +73,7 @@
 		voters = append(voters, voterNumber(membership.ID{Name: name}, 0))
 	}
 	voter := voterNumber(membership.ID{Name: s.config.ServerName}, 0)
-	s.config.Log("coordinator_started", "voter", voter, "state", "a first log")
+	s.config.Log("coordinator_started", "voter", voter, "state", "first_log")
 	return s.coordinator.Start(voter, voters)
 }
 
