--- a/cmd/thistlequay/chart.go
+++ b/cmd/thistlequay/chart.go
@@ -19,8 +19,8 @@
 	chartHeight = 20
 )
 
-// quotaLine matches the line that a server logs when its quota of calls changes. The event was named share before it was
-// named quota.
+// quotaLine matches the line that a server logs when its quota of calls changes. The event was named share before it
+// was named quota.
 var quotaLine = regexp.MustCompile(`^(\S+) .*event=(?:quota|share) .*limit=calls .*usable=([0-9.]+)`)
 
 // quotaPoint is one change of the quota that a server may use.
--- a/cmd/thistlequay/check.go
+++ b/cmd/thistlequay/check.go
@@ -11,7 +11,7 @@
 
 // checkCommand is the verb check: it reads files as the server would and prints every fault.
 type checkCommand struct {
-	Files []string `arg:"" name:"FILE" help:"Files ending in .json are the platform's, .yaml or .yml ours; given both, they are checked together."`
+	Files []string `arg:"" name:"FILE" help:"The platform's end in .json, ours in .yaml or .yml."`
 }
 
 // Run prints a line for each fault and a summary.
--- a/cmd/thistlequay/main.go
+++ b/cmd/thistlequay/main.go
@@ -1,7 +1,7 @@
 // Command thistlequay is one app server and the tools around it.
 //
-// Exit codes: 0 when all went well; 1 when the server could not start or failed, or a file has faults; 2 when the command
-// line is wrong. The server never runs with a configuration that it did not understand.
+// Exit codes: 0 when all went well; 1 when the server could not start or failed, or a file has faults; 2 when the
+// command line is wrong. The server never runs with a configuration that it did not understand.
 package main
 
 import (
@@ -24,12 +24,12 @@
 // commandLine is the grammar of the command line; the tags are read by kong.
 type commandLine struct {
 	Serve   serveCommand   `cmd:"" default:"withargs" help:"${serveHelp}"`
-	Check   checkCommand   `cmd:"" help:"Check files and report each fault with its position: the platform's JSON and our YAML."`
-	Try     tryCommand     `cmd:"" help:"Start emulated servers on this machine, send ten seconds of requests, print the results."`
+	Check   checkCommand   `cmd:"" help:"Check files, the platform's JSON and our YAML, and report each fault."`
+	Try     tryCommand     `cmd:"" help:"Start servers with emulators on this machine, send load, print the results."`
 	Plugin  pluginCommand  `cmd:"" help:"Check and run plug-ins."`
 	Store   storeCommand   `cmd:"" help:"Inspect, verify or compact a store."`
-	Members membersCommand `cmd:"" help:"Ask a running server which servers are alive and which have failed, and its quorum status."`
-	Shares  sharesCommand  `cmd:"" help:"Ask a running server who holds the fleet's quotas, or chart quotas over time from logs."`
+	Members membersCommand `cmd:"" help:"Ask a running server which servers are alive and for its quorum status."`
+	Shares  sharesCommand  `cmd:"" help:"Ask a running server who holds the fleet's quotas, or chart them from logs."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
@@ -37,9 +37,9 @@
 
 const description = `An app server that decides which requests it admits, runs and rejects.
 
-First steps: "thistlequay try" needs nothing but this machine. "thistlequay serve --config FILE" serves; SIGTERM starts a
-graceful shutdown, SIGHUP reads the files again. Exit codes: 0 all went well, 1 it could not start, failed or found faults,
-2 the command line is wrong.`
+First steps: "thistlequay try" needs nothing but this machine. "thistlequay serve --config FILE" serves; SIGTERM starts
+a graceful shutdown, SIGHUP reads the files again. Exit codes: 0 all went well, 1 it could not start, failed or found
+faults, 2 the command line is wrong.`
 
 func main() {
 	startedAsPluginHost := len(os.Args) == 2 && os.Args[1] == plugin.HostVerb
--- a/cmd/thistlequay/members.go
+++ b/cmd/thistlequay/members.go
@@ -89,21 +89,24 @@
 // renderMembers draws a status as text.
 func renderMembers(status gossip.Status) string {
 	var b strings.Builder
-	printf(&b, "%s stands with the %s for %s; fleet %d of %d members, voters %s; %d servers are reckoned with\n",
+	printf(&b, "%s: %s for %s; configuration %d of %d members, voters %s; %d servers expected\n",
 		status.Name, status.QuorumStatus, formatSpan(status.SinceMs), status.Epoch, status.AgreedSize,
 		strings.Join(status.Voters, " "), status.ExpectedSize)
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"name", "life", "zone", "state", "for", "cause", "heard", "answered", "trip ms", "pool", "load",
-		"free", "index ms", "version"})
+	t.AppendHeader(table.Row{"name", "incarnation", "zone", "state", "for", "cause", "last update", "last reply",
+		"round trip ms", "limit", "in flight", "capacity", "index ms", "version"})
 	for _, m := range status.Members {
-		t.AppendRow(table.Row{m.Name, m.Incarnation[8:], m.Zone, m.State, formatSpan(m.SinceMs), m.Cause, formatSpan(m.AgeMs),
-			formatSpan(m.LastReplyMs), m.RoundTripMs, m.ConcurrencyLimit, m.InFlight, m.AvailableCapacity, m.IndexLatencyMs, m.Version})
+		t.AppendRow(table.Row{m.Name, m.Incarnation[8:], m.Zone, m.State, formatSpan(m.SinceMs), m.Cause,
+			formatSpan(m.AgeMs), formatSpan(m.LastReplyMs), m.RoundTripMs, m.ConcurrencyLimit, m.InFlight,
+			m.AvailableCapacity, m.IndexLatencyMs, m.Version})
 	}
 	b.WriteString(t.Render())
-	printf(&b, "\nrejected updates: %d unusable, %d old, %d garbled, %d for want of room; %d false alarms, %d names taken\n",
-		status.Rejected.Invalid, status.Rejected.Stale, status.Malformed, status.Rejected.NoCapacity+int(status.Dropped),
-		status.Rejected.FalsePositives, status.Rejected.NameConflicts)
+	rejected := status.Rejected
+	printf(&b, "\nrejected updates: %d invalid, %d stale, %d malformed, %d for lack of capacity; "+
+		"%d false positives, %d name conflicts\n",
+		rejected.Invalid, rejected.Stale, status.Malformed, rejected.NoCapacity+int(status.Dropped),
+		rejected.FalsePositives, rejected.NameConflicts)
 	return b.String()
 }
 
--- a/cmd/thistlequay/mixed_versions_test.go
+++ b/cmd/thistlequay/mixed_versions_test.go
@@ -49,7 +49,7 @@
 	restart := func(s *clustertest.Server, what string) {
 		g.NoError(s.Kill())
 		g.NoError(s.Start())
-		g.NoError(ready(s.Listen))
+		g.NoError(waitUntilReady(s.Listen))
 		g.sees(what, all, settled(4))
 		g.share(what, all, granted)
 		peak = max(peak, g.Index.PeakInFlight())
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -66,7 +66,7 @@
 // up waits until each of the servers takes work: it answers, and its interpreter is there.
 func (g *together) up(of []*clustertest.Server) {
 	for _, s := range of {
-		g.NoError(ready(s.Listen))
+		g.NoError(waitUntilReady(s.Listen))
 		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, patience, 5*time.Millisecond, s.Name)
 	}
 }
@@ -338,7 +338,7 @@
 	g.sees("the first is with the whole", all[:1], settled(4))
 	var out bytes.Buffer
 	g.Zero(runCommandLine([]string{"members", all[0].Status}, &out, &out), out.String())
-	g.Contains(out.String(), "n00 stands with the ")
+	g.Contains(out.String(), "n00: whole for ")
 	g.Contains(out.String(), "n03")
 	out.Reset()
 	g.Zero(runCommandLine([]string{"members", "--json", all[0].Status}, &out, &out))
--- a/cmd/thistlequay/plugin.go
+++ b/cmd/thistlequay/plugin.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns `thistlequay plugin`: what an author needs before a server sees the module.
-
 import (
 	"encoding/json"
 	"fmt"
@@ -15,12 +13,14 @@
 	"thistlequay/internal/plugin/abi"
 )
 
+// pluginCommand is the verb plugin: what an author of plug-ins needs before a server runs the module.
 type pluginCommand struct {
-	Check pluginCheck `cmd:"" help:"Compile a module, start it and ask its version, as a server would."`
-	Run   pluginRun   `cmd:"" help:"Ask a module about one request and tell its verdict, time and memory."`
+	Check pluginCheckCommand `cmd:"" help:"Compile a module, start it and ask its version, as a server would."`
+	Run   pluginRunCommand   `cmd:"" help:"Ask a module about one request and print its verdict, time and memory."`
 }
 
-type moduleBounds struct {
+// moduleLimits are the limits under which a module is run.
+type moduleLimits struct {
 	Engine   string        `enum:"interpreter,compiler" default:"interpreter" help:"How it is run: ${enum}."`
 	MemoryKB int           `name:"memory-kb" default:"4096" help:"Memory of an instance."`
 	CodeKB   int           `name:"code-kb" default:"8192" help:"Size of the file."`
@@ -29,76 +29,136 @@
 	Hooks    []string      `default:"read" enum:"read,result,tick" help:"What it is to be asked: ${enum}."`
 }
 
-var hookNumbers = map[string]int{"read": abi.HookRead, "result": abi.HookResult, "tick": abi.HookTick}
+// maxStateKB bounds the state that a module may keep while it is tried.
+const maxStateKB = 64
+
+// hookNumbers are the hooks of the plug-in interface by their names.
+var hookNumbers = map[string]int{
+	"read":   abi.HookRead,
+	"result": abi.HookResult,
+	"tick":   abi.HookTick,
+}
 
-func (b *moduleBounds) moduleConfig(file string) plugin.ModuleConfig {
-	one := plugin.ModuleConfig{Name: file, File: file, MemoryKB: b.MemoryKB, MaxCodeKB: b.CodeKB, MaxStateKB: 64, StartTimeout: b.Start,
-		Compile: b.Engine == "compiler"}
-	for _, h := range b.Hooks {
-		one.Hooks[hookNumbers[h]] = true
+func (l *moduleLimits) moduleConfig(file string) plugin.ModuleConfig {
+	c := plugin.ModuleConfig{
+		Name:         file,
+		File:         file,
+		MemoryKB:     l.MemoryKB,
+		MaxCodeKB:    l.CodeKB,
+		MaxStateKB:   maxStateKB,
+		StartTimeout: l.Start,
+		Compile:      l.Engine == "compiler",
 	}
-	return one
+	for _, hook := range l.Hooks {
+		c.Hooks[hookNumbers[hook]] = true
+	}
+	return c
 }
 
-type pluginCheck struct {
-	moduleBounds `embed:""`
+// pluginCheckCommand is the verb plugin check.
+type pluginCheckCommand struct {
+	moduleLimits `embed:""`
 	File         string `arg:"" name:"FILE" help:"The module."`
 }
 
-// Run loads it once.
-func (c *pluginCheck) Run(out io.Writer) error {
-	t, err := plugin.Try(c.moduleConfig(c.File), nil, 0)
+// Run loads the module once.
+func (c *pluginCheckCommand) Run(out io.Writer) error {
+	trial, err := plugin.Try(c.moduleConfig(c.File), nil, 0)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: sha256 %s, ready after %v, %d KB of memory an instance\n", c.File, t.SHA256, t.StartupTime.Round(time.Microsecond), t.MemoryKB)
+	_, err = fmt.Fprintf(out, "%s: sha256 %s, ready after %v, %d KB of memory an instance\n",
+		c.File, trial.SHA256, trial.StartupTime.Round(time.Microsecond), trial.MemoryKB)
 	return err
 }
 
-type pluginRun struct {
-	moduleBounds `embed:""`
+// pluginRunCommand is the verb plugin run.
+type pluginRunCommand struct {
+	moduleLimits `embed:""`
 	File         string `arg:"" name:"FILE" help:"The module."`
 	Request      string `required:"" placeholder:"FILE" help:"JSON: hook, left_ms, category, tenant, tag, body."`
 	Times        int    `default:"1" help:"How often it is asked."`
 }
 
-// Run asks it and prints what it says.
-func (c *pluginRun) Run(out io.Writer) error {
-	text, err := os.ReadFile(c.Request)
+// sampleRequest is the file that describes the request a module is asked about.
+type sampleRequest struct {
+	Hook                        string `json:"hook"`
+	TimeLeftMS                  uint32 `json:"left_ms"`
+	Category, Tenant, Tag, Body string
+}
+
+// Run asks the module and prints its verdict as JSON.
+func (c *pluginRunCommand) Run(out io.Writer) error {
+	request, err := c.readRequest()
 	if err != nil {
 		return err
 	}
-	q := struct {
-		Hook                        string `json:"hook"`
-		Left                        uint32 `json:"left_ms"`
-		Category, Tenant, Tag, Body string
-	}{Hook: "read", Left: 1000}
-	if err := diagnostics.DecodeJSON(text, &q); err != nil {
-		return diagnostics.FromError(err).InFile(c.Request)
-	}
-	hook, known := hookNumbers[q.Hook]
-	if !known {
-		return diagnostics.LocateJSON(text, diagnostics.List{{Path: "hook", Problem: fmt.Sprintf("%q", q.Hook), Expected: "one of read, result, tick"}}).InFile(c.Request)
-	}
-	c.Hooks = append(c.Hooks, q.Hook)
-	t, err := plugin.Try(c.moduleConfig(c.File), &abi.Request{Hook: hook, TimeLeftMS: q.Left, UnixMS: time.Now().UnixMilli(), Category: q.Category,
-		Tenant: q.Tenant, Tag: q.Tag, Body: []byte(q.Body)}, c.Times, c.Call)
+	trial, err := plugin.Try(c.moduleConfig(c.File), request, c.Times, c.Call)
 	if err != nil {
 		return err
 	}
-	var does []string
-	for _, d := range []struct {
+	verdict := trial.Verdict
+	return json.NewEncoder(out).Encode(map[string]any{
+		"does":      describeActions(verdict.Actions),
+		"status":    verdict.Status,
+		"category":  verdict.Category,
+		"tag":       verdict.Tag,
+		"body":      string(verdict.Body),
+		"took_us":   trial.LongestCall.Microseconds(),
+		"memory_kb": trial.MemoryKB,
+		"says":      trial.LogLines,
+	})
+}
+
+// readRequest reads the sample request; its hook is added to those that the module is to have.
+func (c *pluginRunCommand) readRequest() (*abi.Request, error) {
+	text, err := os.ReadFile(c.Request)
+	if err != nil {
+		return nil, err
+	}
+	sample := sampleRequest{Hook: "read", TimeLeftMS: 1000}
+	if err := diagnostics.DecodeJSON(text, &sample); err != nil {
+		return nil, diagnostics.FromError(err).InFile(c.Request)
+	}
+	hook, isKnown := hookNumbers[sample.Hook]
+	if !isKnown {
+		unknown := diagnostics.Diagnostic{
+			Path:     "hook",
+			Problem:  fmt.Sprintf("%q", sample.Hook),
+			Expected: "one of read, result, tick",
+		}
+		return nil, diagnostics.LocateJSON(text, diagnostics.List{unknown}).InFile(c.Request)
+	}
+	c.Hooks = append(c.Hooks, sample.Hook)
+	return &abi.Request{
+		Hook:       hook,
+		TimeLeftMS: sample.TimeLeftMS,
+		UnixMS:     time.Now().UnixMilli(),
+		Category:   sample.Category,
+		Tenant:     sample.Tenant,
+		Tag:        sample.Tag,
+		Body:       []byte(sample.Body),
+	}, nil
+}
+
+// describeActions lists what a verdict does, by the words of the command's output.
+func describeActions(actions int) string {
+	var words []string
+	for _, action := range []struct {
 		bit  int
 		word string
-	}{{abi.ActionReject, "decline"}, {abi.ActionCategorize, "categorise"}, {abi.ActionTag, "tag"}, {abi.ActionReplace, "rewrite"}} {
-		if t.Verdict.Actions&d.bit != 0 {
-			does = append(does, d.word)
+	}{
+		{abi.ActionReject, "decline"},
+		{abi.ActionCategorize, "categorise"},
+		{abi.ActionTag, "tag"},
+		{abi.ActionReplace, "rewrite"},
+	} {
+		if actions&action.bit != 0 {
+			words = append(words, action.word)
 		}
 	}
-	if len(does) == 0 {
-		does = []string{"nothing"}
+	if len(words) == 0 {
+		return "nothing"
 	}
-	return json.NewEncoder(out).Encode(map[string]any{"does": strings.Join(does, " "), "status": t.Verdict.Status,
-		"category": t.Verdict.Category, "tag": t.Verdict.Tag, "body": string(t.Verdict.Body),
-		"took_us": t.LongestCall.Microseconds(), "memory_kb": t.MemoryKB, "says": t.LogLines})
+	return strings.Join(words, " ")
 }
--- a/cmd/thistlequay/serve.go
+++ b/cmd/thistlequay/serve.go
@@ -17,7 +17,7 @@
 // serveCommand is the verb serve: it runs one app server until a graceful shutdown has been carried out.
 type serveCommand struct {
 	Config     string        `env:"PROXY_CONFIG" placeholder:"FILE" help:"The platform's configuration, JSON."`
-	Service    string        `env:"THISTLEQUAY_SERVICE" placeholder:"FILE" help:"Our own settings, YAML, a section for each optional subsystem; without it all are off."`
+	Service    string        `env:"THISTLEQUAY_SERVICE" placeholder:"FILE" help:"Our own settings, YAML."`
 	ClockShift time.Duration `hidden:"" help:"For tests: how wrong this machine's clock is."`
 	Log        logs.Format   `enum:"text,json" default:"text" help:"Format of log lines: ${enum}."`
 
@@ -32,8 +32,8 @@
 // Run serves until a graceful shutdown has been carried out.
 func (s *serveCommand) Run() error {
 	s.log = logs.New(os.Stderr, s.Log)
-	// Signals are subscribed to first: one that arrives while the files are read must not end the process; it is carried
-	// out once there is a server. The channels are apart so that many signals of one kind never crowd out the other.
+	// Signals are subscribed to first: one that arrives while the files are read must not end the process; it is
+	// carried out once there is a server. Two channels, so that many signals of one kind never crowd out the other.
 	shutdown := make(chan os.Signal, 1)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(shutdown, syscall.SIGTERM, syscall.SIGINT)
@@ -118,7 +118,9 @@
 
 // configureFleet starts gossip and the quotas over it where their sections ask for them. The quota service is made
 // first, as gossip delivers to it, and started last, as it sends over gossip.
-func (s *serveCommand) configureFleet(gossipSection *config.Gossip, quotaSection *config.Quota, c *server.Config) error {
+func (s *serveCommand) configureFleet(
+	gossipSection *config.Gossip, quotaSection *config.Quota, c *server.Config,
+) error {
 	isFirst := s.gossip.node == nil
 	startsQuota := quotaSection != nil && isFirst
 	if startsQuota {
--- a/cmd/thistlequay/serve_gossip.go
+++ b/cmd/thistlequay/serve_gossip.go
@@ -32,7 +32,9 @@
 
 // configureGossip starts gossip where a section asks for it, or gives what runs its new keys. The handlers are those of
 // subsystems that are started with it.
-func (s *serveCommand) configureGossip(section *config.Gossip, c server.Config, handlers messageHandlers) (*server.Gossip, error) {
+func (s *serveCommand) configureGossip(
+	section *config.Gossip, c server.Config, handlers messageHandlers,
+) (*server.Gossip, error) {
 	if section == nil {
 		return nil, nil // without a section there is no gossip, which is no error
 	}
@@ -83,7 +85,9 @@
 	}
 }
 
-func (s *serveCommand) logMemberEvent(event string, id membership.ID, from, to membership.State, cause membership.Cause) {
+func (s *serveCommand) logMemberEvent(
+	event string, id membership.ID, from, to membership.State, cause membership.Cause,
+) {
 	s.log.Event(event).Str("member", id.Name).Str("incarnation", fmt.Sprintf("%016x", id.Incarnation)).
 		Stringer("from", from).Stringer("to", to).Stringer("cause", cause).Send()
 }
--- a/cmd/thistlequay/serve_plugins.go
+++ b/cmd/thistlequay/serve_plugins.go
@@ -15,10 +15,12 @@
 	running *server.Plugins
 }
 
-// configure starts a plug-in process where the settings or the bytes of a module differ from those running: the process
-// compiles the modules and tries them on their samples, and only then they are asked about requests. State that plug-ins
-// keep is taken over from the running server, which may be nil.
-func (p *pluginSubsystem) configure(section *config.Plugins, c server.Config, running *server.Server) (*server.Plugins, error) {
+// configure starts a plug-in process where the settings or the bytes of a module differ from those running: the
+// process compiles the modules and tries them on their samples, and only then they are asked about requests. State
+// that plug-ins keep is taken over from the running server, which may be nil.
+func (p *pluginSubsystem) configure(
+	section *config.Plugins, c server.Config, running *server.Server,
+) (*server.Plugins, error) {
 	if section == nil {
 		p.section = nil
 		p.running = nil
--- a/cmd/thistlequay/serve_quota.go
+++ b/cmd/thistlequay/serve_quota.go
@@ -10,11 +10,10 @@
 	"thistlequay/internal/quota"
 	"thistlequay/internal/quota/service"
 	"thistlequay/internal/server"
-	"thistlequay/timeunit"
 )
 
-// quotaSubsystem owns the quota service of this process. It is started once, with gossip; of a section that changes while
-// the server runs only the totals take effect, under a later revision.
+// quotaSubsystem owns the quota service of this process. It is started once, with gossip; of a section that changes
+// while the server runs only the totals take effect, under a later revision.
 type quotaSubsystem struct {
 	service  *service.Service
 	onServer *server.Quota
@@ -59,11 +58,11 @@
 	return nil
 }
 
-// start makes a lease holder for each limit and starts the service. A holder keeps to its guaranteed minimum until leases
-// of an earlier incarnation of this server are over.
+// start makes a lease holder for each limit and starts the service. A holder keeps to its guaranteed minimum until
+// leases of an earlier incarnation of this server are over.
 func (q *quotaSubsystem) start(section *config.Quota, node *gossip.Node) error {
 	limits := section.Limits()
-	holdersFrom := timeunit.Milliseconds(node.Now()) + limits[0].GracePeriod
+	holdersFrom := node.Now() + limits[0].GracePeriod
 	name := service.HolderName(node.LocalID())
 	for _, limit := range limits {
 		holder := quota.NewLeaseHolder(name, limit, true, holdersFrom)
--- a/cmd/thistlequay/serve_store.go
+++ b/cmd/thistlequay/serve_store.go
@@ -18,8 +18,8 @@
 	open    *server.Recovery
 }
 
-// configureStore opens the store at the start. An open store stays: when the section has changed, the result is nil, which
-// the server logs as a setting that cannot change while it runs.
+// configureStore opens the store at the start. An open store stays: when the section has changed, the result is nil,
+// which the server logs as a setting that cannot change while it runs.
 func (s *serveCommand) configureStore(section *config.Store, c server.Config) (*server.Recovery, error) {
 	isRunning := s.server != nil
 	if isRunning {
--- a/cmd/thistlequay/shares.go
+++ b/cmd/thistlequay/shares.go
@@ -19,7 +19,7 @@
 type sharesCommand struct {
 	Address string   `arg:"" optional:"" help:"The status address of the server, from its peers section."`
 	JSON    bool     `help:"Print JSON."`
-	Chart   []string `placeholder:"LOG" type:"existingfile" help:"Chart the quotas of servers over time, from their logs in text format, a line each."`
+	Chart   []string `placeholder:"LOG" type:"existingfile" help:"Chart quotas over time from logs in text format."`
 }
 
 // Run prints who holds what, or charts it.
@@ -44,8 +44,9 @@
 // renderQuotas draws a status as text, with a table of the leases where the server is a coordinator.
 func renderQuotas(status service.Status) string {
 	var b strings.Builder
-	printf(&b, "%s %s; asked is %s; keepers %s%s\n", status.Name, coordinatorRole(status), status.Leader,
-		strings.Join(status.Voters, " "), coordinatorDoubt(status))
+	voters := strings.Join(status.Voters, " ")
+	printf(&b, "%s %s; asked is %s; keepers %s%s\n",
+		status.Name, coordinatorRole(status), status.Leader, voters, coordinatorDoubt(status))
 	for _, limit := range status.Limits {
 		lease := "on its floor"
 		if limit.ExpiresInMs > 0 {
@@ -61,8 +62,8 @@
 		}
 	}
 	if status.MismatchedRequests+status.DiscardedStates > 0 {
-		printf(&b, "%d requests of servers with other settings, %d memories lost\n", status.MismatchedRequests,
-			status.DiscardedStates)
+		printf(&b, "%d requests of servers with other settings, %d memories lost\n",
+			status.MismatchedRequests, status.DiscardedStates)
 	}
 	return b.String()
 }
--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -136,7 +136,7 @@
 	g.leader(without(all, leader))
 	within("leader killed", calls)
 	g.NoError(leader.Start())
-	g.NoError(ready(leader.Listen))
+	g.NoError(waitUntilReady(leader.Listen))
 	serving(all)
 	g.share("it is back", all, granted)
 	within("leader back", calls)
@@ -300,7 +300,7 @@
 		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
 				s, err := g.AddServer(i)
-				if err != nil || s.Start() != nil || ready(s.Listen) != nil {
+				if err != nil || s.Start() != nil || waitUntilReady(s.Listen) != nil {
 					t.Error(err)
 					return
 				}
@@ -372,7 +372,7 @@
 		one.spoil(one.s)
 		g.share("the others go on", without(all, one.s), granted)
 		g.NoError(one.s.Start())
-		g.NoError(ready(one.s.Listen))
+		g.NoError(waitUntilReady(one.s.Listen))
 		g.share("it is a voter again", all[:3], func(r service.Status) bool {
 			return len(r.Voters) == 3 && !slices.Contains(r.Voters, "?") && r.Opened
 		})
--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns `thistlequay store`: what lies in a store and what a server that starts now would conclude from it.
-
 import (
 	"fmt"
 	"io"
@@ -12,105 +10,138 @@
 	"thistlequay/timeunit"
 )
 
+// storeCommand is the verb store: what lies in a store and what a server that starts now would conclude from it.
 type storeCommand struct {
-	Inspect storeInspect `cmd:"" help:"List records and what a start now would conclude. Only reads."`
-	Verify  storeVerify  `cmd:"" help:"Find damage; exit code 1 where records that were made sure of may be gone. Only reads."`
-	Compact storeCompact `cmd:"" help:"Keep what repeats may still need and nothing else. The server must be down."`
+	Inspect storeInspectCommand `cmd:"" help:"List what a start now would conclude. Only reads."`
+	Verify  storeVerifyCommand  `cmd:"" help:"Find corruption; exit code 1 where records may be lost. Only reads."`
+	Compact storeCompactCommand `cmd:"" help:"Keep what retries may still need and nothing else. The server must be down."`
 }
 
-type storeArgs struct {
+// storeArguments are those that all verbs of the store have.
+type storeArguments struct {
 	Directory string        `arg:"" name:"DIR" help:"The directory of the store."`
 	Window    time.Duration `default:"60s" help:"The longest window of the settings."`
 	Doubt     time.Duration `default:"1m" help:"As clock_doubt in the settings."`
 }
 
-func (a *storeArgs) recovery(now recovery.ClockReading) *recovery.Analysis {
-	in := func(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / (100 * time.Microsecond)) }
-	return recovery.NewAnalysis(recovery.Config{MaxWindow: in(a.Window), ClockUncertainty: in(a.Doubt), MaxOutcomes: 1 << 30}, now)
+// analysis is what a server that starts now would make of the store, with room for every outcome.
+func (a *storeArguments) analysis(now recovery.ClockReading) *recovery.Analysis {
+	const unlimited = 1 << 30
+	return recovery.NewAnalysis(recovery.Config{
+		MaxWindow:        ticks(a.Window),
+		ClockUncertainty: ticks(a.Doubt),
+		MaxOutcomes:      unlimited,
+	}, now)
 }
 
-func (a *storeArgs) scan(out io.Writer, see func(string, int64, *recovery.Record)) (segmentlog.ScanResult, recovery.ClockReading, error) {
-	now := segmentlog.MachineClock()
-	s, err := segmentlog.Scan(segmentlog.OpenDirectoryReadOnly(a.Directory), a.recovery(now), now, false, see)
+func ticks(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / timeunit.Ticks(1).Duration()) }
+
+// recordVisitor is called with the file, the offset in it and the content of each record.
+type recordVisitor = func(file string, offset int64, record *recovery.Record)
+
+// scan reads the store, prints its corruption and a summary.
+func (a *storeArguments) scan(
+	out io.Writer, now recovery.ClockReading, visit recordVisitor,
+) (segmentlog.ScanResult, error) {
+	files := segmentlog.OpenDirectoryReadOnly(a.Directory)
+	result, err := segmentlog.Scan(files, a.analysis(now), now, false, visit)
 	if err != nil {
-		return s, now, err
+		return result, err
 	}
-	for _, f := range s.Findings {
-		fmt.Fprintf(out, "%s offset %d: %s, lost=%v\n", f.File, f.Offset, recovery.CorruptionTexts[f.Corruption], f.DataLoss)
+	for _, found := range result.Findings {
+		printf(out, "%s offset %d: %s, lost=%v\n", found.File, found.Offset, recovery.CorruptionTexts[found.Corruption],
+			found.DataLoss)
 	}
-	wait := time.Duration(0)
-	if s.RejectUntil > 0 {
-		wait = time.Duration(s.RejectUntil-now.Wall) * 100 * time.Microsecond
+	rejectsFor := time.Duration(0)
+	if result.RejectUntil > 0 {
+		rejectsFor = (result.RejectUntil - now.Wall).Duration()
 	}
-	fmt.Fprintf(out, "%d records, %d stamps that a repeat may still meet, unknown stamped work items declined for %v\n", s.RecordCount, len(s.Outcomes), wait)
-	return s, now, nil
+	printf(out, "%d records, %d idempotency entries that a retry may still meet, "+
+		"unknown keyed requests rejected for %v\n", result.RecordCount, len(result.Outcomes), rejectsFor)
+	return result, nil
 }
 
-type storeInspect struct {
-	storeArgs `embed:""`
-	All       bool `help:"Each record, not only what is concluded."`
+// storeInspectCommand is the verb store inspect.
+type storeInspectCommand struct {
+	storeArguments `embed:""`
+	All            bool `help:"Each record, not only what is concluded."`
 }
 
-var kindWords = map[recovery.RecordKind]string{recovery.KindIntent: "intent", recovery.KindCompletion: "result", recovery.KindCancellation: "void", recovery.KindShutdown: "closed", recovery.KindWarmStart: "learnt"}
+// recordNames are how records are listed, by kind.
+var recordNames = map[recovery.RecordKind]string{
+	recovery.KindIntent:       "intent",
+	recovery.KindCompletion:   "result",
+	recovery.KindCancellation: "void",
+	recovery.KindShutdown:     "closed",
+	recovery.KindWarmStart:    "learnt",
+}
 
-// Run lists.
-func (i *storeInspect) Run(out io.Writer) error {
+// Run lists what a start now would conclude.
+func (i *storeInspectCommand) Run(out io.Writer) error {
 	now := segmentlog.MachineClock()
-	s, _, err := i.scan(out, func(file string, offset int64, r *recovery.Record) {
+	result, err := i.scan(out, now, func(file string, offset int64, record *recovery.Record) {
 		if i.All {
-			fmt.Fprintf(out, "%s %d %s key=%q try=%x well=%v bytes=%d age=%v\n", file, offset, kindWords[r.Kind], r.Key, r.Attempt, r.Succeeded,
-				len(r.Payload), time.Duration(now.Wall-r.WrittenAt.Wall)*100*time.Microsecond)
+			age := (now.Wall - record.WrittenAt.Wall).Duration()
+			printf(out, "%s %d %s key=%q try=%x well=%v bytes=%d age=%v\n", file, offset, recordNames[record.Kind],
+				record.Key, record.Attempt, record.Succeeded, len(record.Payload), age)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	for _, f := range s.Outcomes {
-		gets := "is broken off: it may have run"
-		if f.Completed {
-			gets = fmt.Sprintf("gets the kept result, %d bytes", len(f.Result))
-		}
-		if f.Completed && !f.Succeeded {
-			gets = "is broken off, as its run was"
-		}
-		fmt.Fprintf(out, "key %q: a repeat %s, for %v\n", f.Key, gets, time.Duration(f.WindowEnd-now.Wall)*100*time.Microsecond)
+	for _, outcome := range result.Outcomes {
+		printf(out, "key %q: a repeat %s, for %v\n", outcome.Key, retryGets(outcome),
+			(outcome.WindowEnd - now.Wall).Duration())
 	}
 	return nil
 }
 
-type storeVerify struct {
-	storeArgs `embed:""`
+// retryGets says what becomes of a retry of a request with a known outcome.
+func retryGets(outcome recovery.Outcome) string {
+	switch {
+	case !outcome.Completed:
+		return "is aborted: it may have run"
+	case !outcome.Succeeded:
+		return "is aborted, as its run was"
+	}
+	return fmt.Sprintf("gets the kept result, %d bytes", len(outcome.Result))
+}
+
+// storeVerifyCommand is the verb store verify.
+type storeVerifyCommand struct {
+	storeArguments `embed:""`
 }
 
-// Run verifies.
-func (v *storeVerify) Run(out io.Writer) error {
-	s, _, err := v.scan(out, nil)
+// Run fails where durable records may be lost.
+func (v *storeVerifyCommand) Run(out io.Writer) error {
+	result, err := v.scan(out, segmentlog.MachineClock(), nil)
 	if err != nil {
 		return err
 	}
-	for _, f := range s.Findings {
-		if f.DataLoss {
+	for _, found := range result.Findings {
+		if found.DataLoss {
 			return errAlreadyReported
 		}
 	}
 	return nil
 }
 
-type storeCompact struct {
-	storeArgs `embed:""`
+// storeCompactCommand is the verb store compact.
+type storeCompactCommand struct {
+	storeArguments `embed:""`
 }
 
-// Run compacts.
-func (c *storeCompact) Run(out io.Writer) error {
+// Run compacts the store.
+func (c *storeCompactCommand) Run(out io.Writer) error {
 	files, err := segmentlog.OpenDirectory(c.Directory)
 	if err != nil {
 		return err
 	}
-	defer files.Close()
+	defer files.Close() //nolint:errcheck // Compact has synced what it wrote
 	now := segmentlog.MachineClock()
-	kept, gone, err := segmentlog.Compact(files, c.recovery(now), now)
+	kept, removed, err := segmentlog.Compact(files, c.analysis(now), now)
 	if err == nil {
-		fmt.Fprintf(out, "%d stamps kept, %d segments gone\n", kept, gone)
+		printf(out, "%d stamps kept, %d segments gone\n", kept, removed)
 	}
 	return err
 }
--- a/cmd/thistlequay/try.go
+++ b/cmd/thistlequay/try.go
@@ -1,8 +1,5 @@
 package main
 
-// This file owns `thistlequay try`: servers with stand-ins on loopback, the same load with fair queues and without, and
-// the table of what came of it. It must never reach beyond this machine.
-
 import (
 	"encoding/json"
 	"fmt"
@@ -20,83 +17,108 @@
 	"thistlequay/internal/emulator"
 )
 
+// tryCommand is the verb try: two servers with emulators of all that they talk to, on loopback; the same load with fair
+// queues and without; a table of the results. It never reaches beyond this machine.
 type tryCommand struct {
-	Seconds float64 `default:"10" help:"How long work is sent."`
-	Seed    int64   `default:"7" help:"What the load is drawn from."`
+	Seconds float64 `default:"10" help:"How long requests are sent."`
+	Seed    int64   `default:"7" help:"Seed of the load."`
 	Greed   float64 `default:"10" help:"How many times its share the greedy tenant asks for."`
 	Config  string  `placeholder:"FILE" help:"Write the configurations that it uses next to this name, and keep them."`
 }
 
+// The load of the verb try and the deadlines of its requests.
 const (
-	tryCores    = 4.0
-	tryWork     = 0.04 // core seconds of a work item: a hundred a second in all
-	tryContract = 2 * time.Second
-	tryExpiry   = 5 * time.Second
-	tryStop     = 3 * time.Second
+	tryCores        = 4.0
+	tryCoreSeconds  = 0.04 // of a request: a hundred requests a second in all
+	trySoftDeadline = 2 * time.Second
+	tryDeadline     = 5 * time.Second
+	tryStopTimeout  = 3 * time.Second
 )
 
-// trial is one server with its stand-ins.
+// trial is one server with its emulators.
 type trial struct {
-	fair    bool
-	dir     string
-	vm      *emulator.Interpreter
-	index   *emulator.Index
-	lookup  *emulator.Directory
-	process *exec.Cmd
-	log     strings.Builder
-	books   []*emulator.Account
+	hasFairQueues bool
+	directory     string
+	interpreter   *emulator.Interpreter
+	index         *emulator.Index
+	lookup        *emulator.Directory
+	process       *exec.Cmd
+	log           strings.Builder
+	accounts      []*emulator.Account
 }
 
 // Run plays both trials at once, each on a server of its own, and prints the table.
 func (t *tryCommand) Run(out io.Writer) error {
-	dir, err := os.MkdirTemp("", "thistlequay-try-")
+	directory, err := os.MkdirTemp("", "thistlequay-try-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	trials := []*trial{{dir: dir}, {dir: dir, fair: true}}
-	fmt.Fprintf(out, "Two servers with stand-ins on this machine, %v seconds of the same work from four tenants: fair queues off, and on.\n", t.Seconds)
+	defer os.RemoveAll(directory) //nolint:errcheck // a temporary folder that stays does no harm
+	printf(out, "Two servers with emulators on this machine, %v seconds of the same requests from four tenants: "+
+		"fair queues off, and on.\n", t.Seconds)
+	off := &trial{directory: directory}
+	on := &trial{directory: directory, hasFairQueues: true}
+	trials := []*trial{off, on}
 	failed := make([]error, len(trials))
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i, one := range trials {
-		all.Go(func() { failed[i] = one.play(t) })
+		running.Go(func() { failed[i] = one.play(t) })
 	}
-	all.Wait()
+	running.Wait()
 	for i, err := range failed {
 		if err != nil {
 			return fmt.Errorf("%w\n%s", err, trials[i].log.String())
 		}
 	}
-	t.print(out, trials[0].books, trials[1].books)
+	renderTrials(out, off.accounts, on.accounts)
 	return nil
 }
 
 // streams are three tenants that ask for less than their shares and one that asks for many times its own.
-func (t *tryCommand) streams() (all []*emulator.Stream) {
-	for i, name := range []string{"kirkens", "bymisjon", "fjordhjelpa", "ungdomslaget"} {
-		share := []float64{0.31, 0.29, 0.23, 0.17}[i]
-		rate := 0.7 * share * tryCores / tryWork
-		if i == 3 {
-			rate = t.Greed * share * tryCores / tryWork
-		}
-		all = append(all, &emulator.Stream{Tenant: name, Weight: share, ArrivalsPerSecond: rate, To: t.Seconds, MeanCoreSeconds: tryWork, PriorityWeight: 1})
+func (t *tryCommand) streams() []*emulator.Stream {
+	const modest = 0.7 // part of its share that a tenant asks for
+	tenants := []struct {
+		name  string
+		share float64
+		asks  float64
+	}{
+		{"kirkens", 0.31, modest},
+		{"bymisjon", 0.29, modest},
+		{"fjordhjelpa", 0.23, modest},
+		{"ungdomslaget", 0.17, t.Greed},
 	}
-	return all
+	var streams []*emulator.Stream
+	for _, tenant := range tenants {
+		streams = append(streams, &emulator.Stream{
+			Tenant:            tenant.name,
+			Weight:            tenant.share,
+			ArrivalsPerSecond: tenant.asks * tenant.share * tryCores / tryCoreSeconds,
+			To:                t.Seconds,
+			MeanCoreSeconds:   tryCoreSeconds,
+			PriorityWeight:    1,
+		})
+	}
+	return streams
 }
 
-func (one *trial) play(t *tryCommand) (err error) {
-	if one.vm, err = emulator.NewInterpreter(tryCores, t.Seed); err != nil {
+// play starts the emulators and the server, sends the load and stops them.
+func (one *trial) play(t *tryCommand) error {
+	var err error
+	one.interpreter, err = emulator.NewInterpreter(tryCores, t.Seed)
+	if err != nil {
 		return err
 	}
-	defer one.vm.Close()
-	if one.index, err = emulator.NewIndex(); err != nil {
+	defer one.interpreter.Close()
+	one.index, err = emulator.NewIndex()
+	if err != nil {
 		return err
 	}
-	defer one.index.Close()
-	if one.lookup, err = emulator.NewDirectory(); err != nil {
+	defer one.index.Close() //nolint:errcheck // a listener of this process
+	one.lookup, err = emulator.NewDirectory()
+	if err != nil {
 		return err
 	}
-	defer one.lookup.Close()
+	defer one.lookup.Close() //nolint:errcheck // a listener of this process
 	address, err := emulator.FreeAddress()
 	if err != nil {
 		return err
@@ -104,109 +126,168 @@
 	if err := one.start(t, address); err != nil {
 		return err
 	}
-	defer one.end()
-	if err := ready(address); err != nil {
+	defer one.stop()
+	if err := waitUntilReady(address); err != nil {
 		return err
 	}
-	load := &emulator.LoadRun{Address: address, Seed: t.Seed, Seconds: t.Seconds, Cores: tryCores, Categories: []string{"look"},
-		SoftDeadline: tryContract, Deadline: tryExpiry, Streams: t.streams()}
-	one.books, err = load.Run()
+	load := &emulator.LoadRun{
+		Address:      address,
+		Seed:         t.Seed,
+		Seconds:      t.Seconds,
+		Cores:        tryCores,
+		Categories:   []string{"look"},
+		SoftDeadline: trySoftDeadline,
+		Deadline:     tryDeadline,
+		Streams:      t.streams(),
+	}
+	one.accounts, err = load.Run()
 	return err
 }
 
+// start writes the configuration and starts the server's process.
 func (one *trial) start(t *tryCommand, address string) error {
-	name := map[bool]string{false: "plain", true: "fair"}[one.fair]
-	config := map[string]any{"name": name, "listen": address, "vm": one.vm.Address, "index": one.index.Address,
-		"lookup": one.lookup.Address, "seed": "0000000000000007", "stop_ms": tryStop.Milliseconds(),
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 1024},
-		"settings": map[string]any{
-			"Categories": []any{map[string]any{"Name": "look", "Effect": "repeatable", "OnTime": tryContract.Milliseconds(),
-				"HardLimit": tryExpiry.Milliseconds(), "LateWorth": 0.2, "Worth": 1, "Window": 5000}},
-			"FamilyInfo": map[string]any{"Callers": 4, "Cores": tryCores, "Halt": "drop", "MemoryKb": 80_000, "RunFactor": 8,
-				"EntryKb": 10, "Meters": []string{"core_use", "on_cores"}},
-			"Limits": map[string]any{"RetryAfter": true, "MaxRetryAfter": 30_000}, "Period": 2, "Servers": 1,
-			"Rules": map[string]any{"DrainGrace": 2000, "TipMultiple": 8}}}
-	text, err := json.MarshalIndent(config, "", "  ")
+	name := "plain"
+	if one.hasFairQueues {
+		name = "fair"
+	}
+	platform, err := one.platformConfig(name, address)
 	if err != nil {
 		return err
 	}
-	var service strings.Builder
-	service.WriteString("fair_queues:\n  tenants:\n")
-	for _, s := range t.streams() {
-		fmt.Fprintf(&service, "    - {name: %s, share: %v}\n", s.Tenant, s.Weight)
+	path, err := one.writeFile(t, name+".json", platform)
+	if err != nil {
+		return err
 	}
-	files := []struct{ name, text string }{{name + ".json", string(text)}, {name + ".yaml", service.String()}}
-	args := []string{"serve"}
-	for i, f := range files {
-		if i == 1 && !one.fair {
-			break
-		}
-		path := filepath.Join(one.dir, f.name)
-		if t.Config != "" {
-			path = t.Config + "." + f.name
-		}
-		if err := os.WriteFile(path, []byte(f.text), 0o600); err != nil {
+	args := []string{"serve", "--config=" + path}
+	if one.hasFairQueues {
+		path, err := one.writeFile(t, name+".yaml", fairQueuesYAML(t.streams()))
+		if err != nil {
 			return err
 		}
-		args = append(args, []string{"--config=", "--service="}[i]+path)
+		args = append(args, "--service="+path)
 	}
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	one.process = exec.Command(program, args...)
-	one.process.Stdout, one.process.Stderr = &one.log, &one.log
+	one.process.Stdout = &one.log
+	one.process.Stderr = &one.log
 	return one.process.Start()
 }
 
-// end has the server leave, and ends it if it does not.
-func (one *trial) end() {
-	gone := make(chan struct{})
-	go func() { one.process.Wait(); close(gone) }()
-	one.process.Process.Signal(syscall.SIGTERM)
+// platformConfig is the platform's configuration of the trial's server, as JSON.
+func (one *trial) platformConfig(name, address string) (string, error) {
+	type object = map[string]any
+	settings := object{
+		"Categories": []any{object{
+			"Name": "look", "Effect": "repeatable", "OnTime": trySoftDeadline.Milliseconds(),
+			"HardLimit": tryDeadline.Milliseconds(), "LateWorth": 0.2, "Worth": 1, "Window": 5000,
+		}},
+		"FamilyInfo": object{
+			"Callers": 4, "Cores": tryCores, "Halt": "drop", "MemoryKb": 80_000, "RunFactor": 8, "EntryKb": 10,
+			"Meters": []string{"core_use", "on_cores"},
+		},
+		"Limits":  object{"RetryAfter": true, "MaxRetryAfter": 30_000},
+		"Period":  2,
+		"Servers": 1,
+		"Rules":   object{"DrainGrace": 2000, "TipMultiple": 8},
+	}
+	text, err := json.MarshalIndent(object{
+		"name": name, "listen": address, "vm": one.interpreter.Address, "index": one.index.Address,
+		"lookup": one.lookup.Address, "seed": "0000000000000007", "stop_ms": tryStopTimeout.Milliseconds(),
+		"limits": object{"cores": 1, "memory_mb": 64, "sockets": 1024}, "settings": settings,
+	}, "", "  ")
+	return string(text), err
+}
+
+// fairQueuesYAML is our own settings with fair queues by the weights of the streams.
+func fairQueuesYAML(streams []*emulator.Stream) string {
+	var yaml strings.Builder
+	yaml.WriteString("fair_queues:\n  tenants:\n")
+	for _, stream := range streams {
+		printf(&yaml, "    - {name: %s, share: %v}\n", stream.Tenant, stream.Weight)
+	}
+	return yaml.String()
+}
+
+// writeFile writes a configuration to the trial's folder, or where the user wants to keep it, and returns its path.
+func (one *trial) writeFile(t *tryCommand, name, text string) (string, error) {
+	path := filepath.Join(one.directory, name)
+	if t.Config != "" {
+		path = t.Config + "." + name
+	}
+	return path, os.WriteFile(path, []byte(text), 0o600)
+}
+
+// stop has the server shut down gracefully, and kills it if it does not in time.
+func (one *trial) stop() {
+	exited := make(chan struct{})
+	go func() {
+		_ = one.process.Wait() // how it ended does not matter here
+		close(exited)
+	}()
+	_ = one.process.Process.Signal(syscall.SIGTERM) // it fails where the process has ended already
 	select {
-	case <-gone:
-	case <-time.After(2 * tryStop):
-		one.process.Process.Kill()
-		<-gone
+	case <-exited:
+	case <-time.After(2 * tryStopTimeout):
+		_ = one.process.Process.Kill() // as above
+		<-exited
 	}
 }
 
-// ready waits until the server answers a health check with what it can take: then its interpreter is there.
-func ready(address string) error {
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		c, err := emulator.Dial(address)
-		if err != nil {
-			continue
-		}
-		c.Write(emulator.FastCGIRequest(1, "/rpc/none", "", nil))
-		a, err := c.ReadResponse()
-		c.Close()
-		if err == nil && a.Status == 404 {
+// waitUntilReady waits until the server at an address answers a request for an unknown path with 404: then its
+// interpreter is up.
+func waitUntilReady(address string) error {
+	const (
+		timeout  = 10 * time.Second
+		interval = 20 * time.Millisecond
+	)
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(interval) {
+		if answersUnknownPath(address) {
 			return nil
 		}
 	}
 	return fmt.Errorf("no server came up at %s", address)
 }
 
-func (t *tryCommand) print(out io.Writer, off, on []*emulator.Account) {
-	w := table.NewWriter()
-	w.SetOutputMirror(out)
-	w.SetStyle(table.StyleLight)
-	w.AppendHeader(table.Row{"", "", "fair queues off", "", "", "", "", "fair queues on", "", "", "", ""}, table.RowConfig{AutoMerge: true})
-	w.AppendHeader(table.Row{"tenant", "asked", "in time", "late", "declined", "broken off", "of entitled", "in time", "late", "declined", "broken off", "of entitled"})
-	row := func(a, b *emulator.Account) table.Row {
-		r := table.Row{a.Tenant, a.Requested}
-		for _, x := range []*emulator.Account{a, b} {
-			r = append(r, x.OnTime, x.Late, x.Rejected, x.Aborted, fmt.Sprintf("%.0f%%", 100*x.DeliveredShare()))
+func answersUnknownPath(address string) bool {
+	connection, err := emulator.Dial(address)
+	if err != nil {
+		return false
+	}
+	defer connection.Close() //nolint:errcheck // the answer has been read
+	if _, err := connection.Write(emulator.FastCGIRequest(1, "/rpc/none", "", nil)); err != nil {
+		return false
+	}
+	response, err := connection.ReadResponse()
+	return err == nil && response.Status == 404
+}
+
+// renderTrials prints what each tenant got, without and with fair queues.
+func renderTrials(out io.Writer, off, on []*emulator.Account) {
+	t := table.NewWriter()
+	t.SetOutputMirror(out)
+	t.SetStyle(table.StyleLight)
+	t.AppendHeader(table.Row{"", "", "fair queues off", "", "", "", "", "fair queues on", "", "", "", ""},
+		table.RowConfig{AutoMerge: true})
+	t.AppendHeader(table.Row{"tenant", "requests",
+		"on time", "late", "rejected", "aborted", "of entitled",
+		"on time", "late", "rejected", "aborted", "of entitled"})
+	row := func(off, on *emulator.Account) table.Row {
+		cells := table.Row{off.Tenant, off.Requested}
+		for _, account := range []*emulator.Account{off, on} {
+			delivered := fmt.Sprintf("%.0f%%", 100*account.DeliveredShare())
+			cells = append(cells, account.OnTime, account.Late, account.Rejected, account.Aborted, delivered)
 		}
-		return r
+		return cells
 	}
 	for i := range off {
-		w.AppendRow(row(off[i], on[i]))
+		t.AppendRow(row(off[i], on[i]))
 	}
-	a, b := emulator.Total(off), emulator.Total(on)
-	w.AppendFooter(row(&a, &b))
-	w.Render()
-	fmt.Fprintln(out, "of entitled: gain delivered inside the contract time, of what the tenant's part by its share (max-min) would have earned in that time; answers after the last ask count too.")
+	totalOff, totalOn := emulator.Total(off), emulator.Total(on)
+	t.AppendFooter(row(&totalOff, &totalOn))
+	t.Render()
+	printLine(out, "of entitled: value delivered before the soft deadline, of what the tenant's share (max-min) of "+
+		"the server's work would have earned in that time; answers after the last request count too.")
 }
