--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -1,328 +1,232 @@
-// Package shares divides the limits of a whole fleet among its servers: grants with an end, so that the sum in force never
-// exceeds the whole, and so that what one cannot use goes to another.
-//
-// This file owns the keeper's side: what is granted, to whom, until when it counts, and who gets how much next. It knows no
-// socket, no clock and no goroutine. What it decides is an entry that all keepers apply in one order; only the one that was
-// elected decides, and times are its own. It must never count a grant as over before it is so on every clock.
 package quota
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 
 	"thistlequay/timeunit"
 )
 
-// Amount is a part of a limit in thousandths of its unit: whole numbers, so that sums are exact.
-type Amount int64
+const (
+	// maxServers bounds the servers that one limit keeps a lease for. A cluster has at most as many slots (settings).
+	maxServers = 4096
 
-// Unit is one call in hand, or one call a second.
-const Unit Amount = 1000
+	// maxPreviousLeases bounds the earlier amounts that are remembered of a server. Its lease stays as it is until it
+	// has confirmed one of the later versions.
+	maxPreviousLeases = 4
+)
 
-// LimitConfig are what one limit is kept by, the same at all keepers and servers.
-type LimitConfig struct {
-	Total             Amount
-	GuaranteedMinimum Amount                // what each slot may use without asking, for ever; of the whole, what is not floors is granted
-	Slots             int                   // servers that may exist; 0 floors for others
-	LeaseDuration     timeunit.Milliseconds // of a grant, from when it was asked for
-	GracePeriod       timeunit.Milliseconds // how long what was begun under a grant may outlast it
-	ClockDrift        float64               // how much faster one clock may run than another, as a part
-	InitialAmount     Amount                // a newcomer's first part, as far as there is room
-	Hysteresis        float64               // a wish that differs from the grant by less than this part moves nothing
-	IsRate            bool                  // units a second, not in hand
-	Granularity       Amount                // grants are whole numbers of this; 0 where any amount will do
-}
+// Allocator is one coordinator's copy of the state of one limit: who has which lease, and which total is in force.
+//
+// Apply brings all copies into the same state. Expiry times and demand are known to the leader alone; a new leader
+// assumes that every lease has just been renewed, which is safe because a lease that was answered for earlier ends
+// earlier.
+type Allocator struct {
+	config LimitConfig
+	logID  uint64
+	leases map[string]*lease // by server
 
-// Sane says whether the terms can hold: floors for all slots leave something of the whole.
-func (t *LimitConfig) Sane() bool {
-	return t.Total > 0 && t.GuaranteedMinimum >= 0 && t.Slots >= 0 && Amount(t.Slots)*t.GuaranteedMinimum <= t.Total && t.LeaseDuration > 0 && t.GracePeriod >= 0 &&
-		t.ClockDrift >= 0 && t.ClockDrift < 0.5 && t.InitialAmount >= 0 && t.Hysteresis >= 0 && t.Hysteresis < 1
-}
+	// targetTotal is the total that was set last. effectiveTotal is the one in force: a lower total takes effect only
+	// as far as the leases that are outstanding allow.
+	targetTotal    Amount
+	effectiveTotal Amount
 
-// Free is what of the whole is granted, floors taken off.
-func (t *LimitConfig) allocatable() Amount { return t.Total - Amount(t.Slots)*t.GuaranteedMinimum }
+	lastVersion uint64 // of any lease
+	isLeader    bool
+	now         timeunit.Milliseconds
 
-// Change is one decision, as keepers apply it: from now on so much is granted to a server, under a number that grows; or the
-// whole is another.
-type Change struct {
-	Server       string `cbor:"1,keyasint,omitempty"`
-	LeaseVersion uint64 `cbor:"2,keyasint,omitempty"`
-	Amount       Amount `cbor:"3,keyasint,omitempty"`
-	Total        Amount `cbor:"4,keyasint,omitempty"` // of an entry that names no server
-	Expired      bool   `cbor:"5,keyasint,omitempty"` // the grant is over on every clock: only now others may have it
-	LimitIndex   int    `cbor:"6,keyasint,omitempty"` // of which limit, in a Decision
-}
+	// pending holds the amounts of leases that this leader has proposed and that are not applied yet.
+	pending map[string]Amount
 
-// LimitRequest is what a server asks, a few times in the length of a grant.
-type LimitRequest struct {
-	Server      string                `cbor:"1,keyasint"`
-	RequestedAt timeunit.Milliseconds `cbor:"2,keyasint"` // by the server's clock, given back as it came
-	HeldVersion uint64                `cbor:"3,keyasint"` // the number of the grant that it keeps to, with all that it has in hand
-	Desired     Amount                `cbor:"4,keyasint"` // beyond its floor
-	Required    Amount                `cbor:"6,keyasint"` // of that, what it would surely use: the rest is room to grow, where nobody needs it
-	LogID       uint64                `cbor:"5,keyasint"` // whose number that is
+	// requestedTotal is a total to be proposed, zero for none. While totalChangePending is set, it has been proposed
+	// and is not applied yet.
+	requestedTotal     Amount
+	totalChangePending bool
 }
 
-// LimitResponse is what it is told.
-type LimitResponse struct {
-	RequestedAt   timeunit.Milliseconds `cbor:"1,keyasint"`
-	LeaseVersion  uint64                `cbor:"2,keyasint"`
-	Amount        Amount                `cbor:"3,keyasint"`
-	LeaseDuration timeunit.Milliseconds `cbor:"4,keyasint"`
-	LogID         uint64                `cbor:"5,keyasint"` // serials of different logs are not to be compared
+// NewAllocator returns the state of a limit at the beginning of a log, when nothing is leased.
+func NewAllocator(config LimitConfig, logID uint64) *Allocator {
+	return &Allocator{
+		config:         config,
+		logID:          logID,
+		leases:         map[string]*lease{},
+		targetTotal:    config.Total,
+		effectiveTotal: config.Total,
+		pending:        map[string]Amount{},
+	}
 }
 
-// lease is what a server may hold: every amount under a number that it may not have left yet counts.
-type lease struct {
-	version       uint64
-	amount        Amount
-	previous      []previousLease
-	expiresAt     timeunit.Milliseconds // by the elected keeper's clock; nothing of it is usable after
-	desired       Amount
-	required      Amount
-	lastRequestAt timeunit.Milliseconds // when it last asked
+// Config returns the configuration of the limit, with the total that is in force.
+func (a *Allocator) Config() LimitConfig {
+	config := a.config
+	config.Total = a.effectiveTotal
+	return config
 }
 
-type previousLease struct {
-	version uint64
-	amount  Amount
-}
+// TargetTotal returns the total that was set last.
+func (a *Allocator) TargetTotal() Amount { return a.targetTotal }
+
+// EffectiveTotal returns the total in force: the one that was set last, or more until earlier leases have expired.
+func (a *Allocator) EffectiveTotal() Amount { return a.effectiveTotal }
 
-// outstanding is the most that the server may be using.
-func (g *lease) outstanding() Amount {
-	most := g.amount
-	for _, o := range g.previous {
-		most = max(most, o.amount)
+// SetLeader makes this coordinator the leader, which proposes changes and answers requests, or a follower. A new leader
+// cannot know when the last one renewed the leases, so it counts each for its longest span from now.
+func (a *Allocator) SetLeader(isLeader bool, now timeunit.Milliseconds) {
+	a.isLeader = isLeader
+	a.now = now
+	a.requestedTotal = 0
+	a.totalChangePending = false
+	clear(a.pending)
+	for _, l := range a.leases {
+		l.expiresAt = now + a.config.maxLeaseSpan()
+		l.desired = l.amount
+		l.required = l.amount
+		l.lastRequestAt = now
 	}
-	return most
 }
 
-// Allocator is one keeper's state of one limit.
-type Allocator struct {
-	config             LimitConfig
-	logID              uint64
-	targetTotal        Amount // the whole as it was set last; terms.Whole is what is in force
-	leases             map[string]*lease
-	lastVersion        uint64
-	isLeader           bool
-	now                timeunit.Milliseconds
-	pending            map[string]Amount // decided and not applied yet
-	requestedTotal     Amount            // the whole that is to be, 0 for none: nothing is granted between its entry and its taking effect
-	totalChangePending bool
+// Apply takes a committed change. All coordinators call it with the same changes in the same order.
+func (a *Allocator) Apply(change Change, now timeunit.Milliseconds) {
+	a.now = max(a.now, now)
+	switch {
+	case change.Server == "":
+		a.applyTotal(change.Total)
+	case change.Expired:
+		a.applyExpiry(change)
+	default:
+		a.applyLease(change)
+	}
 }
 
-// NewAllocator keeps a limit of which nothing is granted, by a log.
-func NewAllocator(t LimitConfig, log uint64) *Allocator {
-	return &Allocator{config: t, logID: log, targetTotal: t.Total, leases: map[string]*lease{}, pending: map[string]Amount{}}
+// applyTotal sets the total, which can never be below the guaranteed minimums since those are used without a lease.
+func (a *Allocator) applyTotal(total Amount) {
+	a.targetTotal = max(total, a.config.guaranteedTotal())
+	a.totalChangePending = false
+	a.updateEffectiveTotal()
 }
 
-func (k *Allocator) maxLeaseSpan() timeunit.Milliseconds {
-	return timeunit.Milliseconds(float64(k.config.LeaseDuration)*(1+k.config.ClockDrift)) + k.config.GracePeriod + 1
+// applyExpiry ends the leases of a server. The leader remembers a server that still asks, for what it desires.
+func (a *Allocator) applyExpiry(change Change) {
+	l := a.committed(change)
+	l.amount = 0
+	l.previous = nil
+	l.version = 0
+	if !a.isLeader || a.now-l.lastRequestAt > a.config.maxLeaseSpan() {
+		delete(a.leases, change.Server)
+	}
+	a.updateEffectiveTotal()
 }
 
-// SetLeader: this keeper decides from now on, or no longer. It cannot know when grants were given out before, so all count for
-// their whole length from now.
-func (k *Allocator) SetLeader(is bool, now timeunit.Milliseconds) {
-	k.isLeader, k.now, k.requestedTotal, k.totalChangePending = is, now, 0, false
-	clear(k.pending)
-	for _, g := range k.leases {
-		g.expiresAt, g.desired, g.required, g.lastRequestAt = now+k.maxLeaseSpan(), g.amount, g.amount, now
+// applyLease sets the lease of a server. What it had before counts until the server says that it keeps to a later
+// version.
+func (a *Allocator) applyLease(change Change) {
+	l := a.committed(change)
+	if l.amount > 0 {
+		l.previous = append(l.previous, previousLease{version: l.version, amount: l.amount})
 	}
+	l.version = change.LeaseVersion
+	l.amount = change.Amount
+	l.expiresAt = a.now + a.config.maxLeaseSpan()
 }
 
-// Apply takes an entry that was agreed on, in the order of all keepers.
-func (k *Allocator) Apply(e Change, now timeunit.Milliseconds) {
-	k.now = max(k.now, now)
-	if e.Server == "" {
-		k.targetTotal, k.totalChangePending = max(e.Total, Amount(k.config.Slots)*k.config.GuaranteedMinimum), false // floors are used without asking
-		k.updateEffectiveTotal()
-		return
-	}
-	delete(k.pending, e.Server)
-	k.lastVersion = max(k.lastVersion, e.LeaseVersion)
-	g := k.leases[e.Server]
-	if g == nil {
-		g = &lease{}
-		k.leases[e.Server] = g
+// committed ends the proposal of a change and returns the lease that it is about.
+func (a *Allocator) committed(change Change) *lease {
+	delete(a.pending, change.Server)
+	a.lastVersion = max(a.lastVersion, change.LeaseVersion)
+	l := a.leases[change.Server]
+	if l == nil {
+		l = &lease{}
+		a.leases[change.Server] = l
 	}
-	if e.Expired {
-		if g.amount, g.previous, g.version = 0, nil, 0; !k.isLeader || k.now-g.lastRequestAt > k.maxLeaseSpan() {
-			delete(k.leases, e.Server)
-		}
-		k.updateEffectiveTotal()
-		return
-	}
-	if g.amount > 0 {
-		g.previous = append(g.previous, previousLease{g.version, g.amount})
-	}
-	g.version, g.amount, g.expiresAt = e.LeaseVersion, e.Amount, k.now+k.maxLeaseSpan()
+	return l
 }
 
-// updateEffectiveTotal has the whole in force follow what was set: larger at once, smaller as far as what is out allows.
-func (k *Allocator) updateEffectiveTotal() {
-	floors := Amount(k.config.Slots) * k.config.GuaranteedMinimum
-	k.config.Total = max(k.targetTotal, min(k.config.Total, floors+k.reserved()))
+// updateEffectiveTotal lets the total in force follow the target: a larger one at once, a smaller one as far as what is
+// outstanding allows.
+func (a *Allocator) updateEffectiveTotal() {
+	inUse := a.config.guaranteedTotal() + a.reserved()
+	a.effectiveTotal = max(a.targetTotal, min(a.effectiveTotal, inUse))
 }
 
-// Outstanding is the sum of what may be in use beyond floors.
-func (k *Allocator) Outstanding() (sum Amount) {
-	for _, g := range k.leases {
-		sum += g.outstanding()
+// Outstanding returns the sum of what all servers may be using beyond their guaranteed minimums.
+func (a *Allocator) Outstanding() (sum Amount) {
+	for _, l := range a.leases {
+		sum += l.outstanding()
 	}
 	return sum
 }
 
-// reserved is that sum with all that is under way: a grant that was decided when an older one counted as much must still
-// have its room when that one is over.
-func (k *Allocator) reserved() (sum Amount) {
-	sum = k.Outstanding()
-	for name, amount := range k.pending {
+// reserved is what is outstanding together with all that is proposed. A lease that was proposed while an earlier one
+// counted as much must still have its room when the earlier one is over.
+func (a *Allocator) reserved() Amount {
+	sum := a.Outstanding()
+	for server, amount := range a.pending {
 		sum += amount
-		if g := k.leases[name]; g != nil {
-			sum -= min(amount, g.outstanding())
+		if l := a.leases[server]; l != nil {
+			sum -= min(amount, l.outstanding())
 		}
 	}
 	return sum
 }
 
-// EffectiveTotal is what is in force: what was set, or more until old grants have run out.
-func (k *Allocator) EffectiveTotal() Amount { return k.config.Total }
+// RequestTotal asks the leader for another total, proposed by a later NextChanges.
+func (a *Allocator) RequestTotal(total Amount) { a.requestedTotal = total }
 
-// RequestTotal asks for another whole, at the keeper that is elected: larger at once, smaller as old grants run out.
-func (k *Allocator) RequestTotal(whole Amount) { k.requestedTotal = whole }
-
-// HandleRequest takes a server's request. The answer is what is granted now and holds from when it was asked; a change comes by
-// Decide, and with a later answer. Without a grant there is no answer yet.
-func (k *Allocator) HandleRequest(r LimitRequest, now timeunit.Milliseconds) (a LimitResponse, granted bool) {
-	k.now = max(k.now, now)
-	if !k.isLeader || r.Server == "" || r.Desired < 0 || r.Required < 0 || r.Required > r.Desired {
-		return a, false
+// HandleRequest records what a server asks for and, at the leader, renews the lease that it has now. The response
+// holds from when it was requested. Changes of the amount come by NextChanges, and with a later response. granted is
+// false where this is not the leader, the request is invalid, or there is no lease yet.
+func (a *Allocator) HandleRequest(
+	request LimitRequest, now timeunit.Milliseconds,
+) (response LimitResponse, granted bool) {
+	a.now = max(a.now, now)
+	if !a.isLeader || !request.isValid() {
+		return response, false
 	}
-	g := k.leases[r.Server]
-	if g == nil {
-		if len(k.leases) >= maxServers {
-			return a, false
-		}
-		g = &lease{}
-		k.leases[r.Server] = g
+	l := a.requestingServer(request.Server)
+	if l == nil {
+		return response, false
 	}
-	g.desired, g.required, g.lastRequestAt = min(r.Desired, k.config.Total), min(r.Required, k.config.Total), k.now
-	// What it says that it keeps to takes all older amounts off, as it has nothing in hand beyond it.
-	if r.LogID == k.logID {
-		g.previous = slices.DeleteFunc(g.previous, func(o previousLease) bool { return o.version < r.HeldVersion || r.HeldVersion == g.version })
+	l.recordRequest(request, a.effectiveTotal, a.now)
+	if request.LogID == a.logID {
+		l.confirmHeld(request.HeldVersion)
 	}
-	k.updateEffectiveTotal()
-	if g.version == 0 || k.isPending(r.Server) || g.expiresAt <= k.now {
-		return a, false // none yet, or it is over and is being taken back
+	a.updateEffectiveTotal()
+	if l.version == 0 || a.isPending(request.Server) || l.expiresAt <= a.now {
+		return response, false // no lease yet, or it is over and is being taken back
 	}
-	g.expiresAt = max(g.expiresAt, k.now+k.maxLeaseSpan())
-	return LimitResponse{LogID: k.logID, RequestedAt: r.RequestedAt, LeaseVersion: g.version, Amount: g.amount, LeaseDuration: k.config.LeaseDuration}, true
+	l.expiresAt = max(l.expiresAt, a.now+a.config.maxLeaseSpan())
+	return LimitResponse{
+		RequestedAt:   request.RequestedAt,
+		LeaseVersion:  l.version,
+		Amount:        l.amount,
+		LeaseDuration: a.config.LeaseDuration,
+		LogID:         a.logID,
+	}, true
 }
 
-func (k *Allocator) isPending(server string) bool {
-	_, is := k.pending[server]
-	return is
+// isValid reports whether the request can be answered at all.
+func (r *LimitRequest) isValid() bool {
+	return r.Server != "" && r.Desired >= 0 && r.Required >= 0 && r.Required <= r.Desired
 }
 
-const maxServers = 4096
-
-// NextChanges gives what should be agreed on next: few changes, those that give back first, never more than is free by what is
-// applied and what is under way. It is to be called some times in the length of a grant.
-func (k *Allocator) NextChanges(now timeunit.Milliseconds) (entries []Change) {
-	k.now = max(k.now, now)
-	if !k.isLeader || k.totalChangePending {
-		return nil
-	}
-	if k.requestedTotal > 0 { // by itself: a grant reckoned by the whole before must not come after it
-		if len(k.pending) == 0 {
-			entries, k.requestedTotal, k.totalChangePending = []Change{{Total: k.requestedTotal}}, 0, true
-		}
-		return entries
-	}
-	for _, name := range slices.Sorted(maps.Keys(k.leases)) {
-		if g := k.leases[name]; g.expiresAt <= k.now && g.outstanding() > 0 && !k.isPending(name) {
-			k.lastVersion++
-			k.pending[name] = 0
-			entries = append(entries, Change{Server: name, LeaseVersion: k.lastVersion, Expired: true})
-		} else if g.outstanding() == 0 && k.now-g.lastRequestAt > k.maxLeaseSpan() && !k.isPending(name) {
-			delete(k.leases, name)
-		}
-	}
-	aims := k.targetAmounts()
-	room := min(k.targetTotal, k.config.Total) - Amount(k.config.Slots)*k.config.GuaranteedMinimum - k.reserved()
-	for _, name := range slices.Sorted(maps.Keys(k.leases)) {
-		g, aim := k.leases[name], aims[name]
-		off := aim - g.amount
-		switch {
-		case k.isPending(name) || len(g.previous) >= maxPreviousLeases || off == 0:
-			continue
-		case off > 0 && g.version > 0 && float64(off) < k.config.Hysteresis*float64(g.amount):
-			continue
-		case off < 0 && float64(-off) < k.config.Hysteresis*float64(g.amount) && aim > 0 && k.config.Total == k.targetTotal:
-			continue
-		case off > 0 && room < 0: // an older amount that counts here may be another's by now, as a keeper before this one knew
-			continue
-		case off > 0:
-			more := aim - max(g.amount, g.outstanding())
-			if more > room {
-				aim = k.roundDown(aim - (more - max(0, room)))
-			}
-			if aim <= g.amount {
-				continue
-			}
-			room -= max(0, aim-g.outstanding())
-		}
-		k.lastVersion++
-		k.pending[name] = aim
-		entries = append(entries, Change{Server: name, LeaseVersion: k.lastVersion, Amount: aim})
-	}
-	return entries
-}
-
-func (k *Allocator) proposalFailed(e Change) {
-	if e.Server == "" {
-		k.requestedTotal, k.totalChangePending = e.Total, false
-		return
+// requestingServer finds the lease of a server, or begins to remember the server. It returns nil when there are too
+// many.
+func (a *Allocator) requestingServer(server string) *lease {
+	if l := a.leases[server]; l != nil {
+		return l
 	}
-	delete(k.pending, e.Server)
-}
-
-const maxPreviousLeases = 4
-
-// targetAmounts divides what is free: max-min among those who ask, by what they need, what is left of it by what they want.
-func (k *Allocator) targetAmounts() map[string]Amount {
-	aims := make(map[string]Amount, len(k.leases))
-	left := max(0, k.targetTotal-Amount(k.config.Slots)*k.config.GuaranteedMinimum)
-	for _, wish := range []func(*lease) Amount{k.requiredAmount, k.desiredAmount} {
-		more := func(name string) Amount { return max(0, wish(k.leases[name])-aims[name]) }
-		names := slices.Sorted(maps.Keys(k.leases))
-		slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(more(a), more(b)) })
-		for i, name := range names {
-			part := k.roundDown(min(more(name), left/Amount(len(names)-i)))
-			aims[name] += part
-			left -= part
-		}
+	if len(a.leases) >= maxServers {
+		return nil
 	}
-	return aims
+	l := &lease{}
+	a.leases[server] = l
+	return l
 }
 
-// roundDown rounds down to what can be granted.
-func (k *Allocator) roundDown(a Amount) Amount { return a - a%max(1, k.config.Granularity) }
-
-// desiredAmount is what a server asks for, at least the first part: it cannot know what it could use before it has some.
-func (k *Allocator) desiredAmount(g *lease) Amount {
-	return k.roundUp(max(g.desired, k.config.InitialAmount))
+func (a *Allocator) isPending(server string) bool {
+	_, isPending := a.pending[server]
+	return isPending
 }
 
-// requiredAmount is what it would surely use; a newcomer's is a first part, before it can know.
-func (k *Allocator) requiredAmount(g *lease) Amount {
-	if g.required == 0 && g.version > 0 {
-		return 0
-	}
-	return k.roundUp(max(g.required, k.config.InitialAmount))
-}
-
-func (k *Allocator) roundUp(a Amount) Amount {
-	return k.roundDown(a + max(1, k.config.Granularity) - 1)
-}
+// servers are the names of all servers that are known, sorted, so that decisions do not depend on the order of a map.
+func (a *Allocator) servers() []string { return slices.Sorted(maps.Keys(a.leases)) }
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -15,7 +15,8 @@
 	"thistlequay/timeunit"
 )
 
-// The whole history of seeded schedules: every request, answer and entry, and what each holder may use after each round.
+// The whole history of seeded schedules: every request, answer and entry, and what each holder may use after each
+// round.
 func TestGoldenSchedules(t *testing.T) {
 	var recorded bytes.Buffer
 	for first := 0; first < 200; first += 10 {
@@ -28,7 +29,8 @@
 	golden.Check(t, "schedules.txt", recorded.Bytes())
 }
 
-// The same for books of two limits that one log keeps: every message, entry and snapshot byte for byte, and operators' lines.
+// The same for books of two limits that one log keeps: every message, entry and snapshot byte for byte, and
+// operators' lines.
 func TestGoldenBooks(t *testing.T) {
 	var recorded bytes.Buffer
 	for first := 0; first < 100; first += 10 {
--- a/internal/quota/lease_holder_test.go
+++ b/internal/quota/lease_holder_test.go
@@ -8,7 +8,8 @@
 	"thistlequay/timeunit"
 )
 
-// A limit of so many a second lets no more through than it says, a tenth of a second's worth at once, and asks by what it used.
+// A limit of so many a second lets no more through than it says, a tenth of a second's worth at once, and asks by
+// what it used.
 func TestUnitsASecond(t *testing.T) {
 	terms := LimitConfig{Total: 1000 * Unit, GuaranteedMinimum: 5 * Unit, Slots: 10, LeaseDuration: 2000, ClockDrift: 0.1, IsRate: true}
 	h := NewLeaseHolder("a", terms, true, 0)
@@ -29,8 +30,8 @@
 	require.InDelta(t, 10, took(4000, 6000), 11, "the grant is over: its floor again")
 }
 
-// What is usable ends by the holder's own clock, a new life waits for what the last one began, and an answer of a later log
-// counts only once the grant of the one before is over.
+// What is usable ends by the holder's own clock, a new life waits for what the last one began, and an answer of a
+// later log counts only once the grant of the one before is over.
 func TestUsable(t *testing.T) {
 	terms := LimitConfig{Total: 100 * Unit, GuaranteedMinimum: Unit, Slots: 10, LeaseDuration: 2000, ClockDrift: 0.1}
 	h := NewLeaseHolder("a", terms, true, 500)
--- a/internal/quota/limit_set.go
+++ b/internal/quota/limit_set.go
@@ -1,246 +1,172 @@
 package quota
 
-// This file owns all limits of a fleet as one state that keepers apply in one order: when it is opened, what is decided in one
-// entry, what a keeper that was away is given instead of the entries. It must never grant anything before all that an earlier
-// log may have granted is over on every clock.
-
-import (
-	"cmp"
-	"maps"
-	"slices"
-
-	"thistlequay/timeunit"
-)
-
-// Command is one entry of the log.
-type Command struct {
-	Open     bool     `cbor:"1,keyasint,omitempty"` // what any earlier log granted is over
-	Revision uint64   `cbor:"2,keyasint,omitempty"` // of the settings that the wholes are by; 0 where they stay
-	Changes  []Change `cbor:"3,keyasint,omitempty"`
-}
+import "thistlequay/timeunit"
 
-// MaxChanges are agreed on at once.
-const MaxChanges = 128
+// decisionInterval bounds the rate of log entries: at least so much time lies between two commands of a leader.
+const decisionInterval timeunit.Milliseconds = 250
 
-// Request is what one life of a server asks: a request for each limit, in their order.
-type Request struct {
-	ConfigDigest uint32         `cbor:"1,keyasint"` // digest of all that is not a whole: who goes by others is granted nothing
-	Revision     uint64         `cbor:"2,keyasint"` // of its settings; wholes of a later one are taken up
-	Totals       []Amount       `cbor:"3,keyasint"`
-	Limits       []LimitRequest `cbor:"4,keyasint"`
-}
+// LimitSet is one coordinator's copy of the state of all limits. Apply brings the copies of all coordinators into the
+// same state; the leader alone answers requests and proposes commands.
+//
+// A log begins closed: nothing is leased until the leader knows that all leases of any earlier log have expired.
+type LimitSet struct {
+	// MismatchedRequests counts the requests of servers with another configuration.
+	MismatchedRequests int
 
-// Response are one for each limit; of a serial of 0: nothing is granted.
-type Response struct {
-	Limits []LimitResponse `cbor:"1,keyasint"`
-}
+	configDigest    uint32
+	allocators      []*Allocator
+	initialRevision uint64 // of this coordinator's own settings, for the first command of a log
 
-// Snapshot is the state of a keeper, as another goes on with it.
-type Snapshot struct {
-	Opened   bool            `cbor:"1,keyasint"`
-	Revision uint64          `cbor:"2,keyasint"`
-	Limits   []LimitSnapshot `cbor:"3,keyasint"`
-}
+	opened           bool
+	revision         uint64 // of the settings that the totals are from
+	proposedRevision uint64 // of totals that are requested or proposed and not applied yet, zero for none
 
-// LimitSnapshot is the state of one limit.
-type LimitSnapshot struct {
-	LastVersion    uint64   `cbor:"1,keyasint"`
-	TargetTotal    Amount   `cbor:"2,keyasint"`
-	EffectiveTotal Amount   `cbor:"3,keyasint"`
-	Leases         []Change `cbor:"4,keyasint"` // those of one server in their order, the one in force last
+	isLeader       bool
+	leaderSince    timeunit.Milliseconds
+	openProposed   bool
+	nextDecisionAt timeunit.Milliseconds
 }
 
-// LimitSet keeps all limits at one keeper.
-type LimitSet struct {
-	configDigest       uint32
-	allocators         []*Allocator
-	opened             bool
-	revision           uint64
-	initialRevision    uint64 // revision of its own settings, by which the log begins
-	proposedRevision   uint64 // revision that is under way
-	proposedTotals     []Amount
-	isLeader           bool
-	leaderSince        timeunit.Milliseconds // elected
-	openProposed       bool                  // under way
-	nextDecisionAt     timeunit.Milliseconds // when it decides again
-	MismatchedRequests int                   // requests by other terms
-}
-
-// decisionInterval bounds the rate of entries: so many milliseconds lie between two.
-const decisionInterval timeunit.Milliseconds = 250
-
-// NewLimitSet keeps limits of which nothing is granted, not opened yet, by a log of this number.
-func NewLimitSet(limits []LimitConfig, digest uint32, revision, log uint64) *LimitSet {
-	b := &LimitSet{configDigest: digest, initialRevision: revision}
-	for _, t := range limits {
-		b.allocators = append(b.allocators, NewAllocator(t, log))
+// NewLimitSet returns the state of all limits at the beginning of the log with the given number.
+func NewLimitSet(limits []LimitConfig, configDigest uint32, revision, logID uint64) *LimitSet {
+	s := &LimitSet{configDigest: configDigest, initialRevision: revision}
+	for _, config := range limits {
+		s.allocators = append(s.allocators, NewAllocator(config, logID))
 	}
-	return b
+	return s
 }
 
-// Allocators are those of the limits, in their order.
-func (b *LimitSet) Allocators() []*Allocator { return b.allocators }
+// Allocators returns those of the limits, in the order of the limits.
+func (s *LimitSet) Allocators() []*Allocator { return s.allocators }
 
-// Opened says that grants may be given, Revision by which settings.
-func (b *LimitSet) Opened() bool     { return b.opened }
-func (b *LimitSet) Revision() uint64 { return b.revision }
+// Opened reports whether leases may be given out in this log.
+func (s *LimitSet) Opened() bool { return s.opened }
 
-func (b *LimitSet) maxLeaseSpan() (longest timeunit.Milliseconds) {
-	for _, k := range b.allocators {
-		longest = max(longest, k.maxLeaseSpan())
-	}
-	return longest
-}
+// Revision returns the revision of the settings that the totals are from.
+func (s *LimitSet) Revision() uint64 { return s.revision }
 
-// SetLeader: this keeper decides from now on, or no longer.
-func (b *LimitSet) SetLeader(is bool, now timeunit.Milliseconds) {
-	b.isLeader, b.leaderSince, b.openProposed, b.proposedRevision, b.nextDecisionAt = is, now, false, 0, now
-	for _, k := range b.allocators {
-		k.SetLeader(is, now)
+// SetLeader makes this coordinator the leader, or a follower.
+func (s *LimitSet) SetLeader(isLeader bool, now timeunit.Milliseconds) {
+	s.isLeader = isLeader
+	s.leaderSince = now
+	s.openProposed = false
+	s.proposedRevision = 0
+	s.nextDecisionAt = now
+	for _, allocator := range s.allocators {
+		allocator.SetLeader(isLeader, now)
 	}
 }
 
-// Apply takes a decision that was agreed on.
-func (b *LimitSet) Apply(d Command, now timeunit.Milliseconds) {
-	if d.Open {
-		b.opened, b.openProposed = true, false
+// Apply takes a committed command. All coordinators call it with the same commands in the same order.
+func (s *LimitSet) Apply(command Command, now timeunit.Milliseconds) {
+	if command.Open {
+		s.opened = true
+		s.openProposed = false
 	}
-	if d.Revision > 0 {
-		b.revision, b.proposedRevision = max(b.revision, d.Revision), 0
+	if command.Revision > 0 {
+		s.revision = max(s.revision, command.Revision)
+		s.proposedRevision = 0
 	}
-	for _, e := range d.Changes {
-		if e.LimitIndex >= 0 && e.LimitIndex < len(b.allocators) {
-			b.allocators[e.LimitIndex].Apply(e, now)
+	for _, change := range command.Changes {
+		if change.LimitIndex >= 0 && change.LimitIndex < len(s.allocators) {
+			s.allocators[change.LimitIndex].Apply(change, now)
 		}
 	}
 }
 
-// HandleRequest takes what a server asks. Whoever answers must have heard from a majority after it came.
-func (b *LimitSet) HandleRequest(a Request, now timeunit.Milliseconds) (answers Response, granted bool) {
-	if !b.isLeader || len(a.Limits) != len(b.allocators) || len(a.Totals) != len(b.allocators) {
-		return answers, false
+// HandleRequest answers a server's request at the leader; granted is false where nothing is leased to it. Whoever
+// sends the response must have been confirmed as the leader by a majority after the request came.
+func (s *LimitSet) HandleRequest(request Request, now timeunit.Milliseconds) (response Response, granted bool) {
+	isComplete := len(request.Limits) == len(s.allocators) && len(request.Totals) == len(s.allocators)
+	if !s.isLeader || !isComplete {
+		return response, false
 	}
-	if a.ConfigDigest != b.configDigest {
-		b.MismatchedRequests++
-		return answers, false
+	if request.ConfigDigest != s.configDigest {
+		s.MismatchedRequests++
+		return response, false
 	}
-	if a.Revision > max(b.revision, b.proposedRevision) && b.opened {
-		b.proposedRevision, b.proposedTotals = a.Revision, slices.Clone(a.Totals)
-		for i, k := range b.allocators {
-			k.RequestTotal(a.Totals[i])
+	s.takeUpTotals(request)
+	response.Limits = make([]LimitResponse, len(s.allocators))
+	for i, allocator := range s.allocators {
+		limitResponse, isLeased := allocator.HandleRequest(request.Limits[i], now)
+		if isLeased && s.opened {
+			response.Limits[i] = limitResponse
+			granted = true
 		}
 	}
-	answers.Limits = make([]LimitResponse, len(b.allocators))
-	for i, k := range b.allocators {
-		if answer, is := k.HandleRequest(a.Limits[i], now); is && b.opened {
-			answers.Limits[i], granted = answer, true
-		}
-	}
-	return answers, granted
+	return response, granted
 }
 
-// NextCommand gives what should be agreed on next, not too often.
-func (b *LimitSet) NextCommand(now timeunit.Milliseconds) (d Command, due bool) {
-	if !b.isLeader || now < b.nextDecisionAt {
-		return d, false
-	}
-	b.nextDecisionAt = now + decisionInterval
-	if !b.opened {
-		if !b.openProposed && now-b.leaderSince > b.maxLeaseSpan() {
-			b.openProposed = true
-			d = Command{Open: true, Revision: b.initialRevision}
-			for i, k := range b.allocators {
-				d.Changes = append(d.Changes, Change{LimitIndex: i, Total: k.config.Total})
-			}
-			return d, true
-		}
-		return d, false
-	}
-	setting := false
-	for i, k := range b.allocators {
-		for _, e := range k.NextChanges(now) {
-			e.LimitIndex = i
-			setting = setting || e.Server == ""
-			d.Changes = append(d.Changes, e)
-		}
+// takeUpTotals requests the totals of a server's settings where their revision is later than all that are known.
+func (s *LimitSet) takeUpTotals(request Request) {
+	if !s.opened || request.Revision <= max(s.revision, s.proposedRevision) {
+		return
 	}
-	if setting && b.proposedRevision > b.revision {
-		d.Revision = b.proposedRevision
+	s.proposedRevision = request.Revision
+	for i, allocator := range s.allocators {
+		allocator.RequestTotal(request.Totals[i])
 	}
-	return d, len(d.Changes) > 0
 }
 
-// ProposalFailed: what Decide gave last was not put to the others. What was put to them before still may be agreed on.
-func (b *LimitSet) ProposalFailed(d Command) {
-	if d.Open {
-		b.openProposed = false
-		return
+// NextCommand returns the command that the leader should propose now, if one is due. If it is not put to the other
+// coordinators, ProposalFailed must follow.
+func (s *LimitSet) NextCommand(now timeunit.Milliseconds) (command Command, due bool) {
+	if !s.isLeader || now < s.nextDecisionAt {
+		return command, false
 	}
-	for _, e := range d.Changes {
-		b.allocators[e.LimitIndex].proposalFailed(e)
+	s.nextDecisionAt = now + decisionInterval
+	if !s.opened {
+		return s.openCommand(now)
 	}
+	return s.changeCommand(now)
 }
 
-// Snapshot gives the state as of all that was applied.
-func (b *LimitSet) Snapshot() Snapshot {
-	s := Snapshot{Opened: b.opened, Revision: b.revision}
-	for _, k := range b.allocators {
-		l := LimitSnapshot{LastVersion: k.lastVersion, TargetTotal: k.targetTotal, EffectiveTotal: k.config.Total}
-		for _, name := range slices.Sorted(maps.Keys(k.leases)) {
-			g := k.leases[name]
-			for _, o := range g.previous {
-				l.Leases = append(l.Leases, Change{Server: name, LeaseVersion: o.version, Amount: o.amount})
-			}
-			if g.version > 0 {
-				l.Leases = append(l.Leases, Change{Server: name, LeaseVersion: g.version, Amount: g.amount})
-			}
-		}
-		s.Limits = append(s.Limits, l)
+// openCommand opens the log, under this coordinator's settings, once every lease of any earlier log must have expired.
+func (s *LimitSet) openCommand(now timeunit.Milliseconds) (command Command, due bool) {
+	if s.openProposed || now-s.leaderSince <= s.maxLeaseSpan() {
+		return command, false
 	}
-	return s
+	s.openProposed = true
+	command.Open = true
+	command.Revision = s.initialRevision
+	for i, allocator := range s.allocators {
+		command.Changes = append(command.Changes, Change{LimitIndex: i, Total: allocator.EffectiveTotal()})
+	}
+	return command, true
 }
 
-// Restore takes a state in the place of all that was applied.
-func (b *LimitSet) Restore(s Snapshot, now timeunit.Milliseconds) {
-	b.opened, b.revision = s.Opened, s.Revision
-	for i, k := range b.allocators {
-		*k = *NewAllocator(k.config, k.logID)
-		if i >= len(s.Limits) {
-			continue
-		}
-		l := s.Limits[i]
-		k.lastVersion, k.targetTotal, k.config.Total = l.LastVersion, l.TargetTotal, l.EffectiveTotal
-		for _, e := range l.Leases {
-			k.Apply(e, now)
+// changeCommand collects the changes of all limits.
+func (s *LimitSet) changeCommand(now timeunit.Milliseconds) (command Command, due bool) {
+	changesTotal := false
+	for i, allocator := range s.allocators {
+		for _, change := range allocator.NextChanges(now) {
+			change.LimitIndex = i
+			changesTotal = changesTotal || change.Server == ""
+			command.Changes = append(command.Changes, change)
 		}
-		k.config.Total = max(k.config.Total, l.EffectiveTotal)
 	}
-	if b.isLeader {
-		b.SetLeader(true, now)
+	if changesTotal && s.proposedRevision > s.revision {
+		command.Revision = s.proposedRevision
 	}
+	return command, len(command.Changes) > 0
 }
 
-// StatusRow is what one server holds of one limit, for operators.
-type StatusRow struct {
-	Server         string                `json:"server"`
-	Amount         Amount                `json:"amount"`
-	Outstanding    Amount                `json:"counts"` // older amounts included that it may not have left yet
-	Desired        Amount                `json:"wants"`
-	RemainingMS    timeunit.Milliseconds `json:"left_ms"` // of what is known here; the elected keeper knows best
-	SinceRequestMS timeunit.Milliseconds `json:"heard_ms"`
+// maxLeaseSpan is the longest span of a lease of any limit.
+func (s *LimitSet) maxLeaseSpan() (longest timeunit.Milliseconds) {
+	for _, allocator := range s.allocators {
+		longest = max(longest, allocator.config.maxLeaseSpan())
+	}
+	return longest
 }
 
-// StatusRows are the grants of a limit, the largest first.
-func (k *Allocator) StatusRows(now timeunit.Milliseconds) (lines []StatusRow) {
-	for name, g := range k.leases {
-		lines = append(lines, StatusRow{Server: name, Amount: g.amount, Outstanding: g.outstanding(), Desired: g.desired, RemainingMS: max(0, g.expiresAt-now), SinceRequestMS: max(0, now-g.lastRequestAt)})
+// ProposalFailed takes back what NextCommand noted, as its last command was not put to the other coordinators. Commands
+// that were put to them may still be committed.
+func (s *LimitSet) ProposalFailed(command Command) {
+	if command.Open {
+		s.openProposed = false
+		return
+	}
+	for _, change := range command.Changes {
+		s.allocators[change.LimitIndex].proposalFailed(change)
 	}
-	slices.SortFunc(lines, func(a, b StatusRow) int {
-		return cmp.Or(-cmp.Compare(a.Outstanding, b.Outstanding), cmp.Compare(a.Server, b.Server))
-	})
-	return lines
 }
-
-// Config are what the limit is kept by now; Target is the whole that was set last.
-func (k *Allocator) Config() LimitConfig { return k.config }
-func (k *Allocator) TargetTotal() Amount { return k.targetTotal }
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -11,8 +11,9 @@
 	"thistlequay/timeunit"
 )
 
-// cluster is keepers and holders in virtual time: one log, keepers that are elected and deposed with what they have under way lost,
-// requests and answers that are lost, late and come again, clocks that run apart, holders that stand still with parts in hand.
+// cluster is keepers and holders in virtual time: one log, keepers that are elected and deposed with what they have
+// under way lost, requests and answers that are lost, late and come again, clocks that run apart, holders that stand
+// still with parts in hand.
 type cluster struct {
 	random         *rand.Rand
 	now            timeunit.Milliseconds // true time
--- /dev/null
+++ b/internal/quota/snapshot.go
@@ -0,0 +1,54 @@
+package quota
+
+import "thistlequay/timeunit"
+
+// Snapshot returns the state after all commands that were applied.
+func (s *LimitSet) Snapshot() Snapshot {
+	snapshot := Snapshot{Opened: s.opened, Revision: s.revision}
+	for _, allocator := range s.allocators {
+		snapshot.Limits = append(snapshot.Limits, allocator.snapshot())
+	}
+	return snapshot
+}
+
+func (a *Allocator) snapshot() LimitSnapshot {
+	snapshot := LimitSnapshot{LastVersion: a.lastVersion, TargetTotal: a.targetTotal, EffectiveTotal: a.effectiveTotal}
+	for _, server := range a.servers() {
+		l := a.leases[server]
+		for _, earlier := range l.previous {
+			change := Change{Server: server, LeaseVersion: earlier.version, Amount: earlier.amount}
+			snapshot.Leases = append(snapshot.Leases, change)
+		}
+		if l.version > 0 {
+			change := Change{Server: server, LeaseVersion: l.version, Amount: l.amount}
+			snapshot.Leases = append(snapshot.Leases, change)
+		}
+	}
+	return snapshot
+}
+
+// Restore replaces the state by a snapshot. A limit that the snapshot does not have begins anew.
+func (s *LimitSet) Restore(snapshot Snapshot, now timeunit.Milliseconds) {
+	s.opened = snapshot.Opened
+	s.revision = snapshot.Revision
+	for i, allocator := range s.allocators {
+		*allocator = *NewAllocator(allocator.Config(), allocator.logID)
+		if i < len(snapshot.Limits) {
+			allocator.restore(snapshot.Limits[i], now)
+		}
+	}
+	if s.isLeader {
+		s.SetLeader(true, now)
+	}
+}
+
+// restore gives a new allocator the state of a snapshot.
+func (a *Allocator) restore(snapshot LimitSnapshot, now timeunit.Milliseconds) {
+	a.lastVersion = snapshot.LastVersion
+	a.targetTotal = snapshot.TargetTotal
+	a.effectiveTotal = snapshot.EffectiveTotal
+	for _, change := range snapshot.Leases {
+		a.Apply(change, now)
+	}
+	a.effectiveTotal = max(a.effectiveTotal, snapshot.EffectiveTotal)
+}
