--- /dev/null
+++ b/internal/quota/cluster_test.go
@@ -0,0 +1,289 @@
+package quota
+
+import (
+	"math/rand"
+
+	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
+)
+
+// cluster is three allocators and some lease holders in virtual time. They have one log; leaders are elected and
+// deposed, and what they have proposed is lost; requests and responses are lost, late and duplicated; clocks run
+// apart; holders are paused while they use what they have.
+type cluster struct {
+	random         *rand.Rand
+	now            timeunit.Milliseconds // true time
+	config         LimitConfig
+	allocators     []*Allocator
+	applied        []int // by allocator: how many entries of the log it has applied
+	log            []Change
+	leader         int // an index of allocators, noLeader for none
+	servers        []*server
+	inFlight       []envelope
+	effectiveTotal Amount // as the last leader had it
+
+	checks     int // of the sum of what is usable
+	violations int // checks that found more than the total
+	usedSum    Amount
+	totalSum   Amount
+
+	history *golden.History // nil: nothing is recorded
+}
+
+const noLeader = -1
+
+// What a record of the history is about. The numbers are part of the golden files.
+const (
+	eventRequest = iota + 1
+	eventResponse
+	eventChange
+	eventServer
+	eventStep
+)
+
+func (c *cluster) record(values ...any) {
+	if c.history != nil {
+		c.history.Add(values...)
+	}
+}
+
+// server is a lease holder and the work that it has in use.
+type server struct {
+	holder       *LeaseHolder
+	clockRate    float64
+	clockOffset  timeunit.Milliseconds
+	pausedUntil  timeunit.Milliseconds
+	isDown       bool
+	load         Amount                  // that it would have in use
+	releaseTimes []timeunit.Milliseconds // of what is in use, a unit each, by true time
+}
+
+func (s *server) inUse() Amount { return Amount(len(s.releaseTimes)) * Unit }
+
+// envelope is a request or a response on its way.
+type envelope struct {
+	deliverAt timeunit.Milliseconds
+	server    int
+	addressee *LeaseHolder // of the incarnation that asked
+	request   *LimitRequest
+	response  *LimitResponse
+}
+
+// serverClock is what a server's own clock says.
+func (c *cluster) serverClock(s *server) timeunit.Milliseconds {
+	return timeunit.Milliseconds(float64(c.now)*s.clockRate) + s.clockOffset
+}
+
+// allocatorClock is what the clock of an allocator's process says.
+func (c *cluster) allocatorClock(i int) timeunit.Milliseconds {
+	rate := 1 + 0.03*float64(i-1)
+	return timeunit.Milliseconds(float64(c.now)*rate) + timeunit.Milliseconds(i)*100_000
+}
+
+func newCluster(seed int64, servers int) *cluster {
+	total := Amount(servers) * 10 * Unit
+	c := &cluster{
+		random:         rand.New(rand.NewSource(seed)),
+		leader:         noLeader,
+		effectiveTotal: total,
+		config: LimitConfig{
+			Total:             total,
+			GuaranteedMinimum: Unit,
+			Slots:             servers,
+			LeaseDuration:     2000,
+			GracePeriod:       500,
+			ClockDrift:        0.1,
+			InitialAmount:     Unit,
+			Hysteresis:        0.1,
+		},
+	}
+	for range 3 {
+		c.allocators = append(c.allocators, NewAllocator(c.config, 1))
+		c.applied = append(c.applied, 0)
+	}
+	for i := range servers {
+		clockRate := 1 + 0.08*(c.random.Float64()-0.5)
+		clockOffset := timeunit.Milliseconds(c.random.Intn(1e6))
+		c.servers = append(c.servers, &server{clockRate: clockRate, clockOffset: clockOffset})
+		c.startServer(i)
+	}
+	return c
+}
+
+func (c *cluster) startServer(i int) {
+	s := c.servers[i]
+	s.holder = NewLeaseHolder(string(rune('A'+i)), c.config, true, 0)
+	s.isDown = false
+	s.releaseTimes = nil
+	s.pausedUntil = 0
+}
+
+func (c *cluster) elect(i int) {
+	if c.leader != noLeader {
+		c.allocators[c.leader].SetLeader(false, c.allocatorClock(c.leader))
+	}
+	c.leader = i
+	if i != noLeader {
+		c.applyCommitted(i)
+		c.allocators[i].SetLeader(true, c.allocatorClock(i))
+	}
+}
+
+// applyCommitted has an allocator apply what it has not yet applied of the log.
+func (c *cluster) applyCommitted(i int) {
+	for ; c.applied[i] < len(c.log); c.applied[i]++ {
+		c.allocators[i].Apply(c.log[c.applied[i]], c.allocatorClock(i))
+	}
+}
+
+// send puts a message on its way, perhaps twice or not at all.
+func (c *cluster) send(message envelope) {
+	c.recordMessage(message)
+	copies := 1 + c.random.Intn(10)/9
+	for range copies {
+		if c.random.Intn(8) > 0 {
+			message.deliverAt = c.now + timeunit.Milliseconds(1+c.random.Intn(300))
+			c.inFlight = append(c.inFlight, message)
+		}
+	}
+}
+
+func (c *cluster) recordMessage(message envelope) {
+	if r := message.request; r != nil {
+		c.record(eventRequest, message.server, r.Server, int64(r.RequestedAt),
+			r.HeldVersion, r.Desired, r.Required, r.LogID)
+	}
+	if r := message.response; r != nil {
+		c.record(eventResponse, message.server, int64(r.RequestedAt),
+			r.LeaseVersion, r.Amount, int64(r.LeaseDuration), r.LogID)
+	}
+}
+
+// step plays 20 ms of true time, then checks the sum of what may be in use.
+func (c *cluster) step() {
+	c.now += 20
+	c.deliver()
+	c.decide()
+	sum := Amount(0)
+	for i := range c.servers {
+		sum += c.stepServer(i)
+	}
+	if c.leader != noLeader {
+		leader := c.allocators[c.leader]
+		c.effectiveTotal = leader.EffectiveTotal()
+		c.record(eventStep, int64(c.now), c.leader, c.effectiveTotal, leader.Outstanding())
+	}
+	c.totalSum += c.config.Total
+	c.checks++
+	if sum > c.effectiveTotal {
+		c.violations++
+	}
+}
+
+// deliver hands over the messages whose time has come.
+func (c *cluster) deliver() {
+	messages := c.inFlight
+	c.inFlight = nil
+	var later []envelope
+	for _, message := range messages {
+		s := c.servers[message.server]
+		switch {
+		case message.deliverAt > c.now || message.response != nil && s.pausedUntil > c.now:
+			later = append(later, message)
+		case message.request != nil && c.leader != noLeader:
+			c.handleRequest(message)
+		case message.response != nil && message.addressee == s.holder && !s.isDown:
+			s.holder.HandleResponse(*message.response, c.serverClock(s))
+		}
+	}
+	c.inFlight = append(c.inFlight, later...)
+}
+
+func (c *cluster) handleRequest(message envelope) {
+	response, granted := c.allocators[c.leader].HandleRequest(*message.request, c.allocatorClock(c.leader))
+	if granted {
+		c.send(envelope{server: message.server, addressee: message.addressee, response: &response})
+	}
+}
+
+// decide commits what the leader proposes. The other allocators apply it when they are elected.
+func (c *cluster) decide() {
+	if c.leader == noLeader {
+		return
+	}
+	for _, change := range c.allocators[c.leader].NextChanges(c.allocatorClock(c.leader)) {
+		c.record(eventChange, change.Server, change.LeaseVersion,
+			change.Amount, change.Total, change.Expired, change.LimitIndex)
+		c.log = append(c.log, change)
+	}
+	c.applyCommitted(c.leader)
+}
+
+// stepServer has a server release what has ended, use what it may, and ask. It returns what the server may have in use.
+func (c *cluster) stepServer(i int) Amount {
+	s := c.servers[i]
+	c.releaseEnded(s)
+	if s.isDown || s.pausedUntil > c.now {
+		return max(s.inUse(), c.config.GuaranteedMinimum)
+	}
+	now := c.serverClock(s)
+	for s.load > s.inUse() && s.holder.TryAcquire(Unit, now) {
+		s.releaseTimes = append(s.releaseTimes, c.now+timeunit.Milliseconds(50+c.random.Intn(300)))
+	}
+	if request, due := s.holder.NextRequest(now); due {
+		c.send(envelope{server: i, addressee: s.holder, request: &request})
+	}
+	c.usedSum += s.inUse()
+	usable := s.holder.Usable(now)
+	c.record(eventServer, i, usable, len(s.releaseTimes))
+	return max(usable, s.inUse())
+}
+
+func (c *cluster) releaseEnded(s *server) {
+	stillInUse := s.releaseTimes[:0]
+	for _, end := range s.releaseTimes {
+		if end > c.now {
+			stillInUse = append(stillInUse, end)
+		} else if !s.isDown {
+			s.holder.Release(Unit)
+		}
+	}
+	s.releaseTimes = stillInUse
+}
+
+func (c *cluster) run(span timeunit.Milliseconds) {
+	for end := c.now + span; c.now < end; {
+		c.step()
+	}
+}
+
+// injectFault changes something at random. The numbers of the cases are part of what a seed plays.
+func (c *cluster) injectFault() {
+	i := c.random.Intn(len(c.servers))
+	s := c.servers[i]
+	switch c.random.Intn(8) {
+	case 0:
+		c.elect(c.random.Intn(len(c.allocators)))
+	case 1:
+		c.elect(noLeader)
+	case 2:
+		s.pausedUntil = c.now + timeunit.Milliseconds(c.random.Intn(10000))
+	case 3:
+		s.isDown = !s.isDown
+		if !s.isDown {
+			c.startServer(i)
+		}
+	case 4: // one asks for everything, the others for what they had
+		s.load = c.config.Total
+	case 5:
+		s.load = 0
+	case 6:
+		for _, other := range c.servers {
+			other.load = Amount(c.random.Intn(30)) * Unit
+		}
+	case 7: // the total changes while it is in use
+		if c.leader != noLeader {
+			c.allocators[c.leader].RequestTotal(c.config.Total * Amount(1+c.random.Intn(4)) / 2)
+		}
+	}
+}
--- /dev/null
+++ b/internal/quota/limit_set_test.go
@@ -0,0 +1,205 @@
+package quota
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
+	"thistlequay/timeunit"
+)
+
+const (
+	testServers = 6
+	testDigest  = 7
+)
+
+// limitSets is three limit sets over one log, for a limit of calls in flight and one of calls per second, and servers
+// that ask whichever of them leads. All that is sent, committed, stored and reported is recorded.
+type limitSets struct {
+	random   *rand.Rand
+	history  *golden.History
+	now      timeunit.Milliseconds // true time
+	calls    LimitConfig
+	rate     LimitConfig
+	sets     []*LimitSet
+	applied  [3]int // by set: how many commands of the log it has applied
+	log      []Command
+	leader   int
+	holders  [testServers][2]*LeaseHolder
+	revision uint64 // of the servers' settings
+	totals   []Amount
+}
+
+func newLimitSets(seed int64, history *golden.History) *limitSets {
+	l := &limitSets{
+		random:  rand.New(rand.NewSource(seed)),
+		history: history,
+		calls: LimitConfig{
+			Total: 40 * Unit, GuaranteedMinimum: Unit, Slots: testServers, LeaseDuration: 2000, GracePeriod: 500,
+			ClockDrift: 0.1, InitialAmount: Unit, Hysteresis: 0.1, Granularity: Unit,
+		},
+		rate: LimitConfig{
+			Total: 300 * Unit, GuaranteedMinimum: 5 * Unit, Slots: testServers, LeaseDuration: 2000,
+			ClockDrift: 0.1, InitialAmount: 12 * Unit, Hysteresis: 0.1, IsRate: true,
+		},
+		revision: 1,
+	}
+	l.totals = []Amount{l.calls.Total, l.rate.Total}
+	for range l.applied {
+		l.sets = append(l.sets, NewLimitSet([]LimitConfig{l.calls, l.rate}, testDigest, 1, 3))
+	}
+	for i := range l.holders {
+		name := fmt.Sprintf("s%d.1", i)
+		l.holders[i] = [2]*LeaseHolder{NewLeaseHolder(name, l.calls, true, 0), NewLeaseHolder(name, l.rate, i > 0, 100)}
+	}
+	return l
+}
+
+// clock is what the clock of a set's process says.
+func (l *limitSets) clock(set int) timeunit.Milliseconds {
+	return l.now + timeunit.Milliseconds(set)*5000
+}
+
+// applyCommitted has a set apply what it has not yet applied of the log.
+func (l *limitSets) applyCommitted(set int) {
+	for ; l.applied[set] < len(l.log); l.applied[set]++ {
+		l.sets[set].Apply(l.log[l.applied[set]], l.clock(set))
+	}
+}
+
+// runLimitSets plays half a minute of what a seed draws.
+func runLimitSets(t *testing.T, seed int64, history *golden.History) {
+	t.Helper()
+	l := newLimitSets(seed, history)
+	l.sets[0].SetLeader(true, 0)
+	for ; l.now < 30_000; l.now += 50 {
+		l.injectFault(t)
+		for _, holders := range l.holders {
+			l.use(holders[0], holders[1])
+			l.request(t, holders)
+		}
+		l.decide(t)
+		l.recordState(t)
+	}
+}
+
+func (l *limitSets) injectFault(t *testing.T) {
+	t.Helper()
+	switch l.random.Intn(100) {
+	case 0: // another one leads
+		l.sets[l.leader].SetLeader(false, l.clock(l.leader))
+		l.leader = l.random.Intn(len(l.sets))
+		l.applyCommitted(l.leader)
+		l.sets[l.leader].SetLeader(true, l.clock(l.leader))
+	case 1: // the servers' settings change
+		l.revision++
+		calls := l.calls.Total * Amount(1+l.random.Intn(4)) / 2
+		rate := l.rate.Total * Amount(1+l.random.Intn(4)) / 2
+		l.totals = []Amount{calls, rate}
+	case 2, 3: // one set goes on with the leader's snapshot
+		l.restoreFromLeader(t, l.random.Intn(len(l.sets)))
+	}
+}
+
+func (l *limitSets) restoreFromLeader(t *testing.T, set int) {
+	t.Helper()
+	data := encoded(t, l.sets[l.leader].Snapshot(), &Snapshot{})
+	var snapshot Snapshot
+	require.NoError(t, cbor.Unmarshal(data, &snapshot))
+	l.sets[set].Restore(snapshot, l.clock(set))
+	l.applied[set] = len(l.log)
+	l.history.Add(set, string(data), string(encoded(t, l.sets[set].Snapshot(), &Snapshot{})))
+}
+
+// use has a server use what it may, or report what it uses.
+func (l *limitSets) use(calls, rate *LeaseHolder) {
+	switch l.random.Intn(4) {
+	case 0:
+		l.history.Add(calls.TryAcquire(Unit, l.now))
+	case 1:
+		calls.Release(Unit)
+	case 2:
+		inUse := Amount(l.random.Intn(12)) * Unit
+		waiting := Amount(l.random.Intn(3)) * Unit
+		calls.ReportUsage(inUse, waiting, l.now)
+	}
+	for range l.random.Intn(8) {
+		l.history.Add(rate.TakeToken(l.now))
+	}
+	l.history.Add(calls.Usable(l.now), int64(calls.ExpiresAt()), rate.Usable(l.now), int64(rate.ExpiresAt()),
+		int64(calls.LeaseDuration()))
+}
+
+// request sends what a server asks for, if that is due. Some servers have another configuration, some responses are
+// lost.
+func (l *limitSets) request(t *testing.T, holders [2]*LeaseHolder) {
+	t.Helper()
+	request := Request{ConfigDigest: testDigest, Revision: l.revision, Totals: l.totals}
+	for _, holder := range holders {
+		if limitRequest, due := holder.NextRequest(l.now); due {
+			request.Limits = append(request.Limits, limitRequest)
+		}
+	}
+	if len(request.Limits) == 0 {
+		return
+	}
+	if l.random.Intn(40) == 0 {
+		request.ConfigDigest++
+	}
+	l.history.Add(string(encoded(t, request, &Request{})))
+	response, granted := l.sets[l.leader].HandleRequest(request, l.clock(l.leader))
+	l.history.Add(granted, string(encoded(t, response, &Response{})))
+	if !granted || l.random.Intn(8) == 0 {
+		return
+	}
+	for i, limitResponse := range response.Limits {
+		if limitResponse.LeaseVersion > 0 {
+			holders[i].HandleResponse(limitResponse, l.now)
+		}
+	}
+}
+
+// decide commits what the leader proposes, or has the proposal fail.
+func (l *limitSets) decide(t *testing.T) {
+	t.Helper()
+	leader := l.sets[l.leader]
+	command, due := leader.NextCommand(l.clock(l.leader))
+	if !due {
+		return
+	}
+	l.history.Add(int64(l.now), string(encoded(t, command, &Command{})))
+	if l.random.Intn(10) == 0 {
+		leader.ProposalFailed(command)
+		return
+	}
+	l.log = append(l.log, command)
+	l.applyCommitted(l.leader)
+}
+
+func (l *limitSets) recordState(t *testing.T) {
+	t.Helper()
+	leader := l.sets[l.leader]
+	l.history.Add(int64(l.now), l.leader, leader.Opened(), leader.Revision(), leader.MismatchedRequests)
+	for _, allocator := range leader.Allocators() {
+		rows, err := json.Marshal(allocator.StatusRows(l.clock(l.leader)))
+		require.NoError(t, err)
+		l.history.Add(string(rows), allocator.TargetTotal(), allocator.EffectiveTotal(), allocator.Outstanding())
+	}
+}
+
+// encoded returns the bytes of a message, and fails unless they are the same after they were decoded.
+func encoded(t *testing.T, value, decoded any) []byte {
+	t.Helper()
+	data, err := cbor.Marshal(value)
+	require.NoError(t, err)
+	require.NoError(t, cbor.Unmarshal(data, decoded))
+	again, err := cbor.Marshal(decoded)
+	require.NoError(t, err)
+	require.Equal(t, data, again)
+	return data
+}
