--- /dev/null
+++ b/internal/quota/coordinator/cluster_faults_test.go
@@ -0,0 +1,131 @@
+package coordinator
+
+import (
+	"slices"
+
+	"thistlequay/internal/consensus"
+	"thistlequay/internal/quota"
+	"thistlequay/timeunit"
+)
+
+// injectFault changes something at random. The numbers of the cases are part of what a seed plays.
+func (c *cluster) injectFault() {
+	i := c.random.Intn(len(c.servers))
+	s := c.servers[i]
+	switch c.random.Intn(13) {
+	case 0: // killed, perhaps started again at once
+		c.stopServer(i)
+		if c.random.Intn(2) == 0 {
+			c.startServer(i, false)
+		}
+	case 1:
+		s.pausedUntil = c.now + timeunit.Milliseconds(c.random.Intn(10000))
+	case 2:
+		c.partition()
+	case 3:
+		c.blocked[[2]int{i, c.random.Intn(len(c.servers))}] = true
+	case 4, 5:
+		clear(c.blocked)
+		c.lossRate = 0
+	case 6:
+		c.lossRate = c.random.Float64() * 0.4
+	case 7:
+		c.restartStopped()
+	case 8: // one asks for everything
+		s.load = 10 * c.limit.Total
+	case 9:
+		for _, other := range c.servers {
+			other.load = quota.Amount(c.random.Intn(30)) * quota.Unit
+		}
+	case 10: // the total changes while it is in use, at one server first
+		s.revision = uint64(c.now)
+		s.total = c.limit.Total * quota.Amount(1+c.random.Intn(4)) / 2
+	case 11: // its disk is gone, full or slow
+		s.disk = diskState(c.random.Intn(3))
+		if c.random.Intn(3) == 0 {
+			s.state = nil
+			c.stopServer(i)
+		}
+	case 12:
+		c.stopLeaders()
+	}
+}
+
+// partition cuts the servers into two or three groups at random.
+func (c *cluster) partition() {
+	groups := make([]int, len(c.servers))
+	for i := range groups {
+		groups[i] = c.random.Intn(2 + c.random.Intn(2))
+	}
+	for a := range groups {
+		for b := range groups {
+			c.blocked[[2]int{a, b}] = groups[a] != groups[b]
+		}
+	}
+}
+
+// stopLeaders pauses or kills whoever leads.
+func (c *cluster) stopLeaders() {
+	for i, s := range c.servers {
+		if s.isDown || !s.coordinator.IsLeader() {
+			continue
+		}
+		if c.random.Intn(2) == 0 {
+			s.pausedUntil = c.now + 5000
+		} else {
+			c.stopServer(i)
+		}
+	}
+}
+
+// restartStopped mends all disks and starts the servers that are down.
+func (c *cluster) restartStopped() {
+	for i, s := range c.servers {
+		s.disk = diskWorks
+		if s.isDown {
+			c.startServer(i, false)
+		}
+	}
+}
+
+// persist writes to a disk, and reports whether it could. Without named coordinators there is none.
+func (c *cluster) persist(s *server, ready *Ready) bool {
+	if len(c.config.NamedCoordinators) == 0 || !ready.IsNewState && ready.State.IsEmpty() {
+		return true
+	}
+	switch s.disk {
+	case diskFull:
+		return false
+	case diskSlow:
+		s.pausedUntil = c.now + timeunit.Milliseconds(c.random.Intn(700))
+	case diskWorks:
+	}
+	state := &ready.State
+	if ready.IsNewState {
+		s.identity = s.coordinator.Identity()
+		s.state = &consensus.PersistentState{HardState: state.HardState, Snapshot: state.Snapshot}
+		return true
+	}
+	if len(state.Entries) > 0 {
+		kept := entriesBefore(s.state, state.Entries[0].Index)
+		s.state.Entries = append(slices.Clone(s.state.Entries[:kept]), state.Entries...)
+	}
+	if state.HardState.Term > 0 {
+		s.state.HardState = state.HardState
+	}
+	if index := state.Snapshot.Metadata.Index; index > 0 {
+		s.state.Snapshot = state.Snapshot
+		s.state.Entries = slices.Clone(s.state.Entries[entriesBefore(s.state, index+1):])
+	}
+	return true
+}
+
+// entriesBefore counts the entries with a lower index.
+func entriesBefore(state *consensus.PersistentState, index uint64) int {
+	for i, entry := range state.Entries {
+		if entry.Index >= index {
+			return i
+		}
+	}
+	return len(state.Entries)
+}
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -13,8 +13,58 @@
 	"thistlequay/internal/quota"
 )
 
-// The whole history of seeded schedules: every saved record, every message between servers byte for byte, every reply, and
-// what each server may use and takes for true after each round.
+// What a record of the history is about. The numbers are part of the golden files.
+const (
+	eventState = iota + 1
+	eventMessage
+	eventReply
+	eventServer
+	eventStep
+)
+
+func (c *cluster) record(values ...any) {
+	if c.history != nil {
+		c.history.Add(values...)
+	}
+}
+
+// recordReady records all that a coordinator gives, byte for byte.
+func (c *cluster) recordReady(i int, ready *Ready) {
+	if c.history == nil {
+		return
+	}
+	hard := ready.State.HardState
+	snapshot := ready.State.Snapshot
+	at := snapshot.Metadata
+	c.record(eventState, i, ready.IsNewState, hard.Term, hard.Vote, hard.Commit,
+		at.Index, at.Term, at.ConfState.Voters, string(snapshot.Data))
+	for _, entry := range ready.State.Entries {
+		c.record(eventState, entry.Index, entry.Term, int(entry.Type), string(entry.Data))
+	}
+	for _, message := range ready.Messages {
+		c.record(eventMessage, i, message.To, string(message.Data))
+	}
+	for _, reply := range ready.Replies {
+		c.record(eventReply, i, reply.RequestID, reply.Granted, reply.Leader)
+		for _, r := range reply.Response.Limits {
+			c.record(eventReply, int64(r.RequestedAt), r.LeaseVersion, r.Amount, int64(r.LeaseDuration), r.LogID)
+		}
+	}
+}
+
+// recordServer records where a server stands at the end of its part of a step.
+func (c *cluster) recordServer(i int, s *server, usable quota.Amount) {
+	if c.history == nil {
+		return
+	}
+	own := s.coordinator
+	id := own.Identity()
+	c.record(eventServer, i, usable, len(s.releaseTimes), own.IsLeader(), own.InMajority(), own.Leader(),
+		id.LogID, id.VoterID, own.Voters(), own.LeaderLost(), own.AppliedCommands, own.DiscardedStates)
+}
+
+// The whole history of seeded schedules: every saved record, every message between servers byte for byte, every
+// reply, and what each server may use and takes for true after each step.
 func TestGoldenSchedules(t *testing.T) {
 	var recorded bytes.Buffer
 	for first := 0; first < 100; first += 10 {
@@ -30,19 +80,31 @@
 // The bytes of what the log carries and of the identity on the disk: decoded as a server does, and encoded again.
 func TestGoldenRecords(t *testing.T) {
 	var recorded bytes.Buffer
-	again := func(name string, value, decoded any) {
-		text, err := cbor.Marshal(value)
+	record := func(name string, value, decoded any) {
+		data, err := cbor.Marshal(value)
 		require.NoError(t, err)
-		require.NoError(t, logDecoder.Unmarshal(text, decoded))
-		same, err := cbor.Marshal(decoded)
+		require.NoError(t, logDecoder.Unmarshal(data, decoded))
+		again, err := cbor.Marshal(decoded)
 		require.NoError(t, err)
-		require.Equal(t, text, same)
-		fmt.Fprintf(&recorded, "%s %s\n", name, hex.EncodeToString(text))
-	}
-	again("identity", Identity{LogID: 1 << 40, VoterID: 77}, &Identity{})
-	again("entry", quota.Command{Open: true, Revision: 9, Changes: []quota.Change{{Total: 400_000}, {Server: "b.1", LeaseVersion: 7, Expired: true, LimitIndex: 1}}}, &quota.Command{})
-	again("snapshot", quota.Snapshot{Opened: true, Revision: 9, Limits: []quota.LimitSnapshot{{LastVersion: 7, TargetTotal: 400_000, EffectiveTotal: 500_000,
-		Leases: []quota.Change{{Server: "a.1", LeaseVersion: 3, Amount: 9000}, {Server: "a.1", LeaseVersion: 5, Amount: 4000}}}, {}}}, &quota.Snapshot{})
-	again("empty snapshot", quota.Snapshot{}, &quota.Snapshot{})
+		require.Equal(t, data, again)
+		fmt.Fprintf(&recorded, "%s %s\n", name, hex.EncodeToString(data))
+	}
+	command := quota.Command{
+		Open:     true,
+		Revision: 9,
+		Changes:  []quota.Change{{Total: 400_000}, {Server: "b.1", LeaseVersion: 7, Expired: true, LimitIndex: 1}},
+	}
+	limit := quota.LimitSnapshot{
+		LastVersion: 7, TargetTotal: 400_000, EffectiveTotal: 500_000,
+		Leases: []quota.Change{
+			{Server: "a.1", LeaseVersion: 3, Amount: 9000},
+			{Server: "a.1", LeaseVersion: 5, Amount: 4000},
+		},
+	}
+	snapshot := quota.Snapshot{Opened: true, Revision: 9, Limits: []quota.LimitSnapshot{limit, {}}}
+	record("identity", Identity{LogID: 1 << 40, VoterID: 77}, &Identity{})
+	record("entry", command, &quota.Command{})
+	record("snapshot", snapshot, &quota.Snapshot{})
+	record("empty snapshot", quota.Snapshot{}, &quota.Snapshot{})
 	golden.Check(t, "records.txt", recorded.Bytes())
 }
--- /dev/null
+++ b/internal/quota/coordinator/rebalance_test.go
@@ -0,0 +1,143 @@
+package coordinator
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/quota"
+	"thistlequay/timeunit"
+)
+
+// runUntil plays until a condition holds and returns how long that took, -1 where it does not hold in time.
+func (c *cluster) runUntil(timeout timeunit.Milliseconds, condition func() bool) timeunit.Milliseconds {
+	for begun := c.now; c.now-begun < timeout; c.step() {
+		if condition() {
+			return c.now - begun
+		}
+	}
+	return -1
+}
+
+// usedFraction is the part of what could be used that is in use at this moment.
+func (c *cluster) usedFraction() float64 {
+	used := quota.Amount(0)
+	wanted := quota.Amount(0)
+	for _, s := range c.servers {
+		used += min(s.load, s.inUse())
+		wanted += s.load
+	}
+	return float64(used) / float64(min(wanted, c.limit.Total))
+}
+
+func (c *cluster) isMostlyUsed() bool { return c.usedFraction() > 0.9 }
+
+// usedPart is the part of the total that is in use over a time.
+func (c *cluster) usedPart(play func()) float64 {
+	c.usedSum = 0
+	c.totalSum = 0
+	play()
+	return float64(c.usedSum) / float64(c.totalSum)
+}
+
+// setUnevenLoad gives the servers loads of 1, 9, 17 and 25 units where ten is the mean.
+func (c *cluster) setUnevenLoad(turn int) {
+	for i, s := range c.servers {
+		s.load = quota.Amount(1+(i+turn)%4*8) * quota.Unit
+	}
+}
+
+// leadingServer returns the server that leads and may grant leases, nil for none.
+func (c *cluster) leadingServer() *server {
+	for _, s := range c.servers {
+		if c.isRunning(s) && s.coordinator.IsLeader() && s.coordinator.InMajority() {
+			return s
+		}
+	}
+	return nil
+}
+
+// pauseMajority pauses more than half of the voters.
+func (c *cluster) pauseMajority(until timeunit.Milliseconds) {
+	for _, voter := range c.view.Voters[:(len(c.view.Voters)+1)/2] {
+		for _, s := range c.servers {
+			if s.incarnation == incarnationOf(voter.VoterID) {
+				s.pausedUntil = until
+			}
+		}
+	}
+}
+
+// newSizedCluster is a cluster whose lease duration grows with its size, as the settings have it.
+func newSizedCluster(servers int) *cluster {
+	c := newCluster(int64(servers), servers, false)
+	c.limit.LeaseDuration = timeunit.Milliseconds(max(2000, 20*servers))
+	c.config.Limits = []quota.LimitConfig{c.limit}
+	for i := range c.servers {
+		c.startServer(i, true)
+	}
+	c.view = ClusterView{}
+	c.updateView()
+	return c
+}
+
+// What leases cost and how soon they follow, in virtual time: a steady uneven load; a load that moves to other
+// servers at once; a majority of the voters paused for a minute under a load for all that there is, then back.
+func TestLeasesFollowLoad(t *testing.T) {
+	sizes := []int{12, 40}
+	if os.Getenv("MEASURE") == "full" {
+		sizes = []int{12, 40, 300}
+	}
+	for _, servers := range sizes {
+		testLeasesFollowLoad(t, servers)
+	}
+}
+
+func testLeasesFollowLoad(t *testing.T, servers int) {
+	t.Helper()
+	const span timeunit.Milliseconds = 30_000
+	perSecond := func(count float64) float64 { return count / float64(span) * 1000 }
+	c := newSizedCluster(servers)
+	c.setUnevenLoad(0)
+	settledIn := c.runUntil(240_000, c.isMostlyUsed)
+	require.Positive(t, settledIn, "%d servers", servers)
+	c.run(10_000)
+	leader := c.leadingServer()
+	require.NotNil(t, leader)
+	commandsBefore := leader.coordinator.AppliedCommands
+	grantedBefore := c.leasesGranted
+	c.leaderBusy = 0
+	used := c.usedPart(func() { c.run(span) })
+	entries := perSecond(float64(leader.coordinator.AppliedCommands - commandsBefore))
+	answers := perSecond(float64(c.leasesGranted - grantedBefore))
+	busy := perSecond(float64(c.leaderBusy.Microseconds()))
+
+	c.setUnevenLoad(2) // those that had little want much, and the other way round
+	movedIn := c.runUntil(240_000, c.isMostlyUsed)
+	require.Positive(t, movedIn)
+
+	for _, s := range c.servers {
+		s.load = 10 * c.limit.Total
+	}
+	pausedUntil := c.now + 60_000
+	c.pauseMajority(pausedUntil)
+	c.run(3 * c.limit.LeaseDuration)
+	usedWithoutLeases := c.usedPart(func() {
+		for c.now < pausedUntil-100 {
+			c.step()
+		}
+	})
+	backIn := c.runUntil(60_000, c.isMostlyUsed)
+	require.Positive(t, backIn)
+
+	guaranteed := float64(c.limit.GuaranteedMinimum*quota.Amount(c.limit.Slots)) / float64(c.limit.Total)
+	t.Logf("measured keepers servers=%d length_ms=%d over=%d used_of_whole=%.3f floor_loss=%.3f settle_ms=%d "+
+		"rebalance_ms=%d entries_a_second=%.2f answers_a_second=%.0f leader_us_a_second=%.0f "+
+		"floors_alone=%.3f back_ms=%d",
+		servers, c.limit.LeaseDuration, c.violations, used, guaranteed, settledIn,
+		movedIn, entries, answers, busy, usedWithoutLeases, backIn)
+	require.Zero(t, c.violations)
+	require.Greater(t, used, 0.85)
+	require.Less(t, entries, 5.0)
+}
