--- a/internal/config/service_test.go
+++ b/internal/config/service_test.go
@@ -134,7 +134,7 @@
 	limits := own.Quota.Limits()
 	require.Len(t, limits, 2)
 	for _, l := range limits {
-		require.True(t, l.Sane())
+		require.NoError(t, l.Validate())
 		require.EqualValues(t, 8000, l.LeaseDuration)
 	}
 	more, err := read(peersPart + "shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -21,7 +21,8 @@
 // Unit is one call in flight, or one call per second where LimitConfig.IsRate is set.
 const Unit Amount = 1000
 
-// LimitConfig describes one limit. All coordinators and all servers must have the same one, except for Total.
+// LimitConfig describes one limit. All coordinators and all servers must have the same one, except for Total. See
+// Validate.
 type LimitConfig struct {
 	// Total is what all servers together may use. It must be positive and cover the guaranteed minimum of all slots.
 	Total Amount
