--- a/internal/quota/validate_test.go
+++ b/internal/quota/validate_test.go
@@ -9,7 +9,9 @@
 
 // A limit is refused for the field that makes it impossible to keep, at the bound of what is allowed.
 func TestValidateNamesTheField(t *testing.T) {
-	valid := LimitConfig{Total: 10, GuaranteedMinimum: 2, Slots: 5, LeaseDuration: 1, ClockDrift: 0.49, Hysteresis: 0.99}
+	valid := LimitConfig{
+		Total: 10, GuaranteedMinimum: 2, Slots: 5, LeaseDuration: 1, ClockDrift: 0.49, Hysteresis: 0.99,
+	}
 	require.NoError(t, valid.Validate())
 	for _, wrong := range []struct {
 		field  string
