--- a/admission/cores.go
+++ b/admission/cores.go
@@ -37,9 +37,9 @@
 }
 
 // relieve lowers the limit by the excess of runnable requests, once a round trip and never below the cores.
-// What crowds the cores adds nothing to throughput. Guards against load that piles up faster than experiments
-// see it (slow cores, bursts of reading). Harms where the gauge counts requests that do not compete for the
-// cores.
+// What exceeds the cores adds nothing to throughput. This guards against load that piles up faster than
+// experiments see it (slow cores, bursts of reading). It does harm where the gauge counts requests that do
+// not compete for the cores.
 func (c *coreLoad) relieve(l *limiter, now timeunit.Ticks) {
 	over := c.runnable - reliefThreshold*c.cores
 	if over > 0 && now >= c.reliefAt {
@@ -63,8 +63,8 @@
 func (d *readingDelay) isLong() bool { return d.mean > d.softDeadline*unreadFraction }
 
 // concurrencyLimit is the limiter's limit, or half the cores and the requests at calls while a large part of
-// the soft deadline passes unread: the only case below the limiter's floor. Guards against retries that
-// arrive faster than they can be read. Harms where reading does not wait for the cores.
+// the soft deadline passes unread: the only case below the limiter's floor. This guards against retries that
+// arrive faster than they can be read. It does harm where reading does not wait for the cores.
 func (s *Server) concurrencyLimit() int {
 	limit := int(s.limiter.limit)
 	if s.reading.isLong() {
@@ -76,8 +76,8 @@
 // overloadLimit is the hard limit of runnable requests now.
 func (s *Server) overloadLimit() float64 { return s.cores.limitAt(s.slowStart.speed(s.now)) }
 
-// coresAreFull says that no more may come onto the cores. Requests whose calls are in flight and those that
-// wait for a result to share can all become runnable at once, so they count.
+// coresAreFull says that no more may come onto the cores. Requests that wait for the disk, those whose calls
+// are in flight and those that wait for a result to share can all become runnable at once, so they count.
 func (s *Server) coresAreFull() bool {
 	limit := s.overloadLimit()
 	runnable := float64(s.limiter.inFlight - s.cores.runsAtCalls + s.downstream.inFlight)
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -48,8 +48,8 @@
 }
 
 // overloadIsFleetWide says whether other servers seem to reject requests too: many retries come, or much is
-// rejected though runs are quick. Then rejected requests should not be tried on another server. Guards
-// against retries that walk through a large fleet. Harms where only this server is short of capacity.
+// rejected though runs are quick. Then rejected requests should not be tried on another server. This guards
+// against retries that walk through a large fleet. It does harm where only this server is short of capacity.
 func (s *Server) overloadIsFleetWide() bool {
 	return max(s.retries.retryShare, s.feedback.rejectedShare) > s.feedback.slowdown*s.feedback.fleetWideShare
 }
--- a/admission/host.go
+++ b/admission/host.go
@@ -69,8 +69,8 @@
 }
 
 // Host is the server that embeds the package and carries its decisions out. No method may call back into the
-// package. Every request gets exactly one answer, by the end of its run or shared result (Run, ShareResult), by
-// Reject or by Abort, unless it is cancelled before. Release comes last.
+// package. Every request gets exactly one answer, by the end of its run or shared result (Run, ShareResult),
+// by Reject or by Abort, unless it is cancelled before. Release comes last.
 type Host interface {
 	// Run starts the request. Its end is told by Request.RunEnded.
 	Run(r *Request)
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -69,9 +69,9 @@
 	return true
 }
 
-// canShareResult says whether a cacheable request may have the result of an earlier one. Guards against what
-// many ask for at one moment (hot keys, storms of retries). Harms those that share with one that fails or is
-// rejected.
+// canShareResult says whether a cacheable request may have the result of an earlier one. This guards against
+// what many ask for at one moment (hot keys, storms of retries). It harms those that share with one that
+// fails or is rejected.
 func (s *Server) canShareResult(r, earlier *Request) bool {
 	if !r.cacheable || s.memory.isTight() || s.drain.hasEndedFor(r.arrivedAt) || s.coresAreFull() {
 		return false
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -6,7 +6,7 @@
 const memoryMargin = 0.9
 
 // memoryAccount counts the memory, in kilobytes, that the package answers for: queued requests, running ones
-// and idempotency entries. Guards against a server that dies of what it admitted.
+// and idempotency entries. This guards against a server that dies of what it admitted.
 type memoryAccount struct {
 	usedKB    float64
 	maxKB     float64
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -3,7 +3,7 @@
 import "thistlequay/timeunit"
 
 // slowStart tells how much of its full speed a server has that started cold. The speed grows evenly with
-// time. It scales the overload limit (coreLoad.limitAt), which guards against a crowd that a cold server does
+// time. It scales the overload limit (coreLoad.limitAt), which guards against a load that a cold server does
 // not survive.
 type slowStart struct {
 	coldSpeed float64 // share of its full speed at the start, 1 for a server that is warm
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -10,7 +10,8 @@
 	// noDeadline is later than all times.
 	noDeadline = timeunit.Ticks(1 << 60)
 
-	// tickFraction is how often gauges are read in the shortest soft deadline while requests are in hand; ours.
+	// tickFraction is the time between two readings of the gauges, as a part of the shortest soft deadline,
+	// while requests are queued or in flight; a ratio of our own.
 	tickFraction = 1.0 / 40
 
 	// notInHeap is the heap index of a request without a timer.
--- a/admission/turns.go
+++ b/admission/turns.go
@@ -24,7 +24,7 @@
 // what other servers do at this moment, and all of them may begin, or come back, at once: if all rounded up
 // together the dependency, cold or just recovered, would be called by too many. So each server rounds up in
 // turns that its TurnOffset spreads: always, where few calls come of it if all do so, or while calls go well
-// and quickly. Harms where calls outlast a turn: they are given up.
+// and quickly. It does harm where calls outlast a turn: they are given up.
 type turns struct {
 	offset      float64 // from 0 to 1, another on each server
 	length      float64 // of a whole round while calls are quick, in ticks
