--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -1,7 +1,7 @@
-// Package tenancy tells whose a request is by where it comes from: the longest prefix that holds the client's address.
+// Package tenancy finds the tenant of a request by the network it comes from: the longest prefix that contains the
+// client's address.
 //
-// It owns the table of networks and of the fronts whose word on a client is believed. It does no I/O and must never
-// believe an address that a connection without trust brings.
+// It does no I/O. What a connection says about its client counts only if the connection comes from a trusted proxy.
 package tenancy
 
 import (
@@ -10,41 +10,47 @@
 	"github.com/gaissmai/bart"
 )
 
-// Table is built once and then only read.
+// Table maps networks to tenants. It is filled first and then only read; reading is safe for concurrent use.
 type Table struct {
 	networks        bart.Table[string]
 	trustedProxies  bart.Lite
 	unmatchedTenant string
 }
 
-// New makes an empty table. What no prefix holds is of the tenant named here, all together.
-func New(unmatched string) *Table { return &Table{unmatchedTenant: unmatched} }
+// New returns an empty table. All clients in no network of the table belong to unmatchedTenant together.
+func New(unmatchedTenant string) *Table { return &Table{unmatchedTenant: unmatchedTenant} }
 
-// Normalize is a prefix as the table keeps it: addresses of the fourth version mapped into the sixth are of the fourth.
-func Normalize(p netip.Prefix) netip.Prefix {
-	if a := p.Addr(); a.Is4In6() && p.Bits() >= 96 {
-		return netip.PrefixFrom(a.Unmap(), p.Bits()-96).Masked()
+// Bits of a prefix of IPv4 addresses mapped into IPv6 that stand in front of the IPv4 address (RFC 4291, 2.5.5.2).
+const mappedPrefixBits = 96
+
+// Normalize returns a prefix as the table keeps it: masked, and IPv4 addresses mapped into IPv6 as IPv4.
+func Normalize(prefix netip.Prefix) netip.Prefix {
+	if address := prefix.Addr(); address.Is4In6() && prefix.Bits() >= mappedPrefixBits {
+		return netip.PrefixFrom(address.Unmap(), prefix.Bits()-mappedPrefixBits).Masked()
 	}
-	return p.Masked()
+	return prefix.Masked()
 }
 
-// AddNetwork has a tenant own the addresses under a prefix, but for those under a longer one.
-func (t *Table) AddNetwork(p netip.Prefix, tenant string) { t.networks.Insert(Normalize(p), tenant) }
+// AddNetwork assigns the addresses under a prefix to a tenant, but for those under a longer prefix of the table.
+func (t *Table) AddNetwork(prefix netip.Prefix, tenant string) {
+	t.networks.Insert(Normalize(prefix), tenant)
+}
 
-// TrustProxies has the word of the fronts under a prefix believed.
-func (t *Table) TrustProxies(p netip.Prefix) { t.trustedProxies.Insert(Normalize(p)) }
+// TrustProxies makes the table believe what the proxies under a prefix say about their clients.
+func (t *Table) TrustProxies(prefix netip.Prefix) { t.trustedProxies.Insert(Normalize(prefix)) }
 
-// Lookup tells whose a request is. Peer is the other end of the connection; remote is what the front says of the client
-// (REMOTE_ADDR), which counts only from a trusted front. Without such word the peer itself is the client; a front that
-// is trusted and says nothing that can be read has its request booked with what nothing matches.
+// Lookup returns the tenant of a request. The peer is the other end of the connection; remote is the client's address
+// as the connection says (REMOTE_ADDR), which counts only if the peer is a trusted proxy. Otherwise the peer is the
+// client. Requests of a trusted proxy that gives no readable address belong to the unmatched tenant and not to the
+// proxy's.
 func (t *Table) Lookup(peer netip.Addr, remote []byte) string {
 	client := peer.Unmap()
 	if t.trustedProxies.Contains(client) {
-		a, err := netip.ParseAddr(string(remote))
+		address, err := netip.ParseAddr(string(remote))
 		if err != nil {
 			return t.unmatchedTenant
 		}
-		client = a.Unmap().WithZone("")
+		client = address.Unmap().WithZone("")
 	}
 	if tenant, found := t.networks.Lookup(client); found {
 		return tenant
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -8,10 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhoseItIs(t *testing.T) {
+// TestLongestPrefixDecidesTenant checks which tenant a request belongs to, by peer and by what the peer says.
+func TestLongestPrefixDecidesTenant(t *testing.T) {
 	table := New("elsewhere")
-	for prefix, tenant := range map[string]string{"10.0.0.0/8": "wide", "10.1.0.0/16": "narrow", "10.1.2.3/32": "one",
-		"2001:db8::/32": "six", "2001:db8:1::/48": "six-narrow", "::ffff:192.0.2.0/120": "mapped"} {
+	for prefix, tenant := range map[string]string{
+		"10.0.0.0/8":           "wide",
+		"10.1.0.0/16":          "narrow",
+		"10.1.2.3/32":          "one",
+		"2001:db8::/32":        "six",
+		"2001:db8:1::/48":      "six-narrow",
+		"::ffff:192.0.2.0/120": "mapped",
+	} {
 		table.AddNetwork(netip.MustParsePrefix(prefix), tenant)
 	}
 	table.TrustProxies(netip.MustParsePrefix("127.0.0.0/8"))
@@ -27,23 +34,25 @@
 		{"127.0.0.1", "192.0.2.7", "mapped"},
 		{"::ffff:127.0.0.1", "10.1.2.3", "one"},
 		{"127.0.0.1", "172.16.0.1", "elsewhere"},
-		{"127.0.0.1", "", "elsewhere"}, // the front says nothing: not booked with the front's own address
+		{"127.0.0.1", "", "elsewhere"}, // the proxy says nothing: it is not the client itself
 		{"127.0.0.1", "10.1.2.3:80", "elsewhere"},
-		{"10.1.2.3", "10.9.9.9", "one"}, // no trust: what it says of itself counts for nothing
+		{"10.1.2.3", "10.9.9.9", "one"}, // not trusted: what it says counts for nothing
 		{"10.9.9.9", "10.1.2.3", "wide"},
 	} {
-		require.Equal(t, c.tenant, table.Lookup(netip.MustParseAddr(c.peer), []byte(c.remote)), fmt.Sprint(c))
+		got := table.Lookup(netip.MustParseAddr(c.peer), []byte(c.remote))
+		require.Equal(t, c.tenant, got, fmt.Sprint(c))
 	}
 	require.Equal(t, "elsewhere", New("elsewhere").Lookup(netip.Addr{}, nil))
 }
 
-func BenchmarkTenant(b *testing.B) {
-	for _, n := range []int{10, 100_000} {
-		b.Run(fmt.Sprintf("prefixes=%d", n), func(b *testing.B) {
+// BenchmarkLookup measures a lookup through a trusted proxy.
+func BenchmarkLookup(b *testing.B) {
+	for _, prefixes := range []int{10, 100_000} {
+		b.Run(fmt.Sprintf("prefixes=%d", prefixes), func(b *testing.B) {
 			table := New("elsewhere")
-			for i := range n {
-				p := netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 32)
-				table.AddNetwork(p, "t")
+			for i := range prefixes {
+				address := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
+				table.AddNetwork(netip.PrefixFrom(address, 32), "t")
 			}
 			table.TrustProxies(netip.MustParsePrefix("127.0.0.1/32"))
 			peer := netip.MustParseAddr("127.0.0.1")
