--- a/examples/shortanswer/main.go
+++ b/examples/shortanswer/main.go
@@ -10,13 +10,16 @@
 )
 
 func init() {
-	pluginsdk.OnResult = func(q pluginsdk.Request) pluginsdk.Verdict {
-		line, _, more := bytes.Cut(q.Body, []byte{'\n'})
-		if !more {
-			return pluginsdk.Verdict{}
-		}
-		return pluginsdk.Verdict{}.Replace(line)
-	}
+	pluginsdk.OnResult = firstLine
 }
 
 func main() {}
+
+// firstLine replaces a result of several lines by its first one.
+func firstLine(request pluginsdk.Request) pluginsdk.Verdict {
+	line, _, hasMore := bytes.Cut(request.Body, []byte{'\n'})
+	if !hasMore {
+		return pluginsdk.Verdict{}
+	}
+	return pluginsdk.Verdict{}.Replace(line)
+}
