--- a/internal/plugin/chain/chain.go
+++ b/internal/plugin/chain/chain.go
@@ -32,12 +32,12 @@
 
 // New returns a chain of plug-ins with the given policies. A plug-in that was in the chain before under the same name
 // keeps its circuit breaker, unless isNew says that the name now stands for another plug-in. The chain before may be
-// nil.
+// nil; isNew is not called then.
 func New(policies []Policy, before *Chain, isNew func(name string) bool, random *rand.Rand, now timeunit.Ticks) *Chain {
 	c := &Chain{}
 	for i, policy := range policies {
 		plugin := &Plugin{Policy: policy, Index: i}
-		if !isNew(policy.Name) {
+		if before != nil && !isNew(policy.Name) {
 			plugin.CircuitBreaker = before.circuitBreaker(policy.Name)
 		}
 		if plugin.CircuitBreaker == nil {
@@ -50,9 +50,6 @@
 
 // circuitBreaker returns the circuit breaker of the plug-in of that name, or nil.
 func (c *Chain) circuitBreaker(name string) *CircuitBreaker {
-	if c == nil {
-		return nil
-	}
 	for _, plugin := range c.Plugins {
 		if plugin.Name == name {
 			return plugin.CircuitBreaker
