--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,24 +16,24 @@
 func read(t testing.TB, text string) (*Config, error) {
 	file := filepath.Join(t.TempDir(), "service.yaml")
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-	terms, err := Read(file)
+	config, err := Read(file)
 	if err != nil {
 		err = fmt.Errorf("%s", strings.ReplaceAll(err.Error(), file, "f"))
 	}
-	return terms, err
+	return config, err
 }
 
-func TestSections(t *testing.T) {
-	terms, err := Read("")
+func TestReadConvertsFairQueues(t *testing.T) {
+	config, err := Read("")
 	require.NoError(t, err)
-	require.Nil(t, terms.FairQueues.SchedulerConfig(&deployment.Config{}))
-	terms, err = read(t, "# nothing set\n")
+	require.Nil(t, config.FairQueues.SchedulerConfig(&deployment.Config{}))
+	config, err = read(t, "# nothing set\n")
 	require.NoError(t, err)
-	require.Nil(t, terms.FairQueues)
-	terms, err = read(t, "fair_queues:\n")
+	require.Nil(t, config.FairQueues)
+	config, err = read(t, "fair_queues:\n")
 	require.NoError(t, err)
-	require.Equal(t, 256, terms.FairQueues.MaxTrackedTenants)
-	terms, err = read(t, `
+	require.Equal(t, 256, config.FairQueues.MaxHeavyHitters)
+	config, err = read(t, `
 fair_queues:
   tenants:
     - {name: a, share: 3}
@@ -46,99 +46,115 @@
   trusted_fronts: [127.0.0.1]
 `)
 	require.NoError(t, err)
-	f := terms.FairQueues
-	require.Equal(t, time.Second, f.Burst)
-	l := f.SchedulerConfig(&deployment.Config{})
-	require.Equal(t, 2.25, l.OthersWeight) // the mean of the shares
-	require.Equal(t, 10_000, int(l.Burst))
-	require.NotNil(t, f.TenantTable())
+	section := config.FairQueues
+	require.Equal(t, time.Second, section.Burst)
+	scheduler := section.SchedulerConfig(&deployment.Config{})
+	require.Equal(t, 2.25, scheduler.OthersWeight) // the mean of the weights
+	require.Equal(t, 10_000, int(scheduler.Burst))
+	require.NotNil(t, section.TenantTable())
 }
 
-// badFiles are what is said of bad sections for fair queues.
-var badFiles = map[string]string{
-	"fair_queue:\n":                                                                "f:1:1: fair_queue: is not known; expected one of fair_queues",
-	"fair_queues:\n  book: 3\n":                                                    "f:2:3: fair_queues.book: is not known; expected one of tenants, others,",
-	"fair_queues:\n  books: 3\n  books: 4\n":                                       "f:3:3: fair_queues.books: stands twice; expected each key once",
-	"fair_queues:\n  books: many\n":                                                `f:2:10: fair_queues.books: "many"; expected a whole number`,
-	"fair_queues:\n  books: 1.5\n":                                                 `f:2:10: fair_queues.books: "1.5"; expected a whole number`,
-	"fair_queues:\n  books: -1\n":                                                  "f:2:10: fair_queues.books: -1 is out of range; expected at least 0",
-	"fair_queues:\n  newcomers: 1\n":                                               "f:2:14: fair_queues.newcomers: 1 is out of range; expected less than 1",
-	"fair_queues:\n  others: .nan\n":                                               `f:2:11: fair_queues.others: ".nan"; expected a number`,
-	"fair_queues:\n  burst: 200\n":                                                 `f:2:10: fair_queues.burst: "200"; expected a time with its unit, as in 250ms or 2s`,
-	"fair_queues:\n  burst: 2h\n":                                                  "f:2:10: fair_queues.burst: 2h is out of range; expected at most 60s",
-	"fair_queues:\n  by: hall\n":                                                   `f:2:7: fair_queues.by: "hall"; expected one of account, network`,
-	"fair_queues:\n  tenants:\n    - name: a\n":                                    "f:3:7: fair_queues.tenants[0].share: is missing; expected a value",
-	"fair_queues:\n  tenants:\n    - {name: 7, share: 1}\n":                        `f:3:14: fair_queues.tenants[0].name: "7"; expected text; quote it if that is meant`,
-	"fair_queues:\n  tenants: a\n":                                                 "f:2:12: fair_queues.tenants: is no list; expected a list",
-	"fair_queues: 3\n":                                                             "f:1:14: fair_queues: is none; expected a section of key: value",
-	"fair_queues:\n  burst: &x 1s\n  history: *x\n":                                "f:3:12: fair_queues.history: is an alias; expected the value itself",
-	"fair_queues:\n  books:\n":                                                     "f:2:9: fair_queues.books: is empty; expected a value",
-	"fair_queues:\n\tbooks: 3\n":                                                   "f:2:1: found character that cannot start any token",
-	"fair_queues:\n---\nfair_queues:\n":                                            "f:2:1: a second document; expected one document",
-	"fair_queues:\n  tenants: [{name: a, share: 1}, {name: a, share: 2}]\n":        `f:2:41: fair_queues.tenants[1].name: "a" stands twice; expected each tenant once`,
-	"fair_queues:\n  by: network\n":                                                "f:2:7: fair_queues.by: by: network without any; expected at least one network",
-	"fair_queues:\n  networks: [{prefix: 10.0.0.0/8, tenant: a}]\n":                "f:2:13: fair_queues.networks: networks are told, but tenants go by account; expected by: network",
-	"fair_queues:\n  by: network\n  networks: [{prefix: 10.0.0.1/8, tenant: a}]\n": `f:3:23: fair_queues.networks[0].prefix: "10.0.0.1/8": has bits set beyond its length`,
-	"fair_queues:\n  by: network\n  networks: [{prefix: ten, tenant: a}]\n":        `f:3:23: fair_queues.networks[0].prefix: "ten": is no address and no prefix such as 10.1.0.0/16 or fd00::/8`,
-	"fair_queues:\n  by: network\n  networks: [{prefix: 10.0.0.0/8, tenant: a}, {prefix: \"::ffff:10.0.0.0/104\", tenant: b}]\n": "f:3:56: fair_queues.networks[1].prefix: ::ffff:10.0.0.0/104 stands twice; expected each prefix once",
+// badSection is the text of a file and a part of its diagnostic.
+type badSection struct{ text, diagnostic string }
+
+// badFairQueues has bad sections for fair queues and the diagnostic of each.
+var badFairQueues = []badSection{
+	{"fair_queue:\n", "f:1:1: fair_queue: is not known; expected one of fair_queues"},
+	{"fair_queues:\n  book: 3\n", "f:2:3: fair_queues.book: is not known; expected one of tenants, others,"},
+	{"fair_queues:\n  books: 3\n  books: 4\n", "f:3:3: fair_queues.books: stands twice; expected each key once"},
+	{"fair_queues:\n  books: many\n", `f:2:10: fair_queues.books: "many"; expected a whole number`},
+	{"fair_queues:\n  books: 1.5\n", `f:2:10: fair_queues.books: "1.5"; expected a whole number`},
+	{"fair_queues:\n  books: -1\n", "f:2:10: fair_queues.books: -1 is out of range; expected at least 0"},
+	{"fair_queues:\n  newcomers: 1\n", "f:2:14: fair_queues.newcomers: 1 is out of range; expected less than 1"},
+	{"fair_queues:\n  others: .nan\n", `f:2:11: fair_queues.others: ".nan"; expected a number`},
+	{"fair_queues:\n  burst: 200\n",
+		`f:2:10: fair_queues.burst: "200"; expected a time with its unit, as in 250ms or 2s`},
+	{"fair_queues:\n  burst: 2h\n", "f:2:10: fair_queues.burst: 2h is out of range; expected at most 60s"},
+	{"fair_queues:\n  by: hall\n", `f:2:7: fair_queues.by: "hall"; expected one of account, network`},
+	{"fair_queues:\n  tenants:\n    - name: a\n",
+		"f:3:7: fair_queues.tenants[0].share: is missing; expected a value"},
+	{"fair_queues:\n  tenants:\n    - {name: 7, share: 1}\n",
+		`f:3:14: fair_queues.tenants[0].name: "7"; expected text; quote it if that is meant`},
+	{"fair_queues:\n  tenants: a\n", "f:2:12: fair_queues.tenants: is no list; expected a list"},
+	{"fair_queues: 3\n", "f:1:14: fair_queues: is none; expected a section of key: value"},
+	{"fair_queues:\n  burst: &x 1s\n  history: *x\n",
+		"f:3:12: fair_queues.history: is an alias; expected the value itself"},
+	{"fair_queues:\n  books:\n", "f:2:9: fair_queues.books: is empty; expected a value"},
+	{"fair_queues:\n\tbooks: 3\n", "f:2:1: found character that cannot start any token"},
+	{"fair_queues:\n---\nfair_queues:\n", "f:2:1: a second document; expected one document"},
+	{"fair_queues:\n  tenants: [{name: a, share: 1}, {name: a, share: 2}]\n",
+		`f:2:41: fair_queues.tenants[1].name: "a" stands twice; expected each tenant once`},
+	{"fair_queues:\n  by: network\n",
+		"f:2:7: fair_queues.by: by: network without any; expected at least one network"},
+	{"fair_queues:\n  networks: [{prefix: 10.0.0.0/8, tenant: a}]\n",
+		"f:2:13: fair_queues.networks: networks are told, but tenants go by account; expected by: network"},
+	{"fair_queues:\n  by: network\n  networks: [{prefix: 10.0.0.1/8, tenant: a}]\n",
+		`f:3:23: fair_queues.networks[0].prefix: "10.0.0.1/8": has bits set beyond its length`},
+	{"fair_queues:\n  by: network\n  networks: [{prefix: ten, tenant: a}]\n",
+		`f:3:23: fair_queues.networks[0].prefix: "ten":` +
+			` is no address and no prefix such as 10.1.0.0/16 or fd00::/8`},
+	{"fair_queues:\n  by: network\n  networks: [{prefix: 10.0.0.0/8, tenant: a}" +
+		", {prefix: \"::ffff:10.0.0.0/104\", tenant: b}]\n",
+		"f:3:56: fair_queues.networks[1].prefix: ::ffff:10.0.0.0/104 stands twice; expected each prefix once"},
 }
 
-func TestFaults(t *testing.T) {
-	for text, fault := range badFiles {
-		_, err := read(t, text)
-		require.ErrorContains(t, err, fault, text)
+func TestReadLocatesFaultsOfFairQueues(t *testing.T) {
+	for _, c := range badFairQueues {
+		_, err := read(t, c.text)
+		require.ErrorContains(t, err, c.diagnostic, c.text)
 	}
 }
 
 func FuzzRead(f *testing.F) {
 	f.Add("fair_queues:\n  tenants: [{name: a, share: 1}]\n  burst: 1s\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		if terms, err := read(t, text); err == nil {
-			terms.FairQueues.SchedulerConfig(&deployment.Config{})
-			terms.FairQueues.TenantTable()
+		if config, err := read(t, text); err == nil {
+			config.FairQueues.SchedulerConfig(&deployment.Config{})
+			config.FairQueues.TenantTable()
 		}
 	})
 }
 
-const peersPart = "peers: {listen: '127.0.0.1:1', fleet: f, servers: 4, key_file: k}\n"
+const gossipSection = "peers: {listen: '127.0.0.1:1', fleet: f, servers: 4, key_file: k}\n"
 
-// badShares are what is said of bad sections for shares.
-var badShares = map[string]string{
-	"shares: {calls: 8, slots: 4}\n":                                                   "a section peers",
-	peersPart + "shares: {calls: 3, slots: 4}\n":                                       "3 calls for 4 slots",
-	peersPart + "shares: {calls: 8, slots: 4, floor: 3}\n":                             "with a floor of 3",
-	peersPart + "shares: {calls: 8, slots: 3}\n":                                       "3 slots for 4 servers",
-	peersPart + "shares: {calls: 8, slots: 4, keepers: [a, b]}\n":                      "three or five names",
-	peersPart + "shares: {calls: 8, slots: 4, keepers: [a, b, c]}\n":                   "could vote twice",
-	peersPart + "shares: {calls: 8, slots: 4, directory: d}\n":                         "could vote twice",
-	peersPart + "shares: {calls: 8, slots: 4, fresh: true}\n":                          "nothing lasts",
-	peersPart + "shares: {calls: 8, slots: 4, calls_a_second: 9, floor_a_second: 3}\n": "9 calls a second for 4 slots",
-	peersPart + "shares: {calls: 8, slots: 4, keepers: [a, a, c], directory: d}\n":     "stands twice",
-	peersPart + "shares: {calls: 8, slots: 4, clock_drift: 0.5}\n":                     "clock_drift",
+// badQuotas has bad sections for quotas and a part of the diagnostic of each.
+var badQuotas = []badSection{
+	{"shares: {calls: 8, slots: 4}\n", "a section peers"},
+	{gossipSection + "shares: {calls: 3, slots: 4}\n", "3 calls for 4 slots"},
+	{gossipSection + "shares: {calls: 8, slots: 4, floor: 3}\n", "with a floor of 3"},
+	{gossipSection + "shares: {calls: 8, slots: 3}\n", "3 slots for 4 servers"},
+	{gossipSection + "shares: {calls: 8, slots: 4, keepers: [a, b]}\n", "three or five names"},
+	{gossipSection + "shares: {calls: 8, slots: 4, keepers: [a, b, c]}\n", "could vote twice"},
+	{gossipSection + "shares: {calls: 8, slots: 4, directory: d}\n", "could vote twice"},
+	{gossipSection + "shares: {calls: 8, slots: 4, fresh: true}\n", "nothing lasts"},
+	{gossipSection + "shares: {calls: 8, slots: 4, calls_a_second: 9, floor_a_second: 3}\n",
+		"9 calls a second for 4 slots"},
+	{gossipSection + "shares: {calls: 8, slots: 4, keepers: [a, a, c], directory: d}\n", "stands twice"},
+	{gossipSection + "shares: {calls: 8, slots: 4, clock_drift: 0.5}\n", "clock_drift"},
 }
 
-// Shares that cannot be kept are turned down with their places; what holds for a fleet holds in its terms.
-func TestSharesSection(t *testing.T) {
+// Shares that cannot be kept are turned down with their places; what holds for a fleet holds in its config.
+func TestReadLocatesFaultsOfQuota(t *testing.T) {
 	read := func(text string) (*Config, error) {
 		file := filepath.Join(t.TempDir(), "own.yaml")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		return Read(file)
 	}
-	for text, want := range badShares {
-		_, err := read(text)
-		require.ErrorContains(t, err, want)
+	for _, c := range badQuotas {
+		_, err := read(c.text)
+		require.ErrorContains(t, err, c.diagnostic)
 		require.ErrorContains(t, err, "own.yaml:")
 	}
-	own, err := read(peersPart + "shares: {calls: 800, slots: 400, calls_a_second: 2000}\n")
+	own, err := read(gossipSection + "shares: {calls: 800, slots: 400, calls_a_second: 2000}\n")
 	require.NoError(t, err)
 	limits := own.Quota.Limits()
 	require.Len(t, limits, 2)
-	for _, l := range limits {
-		require.True(t, l.Sane())
-		require.EqualValues(t, 8000, l.LeaseDuration)
+	for _, limit := range limits {
+		require.True(t, limit.Sane())
+		require.EqualValues(t, 8000, limit.LeaseDuration)
 	}
-	more, err := read(peersPart + "shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
+	more, err := read(gossipSection + "shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
 	require.NoError(t, err)
-	require.Equal(t, own.Quota.Digest(), more.Quota.Digest(), "wholes may differ")
+	require.Equal(t, own.Quota.Digest(), more.Quota.Digest(), "totals may differ")
 	require.NotEqual(t, own.Quota.Totals(), more.Quota.Totals())
 }
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -1,106 +1,115 @@
 package config
 
-// This file owns the section on the talk among servers, and the file of its keys. It must never open a socket.
-
 import (
 	"bytes"
 	"encoding/base64"
 	"fmt"
 	"net"
 	"os"
-	"path/filepath"
-	"slices"
 
 	"thistlequay/internal/diagnostics"
 )
 
-// Gossip is the section of docs/membership/operating.md.
+// Gossip is the section peers, on gossip among the servers of a fleet; docs/membership/operating.md describes its keys.
 type Gossip struct {
 	Listen          string   `yaml:"listen" min:"1" need:"yes"`
-	Advertise       string   `yaml:"advertise"`
+	Advertise       string   `yaml:"advertise"` // empty: as Listen
 	SeedAddresses   []string `yaml:"first"`
 	InitialVoters   []string `yaml:"founders"`
 	FleetName       string   `yaml:"fleet" min:"1" need:"yes"`
 	ExpectedServers int      `yaml:"servers" min:"1" max:"4096" need:"yes"`
 	Zone            string   `yaml:"zone"`
 	KeyFile         string   `yaml:"key_file" min:"1" need:"yes"`
-	StatusAddress   string   `yaml:"status"`
+	StatusAddress   string   `yaml:"status"` // empty: the status is not served
 }
 
-// SetDefaults is what the section has where it says nothing.
-func (p *Gossip) SetDefaults() { *p = Gossip{} }
-
+// Bounds of the section.
 const (
 	maxSeedAddresses = 64
-	maxKeyFileBytes  = 64 << 10
-	maxKeys          = 8
+	maxInitialVoters = 15
 )
 
-func (p *Gossip) validate() error {
-	if p == nil {
+// Bounds of the key file.
+const (
+	maxKeyFileBytes = 64 << 10
+	maxKeys         = 8
+)
+
+// SetDefaults implements diagnostics.Defaulter: all keys that may be absent are empty then.
+func (g *Gossip) SetDefaults() { *g = Gossip{} }
+
+func (g *Gossip) validate() (found diagnostics.List) {
+	if g == nil {
 		return nil
 	}
-	var l diagnostics.List
-	at := func(path, address string) {
-		if host, _, err := net.SplitHostPort(address); err != nil || net.ParseIP(host) == nil {
-			l.Add("peers."+path, "an address such as 127.0.0.1:7946", "%q is none; names are not looked up", address)
-		}
+	validateAddress(&found, "peers.listen", g.Listen)
+	if g.Advertise != "" {
+		validateAddress(&found, "peers.advertise", g.Advertise)
 	}
-	at("listen", p.Listen)
-	for path, address := range map[string]string{"advertise": p.Advertise, "status": p.StatusAddress} {
-		if address != "" {
-			at(path, address)
-		}
-	}
-	for i, address := range p.SeedAddresses[:min(len(p.SeedAddresses), maxSeedAddresses)] {
-		at(fmt.Sprintf("first[%d]", i), address)
+	if g.StatusAddress != "" {
+		validateAddress(&found, "peers.status", g.StatusAddress)
 	}
-	if len(p.SeedAddresses) > maxSeedAddresses {
-		l.Add("peers.first", fmt.Sprintf("%d at most", maxSeedAddresses), "%d addresses", len(p.SeedAddresses))
+	for i, address := range g.SeedAddresses[:min(len(g.SeedAddresses), maxSeedAddresses)] {
+		validateAddress(&found, fmt.Sprintf("peers.first[%d]", i), address)
 	}
-	if len(p.InitialVoters) > 15 || len(p.InitialVoters)%2 == 0 && len(p.InitialVoters) > 0 {
-		l.Add("peers.founders", "an odd number of names, 15 at most", "%d names", len(p.InitialVoters))
+	if count := len(g.SeedAddresses); count > maxSeedAddresses {
+		found.Add("peers.first", fmt.Sprintf("%d at most", maxSeedAddresses), "%d addresses", count)
 	}
-	for i, name := range p.InitialVoters {
-		if name == "" || slices.Index(p.InitialVoters, name) < i {
-			l.Add(fmt.Sprintf("peers.founders[%d]", i), "each name once", "%q stands twice or is empty", name)
-		}
+	voters := len(g.InitialVoters)
+	if voters > maxInitialVoters || voters%2 == 0 && voters > 0 { // an even number adds no majority
+		expected := fmt.Sprintf("an odd number of names, %d at most", maxInitialVoters)
+		found.Add("peers.founders", expected, "%d names", voters)
 	}
-	if len(p.InitialVoters) > p.ExpectedServers {
-		l.Add("peers.servers", "at least the founders", "%d servers with %d founders", p.ExpectedServers, len(p.InitialVoters))
+	validateNames(&found, "peers.founders", g.InitialVoters)
+	if voters > g.ExpectedServers {
+		found.Add("peers.servers", "at least the founders", "%d servers with %d founders", g.ExpectedServers, voters)
 	}
-	return l.Err()
+	return found
 }
 
-// LoadKeys reads the key file, which lies beside the file that names it unless it is a whole path: a key a line in base64, of 16,
-// 24 or 32 bytes. The first is spoken under, all are understood.
-func (p *Gossip) LoadKeys(file string) (keys [][]byte, err error) {
-	path := p.KeyFile
-	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(file), path)
+// validateAddress adds a diagnostic for what is no address of a host by number and a port.
+func validateAddress(found *diagnostics.List, path, address string) {
+	host, _, err := net.SplitHostPort(address)
+	if err != nil || net.ParseIP(host) == nil {
+		found.Add(path, "an address such as 127.0.0.1:7946", "%q is none; names are not looked up", address)
 	}
+}
+
+// LoadKeys reads the key file, which lies beside the settings file that names it unless its path is absolute. It has a
+// key a line, in base64, of 16, 24 or 32 bytes; empty lines and those that begin with # are passed over. Messages are
+// sealed with the first key and opened with any.
+func (g *Gossip) LoadKeys(settingsFile string) (keys [][]byte, err error) {
+	path := besideFile(settingsFile, g.KeyFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err
+		return nil, err // names the file
 	}
-	var l diagnostics.List
 	if len(text) > maxKeyFileBytes {
 		return nil, diagnostics.List{{File: path, Problem: "is too long", Expected: "64 KiB at most"}}
 	}
+	var found diagnostics.List
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
 		line = bytes.TrimSpace(line)
 		if len(line) == 0 || line[0] == '#' {
 			continue
 		}
 		key, err := base64.StdEncoding.AppendDecode(nil, line)
-		if err != nil || len(key) != 16 && len(key) != 24 && len(key) != 32 {
-			l = append(l, diagnostics.Diagnostic{File: path, Line: i + 1, Column: 1, Problem: "is no key", Expected: "16, 24 or 32 bytes in base64"})
+		if err != nil || !isAESKeySize(len(key)) {
+			found = append(found, diagnostics.Diagnostic{
+				File: path, Line: i + 1, Column: 1, Problem: "is no key", Expected: "16, 24 or 32 bytes in base64",
+			})
 			continue
 		}
 		keys = append(keys, key)
 	}
-	if len(l) == 0 && (len(keys) == 0 || len(keys) > maxKeys) {
-		l = append(l, diagnostics.Diagnostic{File: path, Problem: fmt.Sprintf("%d keys", len(keys)), Expected: fmt.Sprintf("1 to %d", maxKeys)})
+	if len(found) == 0 && (len(keys) == 0 || len(keys) > maxKeys) {
+		found = append(found, diagnostics.Diagnostic{
+			File:     path,
+			Problem:  fmt.Sprintf("%d keys", len(keys)),
+			Expected: fmt.Sprintf("1 to %d", maxKeys),
+		})
 	}
-	return keys, l.Err()
+	return keys, found.Err()
 }
+
+func isAESKeySize(size int) bool { return size == 16 || size == 24 || size == 32 }
--- /dev/null
+++ b/internal/config/plugins_convert.go
@@ -0,0 +1,141 @@
+package config
+
+import (
+	"slices"
+
+	"github.com/zeebo/xxh3"
+
+	"thistlequay/internal/deployment"
+	"thistlequay/internal/plugin"
+	"thistlequay/internal/plugin/abi"
+	"thistlequay/internal/plugin/chain"
+)
+
+// hookPoints are the places in the chain by the words of the section.
+var hookPoints = map[string]chain.Hook{
+	hookRead:   chain.HookRead,
+	hookResult: chain.HookResult,
+	hookTick:   chain.HookTick,
+}
+
+// actionBits are the bits of a verdict by the words of the section.
+var actionBits = map[string]int{
+	"nothing":     0,
+	mayReject:     abi.ActionReject,
+	mayCategorise: abi.ActionCategorize,
+	mayTag:        abi.ActionTag,
+	mayRewrite:    abi.ActionReplace,
+}
+
+// ProcessSpec returns what the plug-in process is told when it starts. state is what plug-ins kept in the process
+// before, by the name of the plug-in; those that do not keep their state don't get it.
+func (p *Plugins) ProcessSpec(state map[string]map[string][]byte) plugin.HostSpec {
+	spec := plugin.HostSpec{Workers: p.Workers, MemoryMB: p.MemoryMB}
+	for i := range p.Entries {
+		spec.Plugins = append(spec.Plugins, p.Entries[i].moduleConfig(state))
+	}
+	return spec
+}
+
+func (p *Plugin) moduleConfig(state map[string]map[string][]byte) plugin.ModuleConfig {
+	module := plugin.ModuleConfig{
+		Name:         p.Name,
+		File:         p.File,
+		SHA256:       p.SHA256,
+		MemoryKB:     p.MemoryKB,
+		MaxCodeKB:    p.CodeKB,
+		MaxStateKB:   p.StateKB,
+		StartTimeout: p.StartTimeout,
+		Compile:      p.Engine == engineCompiler,
+		Seed:         int64(xxh3.HashString(p.Name)),
+	}
+	for _, hook := range p.Hooks {
+		module.Hooks[hookPoints[hook]] = true
+	}
+	if p.KeepState {
+		module.State = state[p.Name]
+	}
+	for _, sample := range p.Samples {
+		module.Samples = append(module.Samples, sample.convert())
+	}
+	return module
+}
+
+func (s *Sample) convert() plugin.Sample {
+	sample := plugin.Sample{
+		Hook:           int(hookPoints[s.Hook]),
+		Category:       s.Category,
+		Tenant:         s.Tenant,
+		Body:           s.Body,
+		ExpectedStatus: s.ExpectedStatus,
+	}
+	if len(s.ExpectedActions) > 0 {
+		actions := 0
+		for _, word := range s.ExpectedActions {
+			actions |= actionBits[word]
+		}
+		sample.ExpectedActions = &actions
+	}
+	return sample
+}
+
+// Grants returns what each plug-in may do, in the order of the chain. The section must have been validated against the
+// same platform's settings.
+func (p *Plugins) Grants(platform *deployment.Config) (policies []chain.Policy) {
+	for i := range p.Entries {
+		policies = append(policies, p.Entries[i].policy(platform))
+	}
+	return policies
+}
+
+func (p *Plugin) policy(platform *deployment.Config) chain.Policy {
+	policy := chain.Policy{
+		Name:                 p.Name,
+		Categories:           categoryFlags(p.Categories, platform),
+		TargetCategories:     categoryFlags(p.TargetCategories, platform),
+		Tenants:              map[string]bool{},
+		MayReject:            p.may(mayReject),
+		MayTag:               p.may(mayTag),
+		MayRewrite:           p.may(mayRewrite),
+		CallTimeout:          ticks(p.CallTimeout),
+		MaxTimeFraction:      p.MaxTimeFraction,
+		CoreFraction:         p.CoreFraction,
+		TickInterval:         ticks(p.TickInterval),
+		FaultsByTenant:       p.FaultsByTenant,
+		MaxConsecutiveFaults: p.MaxConsecutiveFaults,
+		MaxFaultRate:         p.MaxFaultRate,
+		MinQuarantine:        ticks(p.Quarantine),
+		MaxQuarantine:        ticks(p.MaxQuarantine),
+	}
+	if len(p.Categories) == 0 {
+		policy.Categories = slices.Repeat([]bool{true}, len(platform.Categories))
+	}
+	if p.FallbackPolicy == fallbackReject {
+		policy.Fallback = chain.FallbackReject
+	}
+	for _, hook := range p.Hooks {
+		policy.Hooks[hookPoints[hook]] = true
+	}
+	for _, name := range p.Tenants {
+		policy.Tenants[name] = true
+	}
+	return policy
+}
+
+// categoryFlags returns, for each category of the platform's settings, whether it is among the names.
+func categoryFlags(names []string, platform *deployment.Config) []bool {
+	flags := make([]bool, len(platform.Categories))
+	for _, name := range names {
+		flags[platform.CategoryIndex[name]] = true
+	}
+	return flags
+}
+
+// DiscardsState returns for each plug-in, by name, whether its state and record of faults do not pass to a new version.
+func (p *Plugins) DiscardsState() map[string]bool {
+	discards := map[string]bool{}
+	for _, entry := range p.Entries {
+		discards[entry.Name] = !entry.KeepState
+	}
+	return discards
+}
--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -1,11 +1,7 @@
 package config
 
-// This file owns the section on the shares of a fleet's limits. It must never open anything.
-
 import (
 	"fmt"
-	"path/filepath"
-	"slices"
 	"time"
 
 	"github.com/zeebo/xxh3"
@@ -16,14 +12,14 @@
 	"thistlequay/timeunit"
 )
 
-// Quota is the section of docs/quota/operating.md.
+// Quota is the section shares, on limits that the servers of a fleet share; docs/quota/operating.md describes its keys.
 type Quota struct {
 	Revision                 int           `yaml:"revision" min:"1" max:"1000000000"`
 	MaxCalls                 int           `yaml:"calls" min:"1" max:"1000000" need:"yes"`
-	CallsPerSecond           int           `yaml:"calls_a_second" min:"0" max:"10000000"`
+	CallsPerSecond           int           `yaml:"calls_a_second" min:"0" max:"10000000"` // 0: not limited
 	Slots                    int           `yaml:"slots" min:"1" max:"4096" need:"yes"`
-	GuaranteedCalls          int           `yaml:"floor" min:"0" max:"1000000"`
-	GuaranteedCallsPerSecond int           `yaml:"floor_a_second" min:"0" max:"1000000"`
+	GuaranteedCalls          int           `yaml:"floor" min:"0" max:"1000000"`          // of each slot
+	GuaranteedCallsPerSecond int           `yaml:"floor_a_second" min:"0" max:"1000000"` // of each slot
 	LongestCall              time.Duration `yaml:"longest_call" min:"1ms" max:"60s"`
 	ClockDrift               float64       `yaml:"clock_drift" min:"0" max:"0.25"`
 	Coordinators             []string      `yaml:"keepers"`
@@ -31,94 +27,126 @@
 	StartFresh               bool          `yaml:"fresh"`
 }
 
-// SetDefaults is what the section has where it says nothing.
-func (s *Quota) SetDefaults() {
-	*s = Quota{Revision: 1, GuaranteedCalls: 1, GuaranteedCallsPerSecond: 1, LongestCall: 500 * time.Millisecond, ClockDrift: 0.1}
+// SetDefaults implements diagnostics.Defaulter.
+func (q *Quota) SetDefaults() {
+	*q = Quota{
+		Revision:                 1,
+		GuaranteedCalls:          1,
+		GuaranteedCallsPerSecond: 1,
+		LongestCall:              500 * time.Millisecond,
+		ClockDrift:               0.1,
+	}
 }
 
-// LimitNames are the names of what is shared, in the order of Limits.
+// LimitNames are the names of the limits that Quota.Limits returns, in its order.
 var LimitNames = []string{"calls", "calls_a_second"}
 
-func (s *Quota) validate(peers *Gossip) error {
-	if s == nil {
+func (q *Quota) validate(gossip *Gossip) (found diagnostics.List) {
+	if q == nil {
 		return nil
 	}
-	var l diagnostics.List
-	if peers == nil {
-		l.Add("shares", "a section peers", "servers that share must know each other")
-	}
-	if s.MaxCalls < s.Slots*max(1, s.GuaranteedCalls) {
-		l.Add("shares.calls", "at least a call, and the floor, for each slot", "%d calls for %d slots with a floor of %d", s.MaxCalls, s.Slots, s.GuaranteedCalls)
+	if gossip == nil {
+		found.Add("shares", "a section peers", "servers that share must know each other")
 	}
-	if s.CallsPerSecond > 0 && s.CallsPerSecond < s.Slots*s.GuaranteedCallsPerSecond {
-		l.Add("shares.calls_a_second", "at least the floor for each slot", "%d calls a second for %d slots with a floor of %d", s.CallsPerSecond, s.Slots, s.GuaranteedCallsPerSecond)
+	if q.MaxCalls < q.Slots*max(1, q.GuaranteedCalls) {
+		found.Add("shares.calls", "at least a call, and the floor, for each slot",
+			"%d calls for %d slots with a floor of %d", q.MaxCalls, q.Slots, q.GuaranteedCalls)
 	}
-	if peers != nil && s.Slots < peers.ExpectedServers {
-		l.Add("shares.slots", "at least the servers of the fleet", "%d slots for %d servers", s.Slots, peers.ExpectedServers)
+	if q.CallsPerSecond > 0 && q.CallsPerSecond < q.Slots*q.GuaranteedCallsPerSecond {
+		found.Add("shares.calls_a_second", "at least the floor for each slot",
+			"%d calls a second for %d slots with a floor of %d", q.CallsPerSecond, q.Slots, q.GuaranteedCallsPerSecond)
 	}
-	if n := len(s.Coordinators); n != 0 && n != 3 && n != 5 {
-		l.Add("shares.keepers", "three or five names, or none", "%d names", n)
+	if gossip != nil && q.Slots < gossip.ExpectedServers {
+		found.Add("shares.slots", "at least the servers of the fleet",
+			"%d slots for %d servers", q.Slots, gossip.ExpectedServers)
 	}
-	for i, name := range s.Coordinators {
-		if name == "" || slices.Index(s.Coordinators, name) < i {
-			l.Add(fmt.Sprintf("shares.keepers[%d]", i), "each name once", "%q stands twice or is empty", name)
-		}
+	return append(found, q.validateCoordinators()...)
+}
+
+func (q *Quota) validateCoordinators() (found diagnostics.List) {
+	count := len(q.Coordinators)
+	if count != 0 && count != 3 && count != 5 {
+		found.Add("shares.keepers", "three or five names, or none", "%d names", count)
 	}
-	if (s.Directory == "") != (len(s.Coordinators) == 0) {
-		l.Add("shares.keepers", "keepers and directory together, or neither",
-			"a log lasts only where its keepers are named and each has a directory that lasts: one that forgot its votes could vote twice")
+	validateNames(&found, "shares.keepers", q.Coordinators)
+	if (q.Directory == "") != (count == 0) {
+		found.Add("shares.keepers", "keepers and directory together, or neither",
+			"a log lasts only where its keepers are named and each has a directory that lasts: "+
+				"one that forgot its votes could vote twice")
 	}
-	if s.StartFresh && s.Directory == "" {
-		l.Add("shares.fresh", "a directory", "nothing lasts, so each log is a first one")
+	if q.StartFresh && q.Directory == "" {
+		found.Add("shares.fresh", "a directory", "nothing lasts, so each log is a first one")
 	}
-	return l.Err()
+	return found
 }
 
-// validateAgainst: parts of what each server has for itself are not to be granted.
-func (s *Quota) validateAgainst(of *deployment.Config) (l diagnostics.List) {
-	if s != nil && !of.SharedDependency {
-		l.Add("shares.calls", "a dependency that all servers share", "each server has its own, by the platform's settings")
+// validateAgainst checks that there is something to share: parts of what each server has for itself can't be granted.
+func (q *Quota) validateAgainst(platform *deployment.Config) (found diagnostics.List) {
+	if q != nil && !platform.SharedDependency {
+		found.Add("shares.calls", "a dependency that all servers share",
+			"each server has its own, by the platform's settings")
 	}
-	return l
+	return found
 }
 
+// A lease lasts longer in a larger fleet, so that the requests a second that coordinators get stay the same.
 const (
 	minLeaseDuration     = 2 * time.Second
-	leaseDurationPerSlot = 20 * time.Millisecond // for each slot: what keepers are asked stays flat
+	leaseDurationPerSlot = 20 * time.Millisecond
 )
 
-// Limits are what the section shares, in the order of SharedLimits; a limit that it does not name is not among them.
-func (s *Quota) Limits() (limits []quota.LimitConfig) {
-	length := timeunit.Milliseconds(max(minLeaseDuration, leaseDurationPerSlot*time.Duration(s.Slots)).Milliseconds())
-	calls := quota.LimitConfig{Total: quota.Amount(s.MaxCalls) * quota.Unit, GuaranteedMinimum: quota.Amount(s.GuaranteedCalls) * quota.Unit, Slots: s.Slots, LeaseDuration: length,
-		GracePeriod: timeunit.Milliseconds(s.LongestCall.Milliseconds()), ClockDrift: s.ClockDrift, InitialAmount: quota.Unit, Hysteresis: 0.1, Granularity: quota.Unit}
-	limits = append(limits, calls)
-	if s.CallsPerSecond > 0 {
-		rate := calls
-		rate.Total, rate.GuaranteedMinimum = quota.Amount(s.CallsPerSecond)*quota.Unit, quota.Amount(s.GuaranteedCallsPerSecond)*quota.Unit
-		rate.InitialAmount, rate.Granularity, rate.IsRate, rate.GracePeriod = rate.Total/quota.Amount(4*s.Slots), 0, true, 0
-		limits = append(limits, rate)
+const (
+	// hysteresis is how far a server's demand must be from its lease, as a part of it, to move anything.
+	hysteresis = 0.1
+
+	// initialRateDivisor: the first lease of a newcomer is a quarter of an even part of the rate.
+	initialRateDivisor = 4
+)
+
+// Limits returns what the section shares, in the order of LimitNames; a limit that it does not set is left out.
+func (q *Quota) Limits() []quota.LimitConfig {
+	lease := max(minLeaseDuration, leaseDurationPerSlot*time.Duration(q.Slots))
+	calls := quota.LimitConfig{
+		Total:             quota.Amount(q.MaxCalls) * quota.Unit,
+		GuaranteedMinimum: quota.Amount(q.GuaranteedCalls) * quota.Unit,
+		Slots:             q.Slots,
+		LeaseDuration:     timeunit.Milliseconds(lease.Milliseconds()),
+		GracePeriod:       timeunit.Milliseconds(q.LongestCall.Milliseconds()),
+		ClockDrift:        q.ClockDrift,
+		InitialAmount:     quota.Unit,
+		Hysteresis:        hysteresis,
+		Granularity:       quota.Unit,
 	}
-	return limits
+	if q.CallsPerSecond == 0 {
+		return []quota.LimitConfig{calls}
+	}
+	rate := calls
+	rate.IsRate = true
+	rate.Total = quota.Amount(q.CallsPerSecond) * quota.Unit
+	rate.GuaranteedMinimum = quota.Amount(q.GuaranteedCallsPerSecond) * quota.Unit
+	rate.InitialAmount = rate.Total / quota.Amount(initialRateDivisor*q.Slots)
+	rate.Granularity = 0 // any amount will do
+	rate.GracePeriod = 0 // a call counts when it begins
+	return []quota.LimitConfig{calls, rate}
 }
 
-// Totals are those of the limits; they may change in service, with a later revision.
-func (s *Quota) Totals() (wholes []quota.Amount) {
-	for _, l := range s.Limits() {
-		wholes = append(wholes, l.Total)
+// Totals returns the totals of the limits. They may change while servers run, under a later revision.
+func (q *Quota) Totals() (totals []quota.Amount) {
+	for _, limit := range q.Limits() {
+		totals = append(totals, limit.Total)
 	}
-	return wholes
+	return totals
 }
 
-// Digest tells sections apart whose servers must not share with each other.
-func (s *Quota) Digest() uint32 {
-	return uint32(xxh3.HashString(fmt.Sprint(s.Slots, s.GuaranteedCalls, s.GuaranteedCallsPerSecond, s.LongestCall, s.ClockDrift, s.CallsPerSecond > 0, s.Coordinators)))
+// Digest returns a hash of everything but totals and revision. Servers with different digests must not share with each
+// other, also with those of other versions of this program: what goes into the hash must stay as it is.
+func (q *Quota) Digest() uint32 {
+	text := fmt.Sprint(q.Slots, q.GuaranteedCalls, q.GuaranteedCallsPerSecond, q.LongestCall, q.ClockDrift,
+		q.CallsPerSecond > 0, q.Coordinators)
+	return uint32(xxh3.HashString(text))
 }
 
-// DirectoryPath is the directory, beside the file that names it unless it is a whole path.
-func (s *Quota) DirectoryPath(file string) string {
-	if filepath.IsAbs(s.Directory) {
-		return s.Directory
-	}
-	return filepath.Join(filepath.Dir(file), s.Directory)
+// DirectoryPath returns the directory, which lies beside the settings file that names it unless its path is absolute.
+func (q *Quota) DirectoryPath(settingsFile string) string {
+	return besideFile(settingsFile, q.Directory)
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -1,9 +1,6 @@
 package config
 
-// This file owns the section on what outlives the process. It must never open anything.
-
 import (
-	"path/filepath"
 	"time"
 
 	"thistlequay/internal/deployment"
@@ -11,7 +8,7 @@
 	"thistlequay/internal/segmentlog"
 )
 
-// Store is the section of docs/recovery/operating.md.
+// Store is the section store, on the log that crash recovery reads; docs/recovery/operating.md describes its keys.
 type Store struct {
 	Directory        string        `yaml:"directory" min:"1" need:"yes"`
 	Durability       string        `yaml:"durability" one:"process machine"`
@@ -22,33 +19,48 @@
 	StartFresh       bool          `yaml:"fresh"`
 }
 
-// SetDefaults is what the section has where it says nothing.
-func (s *Store) SetDefaults() {
-	*s = Store{Durability: "machine", MaxMegabytes: 256, MaxRecords: 1_000_000, SegmentKB: 4096, ClockUncertainty: time.Minute}
-}
+// durabilityProcess is the Durability under which records outlive the process only.
+const durabilityProcess = "process"
 
-// LogConfig are what the store is opened with, for a program that can remember so many stamps.
-func (s *Store) LogConfig(of *deployment.Config, memory int) segmentlog.Config {
-	t := segmentlog.Config{Durability: recovery.DurabilityMachine, MaxBytes: int64(s.MaxMegabytes) << 20, MaxRecords: s.MaxRecords, SegmentBytes: int64(s.SegmentKB) << 10,
-		ClockUncertainty: ticks(s.ClockUncertainty), MaxOutcomes: max(1, memory/restoredMemoryPart/restoredEntryBytes), AllowEmpty: s.StartFresh, Now: segmentlog.MachineClock}
-	if s.Durability == "process" {
-		t.Durability = recovery.DurabilityProcess
-	}
-	for _, c := range of.Categories {
-		t.MaxWindow = max(t.MaxWindow, c.DeduplicationWindow)
+// SetDefaults implements diagnostics.Defaulter.
+func (s *Store) SetDefaults() {
+	*s = Store{
+		Durability:       "machine",
+		MaxMegabytes:     256,
+		MaxRecords:       1_000_000,
+		SegmentKB:        4096,
+		ClockUncertainty: time.Minute,
 	}
-	return t
 }
 
+// Outcomes of earlier incarnations may take a part of the program's memory; each takes so many bytes at most.
 const (
-	restoredMemoryPart = 8       // one part in so many of the memory may go to stamps of earlier lives
-	restoredEntryBytes = 5 << 10 // which take so much each at most
+	restoredMemoryPart = 8
+	restoredEntryBytes = 5 << 10
 )
 
-// DirectoryPath is the directory, beside the file that names it unless it is a whole path.
-func (s *Store) DirectoryPath(file string) string {
-	if filepath.IsAbs(s.Directory) {
-		return s.Directory
+// LogConfig returns what the log is opened with by a program that may use so many bytes of memory.
+func (s *Store) LogConfig(platform *deployment.Config, memoryBytes int) segmentlog.Config {
+	config := segmentlog.Config{
+		Durability:       recovery.DurabilityMachine,
+		MaxBytes:         int64(s.MaxMegabytes) << 20,
+		MaxRecords:       s.MaxRecords,
+		SegmentBytes:     int64(s.SegmentKB) << 10,
+		ClockUncertainty: ticks(s.ClockUncertainty),
+		MaxOutcomes:      max(1, memoryBytes/restoredMemoryPart/restoredEntryBytes),
+		AllowEmpty:       s.StartFresh,
+		Now:              segmentlog.MachineClock,
 	}
-	return filepath.Join(filepath.Dir(file), s.Directory)
+	if s.Durability == durabilityProcess {
+		config.Durability = recovery.DurabilityProcess
+	}
+	for _, category := range platform.Categories {
+		config.MaxWindow = max(config.MaxWindow, category.DeduplicationWindow)
+	}
+	return config
+}
+
+// DirectoryPath returns the directory, which lies beside the settings file that names it unless its path is absolute.
+func (s *Store) DirectoryPath(settingsFile string) string {
+	return besideFile(settingsFile, s.Directory)
 }
