--- a/internal/fastcgi/golden_test.go
+++ b/internal/fastcgi/golden_test.go
@@ -9,8 +9,8 @@
 	"thistlequay/internal/golden"
 )
 
-// recorder is a peer that writes down what it is called with: a number for the call, the request's id and its bytes. It ends
-// each request that it hears of at once, but for every third, which stays open.
+// recorder is a peer that writes down what it is called with: a number for the call, the request's id and its bytes.
+// It ends each request that it hears of at once, but for every third, which stays open.
 type recorder struct {
 	*golden.History
 	parser Parser
@@ -41,8 +41,8 @@
 func (r *recorder) AcquireBuffer() []byte  { r.Add(5); return make([]byte, 0, 512) }
 func (r *recorder) ReleaseBuffer(b []byte) { r.Add(6, len(b)) }
 
-// drawn are records as a router may send them, and now and then one that it must not.
-func drawn(chance *rand.Rand) (data []byte) {
+// randomRecords are records as a router may send them, and now and then one that it must not.
+func randomRecords(chance *rand.Rand) (data []byte) {
 	bytesOf := func(most int) string {
 		content := make([]byte, chance.Intn(most))
 		chance.Read(content)
@@ -60,7 +60,8 @@
 		case 1:
 			data = append(data, record(byte(chance.Intn(14)), 0, bytesOf(20), padding)...)
 		case 2:
-			data = append(data, record(typeGetValues, 0, string(appendPair(nil, []byte("FCGI_MPXS_CONNS"), "")), padding)...)
+			data = append(data, record(typeGetValues, 0, string(appendPair(nil, []byte("FCGI_MPXS_CONNS"), "")),
+				padding)...)
 		case 3, 4:
 			data = append(data, record(typeAbortRequest, id, "", padding)...)
 		case 5:
@@ -81,7 +82,8 @@
 // FastCGI records in and out: one exchange byte for byte, and hashes of what is heard and sent in seeded ones.
 func TestGoldenRecords(t *testing.T) {
 	var out bytes.Buffer
-	exchange := bytes.Join([][]byte{request(1, "abcd"), request(2, ""), request(3, "last"), record(typeGetValues, 0, "\x0f\x00FCGI_MPXS_CONNS", 1),
+	exchange := bytes.Join([][]byte{request(1, "abcd"), request(2, ""), request(3, "last"), record(typeGetValues, 0,
+		"\x0f\x00FCGI_MPXS_CONNS", 1),
 		record(77, 0, "?", 0), record(78, 9, "", 0), record(typeBeginRequest, 4, "\x00\x02\x01\x00\x00\x00\x00\x00", 2),
 		begin(5, 0), record(typeAbortRequest, 5, "", 0)}, nil)
 	r := &recorder{History: golden.NewHistory()}
@@ -101,14 +103,15 @@
 		for seed := first; seed < first+10; seed++ {
 			chance := rand.New(rand.NewSource(seed))
 			r := &recorder{History: history}
-			for data := drawn(chance); len(data) > 0; {
+			for data := randomRecords(chance); len(data) > 0; {
 				n := min(len(data), 1+chance.Intn(300))
 				if err := r.parser.Feed(data[:n], r); err != nil {
 					failed++
 					break
 				}
 				data = data[n:]
-				history.Add(7, r.parser.OpenRequests(), r.parser.Idle(), r.parser.HasIncomplete(), len(r.parser.IncompleteRequests()))
+				history.Add(7, r.parser.OpenRequests(), r.parser.Idle(), r.parser.HasIncomplete(),
+					len(r.parser.IncompleteRequests()))
 			}
 			r.parser.Abandon(r, func(s *Request) { history.Add(8, s.ID) })
 			history.Add(fmt.Sprintf("%x", r.sent))
