--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -16,21 +16,24 @@
 	"thistlequay/internal/membership"
 )
 
-// Intervals of memberlist that differ from its own figures for one local network.
+// Intervals of memberlist, all shorter than in its configuration for local networks (1, 10, 30 and 30 seconds), so that
+// failures are known and partitions heal within seconds.
 const (
-	defaultProbeInterval = 500 * time.Millisecond // with a timeout of half of that
+	defaultProbeInterval = 500 * time.Millisecond // a probe times out after half of that
 	streamTimeout        = 2 * time.Second
-	pushPullInterval     = 15 * time.Second
-	gossipToDeadTime     = 10 * time.Second
+	pushPullInterval     = 15 * time.Second // between two full exchanges of state with some member
+	gossipToDeadTime     = 10 * time.Second // how long updates still go to a member that has failed
 )
 
-// Bounds of what waits and of what is sent.
 const (
-	maxQueuedTasks = 1024 // messages and calls that wait for the worker, in memberlist and in Node; more are dropped
+	// maxQueuedTasks bounds the messages and calls that wait for the worker, in memberlist's queue and in Node's own.
+	// More are dropped.
+	maxQueuedTasks = 1024
 	// retransmitMultiplier times the logarithm of the number of members is how many members each member passes an
 	// update on to.
 	retransmitMultiplier = 1
-	delegateProtocol     = 1 // version of the delegate's messages, which all members must speak
+	// delegateProtocol is the version of the delegate's messages, which all members must speak.
+	delegateProtocol = 1
 )
 
 // Config is what a Node is started with.
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -21,10 +21,10 @@
 	FirstEnvelopeKind byte = 16
 )
 
-// Bounds of the length of a message in bytes, its kind included.
+// Limits on the length of a message in bytes, its kind included.
 const (
-	maxPacketMessage = 1200      // fits in one packet on any network
-	maxEnvelope      = 256 << 10 // what does not fit in a packet goes on a stream
+	maxPacketMessage = 1200      // a longer message would not fit in one packet on every network
+	maxEnvelope      = 256 << 10 // an envelope that does not fit in a packet goes on a stream
 )
 
 var (
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -9,17 +9,17 @@
 	"thistlequay/internal/membership"
 )
 
-// Of the probes beside memberlist's own.
+// Limits of this server's own pings, which go beside memberlist's probes.
 const (
-	pingInterval = time.Second // between two members
-	pingAttempts = 3           // until a member counts as not reachable
-	dialTimeout  = 500 * time.Millisecond
+	pingInterval = time.Second            // between the pings of two members
+	pingAttempts = 3                      // lost pings after which a member counts as unreachable from here
+	dialTimeout  = 500 * time.Millisecond // of the connection that diagnoses an address
 )
 
-// Of the search for other members.
+// Backoff of the search for other members.
 const (
-	minJoinInterval = time.Second      // doubled after each attempt in vain
-	maxJoinInterval = 10 * time.Second // the longest it becomes
+	minJoinInterval = time.Second // doubled after each failed attempt
+	maxJoinInterval = 10 * time.Second
 )
 
 // pingLoop asks one member after the other whether it answers this server directly. Memberlist's probes also succeed if
@@ -109,7 +109,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// joinLoop looks for other members at the seed addresses until one is found, and again whenever none is left.
+// joinLoop looks for other members at the seed addresses until it finds one, and again whenever none is left.
 func (n *Node) joinLoop() {
 	defer n.goroutines.Done()
 	interval := minJoinInterval
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -9,10 +9,10 @@
 	"thistlequay/internal/membership"
 )
 
-// How often state updates are sent and passed on.
+// Limits on how often state updates are sent and passed on.
 const (
-	// minUpdateInterval lies between two updates of this server at least, updateIntervalPerMember for each member if
-	// that is longer: so what each member receives does not grow with the cluster.
+	// A server sends an update every minUpdateInterval, or every updateIntervalPerMember times the number of members
+	// if that is longer. So what each member receives does not grow with the cluster.
 	minUpdateInterval       = time.Second
 	updateIntervalPerMember = 33 * time.Millisecond
 	// leaveRebroadcasts is how many more times the update is passed on by which a member leaves, one each tick.
--- a/internal/quota/service/requests.go
+++ b/internal/quota/service/requests.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxRequesters bounds the requests that the coordinator has not replied to. When more come, all are forgotten;
-	// the servers ask again.
+	// maxRequesters bounds the requests that the coordinator has not replied to. When there are more, the service
+	// forgets whom the replies are for; the servers ask again.
 	maxRequesters = 8192
 	// maxUnanswered is how many requests in a row a coordinator may leave unanswered before another one is asked.
 	maxUnanswered = 2
@@ -41,8 +41,8 @@
 	})
 }
 
-// chooseLeader keeps the coordinator that requests go to, unless this server leads, or that one is gone, does not
-// answer or is this server, which no longer leads.
+// chooseLeader decides which coordinator requests go to: this server, if it leads; otherwise the same as before, unless
+// that one is no longer alive, does not answer, or is this server, which then has lost the leadership.
 func (s *Service) chooseLeader() {
 	if s.coordinator.IsLeader() {
 		s.leader = s.localID
