--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -32,8 +32,8 @@
 }
 
 // record adds a hash of what one voter put out, and of where it stands, to the history.
-func (w *cluster) record(v *member, o Ready) {
-	if w.history == nil {
+func (c *cluster) record(m *member, ready Ready) {
+	if c.history == nil {
 		return
 	}
 	var all []byte
@@ -42,36 +42,38 @@
 		number(uint64(len(text)))
 		all = append(all, text...)
 	}
-	if !o.State.IsEmpty() {
-		add(encoded(w.t, &o.State.HardState, &raftpb.HardState{}))
-		add(encoded(w.t, &o.State.Snapshot, &raftpb.Snapshot{}))
-		for i := range o.State.Entries {
-			add(encoded(w.t, &o.State.Entries[i], &raftpb.Entry{}))
+	if !ready.State.IsEmpty() {
+		add(encoded(c.t, &ready.State.HardState, &raftpb.HardState{}))
+		add(encoded(c.t, &ready.State.Snapshot, &raftpb.Snapshot{}))
+		for i := range ready.State.Entries {
+			add(encoded(c.t, &ready.State.Entries[i], &raftpb.Entry{}))
 		}
 	}
-	for _, l := range o.Messages {
-		var m raftpb.Message
-		require.NoError(w.t, m.Unmarshal(l.Data))
-		number(l.To)
-		add(encoded(w.t, &m, &raftpb.Message{}))
+	for _, sent := range ready.Messages {
+		var message raftpb.Message
+		require.NoError(c.t, message.Unmarshal(sent.Data))
+		number(sent.To)
+		add(encoded(c.t, &message, &raftpb.Message{}))
 	}
-	if o.Snapshot != nil {
-		add(o.Snapshot)
+	if ready.Snapshot != nil {
+		add(ready.Snapshot)
 	}
-	for _, text := range o.Committed {
+	for _, text := range ready.Committed {
 		add(text)
 	}
-	for _, token := range o.ConfirmedReads {
+	for _, token := range ready.ConfirmedReads {
 		number(token)
 	}
-	for _, id := range v.voter.Voters() {
+	for _, id := range m.voter.Voters() {
 		number(id)
 	}
-	w.history.Add(int64(w.now), v.id, v.voter.Term(), v.voter.Leader(), v.voter.IsLeader(), len(o.State.Entries), len(o.Messages), len(o.Committed),
-		len(o.ConfirmedReads), o.Snapshot != nil, len(all), xxh3.Hash(all))
+	c.history.Add(int64(c.now), m.id, m.voter.Term(), m.voter.Leader(), m.voter.IsLeader(), len(ready.State.Entries),
+		len(ready.Messages), len(ready.Committed), len(ready.ConfirmedReads), ready.Snapshot != nil, len(all),
+		xxh3.Hash(all))
 }
 
-// TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten a line.
+// TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten
+// a line.
 func TestGoldenSchedules(t *testing.T) {
 	lines := make([]string, 10)
 	t.Run("ten seeds", func(t *testing.T) {
@@ -80,10 +82,11 @@
 				t.Parallel()
 				history := golden.NewHistory()
 				for seed := 10 * i; seed < 10*i+10; seed++ {
-					w := newCluster(t, int64(seed), 3+2*(seed%2))
-					w.history = history
-					healed := w.run()
-					history.Add("end", seed, healed, len(w.log), len(w.leaderSince), w.confirmations, w.falseConfirmations)
+					c := newCluster(t, int64(seed), clusterSize(seed))
+					c.history = history
+					healed := c.run()
+					history.Add("end", seed, healed, len(c.log), len(c.leaderSince), c.confirmations,
+						c.falseConfirmations)
 				}
 				lines[i] = fmt.Sprintf("seeds %d to %d: %s\n", 10*i, 10*i+9, history)
 			})
@@ -96,7 +99,8 @@
 func TestGoldenState(t *testing.T) {
 	hard := raftpb.HardState{Term: 7, Vote: 2, Commit: 251}
 	members := raftpb.ConfState{Voters: []uint64{1, 2, 5}, VotersOutgoing: []uint64{1, 2, 3}, AutoLeave: true}
-	snapshot := raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 250, Term: 6, ConfState: members}}
+	metadata := raftpb.SnapshotMetadata{Index: 250, Term: 6, ConfState: members}
+	snapshot := raftpb.Snapshot{Data: []byte("state"), Metadata: metadata}
 	change := raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionAuto, Changes: []raftpb.ConfChangeSingle{
 		{Type: raftpb.ConfChangeAddNode, NodeID: 5}, {Type: raftpb.ConfChangeRemoveNode, NodeID: 3}}}
 	text, err := change.Marshal()
@@ -104,10 +108,13 @@
 	entry := Entry{Term: 7, Index: 251, Type: raftpb.EntryConfChangeV2, Data: text}
 	got := fmt.Sprintf("hard %x\nsnapshot %x\nentry %x\n", encoded(t, &hard, &raftpb.HardState{}),
 		encoded(t, &snapshot, &raftpb.Snapshot{}), encoded(t, &entry, &raftpb.Entry{}))
-	n, err := New(DefaultConfig(5), &PersistentState{HardState: hard, Snapshot: snapshot, Entries: []Entry{entry}}, nil, newCluster(t, 1, 3).random, 0)
+	saved := PersistentState{HardState: hard, Snapshot: snapshot, Entries: []Entry{entry}}
+	voter, err := New(DefaultConfig(5), &saved, nil, newCluster(t, 1, 3).random, 0)
 	require.NoError(t, err)
-	initial := n.InitialState()
-	got += fmt.Sprintf("hard %x\nsnapshot %x\nvoters %v term %d leader %d leads %v\n", encoded(t, &initial.HardState, &raftpb.HardState{}),
-		encoded(t, &initial.Snapshot, &raftpb.Snapshot{}), n.Voters(), n.Term(), n.Leader(), n.IsLeader())
+	initial := voter.InitialState()
+	got += fmt.Sprintf("hard %x\nsnapshot %x\n", encoded(t, &initial.HardState, &raftpb.HardState{}),
+		encoded(t, &initial.Snapshot, &raftpb.Snapshot{}))
+	got += fmt.Sprintf("voters %v term %d leader %d leads %v\n", voter.Voters(), voter.Term(), voter.Leader(),
+		voter.IsLeader())
 	golden.Check(t, "state.txt", []byte(got))
 }
