--- a/cmd/thistlequay/main.go
+++ b/cmd/thistlequay/main.go
@@ -24,7 +24,6 @@
 	"thistlequay/internal/logs"
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/quota/service"
-	"thistlequay/internal/recovery"
 	"thistlequay/internal/segmentlog"
 	"thistlequay/internal/server"
 )
@@ -214,7 +213,7 @@
 	}
 	log := logs.New(os.Stderr, s.Log)
 	for _, f := range opened.Findings {
-		log.Event("store_corruption").Str("file", f.File).Int64("offset", f.Offset).Str("kind", recovery.CorruptionTexts[f.Corruption]).Bool("lost", f.DataLoss).Send()
+		log.Event("store_corruption").Str("file", f.File).Int64("offset", f.Offset).Str("kind", f.Corruption.String()).Bool("lost", f.DataLoss).Send()
 	}
 	wait := max(0, opened.RejectUntil-terms.Now().Wall)
 	if opened.RejectUntil == 0 {
--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -36,7 +36,7 @@
 		return s, now, err
 	}
 	for _, f := range s.Findings {
-		fmt.Fprintf(out, "%s offset %d: %s, lost=%v\n", f.File, f.Offset, recovery.CorruptionTexts[f.Corruption], f.DataLoss)
+		fmt.Fprintf(out, "%s offset %d: %s, lost=%v\n", f.File, f.Offset, f.Corruption.String(), f.DataLoss)
 	}
 	wait := time.Duration(0)
 	if s.RejectUntil > 0 {
--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -10,9 +10,12 @@
 	"thistlequay/timeunit"
 )
 
-// The model: two tries of one key in a first life, a crash at any moment, a repeat in a second life, another crash and a
-// repeat in a third. Each try is intended, its intent becomes durable, it runs or is given up, its result is put. What is on
-// the disk after a crash is any part of the log from what is durable to all that was put. Every order is visited.
+// attemptState is how far one of the two attempts of the model is.
+//
+// The model: two attempts with one key in a first process, a crash at any moment, a retry in a second process, another
+// crash and a retry in a third. Each attempt appends its intent, the intent becomes durable, it runs or is withdrawn,
+// its completion is appended. What is on the disk after a crash is any part of the log from what is durable to all that
+// was appended. Every order is visited.
 type attemptState int
 
 const (
@@ -21,132 +24,162 @@
 	durable
 	ran
 	completed
-	withdrawn // up before it ran
+	withdrawn // before it ran
 )
 
 type model struct {
 	log            []Record
-	durableRecords int // so many records of the log outlive a crash
+	durableRecords int // so many records of the log survive a crash
 	attempts       [2]attemptState
-	intentEnd      [2]int // where the intent of each lies in the log
+	intentEnd      [2]int // length of the log with the intent of each
 	runs           int
 	answers        int
 }
 
-func (w model) appended(r Record) model {
-	r.Key, r.WindowEnd, r.WrittenAt = "k", 1_000, ClockReading{Wall: 10, Monotonic: 10, BootID: 1}
-	w.log = append(w.log[:len(w.log):len(w.log)], r)
-	return w
+// appended returns the model with one more record of the key.
+func (m model) appended(record Record) model {
+	record.Key = "k"
+	record.WindowEnd = 1_000
+	record.WrittenAt = ClockReading{Wall: 10, Monotonic: 10, BootID: 1}
+	m.log = append(m.log[:len(m.log):len(m.log)], record)
+	return m
 }
 
-// anyStarted says whether a try of the key is known to have run in this life, so that another shares its answer.
-func (w model) anyStarted() bool {
-	return w.attempts[0] == ran || w.attempts[0] == completed || w.attempts[1] == ran || w.attempts[1] == completed
+// anyStarted reports whether an attempt is known to have run in this process, so that another shares its answer.
+func (m model) anyStarted() bool {
+	isStarted := func(state attemptState) bool { return state == ran || state == completed }
+	return isStarted(m.attempts[0]) || isStarted(m.attempts[1])
 }
 
-// explore visits all that can follow and calls crash for each log that a crash may leave.
-func explore(w model, seen map[string]bool, crash func(w model, left []Record)) {
-	state := fmt.Sprint(w.attempts, w.intentEnd, w.durableRecords, w.runs, len(w.log), describe(w.log))
+// explore visits everything that can follow and calls crash for each log that a crash may leave.
+func explore(m model, seen map[string]bool, crash func(m model, left []Record)) {
+	state := fmt.Sprint(m.attempts, m.intentEnd, m.durableRecords, m.runs, len(m.log), describe(m.log))
 	if seen[state] {
 		return
 	}
 	seen[state] = true
-	for n := w.durableRecords; n <= len(w.log); n++ {
-		crash(w, w.log[:n])
+	for survivors := m.durableRecords; survivors <= len(m.log); survivors++ {
+		crash(m, m.log[:survivors])
 	}
-	if w.durableRecords < len(w.log) {
-		next := w
+	if m.durableRecords < len(m.log) {
+		next := m
 		next.durableRecords++
 		explore(next, seen, crash)
 	}
-	for i := range w.attempts {
-		next := w
-		switch w.attempts[i] {
-		case pending:
-			if w.anyStarted() {
-				next.attempts[i] = withdrawn // it shares
-				next.answers++
-			} else {
-				next = w.appended(Record{Kind: KindIntent, Attempt: uint64(i + 1)})
-				next.attempts[i], next.intentEnd[i] = intended, len(next.log)
-			}
-			explore(next, seen, crash)
-		case intended:
-			if w.durableRecords >= w.intentEnd[i] {
-				next.attempts[i] = durable
-				explore(next, seen, crash)
-			}
-			next = w // its caller left, or the disk came back too late
-			next = next.appended(Record{Kind: KindCancellation, Attempt: uint64(i + 1)})
-			next.attempts[i] = withdrawn
-			explore(next, seen, crash)
-		case durable:
-			if w.anyStarted() { // it shares the other's answer
-				next = next.appended(Record{Kind: KindCancellation, Attempt: uint64(i + 1)})
-				next.attempts[i] = withdrawn
-				next.answers++
-			} else {
-				next.attempts[i] = ran
-				next.runs++
-			}
-			explore(next, seen, crash)
-		case ran:
-			next = next.appended(Record{Kind: KindCompletion, Attempt: uint64(i + 1), Succeeded: true, Payload: []byte("r")})
-			next.attempts[i] = completed
-			next.answers++
+	for i := range m.attempts {
+		for _, next := range m.successors(i) {
 			explore(next, seen, crash)
 		}
 	}
 }
 
-func describe(log []Record) (s string) {
-	for _, r := range log {
-		s += fmt.Sprint(r.Kind, r.Attempt, " ")
+// successors returns the models that can follow when one attempt moves on.
+func (m model) successors(i int) []model {
+	switch m.attempts[i] {
+	case pending:
+		return []model{m.afterPending(i)}
+	case intended:
+		var next []model
+		if m.durableRecords >= m.intentEnd[i] {
+			isDurable := m
+			isDurable.attempts[i] = durable
+			next = append(next, isDurable)
+		}
+		return append(next, m.afterCancellation(i)) // its client left, or the disk answered too late
+	case durable:
+		return []model{m.afterDurable(i)}
+	case ran:
+		next := m.appended(Record{Kind: KindCompletion, Attempt: attemptOf(i), Succeeded: true, Payload: []byte("r")})
+		next.attempts[i] = completed
+		next.answers++
+		return []model{next}
+	}
+	return nil
+}
+
+func attemptOf(i int) uint64 { return uint64(i + 1) }
+
+// afterPending shares the answer of an attempt that runs, or appends the intent.
+func (m model) afterPending(i int) model {
+	if m.anyStarted() {
+		m.attempts[i] = withdrawn
+		m.answers++
+		return m
+	}
+	m = m.appended(Record{Kind: KindIntent, Attempt: attemptOf(i)})
+	m.attempts[i] = intended
+	m.intentEnd[i] = len(m.log)
+	return m
+}
+
+func (m model) afterCancellation(i int) model {
+	m = m.appended(Record{Kind: KindCancellation, Attempt: attemptOf(i)})
+	m.attempts[i] = withdrawn
+	return m
+}
+
+// afterDurable runs, or cancels the intent and shares the answer of an attempt that ran meanwhile.
+func (m model) afterDurable(i int) model {
+	if m.anyStarted() {
+		m = m.afterCancellation(i)
+		m.answers++
+		return m
+	}
+	m.attempts[i] = ran
+	m.runs++
+	return m
+}
+
+func describe(log []Record) (text string) {
+	for _, record := range log {
+		text += fmt.Sprint(record.Kind, record.Attempt, " ")
 	}
-	return s
+	return text
 }
 
-// recoverAfterCrash concludes from what is left, as a later life does, and says whether a repeat would run.
-func recoverAfterCrash(left []Record, wall timeunit.Ticks) (runs bool, c RecoveredState) {
-	r := NewAnalysis(Config{MaxWindow: 900, ClockUncertainty: 100, MaxOutcomes: 10}, ClockReading{Wall: wall, Monotonic: wall, BootID: 1})
-	r.StartSegment(DurabilityMachine)
-	for _, one := range left {
-		r.AddRecord(one)
+// recoverAfterCrash concludes from what is left, as a later process does, and reports whether a retry would run.
+func recoverAfterCrash(left []Record, wall timeunit.Ticks) (runs bool, state RecoveredState) {
+	config := Config{MaxWindow: 900, ClockUncertainty: 100, MaxOutcomes: 10}
+	analysis := NewAnalysis(config, ClockReading{Wall: wall, Monotonic: wall, BootID: 1})
+	analysis.StartSegment(DurabilityMachine)
+	for _, record := range left {
+		analysis.AddRecord(record)
 	}
-	c = r.Finish()
-	return len(c.Outcomes) == 0 && c.RejectUntil == 0, c
+	state = analysis.Finish()
+	return len(state.Outcomes) == 0 && state.RejectUntil == 0, state
 }
 
-func TestEveryInterleaving(t *testing.T) {
-	lives, repeats := 0, map[string]int{}
+func TestNoInterleavingOfAttemptsAndCrashesRunsTwice(t *testing.T) {
+	crashes := 0
+	retries := map[string]int{}
 	history := golden.NewHistory()
-	explore(model{}, map[string]bool{}, func(w model, left []Record) {
-		lives++
-		require.LessOrEqual(t, w.runs, 1)
-		runs, c := recoverAfterCrash(left, 20)
+	explore(model{}, map[string]bool{}, func(m model, left []Record) {
+		crashes++
+		require.LessOrEqual(t, m.runs, 1)
+		runs, state := recoverAfterCrash(left, 20)
 		addRecords(history, left)
-		addConclusion(history, c)
-		history.Add("run", runs, w.runs, w.answers, w.durableRecords, len(w.log))
-		if w.runs > 0 {
-			require.False(t, runs, "a second run: %v of %v", describe(left), describe(w.log))
+		addRecoveredState(history, state)
+		history.Add("run", runs, m.runs, m.answers, m.durableRecords, len(m.log))
+		if m.runs > 0 {
+			require.False(t, runs, "a second run: %v of %v", describe(left), describe(m.log))
 		}
 		switch {
-		case runs: // the repeat runs in the second life; a third must not run it again
-			repeats["run"]++
+		case runs: // the retry runs in the second process; a third must not run it again
+			retries["run"]++
 			again := model{log: left, durableRecords: len(left)}.appended(Record{Kind: KindIntent, Attempt: 9})
 			runsAgain, _ := recoverAfterCrash(again.log, 30)
 			require.False(t, runsAgain)
-		case c.Outcomes[0].Completed:
-			repeats["kept"]++
-			require.Equal(t, "r", string(c.Outcomes[0].Result))
+		case state.Outcomes[0].Completed:
+			retries["kept"]++
+			require.Equal(t, "r", string(state.Outcomes[0].Result))
 		default:
-			repeats["broken off"]++
+			retries["broken off"]++
 		}
-		runs, c = recoverAfterCrash(left, 2_000) // when its window is over nothing is left of it
-		require.True(t, runs && c.RejectUntil == 0)
+		runs, state = recoverAfterCrash(left, 2_000) // when its window is over nothing is left of it
+		require.True(t, runs && state.RejectUntil == 0)
 	})
-	t.Logf("measured store-model crashes=%d repeats=%v", lives, repeats)
-	require.Greater(t, lives, 100)
-	require.Len(t, repeats, 3)
+	t.Logf("measured store-model crashes=%d repeats=%v", crashes, retries)
+	require.Greater(t, crashes, 100)
+	require.Len(t, retries, 3)
 	golden.Check(t, "model.txt", []byte(history.String()+"\n"))
 }
