--- a/internal/segmentlog/compact.go
+++ b/internal/segmentlog/compact.go
@@ -4,54 +4,79 @@
 	"fmt"
 
 	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
 )
 
-// Compact writes what repeats may still need into one segment, makes that durable and removes the others. Where something
-// may have been lost it does nothing: the doubt would be gone with the segments.
-func Compact(files Storage, recovered *recovery.Analysis, now recovery.ClockReading) (kept, gone int, err error) {
-	s, err := Scan(files, recovered, now, true, nil)
+// Compact writes what retries may still need into one new segment, makes that durable and removes all others. It
+// returns how many outcomes were kept and how many segments removed. While records may be missing it does nothing and
+// returns an error: the segments are the only trace of the loss. No other process may have the storage open.
+func Compact(storage Storage, analysis *recovery.Analysis, now recovery.ClockReading) (kept, removed int, err error) {
+	scan, err := Scan(storage, analysis, now, true, nil)
 	if err != nil {
 		return 0, 0, err
 	}
-	if s.RejectUntil > 0 {
-		return 0, 0, fmt.Errorf("records may be missing; try again in %d ms, when no repeat of them can come", (s.RejectUntil-now.Wall)/10)
+	if scan.RejectUntil > 0 {
+		wait := (scan.RejectUntil - now.Wall) / timeunit.TicksPerMillisecond
+		return 0, 0, fmt.Errorf("records may be missing; try again in %d ms, when no repeat of them can come", wait)
 	}
-	before, err := files.List()
+	previous, err := storage.List()
 	if err != nil {
 		return 0, 0, err
 	}
-	f, err := files.Create(segmentName(s.nextID))
+	name := segmentName(scan.nextID)
+	file, err := storage.Create(name)
 	if err != nil {
 		return 0, 0, err
 	}
-	text := segmentHeader{durability: recovery.DurabilityMachine, id: s.nextID, createdAt: now}.append(nil)
-	for _, fate := range s.Outcomes {
-		r := recovery.Record{Kind: recovery.KindIntent, Key: fate.Key, BodyHash: fate.BodyHash, WindowEnd: fate.WindowEnd, WrittenAt: now}
-		text = appendRecord(text, &r)
-		if fate.Completed {
-			r.Kind, r.Succeeded, r.Payload = recovery.KindCompletion, fate.Succeeded, fate.Result
-			text = appendRecord(text, &r)
-		}
+	if err := writeWhole(storage, file, compacted(&scan, now)); err != nil {
+		_ = storage.Remove(name) // what it holds is in the other segments too
+		return 0, 0, err
 	}
-	text = appendRecord(text, &recovery.Record{Kind: recovery.KindShutdown, WrittenAt: now})
-	if _, err = f.Write(text); err == nil {
-		err = f.Sync()
+	for _, name := range previous {
+		if err := storage.Remove(name); err != nil {
+			return len(scan.Outcomes), removed, err
+		}
+		removed++
 	}
-	if errClose := f.Close(); err == nil {
-		err = errClose
+	return len(scan.Outcomes), removed, nil
+}
+
+// compacted returns the text of a segment with the outcomes of a scan.
+func compacted(scan *ScanResult, now recovery.ClockReading) []byte {
+	header := segmentHeader{durability: recovery.DurabilityMachine, id: scan.nextID, createdAt: now}
+	data := header.encode()
+	for i := range scan.Outcomes {
+		outcome := &scan.Outcomes[i]
+		record := recovery.Record{
+			Kind:      recovery.KindIntent,
+			Key:       outcome.Key,
+			BodyHash:  outcome.BodyHash,
+			WindowEnd: outcome.WindowEnd,
+			WrittenAt: now,
+		}
+		data = appendRecord(data, &record)
+		if outcome.Completed {
+			record.Kind = recovery.KindCompletion
+			record.Succeeded = outcome.Succeeded
+			record.Payload = outcome.Result
+			data = appendRecord(data, &record)
+		}
 	}
+	return appendRecord(data, &recovery.Record{Kind: recovery.KindShutdown, WrittenAt: now})
+}
+
+// writeWhole writes a whole segment, makes it and its name durable and closes it. After an error the file is closed
+// too.
+func writeWhole(storage Storage, file SegmentFile, data []byte) error {
+	_, err := file.Write(data)
 	if err == nil {
-		err = files.SyncDirectory()
+		err = file.Sync()
 	}
-	if err != nil {
-		_ = files.Remove(segmentName(s.nextID))
-		return 0, 0, err
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
-	for _, name := range before {
-		if err := files.Remove(name); err != nil {
-			return len(s.Outcomes), gone, err
-		}
-		gone++
+	if err == nil {
+		err = storage.SyncDirectory()
 	}
-	return len(s.Outcomes), gone, nil
+	return err
 }
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -19,139 +19,167 @@
 func goldenRecords() (records []recovery.Record) {
 	at := recovery.ClockReading{Wall: 0x0102030405, Monotonic: 0x060708, BootID: 0xf1f2f3f4f5f6f7f8}
 	for kind := recovery.KindIntent; kind <= recovery.KindWarmStart; kind++ {
-		r := recovery.Record{Kind: kind, Attempt: 0xa1a2a3a4, Key: fmt.Sprint("key ", int(kind)), WindowEnd: at.Wall + 350_000, WrittenAt: at, Payload: []byte{}}
-		records = append(records, r)
-		r.Succeeded, r.Key, r.Payload = true, "", []byte("result")
-		for i := range r.BodyHash {
+		record := recovery.Record{Kind: kind, Attempt: 0xa1a2a3a4, WindowEnd: at.Wall + 350_000, WrittenAt: at}
+		record.Key = fmt.Sprint("key ", int(kind))
+		record.Payload = []byte{}
+		records = append(records, record)
+		record.Succeeded = true
+		record.Key = ""
+		record.Payload = []byte("result")
+		for i := range record.BodyHash {
 			if kind == recovery.KindIntent {
-				r.BodyHash[i] = byte(i)
+				record.BodyHash[i] = byte(i)
 			}
 		}
-		records = append(records, r)
+		records = append(records, record)
 	}
 	return records
 }
 
-// TestGoldenFormat compares the bytes of a segment's header and of records of every kind, which are read and written again.
+// TestGoldenFormat compares the bytes of a segment's header and of records of every kind, which are read and written
+// again.
 func TestGoldenFormat(t *testing.T) {
 	var got bytes.Buffer
-	for _, mode := range []recovery.Durability{recovery.DurabilityProcess, recovery.DurabilityMachine} {
-		h := segmentHeader{durability: mode, id: 0x1122, previousWindowEnd: 0x3344, createdAt: recovery.ClockReading{Wall: 5, Monotonic: 6, BootID: 7}}
-		text := h.append(nil)
-		again, err := parseHeader(text)
+	createdAt := recovery.ClockReading{Wall: 5, Monotonic: 6, BootID: 7}
+	for _, durability := range []recovery.Durability{recovery.DurabilityProcess, recovery.DurabilityMachine} {
+		header := segmentHeader{durability: durability, id: 0x1122, previousWindowEnd: 0x3344, createdAt: createdAt}
+		data := header.encode()
+		again, err := parseHeader(data)
 		require.NoError(t, err)
-		require.Equal(t, text, again.append(nil))
-		fmt.Fprintf(&got, "header %s %s\n", segmentName(h.id), hex.EncodeToString(text))
+		require.Equal(t, data, again.encode())
+		fmt.Fprintf(&got, "header %s %s\n", segmentName(header.id), hex.EncodeToString(data))
 	}
-	for _, r := range goldenRecords() {
-		text := appendRecord(nil, &r)
-		again, n, err := parseRecord(text)
+	for _, record := range goldenRecords() {
+		data := appendRecord(nil, &record)
+		again, size, err := parseRecord(data)
 		require.NoError(t, err)
-		require.Equal(t, len(text), n)
-		require.Equal(t, r, again)
-		require.Equal(t, text, appendRecord(nil, &again))
-		require.EqualValues(t, n, recordSize(r.Kind, len(r.Key), len(r.Payload)))
-		fmt.Fprintf(&got, "record %d %s\n", r.Kind, hex.EncodeToString(text))
+		require.Equal(t, len(data), size)
+		require.Equal(t, record, again)
+		require.Equal(t, data, appendRecord(nil, &again))
+		require.EqualValues(t, size, recordSize(record.Kind, len(record.Key), len(record.Payload)))
+		fmt.Fprintf(&got, "record %d %s\n", record.Kind, hex.EncodeToString(data))
 	}
 	golden.Check(t, "format.txt", got.Bytes())
 }
 
-// seededClock moves on by a seeded span with each look at it. Only the writer looks at it while a store is open.
+// seededClock moves on by a seeded span with each look at it. Only the writer looks at it while a log is open.
 type seededClock struct {
-	lock   sync.Mutex
-	chance *rand.Rand
-	c      recovery.ClockReading
+	mutex   sync.Mutex
+	random  *rand.Rand
+	reading recovery.ClockReading
 }
 
-func (s *seededClock) now() recovery.ClockReading {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	passed := timeunit.Ticks(s.chance.Intn(20_000))
-	s.c.Wall += passed
-	s.c.Monotonic += passed
-	return s.c
+func (c *seededClock) now() recovery.ClockReading {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	passed := timeunit.Ticks(c.random.Intn(20_000))
+	c.reading.Wall += passed
+	c.reading.Monotonic += passed
+	return c.reading
 }
 
-func addScanned(h *golden.History, s *ScanResult) {
-	h.Add("scanned", int64(s.RejectUntil), hex.EncodeToString(s.WarmStart), s.Dropped, s.RecordCount, s.nextID)
-	for _, f := range s.Outcomes {
-		h.Add("fate", f.Key, int64(f.WindowEnd), f.Completed, f.Succeeded, hex.EncodeToString(f.Result))
+// The words in a history ("fate", "room", ...) are part of what was recorded and keep their old names.
+
+func addScan(h *golden.History, scan *ScanResult) {
+	h.Add("scanned", int64(scan.RejectUntil), hex.EncodeToString(scan.WarmStart), scan.Dropped, scan.RecordCount,
+		scan.nextID)
+	for _, o := range scan.Outcomes {
+		h.Add("fate", o.Key, int64(o.WindowEnd), o.Completed, o.Succeeded, hex.EncodeToString(o.Result))
 	}
-	for _, f := range s.Findings {
+	for _, f := range scan.Findings {
 		h.Add("found", int(f.Corruption), f.File, f.Offset, f.DataLoss)
 	}
-	used, promised, records := s.space.Usage()
-	h.Add("room", used, promised, records)
+	used, reserved, records := scan.space.Usage()
+	h.Add("room", used, reserved, records)
 }
 
-// playLives has three lives write to one disk, each after another kind of harm, and adds every step on the disk.
-func playLives(t *testing.T, h *golden.History, seed int64) {
-	chance := rand.New(rand.NewSource(seed))
-	d := newMemoryDisk()
-	clock := &seededClock{chance: rand.New(rand.NewSource(seed)), c: recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: 1}}
-	for lives := range 3 {
-		l := &session{Assertions: require.New(t), results: make(chan WriteResult, 64)}
-		store, err := Open(d, Config{Durability: recovery.Durability(seed % 2), MaxBytes: 1 << 20, MaxRecords: 10_000, SegmentBytes: 2048, MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12,
-			AllowEmpty: lives == 0, Now: clock.now, OnWritten: func(done []WriteResult) { l.results <- done[0] }})
+func addSteps(h *golden.History, steps []diskStep) {
+	for _, s := range steps {
+		h.Add("step", s.operation, s.name, hex.EncodeToString(s.data))
+	}
+}
+
+// playProcesses has three processes write to one disk, each after another kind of harm, and adds every step on the
+// disk.
+func playProcesses(t *testing.T, h *golden.History, seed int64) {
+	random := rand.New(rand.NewSource(seed))
+	disk := newMemoryDisk()
+	clock := &seededClock{random: rand.New(rand.NewSource(seed)), reading: firstReading}
+	for process := range 3 {
+		s := &session{Assertions: require.New(t), results: make(chan WriteResult, 64)}
+		config := testConfig(recovery.Durability(seed%2), process == 0)
+		config.MaxOutcomes = 12
+		config.Now = clock.now
+		config.OnWritten = func(results []WriteResult) { s.results <- results[0] }
+		log, err := Open(disk, config)
 		require.NoError(t, err)
-		l.log = store
-		addScanned(h, &store.ScanResult)
+		s.log = log
+		addScan(h, &log.ScanResult)
 		for i := range 20 {
-			key := fmt.Sprint("key-", chance.Intn(30))
-			l.lastAttempt = uint64(100*lives + i)
-			require.NoError(t, store.AppendIntent(recovery.Record{Key: key, WindowEnd: 1e9 + timeunit.Ticks(chance.Intn(1_000_000)), Attempt: l.lastAttempt}, l.lastAttempt))
-			require.NoError(t, l.nextResult().Err)
-			switch chance.Intn(4) {
-			case 0:
-				l.complete(key, recovery.KindCancellation, l.lastAttempt, "")
-			case 1:
-				store.AppendWarmStart([]byte(key))
-				l.nextResult()
-			case 2:
-				l.complete(key, recovery.KindCompletion, l.lastAttempt, string(make([]byte, chance.Intn(300))))
-			}
+			s.lastAttempt = uint64(100*process + i)
+			playRequest(s, random)
 		}
-		l.close()
-		harm(d, chance, clock)
-	}
-	for _, s := range d.steps {
-		h.Add("step", s.operation, s.name, hex.EncodeToString(s.data))
+		s.close()
+		harm(disk, random, clock)
 	}
-	kept, gone, err := Compact(d, recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12}, clock.c), clock.c)
-	h.Add("compacted", kept, gone, err == nil)
-	for _, s := range d.steps {
-		h.Add("step", s.operation, s.name, hex.EncodeToString(s.data))
+	addSteps(h, disk.steps)
+	analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12},
+		clock.reading)
+	kept, removed, err := Compact(disk, analysis, clock.reading)
+	h.Add("compacted", kept, removed, err == nil)
+	addSteps(h, disk.steps)
+}
+
+// playRequest appends the intent of a seeded request, and perhaps what became of it.
+func playRequest(s *session, random *rand.Rand) {
+	key := fmt.Sprint("key-", random.Intn(30))
+	windowEnd := 1e9 + timeunit.Ticks(random.Intn(1_000_000))
+	record := recovery.Record{Key: key, WindowEnd: windowEnd, Attempt: s.lastAttempt}
+	s.NoError(s.log.AppendIntent(record, s.lastAttempt))
+	s.NoError(s.nextResult().Err)
+	switch random.Intn(4) {
+	case 0:
+		s.complete(key, recovery.KindCancellation, s.lastAttempt, "")
+	case 1:
+		s.log.AppendWarmStart([]byte(key))
+		s.nextResult()
+	case 2:
+		s.complete(key, recovery.KindCompletion, s.lastAttempt, string(make([]byte, random.Intn(300))))
 	}
 }
 
 // harm spoils the newest or a middle segment, or has the machine start again.
-func harm(d *memoryDisk, chance *rand.Rand, clock *seededClock) {
-	names, _ := d.List()
-	newest, middle := names[len(names)-1], names[len(names)/2]
-	switch chance.Intn(5) {
+func harm(disk *memoryDisk, random *rand.Rand, clock *seededClock) {
+	names, _ := disk.List()
+	newest := names[len(names)-1]
+	middle := names[len(names)/2]
+	switch random.Intn(5) {
 	case 0:
-		d.files[newest] = d.files[newest][:chance.Intn(len(d.files[newest]))]
+		disk.files[newest] = disk.files[newest][:random.Intn(len(disk.files[newest]))]
 	case 1:
-		text := slices.Clone(d.files[middle])
-		if at := chance.Intn(4096); at < len(text) && at != 8 && at != 9 { // another version is no harm but an error
-			text[at] ^= 1
+		data := slices.Clone(disk.files[middle])
+		offset := random.Intn(4096)
+		isVersion := offset == 8 || offset == 9 // another version is no harm but an error
+		if offset < len(data) && !isVersion {
+			data[offset] ^= 1
 		}
-		d.files[middle] = text
+		disk.files[middle] = data
 	case 2:
-		delete(d.files, middle)
+		delete(disk.files, middle)
 	case 3:
-		clock.c.BootID++
-		clock.c.Monotonic = 100
+		clock.reading.BootID++
+		clock.reading.Monotonic = 100
 	}
 }
 
-// TestGoldenLives compares every write, sync and removal of a hundred seeded lives, and what each of them found, ten a line.
+// TestGoldenLives compares every write, sync and removal of a hundred seeded series of processes, and what each of them
+// found, ten a line.
 func TestGoldenLives(t *testing.T) {
 	var got bytes.Buffer
 	for first := int64(0); first < 100; first += 10 {
 		history := golden.NewHistory()
 		for seed := first; seed < first+10; seed++ {
-			playLives(t, history, seed)
+			playProcesses(t, history, seed)
 		}
 		fmt.Fprintf(&got, "seeds %d to %d: %s\n", first, first+9, history)
 	}
--- a/internal/segmentlog/disk_test.go
+++ b/internal/segmentlog/memorydisk_test.go
@@ -9,6 +9,7 @@
 	"sync"
 
 	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
 )
 
 // diskStep is one thing that was done to the disk, in order.
@@ -23,23 +24,23 @@
 	mutex sync.Mutex
 	steps []diskStep
 	files map[string][]byte
-	fail  func(what string, n int) error // by the number of the step
-	stall chan struct{}                  // syncs wait for it, where there is one
+	fail  func(operation string) error // nil for a disk that works
 }
 
 func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
 
-func (d *memoryDisk) apply(s diskStep) error {
+// failWith has operations fail where the function returns an error.
+func (d *memoryDisk) failWith(fail func(operation string) error) {
 	d.mutex.Lock()
-	stall := d.stall
-	d.mutex.Unlock()
-	if stall != nil && s.operation == "sync" {
-		<-stall
-	}
+	defer d.mutex.Unlock()
+	d.fail = fail
+}
+
+func (d *memoryDisk) apply(s diskStep) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.fail != nil {
-		if err := d.fail(s.operation, len(d.steps)); err != nil {
+		if err := d.fail(s.operation); err != nil {
 			if s.operation == "write" { // a part of it may be there
 				d.files[s.name] = append(d.files[s.name], s.data[:len(s.data)/2]...)
 			}
@@ -110,53 +111,58 @@
 
 var errDisk = errors.New("input/output error")
 
-// crashedDisk gives the directory as it is after the first n steps, where writes that no sync made sure of are taken as lost says:
-// by the number of the write among those.
-func crashedDisk(steps []diskStep, n int, lost func(unsynced int) (keep bool)) *memoryDisk {
-	d := newMemoryDisk()
-	synced := make([]bool, n)
-	for i := range n { // what a later sync of the same file covers is there
-		if steps[i].operation != "write" {
-			synced[i] = true
-			continue
-		}
-		for j := i + 1; j < n; j++ {
-			if steps[j].operation == "sync" && steps[j].name == steps[i].name {
-				synced[i] = true
-			}
-		}
-	}
+// crashedDisk returns the disk as a crash after the first n steps leaves it. Of the unsynced writes, which are numbered
+// from 0, those survive that the function says.
+func crashedDisk(steps []diskStep, n int, survives func(unsynced int) bool) *memoryDisk {
+	disk := newMemoryDisk()
+	steps = steps[:n]
 	unsynced := 0
-	for i, s := range steps[:n] {
-		switch s.operation {
+	for i, step := range steps {
+		switch step.operation {
 		case "create":
-			d.files[s.name] = nil
+			disk.files[step.name] = nil
 		case "write":
-			if !synced[i] {
-				if unsynced++; !lost(unsynced - 1) {
-					// The file is as long as it would be, with zeros, where a later write is there; else it ends before.
-					d.files[s.name] = append(d.files[s.name], make([]byte, len(s.data))...)
-					continue
+			data := step.data
+			if !isSynced(steps, i) {
+				if !survives(unsynced) {
+					// The file is as long as it would be, with zeros, where a later write is there; else it ends
+					// before.
+					data = make([]byte, len(step.data))
 				}
+				unsynced++
 			}
-			d.files[s.name] = append(d.files[s.name], s.data...)
+			disk.files[step.name] = append(disk.files[step.name], data...)
 		case "remove":
-			delete(d.files, s.name)
+			delete(disk.files, step.name)
 		}
 	}
-	return d
+	return disk
 }
 
-// testClock is a clock that a test moves: life n begins where the one before ended.
+// isSynced reports whether a later step syncs the file of a write.
+func isSynced(steps []diskStep, write int) bool {
+	return slices.ContainsFunc(steps[write+1:], func(later diskStep) bool {
+		return later.operation == "sync" && later.name == steps[write].name
+	})
+}
+
+// testClock is a clock that moves by a tick with each look at it, and that a test moves further.
 type testClock struct {
 	mutex   sync.Mutex
 	reading recovery.ClockReading
 }
 
-func (a *testClock) now() recovery.ClockReading {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.reading.Wall++
-	a.reading.Monotonic++
-	return a.reading
+func (c *testClock) now() recovery.ClockReading {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.reading.Wall++
+	c.reading.Monotonic++
+	return c.reading
+}
+
+// moveWall sets the wall clock forward.
+func (c *testClock) moveWall(by timeunit.Ticks) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.reading.Wall += by
 }
--- /dev/null
+++ b/internal/segmentlog/scan_test.go
@@ -0,0 +1,95 @@
+package segmentlog
+
+import (
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/recovery"
+)
+
+func FuzzRecords(f *testing.F) {
+	f.Add(appendRecord(nil, &recovery.Record{Kind: recovery.KindIntent, Key: "k"}))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		if record, size, err := parseRecord(data); err == nil {
+			require.Equal(t, data[:size], appendRecord(nil, &record))
+		}
+		disk := newMemoryDisk()
+		disk.files[segmentName(1)] = append(segmentHeader{id: 1}.encode(), data...)
+		now := recovery.ClockReading{Wall: 1e9}
+		analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: 1, MaxOutcomes: 10}, now)
+		_, err := Scan(disk, analysis, now, false, nil)
+		require.NoError(t, err)
+	})
+}
+
+// diskWithRecords returns a disk with so many records, one in a hundred of them still needed.
+func diskWithRecords(records int, now recovery.ClockReading) *memoryDisk {
+	disk := newMemoryDisk()
+	var data []byte
+	id := uint64(0)
+	for i := range records / 2 {
+		if i%20_000 == 0 {
+			if id > 0 {
+				disk.files[segmentName(id)] = data
+			}
+			id++
+			data = segmentHeader{durability: recovery.DurabilityMachine, id: id, createdAt: now}.encode()
+		}
+		record := recovery.Record{Kind: recovery.KindIntent, Key: fmt.Sprintf("1 %032x", i), Attempt: uint64(i)}
+		record.WrittenAt = now
+		record.WindowEnd = now.Wall - 1 // nearly all windows are over
+		if i%100 == 0 {
+			record.WindowEnd = now.Wall + testWindow
+		}
+		data = appendRecord(data, &record)
+		record.Kind = recovery.KindCompletion
+		record.Payload = make([]byte, 100)
+		data = appendRecord(data, &record)
+	}
+	disk.files[segmentName(id)] = data
+	return disk
+}
+
+// checkRecovery scans such a disk.
+func checkRecovery(t testing.TB, disk *memoryDisk, records int, now recovery.ClockReading) {
+	t.Helper()
+	analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, MaxOutcomes: 100_000}, now)
+	scan, err := Scan(disk, analysis, now, false, nil)
+	require.NoError(t, err)
+	require.Equal(t, records, scan.RecordCount)
+	require.Empty(t, scan.Findings)
+	require.Len(t, scan.Outcomes, records/200)
+}
+
+// A million records only where MEASURE=full.
+func TestScanFindsAllRecordsOfALargeLog(t *testing.T) {
+	sizes := []int{10_000}
+	if os.Getenv("MEASURE") == "full" {
+		sizes = append(sizes, 1_000_000)
+	}
+	now := recovery.ClockReading{Wall: 1e9, BootID: 1}
+	for _, records := range sizes {
+		disk := diskWithRecords(records, now)
+		begun := time.Now()
+		checkRecovery(t, disk, records, now)
+		t.Logf("measured store-recovery records=%d took_ms=%.1f intent_bytes=%d result_bytes=%d", records,
+			float64(time.Since(begun).Microseconds())/1000, recordSize(recovery.KindIntent, 34, 0),
+			recordSize(recovery.KindCompletion, 34, 100))
+	}
+}
+
+func BenchmarkRecover(b *testing.B) {
+	now := recovery.ClockReading{Wall: 1e9, BootID: 1}
+	for _, records := range []int{10_000, 1_000_000} {
+		b.Run(fmt.Sprint("records=", records), func(b *testing.B) {
+			disk := diskWithRecords(records, now)
+			for b.Loop() {
+				checkRecovery(b, disk, records, now)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/segmentlog/session_test.go
@@ -0,0 +1,120 @@
+package segmentlog
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/recovery"
+	"thistlequay/timeunit"
+)
+
+// testWindow is the deduplication window of the tests, 35 s.
+const testWindow = 35 * timeunit.TicksPerSecond
+
+// waitLimit is how long a test waits for something that has to happen.
+const waitLimit = 20 * time.Second
+
+// firstReading is what the clocks say when the first process of a test starts.
+var firstReading = recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: 1}
+
+// What a later process does with a retry; see retryOutcome. A result is "result " and its text.
+const (
+	retryRuns     = "run"
+	retryAborted  = "aborted"
+	retryRejected = "rejected"
+)
+
+// session is a server's use of a log: an intent, the run once that is durable, its completion.
+type session struct {
+	*require.Assertions
+	log         *Log
+	results     chan WriteResult
+	lastAttempt uint64
+}
+
+// testConfig returns the parameters of most tests, without Now and OnWritten.
+func testConfig(durability recovery.Durability, allowEmpty bool) Config {
+	return Config{
+		Durability:       durability,
+		MaxBytes:         1 << 20,
+		MaxRecords:       10_000,
+		SegmentBytes:     2048,
+		MaxWindow:        testWindow,
+		ClockUncertainty: timeunit.TicksPerSecond,
+		MaxOutcomes:      1000,
+		AllowEmpty:       allowEmpty,
+	}
+}
+
+func openSession(t testing.TB, storage Storage, clock *testClock, durability recovery.Durability,
+	allowEmpty bool) (*session, error) {
+	t.Helper()
+	s := &session{Assertions: require.New(t), results: make(chan WriteResult, 4096)}
+	config := testConfig(durability, allowEmpty)
+	config.Now = clock.now
+	config.OnWritten = func(results []WriteResult) {
+		for _, result := range results {
+			s.results <- result
+		}
+	}
+	var err error
+	s.log, err = Open(storage, config)
+	return s, err
+}
+
+// nextResult waits for what became of an appended record.
+func (s *session) nextResult() WriteResult {
+	select {
+	case result := <-s.results:
+		return result
+	case <-time.After(waitLimit):
+		s.FailNow("nothing came back from the writer")
+		return WriteResult{}
+	}
+}
+
+// intend appends an intent and reports whether it became durable.
+func (s *session) intend(key string, windowEnd timeunit.Ticks) bool {
+	s.lastAttempt++
+	record := recovery.Record{Key: key, WindowEnd: windowEnd, Attempt: s.lastAttempt}
+	if s.log.AppendIntent(record, s.lastAttempt) != nil {
+		return false
+	}
+	return s.nextResult().Err == nil
+}
+
+// complete appends a completion or a cancellation and waits for the writer.
+func (s *session) complete(key string, kind recovery.RecordKind, attempt uint64, result string) {
+	s.log.AppendCompletion(recovery.Record{
+		Kind:      kind,
+		Key:       key,
+		Attempt:   attempt,
+		Succeeded: kind == recovery.KindCompletion,
+		Payload:   []byte(result),
+	}, 0)
+	s.nextResult()
+}
+
+func (s *session) close() {
+	s.log.Close()
+	<-s.log.Done()
+}
+
+// retryOutcome returns what a later process does with a retry: run it, reject it, or answer it from what is stored.
+func retryOutcome(log *Log, key string, now timeunit.Ticks) string {
+	for _, outcome := range log.Outcomes {
+		if outcome.Key != key {
+			continue
+		}
+		if outcome.Completed {
+			return "result " + string(outcome.Result)
+		}
+		return retryAborted
+	}
+	if log.RejectUntil > now {
+		return retryRejected
+	}
+	return retryRuns
+}
