--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -111,7 +111,7 @@
 	}
 	l.space.MaxBytes = config.MaxBytes
 	l.space.MaxRecords = config.MaxRecords
-	w := &writer{Log: l}
+	w := &writer{Log: l, batch: make([]queuedRecord, 0, maxBatch)}
 	if err := w.startSegment(); err != nil {
 		return nil, err
 	}
--- a/internal/segmentlog/writer.go
+++ b/internal/segmentlog/writer.go
@@ -11,8 +11,9 @@
 // writer is the goroutine that writes. After Open nothing else touches the disk.
 type writer struct {
 	*Log
-	file       SegmentFile // the current segment
-	buffer     []byte      // of the batch, reused
+	file       SegmentFile    // the current segment
+	batch      []queuedRecord // reused
+	buffer     []byte         // the encoded batch, reused
 	retryDelay time.Duration
 }
 
@@ -20,9 +21,11 @@
 func (w *writer) run() {
 	defer close(w.done)
 	for first := range w.queue {
-		if batch := w.collectBatch(first); len(batch) > 0 {
+		batch := w.collectBatch(first)
+		if len(batch) > 0 {
 			w.writeBatch(batch)
 		}
+		clear(batch) // so that no payload is kept alive
 		w.removeExpired()
 	}
 	if w.file != nil {
@@ -32,9 +35,10 @@
 	}
 }
 
-// collectBatch returns the given record and those that wait behind it, without those that only wake the writer up.
+// collectBatch returns the given record and those that wait behind it, without those that only wake the writer up. The
+// batch is valid until the next call.
 func (w *writer) collectBatch(first queuedRecord) []queuedRecord {
-	batch := append(make([]queuedRecord, 0, maxBatch), first)
+	batch := append(w.batch[:0], first)
 	for isOpen := true; isOpen && len(batch) < maxBatch; {
 		select {
 		case next, received := <-w.queue:
