--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -23,6 +23,11 @@
 
 // sharingFleet is processes with a limit of calls in hand over all of them; without slots each keeps to a part of its own.
 func sharingFleet(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string) *together {
+	return sharingFleetOf(t, servers, slots, calls, part, seed, delay, more, func([]*clustertest.Server) {})
+}
+
+// sharingFleetOf is sharingFleet with a change to the servers before they are started.
+func sharingFleetOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string, prepare func([]*clustertest.Server)) *together {
 	index, err := emulator.NewIndex()
 	require.NoError(t, err)
 	index.ReplyDelay = delay
@@ -36,6 +41,7 @@
 		}
 	}
 	g := fleetOf(t, p)
+	prepare(g.Servers)
 	for _, s := range g.Servers {
 		s.Interpreter.CallProbability = 1
 		g.NoError(s.Start())
@@ -207,13 +213,13 @@
 	g.Greater(o.OnTime, o.Requested/10)
 
 	var out bytes.Buffer
-	g.Zero(command([]string{"shares", g.leader(all).Status}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"shares", g.leader(all).Status}, &out, &out), out.String())
 	g.Contains(out.String(), "leads the keepers")
 	g.Contains(out.String(), "calls: whole 20")
 	log := filepath.Join(t.TempDir(), "log")
 	g.NoError(os.WriteFile(log, []byte(all[2].Log.String()), 0o600))
 	out.Reset()
-	g.Zero(command([]string{"shares", "--chart", log}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"shares", "--chart", log}, &out, &out), out.String())
 	g.Contains(out.String(), "calls in hand that could be used")
 }
 
@@ -386,7 +392,7 @@
 	}
 	g.share("after all died", all, granted)
 	for _, s := range all[:3] {
-		g.Contains(s.Log.String(), "its memory")
+		g.Contains(s.Log.String(), "state=restored")
 	}
 }
 
--- /dev/null
+++ b/internal/membership/view.go
@@ -0,0 +1,294 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+
+	"thistlequay/timeunit"
+)
+
+// View is what one server knows and concludes about the members of its cluster. It is not safe for concurrent use.
+type View struct {
+	config     Config
+	now        timeunit.Milliseconds
+	self       *Member
+	members    map[ID]*Member
+	byName     map[string][]*Member // the incarnations of a name, by number
+	nameOwners map[string]ID
+	resumedAt  timeunit.Milliseconds // when this server last resumed after a pause of its own
+
+	effectiveSize  int
+	configuredSize int // members of the configuration that was learned last
+
+	// Counts are the rejected messages and wrong suspicions since the start; the host adds what it rejects itself.
+	Counts Counts
+	events []Event
+}
+
+// Counts are numbers of rejected messages and wrong conclusions since the start. The JSON keys are part of the status
+// page.
+type Counts struct {
+	Invalid        int `json:"Insane"`      // updates that Validate rejected
+	Stale          int `json:"Old"`         // updates that were not newer than what is known
+	Forged         int `json:"Foreign"`     // messages whose seal is not that of the claimed sender
+	UnknownSender  int `json:"Unknown"`     // messages of members that were not heard of
+	NoCapacity     int `json:"Full"`        // updates of new members beyond Config.MaxMembers
+	FalsePositives int `json:"FalseAlarms"` // members held for failed that were running all the time
+	NameConflicts  int `json:"NameTaken"`   // incarnations that found their name owned by another
+}
+
+// Event is one change of a member's state, for the log.
+type Event struct {
+	ID    ID
+	From  State
+	To    State
+	Cause Cause
+}
+
+// NewView returns a view that holds only the server itself. now is the host's clock, which must be monotonic.
+func NewView(config Config, now timeunit.Milliseconds) *View {
+	v := &View{
+		config:        config,
+		now:           now,
+		members:       map[ID]*Member{},
+		byName:        map[string][]*Member{},
+		nameOwners:    map[string]ID{},
+		resumedAt:     neverHappened,
+		effectiveSize: max(1, config.InitialSize),
+	}
+	v.self = &Member{
+		StateUpdate: StateUpdate{ID: config.Self, Zone: config.Zone},
+		FirstSeen:   now,
+		LastUpdate:  now,
+		Since:       now,
+	}
+	v.add(v.self)
+	v.nameOwners[config.Self.Name] = config.Self
+	return v
+}
+
+// neverHappened is the moment of an event that did not happen yet: before every clock.
+const neverHappened timeunit.Milliseconds = -1 << 60
+
+// pauseThreshold is the number of intervals between two calls of Advance from which on this process must have stood
+// still.
+const pauseThreshold = 4
+
+// Advance moves the clock of the view on to now; interval is the usual time between two calls. When the gap shows
+// that this process stood still, its length is returned, else 0; for the next StabilityWindow the view then concludes
+// nothing against others (recentlyPaused).
+func (v *View) Advance(now, interval timeunit.Milliseconds) (paused timeunit.Milliseconds) {
+	if gap := now - v.now; gap > pauseThreshold*interval {
+		paused = gap
+		v.resumedAt = now
+		v.self.PausedMs = int64(gap)
+	}
+	v.now = max(v.now, now)
+	return paused
+}
+
+// recentlyPaused says that this process stood still and has not yet had the time to hear the others again.
+func (v *View) recentlyPaused() bool { return v.now-v.resumedAt < v.config.StabilityWindow }
+
+// UpdateSelf makes update, completed with what the view knows itself and the next sequence number, the state of this
+// server and returns it as it is to be published. An invalid one changes nothing; the last one is returned again.
+func (v *View) UpdateSelf(update StateUpdate) StateUpdate {
+	update.ID = v.config.Self
+	update.Zone = v.config.Zone
+	update.PausedMs = v.self.PausedMs
+	if v.now-v.resumedAt > v.config.Retention {
+		update.PausedMs = 0
+	}
+	update.AgeMs = 0
+	update.Unreachable = v.unreachableNames()
+	update.Sequence = v.self.Sequence + 1
+	if update.Validate() != nil {
+		return v.self.StateUpdate
+	}
+	update.sanitize()
+	v.self.StateUpdate = update
+	v.self.LastUpdate = v.now
+	v.self.LastReply = v.now
+	v.transition(v.self, update.State, CauseNone)
+	return update
+}
+
+// unreachableNames returns the names that this server cannot reach although others may.
+func (v *View) unreachableNames() (names []string) {
+	for _, m := range v.Members() {
+		isUnreachable := m.Cause == CauseUnreachableFromHere || m.State == StateSuspected
+		if m != v.self && isUnreachable && len(names) < MaxUnreachable {
+			names = append(names, m.Name)
+		}
+	}
+	return names
+}
+
+// ApplyUpdate takes a state update that came from the member itself or was passed on by another. It returns whether
+// the update was news; if not, Counts says why.
+func (v *View) ApplyUpdate(update StateUpdate) bool {
+	if update.Validate() != nil {
+		v.Counts.Invalid++
+		return false
+	}
+	update.sanitize()
+	if update.ID == v.config.Self {
+		return false // only the server itself says how it is
+	}
+	m := v.members[update.ID]
+	if m == nil {
+		return v.addFrom(&update)
+	}
+	if update.Sequence <= m.Sequence {
+		v.Counts.Stale++
+		return false
+	}
+	v.applyNewer(m, &update)
+	return true
+}
+
+// addFrom adds the member that an update is the first of. It returns false when there is no capacity for it.
+func (v *View) addFrom(update *StateUpdate) bool {
+	if len(v.members) >= v.config.MaxMembers && !v.evictOldest() {
+		v.Counts.NoCapacity++
+		return false
+	}
+	v.add(&Member{
+		StateUpdate: *update,
+		FirstSeen:   v.now,
+		LastUpdate:  v.now - timeunit.Milliseconds(update.AgeMs),
+		Since:       v.now,
+		LastReply:   neverHappened,
+		State:       update.State,
+	})
+	v.events = append(v.events, Event{update.ID, StateLeft, update.State, CauseNone})
+	v.resolveName(update.Name)
+	return true
+}
+
+// applyNewer replaces a member's update by a newer one and concludes its state.
+func (v *View) applyNewer(m *Member, update *StateUpdate) {
+	hasPausedAnew := update.PausedMs > 0 && update.PausedMs != m.PausedMs
+	m.StateUpdate = *update
+	m.LastUpdate = max(m.LastUpdate, v.now-timeunit.Milliseconds(update.AgeMs))
+	switch {
+	case m.terminated || m.Cause == CauseNameConflict:
+		// What is over does not come back, and who has no name waits for it.
+	case m.State == StateFailed || m.State == StateSuspected:
+		// The update may be older than the suspicion: only an answer or a refutation clears it.
+		if hasPausedAnew {
+			m.Cause = CausePaused
+		}
+	case update.State == StateDraining:
+		v.transition(m, StateDraining, CauseLeft)
+	default:
+		v.transition(m, update.State, m.causeWhileAlive())
+	}
+	v.resolveName(update.Name)
+}
+
+// Members returns all incarnations that are kept, ordered by ID.
+func (v *View) Members() []*Member {
+	list := make([]*Member, 0, len(v.members))
+	for _, m := range v.members {
+		list = append(list, m)
+	}
+	slices.SortFunc(list, func(a, b *Member) int { return a.Compare(b.ID) })
+	return list
+}
+
+// Member returns one incarnation, or nil when it is not known.
+func (v *View) Member(id ID) *Member { return v.members[id] }
+
+// Self returns this server.
+func (v *View) Self() *Member { return v.self }
+
+// Now returns the latest moment that Advance was told.
+func (v *View) Now() timeunit.Milliseconds { return v.now }
+
+// Events returns the changes of state since the last call.
+func (v *View) Events() []Event {
+	events := v.events
+	v.events = nil
+	return events
+}
+
+// Alive returns the members that are alive and own their names, this server included, ordered by ID.
+func (v *View) Alive() (ids []ID) {
+	for _, m := range v.Members() {
+		if m.State < StateSuspected {
+			ids = append(ids, m.ID)
+		}
+	}
+	return ids
+}
+
+// AliveCount returns the number of members that Alive would return.
+func (v *View) AliveCount() (count int) {
+	for _, m := range v.members {
+		if m.State < StateSuspected {
+			count++
+		}
+	}
+	return count
+}
+
+// Tick does what follows from time alone: members that left or failed long ago are removed, and the effective size
+// follows the view. The host calls it a few times a second.
+func (v *View) Tick(status QuorumStatus) {
+	for _, m := range v.members {
+		isOver := m.State >= StateFailed && m.Cause != CauseNameConflict
+		if m != v.self && isOver && v.now-m.Since > v.config.Retention {
+			v.remove(m)
+		}
+	}
+	v.updateEffectiveSize(status)
+}
+
+// evictOldest makes room for a new member by removing the one that failed or left first. It returns false when there
+// is none.
+func (v *View) evictOldest() bool {
+	var oldest *Member
+	for _, m := range v.Members() {
+		if m != v.self && m.State >= StateFailed && (oldest == nil || m.Since < oldest.Since) {
+			oldest = m
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	v.remove(oldest)
+	return true
+}
+
+func (v *View) add(m *Member) {
+	v.members[m.ID] = m
+	incarnations := append(v.byName[m.Name], m)
+	slices.SortFunc(incarnations, func(a, b *Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	v.byName[m.Name] = incarnations
+}
+
+func (v *View) remove(m *Member) {
+	delete(v.members, m.ID)
+	rest := slices.DeleteFunc(v.byName[m.Name], func(other *Member) bool { return other == m })
+	v.byName[m.Name] = rest
+	if len(rest) == 0 {
+		delete(v.byName, m.Name)
+	}
+	if v.nameOwners[m.Name] == m.ID {
+		delete(v.nameOwners, m.Name)
+	}
+}
+
+// transition sets a member's state and cause. A change of the state is an event and counts towards flapping.
+func (v *View) transition(m *Member, state State, cause Cause) {
+	if m.State == state {
+		m.Cause = cause
+		return
+	}
+	v.events = append(v.events, Event{m.ID, m.State, state, cause})
+	m.State = state
+	m.Cause = cause
+	m.Since = v.now
+	m.recordTransition(v.now, v.config.FlapThreshold)
+}
