--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts decision instances for the simulator, on standard input and output.
+// Command adapter hosts admission servers for the simulator, on standard input and output.
 package main
 
 import (
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -68,9 +68,14 @@
 `, out)
 }
 
-const reads = `MARK T=10.0
+// cachedReads is a conversation with marked retries, reads that share a result, and an answer without a downstream
+// call.
+const cachedReads = `MARK T=10.0
 FOR Server=server-1
-CREATE Prng=7 Env={"Categories":[{"Effect":"repeatable","HardLimit":100,"OnTime":50,"Worth":1}],"Clients":{"MarksRetry":true},"FamilyInfo":{"Cores":1,"MemoryKb":1e6,"RunFactor":2,"Fresh":1000,"ClassSkipWorth":[0.4]},"Rules":{"TipMultiple":8}}
+CREATE Prng=7 Env={"Categories":[{"Effect":"repeatable","HardLimit":100,"OnTime":50,"Worth":1}],` +
+	`"Clients":{"MarksRetry":true},` +
+	`"FamilyInfo":{"Cores":1,"MemoryKb":1e6,"RunFactor":2,"Fresh":1000,"ClassSkipWorth":[0.4]},` +
+	`"Rules":{"TipMultiple":8}}
 INBOUND Xid=5 HeldKb=1 Key=77
 EOF_BATCH
 MARK T=20
@@ -84,84 +89,102 @@
 EOF_BATCH
 `
 
-// What the wire tells and asks where a site has them: marks, keys of reads, answers without a call.
-func TestReadsAndPoorerAnswers(t *testing.T) {
-	out, err := serve(reads)
+func TestReadsShareResultsAndSkipCalls(t *testing.T) {
+	out, err := serve(cachedReads)
 	require.NoError(t, err)
-	for _, line := range []string{"MEMO Xid=5 HoldFor=", "EXECUTE Xid=5\n", "SHARE Xid=6\n", "INVOKE Xid=5 Until=", "OMIT Xid=5\n"} {
+	for _, line := range []string{
+		"MEMO Xid=5 HoldFor=", "EXECUTE Xid=5\n", "SHARE Xid=6\n", "INVOKE Xid=5 Until=", "OMIT Xid=5\n",
+	} {
 		require.Contains(t, out, line)
 	}
 }
 
-var malformed = map[string]string{
-	"EOF_BATCH\n":                             "line 1: a batch opens with MARK",
-	"MARK T=1\nFOR Server=server-1\n":         "the input ends in the middle of a batch",
-	"MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n":    "before any FOR",
-	"MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH": "never created",
-	"MARK T=1": "middle of a line",
-	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=-5\nEOF_BATCH\n":                       "not a whole number",
-	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 Retry=2\nEOF_BATCH\n":                "neither 1 nor 0",
-	createBatch + "MARK T=11\nFOR Server=server-1\nENDED\nEOF_BATCH\n":                                "no Xid",
-	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND junk\nEOF_BATCH\n":                         "not name=value",
-	createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=1,z\nEOF_BATCH\n":               "not a number",
-	createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=,1\nEOF_BATCH\n":                "not a number",
-	"MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n":                                               "can't be read",
-	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 OriginPeer=99999999999\nEOF_BATCH\n": "out of range",
-	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 TimeLeft=1e300\nEOF_BATCH\n":         "out of range",
-	createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 HeldKb=-1\nEOF_BATCH\n":              "out of range",
-	strings.Replace(createBatch, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1):                                "out of range",
-	strings.Replace(createBatch, `"OnTime":50.0`, `"OnTime":1e200`, 1):                                "out of range",
+// malformed are conversations with a line that can't be read, and a part of the error.
+var malformed = []struct{ text, message string }{
+	{"EOF_BATCH\n", "line 1: a batch opens with MARK"},
+	{"MARK T=1\nFOR Server=server-1\n", "the input ends in the middle of a batch"},
+	{"MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n", "before any FOR"},
+	{"MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH", "never created"},
+	{"MARK T=1", "middle of a line"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=-5\nEOF_BATCH\n", "not a whole number"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 Retry=2\nEOF_BATCH\n", "neither 1 nor 0"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nENDED\nEOF_BATCH\n", "no Xid"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND junk\nEOF_BATCH\n", "not name=value"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=1,z\nEOF_BATCH\n", "not a number"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=,1\nEOF_BATCH\n", "not a number"},
+	{"MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n", "can't be read"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 OriginPeer=99999999999\nEOF_BATCH\n",
+		"out of range"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 TimeLeft=1e300\nEOF_BATCH\n", "out of range"},
+	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 HeldKb=-1\nEOF_BATCH\n", "out of range"},
+	{strings.Replace(createBatch, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1), "out of range"},
+	{strings.Replace(createBatch, `"OnTime":50.0`, `"OnTime":1e200`, 1), "out of range"},
 }
 
-func TestMalformed(t *testing.T) {
-	for text, message := range malformed {
-		out, err := serve(text)
-		require.ErrorContains(t, err, message, text)
-		require.NotContains(t, out, "EXECUTE", text)
+func TestMalformedLinesEndTheSession(t *testing.T) {
+	for _, c := range malformed {
+		out, err := serve(c.text)
+		require.ErrorContains(t, err, c.message, c.text)
+		require.NotContains(t, out, "EXECUTE", c.text)
 	}
 }
 
-// words are two deployments that differ in all that they can.
-var words = [2]string{
-	`"Categories":[{"Name":"a","Effect":"by_key","HardLimit":900,"OnTime":300,"Worth":1,"Window":400},{"Name":"b","Effect":"repeatable","HardLimit":500,"OnTime":200,"LateWorth":0.5,"Worth":3}],` +
-		`"FamilyInfo":{"Cores":2,"MemoryKb":4000,"RunFactor":4,"EntryKb":9,"Halt":"drop","Say":"min_rank","Downstream":"common","CallShare":1.5,"CallsOver":500,"Linger":20,"Cold":true,"Callers":3,"Meters":["core_use","on_cores"]},` +
-		`"Limits":{"RetryAfter":true,"MaxRetryAfter":100},"Rules":{"TipMultiple":3,"Cold":2000,"ColdFrom":0.2},"Period":2,"Servers":4`,
+// deployments are the settings of two deployments that differ in all that they can.
+var deployments = [2]string{
+	`"Categories":[{"Name":"a","Effect":"by_key","HardLimit":900,"OnTime":300,"Worth":1,"Window":400},` +
+		`{"Name":"b","Effect":"repeatable","HardLimit":500,"OnTime":200,"LateWorth":0.5,"Worth":3}],` +
+		`"FamilyInfo":{"Cores":2,"MemoryKb":4000,"RunFactor":4,"EntryKb":9,"Halt":"drop","Say":"min_rank",` +
+		`"Downstream":"common","CallShare":1.5,"CallsOver":500,"Linger":20,"Cold":true,"Callers":3,` +
+		`"Meters":["core_use","on_cores"]},"Limits":{"RetryAfter":true,"MaxRetryAfter":100},` +
+		`"Rules":{"TipMultiple":3,"Cold":2000,"ColdFrom":0.2},"Period":2,"Servers":4`,
 	`"Categories":[{"Name":"a","Effect":"once","HardLimit":5000,"OnTime":4000,"Worth":7}],` +
-		`"FamilyInfo":{"Cores":1,"MemoryKb":900,"RunFactor":16,"Say":"bias","Meters":["on_cores","core_use"]},"Rules":{"TipMultiple":9},"Period":4,"Servers":300`}
+		`"FamilyInfo":{"Cores":1,"MemoryKb":900,"RunFactor":16,"Say":"bias","Meters":["on_cores","core_use"]},` +
+		`"Rules":{"TipMultiple":9},"Period":4,"Servers":300`,
+}
 
 // schedules draws what each of the two deployments is told alone, and both of them in one process.
 func schedules(seed int64) (alone [2]string, together string) {
 	chance := rand.New(rand.NewSource(seed))
 	var texts [3]strings.Builder
-	for at := range 300 {
-		fmt.Fprintf(&texts[2], "MARK T=%d\n", at*7)
-		for n, word := range words {
-			var events strings.Builder
-			if at == 0 {
-				fmt.Fprintf(&events, "CREATE Prng=%d Env={%s}\n", seed, word)
-			} else {
-				for k := range chance.Intn(3) {
-					fmt.Fprintf(&events, "INBOUND Xid=%d OriginPeer=%d Band=%d HeldKb=%d Lay=%d\n", at*10+k, chance.Intn(4), chance.Intn(2-n), 1+chance.Intn(40), chance.Intn(30))
-				}
-				id := max(1, at-chance.Intn(6))*10 + chance.Intn(2)
-				fmt.Fprintf(&events, []string{"ENDED Xid=%d Status=GOOD Duration=12\n", "READY_TO_CALL Xid=%d\n", "CALLED Xid=%d Status=GOOD Duration=9\n", "WITHDRAWN Xid=%d\n"}[chance.Intn(4)], id)
-				fmt.Fprintf(&events, "DEADLINE_HIT Token=look Usage=%d,%d\n", chance.Intn(2), chance.Intn(5))
+	for step := range 300 {
+		fmt.Fprintf(&texts[2], "MARK T=%d\n", step*7)
+		for n, settings := range deployments {
+			events := fmt.Sprintf("CREATE Prng=%d Env={%s}\n", seed, settings)
+			if step > 0 {
+				events = drawEvents(chance, step, 2-n)
 			}
-			fmt.Fprintf(&texts[2], "FOR Server=s%d\n%s", n, events.String())
-			fmt.Fprintf(&texts[n], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", at*7, n, events.String())
+			fmt.Fprintf(&texts[2], "FOR Server=s%d\n%s", n, events)
+			fmt.Fprintf(&texts[n], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", step*7, n, events)
 		}
 		texts[2].WriteString("EOF_BATCH\n")
 	}
 	return [2]string{texts[0].String(), texts[1].String()}, texts[2].String()
 }
 
-// Two deployments in one process share nothing: what each answers is what it answers alone, whatever the other is told.
-func TestTwoDeploymentsInOneProcess(t *testing.T) {
+// drawEvents draws the events of a batch for a server with so many categories.
+func drawEvents(chance *rand.Rand, step, categories int) string {
+	var events strings.Builder
+	for k := range chance.Intn(3) {
+		fmt.Fprintf(&events, "INBOUND Xid=%d OriginPeer=%d Band=%d HeldKb=%d Lay=%d\n",
+			step*10+k, chance.Intn(4), chance.Intn(categories), 1+chance.Intn(40), chance.Intn(30))
+	}
+	id := max(1, step-chance.Intn(6))*10 + chance.Intn(2)
+	event := []string{
+		"ENDED Xid=%d Status=GOOD Duration=12\n", "READY_TO_CALL Xid=%d\n",
+		"CALLED Xid=%d Status=GOOD Duration=9\n", "WITHDRAWN Xid=%d\n",
+	}[chance.Intn(4)]
+	fmt.Fprintf(&events, event, id)
+	fmt.Fprintf(&events, "DEADLINE_HIT Token=look Usage=%d,%d\n", chance.Intn(2), chance.Intn(5))
+	return events.String()
+}
+
+// What each deployment answers is what it answers alone, whatever the other one in the process is told.
+func TestDeploymentsInOneProcessShareNothing(t *testing.T) {
 	var alone, both [2]strings.Builder
 	var together strings.Builder
 	for seed := range int64(20) {
 		apart, mixed := schedules(seed)
-		for n := range words {
+		for n := range deployments {
 			out, err := serve(apart[n])
 			require.NoError(t, err)
 			alone[n].WriteString(out)
@@ -180,7 +203,7 @@
 		}
 		both[who].WriteString(line)
 	}
-	for n := range words {
+	for n := range deployments {
 		require.Contains(t, both[n].String(), "EXECUTE")
 		require.Equal(t, strings.ReplaceAll(alone[n].String(), "EOR\n", ""), both[n].String())
 	}
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"maps"
 	"slices"
 	"strings"
 	"testing"
@@ -13,16 +12,21 @@
 	"thistlequay/internal/golden"
 )
 
-// The lines of the simulator's wire: two conversations in full, what is answered before a line that cannot be read and which
-// line that is, and a hash of the answers to seeded schedules.
+// The lines of the simulator's wire: two conversations in full, what is answered before a line that cannot be read
+// and which line that is, and a hash of the answers to seeded schedules.
 func TestGoldenLines(t *testing.T) {
 	var out bytes.Buffer
-	for _, text := range []string{conversation, reads} {
+	for _, text := range []string{conversation, cachedReads} {
 		answer, err := serve(text)
 		require.NoError(t, err)
 		fmt.Fprintf(&out, "%s\n%s\n", text, answer)
 	}
-	for _, text := range slices.Sorted(maps.Keys(malformed)) {
+	texts := []string{}
+	for _, c := range malformed {
+		texts = append(texts, c.text)
+	}
+	slices.Sort(texts)
+	for _, text := range texts {
 		answer, err := serve(text)
 		require.Error(t, err)
 		place, _, _ := strings.Cut(err.Error(), ":")
