--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBothFormats(t *testing.T) {
+func TestLinesInBothFormats(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, FormatText).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
 	require.Regexp(t, `^\d{4}-\d\d-\d\dT[\d:.]+Z event=bad_peer count=3 reason="two words"\n$`, out.String())
@@ -22,12 +22,13 @@
 }
 
 func BenchmarkEvent(b *testing.B) {
-	for _, as := range []Format{FormatText, FormatJSON} {
-		b.Run(string(as), func(b *testing.B) {
-			l := New(io.Discard, as)
+	for _, format := range []Format{FormatText, FormatJSON} {
+		b.Run(string(format), func(b *testing.B) {
+			logger := New(io.Discard, format)
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Event("state").Int("requests", 7).Int("connections", 40).Int("stamps", 900).Int("calls", 3).Str("name", "n3").Send()
+				logger.Event("state").Int("requests", 7).Int("connections", 40).
+					Int("stamps", 900).Int("calls", 3).Str("name", "n3").Send()
 			}
 		})
 	}
