--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/uwsgi/request_test.go
@@ -1,6 +1,7 @@
 package uwsgi
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -13,9 +14,9 @@
 	return data
 }
 
-// However it is split, a request means the same.
-func TestInPieces(t *testing.T) {
-	data := request(t, "four", [2]string{"PATH_INFO", "/rpc/look"}, [2]string{"CONTENT_LENGTH", "4"}, [2]string{"EMPTY", ""})
+func TestSplitDoesNotMatter(t *testing.T) {
+	data := request(t, "four",
+		[2]string{"PATH_INFO", "/rpc/look"}, [2]string{"CONTENT_LENGTH", "4"}, [2]string{"EMPTY", ""})
 	for size := 1; size <= len(data); size++ {
 		p := Parser{MaxBodyBytes: 4}
 		for rest := data; len(rest) > 0; rest = rest[min(size, len(rest)):] {
@@ -35,7 +36,7 @@
 	require.True(t, p.Complete())
 }
 
-func TestPing(t *testing.T) {
+func TestPingIsComplete(t *testing.T) {
 	p := Parser{}
 	require.NoError(t, p.Feed([]byte{ModifierPing, 0, 0, 0}))
 	require.True(t, p.Complete())
@@ -43,7 +44,7 @@
 	require.Equal(t, []byte{ModifierPing, 0, 0, 0}, AppendPong(nil))
 }
 
-func TestRefusedByName(t *testing.T) {
+func TestBadRequestsHaveTheirStatus(t *testing.T) {
 	var many [][2]string
 	for range MaxVariables + 1 {
 		many = append(many, [2]string{"A", "b"})
@@ -69,25 +70,30 @@
 	}
 }
 
-func TestReplies(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	data := AppendResponse(nil, "200 OK", "Server-Hint: 1\r\n", []byte("body"))
 	for n := range len(data) {
-		_, _, whole, err := ParseResponse(data[:n], false, 100)
-		require.False(t, whole)
+		_, _, complete, err := ParseResponse(data[:n], false, 100)
+		require.False(t, complete)
 		require.NoError(t, err)
-		_, _, whole, err = ParseResponse(data[:n], true, 100)
-		require.False(t, whole, "cut off after %d", n)
+		_, _, complete, err = ParseResponse(data[:n], true, 100)
+		require.False(t, complete, "cut off after %d", n)
 		require.Error(t, err)
 	}
-	status, body, whole, err := ParseResponse(data, false, 100)
+	status, body, complete, err := ParseResponse(data, false, 100)
 	require.NoError(t, err)
-	require.True(t, whole)
-	require.Equal(t, "200 body", strings.Join([]string{map[int]string{200: "200"}[status], string(body)}, " "))
-	for _, bad := range []string{"HTTP/1.0 200\r\nContent-Length: x\r\n\r\n", "HTTP/1.0 900 X\r\n\r\n", "SPDY 200 X\r\n\r\n",
-		"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nab", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na",
-		"HTTP/1.0 200 OK\r\nContent-Length: 1000\r\n\r\n"} {
-		_, _, whole, err := ParseResponse([]byte(bad), false, 100)
-		require.False(t, whole)
+	require.True(t, complete)
+	require.Equal(t, "200 body", fmt.Sprint(status, " ", string(body)))
+	for _, bad := range []string{
+		"HTTP/1.0 200\r\nContent-Length: x\r\n\r\n",
+		"HTTP/1.0 900 X\r\n\r\n",
+		"SPDY 200 X\r\n\r\n",
+		"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nab",
+		"HTTP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na",
+		"HTTP/1.0 200 OK\r\nContent-Length: 1000\r\n\r\n",
+	} {
+		_, _, complete, err := ParseResponse([]byte(bad), false, 100)
+		require.False(t, complete)
 		require.Error(t, err, bad)
 	}
 }
@@ -107,12 +113,13 @@
 		require.Equal(t, whole.Complete(), pieces.Complete())
 		require.Equal(t, whole.Body(), pieces.Body())
 		require.LessOrEqual(t, len(whole.body), 64)
-		ParseResponse(data, size%2 == 0, 64)
+		_, _, _, _ = ParseResponse(data, size%2 == 0, 64) // must not panic
 	})
 }
 
 func BenchmarkFeed(b *testing.B) {
-	data := request(b, "0123456789", [2]string{"PATH_INFO", "/rpc/look"}, [2]string{"HTTP_REQUEST_ID", "00000000000000aa"},
+	data := request(b, "0123456789",
+		[2]string{"PATH_INFO", "/rpc/look"}, [2]string{"HTTP_REQUEST_ID", "00000000000000aa"},
 		[2]string{"HTTP_ACCOUNT", "acme"}, [2]string{"HTTP_BUDGET_MS", "7000"}, [2]string{"CONTENT_LENGTH", "10"})
 	b.ReportAllocs()
 	for b.Loop() {
