--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -1,8 +1,8 @@
-// This file owns the buffers, which have one size and are used again, and the output of a connection until the
-// end of the batch. It must never hold more output than a bound for a peer that does not read.
 package server
 
-import "github.com/panjf2000/gnet/v2"
+import (
+	"github.com/panjf2000/gnet/v2"
+)
 
 const (
 	bufferSize          = 8 << 10
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -1,5 +1,3 @@
-// This file owns the reports to the directory: so often that lost ones do not take the server off the list. It
-// must never delay anything else, whatever the directory does.
 package server
 
 import (
@@ -7,11 +5,10 @@
 	"errors"
 	"fmt"
 	"strconv"
+	"thistlequay/timeunit"
 	"time"
 
 	"github.com/panjf2000/gnet/v2"
-
-	"thistlequay/timeunit"
 )
 
 const (
--- a/internal/server/fleet.go
+++ b/internal/server/gossip.go
@@ -1,17 +1,14 @@
-// This file owns the seam to the talk among servers: what this one says of itself, each second, and the size of the fleet that
-// the module reckons with. It must never wait for the talk, nor know what is said there.
 package server
 
 import (
 	"slices"
 	"sync"
-	"time"
-
 	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
 	"thistlequay/internal/quota/service"
 	"thistlequay/timeunit"
+	"time"
 )
 
 // Gossip is the talk with other servers.
--- a/internal/server/shares.go
+++ b/internal/server/quota.go
@@ -1,17 +1,13 @@
-// This file owns the seam to the shares of the fleet: before each decision the module is told how many calls this server may have
-// in hand at this moment, and what was used is asked for again. It must never make or allow a call beyond what is usable, nor
-// wait for the worker.
 package server
 
 import (
 	"sync"
 	"sync/atomic"
-
-	"github.com/rs/zerolog"
-
 	"thistlequay/internal/quota"
 	"thistlequay/internal/quota/service"
 	"thistlequay/timeunit"
+
+	"github.com/rs/zerolog"
 )
 
 // Quota are what this server holds of the fleet's limits: calls in hand, and calls a second where that is limited.
--- a/internal/server/lasting.go
+++ b/internal/server/recovery.go
@@ -1,19 +1,16 @@
-// This file owns what stamped work items write down before they may run and after, and what an earlier life of the server
-// wrote. It must never let one run whose intent is not durable, nor wait for the disk.
 package server
 
 import (
 	"crypto/sha256"
 	"encoding/json"
-	"time"
-
-	"github.com/rs/zerolog"
-	"github.com/zeebo/xxh3"
-
 	"thistlequay/admission"
 	"thistlequay/internal/recovery"
 	"thistlequay/internal/segmentlog"
 	"thistlequay/timeunit"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/zeebo/xxh3"
 )
 
 // answerMargin is how much before its due time a work item is answered that still waits for the disk.
