--- a/internal/server/admissionhost.go
+++ b/internal/server/admissionhost.go
@@ -1,129 +1,152 @@
 package server
 
 import (
-	"strconv"
 	"thistlequay/admission"
 	"thistlequay/internal/recovery"
 	"thistlequay/timeunit"
 )
 
-func (t *requestTable) lookup(w *admission.Request) *request {
-	it := t.slots[w.ID]
-	it.handle = w
-	return it
+// The methods by which requestTable implements admission.Host: admission calls them with what it decided. They may
+// write to connections and set timers, but never call admission back.
+
+// lookup returns the request that a handle of admission stands for. Enqueue may call the host before it returns the
+// handle, so the handle is set here.
+func (t *requestTable) lookup(handle *admission.Request) *request {
+	found := t.slots[handle.ID]
+	found.handle = handle
+	return found
 }
 
-func (t *requestTable) Run(w *admission.Request) {
-	it := t.lookup(w)
-	t.server.checkInvariant(!it.runStarted && !it.sharesResult, "run twice")
-	it.runStarted = true
-	it.reservation.Start(t.server.now)
-	if it.entry != nil {
-		t.server.checkInvariant(!it.entry.ran, "a stamp runs twice")
-		it.entry.ran = true
+// Run has the interpreter run a request.
+func (t *requestTable) Run(handle *admission.Request) {
+	started := t.lookup(handle)
+	t.server.checkInvariant(!started.runStarted && !started.sharesResult, "run twice")
+	started.runStarted = true
+	started.reservation.Start(t.server.now)
+	if started.entry != nil {
+		t.server.checkInvariant(!started.entry.ran, "a stamp runs twice")
+		started.entry.ran = true
 	}
-	t.server.interpreter.run(it)
+	t.server.interpreter.run(started)
 }
 
-func (t *requestTable) ShareResult(w *admission.Request) {
-	it := t.lookup(w)
-	it.sharesResult = true
-	it.reservation.Release(t.server.now) // the run that it shares is charged, and once
-	if m := it.entry; m.ended || m.owner == nil {
-		t.dueSharers = append(t.dueSharers, it)
+// ShareResult has a repeat answered with the result of the attempt that it repeats.
+func (t *requestTable) ShareResult(handle *admission.Request) {
+	sharer := t.lookup(handle)
+	sharer.sharesResult = true
+	sharer.reservation.Release(t.server.now) // the run whose result it shares is accounted, and once
+	entry := sharer.entry
+	if entry.ended || entry.owner == nil {
+		t.dueSharers = append(t.dueSharers, sharer)
 	} else {
-		m.sharers = append(m.sharers, it)
+		entry.sharers = append(entry.sharers, sharer)
 	}
 }
 
-func (t *requestTable) Reject(w *admission.Request, stayAway timeunit.Ticks, nowhereElse bool) {
-	it := t.lookup(w)
-	t.server.checkInvariant(!it.runStarted && it.router != nil, "declined after its run or its answer")
+// Reject answers a request that is not to be run.
+func (t *requestTable) Reject(handle *admission.Request, retryAfter timeunit.Ticks, isFinal bool) {
+	rejected := t.lookup(handle)
+	t.server.checkInvariant(!rejected.runStarted && rejected.router != nil, "declined after its run or its answer")
 	if t.server.shutdownDeadline == noDeadline {
-		stayAway = it.reservation.RetryAfter(stayAway, t.server.config.Settings.MaxRetryAfter, t.server.now)
+		maxRetryAfter := t.server.config.Settings.MaxRetryAfter
+		retryAfter = rejected.reservation.RetryAfter(retryAfter, maxRetryAfter, t.server.now)
 	}
-	headers := backOffFor(stayAway)
-	if nowhereElse {
-		headers += "Final-Refusal: 1\r\n"
+	headers := retryAfterHeader(retryAfter)
+	if isFinal {
+		headers += finalRejectionHeader
 	}
-	it.respond("503 Declined", headers, nil)
+	rejected.respond(statusRejected, headers, nil)
 }
 
-// backOffFor is the header that tells how long to stay away, empty for not at all.
-func backOffFor(away timeunit.Ticks) string {
-	if away <= 0 {
-		return ""
-	}
-	return "Back-Off-Ms: " + strconv.FormatInt(int64((away+9)/10), 10) + "\r\n"
+// Abort answers a request whose deadline has passed.
+func (t *requestTable) Abort(handle *admission.Request) {
+	aborted := t.lookup(handle)
+	t.server.checkInvariant(aborted.router != nil, "broken off after its answer")
+	aborted.respond(statusAborted, "", nil)
 }
 
-func (t *requestTable) Abort(w *admission.Request) {
-	it := t.lookup(w)
-	t.server.checkInvariant(it.router != nil, "broken off after its answer")
-	it.respond("500 Broken off", "", nil)
+// StopRun has the interpreter stop a run.
+func (t *requestTable) StopRun(handle *admission.Request) {
+	t.server.interpreter.stop(t.lookup(handle))
 }
 
-func (t *requestTable) StopRun(w *admission.Request) { t.server.interpreter.stop(t.lookup(w)) }
-
+// SkipCall never comes: on sockets no run can go on without its call, see socketDeployment.
 func (t *requestTable) SkipCall(*admission.Request) {
 	t.server.checkInvariant(false, "went on without a call")
 }
 
-func (t *requestTable) StartCall(w *admission.Request, until timeunit.Ticks) {
-	t.server.index.makeCall(t.lookup(w), until)
+// StartCall makes the call that a run waits for.
+func (t *requestTable) StartCall(handle *admission.Request, deadline timeunit.Ticks) {
+	t.server.index.makeCall(t.lookup(handle), deadline)
 }
 
-func (t *requestTable) KeepEntry(w *admission.Request, span timeunit.Ticks) {
-	it := t.lookup(w)
-	m := it.entry
-	// The window counts from Received-At, also where that is ahead of this clock; the module, which counts from when it was
-	// read, has the stamp in its books for as long as it is kept.
-	c := t.server.config.Settings.Categories[it.category]
-	m.matchUntil = it.receivedAt + c.DeduplicationWindow + t.windowMargin()
-	t.server.setTimer(&m.expiryTimer, max(t.server.now+span, it.receivedAt+retention(c)))
+// KeepEntry keeps the idempotency entry of a request that ran for so long.
+func (t *requestTable) KeepEntry(handle *admission.Request, span timeunit.Ticks) {
+	owner := t.lookup(handle)
+	entry := owner.entry
+	// The window counts from Received-At, also where that is ahead of this clock. Admission, which counts from when the
+	// request was read, has the entry on its books for as long as it is kept.
+	category := t.server.config.Settings.Categories[owner.category]
+	entry.matchUntil = owner.receivedAt + category.DeduplicationWindow + t.windowMargin()
+	t.server.setTimer(&entry.expiryTimer, max(t.server.now+span, owner.receivedAt+retention(category)))
 }
 
-func (t *requestTable) DropEntry(w *admission.Request) {
-	if it := t.lookup(w); it.entry != nil && it.entry.owner == it {
-		t.server.checkInvariant(!it.entry.ran, "a stamp that ran is forgotten")
-		t.removeEntry(it.entry)
+// DropEntry forgets the idempotency entry of a request that did not run.
+func (t *requestTable) DropEntry(handle *admission.Request) {
+	owner := t.lookup(handle)
+	if owner.entry != nil && owner.entry.owner == owner {
+		t.server.checkInvariant(!owner.entry.ran, "a stamp that ran is forgotten")
+		t.removeEntry(owner.entry)
 	}
 }
 
-func (t *requestTable) Release(w *admission.Request) {
-	it := t.lookup(w)
-	it.closed = true
-	it.reservation.Release(t.server.now)
-	if !it.runStarted {
-		t.server.recovery.conclude(it, recovery.KindCancellation, false, nil)
+// Release ends a request: it is answered, and its run, if there was one, is over.
+func (t *requestTable) Release(handle *admission.Request) {
+	released := t.lookup(handle)
+	released.closed = true
+	released.reservation.Release(t.server.now)
+	if released.runStarted {
+		t.server.recovery.conclude(released, recovery.KindCompletion, false, nil) // it may have run
 	} else {
-		t.server.recovery.conclude(it, recovery.KindCompletion, false, nil) // it may have run
+		t.server.recovery.conclude(released, recovery.KindCancellation, false, nil)
+	}
+	t.server.checkInvariant(released.router == nil, "over without an answer")
+	t.disownEntry(released)
+	t.server.index.cancel(released)
+	t.slots[released.slot] = nil
+	t.freeSlots = append(t.freeSlots, released.slot)
+	t.remove(released)
+	released.body = nil
+}
+
+// disownEntry leaves a request's entry without an owner. An entry that never ran, or is past its time, goes.
+func (t *requestTable) disownEntry(released *request) {
+	entry := released.entry
+	if entry == nil || entry.owner != released {
+		return
 	}
-	t.server.checkInvariant(it.router == nil, "over without an answer")
-	if m := it.entry; m != nil && m.owner == it {
-		if m.owner = nil; !m.ran || m.expired {
-			t.removeEntry(m)
-		}
+	entry.owner = nil
+	if !entry.ran || entry.expired {
+		t.removeEntry(entry)
 	}
-	t.server.index.cancel(it)
-	t.slots[it.slot] = nil
-	t.freeSlots = append(t.freeSlots, it.slot)
-	t.remove(it)
-	it.body = nil
 }
 
+// ReportLoad sets the load report that routers get with every answer.
 func (t *requestTable) ReportLoad(value float64) { t.server.routers.setLoadReport(value) }
 
-func (t *requestTable) SetHealth(good, fromStore bool) { t.server.routers.admissionHealthy = good }
+// SetHealth sets what health checks and the directory hear.
+func (t *requestTable) SetHealth(isHealthy, _ bool) { t.server.routers.admissionHealthy = isHealthy }
 
+// CloseIdleConnections has routers' connections closed that are idle for so long.
 func (t *requestTable) CloseIdleConnections(after timeunit.Ticks) {
 	if after > 0 {
 		t.server.routers.idleTimeout = after
-		t.server.routers.closeIdle() // those that came before this was said
+		t.server.routers.closeIdle() // those that were idle before
 	}
 }
 
-// SetTimer leaves one wake: the module sets the next at each, so one that an earlier one overtook tells it nothing.
+// SetTimer has admission woken after a span. There is one wakeup: admission sets the next at each, so one that an
+// earlier one overtook would tell it nothing.
 func (t *requestTable) SetTimer(after timeunit.Ticks) {
 	t.server.setTimer(&t.wakeupTimer, t.server.now+after)
 }
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -1,111 +1,138 @@
 package server
 
-import (
-	"github.com/panjf2000/gnet/v2"
-)
+import "github.com/panjf2000/gnet/v2"
 
 const (
-	bufferSize          = 8 << 10
-	maxSpareBuffers     = 256       // buffers kept for later
-	maxUnreadPerRouter  = 192 << 10 // output that a router may leave unread: more than all its open requests can be owed
-	bufferMemoryDivisor = 16        // one part in so many of the memory goes to buffers, and as much to unread output in sum
-	maxUnreadPerLink    = 4 << 20   // and one of the few other parties, which are given all that goes on while they stand still
+	bufferSize      = 8 << 10
+	maxSpareBuffers = 256 // kept to be used again
+
+	// One part in so many of the memory goes to buffers, and as much to unread output in sum.
+	bufferMemoryDivisor = 16
+
+	// maxUnreadPerRouter bounds the output that one router may leave unread: more than all its open requests can be
+	// owed.
+	maxUnreadPerRouter = 192 << 10
+
+	// maxUnreadPerLink is the same bound for the few other parties, which get all that happens while they stand still.
+	maxUnreadPerLink = 4 << 20
 )
 
+// bufferPool holds buffers of one size that are used again.
 type bufferPool struct {
 	spare [][]byte
 	inUse int
-	limit int // in use before no further request is begun
+	limit int // buffers in use from which on no further request is begun
 }
 
-// setLimit has the buffers take no more than a small part of the memory.
-func (b *bufferPool) setLimit(memory int) {
-	b.limit = max(maxSpareBuffers, memory/bufferMemoryDivisor/bufferSize)
+// setLimit bounds the buffers to a small part of the memory.
+func (p *bufferPool) setLimit(memoryBytes int) {
+	p.limit = max(maxSpareBuffers, memoryBytes/bufferMemoryDivisor/bufferSize)
 }
 
-func (b *bufferPool) take() []byte {
-	b.inUse++
-	if n := len(b.spare); n > 0 {
-		buffer := b.spare[n-1]
-		b.spare = b.spare[:n-1]
-		return buffer
+// take returns an empty buffer.
+func (p *bufferPool) take() []byte {
+	p.inUse++
+	last := len(p.spare) - 1
+	if last < 0 {
+		return make([]byte, 0, bufferSize)
 	}
-	return make([]byte, 0, bufferSize)
+	buffer := p.spare[last]
+	p.spare = p.spare[:last]
+	return buffer
 }
 
-func (b *bufferPool) give(buffer []byte) {
-	b.inUse--
-	if cap(buffer) == bufferSize && len(b.spare) < maxSpareBuffers {
-		b.spare = append(b.spare, buffer[:0])
+// give takes a buffer back. One that has grown is left to the garbage collector.
+func (p *bufferPool) give(buffer []byte) {
+	p.inUse--
+	if cap(buffer) == bufferSize && len(p.spare) < maxSpareBuffers {
+		p.spare = append(p.spare, buffer[:0])
 	}
 }
 
-// outputBuffer is the output side of a connection.
+// outputBuffer is the output side of a connection: what is to be written at the end of the batch.
 type outputBuffer struct {
 	server          *Server
 	conn            gnet.Conn // nil while there is none
-	output          []byte
-	closeAfterWrite bool // close it once this is written
-	maxUnread       int  // output that may lie unread
+	output          []byte    // nil while there is none in this batch
+	closeAfterWrite bool
+	maxUnread       int // bytes that the other side may leave unread
 }
 
-// buffer gives what to append output to; the connection is written at the end of the batch.
-func (w *outputBuffer) buffer() []byte {
-	if w.output == nil {
-		w.output = w.server.buffers.take()
-		w.server.pendingWrites = append(w.server.pendingWrites, w)
+// buffer returns what to append output to. The connection is written at the end of the batch.
+func (b *outputBuffer) buffer() []byte {
+	if b.output == nil {
+		b.output = b.server.buffers.take()
+		b.server.pendingWrites = append(b.server.pendingWrites, b)
 	}
-	return w.output
+	return b.output
 }
 
-func (w *outputBuffer) flushAndRelease() {
-	w.flush()
-	w.server.buffers.give(w.output)
-	if w.output = nil; w.closeAfterWrite {
-		w.closeGracefully()
+// flushAndRelease ends the batch for this connection.
+func (b *outputBuffer) flushAndRelease() {
+	b.flush()
+	b.server.buffers.give(b.output)
+	b.output = nil
+	if b.closeAfterWrite {
+		b.closeGracefully()
 	}
 }
 
-// flush writes what there is before the batch ends.
-func (w *outputBuffer) flush() {
-	if w.conn != nil && len(w.output) > 0 {
-		if _, err := w.conn.Write(w.output); err == nil && w.conn != nil {
-			w.server.enforceUnreadLimit(w)
+// flush writes what there is, also before the batch ends. A write that fails closes the connection by itself.
+func (b *outputBuffer) flush() {
+	if b.conn != nil && len(b.output) > 0 {
+		_, err := b.conn.Write(b.output)
+		if err == nil && b.conn != nil {
+			b.server.enforceUnreadLimit(b)
 		}
 	}
-	w.output = w.output[:0]
+	b.output = b.output[:0]
 }
 
-// closeGracefully ends the connection; closed() of its peer is called within.
-func (w *outputBuffer) closeGracefully() {
-	if c := w.conn; c != nil {
-		w.server.closeGracefully(c)
+// closeGracefully ends the connection; closed of its handler is called within.
+func (b *outputBuffer) closeGracefully() {
+	if b.conn != nil {
+		b.server.closeGracefully(b.conn)
 	}
 }
 
-// enforceUnreadLimit closes a connection on which too much lies unread, and where too much does in sum the one with the most.
-func (a *Server) enforceUnreadLimit(w *outputBuffer) {
-	lies := w.conn.OutboundBuffered()
-	if lies == 0 {
-		delete(a.unreadConnections, w)
+// enforceUnreadLimit closes a connection on which too much lies unread. Where too much lies unread on all routers'
+// connections together, it closes the one with the most.
+func (s *Server) enforceUnreadLimit(written *outputBuffer) {
+	unread := written.conn.OutboundBuffered()
+	if unread == 0 {
+		delete(s.unreadConnections, written)
 		return
 	}
-	a.unreadConnections[w] = struct{}{}
-	sum, most, worst := 0, -1, w
-	for o := range a.unreadConnections {
-		if o.conn == nil {
-			delete(a.unreadConnections, o)
-		} else if n := o.conn.OutboundBuffered(); o.maxUnread == maxUnreadPerRouter {
-			if sum += n; n > most {
-				most, worst = n, o
-			}
-		}
-	}
-	if lies > w.maxUnread {
-		worst = w
-	} else if sum <= a.buffers.limit*bufferSize {
+	s.unreadConnections[written] = struct{}{}
+	total, worst := s.unreadByRouters(written)
+	if unread > written.maxUnread {
+		worst = written
+	} else if total <= s.buffers.limit*bufferSize {
 		return
 	}
-	a.unreadClosed++
-	_ = a.loop.Close(worst.conn) // at once: what lies on it is what there is too much of
+	s.unreadClosed++
+	_ = s.loop.Close(worst.conn) // at once, not gracefully: what lies on it is what there is too much of
+}
+
+// unreadByRouters returns how many bytes routers have left unread in all, and the connection with the most, or the
+// fallback where no router has left any.
+func (s *Server) unreadByRouters(fallback *outputBuffer) (total int, worst *outputBuffer) {
+	most := -1
+	worst = fallback
+	for output := range s.unreadConnections {
+		if output.conn == nil {
+			delete(s.unreadConnections, output)
+			continue
+		}
+		unread := output.conn.OutboundBuffered()
+		if output.maxUnread != maxUnreadPerRouter {
+			continue
+		}
+		total += unread
+		if unread > most {
+			most = unread
+			worst = output
+		}
+	}
+	return total, worst
 }
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -1,33 +1,48 @@
 package server
 
 import (
-	"thistlequay/timeunit"
 	"time"
+
+	"thistlequay/timeunit"
 )
 
-// clock is the app's own time. It begins as the system's Unix clock and goes on evenly where that is set: a clock set back
-// would hold every answer until it had caught up, one set forward would end every wait.
+// clockSetThreshold: a smaller difference between the two clocks comes from reading them one after the other.
+const clockSetThreshold timeunit.Ticks = 10
+
+// clock is the server's own time in ticks. It begins at the system's Unix time and goes on evenly when the system's
+// clock is set: if it followed a clock set back, every answer would be held until the clock had caught up, and one set
+// forward would end every wait.
 type clock struct {
-	readSystem   func() (set time.Time, even time.Duration) // the system's clock, and what has passed since the start
+	readSystem   func() (system time.Time, elapsed time.Duration) // the system's clock, and the time since the start
 	startedAt    timeunit.Ticks
-	systemOffset timeunit.Ticks // that the system's clock is ahead of it by now
+	systemOffset timeunit.Ticks // by which the system's clock is ahead of this one
 }
 
-const clockSetThreshold = timeunit.Ticks(10) // less between the two is how they were read
-
 func newClock() clock {
-	began := time.Now()
-	return clock{startedAt: timeunit.Ticks(began.UnixMicro() / 100), readSystem: func() (time.Time, time.Duration) {
-		t := time.Now()
-		return t, t.Sub(began)
-	}}
+	start := time.Now()
+	return clock{
+		startedAt: unixTicks(start),
+		readSystem: func() (time.Time, time.Duration) {
+			now := time.Now()
+			return now, now.Sub(start)
+		},
+	}
 }
 
+// now returns the time and takes notice of a system clock that was set.
 func (c *clock) now() timeunit.Ticks {
-	set, even := c.readSystem()
-	now := c.startedAt + timeunit.Ticks(even/(time.Millisecond/10))
-	if by := timeunit.Ticks(set.UnixMicro()/100) - now - c.systemOffset; by > clockSetThreshold || by < -clockSetThreshold {
-		c.systemOffset += by
+	system, elapsed := c.readSystem()
+	now := c.startedAt + ticksOf(elapsed)
+	change := unixTicks(system) - now - c.systemOffset
+	if change > clockSetThreshold || change < -clockSetThreshold {
+		c.systemOffset += change
 	}
 	return now
 }
+
+func unixTicks(t time.Time) timeunit.Ticks { return timeunit.Ticks(t.UnixMicro() / 100) }
+
+func ticksOf(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / (100 * time.Microsecond)) }
+
+// milliseconds rounds a span down to whole milliseconds.
+func milliseconds(t timeunit.Ticks) int64 { return int64(t / timeunit.TicksPerMillisecond) }
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -3,100 +3,114 @@
 import (
 	"container/list"
 	"errors"
-	"thistlequay/timeunit"
 
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
+
+	"thistlequay/timeunit"
 )
 
+// How a connection ends. A close over unread bytes would reset it and take the last answer along, so what was written
+// goes out first, then the write side is shut, and what still comes is read and discarded within bounds.
 const (
-	flushTimeout            = 2 * second // for the other side to take what was written
-	flushPollInterval       = second / 200
-	lingerTimeout           = second / 2 // ten times what the protocol lets a request cross a close
-	maxLingerBytes          = 256 << 10  // whoever sends more after the end is not crossing it
-	lingerDescriptorDivisor = 32         // one descriptor in so many is for connections that end, whatever the table holds
+	flushTimeout      = 2 * second   // for the other side to take what was written
+	flushPollInterval = second / 200 // between looks at whether it has
+	lingerTimeout     = second / 2   // after that; ten times what the protocol lets a request cross a close
+	maxLingerBytes    = 256 << 10    // whoever sends more after the end is not crossing it
+
+	// One descriptor in so many is for connections that end, whatever the router table holds.
+	lingerDescriptorDivisor = 32
 )
 
-// closingConnections are the connections that end.
+// errFloodAfterEnd closes a connection at once.
+var errFloodAfterEnd = errors.New("more after the end than can have crossed it")
+
+// closingConnections are the connections that are ending.
 type closingConnections struct {
-	connections list.List // of *parting, the oldest first
-	reserved    int
+	connections list.List // of *closingConnection, the oldest first
+	reserved    int       // descriptors that are theirs alone
 }
 
-// closingConnection is one of them, in the place of the peer that it had.
+// closingConnection is a connection that ends. It takes the place of the connection's handler.
 type closingConnection struct {
 	server    *Server
 	conn      gnet.Conn
-	deadline  timeunit.Ticks
-	bytesLeft int  // bytes
-	writeShut bool // its write side
+	deadline  timeunit.Ticks // of the present step
+	bytesLeft int            // that may still come
+	writeShut bool
 	timer     timer
-	element   *list.Element
+	element   *list.Element // in closingConnections; nil once it is closed
 }
 
-var errFloodAfterEnd = errors.New("more after the end than can have crossed it")
-
-// closeGracefully ends a connection; its peer hears so at once.
-func (a *Server) closeGracefully(c gnet.Conn) {
-	p, _ := c.Context().(connectionHandler)
-	if r, is := p.(*routerConnection); is {
-		r.flush() // answers of this batch
+// closeGracefully ends a connection; its handler is told at once that it is closed.
+func (s *Server) closeGracefully(conn gnet.Conn) {
+	handler, _ := conn.Context().(connectionHandler)
+	if router, isRouter := handler.(*routerConnection); isRouter {
+		router.flush() // the answers of this batch
 	}
-	g, l := &closingConnection{server: a, conn: c, deadline: a.now + flushTimeout, bytesLeft: maxLingerBytes}, &a.closing
-	c.SetContext(g)
-	g.timer.fire = g.advance
-	g.element = l.connections.PushBack(g)
-	if p != nil {
-		p.closed()
+	closing := &closingConnection{server: s, conn: conn, deadline: s.now + flushTimeout, bytesLeft: maxLingerBytes}
+	conn.SetContext(closing)
+	closing.timer.fire = closing.advance
+	closing.element = s.closing.connections.PushBack(closing)
+	if handler != nil {
+		handler.closed()
 	}
-	g.advance()
-	a.evictClosing(0)
+	closing.advance()
+	s.evictClosing(0)
 }
 
-// evictClosing closes the oldest of those that end where they and the open ones leave no room for so many more: what the
-// table does not use is theirs, as when all end at once, until newcomers want it.
-func (a *Server) evictClosing(more int) {
-	for l, r := &a.closing, &a.routers; l.connections.Len() > 0 && l.connections.Len()+r.openCount+more > l.reserved+r.maxConnections; {
-		l.connections.Front().Value.(*closingConnection).close()
+// evictClosing closes the oldest of the ending connections while they and the open ones leave no room for so many more.
+// Ending connections may use what the router table does not, as when all end at once, until new ones want it.
+func (s *Server) evictClosing(more int) {
+	ending := &s.closing.connections
+	limit := s.closing.reserved + s.routers.maxConnections
+	for ending.Len() > 0 && ending.Len()+s.routers.openCount+more > limit {
+		ending.Front().Value.(*closingConnection).close()
 	}
 }
 
-func (g *closingConnection) advance() {
-	switch {
-	case g.element == nil:
+// advance takes the next step that is due.
+func (c *closingConnection) advance() {
+	if c.element == nil {
 		return
-	case g.server.now >= g.deadline:
-		g.close()
+	}
+	if c.server.now >= c.deadline {
+		c.close()
 		return
-	case !g.writeShut && g.conn.OutboundBuffered() == 0:
-		g.writeShut, g.deadline = true, g.server.now+lingerTimeout
-		_ = unix.Shutdown(g.conn.Fd(), unix.SHUT_WR)
 	}
-	next := g.deadline
-	if !g.writeShut {
-		next = min(next, g.server.now+flushPollInterval)
+	if !c.writeShut && c.conn.OutboundBuffered() == 0 {
+		c.writeShut = true
+		c.deadline = c.server.now + lingerTimeout
+		// It fails where the other side has closed: then the end comes by itself.
+		_ = unix.Shutdown(c.conn.Fd(), unix.SHUT_WR)
 	}
-	g.server.setTimer(&g.timer, next)
+	next := c.deadline
+	if !c.writeShut {
+		next = min(next, c.server.now+flushPollInterval)
+	}
+	c.server.setTimer(&c.timer, next)
 }
 
-func (g *closingConnection) close() {
-	g.closed()
-	_ = g.server.loop.Close(g.conn)
+func (c *closingConnection) close() {
+	c.closed()
+	_ = c.server.loop.Close(c.conn) // it fails where the connection is closed already
 }
 
-func (g *closingConnection) opened(gnet.Conn) {}
+func (c *closingConnection) opened(gnet.Conn) {}
 
-func (g *closingConnection) receive(data []byte) error {
-	if g.bytesLeft -= len(data); g.bytesLeft < 0 {
+func (c *closingConnection) receive(data []byte) error {
+	c.bytesLeft -= len(data)
+	if c.bytesLeft < 0 {
 		return errFloodAfterEnd
 	}
 	return nil
 }
 
-func (g *closingConnection) closed() {
-	if g.element != nil {
-		g.server.stopTimer(&g.timer)
-		g.server.closing.connections.Remove(g.element)
-		g.element = nil
+func (c *closingConnection) closed() {
+	if c.element == nil {
+		return
 	}
+	c.server.stopTimer(&c.timer)
+	c.server.closing.connections.Remove(c.element)
+	c.element = nil
 }
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -5,138 +5,190 @@
 	"errors"
 	"fmt"
 	"strconv"
-	"thistlequay/timeunit"
-	"time"
 
 	"github.com/panjf2000/gnet/v2"
+
+	"thistlequay/timeunit"
 )
 
+// The rhythm of reports: so often that lost ones do not take the server off the list.
 const (
-	entryLifetime        = 3 * second // an entry is taken off after this
-	reportInterval       = entryLifetime / 4
+	entryLifetime        = 3 * second         // after the last report, by the directory's pages
+	reportInterval       = entryLifetime / 4  // after an answer
 	answerTimeout        = entryLifetime / 10 // a report that is not answered by then is made again, on a new link
-	maxRegistrationDelay = entryLifetime / 15 // where there is no link, the next is dialled after this at most
-	maxAnswerBytes       = 8 << 10
+	maxRegistrationDelay = entryLifetime / 15 // where there is no link, the next is dialed after this at most
+)
+
+// Bounds on an answer.
+const (
+	maxAnswerBytes     = 8 << 10
+	contentLengthBits  = 12
+	answerHeaderFields = 2 // of the status line, at least: the version and the status
 )
 
+// errInvalidAnswer closes the link to the directory.
+var errInvalidAnswer = errors.New("an answer from the directory that is none")
+
+// directoryState is how far the link to the directory is.
+type directoryState int
+
+const (
+	directoryDisconnected   directoryState = iota
+	directoryDialing                       // a dial is under way
+	directoryConnected                     // the last report, if there was one, is answered
+	directoryAwaitingAnswer                // it is not
+)
+
+// directoryClient reports the server to the directory that routers find it in. It must never delay anything else,
+// whatever the directory does.
 type directoryClient struct {
 	outputBuffer
-	link              *outgoingConnection // from its dial on
-	awaitingAnswer    bool                // a report has not been answered
-	partial           []byte
-	reportTimer       timer
-	backoff           backoff
-	missedReports     int // reports that were not answered
-	consecutiveMisses int // of them in a row
+	state       directoryState
+	link        *outgoingConnection // from its dial on
+	partial     []byte              // of an answer
+	reportTimer timer
+	backoff     backoff
+
+	missedReports     int // that were not answered
+	consecutiveMisses int // since the last answer
 }
 
-func (d *directoryClient) start(a *Server) {
-	d.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink}
-	d.reportTimer.fire = d.report
+func (c *directoryClient) init(s *Server) {
+	c.outputBuffer = outputBuffer{server: s, maxUnread: maxUnreadPerLink}
+	c.reportTimer.fire = c.report
 }
 
-// report sends one report, or dials for one: the entry lapses unless one in some comes through, whatever became of the
-// link. A connection on which the last one was not answered is given up.
-func (d *directoryClient) report() {
-	if d.server.phase >= phaseStopped {
+// report sends one report, or dials for one: the entry expires unless a report comes through now and then, whatever
+// became of the link. A link on which the last report was not answered is given up.
+func (c *directoryClient) report() {
+	if c.server.phase >= phaseStopped {
 		return
 	}
-	if d.awaitingAnswer {
-		d.missedReports++
-		d.consecutiveMisses++
-		d.closeGracefully()
+	if c.state == directoryAwaitingAnswer {
+		c.missedReports++
+		c.consecutiveMisses++
+		c.closeGracefully()
 	}
-	if d.conn == nil {
-		if d.link == nil {
-			d.link = d.server.dial(d.server.config.Directory, time.Duration(answerTimeout)*(time.Millisecond/10), d, d.dialFailed)
-		}
-		return
+	switch c.state {
+	case directoryDisconnected:
+		c.state = directoryDialing
+		c.link = c.server.dial(c.server.config.Directory, answerTimeout.Duration(), c, c.dialFailed)
+	case directoryDialing:
+	default:
+		c.sendReport()
 	}
-	state := "open"
-	if !d.server.isHealthy() {
-		state = "closed"
+}
+
+// sendReport writes a report: whether routers may send requests.
+func (c *directoryClient) sendReport() {
+	mode := "open"
+	if !c.server.isHealthy() {
+		mode = "closed"
 	}
-	body := `{"mode":"` + state + `"}`
-	d.output = fmt.Appendf(d.buffer(), "PUT /dir/nodes/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
-		d.server.config.Name, d.server.config.Directory, len(body), body)
-	d.awaitingAnswer = true
-	d.server.setTimer(&d.reportTimer, d.server.now+min(answerTimeout*timeunit.Ticks(1+d.consecutiveMisses), reportInterval)) // one that stays silent is not pressed
+	body := `{"mode":"` + mode + `"}`
+	c.output = fmt.Appendf(c.buffer(), "PUT /dir/nodes/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
+		c.server.config.Name, c.server.config.Directory, len(body), body)
+	c.state = directoryAwaitingAnswer
+	patience := answerTimeout * timeunit.Ticks(1+c.consecutiveMisses) // a directory that stays silent is not pressed
+	c.server.setTimer(&c.reportTimer, c.server.now+min(patience, reportInterval))
 }
 
-// dialFailed: it is not there.
-func (d *directoryClient) dialFailed() {
-	d.link = nil
-	d.scheduleRedial()
+func (c *directoryClient) dialFailed() {
+	c.state = directoryDisconnected
+	c.link = nil
+	c.scheduleRedial()
 }
 
-// scheduleRedial has the next dial come; those of many servers do not come at one moment.
-func (d *directoryClient) scheduleRedial() {
-	d.server.setTimer(&d.reportTimer, d.server.now+d.server.jitter(min(d.backoff.next(), maxRegistrationDelay)))
+// scheduleRedial has the next dial come soon; those of many servers do not come at one moment.
+func (c *directoryClient) scheduleRedial() {
+	delay := c.server.jitter(min(c.backoff.next(), maxRegistrationDelay))
+	c.server.setTimer(&c.reportTimer, c.server.now+delay)
 }
 
-func (d *directoryClient) opened(c gnet.Conn) {
-	d.conn, d.awaitingAnswer, d.partial = c, false, d.partial[:0]
-	d.report()
+func (c *directoryClient) opened(conn gnet.Conn) {
+	c.state = directoryConnected
+	c.conn = conn
+	c.partial = c.partial[:0]
+	c.report()
 }
 
-// closed: the link is lost, and another is dialled soon.
-func (d *directoryClient) closed() {
-	d.conn, d.link, d.awaitingAnswer = nil, nil, false
-	d.scheduleRedial()
+// closed has another link dialed soon.
+func (c *directoryClient) closed() {
+	c.state = directoryDisconnected
+	c.conn = nil
+	c.link = nil
+	c.scheduleRedial()
 }
 
 // disconnect ends the link, or the dial that is under way.
-func (d *directoryClient) disconnect() {
-	d.link.drop()
-	d.conn, d.link, d.awaitingAnswer = nil, nil, false
+func (c *directoryClient) disconnect() {
+	c.link.drop()
+	c.state = directoryDisconnected
+	c.conn = nil
+	c.link = nil
 }
 
 // close ends the link, and the reports with it.
-func (d *directoryClient) close() {
-	d.disconnect()
-	d.server.stopTimer(&d.reportTimer)
+func (c *directoryClient) close() {
+	c.disconnect()
+	c.server.stopTimer(&c.reportTimer)
 }
 
-// reconnect: the directory is at another address now, and hears from there at once.
-func (d *directoryClient) reconnect() {
-	d.disconnect()
-	d.report()
+// reconnect is called when the directory's address has changed: it hears from the server at once.
+func (c *directoryClient) reconnect() {
+	c.disconnect()
+	c.report()
 }
 
-var errInvalidAnswer = errors.New("an answer from the directory that is none")
-
-func (d *directoryClient) receive(data []byte) error {
-	d.partial = append(d.partial, data...)
+// receive takes the answers that are whole. Any status will do: the next report comes in its time.
+func (c *directoryClient) receive(data []byte) error {
+	c.partial = append(c.partial, data...)
 	for {
-		head, rest, whole := bytes.Cut(d.partial, []byte("\r\n\r\n"))
-		if !whole {
-			if len(d.partial) > maxAnswerBytes {
+		head, rest, hasHead := bytes.Cut(c.partial, []byte("\r\n\r\n"))
+		if !hasHead {
+			if len(c.partial) > maxAnswerBytes {
 				return errInvalidAnswer
 			}
 			return nil
 		}
-		lines := bytes.Split(head, []byte("\r\n"))
-		if status := bytes.Fields(lines[0]); len(status) < 2 || !bytes.HasPrefix(status[0], []byte("HTTP/1.")) {
-			return errInvalidAnswer
+		bodyLength, err := parseAnswerHead(head)
+		if err != nil {
+			return err
 		}
-		size := 0
-		for _, line := range lines[1:] {
-			name, value, _ := bytes.Cut(line, []byte(":"))
-			if bytes.EqualFold(name, []byte("Content-Length")) {
-				n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 12)
-				if err != nil {
-					return errInvalidAnswer
-				}
-				size = int(n)
-			}
-		}
-		if len(rest) < size {
+		if len(rest) < bodyLength {
 			return nil
 		}
-		if d.awaitingAnswer {
-			d.awaitingAnswer, d.consecutiveMisses, d.backoff = false, 0, backoff{}
-			d.server.setTimer(&d.reportTimer, d.server.now+reportInterval)
+		if c.state == directoryAwaitingAnswer {
+			c.onAnswer()
+		}
+		c.partial = append(c.partial[:0], rest[bodyLength:]...)
+	}
+}
+
+func (c *directoryClient) onAnswer() {
+	c.state = directoryConnected
+	c.consecutiveMisses = 0
+	c.backoff = backoff{}
+	c.server.setTimer(&c.reportTimer, c.server.now+reportInterval)
+}
+
+// parseAnswerHead reads the status line and the headers of an answer and returns the length of its body.
+func parseAnswerHead(head []byte) (bodyLength int, err error) {
+	lines := bytes.Split(head, lineEnd)
+	status := bytes.Fields(lines[0])
+	if len(status) < answerHeaderFields || !bytes.HasPrefix(status[0], []byte("HTTP/1.")) {
+		return 0, errInvalidAnswer
+	}
+	for _, line := range lines[1:] {
+		name, value, _ := bytes.Cut(line, []byte(":"))
+		if !bytes.EqualFold(name, []byte("Content-Length")) {
+			continue
+		}
+		length, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, contentLengthBits)
+		if err != nil {
+			return 0, errInvalidAnswer
 		}
-		d.partial = append(d.partial[:0], rest[size:]...)
+		bodyLength = int(length)
 	}
+	return bodyLength, nil
 }
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -5,107 +5,114 @@
 	"fmt"
 	"net"
 	"os"
-	"thistlequay/internal/logs"
 	"time"
 
 	"github.com/panjf2000/gnet/v2"
-)
 
-const (
-	selfConnectInterval = 50 * time.Millisecond
+	"thistlequay/internal/logs"
 )
 
-// connectionHandler is a connection as an object.
+// selfConnectInterval is the time between attempts to connect to the own listener, and how long each may take.
+const selfConnectInterval = 50 * time.Millisecond
+
+// connectionHandler is what stands behind a connection. Its methods are called on the event loop.
 type connectionHandler interface {
-	opened(c gnet.Conn)
-	receive(data []byte) error // an error closes it
+	opened(conn gnet.Conn)
+	receive(data []byte) error // an error closes the connection
 	closed()
 }
 
-// OnBoot knocks at the own door, as only a connection tells which loop there is, and does so until one has come: a crowd
-// that waits there already may have the first knock turned away.
-func (a *Server) OnBoot(gnet.Engine) gnet.Action {
+// errConnectionDone closes a connection that has served its purpose: nothing bad came on it.
+var errConnectionDone = errors.New("done")
+
+// OnBoot connects to the own listener, as only a connection tells which loop there is, and does so until one has been
+// accepted: when many routers wait already, the first attempts may be refused.
+func (s *Server) OnBoot(gnet.Engine) gnet.Action {
 	go func() {
-		for again := time.NewTicker(selfConnectInterval); ; {
-			if c, err := net.DialTimeout("tcp", a.config.Listen, selfConnectInterval); err == nil {
-				c.Close()
+		ticker := time.NewTicker(selfConnectInterval)
+		defer ticker.Stop()
+		for {
+			if conn, err := net.DialTimeout("tcp", s.config.Listen, selfConnectInterval); err == nil {
+				_ = conn.Close() // it has done its work
 			}
 			select {
-			case <-a.loopKnown:
-				again.Stop()
+			case <-s.loopKnown:
 				return
-			case <-again.C:
+			case <-ticker.C:
 			}
 		}
 	}()
 	return gnet.None
 }
 
-func (a *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	if a.loop == nil {
-		a.start(c.EventLoop())
+// OnOpen gives a new connection to its handler: a connection that this server dialed has one, any other is a router's.
+func (s *Server) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
+	if s.loop == nil {
+		s.start(conn.EventLoop())
 	}
-	a.beginBatch()
-	p, known := c.Context().(connectionHandler)
-	if !known && a.phase < phaseStopped {
-		if p = a.routers.accept(); p != nil {
-			c.SetContext(p)
+	s.beginBatch()
+	handler, known := conn.Context().(connectionHandler)
+	if !known && s.phase < phaseStopped {
+		handler = s.routers.accept()
+		if handler != nil {
+			conn.SetContext(handler)
 		}
 	}
-	if p == nil { // no room, or too late
-		a.closeGracefully(c)
+	if handler == nil { // the table is full, or the server ends
+		s.closeGracefully(conn)
 	} else {
-		p.opened(c)
+		handler.opened(conn)
 	}
 	return nil, gnet.None
 }
 
-func (a *Server) OnTraffic(c gnet.Conn) gnet.Action {
-	p, known := c.Context().(connectionHandler)
-	data, err := c.Next(-1)
+// OnTraffic gives what was read to the connection's handler and closes the connection if it says so.
+func (s *Server) OnTraffic(conn gnet.Conn) gnet.Action {
+	handler, known := conn.Context().(connectionHandler)
+	data, err := conn.Next(-1)
 	if !known || err != nil {
 		return gnet.Close
 	}
-	a.beginBatch()
-	if err := p.receive(data); err != nil {
-		if err != errConnectionDone && countAndSample(&a.badPeers) {
-			a.log.Event("bad_peer").Stringer("peer", c.RemoteAddr()).Stringer("local", c.LocalAddr()).Str("reason", err.Error()).Int("count", a.badPeers).Send()
-		}
-		if err == errFloodAfterEnd {
-			return gnet.Close
-		}
-		a.closeGracefully(c)
+	s.beginBatch()
+	err = handler.receive(data)
+	if err == nil {
+		return gnet.None
 	}
+	if !errors.Is(err, errConnectionDone) && countAndSample(&s.badPeers) {
+		s.log.Event("bad_peer").Stringer("peer", conn.RemoteAddr()).Stringer("local", conn.LocalAddr()).
+			Str("reason", err.Error()).Int("count", s.badPeers).Send()
+	}
+	if errors.Is(err, errFloodAfterEnd) {
+		return gnet.Close
+	}
+	s.closeGracefully(conn)
 	return gnet.None
 }
 
-// errConnectionDone closes a connection that has served its turn: nothing bad came on it.
-var errConnectionDone = errors.New("done")
-
-func (a *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if p, known := c.Context().(connectionHandler); known && !a.ended {
-		a.beginBatch()
-		p.closed()
+// OnClose tells the connection's handler that the connection is gone.
+func (s *Server) OnClose(conn gnet.Conn, _ error) gnet.Action {
+	handler, known := conn.Context().(connectionHandler)
+	if known && !s.ended {
+		s.beginBatch()
+		handler.closed()
 	}
 	return gnet.None
 }
 
-// engineLog passes on what gnet has to say that matters.
+// engineLog passes on gnet's warnings and errors.
 type engineLog struct{ logs.Logger }
 
 func (engineLog) Debugf(string, ...any) {}
+func (engineLog) Infof(string, ...any)  {}
 
-func (engineLog) Infof(string, ...any) {}
-
-func (l engineLog) Warnf(f string, args ...any) { l.write("engine_warning", f, args) }
-
-func (l engineLog) Errorf(f string, args ...any) { l.write("engine_error", f, args) }
+func (l engineLog) Warnf(format string, args ...any)  { l.write("engine_warning", format, args) }
+func (l engineLog) Errorf(format string, args ...any) { l.write("engine_error", format, args) }
 
-func (l engineLog) Fatalf(f string, args ...any) {
-	l.write("engine_fatal", f, args)
+func (l engineLog) Fatalf(format string, args ...any) {
+	l.write("engine_fatal", format, args)
 	os.Exit(1)
 }
 
-func (l engineLog) write(event, f string, args []any) {
-	l.Event(event).Str("text", fmt.Sprintf(f, args...)).Send()
+func (l engineLog) write(event, format string, args []any) {
+	l.Event(event).Str("text", fmt.Sprintf(format, args...)).Send()
 }
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -5,92 +5,108 @@
 	"time"
 
 	"github.com/panjf2000/gnet/v2"
-	gerrors "github.com/panjf2000/gnet/v2/pkg/errors"
+	gnetErrors "github.com/panjf2000/gnet/v2/pkg/errors"
 )
 
+// unusedTimerSpan is what the system timer is created with; the first batch sets it anew.
+const unusedTimerSpan = time.Hour
+
 // start runs once, when the loop is known.
-func (a *Server) start(thread gnet.EventLoop) {
-	a.loop, a.now = thread, a.clock.now()
-	close(a.loopKnown)
-	a.systemTimer = time.AfterFunc(time.Hour, func() { a.submit(a.fireTimers) })
-	go func() {
-		for order := range a.commands {
-			a.submit(order)
+func (s *Server) start(loop gnet.EventLoop) {
+	s.loop = loop
+	s.now = s.clock.now()
+	close(s.loopKnown)
+	s.systemTimer = time.AfterFunc(unusedTimerSpan, func() { s.submit(s.fireTimers) })
+	go func() { // for the rest of the process: commands may come until its end
+		for command := range s.commands {
+			s.submit(command)
 		}
 	}()
-	a.interpreter.dial()
-	a.directory.report()
-	if a.config.Plugins != nil {
-		a.plugins.adopt(a.config.Plugins)
+	s.interpreter.dial()
+	s.directory.report()
+	for _, optional := range s.parts {
+		optional.start()
 	}
-	a.startGossip()
-	a.quota.start(a)
-	a.stateTimer.fire = a.logState
-	a.setTimer(&a.stateTimer, a.now+stateLogInterval)
-	a.log.Event("listening").Str("name", a.config.Name).Str("address", a.config.Listen).Int("connections", a.routers.maxConnections).Send()
+	s.stateTimer.fire = s.logState
+	s.setTimer(&s.stateTimer, s.now+stateLogInterval)
+	s.log.Event("listening").Str("name", s.config.Name).Str("address", s.config.Listen).
+		Int("connections", s.routers.maxConnections).Send()
 }
 
-// trySubmit has the loop do something soon; where many wait already, the next batch or word does it.
-func (a *Server) trySubmit(what func()) {
+// trySubmit has the loop run a task soon, from any goroutine. When many commands wait already the task is dropped: it
+// must be one that a later batch does all the same.
+func (s *Server) trySubmit(task func()) {
 	select {
-	case a.commands <- what:
+	case s.commands <- task:
 	default:
 	}
 }
 
-// submit has the loop do something; it may be called from anywhere.
-func (a *Server) submit(what func()) {
-	_ = a.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		if !a.ended {
-			a.beginBatch()
-			what()
+// submit has the loop run a task; it may be called from any goroutine and does not wait for it.
+func (s *Server) submit(task func()) {
+	run := func(context.Context) error {
+		if !s.ended {
+			s.beginBatch()
+			task()
 		}
-		if a.ended {
-			return gerrors.ErrEngineShutdown
+		if s.ended {
+			return gnetErrors.ErrEngineShutdown
 		}
 		return nil
-	}))
+	}
+	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(run)) // it fails only where the loop has ended
 }
 
-// beginBatch opens a batch, or goes on with the one that is open.
-func (a *Server) beginBatch() {
-	a.now = max(a.now, a.clock.now())
-	if a.admission != nil {
-		a.admission.Advance(a.now)
+// beginBatch opens a batch, or goes on with the one that is open. Every entry to the loop calls it first.
+func (s *Server) beginBatch() {
+	s.now = max(s.now, s.clock.now())
+	if s.admission != nil {
+		s.admission.Advance(s.now)
 	}
-	if !a.flushQueued {
-		a.flushQueued = true
-		_ = a.loop.Execute(context.Background(), gnet.RunnableFunc(a.endBatch))
+	if !s.endBatchQueued {
+		s.endBatchQueued = true
+		// It fails only where the loop has ended.
+		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(s.endBatch))
 	}
 }
 
-// endBatch ends the batch: the module decides once, and each connection is written once.
-func (a *Server) endBatch(context.Context) error {
-	if a.ended {
-		return gerrors.ErrEngineShutdown
+// endBatch ends the batch: admission dispatches once, and each connection with output is written once.
+func (s *Server) endBatch(context.Context) error {
+	if s.ended {
+		return gnetErrors.ErrEngineShutdown
 	}
-	a.now = max(a.now, a.clock.now())
-	if a.awaitingSockets() {
-		a.flushQueued = false
+	s.now = max(s.now, s.clock.now())
+	if s.awaitingSockets() {
+		s.endBatchQueued = false
 		return nil
 	}
-	a.standstill = noStandstill
-	if a.admission != nil {
-		a.admission.Advance(a.now)
-		a.requests.settle()
-		a.quota.update()
-		a.admission.Dispatch()
+	s.standstill = standstillNone
+	if s.admission != nil {
+		s.admission.Advance(s.now)
+		s.requests.settle()
+		for _, optional := range s.parts {
+			optional.beforeDispatch()
+		}
+		s.admission.Dispatch()
 	}
-	a.flushQueued = false // what is left to settle, or a write closes, opens the next batch
-	if a.requests.unsettled() {
-		a.beginBatch()
+	s.endBatchQueued = false // what is left to settle, or a write that closes, opens the next batch
+	if s.requests.unsettled() {
+		s.beginBatch()
 	}
-	a.quota.afterBatch()
-	dirty := a.pendingWrites
-	a.pendingWrites, a.index.unwritten = nil, a.index.unwritten[:0]
-	for _, w := range dirty {
-		w.flushAndRelease()
+	for _, optional := range s.parts {
+		optional.afterDispatch()
 	}
-	a.armSystemTimer()
+	s.writeOutput()
+	s.armSystemTimer()
 	return nil
 }
+
+// writeOutput writes every connection that has output.
+func (s *Server) writeOutput() {
+	writes := s.pendingWrites
+	s.pendingWrites = nil
+	s.index.unwritten = s.index.unwritten[:0]
+	for _, output := range writes {
+		output.flushAndRelease()
+	}
+}
--- a/internal/server/fairqueue.go
+++ b/internal/server/fairqueue.go
@@ -1,22 +1,68 @@
 package server
 
 import (
+	"reflect"
+
+	"github.com/rs/zerolog"
+
+	"thistlequay/admission"
 	"thistlequay/internal/fairqueue"
 )
 
-// configureFairQueue opens, changes or closes the books on tenants. Claims that are open end on the books that they began on.
-func (a *Server) configureFairQueue() {
-	switch t := a.config.FairQueue; {
-	case t == nil:
-		a.fairScheduler = nil
-	case a.fairScheduler == nil:
-		of := *t
-		of.Cores, of.SoftDeadlines = a.config.Settings.Cores, nil
-		for _, c := range a.config.Settings.Categories {
-			of.SoftDeadlines = append(of.SoftDeadlines, c.SoftDeadline)
+// fairQueuePart has requests of several tenants share the cores fairly, where the configuration says so.
+type fairQueuePart struct {
+	partDefaults
+	server    *Server
+	scheduler *fairqueue.Scheduler // nil where queues are not fair
+}
+
+func (p *fairQueuePart) init(s *Server) {
+	p.server = s
+	p.configure()
+}
+
+func (p *fairQueuePart) isEnabled() bool { return p.scheduler != nil }
+
+// configure makes, changes or drops the scheduler. Reservations that are open end on the scheduler that they began on.
+func (p *fairQueuePart) configure() {
+	config := p.server.config.FairQueue
+	switch {
+	case config == nil:
+		p.scheduler = nil
+	case p.scheduler == nil:
+		settings := p.server.config.Settings
+		initial := *config
+		initial.Cores = settings.Cores
+		initial.SoftDeadlines = nil
+		for _, category := range settings.Categories {
+			initial.SoftDeadlines = append(initial.SoftDeadlines, category.SoftDeadline)
 		}
-		a.fairScheduler = fairqueue.New(of, a.random, a.clock.now())
+		p.scheduler = fairqueue.New(initial, p.server.random, p.server.clock.now())
 	default:
-		a.fairScheduler.Reconfigure(*t, a.now)
+		p.scheduler.Reconfigure(*config, p.server.now)
 	}
 }
+
+func (p *fairQueuePart) reconfigure(next *Config) {
+	if !reflect.DeepEqual(next.FairQueue, p.server.config.FairQueue) {
+		p.server.config.FairQueue = next.FairQueue
+		p.configure()
+	}
+}
+
+// reserve gives a request its place among those of other tenants.
+func (p *fairQueuePart) reserve(admitted *request, tenant []byte, arrival *admission.Arrival) {
+	if p.scheduler == nil {
+		return
+	}
+	virtualTime := p.server.admission.VirtualTime()
+	admitted.reservation = p.scheduler.Reserve(tenant, admitted.category, virtualTime, p.server.now)
+	arrival.StartTag = admitted.reservation.StartTag
+	arrival.ExpectedDelay = admitted.reservation.ExpectedDelay
+}
+
+func (p *fairQueuePart) addState(event *zerolog.Event) {
+	stats := p.scheduler.Stats()
+	event.Int("fair_flows", stats.HeavyHitters).Int("fair_shared_flows", stats.ActiveSharedFlows).
+		Int("fair_candidates", stats.Candidates).Int("fair_core_percent", int(100*stats.ServiceRate))
+}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -269,7 +269,7 @@
 		s.add("report", takeOut(&d.outputBuffer))
 		closes := d.receive([]byte(text)) != nil
 		s.add("answer", text[:min(len(text), 100)])
-		s.add("closes", fmt.Sprint(closes, " ", d.awaitingAnswer, " ", int64(d.reportTimer.deadline-a.now), " ", len(d.partial)))
+		s.add("closes", fmt.Sprint(closes, " ", d.state == directoryAwaitingAnswer, " ", int64(d.reportTimer.deadline-a.now), " ", len(d.partial)))
 		pass(a, reportInterval)
 		s.add("next", fmt.Sprint(d.missedReports, " ", d.consecutiveMisses, " ", takeOut(&d.outputBuffer)))
 	}
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -3,142 +3,175 @@
 import (
 	"slices"
 	"sync"
+	"time"
+
 	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
 	"thistlequay/internal/quota/service"
-	"thistlequay/timeunit"
-	"time"
 )
 
-// Gossip is the talk with other servers.
+// gossipInterval is the time between two reports of this server to the others.
+const gossipInterval = second
+
+// Gossip is the connection to the other servers. ClusterChanged and UsageReported may be called from any goroutine.
 type Gossip struct {
-	Node     *gossip.Node
-	lock     sync.Mutex
-	size     int
-	quorum   membership.QuorumStatus
-	onChange func()
-	usage    map[membership.ID]tenantUsage // what tenants were given elsewhere, as it was told last
+	// Node is this server among the others.
+	Node *gossip.Node
+
+	lock        sync.Mutex // guards what follows
+	clusterSize int
+	onChange    func()
+	usage       map[membership.ID]tenantUsage // that was reported and not taken yet
 }
 
+// tenantUsage is what another server gave its tenants.
 type tenantUsage struct {
 	reportedAt time.Time
 	tenants    []membership.TenantUsage
 }
 
-const gossipInterval = second
-
-// ClusterChanged is called by the talk's worker; it hands over and does not wait.
-func (t *Gossip) ClusterChanged(size int, standing membership.QuorumStatus) {
-	t.lock.Lock()
-	t.size, t.quorum = size, standing
-	changed := t.onChange
-	t.lock.Unlock()
-	if changed != nil {
-		changed()
+// ClusterChanged takes the number of servers that there are. It hands it over and does not wait.
+func (g *Gossip) ClusterChanged(size int, _ membership.QuorumStatus) {
+	g.lock.Lock()
+	g.clusterSize = size
+	onChange := g.onChange
+	g.lock.Unlock()
+	if onChange != nil {
+		onChange()
 	}
 }
 
-// UsageReported is called by the talk's worker with what another server gave tenants.
-func (t *Gossip) UsageReported(of membership.ID, age time.Duration, used []membership.TenantUsage) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	if t.usage == nil {
-		t.usage = map[membership.ID]tenantUsage{}
+// UsageReported takes what another server gave its tenants, and how old that report is.
+func (g *Gossip) UsageReported(by membership.ID, age time.Duration, tenants []membership.TenantUsage) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	if g.usage == nil {
+		g.usage = map[membership.ID]tenantUsage{}
 	}
-	t.usage[of] = tenantUsage{time.Now().Add(-age), used}
+	g.usage[by] = tenantUsage{reportedAt: time.Now().Add(-age), tenants: tenants}
 }
 
-// takeUsage gives what was told since it was last asked, in the order of lives.
-func (t *Gossip) takeUsage() (lives []membership.ID, used map[membership.ID]tenantUsage) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	used, t.usage = t.usage, nil
-	for id := range used {
-		lives = append(lives, id)
+// takeUsage returns what was reported since it was last called, and the servers that did in a fixed order.
+func (g *Gossip) takeUsage() (servers []membership.ID, usage map[membership.ID]tenantUsage) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	usage = g.usage
+	g.usage = nil
+	for id := range usage {
+		servers = append(servers, id)
 	}
-	slices.SortFunc(lives, membership.ID.Compare)
-	return lives, used
+	slices.SortFunc(servers, membership.ID.Compare)
+	return servers, usage
+}
+
+// subscribe has onChange called when the number of servers has changed.
+func (g *Gossip) subscribe(onChange func()) {
+	g.lock.Lock()
+	g.onChange = onChange
+	g.lock.Unlock()
+}
+
+// size returns the number of servers, zero where it is not known yet.
+func (g *Gossip) size() int {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	return g.clusterSize
+}
+
+// gossipPart tells the other servers how this one is, and admission how many servers there are. It must never wait for
+// gossip, nor know what is said there.
+type gossipPart struct {
+	partDefaults
+	server *Server
+	timer  timer
+}
+
+func (p *gossipPart) init(s *Server) {
+	p.server = s
+	p.timer.fire = p.onTimer
 }
 
-// subscribe has the loop told of each change.
-func (t *Gossip) subscribe(changed func()) {
-	t.lock.Lock()
-	t.onChange = changed
-	t.lock.Unlock()
+func (p *gossipPart) isEnabled() bool { return p.server.config.Gossip != nil }
+
+func (p *gossipPart) start() {
+	p.server.config.Gossip.subscribe(func() { p.server.trySubmit(p.applyClusterSize) })
+	p.onTimer()
 }
 
-func (t *Gossip) clusterSize() int {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	return t.size
+func (p *gossipPart) drain() { p.publish() }
+
+func (p *gossipPart) onTimer() {
+	p.publish()
+	p.server.setTimer(&p.timer, p.server.now+gossipInterval)
 }
 
-// startGossip begins to tell and to listen, once the loop is there.
-func (a *Server) startGossip() {
-	t := a.config.Gossip
-	if t == nil {
+// applyClusterSize has admission reckon with the servers that there are.
+func (p *gossipPart) applyClusterSize() {
+	if p.server.admission == nil {
 		return
 	}
-	t.subscribe(func() { a.trySubmit(a.applyClusterSize) })
-	a.gossipTimer.fire = func() {
-		a.publishState()
-		a.setTimer(&a.gossipTimer, a.now+gossipInterval)
+	if size := p.server.config.Gossip.size(); size > 0 {
+		p.server.admission.SetFleetSize(size)
+		p.server.quota.admissionLimit = undeclaredLimit // where there is quota, that is what limits calls
 	}
-	a.gossipTimer.fire()
 }
 
-// applyClusterSize has the module reckon with the servers that there are.
-func (a *Server) applyClusterSize() {
-	if t := a.config.Gossip; t != nil && a.admission != nil {
-		if n := t.clusterSize(); n > 0 {
-			a.admission.SetFleetSize(n)
-			a.quota.admissionLimit = -1 // its part of the calls is what is granted, where that is
-		}
+// publish tells the others how this server is.
+func (p *gossipPart) publish() {
+	s := p.server
+	state := gossip.LocalState{
+		Usage:   p.exchangeUsage(),
+		State:   p.memberState(),
+		LoopLag: s.timerLateness.percentile99().Duration(),
 	}
+	if s.admission != nil {
+		stats := s.admission.Stats()
+		state.ConcurrencyLimit = stats.Limit
+		state.InFlight = float64(stats.Queued + stats.Running)
+		state.AvailableCapacity = max(0, stats.Limit-float64(stats.Running))
+		state.IndexLatencyMs = float64(stats.CallTime) / 10
+		p.applyClusterSize()
+	}
+	s.config.Gossip.Node.SetLocalState(state)
 }
 
-// exchangeTenantUsage has the ledger count what they were given elsewhere, and gives what they were given here.
-func (a *Server) exchangeTenantUsage() (used []membership.TenantUsage) {
-	if a.fairScheduler == nil {
-		return nil
-	}
-	lives, told := a.config.Gossip.takeUsage()
-	for _, id := range lives {
-		var given []fairqueue.Usage
-		for _, u := range told[id].tenants {
-			given = append(given, fairqueue.Usage{Tenant: u.Tenant, CoreTime: u.CoreTime})
-		}
-		a.fairScheduler.RecordRemoteUsage(service.HolderName(id), timeunit.Ticks(time.Since(told[id].reportedAt)/(100*time.Microsecond)), given, a.now)
-	}
-	for _, g := range a.fairScheduler.LocalUsage() {
-		if len(used) < membership.MaxUsageEntries {
-			used = append(used, membership.TenantUsage{Tenant: g.Tenant, CoreTime: g.CoreTime})
-		}
+func (p *gossipPart) memberState() membership.State {
+	s := p.server
+	switch {
+	case s.shutdownDeadline < noDeadline:
+		return membership.StateDraining
+	case s.admission == nil:
+		return membership.StateJoining
+	case s.admission.IsWarmingUp():
+		return membership.StateWarmingUp
+	default:
+		return membership.StateServing
 	}
-	return used
 }
 
-// publishState tells how this server is.
-func (a *Server) publishState() {
-	t := a.config.Gossip
-	if t == nil {
-		return
+// exchangeUsage has the fair queue account what tenants were given by other servers, and returns what they were given
+// by this one.
+func (p *gossipPart) exchangeUsage() []membership.TenantUsage {
+	s := p.server
+	if s.fairQueue.scheduler == nil {
+		return nil
 	}
-	own := gossip.LocalState{Usage: a.exchangeTenantUsage(), State: membership.StateJoining, LoopLag: time.Duration(a.timerLateness.percentile99()) * (time.Millisecond / 10)}
-	switch {
-	case a.shutdownDeadline < noDeadline:
-		own.State = membership.StateDraining
-	case a.admission != nil:
-		own.State = membership.StateServing
-		if a.admission.IsWarmingUp() {
-			own.State = membership.StateWarmingUp
+	servers, reports := s.config.Gossip.takeUsage()
+	for _, id := range servers {
+		report := reports[id]
+		var remote []fairqueue.Usage
+		for _, tenant := range report.tenants {
+			remote = append(remote, fairqueue.Usage{Tenant: tenant.Tenant, CoreTime: tenant.CoreTime})
 		}
+		age := ticksOf(time.Since(report.reportedAt))
+		s.fairQueue.scheduler.RecordRemoteUsage(service.HolderName(id), age, remote, s.now)
 	}
-	if a.admission != nil {
-		b := a.admission.Stats()
-		own.ConcurrencyLimit, own.InFlight, own.AvailableCapacity, own.IndexLatencyMs = b.Limit, float64(b.Queued+b.Running), max(0, b.Limit-float64(b.Running)), float64(b.CallTime)/10
-		a.applyClusterSize()
+	var local []membership.TenantUsage
+	for _, tenant := range s.fairQueue.scheduler.LocalUsage() {
+		if len(local) < membership.MaxUsageEntries {
+			local = append(local, membership.TenantUsage{Tenant: tenant.Tenant, CoreTime: tenant.CoreTime})
+		}
 	}
-	t.Node.SetLocalState(own)
+	return local
 }
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -2,172 +2,210 @@
 
 import (
 	"slices"
+
 	"thistlequay/admission"
 	"thistlequay/timeunit"
 )
 
-const (
-	idleConnectionTimeout       = second / 20 // a connection at rest is closed after this: one forgotten was so after twice as long
-	connectionDescriptorDivisor = 16          // and one for so many descriptors may carry calls; a dial takes two for a moment
-)
+// connectionDescriptorDivisor: one descriptor in so many may carry calls; a dial takes two for a moment.
+const connectionDescriptorDivisor = 16
 
+// indexClient makes the calls to the index, over a pool of connections with one call at a time on each, so that what
+// spoils a connection spoils one call. It must never make a call that admission did not ask for, retry by itself, use a
+// connection on which a call went wrong, or report a call as not executed that may have been.
 type indexClient struct {
-	server         *Server
-	connections    int                 // connections, dials under way included
-	maxConnections int                 // of them
-	inFlight       int                 // calls in hand
-	idle           []*pooledConnection // that carry nothing, the longest at rest first
-	waiting        []*indexCall        // that wait for a connection
-	unwritten      []*pooledConnection // whose call is not written yet
-	rateLimited    []*indexCall        // and for their turn by the limit of calls a second
+	server *Server
+
+	// The pool.
+	connections    int // dials under way included
+	maxConnections int
+	generation     int                 // counts changes of the address: an older connection carries no new call
+	idle           []*pooledConnection // the longest idle first
 	idleTimer      timer
-	generation     int // to other addresses: a connection from before the last one carries no new call
+
+	// The calls.
+	inFlight    int                 // all calls that admission asked for and that have not ended
+	rateLimited []*indexCall        // that wait for the limit of calls a second
+	waiting     []*indexCall        // that wait for a connection
+	unwritten   []*pooledConnection // whose call is not written yet, in this batch
 }
 
-// indexCall is one call in the hands of the index, or on its way there.
+// indexCall is one call, from when admission asks for it until it has ended.
 type indexCall struct {
 	request    *request
 	startedAt  timeunit.Ticks
 	deadline   timeunit.Ticks
-	timer      timer
-	connection *pooledConnection // that carries it, nil while it waits for one
+	timer      timer             // which gives it up
+	connection *pooledConnection // that carries it; nil while it waits
 }
 
-func (x *indexClient) start(a *Server) {
-	x.server, x.maxConnections = a, max(1, a.config.MaxSockets/connectionDescriptorDivisor)
-	x.idleTimer.fire = x.closeExpired
+func (c *indexClient) init(s *Server) {
+	c.server = s
+	c.maxConnections = max(1, s.config.MaxSockets/connectionDescriptorDivisor)
+	c.idleTimer.fire = c.closeExpired
 }
 
-// makeCall makes the call that a run waits for. The index holds no time limit, so it is given up here.
-func (x *indexClient) makeCall(it *request, until timeunit.Ticks) {
-	it.server.checkInvariant(it.call == nil && it.runStarted && !it.runDone, "a call beside another or without a run")
-	c := &indexCall{request: it, startedAt: x.server.now, deadline: until}
-	c.timer.fire = func() { x.finish(c, x.detach(c)) }
-	it.call = c
-	x.inFlight++
-	x.server.setTimer(&c.timer, max(until, x.server.now+1))
-	if len(x.rateLimited) > 0 || !x.server.quota.mayCall() {
-		x.rateLimited = append(x.rateLimited, c)
+// makeCall makes the call that a run waits for. The index keeps no deadline, so the call is given up here.
+func (c *indexClient) makeCall(caller *request, deadline timeunit.Ticks) {
+	isWaiting := caller.call == nil && caller.runStarted && !caller.runDone
+	c.server.checkInvariant(isWaiting, "a call beside another or without a run")
+	call := &indexCall{request: caller, startedAt: c.server.now, deadline: deadline}
+	call.timer.fire = func() { c.finish(call, c.detach(call)) }
+	caller.call = call
+	c.inFlight++
+	c.server.setTimer(&call.timer, max(deadline, c.server.now+1))
+	if len(c.rateLimited) > 0 || !c.server.quota.mayCall() {
+		c.rateLimited = append(c.rateLimited, call)
 		return
 	}
-	x.assign(c)
+	c.assign(call)
 }
 
-// sendRateLimited makes the calls that waited for their turn by the limit of calls a second.
-func (x *indexClient) sendRateLimited() {
-	for len(x.rateLimited) > 0 && x.server.quota.mayCall() {
-		c := x.rateLimited[0]
-		x.rateLimited = x.rateLimited[1:]
-		x.assign(c)
+// sendRateLimited makes the calls that waited for the limit of calls a second, as far as it allows now.
+func (c *indexClient) sendRateLimited() {
+	for len(c.rateLimited) > 0 && c.server.quota.mayCall() {
+		call := c.rateLimited[0]
+		c.rateLimited = c.rateLimited[1:]
+		c.assign(call)
 	}
 }
 
-// withdrawUnwritten takes back a call that was not written yet; false where there is none.
-func (x *indexClient) withdrawUnwritten() bool {
-	for n := len(x.unwritten) - 1; n >= 0; n-- {
-		l := x.unwritten[n]
-		x.unwritten = x.unwritten[:n]
-		if c := l.call; c != nil && len(l.output) > 0 {
-			l.output = l.output[:0]
-			l.unlink()
-			x.finish(c, admission.NotExecuted)
-			l.release()
-			return true
+// withdrawUnwritten takes back a call that has not been written and reports whether there was one.
+func (c *indexClient) withdrawUnwritten() bool {
+	for last := len(c.unwritten) - 1; last >= 0; last-- {
+		connection := c.unwritten[last]
+		c.unwritten = c.unwritten[:last]
+		call := connection.call
+		if call == nil || len(connection.output) == 0 {
+			continue
 		}
+		connection.output = connection.output[:0]
+		connection.unlink()
+		c.finish(call, admission.NotExecuted)
+		connection.release()
+		return true
 	}
 	return false
 }
 
-// cancelNewest gives up the call that was made last, for want of a share to have it under; false where there is none.
-func (x *indexClient) cancelNewest() bool {
-	var last *indexCall
-	for _, it := range x.server.requests.byID {
-		if c := it.call; c != nil && (last == nil || c.startedAt > last.startedAt || c.startedAt == last.startedAt && c.request.id > last.request.id) {
-			last = c
+// cancelNewest gives up the call that was made last, for want of quota, and reports whether there was one.
+func (c *indexClient) cancelNewest() bool {
+	var newest *indexCall
+	for _, caller := range c.server.requests.byID {
+		if caller.call != nil && (newest == nil || caller.call.isNewerThan(newest)) {
+			newest = caller.call
 		}
 	}
-	if last != nil {
-		x.finish(last, x.detach(last))
+	if newest == nil {
+		return false
+	}
+	c.finish(newest, c.detach(newest))
+	return true
+}
+
+// isNewerThan orders calls by when they were made; those of one moment by the request's ID, so that the order is the
+// same in every run.
+func (c *indexCall) isNewerThan(other *indexCall) bool {
+	if c.startedAt != other.startedAt {
+		return c.startedAt > other.startedAt
 	}
-	return last != nil
+	return c.request.id > other.request.id
 }
 
-// assign finds the call a connection: the one that last carried a call, as it is the likeliest to be alive, but not
+// assign finds a connection for a call: the one that carried a call last, as it is the likeliest to be alive, but not
 // one on which a second copy of an earlier reply to the same run could come.
-func (x *indexClient) assign(c *indexCall) {
-	x.closeExpired() // after a standstill the alarm comes late
-	for i := len(x.idle) - 1; i >= 0; i-- {
-		if l := x.idle[i]; l.lastRequestID != c.request.id {
-			x.idle = slices.Delete(x.idle, i, i+1)
-			l.send(c)
+func (c *indexClient) assign(call *indexCall) {
+	c.closeExpired() // after a standstill the timer is late
+	for i := len(c.idle) - 1; i >= 0; i-- {
+		connection := c.idle[i]
+		if connection.lastRequestID != call.request.id {
+			c.idle = slices.Delete(c.idle, i, i+1)
+			connection.send(call)
 			return
 		}
 	}
-	if x.connections >= x.maxConnections {
-		x.waiting = append(x.waiting, c)
+	if c.connections >= c.maxConnections {
+		c.waiting = append(c.waiting, call)
 		return
 	}
-	l := &pooledConnection{outputBuffer: outputBuffer{server: x.server, maxUnread: maxUnreadPerLink}, client: x, call: c, generation: x.generation}
-	c.connection = l
-	x.connections++
-	l.outgoing = x.server.dial(x.server.config.Index, dialTimeout, l, func() { l.lost(admission.NotExecuted) })
-}
-
-// detach takes the call off its connection and tells what that leaves known of it. A connection that carries a
-// call is closed: that gives the call up, and whatever would still come on it.
-func (x *indexClient) detach(c *indexCall) (how admission.Outcome) {
-	l := c.connection
-	if l == nil {
-		x.rateLimited = slices.DeleteFunc(x.rateLimited, func(q *indexCall) bool { return q == c })
-		x.waiting = slices.DeleteFunc(x.waiting, func(q *indexCall) bool { return q == c })
+	c.dial(call)
+}
+
+// dial adds a connection to the pool, for a call.
+func (c *indexClient) dial(call *indexCall) {
+	connection := &pooledConnection{
+		outputBuffer: outputBuffer{server: c.server, maxUnread: maxUnreadPerLink},
+		client:       c,
+		state:        pooledDialing,
+		generation:   c.generation,
+		call:         call,
+	}
+	call.connection = connection
+	c.connections++
+	failed := func() { connection.lost(admission.NotExecuted) }
+	connection.outgoing = c.server.dial(c.server.config.Index, dialTimeout, connection, failed)
+}
+
+// detach takes a call off what carries it and returns what that leaves known of the call. A connection that carries the
+// call is closed: that gives up the call, and whatever would still come on the connection.
+func (c *indexClient) detach(call *indexCall) admission.Outcome {
+	connection := call.connection
+	if connection == nil {
+		isCall := func(other *indexCall) bool { return other == call }
+		c.rateLimited = slices.DeleteFunc(c.rateLimited, isCall)
+		c.waiting = slices.DeleteFunc(c.waiting, isCall)
 		return admission.NotExecuted
 	}
-	l.unlink()
-	if l.conn == nil { // the dial goes on for whom it may serve
+	connection.unlink()
+	if connection.state == pooledDialing { // the dial goes on for whichever call it may serve
 		return admission.NotExecuted
 	}
-	l.close()
+	connection.close()
 	return admission.Indeterminate
 }
 
 // cancel forgets the call of a run that is over.
-func (x *indexClient) cancel(it *request) {
-	if c := it.call; c != nil {
-		x.detach(c)
-		x.remove(c)
+func (c *indexClient) cancel(caller *request) {
+	if call := caller.call; call != nil {
+		c.detach(call)
+		c.remove(call)
 	}
 }
 
-func (x *indexClient) remove(c *indexCall) {
-	c.request.call = nil
-	x.inFlight--
-	x.server.stopTimer(&c.timer)
+func (c *indexClient) remove(call *indexCall) {
+	call.request.call = nil
+	c.inFlight--
+	c.server.stopTimer(&call.timer)
 }
 
-func (x *indexClient) finish(c *indexCall, how admission.Outcome) {
-	x.remove(c)
-	c.request.handle.CallEnded(how, x.server.now-c.startedAt)
+// finish tells admission the end of a call.
+func (c *indexClient) finish(call *indexCall, outcome admission.Outcome) {
+	c.remove(call)
+	call.request.handle.CallEnded(outcome, c.server.now-call.startedAt)
 }
 
-// reconnect: the index is at another address now. What is out may end where it is; all else goes there.
-func (x *indexClient) reconnect() {
-	x.generation++
-	x.closeIdle()
+// reconnect is called when the index's address has changed. Calls that are out may end where they are; all others go to
+// the new address.
+func (c *indexClient) reconnect() {
+	c.generation++
+	c.closeIdle()
 }
 
-// closeIdle ends the connections that carry nothing.
-func (x *indexClient) closeIdle() {
-	for _, l := range slices.Clone(x.idle) {
-		l.close()
+// closeIdle closes the connections that carry nothing.
+func (c *indexClient) closeIdle() {
+	for _, connection := range slices.Clone(c.idle) {
+		connection.close()
 	}
 }
 
-func (x *indexClient) closeExpired() {
-	for len(x.idle) > 0 {
-		if due := x.idle[0].idleSince + idleConnectionTimeout; due > x.server.now {
-			x.server.setTimer(&x.idleTimer, due)
+// closeExpired closes the connections that have been idle for too long and sets the timer for the next.
+func (c *indexClient) closeExpired() {
+	for len(c.idle) > 0 {
+		longest := c.idle[0]
+		if due := longest.idleSince + idleConnectionTimeout; due > c.server.now {
+			c.server.setTimer(&c.idleTimer, due)
 			return
 		}
-		x.idle[0].close()
+		longest.close()
 	}
 }
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -3,140 +3,187 @@
 import (
 	"encoding/json"
 	"strconv"
-	"thistlequay/admission"
-	"thistlequay/timeunit"
 
 	"github.com/panjf2000/gnet/v2"
+
+	"thistlequay/admission"
+	"thistlequay/timeunit"
 )
 
+// commandLossWindow: commands sent so short a time before a link broke may have been lost with it; twice what the
+// protocol says.
+const commandLossWindow = second / 10
+
+// linkState is how far the link to the interpreter is.
+type linkState int
+
 const (
-	maxLineBytes      = 256 << 10
-	commandLossWindow = second / 10 // commands sent so short before a link broke may be lost: twice what is told
+	linkDown      linkState = iota // there is none
+	linkReplaying                  // it stands, and what the interpreter replays has not all been taken
+	linkReady                      // commands may go out
 )
 
+// interpreterClient is the link to the interpreter: commands out, notices in, the gauges. It must never begin a run
+// twice, pass a body or a result on changed, or send a command after a broken link before what the interpreter replays
+// has been taken. Commands are in interpretercommands.go, notices in interpreternotices.go.
 type interpreterClient struct {
 	outputBuffer
-	link          *outgoingConnection // the one that stands
-	dialing       *outgoingConnection // a dial under way
-	readySince    timeunit.Ticks      // that commands could go out
-	ready         bool                // commands may go out: the interpreter is up and what it replays has been taken
-	lastNotice    uint64
-	partialLine   []byte
-	categoryJSON  [][]byte // names of categories as JSON
-	redialTimer   timer
-	backoff       backoff
+	state       linkState
+	readySince  timeunit.Ticks
+	link        *outgoingConnection // the one that stands
+	dialing     *outgoingConnection // a dial under way; it may be beside a link that stands
+	redialTimer timer
+	backoff     backoff
+	linkCount   int // links that stood, for the log
+
+	lastNotice   uint64 // the number of the last notice that was taken
+	replayFence  string // the tag of the question whose answer ends what is replayed; empty for none
+	partialLine  []byte
+	categoryJSON [][]byte // the categories' names
+	errorCount   int      // errors that the interpreter told
+
 	gauges        admission.Gauges
-	gaugesAt      timeunit.Ticks // when they were
-	gaugesAskedAt timeunit.Ticks // 0 while no question is out
-	roundTrip     float64
-	wakeupPending bool         // the module's wake waits for them
-	gaugeTimer    timer        // but no longer than this
-	gaugeAges     lagHistogram // of what it was given
-	lastTag       uint64
-	replayFence   string // the question whose answer ends what is replayed
-	errorCount    int
-	linkCount     int
+	gaugesAt      timeunit.Ticks // when they were true
+	gaugesAskedAt timeunit.Ticks // zero while no question is out
+	gaugeAges     lagHistogram   // of the gauges that admission was given
+	lastTag       uint64         // of the questions
+	roundTrip     float64        // in ticks, smoothed
+	wakeupPending bool           // admission's wakeup waits for gauges
+	gaugeTimer    timer          // but no longer than this
 }
 
-func (l *interpreterClient) start(a *Server) {
-	l.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink}
-	l.redialTimer.fire, l.gaugeTimer.fire = l.dial, l.deliverGauges
-	l.categoryJSON = make([][]byte, len(a.config.Settings.Categories))
-	for name, i := range a.config.Settings.CategoryIndex {
-		l.categoryJSON[i], _ = json.Marshal(name)
+func (c *interpreterClient) init(s *Server) {
+	c.outputBuffer = outputBuffer{server: s, maxUnread: maxUnreadPerLink}
+	c.redialTimer.fire = c.dial
+	c.gaugeTimer.fire = c.deliverGauges
+	c.categoryJSON = make([][]byte, len(s.config.Settings.Categories))
+	for name, category := range s.config.Settings.CategoryIndex {
+		encoded, err := json.Marshal(name)
+		s.checkInvariant(err == nil, "a category's name is no JSON") // a string always is
+		c.categoryJSON[category] = encoded
 	}
 }
 
-func (l *interpreterClient) dial() {
-	if l.server.phase >= phaseStopped {
+// dial begins a dial; one that is under way is dropped.
+func (c *interpreterClient) dial() {
+	if c.server.phase >= phaseStopped {
 		return
 	}
-	l.server.stopTimer(&l.redialTimer)
-	l.dialing.drop()
-	l.dialing = l.server.dial(l.server.config.Interpreter, dialTimeout, l, func() {
-		l.dialing = nil
-		l.server.setTimer(&l.redialTimer, l.server.now+l.server.jitter(l.backoff.next()))
+	c.server.stopTimer(&c.redialTimer)
+	c.dialing.drop()
+	c.dialing = c.server.dial(c.server.config.Interpreter, dialTimeout, c, func() {
+		c.dialing = nil
+		c.scheduleRedial()
 	})
 }
 
-// reconnect: the interpreter is at another address now. The old link is used until the new one stands and replaces it.
-func (l *interpreterClient) reconnect() { l.dial() }
+func (c *interpreterClient) scheduleRedial() {
+	c.server.setTimer(&c.redialTimer, c.server.now+c.server.jitter(c.backoff.next()))
+}
+
+// reconnect is called when the interpreter's address has changed. The old link is used until the new one stands.
+func (c *interpreterClient) reconnect() { c.dial() }
 
-func (l *interpreterClient) opened(c gnet.Conn) {
-	if l.conn != nil {
-		l.link.drop()
-		l.linkLost()
+// opened asks the interpreter to replay the notices that were missed.
+func (c *interpreterClient) opened(conn gnet.Conn) {
+	if c.conn != nil {
+		c.link.drop()
+		c.linkLost()
 	}
-	l.link, l.dialing = l.dialing, nil
-	l.conn, l.partialLine, l.gaugesAskedAt = c, l.partialLine[:0], 0
-	l.linkCount++
-	l.output = strconv.AppendUint(append(l.buffer(), `{"type":"CONNECT","n":`...), l.lastNotice, 10)
-	l.output = append(l.output, "}\n"...)
+	c.state = linkReplaying
+	c.link = c.dialing
+	c.dialing = nil
+	c.conn = conn
+	c.partialLine = c.partialLine[:0]
+	c.gaugesAskedAt = 0
+	c.linkCount++
+	c.output = append(c.buffer(), `{"type":"CONNECT","n":`...)
+	c.output = strconv.AppendUint(c.output, c.lastNotice, 10)
+	c.output = append(c.output, "}\n"...)
 }
 
-func (l *interpreterClient) closed() {
-	stood := l.ready && l.server.now-l.readySince >= minRedialDelay
-	l.linkLost()
+// closed dials again, at once where the link stood for a while.
+func (c *interpreterClient) closed() {
+	stood := c.state == linkReady && c.server.now-c.readySince >= minRedialDelay
+	c.linkLost()
 	switch {
-	case l.dialing != nil: // one is being dialled already
+	case c.dialing != nil: // one is being dialed already
 	case stood:
-		l.backoff = backoff{}
-		l.dial()
+		c.backoff = backoff{}
+		c.dial()
 	default:
-		l.server.setTimer(&l.redialTimer, l.server.now+l.server.jitter(l.backoff.next()))
+		c.scheduleRedial()
 	}
 }
 
-// linkLost: runs go on without a link. The last commands on it may have been lost with it, so they are given again once
-// what is replayed has been taken. That begins no second run: an APPLY does nothing where its request runs, and
-// starts nothing where that is over. One with effects is left to its time where it went out long before.
-func (l *interpreterClient) linkLost() {
-	if l.ready {
-		l.server.log.Event("interpreter_lost").Uint64("last_notice", l.lastNotice).Int("requests", l.server.requests.count()).Send()
+// linkLost has runs go on without a link. The last commands on it may have been lost with it, so they are given again
+// once what the interpreter replays has been taken.
+func (c *interpreterClient) linkLost() {
+	if c.state == linkReady {
+		c.server.log.Event("interpreter_lost").Uint64("last_notice", c.lastNotice).
+			Int("requests", c.server.requests.count()).Send()
+	}
+	c.conn = nil
+	c.state = linkDown
+	if c.output != nil {
+		c.output = c.output[:0] // nothing meant for this link goes out on the next
+	}
+	for _, affected := range c.server.requests.byID {
+		c.repeatLostCommands(affected)
 	}
-	l.conn, l.ready = nil, false
-	if l.output != nil {
-		l.output = l.output[:0] // nothing meant for this link goes out on the next
+}
+
+// repeatLostCommands marks the commands for a request that are to be given again. That begins no second run: an APPLY
+// does nothing where its request runs, and starts nothing where that is over. A request that is not idempotent, and
+// whose command went out long before, is left to its deadline.
+func (c *interpreterClient) repeatLostCommands(affected *request) {
+	if affected.runSent && !affected.runConfirmed {
+		category := &c.server.config.Settings.Categories[affected.category]
+		isIdempotent := category.Idempotency == admission.Idempotent
+		affected.runPending = isIdempotent || c.mayBeLost(affected.runSentAt)
+		affected.runInDoubt = !affected.runPending
 	}
-	for _, it := range l.server.requests.byID {
-		if it.runSent && !it.runConfirmed {
-			it.runPending = l.server.config.Settings.Categories[it.category].Idempotency == admission.Idempotent || l.mayBeLost(it.runSentAt)
-			it.runInDoubt = !it.runPending
-		}
-		if it.lastReply != nil && l.mayBeLost(it.lastReplyAt) {
-			it.pendingReply = it.lastReply
-		}
-		it.stopPending = it.stopPending || it.stopSent
+	if affected.lastReply != nil && c.mayBeLost(affected.lastReplyAt) {
+		affected.pendingReply = affected.lastReply
 	}
+	affected.stopPending = affected.stopPending || affected.stopSent
 }
 
-// close ends the link for good: all is answered, and no other is dialled.
-func (l *interpreterClient) close() {
-	l.dialing.drop()
-	l.link.drop()
-	l.conn, l.ready = nil, false
-	l.server.stopTimer(&l.redialTimer)
+func (c *interpreterClient) mayBeLost(sentAt timeunit.Ticks) bool {
+	return c.server.now-sentAt < commandLossWindow
 }
 
-func (l *interpreterClient) mayBeLost(said timeunit.Ticks) bool {
-	return l.server.now-said < commandLossWindow
+// close ends the link for good: everything is answered, and no other is dialed.
+func (c *interpreterClient) close() {
+	c.dialing.drop()
+	c.link.drop()
+	c.conn = nil
+	c.state = linkDown
+	c.server.stopTimer(&c.redialTimer)
 }
 
-// becomeReady: from now on commands go out, first those that waited for a link.
-func (l *interpreterClient) becomeReady() {
-	l.ready, l.replayFence, l.readySince = true, "", l.server.now
-	for _, it := range l.server.requests.byID {
-		switch {
-		case it.runDone:
-		case it.runPending && it.router == nil && !it.runSent: // nobody waits for it, and it never left
-			it.neverBegun()
-		case it.runPending && !it.runConfirmed:
-			l.run(it)
-		case it.pendingReply != nil && it.router != nil:
-			l.resolve(it, it.pendingReply)
-		}
-		if it.stopPending {
-			l.stop(it)
-		}
+// becomeReady lets commands go out, first those that waited for a link.
+func (c *interpreterClient) becomeReady() {
+	c.state = linkReady
+	c.replayFence = ""
+	c.readySince = c.server.now
+	for _, waiting := range c.server.requests.byID {
+		c.sendPending(waiting)
+	}
+}
+
+// sendPending gives the commands for a request that waited for a link.
+func (c *interpreterClient) sendPending(waiting *request) {
+	switch {
+	case waiting.runDone:
+	case waiting.runPending && waiting.router == nil && !waiting.runSent: // nobody waits for it, and it never left
+		waiting.neverBegun()
+	case waiting.runPending && !waiting.runConfirmed:
+		c.run(waiting)
+	case waiting.pendingReply != nil && waiting.router != nil:
+		c.resolve(waiting, waiting.pendingReply)
+	}
+	if waiting.stopPending {
+		c.stop(waiting)
 	}
 }
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -5,27 +5,85 @@
 	"encoding/json"
 	"errors"
 	"slices"
+
 	"thistlequay/admission"
 	"thistlequay/internal/deployment"
 	"thistlequay/timeunit"
 )
 
-func (l *interpreterClient) receive(data []byte) error {
+const (
+	maxLineBytes = 256 << 10
+
+	// maxNoticeSpanMs is above every span of time that a notice could mean, in milliseconds.
+	maxNoticeSpanMs = 1e12
+
+	// roundTripSmoothing: each round trip moves the smoothed one by one part in so many of the difference.
+	roundTripSmoothing = 8
+)
+
+// What closes the link to the interpreter.
+var (
+	errLineTooLong       = errors.New("a line from the interpreter is beyond the bound")
+	errNoNotice          = errors.New("a line from the interpreter is no notice")
+	errNoticeSpan        = errors.New("a notice with a time that cannot be meant")
+	errUnknownRunOutcome = errors.New("a run's end that is none")
+	errGauges            = errors.New("gauges that are no numbers")
+	errUnknownNotice     = errors.New("a notice of no known type")
+)
+
+// The kinds of notices.
+const (
+	noticeBanner = "BANNER" // the interpreter is up, and since when
+	noticeValue  = "VALUE"  // a run has ended
+	noticeAwait  = "AWAIT"  // a run waits for a call
+	noticeGauges = "TOPS"   // the answer to a question for the gauges
+	noticeError  = "ERROR"  // a command was not carried out
+	noticeTrace  = "TRACE"  // of no concern here
+)
+
+// stateCold is what a banner says of an interpreter that has yet to warm up.
+const stateCold = "COLD"
+
+// commandRun is the command that an error may be about, by its name on the wire.
+const commandRun = "APPLY"
+
+// notice is a line from the interpreter.
+type notice struct {
+	Type      string          `json:"type"`
+	Number    uint64          `json:"n"`
+	RequestID string          `json:"job"`
+	State     string          `json:"state"`
+	TookMs    float64         `json:"took"`
+	Data      []byte          `json:"data"`
+	Tag       string          `json:"ref"`
+	Gauges    json.RawMessage `json:"gauges"`
+}
+
+// runOutcomes are the ends of runs as notices tell them.
+var runOutcomes = map[string]admission.Outcome{
+	"OK":      admission.Succeeded,
+	"ERROR":   admission.Failed,
+	"STOPPED": admission.Aborted,
+	"MOOT":    admission.NeverStarted,
+}
+
+// receive takes the notices that are whole.
+func (c *interpreterClient) receive(data []byte) error {
 	for len(data) > 0 {
-		line, rest, whole := bytes.Cut(data, []byte{'\n'})
+		line, rest, isWhole := bytes.Cut(data, []byte{'\n'})
 		data = rest
-		if len(l.partialLine)+len(line) > maxLineBytes {
-			return errors.New("a line from the interpreter is beyond the bound")
+		if len(c.partialLine)+len(line) > maxLineBytes {
+			return errLineTooLong
 		}
-		if !whole || len(l.partialLine) > 0 {
-			l.partialLine = append(l.partialLine, line...)
-			line = l.partialLine
+		if !isWhole || len(c.partialLine) > 0 {
+			c.partialLine = append(c.partialLine, line...)
+			line = c.partialLine
 		}
-		if !whole {
+		if !isWhole {
 			return nil
 		}
-		err := l.handleNotice(line)
-		l.partialLine = l.partialLine[:0]
+		err := c.handleLine(line)
+		c.partialLine = c.partialLine[:0]
 		if err != nil {
 			return err
 		}
@@ -33,126 +91,161 @@
 	return nil
 }
 
-func (l *interpreterClient) handleNotice(line []byte) error {
-	var n struct {
-		Type   string          `json:"type"`
-		N      uint64          `json:"n"`
-		Job    string          `json:"job"`
-		State  string          `json:"state"`
-		Took   float64         `json:"took"`
-		Data   []byte          `json:"data"`
-		Ref    string          `json:"ref"`
-		Gauges json.RawMessage `json:"gauges"`
-	}
+// handleLine takes one notice. One that was replayed though it had been taken is passed over.
+func (c *interpreterClient) handleLine(line []byte) error {
 	if len(bytes.TrimSpace(line)) == 0 {
 		return nil
 	}
-	if err := json.Unmarshal(line, &n); err != nil {
-		return errors.New("a line from the interpreter is no notice")
+	var taken notice
+	if err := json.Unmarshal(line, &taken); err != nil {
+		return errNoNotice
 	}
-	if !(n.Took >= 0 && n.Took < 1e12) {
-		return errors.New("a notice with a time that cannot be meant")
+	if !(taken.TookMs >= 0 && taken.TookMs < maxNoticeSpanMs) {
+		return errNoticeSpan
 	}
-	if n.N > 0 {
-		if n.N <= l.lastNotice {
-			return nil // replayed though it was read
-		}
-		l.lastNotice = n.N
-	}
-	it := l.server.requests.byID[n.Job]
-	if it != nil && n.N > 0 {
-		it.lastReply, it.pendingReply = nil, nil // what comes of the run after a reply tells that it was taken
-	}
-	switch n.Type {
-	case "BANNER":
-		l.onBanner(n.State, deployment.RoundUp(n.Took))
-	case "VALUE":
-		how, known := runOutcomes[n.State]
-		if !known {
-			return errors.New("a run's end that is none")
-		}
-		switch {
-		case it == nil:
-		case how == admission.NeverStarted:
-			it.neverBegun()
-		default:
-			it.runConfirmed, it.runInDoubt = true, false
-			it.runEnded(how, deployment.RoundUp(n.Took), n.Data)
-		}
-	case "AWAIT":
-		if it != nil && it.runStarted && !it.runDone {
-			it.runConfirmed, it.runInDoubt, it.callBody = true, false, n.Data
-			it.reservation.Suspend(l.server.now)
-			it.handle.NeedsCall()
-		}
-	case "TOPS":
-		return l.onGauges(n.Ref, n.Gauges)
-	case "ERROR":
-		if countAndSample(&l.errorCount) {
-			l.server.log.Event("interpreter_error").Str("command", n.State).Str("request_id", n.Job).Int("count", l.errorCount).Send()
-		}
-		if it != nil && it.runStarted && n.State == "APPLY" {
-			it.neverBegun()
+	if taken.Number > 0 {
+		if taken.Number <= c.lastNotice {
+			return nil
 		}
-	case "TRACE":
+		c.lastNotice = taken.Number
+	}
+	about := c.server.requests.byID[taken.RequestID] // nil where the notice is about none, or an unknown one
+	if about != nil && taken.Number > 0 {
+		about.lastReply = nil // what a run tells after a reply proves that the reply was taken
+		about.pendingReply = nil
+	}
+	return c.handleNotice(&taken, about)
+}
+
+func (c *interpreterClient) handleNotice(taken *notice, about *request) error {
+	switch taken.Type {
+	case noticeBanner:
+		c.onBanner(taken.State, deployment.RoundUp(taken.TookMs))
+		return nil
+	case noticeValue:
+		return c.onRunEnded(taken, about)
+	case noticeAwait:
+		c.onCallNeeded(taken, about)
+		return nil
+	case noticeGauges:
+		return c.onGauges(taken.Tag, taken.Gauges)
+	case noticeError:
+		c.onCommandFailed(taken, about)
+		return nil
+	case noticeTrace:
+		return nil
 	default:
-		return errors.New("a notice of no known type")
+		return errUnknownNotice
 	}
-	return nil
 }
 
-var runOutcomes = map[string]admission.Outcome{"OK": admission.Succeeded, "ERROR": admission.Failed,
-	"STOPPED": admission.Aborted, "MOOT": admission.NeverStarted}
+// onBanner starts admission the first time, as cold or warm as the interpreter says it is; up is how long it has been
+// up. After that a banner begins what the interpreter replays on a new link.
+func (c *interpreterClient) onBanner(state string, up timeunit.Ticks) {
+	s := c.server
+	if s.admission != nil {
+		s.log.Event("interpreter_reconnected").Str("name", s.config.Name).Int("interpreter_links", c.linkCount).Send()
+		c.replayFence = c.askGauges()
+		return
+	}
+	s.startAdmission(state == stateCold, up)
+	s.log.Event("interpreter_up").Str("name", s.config.Name).Str("state", state).
+		Int64("since_ms", milliseconds(up)).Send()
+	s.notifyAdmissionOfDrain()
+	s.advancePhase(phaseReady)
+	c.becomeReady()
+}
 
-// socketDeployment is what the settings mean where the protocol of sockets has no word for it: later tries bear no mark, runs do not
-// go on without a call, and the interpreter may read an answer after the order to stop, which pauses for good what is not over.
+// startAdmission makes the admission server of an interpreter that has been up for so long.
+func (s *Server) startAdmission(isCold bool, up timeunit.Ticks) {
+	config := socketDeployment(s.config.Settings)
+	config.StartsCold = isCold
+	config.TurnOffset = s.random.Float64()
+	// Entries and results lie in this process's memory, not in the interpreter's that the settings speak of.
+	config.EntryKB = 0
+	maxEntries := s.config.MemoryBytes / idempotencyMemoryDivisor / idempotencyEntryBytes
+	config.MaxEntries = max(1, maxEntries-s.recovery.restoredEntries())
+	config.WarmStart = s.recovery.loadWarmStart()
+	s.admission = admission.New(config, &s.requests, s.now-up)
+	s.admission.Advance(s.now)
+}
+
+// socketDeployment returns the settings without what the protocol of sockets has no word for: retries bear no mark,
+// runs do not go on without a call, and the interpreter may read an answer after the order to stop, which pauses for
+// good what is not over.
 func socketDeployment(of *deployment.Config) admission.Config {
-	d := of.Config
-	d.RetriesMarked, d.CanStopRuns, d.ResultTTL = false, d.CanStopRuns && !of.PauseKeepsMemory, 0
-	d.Categories = slices.Clone(d.Categories)
-	for i, c := range d.Categories {
-		d.Categories[i].DeduplicationWindow, d.Categories[i].DegradedValue = retention(c), 0
+	config := of.Config
+	config.RetriesMarked = false
+	config.CanStopRuns = config.CanStopRuns && !of.PauseKeepsMemory
+	config.ResultTTL = 0
+	config.Categories = slices.Clone(config.Categories)
+	for i, category := range config.Categories {
+		config.Categories[i].DeduplicationWindow = retention(category)
+		config.Categories[i].DegradedValue = 0
 	}
-	return d
+	return config
 }
 
-// onBanner starts the module's server the first time, as cold or warm as the interpreter says it was.
-func (l *interpreterClient) onBanner(state string, since timeunit.Ticks) {
-	a := l.server
-	if a.admission == nil {
-		terms := socketDeployment(a.config.Settings)
-		terms.StartsCold, terms.TurnOffset = state == "COLD", a.random.Float64()
-		// Stamps and results lie in this process's memory, not in the interpreter's that the settings speak of.
-		terms.EntryKB, terms.MaxEntries = 0, max(1, a.config.MemoryBytes/idempotencyMemoryDivisor/idempotencyEntryBytes-a.recovery.restoredEntries())
-		terms.WarmStart = a.recovery.loadWarmStart()
-		a.admission = admission.New(terms, &a.requests, a.now-since)
-		a.admission.Advance(a.now)
-		a.log.Event("interpreter_up").Str("name", a.config.Name).Str("state", state).Int64("since_ms", int64(since/10)).Send()
-		a.notifyAdmissionOfDrain()
-		a.advancePhase(phaseReady)
-		l.becomeReady()
+// onRunEnded takes the end of a run.
+func (c *interpreterClient) onRunEnded(taken *notice, about *request) error {
+	outcome, known := runOutcomes[taken.State]
+	if !known {
+		return errUnknownRunOutcome
+	}
+	switch {
+	case about == nil:
+	case outcome == admission.NeverStarted:
+		about.neverBegun()
+	default:
+		about.runConfirmed = true
+		about.runInDoubt = false
+		about.runEnded(outcome, deployment.RoundUp(taken.TookMs), taken.Data)
+	}
+	return nil
+}
+
+// onCallNeeded takes notice of a run that waits for a call; admission decides when the call is made.
+func (c *interpreterClient) onCallNeeded(taken *notice, about *request) {
+	if about == nil || !about.runStarted || about.runDone {
 		return
 	}
-	a.log.Event("interpreter_reconnected").Str("name", a.config.Name).Int("interpreter_links", l.linkCount).Send()
-	l.replayFence = l.askGauges()
+	about.runConfirmed = true
+	about.runInDoubt = false
+	about.callBody = taken.Data
+	about.reservation.Suspend(c.server.now)
+	about.handle.NeedsCall()
+}
+
+// onCommandFailed takes notice of a command that was not carried out. Where that was the one to run a request, nothing
+// of it ran.
+func (c *interpreterClient) onCommandFailed(taken *notice, about *request) {
+	if countAndSample(&c.errorCount) {
+		c.server.log.Event("interpreter_error").Str("command", taken.State).Str("request_id", taken.RequestID).
+			Int("count", c.errorCount).Send()
+	}
+	if about != nil && about.runStarted && taken.State == commandRun {
+		about.neverBegun()
+	}
 }
 
-func (l *interpreterClient) onGauges(ref string, row json.RawMessage) error {
+// onGauges takes the answer to a question for the gauges.
+func (c *interpreterClient) onGauges(tag string, row json.RawMessage) error {
 	var values []float64
 	if err := json.Unmarshal(row, &values); err != nil {
-		return errors.New("gauges that are no numbers")
+		return errGauges
 	}
-	now := l.server.now
-	l.gauges, l.gaugesAt = l.server.config.Settings.GaugesFromRow(values), now
-	if l.gaugesAskedAt > 0 {
-		l.roundTrip += (float64(now-l.gaugesAskedAt) - l.roundTrip) / 8
-		l.gaugesAskedAt = 0
+	now := c.server.now
+	c.gauges = c.server.config.Settings.GaugesFromRow(values)
+	c.gaugesAt = now
+	if c.gaugesAskedAt > 0 {
+		c.roundTrip += (float64(now-c.gaugesAskedAt) - c.roundTrip) / roundTripSmoothing
+		c.gaugesAskedAt = 0
 	}
-	if l.wakeupPending {
-		l.deliverGauges()
+	if c.wakeupPending {
+		c.deliverGauges()
 	}
-	if l.replayFence != "" && ref == l.replayFence {
-		l.becomeReady()
+	if c.replayFence != "" && tag == c.replayFence {
+		c.becomeReady()
 	}
 	return nil
 }
--- a/internal/server/invariant_debug.go
+++ b/internal/server/invariant_debug.go
@@ -1,9 +1,9 @@
 //go:build debug
 
-// This file owns what happens when something that must hold does not: in debug builds the program stops at
-// once. It must never be the way that bad input is answered.
 package server
 
+// checkInvariant stops the program when something that must hold does not: in debug builds, at once. It must never be
+// the way in which bad input is answered.
 func (*Server) checkInvariant(holds bool, what string) {
 	if !holds {
 		panic("invariant broken: " + what)
--- a/internal/server/invariant_release.go
+++ b/internal/server/invariant_release.go
@@ -1,11 +1,11 @@
 //go:build !debug
 
-// This file owns what happens when something that must hold does not: in release builds it is counted and
-// logged, each count that is a power of two. It must never stop the program.
 package server
 
-func (a *Server) checkInvariant(holds bool, what string) {
-	if !holds && countAndSample(&a.brokenInvariants) {
-		a.log.Event("invariant_violated").Str("what", what).Int("count", a.brokenInvariants).Send()
+// checkInvariant counts and logs when something that must hold does not; in release builds it never stops the program.
+// Each count that is a power of two is logged.
+func (s *Server) checkInvariant(holds bool, what string) {
+	if !holds && countAndSample(&s.brokenInvariants) {
+		s.log.Event("invariant_violated").Str("what", what).Int("count", s.brokenInvariants).Send()
 	}
 }
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -1,71 +1,79 @@
 package server
 
-import (
-	"thistlequay/timeunit"
-)
+import "thistlequay/timeunit"
 
-const (
-	shutdownMargin = second / 10 // of the time to the stop, what the end of the process itself may take
-)
+// shutdownMargin is the part of the time to the end that the end of the process itself may take.
+const shutdownMargin = second / 10
 
-// phase is where the process is in its life. It only moves on.
+// phase is where the process is in its life. It only moves forward. What health checks hear and what becomes of
+// connections goes by it.
 type phase int
 
 const (
 	phaseStarting phase = iota // the interpreter is not there yet
 	phaseReady
-	phaseDraining // it was told to leave; what came within the grace is run
-	phaseClosing  // the grace is over by far: connections end as soon as they carry nothing
-	phaseStopped  // all that was read is answered; every connection ends
+	phaseDraining // the notice to shut down has come; requests that come within the grace period are still run
+	phaseClosing  // the grace period is long over: connections end as soon as they carry nothing
+	phaseStopped  // everything that was read is answered; every connection ends
 )
 
-func (a *Server) advancePhase(p phase) { a.phase = max(a.phase, p) }
+func (s *Server) advancePhase(to phase) { s.phase = max(s.phase, to) }
 
 // isHealthy is what health checks and the directory hear.
-func (a *Server) isHealthy() bool { return a.phase < phaseDraining && a.routers.admissionHealthy }
+func (s *Server) isHealthy() bool { return s.phase < phaseDraining && s.routers.admissionHealthy }
 
-// beginShutdown tells the module how long there is, and ends the program in time.
-func (a *Server) beginShutdown() {
-	if a.shutdownDeadline < noDeadline {
+// beginShutdown tells admission how long there is, and ends the process in time.
+func (s *Server) beginShutdown() {
+	if s.shutdownDeadline < noDeadline {
 		return
 	}
-	left := max(0, a.config.ShutdownTimeout-min(shutdownMargin, a.config.ShutdownTimeout/4))
-	a.log.Event("shutting_down").Str("name", a.config.Name).Int64("within_ms", int64(left/10)).Int("requests", a.requests.count()).Send()
-	a.shutdownDeadline = a.now + left
-	a.advancePhase(phaseDraining)
-	a.publishState() // before anything is declined for it
-	a.recovery.onDrain()
-	a.recovery.saveWarmStart()
-	a.notifyAdmissionOfDrain()
-	a.directory.report()
-	late := max(left-a.config.Settings.DrainGrace, left/4) // what is after the grace; half of it goes to connections' ends
-	a.setTimer(&timer{fire: func() {
-		a.advancePhase(phaseClosing)
-		a.routers.drainIdle()
-	}}, a.shutdownDeadline-late/2)
-	// The batch in which the stop comes is decided before anything ends: where the loop is late, that answers what is due.
-	a.setTimer(&timer{fire: func() {
-		a.setTimer(&timer{fire: func() { a.closeConnections((a.config.ShutdownTimeout - left) / 2) }}, a.now+1)
-	}}, a.shutdownDeadline)
+	timeLeft := max(0, s.config.ShutdownTimeout-min(shutdownMargin, s.config.ShutdownTimeout/4))
+	s.log.Event("shutting_down").Str("name", s.config.Name).Int64("within_ms", milliseconds(timeLeft)).
+		Int("requests", s.requests.count()).Send()
+	s.shutdownDeadline = s.now + timeLeft
+	s.advancePhase(phaseDraining)
+	for _, optional := range s.parts { // before anything is rejected for it
+		optional.drain()
+	}
+	s.notifyAdmissionOfDrain()
+	s.directory.report()
+	s.scheduleEnd(timeLeft)
+}
+
+// scheduleEnd sets the timers for the last two phases.
+func (s *Server) scheduleEnd(timeLeft timeunit.Ticks) {
+	// What is after the grace period; half of it goes to the ends of connections.
+	afterGrace := max(timeLeft-s.config.Settings.DrainGrace, timeLeft/4)
+	closeIdle := func() {
+		s.advancePhase(phaseClosing)
+		s.routers.drainIdle()
+	}
+	s.setTimer(&timer{fire: closeIdle}, s.shutdownDeadline-afterGrace/2)
+	// The batch in which the deadline comes is dispatched before anything ends: when the loop is late, that answers
+	// what is due.
+	stop := func() { s.closeConnections((s.config.ShutdownTimeout - timeLeft) / 2) }
+	s.setTimer(&timer{fire: func() { s.setTimer(&timer{fire: stop}, s.now+1) }}, s.shutdownDeadline)
 }
 
-func (a *Server) notifyAdmissionOfDrain() {
-	if a.admission != nil && a.shutdownDeadline < noDeadline {
-		a.admission.Drain(max(0, a.shutdownDeadline-a.now))
+func (s *Server) notifyAdmissionOfDrain() {
+	if s.admission != nil && s.shutdownDeadline < noDeadline {
+		s.admission.Drain(max(0, s.shutdownDeadline-s.now))
 	}
 }
 
-// closeConnections ends every connection, and the process after the time given.
-func (a *Server) closeConnections(in timeunit.Ticks) {
-	a.advancePhase(phaseStopped)
-	a.routers.closeAll()
-	a.index.closeIdle()
-	a.interpreter.close()
-	a.directory.close()
-	a.recovery.close(in, func() { a.setTimer(&timer{fire: a.stopLoop}, a.now+in/2) })
+// closeConnections ends every connection. The recovery log has timeout to become durable, then half of that passes for
+// the last bytes to leave, then the loop stops.
+func (s *Server) closeConnections(timeout timeunit.Ticks) {
+	s.advancePhase(phaseStopped)
+	s.routers.closeAll()
+	s.index.closeIdle()
+	s.interpreter.close()
+	s.directory.close()
+	s.recovery.close(timeout, func() { s.setTimer(&timer{fire: s.stopLoop}, s.now+timeout/2) })
 }
 
-func (a *Server) stopLoop() {
-	a.log.Event("ended").Str("name", a.config.Name).Int("requests", a.requests.count()).Int("broken_invariants", a.brokenInvariants).Send()
-	a.ended = true
+func (s *Server) stopLoop() {
+	s.log.Event("ended").Str("name", s.config.Name).Int("requests", s.requests.count()).
+		Int("broken_invariants", s.brokenInvariants).Send()
+	s.ended = true
 }
--- a/internal/server/links_test.go
+++ b/internal/server/links_test.go
@@ -179,7 +179,7 @@
 	a.loop = noLoop{}
 	l := &a.interpreter
 	breaks := func(stood timeunit.Ticks) (dialled bool) {
-		l.dialing, l.conn, l.ready, l.readySince = nil, nowhere{}, true, a.now-stood
+		l.dialing, l.conn, l.state, l.readySince = nil, nowhere{}, linkReady, a.now-stood
 		l.closed()
 		return l.dialing != nil
 	}
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -1,179 +1,228 @@
 package server
 
 import (
+	"slices"
 	"strings"
+
+	"github.com/panjf2000/gnet/v2"
+
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
 	"thistlequay/internal/plugin/chain"
 	"thistlequay/timeunit"
-
-	"github.com/panjf2000/gnet/v2"
 )
 
-// pluginConnection is one process as a connection.
+// pluginConnection is the connection to one process of plug-ins.
 type pluginConnection struct {
 	outputBuffer
-	part         *pluginPart
-	config       *Plugins
-	process      *plugin.Process
-	chain        *chain.Chain
-	partial      []byte
-	pendingCalls int  // calls that are out
-	requests     int  // work items that began with it and are not over
-	retired      bool // another took its place
-	tickTimers   []*timer
+	part    *pluginPart
+	config  *Plugins
+	chain   *chain.Chain
+	process *plugin.Process
+	partial []byte // of a frame
+
+	pendingCalls int  // that are out
+	requests     int  // that began with the process and are not over
+	isRetired    bool // another took its place
 	ended        bool
+	tickTimers   []*timer
 }
 
-func (h *pluginConnection) opened(c gnet.Conn) {
-	p := h.part
-	if h.conn = c; p.config != h.config { // others came meanwhile
-		h.retired = true
-		h.closeIfUnused()
+// opened makes the process the live one, unless another configuration came meanwhile.
+func (c *pluginConnection) opened(conn gnet.Conn) {
+	c.conn = conn
+	if c.part.config != c.config {
+		c.isRetired = true
+		c.closeIfUnused()
 		return
 	}
-	p.retire()
-	for name := range h.config.DropState {
-		if h.config.DropState[name] {
-			for key, value := range p.state[name] {
-				p.stateBytes -= len(key) + len(value)
-			}
-			delete(p.state, name)
-		}
-	}
-	p.live, p.chain = h, h.chain
-	names := make([]string, len(h.chain.Plugins))
-	for i, one := range h.chain.Plugins {
+	c.part.retire()
+	c.part.dropState(c.config)
+	c.part.live = c
+	c.part.chain = c.chain
+	names := make([]string, len(c.chain.Plugins))
+	for i, one := range c.chain.Plugins {
 		names[i] = one.Name
 	}
-	p.server.log.Event("plugins_ready").Str("plugins", strings.Join(names, " ")).Int64("took_ms", h.process.StartupTime.Milliseconds()).
-		Int("process", h.process.Command.Process.Pid).Send()
-	for _, one := range h.chain.Plugins {
-		if !one.Hooks[chain.HookTick] {
-			continue
+	c.server.log.Event("plugins_ready").Str("plugins", strings.Join(names, " ")).
+		Int64("took_ms", c.process.StartupTime.Milliseconds()).Int("process", c.process.Command.Process.Pid).Send()
+	for _, one := range c.chain.Plugins {
+		if one.Hooks[chain.HookTick] {
+			c.startTicks(one)
 		}
-		tick := &timer{}
-		tick.fire = func() {
-			if h.retired || h.ended {
-				return
-			}
-			h.part.server.setTimer(tick, h.part.server.now+one.TickInterval)
-			if w := h.chain.BeginTick(one, h.part.server.now); w != nil {
-				k := &chainEvaluation{connection: h, evaluation: w, point: chain.HookTick, done: func(*chain.Evaluation) {}}
-				if !k.send(one, min(one.CallTimeout, one.TickInterval)) {
-					w.RecordFault(chain.FaultUnavailable, 0, h.part.server.now)
-				}
-			}
+	}
+}
+
+// startTicks calls a plug-in at its interval.
+func (c *pluginConnection) startTicks(ticked *chain.Plugin) {
+	ticks := &timer{}
+	ticks.fire = func() {
+		if c.isRetired || c.ended {
+			return
 		}
-		h.part.server.setTimer(tick, h.part.server.now+one.TickInterval)
-		h.tickTimers = append(h.tickTimers, tick)
+		c.server.setTimer(ticks, c.server.now+ticked.TickInterval)
+		c.tick(ticked)
 	}
+	c.server.setTimer(ticks, c.server.now+ticked.TickInterval)
+	c.tickTimers = append(c.tickTimers, ticks)
 }
 
-// closed: the process ended, or was retired. What it was asked about goes on without it.
-func (h *pluginConnection) closed() {
-	if h.ended {
+// tick calls a plug-in about nothing, unless the chain has it wait.
+func (c *pluginConnection) tick(ticked *chain.Plugin) {
+	evaluation := c.chain.BeginTick(ticked, c.server.now)
+	if evaluation == nil {
 		return
 	}
-	h.ended, h.conn = true, nil
-	p := h.part
-	for _, tick := range h.tickTimers {
-		p.server.stopTimer(tick)
-	}
-	go h.process.Stop()
-	for call, k := range p.calls {
-		if k.connection == h {
-			delete(p.calls, call)
-			h.pendingCalls--
-			p.server.stopTimer(&k.timer)
-			k.failed(chain.FaultProcessDied, 0)
-		}
+	call := &chainEvaluation{
+		connection: c,
+		evaluation: evaluation,
+		hook:       chain.HookTick,
+		done:       func(*chain.Evaluation) {},
 	}
-	if p.live == h || p.config == h.config && !h.retired {
-		if p.live == h {
-			p.live = nil
-		}
-		if countAndSample(&p.exits) {
-			p.server.log.Event("plugin_process_exited").Int("count", p.exits).Send()
+	if !call.send(ticked, min(ticked.CallTimeout, ticked.TickInterval)) {
+		evaluation.RecordFault(chain.FaultUnavailable, 0, c.server.now)
+	}
+}
+
+// closed is called when the process has ended, or is not needed any more. What it was asked about goes on without it.
+func (c *pluginConnection) closed() {
+	if c.ended {
+		return
+	}
+	c.ended = true
+	c.conn = nil
+	for _, ticks := range c.tickTimers {
+		c.server.stopTimer(ticks)
+	}
+	go c.process.Stop() // it waits for the process's end
+	for number, call := range c.part.calls {
+		if call.connection == c {
+			delete(c.part.calls, number)
+			c.pendingCalls--
+			c.server.stopTimer(&call.timer)
+			call.failed(chain.FaultProcessDied, 0)
 		}
-		p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
+	}
+	if c.part.live == c || c.part.config == c.config && !c.isRetired {
+		c.replace()
 	}
 }
 
-// closeIfUnused closes a retired process once nothing is asked there.
-func (h *pluginConnection) closeIfUnused() {
-	if h.retired && h.pendingCalls == 0 && h.requests == 0 {
-		h.closeGracefully()
-		h.closed()
+// replace has another process started in the place of this one, which ended by itself.
+func (c *pluginConnection) replace() {
+	if c.part.live == c {
+		c.part.live = nil
+	}
+	if countAndSample(&c.part.exits) {
+		c.server.log.Event("plugin_process_exited").Int("count", c.part.exits).Send()
 	}
+	c.part.scheduleRestart()
 }
 
-func (h *pluginConnection) receive(data []byte) error {
-	if len(h.partial) > 0 {
-		data = append(h.partial, data...)
+// closeIfUnused ends a retired process once nothing is asked there.
+func (c *pluginConnection) closeIfUnused() {
+	if c.isRetired && c.pendingCalls == 0 && c.requests == 0 {
+		c.closeGracefully()
+		c.closed()
+	}
+}
+
+// receive takes the frames that are whole.
+func (c *pluginConnection) receive(data []byte) error {
+	if len(c.partial) > 0 {
+		data = append(c.partial, data...)
 	}
 	for {
-		f, rest, whole, err := plugin.ParseFrame(data)
+		frame, rest, isWhole, err := plugin.ParseFrame(data)
 		if err != nil {
 			return err
 		}
-		if !whole {
-			h.partial = append(h.partial[:0:0], data...)
+		if !isWhole {
+			c.partial = slices.Clone(data)
 			return nil
 		}
 		data = rest
-		if f.PluginIndex >= len(h.chain.Plugins) {
+		if frame.PluginIndex >= len(c.chain.Plugins) {
 			return errConnectionDone
 		}
-		name := h.chain.Plugins[f.PluginIndex].Name
-		switch f.Kind {
-		case plugin.FrameVerdict:
-			h.onVerdict(f)
-		case plugin.FrameState:
-			if key, value, ok := f.StateEntry(); ok && !h.retired {
-				h.part.keepState(name, key, value)
-			}
-		case plugin.FrameLog:
-			h.part.server.log.Event("plugin_log").Str("name", name).Str("text", string(f.Payload)).Send()
-		case plugin.FrameCounters:
-			h.part.addCounters(name, f.Payload)
+		c.handleFrame(frame)
+	}
+}
+
+func (c *pluginConnection) handleFrame(frame plugin.Frame) {
+	name := c.chain.Plugins[frame.PluginIndex].Name
+	switch frame.Kind {
+	case plugin.FrameVerdict:
+		c.onVerdict(frame)
+	case plugin.FrameState:
+		key, value, isEntry := frame.StateEntry()
+		if isEntry && !c.isRetired {
+			c.part.storeState(name, key, value)
 		}
+	case plugin.FrameLog:
+		c.server.log.Event("plugin_log").Str("name", name).Str("text", string(frame.Payload)).Send()
+	case plugin.FrameCounters:
+		c.part.addCounters(name, frame.Payload)
 	}
 }
 
-func (h *pluginConnection) onVerdict(f plugin.Frame) {
-	p := h.part
-	how, spent, bytes, ok := f.Verdict()
-	k := p.calls[f.CallID]
-	if !ok || k == nil || k.connection != h {
-		p.lateVerdicts++ // it comes late: its work item went on
+// callFaults are the faults that the process tells, by how the call ended.
+var callFaults = map[byte]chain.Fault{
+	plugin.CallTimedOut:   chain.FaultTimeout,
+	plugin.CallTrapped:    chain.FaultTrap,
+	plugin.CallMalformed:  chain.FaultMalformed,
+	plugin.CallNotStarted: chain.FaultUnavailable,
+}
+
+// onVerdict takes the end of a call. One that comes late is passed over: its request went on without it.
+func (c *pluginConnection) onVerdict(frame plugin.Frame) {
+	outcome, spent, encoded, isVerdict := frame.Verdict()
+	call := c.part.calls[frame.CallID]
+	if !isVerdict || call == nil || call.connection != c {
+		c.part.lateVerdicts++
 		return
 	}
-	k.unlink()
-	took := timeunit.Ticks(spent.Microseconds()/100) + 1
-	if how != plugin.CallSucceeded {
-		k.failed(callFaults[how], took)
+	call.unlink()
+	took := ticksOf(spent) + 1
+	if outcome != plugin.CallSucceeded {
+		call.failed(callFaults[outcome], took)
 		return
 	}
-	said, err := abi.ParseVerdict(bytes)
+	parsed, err := abi.ParseVerdict(encoded)
 	if err != nil {
-		k.failed(chain.FaultMalformed, took)
+		call.failed(chain.FaultMalformed, took)
 		return
 	}
-	v := chain.Verdict{Reject: said.Actions&abi.ActionReject != 0, Status: said.Status, Category: -1, HasTag: said.Actions&abi.ActionTag != 0,
-		Tag: said.Tag, Replace: said.Actions&abi.ActionReplace != 0, Body: append([]byte(nil), said.Body...)}
-	if said.Actions&abi.ActionCategorize != 0 {
-		to, known := p.server.config.Settings.CategoryIndex[said.Category]
-		if v.Category = to; !known {
-			v.Category = len(p.categoryNames)
-		}
-	}
-	if fault, wrong, quarantined := k.evaluation.ApplyVerdict(v, took, p.server.now); wrong {
-		k.logQuarantine(quarantined, fault)
-	}
-	k.step()
+	call.applyVerdict(&parsed, took)
 }
 
-// how a call ended, as the process tells it, and what that is.
-var callFaults = map[byte]chain.Fault{plugin.CallTimedOut: chain.FaultTimeout, plugin.CallTrapped: chain.FaultTrap, plugin.CallMalformed: chain.FaultMalformed,
-	plugin.CallNotStarted: chain.FaultUnavailable}
+// applyVerdict gives a verdict to the chain, which checks it, and goes on.
+func (e *chainEvaluation) applyVerdict(parsed *abi.Verdict, took timeunit.Ticks) {
+	part := e.connection.part
+	verdict := chain.Verdict{
+		Reject:   parsed.Actions&abi.ActionReject != 0,
+		Status:   parsed.Status,
+		Category: -1, // as it is
+		HasTag:   parsed.Actions&abi.ActionTag != 0,
+		Tag:      parsed.Tag,
+		Replace:  parsed.Actions&abi.ActionReplace != 0,
+		Body:     append([]byte(nil), parsed.Body...),
+	}
+	if parsed.Actions&abi.ActionCategorize != 0 {
+		verdict.Category = part.categoryIndex(parsed.Category)
+	}
+	fault, isFault, isQuarantined := e.evaluation.ApplyVerdict(verdict, took, part.server.now)
+	if isFault && isQuarantined {
+		e.logQuarantine(fault)
+	}
+	e.step()
+}
+
+// categoryIndex returns a category by its name, or one beyond the last for an unknown name, which the chain refuses.
+func (p *pluginPart) categoryIndex(name string) int {
+	category, known := p.server.config.Settings.CategoryIndex[name]
+	if !known {
+		return len(p.categoryNames)
+	}
+	return category
+}
--- a/internal/server/pluginevaluation.go
+++ b/internal/server/pluginevaluation.go
@@ -8,144 +8,181 @@
 	"thistlequay/timeunit"
 )
 
-const (
-	verdictTransitTime = timeunit.Ticks(20) // that a verdict may take from the process to the loop
-)
+// verdictTransitTime is what a verdict may take from the process to the loop.
+const verdictTransitTime timeunit.Ticks = 20
 
-// chainEvaluation is one walk under way, at a work item or at none.
+// chainEvaluation is the evaluation of a chain under way: for a request, for a result, or at an interval for none.
 type chainEvaluation struct {
-	request    *request
+	request    *request // nil for none
 	connection *pluginConnection
 	evaluation *chain.Evaluation
-	point      chain.Hook
-	plugin     *chain.Plugin
-	call       uint64
-	timer      timer
-	timeLimit  timeunit.Ticks
-	done       func(w *chain.Evaluation)
+	hook       chain.Hook
+	done       func(evaluation *chain.Evaluation)
+
+	// The call that is out.
+	plugin    *chain.Plugin
+	call      uint64
+	timer     timer
+	timeLimit timeunit.Ticks
 }
 
-// attach has a work item that was read end with the plug-ins that it began with.
-func (p *pluginPart) attach(it *request) {
+// attach has a request that was read end with the plug-ins that it began with.
+func (p *pluginPart) attach(attached *request) {
 	if p.chain == nil {
 		return
 	}
-	it.pluginTenant = string(it.tenant)
-	if it.pluginConnection = p.live; it.pluginConnection != nil {
-		it.pluginConnection.requests++
+	attached.pluginTenant = string(attached.tenant)
+	attached.pluginConnection = p.live
+	if p.live != nil {
+		p.live.requests++
 	}
 }
 
-// detach: it is over, or will never be taken.
-func (p *pluginPart) detach(it *request) {
-	if h := it.pluginConnection; h != nil {
-		it.pluginConnection = nil
-		h.requests--
-		h.closeIfUnused()
+// detach is called when a request is over, or will never be admitted.
+func (p *pluginPart) detach(detached *request) {
+	connection := detached.pluginConnection
+	if connection == nil {
+		return
 	}
+	detached.pluginConnection = nil
+	connection.requests--
+	connection.closeIfUnused()
 }
 
-// describe makes what a walk needs to know.
-func (p *pluginPart) describe(it *request) chain.Request {
-	return chain.Request{Category: it.category, Tenant: it.pluginTenant, TimeLeft: max(0, min(it.deadline, p.server.shutdownDeadline)-p.server.now),
-		CategoryFixed: p.server.config.Settings.Categories[it.category].Idempotency != admission.Idempotent}
+// describe makes what the chain needs to know of a request.
+func (p *pluginPart) describe(described *request) chain.Request {
+	settings := p.server.config.Settings
+	deadline := min(described.deadline, p.server.shutdownDeadline)
+	return chain.Request{
+		Category:      described.category,
+		Tenant:        described.pluginTenant,
+		TimeLeft:      max(0, deadline-p.server.now),
+		CategoryFixed: settings.Categories[described.category].Idempotency != admission.Idempotent,
+	}
 }
 
-// evaluateRequest begins the walk of a work item that has been read; false where no plug-in sees it.
-func (p *pluginPart) evaluateRequest(it *request, begin func(), done func(w *chain.Evaluation)) bool {
-	about := p.describe(it)
-	if !p.chain.Applies(chain.HookRead, &about) {
+// appliesTo reports whether a plug-in is to see a request that has been read.
+func (p *pluginPart) appliesTo(read *request) bool {
+	if p.chain == nil {
 		return false
 	}
-	begin()
-	k := &chainEvaluation{request: it, connection: it.pluginConnection, point: chain.HookRead, done: done}
-	if k.connection == nil { // no process is there: the walk passes over all as their settings say
-		k.connection = &pluginConnection{part: p, chain: p.chain, ended: true}
+	description := p.describe(read)
+	return p.chain.Applies(chain.HookRead, &description)
+}
+
+// evaluateRequest shows a request to the plug-ins; done is called when they are through, at once or later.
+func (p *pluginPart) evaluateRequest(read *request, done func(evaluation *chain.Evaluation)) {
+	connection := read.pluginConnection
+	if connection == nil { // no process is there: the chain passes over all plug-ins as their policies say
+		connection = &pluginConnection{part: p, chain: p.chain, ended: true}
 	}
-	k.evaluation = k.connection.chain.Begin(chain.HookRead, about, nil, p.server.now)
-	k.step()
-	return true
+	started := &chainEvaluation{request: read, connection: connection, hook: chain.HookRead, done: done}
+	started.evaluation = connection.chain.Begin(chain.HookRead, p.describe(read), nil, p.server.now)
+	started.step()
 }
 
-// evaluateResult begins the walk of a result that is to be answered; false where no plug-in sees it.
-func (p *pluginPart) evaluateResult(it *request, result []byte, done func(w *chain.Evaluation)) bool {
-	h := it.pluginConnection
-	if h == nil || it.router == nil && it.entry == nil {
+// evaluateResult shows a result that is to be answered to the plug-ins, and reports whether one is to see it.
+func (p *pluginPart) evaluateResult(ran *request, result []byte, done func(evaluation *chain.Evaluation)) bool {
+	connection := ran.pluginConnection
+	isWanted := ran.router != nil || ran.entry != nil
+	if connection == nil || !isWanted {
 		return false
 	}
-	about := p.describe(it)
-	if !h.chain.Applies(chain.HookResult, &about) {
+	description := p.describe(ran)
+	if !connection.chain.Applies(chain.HookResult, &description) {
 		return false
 	}
-	k := &chainEvaluation{request: it, connection: h, point: chain.HookResult, done: done, evaluation: h.chain.Begin(chain.HookResult, about, result, p.server.now)}
-	k.step()
+	started := &chainEvaluation{request: ran, connection: connection, hook: chain.HookResult, done: done}
+	started.evaluation = connection.chain.Begin(chain.HookResult, description, result, p.server.now)
+	started.step()
 	return true
 }
 
-// step asks the next plug-in, or ends the walk.
-func (k *chainEvaluation) step() {
-	a := k.connection.part.server
+// step calls the next plug-in, or ends the evaluation.
+func (e *chainEvaluation) step() {
+	s := e.connection.part.server
 	for {
-		one, within := k.evaluation.Next(a.now)
-		if one == nil {
-			k.done(k.evaluation)
-			k.connection.closeIfUnused()
+		next, timeLimit := e.evaluation.Next(s.now)
+		if next == nil {
+			e.done(e.evaluation)
+			e.connection.closeIfUnused()
 			return
 		}
-		if k.send(one, within) {
+		if e.send(next, timeLimit) {
 			return
 		}
-		k.evaluation.RecordFault(chain.FaultUnavailable, 0, a.now)
+		e.evaluation.RecordFault(chain.FaultUnavailable, 0, s.now)
 	}
 }
 
-// send asks one plug-in; false where that can't be.
-func (k *chainEvaluation) send(one *chain.Plugin, within timeunit.Ticks) bool {
-	h := k.connection
-	p := h.part
-	if h.ended || h.conn == nil || len(p.calls) >= maxPluginCalls {
+// send calls a plug-in and reports whether that could be done.
+func (e *chainEvaluation) send(called *chain.Plugin, timeLimit timeunit.Ticks) bool {
+	connection := e.connection
+	part := connection.part
+	if connection.ended || connection.conn == nil || len(part.calls) >= maxPluginCalls {
 		return false
 	}
-	q := abi.Request{Hook: int(k.point), UnixMS: int64(p.server.now / 10)}
-	if it := k.request; it != nil {
-		about := k.evaluation.Request()
-		q.TimeLeftMS, q.Category, q.Tenant, q.Tag = uint32(about.TimeLeft/10), p.categoryNames[it.category], about.Tenant, it.tag
-		if q.Body = it.body; k.point == chain.HookResult {
-			q.Body = k.evaluation.Body
-		}
-		if k.evaluation.Tag != "" {
-			q.Tag = k.evaluation.Tag
-		}
+	part.lastCall++
+	e.plugin = called
+	e.call = part.lastCall
+	e.timeLimit = timeLimit
+	part.calls[e.call] = e
+	connection.pendingCalls++
+	e.timer.fire = e.onTimeout
+	part.server.setTimer(&e.timer, part.server.now+timeLimit+verdictTransitTime)
+	question := e.question()
+	encoded := question.Append(part.frameBuffer[:0])
+	connection.output = plugin.AppendCall(
+		connection.buffer(), called.Index, int(e.hook), e.call, int64(timeLimit), encoded)
+	return true
+}
+
+// question returns what the plug-in is asked.
+func (e *chainEvaluation) question() abi.Request {
+	part := e.connection.part
+	question := abi.Request{Hook: int(e.hook), UnixMS: milliseconds(part.server.now)}
+	if e.request == nil {
+		return question
 	}
-	p.lastCall++
-	k.plugin, k.call, k.timeLimit = one, p.lastCall, within
-	p.calls[k.call] = k
-	h.pendingCalls++
-	k.timer.fire = func() {
-		k.unlink()
-		k.failed(chain.FaultTimeout, k.timeLimit)
+	description := e.evaluation.Request()
+	question.TimeLeftMS = uint32(milliseconds(description.TimeLeft))
+	question.Category = part.categoryNames[e.request.category]
+	question.Tenant = description.Tenant
+	question.Tag = e.request.tag
+	if e.evaluation.Tag != "" {
+		question.Tag = e.evaluation.Tag
 	}
-	p.server.setTimer(&k.timer, p.server.now+within+verdictTransitTime)
-	h.outputBuffer.output = plugin.AppendCall(h.buffer(), one.Index, int(k.point), k.call, int64(within), q.Append(p.frameBuffer[:0]))
-	return true
+	question.Body = e.request.body
+	if e.hook == chain.HookResult {
+		question.Body = e.evaluation.Body
+	}
+	return question
 }
 
 // unlink: the call is out no more.
-func (k *chainEvaluation) unlink() {
-	p := k.connection.part
-	delete(p.calls, k.call)
-	k.connection.pendingCalls--
-	p.server.stopTimer(&k.timer)
+func (e *chainEvaluation) unlink() {
+	part := e.connection.part
+	delete(part.calls, e.call)
+	e.connection.pendingCalls--
+	part.server.stopTimer(&e.timer)
 }
 
-func (k *chainEvaluation) failed(f chain.Fault, took timeunit.Ticks) {
-	k.logQuarantine(k.evaluation.RecordFault(f, took, k.connection.part.server.now), f)
-	k.step()
+func (e *chainEvaluation) onTimeout() {
+	e.unlink()
+	e.failed(chain.FaultTimeout, e.timeLimit)
 }
 
-func (k *chainEvaluation) logQuarantine(quarantined bool, f chain.Fault) {
-	if a := k.connection.part.server; quarantined {
-		a.log.Event("plugin_quarantined").Str("name", k.plugin.Name).Str("fault", chain.FaultNames[f]).
-			Int64("wait_ms", int64((k.plugin.QuarantineEnd()-a.now)/10)).Send()
+// failed records that the call came to nothing after so long, and goes on.
+func (e *chainEvaluation) failed(fault chain.Fault, took timeunit.Ticks) {
+	if e.evaluation.RecordFault(fault, took, e.connection.part.server.now) {
+		e.logQuarantine(fault)
 	}
+	e.step()
+}
+
+// logQuarantine logs that the plug-in is not called for a while.
+func (e *chainEvaluation) logQuarantine(fault chain.Fault) {
+	s := e.connection.part.server
+	s.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", chain.FaultNames[fault]).
+		Int64("wait_ms", milliseconds(e.plugin.QuarantineEnd()-s.now)).Send()
 }
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -1,188 +1,244 @@
 package server
 
 import (
-	"context"
 	"encoding/json"
 	"maps"
 	"slices"
-	"thistlequay/internal/plugin"
-	"thistlequay/internal/plugin/chain"
 
-	"github.com/panjf2000/gnet/v2"
 	"github.com/rs/zerolog"
+
+	"thistlequay/internal/plugin"
+	"thistlequay/internal/plugin/chain"
 )
 
+// Bounds on what plug-ins may take.
 const (
-	maxPluginCalls      = 256 // calls out at once
-	maxRetiredProcesses = 4   // processes that wait for the last work item that began with them
-	maxPluginCounters   = 64
-	maxPluginStateBytes = 1 << 20 // bytes of all plug-ins' memories that are kept here for the next process
+	maxPluginCalls      = 256     // that are out at once
+	maxRetiredProcesses = 4       // that wait for the last request that began with them
+	maxPluginCounters   = 64      // of all plug-ins
+	maxPluginStateBytes = 1 << 20 // of what all plug-ins store here for the next process
 )
 
-// Plugins is a process that is ready and what its plug-ins may do, in its order.
+// Plugins is a process of plug-ins that is ready, and what they may do.
 type Plugins struct {
-	Process   *plugin.Process
-	Grants    []chain.Policy
-	DropState map[string]bool                                                  // plug-ins whose memory does not pass to this version
-	Start     func(kept map[string]map[string][]byte) (*plugin.Process, error) // another such process; may take its time
+	// Process is the process.
+	Process *plugin.Process
+
+	// Grants are the plug-ins' policies, in the order of the chain.
+	Grants []chain.Policy
+
+	// DropState names plug-ins whose stored state does not pass to this version of them.
+	DropState map[string]bool
+
+	// Start starts another such process with what plug-ins have stored, by plug-in and key. It may take its time: it is
+	// called off the loop.
+	Start func(state map[string]map[string][]byte) (*plugin.Process, error)
 }
 
+// pluginPart shows requests and results to plug-ins, which run in a process of their own. It must never wait for a
+// plug-in, act on a verdict that the chain did not accept, or keep a request longer than the chain allows.
 type pluginPart struct {
-	server        *Server
-	categoryNames []string // of categories
-	frameBuffer   []byte   // that requests are written in
-	retired       []*pluginConnection
-	live          *pluginConnection // that new walks are asked at
-	config        *Plugins
-	chain         *chain.Chain // of the terms, also while no process is there
-	calls         map[uint64]*chainEvaluation
+	partDefaults
+	server  *Server
+	config  *Plugins            // nil where there are none
+	chain   *chain.Chain        // of config, also while no process is there; nil where there are none
+	live    *pluginConnection   // the process that new requests begin with; nil while there is none
+	retired []*pluginConnection // that others took the place of
+
+	calls         map[uint64]*chainEvaluation // that are out, by number
 	lastCall      uint64
-	state         map[string]map[string][]byte
-	stateBytes    int
-	counters      map[string]int64
-	lateVerdicts  int // late verdicts
-	exits         int
-	restartTimer  timer
-	backoff       backoff
+	frameBuffer   []byte   // in which requests are encoded
+	categoryNames []string // by category
+
+	state      map[string]map[string][]byte // that plug-ins store, by plug-in and key
+	stateBytes int
+
+	exits        int // processes that ended by themselves
+	restartTimer timer
+	backoff      backoff
+	counters     map[string]int64 // that plug-ins count, for the log
+	lateVerdicts int
 }
 
-func (p *pluginPart) start(a *Server) {
-	p.server, p.calls, p.state, p.counters = a, map[uint64]*chainEvaluation{}, map[string]map[string][]byte{}, map[string]int64{}
-	p.restartTimer.fire, p.frameBuffer = p.restart, make([]byte, 0, plugin.MaxFrameSize)
-	p.categoryNames = make([]string, len(a.config.Settings.Categories))
-	for name, i := range a.config.Settings.CategoryIndex {
-		p.categoryNames[i] = name
+func (p *pluginPart) init(s *Server) {
+	p.server = s
+	p.calls = map[uint64]*chainEvaluation{}
+	p.state = map[string]map[string][]byte{}
+	p.counters = map[string]int64{}
+	p.restartTimer.fire = p.restart
+	p.frameBuffer = make([]byte, 0, plugin.MaxFrameSize)
+	p.categoryNames = make([]string, len(s.config.Settings.Categories))
+	for name, category := range s.config.Settings.CategoryIndex {
+		p.categoryNames[category] = name
+	}
+}
+
+func (p *pluginPart) isEnabled() bool { return p.server.config.Plugins != nil }
+
+func (p *pluginPart) start() { p.adopt(p.server.config.Plugins) }
+
+// reconfigure adopts new plug-ins. The pointer is the same where nothing about them changed.
+func (p *pluginPart) reconfigure(next *Config) {
+	if next.Plugins != p.server.config.Plugins {
+		p.server.config.Plugins = next.Plugins
+		p.adopt(next.Plugins)
 	}
 }
 
 // adopt has a process take the place of the one before, once the loop speaks with it: until then the old one is asked.
-// Walks under way end where they began.
-func (p *pluginPart) adopt(t *Plugins) {
-	if p.config = t; t == nil {
+// Evaluations under way end where they began.
+func (p *pluginPart) adopt(config *Plugins) {
+	p.config = config
+	if config == nil {
 		p.retire()
 		p.chain = nil
 		return
 	}
-	fresh := func(name string) bool { return t.DropState[name] }
-	pluginChain := chain.New(t.Grants, p.chain, fresh, p.server.random, p.server.now)
+	dropsState := func(name string) bool { return config.DropState[name] }
+	adopted := chain.New(config.Grants, p.chain, dropsState, p.server.random, p.server.now)
 	if p.live == nil { // nobody is asked meanwhile
-		p.chain = pluginChain
+		p.chain = adopted
 	}
-	p.enrol(t, pluginChain)
+	p.connect(config, adopted)
 }
 
-// retire has no new work item begin with the live process.
+// retire has no new request begin with the live process.
 func (p *pluginPart) retire() {
 	old := p.live
-	if p.live = nil; old == nil {
+	p.live = nil
+	if old == nil {
 		return
 	}
-	old.retired = true
-	p.retired = append(slices.DeleteFunc(p.retired, func(h *pluginConnection) bool { return h.ended }), old)
-	if old.closeIfUnused(); len(p.retired) > maxRetiredProcesses { // what began with the oldest goes on without it
+	old.isRetired = true
+	p.retired = slices.DeleteFunc(p.retired, func(other *pluginConnection) bool { return other.ended })
+	p.retired = append(p.retired, old)
+	old.closeIfUnused()
+	if len(p.retired) > maxRetiredProcesses { // what began with the oldest goes on without it
 		p.retired[0].closeGracefully()
 		p.retired[0].closed()
 	}
 }
 
-// enrol has the loop speak with a process.
-func (p *pluginPart) enrol(t *Plugins, pluginChain *chain.Chain) {
-	h := &pluginConnection{part: p, config: t, chain: pluginChain, process: t.Process}
-	h.outputBuffer = outputBuffer{server: p.server, maxUnread: maxUnreadPerLink}
-	go func() {
-		enrolled, err := p.server.loop.Enroll(gnet.NewContext(context.Background(), h), h.process.Conn)
-		if err == nil {
-			err = (<-enrolled).Err
-		}
-		if err != nil {
-			p.server.submit(func() { h.closed() })
+// connect has the loop speak with a process.
+func (p *pluginPart) connect(config *Plugins, pluginChain *chain.Chain) {
+	connection := &pluginConnection{
+		outputBuffer: outputBuffer{server: p.server, maxUnread: maxUnreadPerLink},
+		part:         p,
+		config:       config,
+		chain:        pluginChain,
+		process:      config.Process,
+	}
+	go func() { // ends once the loop has the connection
+		if err := p.server.enroll(connection.process.Conn, connection); err != nil {
+			p.server.submit(connection.closed)
 		}
 	}()
 }
 
-// restart has another process begun beside the loop.
+// restart starts another process off the loop.
 func (p *pluginPart) restart() {
-	t, kept := p.config, p.snapshot()
-	if t == nil {
+	config := p.config
+	state := p.snapshot()
+	if config == nil {
 		return
 	}
-	go func() {
-		process, err := t.Start(kept)
-		p.server.submit(func() {
-			switch {
-			case p.config != t || p.live != nil: // other terms came meanwhile
-				if err == nil {
-					go process.Stop()
-				}
-			case err != nil:
-				p.server.log.Event("plugin_restart_failed").Str("reason", err.Error()).Send()
-				p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
-			default:
-				t.Process = process
-				p.enrol(t, p.chain)
-			}
-		})
+	go func() { // ends once the process is ready, or was refused
+		process, err := config.Start(state)
+		p.server.submit(func() { p.onRestarted(config, process, err) })
 	}()
 }
 
-// snapshot copies what plug-ins keep.
+func (p *pluginPart) onRestarted(config *Plugins, process *plugin.Process, err error) {
+	isOutdated := p.config != config || p.live != nil // another configuration came meanwhile
+	switch {
+	case isOutdated && err == nil:
+		go process.Stop() // it waits for the process's end
+	case isOutdated:
+	case err != nil:
+		p.server.log.Event("plugin_restart_failed").Str("reason", err.Error()).Send()
+		p.scheduleRestart()
+	default:
+		config.Process = process
+		p.connect(config, p.chain)
+	}
+}
+
+func (p *pluginPart) scheduleRestart() {
+	p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
+}
+
+// snapshot copies what plug-ins have stored. Values are replaced, never changed, and need no copy.
 func (p *pluginPart) snapshot() map[string]map[string][]byte {
 	all := map[string]map[string][]byte{}
 	for name, values := range p.state {
-		all[name] = map[string][]byte{}
-		for key, value := range values {
-			all[name][key] = value // replaced, never changed
-		}
+		all[name] = maps.Clone(values)
 	}
 	return all
 }
 
-// keepState holds what a plug-in wants kept, for the process after this one.
-func (p *pluginPart) keepState(name, key string, value []byte) {
-	of := p.state[name]
-	if of == nil {
-		of = map[string][]byte{}
-		p.state[name] = of
+// storeState takes what a plug-in stores for the process after this one; an empty value deletes. What is beyond the
+// bound is not stored.
+func (p *pluginPart) storeState(name, key string, value []byte) {
+	values := p.state[name]
+	if values == nil {
+		values = map[string][]byte{}
+		p.state[name] = values
 	}
-	if before, had := of[key]; had {
+	if before, existed := values[key]; existed {
 		p.stateBytes -= len(key) + len(before)
-		delete(of, key)
+		delete(values, key)
 	}
-	if len(value) > 0 && p.stateBytes+len(key)+len(value) <= maxPluginStateBytes {
-		p.stateBytes += len(key) + len(value)
-		of[key] = append([]byte(nil), value...)
+	size := len(key) + len(value)
+	if len(value) > 0 && p.stateBytes+size <= maxPluginStateBytes {
+		p.stateBytes += size
+		values[key] = slices.Clone(value)
+	}
+}
+
+// dropState forgets what the plug-ins stored that the configuration names.
+func (p *pluginPart) dropState(config *Plugins) {
+	for name, isDropped := range config.DropState {
+		if !isDropped {
+			continue
+		}
+		for key, value := range p.state[name] {
+			p.stateBytes -= len(key) + len(value)
+		}
+		delete(p.state, name)
 	}
 }
 
+// addCounters takes what a plug-in counted since it last said so, as a JSON object. What is none is passed over.
 func (p *pluginPart) addCounters(name string, text []byte) {
-	var moved map[string]int64
-	if json.Unmarshal(text, &moved) != nil {
+	var increments map[string]int64
+	if json.Unmarshal(text, &increments) != nil {
 		return
 	}
-	for counter, by := range moved {
-		if key := name + "." + counter; len(p.counters) < maxPluginCounters || p.counters[key] != 0 {
-			p.counters[key] += by
+	for counter, increment := range increments {
+		key := name + "." + counter
+		if len(p.counters) < maxPluginCounters || p.counters[key] != 0 {
+			p.counters[key] += increment
 		}
 	}
 }
 
-// logState adds how plug-ins do to the line on the state.
-func (p *pluginPart) logState(e *zerolog.Event) {
+func (p *pluginPart) addState(event *zerolog.Event) {
 	if p.chain == nil {
 		return
 	}
-	calls, bad, off := 0, 0, 0
+	calls, faults, inactive := 0, 0, 0
 	for _, one := range p.chain.Plugins {
 		calls += one.Calls
-		for _, n := range one.Faults {
-			bad += n
+		for _, count := range one.Faults {
+			faults += count
 		}
 		if one.State != chain.StateActive {
-			off++
+			inactive++
 		}
 	}
-	e.Int("plugin_calls", calls).Int("plugin_faults", bad).Int("plugins_quarantined", off).Int("plugin_verdicts_late", p.lateVerdicts)
+	event.Int("plugin_calls", calls).Int("plugin_faults", faults).Int("plugins_quarantined", inactive).
+		Int("plugin_verdicts_late", p.lateVerdicts)
 	for _, key := range slices.Sorted(maps.Keys(p.counters)) {
-		e.Int64(key, p.counters[key])
+		event.Int64(key, p.counters[key])
 	}
 }
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -2,43 +2,53 @@
 
 import (
 	"reflect"
-	"slices"
 	"strings"
 )
 
-// reconfigure takes up the addresses of a new configuration. What a running server can't change is said, and stays.
-func (a *Server) reconfigure(p Config) {
-	var kept []string
-	for name, differs := range map[string]bool{"name": p.Name != a.config.Name, "listen": p.Listen != a.config.Listen,
-		"stop_ms": p.ShutdownTimeout != a.config.ShutdownTimeout, "sockets": p.MaxSockets != a.config.MaxSockets,
-		"store":    p.Recovery != a.config.Recovery,
-		"peers":    p.Gossip != a.config.Gossip,
-		"settings": !reflect.DeepEqual(p.Settings.Config, a.config.Settings.Config)} {
-		if differs {
-			kept = append(kept, name)
-		}
-	}
-	slices.Sort(kept)
-	a.log.Event("configuration_read").Str("name", a.config.Name).Str("interpreter", p.Interpreter).Str("index", p.Index).
-		Str("directory", p.Directory).Str("requires_restart", strings.Join(kept, " ")).Send()
-	before := a.config
-	a.config.Interpreter, a.config.Index, a.config.Directory = p.Interpreter, p.Index, p.Directory
-	if !reflect.DeepEqual(p.FairQueue, before.FairQueue) {
-		a.config.FairQueue = p.FairQueue
-		a.configureFairQueue()
+// reconfigure takes up a new configuration. What a running server can't change is logged and stays as it was.
+func (s *Server) reconfigure(next Config) {
+	s.log.Event("configuration_read").Str("name", s.config.Name).Str("interpreter", next.Interpreter).
+		Str("index", next.Index).Str("directory", next.Directory).
+		Str("requires_restart", strings.Join(s.fixedChanges(&next), " ")).Send()
+	before := s.config
+	s.config.Interpreter = next.Interpreter
+	s.config.Index = next.Index
+	s.config.Directory = next.Directory
+	s.config.Tenancy = next.Tenancy
+	for _, optional := range s.optionalParts() {
+		optional.reconfigure(&next)
 	}
-	a.config.Tenancy = p.Tenancy
-	if p.Plugins != before.Plugins { // the same where nothing about them changed
-		a.config.Plugins = p.Plugins
-		a.plugins.adopt(p.Plugins)
+	s.collectParts()
+	if before.Interpreter != next.Interpreter {
+		s.interpreter.reconnect()
 	}
-	if before.Interpreter != p.Interpreter {
-		a.interpreter.reconnect()
+	if before.Index != next.Index {
+		s.index.reconnect()
 	}
-	if before.Index != p.Index {
-		a.index.reconnect()
+	if before.Directory != next.Directory {
+		s.directory.reconnect()
 	}
-	if before.Directory != p.Directory {
-		a.directory.reconnect()
+}
+
+// fixedChanges returns what the new configuration would change that a running server can't, by the names of the
+// configuration file, sorted.
+func (s *Server) fixedChanges(next *Config) []string {
+	var names []string
+	for _, setting := range []struct {
+		name    string
+		differs bool
+	}{
+		{"listen", next.Listen != s.config.Listen},
+		{"name", next.Name != s.config.Name},
+		{"peers", next.Gossip != s.config.Gossip},
+		{"settings", !reflect.DeepEqual(next.Settings.Config, s.config.Settings.Config)},
+		{"sockets", next.MaxSockets != s.config.MaxSockets},
+		{"stop_ms", next.ShutdownTimeout != s.config.ShutdownTimeout},
+		{"store", next.Recovery != s.config.Recovery},
+	} {
+		if setting.differs {
+			names = append(names, setting.name)
+		}
 	}
+	return names
 }
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -1,231 +1,314 @@
 package server
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/json"
-	"thistlequay/admission"
-	"thistlequay/internal/recovery"
-	"thistlequay/internal/segmentlog"
-	"thistlequay/timeunit"
+	"errors"
 	"time"
 
 	"github.com/rs/zerolog"
 	"github.com/zeebo/xxh3"
+
+	"thistlequay/admission"
+	"thistlequay/internal/recovery"
+	"thistlequay/internal/segmentlog"
+	"thistlequay/timeunit"
 )
 
-// answerMargin is how much before its due time a work item is answered that still waits for the disk.
+// answerMargin is how much before its deadline a request is answered that still waits for the disk.
 const answerMargin = second / 50
 
-// Recovery is a store that is open.
+// attemptClockShift: attempts are numbered from the clock's time, shifted by so many bits, on, so that those of other
+// lives of the server have other numbers.
+const attemptClockShift = 20
+
+// Recovery is an open recovery log.
 type Recovery struct {
-	Store     *segmentlog.Log
-	OnDurable func(func(done []segmentlog.WriteResult)) // has the writer call this
+	// Store is the log.
+	Store *segmentlog.Log
+
+	// OnDurable has the log's writer call a function with the writes that it is through with.
+	OnDurable func(func(done []segmentlog.WriteResult))
 }
 
+// recoveryPart writes down what requests with an idempotency key are about to do and have done, and takes up what an
+// earlier life of the server wrote. It must never let one run whose intent is not durable, nor wait for the disk.
 type recoveryPart struct {
-	server         *Server
-	store          *segmentlog.Log
-	pending        map[uint64]*request // for their intents, by tag
-	lastAttempt    uint64
-	closing        bool
-	doubtUntil     timeunit.Ticks // stamped work items that nothing is known of are declined until then
-	rejectedFull   int            // declined as there was no room
-	rejectedLate   int            // or their intents were not written in time
-	rejectedFailed int            // or the disk could not be written
-	rejectedDoubt  int            // or something may have been lost
-}
-
-// start takes up what the store concluded.
-func (k *recoveryPart) start(a *Server, l *Recovery) {
-	k.server, k.pending = a, map[uint64]*request{}
-	if l == nil {
+	partDefaults
+	server      *Server
+	log         *segmentlog.Log     // nil where nothing outlives the process
+	pending     map[uint64]*request // that wait for their intents, by attempt
+	lastAttempt uint64
+	isClosing   bool
+	doubtUntil  timeunit.Ticks // requests that nothing is known of are rejected until then
+
+	// Requests rejected, by reason.
+	rejectedFull   int // no room in the log
+	rejectedLate   int // the intent was not written in time
+	rejectedFailed int // the disk could not be written
+	rejectedDoubt  int // records may have been lost
+}
+
+// init takes up what the log holds of earlier lives.
+func (p *recoveryPart) init(s *Server, config *Recovery) {
+	p.server = s
+	p.pending = map[uint64]*request{}
+	if config == nil {
 		return
 	}
-	k.store, k.doubtUntil = l.Store, l.Store.RejectUntil
-	k.lastAttempt = uint64(a.clock.now()) << 20 // tries of other lives have other numbers
-	longest := timeunit.Ticks(maxClockSkewMs * 10)
-	for _, c := range a.config.Settings.Categories {
-		longest = max(longest, c.Deadline+maxClockSkewMs*10)
+	p.log = config.Store
+	p.doubtUntil = p.log.RejectUntil
+	p.lastAttempt = uint64(s.clock.now()) << attemptClockShift
+	config.OnDurable(func(done []segmentlog.WriteResult) { s.submit(func() { p.onDurable(done) }) })
+	longest := p.longestUnread()
+	for i := range p.log.Outcomes {
+		p.restoreEntry(&p.log.Outcomes[i], longest)
+	}
+}
+
+func (p *recoveryPart) isEnabled() bool { return p.log != nil }
+
+// longestUnread is how long after its window a repeat may still lie unread.
+func (p *recoveryPart) longestUnread() timeunit.Ticks {
+	longest := maxClockSkew
+	for _, category := range p.server.config.Settings.Categories {
+		longest = max(longest, category.Deadline+maxClockSkew)
 	}
-	l.OnDurable(func(done []segmentlog.WriteResult) { a.submit(func() { k.onDurable(done) }) })
-	for _, f := range l.Store.Outcomes {
-		m := &idempotencyEntry{key: f.Key, bodyHash: f.BodyHash, ran: true, ended: true, succeeded: f.Completed && f.Succeeded, result: f.Result, matchUntil: f.WindowEnd}
-		m.expiryTimer.fire = func() { a.requests.removeEntry(m) }
-		a.requests.entries[f.Key] = m
-		a.setTimer(&m.expiryTimer, m.matchUntil+longest)
+	return longest
+}
+
+// restoreEntry adds the idempotency entry of an earlier life.
+func (p *recoveryPart) restoreEntry(outcome *recovery.Outcome, longest timeunit.Ticks) {
+	entry := &idempotencyEntry{
+		key:        outcome.Key,
+		bodyHash:   outcome.BodyHash,
+		ran:        true,
+		ended:      true,
+		succeeded:  outcome.Completed && outcome.Succeeded,
+		result:     outcome.Result,
+		matchUntil: outcome.WindowEnd,
 	}
+	entry.expiryTimer.fire = func() { p.server.requests.removeEntry(entry) }
+	p.server.requests.entries[outcome.Key] = entry
+	p.server.setTimer(&entry.expiryTimer, entry.matchUntil+longest)
 }
 
-// restoredEntries is how many stamps an earlier life left.
-func (k *recoveryPart) restoredEntries() int {
-	if k.store == nil {
+// restoredEntries returns how many entries an earlier life left.
+func (p *recoveryPart) restoredEntries() int {
+	if p.log == nil {
 		return 0
 	}
-	return len(k.store.Outcomes)
+	return len(p.log.Outcomes)
 }
 
-// writeIntent has the intent of a stamped work item written; false where none is needed, and the work item goes on at once.
-// Without a place for it, it is declined before its run.
-func (k *recoveryPart) writeIntent(it *request, tenant []byte) bool {
-	t := &k.server.requests
-	key := t.idempotencyKey(it)
-	if k.store == nil || key == "" {
+// writeIntent has the intent of a request with an idempotency key written, or rejects the request where that can't be
+// done. It returns false where no intent is needed, and the request goes on at once.
+func (p *recoveryPart) writeIntent(intended *request, tenant []byte) bool {
+	if p.log == nil {
 		return false
 	}
-	if before := t.existingEntry(it); before != nil && before.ran {
+	key := p.server.requests.idempotencyKey(intended)
+	if key == "" {
+		return false
+	}
+	existing := p.server.requests.existingEntry(intended)
+	maxRetryAfter := p.server.config.Settings.MaxRetryAfter
+	switch {
+	case existing != nil && existing.ran:
 		return false // it repeats what ran
-	} else if k.closing {
-		k.reject(it, &k.rejectedFull, "closing", k.server.config.Settings.MaxRetryAfter)
+	case p.isClosing:
+		p.reject(intended, &p.rejectedFull, "closing", maxRetryAfter)
 		return true
-	} else if before == nil && k.doubtUntil > k.server.now {
-		k.reject(it, &k.rejectedDoubt, "doubt", k.doubtUntil-k.server.now)
+	case existing == nil && p.doubtUntil > p.server.now:
+		p.reject(intended, &p.rejectedDoubt, "doubt", p.doubtUntil-p.server.now)
 		return true
 	}
-	k.lastAttempt++
-	until := it.receivedAt + k.server.clock.systemOffset + k.server.config.Settings.Categories[it.category].DeduplicationWindow + k.server.requests.windowMargin()
-	err := k.store.AppendIntent(recovery.Record{Key: key, BodyHash: sha256.Sum256(it.body), WindowEnd: until, Attempt: k.lastAttempt}, k.lastAttempt)
+	p.lastAttempt++
+	windowEnd := p.windowEnd(intended)
+	record := recovery.Record{
+		Key:       key,
+		BodyHash:  sha256.Sum256(intended.body),
+		WindowEnd: windowEnd,
+		Attempt:   p.lastAttempt,
+	}
+	err := p.log.AppendIntent(record, p.lastAttempt)
 	switch {
-	case err == segmentlog.ErrFull:
-		k.reject(it, &k.rejectedFull, "full", k.server.config.Settings.MaxRetryAfter)
-		return true
+	case errors.Is(err, segmentlog.ErrFull):
+		p.reject(intended, &p.rejectedFull, "full", maxRetryAfter)
 	case err != nil:
-		k.reject(it, &k.rejectedFailed, err.Error(), k.server.config.Settings.MaxRetryAfter)
-		return true
+		p.reject(intended, &p.rejectedFailed, err.Error(), maxRetryAfter)
+	default:
+		p.await(intended, tenant, windowEnd)
 	}
-	it.tenant, it.key = append([]byte(nil), tenant...), append([]byte(nil), it.key...) // a buffer is used again
-	it.intentUntil, it.attempt = until, k.lastAttempt
-	k.pending[k.lastAttempt] = it
-	it.intentTimer.fire = func() { k.onIntentTimeout(it) }
-	k.server.setTimer(&it.intentTimer, k.answerDeadline(it))
-	k.server.admission.ReserveMemory(it.arrival.QueuedKB)
 	return true
 }
 
-// answerDeadline is when a work item that waits for its intent must be answered all the same.
-func (k *recoveryPart) answerDeadline(it *request) timeunit.Ticks {
-	return max(k.server.now, min(it.deadline, k.server.shutdownDeadline)-answerMargin)
+// windowEnd is until when attempts repeat a request, by the system's clock, which outlives the process.
+func (p *recoveryPart) windowEnd(intended *request) timeunit.Ticks {
+	window := p.server.config.Settings.Categories[intended.category].DeduplicationWindow
+	receivedAt := intended.receivedAt + p.server.clock.systemOffset
+	return receivedAt + window + p.server.requests.windowMargin()
+}
+
+// await keeps a request until its intent is durable. Its memory counts meanwhile.
+func (p *recoveryPart) await(intended *request, tenant []byte, windowEnd timeunit.Ticks) {
+	intended.tenant = bytes.Clone(tenant) // the parser's buffer is used again
+	intended.key = bytes.Clone(intended.key)
+	intended.intentUntil = windowEnd
+	intended.attempt = p.lastAttempt
+	p.pending[p.lastAttempt] = intended
+	intended.intentTimer.fire = func() { p.onIntentTimeout(intended) }
+	p.server.setTimer(&intended.intentTimer, p.answerDeadline(intended))
+	p.server.admission.ReserveMemory(intended.arrival.QueuedKB)
+}
+
+// answerDeadline is when a request that waits for its intent must be answered all the same.
+func (p *recoveryPart) answerDeadline(waiting *request) timeunit.Ticks {
+	deadline := min(waiting.deadline, p.server.shutdownDeadline)
+	return max(p.server.now, deadline-answerMargin)
 }
 
-// onIntentTimeout: the disk did not come back in time. It is declined, and its intent taken back once it is there.
-func (k *recoveryPart) onIntentTimeout(it *request) {
-	k.logRejection(&k.rejectedLate, "late")
-	it.respond("503 Declined", "", nil)
+// onIntentTimeout rejects a request whose intent the disk did not take in time. The intent is taken back once it is
+// there.
+func (p *recoveryPart) onIntentTimeout(waiting *request) {
+	p.logRejection(&p.rejectedLate, "late")
+	waiting.respond(statusRejected, "", nil)
 }
 
-// onDrain: what waits must be answered before the stop.
-func (k *recoveryPart) onDrain() {
-	for _, it := range k.pending {
-		if it.intentTimer.heapPosition > 0 {
-			k.server.setTimer(&it.intentTimer, k.answerDeadline(it))
+// drain has what waits for the disk answered before the shutdown ends, and saves what admission has learned.
+func (p *recoveryPart) drain() {
+	for _, waiting := range p.pending {
+		if waiting.intentTimer.isSet() {
+			p.server.setTimer(&waiting.intentTimer, p.answerDeadline(waiting))
 		}
 	}
+	p.saveWarmStart()
 }
 
-func (k *recoveryPart) reject(it *request, count *int, why string, away timeunit.Ticks) {
-	k.logRejection(count, why)
-	k.server.requests.remove(it)
-	it.respond("503 Declined", backOffFor(min(away, k.server.config.Settings.MaxRetryAfter)), nil)
+// reject answers a request that the log has no place for.
+func (p *recoveryPart) reject(rejected *request, count *int, reason string, retryAfter timeunit.Ticks) {
+	p.logRejection(count, reason)
+	p.server.requests.remove(rejected)
+	header := retryAfterHeader(min(retryAfter, p.server.config.Settings.MaxRetryAfter))
+	rejected.respond(statusRejected, header, nil)
 }
 
-func (k *recoveryPart) logRejection(count *int, why string) {
+func (p *recoveryPart) logRejection(count *int, reason string) {
 	if countAndSample(count) {
-		k.server.log.Event("store_rejections").Str("reason", why).Int("count", *count).Send()
+		p.server.log.Event("store_rejections").Str("reason", reason).Int("count", *count).Send()
 	}
 }
 
-// onDurable: the writer is through with these.
-func (k *recoveryPart) onDurable(done []segmentlog.WriteResult) {
-	for _, d := range done {
-		it := k.pending[d.Tag]
-		if it == nil {
+// onDurable is called with the writes that the log is through with.
+func (p *recoveryPart) onDurable(done []segmentlog.WriteResult) {
+	for _, write := range done {
+		waiting := p.pending[write.Tag]
+		if waiting == nil {
 			continue
 		}
-		delete(k.pending, d.Tag)
-		k.server.stopTimer(&it.intentTimer)
-		k.server.admission.ReserveMemory(-it.arrival.QueuedKB)
-		switch {
-		case d.Err != nil:
-			it.intentUntil = 0
-			if it.router == nil {
-				k.server.requests.remove(it)
-			} else {
-				k.reject(it, &k.rejectedFailed, d.Err.Error(), k.server.config.Settings.MaxRetryAfter)
-			}
-		case it.router == nil: // its caller left meanwhile
-			k.conclude(it, recovery.KindCancellation, false, nil)
-			k.server.requests.remove(it)
-		default:
-			k.server.requests.admit(it, it.tenant)
-		}
+		delete(p.pending, write.Tag)
+		p.server.stopTimer(&waiting.intentTimer)
+		p.server.admission.ReserveMemory(-waiting.arrival.QueuedKB)
+		p.onIntentWritten(waiting, write.Err)
+	}
+}
+
+// onIntentWritten admits a request whose intent is durable, if somebody still waits for it.
+func (p *recoveryPart) onIntentWritten(waiting *request, err error) {
+	isWanted := waiting.router != nil
+	if err != nil {
+		waiting.intentUntil = 0 // nothing was written
+	}
+	switch {
+	case err != nil && isWanted:
+		p.reject(waiting, &p.rejectedFailed, err.Error(), p.server.config.Settings.MaxRetryAfter)
+	case err != nil:
+		p.server.requests.remove(waiting)
+	case !isWanted:
+		p.conclude(waiting, recovery.KindCancellation, false, nil)
+		p.server.requests.remove(waiting)
+	default:
+		p.server.requests.admit(waiting, waiting.tenant)
 	}
 }
 
 // conclude writes what became of an intent, once.
-func (k *recoveryPart) conclude(it *request, how recovery.RecordKind, well bool, result []byte) {
-	if it.intentUntil == 0 || k.closing {
+func (p *recoveryPart) conclude(concluded *request, kind recovery.RecordKind, succeeded bool, result []byte) {
+	if concluded.intentUntil == 0 || p.isClosing {
 		return
 	}
-	key := it.recoveryKey
-	if key == "" {
-		key = k.server.requests.idempotencyKey(it)
+	key := concluded.recoveryKey
+	if key == "" { // it was not admitted
+		key = p.server.requests.idempotencyKey(concluded)
 	}
-	k.store.AppendCompletion(recovery.Record{Kind: how, Key: key, WindowEnd: it.intentUntil, Attempt: it.attempt, Succeeded: well, Payload: result}, 0)
-	it.intentUntil = 0
+	p.log.AppendCompletion(recovery.Record{
+		Kind:      kind,
+		Key:       key,
+		WindowEnd: concluded.intentUntil,
+		Attempt:   concluded.attempt,
+		Succeeded: succeeded,
+		Payload:   result,
+	}, 0)
+	concluded.intentUntil = 0
 }
 
-// close has all that is in hand made durable, and calls done after that, or when the time is over.
-func (k *recoveryPart) close(within timeunit.Ticks, done func()) {
-	if k.store == nil {
+// close has everything written made durable, and calls done after that, or when the time is over.
+func (p *recoveryPart) close(timeout timeunit.Ticks, done func()) {
+	if p.log == nil {
 		done()
 		return
 	}
-	k.closing = true
-	s := k.store
-	s.Close()
-	go func() {
+	p.isClosing = true
+	p.log.Close()
+	go func() { // ends with the timeout at the latest
 		select {
-		case <-s.Done():
-		case <-time.After(time.Duration(within) * (time.Millisecond / 10)):
+		case <-p.log.Done():
+		case <-time.After(timeout.Duration()):
 		}
-		k.server.submit(done)
+		p.server.submit(done)
 	}()
 }
 
-// logState adds how the store does to the line on the state.
-func (k *recoveryPart) logState(e *zerolog.Event) {
-	if k.store == nil {
-		return
-	}
-	used, promised, records, ill := k.store.Usage()
-	e.Int64("store_bytes", used).Int64("store_reserved_bytes", promised).Int("store_records", records).Int("store_intents_pending", len(k.pending)).
-		Int("store_rejected_full", k.rejectedFull).Int("store_rejected_late", k.rejectedLate).Bool("store_failed", ill != nil)
+func (p *recoveryPart) addState(event *zerolog.Event) {
+	used, reserved, records, err := p.log.Usage()
+	event.Int64("store_bytes", used).Int64("store_reserved_bytes", reserved).Int("store_records", records).
+		Int("store_intents_pending", len(p.pending)).Int("store_rejected_full", p.rejectedFull).
+		Int("store_rejected_late", p.rejectedLate).Bool("store_failed", err != nil)
 }
 
-// saveWarmStart writes what was learnt, now and then, and begin reads it: a warm start that is weighed by its age.
-func (k *recoveryPart) saveWarmStart() {
-	if k.store == nil || k.closing || k.server.admission == nil {
+// saveWarmStart writes what admission has learned. What can't be encoded is not written: the next life starts cold.
+func (p *recoveryPart) saveWarmStart() {
+	if p.log == nil || p.isClosing || p.server.admission == nil {
 		return
 	}
-	text, err := json.Marshal(recovery.WarmStartState{CapturedAt: k.server.now, SettingsHash: k.settingsHash(), Cores: float64(k.server.config.Settings.Cores), WarmStartState: k.server.admission.WarmStartState()})
+	encoded, err := json.Marshal(recovery.WarmStartState{
+		CapturedAt:     p.server.now,
+		SettingsHash:   p.settingsHash(),
+		Cores:          float64(p.server.config.Settings.Cores),
+		WarmStartState: p.server.admission.WarmStartState(),
+	})
 	if err == nil {
-		k.store.AppendWarmStart(text)
+		p.log.AppendWarmStart(encoded)
 	}
 }
 
-func (k *recoveryPart) loadWarmStart() *admission.WarmStartState {
-	if k.store == nil || len(k.store.WarmStart) == 0 {
+// loadWarmStart returns what an earlier life had learned, weighed by its age, or nil.
+func (p *recoveryPart) loadWarmStart() *admission.WarmStartState {
+	if p.log == nil || len(p.log.WarmStart) == 0 {
 		return nil
 	}
-	var s recovery.WarmStartState
-	if json.Unmarshal(k.store.WarmStart, &s) != nil {
+	var saved recovery.WarmStartState
+	if json.Unmarshal(p.log.WarmStart, &saved) != nil {
 		return nil
 	}
-	l := s.Decay(k.server.now, k.settingsHash())
-	k.server.log.Event("warm_start").Bool("used", l != nil).Int64("age_ms", int64((k.server.now-s.CapturedAt)/10)).Send()
-	return l
+	state := saved.Decay(p.server.now, p.settingsHash())
+	p.server.log.Event("warm_start").Bool("used", state != nil).
+		Int64("age_ms", milliseconds(p.server.now-saved.CapturedAt)).Send()
+	return state
 }
 
-// settingsHash is a hash of what the decisions go by.
-func (k *recoveryPart) settingsHash() uint64 {
-	return xxh3.HashString(k.server.config.Settings.Config.StoredForm())
+// settingsHash is a hash of what admission decides by.
+func (p *recoveryPart) settingsHash() uint64 {
+	return xxh3.HashString(p.server.config.Settings.StoredForm())
 }
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -40,7 +40,7 @@
 	require.NoError(t, err)
 	a, _ = running(t) // one runs already, without a store
 	a.loop = noLoop{}
-	a.recovery.start(a, &Recovery{Store: s, OnDurable: func(func([]segmentlog.WriteResult)) {}})
+	a.recovery.init(a, &Recovery{Store: s, OnDurable: func(func([]segmentlog.WriteResult)) {}})
 	next = func() {
 		select {
 		case done := <-told:
@@ -50,7 +50,7 @@
 		}
 	}
 	c = knocking(a)
-	a.flushQueued = true // batches are ended by the test
+	a.endBatchQueued = true // batches are ended by the test
 	another := strings.Replace(strings.Replace(wholeRequest, job, "00000000000000bb", 1), "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1)
 	require.NoError(t, c.parser.Feed([]byte(another), c))
 	a.admission.Dispatch()
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -9,120 +9,153 @@
 	"thistlequay/timeunit"
 )
 
-// request is one work item, from its reading until the module is through with it.
+// request is one request, from its reading until admission has released it.
 type request struct {
-	server           *Server
-	handle           *admission.Request
-	slot             uint64
-	id               string
-	category         int
-	router           *routerConnection // nil once it is answered or its caller is gone
-	stream           *fastcgi.Request
-	key              []byte // as it came, good until it is admitted, as the next three
-	tenant           []byte
-	arrival          admission.Arrival
-	receivedAt       timeunit.Ticks // the machine
-	deadline         timeunit.Ticks // its caller waits
-	intentUntil      timeunit.Ticks // the end of its window as it was written, 0 where nothing is to be concluded
-	attempt          uint64         // and its number
-	intentTimer      timer          // while it is being written
-	recoveryKey      string
-	pluginTenant     string            // its tenant, where plug-ins are there
-	tag              string            // that one of them gave it
-	pluginConnection *pluginConnection // the process that it began with
-	body             []byte
-	acceptedAt       timeunit.Ticks
-	reservation      fairqueue.Reservation
-	entry            *idempotencyEntry // its own, or the one it shares
-	sharesResult     bool
-	runStarted       bool // the module had it run
-	runPending       bool // the interpreter has yet to be told so
-	runSent          bool // it was told, on some link
-	runSentAt        timeunit.Ticks
-	stopPending      bool
-	stopSent         bool   // the interpreter was told to stop it
-	pendingReply     []byte // with this reply
-	lastReply        []byte // the last one passed on, until the run is heard of again
-	lastReplyAt      timeunit.Ticks
-	runConfirmed     bool       // the interpreter has spoken of the run
-	runInDoubt       bool       // a link broke before it did: the run may never have begun
-	runDone          bool       // and has told its end
-	callBody         []byte     // the body of the call that the run waits for
-	call             *indexCall // its call, while that is out
-	closed           bool
+	server   *Server
+	id       string // as the router gave it; the interpreter and the index know the request by it
+	category int
+	body     []byte
+
+	// Who waits for the answer. Both are nil once it is answered or the router has gone.
+	router *routerConnection
+	stream *fastcgi.Request
+
+	// As it came. key and tenant lie in the parser's buffer until the request is admitted, or copied.
+	arrival    admission.Arrival
+	key        []byte         // for idempotency
+	tenant     []byte         // by account or address
+	receivedAt timeunit.Ticks // that it reached the router's machine
+	acceptedAt timeunit.Ticks // that it was read here
+	deadline   timeunit.Ticks // after which nobody waits for an answer
+
+	// With admission.
+	handle      *admission.Request
+	slot        uint64 // in requestTable.slots
+	closed      bool   // admission has released it
+	reservation fairqueue.Reservation
+
+	// Idempotency.
+	entry        *idempotencyEntry // its own, or the one whose result it shares; nil for none
+	sharesResult bool
+
+	// The intent record in the recovery log.
+	intentUntil timeunit.Ticks // the end of its window as it was written; zero where nothing is to be concluded
+	attempt     uint64         // its number in the log
+	intentTimer timer          // while it is being written
+	recoveryKey string         // its key in the log, once it is admitted
+
+	// Plug-ins.
+	pluginTenant     string // its tenant
+	tag              string // that a plug-in gave it
+	pluginConnection *pluginConnection
+
+	// Its run, and what the interpreter knows of it. A request is run at most once.
+	runStarted   bool // admission had it run
+	runPending   bool // the interpreter has yet to be told
+	runSent      bool // the interpreter was told, on some link
+	runSentAt    timeunit.Ticks
+	runConfirmed bool // the interpreter has spoken of the run
+	runInDoubt   bool // a link broke before it did: the run may never have begun
+	runDone      bool // the run's end is known
+	stopPending  bool // the interpreter has yet to be told to stop it
+	stopSent     bool // it was told
+
+	// The call that its run waits for, and the reply to it.
+	callBody     []byte
+	call         *indexCall // nil while none is out
+	pendingReply []byte     // to be passed on to the run
+	lastReply    []byte     // the last one passed on, until the run is heard of again
+	lastReplyAt  timeunit.Ticks
 }
 
-func (it *request) respond(status, headers string, body []byte) {
-	if it.router == nil {
+// respond writes the answer, where somebody waits for it.
+func (r *request) respond(status, headers string, body []byte) {
+	if r.router == nil {
 		return
 	}
-	it.server.checkInvariant(it.stream.Owner == it, "answered twice")
-	conn, stream := it.router, it.stream
-	it.detachRouter()
-	conn.respond(stream, status, headers, body)
+	r.server.checkInvariant(r.stream.Owner == r, "answered twice")
+	router := r.router
+	stream := r.stream
+	r.detachRouter()
+	router.respond(stream, status, headers, body)
 }
 
 // detachRouter: no answer is owed any more.
-func (it *request) detachRouter() {
-	it.router, it.stream = nil, nil
-	if it.runInDoubt {
-		it.server.requests.doubtfulRuns = append(it.server.requests.doubtfulRuns, it)
+func (r *request) detachRouter() {
+	r.router = nil
+	r.stream = nil
+	if r.runInDoubt {
+		r.server.requests.doubtfulRuns = append(r.server.requests.doubtfulRuns, r)
 	}
 }
 
-// routerGone: nobody waits for it any more.
-func (it *request) routerGone() {
-	it.detachRouter()
-	if it.handle != nil { // else it is on its walk past the plug-ins, which ends by itself
-		it.handle.Cancel()
+// routerGone: the router has gone, or wants no answer any more.
+func (r *request) routerGone() {
+	r.detachRouter()
+	if r.handle != nil { // else it is with the plug-ins or the recovery log, which end by themselves
+		r.handle.Cancel()
 	}
 }
 
-// neverBegun: it is proven that nothing of it ran, so its stamp is free for another try. Where the run has been heard
-// of, such word proves nothing: the stamp stays.
-func (it *request) neverBegun() {
-	if it.runConfirmed {
-		it.runEnded(admission.Aborted, 0, nil)
+// neverBegun is called when it is proven that nothing of its run happened, so that its idempotency entry is free for
+// another attempt. Where the run has been heard of such word proves nothing, and the entry stays.
+func (r *request) neverBegun() {
+	if r.runConfirmed {
+		r.runEnded(admission.Aborted, 0, nil)
 		return
 	}
-	if m := it.entry; m != nil && m.owner == it && !it.runDone {
-		m.ran = false
+	if r.entry != nil && r.entry.owner == r && !r.runDone {
+		r.entry.ran = false
 	}
-	it.reservation.UndoStart(it.server.now)
-	it.runEnded(admission.NeverStarted, 0, nil)
+	r.reservation.UndoStart(r.server.now)
+	r.runEnded(admission.NeverStarted, 0, nil)
 }
 
-// runEnded: the interpreter tells the end of its run.
-func (it *request) runEnded(how admission.Outcome, took timeunit.Ticks, result []byte) {
-	if it.runDone || !it.runStarted || it.closed {
+// runEnded is called when the interpreter tells the end of its run, which took so long. A result is shown to plug-ins
+// first.
+func (r *request) runEnded(outcome admission.Outcome, took timeunit.Ticks, result []byte) {
+	if r.runDone || !r.runStarted || r.closed {
 		return
 	}
-	it.runDone = true
-	it.server.index.cancel(it)
-	it.reservation.Suspend(it.server.now) // off the cores, whatever is done with its result
-	if how != admission.Succeeded || !it.server.plugins.evaluateResult(it, result, func(w *chain.Evaluation) { it.finishRun(how, took, w.Body) }) {
-		it.finishRun(how, took, result)
+	r.runDone = true
+	r.server.index.cancel(r)
+	r.reservation.Suspend(r.server.now) // off the cores, whatever is done with its result
+	if outcome == admission.Succeeded {
+		finish := func(evaluation *chain.Evaluation) { r.finishRun(outcome, took, evaluation.Body) }
+		if r.server.plugins.evaluateResult(r, result, finish) {
+			return
+		}
 	}
+	r.finishRun(outcome, took, result)
 }
 
-// finishRun answers with the end of its run and closes the books on it.
-func (it *request) finishRun(how admission.Outcome, took timeunit.Ticks, result []byte) {
-	switch how {
+// finishRun answers with the end of its run and tells admission, the idempotency table and the recovery log of it.
+func (r *request) finishRun(outcome admission.Outcome, took timeunit.Ticks, result []byte) {
+	switch outcome {
 	case admission.Succeeded:
-		it.respond("200 OK", "", result)
+		r.respond(statusOK, "", result)
 	case admission.Failed:
-		it.respond("500 The run failed", "", nil)
+		r.respond(statusRunFailed, "", nil)
 	}
-	if m := it.entry; m != nil {
-		if m.ended, m.succeeded = true, how == admission.Succeeded && len(result) <= maxResultBytes; m.succeeded {
-			m.result = result
-		}
-		it.server.requests.releaseSharers(m)
-		if how == admission.NeverStarted {
-			it.server.recovery.conclude(it, recovery.KindCancellation, false, nil)
-		} else if m.owner == it {
-			it.server.recovery.conclude(it, recovery.KindCompletion, m.succeeded, m.result)
-		}
+	if r.entry != nil {
+		r.recordOutcome(outcome, result)
+	}
+	r.handle.RunEnded(outcome, took)
+}
+
+// recordOutcome puts the end of its run into its idempotency entry. A result beyond the bound is not kept: repeats are
+// told that the run failed.
+func (r *request) recordOutcome(outcome admission.Outcome, result []byte) {
+	entry := r.entry
+	entry.ended = true
+	entry.succeeded = outcome == admission.Succeeded && len(result) <= maxResultBytes
+	if entry.succeeded {
+		entry.result = result
+	}
+	r.server.requests.releaseSharers(entry)
+	if outcome == admission.NeverStarted {
+		r.server.recovery.conclude(r, recovery.KindCancellation, false, nil)
+	} else if entry.owner == r {
+		r.server.recovery.conclude(r, recovery.KindCompletion, entry.succeeded, entry.result)
 	}
-	it.handle.RunEnded(how, took)
 }
--- a/internal/server/requestparser.go
+++ b/internal/server/requestparser.go
@@ -3,21 +3,37 @@
 import (
 	"bytes"
 	"strconv"
+
 	"thistlequay/admission"
 	"thistlequay/internal/deployment"
 	"thistlequay/internal/fastcgi"
 	"thistlequay/timeunit"
 )
 
+// Bounds on what a request says of itself.
 const (
-	maxBodyBytes         = 2 << 10
-	maxKeyBytes          = 64
-	maxClockSkewMs       = 1000 // ms that a router's clock may be ahead
-	maxBudgetInDeadlines = 2    // expiries: what waits longer than so many cannot be meant
-	routerNumberBits     = 53   // of a router's number: new ones come for ever, and more is no whole number in the settings' JSON
+	maxBodyBytes    = 2 << 10
+	maxKeyBytes     = 64
+	requestIDDigits = 16
+	maxFootprintKB  = 2000 // of memory; a request must be below
+	maxRank         = 1    // of its priority; a request must be below
+
+	// maxClockSkew is how far a router's clock may be ahead.
+	maxClockSkewMs = 1000
+	maxClockSkew   = maxClockSkewMs * timeunit.TicksPerMillisecond
+
+	// maxBudgetInDeadlines: a router that would wait for more deadlines than so many cannot mean it.
+	maxBudgetInDeadlines = 2
+
+	// routerNumberBits bounds a router's number. New routers come for ever, and a larger number is no whole number in
+	// the settings' JSON.
+	routerNumberBits = 53
 )
 
-// What a request says of itself, in the order of these names.
+// pathPrefix is what the path of a request has before the name of its category.
+var pathPrefix = []byte("/rpc/")
+
+// The fields of a request, in the order of fieldNames.
 const (
 	fieldPath = iota
 	fieldMethod
@@ -31,87 +47,125 @@
 	fieldRank
 	fieldKey
 	fieldRemote
+	fieldCount
 )
 
-var fieldNames = []string{"SCRIPT_NAME", "REQUEST_METHOD", "CONTENT_LENGTH", "HTTP_REQUEST_ID", "HTTP_RECEIVED_AT",
-	"HTTP_SENT_BY", "HTTP_ACCOUNT", "HTTP_BUDGET_MS", "HTTP_FOOTPRINT_KB", "HTTP_PRIORITY_RANK", "HTTP_ONCE_KEY",
-	"REMOTE_ADDR"}
-
-const statusBodyTooLong = "413 Body too long"
-
-// parseNumber reads a figure that must lie from least up to below end.
-func parseNumber(text []byte, least, end float64) (float64, bool) {
-	n, err := strconv.ParseFloat(string(text), 64)
-	return n, err == nil && n >= least && n < end
+// fieldNames are the fields' names in FastCGI.
+var fieldNames = []string{
+	"SCRIPT_NAME", "REQUEST_METHOD", "CONTENT_LENGTH", "HTTP_REQUEST_ID", "HTTP_RECEIVED_AT", "HTTP_SENT_BY",
+	"HTTP_ACCOUNT", "HTTP_BUDGET_MS", "HTTP_FOOTPRINT_KB", "HTTP_PRIORITY_RANK", "HTTP_ONCE_KEY", "REMOTE_ADDR",
 }
 
-// parse makes an arrival of the parameters, or gives the status that tells what is wrong with them. What the settings
-// name is the measure: nothing that they do not know, or that no router could mean, reaches the module.
-func (t *requestTable) parse(c *routerConnection, s *fastcgi.Request) (it *request, bad string) {
-	terms := t.server.config.Settings
-	var f [fieldRemote + 1][]byte
-	twice := s.Params(fieldNames, f[:])
-	it = &request{id: string(f[fieldID])}
-	path, isPath := bytes.CutPrefix(f[fieldPath], []byte("/rpc/"))
-	if !isPath {
-		return it, "404 Unknown path"
-	}
-	category, known := terms.CategoryIndex[string(path)]
-	if !known {
-		return it, "404 Unknown category"
+// fieldValues are a request's fields as they came, nil for one that did not. They lie in the parser's buffer.
+type fieldValues [fieldCount][]byte
+
+// parse makes a request of the fields, or returns the statusError that tells what is wrong with the first wrong one.
+// The settings are the measure: nothing that they do not know, or that no router could mean, reaches admission.
+func (t *requestTable) parse(router *routerConnection, stream *fastcgi.Request) (*request, error) {
+	var fields fieldValues
+	hasDuplicate := stream.Params(fieldNames, fields[:])
+	parsed := &request{id: string(fields[fieldID])}
+	if err := t.parseTarget(parsed, &fields, stream.Body); err != nil {
+		return nil, err
+	}
+	if hasDuplicate {
+		return nil, errDuplicateField
 	}
-	if string(f[fieldMethod]) != "POST" {
-		return it, "405 Method"
+	if err := t.parseIdentity(parsed, &fields); err != nil {
+		return nil, err
 	}
-	if len(s.Body) > maxBodyBytes {
-		return it, statusBodyTooLong
+	if err := t.parseLimits(parsed, &fields); err != nil {
+		return nil, err
 	}
-	if length := f[fieldLength]; len(length) > 0 && string(length) != strconv.Itoa(len(s.Body)) {
-		return it, "400 Content-Length"
+	parsed.tenant = fields[fieldAccount]
+	if tenancy := t.server.config.Tenancy; tenancy != nil {
+		parsed.tenant = []byte(tenancy.Lookup(router.peerAddress(), fields[fieldRemote]))
 	}
-	if twice {
-		return it, "400 A field came twice"
+	return parsed, nil
+}
+
+// parseTarget reads what is to be run: category, method and body.
+func (t *requestTable) parseTarget(parsed *request, fields *fieldValues, body []byte) error {
+	name, hasPrefix := bytes.CutPrefix(fields[fieldPath], pathPrefix)
+	if !hasPrefix {
+		return errUnknownPath
 	}
-	of := &terms.Categories[category]
-	it.category, it.arrival.Category = category, category
-	if _, err := strconv.ParseUint(it.id, 16, 64); err != nil || len(it.id) != 16 {
-		return it, "400 Request-Id is not 16 hex digits"
+	category, known := t.server.config.Settings.CategoryIndex[string(name)]
+	if !known {
+		return errUnknownCategory
 	}
-	if t.byID[it.id] != nil {
-		return it, "400 Request-Id is in hand already"
+	if string(fields[fieldMethod]) != "POST" {
+		return errMethod
 	}
-	stampedAt, err := strconv.ParseInt(string(f[fieldReceivedAt]), 10, 64)
-	shift := t.server.clock.systemOffset
-	if now := int64((t.server.now + shift) / 10); err != nil || stampedAt < 0 || stampedAt > now+maxClockSkewMs {
-		return it, "400 Received-At"
+	if len(body) > maxBodyBytes {
+		return errBodyTooLong
 	}
-	budget, ok := parseNumber(f[fieldBudget], 0, float64(of.Deadline)/10*maxBudgetInDeadlines)
-	if !ok {
-		return it, "400 Budget-Ms"
+	length := fields[fieldLength]
+	if len(length) > 0 && string(length) != strconv.Itoa(len(body)) {
+		return errContentLength
 	}
-	caller, err := strconv.ParseUint(string(f[fieldSentBy]), 10, routerNumberBits)
+	parsed.category = category
+	parsed.arrival.Category = category
+	return nil
+}
+
+// parseIdentity reads which request it is and when it was received.
+func (t *requestTable) parseIdentity(parsed *request, fields *fieldValues) error {
+	_, err := strconv.ParseUint(parsed.id, 16, 64)
+	if err != nil || len(parsed.id) != requestIDDigits {
+		return errRequestID
+	}
+	if t.byID[parsed.id] != nil {
+		return errRequestIDInUse
+	}
+	receivedAtMs, err := strconv.ParseInt(string(fields[fieldReceivedAt]), 10, 64)
+	offset := t.server.clock.systemOffset // routers go by the system's clock
+	nowMs := milliseconds(t.server.now + offset)
+	if err != nil || receivedAtMs < 0 || receivedAtMs > nowMs+maxClockSkewMs {
+		return errReceivedAt
+	}
+	parsed.receivedAt = timeunit.Ticks(receivedAtMs)*timeunit.TicksPerMillisecond - offset
+	return nil
+}
+
+// parseLimits reads how long the router waits, which router it is, and what the request may take.
+func (t *requestTable) parseLimits(parsed *request, fields *fieldValues) error {
+	settings := t.server.config.Settings
+	category := &settings.Categories[parsed.category]
+	maxBudget := float64(category.Deadline) / float64(timeunit.TicksPerMillisecond) * maxBudgetInDeadlines
+	budget, isNumber := parseNumber(fields[fieldBudget], 0, maxBudget)
+	if !isNumber {
+		return errBudget
+	}
+	sender, err := strconv.ParseUint(string(fields[fieldSentBy]), 10, routerNumberBits)
 	if err != nil {
-		return it, "400 Sent-By"
-	}
-	held, ok := parseNumber(f[fieldFootprint], 0, 2000)
-	if !ok || held == 0 {
-		return it, "400 Footprint-Kb"
+		return errSentBy
 	}
-	if _, ok = parseNumber(f[fieldRank], 0, 1); !ok {
-		return it, "400 Priority-Rank"
+	footprint, isNumber := parseNumber(fields[fieldFootprint], 0, maxFootprintKB)
+	if !isNumber || footprint == 0 {
+		return errFootprint
 	}
-	if !terms.HasTenant(f[fieldAccount]) {
-		return it, "400 Account"
+	if _, isNumber = parseNumber(fields[fieldRank], 0, maxRank); !isNumber {
+		return errPriorityRank
 	}
-	if n := len(f[fieldKey]); of.Idempotency == admission.Keyed && n == 0 || n > maxKeyBytes {
-		return it, "400 Once-Key"
+	if !settings.HasTenant(fields[fieldAccount]) {
+		return errAccount
 	}
-	it.key = f[fieldKey]
-	it.receivedAt = timeunit.Ticks(stampedAt*10) - shift
-	it.deadline = it.receivedAt + min(deployment.RoundDown(budget), of.Deadline) // no answer counts after that, whoever waits
-	it.arrival.Router, it.arrival.QueuedKB = int(caller), held
-	if it.tenant = f[fieldAccount]; t.server.config.Tenancy != nil {
-		it.tenant = []byte(t.server.config.Tenancy.Lookup(c.peerAddress(), f[fieldRemote]))
+	key := fields[fieldKey]
+	isMissing := category.Idempotency == admission.Keyed && len(key) == 0
+	if isMissing || len(key) > maxKeyBytes {
+		return errOnceKey
 	}
-	return it, ""
+	parsed.key = key
+	// No answer counts after that, whoever waits.
+	parsed.deadline = parsed.receivedAt + min(deployment.RoundDown(budget), category.Deadline)
+	parsed.arrival.Router = int(sender)
+	parsed.arrival.QueuedKB = footprint
+	return nil
+}
+
+// parseNumber reads a figure that must lie from least up to below end.
+func parseNumber(text []byte, least, end float64) (float64, bool) {
+	number, err := strconv.ParseFloat(string(text), 64)
+	return number, err == nil && number >= least && number < end
 }
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -3,178 +3,217 @@
 import (
 	"bytes"
 	"crypto/sha256"
+	"errors"
 	"strconv"
+
 	"thistlequay/admission"
 	"thistlequay/internal/fastcgi"
 	"thistlequay/internal/plugin/chain"
 	"thistlequay/internal/recovery"
 )
 
+// requestTable holds the requests in hand and the idempotency table. It implements admission.Host: it carries out what
+// admission decides, see admissionhost.go. By itself it answers only the end of a run, and what never reaches
+// admission; it must never answer twice, and never decide what is run or rejected.
 type requestTable struct {
-	server       *Server
-	slots        []*request // by the module's mark
-	freeSlots    []uint64
-	byID         map[string]*request // for the interpreter and the index, which know ids only
-	entries      map[string]*idempotencyEntry
+	server    *Server
+	slots     []*request // by admission.Request.ID
+	freeSlots []uint64
+	byID      map[string]*request // by the router's ID; the interpreter and the index know no other
+
+	entries map[string]*idempotencyEntry // the idempotency table, see idempotency.go
+
 	dueSharers   []*request // that share a result which is there, or will not come
-	doubtfulRuns []*request // answered, and their runs in doubt
-	wakeupTimer  timer      // the module's
-	invalid      int        // requests that could not be taken
+	doubtfulRuns []*request // answered, and whether they run is in doubt
+
+	wakeupTimer timer // admission's
+	invalid     int   // requests that could not be accepted
 }
 
-func (t *requestTable) start(a *Server) {
-	t.server, t.byID, t.entries = a, map[string]*request{}, map[string]*idempotencyEntry{}
-	t.wakeupTimer.fire = a.interpreter.onWakeup
+func (t *requestTable) init(s *Server) {
+	t.server = s
+	t.byID = map[string]*request{}
+	t.entries = map[string]*idempotencyEntry{}
+	t.wakeupTimer.fire = s.interpreter.onWakeup
 }
 
+// count returns how many requests are in hand.
 func (t *requestTable) count() int { return len(t.byID) }
 
-// accept reads a whole request. One that cannot be a work item is answered with a status that says why.
-func (t *requestTable) accept(c *routerConnection, s *fastcgi.Request) {
-	a := t.server
-	it, status := t.parse(c, s)
-	if status == "" && a.admission == nil {
-		c.respond(s, "503 Starting", "", nil)
+// accept takes a whole request. One that cannot be accepted is answered with a status that says why.
+func (t *requestTable) accept(router *routerConnection, stream *fastcgi.Request) {
+	accepted, err := t.parse(router, stream)
+	if err != nil {
+		t.respondInvalid(router, stream, err)
 		return
 	}
-	if status != "" {
-		t.logInvalid(status)
-		c.respond(s, status, "", nil)
+	if t.server.admission == nil {
+		router.respond(stream, statusStarting, "", nil)
 		return
 	}
-	it.server, it.router, it.stream, it.acceptedAt = a, c, s, a.now
-	it.body, s.Owner = bytes.Clone(s.Body), it // a buffer is much larger
-	t.byID[it.id] = it
-	a.plugins.attach(it)
-	if !a.plugins.evaluateRequest(it, func() {
-		it.key, it.tenant = bytes.Clone(it.key), bytes.Clone(it.tenant) // a buffer is used again
-		a.admission.ReserveMemory(it.arrival.QueuedKB)
-	}, func(w *chain.Evaluation) { t.pluginsDone(it, w) }) {
-		t.proceed(it, it.tenant)
+	accepted.server = t.server
+	accepted.router = router
+	accepted.stream = stream
+	accepted.acceptedAt = t.server.now
+	accepted.body = bytes.Clone(stream.Body) // the parser's buffer is much larger
+	stream.Owner = accepted
+	t.byID[accepted.id] = accepted
+	t.server.plugins.attach(accepted)
+	if t.server.plugins.appliesTo(accepted) {
+		t.evaluate(accepted)
+	} else {
+		t.proceed(accepted, accepted.tenant)
 	}
-	if s.Body != nil {
-		c.ReleaseBuffer(s.Body)
-		s.Body = nil
+	if stream.Body != nil {
+		router.ReleaseBuffer(stream.Body)
+		stream.Body = nil
 	}
 }
 
+// respondInvalid answers a request that cannot be accepted.
+func (t *requestTable) respondInvalid(router *routerConnection, stream *fastcgi.Request, reason error) {
+	var invalid *statusError
+	if !errors.As(reason, &invalid) {
+		t.server.checkInvariant(false, "a request was refused without a status")
+		return
+	}
+	t.logInvalid(invalid.status)
+	router.respond(stream, invalid.status, "", nil)
+}
+
 func (t *requestTable) logInvalid(status string) {
 	if countAndSample(&t.invalid) {
 		t.server.log.Event("invalid_request").Str("status", status).Int("count", t.invalid).Send()
 	}
 }
 
-// pluginsDone: its walk past the plug-ins is over. What they declined is answered, unless it repeats what is held or ran: that
-// is not declined, whatever they say.
-func (t *requestTable) pluginsDone(it *request, w *chain.Evaluation) {
-	t.server.admission.ReserveMemory(-it.arrival.QueuedKB)
-	if it.router == nil {
-		t.remove(it)
+// evaluate shows a request to the plug-ins. Its memory counts meanwhile.
+func (t *requestTable) evaluate(shown *request) {
+	shown.key = bytes.Clone(shown.key) // the parser's buffer is used again
+	shown.tenant = bytes.Clone(shown.tenant)
+	t.server.admission.ReserveMemory(shown.arrival.QueuedKB)
+	t.server.plugins.evaluateRequest(shown, func(evaluation *chain.Evaluation) { t.pluginsDone(shown, evaluation) })
+}
+
+// pluginsDone is called when the plug-ins are through with a request. What they rejected is answered, unless it repeats
+// what is queued or ran: that is not rejected, whatever they say.
+func (t *requestTable) pluginsDone(shown *request, evaluation *chain.Evaluation) {
+	t.server.admission.ReserveMemory(-shown.arrival.QueuedKB)
+	if shown.router == nil {
+		t.remove(shown)
 		return
 	}
-	it.arrival.Category, it.tag = w.Category, w.Tag
-	tenant := it.tenant
-	if w.Tag != "" {
-		tenant = []byte(w.Tag)
+	shown.arrival.Category = evaluation.Category
+	shown.tag = evaluation.Tag
+	tenant := shown.tenant
+	if evaluation.Tag != "" {
+		tenant = []byte(evaluation.Tag)
 	}
-	if before := t.existingEntry(it); w.Rejected && before == nil {
-		t.remove(it)
-		it.respond(strconv.Itoa(w.Status)+" Declined by a plug-in", "", nil)
+	existing := t.existingEntry(shown)
+	if evaluation.Rejected && existing == nil {
+		t.remove(shown)
+		shown.respond(strconv.Itoa(evaluation.Status)+statusRejectedByPlugin, "", nil)
 		return
 	}
-	t.proceed(it, tenant)
+	t.proceed(shown, tenant)
 }
 
-// remove: it will never be the module's.
-func (t *requestTable) remove(it *request) {
-	delete(t.byID, it.id)
-	t.server.plugins.detach(it)
+// remove forgets a request that admission has released, or that will never be admission's.
+func (t *requestTable) remove(removed *request) {
+	delete(t.byID, removed.id)
+	t.server.plugins.detach(removed)
 }
 
-// proceed hands a work item to the module, once what must be written before has been.
-func (t *requestTable) proceed(it *request, tenant []byte) {
-	if !t.server.recovery.writeIntent(it, tenant) {
-		t.admit(it, tenant)
+// proceed hands a request to admission, once what must be written before that has been.
+func (t *requestTable) proceed(accepted *request, tenant []byte) {
+	if !t.server.recovery.writeIntent(accepted, tenant) {
+		t.admit(accepted, tenant)
 	}
 }
 
-// admit hands a work item to the module.
-func (t *requestTable) admit(it *request, tenant []byte) {
-	a, arrival := t.server, it.arrival
-	key, before := t.idempotencyKey(it), (*idempotencyEntry)(nil)
-	var print [sha256.Size]byte
+// admit hands a request to admission, which may run, queue or reject it within this call.
+func (t *requestTable) admit(admitted *request, tenant []byte) {
+	key := t.idempotencyKey(admitted)
+	var existing *idempotencyEntry
+	var bodyHash [sha256.Size]byte
 	if key != "" {
-		print = sha256.Sum256(it.body)
-		if before = t.existingEntry(it); before != nil && before.bodyHash != print {
-			status := "422 Once-Key with another body" // neither shares the result nor takes the place of the true one
-			t.logInvalid(status)
-			t.server.recovery.conclude(it, recovery.KindCancellation, false, nil)
-			t.remove(it)
-			it.respond(status, "", nil)
+		bodyHash = sha256.Sum256(admitted.body)
+		existing = t.existingEntry(admitted)
+		if existing != nil && existing.bodyHash != bodyHash {
+			t.respondKeyReused(admitted)
 			return
 		}
 	}
-	arrival.UnreadTime = max(0, a.now-it.receivedAt)
-	arrival.TimeLeft = max(1, it.deadline-a.now) // told, however little
-	if a.fairScheduler != nil {
-		it.reservation = a.fairScheduler.Reserve(tenant, it.category, a.admission.VirtualTime(), a.now)
-		arrival.StartTag, arrival.ExpectedDelay = it.reservation.StartTag, it.reservation.ExpectedDelay
-	}
-	it.key, it.tenant, it.recoveryKey = nil, nil, key
-	if n := len(t.freeSlots); n > 0 {
-		it.slot, t.freeSlots = t.freeSlots[n-1], t.freeSlots[:n-1]
-		t.slots[it.slot] = it
-	} else {
-		it.slot = uint64(len(t.slots))
-		t.slots = append(t.slots, it)
-	}
-	arrival.ID = it.slot
-	if before != nil {
-		arrival.IsRepeat, it.entry = true, before
-		if before.owner != nil {
-			arrival.RepeatOf = before.owner.handle
+	arrival := admitted.arrival
+	arrival.UnreadTime = max(0, t.server.now-admitted.receivedAt)
+	arrival.TimeLeft = max(1, admitted.deadline-t.server.now) // admission decides, however little is left
+	t.server.fairQueue.reserve(admitted, tenant, &arrival)
+	admitted.key = nil // the parser's buffer is used again
+	admitted.tenant = nil
+	admitted.recoveryKey = key
+	t.assignSlot(admitted)
+	arrival.ID = admitted.slot
+	if existing != nil {
+		admitted.entry = existing
+		arrival.IsRepeat = true
+		if existing.owner != nil {
+			arrival.RepeatOf = existing.owner.handle
 		}
 	}
-	it.handle = a.admission.Enqueue(arrival)
-	if key != "" && !it.sharesResult && !it.closed && it.router != nil {
-		if before := t.entries[key]; before != nil { // the module had it take the place of the one held
-			a.checkInvariant(!before.ran, "a stamp that ran is replaced")
-			t.removeEntry(before)
-		}
-		m := &idempotencyEntry{key: key, bodyHash: print, owner: it, matchUntil: noDeadline}
-		m.expiryTimer.fire = func() {
-			if m.expired = true; m.owner == nil {
-				t.removeEntry(m)
-			}
-		}
-		it.entry, t.entries[key] = m, m
+	admitted.handle = t.server.admission.Enqueue(arrival)
+	if key != "" && !admitted.sharesResult && !admitted.closed && admitted.router != nil {
+		t.addEntry(admitted, key, bodyHash)
 	}
 }
 
+// respondKeyReused answers a request whose key came before with another body. It neither shares the result nor takes
+// the place of the request that the key is of.
+func (t *requestTable) respondKeyReused(refused *request) {
+	t.logInvalid(errKeyReused.status)
+	t.server.recovery.conclude(refused, recovery.KindCancellation, false, nil)
+	t.remove(refused)
+	refused.respond(errKeyReused.status, "", nil)
+}
+
+func (t *requestTable) assignSlot(admitted *request) {
+	if last := len(t.freeSlots) - 1; last >= 0 {
+		admitted.slot = t.freeSlots[last]
+		t.freeSlots = t.freeSlots[:last]
+		t.slots[admitted.slot] = admitted
+		return
+	}
+	admitted.slot = uint64(len(t.slots))
+	t.slots = append(t.slots, admitted)
+}
+
+// unsettled reports whether settle has something to do.
 func (t *requestTable) unsettled() bool { return len(t.dueSharers)+len(t.doubtfulRuns) > 0 }
 
-// settle answers those that share a result, once the try that they share is over, and closes the books on runs
-// that nobody waits for and that may never have begun: else they would hold their place for ever.
+// settle answers the requests that share a result, once the run that they share is over, and ends runs that nobody
+// waits for and that may never have begun: else they would hold their place for ever.
 func (t *requestTable) settle() {
-	for _, it := range t.doubtfulRuns {
-		if !it.closed && !it.runConfirmed {
-			it.runEnded(admission.Aborted, 0, nil)
+	for _, doubtful := range t.doubtfulRuns {
+		if !doubtful.closed && !doubtful.runConfirmed {
+			doubtful.runEnded(admission.Aborted, 0, nil)
 		}
 	}
 	t.doubtfulRuns = t.doubtfulRuns[:0]
 	due := t.dueSharers
 	t.dueSharers = nil
-	for _, it := range due {
-		if it.closed {
-			continue
-		}
-		how := admission.Failed
-		if it.entry.ended && it.entry.succeeded {
-			how = admission.Succeeded
-			it.respond("200 OK", "", it.entry.result)
-		} else {
-			it.respond("500 The other try failed", "", nil)
+	for _, sharer := range due {
+		if !sharer.closed {
+			t.settleSharer(sharer)
 		}
-		it.handle.RunEnded(how, t.server.now-it.acceptedAt)
 	}
 }
+
+func (t *requestTable) settleSharer(sharer *request) {
+	outcome := admission.Failed
+	if sharer.entry.ended && sharer.entry.succeeded {
+		outcome = admission.Succeeded
+		sharer.respond(statusOK, "", sharer.entry.result)
+	} else {
+		sharer.respond(statusSharedRunFailed, "", nil)
+	}
+	sharer.handle.RunEnded(outcome, t.server.now-sharer.acceptedAt)
+}
