--- a/internal/server/routerconnection.go
+++ b/internal/server/routerconnection.go
@@ -4,75 +4,79 @@
 	"container/list"
 	"net"
 	"net/netip"
-	"thistlequay/internal/fastcgi"
-	"thistlequay/timeunit"
 
 	"github.com/panjf2000/gnet/v2"
+
+	"thistlequay/internal/fastcgi"
+	"thistlequay/timeunit"
 )
 
 const (
-	firstRequestTimeout  = 2 * second  // a connection that brings no whole request so long is closed
-	requestReadTimeout   = 1 * second  // and a request not whole after one to two of these is answered as it is
-	newConnectionGrace   = second / 10 // what came later may have its first request on the way
-	newConnectionDivisor = 4           // unless those without one take up more than one place in so many
+	// firstRequestTimeout: a new connection that brings no whole request for so long is closed.
+	firstRequestTimeout = 2 * second
+
+	// requestReadTimeout: a request that is not whole after one to two of these is answered as it is.
+	requestReadTimeout = 1 * second
 )
 
-// connectionState is where a router's connection is in its.
+// connectionState is where a router's connection is in its life.
 type connectionState int
 
 const (
 	connectionNew      connectionState = iota // it brought no whole request yet
 	connectionActive                          // it did, and carries something
-	connectionIdle                            // and carries nothing
+	connectionIdle                            // it did, and carries nothing
 	connectionDraining                        // it ends once no request is open on it
 	connectionClosed
 )
 
-// routerConnection is one connection.
+// routerConnection is one connection from a router.
 type routerConnection struct {
 	outputBuffer
-	parser        fastcgi.Parser
-	state         connectionState
-	tableElement  *list.Element // in the list of all
-	stateElement  *list.Element // in that of fresh or of idle ones
-	stateSince    timeunit.Ticks
+	parser       fastcgi.Parser
+	state        connectionState
+	stateSince   timeunit.Ticks // that it is new, or idle
+	tableElement *list.Element  // in the list of all
+	stateElement *list.Element  // in the list of new or of idle connections
+
 	requestTimer  timer
-	peerIP        netip.Addr // the other end, read where tenants go by it
-	wasIncomplete bool       // it was so at the limit before, and no request has come whole since
+	wasIncomplete bool // at the timer before this one, and no whole request has come since
+
+	peerIP netip.Addr // the other end; read when tenants go by it
 }
 
-// transition moves it on and keeps the lists of fresh and resting ones.
+// transition changes the state and keeps the lists of new and idle connections.
 func (c *routerConnection) transition(to connectionState) {
-	r := &c.server.routers
 	if c.state == to || c.state == connectionClosed {
 		return
 	}
+	table := &c.server.routers
 	switch c.state {
 	case connectionNew:
-		r.newConnections.Remove(c.stateElement)
+		table.newConnections.Remove(c.stateElement)
 	case connectionIdle:
-		r.idleConnections.Remove(c.stateElement)
+		table.idleConnections.Remove(c.stateElement)
 	}
-	c.state, c.stateElement = to, nil
+	c.state = to
+	c.stateElement = nil
 	switch to {
 	case connectionIdle:
 		c.stateSince = c.server.now
-		c.stateElement = r.idleConnections.PushBack(c)
-		if r.idleTimeout < noDeadline && r.idleTimer.heapPosition == 0 {
-			c.server.setTimer(&r.idleTimer, c.stateSince+r.idleTimeout)
+		c.stateElement = table.idleConnections.PushBack(c)
+		if table.idleTimeout < noDeadline && !table.idleTimer.isSet() {
+			c.server.setTimer(&table.idleTimer, c.stateSince+table.idleTimeout)
 		}
 	case connectionDraining:
 		c.updateState()
 	}
 }
 
-// updateState has it rest, or end, where nothing is open on it.
+// updateState has the connection become idle, or end, where nothing is open on it.
 func (c *routerConnection) updateState() {
 	switch {
 	case c.conn == nil:
 	case c.state == connectionDraining && c.parser.OpenRequests() == 0:
-		c.buffer() // what is owed goes out with this batch
-		c.closeAfterWrite = true
+		c.closeAtEndOfBatch()
 	case c.state == connectionActive && c.parser.Idle():
 		if c.server.phase >= phaseClosing {
 			c.transition(connectionDraining)
@@ -82,19 +86,28 @@
 	}
 }
 
-// peerAddress is that of the other end.
+// closeAtEndOfBatch closes the connection once what is owed has gone out.
+func (c *routerConnection) closeAtEndOfBatch() {
+	c.buffer() // it is written, and closed, also where nothing is owed
+	c.closeAfterWrite = true
+}
+
+// peerAddress returns the other end's address.
 func (c *routerConnection) peerAddress() netip.Addr {
-	if a, is := c.conn.RemoteAddr().(*net.TCPAddr); is && !c.peerIP.IsValid() {
-		c.peerIP = a.AddrPort().Addr()
+	address, isTCP := c.conn.RemoteAddr().(*net.TCPAddr)
+	if isTCP && !c.peerIP.IsValid() {
+		c.peerIP = address.AddrPort().Addr()
 	}
 	return c.peerIP
 }
 
 func (c *routerConnection) opened(conn gnet.Conn) {
-	r := &c.server.routers
-	c.conn, c.stateSince = conn, c.server.now
-	r.openCount++
-	c.tableElement, c.stateElement = r.all.PushBack(c), r.newConnections.PushBack(c)
+	table := &c.server.routers
+	c.conn = conn
+	c.stateSince = c.server.now
+	table.openCount++
+	c.tableElement = table.all.PushBack(c)
+	c.stateElement = table.newConnections.PushBack(c)
 	c.requestTimer.fire = c.onRequestTimeout
 	c.server.setTimer(&c.requestTimer, c.stateSince+firstRequestTimeout)
 }
@@ -106,33 +119,34 @@
 	if c.state == connectionIdle {
 		c.transition(connectionActive)
 	}
-	err := c.parser.Feed(data, c)
-	if err != nil {
+	if err := c.parser.Feed(data, c); err != nil {
 		return err
 	}
-	if c.updateState(); c.state != connectionNew && c.requestTimer.heapPosition == 0 && c.parser.HasIncomplete() {
+	c.updateState()
+	if c.state != connectionNew && !c.requestTimer.isSet() && c.parser.HasIncomplete() {
 		c.server.setTimer(&c.requestTimer, c.server.now+requestReadTimeout)
 	}
 	return nil
 }
 
-// onRequestTimeout: what was begun must be whole in its time, or it keeps its place and buffers for ever; a little at a time
-// is no help. Such a request is answered, and a connection closed that has nothing else open and brings none whole.
+// onRequestTimeout answers requests that are not whole in time, and closes a connection that has nothing else open and
+// brings none whole: else they would keep their place and buffers for ever, and a little at a time is no excuse.
 func (c *routerConnection) onRequestTimeout() {
-	for _, s := range c.parser.IncompleteRequests() {
-		if s.Overdue || c.state == connectionNew {
-			c.respond(s, "408 Not whole in time", "", nil)
+	for _, incomplete := range c.parser.IncompleteRequests() {
+		if incomplete.Overdue || c.state == connectionNew {
+			c.respond(incomplete, statusRequestTimeout, "", nil)
 		}
-		s.Overdue = true
+		incomplete.Overdue = true
 	}
-	switch partial := c.parser.HasIncomplete(); {
-	case c.parser.OpenRequests() == 0 && (c.state == connectionNew || partial && c.wasIncomplete):
+	hasIncomplete := c.parser.HasIncomplete()
+	isStuck := c.state == connectionNew || hasIncomplete && c.wasIncomplete
+	switch {
+	case c.parser.OpenRequests() == 0 && isStuck:
 		if countAndSample(&c.server.routers.incomplete) {
 			c.server.log.Event("request_read_timeout").Int("count", c.server.routers.incomplete).Send()
 		}
-		c.buffer()
-		c.closeAfterWrite = true
-	case partial:
+		c.closeAtEndOfBatch()
+	case hasIncomplete:
 		c.wasIncomplete = true
 		c.server.setTimer(&c.requestTimer, c.server.now+requestReadTimeout)
 	}
@@ -144,9 +158,9 @@
 	c.conn = nil
 	c.server.routers.openCount--
 	c.server.routers.all.Remove(c.tableElement)
-	c.parser.Abandon(c, func(s *fastcgi.Request) {
-		if it, is := s.Owner.(*request); is {
-			it.routerGone()
+	c.parser.Abandon(c, func(open *fastcgi.Request) {
+		if accepted, isAccepted := open.Owner.(*request); isAccepted {
+			accepted.routerGone()
 		}
 	})
 }
--- a/internal/server/routerrequests.go
+++ b/internal/server/routerrequests.go
@@ -1,65 +1,84 @@
 package server
 
-import (
-	"thistlequay/internal/fastcgi"
-)
+import "thistlequay/internal/fastcgi"
 
+// The methods by which a routerConnection implements fastcgi.Handler.
+
+// healthPath is where health checks ask.
+const healthPath = "/health"
+
+// AcquireBuffer implements fastcgi.Handler.
 func (c *routerConnection) AcquireBuffer() []byte { return c.server.buffers.take() }
 
-func (c *routerConnection) ReleaseBuffer(b []byte) { c.server.buffers.give(b) }
+// ReleaseBuffer implements fastcgi.Handler.
+func (c *routerConnection) ReleaseBuffer(buffer []byte) { c.server.buffers.give(buffer) }
 
+// Send implements fastcgi.Handler: records that the parser itself answers with.
 func (c *routerConnection) Send(records []byte) { c.output = append(c.buffer(), records...) }
 
+// HasCapacity implements fastcgi.Handler: whether the parser may begin a further request.
 func (c *routerConnection) HasCapacity() bool { return c.server.buffers.inUse < c.server.buffers.limit }
 
-func (c *routerConnection) HandleRequest(s *fastcgi.Request) {
-	if c.closeAfterWrite { // behind the one that wanted the connection closed: never run
+// HandleRequest implements fastcgi.Handler: a request is whole.
+func (c *routerConnection) HandleRequest(stream *fastcgi.Request) {
+	if c.closeAfterWrite { // it came behind the one that wanted the connection closed, and is never run
 		return
 	}
-	if c.wasIncomplete = false; c.state == connectionNew {
+	c.wasIncomplete = false
+	if c.state == connectionNew {
 		c.transition(connectionActive)
 		c.server.stopTimer(&c.requestTimer)
 	}
-	if string(s.Param("SCRIPT_NAME")) == "/health" {
-		status := "200 OK"
-		if !c.server.isHealthy() {
-			status = "503 Leaving"
-		}
-		c.respond(s, status, "", nil)
+	if string(stream.Param("SCRIPT_NAME")) == healthPath {
+		c.respondHealth(stream)
 		return
 	}
-	c.server.requests.accept(c, s)
+	c.server.requests.accept(c, stream)
+}
+
+func (c *routerConnection) respondHealth(stream *fastcgi.Request) {
+	status := statusOK
+	if !c.server.isHealthy() {
+		status = statusLeaving
+	}
+	c.respond(stream, status, "", nil)
 }
 
-func (c *routerConnection) HandleBodyTooLong(s *fastcgi.Request) {
-	c.respond(s, statusBodyTooLong, "", nil)
+// HandleBodyTooLong implements fastcgi.Handler: a body is beyond what the parser holds.
+func (c *routerConnection) HandleBodyTooLong(stream *fastcgi.Request) {
+	c.respond(stream, errBodyTooLong.status, "", nil)
 }
 
-func (c *routerConnection) HandleAbort(s *fastcgi.Request) {
-	if it, is := s.Owner.(*request); is {
-		it.routerGone()
+// HandleAbort implements fastcgi.Handler: the router wants no answer any more.
+func (c *routerConnection) HandleAbort(stream *fastcgi.Request) {
+	if accepted, isAccepted := stream.Owner.(*request); isAccepted {
+		accepted.routerGone()
 	}
-	c.output = fastcgi.AppendEndRequest(c.buffer(), s.ID, fastcgi.StatusRequestComplete)
-	c.finishRequest(s)
+	c.output = fastcgi.AppendEndRequest(c.buffer(), stream.ID, fastcgi.StatusRequestComplete)
+	c.finishRequest(stream)
 }
 
-// respond writes the one answer to an open request.
-func (c *routerConnection) respond(s *fastcgi.Request, status, headers string, body []byte) {
-	head := c.server.buffers.take()
-	head = append(append(head, "Status: "...), status...)
-	head = append(append(head, "\r\n"...), c.server.routers.loadReportHeader...)
-	head = append(append(head, headers...), "\r\n"...)
-	head = append(head, body...)
-	c.output = fastcgi.AppendStdout(c.buffer(), s.ID, head)
-	c.output = fastcgi.AppendEndRequest(c.output, s.ID, fastcgi.StatusRequestComplete)
-	c.server.buffers.give(head)
-	c.finishRequest(s)
+// respond writes the one answer to an open request: the status line, the load report, further headers, each ended by
+// CRLF, and the body.
+func (c *routerConnection) respond(stream *fastcgi.Request, status, headers string, body []byte) {
+	content := c.server.buffers.take()
+	content = append(content, "Status: "...)
+	content = append(content, status...)
+	content = append(content, "\r\n"...)
+	content = append(content, c.server.routers.loadReportHeader...)
+	content = append(content, headers...)
+	content = append(content, "\r\n"...)
+	content = append(content, body...)
+	c.output = fastcgi.AppendStdout(c.buffer(), stream.ID, content)
+	c.output = fastcgi.AppendEndRequest(c.output, stream.ID, fastcgi.StatusRequestComplete)
+	c.server.buffers.give(content)
+	c.finishRequest(stream)
 }
 
-func (c *routerConnection) finishRequest(s *fastcgi.Request) {
-	s.Owner = nil
-	c.parser.Finish(s, c)
-	if !s.KeepConnection {
+func (c *routerConnection) finishRequest(stream *fastcgi.Request) {
+	stream.Owner = nil
+	c.parser.Finish(stream, c)
+	if !stream.KeepConnection {
 		c.transition(connectionDraining) // what else is open on it is answered first
 	}
 	c.updateState()
--- a/internal/server/routertable.go
+++ b/internal/server/routertable.go
@@ -3,93 +3,134 @@
 import (
 	"container/list"
 	"strconv"
+
 	"thistlequay/timeunit"
 )
 
+const (
+	// newConnectionGrace protects a new connection from eviction: its first request may be on the way.
+	newConnectionGrace = second / 10
+
+	// newConnectionDivisor: the grace ends where connections without a request take up more than one place in so many.
+	newConnectionDivisor = 4
+)
+
+// routerTable holds the connections that routers open, and whoever else connects.
 type routerTable struct {
-	server           *Server
-	openCount        int
-	maxConnections   int
-	all              *list.List // of *router
-	newConnections   *list.List // of those that brought no whole request yet, the oldest first
-	idleConnections  *list.List // of those that did and carry nothing, the longest idle first
-	idleTimeout      timeunit.Ticks
-	idleTimer        timer
-	rejected         int // connections turned away
-	evicted          int // closed to make room
-	incomplete       int // closed or answered as no whole request came
-	admissionHealthy bool
-	loadReportHeader string // the header of the free value, empty until it is said
+	server          *Server
+	openCount       int
+	maxConnections  int
+	all             *list.List // of *routerConnection
+	newConnections  *list.List // of those that brought no whole request yet, the oldest first
+	idleConnections *list.List // of those that did and carry nothing, the longest idle first
+	idleTimeout     timeunit.Ticks
+	idleTimer       timer
+
+	admissionHealthy bool   // what admission says of the server's health
+	loadReportHeader string // of every answer; empty until admission says a value
+
+	rejected   int // connections for which there was no room
+	evicted    int // connections closed to make room
+	incomplete int // connections closed as no whole request came
 }
 
-func (r *routerTable) start(a *Server) {
-	r.server, r.all, r.newConnections, r.idleConnections, r.idleTimeout, r.admissionHealthy = a, list.New(), list.New(), list.New(), noDeadline, true
-	a.closing.reserved = max(1, a.config.MaxSockets/lingerDescriptorDivisor)
-	r.maxConnections = max(1, a.config.MaxSockets-reservedDescriptors-2*a.index.maxConnections-a.closing.reserved)
-	r.idleTimer.fire = r.closeIdle
+func (t *routerTable) init(s *Server) {
+	t.server = s
+	t.all = list.New()
+	t.newConnections = list.New()
+	t.idleConnections = list.New()
+	t.idleTimeout = noDeadline
+	t.admissionHealthy = true
+	s.closing.reserved = max(1, s.config.MaxSockets/lingerDescriptorDivisor)
+	// A dial to the index takes two descriptors for a moment.
+	others := reservedDescriptors + 2*s.index.maxConnections + s.closing.reserved
+	t.maxConnections = max(1, s.config.MaxSockets-others)
+	t.idleTimer.fire = t.closeIdle
 }
 
-// accept makes room for a newcomer where the table is full: silent connections and such as asked once and stay must
-// not keep routers out.
-func (r *routerTable) accept() connectionHandler {
-	if r.openCount >= r.maxConnections {
-		c := r.evictionCandidate()
-		if c == nil {
-			if countAndSample(&r.rejected) {
-				r.server.log.Event("table_full").Int("connections", r.openCount).Int("rejected", r.rejected).Send()
-			}
-			return nil
-		}
-		if countAndSample(&r.evicted) {
-			r.server.log.Event("connection_evicted").Int("connections", r.openCount).Int("evicted", r.evicted).Send()
+// accept returns the handler of a new connection, or nil where there is no room. In a full table it makes room if it
+// can: silent connections, and such as asked once and stay, must not keep routers out.
+func (t *routerTable) accept() connectionHandler {
+	if t.openCount >= t.maxConnections && !t.evict() {
+		return nil
+	}
+	t.server.evictClosing(1)
+	return &routerConnection{outputBuffer: outputBuffer{server: t.server, maxUnread: maxUnreadPerRouter}}
+}
+
+// evict closes one connection for a new one and reports whether there was one to close.
+func (t *routerTable) evict() bool {
+	candidate := t.evictionCandidate()
+	if candidate == nil {
+		if countAndSample(&t.rejected) {
+			t.server.log.Event("table_full").Int("connections", t.openCount).Int("rejected", t.rejected).Send()
 		}
-		c.closeGracefully()
+		return false
+	}
+	if countAndSample(&t.evicted) {
+		t.server.log.Event("connection_evicted").Int("connections", t.openCount).Int("evicted", t.evicted).Send()
 	}
-	r.server.evictClosing(1)
-	return &routerConnection{outputBuffer: outputBuffer{server: r.server, maxUnread: maxUnreadPerRouter}}
+	candidate.closeGracefully()
+	return true
 }
 
-// evictionCandidate gives the connection whose place goes to a newcomer: one that never brought a whole request, unless that
-// may be on its way, else the longest idle; none where all carry something.
-func (r *routerTable) evictionCandidate() *routerConnection {
-	first, idle := r.newConnections.Front(), r.idleConnections.Front()
-	switch {
-	case first != nil && (idle == nil || r.newConnections.Len() > r.maxConnections/newConnectionDivisor ||
-		r.server.now-first.Value.(*routerConnection).stateSince > newConnectionGrace):
-		return first.Value.(*routerConnection)
-	case idle != nil:
-		return idle.Value.(*routerConnection)
+// evictionCandidate returns the connection whose place goes to a new one: one that never brought a whole request,
+// unless that may be on its way, else the one that is idle longest, or nil where all carry something.
+func (t *routerTable) evictionCandidate() *routerConnection {
+	oldestNew := t.newConnections.Front()
+	longestIdle := t.idleConnections.Front()
+	if oldestNew != nil {
+		candidate := oldestNew.Value.(*routerConnection)
+		tooManyNew := t.newConnections.Len() > t.maxConnections/newConnectionDivisor
+		isPastGrace := t.server.now-candidate.stateSince > newConnectionGrace
+		if longestIdle == nil || tooManyNew || isPastGrace {
+			return candidate
+		}
+	}
+	if longestIdle != nil {
+		return longestIdle.Value.(*routerConnection)
 	}
 	return nil
 }
 
-func (r *routerTable) closeIdle() {
-	for e := r.idleConnections.Front(); e != nil; e = r.idleConnections.Front() {
-		c := e.Value.(*routerConnection)
-		if due := c.stateSince + r.idleTimeout; due > r.server.now {
-			r.server.setTimer(&r.idleTimer, due)
+// closeIdle closes what has been idle for too long and sets the timer for the next.
+func (t *routerTable) closeIdle() {
+	for {
+		front := t.idleConnections.Front()
+		if front == nil {
 			return
 		}
-		c.closeGracefully()
+		connection := front.Value.(*routerConnection)
+		if due := connection.stateSince + t.idleTimeout; due > t.server.now {
+			t.server.setTimer(&t.idleTimer, due)
+			return
+		}
+		connection.closeGracefully()
 	}
 }
 
-// drainIdle is the first step of the end: what carries nothing, or soon does, goes while there is time to end it well.
-func (r *routerTable) drainIdle() {
-	for e := r.idleConnections.Front(); e != nil; e = r.idleConnections.Front() {
-		e.Value.(*routerConnection).transition(connectionDraining)
+// drainIdle is the first step of the end: what carries nothing, or soon carries nothing, goes while there is time to
+// end it well.
+func (t *routerTable) drainIdle() {
+	for {
+		front := t.idleConnections.Front()
+		if front == nil {
+			return
+		}
+		front.Value.(*routerConnection).transition(connectionDraining)
 	}
 }
 
-// closeAll is the last: nothing is owed any more. Half a request that lies here never ran.
-func (r *routerTable) closeAll() {
-	for e := r.all.Front(); e != nil; {
-		c := e.Value.(*routerConnection)
-		e = e.Next()
-		c.closeGracefully()
+// closeAll is the last step: no answer is owed any more. Half a request that lies here never ran.
+func (t *routerTable) closeAll() {
+	for element := t.all.Front(); element != nil; {
+		connection := element.Value.(*routerConnection)
+		element = element.Next() // closing takes the connection off the list
+		connection.closeGracefully()
 	}
 }
 
-func (r *routerTable) setLoadReport(value float64) {
-	r.loadReportHeader = "Server-Hint: " + strconv.FormatFloat(value, 'f', -1, 64) + "\r\n"
+// setLoadReport sets the value that every answer from now on tells its router.
+func (t *routerTable) setLoadReport(value float64) {
+	t.loadReportHeader = "Server-Hint: " + strconv.FormatFloat(value, 'f', -1, 64) + "\r\n"
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,3 +1,13 @@
+// Package server is one app server on sockets. It hosts admission.Server, which decides; this package reads requests
+// from routers, has the interpreter run them, makes their calls to the index, reports to the directory and writes the
+// answers.
+//
+// Everything runs on the one event loop of gnet, in batches: what comes in is read and given to admission, then
+// admission dispatches once, then each connection is written once. No code on the loop may block, take long or start a
+// goroutine for a request. Goroutines exist for dials, for waiting on the disk at the end, and for starting processes;
+// each hands its result to the loop by Server.submit.
+//
+// The optional subsystems (fair queueing, plug-ins, gossip, crash recovery, quota) are parts; see the interface part.
 package server
 
 import (
@@ -5,131 +15,169 @@
 	"math/rand"
 	"net"
 	"os"
-	"thistlequay/admission"
-	"thistlequay/internal/fairqueue"
-	"thistlequay/internal/logs"
-	"thistlequay/timeunit"
 	"time"
 
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
+
+	"thistlequay/admission"
+	"thistlequay/internal/logs"
+	"thistlequay/timeunit"
 )
 
 const (
-	second              = timeunit.Ticks(10_000)
-	reservedDescriptors = 32 // descriptors for the loop, the listener and links other than the index's
+	second = timeunit.TicksPerSecond
+
+	// noDeadline is later than every time that occurs.
+	noDeadline timeunit.Ticks = 1 << 60
+
+	// reservedDescriptors are kept for the loop, the listener and all connections to other parties but the index.
+	reservedDescriptors = 32
+
+	// maxQueuedCommands bounds the commands from outside that wait for the loop.
+	maxQueuedCommands = 8
+
+	// readBufferBytes is the size of gnet's buffer for what is read from one connection.
+	readBufferBytes = 1 << 16
 )
 
-// Server is one app server.
+// Server is one app server. New makes it and Run runs it; Shutdown, Reconfigure and PluginState may be called from any
+// goroutine, everything else belongs to the event loop.
 type Server struct {
 	gnet.BuiltinEventEngine
-	config    Config
+
+	config Config
+	log    logs.Logger
+	random *rand.Rand
+
+	// The event loop. It is nil until the first connection tells which it is; loopKnown is closed then.
 	loop      gnet.EventLoop
-	loopKnown chan struct{} // closed once the loop is known
-
-	admission         *admission.Server    // nil until the interpreter is up
-	fairScheduler     *fairqueue.Scheduler // nil where no queues are fair
-	random            *rand.Rand
-	clock             clock
-	now               timeunit.Ticks
-	flushQueued       bool                       // a flush is on its way
-	pendingWrites     []*outputBuffer            // what has output for the end of the batch
-	unreadConnections map[*outputBuffer]struct{} // what the other side has not read all of
+	loopKnown chan struct{}
+	commands  chan func() // from outside the loop
+
+	// Time, and what is due when. One system timer serves all timers.
+	clock         clock
+	now           timeunit.Ticks // of the open batch
+	deadlines     deadlineHeap
+	systemTimer   *time.Timer
+	armedFor      timeunit.Ticks // that systemTimer is set for, or noDeadline
+	standstill    standstillState
+	timerLateness lagHistogram
+
+	// Output. pendingWrites are the connections with output for the end of the batch.
+	endBatchQueued    bool
+	pendingWrites     []*outputBuffer
+	unreadConnections map[*outputBuffer]struct{} // whose other side has not read everything
 	buffers           bufferPool
 
-	deadlines   deadlineHeap
-	systemTimer *time.Timer
-	armedFor    timeunit.Ticks
-	standstill  int // after a standstill
-
-	routers          routerTable
-	requests         requestTable
-	interpreter      interpreterClient
-	index            indexClient
-	directory        directoryClient
-	plugins          pluginPart
-	recovery         recoveryPart
-	quota            quotaPart
-	closing          closingConnections
+	admission   *admission.Server // nil until the interpreter is up
+	requests    requestTable
+	routers     routerTable
+	closing     closingConnections
+	interpreter interpreterClient
+	index       indexClient
+	directory   directoryClient
+
+	// The optional subsystems. parts has those of them that are on.
+	fairQueue fairQueuePart
+	plugins   pluginPart
+	gossip    gossipPart
+	recovery  recoveryPart
+	quota     quotaPart
+	parts     []part
+
+	// The life of the process.
 	phase            phase
-	commands         chan func()    // from outside the loop: to leave, to move
-	shutdownDeadline timeunit.Ticks // when all must be answered, never before the notice to leave
-	ended            bool
-	timerLateness    lagHistogram // of the timer
-	badPeers         int          // connections closed for what came on them
-	unreadClosed     int          // and for what lay on them unread
-	failedDials      int          // dials that failed
+	shutdownDeadline timeunit.Ticks // when everything must be answered; noDeadline before the notice to shut down
+	ended            bool           // the loop is to end
+
+	// What is counted for the log.
 	stateTimer       timer
-	gossipTimer      timer // to the other servers
-	log              logs.Logger
-	brokenInvariants int // what had to hold and did not
+	badPeers         int // connections closed for what came on them
+	unreadClosed     int // connections closed for what their other side did not read
+	failedDials      int
+	brokenInvariants int
 }
 
 // New makes an app server; Run starts it.
-func New(p Config, l logs.Logger) *Server {
-	a := &Server{config: p, log: l, armedFor: noDeadline, shutdownDeadline: noDeadline, commands: make(chan func(), 8), unreadConnections: map[*outputBuffer]struct{}{},
-		loopKnown: make(chan struct{}), clock: newClock()}
-	a.random = rand.New(rand.NewSource(p.Seed))
-	a.buffers.setLimit(p.MemoryBytes)
-	a.configureFairQueue()
-	a.index.start(a)
-	a.routers.start(a)
-	a.requests.start(a)
-	a.interpreter.start(a)
-	a.directory.start(a)
-	a.plugins.start(a)
-	a.recovery.start(a, p.Recovery)
-	return a
+func New(config Config, log logs.Logger) *Server {
+	s := &Server{
+		config:            config,
+		log:               log,
+		random:            rand.New(rand.NewSource(config.Seed)),
+		loopKnown:         make(chan struct{}),
+		commands:          make(chan func(), maxQueuedCommands),
+		clock:             newClock(),
+		armedFor:          noDeadline,
+		unreadConnections: map[*outputBuffer]struct{}{},
+		shutdownDeadline:  noDeadline,
+	}
+	s.buffers.setLimit(config.MemoryBytes)
+	s.fairQueue.init(s)
+	s.index.init(s)
+	s.routers.init(s)
+	s.requests.init(s)
+	s.interpreter.init(s)
+	s.directory.init(s)
+	s.plugins.init(s)
+	s.gossip.init(s)
+	s.recovery.init(s, config.Recovery)
+	s.quota.init(s)
+	s.collectParts()
+	return s
 }
 
-// ErrLoopEnded is what Run gives where the loop ended though nobody asked for it.
+// ErrLoopEnded is what Run returns when the event loop ended though nobody asked for it.
 var ErrLoopEnded = errors.New("the loop ended by itself")
 
-// Run serves until the notice to leave has been carried out. An address in use is an error before anything else.
-func (a *Server) Run() error {
-	if err := checkAddressFree(a.config.Listen); err != nil {
+// Run serves until a shutdown is complete and returns nil then. It returns an error at once if the address is in use,
+// and ErrLoopEnded if the loop ended by itself.
+func (s *Server) Run() error {
+	if err := checkAddressFree(s.config.Listen); err != nil {
 		return err
 	}
-	err := gnet.Run(a, "tcp://"+a.config.Listen, gnet.WithNumEventLoop(1), gnet.WithReusePort(true),
-		gnet.WithReuseAddr(true), gnet.WithReadBufferCap(1<<16), gnet.WithWriteBufferCap(bufferSize),
-		gnet.WithLogger(engineLog{a.log}))
-	if err == nil && !a.ended {
+	err := gnet.Run(s, "tcp://"+s.config.Listen, gnet.WithNumEventLoop(1), gnet.WithReusePort(true),
+		gnet.WithReuseAddr(true), gnet.WithReadBufferCap(readBufferBytes), gnet.WithWriteBufferCap(bufferSize),
+		gnet.WithLogger(engineLog{s.log}))
+	if err == nil && !s.ended {
 		err = ErrLoopEnded
 	}
 	return err
 }
 
-// checkAddressFree tells if another process listens on the address: gnet, where one loop also accepts, would share it with that one
-// by SO_REUSEPORT. It only binds: a socket that listened and closed again would reset whom it met in between.
+// checkAddressFree returns an error if another process listens on the address: gnet, whose one loop also accepts,
+// would share it with that process by SO_REUSEPORT. It only binds: a socket that listened and closed again would reset
+// whoever connected in between.
 func checkAddressFree(address string) error {
-	at, err := net.ResolveTCPAddr("tcp4", address)
+	resolved, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return err
 	}
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return os.NewSyscallError("socket", err)
 	}
-	defer unix.Close(fd)
-	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil { // what the last life left in TIME_WAIT
+	defer func() { _ = unix.Close(descriptor) }() // never listened: there is nothing to lose
+	// Connections that an earlier process left in TIME_WAIT do not count.
+	if err := unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return os.NewSyscallError("setsockopt", err)
 	}
-	to := &unix.SockaddrInet4{Port: at.Port}
-	copy(to.Addr[:], at.IP.To4())
-	return os.NewSyscallError("bind", unix.Bind(fd, to))
+	socketAddress := &unix.SockaddrInet4{Port: resolved.Port}
+	copy(socketAddress.Addr[:], resolved.IP.To4())
+	return os.NewSyscallError("bind", unix.Bind(descriptor, socketAddress))
 }
 
-// Shutdown is the notice to leave. A second one changes nothing.
-func (a *Server) Shutdown() { a.commands <- a.beginShutdown }
+// Shutdown is the notice to shut down. A second one changes nothing.
+func (s *Server) Shutdown() { s.commands <- s.beginShutdown }
 
-// Reconfigure is a new configuration: the addresses of the other parties change, while what is in hand stays.
-func (a *Server) Reconfigure(p Config) { a.commands <- func() { a.reconfigure(p) } }
+// Reconfigure takes up a new configuration: the addresses of the other parties and what may change while the server
+// runs. What is in hand stays.
+func (s *Server) Reconfigure(config Config) { s.commands <- func() { s.reconfigure(config) } }
 
-// PluginState gives what plug-ins keep, for a process that is begun outside the loop. It waits for the loop.
-func (a *Server) PluginState() map[string]map[string][]byte {
-	kept := make(chan map[string]map[string][]byte, 1)
-	a.commands <- func() { kept <- a.plugins.snapshot() }
-	return <-kept
+// PluginState returns what plug-ins have stored, by plug-in and key, for a process that is started outside the loop. It
+// waits for the loop.
+func (s *Server) PluginState() map[string]map[string][]byte {
+	state := make(chan map[string]map[string][]byte, 1)
+	s.commands <- func() { state <- s.plugins.snapshot() }
+	return <-state
 }
-
-const noDeadline timeunit.Ticks = 1 << 60
--- a/internal/server/standstill.go
+++ b/internal/server/standstill.go
@@ -1,31 +1,32 @@
 package server
 
-import (
-	"time"
-)
+import "time"
 
-const (
-	standstillThreshold = second / 50 // where an alarm is later than this, the machine stood still
-)
+// standstillThreshold is how late a timer must be for the machine to have stood still.
+const standstillThreshold = second / 50
+
+// standstillState is how far the loop is in going on after a standstill.
+type standstillState int
 
-// Rounds after a standstill.
 const (
-	noStandstill   = iota
-	readingSockets // the sockets are being read
-	socketsRead    // and have been
+	standstillNone           standstillState = iota
+	standstillReadingSockets                 // nothing is decided until the sockets have been read once more
+	standstillSocketsRead                    // they have been; late timers may fire
 )
 
-// awaitingSockets says that decisions wait until the sockets have been read once more. Where the machine stood
-// still, in whatever the loop was doing, what came in meanwhile (an answer, a caller's leave) goes before late alarms.
-func (a *Server) awaitingSockets() bool {
-	if a.standstill == noStandstill && len(a.deadlines) > 0 && a.now-a.deadlines[0].deadline > standstillThreshold {
-		a.standstill = readingSockets
-		time.AfterFunc(0, func() { a.submit(a.resumeAfterStandstill) }) // from outside the loop: it polls before it takes this up
+// awaitingSockets reports whether decisions wait until the sockets have been read once more. When the machine stood
+// still, wherever the loop was, what came in meanwhile (an answer, a router's abort) goes before the late timers.
+func (s *Server) awaitingSockets() bool {
+	isLate := len(s.deadlines) > 0 && s.now-s.deadlines[0].deadline > standstillThreshold
+	if s.standstill == standstillNone && isLate {
+		s.standstill = standstillReadingSockets
+		// Submitted from outside the loop, which polls the sockets before it takes the task up.
+		time.AfterFunc(0, func() { s.submit(s.resumeAfterStandstill) })
 	}
-	return a.standstill == readingSockets
+	return s.standstill == standstillReadingSockets
 }
 
-func (a *Server) resumeAfterStandstill() {
-	a.standstill = socketsRead
-	a.fireTimers()
+func (s *Server) resumeAfterStandstill() {
+	s.standstill = standstillSocketsRead
+	s.fireTimers()
 }
--- a/internal/server/timers.go
+++ b/internal/server/timers.go
@@ -2,66 +2,80 @@
 
 import (
 	"container/heap"
+
 	"thistlequay/timeunit"
-	"time"
 )
 
-// timer is a moment at which something is due. There is one timer for all.
+// timer calls fire on the event loop when its deadline has passed. The zero value is stopped; fire must be set first.
 type timer struct {
 	deadline     timeunit.Ticks
-	heapPosition int // in the heap plus one, 0 outside
+	heapPosition int // in the heap, counted from one; zero while the timer is stopped
 	fire         func()
 }
 
-type deadlineHeap []*timer
+func (t *timer) isSet() bool { return t.heapPosition > 0 }
 
-func (l deadlineHeap) Len() int { return len(l) }
+// deadlineHeap holds the timers that are set, the next to fire first. It implements heap.Interface.
+type deadlineHeap []*timer
 
-func (l deadlineHeap) Less(i, j int) bool { return l[i].deadline < l[j].deadline }
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
 
-func (l deadlineHeap) Swap(i, j int) {
-	l[i], l[j] = l[j], l[i]
-	l[i].heapPosition, l[j].heapPosition = i+1, j+1
+func (h deadlineHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapPosition = i + 1
+	h[j].heapPosition = j + 1
 }
 
-func (l *deadlineHeap) Push(x any) { m := x.(*timer); *l = append(*l, m); m.heapPosition = len(*l) }
+// Push implements heap.Interface.
+func (h *deadlineHeap) Push(x any) {
+	added := x.(*timer)
+	*h = append(*h, added)
+	added.heapPosition = len(*h)
+}
 
-func (l *deadlineHeap) Pop() any {
-	m := (*l)[len(*l)-1]
-	*l, m.heapPosition = (*l)[:len(*l)-1], 0
-	return m
+// Pop implements heap.Interface.
+func (h *deadlineHeap) Pop() any {
+	last := len(*h) - 1
+	removed := (*h)[last]
+	*h = (*h)[:last]
+	removed.heapPosition = 0
+	return removed
 }
 
-func (a *Server) setTimer(m *timer, at timeunit.Ticks) {
-	a.stopTimer(m)
-	m.deadline = at
-	heap.Push(&a.deadlines, m)
+// setTimer sets a timer, or sets it anew.
+func (s *Server) setTimer(t *timer, deadline timeunit.Ticks) {
+	s.stopTimer(t)
+	t.deadline = deadline
+	heap.Push(&s.deadlines, t)
 }
 
-func (a *Server) stopTimer(m *timer) {
-	if m.heapPosition > 0 {
-		heap.Remove(&a.deadlines, m.heapPosition-1)
+// stopTimer stops a timer; one that is not set stays so.
+func (s *Server) stopTimer(t *timer) {
+	if t.isSet() {
+		heap.Remove(&s.deadlines, t.heapPosition-1)
 	}
 }
 
-// fireTimers is the timer.
-func (a *Server) fireTimers() {
-	a.armedFor = noDeadline
-	if a.awaitingSockets() {
+// fireTimers fires every timer that is due. The system timer calls it.
+func (s *Server) fireTimers() {
+	s.armedFor = noDeadline
+	if s.awaitingSockets() {
 		return
 	}
-	if len(a.deadlines) > 0 {
-		a.timerLateness.add(a.now - a.deadlines[0].deadline)
+	if len(s.deadlines) > 0 {
+		s.timerLateness.add(s.now - s.deadlines[0].deadline)
 	}
-	for len(a.deadlines) > 0 && a.deadlines[0].deadline <= a.now {
-		heap.Pop(&a.deadlines).(*timer).fire()
+	for len(s.deadlines) > 0 && s.deadlines[0].deadline <= s.now {
+		heap.Pop(&s.deadlines).(*timer).fire()
 	}
 }
 
-func (a *Server) armSystemTimer() {
-	if a.systemTimer == nil || len(a.deadlines) == 0 || a.deadlines[0].deadline == a.armedFor {
+// armSystemTimer sets the system timer for the next deadline.
+func (s *Server) armSystemTimer() {
+	if s.systemTimer == nil || len(s.deadlines) == 0 || s.deadlines[0].deadline == s.armedFor {
 		return
 	}
-	a.armedFor = a.deadlines[0].deadline
-	a.systemTimer.Reset(time.Duration(max(0, a.armedFor-a.clock.now())) * (time.Millisecond / 10))
+	s.armedFor = s.deadlines[0].deadline
+	s.systemTimer.Reset(max(0, s.armedFor-s.clock.now()).Duration())
 }
