--- /dev/null
+++ b/internal/fairqueue/scheduler_test.go
@@ -0,0 +1,161 @@
+package fairqueue
+
+import (
+	"fmt"
+	"math/rand"
+	"runtime"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/admission"
+	"thistlequay/timeunit"
+)
+
+// testConfig has the given number of named tenants, tenant-0 and so on, of equal weight.
+func testConfig(namedTenants int) Config {
+	config := Config{
+		OthersWeight:     0.1,
+		NewcomerFraction: 0.25,
+		MaxHeavyHitters:  256,
+		SharedFlows:      128,
+		Burst:            2_000,
+		MinHistory:       50_000,
+		RehashInterval:   300_000,
+		Cores:            4,
+		SoftDeadlines:    []timeunit.Ticks{6_400},
+	}
+	for i := range namedTenants {
+		config.Tenants = append(config.Tenants, Tenant{Name: fmt.Sprint("tenant-", i), Weight: 1})
+	}
+	return config
+}
+
+// liveHeap is the size of what is reachable.
+func liveHeap() uint64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// TestMemoryStaysFlatUnderNewTenants sends ten thousand new names in a minute: the scheduler has at the end what it had
+// after a second.
+func TestMemoryStaysFlatUnderNewTenants(t *testing.T) {
+	before := liveHeap()
+	s := New(testConfig(4), rand.New(rand.NewSource(1)), 0)
+	var first uint64
+	for i := range 10_000 {
+		now := timeunit.Ticks(i * 60)
+		r := s.Reserve(fmt.Append(nil, "new-", i), 0, 0, now)
+		r.Start(now)
+		r.Release(now + 50)
+		if i == 170 {
+			first = liveHeap() - before
+		}
+	}
+	last := liveHeap() - before
+	heavyHitters := s.Stats().HeavyHitters
+	t.Logf("measured fair-queues memory_after_1s=%d memory_after_60s=%d books=%d", first, last, heavyHitters)
+	require.Less(t, last, uint64(512<<10))
+	require.Less(t, last, first+first/4+4096)
+	require.Zero(t, heavyHitters)
+}
+
+// quietHost is a host of the admission package that starts requests and does nothing else.
+type quietHost struct{ run []*admission.Request }
+
+func (h *quietHost) Run(request *admission.Request)                { h.run = append(h.run, request) }
+func (*quietHost) ShareResult(*admission.Request)                  {}
+func (*quietHost) Reject(*admission.Request, timeunit.Ticks, bool) {}
+func (*quietHost) Abort(*admission.Request)                        {}
+func (*quietHost) StopRun(*admission.Request)                      {}
+func (*quietHost) SkipCall(*admission.Request)                     {}
+func (*quietHost) StartCall(*admission.Request, timeunit.Ticks)    {}
+func (*quietHost) KeepEntry(*admission.Request, timeunit.Ticks)    {}
+func (*quietHost) DropEntry(*admission.Request)                    {}
+func (*quietHost) ReportLoad(float64)                              {}
+func (*quietHost) SetHealth(bool, bool)                            {}
+func (*quietHost) CloseIdleConnections(timeunit.Ticks)             {}
+func (*quietHost) SetTimer(timeunit.Ticks)                         {}
+func (*quietHost) Release(*admission.Request)                      {}
+
+// dispatchBench is an admission server with one core whose requests get their start tags from a scheduler.
+type dispatchBench struct {
+	host      *quietHost
+	server    *admission.Server
+	scheduler *Scheduler
+	tenants   [][]byte
+	now       timeunit.Ticks
+	arrivals  int
+}
+
+func newDispatchBench(tenants int) *dispatchBench {
+	const never = 1 << 40
+	host := &quietHost{}
+	config := testConfig(min(tenants, 4))
+	config.SoftDeadlines = []timeunit.Ticks{6_400, 6_400}
+	bench := &dispatchBench{
+		host: host,
+		server: admission.New(admission.Config{
+			Cores:           1,
+			MemoryKB:        1e12,
+			RunMemoryFactor: 2,
+			Categories: []admission.Category{
+				{Weight: 1, SoftDeadline: never, Deadline: 2 * never},
+				{Weight: 2, SoftDeadline: never, Deadline: 2 * never},
+			},
+		}, host, 0),
+		scheduler: New(config, rand.New(rand.NewSource(1)), 0),
+	}
+	for i := range tenants {
+		bench.tenants = append(bench.tenants, fmt.Append(nil, "tenant-", i))
+	}
+	return bench
+}
+
+// enqueue has one request arrive.
+func (b *dispatchBench) enqueue() {
+	arrival := admission.Arrival{QueuedKB: 1, Category: b.arrivals % 2}
+	if len(b.tenants) > 0 {
+		tenant := b.tenants[b.arrivals*7919%len(b.tenants)]
+		r := b.scheduler.Reserve(tenant, arrival.Category, b.server.VirtualTime(), b.now)
+		arrival.StartTag = r.StartTag
+		r.Release(b.now)
+	}
+	b.arrivals++
+	b.server.Enqueue(arrival)
+}
+
+// endRuns ends all requests that run.
+func (b *dispatchBench) endRuns() {
+	running := b.host.run
+	b.host.run = b.host.run[:0:0]
+	for _, request := range running {
+		request.RunEnded(admission.Succeeded, 10)
+	}
+}
+
+// BenchmarkDispatch measures one start and one arrival.
+func BenchmarkDispatch(b *testing.B) {
+	for _, queued := range []int{10, 1_000, 10_000} {
+		for _, tenants := range []int{0, 10, 1_000, 100_000} {
+			b.Run(fmt.Sprintf("queued=%d/tenants=%d", queued, tenants), func(b *testing.B) {
+				bench := newDispatchBench(tenants)
+				for range queued + 1 {
+					bench.enqueue()
+				}
+				bench.server.Dispatch()
+				b.ReportAllocs()
+				for b.Loop() {
+					bench.now++
+					bench.server.Advance(bench.now)
+					bench.endRuns()
+					bench.enqueue()
+					bench.server.Dispatch()
+				}
+			})
+		}
+	}
+}
