--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -300,7 +300,7 @@
 	a, _, _ := awaiting(t)
 	pluginChain := chain.New([]chain.Policy{{Name: "p", Hooks: [3]bool{true, true, true}, Categories: []bool{true}, MayReject: true,
 		TargetCategories: []bool{true}, MayTag: true, MayRewrite: true, CallTimeout: 100, MaxTimeFraction: 0.5, CoreFraction: 1, TickInterval: 10 * second, MaxConsecutiveFaults: 3, MaxFaultRate: 1, MinQuarantine: 1000, MaxQuarantine: 10_000}},
-		nil, nil, a.random, a.now)
+		nil, func(string) bool { return false }, a.random, a.now)
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { _ = theirs.Close() })
 	h := &pluginConnection{part: &a.plugins, config: &Plugins{}, chain: pluginChain, process: &plugin.Process{Conn: ours, Command: &exec.Cmd{}}}
