--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -47,21 +47,21 @@
 	return fields
 }
 
-// batch ends a batch by hand.
-func batch(a *Server) {
+// dispatchBatch ends a batch by hand.
+func dispatchBatch(a *Server) {
 	a.requests.settle()
 	a.admission.Dispatch()
 }
 
-// pass moves the time on and fires what is due.
-func pass(a *Server, span timeunit.Ticks) {
+// passTime moves the time on and fires what is due.
+func passTime(a *Server, span timeunit.Ticks) {
 	a.now += span
 	a.admission.Advance(a.now)
 	a.resumeAfterStandstill()
-	batch(a)
+	dispatchBatch(a)
 }
 
-var goldenRequests = []struct {
+var requestCases = []struct {
 	name    string
 	changes []string
 	body    string
@@ -99,47 +99,47 @@
 // What a router is answered, byte for byte, from the first request until after the notice to leave.
 func TestGoldenRequests(t *testing.T) {
 	var s transcript
-	a, first := running(t)
-	a.loop, first.conn, a.routers.maxConnections = noLoop{}, nowhere{}, 1000
+	a, first := newRunningServer(t)
+	a.loop, first.conn, a.routers.maxConnections = idleLoop{}, discardConn{}, 1000
 	feed := func(name string, keep byte, fields [][2]string, body string) {
-		c := knocking(a)
-		text := records(keep, fields, body)
+		c := connectRouter(a)
+		text := requestRecords(keep, fields, body)
 		closes := c.parser.Feed([]byte(text), c) != nil
-		batch(a)
+		dispatchBatch(a)
 		s.add(name, fmt.Sprint(closes, " ", c.closeAfterWrite, " ", takeOut(&c.outputBuffer)))
 	}
 	s.add("first run", takeOut(&a.interpreter.outputBuffer))
-	for _, one := range goldenRequests {
+	for _, one := range requestCases {
 		feed(one.name, 1, fieldsWith(one.changes...), one.body)
 	}
 	feed("a field twice", 1, append(fieldsWith(), [2]string{"HTTP_SENT_BY", "2"}), "x")
 	feed("not kept", 0, fieldsWith("SCRIPT_NAME", "/health"), "")
 	s.add("runs", takeOut(&a.interpreter.outputBuffer))
-	aborted := knocking(a)
-	require.NoError(t, aborted.parser.Feed([]byte(records(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000b1", "HTTP_ONCE_KEY", "n"), "x")), aborted))
+	aborted := connectRouter(a)
+	require.NoError(t, aborted.parser.Feed([]byte(requestRecords(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000b1", "HTTP_ONCE_KEY", "n"), "x")), aborted))
 	require.NoError(t, aborted.parser.Feed([]byte{1, 2, 0, 1, 0, 0, 0, 0}, aborted))
-	batch(a)
+	dispatchBatch(a)
 	s.add("aborted", takeOut(&aborted.outputBuffer))
-	half := knocking(a)
-	require.NoError(t, half.parser.Feed([]byte(records(1, fieldsWith(), "x"))[:40], half))
-	pass(a, firstRequestTimeout)
+	half := connectRouter(a)
+	require.NoError(t, half.parser.Feed([]byte(requestRecords(1, fieldsWith(), "x"))[:40], half))
+	passTime(a, firstRequestTimeout)
 	s.add("half a request", fmt.Sprint(half.closeAfterWrite, " ", takeOut(&half.outputBuffer)))
 	a.routers.setLoadReport(0.25)
 	feed("with the free value", 1, fieldsWith("SCRIPT_NAME", "/health"), "")
-	a.directory.opened(nowhere{})
+	a.directory.opened(discardConn{})
 	takeOut(&a.directory.outputBuffer)
 	a.beginShutdown()
 	s.add("directory", takeOut(&a.directory.outputBuffer))
 	feed("leaving: health", 1, fieldsWith("SCRIPT_NAME", "/health"), "")
 	feed("leaving: request", 1, fieldsWith("HTTP_REQUEST_ID", "00000000000000c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500"), "x")
 	for range 70 {
-		pass(a, second/10)
+		passTime(a, second/10)
 	}
 	s.add("at its deadline", takeOut(&first.outputBuffer))
 	s.add("to the interpreter", takeOut(&a.interpreter.outputBuffer))
 	fresh := New(a.config, a.log)
-	fresh.now, fresh.loop = 10_000_000, noLoop{}
-	c := knocking(fresh)
+	fresh.now, fresh.loop = 10_000_000, idleLoop{}
+	c := connectRouter(fresh)
 	require.NoError(t, c.parser.Feed([]byte(wholeRequest), c))
 	s.add("starting", takeOut(&c.outputBuffer))
 	s.check(t, "requests.txt")
@@ -170,26 +170,26 @@
 		`{"type":"BANNER","state":"COLD","took":3}`,
 		`{"type":"OTHER"}`, `[]`, ` `, strings.Repeat("x", maxLineBytes+1),
 	} {
-		a, c, l := awaiting(t)
-		closes := a.interpreter.receive([]byte(strings.ReplaceAll(lines, "JOB", job)+"\n")) != nil
-		batch(a)
+		a, c, l := newServerWithRun(t)
+		closes := a.interpreter.receive([]byte(strings.ReplaceAll(lines, "JOB", firstID)+"\n")) != nil
+		dispatchBatch(a)
 		s.add("notice", lines[:min(len(lines), 200)])
 		s.add("closes", fmt.Sprint(closes, " ", a.interpreter.lastNotice, " ", a.requests.count(), " ", a.index.inFlight))
 		s.add("router", takeOut(&c.outputBuffer))
 		s.add("interpreter", takeOut(&a.interpreter.outputBuffer))
-		if it := a.requests.byID[job]; it != nil && it.call != nil {
+		if it := a.requests.byID[firstID]; it != nil && it.call != nil {
 			l = it.call.connection
-			l.opened(nowhere{})
+			l.opened(discardConn{})
 			s.add("index", takeOut(&l.outputBuffer))
 		}
 	}
 	s.check(t, "notices.txt")
 }
 
-// awaiting is an app server with one request that runs, and its thread.
-func awaiting(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
-	a, c := running(t)
-	a.loop, c.conn = noLoop{}, nowhere{}
+// newServerWithRun is an app server with one request that runs, and its thread.
+func newServerWithRun(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
+	a, c := newRunningServer(t)
+	a.loop, c.conn = idleLoop{}, discardConn{}
 	takeOut(&a.interpreter.outputBuffer)
 	return a, c, nil
 }
@@ -203,24 +203,24 @@
 		"JOB HIT 2\r\nokxx", "JOB HIT 2\r\nok", "00000000000000ff SHED\r\n", "00000000000000ff SHED\r\nJOB SLOW\r\n",
 		"JOB SLOW\r\nJOB SLOW\r\n", strings.Repeat("x", 129), strings.Repeat("x", 128), "\r\n",
 	} {
-		a, c, l := calling(t)
-		c.conn = nowhere{}
+		a, c, l := newServerWithCall(t)
+		c.conn = discardConn{}
 		a.interpreter.output = nil
 		s.add("call", takeOut(&l.outputBuffer))
-		closes := l.receive([]byte(strings.ReplaceAll(text, "JOB", job))) != nil
+		closes := l.receive([]byte(strings.ReplaceAll(text, "JOB", firstID))) != nil
 		if closes {
 			l.closed()
 		}
-		batch(a)
+		dispatchBatch(a)
 		s.add("reply", text)
 		s.add("closes", fmt.Sprint(closes, " ", a.index.inFlight, " ", len(a.index.idle), " ", a.index.connections))
 		s.add("router", takeOut(&c.outputBuffer))
 		s.add("interpreter", takeOut(&a.interpreter.outputBuffer))
 	}
-	a, _, l := calling(t)
+	a, _, l := newServerWithCall(t)
 	takeOut(&l.outputBuffer)
 	a.interpreter.output = nil
-	pass(a, 100_000)
+	passTime(a, 100_000)
 	s.add("given up", fmt.Sprint(l.call == nil, " ", a.index.inFlight, " ", takeOut(&a.interpreter.outputBuffer)))
 	s.check(t, "replies.txt")
 }
@@ -228,28 +228,28 @@
 // A link to the interpreter that breaks and comes back, byte for byte.
 func TestGoldenReconnect(t *testing.T) {
 	var s transcript
-	a, c, _ := awaiting(t)
+	a, c, _ := newServerWithRun(t)
 	for i := range 2 {
-		a.interpreter.conn = nowhere{}
+		a.interpreter.conn = discardConn{}
 		a.interpreter.closed()
-		a.interpreter.opened(nowhere{})
+		a.interpreter.opened(discardConn{})
 		s.add("connect", takeOut(&a.interpreter.outputBuffer))
 		require.NoError(t, a.interpreter.receive([]byte(`{"type":"BANNER","state":"WARM","took":1}`+"\n")))
 		s.add("fence", takeOut(&a.interpreter.outputBuffer))
 		require.NoError(t, a.interpreter.receive([]byte(fmt.Sprintf(`{"type":"TOPS","ref":"%s","gauges":[1,2]}`+"\n", a.interpreter.replayFence))))
 		s.add("ready", takeOut(&a.interpreter.outputBuffer))
 		if i == 0 {
-			require.NoError(t, a.interpreter.receive([]byte(`{"type":"AWAIT","n":1,"job":"`+job+`","data":"cQ=="}`+"\n")))
-			batch(a)
-			l := a.requests.byID[job].call.connection
-			l.opened(nowhere{})
+			require.NoError(t, a.interpreter.receive([]byte(`{"type":"AWAIT","n":1,"job":"`+firstID+`","data":"cQ=="}`+"\n")))
+			dispatchBatch(a)
+			l := a.requests.byID[firstID].call.connection
+			l.opened(discardConn{})
 			s.add("call", takeOut(&l.outputBuffer))
-			require.NoError(t, l.receive([]byte(job+" HIT 2\r\nok\r\n")))
+			require.NoError(t, l.receive([]byte(firstID+" HIT 2\r\nok\r\n")))
 			s.add("resolve", takeOut(&a.interpreter.outputBuffer))
 		}
 	}
-	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":2,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
-	batch(a)
+	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":2,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
+	dispatchBatch(a)
 	s.add("router", takeOut(&c.outputBuffer))
 	s.check(t, "reconnect.txt")
 }
@@ -261,16 +261,16 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
 		"FTP/1.1 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", strings.Repeat("x", maxAnswerBytes+1), strings.Repeat("x", maxAnswerBytes), "HTTP/1.1 200 OK\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
-		a, _, _ := awaiting(t)
+		a, _, _ := newServerWithRun(t)
 		d := &a.directory
 		a.config.Directory = "directory:1"
 		a.routers.admissionHealthy = len(text)%2 == 0
-		d.opened(nowhere{})
+		d.opened(discardConn{})
 		s.add("report", takeOut(&d.outputBuffer))
 		closes := d.receive([]byte(text)) != nil
 		s.add("answer", text[:min(len(text), 100)])
 		s.add("closes", fmt.Sprint(closes, " ", d.state == directoryAwaitingAnswer, " ", int64(d.reportTimer.deadline-a.now), " ", len(d.partial)))
-		pass(a, reportInterval)
+		passTime(a, reportInterval)
 		s.add("next", fmt.Sprint(d.missedReports, " ", d.consecutiveMisses, " ", takeOut(&d.outputBuffer)))
 	}
 	s.check(t, "directory.txt")
@@ -287,24 +287,24 @@
 			data := make([]byte, 2*(20+r.Intn(80)))
 			r.Read(data)
 			h.Add("seed", seed)
-			playSeen(t, data, true, h.Add)
+			playObserved(t, data, true, h.Add)
 		}
 		fmt.Fprintf(&lines, "seeds %d to %d: %s\n", from, from+group-1, h)
 	}
 	golden.Check(t, "sequences.txt", []byte(lines.String()))
 }
 
-// withPlugins is an app server whose requests are shown to one plug-in that may do everything, on a connection that
+// newServerWithPlugin is an app server whose requests are shown to one plug-in that may do everything, on a connection that
 // nothing leaves.
-func withPlugins(t *testing.T) (*Server, *pluginConnection) {
-	a, _, _ := awaiting(t)
+func newServerWithPlugin(t *testing.T) (*Server, *pluginConnection) {
+	a, _, _ := newServerWithRun(t)
 	pluginChain := chain.New([]chain.Policy{{Name: "p", Hooks: [3]bool{true, true, true}, Categories: []bool{true}, MayReject: true,
 		TargetCategories: []bool{true}, MayTag: true, MayRewrite: true, CallTimeout: 100, MaxTimeFraction: 0.5, CoreFraction: 1, TickInterval: 10 * second, MaxConsecutiveFaults: 3, MaxFaultRate: 1, MinQuarantine: 1000, MaxQuarantine: 10_000}},
 		nil, func(string) bool { return false }, a.random, a.now)
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { _ = theirs.Close() })
 	h := &pluginConnection{part: &a.plugins, config: &Plugins{}, chain: pluginChain, process: &plugin.Process{Conn: ours, Command: &exec.Cmd{}}}
-	h.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink, conn: nowhere{}}
+	h.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink, conn: discardConn{}}
 	a.plugins.config, a.plugins.live, a.plugins.chain = h.config, h, pluginChain
 	return a, h
 }
@@ -335,33 +335,33 @@
 		{"a longer result", nothing, verdict(plugin.CallSucceeded, abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
 		{"silent", nil, nil},
 	} {
-		a, h := withPlugins(t)
-		c := knocking(a)
+		a, h := newServerWithPlugin(t)
+		c := connectRouter(a)
 		say := func(point string, payload []byte) {
 			s.add(point+": asked", takeOut(&h.outputBuffer))
 			if payload == nil {
-				pass(a, 200)
+				passTime(a, 200)
 			} else {
 				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, a.plugins.lastCall, payload)
-				require.NoError(t, inPieces(string(frame), 7, h.receive))
+				require.NoError(t, feedInPieces(string(frame), 7, h.receive))
 			}
-			batch(a)
+			dispatchBatch(a)
 			s.add(point+": router", takeOut(&c.outputBuffer))
 			s.add(point+": interpreter", takeOut(&a.interpreter.outputBuffer))
 		}
 		s.add("plug-in", one.name)
-		text := records(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body")
+		text := requestRecords(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body")
 		require.NoError(t, c.parser.Feed([]byte(text), c))
-		batch(a)
+		dispatchBatch(a)
 		say("read", one.read)
 		require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"00000000000000a1","state":"OK","data":"eHh4"}`+"\n")))
-		batch(a)
+		dispatchBatch(a)
 		say("result", one.result)
 		s.add("books", fmt.Sprint(h.pendingCalls, " ", h.requests, " ", a.plugins.lateVerdicts, " ", a.requests.count(), " ", h.chain.Plugins[0].Faults))
 	}
-	a, h := withPlugins(t)
-	c := knocking(a)
-	require.NoError(t, c.parser.Feed([]byte(records(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body")), c))
+	a, h := newServerWithPlugin(t)
+	c := connectRouter(a)
+	require.NoError(t, c.parser.Feed([]byte(requestRecords(1, fieldsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body")), c))
 	keep := func(key, value string) {
 		payload := append([]byte{byte(len(key))}, key+value...)
 		require.NoError(t, h.receive(plugin.AppendFrame(nil, plugin.FrameState, 0, 0, payload)))
@@ -373,7 +373,7 @@
 	s.add("kept", fmt.Sprint(a.plugins.snapshot(), " ", a.plugins.stateBytes, " ", a.plugins.counters))
 	s.add("place beyond", fmt.Sprint(h.receive(plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)) != nil))
 	h.closed()
-	batch(a)
+	dispatchBatch(a)
 	s.add("process died: interpreter", takeOut(&a.interpreter.outputBuffer))
 	s.check(t, "plugins.txt")
 }
--- a/internal/server/links_test.go
+++ b/internal/server/links_test.go
@@ -14,10 +14,10 @@
 	"thistlequay/timeunit"
 )
 
-const job = "00000000000000aa"
+const firstID = "00000000000000aa"
 
-// running makes an app server without an engine, with one work item that runs. Nothing leaves it.
-func running(t *testing.T) (*Server, *routerConnection) {
+// newRunningServer makes an app server without an engine, with one work item that runs. Nothing leaves it.
+func newRunningServer(t *testing.T) (*Server, *routerConnection) {
 	terms, err := deployment.Read([]byte(`{"Categories":[{"Effect":"by_key","HardLimit":8000,"Name":"a","OnTime":4000,
 "Window":5000,"Worth":1}],"FamilyInfo":{"CallShare":9,"CallsOver":5000,"Cores":2,"Downstream":"common","MemoryKb":80000,
 "Meters":["core_use","on_cores"],"RunFactor":8,"Halt":"drop"},"Servers":1,"Rules":{"TipMultiple":8}}`))
@@ -25,42 +25,42 @@
 	a := New(Config{Name: "n", MaxSockets: 64, MemoryBytes: 64 << 20, Settings: terms}, logs.New(io.Discard, logs.FormatText))
 	a.now = 10_000_000
 	require.NoError(t, a.interpreter.receive([]byte(`{"type":"BANNER","state":"WARM","took":1}`+"\n")))
-	c := knocking(a)
+	c := connectRouter(a)
 	c.conn = nil
 	require.NoError(t, c.parser.Feed([]byte(wholeRequest), c))
 	a.admission.Dispatch()
-	require.Contains(t, string(a.interpreter.output), `{"type":"APPLY","job":"`+job+`","kind":"a","data":"eA=="}`)
+	require.Contains(t, string(a.interpreter.output), `{"type":"APPLY","job":"`+firstID+`","kind":"a","data":"eA=="}`)
 	return a, c
 }
 
-// knocking makes a router's connection that nothing leaves.
-func knocking(a *Server) *routerConnection {
+// connectRouter makes a router's connection that nothing leaves.
+func connectRouter(a *Server) *routerConnection {
 	c := a.routers.accept().(*routerConnection)
-	c.opened(nowhere{})
+	c.opened(discardConn{})
 	return c
 }
 
-// calling makes one whose run stands at a call that is out on a connection.
-func calling(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
-	a, c := running(t)
-	a.loop = noLoop{}
-	a.requests.byID[job].handle.NeedsCall()
+// newServerWithCall makes one whose run stands at a call that is out on a connection.
+func newServerWithCall(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
+	a, c := newRunningServer(t)
+	a.loop = idleLoop{}
+	a.requests.byID[firstID].handle.NeedsCall()
 	a.admission.Dispatch()
-	l := a.requests.byID[job].call.connection
-	l.opened(nowhere{})
+	l := a.requests.byID[firstID].call.connection
+	l.opened(discardConn{})
 	return a, c, l
 }
 
 // requestFields are those of a whole request.
-var requestFields = [][2]string{{"SCRIPT_NAME", "/rpc/a"}, {"HTTP_REQUEST_ID", job}, {"HTTP_RECEIVED_AT", "1000000"},
+var requestFields = [][2]string{{"SCRIPT_NAME", "/rpc/a"}, {"HTTP_REQUEST_ID", firstID}, {"HTTP_RECEIVED_AT", "1000000"},
 	{"HTTP_BUDGET_MS", "7000"}, {"HTTP_SENT_BY", "1"}, {"HTTP_FOOTPRINT_KB", "20"}, {"HTTP_ONCE_KEY", "k"},
 	{"REQUEST_METHOD", "POST"}, {"HTTP_PRIORITY_RANK", "0.5"}}
 
 // wholeRequest is one, in records as a router sends them.
-var wholeRequest = records(1, requestFields, "x")
+var wholeRequest = requestRecords(1, requestFields, "x")
 
-// records writes a request as a router sends it.
-func records(keep byte, fields [][2]string, body string) string {
+// requestRecords writes a request as a router sends it.
+func requestRecords(keep byte, fields [][2]string, body string) string {
 	record := func(kind byte, content string) string {
 		return string([]byte{1, kind, 0, 1, byte(len(content) >> 8), byte(len(content)), 0, 0}) + content
 	}
@@ -75,7 +75,7 @@
 	return record(1, "\x00\x01"+string([]byte{keep})+"\x00\x00\x00\x00\x00") + record(4, params) + record(4, "") + stdin + record(5, "")
 }
 
-func inPieces(data string, size int, traffic func([]byte) error) (err error) {
+func feedInPieces(data string, size int, traffic func([]byte) error) (err error) {
 	for len(data) > 0 && err == nil {
 		n := min(size, len(data))
 		err = traffic([]byte(data[:n]))
@@ -86,14 +86,14 @@
 
 // What the interpreter says never panics, and means the same however it is split.
 func FuzzNotices(f *testing.F) {
-	f.Add(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n", 3)
-	f.Add(`{"type":"AWAIT","n":2,"job":"`+job+`","data":"eA=="}`+"\n\n"+`{"type":"TOPS","ref":"1","gauges":[1,2]}`+"\n", 7)
-	f.Add(`{"type":"ERROR","state":"APPLY","job":"`+job+`"}`+"\n"+`{"type":"TRACE","n":9}`+"\n", 1)
+	f.Add(`{"type":"VALUE","n":1,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n", 3)
+	f.Add(`{"type":"AWAIT","n":2,"job":"`+firstID+`","data":"eA=="}`+"\n\n"+`{"type":"TOPS","ref":"1","gauges":[1,2]}`+"\n", 7)
+	f.Add(`{"type":"ERROR","state":"APPLY","job":"`+firstID+`"}`+"\n"+`{"type":"TRACE","n":9}`+"\n", 1)
 	f.Add(`{"type":"BANNER","state":"COLD","took":-1}`+"\n", 2)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		heard := func(size int) string {
-			a, c := running(t)
-			err := inPieces(text, size, a.interpreter.receive)
+			a, c := newRunningServer(t)
+			err := feedInPieces(text, size, a.interpreter.receive)
 			return fmt.Sprint(err, a.interpreter.lastNotice, a.interpreter.gauges, a.requests.count(), string(c.output))
 		}
 		require.Equal(t, heard(max(1, len(text))), heard(1+max(0, size)%61))
@@ -102,14 +102,14 @@
 
 // The same of what the index says.
 func FuzzReplies(f *testing.F) {
-	f.Add(job+" HIT 3\r\na\r\n\r\n", 1)
-	f.Add(job+" SHED\r\n"+job+" SLOW\r\n", 4)
-	f.Add(job+" HIT 99999999999\r\n", 5)
+	f.Add(firstID+" HIT 3\r\na\r\n\r\n", 1)
+	f.Add(firstID+" SHED\r\n"+firstID+" SLOW\r\n", 4)
+	f.Add(firstID+" HIT 99999999999\r\n", 5)
 	f.Add(strings.Repeat("x", 200), 9)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		heard := func(size int) string {
-			a, c, l := calling(t)
-			err := inPieces(text, size, l.receive)
+			a, c, l := newServerWithCall(t)
+			err := feedInPieces(text, size, l.receive)
 			return fmt.Sprint(err, a.index.inFlight, string(c.output), string(a.interpreter.output))
 		}
 		require.Equal(t, heard(max(1, len(text))), heard(1+max(0, size)%61))
@@ -118,12 +118,12 @@
 
 // A stamp is matched by the time its repeat reached the machine, however late that is read, and goes in its time
 // with its result: no sweep, no growth.
-func TestStampsLastTheirWindow(t *testing.T) {
-	a, c := running(t)
-	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
+func TestRepeatIsMatchedByWhenItWasReceived(t *testing.T) {
+	a, c := newRunningServer(t)
+	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
 	require.Contains(t, string(c.output), "Status: 200 OK\r\n\r\nx")
 	again := func(reached string, now timeunit.Ticks) string {
-		return takes(t, a, c, "00000000000000ab", reached, now)
+		return submitAttempt(t, a, c, "00000000000000ab", reached, now)
 	}
 	require.Contains(t, again("1004999", 10_060_000), "Status: 200 OK\r\n\r\nx") // read after the window, sent within
 	require.Empty(t, again("1005100", 10_060_000))                               // sent after it: another run
@@ -132,8 +132,8 @@
 }
 
 // A wake brings the gauges as they are then, and comes without an answer where the link is slow.
-func TestAWakeWaitsForItsGaugesNotForLong(t *testing.T) {
-	a, _ := running(t)
+func TestWakeupWaitsForGaugesWithinBound(t *testing.T) {
+	a, _ := newRunningServer(t)
 	pass := func(span timeunit.Ticks, answered bool) int {
 		before := a.interpreter.gaugeAges.total
 		for end := a.now + span; a.now < end; a.fireTimers() {
@@ -159,9 +159,9 @@
 }
 
 // After a standstill neither alarms nor the module speak before the sockets have been read once more.
-func TestAStandstillLetsTheSocketsGoFirst(t *testing.T) {
-	a, _ := running(t)
-	a.loop = noLoop{}
+func TestSocketsAreReadBeforeTimersFireAfterStandstill(t *testing.T) {
+	a, _ := newRunningServer(t)
+	a.loop = idleLoop{}
 	rang := 0
 	a.setTimer(&timer{fire: func() { rang++ }}, a.now+1)
 	a.now += standstillThreshold + 2
@@ -174,12 +174,12 @@
 }
 
 // A link that stood and breaks is dialled again at once; one that does not stand waits ever longer.
-func TestABrokenLinkIsDialledAtOnce(t *testing.T) {
-	a, _ := running(t)
-	a.loop = noLoop{}
+func TestInterpreterLinkIsRedialedAtOnceIfItStood(t *testing.T) {
+	a, _ := newRunningServer(t)
+	a.loop = idleLoop{}
 	l := &a.interpreter
 	breaks := func(stood timeunit.Ticks) (dialled bool) {
-		l.dialing, l.conn, l.state, l.readySince = nil, nowhere{}, linkReady, a.now-stood
+		l.dialing, l.conn, l.state, l.readySince = nil, discardConn{}, linkReady, a.now-stood
 		l.closed()
 		return l.dialing != nil
 	}
@@ -196,10 +196,10 @@
 }
 
 // A connection that rested long may have been forgotten and carries no call, though the alarm that closes it is late.
-func TestAConnectionLongAtRestCarriesNoCall(t *testing.T) {
+func TestExpiredIdleConnectionCarriesNoCall(t *testing.T) {
 	for rested, used := range map[timeunit.Ticks]bool{idleConnectionTimeout - 1: true, idleConnectionTimeout: false} {
-		a, _, l := calling(t)
-		require.NoError(t, l.receive([]byte(job+" HIT 0\r\n\r\n")))
+		a, _, l := newServerWithCall(t)
+		require.NoError(t, l.receive([]byte(firstID+" HIT 0\r\n\r\n")))
 		a.now += rested
 		c := &indexCall{request: &request{id: "another"}}
 		a.index.assign(c)
@@ -207,12 +207,12 @@
 	}
 }
 
-// takes feeds one more try of the request at this moment and gives what is answered in the batch.
-func takes(t *testing.T, a *Server, c *routerConnection, id, reached string, now timeunit.Ticks) string {
+// submitAttempt feeds one more try of the request at this moment and gives what is answered in the batch.
+func submitAttempt(t *testing.T, a *Server, c *routerConnection, id, reached string, now timeunit.Ticks) string {
 	a.now = max(a.now, now)
 	a.admission.Advance(a.now)
 	c.output = nil
-	text := strings.Replace(strings.Replace(wholeRequest, job, id, 1), "1000000", reached, 1)
+	text := strings.Replace(strings.Replace(wholeRequest, firstID, id, 1), "1000000", reached, 1)
 	require.NoError(t, c.parser.Feed([]byte(text), c))
 	a.requests.settle()
 	a.admission.Dispatch()
@@ -221,28 +221,28 @@
 
 // A window counts from Received-At, also where that router's clock was ahead, and a repeat counts as come when it was
 // read where its router's is. Both are of one second here.
-func TestAWindowWhereClocksAreAhead(t *testing.T) {
-	a, c := running(t) // it came at 1,000,000 ms, for 5,000
+func TestDeduplicationWindowAllowsForRouterClocksAhead(t *testing.T) {
+	a, c := newRunningServer(t) // it came at 1,000,000 ms, for 5,000
 	hear := func(id string) {
 		a.interpreter.lastNotice = 0
 		require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+id+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
 	}
-	hear(job)
-	require.Contains(t, takes(t, a, c, "00000000000000a1", "1005900", 10_049_900), "200 OK", "ahead by 910 ms, read within the window")
-	require.Empty(t, takes(t, a, c, "00000000000000a2", "1006950", 10_060_000), "read after the window: it runs, and is ahead by 950 ms")
+	hear(firstID)
+	require.Contains(t, submitAttempt(t, a, c, "00000000000000a1", "1005900", 10_049_900), "200 OK", "ahead by 910 ms, read within the window")
+	require.Empty(t, submitAttempt(t, a, c, "00000000000000a2", "1006950", 10_060_000), "read after the window: it runs, and is ahead by 950 ms")
 	hear("00000000000000a2")
-	require.Contains(t, takes(t, a, c, "00000000000000a3", "1011900", 10_119_000), "200 OK", "within 5,000 ms of 1006950")
-	require.Empty(t, takes(t, a, c, "00000000000000a4", "1011970", 10_119_700), "and after")
+	require.Contains(t, submitAttempt(t, a, c, "00000000000000a3", "1011900", 10_119_000), "200 OK", "within 5,000 ms of 1006950")
+	require.Empty(t, submitAttempt(t, a, c, "00000000000000a4", "1011970", 10_119_700), "and after")
 }
 
 // A run may last longer than its window and all that is kept after it: a repeat that waits for it waits on.
-func TestARunBeyondItsWindow(t *testing.T) {
-	a, c := running(t)
+func TestRepeatWaitsForRunBeyondItsWindow(t *testing.T) {
+	a, c := newRunningServer(t)
 	a.routers.maxConnections = 100
 	for s := timeunit.Ticks(1); s <= 30; s++ {
-		c = knocking(a)
+		c = connectRouter(a)
 		at := 10_000_000 + s*10_000
-		takes(t, a, c, fmt.Sprintf("%016x", 0xb0+s), fmt.Sprint(int64(at/10)), at)
+		submitAttempt(t, a, c, fmt.Sprintf("%016x", 0xb0+s), fmt.Sprint(int64(at/10)), at)
 		for len(a.deadlines) > 0 && a.deadlines[0].deadline <= a.now {
 			a.now = max(a.now, a.deadlines[0].deadline)
 			a.resumeAfterStandstill()
@@ -251,7 +251,7 @@
 		require.Empty(t, c.output, "%d s", s)
 	}
 	require.Len(t, a.requests.entries, 1)
-	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+job+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
+	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
 	a.requests.settle()
 	require.Contains(t, string(c.output), "Status: 200 OK\r\n\r\nx")
 	a.admission.Dispatch()
@@ -260,7 +260,7 @@
 
 // The system's clock is set, an hour back or ahead: the app's own time goes on evenly, and what a router says by the new
 // clock is understood by it.
-func TestAClockThatIsSet(t *testing.T) {
+func TestClockGoesOnEvenlyWhenSystemClockIsSet(t *testing.T) {
 	c := newClock()
 	even, set := time.Duration(0), time.UnixMicro(int64(c.startedAt)*100)
 	c.readSystem = func() (time.Time, time.Duration) { return set.Add(even), even }
@@ -273,16 +273,16 @@
 		require.Equal(t, timeunit.Ticks(set.Add(even).UnixMicro()/100), now+c.systemOffset)
 		before = now
 	}
-	a, _ := running(t)
-	r := knocking(a)
+	a, _ := newRunningServer(t)
+	r := connectRouter(a)
 	a.clock.systemOffset = 3_600_000 // six minutes: routers' stamps are by so much ahead of the app's time by now
-	require.Empty(t, takes(t, a, r, "00000000000000c1", "1364000", 10_050_000), "a new one, in time")
+	require.Empty(t, submitAttempt(t, a, r, "00000000000000c1", "1364000", 10_050_000), "a new one, in time")
 	require.NotNil(t, a.requests.byID["00000000000000c1"])
 	require.Equal(t, timeunit.Ticks(10_040_000), a.requests.byID["00000000000000c1"].receivedAt)
 }
 
 // What the protocol of sockets has no word for is not decided by, whatever the settings say for the simulator's wire.
-func TestWhatSocketsHaveNoWordFor(t *testing.T) {
+func TestSocketDeploymentDropsWhatProtocolCannotExpress(t *testing.T) {
 	read := func(halt string) *deployment.Config {
 		terms, err := deployment.Read([]byte(`{"Categories":[{"Effect":"repeatable","HardLimit":8000,"Name":"a","OnTime":4000,"Worth":1}],"Clients":{"MarksRetry":true},
 "FamilyInfo":{"Cores":2,"Halt":"` + halt + `","Fresh":1000,"ClassSkipWorth":[0.5]}}`))
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -15,37 +15,37 @@
 	"thistlequay/timeunit"
 )
 
-// nowhere is a connection that nothing leaves, noLoop its loop.
-type nowhere struct{ gnet.Conn }
+// discardConn is a connection that nothing leaves, noLoop its loop.
+type discardConn struct{ gnet.Conn }
 
-func (nowhere) Write(b []byte) (int, error) { return len(b), nil }
-func (nowhere) OutboundBuffered() int       { return 0 }
-func (nowhere) Context() any                { return nil }
-func (nowhere) SetContext(any)              {}
-func (nowhere) Fd() int                     { return -1 }
+func (discardConn) Write(b []byte) (int, error) { return len(b), nil }
+func (discardConn) OutboundBuffered() int       { return 0 }
+func (discardConn) Context() any                { return nil }
+func (discardConn) SetContext(any)              {}
+func (discardConn) Fd() int                     { return -1 }
 
-type noLoop struct{ gnet.EventLoop }
+type idleLoop struct{ gnet.EventLoop }
 
-func (noLoop) Execute(context.Context, gnet.Runnable) error { return nil }
-func (noLoop) Close(gnet.Conn) error                        { return nil }
+func (idleLoop) Execute(context.Context, gnet.Runnable) error { return nil }
+func (idleLoop) Close(gnet.Conn) error                        { return nil }
 
-var applied = regexp.MustCompile(`APPLY","job":"(\w+)"`)
+var runCommandPattern = regexp.MustCompile(`APPLY","job":"(\w+)"`)
 
-// play makes a sequence of what can happen of the bytes. In the end every request must have had its one answer, and
+// playSequence makes a sequence of what can happen of the bytes. In the end every request must have had its one answer, and
 // no stamp more than one run.
-func play(t *testing.T, data []byte) { playSeen(t, data, false, func(...any) {}) }
+func playSequence(t *testing.T, data []byte) { playObserved(t, data, false, func(...any) {}) }
 
-// playSeen is play, and what would leave is seen. Where it must be the same each time the interpreter's link breaks and
+// playObserved is play, and what would leave is seen. Where it must be the same each time the interpreter's link breaks and
 // comes back with one work item in hand at most: several are gone through in no order.
-func playSeen(t *testing.T, data []byte, same bool, see func(...any)) {
-	a, first := running(t)
-	a.loop = noLoop{}
-	a.interpreter.conn = nowhere{}
-	first.conn = nowhere{}
-	conns, open := []*routerConnection{first, knocking(a)}, 1
+func playObserved(t *testing.T, data []byte, same bool, see func(...any)) {
+	a, first := newRunningServer(t)
+	a.loop = idleLoop{}
+	a.interpreter.conn = discardConn{}
+	first.conn = discardConn{}
+	conns, open := []*routerConnection{first, connectRouter(a)}, 1
 	ids, notices, before := 0, 0, a.brokenInvariants
-	keys, reached := map[string]byte{job: 'k'}, map[string]timeunit.Ticks{job: a.now} // by id
-	runs, ran := map[string]bool{}, map[byte]timeunit.Ticks{}                         // by id; by key, when its try came
+	keys, reached := map[string]byte{firstID: 'k'}, map[string]timeunit.Ticks{firstID: a.now} // by id
+	runs, ran := map[string]bool{}, map[byte]timeunit.Ticks{}                                 // by id; by key, when its try came
 	hear := func(format string, args ...any) {
 		require.NoError(t, a.interpreter.receive([]byte(fmt.Sprintf(format, args...)+"\n")))
 	}
@@ -66,7 +66,7 @@
 				defer hear(`{"type":"TOPS","ref":"%s","gauges":[0.5,1]}`, strings.TrimSuffix(tag, `"}`))
 			}
 		}
-		for _, m := range applied.FindAllSubmatch(a.interpreter.output, -1) {
+		for _, m := range runCommandPattern.FindAllSubmatch(a.interpreter.output, -1) {
 			id := string(m[1])
 			if runs[id] {
 				continue // it does nothing where its request runs, and starts nothing where that is over
@@ -122,7 +122,7 @@
 			open++
 			id := fmt.Sprintf("%016x", 0xaa+ids)
 			keys[id], reached[id] = 'k'+n%3, a.now/10*10
-			text := bytes.ReplaceAll([]byte(wholeRequest), []byte(job), []byte(id))
+			text := bytes.ReplaceAll([]byte(wholeRequest), []byte(firstID), []byte(id))
 			text = bytes.Replace(text, []byte("HTTP_ONCE_KEYk"), fmt.Appendf(nil, "HTTP_ONCE_KEY%c", 'k'+n%3), 1)
 			text = bytes.Replace(text, []byte("1000000"), fmt.Appendf(nil, "%07d", a.now/10), 1)
 			for p := 0; p < len(text); p += 8 + int(text[p+5]) {
@@ -151,7 +151,7 @@
 			switch {
 			case it == nil || it.call == nil || it.call.connection == nil:
 			case it.call.connection.conn == nil:
-				it.call.connection.opened(nowhere{})
+				it.call.connection.opened(discardConn{})
 			case n > 200:
 				it.call.connection.closed()
 			default:
@@ -167,7 +167,7 @@
 			if a.interpreter.conn != nil {
 				a.interpreter.closed()
 			} else {
-				a.interpreter.opened(nowhere{})
+				a.interpreter.opened(discardConn{})
 				hear(`{"type":"BANNER","state":"WARM","took":1}`)
 			}
 		case 8:
@@ -193,5 +193,5 @@
 	f.Add([]byte("\x00\x00\x00\x02\x00\x04\x04\x00\x04\x01\x00\x00\x05\x00\x06\x00\"7000000")) // MOOT of a run heard of
 	f.Add([]byte{0, 0, 0, 2, 0, 4, 4, 0, 4, 1, 0, 0, 5, 0, 6, 0, 6, 3, 6, 0, 8, 7, 0, 1})
 	f.Add([]byte{0, 0, 0, 1, 7, 0, 0, 3, 7, 0, 4, 0, 3, 1, 8, 255, 8, 254, 0, 0, 4, 1})
-	f.Fuzz(play)
+	f.Fuzz(playSequence)
 }
