--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -9,56 +9,63 @@
 	"thistlequay/timeunit"
 )
 
-// A stamp is matched by the time its repeat reached the machine, however late that is read, and goes in its time
-// with its result: no sweep, no growth.
+const succeeded = "Status: 200 OK\r\n\r\nx"
+
+// endRun has the interpreter tell the end of a run.
+func endRun(t *testing.T, s *Server, id string) {
+	t.Helper()
+	s.interpreter.lastNotice = 0
+	notify(t, s, `{"type":"VALUE","n":1,"job":"%s","state":"OK","took":5,"data":"eA=="}`, id)
+}
+
+// A repeat is matched by when it was received, however late that is read, and an entry goes in its time with its
+// result: no sweep, no growth.
 func TestRepeatIsMatchedByWhenItWasReceived(t *testing.T) {
-	a, c := newRunningServer(t)
-	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
-	require.Contains(t, string(c.output), "Status: 200 OK\r\n\r\nx")
-	again := func(reached string, now timeunit.Ticks) string {
-		return submitAttempt(t, a, c, "00000000000000ab", reached, now)
-	}
-	require.Contains(t, again("1004999", 10_060_000), "Status: 200 OK\r\n\r\nx") // read after the window, sent within
-	require.Empty(t, again("1005100", 10_060_000))                               // sent after it: another run
-	require.Len(t, a.requests.entries, 1)
-	require.True(t, a.requests.byID["00000000000000ab"].runStarted)
+	s, router := newRunningServer(t)
+	endRun(t, s, firstID)
+	require.Contains(t, string(router.output), succeeded)
+	const repeat = "00000000000000ab"
+	require.Contains(t, submitAttempt(t, s, router, repeat, "1004999", 10_060_000), succeeded,
+		"received within the window, read after it")
+	require.Empty(t, submitAttempt(t, s, router, repeat, "1005100", 10_060_000), "received after it: another run")
+	require.Len(t, s.requests.entries, 1)
+	require.True(t, s.requests.byID[repeat].runStarted)
 }
 
-// A window counts from Received-At, also where that router's clock was ahead, and a repeat counts as come when it was
-// read where its router's is. Both are of one second here.
+// A window counts from Received-At, also where that router's clock was ahead, and a repeat whose router's is counts as
+// received when it was read. Both clocks are ahead by almost one second here.
 func TestDeduplicationWindowAllowsForRouterClocksAhead(t *testing.T) {
-	a, c := newRunningServer(t) // it came at 1,000,000 ms, for 5,000
-	hear := func(id string) {
-		a.interpreter.lastNotice = 0
-		require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+id+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
-	}
-	hear(firstID)
-	require.Contains(t, submitAttempt(t, a, c, "00000000000000a1", "1005900", 10_049_900), "200 OK", "ahead by 910 ms, read within the window")
-	require.Empty(t, submitAttempt(t, a, c, "00000000000000a2", "1006950", 10_060_000), "read after the window: it runs, and is ahead by 950 ms")
-	hear("00000000000000a2")
-	require.Contains(t, submitAttempt(t, a, c, "00000000000000a3", "1011900", 10_119_000), "200 OK", "within 5,000 ms of 1006950")
-	require.Empty(t, submitAttempt(t, a, c, "00000000000000a4", "1011970", 10_119_700), "and after")
+	s, router := newRunningServer(t) // received at 1,000,000 ms, for 5,000
+	endRun(t, s, firstID)
+	require.Contains(t, submitAttempt(t, s, router, "00000000000000a1", "1005900", 10_049_900), "200 OK",
+		"ahead by 910 ms, read within the window")
+	require.Empty(t, submitAttempt(t, s, router, "00000000000000a2", "1006950", 10_060_000),
+		"read after the window: it runs, and is ahead by 950 ms")
+	endRun(t, s, "00000000000000a2")
+	require.Contains(t, submitAttempt(t, s, router, "00000000000000a3", "1011900", 10_119_000), "200 OK",
+		"within 5,000 ms of 1006950")
+	require.Empty(t, submitAttempt(t, s, router, "00000000000000a4", "1011970", 10_119_700), "and after")
 }
 
 // A run may last longer than its window and all that is kept after it: a repeat that waits for it waits on.
 func TestRepeatWaitsForRunBeyondItsWindow(t *testing.T) {
-	a, c := newRunningServer(t)
-	a.routers.maxConnections = 100
-	for s := timeunit.Ticks(1); s <= 30; s++ {
-		c = connectRouter(a)
-		at := 10_000_000 + s*10_000
-		submitAttempt(t, a, c, fmt.Sprintf("%016x", 0xb0+s), fmt.Sprint(int64(at/10)), at)
-		for len(a.deadlines) > 0 && a.deadlines[0].deadline <= a.now {
-			a.now = max(a.now, a.deadlines[0].deadline)
-			a.resumeAfterStandstill()
+	s, router := newRunningServer(t)
+	s.routers.maxConnections = 100
+	for seconds := timeunit.Ticks(1); seconds <= 30; seconds++ {
+		router = connectRouter(s)
+		now := 10_000_000 + seconds*second
+		submitAttempt(t, s, router, fmt.Sprintf("%016x", 0xb0+seconds), fmt.Sprint(milliseconds(now)), now)
+		for len(s.deadlines) > 0 && s.deadlines[0].deadline <= s.now {
+			s.now = max(s.now, s.deadlines[0].deadline)
+			s.resumeAfterStandstill()
 		}
-		a.requests.settle()
-		require.Empty(t, c.output, "%d s", s)
+		s.requests.settle()
+		require.Empty(t, router.output, "%d s", seconds)
 	}
-	require.Len(t, a.requests.entries, 1)
-	require.NoError(t, a.interpreter.receive([]byte(`{"type":"VALUE","n":1,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n")))
-	a.requests.settle()
-	require.Contains(t, string(c.output), "Status: 200 OK\r\n\r\nx")
-	a.admission.Dispatch()
-	require.Empty(t, a.requests.entries, "it was kept for the run alone")
+	require.Len(t, s.requests.entries, 1)
+	endRun(t, s, firstID)
+	s.requests.settle()
+	require.Contains(t, string(router.output), succeeded)
+	s.admission.Dispatch()
+	require.Empty(t, s.requests.entries, "it was kept for the run alone")
 }
--- a/internal/server/index_test.go
+++ b/internal/server/index_test.go
@@ -10,30 +10,32 @@
 	"thistlequay/timeunit"
 )
 
-// The same of what the index says.
+// What the index says never panics, and means the same however it is split.
 func FuzzReplies(f *testing.F) {
 	f.Add(firstID+" HIT 3\r\na\r\n\r\n", 1)
 	f.Add(firstID+" SHED\r\n"+firstID+" SLOW\r\n", 4)
 	f.Add(firstID+" HIT 99999999999\r\n", 5)
 	f.Add(strings.Repeat("x", 200), 9)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		heard := func(size int) string {
-			a, c, l := newServerWithCall(t)
-			err := feedInPieces(text, size, l.receive)
-			return fmt.Sprint(err, a.index.inFlight, string(c.output), string(a.interpreter.output))
+		receive := func(size int) string {
+			s, router, connection := newServerWithCall(t)
+			err := feedInPieces(text, size, connection.receive)
+			return fmt.Sprint(err, s.index.inFlight, string(router.output), string(s.interpreter.output))
 		}
-		require.Equal(t, heard(max(1, len(text))), heard(1+max(0, size)%61))
+		require.Equal(t, receive(max(1, len(text))), receive(1+max(0, size)%61))
 	})
 }
 
-// A connection that rested long may have been forgotten and carries no call, though the alarm that closes it is late.
+// A connection that was idle for long may have been forgotten by the index. It carries no call, also when the timer
+// that closes it is late.
 func TestExpiredIdleConnectionCarriesNoCall(t *testing.T) {
-	for rested, used := range map[timeunit.Ticks]bool{idleConnectionTimeout - 1: true, idleConnectionTimeout: false} {
-		a, _, l := newServerWithCall(t)
-		require.NoError(t, l.receive([]byte(firstID+" HIT 0\r\n\r\n")))
-		a.now += rested
-		c := &indexCall{request: &request{id: "another"}}
-		a.index.assign(c)
-		require.Equal(t, used, c.connection == l)
+	cases := map[timeunit.Ticks]bool{idleConnectionTimeout - 1: true, idleConnectionTimeout: false}
+	for idle, isUsed := range cases {
+		s, _, connection := newServerWithCall(t)
+		require.NoError(t, connection.receive([]byte(firstID+" HIT 0\r\n\r\n")))
+		s.now += idle
+		call := &indexCall{request: &request{id: "another"}}
+		s.index.assign(call)
+		require.Equal(t, isUsed, call.connection == connection)
 	}
 }
--- a/internal/server/interpreter_test.go
+++ b/internal/server/interpreter_test.go
@@ -13,81 +13,91 @@
 // What the interpreter says never panics, and means the same however it is split.
 func FuzzNotices(f *testing.F) {
 	f.Add(`{"type":"VALUE","n":1,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n", 3)
-	f.Add(`{"type":"AWAIT","n":2,"job":"`+firstID+`","data":"eA=="}`+"\n\n"+`{"type":"TOPS","ref":"1","gauges":[1,2]}`+"\n", 7)
+	f.Add(`{"type":"AWAIT","n":2,"job":"`+firstID+`","data":"eA=="}`+"\n\n"+
+		`{"type":"TOPS","ref":"1","gauges":[1,2]}`+"\n", 7)
 	f.Add(`{"type":"ERROR","state":"APPLY","job":"`+firstID+`"}`+"\n"+`{"type":"TRACE","n":9}`+"\n", 1)
 	f.Add(`{"type":"BANNER","state":"COLD","took":-1}`+"\n", 2)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		heard := func(size int) string {
-			a, c := newRunningServer(t)
-			err := feedInPieces(text, size, a.interpreter.receive)
-			return fmt.Sprint(err, a.interpreter.lastNotice, a.interpreter.gauges, a.requests.count(), string(c.output))
+		receive := func(size int) string {
+			s, router := newRunningServer(t)
+			err := feedInPieces(text, size, s.interpreter.receive)
+			interpreter := &s.interpreter
+			return fmt.Sprint(err, interpreter.lastNotice, interpreter.gauges, s.requests.count(),
+				string(router.output))
 		}
-		require.Equal(t, heard(max(1, len(text))), heard(1+max(0, size)%61))
+		require.Equal(t, receive(max(1, len(text))), receive(1+max(0, size)%61))
 	})
 }
 
-// A wake brings the gauges as they are then, and comes without an answer where the link is slow.
+// Admission's wakeup brings the gauges as they are then, and comes without an answer where the link is slow.
 func TestWakeupWaitsForGaugesWithinBound(t *testing.T) {
-	a, _ := newRunningServer(t)
-	pass := func(span timeunit.Ticks, answered bool) int {
-		before := a.interpreter.gaugeAges.total
-		for end := a.now + span; a.now < end; a.fireTimers() {
-			a.now++
-			a.admission.Advance(a.now)
-			if answered && a.interpreter.wakeupPending {
-				require.NoError(t, a.interpreter.receive([]byte(`{"type":"TOPS","ref":"1","gauges":[1,2]}`+"\n")))
+	s, _ := newRunningServer(t)
+	interpreter := &s.interpreter
+	wakeupsWithin := func(span timeunit.Ticks, isAnswered bool) int {
+		before := interpreter.gaugeAges.total
+		for end := s.now + span; s.now < end; s.fireTimers() {
+			s.now++
+			s.admission.Advance(s.now)
+			if isAnswered && interpreter.wakeupPending {
+				notify(t, s, `{"type":"TOPS","ref":"1","gauges":[1,2]}`)
 			}
 		}
-		return a.interpreter.gaugeAges.total - before
+		return interpreter.gaugeAges.total - before
 	}
-	a.requests.SetTimer(30)
-	a.requests.SetTimer(10)
-	require.Equal(t, 0, pass(10, true))
-	require.True(t, a.interpreter.wakeupPending)
-	require.Equal(t, 1, pass(30, true))
-	require.Equal(t, 2.0, a.interpreter.gauges.RunnableRequests)
-	require.False(t, a.interpreter.gauges.IsStale)
-	a.requests.SetTimer(10)
-	require.Equal(t, 0, pass(10+minGaugeWait-1, false))
-	require.Equal(t, 1, pass(1, false))
-	require.True(t, a.interpreter.gauges.IsStale)
+	s.requests.SetTimer(30)
+	s.requests.SetTimer(10)
+	require.Equal(t, 0, wakeupsWithin(10, true))
+	require.True(t, interpreter.wakeupPending)
+	require.Equal(t, 1, wakeupsWithin(30, true))
+	require.Equal(t, 2.0, interpreter.gauges.RunnableRequests)
+	require.False(t, interpreter.gauges.IsStale)
+	s.requests.SetTimer(10)
+	require.Equal(t, 0, wakeupsWithin(10+minGaugeWait-1, false))
+	require.Equal(t, 1, wakeupsWithin(1, false))
+	require.True(t, interpreter.gauges.IsStale)
 }
 
-// A link that stood and breaks is dialled again at once; one that does not stand waits ever longer.
+// A link that stood for a while is dialed again at once; one that did not, after a delay that grows.
 func TestInterpreterLinkIsRedialedAtOnceIfItStood(t *testing.T) {
-	a, _ := newRunningServer(t)
-	a.loop = idleLoop{}
-	l := &a.interpreter
-	breaks := func(stood timeunit.Ticks) (dialled bool) {
-		l.dialing, l.conn, l.state, l.readySince = nil, discardConn{}, linkReady, a.now-stood
-		l.closed()
-		return l.dialing != nil
+	s, _ := newRunningServer(t)
+	s.loop = idleLoop{}
+	interpreter := &s.interpreter
+	isRedialed := func(stood timeunit.Ticks) bool {
+		interpreter.dialing = nil
+		interpreter.conn = discardConn{}
+		interpreter.state = linkReady
+		interpreter.readySince = s.now - stood
+		interpreter.closed()
+		return interpreter.dialing != nil
 	}
-	require.True(t, breaks(minRedialDelay))
-	waits := func(most timeunit.Ticks) { // by chance within the later half: many servers lose their links at once
-		require.LessOrEqual(t, l.redialTimer.deadline, a.now+most)
-		require.GreaterOrEqual(t, l.redialTimer.deadline, a.now+most/2)
+	requireDelay := func(longest timeunit.Ticks) { // random in its later half: many servers lose their links at once
+		t.Helper()
+		require.LessOrEqual(t, interpreter.redialTimer.deadline, s.now+longest)
+		require.GreaterOrEqual(t, interpreter.redialTimer.deadline, s.now+longest/2)
 	}
-	require.False(t, breaks(minRedialDelay-1))
-	waits(minRedialDelay)
-	require.False(t, breaks(minRedialDelay-1))
-	waits(2 * minRedialDelay)
-	require.True(t, breaks(minRedialDelay))
+	require.True(t, isRedialed(minRedialDelay))
+	require.False(t, isRedialed(minRedialDelay-1))
+	requireDelay(minRedialDelay)
+	require.False(t, isRedialed(minRedialDelay-1))
+	requireDelay(2 * minRedialDelay)
+	require.True(t, isRedialed(minRedialDelay))
 }
 
-// What the protocol of sockets has no word for is not decided by, whatever the settings say for the simulator's wire.
+// What the protocol of sockets has no word for is not decided by, whatever the settings say for the simulator.
 func TestSocketDeploymentDropsWhatProtocolCannotExpress(t *testing.T) {
 	read := func(halt string) *deployment.Config {
-		terms, err := deployment.Read([]byte(`{"Categories":[{"Effect":"repeatable","HardLimit":8000,"Name":"a","OnTime":4000,"Worth":1}],"Clients":{"MarksRetry":true},
+		settings, err := deployment.Read([]byte(`{"Categories":[{"Effect":"repeatable","HardLimit":8000,"Name":"a",
+"OnTime":4000,"Worth":1}],"Clients":{"MarksRetry":true},
 "FamilyInfo":{"Cores":2,"Halt":"` + halt + `","Fresh":1000,"ClassSkipWorth":[0.5]}}`))
 		require.NoError(t, err)
-		return terms
+		return settings
 	}
-	paused, dropped := read("pause"), read("drop")
-	d := socketDeployment(paused)
-	require.False(t, d.RetriesMarked || d.CanStopRuns)
-	require.Zero(t, d.ResultTTL)
-	require.Zero(t, d.Categories[0].DegradedValue)
+	paused := read("pause")
+	dropped := read("drop")
+	config := socketDeployment(paused)
+	require.False(t, config.RetriesMarked || config.CanStopRuns)
+	require.Zero(t, config.ResultTTL)
+	require.Zero(t, config.Categories[0].DegradedValue)
 	require.Equal(t, 0.5, paused.Categories[0].DegradedValue) // the settings' own are not written
 	require.True(t, socketDeployment(dropped).CanStopRuns)
 }
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"io"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -14,12 +13,8 @@
 	"thistlequay/internal/segmentlog"
 )
 
-// blockingDisk keeps nothing; its syncs wait for leave, or fail.
-type blockingDisk struct {
-	syncResults chan error
-	lock        sync.Mutex
-	names       []string
-}
+// blockingDisk keeps nothing; its syncs wait for the test to tell their results.
+type blockingDisk struct{ syncResults chan error }
 
 func (d *blockingDisk) List() ([]string, error)                       { return nil, nil }
 func (d *blockingDisk) Open(string) (io.ReadCloser, error)            { return nil, errors.New("no such file") }
@@ -30,71 +25,93 @@
 func (d *blockingDisk) Close() error                                  { return nil }
 func (d *blockingDisk) Sync() error                                   { return <-d.syncResults }
 
-// newServerWaitingForDisk is an app server with a store on a slow disk, which has been sent one stamped work item.
-func newServerWaitingForDisk(t *testing.T) (a *Server, c *routerConnection, d *blockingDisk, next func()) {
-	d = &blockingDisk{syncResults: make(chan error, 8)}
-	d.syncResults <- nil // the header
-	told := make(chan []segmentlog.WriteResult, 8)
-	s, err := segmentlog.Open(d, segmentlog.Config{Durability: recovery.DurabilityMachine, MaxBytes: 1 << 20, MaxRecords: 1000, SegmentBytes: 1 << 20, MaxWindow: 50_000, MaxOutcomes: 10,
-		AllowEmpty: true, Now: segmentlog.MachineClock, OnWritten: func(done []segmentlog.WriteResult) { told <- done }})
+const (
+	intendedID = "00000000000000bb"
+	runCommand = `"APPLY","job":"` + intendedID + `"`
+)
+
+// diskTest is a server with a recovery log on a blocking disk, which has been sent one request with a key.
+type diskTest struct {
+	*testing.T
+	server  *Server
+	router  *routerConnection
+	disk    *blockingDisk
+	written chan []segmentlog.WriteResult
+}
+
+func newDiskTest(t *testing.T) *diskTest {
+	t.Helper()
+	d := &diskTest{T: t, disk: &blockingDisk{syncResults: make(chan error, 8)},
+		written: make(chan []segmentlog.WriteResult, 8)}
+	d.disk.syncResults <- nil // the header
+	log, err := segmentlog.Open(d.disk, segmentlog.Config{
+		Durability:   recovery.DurabilityMachine,
+		MaxBytes:     1 << 20,
+		MaxRecords:   1000,
+		SegmentBytes: 1 << 20,
+		MaxWindow:    50_000,
+		MaxOutcomes:  10,
+		AllowEmpty:   true,
+		Now:          segmentlog.MachineClock,
+		OnWritten:    func(done []segmentlog.WriteResult) { d.written <- done },
+	})
 	require.NoError(t, err)
-	a, _ = newRunningServer(t) // one runs already, without a store
-	a.loop = idleLoop{}
-	a.recovery.init(a, &Recovery{Store: s, OnDurable: func(func([]segmentlog.WriteResult)) {}})
-	next = func() {
-		select {
-		case done := <-told:
-			a.recovery.onDurable(done)
-		case <-time.After(20 * time.Second):
-			require.Fail(t, "nothing came back from the store")
-		}
+	d.server, _ = newRunningServer(t) // one request runs already, without a log
+	d.server.loop = idleLoop{}
+	d.server.recovery.init(d.server, &Recovery{Store: log, OnDurable: func(func([]segmentlog.WriteResult)) {}})
+	d.router = connectRouter(d.server)
+	d.server.endBatchQueued = true // batches are ended by the test
+	another := strings.Replace(wholeRequest, firstID, intendedID, 1)
+	feed(t, d.router, strings.Replace(another, "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1))
+	d.server.admission.Dispatch()
+	return d
+}
+
+// sync has the disk end a sync and the server hear of it.
+func (d *diskTest) sync(result error) {
+	d.Helper()
+	d.disk.syncResults <- result
+	select {
+	case done := <-d.written:
+		d.server.recovery.onDurable(done)
+	case <-time.After(20 * time.Second):
+		require.Fail(d, "nothing came back from the log")
 	}
-	c = connectRouter(a)
-	a.endBatchQueued = true // batches are ended by the test
-	another := strings.Replace(strings.Replace(wholeRequest, firstID, "00000000000000bb", 1), "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1)
-	require.NoError(t, c.parser.Feed([]byte(another), c))
-	a.admission.Dispatch()
-	return a, c, d, next
 }
 
-const runCommand = `"APPLY","job":"00000000000000bb"`
+func (d *diskTest) commands() string { return string(d.server.interpreter.output) }
 
-// It runs when its intent is durable, and not before.
 func TestRequestRunsOnlyOnceIntentIsDurable(t *testing.T) {
-	a, _, d, next := newServerWaitingForDisk(t)
-	require.NotContains(t, string(a.interpreter.output), runCommand)
-	require.Len(t, a.recovery.pending, 1)
-	d.syncResults <- nil
-	next()
-	a.admission.Dispatch()
-	require.Contains(t, string(a.interpreter.output), runCommand)
-	require.Empty(t, a.recovery.pending)
+	d := newDiskTest(t)
+	require.NotContains(t, d.commands(), runCommand)
+	require.Len(t, d.server.recovery.pending, 1)
+	d.sync(nil)
+	d.server.admission.Dispatch()
+	require.Contains(t, d.commands(), runCommand)
+	require.Empty(t, d.server.recovery.pending)
 }
 
-// The disk stands still: it is answered in time, never run, and its intent is taken back later.
+// The disk stands still: the request is answered in time and never run, and its intent is taken back later.
 func TestRequestIsRejectedInTimeWhenDiskStalls(t *testing.T) {
-	a, c, d, next := newServerWaitingForDisk(t)
-	it := a.requests.byID["00000000000000bb"]
-	require.Equal(t, it.deadline-answerMargin, it.intentTimer.deadline)
-	a.recovery.onIntentTimeout(it)
-	require.Contains(t, string(c.output), "503 Declined")
-	for len(a.recovery.pending) > 0 {
-		d.syncResults <- nil
-		next()
+	d := newDiskTest(t)
+	intended := d.server.requests.byID[intendedID]
+	require.Equal(t, intended.deadline-answerMargin, intended.intentTimer.deadline)
+	d.server.recovery.onIntentTimeout(intended)
+	require.Contains(t, string(d.router.output), "503 Declined")
+	for len(d.server.recovery.pending) > 0 {
+		d.sync(nil)
 	}
-	a.admission.Dispatch()
-	require.NotContains(t, string(a.interpreter.output), runCommand)
-	require.Nil(t, a.requests.byID["00000000000000bb"])
-	require.Zero(t, it.intentUntil) // concluded
+	d.server.admission.Dispatch()
+	require.NotContains(t, d.commands(), runCommand)
+	require.Nil(t, d.server.requests.byID[intendedID])
+	require.Zero(t, intended.intentUntil) // concluded
 }
 
-// A sync that fails: declined, not run.
 func TestRequestIsRejectedWhenIntentCannotBeWritten(t *testing.T) {
-	a, c, d, next := newServerWaitingForDisk(t)
-	d.syncResults <- errors.New("input/output error")
-	next()
-	a.admission.Dispatch()
-	require.Contains(t, string(c.output), "503 Declined")
-	require.NotContains(t, string(a.interpreter.output), runCommand)
-	require.Nil(t, a.requests.byID["00000000000000bb"])
+	d := newDiskTest(t)
+	d.sync(errors.New("input/output error"))
+	d.server.admission.Dispatch()
+	require.Contains(t, string(d.router.output), "503 Declined")
+	require.NotContains(t, d.commands(), runCommand)
+	require.Nil(t, d.server.requests.byID[intendedID])
 }
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -2,191 +2,262 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
 	"regexp"
 	"strings"
 	"testing"
 
-	"github.com/panjf2000/gnet/v2"
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/fastcgi"
 	"thistlequay/timeunit"
 )
 
-// discardConn is a connection that nothing leaves, noLoop its loop.
-type discardConn struct{ gnet.Conn }
-
-func (discardConn) Write(b []byte) (int, error) { return len(b), nil }
-func (discardConn) OutboundBuffered() int       { return 0 }
-func (discardConn) Context() any                { return nil }
-func (discardConn) SetContext(any)              {}
-func (discardConn) Fd() int                     { return -1 }
-
-type idleLoop struct{ gnet.EventLoop }
+var (
+	runCommandPattern = regexp.MustCompile(`APPLY","job":"(\w+)"`)
+	runStates         = []string{"OK", "ERROR", "STOPPED", "MOOT"}
+	indexReplies      = []string{"HIT 2\r\nok", "SHED", "BROKEN", "SLOW", "NOBODY"}
+)
 
-func (idleLoop) Execute(context.Context, gnet.Runnable) error { return nil }
-func (idleLoop) Close(gnet.Conn) error                        { return nil }
+// sequence is a server to which a sequence of random events happens, and what is known of them.
+type sequence struct {
+	*testing.T
+	server  *Server
+	routers []*routerConnection
+	observe func(values ...any) // is given all output, and figures after each batch
 
-var runCommandPattern = regexp.MustCompile(`APPLY","job":"(\w+)"`)
+	streams    int // opened, over all routers
+	requests   int // besides the first
+	notices    int
+	keys       map[string]byte           // of requests, by ID
+	receivedAt map[string]timeunit.Ticks // by ID
+	runs       map[string]bool           // that were begun, by ID
+	lastRun    map[byte]timeunit.Ticks   // when the attempt that ran last was received, by key
+	numbers    map[*outputBuffer]int     // of connections, in the order of their first output
+}
 
-// playSequence makes a sequence of what can happen of the bytes. In the end every request must have had its one answer, and
-// no stamp more than one run.
+// playSequence has a sequence of events happen that data chooses. In the end every request must have had its one
+// answer, and no idempotency key more than one run.
 func playSequence(t *testing.T, data []byte) { playObserved(t, data, false, func(...any) {}) }
 
-// playObserved is play, and what would leave is seen. Where it must be the same each time the interpreter's link breaks and
-// comes back with one work item in hand at most: several are gone through in no order.
-func playObserved(t *testing.T, data []byte, same bool, see func(...any)) {
-	a, first := newRunningServer(t)
-	a.loop = idleLoop{}
-	a.interpreter.conn = discardConn{}
+// playObserved is playSequence, and all output is observed. Where it must be the same each time the interpreter's link
+// breaks and comes back with one request in hand at most: several are gone through in no order.
+func playObserved(t *testing.T, data []byte, isRepeatable bool, observe func(...any)) {
+	server, first := newRunningServer(t)
+	server.loop = idleLoop{}
+	server.interpreter.conn = discardConn{}
 	first.conn = discardConn{}
-	conns, open := []*routerConnection{first, connectRouter(a)}, 1
-	ids, notices, before := 0, 0, a.brokenInvariants
-	keys, reached := map[string]byte{firstID: 'k'}, map[string]timeunit.Ticks{firstID: a.now} // by id
-	runs, ran := map[string]bool{}, map[byte]timeunit.Ticks{}                                 // by id; by key, when its try came
-	hear := func(format string, args ...any) {
-		require.NoError(t, a.interpreter.receive([]byte(fmt.Sprintf(format, args...)+"\n")))
-	}
-	numbers := map[*outputBuffer]int{} // of connections, as they are first written to
-	seen := func(w *outputBuffer) {
-		if len(w.output) == 0 {
-			return
-		}
-		if _, known := numbers[w]; !known {
-			numbers[w] = len(numbers)
+	p := &sequence{
+		T:          t,
+		server:     server,
+		routers:    []*routerConnection{first, connectRouter(server)},
+		observe:    observe,
+		streams:    1,
+		keys:       map[string]byte{firstID: 'k'},
+		receivedAt: map[string]timeunit.Ticks{firstID: server.now},
+		runs:       map[string]bool{},
+		lastRun:    map[byte]timeunit.Ticks{},
+		numbers:    map[*outputBuffer]int{},
+	}
+	p.endBatch() // the first run's command leaves before anything is heard of it
+	for len(data) >= 2 {
+		p.event(data[0]%10, data[1], isRepeatable)
+		p.endBatch()
+		p.pass(timeunit.Ticks(data[1]) * 4)
+		data = data[2:]
+	}
+	for range 900 { // everything that is owed is due by then
+		p.pass(100)
+	}
+	for _, router := range p.routers {
+		require.Zero(t, router.parser.OpenRequests(), "requests without an answer")
+	}
+	require.Zero(t, server.brokenInvariants)
+}
+
+// event has one thing happen; which is its choice among the possible ones of the kind.
+func (p *sequence) event(kind, choice byte, isRepeatable bool) {
+	router := p.routers[choice%2]
+	chosen := p.pick(choice)
+	switch kind {
+	case 0, 1, 2:
+		p.sendRequest(router, choice)
+	case 3:
+		p.abort(chosen)
+	case 4:
+		p.endRun(chosen, runStates[choice%4])
+	case 5:
+		if chosen != nil && chosen.runSent && chosen.call == nil && p.hasLink() {
+			p.notices++
+			notify(p.T, p.server, `{"type":"AWAIT","n":%d,"job":"%s","data":"eA=="}`, p.notices, chosen.id)
 		}
-		see(numbers[w], string(w.output))
-	}
-	answerQuestions := func() {
-		seen(&a.interpreter.outputBuffer)
-		for _, l := range strings.Split(string(a.interpreter.output), "\n") {
-			if tag, found := strings.CutPrefix(l, `{"type":"TOP","ref":"`); found && a.interpreter.conn != nil {
-				defer hear(`{"type":"TOPS","ref":"%s","gauges":[0.5,1]}`, strings.TrimSuffix(tag, `"}`))
-			}
+	case 6:
+		p.indexEvent(chosen, choice)
+	case 7:
+		if !isRepeatable || p.server.requests.count() <= 1 {
+			p.toggleLink()
 		}
-		for _, m := range runCommandPattern.FindAllSubmatch(a.interpreter.output, -1) {
-			id := string(m[1])
-			if runs[id] {
-				continue // it does nothing where its request runs, and starts nothing where that is over
-			}
-			last, before := ran[keys[id]]
-			require.False(t, before && reached[id] < last+50_000, "a run begun twice")
-			runs[id], ran[keys[id]] = true, reached[id]
+	case 8:
+		if choice > 250 && router.conn != nil {
+			router.closed()
+		} else if choice == 7 {
+			p.server.admission.Drain(20_000)
 		}
-		a.interpreter.output = nil
 	}
-	decide := func() {
-		for range 3 {
-			a.requests.settle()
-			a.admission.Dispatch()
-			answerQuestions()
+}
+
+// pick returns a request in hand, the same each time, or nil.
+func (p *sequence) pick(choice byte) *request {
+	for i := 0; i <= p.requests; i++ {
+		number := (i + int(choice)) % (p.requests + 1)
+		if picked := p.server.requests.byID[fmt.Sprintf("%016x", 0xaa+number)]; picked != nil {
+			return picked
 		}
-		for _, w := range a.pendingWrites { // what would have gone out
-			if w != &a.interpreter.outputBuffer {
-				seen(w)
-				w.output = nil
-			}
+	}
+	return nil
+}
+
+func (p *sequence) hasLink() bool { return p.server.interpreter.conn != nil }
+
+// sendRequest has a router send a request with one of three keys.
+func (p *sequence) sendRequest(router *routerConnection, choice byte) {
+	if router.conn == nil || router.parser.OpenRequests() == fastcgi.MaxOpenRequests || p.streams > 200 {
+		return
+	}
+	p.requests++
+	p.streams++
+	id := fmt.Sprintf("%016x", 0xaa+p.requests)
+	key := 'k' + choice%3
+	p.keys[id] = key
+	p.receivedAt[id] = p.server.now / 10 * 10
+	records := bytes.ReplaceAll([]byte(wholeRequest), []byte(firstID), []byte(id))
+	records = bytes.Replace(records, []byte("HTTP_ONCE_KEYk"), fmt.Appendf(nil, "HTTP_ONCE_KEY%c", key), 1)
+	records = bytes.Replace(records, []byte("1000000"), fmt.Appendf(nil, "%07d", p.server.now/10), 1)
+	for at := 0; at < len(records); at += 8 + int(records[at+5]) { // each record bears the stream's number
+		records[at+2] = byte(p.streams >> 8)
+		records[at+3] = byte(p.streams)
+	}
+	feed(p.T, router, string(records))
+}
+
+// abort has the router of a request stop waiting.
+func (p *sequence) abort(aborted *request) {
+	if aborted == nil || aborted.router == nil {
+		return
+	}
+	stream := aborted.stream.ID
+	feed(p.T, aborted.router, string([]byte{1, 2, byte(stream >> 8), byte(stream), 0, 0, 0, 0}))
+}
+
+// endRun has the interpreter tell the end of a run.
+func (p *sequence) endRun(ended *request, state string) {
+	if ended == nil || !ended.runSent || !p.hasLink() {
+		return
+	}
+	p.notices++
+	if state == "MOOT" && !ended.runConfirmed && !ended.runDone {
+		delete(p.lastRun, p.keys[ended.id]) // it never ran
+	}
+	notify(p.T, p.server, `{"type":"VALUE","n":%d,"job":"%s","state":"%s","took":9,"data":"eA=="}`,
+		p.notices, ended.id, state)
+}
+
+// indexEvent has the index answer the call of a request, or its connection open, or close.
+func (p *sequence) indexEvent(caller *request, choice byte) {
+	if caller == nil || caller.call == nil || caller.call.connection == nil {
+		return
+	}
+	connection := caller.call.connection
+	switch {
+	case connection.conn == nil:
+		connection.opened(discardConn{})
+	case choice > 200:
+		connection.closed()
+	default:
+		if connection.receive([]byte(caller.id+" "+indexReplies[choice%5]+"\r\n")) != nil {
+			connection.closed()
 		}
-		a.pendingWrites, a.buffers.inUse = nil, 0
-		b := a.admission.Stats()
-		see(int64(a.now), a.requests.count(), a.index.inFlight, a.index.connections, len(a.requests.entries), b.Queued, b.Running, b.WaitingAtCalls)
-	}
-	pass := func(span timeunit.Ticks) {
-		a.now += span
-		a.admission.Advance(a.now)
-		a.resumeAfterStandstill() // as after a standstill: the steps are long
-		decide()
-	}
-	pick := func(n byte) *request { // any in hand, the same each time
-		var best *request
-		for id := 0; id <= ids && best == nil; id++ {
-			best = a.requests.byID[fmt.Sprintf("%016x", 0xaa+(id+int(n))%(ids+1))]
+	}
+}
+
+// toggleLink breaks the interpreter's link, or has it come back.
+func (p *sequence) toggleLink() {
+	if p.hasLink() {
+		p.server.interpreter.closed()
+		return
+	}
+	p.server.interpreter.opened(discardConn{})
+	notify(p.T, p.server, `{"type":"BANNER","state":"WARM","took":1}`)
+}
+
+// pass moves the time on, as after a standstill: the steps are long.
+func (p *sequence) pass(span timeunit.Ticks) {
+	p.server.now += span
+	p.server.admission.Advance(p.server.now)
+	p.server.resumeAfterStandstill()
+	p.endBatch()
+}
+
+// endBatch dispatches until nothing more comes of it, and has all output leave.
+func (p *sequence) endBatch() {
+	s := p.server
+	for range 3 {
+		dispatchBatch(s)
+		p.takeCommands()
+	}
+	for _, output := range s.pendingWrites {
+		if output != &s.interpreter.outputBuffer {
+			p.observeOutput(output)
+			output.output = nil
 		}
-		return best
 	}
-	ends := []string{"OK", "ERROR", "STOPPED", "MOOT"}
-	answers := []string{"HIT 2\r\nok", "SHED", "BROKEN", "SLOW", "NOBODY"}
-	decide() // the first run's command leaves before anything is heard of it
-	for len(data) >= 2 {
-		what, n := data[0]%10, data[1]
-		data = data[2:]
-		it := pick(n)
-		switch c := conns[n%2]; what {
-		case 0, 1, 2: // a request
-			if c.conn == nil || c.parser.OpenRequests() == fastcgi.MaxOpenRequests || open > 200 {
-				break
-			}
-			ids++
-			open++
-			id := fmt.Sprintf("%016x", 0xaa+ids)
-			keys[id], reached[id] = 'k'+n%3, a.now/10*10
-			text := bytes.ReplaceAll([]byte(wholeRequest), []byte(firstID), []byte(id))
-			text = bytes.Replace(text, []byte("HTTP_ONCE_KEYk"), fmt.Appendf(nil, "HTTP_ONCE_KEY%c", 'k'+n%3), 1)
-			text = bytes.Replace(text, []byte("1000000"), fmt.Appendf(nil, "%07d", a.now/10), 1)
-			for p := 0; p < len(text); p += 8 + int(text[p+5]) {
-				text[p+2], text[p+3] = byte(open>>8), byte(open)
-			}
-			require.NoError(t, c.parser.Feed(text, c))
-		case 3: // its caller stops waiting
-			if it != nil && it.router != nil {
-				slot := it.stream.ID
-				require.NoError(t, it.router.parser.Feed([]byte{1, 2, byte(slot >> 8), byte(slot), 0, 0, 0, 0}, it.router))
-			}
-		case 4:
-			if it != nil && it.runSent && a.interpreter.conn != nil {
-				notices++
-				if ends[n%4] == "MOOT" && !it.runConfirmed && !it.runDone {
-					delete(ran, keys[it.id]) // it never ran
-				}
-				hear(`{"type":"VALUE","n":%d,"job":"%s","state":"%s","took":9,"data":"eA=="}`, notices, it.id, ends[n%4])
-			}
-		case 5:
-			if it != nil && it.runSent && it.call == nil && a.interpreter.conn != nil {
-				notices++
-				hear(`{"type":"AWAIT","n":%d,"job":"%s","data":"eA=="}`, notices, it.id)
-			}
-		case 6: // the index answers, or comes up, or goes
-			switch {
-			case it == nil || it.call == nil || it.call.connection == nil:
-			case it.call.connection.conn == nil:
-				it.call.connection.opened(discardConn{})
-			case n > 200:
-				it.call.connection.closed()
-			default:
-				l := it.call.connection
-				if l.receive([]byte(it.id+" "+answers[n%5]+"\r\n")) != nil {
-					l.closed()
-				}
-			}
-		case 7: // the interpreter's link breaks, or comes back
-			if same && a.requests.count() > 1 {
-				break
-			}
-			if a.interpreter.conn != nil {
-				a.interpreter.closed()
-			} else {
-				a.interpreter.opened(discardConn{})
-				hear(`{"type":"BANNER","state":"WARM","took":1}`)
-			}
-		case 8:
-			if n > 250 && c.conn != nil {
-				c.closed()
-			} else if n == 7 {
-				a.admission.Drain(20_000)
-			}
+	s.pendingWrites = nil
+	s.buffers.inUse = 0
+	stats := s.admission.Stats()
+	p.observe(int64(s.now), s.requests.count(), s.index.inFlight, s.index.connections, len(s.requests.entries),
+		stats.Queued, stats.Running, stats.WaitingAtCalls)
+}
+
+func (p *sequence) observeOutput(of *outputBuffer) {
+	if len(of.output) == 0 {
+		return
+	}
+	if _, known := p.numbers[of]; !known {
+		p.numbers[of] = len(p.numbers)
+	}
+	p.observe(p.numbers[of], string(of.output))
+}
+
+// takeCommands is the interpreter: it begins runs and answers questions for the gauges, in that order. A command to run
+// does nothing where its request runs, and starts nothing where that is over.
+func (p *sequence) takeCommands() {
+	p.observeOutput(&p.server.interpreter.outputBuffer)
+	output := takeOutput(&p.server.interpreter.outputBuffer)
+	for _, match := range runCommandPattern.FindAllStringSubmatch(output, -1) {
+		p.beginRun(match[1])
+	}
+	if !p.hasLink() {
+		return
+	}
+	var questions []string
+	for _, line := range strings.Split(output, "\n") {
+		if tag, isQuestion := strings.CutPrefix(line, `{"type":"TOP","ref":"`); isQuestion {
+			questions = append(questions, strings.TrimSuffix(tag, `"}`))
 		}
-		decide()
-		pass(timeunit.Ticks(n) * 4)
 	}
-	for range 900 { // all that is owed is due by then
-		pass(100)
+	for i := len(questions) - 1; i >= 0; i-- { // the last first
+		notify(p.T, p.server, `{"type":"TOPS","ref":"%s","gauges":[0.5,1]}`, questions[i])
 	}
-	for _, c := range conns {
-		require.Zero(t, c.parser.OpenRequests(), "requests without an answer")
+}
+
+func (p *sequence) beginRun(id string) {
+	if p.runs[id] {
+		return
 	}
-	require.Equal(t, before, a.brokenInvariants)
+	last, hasRun := p.lastRun[p.keys[id]]
+	require.False(p, hasRun && p.receivedAt[id] < last+50_000, "a run begun twice")
+	p.runs[id] = true
+	p.lastRun[p.keys[id]] = p.receivedAt[id]
 }
 
 func FuzzSequences(f *testing.F) {
