--- a/internal/server/admissionhost.go
+++ b/internal/server/admissionhost.go
@@ -20,11 +20,11 @@
 // Run has the interpreter run a request.
 func (t *requestTable) Run(handle *admission.Request) {
 	started := t.lookup(handle)
-	t.server.checkInvariant(!started.runStarted && !started.sharesResult, "run twice")
+	t.server.checkInvariant(!started.runStarted && !started.sharesResult, "a request runs twice")
 	started.runStarted = true
 	started.reservation.Start(t.server.now)
 	if started.entry != nil {
-		t.server.checkInvariant(!started.entry.ran, "a stamp runs twice")
+		t.server.checkInvariant(!started.entry.ran, "an idempotency key runs twice")
 		started.entry.ran = true
 	}
 	t.server.interpreter.run(started)
@@ -46,7 +46,8 @@
 // Reject answers a request that is not to be run.
 func (t *requestTable) Reject(handle *admission.Request, retryAfter timeunit.Ticks, isFinal bool) {
 	rejected := t.lookup(handle)
-	t.server.checkInvariant(!rejected.runStarted && rejected.router != nil, "declined after its run or its answer")
+	isOpen := !rejected.runStarted && rejected.router != nil
+	t.server.checkInvariant(isOpen, "a request is rejected after its run or its answer")
 	if t.server.shutdownDeadline == noDeadline {
 		maxRetryAfter := t.server.config.Settings.MaxRetryAfter
 		retryAfter = rejected.reservation.RetryAfter(retryAfter, maxRetryAfter, t.server.now)
@@ -61,7 +62,7 @@
 // Abort answers a request whose deadline has passed.
 func (t *requestTable) Abort(handle *admission.Request) {
 	aborted := t.lookup(handle)
-	t.server.checkInvariant(aborted.router != nil, "broken off after its answer")
+	t.server.checkInvariant(aborted.router != nil, "a request is aborted after its answer")
 	aborted.respond(statusAborted, "", nil)
 }
 
@@ -72,7 +73,7 @@
 
 // SkipCall never comes: on sockets no run can go on without its call, see socketDeployment.
 func (t *requestTable) SkipCall(*admission.Request) {
-	t.server.checkInvariant(false, "went on without a call")
+	t.server.checkInvariant(false, "a run goes on without its call")
 }
 
 // StartCall makes the call that a run waits for.
@@ -95,7 +96,7 @@
 func (t *requestTable) DropEntry(handle *admission.Request) {
 	owner := t.lookup(handle)
 	if owner.entry != nil && owner.entry.owner == owner {
-		t.server.checkInvariant(!owner.entry.ran, "a stamp that ran is forgotten")
+		t.server.checkInvariant(!owner.entry.ran, "the entry of an idempotency key that ran is dropped")
 		t.removeEntry(owner.entry)
 	}
 }
@@ -110,7 +111,7 @@
 	} else {
 		t.server.recovery.conclude(released, recovery.KindCancellation, false, nil)
 	}
-	t.server.checkInvariant(released.router == nil, "over without an answer")
+	t.server.checkInvariant(released.router == nil, "a request is released without an answer")
 	t.disownEntry(released)
 	t.server.index.cancel(released)
 	t.slots[released.slot] = nil
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// outputBuffer is the output side of a connection: what is to be written at the end of the batch.
+// outputBuffer is the output side of a connection: what is to be written at the end of the batch. It must never hold
+// more than a bound for a peer that does not read.
 type outputBuffer struct {
 	server          *Server
 	conn            gnet.Conn // nil while there is none
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -23,9 +23,10 @@
 )
 
 // errFloodAfterEnd closes a connection at once.
-var errFloodAfterEnd = errors.New("more after the end than can have crossed it")
+var errFloodAfterEnd = errors.New("too much came after the connection's end")
 
-// closingConnections are the connections that are ending.
+// closingConnections are the connections that are ending. None may end under an open request, and there may never be
+// more than a bound.
 type closingConnections struct {
 	connections list.List // of *closingConnection, the oldest first
 	reserved    int       // descriptors that are theirs alone
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -27,7 +27,7 @@
 )
 
 // errInvalidAnswer closes the link to the directory.
-var errInvalidAnswer = errors.New("an answer from the directory that is none")
+var errInvalidAnswer = errors.New("directory: invalid answer")
 
 // directoryState is how far the link to the directory is.
 type directoryState int
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -70,7 +70,7 @@
 // addEntry adds the entry of an attempt that admission has taken. One that admission had it take the place of goes.
 func (t *requestTable) addEntry(owner *request, key string, bodyHash [sha256.Size]byte) {
 	if replaced := t.entries[key]; replaced != nil {
-		t.server.checkInvariant(!replaced.ran, "a stamp that ran is replaced")
+		t.server.checkInvariant(!replaced.ran, "the entry of an idempotency key that ran is replaced")
 		t.removeEntry(replaced)
 	}
 	entry := &idempotencyEntry{key: key, bodyHash: bodyHash, owner: owner, matchUntil: noDeadline}
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -48,7 +48,7 @@
 // makeCall makes the call that a run waits for. The index keeps no deadline, so the call is given up here.
 func (c *indexClient) makeCall(caller *request, deadline timeunit.Ticks) {
 	isWaiting := caller.call == nil && caller.runStarted && !caller.runDone
-	c.server.checkInvariant(isWaiting, "a call beside another or without a run")
+	c.server.checkInvariant(isWaiting, "a run makes a second call, or a call comes without a run")
 	call := &indexCall{request: caller, startedAt: c.server.now, deadline: deadline}
 	call.timer.fire = func() { c.finish(call, c.detach(call)) }
 	caller.call = call
--- a/internal/server/indexreplies.go
+++ b/internal/server/indexreplies.go
@@ -16,7 +16,7 @@
 )
 
 // errInvalidReply closes a connection to the index.
-var errInvalidReply = errors.New("a reply from the index that is none")
+var errInvalidReply = errors.New("index: invalid reply")
 
 var lineEnd = []byte("\r\n")
 
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -23,12 +23,12 @@
 
 // What closes the link to the interpreter.
 var (
-	errLineTooLong       = errors.New("a line from the interpreter is beyond the bound")
-	errNoNotice          = errors.New("a line from the interpreter is no notice")
-	errNoticeSpan        = errors.New("a notice with a time that cannot be meant")
-	errUnknownRunOutcome = errors.New("a run's end that is none")
-	errGauges            = errors.New("gauges that are no numbers")
-	errUnknownNotice     = errors.New("a notice of no known type")
+	errLineTooLong       = errors.New("interpreter: line too long")
+	errNoNotice          = errors.New("interpreter: line is not a notice")
+	errNoticeSpan        = errors.New("interpreter: notice with an impossible duration")
+	errUnknownRunOutcome = errors.New("interpreter: unknown outcome of a run")
+	errGauges            = errors.New("interpreter: gauges are not numbers")
+	errUnknownNotice     = errors.New("interpreter: notice of unknown type")
 )
 
 // The kinds of notices.
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -73,7 +73,7 @@
 	if r.router == nil {
 		return
 	}
-	r.server.checkInvariant(r.stream.Owner == r, "answered twice")
+	r.server.checkInvariant(r.stream.Owner == r, "a request is answered twice")
 	router := r.router
 	stream := r.stream
 	r.detachRouter()
--- a/internal/server/routertable.go
+++ b/internal/server/routertable.go
@@ -15,7 +15,8 @@
 	newConnectionDivisor = 4
 )
 
-// routerTable holds the connections that routers open, and whoever else connects.
+// routerTable holds the connections that routers open, and whoever else connects. It must never close one under a whole
+// request, nor act on what a request is about.
 type routerTable struct {
 	server          *Server
 	openCount       int
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -128,7 +128,7 @@
 }
 
 // ErrLoopEnded is what Run returns when the event loop ended though nobody asked for it.
-var ErrLoopEnded = errors.New("the loop ended by itself")
+var ErrLoopEnded = errors.New("the event loop ended by itself")
 
 // Run serves until a shutdown is complete and returns nil then. It returns an error at once if the address is in use,
 // and ErrLoopEnded if the loop ended by itself.
