--- /dev/null
+++ b/internal/server/lifecycle.go
@@ -0,0 +1,79 @@
+package server
+
+import "thistlequay/timeunit"
+
+// shutdownMargin is the part of the time to the end that the end of the process itself may take.
+const shutdownMargin = second / 10
+
+// phase is where the process is in its life. It only moves forward. What health checks hear and what becomes of
+// connections goes by it.
+type phase int
+
+const (
+	phaseStarting phase = iota // the interpreter is not there yet
+	phaseReady
+	phaseDraining // the notice to shut down has come; requests that come within the grace period are still run
+	phaseClosing  // the grace period is long over: connections end as soon as they carry nothing
+	phaseStopped  // everything that was read is answered; every connection ends
+)
+
+func (s *Server) advancePhase(to phase) { s.phase = max(s.phase, to) }
+
+// isHealthy is what health checks and the directory hear.
+func (s *Server) isHealthy() bool { return s.phase < phaseDraining && s.routers.admissionHealthy }
+
+// beginShutdown tells admission how long there is, and ends the process in time.
+func (s *Server) beginShutdown() {
+	if s.shutdownDeadline < noDeadline {
+		return
+	}
+	timeLeft := max(0, s.config.ShutdownTimeout-min(shutdownMargin, s.config.ShutdownTimeout/4))
+	s.log.Event("shutting_down").Str("name", s.config.Name).Int64("within_ms", milliseconds(timeLeft)).
+		Int("requests", s.requests.count()).Send()
+	s.shutdownDeadline = s.now + timeLeft
+	s.advancePhase(phaseDraining)
+	for _, optional := range s.parts { // before anything is rejected for it
+		optional.drain()
+	}
+	s.notifyAdmissionOfDrain()
+	s.directory.report()
+	s.scheduleEnd(timeLeft)
+}
+
+// scheduleEnd sets the timers for the last two phases.
+func (s *Server) scheduleEnd(timeLeft timeunit.Ticks) {
+	// What is after the grace period; half of it goes to the ends of connections.
+	afterGrace := max(timeLeft-s.config.Settings.DrainGrace, timeLeft/4)
+	closeIdle := func() {
+		s.advancePhase(phaseClosing)
+		s.routers.drainIdle()
+	}
+	s.setTimer(&timer{fire: closeIdle}, s.shutdownDeadline-afterGrace/2)
+	// The batch in which the deadline comes is dispatched before anything ends: when the loop is late, that answers
+	// what is due.
+	stop := func() { s.closeConnections((s.config.ShutdownTimeout - timeLeft) / 2) }
+	s.setTimer(&timer{fire: func() { s.setTimer(&timer{fire: stop}, s.now+1) }}, s.shutdownDeadline)
+}
+
+func (s *Server) notifyAdmissionOfDrain() {
+	if s.admission != nil && s.shutdownDeadline < noDeadline {
+		s.admission.Drain(max(0, s.shutdownDeadline-s.now))
+	}
+}
+
+// closeConnections ends every connection. The recovery log has timeout to become durable, then half of that passes for
+// the last bytes to leave, then the loop stops.
+func (s *Server) closeConnections(timeout timeunit.Ticks) {
+	s.advancePhase(phaseStopped)
+	s.routers.closeAll()
+	s.index.closeIdle()
+	s.interpreter.close()
+	s.directory.close()
+	s.recovery.close(timeout, func() { s.setTimer(&timer{fire: s.stopLoop}, s.now+timeout/2) })
+}
+
+func (s *Server) stopLoop() {
+	s.log.Event("ended").Str("name", s.config.Name).Int("requests", s.requests.count()).
+		Int("broken_invariants", s.brokenInvariants).Send()
+	s.ended = true
+}
