--- /dev/null
+++ b/internal/membership/failure_detector_test.go
@@ -0,0 +1,16 @@
+package membership
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// With nobody else to compare with, a failed probe does not show that only this server cannot reach the member.
+func TestFailedProbeOfTheOnlyOtherMemberMeansUnreachable(t *testing.T) {
+	v := NewView(DefaultConfig(ID{"n0", 1}), 0)
+	other := ID{"n1", 1}
+	v.ApplyUpdate(StateUpdate{ID: other, Sequence: 1, Address: "a1", State: StateServing})
+	v.ProbeFailed(other)
+	require.Equal(t, CauseUnreachable, v.Member(other).Cause)
+}
