--- a/internal/plugin/chain/evaluation.go
+++ b/internal/plugin/chain/evaluation.go
@@ -116,7 +116,8 @@
 	if plugin == nil {
 		return 0, false, false
 	}
-	if fault, isFault = plugin.validate(e, &verdict); isFault {
+	fault, isFault = plugin.validate(e, &verdict)
+	if isFault {
 		return fault, true, e.RecordFault(fault, took, now)
 	}
 	e.current = nil
--- a/internal/plugin/module.go
+++ b/internal/plugin/module.go
@@ -207,13 +207,9 @@
 func (m *module) call(
 	ctx context.Context, hook int, request []byte, timeout time.Duration,
 ) (answer []byte, took time.Duration, err error) {
-	var i *instance
-	select {
-	case i = <-m.idleInstances:
-	default:
-		if i, err = m.newInstance(ctx); err != nil {
-			return nil, 0, err
-		}
+	i, err := m.takeInstance(ctx)
+	if err != nil {
+		return nil, 0, err
 	}
 	start := time.Now()
 	limited, cancel := context.WithTimeout(ctx, timeout)
@@ -232,6 +228,16 @@
 	return answer, took, nil
 }
 
+// takeInstance returns an idle instance, or a new one if none is idle.
+func (m *module) takeInstance(ctx context.Context) (*instance, error) {
+	select {
+	case i := <-m.idleInstances:
+		return i, nil
+	default:
+		return m.newInstance(ctx)
+	}
+}
+
 // isTimeout reports whether a call ended because its time was over.
 func isTimeout(err error) bool {
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -41,9 +41,11 @@
 		if err != nil {
 			return result, err
 		}
-		if result.Verdict, err = abi.ParseVerdict(answer); err != nil {
+		verdict, err := abi.ParseVerdict(answer)
+		if err != nil {
 			return result, err
 		}
+		result.Verdict = verdict
 		result.LongestCall = max(result.LongestCall, took)
 	}
 	select {
