--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -1,9 +1,7 @@
 package admission
 
 import (
-	"bufio"
 	"fmt"
-	"os"
 	"path/filepath"
 	"sort"
 	"strconv"
@@ -13,16 +11,14 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	scenariofile "thistlequay/internal/scenario"
 	"thistlequay/timeunit"
 )
 
 // A scenario in testdata is played line by line; README.md there has the notation.
 func TestScenarios(t *testing.T) {
-	files, err := filepath.Glob("testdata/*.txt")
-	require.NoError(t, err)
-	require.NotEmpty(t, files)
-	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { playScenario(t, file) })
+	for _, file := range scenariofile.Files(t) {
+		t.Run(scenariofile.Name(file), func(t *testing.T) { playScenario(t, file) })
 	}
 }
 
@@ -52,20 +48,12 @@
 }
 
 func playScenario(t *testing.T, file string) {
-	f, err := os.Open(file)
-	require.NoError(t, err)
-	defer func() { require.NoError(t, f.Close()) }()
 	s := &scenario{Assertions: require.New(t), requests: map[string]*Request{}, names: map[uint64]string{},
 		history: golden.NewHistory(), checked: true}
 	s.config = Config{Routers: 1, DownstreamWindow: 50000, Cores: 2, MemoryKB: 1e6, RunMemoryFactor: 4, EntryKB: 1,
 		BatchInterval: 10, DrainGrace: 1000, OverloadThreshold: 8, MaxRetryAfter: 10000, LoadReportMode: ReportLimit}
-	lines := bufio.NewScanner(f)
-	for n := 1; lines.Scan(); n++ {
-		line, _, _ := strings.Cut(lines.Text(), "#")
-		words := strings.Fields(line)
-		if len(words) > 0 {
-			s.playLine(words, fmt.Sprintf("%s:%d %s", file, n, strings.TrimSpace(line)))
-		}
+	for _, step := range scenariofile.Steps(t, file) {
+		s.playLine(step.Words, step.Where)
 	}
 	s.True(s.checked, "%s ends without =>", file)
 	golden.Check(t, "scenario-"+filepath.Base(file), []byte(s.history.String()+"\n"))
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -1,9 +1,7 @@
 package membership
 
 import (
-	"bufio"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -11,15 +9,13 @@
 
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/scenario"
 	"thistlequay/timeunit"
 )
 
 // Scenarios are text files; testdata/README.md explains their notation.
 func TestScenarios(t *testing.T) {
-	files, err := filepath.Glob("testdata/*.txt")
-	require.NoError(t, err)
-	require.NotEmpty(t, files)
-	for _, file := range files {
+	for _, file := range scenario.Files(t) {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			playScenario(t, file, func(*player) {})
 		})
@@ -28,18 +24,11 @@
 
 // playScenario plays a scenario file and calls done after each line.
 func playScenario(t *testing.T, file string, done func(*player)) {
-	in, err := os.Open(file)
-	require.NoError(t, err)
-	defer func() { require.NoError(t, in.Close()) }()
 	p := &player{Assertions: require.New(t), sequences: map[ID]uint64{}}
-	lines := bufio.NewScanner(in)
-	for n := 1; lines.Scan(); n++ {
-		text, _, _ := strings.Cut(lines.Text(), "#")
-		if fields := strings.Fields(text); len(fields) > 0 {
-			p.where = fmt.Sprintf("%s:%d: %s", file, n, text)
-			p.play(fields[0], fields[1:])
-			done(p)
-		}
+	for _, step := range scenario.Steps(t, file) {
+		p.where = step.Where
+		p.play(step.Words[0], step.Words[1:])
+		done(p)
 	}
 }
 
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -1,11 +1,8 @@
 package chain
 
 import (
-	"bufio"
 	"fmt"
 	"math/rand"
-	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
@@ -14,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	scenariofile "thistlequay/internal/scenario"
 	"thistlequay/timeunit"
 )
 
@@ -35,13 +33,10 @@
 
 // TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
 func TestScenarios(t *testing.T) {
-	files, err := filepath.Glob("testdata/*.txt")
-	require.NoError(t, err)
-	require.NotEmpty(t, files)
 	var histories []byte
-	for _, file := range files {
+	for _, file := range scenariofile.Files(t) {
 		history := golden.NewHistory()
-		name := strings.TrimSuffix(filepath.Base(file), ".txt")
+		name := scenariofile.Name(file)
 		t.Run(name, func(t *testing.T) { playScenario(t, file, history) })
 		histories = fmt.Appendf(histories, "%s %s\n", name, history)
 	}
@@ -61,17 +56,10 @@
 
 func playScenario(t *testing.T, file string, history *golden.History) {
 	t.Helper()
-	f, err := os.Open(file)
-	require.NoError(t, err)
-	t.Cleanup(func() { require.NoError(t, f.Close()) })
 	s := &scenario{Assertions: require.New(t), evaluations: map[string]*Evaluation{}, history: history}
-	lines := bufio.NewScanner(f)
-	for number := 1; lines.Scan(); number++ {
-		line, _, _ := strings.Cut(lines.Text(), "#")
-		if words := strings.Fields(line); len(words) > 0 {
-			s.where = fmt.Sprintf("%s:%d %s", file, number, strings.TrimSpace(line))
-			s.step(words)
-		}
+	for _, step := range scenariofile.Steps(t, file) {
+		s.where = step.Where
+		s.step(step.Words)
 	}
 }
 
