--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -49,7 +49,7 @@
 		return result, err
 	}
 	for _, found := range result.Findings {
-		printf(out, "%s offset %d: %s, lost=%v\n", found.File, found.Offset, recovery.CorruptionTexts[found.Corruption],
+		printf(out, "%s offset %d: %s, lost=%v\n", found.File, found.Offset, found.Corruption.String(),
 			found.DataLoss)
 	}
 	rejectsFor := time.Duration(0)
