--- a/admission/budget.go
+++ b/admission/budget.go
@@ -34,10 +34,10 @@
 	return r.server.now+r.category.quietRunTimes.quantile(hopelessQuantile) >= r.valuableUntil()
 }
 
-// joinQueue is the paper's check where a queue is joined, for a request that could not start at once: it is
+// joinQueueOrReject is the paper's check where a queue is joined, for a request that could not start at once: it is
 // rejected if the time that it has waited and the delay of the queue ahead of it exceed its budget. A queue's
 // delay is what its oldest request has waited, or what the requests of the same tenant ahead of it will take.
-func (s *Server) joinQueue(r *Request) {
+func (s *Server) joinQueueOrReject(r *Request) {
 	waits := s.now - r.arrivedAt + max(s.queueingDelay(r), r.expectedDelay)
 	if waits > r.queueingBudget() {
 		s.reject(r, waits, false)
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -34,11 +34,11 @@
 	return s.memory.hasRoomFor(s.entries.sizeKB) && s.entries.count < s.entries.maxCount
 }
 
-// shareResult has a repeat share the result of the attempt before it and returns true; or it makes room for
+// shareOrReplace has a repeat share the result of the attempt before it and returns true; or it makes room for
 // the repeat to run itself and returns false. A later attempt shares the answer of a run that was started, or
 // takes the place of one that is queued, whose client has mostly gone. Had it arrived before that one,
 // another may have run in between.
-func (s *Server) shareResult(r *Request, a *Arrival) bool {
+func (s *Server) shareOrReplace(r *Request, a *Arrival) bool {
 	if !a.IsRepeat {
 		return false
 	}
--- a/admission/server.go
+++ b/admission/server.go
@@ -95,7 +95,7 @@
 	s.noticeRetry(r, &a)
 	smooth(&s.reading.mean, float64(a.UnreadTime), smoothing)
 	s.memory.usedKB += r.queuedKB
-	if !s.shareResult(r, &a) {
+	if !s.shareOrReplace(r, &a) {
 		s.queue.add(r)
 	}
 	return r
@@ -132,13 +132,13 @@
 	s.startCalls()
 	for _, r := range s.queue.arrivals {
 		if r.state == stateQueued {
-			s.admit(r)
+			s.rejectUnfit(r)
 		}
 	}
 	s.startRequests()
 	for _, r := range s.queue.arrivals {
 		if r.state == stateQueued {
-			s.joinQueue(r)
+			s.joinQueueOrReject(r)
 		}
 	}
 	s.queue.clearArrivals()
@@ -146,8 +146,8 @@
 	s.setTimer()
 }
 
-// admit rejects at once what must not be queued, and has entries kept before their requests can run.
-func (s *Server) admit(r *Request) {
+// rejectUnfit rejects at once what must not be queued, and has entries kept before their requests can run.
+func (s *Server) rejectUnfit(r *Request) {
 	isKeyed := r.category.Idempotency == Keyed
 	switch {
 	case s.drain.hasEndedFor(r.arrivedAt):
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -90,7 +90,7 @@
 func (d delegate) NotifyLeave(peer *memberlist.Node) {
 	id, _ := parseNodeName(peer.Name) // NotifyAlive has let it pass
 	hasLeft := peer.State == memberlist.StateLeft
-	d.node.enqueue(func() { d.node.memberLeft(id, hasLeft) })
+	d.node.enqueue(func() { d.node.memberLostOrLeft(id, hasLeft) })
 }
 
 // NotifyUpdate is called when a member's metadata change, which they never do.
@@ -118,14 +118,14 @@
 	n.view.Refuted(id)
 }
 
-// memberLeft tells the view that a member has left or failed, on the worker.
-func (n *Node) memberLeft(id membership.ID, hasLeft bool) {
+// memberLostOrLeft tells the view that a member has left or failed, on the worker.
+func (n *Node) memberLostOrLeft(id membership.ID, hasLeft bool) {
 	delete(n.joined, id)
 	if hasLeft {
-		n.view.Left(id)
+		n.view.RecordLeave(id)
 		return
 	}
-	n.view.Failed(id)
+	n.view.RecordFailure(id)
 }
 
 func milliseconds(duration time.Duration) timeunit.Milliseconds {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -244,7 +244,7 @@
 // What operators are told of the cluster has the recorded JSON, and is the same when it is decoded and encoded again.
 func TestGoldenStatus(t *testing.T) {
 	n := goldenCluster(t)
-	n.view.Failed(goldenMember(4, 1).LocalID())
+	n.view.RecordFailure(goldenMember(4, 1).LocalID())
 	n.view.ProbeSucceeded(goldenMember(2, 1).LocalID(), 3)
 	n.view.Counts = membership.Counts{
 		Invalid:        11,
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -84,7 +84,7 @@
 	n.view.ProbeFailed(id)
 	member := n.view.Member(id)
 	if member != nil && member.Cause != membership.CauseUnreachableFromHere {
-		n.view.Suspected(id)
+		n.view.RecordSuspicion(id)
 	}
 }
 
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -218,9 +218,9 @@
 		switch {
 		case !known:
 		case m.isAlive() && silence > suspectAfter:
-			n.view.Suspected(m.ID)
+			n.view.RecordSuspicion(m.ID)
 		case m.State == StateSuspected && silence > failAfter:
-			n.view.Failed(m.ID)
+			n.view.RecordFailure(m.ID)
 			n.heldForFailed[m.ID] = true
 		}
 	}
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -78,8 +78,8 @@
 	return others, cannotReach
 }
 
-// Suspected reports that several members got no answer from this one. It has until Failed to refute.
-func (v *View) Suspected(id ID) {
+// RecordSuspicion reports that several members got no answer from this one. It has until Failed to refute.
+func (v *View) RecordSuspicion(id ID) {
 	m := v.members[id]
 	if m == nil || m == v.self || !m.isAlive() || m.Cause == CauseNameConflict {
 		return
@@ -91,8 +91,8 @@
 	v.resolveName(m.Name)
 }
 
-// Failed reports that a member did not refute in time. One that was draining has left.
-func (v *View) Failed(id ID) {
+// RecordFailure reports that a member did not refute in time. One that was draining has left.
+func (v *View) RecordFailure(id ID) {
 	m := v.members[id]
 	switch {
 	case m == nil || m == v.self || m.State == StateLeft && m.Cause != CauseNameConflict:
@@ -160,8 +160,8 @@
 	}
 }
 
-// Left reports that a member announced that it leaves now.
-func (v *View) Left(id ID) {
+// RecordLeave reports that a member announced that it leaves now.
+func (v *View) RecordLeave(id ID) {
 	m := v.members[id]
 	if m == nil || m == v.self || m.terminated {
 		return
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -185,16 +185,16 @@
 	case 5:
 		c.view.ProbeFailed(c.id())
 	case 6:
-		c.view.Suspected(c.id())
+		c.view.RecordSuspicion(c.id())
 	case 7:
-		c.view.Failed(c.id())
+		c.view.RecordFailure(c.id())
 	case 8:
 		c.view.Refuted(c.id())
 	case 9:
 		c.view.DialFinished(c.id(), DialResult(c.random.Intn(3)))
 	case 10:
 		if c.random.Intn(4) == 0 {
-			c.view.Left(c.id())
+			c.view.RecordLeave(c.id())
 		}
 	case 11:
 		return wire(c.view.UpdateSelf(StateUpdate{
--- a/internal/membership/large_cluster_test.go
+++ b/internal/membership/large_cluster_test.go
@@ -94,7 +94,7 @@
 		v.Advance(c.now, largeClusterTick)
 		c.agreements[i].Tick()
 		if c.failedAt[i] > 0 && c.now >= c.failedAt[i] {
-			v.Failed(c.id(c.crashed))
+			v.RecordFailure(c.id(c.crashed))
 		}
 		v.Tick(c.agreements[i].QuorumStatus())
 		for _, message := range c.agreements[i].TakeMessages() {
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -58,13 +58,13 @@
 	case "probe-failed":
 		p.view.ProbeFailed(p.id(args[0]))
 	case "suspected":
-		p.view.Suspected(p.id(args[0]))
+		p.view.RecordSuspicion(p.id(args[0]))
 	case "failed":
-		p.view.Failed(p.id(args[0]))
+		p.view.RecordFailure(p.id(args[0]))
 	case "refuted":
 		p.view.Refuted(p.id(args[0]))
 	case "left":
-		p.view.Left(p.id(args[0]))
+		p.view.RecordLeave(p.id(args[0]))
 	case "dial":
 		p.view.DialFinished(p.id(args[0]), p.dialResult(args[1]))
 	case "committed":
--- a/internal/quota/coordinator/cluster_test.go
+++ b/internal/quota/coordinator/cluster_test.go
@@ -319,7 +319,7 @@
 		s.leader = c.servers[to].coordinator.Identity().VoterID
 	}
 	requestID := uint64(i)<<32 | s.incarnation
-	c.send(i, to, func(other *server) { other.coordinator.HandleRequest(requestID, request) })
+	c.send(i, to, func(other *server) { other.coordinator.EnqueueRequest(requestID, request) })
 }
 
 // sendReply sends a reply to the incarnation of the server that asked.
--- a/internal/quota/coordinator/requests.go
+++ b/internal/quota/coordinator/requests.go
@@ -27,8 +27,8 @@
 	Leader    uint64 // the voter to be asked, zero where none is known
 }
 
-// HandleRequest takes a request. Its reply comes in a Ready.
-func (c *Coordinator) HandleRequest(requestID uint64, request quota.Request) {
+// EnqueueRequest takes a request. Its reply comes in a Ready.
+func (c *Coordinator) EnqueueRequest(requestID uint64, request quota.Request) {
 	switch {
 	case !c.IsLeader() || !c.InMajority():
 		c.replies = append(c.replies, Reply{RequestID: requestID, Leader: c.otherLeader()})
--- a/internal/quota/service/requests.go
+++ b/internal/quota/service/requests.go
@@ -104,7 +104,7 @@
 	}
 	s.lastRequestID++
 	s.requesters[s.lastRequestID] = from
-	s.coordinator.HandleRequest(s.lastRequestID, request)
+	s.coordinator.EnqueueRequest(s.lastRequestID, request)
 }
 
 // sendReply sends the coordinator's reply to the server that asked, or takes it up if that is this server.
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -46,12 +46,12 @@
 	afterGrace := max(timeLeft-s.config.Settings.DrainGrace, timeLeft/4)
 	closeIdle := func() {
 		s.advancePhase(phaseClosing)
-		s.routers.drainIdle()
+		s.routers.closeAllIdle()
 	}
 	s.setTimer(&timer{fire: closeIdle}, s.shutdownDeadline-afterGrace/2)
 	// The batch in which the deadline comes is dispatched before anything ends: when the loop is late, that answers
 	// what is due.
-	stop := func() { s.closeConnections((s.config.ShutdownTimeout - timeLeft) / 2) }
+	stop := func() { s.stop((s.config.ShutdownTimeout - timeLeft) / 2) }
 	s.setTimer(&timer{fire: func() { s.setTimer(&timer{fire: stop}, s.now+1) }}, s.shutdownDeadline)
 }
 
@@ -61,9 +61,9 @@
 	}
 }
 
-// closeConnections ends every connection. The recovery log has timeout to become durable, then half of that passes for
+// stop ends every connection. The recovery log has timeout to become durable, then half of that passes for
 // the last bytes to leave, then the loop stops.
-func (s *Server) closeConnections(timeout timeunit.Ticks) {
+func (s *Server) stop(timeout timeunit.Ticks) {
 	s.advancePhase(phaseStopped)
 	s.routers.closeAll()
 	s.index.closeIdle()
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -102,9 +102,9 @@
 	return len(p.log.Outcomes)
 }
 
-// writeIntent has the intent of a request with an idempotency key written, or rejects the request where that can't be
+// deferForIntent has the intent of a request with an idempotency key written, or rejects the request where that can't be
 // done. It returns false where no intent is needed, and the request goes on at once.
-func (p *recoveryPart) writeIntent(intended *request, tenant []byte) bool {
+func (p *recoveryPart) deferForIntent(intended *request, tenant []byte) bool {
 	if p.log == nil {
 		return false
 	}
@@ -229,7 +229,7 @@
 		p.conclude(waiting, recovery.KindCancellation, false, nil)
 		p.server.requests.remove(waiting)
 	default:
-		p.server.requests.admit(waiting, waiting.tenant)
+		p.server.requests.handToAdmission(waiting, waiting.tenant)
 	}
 }
 
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -62,7 +62,7 @@
 	if t.server.plugins.appliesTo(accepted) {
 		t.evaluate(accepted)
 	} else {
-		t.proceed(accepted, accepted.tenant)
+		t.admitOnceDurable(accepted, accepted.tenant)
 	}
 	if stream.Body != nil {
 		router.ReleaseBuffer(stream.Body)
@@ -115,7 +115,7 @@
 		shown.respond(strconv.Itoa(evaluation.Status)+statusRejectedByPlugin, "", nil)
 		return
 	}
-	t.proceed(shown, tenant)
+	t.admitOnceDurable(shown, tenant)
 }
 
 // remove forgets a request that admission has released, or that will never be admission's.
@@ -124,15 +124,15 @@
 	t.server.plugins.detach(removed)
 }
 
-// proceed hands a request to admission, once what must be written before that has been.
-func (t *requestTable) proceed(accepted *request, tenant []byte) {
-	if !t.server.recovery.writeIntent(accepted, tenant) {
-		t.admit(accepted, tenant)
+// admitOnceDurable hands a request to admission, once what must be written before that has been.
+func (t *requestTable) admitOnceDurable(accepted *request, tenant []byte) {
+	if !t.server.recovery.deferForIntent(accepted, tenant) {
+		t.handToAdmission(accepted, tenant)
 	}
 }
 
-// admit hands a request to admission, which may run, queue or reject it within this call.
-func (t *requestTable) admit(admitted *request, tenant []byte) {
+// handToAdmission hands a request to admission, which may run, queue or reject it within this call.
+func (t *requestTable) handToAdmission(admitted *request, tenant []byte) {
 	key := t.idempotencyKey(admitted)
 	var existing *idempotencyEntry
 	var bodyHash [sha256.Size]byte
--- a/internal/server/routerconnection.go
+++ b/internal/server/routerconnection.go
@@ -23,10 +23,10 @@
 type connectionState int
 
 const (
-	connectionNew      connectionState = iota // it brought no whole request yet
-	connectionActive                          // it did, and carries something
-	connectionIdle                            // it did, and carries nothing
-	connectionDraining                        // it ends once no request is open on it
+	connectionNew    connectionState = iota // it brought no whole request yet
+	connectionActive                        // it did, and carries something
+	connectionIdle                          // it did, and carries nothing
+	connectionEnding                        // it ends once no request is open on it
 	connectionClosed
 )
 
@@ -66,7 +66,7 @@
 		if table.idleTimeout < noDeadline && !table.idleTimer.isSet() {
 			c.server.setTimer(&table.idleTimer, c.stateSince+table.idleTimeout)
 		}
-	case connectionDraining:
+	case connectionEnding:
 		c.updateState()
 	}
 }
@@ -75,11 +75,11 @@
 func (c *routerConnection) updateState() {
 	switch {
 	case c.conn == nil:
-	case c.state == connectionDraining && c.parser.OpenRequests() == 0:
+	case c.state == connectionEnding && c.parser.OpenRequests() == 0:
 		c.closeAtEndOfBatch()
 	case c.state == connectionActive && c.parser.Idle():
 		if c.server.phase >= phaseClosing {
-			c.transition(connectionDraining)
+			c.transition(connectionEnding)
 		} else {
 			c.transition(connectionIdle)
 		}
--- a/internal/server/routerrequests.go
+++ b/internal/server/routerrequests.go
@@ -79,7 +79,7 @@
 	stream.Owner = nil
 	c.parser.Finish(stream, c)
 	if !stream.KeepConnection {
-		c.transition(connectionDraining) // what else is open on it is answered first
+		c.transition(connectionEnding) // what else is open on it is answered first
 	}
 	c.updateState()
 }
--- a/internal/server/routertable.go
+++ b/internal/server/routertable.go
@@ -110,15 +110,15 @@
 	}
 }
 
-// drainIdle is the first step of the end: what carries nothing, or soon carries nothing, goes while there is time to
+// closeAllIdle is the first step of the end: what carries nothing, or soon carries nothing, goes while there is time to
 // end it well.
-func (t *routerTable) drainIdle() {
+func (t *routerTable) closeAllIdle() {
 	for {
 		front := t.idleConnections.Front()
 		if front == nil {
 			return
 		}
-		front.Value.(*routerConnection).transition(connectionDraining)
+		front.Value.(*routerConnection).transition(connectionEnding)
 	}
 }
 
