--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -6,7 +6,8 @@
 //
 //   - View keeps a Member for each incarnation of each server. It takes the state updates that members publish
 //     about themselves (ApplyUpdate) and the reports of the failure detector (ProbeSucceeded, ProbeFailed,
-//     Suspected, Refuted, Failed, Left, DialFinished). The terms are those of SWIM and Serf.
+//     RecordSuspicion, Refuted, RecordFailure, RecordLeave,
+//     DialFinished). The terms are those of SWIM and Serf.
 //   - Agreement lets a few voters agree on the Configuration of the cluster by single-decree Paxos, and obtains a
 //     quorum lease on it. QuorumStatus says whether this server belongs to the majority.
 //
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -78,7 +78,8 @@
 	return others, cannotReach
 }
 
-// RecordSuspicion reports that several members got no answer from this one. It has until Failed to refute.
+// RecordSuspicion records that this server, and at least one other if there are others, got no answer from a member. It
+// has until RecordFailure to refute.
 func (v *View) RecordSuspicion(id ID) {
 	m := v.members[id]
 	if m == nil || m == v.self || !m.isAlive() || m.Cause == CauseNameConflict {
