--- /dev/null
+++ b/internal/emulator/commands.go
@@ -0,0 +1,98 @@
+package emulator
+
+import "encoding/json"
+
+// Commands of the server to the interpreter. Others are ignored.
+const (
+	commandConnect = "CONNECT"
+	commandTop     = "TOP"
+	commandApply   = "APPLY"
+	commandBreak   = "BREAK"
+	commandResolve = "RESOLVE"
+)
+
+// command is one line of the server.
+type command struct {
+	Type string `json:"type"`
+	Job  string `json:"job"`
+	Ref  string `json:"ref"`
+	N    int    `json:"n"`
+	Data []byte `json:"data"`
+}
+
+// readCommands carries out the commands of one link until it ends.
+func (v *Interpreter) readCommands(link *Link) {
+	defer link.drop()
+	for {
+		line, err := link.Reader.ReadBytes('\n')
+		if err != nil {
+			v.linkEnded(link)
+			return
+		}
+		var c command
+		if json.Unmarshal(line, &c) != nil {
+			return
+		}
+		v.execute(link, &c)
+		select {
+		case v.wakeUp <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// execute carries out one command.
+func (v *Interpreter) execute(link *Link, c *command) {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	v.Cores.AdvanceTo(v.seconds())
+	r := v.jobs[c.Job]
+	switch c.Type {
+	case commandConnect:
+		v.connect(link, c.N)
+	case commandTop:
+		utilization, runnable := v.Cores.Gauges()
+		link.sendf(`{"type":"TOPS","ref":%q,"gauges":[%.3f,%.0f]}`+"\n", c.Ref, utilization, runnable)
+	case commandApply:
+		v.startRun(c.Job, c.Data)
+	case commandBreak:
+		if r != nil {
+			v.stop(r)
+		}
+	case commandResolve:
+		if r != nil {
+			v.Cores.Resume(r.Job)
+		}
+	}
+}
+
+// connect makes this the link of the server, and sends the banner and the notices after the first so many.
+func (v *Interpreter) connect(link *Link, received int) {
+	v.dropLink()
+	v.link = link
+	state, uptimeMs := "WARM", 3_600_000
+	if v.ReportsCold {
+		state, uptimeMs = "COLD", 0
+	}
+	link.sendf(`{"type":"BANNER","state":%q,"took":%d}`+"\n", state, uptimeMs)
+	for _, line := range v.notices[min(received, len(v.notices)):] {
+		link.send(line)
+	}
+}
+
+// linkEnded forgets a link that the server closed.
+func (v *Interpreter) linkEnded(link *Link) {
+	v.lock.Lock()
+	defer v.lock.Unlock()
+	if v.link == link {
+		v.link = nil
+	}
+}
+
+// dropLink closes the link where there is one.
+func (v *Interpreter) dropLink() {
+	if v.link != nil {
+		v.link.drop()
+		v.link = nil
+	}
+}
--- a/internal/emulator/cores.go
+++ b/internal/emulator/cores.go
@@ -1,46 +1,58 @@
-// Package standin is what the app server meets in tests and in `thistlequay try`: an interpreter whose cores are shared
-// by what runs, an index, a directory, routers, and the load that they send. All speak the published protocols and
-// do what a script has them do. Nothing here decides for the app server.
 package emulator
 
 import "math"
 
-// Cores are shared alike by what runs on them. Times are seconds from any beginning.
+// workEpsilon is the number of core seconds below which a job counts as complete: rounding leaves such rests.
+const workEpsilon = 1e-9
+
+// freeJobsPerCore is the number of runnable jobs a core up to which switching between them costs nothing.
+const freeJobsPerCore = 2
+
+// Cores emulates processor sharing: every runnable job has an equal part of the cores, and at most one core. Times are
+// seconds since an origin that the caller chooses. The zero value with Count set is ready to use; it is not safe for
+// concurrent use.
 type Cores struct {
-	Count       float64 // how many there are
-	Slowdown    float64 // part of their speed that is lost for each job beyond two a core
-	now         float64
-	jobs        []*Job
-	CoreSeconds float64 // core seconds given
+	// Count is the number of cores.
+	Count float64
+	// Slowdown is the loss of speed for each runnable job beyond two a core: speed is divided by 1 + Slowdown*excess.
+	Slowdown float64
+	// CoreSeconds is the work done so far.
+	CoreSeconds float64
+
+	now  float64
+	jobs []*Job
 }
 
-// Job is work under way.
+// Job is a run on the cores.
 type Job struct {
 	ID        string
 	Remaining float64 // core seconds
-	StartedAt float64
+	StartedAt float64 // seconds
 	suspended bool
 }
 
-func (c *Cores) runnable() (n float64) {
+// runnable counts the jobs that are not suspended.
+func (c *Cores) runnable() float64 {
+	count := 0
 	for _, j := range c.jobs {
 		if !j.suspended {
-			n++
+			count++
 		}
 	}
-	return n
+	return float64(count)
 }
 
-// speedPerJob is how much of a core each job has.
+// speedPerJob is the part of a core that each runnable job has.
 func (c *Cores) speedPerJob() float64 {
-	n := c.runnable()
-	if n == 0 {
+	runnable := c.runnable()
+	if runnable == 0 {
 		return 0
 	}
-	return min(1, c.Count/n) / (1 + c.Slowdown*max(0, n-2*c.Count))
+	excess := max(0, runnable-freeJobsPerCore*c.Count)
+	return min(1, c.Count/runnable) / (1 + c.Slowdown*excess)
 }
 
-// AdvanceTo moves the time on. It must not pass Next.
+// AdvanceTo moves the time on. It must not pass NextCompletion, because speeds change there.
 func (c *Cores) AdvanceTo(now float64) {
 	done := max(0, now-c.now) * c.speedPerJob()
 	for _, j := range c.jobs {
@@ -52,28 +64,29 @@
 	c.now = max(c.now, now)
 }
 
-// NextCompletion is when the next job ends; infinite where none will.
+// NextCompletion is when the next job ends; infinite where none is runnable.
 func (c *Cores) NextCompletion() float64 {
-	least, speed := math.Inf(1), c.speedPerJob()
+	earliest := math.Inf(1)
+	speed := c.speedPerJob()
 	for _, j := range c.jobs {
 		if !j.suspended {
-			least = min(least, max(0, j.Remaining)/speed)
+			earliest = min(earliest, max(0, j.Remaining)/speed)
 		}
 	}
-	return c.now + least
+	return c.now + earliest
 }
 
-// Start begins a job.
-func (c *Cores) Start(id string, work float64) *Job {
-	j := &Job{ID: id, Remaining: work, StartedAt: c.now}
+// Start adds a job of so many core seconds.
+func (c *Cores) Start(id string, coreSeconds float64) *Job {
+	j := &Job{ID: id, Remaining: coreSeconds, StartedAt: c.now}
 	c.jobs = append(c.jobs, j)
 	return j
 }
 
-// PopCompleted gives a job that has no work left and forgets it; nil where there is none.
+// PopCompleted removes a job that has no work left and returns it; nil where there is none.
 func (c *Cores) PopCompleted() *Job {
 	for _, j := range c.jobs {
-		if !j.suspended && j.Remaining <= 1e-9 {
+		if !j.suspended && j.Remaining <= workEpsilon {
 			c.Abort(j)
 			return j
 		}
@@ -81,22 +94,24 @@
 	return nil
 }
 
-// Abort ends a job as it is.
-func (c *Cores) Abort(of *Job) {
+// Abort removes a job, whatever work it has left.
+func (c *Cores) Abort(job *Job) {
 	for i, j := range c.jobs {
-		if j == of {
+		if j == job {
 			c.jobs = append(c.jobs[:i], c.jobs[i+1:]...)
 			return
 		}
 	}
 }
 
-// Suspend takes a job off the cores, at a call; Back has it go on.
+// Suspend takes a job off the cores while it waits for a call.
 func (c *Cores) Suspend(j *Job) { j.suspended = true }
-func (c *Cores) Resume(j *Job)  { j.suspended = false }
 
-// Gauges are the share of the cores that is busy and how much wants one.
-func (c *Cores) Gauges() (use, wants float64) {
-	n := c.runnable()
-	return min(1, n/c.Count), n
+// Resume puts a suspended job back on the cores.
+func (c *Cores) Resume(j *Job) { j.suspended = false }
+
+// Gauges are the part of the cores that is busy, 0 to 1, and the number of runnable jobs.
+func (c *Cores) Gauges() (utilization, runnable float64) {
+	runnable = c.runnable()
+	return min(1, runnable/c.Count), runnable
 }
--- /dev/null
+++ b/internal/emulator/directory.go
@@ -0,0 +1,37 @@
+package emulator
+
+import (
+	"io"
+	"net/http"
+)
+
+// Directory emulates the directory: it accepts every load report and answers with 204.
+type Directory struct{ *Listener }
+
+// NewDirectory starts a directory on a loopback address of its own. It runs until Close.
+func NewDirectory() (*Directory, error) {
+	listener, err := Listen()
+	if err != nil {
+		return nil, err
+	}
+	go func() {
+		for link := range listener.Links {
+			go serveReports(link)
+		}
+	}()
+	return &Directory{listener}, nil
+}
+
+// serveReports answers the reports of one connection until it ends.
+func serveReports(link *Link) {
+	defer link.drop()
+	for {
+		request, err := http.ReadRequest(link.Reader)
+		if err != nil {
+			return
+		}
+		// A body that breaks off is found by the next read.
+		_, _ = io.Copy(io.Discard, request.Body)
+		link.send([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
+	}
+}
--- a/internal/emulator/index.go
+++ b/internal/emulator/index.go
@@ -1,122 +1,147 @@
 package emulator
 
-// This file owns the stand-ins of the index and the directory.
-
 import (
-	"fmt"
+	"errors"
 	"io"
-	"net/http"
 	"strconv"
 	"strings"
 	"sync/atomic"
 	"time"
 )
 
-// Index answers calls.
+// Replies that a script of the index may ask for. Any other text is sent as the status word of the reply: SHED, BROKEN,
+// SLOW and NOBODY are those of the protocol.
+const (
+	replyHit     = "HIT"
+	replyShed    = "SHED"
+	replySilence = "silence" // no reply at all
+	replyReset   = "reset"   // the connection is closed instead
+	replyNoise   = "noise"   // bytes that are no reply
+)
+
+// Index emulates the index service: it answers calls on any number of connections.
 type Index struct {
 	*Listener
-	ReplyDelay        time.Duration
-	Script            func(n int) string // HIT, SHED, BROKEN, SLOW, NOBODY, silence, reset or noise for the n-th call; nil: HIT
-	MaxInFlight       int                // calls in hand beyond which more are turned away; 0 for no bound
-	SlowdownThreshold int                // calls in hand beyond which all take longer, by the square of how many more; 0 for never
-	callCount         chan int
-	inFlight          atomic.Int64
-	peakInFlight      atomic.Int64
-}
+	// ReplyDelay is how long a call takes while the index is not overloaded.
+	ReplyDelay time.Duration
+	// Script gives the reply to the n-th call, counted from 0 over all connections: a status word of the protocol,
+	// "silence", "reset" or "noise". Nil answers every call with HIT.
+	Script func(n int) string
+	// MaxInFlight is the number of calls in flight beyond which more are answered with SHED; 0 for no limit.
+	MaxInFlight int
+	// SlowdownThreshold is the number of calls in flight beyond which all take longer, by the square of the ratio
+	// between the two; 0 for never.
+	SlowdownThreshold int
 
-// PeakInFlight is the most calls that were in hand at once since it was last asked.
-func (x *Index) PeakInFlight() int { return int(x.peakInFlight.Swap(x.inFlight.Load())) }
+	callCount    atomic.Int64
+	inFlight     atomic.Int64
+	peakInFlight atomic.Int64
+}
 
-// NewIndex starts one.
+// NewIndex starts an index on a loopback address of its own. It runs until Close.
 func NewIndex() (*Index, error) {
-	l, err := Listen()
+	listener, err := Listen()
 	if err != nil {
 		return nil, err
 	}
-	x := &Index{Listener: l, callCount: make(chan int, 1)}
-	x.callCount <- 0
+	x := &Index{Listener: listener}
 	go func() {
-		for link := range l.Links {
+		for link := range listener.Links {
 			go x.serve(link)
 		}
 	}()
 	return x, nil
 }
 
+// PeakInFlight is the largest number of calls that were in flight at once since it was last asked.
+func (x *Index) PeakInFlight() int { return int(x.peakInFlight.Swap(x.inFlight.Load())) }
+
+// serve answers the calls of one connection, one after the other, until either side closes it.
 func (x *Index) serve(link *Link) {
-	defer link.Close()
+	defer link.drop()
 	for {
-		text, err := link.Reader.ReadString('\n')
-		if err != nil {
-			return
+		id, err := readCall(link)
+		if errors.Is(err, errNotACall) {
+			continue // a STOP: the reply to the call that it gives up is read by nobody
 		}
-		word := strings.Fields(text)
-		if len(word) != 4 || word[0] != "GET" {
-			continue // STOP: what it gives up gets a reply that nobody reads
-		}
-		length, err := strconv.Atoi(word[3])
 		if err != nil {
 			return
 		}
-		if _, err := io.CopyN(io.Discard, link.Reader, int64(length)+2); err != nil {
+		reply := x.process()
+		if reply == replyReset {
 			return
 		}
-		n := <-x.callCount
-		x.callCount <- n + 1
-		reply := "HIT"
-		if x.Script != nil {
-			reply = x.Script(n)
-		}
-		in := x.inFlight.Add(1)
-		for most := x.peakInFlight.Load(); in > most && !x.peakInFlight.CompareAndSwap(most, in); most = x.peakInFlight.Load() {
-		}
-		if x.MaxInFlight > 0 && in > int64(x.MaxInFlight) {
-			reply = "SHED"
-		} else {
-			delay := x.ReplyDelay
-			if over := float64(in) / float64(max(1, x.SlowdownThreshold)); x.SlowdownThreshold > 0 && over > 1 {
-				delay = time.Duration(float64(delay) * over * over)
-			}
-			time.Sleep(delay)
-		}
-		x.inFlight.Add(-1)
-		switch reply {
-		case "silence":
-		case "reset":
-			return
-		case "noise":
-			fmt.Fprint(link, "\x00\xff no reply at all\r\n")
-		case "HIT":
-			fmt.Fprintf(link, "%s HIT 4\r\ngood\r\n", word[1])
-		default:
-			fmt.Fprintf(link, "%s %s\r\n", word[1], reply)
-		}
+		sendReply(link, id, reply)
 	}
 }
 
-// Directory takes reports.
-type Directory struct{ *Listener }
+// errNotACall is a line that is not a GET.
+var errNotACall = errors.New("not a call")
 
-// NewDirectory starts one.
-func NewDirectory() (*Directory, error) {
-	l, err := Listen()
+// readCall reads "GET <id> <name> <length>", then the body of that length, and gives the id.
+func readCall(link *Link) (id string, err error) {
+	text, err := link.Reader.ReadString('\n')
 	if err != nil {
-		return nil, err
+		return "", err
 	}
-	go func() {
-		for link := range l.Links {
-			go func() {
-				defer link.Close()
-				for {
-					r, err := http.ReadRequest(link.Reader)
-					if err != nil {
-						return
-					}
-					io.Copy(io.Discard, r.Body)
-					fmt.Fprint(link, "HTTP/1.1 204 No Content\r\n\r\n")
-				}
-			}()
+	words := strings.Fields(text)
+	if len(words) != 4 || words[0] != "GET" {
+		return "", errNotACall
+	}
+	length, err := strconv.Atoi(words[3])
+	if err != nil {
+		return "", err
+	}
+	const lineEnd = 2 // the body ends with CR LF
+	_, err = io.CopyN(io.Discard, link.Reader, int64(length)+lineEnd)
+	return words[1], err
+}
+
+// process takes the time of one call and gives the reply to it.
+func (x *Index) process() string {
+	n := int(x.callCount.Add(1)) - 1
+	reply := replyHit
+	if x.Script != nil {
+		reply = x.Script(n)
+	}
+	inFlight := x.inFlight.Add(1)
+	defer x.inFlight.Add(-1)
+	x.raisePeak(inFlight)
+	if x.MaxInFlight > 0 && inFlight > int64(x.MaxInFlight) {
+		return replyShed
+	}
+	time.Sleep(x.delay(inFlight))
+	return reply
+}
+
+// raisePeak records that so many calls are in flight.
+func (x *Index) raisePeak(inFlight int64) {
+	for {
+		peak := x.peakInFlight.Load()
+		if inFlight <= peak || x.peakInFlight.CompareAndSwap(peak, inFlight) {
+			return
 		}
-	}()
-	return &Directory{l}, nil
+	}
+}
+
+// delay is how long a call takes with so many in flight.
+func (x *Index) delay(inFlight int64) time.Duration {
+	if x.SlowdownThreshold == 0 {
+		return x.ReplyDelay
+	}
+	overload := max(1, float64(inFlight)/float64(x.SlowdownThreshold))
+	return time.Duration(float64(x.ReplyDelay) * overload * overload)
+}
+
+// sendReply writes the reply to the call with this id.
+func sendReply(link *Link, id, reply string) {
+	switch reply {
+	case replySilence:
+	case replyNoise:
+		link.send([]byte("\x00\xff no reply at all\r\n"))
+	case replyHit:
+		link.sendf("%s HIT 4\r\ngood\r\n", id)
+	default:
+		link.sendf("%s %s\r\n", id, reply)
+	}
 }
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -1,85 +1,102 @@
 package emulator
 
-// This file owns the sockets of the stand-ins: what listens on a free loopback address, and what it accepts as lines.
-
 import (
 	"bufio"
+	"fmt"
 	"net"
 	"sync/atomic"
 )
 
-// Listener accepts connections on a loopback address of its own and hands them out.
+const (
+	acceptBacklog   = 64      // connections that are accepted before anybody takes them up
+	readBufferBytes = 8 << 10 // of each connection
+)
+
+// Listener accepts connections on a loopback address of its own and hands them out over Links.
 type Listener struct {
 	net.Listener
 	Address string
-	Links   chan *Link // closed by Close
+	Links   chan *Link // closed after Close
 	closed  atomic.Bool
 }
 
-// Link is a connection that is read by lines or records.
+// Link is a connection that is read by lines or by records.
 type Link struct {
 	net.Conn
 	Reader *bufio.Reader
 }
 
-const acceptBacklog = 64 // connections that nobody has taken up yet
-
-// Listen opens one.
+// Listen starts a listener on a free port of 127.0.0.1.
 func Listen() (*Listener, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Listener{Listener: l, Address: l.Addr().String(), Links: make(chan *Link, acceptBacklog)}
-	go s.accept()
-	return s, nil
+	l := &Listener{Listener: socket, Address: socket.Addr().String(), Links: make(chan *Link, acceptBacklog)}
+	go l.accept()
+	return l, nil
 }
 
-func (s *Listener) accept() {
-	for l := s.Listener; ; {
-		c, err := l.Accept()
+// accept hands out connections until the socket is closed.
+func (l *Listener) accept() {
+	socket := l.Listener // Reopen puts another in its place, with an accept of its own
+	for {
+		connection, err := socket.Accept()
 		if err != nil {
-			if s.closed.Load() {
-				close(s.Links)
+			if l.closed.Load() {
+				close(l.Links)
 			}
 			return
 		}
-		s.Links <- NewLink(c)
+		l.Links <- NewLink(connection)
 	}
 }
 
-// Close ends it for good.
-func (s *Listener) Close() error {
-	s.closed.Store(true)
-	return s.Listener.Close()
+// Close ends the listener for good. To close only the socket, and Reopen it later, call Listener.Close.
+func (l *Listener) Close() error {
+	l.closed.Store(true)
+	return l.Listener.Close()
 }
 
-// Reopen listens again on its address, after Listener.Close.
-func (s *Listener) Reopen() (err error) {
-	if s.Listener, err = net.Listen("tcp", s.Address); err == nil {
-		go s.accept()
+// Reopen listens again on the same address after Listener.Close.
+func (l *Listener) Reopen() error {
+	socket, err := net.Listen("tcp", l.Address)
+	l.Listener = socket
+	if err != nil {
+		return err
 	}
-	return err
+	go l.accept()
+	return nil
 }
 
 // NewLink wraps a connection.
-func NewLink(c net.Conn) *Link { return &Link{c, bufio.NewReaderSize(c, 8<<10)} }
-
-// FreeAddress is a loopback address that nothing listens on.
-func FreeAddress() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	defer l.Close()
-	return l.Addr().String(), nil
+func NewLink(connection net.Conn) *Link {
+	return &Link{connection, bufio.NewReaderSize(connection, readBufferBytes)}
 }
 
 // Dial connects to a server.
 func Dial(address string) (*Link, error) {
-	c, err := net.Dial("tcp", address)
+	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return NewLink(c), nil
+	return NewLink(connection), nil
+}
+
+// send writes in one call. A failed write needs no care: the peer is gone, which the reader of the link sees too.
+func (l *Link) send(data []byte) { _, _ = l.Write(data) }
+
+// sendf is send with a format.
+func (l *Link) sendf(format string, args ...any) { l.send(fmt.Appendf(nil, format, args...)) }
+
+// drop closes the link. A second close reports an error that says nothing.
+func (l *Link) drop() { _ = l.Close() }
+
+// FreeAddress is a loopback address on which nothing listens at this moment.
+func FreeAddress() (string, error) {
+	socket, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	return socket.Addr().String(), socket.Close()
 }
--- /dev/null
+++ b/internal/emulator/loadrun.go
@@ -0,0 +1,226 @@
+package emulator
+
+import (
+	"fmt"
+	"math"
+	"net/http"
+	"sync"
+	"time"
+)
+
+const (
+	slotsPerConnection = 32  // open requests on a connection before another is dialled
+	maxLoadSleep       = 1.0 // seconds until the load run looks again at what is due
+	graceDeadlines     = 2   // deadlines that open requests are waited for after the load
+)
+
+// LoadRun sends a load to one server in real time, and never waits for a response before the next request is sent.
+type LoadRun struct {
+	// Address is the server's, for routers.
+	Address string
+	// Seed of the load.
+	Seed int64
+	// Seconds is the length of the load.
+	Seconds float64
+	// Cores of the interpreter: with Seconds, the work that is divided among the tenants.
+	Cores float64
+	// Categories are their names by index.
+	Categories []string
+	// SoftDeadline and Deadline hold for all categories.
+	SoftDeadline, Deadline time.Duration
+	// Streams are the load.
+	Streams []*Stream
+
+	startedAt  time.Time
+	retryReady chan struct{} // has an entry when a retry may be due before what was next
+
+	lock           sync.Mutex // guards all that follows
+	load           *Load
+	accounts       *Accounts
+	connections    []*loadConnection
+	brokenRequests int // whose connection broke before the response
+}
+
+// loadConnection is one connection to the server.
+type loadConnection struct {
+	*Link
+	run      *LoadRun
+	open     map[uint16]*sentAttempt // by slot
+	lastSlot uint16
+}
+
+// sentAttempt is an attempt without its response.
+type sentAttempt struct {
+	attempt *Attempt
+	sentAt  time.Time
+}
+
+// Run sends the load and waits for the last response. It gives the accounts in the order of the streams.
+func (s *LoadRun) Run() ([]*Account, error) {
+	s.load = NewLoad(s.Seed, s.Streams)
+	s.accounts = NewAccounts(s.Streams)
+	s.startedAt = time.Now()
+	s.retryReady = make(chan struct{}, 1)
+	for s.pending() {
+		wait := s.secondsToNext()
+		if wait > 0 {
+			s.sleep(wait)
+			continue
+		}
+		if err := s.sendNext(); err != nil {
+			return nil, err
+		}
+	}
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	for _, c := range s.connections {
+		c.drop()
+	}
+	return s.accounts.Entitle(s.Cores * s.Seconds), nil
+}
+
+// pending says whether more is to be sent or answered.
+func (s *LoadRun) pending() bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if !math.IsInf(s.load.Next(), 1) {
+		return true
+	}
+	for _, c := range s.connections {
+		if len(c.open) > 0 {
+			return s.seconds() < s.Seconds+graceDeadlines*s.Deadline.Seconds()
+		}
+	}
+	return false
+}
+
+// seconds is the time since the load began.
+func (s *LoadRun) seconds() float64 { return time.Since(s.startedAt).Seconds() }
+
+// secondsToNext is the time until the next attempt is due.
+func (s *LoadRun) secondsToNext() float64 {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.load.Next() - s.seconds()
+}
+
+// sleep waits for so many seconds, or until a retry was added.
+func (s *LoadRun) sleep(seconds float64) {
+	timer := time.NewTimer(time.Duration(min(seconds, maxLoadSleep) * float64(time.Second)))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-s.retryReady:
+	}
+}
+
+// sendNext sends the attempt that is due.
+func (s *LoadRun) sendNext() error {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	a := s.load.Pop()
+	c, err := s.connection()
+	if err != nil {
+		return err
+	}
+	slot := c.freeSlot()
+	s.accounts.Asked(a)
+	c.open[slot] = &sentAttempt{a, time.Now()}
+	id := fmt.Sprintf("%08x%08x", a.sequence, a.Retries)
+	path := "/rpc/" + s.Categories[a.Stream.Category]
+	body := fmt.Sprintf("%.2f %d", a.CoreSeconds*1000, a.sequence)
+	_, err = c.Write(FastCGIRequest(slot, path, body, RequestParameters(id, a.Tenant, s.Deadline)))
+	return err
+}
+
+// connection gives the newest connection that has a free slot, or a further one.
+func (s *LoadRun) connection() (*loadConnection, error) {
+	for i := len(s.connections) - 1; i >= 0; i-- {
+		if len(s.connections[i].open) < slotsPerConnection {
+			return s.connections[i], nil
+		}
+	}
+	link, err := Dial(s.Address)
+	if err != nil {
+		return nil, err
+	}
+	c := &loadConnection{Link: link, run: s, open: map[uint16]*sentAttempt{}}
+	s.connections = append(s.connections, c)
+	go c.readResponses()
+	return c, nil
+}
+
+// freeSlot gives the next slot that is not open; 0 is FastCGI's own.
+func (c *loadConnection) freeSlot() uint16 {
+	c.lastSlot++
+	for c.lastSlot == 0 || c.open[c.lastSlot] != nil {
+		c.lastSlot++
+	}
+	return c.lastSlot
+}
+
+// readResponses books the responses of one connection until it ends.
+func (c *loadConnection) readResponses() {
+	for {
+		response, err := c.ReadResponse()
+		if err != nil {
+			c.run.connectionBroke(c)
+			return
+		}
+		c.run.responded(c, &response)
+		select {
+		case c.run.retryReady <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// connectionBroke gives up the open requests of a connection.
+func (s *LoadRun) connectionBroke(c *loadConnection) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.brokenRequests += len(c.open)
+	clear(c.open)
+}
+
+// responded books one response, and schedules the retry that it asks for.
+func (s *LoadRun) responded(c *loadConnection, response *Response) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	sent := c.open[response.Slot]
+	if sent == nil {
+		return
+	}
+	delete(c.open, response.Slot)
+	a := sent.attempt
+	account := s.accounts.Account(a)
+	took := time.Since(sent.sentAt)
+	_ = account.Times.RecordValue(min(took.Microseconds(), maxRecordedMicros)) // in range by the min
+	if took > s.Deadline {
+		account.PastDeadline++
+	}
+	switch {
+	case response.Status == http.StatusOK && took > s.SoftDeadline:
+		account.Late++
+	case response.Status == http.StatusOK:
+		account.OnTime++
+		account.Value += a.Stream.PriorityWeight
+	case response.Status == http.StatusServiceUnavailable:
+		account.Rejected++
+		retryAfter := response.RetryAfter()
+		if retryAfter > 0 && a.Retries < a.Stream.MaxRetries {
+			s.load.Retry(a, s.seconds()+retryAfter.Seconds())
+		}
+	case response.Status < http.StatusInternalServerError:
+		account.BadRequests++
+	default:
+		account.Aborted++
+	}
+}
+
+// BrokenRequests counts the requests whose connection ended before their response.
+func (s *LoadRun) BrokenRequests() int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.brokenRequests
+}
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -1,257 +1,141 @@
 package emulator
 
-// This file owns the stand-in of a router: FastCGI requests out, answers in, and a whole load sent in real time. It must
-// never wait for an answer before the next is sent.
-
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"sort"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 )
 
-// FastCGIRecord is one FastCGI record.
+// FastCGI's record types and sizes, from its specification (version 1).
+const (
+	fastCGIVersion     = 1
+	recordBeginRequest = 1
+	recordEndRequest   = 3
+	recordParams       = 4
+	recordStdin        = 5
+	recordStdout       = 6
+	recordHeaderBytes  = 8
+
+	// roleResponder with the flag that keeps the connection, as the body of a begin record.
+	beginResponderKeepOpen = "\x00\x01\x01\x00\x00\x00\x00\x00"
+)
+
+// FastCGIRecord is one FastCGI record without padding. The slot is FastCGI's request ID.
 func FastCGIRecord(kind byte, slot uint16, content string) []byte {
-	head := []byte{1, kind, byte(slot >> 8), byte(slot), byte(len(content) >> 8), byte(len(content)), 0, 0}
-	return append(head, content...)
+	record := []byte{fastCGIVersion, kind}
+	record = binary.BigEndian.AppendUint16(record, slot)
+	record = binary.BigEndian.AppendUint16(record, uint16(len(content)))
+	record = append(record, 0, 0) // no padding, one reserved byte
+	return append(record, content...)
+}
+
+// FastCGIRequest is one complete request. Parameters come in the order of their names; names and values must be shorter
+// than 128 bytes each.
+func FastCGIRequest(slot uint16, path, body string, parameters map[string]string) []byte {
+	data := FastCGIRecord(recordBeginRequest, slot, beginResponderKeepOpen)
+	data = append(data, FastCGIRecord(recordParams, slot, encodeParameters(path, parameters))...)
+	data = append(data, FastCGIRecord(recordParams, slot, "")...)
+	if body != "" {
+		data = append(data, FastCGIRecord(recordStdin, slot, body)...)
+	}
+	return append(data, FastCGIRecord(recordStdin, slot, "")...)
 }
 
-// FastCGIRequest is one whole request: parameters in the order of their names, which keep to under 128 bytes each.
-func FastCGIRequest(slot uint16, path, body string, with map[string]string) []byte {
-	var params strings.Builder
+// encodeParameters gives the name-value pairs, the path first.
+func encodeParameters(path string, parameters map[string]string) string {
+	var out strings.Builder
 	put := func(name, value string) {
-		params.Write([]byte{byte(len(name)), byte(len(value))})
-		params.WriteString(name + value)
+		out.Write([]byte{byte(len(name)), byte(len(value))})
+		out.WriteString(name + value)
 	}
 	put("SCRIPT_NAME", path)
-	names := make([]string, 0, len(with))
-	for name := range with {
+	names := make([]string, 0, len(parameters))
+	for name := range parameters {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		put(name, with[name])
+		put(name, parameters[name])
 	}
-	data := FastCGIRecord(1, slot, "\x00\x01\x01\x00\x00\x00\x00\x00")
-	data = append(append(data, FastCGIRecord(4, slot, params.String())...), FastCGIRecord(4, slot, "")...)
-	if body != "" {
-		data = append(data, FastCGIRecord(5, slot, body)...)
+	return out.String()
+}
+
+// RequestParameters are the parameters of a request that has just arrived at its router, with so much time left.
+func RequestParameters(id, tenant string, budget time.Duration) map[string]string {
+	return map[string]string{
+		"HTTP_REQUEST_ID":    id,
+		"HTTP_RECEIVED_AT":   strconv.FormatInt(time.Now().UnixMilli(), 10),
+		"HTTP_SENT_BY":       "1",
+		"HTTP_ACCOUNT":       tenant,
+		"HTTP_BUDGET_MS":     strconv.FormatInt(budget.Milliseconds(), 10),
+		"HTTP_FOOTPRINT_KB":  "24.5",
+		"HTTP_PRIORITY_RANK": "0.6250",
+		"REQUEST_METHOD":     "POST",
 	}
-	return append(data, FastCGIRecord(5, slot, "")...)
 }
 
-// Response is one answer of the server.
+// Response is one response of the server.
 type Response struct {
-	Slot          uint16
-	Status        int
-	Headers, Body string
+	Slot    uint16
+	Status  int
+	Headers string // all lines, the status line too, without the empty one
+	Body    string
 }
 
-// RetryAfter is the return time that it tells, 0 for none.
+// RetryAfter is the time after which the client was told to come back, 0 for none.
 func (a *Response) RetryAfter() time.Duration {
 	for _, line := range strings.Split(a.Headers, "\r\n") {
-		if text, is := strings.CutPrefix(line, "Back-Off-Ms: "); is {
-			ms, _ := strconv.Atoi(text)
+		text, found := strings.CutPrefix(line, "Back-Off-Ms: ")
+		if found {
+			ms, _ := strconv.Atoi(text) // what is no number counts as none told
 			return time.Duration(ms) * time.Millisecond
 		}
 	}
 	return 0
 }
 
-// errUnexpectedRecord is a record that no answer is made of.
-var errUnexpectedRecord = errors.New("a record that is no part of an answer")
+// errUnexpectedRecord is a record type that no response has.
+var errUnexpectedRecord = errors.New("a record that is no part of a response")
 
-// ReadResponse reads the next answer whose records come one after the other.
-func (l *Link) ReadResponse() (a Response, err error) {
-	var out []byte
+// ReadResponse reads the next response. Its records must not be mixed with those of another.
+func (l *Link) ReadResponse() (Response, error) {
+	var output []byte
 	for {
-		head := make([]byte, 8)
-		if _, err := io.ReadFull(l.Reader, head); err != nil {
-			return a, err
-		}
-		content := make([]byte, int(binary.BigEndian.Uint16(head[4:]))+int(head[6]))
-		if _, err := io.ReadFull(l.Reader, content); err != nil {
-			return a, err
-		}
-		if head[1] == 6 {
-			out = append(out, content...)
-			continue
-		}
-		if head[1] != 3 {
-			return a, errUnexpectedRecord
-		}
-		a.Slot = binary.BigEndian.Uint16(head[2:])
-		a.Headers, a.Body, _ = strings.Cut(string(out), "\r\n\r\n")
-		fmt.Sscanf(a.Headers, "Status: %d", &a.Status)
-		return a, nil
-	}
-}
-
-// RequestParameters are the parameters of a work item that has just come.
-func RequestParameters(id, tenant string, budget time.Duration) map[string]string {
-	return map[string]string{"HTTP_REQUEST_ID": id, "HTTP_RECEIVED_AT": strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"HTTP_SENT_BY": "1", "HTTP_ACCOUNT": tenant, "HTTP_BUDGET_MS": strconv.FormatInt(budget.Milliseconds(), 10),
-		"HTTP_FOOTPRINT_KB": "24.5", "HTTP_PRIORITY_RANK": "0.6250", "REQUEST_METHOD": "POST"}
-}
-
-// LoadRun is a load against one server.
-type LoadRun struct {
-	Address                string
-	Seed                   int64
-	Seconds                float64 // seconds
-	Cores                  float64 // of the interpreter: what there is to divide
-	Categories             []string
-	SoftDeadline, Deadline time.Duration
-	Streams                []*Stream
-	lock                   sync.Mutex
-	accounts               *Accounts
-	connections            []*loadConnection
-	brokenRequests         int // work items whose connection broke
-	startedAt              time.Time
-	load                   *Load
-	retryReady             chan struct{}
-}
-
-const slotsPerConnection = 32 // open requests a connection
-
-type loadConnection struct {
-	*Link
-	run  *LoadRun
-	open map[uint16]*sentAttempt
-	next uint16
-}
-
-type sentAttempt struct {
-	attempt *Attempt
-	sentAt  time.Time
-}
-
-// Run sends the load and waits for the last answer.
-func (s *LoadRun) Run() ([]*Account, error) {
-	s.load, s.accounts = NewLoad(s.Seed, s.Streams), NewAccounts(s.Streams)
-	s.startedAt, s.retryReady = time.Now(), make(chan struct{}, 1)
-	for s.pending() {
-		s.lock.Lock()
-		next := s.load.Next()
-		s.lock.Unlock()
-		if wait := next - time.Since(s.startedAt).Seconds(); wait > 0 {
-			t := time.NewTimer(time.Duration(min(wait, 1) * float64(time.Second)))
-			select {
-			case <-t.C:
-			case <-s.retryReady:
-				t.Stop()
-			}
-			continue
-		}
-		s.lock.Lock()
-		err := s.send(s.load.Pop())
-		s.lock.Unlock()
+		kind, slot, content, err := l.readRecord()
 		if err != nil {
-			return nil, err
+			return Response{}, err
 		}
-	}
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for _, c := range s.connections {
-		c.Close()
-	}
-	return s.accounts.Entitle(s.Cores * s.Seconds), nil
-}
-
-// pending says whether more is to be sent or answered.
-func (s *LoadRun) pending() bool {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if !math.IsInf(s.load.Next(), 1) {
-		return true
-	}
-	for _, c := range s.connections {
-		if len(c.open) > 0 {
-			return time.Since(s.startedAt).Seconds() < s.Seconds+2*s.Deadline.Seconds()
+		switch kind {
+		case recordStdout:
+			output = append(output, content...)
+		case recordEndRequest:
+			response := Response{Slot: slot}
+			response.Headers, response.Body, _ = strings.Cut(string(output), "\r\n\r\n")
+			// Without a status line the status stays 0, which no checker takes for a response.
+			_, _ = fmt.Sscanf(response.Headers, "Status: %d", &response.Status)
+			return response, nil
+		default:
+			return Response{}, errUnexpectedRecord
 		}
 	}
-	return false
 }
 
-func (s *LoadRun) send(a *Attempt) error {
-	var c *loadConnection
-	for _, one := range s.connections {
-		if len(one.open) < slotsPerConnection {
-			c = one
-		}
+// readRecord reads one FastCGI record with its padding.
+func (l *Link) readRecord() (kind byte, slot uint16, content []byte, err error) {
+	var header [recordHeaderBytes]byte
+	if _, err = io.ReadFull(l.Reader, header[:]); err != nil {
+		return 0, 0, nil, err
 	}
-	if c == nil {
-		link, err := Dial(s.Address)
-		if err != nil {
-			return err
-		}
-		c = &loadConnection{Link: link, run: s, open: map[uint16]*sentAttempt{}}
-		s.connections = append(s.connections, c)
-		go c.readResponses()
+	contentBytes := int(binary.BigEndian.Uint16(header[4:]))
+	paddingBytes := int(header[6])
+	content = make([]byte, contentBytes+paddingBytes)
+	if _, err = io.ReadFull(l.Reader, content); err != nil {
+		return 0, 0, nil, err
 	}
-	for c.next++; c.next == 0 || c.open[c.next] != nil; c.next++ {
-	}
-	s.accounts.Asked(a)
-	c.open[c.next] = &sentAttempt{a, time.Now()}
-	id := fmt.Sprintf("%08x%08x", a.sequence, a.Retries)
-	_, err := c.Write(FastCGIRequest(c.next, "/rpc/"+s.Categories[a.Stream.Category], fmt.Sprintf("%.2f %d", a.CoreSeconds*1000, a.sequence),
-		RequestParameters(id, a.Tenant, s.Deadline)))
-	return err
-}
-
-func (c *loadConnection) readResponses() {
-	s := c.run
-	for {
-		a, err := c.ReadResponse()
-		s.lock.Lock()
-		if err != nil {
-			s.brokenRequests += len(c.open)
-			clear(c.open)
-			s.lock.Unlock()
-			return
-		}
-		if of := c.open[a.Slot]; of != nil {
-			delete(c.open, a.Slot)
-			book := s.accounts.Account(of.attempt)
-			took := time.Since(of.sentAt)
-			_ = book.Times.RecordValue(min(took.Microseconds(), 60e6))
-			if took > s.Deadline {
-				book.PastDeadline++
-			}
-			switch late := took > s.SoftDeadline; {
-			case a.Status == 200 && late:
-				book.Late++
-			case a.Status == 200:
-				book.OnTime++
-				book.Value += of.attempt.Stream.PriorityWeight
-			case a.Status == 503:
-				book.Rejected++
-				if away := a.RetryAfter(); away > 0 && of.attempt.Retries < of.attempt.Stream.MaxRetries {
-					s.load.Retry(of.attempt, time.Since(s.startedAt).Seconds()+away.Seconds())
-				}
-			case a.Status < 500:
-				book.BadRequests++
-			default:
-				book.Aborted++
-			}
-		}
-		s.lock.Unlock()
-		select {
-		case s.retryReady <- struct{}{}:
-		default:
-		}
-	}
-}
-
-// BrokenRequests counts the work items whose connection ended before their answer.
-func (s *LoadRun) BrokenRequests() int {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.brokenRequests
+	return header[1], binary.BigEndian.Uint16(header[2:]), content, nil
 }
--- a/internal/emulator/wasm.go
+++ b/internal/emulator/wasm.go
@@ -1,200 +1,216 @@
 package emulator
 
-// This file owns plug-ins that do harm, and some that do not, as bytes: small modules put together here, so that tests need
-// no other tool chain. Each follows docs/plugin/authors.md as far as its kind lets it.
-
 import (
 	"encoding/binary"
-	"maps"
-	"slices"
 
 	"thistlequay/internal/plugin/abi"
 )
 
-// uleb and sleb are the encodings of numbers in a module.
-func uleb(n uint32) (out []byte) {
-	for ; n >= 0x80; n >>= 7 {
+// Bytes of the WebAssembly binary format, version 1 (W3C core specification, chapter 5).
+const (
+	typeI32      = 0x7f
+	typeI64      = 0x7e
+	typeFunction = 0x60
+
+	sectionType     = 1
+	sectionImport   = 2
+	sectionFunction = 3
+	sectionMemory   = 5
+	sectionExport   = 7
+	sectionCode     = 10
+	sectionData     = 11
+
+	kindFunction = 0
+	kindMemory   = 2
+
+	opUnreachable = 0x00
+	opLoop        = 0x03
+	opIf          = 0x04
+	opEnd         = 0x0b
+	opBranch      = 0x0c
+	opBranchIf    = 0x0d
+	opCall        = 0x10
+	opDrop        = 0x1a
+	opLocalGet    = 0x20
+	opLocalSet    = 0x21
+	opI32Load     = 0x28
+	opI32Store    = 0x36
+	opMemoryGrow  = 0x40
+	opI32Const    = 0x41
+	opI64Const    = 0x42
+	opI32Eqz      = 0x45
+	opI64Less     = 0x53 // signed
+	opI32Add      = 0x6a
+	opI32Rem      = 0x70 // unsigned
+	opI64Sub      = 0x7d
+	blockEmpty    = 0x40 // the type of a block that leaves nothing
+	align4        = 2    // the exponent of an alignment to 4 bytes
+)
+
+// Addresses in a module's memory.
+const (
+	counterAddress = 0    // an i32 that lasts from call to call
+	verdictAddress = 64   // the verdict that the module gives
+	bufferAddress  = 4096 // where the host writes requests
+)
+
+// Functions of a module by their index: the imports come first.
+const (
+	functionLog = iota
+	functionNow
+	functionABI
+	functionBuffer
+	functionRead
+	functionResult
+	functionTick
+	functionStart
+)
+
+// Signatures of a module's functions by their index in its type section.
+const (
+	signatureABI    = iota // () i32
+	signatureBuffer        // (i32) i32
+	signatureHook          // (i32, i32) i64
+	signatureLog           // (i32, i32)
+	signatureStart         // ()
+	signatureNow           // () i64
+)
+
+// firstLocal is the index of the local, an i64, of a hook: its two parameters come before it.
+const firstLocal = 2
+
+// unsignedLEB128 and signedLEB128 are the encodings of numbers in a module.
+func unsignedLEB128(n uint32) (out []byte) {
+	for n >= 0x80 {
 		out = append(out, byte(n)|0x80)
+		n >>= 7
 	}
 	return append(out, byte(n))
 }
 
-func sleb(n int64) (out []byte) {
+func signedLEB128(n int64) (out []byte) {
 	for {
-		b := byte(n & 0x7f)
+		low := byte(n & 0x7f)
 		n >>= 7
-		if n == 0 && b&0x40 == 0 || n == -1 && b&0x40 != 0 {
-			return append(out, b)
+		signBit := low&0x40 != 0
+		if n == 0 && !signBit || n == -1 && signBit {
+			return append(out, low)
 		}
-		out = append(out, b|0x80)
+		out = append(out, low|0x80)
 	}
 }
 
-func vector(items ...[]byte) []byte {
-	out := uleb(uint32(len(items)))
-	for _, i := range items {
-		out = append(out, i...)
+func join(parts ...[]byte) (out []byte) {
+	for _, part := range parts {
+		out = append(out, part...)
 	}
 	return out
 }
 
-func section(id byte, body []byte) []byte {
-	return append(append([]byte{id}, uleb(uint32(len(body)))...), body...)
+// vector is a module's list: its length, then the items.
+func vector(items ...[]byte) []byte {
+	return append(unsignedLEB128(uint32(len(items))), join(items...)...)
 }
 
-func name(s string) []byte { return append(uleb(uint32(len(s))), s...) }
+// sized is bytes after their length.
+func sized(content []byte) []byte { return append(unsignedLEB128(uint32(len(content))), content...) }
 
-const (
-	verdictAt = 64   // where a module keeps the verdict that it gives
-	bufferAt  = 4096 // and where requests are written
-)
+func name(s string) []byte { return sized([]byte(s)) }
 
-// Functions of a module by their index: the imports come first.
-const (
-	fnLog = iota
-	fnNow
-	fnABI
-	fnBuffer
-	fnRead
-	fnResult
-	fnTick
-	fnStart
-)
+func section(id byte, body []byte) []byte { return append([]byte{id}, sized(body)...) }
 
-func i32(n int64) []byte { return append([]byte{0x41}, sleb(n)...) }
-func i64(n int64) []byte { return append([]byte{0x42}, sleb(n)...) }
-func join(parts ...[]byte) (out []byte) {
-	for _, p := range parts {
-		out = append(out, p...)
-	}
-	return out
-}
+func i32Const(n int64) []byte { return append([]byte{opI32Const}, signedLEB128(n)...) }
+
+func i64Const(n int64) []byte { return append([]byte{opI64Const}, signedLEB128(n)...) }
 
-// pointerAndLength is a pointer and a length as a hook returns them.
+// pointerAndLength leaves a pointer and a length as a hook returns them.
 func pointerAndLength(pointer, length uint32) []byte {
-	return i64(int64(uint64(pointer)<<32 | uint64(length)))
+	return i64Const(int64(uint64(pointer)<<32 | uint64(length)))
 }
 
-// moduleSpec is what differs from module to module.
+// loop repeats a body that ends with a branch.
+func loop(body ...[]byte) []byte {
+	return join([]byte{opLoop, blockEmpty}, join(body...), []byte{opEnd})
+}
+
+// moduleSpec is what differs from module to module. Hooks are bodies of functions, which leave an i64.
 type moduleSpec struct {
-	version            int64
-	read, result, tick []byte // bodies, which leave an i64
-	start              []byte
-	verdict            []byte
-	foreign            bool // imports what the program does not offer
+	version            int64  // of the ABI that it says it has; 0 for the right one
+	read, result, tick []byte // nil for one that gives the verdict, or continues where there is none
+	start              []byte // body of _initialize, which leaves nothing
+	verdict            []byte // encoded
+	foreignImport      bool   // imports what the host does not offer
 }
 
-var (
-	continueResult = i64(0)
-	infiniteLoop   = []byte{0x03, 0x40, 0x0c, 0x00, 0x0b} // loop, br 0, end
-	trap           = []byte{0x00}
-	trapOneInTen   = join(i32(0), i32(0), []byte{0x28, 2, 0}, i32(1), []byte{0x6a, 0x36, 2, 0}, // memory[0]++
-		i32(0), []byte{0x28, 2, 0}, i32(10), []byte{0x70, 0x45, 0x04, 0x40, 0x00, 0x0b}) // if memory[0]%10 == 0: trap
-	recurse = func(fn byte) []byte { return []byte{0x20, 0, 0x20, 1, 0x10, fn} }
-	// busy waits for so many milliseconds by the clock.
-	busyWait = func(ms int64) []byte {
-		return join([]byte{0x10, fnNow, 0x21, 2, 0x03, 0x40, 0x10, fnNow, 0x20, 2, 0x7d}, i64(ms), []byte{0x53, 0x0d, 0, 0x0b})
+// defaultHook is the body of a hook that the specification leaves out.
+func (s *moduleSpec) defaultHook() []byte {
+	if s.verdict == nil {
+		return continueRequest
 	}
-)
-
-func encodedVerdict(v abi.Verdict) []byte { return v.Append(nil) }
-
-var moduleSpecs = map[string]func() moduleSpec{
-	"good": func() moduleSpec { return moduleSpec{} },
-	"declines": func() moduleSpec {
-		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionReject, Status: 403})}
-	},
-	"shortens": func() moduleSpec {
-		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("short")})}
-	},
-	"tags": func() moduleSpec {
-		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionTag, Tag: "vip"})}
-	},
-	"recategorise": func() moduleSpec {
-		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionCategorize, Category: "brief"})}
-	},
-	"loops": func() moduleSpec {
-		return moduleSpec{read: join(infiniteLoop, continueResult), result: join(infiniteLoop, continueResult), tick: join(infiniteLoop, continueResult)}
-	},
-	"loops-at-start": func() moduleSpec { return moduleSpec{start: infiniteLoop} },
-	"asks-4gib":      func() moduleSpec { return moduleSpec{read: join(i32(65535), []byte{0x40, 0, 0x1a}, continueResult)} },
-	"asks-bit-by-bit": func() moduleSpec {
-		return moduleSpec{read: join([]byte{0x03, 0x40}, i32(1), []byte{0x40, 0, 0x1a, 0x0c, 0, 0x0b}, continueResult)}
-	},
-	"recurses": func() moduleSpec { return moduleSpec{read: recurse(fnRead), result: recurse(fnResult)} },
-	"traps": func() moduleSpec {
-		return moduleSpec{read: join(trap, continueResult), result: join(trap, continueResult)}
-	},
-	"traps-one-in-ten": func() moduleSpec {
-		return moduleSpec{read: join(trapOneInTen, continueResult), result: join(trapOneInTen, continueResult)}
-	},
-	"points-outside": func() moduleSpec {
-		return moduleSpec{read: pointerAndLength(0xfffffff0, 64), result: pointerAndLength(0xfffffff0, 64)}
-	},
-	"answers-1gib": func() moduleSpec {
-		return moduleSpec{read: pointerAndLength(0, 1<<30), result: pointerAndLength(0, 1<<30)}
-	},
-	"status-9999": func() moduleSpec {
-		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionReject, Status: 9999})}
-	},
-	"no-such-category": func() moduleSpec {
-		return moduleSpec{verdict: encodedVerdict(abi.Verdict{Actions: abi.ActionCategorize, Category: "nowhere"})}
-	},
-	"noise": func() moduleSpec { return moduleSpec{verdict: []byte("\xff\x00 no verdict at all")} },
-	"logs-without-end": func() moduleSpec {
-		return moduleSpec{read: join([]byte{0x03, 0x40}, i32(0), i32(64), []byte{0x10, fnLog, 0x0c, 0, 0x0b}, continueResult)}
-	},
-	"other-version": func() moduleSpec { return moduleSpec{version: 7} },
-	"foreign":       func() moduleSpec { return moduleSpec{foreign: true} },
-	"slow-4ms": func() moduleSpec {
-		return moduleSpec{read: join(busyWait(4), continueResult), result: join(busyWait(4), continueResult)}
-	},
+	return pointerAndLength(verdictAddress, uint32(len(s.verdict)))
 }
 
-// PluginKinds lists the kinds of plug-in that Plugin makes.
-func PluginKinds() []string { return slices.Sorted(maps.Keys(moduleSpecs)) }
-
-// PluginModule makes a module of a kind.
-func PluginModule(kind string) []byte {
-	if kind == "truncated" {
-		whole := PluginModule("good")
-		return whole[:len(whole)/2]
-	}
-	s := moduleSpecs[kind]()
+// module puts the module together.
+func (s *moduleSpec) module() []byte {
 	if s.version == 0 {
 		s.version = abi.Version
 	}
-	for _, body := range []*[]byte{&s.read, &s.result, &s.tick} {
-		if *body == nil {
-			*body = continueResult
-			if s.verdict != nil {
-				*body = pointerAndLength(verdictAt, uint32(len(s.verdict)))
-			}
+	for _, hook := range []*[]byte{&s.read, &s.result, &s.tick} {
+		if *hook == nil {
+			*hook = s.defaultHook()
 		}
 	}
-	const i32t, i64t = 0x7f, 0x7e
-	types := vector([]byte{0x60, 0, 1, i32t}, []byte{0x60, 1, i32t, 1, i32t}, []byte{0x60, 2, i32t, i32t, 1, i64t},
-		[]byte{0x60, 2, i32t, i32t, 0}, []byte{0x60, 0, 0}, []byte{0x60, 0, 1, i64t})
-	log := "log"
-	if s.foreign {
-		log = "open_socket"
-	}
-	imports := vector(join(name("thistlequay"), name(log), []byte{0, 3}), join(name("thistlequay"), name("now"), []byte{0, 5}))
-	functions := vector([]byte{0}, []byte{1}, []byte{2}, []byte{2}, []byte{2}, []byte{4})
-	exports := vector(join(name("memory"), []byte{2, 0}), join(name("tq_abi"), []byte{0, fnABI}),
-		join(name("tq_buffer"), []byte{0, fnBuffer}), join(name("tq_read"), []byte{0, fnRead}),
-		join(name("tq_result"), []byte{0, fnResult}), join(name("tq_tick"), []byte{0, fnTick}),
-		join(name("_initialize"), []byte{0, fnStart}))
-	body := func(code []byte) []byte { // one local, an i64
-		code = join([]byte{1, 1, i64t}, code, []byte{0x0b})
-		return append(uleb(uint32(len(code))), code...)
-	}
-	code := vector(body(i32(s.version)), body(i32(bufferAt)), body(s.read), body(s.result), body(s.tick), body(s.start))
 	out := binary.LittleEndian.AppendUint32([]byte("\x00asm"), 1)
-	out = join(out, section(1, types), section(2, imports), section(3, functions), section(5, []byte{1, 0, 1}),
-		section(7, exports), section(10, code))
+	out = join(out,
+		section(sectionType, signatures()),
+		section(sectionImport, s.imports()),
+		section(sectionFunction, vector([]byte{signatureABI}, []byte{signatureBuffer}, []byte{signatureHook},
+			[]byte{signatureHook}, []byte{signatureHook}, []byte{signatureStart})),
+		section(sectionMemory, []byte{1, 0, 1}), // one memory, of one page or more
+		section(sectionExport, exports()),
+		section(sectionCode, vector(function(i32Const(s.version)), function(i32Const(bufferAddress)), function(s.read),
+			function(s.result), function(s.tick), function(s.start))))
 	if s.verdict != nil {
-		out = join(out, section(11, vector(join([]byte{0}, i32(verdictAt), []byte{0x0b}, uleb(uint32(len(s.verdict))), s.verdict))))
+		segment := join([]byte{0}, i32Const(verdictAddress), []byte{opEnd}, sized(s.verdict))
+		out = join(out, section(sectionData, vector(segment)))
 	}
 	return out
 }
+
+// signatures is the type section, in the order of the signature constants.
+func signatures() []byte {
+	return vector(
+		[]byte{typeFunction, 0, 1, typeI32},
+		[]byte{typeFunction, 1, typeI32, 1, typeI32},
+		[]byte{typeFunction, 2, typeI32, typeI32, 1, typeI64},
+		[]byte{typeFunction, 2, typeI32, typeI32, 0},
+		[]byte{typeFunction, 0, 0},
+		[]byte{typeFunction, 0, 1, typeI64})
+}
+
+func (s *moduleSpec) imports() []byte {
+	log := "log"
+	if s.foreignImport {
+		log = "open_socket"
+	}
+	host := name("thistlequay")
+	return vector(
+		join(host, name(log), []byte{kindFunction, signatureLog}),
+		join(host, name("now"), []byte{kindFunction, signatureNow}))
+}
+
+func exports() []byte {
+	return vector(
+		join(name("memory"), []byte{kindMemory, 0}),
+		join(name("tq_abi"), []byte{kindFunction, functionABI}),
+		join(name("tq_buffer"), []byte{kindFunction, functionBuffer}),
+		join(name("tq_read"), []byte{kindFunction, functionRead}),
+		join(name("tq_result"), []byte{kindFunction, functionResult}),
+		join(name("tq_tick"), []byte{kindFunction, functionTick}),
+		join(name("_initialize"), []byte{kindFunction, functionStart}))
+}
+
+// function is a body with one local, an i64.
+func function(body []byte) []byte {
+	return sized(join([]byte{1, 1, typeI64}, body, []byte{opEnd}))
+}
