--- /dev/null
+++ b/internal/clustertest/attempt.go
@@ -0,0 +1,190 @@
+package clustertest
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"thistlequay/internal/emulator"
+)
+
+const (
+	// deadlineSlack is how much after the deadline the rules allow a response on sockets.
+	deadlineSlack = 50 * time.Millisecond
+	// giveUpAfter is how long after the deadline a response is waited for.
+	giveUpAfter = 2 * time.Second
+	// maxOpenRequests on one connection of a router.
+	maxOpenRequests = 24
+	// defaultTenant of the traffic.
+	defaultTenant = "acme"
+	// noStatus is the status of an attempt without a response.
+	noStatus = 0
+)
+
+// errNoResponse is a response that did not come until the router gave up.
+var errNoResponse = errors.New("no response")
+
+// routerConnection is the connection of one router to one server.
+type routerConnection struct {
+	*emulator.Link
+
+	lock     sync.Mutex // guards all that follows, and writes
+	lastSlot uint16
+	open     map[uint16]chan attemptResult // by slot
+	dead     bool                          // closed by the test, or by the server while nothing was open
+}
+
+// attemptResult is the response to an attempt, or why there is none.
+type attemptResult struct {
+	emulator.Response
+	err error
+}
+
+// attempt sends one attempt and waits for its response. It gives the status, or noStatus.
+func (r *Routers) attempt(q request, server *Server, left time.Duration) int {
+	connection := r.connection(q.router, server)
+	if connection == nil {
+		r.lock.Lock()
+		defer r.lock.Unlock()
+		r.tally.Unsent++
+		return noStatus
+	}
+	r.lock.Lock()
+	r.tally.Attempts++
+	id := r.requestID()
+	r.lock.Unlock()
+	response, writeError := connection.send(r.encoder(q, id, left))
+	sentAt := time.Now()
+	var result attemptResult
+	select {
+	case result = <-response:
+	case <-time.After(left + giveUpAfter):
+		result.err = errNoResponse
+	}
+	took := time.Since(sentAt)
+	server.Interpreter.RequestEnded(id)
+
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	switch {
+	case result.err == nil:
+		if took > left+deadlineSlack {
+			r.tally.PastDeadline++
+		}
+		return result.Status
+	case writeError != nil || r.killed[server] || connection.isDead():
+		r.tally.Unsent++
+	default:
+		r.tally.Unanswered++
+	}
+	return noStatus
+}
+
+// encoder gives the bytes of an attempt for any slot.
+func (r *Routers) encoder(q request, id string, left time.Duration) func(slot uint16) []byte {
+	parameters := emulator.RequestParameters(id, cmp.Or(r.Tenant, defaultTenant), left)
+	parameters["HTTP_SENT_BY"] = fmt.Sprint(q.router)
+	category := r.IdempotentCategory
+	body := fmt.Sprintf("%.2f %s", q.workMs, id)
+	if q.keyed {
+		category = r.KeyedCategory
+		body = fmt.Sprintf("%.2f stamped %d", q.workMs, q.number)
+		parameters["HTTP_ONCE_KEY"] = fmt.Sprintf("%032x", q.number)
+	}
+	return func(slot uint16) []byte {
+		return emulator.FastCGIRequest(slot, "/rpc/"+category, body, parameters)
+	}
+}
+
+// connection gives a router's connection to a server with a free slot; nil where none can be had.
+func (r *Routers) connection(router int, server *Server) *routerConnection {
+	r.lock.Lock()
+	connection := r.connections[router][server]
+	r.lock.Unlock()
+	if connection != nil && connection.hasFreeSlot() {
+		return connection
+	}
+	link, err := emulator.Dial(server.Listen)
+	if err != nil {
+		return nil
+	}
+	connection = &routerConnection{Link: link, open: map[uint16]chan attemptResult{}}
+	r.lock.Lock()
+	r.connections[router][server] = connection
+	r.lock.Unlock()
+	go connection.readResponses()
+	return connection
+}
+
+func (c *routerConnection) hasFreeSlot() bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return !c.dead && len(c.open) < maxOpenRequests
+}
+
+func (c *routerConnection) isDead() bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.dead
+}
+
+// drop closes the connection. A second close reports an error that says nothing.
+func (c *routerConnection) drop() { _ = c.Close() }
+
+// kill closes the connection for the test, so that what is open there is not the server's fault.
+func (c *routerConnection) kill() {
+	c.lock.Lock()
+	c.dead = true
+	c.lock.Unlock()
+	c.drop()
+}
+
+// send writes a request on the next free slot. The response, or the end of the connection, comes over the channel.
+func (c *routerConnection) send(encode func(slot uint16) []byte) (<-chan attemptResult, error) {
+	response := make(chan attemptResult, 1)
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.lastSlot++
+	for c.lastSlot == 0 || c.open[c.lastSlot] != nil { // slot 0 is FastCGI's own
+		c.lastSlot++
+	}
+	c.open[c.lastSlot] = response
+	_, err := c.Write(encode(c.lastSlot))
+	return response, err
+}
+
+// readResponses hands out responses until the connection ends.
+func (c *routerConnection) readResponses() {
+	for {
+		response, err := c.ReadResponse()
+		if err != nil {
+			c.ended(err)
+			return
+		}
+		c.responded(response)
+	}
+}
+
+// responded hands out one response.
+func (c *routerConnection) responded(response emulator.Response) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	waiting := c.open[response.Slot]
+	if waiting != nil {
+		waiting <- attemptResult{Response: response}
+		delete(c.open, response.Slot)
+	}
+}
+
+// ended tells all open requests that the connection has ended.
+func (c *routerConnection) ended(err error) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.dead = c.dead || len(c.open) == 0
+	for slot, waiting := range c.open {
+		waiting <- attemptResult{err: err}
+		delete(c.open, slot)
+	}
+}
--- a/internal/clustertest/cluster.go
+++ b/internal/clustertest/cluster.go
@@ -1,403 +1,254 @@
-// Package fleet starts several processes of the program on loopback with stand-ins, has them talk through relays, and does to
-// both what a script says: links that lose, delay, repeat and cut, processes that are killed, stopped, let go on and begun
-// again with nothing kept. It keeps one history of what was done and said. It must never decide anything for a server, nor
-// touch a process that it did not start.
+// Package clustertest starts several processes of the program on loopback with emulators of their neighbours, has them
+// gossip through relays, and does to both what a test says: links that lose, delay, repeat and cut, processes that are
+// killed, stopped, continued and started again with an empty memory. It keeps one history of what was done. It never
+// takes a decision for a server, and never touches a process that it did not start.
 package clustertest
 
 import (
-	"cmp"
 	"encoding/base64"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
-	"os"
-	"os/exec"
-	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 
 	"thistlequay/internal/emulator"
-	"thistlequay/internal/gossip"
-	"thistlequay/internal/quota/service"
 )
 
-// Plan is what a rig is begun with.
-type Plan struct {
-	Servers           int
-	Seed              int64
-	WorkDirectory     string   // for files
-	Program           string   // and its environment, beyond this process's
-	Env               []string //
-	Settings          map[string]any
-	Cores             float64 // of each interpreter
-	Gossip            bool    // the servers know each other
-	ConfiguredServers int     // servers that the section names; Servers where 0
-	StopTimeout       time.Duration
-	Index             *emulator.Index        // shared by all
-	MemoryMB          int                    // MB
-	ServiceYAML       func(s *Server) string // more sections of the YAML of a server; nil for none
-}
+// Founders is the number of servers that form the first cluster configuration.
+const Founders = 3
+
+// Key is the key that all servers of a cluster gossip under unless told otherwise, in base64.
+var Key = base64.StdEncoding.EncodeToString([]byte("the key of a rig"))
+
+// defaultFleet is the fleet's name in the servers' settings unless told otherwise.
+const defaultFleet = "rig"
 
-// Cluster is a fleet of processes.
+// zones is the number of zones that servers are spread over.
+const zones = 3
+
+// Defaults of a plan.
+const (
+	defaultStopTimeout = 3 * time.Second
+	defaultMemoryMB    = 64
+)
+
+// Plan says what a cluster is made of.
+type Plan struct {
+	// Servers is the number of servers that New makes.
+	Servers int
+	// Seed of the servers, the emulators, the relays and the routers.
+	Seed int64
+	// WorkDirectory is where the servers' files are written.
+	WorkDirectory string
+	// Program is the path of the executable.
+	Program string
+	// Env is added to the environment of this process.
+	Env []string
+	// Settings are the servers' "settings", as in the users' pages.
+	Settings map[string]any
+	// Cores of each interpreter.
+	Cores float64
+	// Gossip has the servers know each other.
+	Gossip bool
+	// ConfiguredServers is the size of the fleet that the settings name; 0 for Servers.
+	ConfiguredServers int
+	// StopTimeout of the servers; 0 for 3 seconds.
+	StopTimeout time.Duration
+	// Index is shared by all servers; nil for one that New starts. Close closes it.
+	Index *emulator.Index
+	// MemoryMB is each server's memory limit; 0 for 64.
+	MemoryMB int
+	// ServiceYAML gives more sections of a server's own settings; nil for none.
+	ServiceYAML func(s *Server) string
+}
+
+// Cluster is a number of server processes with the emulators around them. Servers are added by the test's goroutine
+// only; others look at CurrentServers.
 type Cluster struct {
 	Plan
 	Servers   []*Server
 	Directory *emulator.Directory
-	relays    *relays
-	lock      sync.Mutex
+
+	network   *network
 	startedAt time.Time
-	history   []Event
 	closed    bool
-	attempts  atomic.Uint64 // that routers sent
+	attempts  atomic.Uint64 // that routers sent, for unique request IDs
+
+	lock    sync.Mutex // guards history, and Servers against CurrentServers
+	history []Event
 }
 
 // Event is one entry of the history.
 type Event struct {
-	At     time.Duration
-	Server string
+	At     time.Duration // since the cluster was made
+	Server string        // empty for all
 	What   string
 }
 
-// Server is one process with its stand-ins.
-type Server struct {
-	cluster     *Cluster
-	Index       int
-	Name        string
-	Zone        string
-	Listen      string // for routers
-	Status      string
-	Program     string // started in place of the plan's where not empty, from the next Start on
-	Interpreter *emulator.Interpreter
-	relay       *relay
-	process     *exec.Cmd
-	exited      chan struct{}
-	Log         *LogBuffer
-	args        []string
-	key         string
-	fleet       string
-}
-
-// LogBuffer is a log that is read while it is written.
-type LogBuffer struct {
-	lock sync.Mutex
-	text strings.Builder
-}
-
-func (t *LogBuffer) Write(b []byte) (int, error) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	return t.text.Write(b)
-}
-
-func (t *LogBuffer) String() string {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	return t.text.String()
-}
-
-// Founders are the servers that form the first fleet.
-const Founders = 3
-
-// Key is what all of a rig's servers talk under unless told otherwise.
-var Key = base64.StdEncoding.EncodeToString([]byte("the key of a rig"))
-
-// New makes the parties; Start starts a server.
-func New(p Plan) (*Cluster, error) {
-	r := &Cluster{Plan: p, relays: newRelays(p.Seed), startedAt: time.Now()}
-	var err error
-	if r.Directory, err = emulator.NewDirectory(); err != nil {
+// New makes the emulators and the servers; Server.Start starts a process. The caller ends all by Close.
+func New(plan Plan) (*Cluster, error) {
+	directory, err := emulator.NewDirectory()
+	if err != nil {
 		return nil, err
 	}
-	if r.Index == nil {
-		if r.Index, err = emulator.NewIndex(); err != nil {
+	if plan.Index == nil {
+		plan.Index, err = emulator.NewIndex()
+		if err != nil {
 			return nil, err
 		}
 	}
-	for i := range p.Servers {
-		if _, err := r.AddServer(i); err != nil {
+	c := &Cluster{Plan: plan, Directory: directory, network: newNetwork(plan.Seed), startedAt: time.Now()}
+	for i := range plan.Servers {
+		if _, err := c.AddServer(i); err != nil {
 			return nil, err
 		}
 	}
-	return r, nil
+	return c, nil
 }
 
-// AddServer makes one more server, with the number given as its place.
-func (r *Cluster) AddServer(i int) (s *Server, err error) {
-	s = &Server{cluster: r, Index: i, Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprint("z", i%3), Log: &LogBuffer{}, key: Key, fleet: "rig"}
-	// Hosts of their own: a connection that leaves from 127.0.0.1 meanwhile takes none of these ports.
-	host := func(net int) string {
-		return fmt.Sprintf("127.%d.%d.%d", net, (r.Seed*37+int64(os.Getpid()))&255, i+1)
+// Each purpose has a loopback network, and each server a host in it: a connection that leaves from 127.0.0.1 meanwhile
+// takes none of the ports, and a relay knows the sender of a packet by its host.
+const (
+	networkStatus     = 75
+	networkRouters    = 76
+	networkGossip     = 77 // what the server listens on
+	networkAdvertised = 78 // what its relay listens on
+)
+
+// AddServer makes one more server. The index gives its name, zone, seed and addresses, and must be new.
+func (c *Cluster) AddServer(index int) (*Server, error) {
+	s := &Server{
+		cluster: c,
+		Index:   index,
+		Name:    serverName(index),
+		Zone:    fmt.Sprint("z", index%zones),
+		Log:     &LogBuffer{},
+		key:     Key,
+		fleet:   defaultFleet,
 	}
-	if s.Listen, err = freeAddress(host(76)); err != nil {
+	var err error
+	s.Listen, err = freeAddress(c.host(networkRouters, index))
+	if err != nil {
 		return nil, err
 	}
-	if s.Status, err = freeAddress(host(75)); err != nil {
+	s.Status, err = freeAddress(c.host(networkStatus, index))
+	if err != nil {
 		return nil, err
 	}
-	if s.Interpreter, err = emulator.NewInterpreter(r.Cores, r.Seed+int64(i)); err != nil {
+	s.Interpreter, err = emulator.NewInterpreter(c.Cores, c.Seed+int64(index))
+	if err != nil {
 		return nil, err
 	}
-	if r.Gossip {
-		at, errAt := freeAddress(host(78))
-		behind, errBehind := freeAddress(host(77))
-		if errAt != nil || errBehind != nil {
-			return nil, fmt.Errorf("no address for the talk: %v %v", errAt, errBehind)
-		}
-		r.relays.lock.Lock()
-		r.relays.whose[host(77)] = i
-		r.relays.lock.Unlock()
-		if s.relay, err = r.relays.relay(i, at, behind); err != nil {
+	if c.Gossip {
+		s.relay, err = c.addRelay(index)
+		if err != nil {
 			return nil, err
 		}
 	}
-	r.lock.Lock()
-	r.Servers = append(r.Servers, s)
-	r.lock.Unlock()
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.Servers = append(c.Servers, s)
 	return s, nil
 }
 
-// CurrentServers are the servers that there are now, for those who look on beside the test.
-func (r *Cluster) CurrentServers() []*Server {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return slices.Clone(r.Servers)
-}
-
-// freeAddress is an address of the host on which neither TCP nor UDP is in use.
-func freeAddress(host string) (string, error) {
-	l, err := net.Listen("tcp", host+":0")
+// addRelay makes the relay before one server.
+func (c *Cluster) addRelay(index int) (*relay, error) {
+	advertised, err := freeAddress(c.host(networkAdvertised, index))
 	if err != nil {
-		return "", err
-	}
-	defer l.Close()
-	return l.Addr().String(), nil
-}
-
-// Record notes something in the history.
-func (r *Cluster) Record(server, what string, args ...any) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.history = append(r.history, Event{time.Since(r.startedAt), server, fmt.Sprintf(what, args...)})
-}
-
-// History is what was done and concluded so far.
-func (r *Cluster) History() []Event {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return append([]Event(nil), r.history...)
-}
-
-// Configure changes what a server is begun with: its name, its fleet, its key (base64, a line each), more arguments.
-func (s *Server) Configure(name, fleet, key string, args ...string) *Server {
-	if name != "" {
-		s.Name = name
-	}
-	if fleet != "" {
-		s.fleet = fleet
+		return nil, fmt.Errorf("advertised gossip address: %w", err)
 	}
-	if key != "" {
-		s.key = key
-	}
-	s.args = args
-	return s
-}
-
-// Start starts the process of a server. What an earlier life of it knew is gone.
-func (s *Server) Start() error {
-	r := s.cluster
-	stop, memory := r.StopTimeout, r.MemoryMB
-	if stop == 0 {
-		stop = 3 * time.Second
-	}
-	if memory == 0 {
-		memory = 64
-	}
-	config := map[string]any{"name": s.Name, "listen": s.Listen, "vm": s.Interpreter.Address, "index": r.Index.Address, "lookup": r.Directory.Address,
-		"seed": fmt.Sprintf("%016x", r.Seed+int64(s.Index)), "stop_ms": stop.Milliseconds(),
-		"limits": map[string]any{"cores": 1, "memory_mb": memory, "sockets": 512}, "settings": r.Settings}
-	text, err := json.Marshal(config)
+	host := c.host(networkGossip, index)
+	listen, err := freeAddress(host)
 	if err != nil {
-		return err
-	}
-	args := []string{"serve", "--config=" + s.basePath() + ".json"}
-	if err := os.WriteFile(s.basePath()+".json", text, 0o600); err != nil {
-		return err
-	}
-	if r.Gossip || r.ServiceYAML != nil {
-		if err := s.writeFiles(); err != nil {
-			return err
-		}
-		args = append(args, "--service="+s.basePath()+".yaml")
+		return nil, fmt.Errorf("gossip address: %w", err)
 	}
-	if r.Gossip {
-		if err := s.relay.up(); err != nil {
-			return err
-		}
-	}
-	s.process = exec.Command(cmp.Or(s.Program, r.Program), append(args, s.args...)...)
-	s.process.Env = append(append(os.Environ(), r.Env...), "THISTLEQUAY_SERVICE=")
-	s.process.Stdout, s.process.Stderr = s.Log, s.Log
-	if err := s.process.Start(); err != nil {
-		return err
-	}
-	ended, process := make(chan struct{}), s.process
-	s.exited = ended
-	go func() {
-		process.Wait()
-		if s.relay != nil {
-			s.relay.down() // no process is there: connections are refused
-		}
-		close(ended)
-	}()
-	r.Record(s.Name, "started")
-	return nil
+	c.network.setSender(host, index)
+	return newRelay(c.network, index, advertised, listen)
 }
 
-func (s *Server) basePath() string {
-	return filepath.Join(s.cluster.WorkDirectory, fmt.Sprint(s.Name, "-", s.Index))
-}
+// serverName is the name of the server with this index.
+func serverName(index int) string { return fmt.Sprintf("n%02d", index) }
 
-// writeFiles writes the server's own settings and its keys.
-func (s *Server) writeFiles() error {
-	r, text := s.cluster, ""
-	if r.Gossip {
-		var first, founders []string
-		for i := range min(Founders, r.Plan.Servers) {
-			first = append(first, r.Servers[i].relay.address)
-			founders = append(founders, fmt.Sprintf("n%02d", i))
-		}
-		size := r.ConfiguredServers
-		if size == 0 {
-			size = r.Plan.Servers
-		}
-		text = fmt.Sprintf("peers:\n  listen: %s\n  advertise: %s\n  first: [%s]\n  founders: [%s]\n  fleet: %s\n  servers: %d\n  zone: %s\n  key_file: %s\n  status: %s\n",
-			s.relay.behind, s.relay.address, strings.Join(first, ", "), strings.Join(founders, ", "), s.fleet, size, s.Zone, filepath.Base(s.basePath()+".keys"), s.Status)
-		if err := os.WriteFile(s.basePath()+".keys", []byte(s.key+"\n"), 0o600); err != nil {
-			return err
-		}
-	}
-	if r.ServiceYAML != nil {
-		text += r.ServiceYAML(s)
-	}
-	return os.WriteFile(s.basePath()+".yaml", []byte(text), 0o600)
+// host is a server's address in one of the loopback networks. Clusters of other seeds and processes have others.
+func (c *Cluster) host(loopback, index int) string {
+	const spread = 37 // an odd factor: seeds that follow each other get distinct networks
+	return fmt.Sprintf("127.%d.%d.%d", loopback, (c.Seed*spread+int64(syscall.Getpid()))&255, index+1)
 }
 
-// ReloadWithKeys gives the server other keys, has it read its files again, and waits until it has said so.
-func (s *Server) ReloadWithKeys(keys string) error {
-	s.key = keys
-	if err := s.writeFiles(); err != nil {
-		return err
-	}
-	read := func() int { return strings.Count(s.Log.String(), "event=configuration_") }
-	before := read()
-	if err := s.Signal(syscall.SIGHUP); err != nil {
-		return err
-	}
-	for range 1000 {
-		if read() > before {
-			return nil
-		}
-		time.Sleep(10 * time.Millisecond)
+// freeAddress is an address of the host on which nothing listens at this moment.
+func freeAddress(host string) (string, error) {
+	socket, err := net.Listen("tcp", host+":0")
+	if err != nil {
+		return "", err
 	}
-	return errors.New("it does not read its files again")
+	return socket.Addr().String(), socket.Close()
 }
 
-// Signal sends a signal to the process of a server.
-func (s *Server) Signal(what os.Signal) error {
-	s.cluster.Record(s.Name, "%v", what)
-	return s.process.Process.Signal(what)
+// CurrentServers are the servers that there are now, for goroutines beside the test's.
+func (c *Cluster) CurrentServers() []*Server {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return slices.Clone(c.Servers)
 }
 
-// Kill kills it and waits for its end; connections to its address are refused from then on.
-func (s *Server) Kill() error {
-	err := s.Signal(syscall.SIGKILL)
-	<-s.exited
-	return err
+// Record adds an event to the history, with the name of a server or "" for all.
+func (c *Cluster) Record(server, format string, args ...any) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.history = append(c.history, Event{time.Since(c.startedAt), server, fmt.Sprintf(format, args...)})
 }
 
-// Ended is closed when the process has ended.
-func (s *Server) Ended() <-chan struct{} { return s.exited }
-
-// Exit is its exit code, once it has ended.
-func (s *Server) Exit() int { return s.process.ProcessState.ExitCode() }
-
-// Process is its number.
-func (s *Server) Process() int { return s.process.Process.Pid }
-
-// Shares asks the server for what it knows of shares.
-func (s *Server) Shares() (r service.Status, err error) {
-	err = gossip.FetchJSON(s.Status, "/shares", &r)
-	return r, err
-}
-
-// GossipAddresses gives the addresses of a server that the test itself speaks for: where to listen and where others reach it.
-func (s *Server) GossipAddresses() (listen, advertise string, err error) {
-	if s.process == nil {
-		err = s.relay.up()
-	}
-	return s.relay.behind, s.relay.address, err
+// History is what was done and concluded so far.
+func (c *Cluster) History() []Event {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return slices.Clone(c.history)
 }
 
-// View asks the server for its view.
-func (s *Server) View() (gossip.Status, error) { return gossip.FetchStatus(s.Status) }
-
-// SetFault sets the fault of one direction.
-func (r *Cluster) SetFault(from, to int, f Fault) {
-	r.relays.lock.Lock()
-	defer r.relays.lock.Unlock()
-	r.relays.faults[[2]int{from, to}] = f
-}
+// SetFault sets the fault of the direction between two servers, by their indexes.
+func (c *Cluster) SetFault(from, to int, fault Fault) { c.network.setFault(from, to, fault) }
 
 // SetFaultEverywhere sets the fault of all directions.
-func (r *Cluster) SetFaultEverywhere(f Fault) {
-	r.Record("", "everywhere %+v", f)
-	for i := range r.Servers {
-		for j := range r.Servers {
-			if i != j {
-				r.SetFault(r.Servers[i].Index, r.Servers[j].Index, f)
-			}
-		}
-	}
+func (c *Cluster) SetFaultEverywhere(fault Fault) {
+	c.Record("", "everywhere %+v", fault)
+	c.setFaults(func(_, _ *Server) Fault { return fault })
 }
 
 // Heal takes all faults away.
-func (r *Cluster) Heal() { r.SetFaultEverywhere(Fault{}) }
+func (c *Cluster) Heal() { c.SetFaultEverywhere(Fault{}) }
+
+// Partition cuts the cluster into groups, by the number that group gives for each server. Directions inside a group are
+// without faults.
+func (c *Cluster) Partition(group func(s *Server) int) {
+	c.Record("", "split")
+	c.setFaults(func(from, to *Server) Fault { return Fault{Cut: group(from) != group(to)} })
+}
 
-// Partition cuts the servers into groups by what of gives for each; all else is as it is without faults.
-func (r *Cluster) Partition(of func(s *Server) int) {
-	r.Record("", "split")
-	for _, a := range r.Servers {
-		for _, b := range r.Servers {
-			if a != b {
-				r.SetFault(a.Index, b.Index, Fault{Cut: of(a) != of(b)})
+// setFaults sets the fault of each direction.
+func (c *Cluster) setFaults(faultOf func(from, to *Server) Fault) {
+	for _, from := range c.Servers {
+		for _, to := range c.Servers {
+			if from != to {
+				c.SetFault(from.Index, to.Index, faultOf(from, to))
 			}
 		}
 	}
 }
 
-// Close ends all that the rig started; a second one does nothing.
-func (r *Cluster) Close() {
-	if r.closed {
+// Close kills all processes and closes all emulators. A second call does nothing. The errors of closing sockets say
+// nothing to a test that is over.
+func (c *Cluster) Close() {
+	if c.closed {
 		return
 	}
-	r.closed = true
-	close(r.relays.ended)
-	for _, s := range r.Servers {
-		if s.process != nil {
-			_ = s.process.Process.Signal(syscall.SIGKILL)
-			<-s.exited
-		}
-		if s.relay != nil {
-			s.relay.down()
-			s.relay.packets.Close()
-		}
-		s.Interpreter.Close()
+	c.closed = true
+	close(c.network.closed)
+	for _, s := range c.Servers {
+		s.close()
 	}
-	r.Directory.Close()
-	r.Index.Close()
+	_ = c.Directory.Close()
+	_ = c.Index.Close()
 }
--- a/internal/clustertest/relay.go
+++ b/internal/clustertest/relay.go
@@ -1,220 +1,219 @@
 package clustertest
 
-// This file owns the relays through which servers talk to each other: UDP and TCP, each direction of each pair under a fault
-// of its own, drawn from one seed. It must never look into what it carries.
-
 import (
-	"math/rand"
+	"bytes"
 	"net"
 	"sync"
 	"time"
 )
 
-// Fault is what one direction between two servers does to what is sent.
-type Fault struct {
-	Cut           bool
-	Loss          float64       // part of packets that are lost
-	Duplication   float64       // part that comes twice
-	Truncation    float64       // part that is cut short, and of streams that break in mid-chunk
-	Delay         time.Duration // of all
-	Jitter        time.Duration // on top, at random: reorders packets
-	BytesPerWrite int           // bytes a write of a stream, one each 10 ms; 0 for no bound
-	ReplayAfter   time.Duration // each packet comes again so much later
-}
-
-// relays carry the talk of all servers of a rig.
-type relays struct {
-	lock   sync.Mutex
-	rand   *rand.Rand
-	faults map[[2]int]Fault
-	whose  map[string]int // by the address that a server sends from
-	ended  chan struct{}
-	bytes  int64
-}
-
-func newRelays(seed int64) *relays {
-	return &relays{rand: rand.New(rand.NewSource(seed)), faults: map[[2]int]Fault{}, whose: map[string]int{}, ended: make(chan struct{})}
-}
-
-func (r *relays) fault(from, to int) Fault {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return r.faults[[2]int{from, to}]
-}
-
-func (r *relays) draw() float64 {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return r.rand.Float64()
-}
-
-func (r *relays) sender(a net.Addr) (int, bool) {
-	host, _, _ := net.SplitHostPort(a.String())
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	i, is := r.whose[host]
-	return i, is
-}
+const (
+	maxPacketBytes  = 64 << 10
+	streamChunk     = 32 << 10              // bytes read from a stream at once
+	dialTimeout     = time.Second           // from the relay to its server
+	slowWritePause  = 10 * time.Millisecond // between the writes of Fault.BytesPerWrite
+	cutPollInterval = 20 * time.Millisecond // between two looks whether a cut has healed
+	cutPolls        = 500                   // looks before a stream is given up
+)
 
-// relay stands before one server: others reach it at this address, and its own socket lies behind.
+// relay stands before one server and carries what others send to its gossip address, UDP and TCP, under the fault of
+// each direction. It never looks into what it carries.
 type relay struct {
-	*relays
-	to      int
-	address string // that others know
-	behind  string // that the server listens on
-	packets *net.UDPConn
-	back    *net.UDPAddr
-	lock    sync.Mutex
-	streams net.Listener // nil while the server is down: connections are refused then, as no process is there
+	network    *network
+	index      int    // of the server behind it
+	advertised string // the address that others know
+	listen     string // the address that the server listens on
+	packets    *net.UDPConn
+	server     *net.UDPAddr // listen, resolved
+
+	lock    sync.Mutex   // guards all that follows
+	streams net.Listener // nil while the server is down: connections are refused then, as there is no process
 	open    map[net.Conn]struct{}
 }
 
-const maxPacketBytes = 64 << 10
-
-func (r *relays) relay(to int, address, behind string) (*relay, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+// newRelay makes the relay of one server and carries packets from now on; streams need up.
+func newRelay(n *network, index int, advertised, listen string) (*relay, error) {
+	outside, err := net.ResolveUDPAddr("udp", advertised)
 	if err != nil {
 		return nil, err
 	}
-	one := &relay{relays: r, to: to, address: address, behind: behind, open: map[net.Conn]struct{}{}}
-	if one.back, err = net.ResolveUDPAddr("udp", behind); err != nil {
+	server, err := net.ResolveUDPAddr("udp", listen)
+	if err != nil {
 		return nil, err
 	}
-	if one.packets, err = net.ListenUDP("udp", at); err != nil {
+	packets, err := net.ListenUDP("udp", outside)
+	if err != nil {
 		return nil, err
 	}
-	go one.carryPackets()
-	return one, nil
+	r := &relay{
+		network:    n,
+		index:      index,
+		advertised: advertised,
+		listen:     listen,
+		packets:    packets,
+		server:     server,
+		open:       map[net.Conn]struct{}{},
+	}
+	go r.carryPackets()
+	return r, nil
 }
 
-// carryPackets passes on what comes, each packet as the fault of its direction has it.
+// carryPackets passes packets on until the socket is closed.
 func (r *relay) carryPackets() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
-		n, from, err := r.packets.ReadFromUDP(buffer)
+		n, sender, err := r.packets.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		i, known := r.sender(from)
-		f := r.fault(i, r.to)
-		if !known || f.Cut || f.Loss > 0 && r.draw() < f.Loss {
-			continue
-		}
-		packet := append([]byte(nil), buffer[:n]...)
-		if f.Truncation > 0 && r.draw() < f.Truncation {
-			packet = packet[:n/2]
-		}
-		send := func() { _, _ = r.packets.WriteToUDP(packet, r.back) }
-		wait := f.Delay + time.Duration(r.draw()*float64(f.Jitter))
-		if wait > 0 {
-			time.AfterFunc(wait, send)
-		} else {
-			send()
-		}
-		if f.Duplication > 0 && r.draw() < f.Duplication {
-			time.AfterFunc(wait+time.Millisecond, send)
-		}
-		if f.ReplayAfter > 0 {
-			time.AfterFunc(wait+f.ReplayAfter, send)
+		from, known := r.network.sender(sender)
+		if known {
+			r.carryPacket(bytes.Clone(buffer[:n]), r.network.fault(from, r.index))
 		}
 	}
 }
 
-// up has connections be taken, down has them be refused and breaks those that are open.
+// carryPacket does to one packet what the fault says. The draws come in the order loss, truncation, jitter,
+// duplication; that of the jitter always.
+func (r *relay) carryPacket(packet []byte, fault Fault) {
+	if fault.Cut || r.network.happens(fault.Loss) {
+		return
+	}
+	if r.network.happens(fault.Truncation) {
+		packet = packet[:len(packet)/2]
+	}
+	send := func() { _, _ = r.packets.WriteToUDP(packet, r.server) } // UDP may lose it anyway
+	wait := fault.Delay + time.Duration(r.network.draw()*float64(fault.Jitter))
+	if wait > 0 {
+		time.AfterFunc(wait, send)
+	} else {
+		send()
+	}
+	if r.network.happens(fault.Duplication) {
+		time.AfterFunc(wait+time.Millisecond, send)
+	}
+	if fault.ReplayAfter > 0 {
+		time.AfterFunc(wait+fault.ReplayAfter, send)
+	}
+}
+
+// up accepts streams from now on.
 func (r *relay) up() error {
-	l, err := net.Listen("tcp", r.address)
+	listener, err := net.Listen("tcp", r.advertised)
 	if err != nil {
 		return err
 	}
 	r.lock.Lock()
-	r.streams = l
+	r.streams = listener
 	r.lock.Unlock()
 	go func() {
 		for {
-			c, err := l.Accept()
+			stream, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go r.carryStream(c)
+			go r.carryStream(stream)
 		}
 	}()
 	return nil
 }
 
+// down refuses streams from now on, and breaks those that are open.
 func (r *relay) down() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.streams != nil {
-		r.streams.Close()
+		_ = r.streams.Close()
 		r.streams = nil
 	}
-	for c := range r.open {
-		c.Close()
+	for stream := range r.open {
+		_ = stream.Close() // the goroutines that carry it may have closed it before
 	}
 }
 
-func (r *relay) carryStream(c net.Conn) {
-	defer c.Close()
-	i, known := r.sender(c.RemoteAddr())
-	if !known || !r.wait(i, r.to) {
+// close ends the relay.
+func (r *relay) close() {
+	r.down()
+	_ = r.packets.Close()
+}
+
+// carryStream carries one stream in both directions until one of them ends.
+func (r *relay) carryStream(outside net.Conn) {
+	defer outside.Close() //nolint:errcheck // down may have closed it before
+	from, known := r.network.sender(outside.RemoteAddr())
+	if !known || !r.waitWhileCut(from, r.index) {
 		return
 	}
-	behind, err := net.DialTimeout("tcp", r.behind, time.Second)
+	inside, err := net.DialTimeout("tcp", r.listen, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer behind.Close()
+	defer inside.Close() //nolint:errcheck // down may have closed it before
 	r.lock.Lock()
-	r.open[c], r.open[behind] = struct{}{}, struct{}{}
+	r.open[outside] = struct{}{}
+	r.open[inside] = struct{}{}
 	r.lock.Unlock()
-	over := make(chan struct{}, 2)
-	go func() { r.copy(behind, c, i, r.to); over <- struct{}{} }()
-	go func() { r.copy(c, behind, r.to, i); over <- struct{}{} }()
-	<-over
+	ended := make(chan struct{}, 2)
+	go func() {
+		r.copy(inside, outside, from, r.index)
+		ended <- struct{}{}
+	}()
+	go func() {
+		r.copy(outside, inside, r.index, from)
+		ended <- struct{}{}
+	}()
+	<-ended
 	r.lock.Lock()
-	delete(r.open, c)
-	delete(r.open, behind)
+	delete(r.open, outside)
+	delete(r.open, inside)
 	r.lock.Unlock()
 }
 
-// wait holds a stream while its direction is cut, as a network does that loses all of it. It gives up after some seconds.
-func (r *relay) wait(from, to int) bool {
-	for range 500 {
-		if !r.fault(from, to).Cut {
+// waitWhileCut holds a stream while its direction is cut, as a network does that loses all packets. It is false when
+// the cut lasts for some seconds, or the cluster is closed.
+func (r *relay) waitWhileCut(from, to int) bool {
+	for range cutPolls {
+		if !r.network.fault(from, to).Cut {
 			return true
 		}
 		select {
-		case <-r.ended:
+		case <-r.network.closed:
 			return false
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(cutPollInterval):
 		}
 	}
 	return false
 }
 
+// copy carries one direction of a stream until it ends or its fault breaks it.
 func (r *relay) copy(out, in net.Conn, from, to int) {
-	buffer := make([]byte, 32<<10)
+	buffer := make([]byte, streamChunk)
 	for {
 		n, err := in.Read(buffer)
-		if err != nil || !r.wait(from, to) {
+		if err != nil || !r.waitWhileCut(from, to) {
 			return
 		}
-		f := r.fault(from, to)
-		time.Sleep(f.Delay)
-		chunk := buffer[:n]
-		if f.Truncation > 0 && r.draw() < f.Truncation {
-			_, _ = out.Write(chunk[:n/2])
+		fault := r.network.fault(from, to)
+		time.Sleep(fault.Delay)
+		if r.network.happens(fault.Truncation) {
+			_, _ = out.Write(buffer[:n/2]) // the stream ends here in any case
 			return
 		}
-		for f.BytesPerWrite > 0 && len(chunk) > f.BytesPerWrite {
-			if _, err := out.Write(chunk[:f.BytesPerWrite]); err != nil {
-				return
-			}
-			chunk = chunk[f.BytesPerWrite:]
-			time.Sleep(10 * time.Millisecond)
-		}
-		if _, err := out.Write(chunk); err != nil {
+		if writeSlowly(out, buffer[:n], fault.BytesPerWrite) != nil {
 			return
 		}
 	}
 }
+
+// writeSlowly writes in pieces of so many bytes with a pause between; 0 for all at once.
+func writeSlowly(out net.Conn, data []byte, pieceBytes int) error {
+	for pieceBytes > 0 && len(data) > pieceBytes {
+		if _, err := out.Write(data[:pieceBytes]); err != nil {
+			return err
+		}
+		data = data[pieceBytes:]
+		time.Sleep(slowWritePause)
+	}
+	_, err := out.Write(data)
+	return err
+}
--- a/internal/clustertest/routers.go
+++ b/internal/clustertest/routers.go
@@ -1,13 +1,9 @@
 package clustertest
 
-// This file owns a fleet's routers: work items sent to several servers in real time, tried again elsewhere where one declines,
-// and what came of each try, second by second. It must never send a try twice, nor count one that the other side could not
-// have read.
-
 import (
-	"cmp"
 	"fmt"
 	"math/rand"
+	"net/http"
 	"sync"
 	"time"
 
@@ -16,271 +12,247 @@
 
 // Traffic is what routers send.
 type Traffic struct {
-	Routers            int
-	RequestsPerSecond  float64 // work items a second, in all
-	Length             time.Duration
-	WorkMs             float64 // of a core, in the mean
-	SoftDeadline       time.Duration
-	Deadline           time.Duration
-	IdempotentCategory string // the categories
+	// Routers is their number.
+	Routers int
+	// RequestsPerSecond is the rate of all routers together, a Poisson process.
+	RequestsPerSecond float64
+	// Length of the traffic.
+	Length time.Duration
+	// WorkMs is the mean work of a request, in milliseconds of a core, uniform from half of it to one and a half.
+	WorkMs float64
+	// SoftDeadline and Deadline of all requests.
+	SoftDeadline time.Duration
+	Deadline     time.Duration
+	// IdempotentCategory and KeyedCategory are the names of the categories.
+	IdempotentCategory string
 	KeyedCategory      string
-	KeyedShare         float64 // part of the work items that are stamped
-	MaxAttempts        int     // servers that are tried
-	Tenant             string  // whose they are; acme where empty
-	EndpointsAt        func(at time.Duration) []*Server
-	Actions            map[time.Duration]func(t *Routers) // what is done meanwhile
+	// KeyedShare is the part of the requests that have an idempotency key.
+	KeyedShare float64
+	// MaxAttempts is the number of servers that a request is sent to, one after the other.
+	MaxAttempts int
+	// Tenant of the requests; empty for "acme".
+	Tenant string
+	// EndpointsAt gives the servers that routers know at a time since the start.
+	EndpointsAt func(at time.Duration) []*Server
+	// Actions are called at times since the start, each in a goroutine of its own. Play waits for them.
+	Actions map[time.Duration]func(t *Routers)
 }
 
-// Tally is what came of it. Lost, Late and Double must be 0.
+// Tally is what came of the traffic. Unanswered, PastDeadline and DuplicateRuns must be 0.
 type Tally struct {
-	Requested, Served, OnTime int
-	Attempts, Rejected        int
-	Failed                    int       // tries with a final answer that is neither
-	Unanswered                int       // tries that were read and got no answer
-	PastDeadline              int       // answered after their expiry
-	DuplicateRuns             int       // stamped runs beyond one on a server
-	Unsent                    int       // tries that no server took: refused, or closed under them by a process that was killed
-	OnTimeShareBySecond       []float64 // what came in each second: the part of it that was served in time
-	OnTimeBySecond            []int     // served in time, by the second of the answer
-	WorstSecond               float64   // the least share that was served in time of what came in one second
+	Requested           int       // requests
+	Served              int       // requests answered with 200
+	OnTime              int       // of them, within the soft deadline
+	Attempts            int       // sent
+	Rejected            int       // attempts answered with 503 or 429
+	Failed              int       // attempts answered with any other status
+	Unanswered          int       // attempts that a server read and did not answer
+	PastDeadline        int       // attempts answered after their deadline
+	DuplicateRuns       int       // runs of a body beyond the first on one server
+	Unsent              int       // attempts that no server took: refused, or the process was killed meanwhile
+	OnTimeShareBySecond []float64 // of the requests that came in each second, the part served on time
+	OnTimeBySecond      []int     // served on time, by the second of the response
+	WorstSecond         float64   // the least of OnTimeShareBySecond, 1 for none
 }
 
-// Routers send traffic to a rig.
+// Routers send traffic to a cluster in real time. A request that one server rejects goes to another.
 type Routers struct {
 	Traffic
-	cluster           *Cluster
-	lock              sync.Mutex
+	cluster   *Cluster
+	startedAt time.Time
+	pending   sync.WaitGroup // requests and actions
+
+	lock              sync.Mutex // guards all that follows; it is taken before that of a connection
 	rand              *rand.Rand
 	connections       []map[*Server]*routerConnection // by router
-	begun             time.Time
 	tally             Tally
 	requestedBySecond []int
-	servedBySecond    []int
-	pending           sync.WaitGroup
-	killed            map[*Server]bool // by the test, so that what is open there is no one's fault
+	servedBySecond    []int            // on time, by the second of the request
+	killed            map[*Server]bool // by the test: what is open there is not the server's fault
 }
 
-type routerConnection struct {
-	*emulator.Link
-	lock sync.Mutex
-	next uint16
-	open map[uint16]chan attemptResult
-	dead bool
+// request is one request of the traffic.
+type request struct {
+	number int
+	router int
+	workMs float64
+	keyed  bool
+	second int // of the traffic in which it came
 }
 
-type attemptResult struct {
-	emulator.Response
-	err error
+// Play sends the traffic, waits for all responses, and counts them.
+func (c *Cluster) Play(traffic Traffic) Tally {
+	r := newRouters(c, traffic)
+	for at, action := range traffic.Actions {
+		r.pending.Add(1)
+		time.AfterFunc(at, func() {
+			defer r.pending.Done()
+			action(r)
+		})
+	}
+	r.sendAll()
+	r.pending.Wait()
+	r.closeConnections()
+	r.sumUp()
+	return r.tally
 }
 
-// ruleSlack is what the rules allow on sockets.
-const ruleSlack = 50 * time.Millisecond
-
-// Play sends the traffic and gives what came of it.
-func (r *Cluster) Play(t Traffic) Tally {
-	s := &Routers{Traffic: t, cluster: r, rand: rand.New(rand.NewSource(r.Seed)), begun: time.Now(), killed: map[*Server]bool{}}
-	for range t.Routers {
-		s.connections = append(s.connections, map[*Server]*routerConnection{})
+func newRouters(c *Cluster, traffic Traffic) *Routers {
+	seconds := int(traffic.Length/time.Second) + 1
+	r := &Routers{
+		Traffic:           traffic,
+		cluster:           c,
+		startedAt:         time.Now(),
+		rand:              rand.New(rand.NewSource(c.Seed)),
+		requestedBySecond: make([]int, seconds),
+		servedBySecond:    make([]int, seconds),
+		killed:            map[*Server]bool{},
 	}
-	seconds := int(t.Length/time.Second) + 1
-	s.requestedBySecond, s.servedBySecond = make([]int, seconds), make([]int, seconds)
-	s.tally.OnTimeBySecond = make([]int, seconds+int(t.SoftDeadline/time.Second)+1)
-	for at, do := range t.Actions {
-		s.pending.Add(1)
-		time.AfterFunc(at, func() { defer s.pending.Done(); do(s) })
+	r.tally.OnTimeBySecond = make([]int, seconds+int(traffic.SoftDeadline/time.Second)+1)
+	for range traffic.Routers {
+		r.connections = append(r.connections, map[*Server]*routerConnection{})
 	}
-	for at, next := time.Duration(0), time.Duration(0); at < t.Length; at = next {
-		time.Sleep(time.Until(s.begun.Add(at)))
-		s.lock.Lock()
-		next = at + time.Duration(s.rand.ExpFloat64()/t.RequestsPerSecond*float64(time.Second))
-		n := s.tally.Requested
-		s.tally.Requested++
-		router, work, stamped := s.rand.Intn(t.Routers), t.WorkMs*(0.5+s.rand.Float64()), s.rand.Float64() < t.KeyedShare
-		s.requestedBySecond[int(at/time.Second)]++
-		s.lock.Unlock()
-		s.pending.Add(1)
-		go func() { defer s.pending.Done(); s.sendRequest(n, router, work, stamped, at) }()
+	return r
+}
+
+// sendAll starts all requests, each at its time.
+func (r *Routers) sendAll() {
+	at := time.Duration(0)
+	for at < r.Length {
+		time.Sleep(time.Until(r.startedAt.Add(at)))
+		next, gap := r.nextRequest(at)
+		r.pending.Add(1)
+		go func() {
+			defer r.pending.Done()
+			r.sendRequest(next)
+		}()
+		at += gap
 	}
-	s.pending.Wait()
-	for _, lines := range s.connections {
-		for _, l := range lines {
-			l.Close()
+}
+
+// nextRequest draws a request and the time until the one after it.
+func (r *Routers) nextRequest(at time.Duration) (request, time.Duration) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	gap := time.Duration(r.rand.ExpFloat64() / r.RequestsPerSecond * float64(time.Second))
+	next := request{number: r.tally.Requested, second: int(at / time.Second)}
+	next.router = r.rand.Intn(r.Routers)
+	next.workMs = r.WorkMs * (0.5 + r.rand.Float64())
+	next.keyed = r.rand.Float64() < r.KeyedShare
+	r.tally.Requested++
+	r.requestedBySecond[next.second]++
+	return next, gap
+}
+
+// closeConnections closes all connections.
+func (r *Routers) closeConnections() {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, byServer := range r.connections {
+		for _, connection := range byServer {
+			connection.drop()
 		}
 	}
-	s.tally.WorstSecond = 1
-	for i, n := range s.requestedBySecond {
-		if n > 0 {
-			part := float64(s.servedBySecond[i]) / float64(n)
-			s.tally.OnTimeShareBySecond = append(s.tally.OnTimeShareBySecond, part)
-			s.tally.WorstSecond = min(s.tally.WorstSecond, part)
+}
+
+// sumUp completes the tally once all requests are over.
+func (r *Routers) sumUp() {
+	r.tally.WorstSecond = 1
+	for second, requested := range r.requestedBySecond {
+		if requested > 0 {
+			share := float64(r.servedBySecond[second]) / float64(requested)
+			r.tally.OnTimeShareBySecond = append(r.tally.OnTimeShareBySecond, share)
+			r.tally.WorstSecond = min(r.tally.WorstSecond, share)
 		}
 	}
-	for _, server := range r.Servers {
+	for _, server := range r.cluster.Servers {
 		server.Interpreter.Inspect(func(v *emulator.Interpreter) {
 			for _, runs := range v.RunsByBody {
-				s.tally.DuplicateRuns += runs - 1
+				r.tally.DuplicateRuns += runs - 1
 			}
 		})
 	}
-	return s.tally
 }
 
-// Kill kills a server: what is open there is lost by that, not by it.
-func (s *Routers) Kill(server *Server) {
-	s.lock.Lock()
-	s.killed[server] = true
-	s.lock.Unlock()
-	_ = server.Kill()
+// Kill kills a server. What is open there is lost by the test and counts as Unsent.
+func (r *Routers) Kill(server *Server) {
+	r.lock.Lock()
+	r.killed[server] = true
+	r.lock.Unlock()
+	_ = server.Kill() // it may have ended by itself
 }
 
-// Reconnect drops the connections of a part of the routers, all at once. What was open on them is asked for no more.
-func (s *Routers) Reconnect(part float64) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for i := range int(part * float64(len(s.connections))) {
-		for server, l := range s.connections[i] {
-			l.lock.Lock()
-			l.dead = true
-			l.lock.Unlock()
-			l.Close()
-			delete(s.connections[i], server)
+// Reconnect drops all connections of a part of the routers at once. What was open on them counts as Unsent.
+func (r *Routers) Reconnect(part float64) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for i := range int(part * float64(len(r.connections))) {
+		for server, connection := range r.connections[i] {
+			connection.kill()
+			delete(r.connections[i], server)
 		}
 	}
 }
 
-// sendRequest sends one work item, to other servers where one declines.
-func (s *Routers) sendRequest(n, router int, work float64, stamped bool, at time.Duration) {
-	begun := time.Now()
-	for try := range s.MaxAttempts {
-		list := s.EndpointsAt(time.Since(s.begun))
-		left := s.Deadline - time.Since(begun)
-		if len(list) == 0 || left <= 0 {
+// sendRequest sends one request to server after server until one gives the final response.
+func (r *Routers) sendRequest(q request) {
+	sentAt := time.Now()
+	for n := range r.MaxAttempts {
+		endpoints := r.EndpointsAt(time.Since(r.startedAt))
+		left := r.Deadline - time.Since(sentAt)
+		if len(endpoints) == 0 || left <= 0 {
 			return
 		}
-		s.lock.Lock()
-		server := list[(n+try*7+s.rand.Intn(2))%len(list)]
-		s.lock.Unlock()
-		status := s.attempt(n, router, server, work, stamped, left)
-		took := time.Since(begun)
-		s.lock.Lock()
-		switch {
-		case status == 200:
-			if s.tally.Served++; took <= s.SoftDeadline {
-				s.tally.OnTime++
-				s.tally.OnTimeBySecond[min(int(time.Since(s.begun)/time.Second), len(s.tally.OnTimeBySecond)-1)]++
-				s.servedBySecond[int(at/time.Second)]++
-			}
-		case status == 503 || status == 429:
-			s.tally.Rejected++
-		case status > 0:
-			s.tally.Failed++
-		}
-		s.lock.Unlock()
-		if status == 200 || status > 0 && status != 503 && status != 429 && !stamped {
+		status := r.attempt(q, r.choose(endpoints, q, n), left)
+		r.count(status, time.Since(sentAt), q)
+		if isFinal(status, q.keyed) {
 			return
 		}
 	}
 }
 
-// attempt sends one try and waits for its answer: its status, 0 where it was never read.
-func (s *Routers) attempt(n, router int, server *Server, work float64, stamped bool, left time.Duration) int {
-	l := s.connection(router, server)
-	if l == nil {
-		s.lock.Lock()
-		s.tally.Unsent++
-		s.lock.Unlock()
-		return 0
-	}
-	s.lock.Lock()
-	s.tally.Attempts++
-	id := fmt.Sprintf("%016x", uint64(s.cluster.Seed)<<40|s.cluster.attempts.Add(1))
-	s.lock.Unlock()
-	category, body := s.IdempotentCategory, fmt.Sprintf("%.2f %s", work, id)
-	with := emulator.RequestParameters(id, cmp.Or(s.Tenant, "acme"), left)
-	with["HTTP_SENT_BY"] = fmt.Sprint(router)
-	if stamped {
-		category, body = s.KeyedCategory, fmt.Sprintf("%.2f stamped %d", work, n)
-		with["HTTP_ONCE_KEY"] = fmt.Sprintf("%032x", n)
-	}
-	came := make(chan attemptResult, 1)
-	l.lock.Lock()
-	for l.next++; l.next == 0 || l.open[l.next] != nil; l.next++ {
-	}
-	slot := l.next
-	l.open[slot] = came
-	_, err := l.Write(emulator.FastCGIRequest(slot, "/rpc/"+category, body, with))
-	sent := time.Now()
-	l.lock.Unlock()
-	var got attemptResult
-	select {
-	case got = <-came:
-	case <-time.After(left + 2*time.Second):
-		got.err = errNoAnswer
-	}
-	took := time.Since(sent)
-	server.Interpreter.RequestEnded(id)
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	switch {
-	case got.err == nil && took > left+ruleSlack:
-		s.tally.PastDeadline++
-		return got.Status
-	case got.err == nil:
-		return got.Status
-	case err != nil || l.dead || s.killed[server]:
-		s.tally.Unsent++
-	default:
-		s.tally.Unanswered++
-	}
-	return 0
+// choose picks the server of the n-th attempt.
+func (r *Routers) choose(endpoints []*Server, q request, n int) *Server {
+	const stride = 7 // from attempt to attempt
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return endpoints[(q.number+n*stride+r.rand.Intn(2))%len(endpoints)]
 }
 
-var errNoAnswer = fmt.Errorf("no answer")
+// isRejected says that a server declined the request without running it.
+func isRejected(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+}
 
-// connection gives a router's connection to a server with room on it; nil where none can be had.
-func (s *Routers) connection(router int, server *Server) *routerConnection {
-	s.lock.Lock()
-	l := s.connections[router][server]
-	s.lock.Unlock()
-	if l != nil {
-		l.lock.Lock()
-		ok := !l.dead && len(l.open) < 24
-		l.lock.Unlock()
-		if ok {
-			return l
-		}
+// isFinal says that a request is not sent again after this status. One with an idempotency key may be, after a failure.
+func isFinal(status int, keyed bool) bool {
+	if status == http.StatusOK {
+		return true
 	}
-	link, err := emulator.Dial(server.Listen)
-	if err != nil {
-		return nil
-	}
-	l = &routerConnection{Link: link, open: map[uint16]chan attemptResult{}}
-	s.lock.Lock()
-	s.connections[router][server] = l
-	s.lock.Unlock()
-	go l.readResponses()
-	return l
+	return status != noStatus && !isRejected(status) && !keyed
 }
 
-func (l *routerConnection) readResponses() {
-	for {
-		a, err := l.ReadResponse()
-		l.lock.Lock()
-		if err != nil {
-			l.dead = l.dead || len(l.open) == 0
-			for slot, came := range l.open {
-				came <- attemptResult{err: err}
-				delete(l.open, slot)
-			}
-			l.lock.Unlock()
-			return
-		}
-		if came := l.open[a.Slot]; came != nil {
-			came <- attemptResult{Response: a}
-			delete(l.open, a.Slot)
+// count adds the outcome of one attempt to the tally; took is the time since the request came.
+func (r *Routers) count(status int, took time.Duration, q request) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	switch {
+	case status == http.StatusOK:
+		r.tally.Served++
+		if took <= r.SoftDeadline {
+			r.tally.OnTime++
+			second := int(time.Since(r.startedAt) / time.Second)
+			r.tally.OnTimeBySecond[min(second, len(r.tally.OnTimeBySecond)-1)]++
+			r.servedBySecond[q.second]++
 		}
-		l.lock.Unlock()
+	case isRejected(status):
+		r.tally.Rejected++
+	case status != noStatus:
+		r.tally.Failed++
 	}
 }
+
+// requestID is unique to one attempt in the whole cluster.
+func (r *Routers) requestID() string {
+	return fmt.Sprintf("%016x", uint64(r.cluster.Seed)<<40|r.cluster.attempts.Add(1))
+}
