--- a/internal/simulation/fair_test.go
+++ b/internal/simulation/fair_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// A server that starts cold, terms that change under load, a tenant that is taken out while it has work in hand, and the
-// notice to leave: every work item has its answer in time, and the parts hold.
+// A server that starts cold, terms that change under load, a tenant that is taken out while it has work in hand, and
+// the notice to leave: every work item has its answer in time, and the parts hold.
 func TestADayOfChanges(t *testing.T) {
 	d := day(true, greedy()...)
 	d.SlowStart = 100_000
@@ -175,9 +175,9 @@
 	d.Reconfigure = func(at float64, l *fairqueue.Scheduler) {
 		switch at {
 		case 15:
-			l.Reconfigure(after, timeunit.Ticks(at*perSecond)) // kirken is one of the others now
+			l.Reconfigure(after, timeunit.Ticks(at*ticksPerSecond)) // kirken is one of the others now
 		case 25:
-			l.Reconfigure(before, timeunit.Ticks(at*perSecond))
+			l.Reconfigure(before, timeunit.Ticks(at*ticksPerSecond))
 		}
 	}
 	d.DrainAt = 35
--- a/internal/simulation/life_test.go
+++ b/internal/simulation/life_test.go
@@ -12,8 +12,8 @@
 	"thistlequay/timeunit"
 )
 
-// Forty-five minutes in which every work item comes by a caller that was never seen and every third by a new tenant: what is
-// served does not fall from third to third, and what the module and its ledger hold does not grow.
+// Forty-five minutes in which every work item comes by a caller that was never seen and every third by a new tenant:
+// what is served does not fall from third to third, and what the module and its ledger hold does not grow.
 func TestMeasuredLongLife(t *testing.T) {
 	const length = 2700.0
 	heap := func() float64 {
@@ -33,7 +33,7 @@
 	chance := rand.New(rand.NewSource(3))
 	var held []float64
 	d.OnSecond = func(second int, l *fairqueue.Scheduler) {
-		now := timeunit.Ticks(second) * perSecond
+		now := timeunit.Ticks(second) * ticksPerSecond
 		claim := l.Reserve([]byte{byte(chance.Intn(256)), byte(chance.Intn(256)), byte(chance.Intn(256))}, 0, 0, now)
 		claim.Release(now)
 		if second%675 == 300 {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,6 +1,7 @@
-// Package rehearsal plays a day of load against the decisions alone, in time that passes as fast as it can: the
-// admission module, the ledger and stand-in cores, no socket, no clock, one seed. The same day plays the same way each
-// time. It carries out what the module says, as the app server does, and must never decide anything itself.
+// Package simulation plays a day of load against the decisions alone, as fast as the machine can: the admission
+// server, the fair scheduler and emulated cores, without sockets and clocks, from one seed. The same day always has
+// the same outcome. The package carries out what the admission server says, as the app server does, and takes no
+// decision itself.
 package simulation
 
 import (
@@ -13,220 +14,190 @@
 	"thistlequay/timeunit"
 )
 
+// ticksPerSecond is the number of timeunit.Ticks in a second.
+const ticksPerSecond = 10_000
+
+// ticks converts seconds.
+func ticks(seconds float64) timeunit.Ticks { return timeunit.Ticks(seconds * ticksPerSecond) }
+
+// seconds converts ticks.
+func seconds(t timeunit.Ticks) float64 { return float64(t) / ticksPerSecond }
+
+// Constants of every day.
+const (
+	routers         = 4
+	requestMemoryKB = 10   // of each request while it is queued
+	runMemoryFactor = 4    // of a run, against that of the queued request
+	entryKB         = 1    // of an idempotency entry
+	coldSpeed       = 0.3  // of a server that has just started, against a warm one
+	overloadLimit   = 8    // runnable requests a core
+	settleSeconds   = 60.0 // after the last arrival, until what is unanswered counts so
+
+	batchInterval timeunit.Ticks = 10                 // 1 ms
+	drainGrace    timeunit.Ticks = 2 * ticksPerSecond // of the admission server's configuration
+	drainTime     timeunit.Ticks = 3 * ticksPerSecond // from DrainAt to the end
+)
+
 // Day is what is played.
 type Day struct {
-	Seed                 int64
-	Length               float64 // seconds
-	Cores                int
-	Slowdown             float64
-	Memory               float64 // kilobytes
-	Categories           []admission.Category
-	Streams              []*emulator.Stream
-	MaxRetryAfter        timeunit.Ticks
-	SlowStart            timeunit.Ticks    // it is cold for so long
-	FairQueue            *fairqueue.Config // nil: no turns
-	DrainAt              float64           // 0: never
-	NewRouterEachRequest bool              // each work item comes by a caller that was never seen
-	Reconfigure          func(at float64, l *fairqueue.Scheduler)
-	OnSecond             func(second int, l *fairqueue.Scheduler)
+	// Seed of the load and of the fair scheduler.
+	Seed int64
+	// Length in seconds.
+	Length float64
+	// Cores of the machine, and their Slowdown when overloaded (see emulator.Cores).
+	Cores    int
+	Slowdown float64
+	// Memory in kilobytes.
+	Memory float64
+	// Categories of requests.
+	Categories []admission.Category
+	// Streams are the load.
+	Streams []*emulator.Stream
+	// MaxRetryAfter is the longest Retry-After that clients heed.
+	MaxRetryAfter timeunit.Ticks
+	// SlowStart is how long the server warms up; 0 for one that starts warm.
+	SlowStart timeunit.Ticks
+	// FairQueue configures the fair scheduler; nil to play without one.
+	FairQueue *fairqueue.Config
+	// DrainAt is when the server begins to drain, in seconds; 0 for never.
+	DrainAt float64
+	// NewRouterEachRequest has each request come by a router that was never seen before.
+	NewRouterEachRequest bool
+	// Reconfigure is called each second, to change the fair scheduler's configuration; nil for never.
+	Reconfigure func(at float64, l *fairqueue.Scheduler)
+	// OnSecond is called each second, before Reconfigure; nil for never.
+	OnSecond func(second int, l *fairqueue.Scheduler)
 }
 
-// AdvisedRetry is a return time as it was told.
+// AdvisedRetry is a Retry-After that a client was told.
 type AdvisedRetry struct {
 	Tenant     string
-	At         float64 // when it is to come back
-	RetryAfter float64
+	At         float64 // when the client is to come back, in seconds
+	RetryAfter float64 // seconds
 }
 
-// Outcome is what came of it.
+// Outcome is what came of a day.
 type Outcome struct {
-	Accounts             []*emulator.Account
-	AdvisedRetries       []AdvisedRetry
-	CoreSeconds          float64 // core seconds done
-	Unanswered           int     // work items without an answer at the end
-	AnsweredPastDeadline int     // answers after the expiry
-}
-
-type request struct {
-	attempt     *emulator.Attempt
-	handle      *admission.Request
-	reservation fairqueue.Reservation
-	job         *emulator.Job
-	answered    bool
-	deadline    float64
-}
-
-type host struct {
-	day           Day
-	server        *admission.Server
-	fairQueue     *fairqueue.Scheduler
-	cores         *emulator.Cores
-	load          *emulator.Load
-	accounts      *emulator.Accounts
-	requests      map[uint64]*request
-	requestsByJob map[*emulator.Job]*request
-	nextID        uint64
-	now           float64
-	timer         float64
-	stopped       []*request
-	outcome       Outcome
+	// Accounts of the tenants, in the order of the streams.
+	Accounts []*emulator.Account
+	// AdvisedRetries are in the order in which they were told.
+	AdvisedRetries []AdvisedRetry
+	// CoreSeconds is the work done.
+	CoreSeconds float64
+	// Unanswered counts requests without a response at the end.
+	Unanswered int
+	// AnsweredPastDeadline counts responses after the deadline.
+	AnsweredPastDeadline int
 }
 
-const perSecond = 10_000
-
-func (s *host) ticks() timeunit.Ticks { return timeunit.Ticks(s.now * perSecond) }
-
 // Play plays a day.
 func Play(d Day) Outcome {
-	s := &host{day: d, cores: &emulator.Cores{Count: float64(d.Cores), Slowdown: d.Slowdown}, load: emulator.NewLoad(d.Seed, d.Streams),
-		accounts: emulator.NewAccounts(d.Streams), requests: map[uint64]*request{}, requestsByJob: map[*emulator.Job]*request{}, timer: math.Inf(1)}
-	if d.FairQueue != nil {
-		s.fairQueue = fairqueue.New(*d.FairQueue, rand.New(rand.NewSource(d.Seed)), 0)
-	}
-	s.server = admission.New(admission.Config{Categories: d.Categories, Routers: 4, Cores: d.Cores, MemoryKB: d.Memory,
-		RunMemoryFactor: 4, EntryKB: 1, BatchInterval: 10, DrainGrace: 20000, OverloadThreshold: 8, MaxRetryAfter: d.MaxRetryAfter, CanStopRuns: true,
-		StartsCold: d.SlowStart > 0, ColdSpeed: 0.3, WarmUpTime: d.SlowStart}, s, 0)
-	second, left := 0, false
+	h := newHost(d)
 	for {
-		at := min(s.cores.NextCompletion(), s.load.Next(), s.timer)
-		if len(s.stopped) > 0 {
-			at = s.now
-		}
-		if math.IsInf(at, 1) || at > d.Length+60 {
+		at := h.nextEvent()
+		if math.IsInf(at, 1) || at > d.Length+settleSeconds {
 			break
 		}
-		s.cores.AdvanceTo(at)
-		s.now = at
-		for ; float64(second) <= at && at < d.Length; second++ {
-			if d.OnSecond != nil {
-				d.OnSecond(second, s.fairQueue)
-			}
-			if d.Reconfigure != nil {
-				d.Reconfigure(float64(second), s.fairQueue)
-			}
-		}
-		s.server.Advance(s.ticks())
-		if d.DrainAt > 0 && at >= d.DrainAt && !left {
-			left = true
-			s.server.Drain(perSecond * 3)
-		}
-		for _, it := range s.stopped {
-			it.handle.RunEnded(admission.Aborted, timeunit.Ticks((s.now-it.job.StartedAt)*perSecond))
-		}
-		s.stopped = s.stopped[:0]
-		for j := s.cores.PopCompleted(); j != nil; j = s.cores.PopCompleted() {
-			s.completed(j)
-		}
-		for s.load.Next() <= at {
-			s.arrive(s.load.Pop())
-		}
-		if s.timer <= at {
-			s.timer = math.Inf(1)
-			use, wants := s.cores.Gauges()
-			s.server.OnTimer(admission.Gauges{CoreUtilization: use, RunnableRequests: wants})
-		}
-		s.server.Dispatch()
+		h.batch(at)
 	}
-	for _, it := range s.requests {
-		if !it.answered {
-			s.outcome.Unanswered++
-		}
-	}
-	s.outcome.CoreSeconds = s.cores.CoreSeconds
-	s.outcome.Accounts = s.accounts.Entitle(float64(d.Cores) * d.Length)
-	return s.outcome
+	return h.finish()
 }
 
-func (s *host) arrive(a *emulator.Attempt) {
-	s.accounts.Asked(a)
-	s.nextID++
-	it := &request{attempt: a, deadline: s.now + float64(s.day.Categories[a.Stream.Category].Deadline)/perSecond}
-	s.requests[s.nextID] = it
-	arrival := admission.Arrival{Category: a.Stream.Category, Router: a.Router % 4, QueuedKB: 10, ID: s.nextID,
-		TimeLeft: s.day.Categories[a.Stream.Category].Deadline}
-	if s.day.NewRouterEachRequest {
-		arrival.Router = int(s.nextID)
+// newHost prepares a day.
+func newHost(d Day) *host {
+	h := &host{
+		day:           d,
+		cores:         &emulator.Cores{Count: float64(d.Cores), Slowdown: d.Slowdown},
+		load:          emulator.NewLoad(d.Seed, d.Streams),
+		accounts:      emulator.NewAccounts(d.Streams),
+		requests:      map[uint64]*request{},
+		requestsByJob: map[*emulator.Job]*request{},
+		timer:         math.Inf(1),
 	}
-	if s.fairQueue != nil {
-		it.reservation = s.fairQueue.Reserve([]byte(a.Tenant), a.Stream.Category, s.server.VirtualTime(), s.ticks())
-		arrival.StartTag, arrival.ExpectedDelay = it.reservation.StartTag, it.reservation.ExpectedDelay
+	if d.FairQueue != nil {
+		h.fairQueue = fairqueue.New(*d.FairQueue, rand.New(rand.NewSource(d.Seed)), 0)
 	}
-	it.handle = s.server.Enqueue(arrival)
+	h.server = admission.New(admission.Config{
+		Categories:        d.Categories,
+		Routers:           routers,
+		Cores:             d.Cores,
+		MemoryKB:          d.Memory,
+		RunMemoryFactor:   runMemoryFactor,
+		EntryKB:           entryKB,
+		BatchInterval:     batchInterval,
+		DrainGrace:        drainGrace,
+		OverloadThreshold: overloadLimit,
+		MaxRetryAfter:     d.MaxRetryAfter,
+		CanStopRuns:       true,
+		StartsCold:        d.SlowStart > 0,
+		ColdSpeed:         coldSpeed,
+		WarmUpTime:        d.SlowStart,
+	}, h, 0)
+	return h
 }
 
-func (s *host) completed(j *emulator.Job) {
-	it := s.requestsByJob[j]
-	delete(s.requestsByJob, j)
-	a := it.attempt
-	if of := s.accounts.Account(a); !it.answered {
-		s.answered(it)
-		if s.now <= a.At+float64(s.day.Categories[a.Stream.Category].SoftDeadline)/perSecond {
-			of.OnTime++
-			of.Value += a.Stream.PriorityWeight
-		} else {
-			of.Late++
-		}
+// nextEvent is when something happens next, in seconds; infinite for never.
+func (h *host) nextEvent() float64 {
+	if len(h.stopped) > 0 {
+		return h.now
 	}
-	it.handle.RunEnded(admission.Succeeded, timeunit.Ticks((s.now-j.StartedAt)*perSecond))
+	return min(h.cores.NextCompletion(), h.load.Next(), h.timer)
 }
 
-func (s *host) answered(it *request) {
-	it.answered = true
-	if s.now > it.deadline {
-		s.outcome.AnsweredPastDeadline++
+// batch moves the time on and tells the admission server all that happens then, as one batch of the app server's loop.
+func (h *host) batch(at float64) {
+	h.cores.AdvanceTo(at)
+	h.now = at
+	h.callHooks()
+	h.server.Advance(h.ticks())
+	if h.day.DrainAt > 0 && at >= h.day.DrainAt && !h.draining {
+		h.draining = true
+		h.server.Drain(drainTime)
 	}
-}
-
-func (s *host) Run(w *admission.Request) {
-	it := s.requests[w.ID]
-	it.reservation.Start(s.ticks())
-	if it.attempt.Retries > 0 {
-		s.accounts.Account(it.attempt).RetriesAdmitted++
+	h.reportStopped()
+	for j := h.cores.PopCompleted(); j != nil; j = h.cores.PopCompleted() {
+		h.completed(j)
 	}
-	it.job = s.cores.Start("", it.attempt.CoreSeconds)
-	s.requestsByJob[it.job] = it
-}
-
-func (s *host) Reject(w *admission.Request, away timeunit.Ticks, _ bool) {
-	it := s.requests[w.ID]
-	s.answered(it)
-	if s.fairQueue != nil {
-		away = it.reservation.RetryAfter(away, s.day.MaxRetryAfter, s.ticks())
+	for h.load.Next() <= at {
+		h.arrive(h.load.Pop())
 	}
-	in := float64(away) / perSecond
-	a := it.attempt
-	s.outcome.AdvisedRetries = append(s.outcome.AdvisedRetries, AdvisedRetry{Tenant: a.Tenant, At: s.now + in, RetryAfter: in})
-	if s.accounts.Account(a).Rejected++; a.Retries < a.Stream.MaxRetries && in > 0 {
-		s.load.Retry(a, s.now+in)
+	if h.timer <= at {
+		h.timer = math.Inf(1)
+		utilization, runnable := h.cores.Gauges()
+		h.server.OnTimer(admission.Gauges{CoreUtilization: utilization, RunnableRequests: runnable})
 	}
+	h.server.Dispatch()
 }
 
-func (s *host) Abort(w *admission.Request) {
-	it := s.requests[w.ID]
-	s.answered(it)
-	s.accounts.Account(it.attempt).Aborted++
+// callHooks calls the day's hooks for each second that has begun.
+func (h *host) callHooks() {
+	for float64(h.second) <= h.now && h.now < h.day.Length {
+		if h.day.OnSecond != nil {
+			h.day.OnSecond(h.second, h.fairQueue)
+		}
+		if h.day.Reconfigure != nil {
+			h.day.Reconfigure(float64(h.second), h.fairQueue)
+		}
+		h.second++
+	}
 }
 
-func (s *host) StopRun(w *admission.Request) {
-	it := s.requests[w.ID]
-	s.cores.Abort(it.job)
-	delete(s.requestsByJob, it.job)
-	s.stopped = append(s.stopped, it) // the module is told in a batch to come
+// reportStopped tells the admission server of the runs that it stopped in the batch before.
+func (h *host) reportStopped() {
+	for _, r := range h.stopped {
+		r.handle.RunEnded(admission.Aborted, ticks(h.now-r.job.StartedAt))
+	}
+	h.stopped = h.stopped[:0]
 }
 
-func (s *host) Release(w *admission.Request) {
-	it := s.requests[w.ID]
-	it.reservation.Release(s.ticks())
-	delete(s.requests, w.ID)
+// finish sums up the day.
+func (h *host) finish() Outcome {
+	for _, r := range h.requests {
+		if !r.answered {
+			h.outcome.Unanswered++
+		}
+	}
+	h.outcome.CoreSeconds = h.cores.CoreSeconds
+	h.outcome.Accounts = h.accounts.Entitle(float64(h.day.Cores) * h.day.Length)
+	return h.outcome
 }
-
-func (s *host) SetTimer(after timeunit.Ticks) { s.timer = min(s.timer, s.now+float64(after)/perSecond) }
-
-func (s *host) ShareResult(*admission.Request)               {}
-func (s *host) SkipCall(*admission.Request)                  {}
-func (s *host) StartCall(*admission.Request, timeunit.Ticks) {}
-func (s *host) KeepEntry(*admission.Request, timeunit.Ticks) {}
-func (s *host) DropEntry(*admission.Request)                 {}
-func (s *host) ReportLoad(float64)                           {}
-func (s *host) SetHealth(bool, bool)                         {}
-func (s *host) CloseIdleConnections(timeunit.Ticks)          {}
