--- /dev/null
+++ b/internal/simulation/day_test.go
@@ -0,0 +1,105 @@
+package simulation
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/admission"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/fairqueue"
+	"thistlequay/timeunit"
+)
+
+// requestCoreSeconds is the mean work of a request: the four cores of a day do a hundred requests a second.
+const requestCoreSeconds = 0.04
+
+// stream is the load of one tenant, by fifty routers, from the beginning of the day to its end.
+func stream(tenant string, weight, arrivalsPerSecond float64) *emulator.Stream {
+	return &emulator.Stream{
+		Tenant:            tenant,
+		Weight:            weight,
+		ArrivalsPerSecond: arrivalsPerSecond,
+		To:                length(),
+		MeanCoreSeconds:   requestCoreSeconds,
+		PriorityWeight:    1,
+		Routers:           50,
+	}
+}
+
+// length of a day in seconds: short in CI, and that of a real peak where the measurement is asked for in full.
+func length() float64 {
+	if os.Getenv("MEASURE") == "full" {
+		return 300
+	}
+	return 40
+}
+
+// day has four cores and one category.
+func day(fair bool, streams ...*emulator.Stream) Day {
+	d := Day{
+		Seed:          7,
+		Length:        length(),
+		Cores:         4,
+		Slowdown:      0.02,
+		Memory:        80_000,
+		MaxRetryAfter: 30 * ticksPerSecond,
+		Streams:       streams,
+		Categories: []admission.Category{{
+			Weight:       1,
+			SoftDeadline: 2 * ticksPerSecond,
+			Deadline:     5 * ticksPerSecond,
+			LateValue:    0.2,
+		}},
+	}
+	if fair {
+		d.FairQueue = fairQueueConfig(streams)
+	}
+	return d
+}
+
+// fairQueueConfig names each stream of one tenant that has a weight.
+func fairQueueConfig(streams []*emulator.Stream) *fairqueue.Config {
+	config := &fairqueue.Config{
+		OthersWeight:     0.1,
+		NewcomerFraction: 0.25,
+		MaxHeavyHitters:  128,
+		SharedFlows:      64,
+		Burst:            ticksPerSecond / 5,
+		MinHistory:       5 * ticksPerSecond,
+		RehashInterval:   30 * ticksPerSecond,
+		Cores:            4,
+		SoftDeadlines:    []timeunit.Ticks{2 * ticksPerSecond},
+	}
+	for _, s := range streams {
+		if s.TenantOf == nil && s.Weight > 0 {
+			config.Tenants = append(config.Tenants, fairqueue.Tenant{Name: s.Tenant, Weight: s.Weight})
+		}
+	}
+	return config
+}
+
+// accountOf is the account of one tenant, which must have one.
+func accountOf(t *testing.T, o Outcome, tenant string) *emulator.Account {
+	t.Helper()
+	for _, a := range o.Accounts {
+		if a.Tenant == tenant {
+			return a
+		}
+	}
+	require.Fail(t, "no account", tenant)
+	return nil
+}
+
+// report logs the measured lines of a day, and requires a response in time to every request.
+func report(t *testing.T, name, queues string, o Outcome) {
+	t.Helper()
+	for _, a := range o.Accounts {
+		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, a)
+	}
+	total := emulator.Total(o.Accounts)
+	t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, &total)
+	require.Zero(t, o.Unanswered, "requests without a response")
+	require.Zero(t, o.AnsweredPastDeadline, "responses after the deadline")
+}
--- /dev/null
+++ b/internal/simulation/fairqueue_test.go
@@ -0,0 +1,197 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/fairqueue"
+	"thistlequay/timeunit"
+)
+
+// greedyTenant is three tenants that ask for less than their parts, and a fourth that asks for ten times its own.
+func greedyTenant() []*emulator.Stream {
+	return []*emulator.Stream{
+		stream("kirken", 0.31, 20),
+		stream("byen", 0.29, 18),
+		stream("fjord", 0.23, 14),
+		stream("greedy", 0.17, 170),
+	}
+}
+
+// Fair queues give the three what they are entitled to, which they lack without, and cost no value in all.
+func TestMeasuredGreedyTenantTakesNothingFromOthers(t *testing.T) {
+	off := Play(day(false, greedyTenant()...))
+	on := Play(day(true, greedyTenant()...))
+	report(t, "greedy", "off", off)
+	report(t, "greedy", "on", on)
+	for _, name := range []string{"kirken", "byen", "fjord"} {
+		with := accountOf(t, on, name).DeliveredShare()
+		without := accountOf(t, off, name).DeliveredShare()
+		require.GreaterOrEqual(t, with, 0.95, name)
+		require.Less(t, without, 0.95, "without fair queues %s does not need them", name)
+	}
+	before := emulator.Total(off.Accounts)
+	after := emulator.Total(on.Accounts)
+	require.GreaterOrEqual(t, after.Value, 0.97*before.Value)
+}
+
+// newTenants is four known tenants, and ten thousand names a minute that were never seen before.
+func newTenants() []*emulator.Stream {
+	flood := stream("flood", 0.1, 10_000.0/60)
+	flood.Routers = 0
+	flood.TenantOf = func(n int) string { return fmt.Sprint("new-", n) }
+	return []*emulator.Stream{
+		stream("kirken", 0.27, 20),
+		stream("byen", 0.25, 18),
+		stream("fjord", 0.2, 14),
+		stream("lag", 0.18, 12),
+		flood,
+	}
+}
+
+// A flood of new names takes nothing from known tenants, and none of them is taken for a heavy hitter.
+func TestMeasuredFloodOfNewTenantsTakesNothingFromKnownOnes(t *testing.T) {
+	d := day(true, newTenants()...)
+	var stats []fairqueue.Stats
+	d.OnSecond = func(_ int, l *fairqueue.Scheduler) { stats = append(stats, l.Stats()) }
+	off := Play(day(false, newTenants()...))
+	on := Play(d)
+	report(t, "flood", "off", off)
+	report(t, "flood", "on", on)
+	for _, name := range []string{"kirken", "byen", "fjord", "lag"} {
+		require.GreaterOrEqual(t, accountOf(t, on, name).DeliveredShare(), 0.95, name)
+	}
+	for _, s := range stats {
+		require.Zero(t, s.HeavyHitters, "a fresh name is a heavy hitter")
+	}
+}
+
+// The thousand rejected clients of a heavy tenant are told times that spread them, and are admitted when they come
+// back.
+func TestMeasuredRejectedClientsAreAdmittedWhenTheyComeBack(t *testing.T) {
+	const perSecond, kirkenRate, byenRate = 100.0, 36.0, 26.0
+	crowd := stream("crowd", 0.3, 900)
+	crowd.To = 1.3
+	crowd.MaxRetries = 1
+	crowd.Routers = 1000
+	d := day(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
+	d.MaxRetryAfter = 60 * ticksPerSecond // a thousand need half a minute: clients must heed as much
+	o := Play(d)
+	report(t, "return-times", "on", o)
+
+	account := accountOf(t, o, "crowd")
+	worst := mostIn100ms(o.AdvisedRetries, "crowd")
+	entitled := perSecond - kirkenRate - byenRate // what the others leave
+	admittedShare := float64(account.RetriesAdmitted) / float64(account.Backs)
+	t.Logf("measured fair-queues day=return-times "+
+		"told=%d entitled_a_second=%.0f most_in_100ms=%d backs=%d taken=%d part=%.3f",
+		len(o.AdvisedRetries), entitled, worst, account.Backs, account.RetriesAdmitted, admittedShare)
+	require.Greater(t, account.Backs, 500)
+	require.LessOrEqual(t, float64(worst), 2*entitled/10)
+	require.GreaterOrEqual(t, float64(account.RetriesAdmitted), 0.8*float64(account.Backs))
+	require.GreaterOrEqual(t, accountOf(t, o, "kirken").DeliveredShare(), 0.95)
+}
+
+// mostIn100ms is the largest number of a tenant's clients that were told to come back in the same tenth of a second.
+func mostIn100ms(advised []AdvisedRetry, tenant string) int {
+	counts := map[int]int{}
+	most := 0
+	for _, a := range advised {
+		if a.Tenant == tenant {
+			slot := int(a.At * 10)
+			counts[slot]++
+			most = max(most, counts[slot])
+		}
+	}
+	return most
+}
+
+// Each hard case is a day of its own: what its tenants have at least of what they are entitled to.
+func TestTenantsHaveWhatTheyAreEntitledTo(t *testing.T) {
+	expensive := stream("dear", 0.17, 20)
+	expensive.MeanCoreSeconds = 30 * requestCoreSeconds
+	manyNames := stream("names", 0.1, 200)
+	manyNames.TenantOf = func(n int) string { return fmt.Sprint(rand.New(rand.NewSource(int64(n))).Uint64()) }
+	oneRouter := stream("one", 0.5, 60)
+	oneRouter.Routers = 1
+	manyRouters := stream("many", 0.5, 160)
+	manyRouters.Routers = 1000
+	for name, c := range map[string]struct {
+		streams   []*emulator.Stream
+		minShares map[string]float64
+	}{
+		"dear": {
+			streams:   []*emulator.Stream{stream("kirken", 0.31, 20), stream("byen", 0.29, 18), expensive},
+			minShares: map[string]float64{"kirken": 0.95, "byen": 0.95},
+		},
+		"names": {
+			streams:   []*emulator.Stream{stream("kirken", 0.45, 35), stream("byen", 0.45, 35), manyNames},
+			minShares: map[string]float64{"kirken": 0.95, "byen": 0.95, "names": 0.8},
+		},
+		"all-heavy": {
+			streams: []*emulator.Stream{
+				stream("a", 0.4, 100), stream("b", 0.3, 100), stream("c", 0.2, 100), stream("d", 0.1, 100),
+			},
+			minShares: map[string]float64{"a": 0.9, "b": 0.9, "c": 0.9, "d": 0.9},
+		},
+		"alone": {
+			streams:   []*emulator.Stream{stream("alone", 0.1, 200)},
+			minShares: map[string]float64{"alone": 0.9},
+		},
+		"one-and-many": {
+			streams:   []*emulator.Stream{oneRouter, manyRouters},
+			minShares: map[string]float64{"one": 0.9, "many": 0.9},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			o := Play(day(true, c.streams...))
+			report(t, name, "on", o)
+			for tenant, minShare := range c.minShares {
+				require.GreaterOrEqual(t, accountOf(t, o, tenant).DeliveredShare(), minShare, tenant)
+			}
+		})
+	}
+}
+
+// A server that starts cold, a configuration that changes under load, a tenant that is taken out while it has requests
+// in flight, and a drain: every request has its response in time, and tenants keep what they are entitled to.
+func TestChangesUnderLoadKeepEntitlements(t *testing.T) {
+	const removeKirkenAt, restoreKirkenAt, drainAt, end = 15, 25, 35, 40
+	d := day(true, greedyTenant()...)
+	d.SlowStart = 10 * ticksPerSecond
+	before := *d.FairQueue
+	after := *d.FairQueue
+	after.Tenants = []fairqueue.Tenant{
+		{Name: "byen", Weight: 0.3},
+		{Name: "fjord", Weight: 0.2},
+		{Name: "greedy", Weight: 0.3},
+	}
+	d.Reconfigure = func(at float64, l *fairqueue.Scheduler) {
+		now := timeunit.Ticks(at * ticksPerSecond)
+		switch at {
+		case removeKirkenAt:
+			l.Reconfigure(after, now) // kirken is one of the others now
+		case restoreKirkenAt:
+			l.Reconfigure(before, now)
+		}
+	}
+	d.DrainAt = drainAt
+	o := Play(d)
+	report(t, "changes", "on", o)
+	for _, name := range []string{"byen", "fjord"} {
+		account := accountOf(t, o, name)
+		require.GreaterOrEqual(t, float64(account.OnTime), 0.97*drainAt/end*float64(account.Requested), name)
+	}
+	kirken := accountOf(t, o, "kirken")
+	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requested))
+}
+
+func TestSameSeedGivesSameOutcome(t *testing.T) {
+	first := Play(day(true, greedyTenant()...))
+	second := Play(day(true, greedyTenant()...))
+	require.Equal(t, first, second)
+}
