--- a/cmd/thistlequay/serve_store.go
+++ b/cmd/thistlequay/serve_store.go
@@ -6,7 +6,6 @@
 	"sync/atomic"
 
 	"thistlequay/internal/config"
-	"thistlequay/internal/recovery"
 	"thistlequay/internal/segmentlog"
 	"thistlequay/internal/server"
 	"thistlequay/timeunit"
@@ -61,7 +60,7 @@
 func (s *serveCommand) logOpenedStore(path string, opened *segmentlog.Log, now timeunit.Ticks) {
 	for _, found := range opened.Findings {
 		s.log.Event("store_corruption").Str("file", found.File).Int64("offset", found.Offset).
-			Str("kind", recovery.CorruptionTexts[found.Corruption]).Bool("lost", found.DataLoss).Send()
+			Str("kind", found.Corruption.String()).Bool("lost", found.DataLoss).Send()
 	}
 	rejectsFor := timeunit.Ticks(0)
 	if opened.RejectUntil != 0 {
--- /dev/null
+++ b/internal/server/reconfigure.go
@@ -0,0 +1,54 @@
+package server
+
+import (
+	"reflect"
+	"strings"
+)
+
+// reconfigure takes up a new configuration. What a running server can't change is logged and stays as it was.
+func (s *Server) reconfigure(next Config) {
+	s.log.Event("configuration_read").Str("name", s.config.Name).Str("interpreter", next.Interpreter).
+		Str("index", next.Index).Str("directory", next.Directory).
+		Str("requires_restart", strings.Join(s.fixedChanges(&next), " ")).Send()
+	before := s.config
+	s.config.Interpreter = next.Interpreter
+	s.config.Index = next.Index
+	s.config.Directory = next.Directory
+	s.config.Tenancy = next.Tenancy
+	for _, optional := range s.optionalParts() {
+		optional.reconfigure(&next)
+	}
+	s.collectParts()
+	if before.Interpreter != next.Interpreter {
+		s.interpreter.reconnect()
+	}
+	if before.Index != next.Index {
+		s.index.reconnect()
+	}
+	if before.Directory != next.Directory {
+		s.directory.reconnect()
+	}
+}
+
+// fixedChanges returns what the new configuration would change that a running server can't, by the names of the
+// configuration file, sorted.
+func (s *Server) fixedChanges(next *Config) []string {
+	var names []string
+	for _, setting := range []struct {
+		name    string
+		differs bool
+	}{
+		{"listen", next.Listen != s.config.Listen},
+		{"name", next.Name != s.config.Name},
+		{"peers", next.Gossip != s.config.Gossip},
+		{"settings", !reflect.DeepEqual(next.Settings.Config, s.config.Settings.Config)},
+		{"sockets", next.MaxSockets != s.config.MaxSockets},
+		{"stop_ms", next.ShutdownTimeout != s.config.ShutdownTimeout},
+		{"store", next.Recovery != s.config.Recovery},
+	} {
+		if setting.differs {
+			names = append(names, setting.name)
+		}
+	}
+	return names
+}
--- /dev/null
+++ b/internal/server/status.go
@@ -0,0 +1,91 @@
+package server
+
+import (
+	"math"
+	"math/bits"
+
+	"github.com/rs/zerolog"
+
+	"thistlequay/timeunit"
+)
+
+// stateLogInterval is the time between two lines on the server's state.
+const stateLogInterval = 20 * second
+
+// logState logs a line on the server's state, and sets the timer for the next.
+func (s *Server) logState() {
+	event := s.log.Event("state").Int("requests", s.requests.count()).Int("connections", s.routers.openCount).
+		Int("idempotency_entries", len(s.requests.entries)).Int("downstream_calls", s.index.inFlight).
+		Int64("gauges_age_ms", milliseconds(s.interpreter.gaugeAges.percentile99())).
+		Int64("timer_late_ms", milliseconds(s.timerLateness.percentile99())).
+		Int("interpreter_links", s.interpreter.linkCount).Int("directory_reports_missed", s.directory.missedReports).
+		Int("bad_peers", s.badPeers).Int("unread_closed", s.unreadClosed).Int("connections_evicted", s.routers.evicted)
+	for _, optional := range s.parts {
+		optional.addState(event)
+	}
+	s.addAdmissionState(event)
+	event.Send()
+	s.recovery.saveWarmStart()
+	s.setTimer(&s.stateTimer, s.now+stateLogInterval)
+}
+
+// addAdmissionState adds admission's own figures.
+func (s *Server) addAdmissionState(event *zerolog.Event) {
+	if s.admission == nil {
+		return
+	}
+	stats := s.admission.Stats()
+	event.Int("queued", stats.Queued).Int("running", stats.Running).Int("awaiting_downstream", stats.WaitingAtCalls).
+		Int("downstream_in_flight", stats.CallsInFlight).Int("abandoned_calls", stats.AbandonedCalls).
+		Int("admission_idempotency_entries", stats.Entries).Float64("concurrency_limit", stats.Limit).
+		Float64("downstream_limit", stats.DownstreamLimit).
+		Float64("downstream_limit_left", stats.DownstreamCredit).Float64("on_cores", stats.RunnableRequests).
+		Int64("read_delay_ms", milliseconds(stats.UnreadTime)).Int64("round_trip_ms", milliseconds(stats.RoundTrip)).
+		Int64("downstream_latency_recent_ms", milliseconds(stats.CallTime)).
+		Int64("downstream_latency_baseline_ms", milliseconds(stats.QuickCallTime)).
+		Float64("reserved_kb", math.Round(stats.MemoryKB)).Int("pooled_connections", s.index.connections).
+		Int("downstream_calls_waiting", len(s.index.waiting))
+}
+
+// countAndSample counts an event and reports whether it is worth a line in the log: at each power of two.
+func countAndSample(count *int) bool {
+	*count++
+	return *count&(*count-1) == 0
+}
+
+const (
+	lagBuckets    = 20   // the last has everything from 2^18 ticks (26 s) on
+	maxLagSamples = 4096 // at which all counts are halved, so that old samples fade
+)
+
+// lagHistogram counts short spans by powers of two.
+type lagHistogram struct {
+	total   int
+	buckets [lagBuckets]int
+}
+
+func (h *lagHistogram) add(lag timeunit.Ticks) {
+	bucket := min(bits.Len64(uint64(max(0, lag))), len(h.buckets)-1)
+	h.buckets[bucket]++
+	h.total++
+	if h.total < maxLagSamples {
+		return
+	}
+	h.total = 0
+	for i := range h.buckets {
+		h.buckets[i] /= 2
+		h.total += h.buckets[i]
+	}
+}
+
+// percentile99 returns a bound that 99 in 100 spans stayed under, a power of two; zero where there are none.
+func (h *lagHistogram) percentile99() timeunit.Ticks {
+	above := h.total / 100
+	for i := len(h.buckets) - 1; i > 0; i-- {
+		above -= h.buckets[i]
+		if above < 0 {
+			return 1 << i
+		}
+	}
+	return 0
+}
