--- a/internal/emulator/plugins.go
+++ b/internal/emulator/plugins.go
@@ -1,11 +1,6 @@
 package emulator
 
-import (
-	"maps"
-	"slices"
-
-	"thistlequay/internal/plugin/abi"
-)
+import "thistlequay/internal/plugin/abi"
 
 // Plug-ins that do harm, and some that do not, put together byte by byte so that tests need no other tool chain. Each
 // follows docs/plugin/authors.md as far as its kind lets it.
@@ -86,12 +81,9 @@
 	"foreign":       {foreignImport: true},
 }
 
-// kindTruncated is the first half of a good module. PluginKinds does not list it.
+// kindTruncated is the first half of a good module.
 const kindTruncated = "truncated"
 
-// PluginKinds lists the kinds of plug-in that PluginModule makes.
-func PluginKinds() []string { return slices.Sorted(maps.Keys(moduleSpecs)) }
-
 // PluginModule makes the module of a kind. It panics for a kind that there is not.
 func PluginModule(kind string) []byte {
 	if kind == kindTruncated {
