--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -102,8 +102,8 @@
 	return len(p.log.Outcomes)
 }
 
-// deferForIntent has the intent of a request with an idempotency key written, or rejects the request where that can't be
-// done. It returns false where no intent is needed, and the request goes on at once.
+// deferForIntent has the intent of a request with an idempotency key written, or rejects the request where that
+// can't be done. It returns false where no intent is needed, and the request goes on at once.
 func (p *recoveryPart) deferForIntent(intended *request, tenant []byte) bool {
 	if p.log == nil {
 		return false
