--- a/cmd/thistlequay/command_test.go
+++ b/cmd/thistlequay/command_test.go
@@ -46,13 +46,17 @@
 	require.Equal(t, "0 2 files, no fault\n", strings.Join([]string{string(rune('0' + code)), out}, " "))
 	code, out = check(r.config, "fair_queues:\n  tenants: [{name: amce, share: 1}]\n")
 	require.Equal(t, exitFailed, code)
-	require.Contains(t, out, `s:2:20: fair_queues.tenants[0].name: "amce" is none; expected a tenant of the platform's settings`)
-	bad := strings.Replace(strings.Replace(strings.Replace(r.config, `"by_key"`, `"by_kye"`, 1), `"sockets":64`, `"sockets":4`, 1),
+	require.Contains(t, out, `s:2:20: fair_queues.tenants[0].name: "amce" is none; expected a tenant of the `+
+		`platform's settings`)
+	bad := strings.Replace(strings.Replace(strings.Replace(r.config, `"by_key"`, `"by_kye"`, 1), `"sockets":64`,
+		`"sockets":4`, 1),
 		`"name":"n3"`, `"name":""`, 1)
 	code, out = check(bad, "fair_queues:\n  books: x\n")
 	require.Equal(t, exitFailed, code)
-	for _, fault := range []string{`c:1:9: name: is missing or empty`, `limits.sockets: 4 is out of range; expected from 48 to`,
-		`c:4:11: settings.Categories[1].Effect: "by_kye" is not known`, `s:2:10: fair_queues.books: "x"; expected a whole number`,
+	for _, fault := range []string{`c:1:9: name: is missing or empty`,
+		`limits.sockets: 4 is out of range; expected from 48 to`,
+		`c:4:11: settings.Categories[1].Effect: "by_kye" is not known`,
+		`s:2:10: fair_queues.books: "x"; expected a whole number`,
 		"4 faults in 2 files"} {
 		require.Contains(t, out, fault)
 	}
--- a/cmd/thistlequay/fair_test.go
+++ b/cmd/thistlequay/fair_test.go
@@ -138,11 +138,13 @@
 		require.Contains(t, out.String(), tenant)
 	}
 	out.Reset()
-	require.Zero(t, runCommandLine([]string{"check", keep + ".fair.json", keep + ".fair.yaml"}, &out, &errs), out.String())
+	require.Zero(t, runCommandLine([]string{"check", keep + ".fair.json", keep + ".fair.yaml"}, &out, &errs),
+		out.String())
 	require.Equal(t, "2 files, no fault\n", out.String())
 }
 
-// Short in CI, 30 s where MEASURE=full. A greedy tenant over sockets, with an interpreter whose notices are spoilt and an index that does not always answer:
+// Short in CI, 30 s where MEASURE=full. A greedy tenant over sockets, with an interpreter whose notices are spoilt
+// and an index that does not always answer:
 // nobody goes without an answer, no request runs twice, and the polite tenant has more of its part than the greedy one.
 func TestMeasuredFairQueuesOverSockets(t *testing.T) {
 	r := prepare(t)
@@ -151,14 +153,15 @@
 	defer vm.Close()
 	vm.CallProbability = 0.2
 	vm.NoticeScript = func(n int) emulator.Corruption {
-		return map[int]emulator.Corruption{40: emulator.Duplicated, 60: emulator.PrecededByTrace, 80: emulator.SplitInTwo, 120: emulator.LinkCutMidway,
+		return map[int]emulator.Corruption{40: emulator.Duplicated, 60: emulator.PrecededByTrace,
+			80: emulator.SplitInTwo, 120: emulator.LinkCutMidway,
 			160: emulator.Withheld}[n]
 	}
 	index, err := emulator.NewIndex()
 	r.NoError(err)
-	defer index.Close()
+	defer closeQuietly(index)
 	index.Script = func(n int) string { return map[int]string{5: "SHED", 9: "noise", 15: "reset"}[n%20] }
-	defer func(x *standIn) { x.Close() }(r.vm)
+	defer closeQuietly(r.vm)
 	config := strings.Replace(strings.Replace(r.config, r.vm.Address, vm.Address, 1), r.index.Address, index.Address, 1)
 	r.config = strings.Replace(config, `"Tenants":[{"Name":"acme"}]`, twoTenants(0.5, 0.5), 1)
 	r.service = "fair_queues:\n"
@@ -172,7 +175,8 @@
 	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
 		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
 			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 20, To: length, MeanCoreSeconds: 0.03, PriorityWeight: 1},
-			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 300, To: length, MeanCoreSeconds: 0.03, PriorityWeight: 1}}}
+			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 300, To: length, MeanCoreSeconds: 0.03,
+				PriorityWeight: 1}}}
 	books, err := load.Run()
 	r.NoError(err)
 	for _, a := range books {
--- a/cmd/thistlequay/fleet_test.go
+++ b/cmd/thistlequay/fleet_test.go
@@ -18,8 +18,8 @@
 	"thistlequay/internal/emulator"
 )
 
-// What hundreds of servers go through, on a few real processes without the bench: each work item that is read has one answer in
-// its time, no stamp runs twice on a server, and the worst second is told.
+// What hundreds of servers go through, on a few real processes without the bench: each work item that is read has one
+// answer in its time, no stamp runs twice on a server, and the worst second is told.
 func TestMeasuredFleetDays(t *testing.T) {
 	servers, length := 8, 4*time.Second
 	if os.Getenv("MEASURE") == "full" {
@@ -41,7 +41,7 @@
 			t.Actions[length/2] = func(r *clustertest.Routers) { r.Reconnect(0.7) }
 		}},
 		{"directory-gone", 0.9, nil, func(g *together, t *clustertest.Traffic) {
-			t.Actions[length/4] = func(*clustertest.Routers) { g.Directory.Listener.Listener.Close() }
+			t.Actions[length/4] = func(*clustertest.Routers) { closeQuietly(g.Directory.Listener.Listener) }
 			t.Actions[length*3/4] = func(*clustertest.Routers) { _ = g.Directory.Reopen() }
 		}},
 		{"one-in-eight-slow", 0.7, func(g *together) {
@@ -90,15 +90,19 @@
 			}
 			g.up(g.Servers)
 			// Some half of what the cores can do, two a server.
-			traffic := clustertest.Traffic{Routers: 10, RequestsPerSecond: float64(servers) * 2 / 0.04 * 0.5, Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
-				Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.3, MaxAttempts: 3, Actions: map[time.Duration]func(*clustertest.Routers){},
+			traffic := clustertest.Traffic{Routers: 10, RequestsPerSecond: float64(servers) * 2 / 0.04 * 0.5,
+				Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
+				Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.3,
+				MaxAttempts: 3, Actions: map[time.Duration]func(*clustertest.Routers){},
 				EndpointsAt: func(time.Duration) []*clustertest.Server { return g.Servers }}
 			if day.load != nil {
 				day.load(g, &traffic)
 			}
 			o := g.Play(traffic)
-			t.Logf("measured fleetdays day=%s servers=%d asked=%d in_time=%.3f declined=%d failed=%d unsent=%d lost=%d double=%d late=%d worst_second=%.2f",
-				day.name, servers, o.Requested, float64(o.OnTime)/float64(o.Requested), o.Rejected, o.Failed, o.Unsent, o.Unanswered, o.DuplicateRuns, o.PastDeadline, o.WorstSecond)
+			t.Logf("measured fleetdays day=%s servers=%d asked=%d in_time=%.3f declined=%d failed=%d unsent=%d "+
+				"lost=%d double=%d late=%d worst_second=%.2f",
+				day.name, servers, o.Requested, float64(o.OnTime)/float64(o.Requested), o.Rejected, o.Failed,
+				o.Unsent, o.Unanswered, o.DuplicateRuns, o.PastDeadline, o.WorstSecond)
 			g.Zero(o.Unanswered)
 			g.Zero(o.DuplicateRuns)
 			g.Zero(o.PastDeadline)
@@ -114,8 +118,8 @@
 	}
 }
 
-// What build makes is linked against the C library, and what run leaves is one process that starts no other and opens no file
-// for writing.
+// What build makes is linked against the C library, and what run leaves is one process that starts no other and opens
+// no file for writing.
 func TestDeployFile(t *testing.T) {
 	r := prepare(t)
 	root, err := filepath.Abs("../..")
@@ -139,7 +143,7 @@
 	r.Contains(value("build"), "-linkmode=external")
 	program, err := elf.Open(folder + "/bin/thistlequay")
 	r.NoError(err)
-	defer program.Close()
+	defer closeQuietly(program)
 	linked, err := program.ImportedLibraries()
 	r.NoError(err)
 	r.True(slices.ContainsFunc(linked, func(l string) bool { return strings.HasPrefix(l, "libc.so") }), linked)
--- a/cmd/thistlequay/hostile_test.go
+++ b/cmd/thistlequay/hostile_test.go
@@ -13,8 +13,9 @@
 	"thistlequay/internal/membership"
 )
 
-// A member with the fleet's key lies to processes about others and to them about themselves, and sends messages that are
-// spoilt, of 64 KiB and of kinds that nobody knows: none of it is taken, all is counted, and its own word still holds.
+// A member with the fleet's key lies to processes about others and to them about themselves, and sends messages that
+// are spoilt, of 64 KiB and of kinds that nobody knows: none of it is taken, all is counted, and its own word still
+// holds.
 func TestPeersAndALiar(t *testing.T) {
 	t.Parallel()
 	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 8, Gossip: true, ConfiguredServers: 4})
@@ -30,7 +31,8 @@
 	_, first, err := all[0].GossipAddresses()
 	g.NoError(err)
 	terms := membership.DefaultConfig(membership.ID{Name: "liar", Incarnation: uint64(time.Now().UnixMicro())})
-	liar, err := gossip.Start(gossip.Config{Membership: terms, ListenAddress: listen, AdvertiseAddress: advertise, SeedAddresses: []string{first}, ClusterName: "rig", Keys: [][]byte{key}})
+	liar, err := gossip.Start(gossip.Config{Membership: terms, ListenAddress: listen, AdvertiseAddress: advertise,
+		SeedAddresses: []string{first}, ClusterName: "rig", Keys: [][]byte{key}})
 	g.NoError(err)
 	defer liar.Close()
 	liar.SetLocalState(gossip.LocalState{State: membership.StateServing})
@@ -54,11 +56,14 @@
 		return b
 	}
 	lies := map[byte][][]byte{
-		1: {text(membership.StateUpdate{ID: victim.ID, Sequence: 1 << 40, State: membership.StateDraining}), text(membership.StateUpdate{ID: target.ID, Sequence: 1 << 40, State: membership.StateDraining})},
+		1: {text(membership.StateUpdate{ID: victim.ID, Sequence: 1 << 40, State: membership.StateDraining}),
+			text(membership.StateUpdate{ID: target.ID, Sequence: 1 << 40, State: membership.StateDraining})},
 		2: {text(membership.Message{Kind: membership.MessageCommitted, From: victim.ID, To: target.ID, Epoch: 1 << 40,
-			Configuration: &membership.Configuration{Epoch: 1 << 40, MemberCount: 1, LeaseDuration: 60000, Voters: []membership.Voter{{ID: terms.Self}}}}), []byte("spoilt")},
-		gossip.FirstEnvelopeKind: {text(map[int]any{1: victim.ID, 2: target.ID, 3: []byte("for another")}), make([]byte, 64<<10)},
-		200:                      {bytes.Repeat([]byte{0x9f}, 900), make([]byte, 64<<10)},
+			Configuration: &membership.Configuration{Epoch: 1 << 40, MemberCount: 1, LeaseDuration: 60000,
+				Voters: []membership.Voter{{ID: terms.Self}}}}), []byte("spoilt")},
+		gossip.FirstEnvelopeKind: {text(map[int]any{1: victim.ID, 2: target.ID, 3: []byte("for another")}),
+			make([]byte, 64<<10)},
+		200: {bytes.Repeat([]byte{0x9f}, 900), make([]byte, 64<<10)},
 	}
 	for kind, messages := range lies {
 		for _, m := range messages {
@@ -69,7 +74,8 @@
 		return r.Rejected.Forged >= before.Rejected.Forged+1 && r.Malformed >= before.Malformed+1
 	})
 	g.sees("none of them was taken", home, func(r gossip.Status) bool {
-		return line(r, "n00").State == "serving" && line(r, "n01").State == "serving" && r.Epoch < 1<<40 && r.QuorumStatus == "whole"
+		return line(r, "n00").State == "serving" && line(r, "n01").State == "serving" && r.Epoch < 1<<40 &&
+			r.QuorumStatus == "whole"
 	})
 	liar.SetLocalState(gossip.LocalState{State: membership.StateDraining})
 	g.sees("what it says of itself holds", home, is("liar", "leaving", "left"))
--- a/cmd/thistlequay/known_red_test.go
+++ b/cmd/thistlequay/known_red_test.go
@@ -33,16 +33,17 @@
 		ok   bool
 		says string
 	}{
-		"both listed":              {red + also, true, "as ever"},
-		"no end of line":           {also + red[:len(red)-1], true, "--- FAIL: TestRed"},
-		"nothing listed":           {"", false, "--- FAIL: TestRed"},
-		"a failure not listed":     {red, false, "--- FAIL: TestAlsoRed"},
-		"four":                     {red + also + red + also, false, "three are the most"},
-		"no cause":                 {red + "TestAlsoRed |  | issue 34\n", false, `not "TestName | cause | issue N"`},
-		"no issue":                 {red + "TestAlsoRed | another\n", false, `not "TestName | cause | issue N"`},
-		"an empty line":            {red + "\n" + also, false, `not "TestName | cause | issue N"`},
-		"a pattern":                {"Test.* | all of them | issue 33\n", false, `not "TestName | cause | issue N"`},
-		"a name that nothing has":  {red + also + "TestGone | another | issue 34\n", false, "no test is named TestGone"},
+		"both listed":          {red + also, true, "as ever"},
+		"no end of line":       {also + red[:len(red)-1], true, "--- FAIL: TestRed"},
+		"nothing listed":       {"", false, "--- FAIL: TestRed"},
+		"a failure not listed": {red, false, "--- FAIL: TestAlsoRed"},
+		"four":                 {red + also + red + also, false, "three are the most"},
+		"no cause":             {red + "TestAlsoRed |  | issue 34\n", false, `not "TestName | cause | issue N"`},
+		"no issue":             {red + "TestAlsoRed | another\n", false, `not "TestName | cause | issue N"`},
+		"an empty line":        {red + "\n" + also, false, `not "TestName | cause | issue N"`},
+		"a pattern":            {"Test.* | all of them | issue 33\n", false, `not "TestName | cause | issue N"`},
+		"a name that nothing has": {red + also + "TestGone | another | issue 34\n", false,
+			"no test is named TestGone"},
 		"a part of a name":         {red + also + "TestGre | another | issue 34\n", false, "no test is named TestGre"},
 		"one that is green by now": {red + also + "TestGreen | was red | issue 34\n", true, "--- PASS: TestGreen"},
 	} {
--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -39,8 +39,8 @@
 	c.ask(slot, "/rpc/book", "1 entry "+key, with)
 }
 
-// A hundred lives, each killed at a seeded moment while three tries a key come, of keys of this life and of lives before: no
-// key runs twice, and whoever is told that it was done is told the same.
+// A hundred lives, each killed at a seeded moment while three tries a key come, of keys of this life and of lives
+// before: no key runs twice, and whoever is told that it was done is told the same.
 func TestMeasuredStoreLives(t *testing.T) {
 	r := prepare(t)
 	config := r.config
@@ -109,13 +109,14 @@
 	for _, n := range runs {
 		double += n - 1
 	}
-	t.Logf("measured store-lives lives=%d keys=%d runs=%d answers=%d fulfilled_keys=%d double_runs=%d", lives, keys, len(runs), answers, len(told), double)
+	t.Logf("measured store-lives lives=%d keys=%d runs=%d answers=%d fulfilled_keys=%d double_runs=%d", lives, keys,
+		len(runs), answers, len(told), double)
 	r.Zero(double)
 	r.Greater(len(told), keys/8)
 }
 
-// A repeat after a restart gets the first answer, one with another body is refused, a second server on the directory does not
-// start, and the tools tell what lies there.
+// A repeat after a restart gets the first answer, one with another body is refused, a second server on the directory
+// does not start, and the tools tell what lies there.
 func TestStoreOverARestart(t *testing.T) {
 	r := prepare(t)
 	directory := filepath.Join(t.TempDir(), "store")
@@ -203,7 +204,8 @@
 		config := r.config
 		r.reborn(t, config)
 		c := r.router()
-		times := map[string]*hdrhistogram.Histogram{"stamped": hdrhistogram.New(1, 60e6, 3), "harmless": hdrhistogram.New(1, 60e6, 3)}
+		times := map[string]*hdrhistogram.Histogram{"stamped": hdrhistogram.New(1, 60e6, 3),
+			"harmless": hdrhistogram.New(1, 60e6, 3)}
 		begun := time.Now()
 		for i := range n {
 			at := time.Now()
@@ -218,8 +220,10 @@
 		if mode == "none" {
 			base = times
 		}
-		t.Logf("measured store-latency mode=%s pairs_a_second=%.0f stamped_p50_us=%d stamped_p99_us=%d added_p50_us=%d harmless_p50_ratio=%.2f", mode,
-			float64(n)/time.Since(begun).Seconds(), times["stamped"].ValueAtQuantile(50), times["stamped"].ValueAtQuantile(99),
+		t.Logf("measured store-latency mode=%s pairs_a_second=%.0f stamped_p50_us=%d stamped_p99_us=%d "+
+			"added_p50_us=%d harmless_p50_ratio=%.2f", mode,
+			float64(n)/time.Since(begun).Seconds(), times["stamped"].ValueAtQuantile(50),
+			times["stamped"].ValueAtQuantile(99),
 			times["stamped"].ValueAtQuantile(50)-base["stamped"].ValueAtQuantile(50),
 			float64(times["harmless"].ValueAtQuantile(50))/float64(base["harmless"].ValueAtQuantile(50)))
 		require.False(t, strings.Contains(logOf(r), "store_rejections"))
--- a/cmd/thistlequay/mixed_versions_test.go
+++ b/cmd/thistlequay/mixed_versions_test.go
@@ -15,8 +15,8 @@
 	"thistlequay/internal/quota/service"
 )
 
-// oldBuild gives the path of an earlier build, which the environment variable OLD names. The tests of mixed versions run
-// only where there is one:
+// oldBuild gives the path of an earlier build, which the environment variable OLD names. The tests of mixed versions
+// run only where there is one:
 //
 //	OLD=/path/to/earlier/thistlequay go test -run TestMixedVersions ./cmd/thistlequay
 func oldBuild(t *testing.T) string {
@@ -30,9 +30,9 @@
 	return path
 }
 
-// A fleet of four, two servers of an earlier build and two of this one, with gossip and quotas under load: each server is
-// killed and started again, first with its own build and then with the other one. Every time the fleet agrees on one
-// configuration and grants quotas again, and the index never has more calls in flight than the total allows.
+// A fleet of four, two servers of an earlier build and two of this one, with gossip and quotas under load: each server
+// is killed and started again, first with its own build and then with the other one. Every time the fleet agrees on
+// one configuration and grants quotas again, and the index never has more calls in flight than the total allows.
 func TestMixedVersionsAgreeOnConfigurationAndQuotas(t *testing.T) {
 	old := oldBuild(t)
 	const calls = 16
@@ -95,7 +95,8 @@
 	all := g.Servers
 	g.share("quotas granted by the earlier build", all, granted)
 	g.ServiceYAML = func(s *clustertest.Server) string {
-		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n", s.Name)
+		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n",
+			s.Name)
 	}
 	voters := func(of service.Status) (n int) { return len(of.Voters) }
 	for round, program := range []string{"", old, ""} {
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -67,7 +67,8 @@
 func (g *together) up(of []*clustertest.Server) {
 	for _, s := range of {
 		g.NoError(waitUntilReady(s.Listen))
-		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, patience, 5*time.Millisecond, s.Name)
+		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, patience,
+			5*time.Millisecond, s.Name)
 	}
 }
 
@@ -96,7 +97,8 @@
 // line is how a report shows the life of a name that fares best: the one that holds it.
 func line(r gossip.Status, name string) (of gossip.MemberStatus) {
 	for _, l := range r.Members {
-		if l.Name == name && (of.Name == "" || slices.Index(membership.StateNames, l.State) < slices.Index(membership.StateNames, of.State)) {
+		if l.Name == name && (of.Name == "" ||
+			slices.Index(membership.StateNames, l.State) < slices.Index(membership.StateNames, of.State)) {
 			of = l
 		}
 	}
@@ -137,8 +139,8 @@
 	}
 }
 
-// A crash, a stop, a one-way loss, a zone cut off, a notice to leave, a restart and all at once, on real processes: each is
-// told by its evidence, nobody holds itself for the whole beside another, and views meet again.
+// A crash, a stop, a one-way loss, a zone cut off, a notice to leave, a restart and all at once, on real processes:
+// each is told by its evidence, nobody holds itself for the whole beside another, and views meet again.
 func TestMeasuredPeers(t *testing.T) {
 	t.Parallel()
 	n := 12
@@ -183,7 +185,8 @@
 	g.sees("three parts", rest, func(r gossip.Status) bool { return r.QuorumStatus == "part" })
 	g.Partition(func(s *clustertest.Server) int { return min(1, s.Index%3) })
 	g.sees("the zone", zones[0], func(r gossip.Status) bool { return r.QuorumStatus == "part" })
-	g.sees("the others", append(slices.Clone(zones[1]), zones[2]...), func(r gossip.Status) bool { return r.QuorumStatus == "whole" })
+	g.sees("the others", append(slices.Clone(zones[1]), zones[2]...),
+		func(r gossip.Status) bool { return r.QuorumStatus == "whole" })
 	for _, s := range zones[0] {
 		r, err := s.View()
 		g.NoError(err)
@@ -210,15 +213,17 @@
 	last, err := all[5].View()
 	g.NoError(err)
 	rate := float64(last.SentBytes-first.SentBytes) / time.Since(before).Seconds()
-	t.Logf("measured peers members=%d detect_p50_ms=%d detect_p99_ms=%d false_alarms=%d converge_ms=%d heal_ms=%d both_whole=%d bytes_a_second=%.0f rss_kb=%d garbled=%d",
-		n, detect[len(detect)/2].Milliseconds(), detect[len(detect)-1].Milliseconds(), alarms, converge[len(converge)-1].Milliseconds(),
+	t.Logf("measured peers members=%d detect_p50_ms=%d detect_p99_ms=%d false_alarms=%d converge_ms=%d heal_ms=%d "+
+		"both_whole=%d bytes_a_second=%.0f rss_kb=%d garbled=%d",
+		n, detect[len(detect)/2].Milliseconds(), detect[len(detect)-1].Milliseconds(), alarms,
+		converge[len(converge)-1].Milliseconds(),
 		heal[len(heal)-1].Milliseconds(), both(), rate, anonymous(g, all[5].Process()), garbled)
 	g.Zero(garbled)
 	g.Zero(both())
 }
 
-// claims goes on looking at all servers, and gives how often one held itself for the whole while another claim to that, of
-// another fleet, had not run out.
+// claims goes on looking at all servers, and gives how often one held itself for the whole while another claim to
+// that, of another fleet, had not run out.
 func (g *together) claims() (both func() int) {
 	type claim struct {
 		epoch uint64
@@ -270,8 +275,8 @@
 	return kb
 }
 
-// Those who do not belong: another fleet, an old key, a wrong key, a name that is taken, a clock a minute ahead, and a network
-// that repeats and cuts short. None of it is taken, and nobody falls for it.
+// Those who do not belong: another fleet, an old key, a wrong key, a name that is taken, a clock a minute ahead, and a
+// network that repeats and cuts short. None of it is taken, and nobody falls for it.
 func TestPeersThatDoNotBelong(t *testing.T) {
 	t.Parallel()
 	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 2, Gossip: true, ConfiguredServers: 4})
@@ -309,7 +314,8 @@
 	g.sees("a name that is taken", home, taken)
 	g.NoError(all[4].Kill())
 	// The network repeats, reorders, cuts short: views hold.
-	g.SetFaultEverywhere(clustertest.Fault{Loss: 0.3, Duplication: 0.2, Truncation: 0.05, Jitter: 50 * time.Millisecond, ReplayAfter: 700 * time.Millisecond})
+	g.SetFaultEverywhere(clustertest.Fault{Loss: 0.3, Duplication: 0.2, Truncation: 0.05,
+		Jitter: 50 * time.Millisecond, ReplayAfter: 700 * time.Millisecond})
 	g.NoError(all[0].Kill())
 	g.sees("a crash under loss", home[1:], is("n00", "failed"))
 	g.Heal()
@@ -333,7 +339,10 @@
 	g.sees("under the new key", home, whole(4))
 	all[4].Configure("x4", "rig", clustertest.Key)
 	g.NoError(all[4].Start())
-	g.sees("the old key", all[4:], func(r gossip.Status) bool { return r.QuorumStatus == "alone" && len(r.Members) == 1 })
+	g.sees("the old key", all[4:], func(r gossip.Status) bool {
+		return r.QuorumStatus == "alone" &&
+			len(r.Members) == 1
+	})
 	g.NoError(all[4].Kill())
 	g.sees("the first is with the whole", all[:1], settled(4))
 	var out bytes.Buffer
@@ -380,8 +389,8 @@
 	g.sees("all of the first are gone", g.Servers[6:], settled(3))
 }
 
-// A network that flaps each 200 ms, a process whose loop is late by a second again and again, and newcomers while the fleet is
-// cut in two: nobody fails for good, no two parts act as the whole, and all meet again.
+// A network that flaps each 200 ms, a process whose loop is late by a second again and again, and newcomers while the
+// fleet is cut in two: nobody fails for good, no two parts act as the whole, and all meet again.
 func TestMeasuredPeersUnsteady(t *testing.T) {
 	t.Parallel()
 	span := 6 * time.Second
@@ -436,20 +445,22 @@
 	g.sees("on the other side", g.Servers[7:], func(r gossip.Status) bool { return r.QuorumStatus != "whole" })
 	g.Heal()
 	met := g.sees("they meet", g.Servers, settled(8))
-	t.Logf("measured peers-unsteady flapping_s=%.0f settled_after_ms=%d standing_changes=%d late_held_failed=%d met_after_ms=%d both_whole=%d", span.Seconds(),
+	t.Logf("measured peers-unsteady flapping_s=%.0f settled_after_ms=%d standing_changes=%d late_held_failed=%d "+
+		"met_after_ms=%d both_whole=%d", span.Seconds(),
 		flapped[len(flapped)-1].Milliseconds(), changes[all[0].Name], failed, met[len(met)-1].Milliseconds(), both())
 	g.Zero(both())
 }
 
-// What a view wins where the index that all share is the limit and a quarter of the servers are killed: each of the others
-// takes its larger part. And what the talk costs an item.
+// What a view wins where the index that all share is the limit and a quarter of the servers are killed: each of the
+// others takes its larger part. And what the talk costs an item.
 func TestMeasuredPeersGain(t *testing.T) {
 	length := 15 * time.Second
 	if os.Getenv("MEASURE") == "full" {
 		length = 45 * time.Second
 	}
 	var of map[string]any
-	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`, `"CallShare":2.0`, `"Servers":3`, `"Servers":8`,
+	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`, `"CallShare":2.0`, `"Servers":3`,
+		`"Servers":8`,
 		`"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(settings)), &of))
 	served, cost := map[bool]float64{}, map[bool]time.Duration{}
 	for _, talk := range []bool{false, true} {
@@ -467,9 +478,14 @@
 		}
 		cost[talk] = g.latency(g.Servers[0], 300)
 		rest := g.Servers[2:]
-		o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: 270, Length: length, WorkMs: 5, SoftDeadline: time.Second, Deadline: 2 * time.Second,
-			IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.2, MaxAttempts: 1, EndpointsAt: func(time.Duration) []*clustertest.Server { return rest },
-			Actions: map[time.Duration]func(*clustertest.Routers){time.Second: func(r *clustertest.Routers) { r.Kill(g.Servers[0]); r.Kill(g.Servers[1]) }}})
+		o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: 270, Length: length, WorkMs: 5,
+			SoftDeadline: time.Second, Deadline: 2 * time.Second,
+			IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.2, MaxAttempts: 1,
+			EndpointsAt: func(time.Duration) []*clustertest.Server { return rest },
+			Actions: map[time.Duration]func(*clustertest.Routers){time.Second: func(r *clustertest.Routers) {
+				r.Kill(g.Servers[0])
+				r.Kill(g.Servers[1])
+			}}})
 		late := o.OnTimeShareBySecond[len(o.OnTimeShareBySecond)*2/3:]
 		for _, part := range late {
 			served[talk] += part / float64(len(late))
@@ -477,7 +493,8 @@
 		g.Zero(o.Unanswered + o.PastDeadline + o.DuplicateRuns)
 		g.Close()
 	}
-	t.Logf("measured peers-gain servers=8 killed=2 in_time_without=%.3f in_time_with=%.3f item_ms_without=%.3f item_ms_with=%.3f cost_ratio=%.3f", served[false],
+	t.Logf("measured peers-gain servers=8 killed=2 in_time_without=%.3f in_time_with=%.3f item_ms_without=%.3f "+
+		"item_ms_with=%.3f cost_ratio=%.3f", served[false],
 		served[true], cost[false].Seconds()*1000, cost[true].Seconds()*1000, cost[true].Seconds()/cost[false].Seconds())
 	require.Greater(t, served[true], served[false])
 }
@@ -486,11 +503,12 @@
 func (g *together) latency(s *clustertest.Server, n int) time.Duration {
 	link, err := emulator.Dial(s.Listen)
 	g.NoError(err)
-	defer link.Close()
+	defer closeQuietly(link)
 	var took []time.Duration
 	for i := range n {
 		begun := time.Now()
-		_, err := link.Write(emulator.FastCGIRequest(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i), emulator.RequestParameters(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
+		_, err := link.Write(emulator.FastCGIRequest(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i),
+			emulator.RequestParameters(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
 		g.NoError(err)
 		a, err := link.ReadResponse()
 		g.NoError(err)
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -39,9 +39,11 @@
 // What plug-ins may do, each seen in the answer; and what stays above them.
 func TestPluginsVerdicts(t *testing.T) {
 	r := prepare(t)
-	r.service = plug(entry("no", r.module("declines"), "hooks: [read], may: [decline], categories: [brief, book], "+noCut),
+	r.service = plug(entry("no", r.module("declines"),
+		"hooks: [read], may: [decline], categories: [brief, book], "+noCut),
 		entry("short", r.module("shortens"), "hooks: [result], may: [rewrite], categories: [look, book], "+noCut),
-		entry("as-brief", r.module("recategorise"), "hooks: [read], may: [categorise], to: [brief], categories: [look], "+noCut))
+		entry("as-brief", r.module("recategorise"),
+			"hooks: [read], may: [categorise], to: [brief], categories: [look], "+noCut))
 	r.run()
 	v := r.up(0)
 	c := r.router()
@@ -56,7 +58,8 @@
 	// A first try is declined by the hook; it never ran, so that is allowed and its key is free.
 	c.book(4, "k")
 	c.answered(4, 403, "")
-	r.service = plug(entry("short", r.module("shortens"), "hooks: [result], may: [rewrite], categories: [look, book], "+noCut))
+	r.service = plug(entry("short", r.module("shortens"),
+		"hooks: [result], may: [rewrite], categories: [look, book], "+noCut))
 	r.again()
 	id = c.book(5, "k")
 	v.applied(id, "entry k")
@@ -86,11 +89,14 @@
 
 // Verdicts that are not granted count for nothing: the work item goes on, and the plug-in is in quarantine soon.
 func TestPluginsBeyondTheirGrants(t *testing.T) {
-	for _, kind := range []string{"declines", "recategorise", "tags", "status-9999", "no-such-category", "noise", "points-outside", "answers-1gib", "traps"} {
+	for _, kind := range []string{"declines", "recategorise", "tags", "status-9999", "no-such-category", "noise",
+		"points-outside", "answers-1gib", "traps"} {
 		r := prepare(t)
-		r.service = plug(entry("bad", r.module(kind), "hooks: [read], quarantine: 1h, longest_quarantine: 1h, faults_in_a_row: 2, "+noCut))
+		r.service = plug(entry("bad", r.module(kind),
+			"hooks: [read], quarantine: 1h, longest_quarantine: 1h, faults_in_a_row: 2, "+noCut))
 		if kind == "status-9999" {
-			r.service = plug(entry("bad", r.module(kind), "hooks: [read], may: [decline], quarantine: 1h, longest_quarantine: 1h, faults_in_a_row: 2, "+noCut))
+			r.service = plug(entry("bad", r.module(kind),
+				"hooks: [read], may: [decline], quarantine: 1h, longest_quarantine: 1h, faults_in_a_row: 2, "+noCut))
 		}
 		r.run()
 		v := r.up(0)
@@ -128,7 +134,8 @@
 	r.again()
 	r.Contains(logOf(r), "the file has ")
 	declined()
-	r.service = plug(entry("one", r.module("good"), `hooks: [read], samples: [{hook: read, category: look, does: [decline]}], `+noCut))
+	r.service = plug(entry("one", r.module("good"),
+		`hooks: [read], samples: [{hook: read, category: look, does: [decline]}], `+noCut))
 	r.again()
 	r.Contains(logOf(r), "sample 1: does 0")
 	declined()
@@ -152,7 +159,8 @@
 // The caller leaves, the notice to leave comes and the process of plug-ins dies, each while a hook runs.
 func TestPluginsWhileMuchHappens(t *testing.T) {
 	r := prepare(t)
-	r.service = plug(entry("loops", r.module("loops"), "hooks: [read, result], categories: [look], call: 150ms, share: 0.5, core: 1, faults_in_a_row: 1000"))
+	r.service = plug(entry("loops", r.module("loops"),
+		"hooks: [read, result], categories: [look], call: 150ms, share: 0.5, core: 1, faults_in_a_row: 1000"))
 	r.run()
 	v := r.up(0)
 	c := r.router()
@@ -183,13 +191,14 @@
 }
 
 // under plays load for a second or so against a server with these plug-ins; acme is seen by them, beta is not.
-func under(t *testing.T, service func(r *rig) string, during func(r *rig)) (r *rig, acme, beta *emulator.Account, vm *emulator.Interpreter) {
+func under(t *testing.T, service func(r *rig) string, during func(r *rig)) (r *rig, acme, beta *emulator.Account,
+	vm *emulator.Interpreter) {
 	r = prepare(t)
 	var err error
 	vm, err = emulator.NewInterpreter(2, 3)
 	r.NoError(err)
 	t.Cleanup(vm.Close)
-	r.vm.Close()
+	closeQuietly(r.vm)
 	r.config = strings.Replace(r.config, r.vm.Address, vm.Address, 1)
 	r.config = strings.Replace(r.config, `"Tenants":[{"Name":"acme"}]`, twoTenants(0.5, 0.5), 1)
 	r.service = service(r)
@@ -201,8 +210,10 @@
 	}
 	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
 		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
-			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002, PriorityWeight: 1},
-			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002, PriorityWeight: 1}}}
+			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
+				PriorityWeight: 1},
+			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
+				PriorityWeight: 1}}}
 	var all sync.WaitGroup
 	if during != nil {
 		all.Go(func() { during(r) })
@@ -225,18 +236,22 @@
 	return mb, n
 }
 
-// Each hostile plug-in beside a well-behaved one, under load: whatever it does, nobody waits for it and nothing is lost.
+// Each hostile plug-in beside a well-behaved one, under load: whatever it does, nobody waits for it and nothing is
+// lost.
 func TestMeasuredPlugins(t *testing.T) {
 	_, _, calm, _ := under(t, func(*rig) string { return "" }, nil)
-	for _, kind := range []string{"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled", "traps", "traps-one-in-ten",
+	for _, kind := range []string{"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled",
+		"traps", "traps-one-in-ten",
 		"points-outside", "answers-1gib", "status-9999", "no-such-category", "logs-without-end", "slow-4ms"} {
 		t.Run(kind, func(t *testing.T) {
 			name, compiled := strings.CutSuffix(kind, " compiled")
 			engine := map[bool]string{false: "interpreter", true: "compiler"}[compiled]
 			var most float64
 			r, acme, beta, vm := under(t, func(r *rig) string {
-				return plug(entry("hostile", r.module(name), "hooks: [read, result, tick], every: 20ms, tenants: [acme], may: [decline, rewrite], quarantine: 50ms, engine: "+engine),
-					entry("tagger", r.module("tags"), "hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5"))
+				return plug(entry("hostile", r.module(name), "hooks: [read, result, tick], every: 20ms, tenants: "+
+					"[acme], may: [decline, rewrite], quarantine: 50ms, engine: "+engine),
+					entry("tagger", r.module("tags"),
+						"hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5"))
 			}, func(r *rig) {
 				for range 6 {
 					mb, _ := resident(r)
@@ -255,8 +270,10 @@
 				}
 			})
 			alive := map[bool]int{true: 1}[r.process.ProcessState == nil]
-			t.Logf("measured plugins kind=%q late_answers=%d lost=%d double=%d server_alive=%d rss_mb=%.0f other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
-				kind, late, lost, double, alive, most, float64(beta.Times.ValueAtQuantile(99))/float64(calm.Times.ValueAtQuantile(99)),
+			t.Logf("measured plugins kind=%q late_answers=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
+				"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
+				kind, late, lost, double, alive, most,
+				float64(beta.Times.ValueAtQuantile(99))/float64(calm.Times.ValueAtQuantile(99)),
 				float64(acme.Times.ValueAtQuantile(50))/1000, float64(acme.Times.ValueAtQuantile(99))/1000)
 			r.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
 			r.Zero(beta.BadRequests + beta.Aborted)
@@ -266,9 +283,13 @@
 
 // Forty versions in a row under load: each work item ends with one, none is lost.
 func TestPluginsReplacedFortyTimes(t *testing.T) {
-	r, acme, beta, _ := under(t, func(r *rig) string { return plug(entry("one", r.module("good"), "hooks: [read, result]")) }, func(r *rig) {
+	r, acme, beta, _ := under(t, func(r *rig) string {
+		return plug(entry("one", r.module("good"),
+			"hooks: [read, result]"))
+	}, func(r *rig) {
 		for i := range 40 {
-			r.service = plug(entry("one", r.module([]string{"good", "tags"}[i%2]), fmt.Sprintf("hooks: [read, result], may: [tag], row: %d", i)))
+			r.service = plug(entry("one", r.module([]string{"good", "tags"}[i%2]),
+				fmt.Sprintf("hooks: [read, result], may: [tag], row: %d", i)))
 			r.service = strings.Replace(r.service, "row", "faults_in_a_row", 1)
 			r.service = strings.Replace(r.service, "faults_in_a_row: 0", "faults_in_a_row: 1", 1)
 			r.again()
@@ -313,7 +334,8 @@
 	return file
 }
 
-// Both worked examples, and what one of them keeps: it passes to the next version, and to the next process after a death.
+// Both worked examples, and what one of them keeps: it passes to the next version, and to the next process after a
+// death.
 func TestPluginExamples(t *testing.T) {
 	r := prepare(t)
 	hall, short := r.example("hallcheck"), r.example("shortanswer")
@@ -321,7 +343,8 @@
 	const room = "memory_kb: 4096, code_kb: 4096, start: 10s, "
 	section := func(more string) string {
 		return "plugins:\n  memory_mb: 400\n  ready: 60s\n  list:\n" +
-			entry("hall", hall, room+"hooks: [read, tick], may: [decline, tag], categories: [book], every: 1s, "+more+noCut) +
+			entry("hall", hall, room+"hooks: [read, tick], may: [decline, tag], categories: [book], "+
+				"every: 1s, "+more+noCut) +
 			entry("short", short, room+"hooks: [result], may: [rewrite], categories: [look], "+noCut)
 	}
 	r.service = section("")
@@ -358,13 +381,15 @@
 // A plug-in that takes longer to be ready than it may, and one that writes as fast as it can.
 func TestPluginsNotReadyAndLoud(t *testing.T) {
 	r := prepare(t)
-	r.service = "plugins:\n  memory_mb: 90\n  ready: 2s\n  list:\n" + entry("long", r.module("loops-at-start"), "hooks: [read], start: 20s")
+	r.service = "plugins:\n  memory_mb: 90\n  ready: 2s\n  list:\n" +
+		entry("long", r.module("loops-at-start"), "hooks: [read], start: 20s")
 	r.run()
 	code, log := r.exit()
 	r.Equal(exitFailed, code)
 	r.Contains(log, "were not ready within 2s")
 	r = prepare(t)
-	r.service = plug(entry("loud", r.module("logs-without-end"), "hooks: [read], categories: [look], call: 100ms, share: 0.5, core: 1"))
+	r.service = plug(entry("loud", r.module("logs-without-end"),
+		"hooks: [read], categories: [look], call: 100ms, share: 0.5, core: 1"))
 	r.run()
 	v := r.up(0)
 	c := r.router()
--- a/cmd/thistlequay/races_test.go
+++ b/cmd/thistlequay/races_test.go
@@ -157,7 +157,8 @@
 	r.Empty(r.whole(c.link))
 }
 
-// The notice to leave comes before the interpreter is up: health and directory say so, work is turned away, the end is 0.
+// The notice to leave comes before the interpreter is up: health and directory say so, work is turned away, the end
+// is 0.
 func TestLeavingBeforeTheInterpreterIsUp(t *testing.T) {
 	r := prepare(t)
 	r.run()
@@ -221,7 +222,7 @@
 	go func() { // for SIGHUP
 		if again, err := os.OpenFile(r.path, os.O_WRONLY, 0); err == nil {
 			_, _ = io.WriteString(again, r.config)
-			again.Close()
+			closeQuietly(again)
 		}
 	}()
 	code, log := r.exit()
@@ -248,7 +249,7 @@
 		report(d)
 		if answers {
 			r.say(d, "HTTP/1.1 204 No Content\r\n\r")
-			d.Close()
+			closeQuietly(d)
 		}
 		from := time.Now()
 		d = r.link(r.directory)
@@ -256,15 +257,15 @@
 	}
 	r.Less(least[true], 600*time.Millisecond, "after an answer")
 	r.Less(least[false], 600*time.Millisecond, "after none")
-	r.directory.Listener.Close() // it is gone, and back
-	d.Close()
+	r.NoError(r.directory.Listener.Close()) // it is gone, and back
+	closeQuietly(d)
 	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=dial_failed") }, patience, time.Millisecond)
 	r.NoError(r.directory.Reopen())
 	report(r.link(r.directory))
 }
 
-// A repeat whose router's clock is ahead was written within the window all the same: it shares what ran. A window of 0 is
-// a window, after which a request runs anew.
+// A repeat whose router's clock is ahead was written within the window all the same: it shares what ran. A window of 0
+// is a window, after which a request runs anew.
 func TestRepeatsByClocksThatAreAhead(t *testing.T) {
 	r, v := startWith(t, `"Window":30000.0`, `"Window":300.0`)
 	c := r.router()
@@ -287,7 +288,8 @@
 	v.value(id, "OK", "ran too")
 	c.answered(3, 200, "ran too")
 	ran := time.Now()
-	r.Eventually(func() bool { return time.Since(ran) > 320*time.Millisecond }, patience, time.Millisecond) // the window, from its reading
+	// the window, from its reading
+	r.Eventually(func() bool { return time.Since(ran) > 320*time.Millisecond }, patience, time.Millisecond)
 	book(4, "l", 0)
 	c.answered(4, 200, "ran too")
 }
@@ -331,7 +333,7 @@
 	v := r.up(0)
 	for range 300 {
 		if c, err := net.Dial("tcp", r.listen); err == nil {
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { closeQuietly(c) })
 		}
 	}
 	c := r.router()
@@ -339,8 +341,8 @@
 	r.NotContains(logOf(r), "engine_error")
 }
 
-// A process that is killed leaves its port in TIME_WAIT, as it had ended a connection itself; its next life listens at once,
-// answers health checks while the interpreter is late, and serves once that is up.
+// A process that is killed leaves its port in TIME_WAIT, as it had ended a connection itself; its next life listens at
+// once, answers health checks while the interpreter is late, and serves once that is up.
 func TestAPortInTimeWaitAndALateInterpreter(t *testing.T) {
 	r, v := start(t)
 	c := r.router()
@@ -350,7 +352,7 @@
 	r.NoError(err)
 	c.answered(1, 200, "")
 	r.Empty(r.whole(c.link))
-	c.Close()
+	closeQuietly(c)
 	_, port, _ := net.SplitHostPort(r.listen)
 	number, err := strconv.Atoi(port)
 	r.NoError(err)
@@ -358,7 +360,8 @@
 		text, err := os.ReadFile("/proc/net/tcp")
 		r.NoError(err)
 		for _, line := range strings.Split(string(text), "\n") {
-			if f := strings.Fields(line); len(f) > 3 && strings.HasSuffix(f[1], fmt.Sprintf(":%04X", number)) && f[3] == "06" {
+			if f := strings.Fields(line); len(f) > 3 && strings.HasSuffix(f[1], fmt.Sprintf(":%04X", number)) &&
+				f[3] == "06" {
 				return true
 			}
 		}
@@ -367,7 +370,7 @@
 	r.Eventually(waits, patience, time.Millisecond)
 	r.NoError(r.process.Process.Kill())
 	<-r.ended
-	v.Close()
+	closeQuietly(v)
 	r.True(waits(), "the port is in TIME_WAIT")
 	r.start()
 	c = r.router()
@@ -379,16 +382,17 @@
 	v.serves(c, 3, "once it is up")
 }
 
-// The link to the interpreter is lost under a run, and its window ends meanwhile: a repeat that reached the machine in the
-// window and one that comes after it both wait for that run. One run, one result.
+// The link to the interpreter is lost under a run, and its window ends meanwhile: a repeat that reached the machine in
+// the window and one that comes after it both wait for that run. One run, one result.
 func TestRepeatsAcrossALostLinkAndAShortWindow(t *testing.T) {
 	r, v := startWith(t, `"Window":30000.0`, `"Window":300.0`)
 	c := r.router()
 	id := c.book(1, "k")
 	v.applied(id, "entry k")
 	ran := time.Now()
-	r.Eventually(func() bool { return time.Since(ran) > 120*time.Millisecond }, patience, time.Millisecond) // no APPLY can be lost by now
-	v.Close()
+	// no APPLY can be lost by now
+	r.Eventually(func() bool { return time.Since(ran) > 120*time.Millisecond }, patience, time.Millisecond)
+	closeQuietly(v)
 	v = &vm{r: r, link: r.link(r.vm)}
 	r.Equal(`{"type":"CONNECT","n":0}`, r.line(v.link))
 	c.book(2, "k")
@@ -418,8 +422,8 @@
 	err      error
 }
 
-// A drain with bytes at every moment of it: requests on connections at rest and on new ones, half requests, half records.
-// Whatever was read has one answer, or ran never and ended cleanly; nothing that came after the grace is run.
+// A drain with bytes at every moment of it: requests on connections at rest and on new ones, half requests, half
+// records. Whatever was read has one answer, or ran never and ended cleanly; nothing that came after the grace is run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	r, v := startWith(t, `"sockets":64`, `"sockets":256`)
 	const every, moments = 4 * time.Millisecond, 340 // 1.36 s of the 1.5 s to the stop; the last part is refused
@@ -436,9 +440,11 @@
 				lock.Lock()
 				ran[job[:16]]++
 				lock.Unlock()
-				fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n", v.n, job[:16])
+				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n", v.n,
+					job[:16])
 			} else if _, tag, found := strings.Cut(line, `{"type":"TOP","ref":`); found {
-				fmt.Fprintf(v, `{"type":"TOPS","ref":%s,"gauges":[0.1,1,0.1,3]}`+"\n", strings.TrimSuffix(strings.TrimSpace(tag), "}"))
+				_, _ = fmt.Fprintf(v, `{"type":"TOPS","ref":%s,"gauges":[0.1,1,0.1,3]}`+"\n",
+					strings.TrimSuffix(strings.TrimSpace(tag), "}"))
 			}
 		}
 	}()
@@ -475,7 +481,7 @@
 				if !errors.Is(err, io.EOF) {
 					d.err = err
 				}
-				l.Close()
+				closeQuietly(l)
 				return
 			}
 			lock.Lock()
@@ -514,7 +520,7 @@
 				all = append(all, &drained{kind: kind, refused: true})
 				continue
 			}
-			l.SetDeadline(time.Now().Add(patience))
+			r.NoError(l.SetDeadline(time.Now().Add(patience)))
 			begin(kind, l, i%3 == 0)
 		}
 	}
@@ -561,13 +567,13 @@
 	r.Zero(lost + double + late + reset)
 }
 
-// Clients that ask once or never and stay fill the descriptors while the directory is down: the program's own dials, health
-// checks and routers with work still have their place, and it reports at once when the directory is back.
+// Clients that ask once or never and stay fill the descriptors while the directory is down: the program's own dials,
+// health checks and routers with work still have their place, and it reports at once when the directory is back.
 func TestMeasuredIdleConnections(t *testing.T) {
 	r, v := startWith(t, `"sockets":64`, `"sockets":128`)
 	d := r.link(r.directory)
-	r.directory.Listener.Close()
-	d.Close()
+	r.NoError(r.directory.Listener.Close())
+	closeQuietly(d)
 	idle, served := 0, 0
 	crowd := func(n int) {
 		for i := range n {
@@ -575,7 +581,7 @@
 			if err != nil {
 				continue
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { closeQuietly(c) })
 			switch idle++; i % 4 {
 			case 0: // says nothing
 			case 1:
@@ -584,8 +590,8 @@
 				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil)[:30])
 			case 3:
 				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil))
-				c.Conn.(*net.TCPConn).SetLinger(0)
-				c.Close() // at once, by a reset
+				r.NoError(c.Conn.(*net.TCPConn).SetLinger(0))
+				closeQuietly(c) // at once, by a reset
 			}
 		}
 	}
@@ -601,17 +607,17 @@
 				x := r.called(id)
 				r.say(x, "%s HIT 2\r\nok\r", id)
 				r.Equal("RESOLVE "+id, func() string { o := v.next(); return o.Type + " " + o.Job }())
-				x.Close()
+				closeQuietly(x)
 			}
 			v.value(id, "OK", "done")
 			c.answered(2, 200, "done")
 			served++
-			c.Close()
+			closeQuietly(c)
 		}
 	}
 	crowd(200)
 	work(5)
-	v.Close() // and the link to the interpreter is dialled anew
+	closeQuietly(v) // and the link to the interpreter is dialled anew
 	n := v.n
 	v = &vm{r: r, link: r.link(r.vm), n: n}
 	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.line(v.link))
@@ -625,7 +631,8 @@
 	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.line(d))
 	back := time.Since(from)
 	work(5)
-	fmt.Printf("measured idle connections=%d lost=%d served=%d reregistered_ms=%d source=stand-ins\n", idle, 15-served, served, back.Milliseconds())
+	fmt.Printf("measured idle connections=%d lost=%d served=%d reregistered_ms=%d source=stand-ins\n", idle,
+		15-served, served, back.Milliseconds())
 	r.Equal(15, served)
 	r.Less(back, 3*time.Second) // the lapse; what it is without other loads is printed
 	r.NotContains(logOf(r), "engine_error")
@@ -636,8 +643,8 @@
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
 	g := fleetOf(t, clustertest.Plan{Servers: processes, Seed: 33})
-	g.Directory.Listener.Listener.Close()
-	g.Index.Listener.Listener.Close()
+	g.NoError(g.Directory.Listener.Listener.Close())
+	g.NoError(g.Index.Listener.Listener.Close())
 	ready := func() (in []time.Duration) {
 		begun := make([]time.Time, processes)
 		for i, s := range g.Servers {
@@ -657,17 +664,21 @@
 							time.Sleep(5 * time.Millisecond)
 							continue
 						}
-						c.SetDeadline(time.Now().Add(5 * time.Second))
+						// a connection that failed fails at its next use
+						_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 						if knocker > 0 { // and asks for work, or says nothing
-							_, _ = c.Write(emulator.FastCGIRequest(1, "/rpc/look", "b", fields("0000000000000001"))[:knocker*60])
+							_, _ = c.Write(emulator.FastCGIRequest(1, "/rpc/look", "b",
+								fields("0000000000000001"))[:knocker*60])
 						} else if _, err = c.Write(emulator.FastCGIRequest(1, "/health", "", nil)); err == nil {
 							if a, err := c.ReadResponse(); err == nil && a.Status == 200 {
 								in[i] = time.Since(begun[i])
-								t.Cleanup(func() { c.Close() }) // it stays: its port is in TIME_WAIT, or worse, after the kill
+								// it stays: its port is in TIME_WAIT, or worse, after the kill
+								t.Cleanup(func() { closeQuietly(c) })
 								return
 							}
 						}
-						if c.Close(); knocker > 0 {
+						closeQuietly(c)
+						if knocker > 0 {
 							return
 						}
 					}
@@ -686,7 +697,8 @@
 				within++
 			}
 		}
-		fmt.Printf("measured restart processes=%d start=%s ready_10s=%d ready_all_s=%.2f median_s=%.2f source=stand-ins\n", processes, name, within,
+		fmt.Printf("measured restart processes=%d start=%s ready_10s=%d ready_all_s=%.2f median_s=%.2f "+
+			"source=stand-ins\n", processes, name, within,
 			in[processes-1].Seconds(), in[processes/2].Seconds())
 		g.GreaterOrEqual(within, processes*9/10)
 		g.Positive(in[0], "one was never ready")
--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -21,23 +21,29 @@
 	"thistlequay/internal/quota/service"
 )
 
-// sharingFleet is processes with a limit of calls in hand over all of them; without slots each keeps to a part of its own.
-func sharingFleet(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string) *together {
+// sharingFleet is processes with a limit of calls in hand over all of them; without slots each keeps to a part of its
+// own.
+func sharingFleet(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
+	more string) *together {
 	return sharingFleetOf(t, servers, slots, calls, part, seed, delay, more, func([]*clustertest.Server) {})
 }
 
 // sharingFleetOf is sharingFleet with a change to the servers before they are started.
-func sharingFleetOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration, more string, prepare func([]*clustertest.Server)) *together {
+func sharingFleetOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
+	more string, prepare func([]*clustertest.Server)) *together {
 	index, err := emulator.NewIndex()
 	require.NoError(t, err)
 	index.ReplyDelay = delay
 	var of map[string]any
-	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`, fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
-		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(settings)), &of))
+	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`,
+		fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
+		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`,
+		`"HardLimit":2000.0`).Replace(settings)), &of))
 	p := clustertest.Plan{Servers: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
 	if slots > 0 {
 		p.ServiceYAML = func(s *clustertest.Server) string {
-			return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", calls, slots) + strings.ReplaceAll(more, "{name}", s.Name)
+			return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", calls, slots) +
+				strings.ReplaceAll(more, "{name}", s.Name)
 		}
 	}
 	g := fleetOf(t, p)
@@ -98,16 +104,20 @@
 				return
 			default:
 			}
-			o := g.Play(clustertest.Traffic{Routers: 6, RequestsPerSecond: rate, Length: time.Second, WorkMs: 2, SoftDeadline: time.Second, Deadline: 2 * time.Second,
-				IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: func(time.Duration) []*clustertest.Server { return list() }})
-			sum.Requested, sum.OnTime, sum.PastDeadline = sum.Requested+o.Requested, sum.OnTime+o.OnTime, sum.PastDeadline+o.PastDeadline
+			o := g.Play(clustertest.Traffic{Routers: 6, RequestsPerSecond: rate, Length: time.Second, WorkMs: 2,
+				SoftDeadline: time.Second, Deadline: 2 * time.Second,
+				IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1,
+				EndpointsAt: func(time.Duration) []*clustertest.Server { return list() }})
+			sum.Requested += o.Requested
+			sum.OnTime += o.OnTime
+			sum.PastDeadline += o.PastDeadline
 		}
 	}()
 	return func() clustertest.Tally { close(over); return <-done }
 }
 
-// What happens to leaders, voters, holders and the whole, under a load that wants more than there is: the index never has more
-// in hand than the whole, by its own count.
+// What happens to leaders, voters, holders and the whole, under a load that wants more than there is: the index never
+// has more in hand than the whole, by its own count.
 func TestSharesThroughFaults(t *testing.T) {
 	t.Parallel()
 	const calls = 20
@@ -117,7 +127,8 @@
 	serving := func(of []*clustertest.Server) { lock.Lock(); list = of; lock.Unlock() }
 	g.share("grants", all, granted)
 	end := g.load(600, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
-	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, patience, 100*time.Millisecond, "the load asks for too little")
+	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, patience, 100*time.Millisecond,
+		"the load asks for too little")
 	over, peaks := 0, 0
 	within := func(what string, whole int) {
 		peak := g.Index.PeakInFlight()
@@ -141,7 +152,8 @@
 	g.share("it is back", all, granted)
 	within("leader back", calls)
 
-	// The leader stands still for five seconds and goes on, then a holder with calls in hand, across the end of its grant.
+	// The leader stands still for five seconds and goes on, then a holder with calls in hand, across the end of its
+	// grant.
 	leader = g.leader(all)
 	serving(without(all, leader))
 	g.NoError(leader.Signal(syscall.SIGSTOP))
@@ -180,7 +192,8 @@
 	for _, s := range all {
 		g.NoError(s.ReloadWithKeys(clustertest.Key))
 	}
-	g.share("a lowered whole", []*clustertest.Server{g.leader(all)}, func(r service.Status) bool { return r.Limits[0].Total == float64(half) })
+	g.share("a lowered whole", []*clustertest.Server{g.leader(all)},
+		func(r service.Status) bool { return r.Limits[0].Total == float64(half) })
 	within("lowered", calls)
 	time.Sleep(500 * time.Millisecond) // calls that were begun before come to their ends
 	g.Index.PeakInFlight()
@@ -208,7 +221,8 @@
 	again := g.share("after all died", all, granted)
 	within("all restarted", calls)
 	o := end()
-	t.Logf("measured shares-faults servers=5 whole=%d over=%d peak=%d asked=%d in_time=%d late=%d granted_again_ms=%d", calls, over, peaks, o.Requested, o.OnTime, o.PastDeadline, again.Milliseconds())
+	t.Logf("measured shares-faults servers=5 whole=%d over=%d peak=%d asked=%d in_time=%d late=%d "+
+		"granted_again_ms=%d", calls, over, peaks, o.Requested, o.OnTime, o.PastDeadline, again.Milliseconds())
 	g.Zero(over)
 	g.Greater(o.OnTime, o.Requested/10)
 
@@ -230,12 +244,15 @@
 	return 0
 }
 
-// What shares win where the index that all share is the limit: beside fixed parts reckoned from the settings, and beside no limit
-// at all. On each day calls beyond the whole make all calls slower, by the square of how many they are.
+// What shares win where the index that all share is the limit: beside fixed parts reckoned from the settings, and
+// beside no limit at all. On each day calls beyond the whole make all calls slower, by the square of how many they
+// are.
 func TestMeasuredSharesGain(t *testing.T) {
 	length, names, ways := 10*time.Second, []string{"uneven"}, []string{"shares", "fixed"}
 	if os.Getenv("MEASURE") == "full" {
-		length, names, ways = 14*time.Second, strings.Fields(cmp.Or(os.Getenv("DAYS"), "steady uneven killed split growing")), []string{"shares", "fixed", "none"}
+		length, names, ways = 14*time.Second,
+			strings.Fields(cmp.Or(os.Getenv("DAYS"), "steady uneven killed split growing")),
+			[]string{"shares", "fixed", "none"}
 	}
 	const calls, delay = 24, 50 * time.Millisecond
 	for n, name := range names {
@@ -251,13 +268,16 @@
 			}
 			gain[how] = sharesDay(t, name, how, servers, begun, slots, calls, delay, length, int64(20+n))
 		}
-		t.Logf("measured shares-gain day=%s whole=%d in_time_shares=%.3f in_time_fixed=%.3f in_time_none=%.3f", name, calls, gain["shares"], gain["fixed"], gain["none"])
+		t.Logf("measured shares-gain day=%s whole=%d in_time_shares=%.3f in_time_fixed=%.3f in_time_none=%.3f", name,
+			calls, gain["shares"], gain["fixed"], gain["none"])
 		require.Greater(t, gain["shares"], gain["fixed"]*0.9, name)
 	}
 }
 
-// sharesDay plays one day and gives the part that was served in time after its trouble has begun, of what the index could do.
-func sharesDay(t *testing.T, name, how string, servers, begun, slots, calls int, delay, length time.Duration, seed int64) float64 {
+// sharesDay plays one day and gives the part that was served in time after its trouble has begun, of what the index
+// could do.
+func sharesDay(t *testing.T, name, how string, servers, begun, slots, calls int, delay, length time.Duration,
+	seed int64) float64 {
 	part := float64(calls) / float64(begun)
 	if how == "none" {
 		part = 1e6
@@ -267,7 +287,9 @@
 	g.Index.SlowdownThreshold = calls
 	all := slices.Clone(g.Servers)
 	if how == "shares" {
-		g.share("grants", all, func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere >= 1 })
+		g.share("grants", all, func(r service.Status) bool {
+			return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere >= 1
+		})
 	}
 	able := float64(calls) / delay.Seconds()
 	lists := func(at time.Duration) []*clustertest.Server { return all }
@@ -307,14 +329,16 @@
 				s.Interpreter.CallProbability = 1
 			}
 			if how == "shares" { // routers hear of them once they are members with a grant
-				g.share("newcomers", g.CurrentServers(), func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
+				g.share("newcomers", g.CurrentServers(),
+					func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
 			}
 			lock.Lock()
 			now = g.CurrentServers()
 			lock.Unlock()
 		}
 	}
-	o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: rate, Length: length, WorkMs: 2, SoftDeadline: time.Second, Deadline: 2 * time.Second,
+	o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: rate, Length: length, WorkMs: 2,
+		SoftDeadline: time.Second, Deadline: 2 * time.Second,
 		IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 2, EndpointsAt: lists, Actions: trouble})
 	served := 0.0
 	late := o.OnTimeShareBySecond[len(o.OnTimeShareBySecond)/2 : len(o.OnTimeShareBySecond)-1]
@@ -322,7 +346,8 @@
 		served += part / float64(len(late))
 	}
 	peak := g.Index.PeakInFlight()
-	t.Logf("measured shares-day day=%s how=%s servers=%d in_time=%.3f declined=%d failed=%d peak=%d whole=%d late=%d lost=%d", name, how, begun, served, o.Rejected, o.Failed, peak, calls, o.PastDeadline, o.Unanswered)
+	t.Logf("measured shares-day day=%s how=%s servers=%d in_time=%.3f declined=%d failed=%d peak=%d whole=%d "+
+		"late=%d lost=%d", name, how, begun, served, o.Rejected, o.Failed, peak, calls, o.PastDeadline, o.Unanswered)
 	if how == "shares" {
 		require.LessOrEqual(t, peak, calls)
 	}
@@ -331,11 +356,12 @@
 	return served
 }
 
-// Named keepers with a disk: one whose file is cut short, one whose directory is gone and one that is killed come back, each as
-// what it can prove to be, and the log goes on with what was agreed on.
+// Named keepers with a disk: one whose file is cut short, one whose directory is gone and one that is killed come
+// back, each as what it can prove to be, and the log goes on with what was agreed on.
 func TestKeepersWithADisk(t *testing.T) {
 	t.Parallel()
-	g := sharingFleet(t, 4, 4, 12, 3, 9, 30*time.Millisecond, "  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n")
+	g := sharingFleet(t, 4, 4, 12, 3, 9, 30*time.Millisecond,
+		"  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n")
 	all := slices.Clone(g.Servers)
 	g.share("grants", all, granted)
 	directory := func(s *clustertest.Server) string { return filepath.Join(g.WorkDirectory, "keeper-"+s.Name) }
@@ -350,7 +376,8 @@
 		return r.Voter
 	}
 	g.ServiceYAML = func(s *clustertest.Server) string {
-		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n", s.Name)
+		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n",
+			s.Name)
 	}
 	killed, torn, gone := all[0], all[1], all[2]
 	for _, one := range []struct {
@@ -396,8 +423,8 @@
 	}
 }
 
-// Tenants' parts over the fleet: acme asks at one server of three (of twelve with MEASURE=full: at four), beta at all, both for
-// more than there is. Each gets what it is entitled to over the fleet, where its server has so much.
+// Tenants' parts over the fleet: acme asks at one server of three (of twelve with MEASURE=full: at four), beta at all,
+// both for more than there is. Each gets what it is entitled to over the fleet, where its server has so much.
 func TestMeasuredTenantsOverTheFleet(t *testing.T) {
 	servers, length := 3, 12*time.Second
 	if os.Getenv("MEASURE") == "full" {
@@ -411,9 +438,11 @@
 		parts := map[bool]float64{}
 		for _, talk := range ways {
 			var of map[string]any
-			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`, twoTenants(day.acme, 1-day.acme), `"Servers":3`,
+			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`,
+				twoTenants(day.acme, 1-day.acme), `"Servers":3`,
 				fmt.Sprintf(`"Servers":%d`, servers)).Replace(settings)), &of))
-			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of, ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
+			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of,
+				ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
 			for _, s := range g.Servers {
 				g.NoError(s.Start())
 			}
@@ -432,11 +461,14 @@
 				both.Add(1)
 				go func() {
 					defer both.Done()
-					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6, RequestsPerSecond: rate * float64(len(of)), Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
-						Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
+					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6,
+						RequestsPerSecond: rate * float64(len(of)), Length: length, WorkMs: 40,
+						SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, IdempotentCategory: "look",
+						KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
 					lock.Lock()
 					defer lock.Unlock()
-					// By when the answers came: by when the work did, what is held comes and goes for some seconds each way.
+					// By when the answers came: by when the work did, what is held comes and goes for some seconds
+					// each way.
 					for _, done := range o.OnTimeBySecond[int(length/time.Second)/3 : int(length/time.Second)] {
 						served[tenant] += float64(done)
 					}
@@ -446,14 +478,16 @@
 			parts[talk] = served["acme"] / (served["acme"] + served["beta"])
 			g.Close()
 		}
-		t.Logf("measured tenants-fleet servers=%d share=%.2f entitled=%.3f part_alone=%.3f part_together=%.3f", servers, day.acme, day.entitled, parts[false], parts[true])
+		t.Logf("measured tenants-fleet servers=%d share=%.2f entitled=%.3f part_alone=%.3f part_together=%.3f",
+			servers, day.acme, day.entitled, parts[false], parts[true])
 		require.InDelta(t, day.entitled, parts[true], 0.03)
 	}
 }
 
-// The fleet changes under a load that wants more than there is: half of it is replaced within seconds, it doubles and shrinks
-// back, one server asks for everything, and more than half of the keepers stand still while all ask. Never is more in hand at the
-// index than the whole; without agreement all live on their floors, and after it all have grants again.
+// The fleet changes under a load that wants more than there is: half of it is replaced within seconds, it doubles and
+// shrinks back, one server asks for everything, and more than half of the keepers stand still while all ask. Never is
+// more in hand at the index than the whole; without agreement all live on their floors, and after it all have grants
+// again.
 func TestSharesAsTheFleetChanges(t *testing.T) {
 	t.Parallel()
 	const calls = 24
@@ -508,7 +542,8 @@
 	g.share("as many as before", now, granted)
 	within("shrunk")
 	serving(now[:1]) // it asks for everything
-	g.share("one takes what the others leave", now[:1], func(r service.Status) bool { return r.Limits[0].UsableHere > calls/3 })
+	g.share("one takes what the others leave", now[:1],
+		func(r service.Status) bool { return r.Limits[0].UsableHere > calls/3 })
 	within("greedy")
 	serving(now)
 	g.sees("four are agreed on", now, settled(4))
--- a/cmd/thistlequay/socket_test.go
+++ b/cmd/thistlequay/socket_test.go
@@ -117,7 +117,7 @@
 	lost := r.router()
 	id = lost.look(1, "lost")
 	v.applied(id, "lost")
-	lost.Close()
+	closeQuietly(lost)
 	o = v.next()
 	r.Equal("BREAK "+id, o.Type+" "+o.Job)
 	v.value(id, "MOOT", "")
@@ -187,7 +187,7 @@
 	v.applied(look, "1")
 	book := c.book(2, "k")
 	v.applied(book, "entry k")
-	v.Close()
+	closeQuietly(v)
 	back := &vm{r: r, link: r.link(r.vm), n: 0}
 	r.Equal(`{"type":"CONNECT","n":0}`, r.line(back.link))
 	waits := c.brief(3)
@@ -218,7 +218,7 @@
 	book := c.book(2, "k")
 	v.applied(book, "entry k")
 	n := v.n
-	v.Close()
+	closeQuietly(v)
 	v = r.up(n)
 	v.n = n
 	again := map[string]bool{}
@@ -251,7 +251,7 @@
 	for _, s := range []**standIn{&r.vm, &r.index, &r.directory} {
 		to := r.standIn()
 		r.config = strings.Replace(r.config, (*s).Address, to.Address, 1)
-		(*s).Listener.Close()
+		r.NoError((*s).Listener.Close())
 		*s = to
 	}
 	r.configure()
@@ -300,7 +300,7 @@
 	for _, reply := range []string{"SHED", "NOBODY", "SLOW"} {
 		x := r.called(id) // never the connection that a second copy could come on
 		r.say(x, "%s %s\r", id, reply)
-		x.Close() // closed while it rests
+		closeQuietly(x) // closed while it rests
 	}
 	c.answered(1, 500, "")
 	c.book(3, "k") // shares a run that waits at a call, and ends as it does
@@ -335,7 +335,7 @@
 
 func TestAnIndexThatIsDown(t *testing.T) {
 	r, v := start(t)
-	r.index.Listener.Close()
+	r.NoError(r.index.Listener.Close())
 	c := r.router()
 	id := c.brief(1)
 	v.applied(id, "b")
@@ -367,8 +367,8 @@
 	report("open")
 	d = r.link(r.directory) // the last report was not answered: a new connection
 	report("open")
-	r.directory.Listener.Close()
-	d.Close()
+	r.NoError(r.directory.Listener.Close())
+	closeQuietly(d)
 	c := r.router()
 	v.serves(c, 1, "without a directory")
 }
@@ -379,12 +379,13 @@
 	id := good.look(1, "good")
 	v.applied(id, "good")
 	for _, data := range []string{"GET / HTTP/1.1\r\n\r\n", string(fcgi(5, 1, "x")[:4]) + "\xff\xff\x00\x00",
-		string(fcgi(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00")) + string(fcgi(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00"))} {
+		string(fcgi(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00")) +
+			string(fcgi(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00"))} {
 		bad := r.router()
 		_, err := bad.Write([]byte(data))
 		r.NoError(err)
 		if data[0] == 1 && len(data) == 8 { // of no open request: passed over until it ends
-			bad.Close()
+			closeQuietly(bad)
 			continue
 		}
 		bad.over()
@@ -461,7 +462,8 @@
 			}
 			if _, job, found := strings.Cut(line, `{"type":"APPLY","job":"`); found {
 				v.n++
-				fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n", v.n, job[:16])
+				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n", v.n,
+					job[:16])
 			}
 		}
 	}()
@@ -544,7 +546,8 @@
 	half.answered(7, 408, "")
 	half.over()
 	c.answered(7, 408, "")
-	huge := bytes.Join([][]byte{fcgi(1, 8, "\x00\x01\x01\x00\x00\x00\x00\x00"), fcgi(4, 8, ""), fcgi(5, 8, strings.Repeat("x", 9000))}, nil)
+	huge := bytes.Join([][]byte{fcgi(1, 8, "\x00\x01\x01\x00\x00\x00\x00\x00"), fcgi(4, 8, ""),
+		fcgi(5, 8, strings.Repeat("x", 9000))}, nil)
 	_, err := c.Write(huge)
 	r.NoError(err)
 	c.answered(8, 413, "") // not when the last byte has come
@@ -592,7 +595,7 @@
 	}
 	taken, err := net.Listen("tcp", r.listen)
 	r.NoError(err)
-	defer taken.Close()
+	defer closeQuietly(taken)
 	r.config = good
 	r.run()
 	code, log := r.exit()
--- a/cmd/thistlequay/standins_test.go
+++ b/cmd/thistlequay/standins_test.go
@@ -75,15 +75,15 @@
 func (r *rig) standIn() *standIn {
 	s, err := emulator.Listen()
 	r.NoError(err)
-	r.t.Cleanup(func() { s.Close() })
+	r.t.Cleanup(func() { closeQuietly(s) })
 	return s
 }
 
 func (r *rig) link(s *standIn) *link {
 	select {
 	case l := <-s.Links:
-		l.SetDeadline(time.Now().Add(patience))
-		r.t.Cleanup(func() { l.Close() })
+		r.NoError(l.SetDeadline(time.Now().Add(patience)))
+		r.t.Cleanup(func() { closeQuietly(l) })
 		return l
 	case <-time.After(patience):
 		r.FailNow("no link came")
@@ -159,9 +159,12 @@
 	process.Stdout, process.Stderr = log, log
 	r.NoError(process.Start())
 	r.process, r.log, r.ended = process, log, ended
-	go func() { process.Wait(); close(ended) }()
+	go func() {
+		_ = process.Wait() // the exit code is read from ProcessState
+		close(ended)
+	}()
 	r.t.Cleanup(func() {
-		process.Process.Signal(syscall.SIGKILL)
+		_ = process.Process.Signal(syscall.SIGKILL) // it fails where the process has ended
 		<-ended
 		if r.t.Failed() {
 			r.t.Log(log.String())
@@ -171,6 +174,10 @@
 	})
 }
 
+// closeQuietly closes a connection, listener or file whose end no test looks at. An error is passed over: the other
+// side, or the test itself, may have closed it before.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
 // lines is a log that is read while it is written.
 type lines = clustertest.LogBuffer
 
@@ -217,7 +224,7 @@
 	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.line(v.link))
 	r.say(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
 	c := r.router()
-	defer c.Close()
+	defer closeQuietly(c)
 	r.Eventually(func() bool { // the free value is said once the module has decided
 		c.ask(1, "/health", "", nil)
 		_, _, headers, _ := c.answer()
@@ -269,8 +276,8 @@
 		c, err = net.Dial("tcp", r.listen)
 		return err == nil
 	}, patience, 5*time.Millisecond)
-	c.SetDeadline(time.Now().Add(patience))
-	r.t.Cleanup(func() { c.Close() })
+	r.NoError(c.SetDeadline(time.Now().Add(patience)))
+	r.t.Cleanup(func() { closeQuietly(c) })
 	return &router{r, emulator.NewLink(c)}
 }
 
