--- a/cmd/thistlequay/command_test.go
+++ b/cmd/thistlequay/command_test.go
@@ -33,7 +33,7 @@
 
 // Every fault of both files at once, each with its place.
 func TestCheck(t *testing.T) {
-	r := prepare(t)
+	r := newTestServer(t)
 	json, yaml := filepath.Join(t.TempDir(), "c.json"), filepath.Join(t.TempDir(), "s.yaml")
 	check := func(config, service string) (int, string) {
 		require.NoError(t, os.WriteFile(json, []byte(config), 0o600))
@@ -63,9 +63,9 @@
 }
 
 func TestJSONLog(t *testing.T) {
-	r := prepare(t)
+	r := newTestServer(t)
 	r.args = []string{"serve", "--log", "json"}
-	r.run()
-	r.up(0)
-	r.Contains(logOf(r), `"event":"listening","name":"n3"`)
+	r.writeFilesAndStart()
+	r.acceptInterpreter(0)
+	r.Contains(logText(r), `"event":"listening","name":"n3"`)
 }
--- a/cmd/thistlequay/fleet_test.go
+++ b/cmd/thistlequay/fleet_test.go
@@ -25,31 +25,31 @@
 	if os.Getenv("MEASURE") == "full" {
 		servers, length = 16, 30*time.Second
 	}
-	half := func(g *together) []*clustertest.Server { return g.Servers[:len(g.Servers)/2] }
+	half := func(g *testCluster) []*clustertest.Server { return g.Servers[:len(g.Servers)/2] }
 	days := []struct {
 		name    string
 		least   float64 // of what was asked, to be served in time
-		prepare func(g *together)
-		load    func(g *together, t *clustertest.Traffic)
+		prepare func(g *testCluster)
+		load    func(g *testCluster, t *clustertest.Traffic)
 	}{
-		{"cold-together", 0.4, func(g *together) {
+		{"cold-together", 0.4, func(g *testCluster) {
 			for _, s := range g.Servers {
 				s.Interpreter.ReportsCold = true
 			}
 		}, nil},
-		{"routers-reconnect", 0.8, nil, func(_ *together, t *clustertest.Traffic) {
+		{"routers-reconnect", 0.8, nil, func(_ *testCluster, t *clustertest.Traffic) {
 			t.Actions[length/2] = func(r *clustertest.Routers) { r.Reconnect(0.7) }
 		}},
-		{"directory-gone", 0.9, nil, func(g *together, t *clustertest.Traffic) {
+		{"directory-gone", 0.9, nil, func(g *testCluster, t *clustertest.Traffic) {
 			t.Actions[length/4] = func(*clustertest.Routers) { closeQuietly(g.Directory.Listener.Listener) }
 			t.Actions[length*3/4] = func(*clustertest.Routers) { _ = g.Directory.Reopen() }
 		}},
-		{"one-in-eight-slow", 0.7, func(g *together) {
+		{"one-in-eight-slow", 0.7, func(g *testCluster) {
 			for i := 0; i < len(g.Servers); i += 8 {
 				g.Servers[i].Interpreter.Inspect(func(v *emulator.Interpreter) { v.Cores.Count = 0.2 })
 			}
 		}, nil},
-		{"late-lists", 0.5, nil, func(g *together, t *clustertest.Traffic) {
+		{"late-lists", 0.5, nil, func(g *testCluster, t *clustertest.Traffic) {
 			gone := g.Servers[0]
 			t.Actions[length/2] = func(r *clustertest.Routers) { r.Kill(gone) }
 			t.EndpointsAt = func(at time.Duration) []*clustertest.Server { // two seconds late
@@ -59,13 +59,13 @@
 				return g.Servers
 			}
 		}},
-		{"index-short", 0.3, func(g *together) {
+		{"index-short", 0.3, func(g *testCluster) {
 			g.Index.ReplyDelay, g.Index.MaxInFlight = 40*time.Millisecond, 4
 			for _, s := range g.Servers {
 				s.Interpreter.CallProbability = 0.8
 			}
 		}, nil},
-		{"half-leave", 0.5, nil, func(g *together, t *clustertest.Traffic) {
+		{"half-leave", 0.5, nil, func(g *testCluster, t *clustertest.Traffic) {
 			t.Actions[length/2] = func(*clustertest.Routers) {
 				for _, s := range half(g) {
 					_ = s.Signal(syscall.SIGTERM)
@@ -81,14 +81,14 @@
 	}
 	for n, day := range days {
 		t.Run(day.name, func(t *testing.T) {
-			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: int64(n + 1)})
+			g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: int64(n + 1)})
 			if day.prepare != nil {
 				day.prepare(g)
 			}
 			for _, s := range g.Servers {
 				g.NoError(s.Start())
 			}
-			g.up(g.Servers)
+			g.waitUntilServing(g.Servers)
 			// Some half of what the cores can do, two a server.
 			traffic := clustertest.Traffic{Routers: 10, RequestsPerSecond: float64(servers) * 2 / 0.04 * 0.5,
 				Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
@@ -121,7 +121,7 @@
 // What build makes is linked against the C library, and what run leaves is one process that starts no other and opens
 // no file for writing.
 func TestDeployFile(t *testing.T) {
-	r := prepare(t)
+	r := newTestServer(t)
 	root, err := filepath.Abs("../..")
 	r.NoError(err)
 	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
@@ -150,14 +150,14 @@
 	r.True(slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }))
 	r.Equal("exec bin/thistlequay", value("run"))
 	r.path = filepath.Join(folder, "config.json")
-	r.configure()
+	r.writeFiles()
 	run := exec.Command("/bin/sh", "-c", value("run"))
-	run.Dir, run.Stderr = folder, &lines{}
+	run.Dir, run.Stderr = folder, &logBuffer{}
 	run.Env = append(os.Environ(), "PROXY_CONFIG="+r.path, "TMPDIR="+t.TempDir())
 	r.NoError(run.Start())
 	defer func() { _ = run.Process.Kill(); _ = run.Wait() }()
-	v := &vm{r: r, link: r.link(r.vm)}
-	r.line(v.link)
+	v := &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
+	r.readLine(v.link)
 	if runtime.GOOS != "linux" {
 		return
 	}
--- a/cmd/thistlequay/golden_test.go
+++ b/cmd/thistlequay/golden_test.go
@@ -21,21 +21,24 @@
 	"thistlequay/internal/segmentlog"
 )
 
-// outputs runs commands and writes down their exit codes and what they print.
-type outputs struct {
+// commandOutputs runs commands and writes down their exit codes and what they print.
+type commandOutputs struct {
 	bytes.Buffer
 	t   *testing.T
 	dir string
 }
 
-func (o *outputs) file(name, text string) string {
+// writeFile writes an input file into the folder and gives its path.
+func (o *commandOutputs) writeFile(name, text string) string {
+	o.t.Helper()
 	path := filepath.Join(o.dir, name)
 	require.NoError(o.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// run gives what a command prints, without what differs from run to run: the folder, addresses of servers and times.
-func (o *outputs) run(args ...string) string {
+// runCommand gives what a command prints, without what differs from run to run: the folder, server addresses and times.
+func (o *commandOutputs) runCommand(args ...string) string {
+	o.t.Helper()
 	var out, errs bytes.Buffer
 	code := runCommandLine(args, &out, &errs)
 	line := strings.ReplaceAll(strings.Join(args, " "), o.dir, "DIR")
@@ -45,33 +48,36 @@
 	return regexp.MustCompile(`"(took_us|memory_kb)":\d+`).ReplaceAllString(printed, `"$1":0`)
 }
 
-// check writes down the faults of files, by their text: some come in no fixed order.
-func (o *outputs) check(files ...string) {
-	lines := strings.Split(strings.TrimSpace(o.run(append([]string{"check"}, files...)...)), "\n")
+// runCheck writes down the diagnostics of files sorted by their text: some come in no fixed order.
+func (o *commandOutputs) runCheck(files ...string) {
+	o.t.Helper()
+	lines := strings.Split(strings.TrimSpace(o.runCommand(append([]string{"check"}, files...)...)), "\n")
 	slices.Sort(lines)
 	fmt.Fprintln(&o.Buffer, strings.Join(lines, "\n"))
 }
 
-// numbers writes down the whole numbers of a text for people, but those of spans of time.
-func (o *outputs) numbers(text string) {
+// writeNumbers writes down the whole numbers of a text for people, without durations.
+func (o *commandOutputs) writeNumbers(text string) {
+	o.t.Helper()
 	text = regexp.MustCompile(`-?[\d.]+(h|m|s|ms|µs)([\d.]+(m|s))*\b`).ReplaceAllString(text, "")
 	fmt.Fprintln(&o.Buffer, regexp.MustCompile(`\b\d+\b`).FindAllString(text, -1))
 }
 
 const goldenConfig = `{"name":"n3","listen":"127.0.0.1:8443","vm":"127.0.0.1:1","lookup":"127.0.0.1:2",` +
 	`"index":"127.0.0.1:3","seed":"8c1f30d27a5be964",
-"stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":` + settings + "}"
+"stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":` + platformSettings + "}"
 
 // What people and tools read of each command, as far as it hangs on nothing but its input.
 func TestGoldenOutputs(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
-	o := &outputs{t: t, dir: t.TempDir()}
-	good := o.file("good.json", goldenConfig)
-	own := o.file("own.yaml", "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
-	o.check(good, own)
-	o.check(good, o.file("other.yml", "fair_queues:\n  tenants: [{name: amce, share: 1}, {name: beta, share: 1}]\n"+
-		"shares: {calls: 1, slots: 2}\n"))
-	o.check(own, o.file("strange.toml", ""), filepath.Join(o.dir, "none.json"))
+	o := &commandOutputs{t: t, dir: t.TempDir()}
+	good := o.writeFile("good.json", goldenConfig)
+	own := o.writeFile("own.yaml", "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
+	o.runCheck(good, own)
+	o.runCheck(good, o.writeFile("other.yml",
+		"fair_queues:\n  tenants: [{name: amce, share: 1}, {name: beta, share: 1}]\n"+
+			"shares: {calls: 1, slots: 2}\n"))
+	o.runCheck(own, o.writeFile("strange.toml", ""), filepath.Join(o.dir, "none.json"))
 	for i, change := range [][]string{
 		{`"by_key"`, `"by_kye"`, `"sockets":64`, `"sockets":4`, `"name":"n3"`, `"name":""`},
 		{`"stop_ms":1500`, `"stop_ms":-1`, `"cores":1.0`, `"cores":0`, `"memory_mb":192`, `"memory_mb":8`, `:8443`,
@@ -82,7 +88,7 @@
 		{`"seed"`, `"seed":"","seed"`}, {`"limits":{`, `"limits":null,"l":{`},
 	} {
 		require.Contains(t, goldenConfig, change[0])
-		o.check(o.file(fmt.Sprintf("bad%d.json", i), strings.NewReplacer(change...).Replace(goldenConfig)))
+		o.runCheck(o.writeFile(fmt.Sprintf("bad%d.json", i), strings.NewReplacer(change...).Replace(goldenConfig)))
 	}
 
 	answers := map[string]string{
@@ -103,28 +109,29 @@
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	o.WriteString(o.run("members", "--json", address))
-	o.WriteString(o.run("shares", "--json", address))
-	o.run("shares")
+	o.WriteString(o.runCommand("members", "--json", address))
+	o.WriteString(o.runCommand("shares", "--json", address))
+	o.runCommand("shares")
 
 	for _, kind := range []string{"good", "other-version", "foreign", "truncated"} {
-		o.run("plugin", "check", o.file(kind+".wasm", string(emulator.PluginModule(kind))))
+		o.runCommand("plugin", "check", o.writeFile(kind+".wasm", string(emulator.PluginModule(kind))))
 	}
 	for _, hook := range []string{"read", "result", "tick", "none"} {
-		request := o.file(hook+"-request.json",
+		request := o.writeFile(hook+"-request.json",
 			fmt.Sprintf(`{"hook":%q,"left_ms":500,"category":"look","tenant":"acme","tag":"t","body":"a long body"}`,
 				hook))
 		for _, kind := range []string{"good", "declines", "recategorise", "tags", "shortens", "status-9999"} {
-			o.WriteString(o.run("plugin", "run", "--call", "2s", "--request", request,
-				o.file(kind+".wasm", string(emulator.PluginModule(kind)))))
+			o.WriteString(o.runCommand("plugin", "run", "--call", "2s", "--request", request,
+				o.writeFile(kind+".wasm", string(emulator.PluginModule(kind)))))
 		}
 	}
-	o.store()
+	o.runStoreCommands()
 	golden.Check(t, "outputs.txt", o.Bytes())
 }
 
-// store writes a store and has it inspected, verified, made small, and verified again with a byte that has changed.
-func (o *outputs) store() {
+// runStoreCommands writes a store and has it inspected, verified, compacted, and verified again with one byte changed.
+func (o *commandOutputs) runStoreCommands() {
+	o.t.Helper()
 	directory := filepath.Join(o.dir, "store")
 	files, err := segmentlog.OpenDirectory(directory)
 	require.NoError(o.t, err)
@@ -147,20 +154,21 @@
 		s.AppendCompletion(r, r.Attempt+10)
 		<-done
 	}
-	o.run("store", "compact", directory)
+	o.runCommand("store", "compact", directory)
 	s.Close()
 	<-s.Done()
 	require.NoError(o.t, files.Close())
-	o.numbers(o.run("store", "inspect", "--all", "--window", "60s", "--doubt", time.Minute.String(), directory))
-	o.numbers(o.run("store", "verify", directory))
-	o.numbers(o.run("store", "compact", directory))
-	o.numbers(o.run("store", "inspect", directory))
+	o.writeNumbers(o.runCommand("store", "inspect", "--all", "--window", "60s", "--doubt", time.Minute.String(),
+		directory))
+	o.writeNumbers(o.runCommand("store", "verify", directory))
+	o.writeNumbers(o.runCommand("store", "compact", directory))
+	o.writeNumbers(o.runCommand("store", "inspect", directory))
 	segments, err := filepath.Glob(filepath.Join(directory, "*.seg"))
 	require.NoError(o.t, err)
 	text, err := os.ReadFile(segments[0])
 	require.NoError(o.t, err)
 	text[len(text)/2] ^= 1
 	require.NoError(o.t, os.WriteFile(segments[0], text, 0o600))
-	o.run("store", "verify", directory)
-	o.run("store", "verify", filepath.Join(o.dir, "nowhere"))
+	o.runCommand("store", "verify", directory)
+	o.runCommand("store", "verify", filepath.Join(o.dir, "nowhere"))
 }
--- a/cmd/thistlequay/hostile_test.go
+++ b/cmd/thistlequay/hostile_test.go
@@ -18,12 +18,12 @@
 // holds.
 func TestPeersAndALiar(t *testing.T) {
 	t.Parallel()
-	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 8, Gossip: true, ConfiguredServers: 4})
+	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 8, Gossip: true, ConfiguredServers: 4})
 	all, home := g.Servers, g.Servers[:4]
 	for _, s := range home {
 		g.NoError(s.Start())
 	}
-	g.sees("four are there", home, settled(4))
+	g.waitForView("four are there", home, agreedOn(4))
 	listen, advertise, err := all[4].GossipAddresses()
 	g.NoError(err)
 	key, err := base64.StdEncoding.DecodeString(clustertest.Key)
@@ -36,7 +36,7 @@
 	g.NoError(err)
 	defer liar.Close()
 	liar.SetLocalState(gossip.LocalState{State: membership.StateServing})
-	g.sees("it is one of them", home, is("liar", "serving"))
+	g.waitForView("it is one of them", home, memberIs("liar", "serving"))
 	before, err := all[1].View()
 	g.NoError(err)
 	var victim, target membership.Member
@@ -70,13 +70,13 @@
 			g.NoError(liar.SendRaw(target.ID, target.Address, kind, m))
 		}
 	}
-	g.sees("the lies were counted", all[1:2], func(r gossip.Status) bool {
+	g.waitForView("the lies were counted", all[1:2], func(r gossip.Status) bool {
 		return r.Rejected.Forged >= before.Rejected.Forged+1 && r.Malformed >= before.Malformed+1
 	})
-	g.sees("none of them was taken", home, func(r gossip.Status) bool {
-		return line(r, "n00").State == "serving" && line(r, "n01").State == "serving" && r.Epoch < 1<<40 &&
+	g.waitForView("none of them was taken", home, func(r gossip.Status) bool {
+		return memberLine(r, "n00").State == "serving" && memberLine(r, "n01").State == "serving" && r.Epoch < 1<<40 &&
 			r.QuorumStatus == "whole"
 	})
 	liar.SetLocalState(gossip.LocalState{State: membership.StateDraining})
-	g.sees("what it says of itself holds", home, is("liar", "leaving", "left"))
+	g.waitForView("what it says of itself holds", home, memberIs("liar", "leaving", "left"))
 }
--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -17,34 +17,37 @@
 	"thistlequay/internal/emulator"
 )
 
-func storeIn(directory, more string) string {
+// storeSection is the section of our settings for a store in this directory.
+func storeSection(directory, more string) string {
 	return fmt.Sprintf("store:\n  directory: %s\n  fresh: true\n%s", directory, more)
 }
 
-// reborn starts another life of the server, with an interpreter of its own.
-func (r *rig) reborn(t *testing.T, config string) *emulator.Interpreter {
+// startWithInterpreter starts another incarnation of the server with an interpreter of its own.
+func (r *testServer) startWithInterpreter(t *testing.T, config string) *emulator.Interpreter {
+	r.t.Helper()
 	vm, err := emulator.NewInterpreter(4, 1)
 	r.NoError(err)
 	t.Cleanup(vm.Close)
-	r.config = strings.Replace(config, r.vm.Address, vm.Address, 1)
-	r.run()
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "interpreter_up") }, patience, time.Millisecond)
+	r.config = strings.Replace(config, r.interpreter.Address, vm.Address, 1)
+	r.writeFilesAndStart()
+	r.waitForLog("interpreter_up")
 	return vm
 }
 
-// bookAs sends one try of a stamped work item.
-func (c *router) bookAs(slot uint16, key string) {
-	with := fields(c.r.id())
+// sendTimedBook sends one attempt of a request with an idempotency key, whose body asks for 1 ms of work.
+func (c *routerLink) sendTimedBook(slot uint16, key string) {
+	c.server.t.Helper()
+	with := requestParameters(c.server.newRequestID())
 	with["HTTP_ONCE_KEY"] = key
-	c.ask(slot, "/rpc/book", "1 entry "+key, with)
+	c.send(slot, "/rpc/book", "1 entry "+key, with)
 }
 
 // A hundred lives, each killed at a seeded moment while three tries a key come, of keys of this life and of lives
 // before: no key runs twice, and whoever is told that it was done is told the same.
 func TestMeasuredStoreLives(t *testing.T) {
-	r := prepare(t)
+	r := newTestServer(t)
 	config := r.config
-	r.service = storeIn(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
+	r.service = storeSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
 	chance := rand.New(rand.NewSource(7))
 	lives, fresh := 100, 4
 	if os.Getenv("MEASURE") == "full" {
@@ -52,7 +55,7 @@
 	}
 	runs, told, answers, keys := map[string]int{}, map[string]string{}, 0, 0
 	for life := range lives {
-		vm := r.reborn(t, config)
+		vm := r.startWithInterpreter(t, config)
 		var asked []string
 		for range fresh {
 			keys++
@@ -68,9 +71,9 @@
 		came := make(chan got, 100)
 		ends := make(chan struct{}, 3)
 		for range 3 {
-			c := r.router()
+			c := r.connectRouter()
 			for slot, key := range asked {
-				c.bookAs(uint16(slot+1), key)
+				c.sendTimedBook(uint16(slot+1), key)
 			}
 			go func() {
 				for {
@@ -118,36 +121,36 @@
 // A repeat after a restart gets the first answer, one with another body is refused, a second server on the directory
 // does not start, and the tools tell what lies there.
 func TestStoreOverARestart(t *testing.T) {
-	r := prepare(t)
+	r := newTestServer(t)
 	directory := filepath.Join(t.TempDir(), "store")
-	r.service = storeIn(directory, "")
+	r.service = storeSection(directory, "")
 	config := r.config
-	vm := r.reborn(t, config)
-	c := r.router()
-	c.bookAs(1, "k")
-	c.answered(1, 200, "result of 1 entry k")
-	second := prepare(t)
+	vm := r.startWithInterpreter(t, config)
+	c := r.connectRouter()
+	c.sendTimedBook(1, "k")
+	c.expectResponse(1, 200, "result of 1 entry k")
+	second := newTestServer(t)
 	second.service = r.service
-	second.run()
-	code, log := second.exit()
+	second.writeFilesAndStart()
+	code, log := second.waitForExit()
 	r.Equal(exitFailed, code)
 	r.Contains(log, "another process has this store")
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	code, _ = r.exit()
+	code, _ = r.waitForExit()
 	r.Zero(code)
 	vm.Close()
-	r.reborn(t, config)
-	r.Contains(logOf(r), "event=store_open")
-	r.Regexp("event=warm_start .*used=true", logOf(r))
-	c = r.router()
-	c.bookAs(1, "k")
-	c.answered(1, 200, "result of 1 entry k")
-	with := fields(r.id())
+	r.startWithInterpreter(t, config)
+	r.Contains(logText(r), "event=store_open")
+	r.Regexp("event=warm_start .*used=true", logText(r))
+	c = r.connectRouter()
+	c.sendTimedBook(1, "k")
+	c.expectResponse(1, 200, "result of 1 entry k")
+	with := requestParameters(r.newRequestID())
 	with["HTTP_ONCE_KEY"] = "k"
-	c.ask(2, "/rpc/book", "another body", with)
-	c.answered(2, 422, "")
-	c.bookAs(3, "new")
-	c.answered(3, 200, "result of 1 entry new")
+	c.send(2, "/rpc/book", "another body", with)
+	c.expectResponse(2, 422, "")
+	c.sendTimedBook(3, "new")
+	c.expectResponse(3, 200, "result of 1 entry new")
 	tool := func(args ...string) (int, string) {
 		var out bytes.Buffer
 		code := runCommandLine(append([]string{"store"}, args...), &out, &out)
@@ -163,7 +166,7 @@
 	r.Equal(exitFailed, code)
 	r.Contains(out, "another process")
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.exit()
+	r.waitForExit()
 	code, out = tool("compact", directory)
 	r.Zero(code, out)
 	r.Contains(out, "2 stamps kept")
@@ -178,15 +181,15 @@
 	r.Equal(exitFailed, code)
 	r.Contains(out, "garbled, lost=true")
 	// What may be lost is declined, with a return time; what is harmless is served.
-	r.reborn(t, config)
-	r.Contains(logOf(r), "event=store_corruption")
-	c = r.router()
-	c.bookAs(1, "never heard of")
-	_, status, headers, _ := c.answer()
+	r.startWithInterpreter(t, config)
+	r.Contains(logText(r), "event=store_corruption")
+	c = r.connectRouter()
+	c.sendTimedBook(1, "never heard of")
+	_, status, headers, _ := c.readResponse()
 	r.Equal(503, status)
 	r.Contains(headers, "Back-Off-Ms: 1000")
-	c.look(2, "1 harmless")
-	c.answered(2, 200, "result of 1 harmless")
+	c.sendLook(2, "1 harmless")
+	c.expectResponse(2, 200, "result of 1 harmless")
 }
 
 // What stamped work items pay for their intents, and harmless ones beside them.
@@ -197,24 +200,24 @@
 	}
 	base := map[string]*hdrhistogram.Histogram{}
 	for _, mode := range []string{"none", "process", "machine"} {
-		r := prepare(t)
+		r := newTestServer(t)
 		if mode != "none" {
-			r.service = storeIn(filepath.Join(t.TempDir(), "store"), "  durability: "+mode+"\n")
+			r.service = storeSection(filepath.Join(t.TempDir(), "store"), "  durability: "+mode+"\n")
 		}
 		config := r.config
-		r.reborn(t, config)
-		c := r.router()
+		r.startWithInterpreter(t, config)
+		c := r.connectRouter()
 		times := map[string]*hdrhistogram.Histogram{"stamped": hdrhistogram.New(1, 60e6, 3),
 			"harmless": hdrhistogram.New(1, 60e6, 3)}
 		begun := time.Now()
 		for i := range n {
 			at := time.Now()
-			c.bookAs(1, fmt.Sprint("key-", i))
-			c.answered(1, 200, fmt.Sprint("result of 1 entry key-", i))
+			c.sendTimedBook(1, fmt.Sprint("key-", i))
+			c.expectResponse(1, 200, fmt.Sprint("result of 1 entry key-", i))
 			r.NoError(times["stamped"].RecordValue(time.Since(at).Microseconds()))
 			at = time.Now()
-			c.look(2, "1 harmless")
-			c.answered(2, 200, "result of 1 harmless")
+			c.sendLook(2, "1 harmless")
+			c.expectResponse(2, 200, "result of 1 harmless")
 			r.NoError(times["harmless"].RecordValue(time.Since(at).Microseconds()))
 		}
 		if mode == "none" {
@@ -226,6 +229,6 @@
 			times["stamped"].ValueAtQuantile(99),
 			times["stamped"].ValueAtQuantile(50)-base["stamped"].ValueAtQuantile(50),
 			float64(times["harmless"].ValueAtQuantile(50))/float64(base["harmless"].ValueAtQuantile(50)))
-		require.False(t, strings.Contains(logOf(r), "store_rejections"))
+		require.False(t, strings.Contains(logText(r), "store_rejections"))
 	}
 }
--- a/cmd/thistlequay/mixed_versions_test.go
+++ b/cmd/thistlequay/mixed_versions_test.go
@@ -36,22 +36,22 @@
 func TestMixedVersionsAgreeOnConfigurationAndQuotas(t *testing.T) {
 	old := oldBuild(t)
 	const calls = 16
-	g := sharingFleetOf(t, 4, 8, calls, calls/4, 11, 60*time.Millisecond, "", func(servers []*clustertest.Server) {
+	g := startQuotaClusterOf(t, 4, 8, calls, calls/4, 11, 60*time.Millisecond, "", func(servers []*clustertest.Server) {
 		servers[0].Program = old
 		servers[2].Program = old
 	})
 	all := g.Servers
-	g.sees("one configuration of both builds", all, settled(4))
-	g.share("quotas granted", all, granted)
-	end := g.load(400, func() []*clustertest.Server { return all })
+	g.waitForView("one configuration of both builds", all, agreedOn(4))
+	g.waitForQuota("quotas granted", all, hasLease)
+	end := g.startLoad(400, func() []*clustertest.Server { return all })
 	defer end()
 	peak := 0
 	restart := func(s *clustertest.Server, what string) {
 		g.NoError(s.Kill())
 		g.NoError(s.Start())
 		g.NoError(waitUntilReady(s.Listen))
-		g.sees(what, all, settled(4))
-		g.share(what, all, granted)
+		g.waitForView(what, all, agreedOn(4))
+		g.waitForQuota(what, all, hasLease)
 		peak = max(peak, g.Index.PeakInFlight())
 	}
 	for _, s := range all {
@@ -65,11 +65,11 @@
 		}
 		restart(s, fmt.Sprintf("%s again, other build", s.Name))
 	}
-	leader := g.leader(all)
+	leader := g.waitForLeader(all)
 	g.NoError(leader.Kill())
-	g.share("after the leader's death", without(all, leader), granted)
+	g.waitForQuota("after the leader's death", serversExcept(all, leader), hasLease)
 	g.NoError(leader.Start())
-	g.share("the leader is back", all, granted)
+	g.waitForQuota("the leader is back", all, hasLease)
 	peak = max(peak, g.Index.PeakInFlight())
 	epochs := map[uint64]bool{}
 	for _, s := range all {
@@ -86,14 +86,14 @@
 // The log of the quota coordinators on disk, written by one build, is read by the other, either way.
 func TestMixedVersionsShareTheCoordinatorsDisk(t *testing.T) {
 	old := oldBuild(t)
-	g := sharingFleetOf(t, 4, 4, 12, 3, 12, 30*time.Millisecond,
+	g := startQuotaClusterOf(t, 4, 4, 12, 3, 12, 30*time.Millisecond,
 		"  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n", func(servers []*clustertest.Server) {
 			for _, s := range servers {
 				s.Program = old
 			}
 		})
 	all := g.Servers
-	g.share("quotas granted by the earlier build", all, granted)
+	g.waitForQuota("quotas granted by the earlier build", all, hasLease)
 	g.ServiceYAML = func(s *clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n",
 			s.Name)
@@ -108,8 +108,8 @@
 			s.Program = program
 			g.NoError(s.Start())
 		}
-		g.up(all)
-		g.share(fmt.Sprint("quotas granted again, round ", round), all, granted)
+		g.waitUntilServing(all)
+		g.waitForQuota(fmt.Sprint("quotas granted again, round ", round), all, hasLease)
 		for _, s := range all[:3] {
 			status, err := s.Shares()
 			g.NoError(err)
@@ -123,29 +123,29 @@
 // A store written by one build is read by the other, either way: a repeat gets the first answer and nothing runs twice.
 func TestMixedVersionsShareAStore(t *testing.T) {
 	old := oldBuild(t)
-	r := prepare(t)
-	r.service = storeIn(filepath.Join(t.TempDir(), "store"), "")
+	r := newTestServer(t)
+	r.service = storeSection(filepath.Join(t.TempDir(), "store"), "")
 	config := r.config
 	programs := []string{old, "", old, ""}
 	for life, program := range programs {
 		r.program = program
-		interpreter := r.reborn(t, config)
-		c := r.router()
+		interpreter := r.startWithInterpreter(t, config)
+		c := r.connectRouter()
 		for earlier := range life {
-			c.bookAs(uint16(earlier+1), fmt.Sprint("key-", earlier))
-			c.answered(uint16(earlier+1), 200, fmt.Sprint("result of 1 entry key-", earlier))
+			c.sendTimedBook(uint16(earlier+1), fmt.Sprint("key-", earlier))
+			c.expectResponse(uint16(earlier+1), 200, fmt.Sprint("result of 1 entry key-", earlier))
 		}
-		c.bookAs(uint16(life+1), fmt.Sprint("key-", life))
-		c.answered(uint16(life+1), 200, fmt.Sprint("result of 1 entry key-", life))
+		c.sendTimedBook(uint16(life+1), fmt.Sprint("key-", life))
+		c.expectResponse(uint16(life+1), 200, fmt.Sprint("result of 1 entry key-", life))
 		interpreter.Inspect(func(v *emulator.Interpreter) {
 			r.Len(v.RunsByBody, 1, "only the key of this life ran")
 		})
 		if life > 0 {
-			r.Regexp(`event=warm_start .*(taken|used)=true`, logOf(r))
+			r.Regexp(`event=warm_start .*(taken|used)=true`, logText(r))
 		}
 		if life%2 == 0 {
 			r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-			r.exit()
+			r.waitForExit()
 		} else {
 			r.NoError(r.process.Process.Kill())
 			<-r.ended
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -21,37 +21,43 @@
 	"thistlequay/internal/membership"
 )
 
-// together is a fleet of processes that know each other.
-type together struct {
+// testCluster is a cluster of processes with the checks that tests make on it.
+type testCluster struct {
 	*require.Assertions
 	*clustertest.Cluster
 	t *testing.T
 }
 
-func talking(t *testing.T, servers int, seed int64) *together {
-	g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: seed, Gossip: true})
+// startGossipCluster starts a cluster whose servers gossip.
+func startGossipCluster(t *testing.T, servers int, seed int64) *testCluster {
+	t.Helper()
+	g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: seed, Gossip: true})
 	for _, s := range g.Servers {
 		g.NoError(s.Start())
 	}
 	return g
 }
 
-func fleetOf(t *testing.T, p clustertest.Plan) *together {
+// newTestCluster makes a cluster whose servers are not started. At the end of the test it is closed, and no log may
+// show
+// a data race, a violated invariant or a panic.
+func newTestCluster(t *testing.T, p clustertest.Plan) *testCluster {
+	t.Helper()
 	r := require.New(t)
 	var of map[string]any
-	r.NoError(json.Unmarshal([]byte(settings), &of))
+	r.NoError(json.Unmarshal([]byte(platformSettings), &of))
 	program, err := os.Executable()
 	r.NoError(err)
-	p.WorkDirectory, p.Program, p.Env, p.Cores = t.TempDir(), program, []string{asProgram + "=1"}, 2
+	p.WorkDirectory, p.Program, p.Env, p.Cores = t.TempDir(), program, []string{runAsProgramEnv + "=1"}, 2
 	if p.Settings == nil {
 		p.Settings = of
 	}
-	rig, err := clustertest.New(p)
+	cluster, err := clustertest.New(p)
 	r.NoError(err)
-	g := &together{r, rig, t}
+	g := &testCluster{r, cluster, t}
 	t.Cleanup(func() {
-		rig.Close()
-		for _, s := range rig.Servers {
+		cluster.Close()
+		for _, s := range cluster.Servers {
 			if t.Failed() {
 				t.Log(s.Name + ":\n" + s.Log.String())
 			}
@@ -63,17 +69,21 @@
 	return g
 }
 
-// up waits until each of the servers takes work: it answers, and its interpreter is there.
-func (g *together) up(of []*clustertest.Server) {
+// waitUntilServing waits until each of the servers answers and has its interpreter.
+func (g *testCluster) waitUntilServing(of []*clustertest.Server) {
+	g.t.Helper()
 	for _, s := range of {
 		g.NoError(waitUntilReady(s.Listen))
-		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, patience,
+		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, eventTimeout,
 			5*time.Millisecond, s.Name)
 	}
 }
 
-// sees waits until each of the servers sees what the test wants, and gives how long each took.
-func (g *together) sees(what string, of []*clustertest.Server, is func(gossip.Status) bool) (took []time.Duration) {
+// waitForView waits until the cluster view of each of the servers is as the test wants, and gives how long each took,
+// sorted.
+func (g *testCluster) waitForView(what string, of []*clustertest.Server,
+	is func(gossip.Status) bool) (took []time.Duration) {
+	g.t.Helper()
 	begun := time.Now()
 	left := slices.Clone(of)
 	for len(left) > 0 {
@@ -83,7 +93,7 @@
 				left = slices.DeleteFunc(left, func(o *clustertest.Server) bool { return o == s })
 			}
 		}
-		if time.Since(begun) > 3*patience {
+		if time.Since(begun) > 3*eventTimeout {
 			r, err := left[0].View()
 			g.FailNow(what, "%s does not see it: %+v %v\n%v", left[0].Name, r, err, g.History())
 		}
@@ -94,8 +104,8 @@
 	return took
 }
 
-// line is how a report shows the life of a name that fares best: the one that holds it.
-func line(r gossip.Status, name string) (of gossip.MemberStatus) {
+// memberLine is the status row of the incarnation that holds a name: the one whose state is best.
+func memberLine(r gossip.Status, name string) (of gossip.MemberStatus) {
 	for _, l := range r.Members {
 		if l.Name == name && (of.Name == "" ||
 			slices.Index(membership.StateNames, l.State) < slices.Index(membership.StateNames, of.State)) {
@@ -105,14 +115,16 @@
 	return of
 }
 
-func is(name, state string, causes ...string) func(gossip.Status) bool {
+// memberIs tests for a member's state and, if any are given, for one of these causes.
+func memberIs(name, state string, causes ...string) func(gossip.Status) bool {
 	return func(r gossip.Status) bool {
-		l := line(r, name)
+		l := memberLine(r, name)
 		return l.State == state && (len(causes) == 0 || slices.Contains(causes, l.Cause))
 	}
 }
 
-func whole(n int) func(gossip.Status) bool {
+// majorityOf tests for a majority in which n members serve.
+func majorityOf(n int) func(gossip.Status) bool {
 	return func(r gossip.Status) bool {
 		there := 0
 		for _, l := range r.Members {
@@ -124,16 +136,17 @@
 	}
 }
 
-func without(of []*clustertest.Server, gone ...*clustertest.Server) []*clustertest.Server {
+// serversExcept is a copy of the servers without some of them.
+func serversExcept(of []*clustertest.Server, gone ...*clustertest.Server) []*clustertest.Server {
 	return slices.DeleteFunc(slices.Clone(of), func(s *clustertest.Server) bool { return slices.Contains(gone, s) })
 }
 
-// settled: the whole, and agreed on by those who are there.
-func settled(n int) func(gossip.Status) bool {
+// agreedOn tests for a majority of n whose cluster configuration has n members and voters that all serve.
+func agreedOn(n int) func(gossip.Status) bool {
 	return func(r gossip.Status) bool {
-		ok := whole(n)(r) && r.AgreedSize == n
+		ok := majorityOf(n)(r) && r.AgreedSize == n
 		for _, name := range r.Voters {
-			ok = ok && line(r, name).State == "serving"
+			ok = ok && memberLine(r, name).State == "serving"
 		}
 		return ok
 	}
@@ -147,34 +160,34 @@
 	if os.Getenv("MEASURE") == "full" {
 		n = 40
 	}
-	g := talking(t, n, 1)
+	g := startGossipCluster(t, n, 1)
 	all := g.Servers
-	both := g.claims()
-	converge := g.sees("all are there", all, whole(n))
+	both := g.countRivalMajorities()
+	converge := g.waitForView("all are there", all, majorityOf(n))
 	before := time.Now()
 	first, err := all[5].View()
 	g.NoError(err)
 
 	// A crash is told from a stop, by all.
 	g.NoError(all[n-1].Kill())
-	rest := without(all, all[n-1])
-	detect := g.sees("a crash", rest, is(all[n-1].Name, "failed", "crashed"))
+	rest := serversExcept(all, all[n-1])
+	detect := g.waitForView("a crash", rest, memberIs(all[n-1].Name, "failed", "crashed"))
 	g.NoError(all[n-2].Signal(syscall.SIGSTOP))
-	awake := without(rest, all[n-2])
-	g.sees("a stop", awake, is(all[n-2].Name, "failed", "stopped"))
+	awake := serversExcept(rest, all[n-2])
+	g.waitForView("a stop", awake, memberIs(all[n-2].Name, "failed", "stopped"))
 	g.NoError(all[n-2].Signal(syscall.SIGCONT))
-	g.sees("it goes on", awake, is(all[n-2].Name, "serving"))
+	g.waitForView("it goes on", awake, memberIs(all[n-2].Name, "serving"))
 
 	// One direction between two is lost: they are still there for all, and the one that cannot reach says so.
 	g.SetFault(all[3].Index, all[4].Index, clustertest.Fault{Cut: true})
-	g.sees("a one-way loss", all[3:4], is(all[4].Name, "serving", "unreachable from here alone"))
+	g.waitForView("a one-way loss", all[3:4], memberIs(all[4].Name, "serving", "unreachable from here alone"))
 	for _, s := range awake {
 		r, err := s.View()
 		g.NoError(err)
-		g.Equal("serving", line(r, all[4].Name).State, s.Name)
+		g.Equal("serving", memberLine(r, all[4].Name).State, s.Name)
 	}
 	g.Heal()
-	g.sees("it is reached again", all[3:4], is(all[4].Name, "serving", ""))
+	g.waitForView("it is reached again", all[3:4], memberIs(all[4].Name, "serving", ""))
 
 	// A zone is cut off: it is a part, the others remain the whole; then they meet.
 	g.Partition(func(s *clustertest.Server) int { return s.Index % 3 })
@@ -182,10 +195,10 @@
 	for _, s := range rest {
 		zones[s.Index%3] = append(zones[s.Index%3], s)
 	}
-	g.sees("three parts", rest, func(r gossip.Status) bool { return r.QuorumStatus == "part" })
+	g.waitForView("three parts", rest, func(r gossip.Status) bool { return r.QuorumStatus == "part" })
 	g.Partition(func(s *clustertest.Server) int { return min(1, s.Index%3) })
-	g.sees("the zone", zones[0], func(r gossip.Status) bool { return r.QuorumStatus == "part" })
-	g.sees("the others", append(slices.Clone(zones[1]), zones[2]...),
+	g.waitForView("the zone", zones[0], func(r gossip.Status) bool { return r.QuorumStatus == "part" })
+	g.waitForView("the others", append(slices.Clone(zones[1]), zones[2]...),
 		func(r gossip.Status) bool { return r.QuorumStatus == "whole" })
 	for _, s := range zones[0] {
 		r, err := s.View()
@@ -194,16 +207,16 @@
 		g.GreaterOrEqual(r.ExpectedSize, n-1, "a part takes no more than its part")
 	}
 	g.Heal()
-	heal := g.sees("they meet", rest, whole(n-1))
+	heal := g.waitForView("they meet", rest, majorityOf(n-1))
 
 	// A leave is told before anything fails, and a new life under the same name takes its place at once.
 	g.NoError(all[2].Signal(syscall.SIGTERM))
-	g.sees("a leave", without(rest, all[2]), is(all[2].Name, "gone", "left"))
+	g.waitForView("a leave", serversExcept(rest, all[2]), memberIs(all[2].Name, "gone", "left"))
 	<-all[2].Ended()
 	g.Equal(0, all[2].Exit())
 	g.NoError(all[2].Start())
 	g.NoError(all[n-1].Start())
-	g.sees("both are back", all, whole(n))
+	g.waitForView("both are back", all, majorityOf(n))
 	alarms, garbled := 0, int64(0)
 	for _, s := range all {
 		r, err := s.View()
@@ -217,14 +230,14 @@
 		"both_whole=%d bytes_a_second=%.0f rss_kb=%d garbled=%d",
 		n, detect[len(detect)/2].Milliseconds(), detect[len(detect)-1].Milliseconds(), alarms,
 		converge[len(converge)-1].Milliseconds(),
-		heal[len(heal)-1].Milliseconds(), both(), rate, anonymous(g, all[5].Process()), garbled)
+		heal[len(heal)-1].Milliseconds(), both(), rate, anonymousMemoryKB(g, all[5].Process()), garbled)
 	g.Zero(garbled)
 	g.Zero(both())
 }
 
-// claims goes on looking at all servers, and gives how often one held itself for the whole while another claim to
-// that, of another fleet, had not run out.
-func (g *together) claims() (both func() int) {
+// countRivalMajorities polls all servers until the test ends, and gives how often one claimed the majority while the
+// claim of another, with a different configuration, had not expired.
+func (g *testCluster) countRivalMajorities() (both func() int) {
 	type claim struct {
 		epoch uint64
 		until time.Time
@@ -264,8 +277,8 @@
 	}
 }
 
-// anonymous is the memory of a process that no file backs, in kilobytes.
-func anonymous(g *together, process int) (kb int) {
+// anonymousMemoryKB is the memory of a process that no file backs, in kilobytes.
+func anonymousMemoryKB(g *testCluster, process int) (kb int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process))
 	g.NoError(err)
 	_, after, found := strings.Cut(string(text), "RssAnon:")
@@ -279,7 +292,7 @@
 // network that repeats and cuts short. None of it is taken, and nobody falls for it.
 func TestPeersThatDoNotBelong(t *testing.T) {
 	t.Parallel()
-	g := fleetOf(t, clustertest.Plan{Servers: 5, Seed: 2, Gossip: true, ConfiguredServers: 4})
+	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 2, Gossip: true, ConfiguredServers: 4})
 	all := g.Servers
 	key := func(text string) string { return base64.StdEncoding.EncodeToString([]byte(text)) }
 	next := key("the key of later")
@@ -287,7 +300,7 @@
 		g.NoError(s.Start())
 	}
 	home := all[:4]
-	g.sees("four are there", home, whole(4))
+	g.waitForView("four are there", home, majorityOf(4))
 	strangers := map[string]func(s *clustertest.Server){
 		"another fleet":     func(s *clustertest.Server) { s.Configure("x1", "other", clustertest.Key) },
 		"a wrong key":       func(s *clustertest.Server) { s.Configure("x2", "rig", key("a key of nowhere")) },
@@ -296,7 +309,9 @@
 	for what, as := range strangers {
 		as(all[4])
 		g.NoError(all[4].Start())
-		g.sees(what, all[4:], func(r gossip.Status) bool { return r.QuorumStatus == "alone" && len(r.Members) == 1 })
+		g.waitForView(what, all[4:], func(r gossip.Status) bool {
+			return r.QuorumStatus == "alone" && len(r.Members) == 1
+		})
 		g.NoError(all[4].Kill())
 	}
 	// A second process under a name that is taken, begun with a clock a minute behind or ahead: the first one keeps it.
@@ -309,18 +324,18 @@
 				lives++
 			}
 		}
-		return lives == 1 && line(r, "n03").State == "serving"
+		return lives == 1 && memberLine(r, "n03").State == "serving"
 	}
-	g.sees("a name that is taken", home, taken)
+	g.waitForView("a name that is taken", home, taken)
 	g.NoError(all[4].Kill())
 	// The network repeats, reorders, cuts short: views hold.
 	g.SetFaultEverywhere(clustertest.Fault{Loss: 0.3, Duplication: 0.2, Truncation: 0.05,
 		Jitter: 50 * time.Millisecond, ReplayAfter: 700 * time.Millisecond})
 	g.NoError(all[0].Kill())
-	g.sees("a crash under loss", home[1:], is("n00", "failed"))
+	g.waitForView("a crash under loss", home[1:], memberIs("n00", "failed"))
 	g.Heal()
 	g.NoError(all[0].Start())
-	g.sees("all are back", home, whole(4))
+	g.waitForView("all are back", home, majorityOf(4))
 	for _, s := range home {
 		r, err := s.View()
 		g.NoError(err)
@@ -336,15 +351,15 @@
 	}
 	g.NoError(all[3].Kill())
 	g.NoError(all[3].Configure("", "", next).Start())
-	g.sees("under the new key", home, whole(4))
+	g.waitForView("under the new key", home, majorityOf(4))
 	all[4].Configure("x4", "rig", clustertest.Key)
 	g.NoError(all[4].Start())
-	g.sees("the old key", all[4:], func(r gossip.Status) bool {
+	g.waitForView("the old key", all[4:], func(r gossip.Status) bool {
 		return r.QuorumStatus == "alone" &&
 			len(r.Members) == 1
 	})
 	g.NoError(all[4].Kill())
-	g.sees("the first is with the whole", all[:1], settled(4))
+	g.waitForView("the first is with the whole", all[:1], agreedOn(4))
 	var out bytes.Buffer
 	g.Zero(runCommandLine([]string{"members", all[0].Status}, &out, &out), out.String())
 	g.Contains(out.String(), "n00: whole for ")
@@ -357,9 +372,9 @@
 // All at once: every server is killed and begun again within a second, first peers included; then half are replaced.
 func TestPeersAllRestarted(t *testing.T) {
 	t.Parallel()
-	g := talking(t, 6, 3)
+	g := startGossipCluster(t, 6, 3)
 	all := g.Servers
-	g.sees("six are there", all, whole(6))
+	g.waitForView("six are there", all, majorityOf(6))
 	for _, s := range all {
 		g.NoError(s.Kill())
 	}
@@ -369,24 +384,24 @@
 		}
 		g.NoError(s.Start())
 	}
-	g.sees("six are there again", all, whole(6))
+	g.waitForView("six are there again", all, majorityOf(6))
 	g.NoError(all[4].Configure("", "", "").Kill())
 	g.NoError(all[4].Configure("", "", "", "--clock-shift=-5m").Start())
-	g.sees("a clock that was set back", all, settled(6))
+	g.waitForView("a clock that was set back", all, agreedOn(6))
 	for _, s := range all[3:] { // in one instant: three of five voters may be among them
 		g.NoError(s.Signal(syscall.SIGTERM))
 		more, err := g.AddServer(len(g.Servers))
 		g.NoError(err)
 		g.NoError(more.Start())
 	}
-	g.sees("half are replaced", append(slices.Clone(all[:3]), g.Servers[6:]...), settled(6))
+	g.waitForView("half are replaced", append(slices.Clone(all[:3]), g.Servers[6:]...), agreedOn(6))
 	// Every named first peer is gone: the others stay the whole.
 	for _, s := range all[:2] {
 		g.NoError(s.Kill())
 	}
-	g.sees("two of the first are gone", g.Servers[6:], settled(4))
+	g.waitForView("two of the first are gone", g.Servers[6:], agreedOn(4))
 	g.NoError(all[2].Kill())
-	g.sees("all of the first are gone", g.Servers[6:], settled(3))
+	g.waitForView("all of the first are gone", g.Servers[6:], agreedOn(3))
 }
 
 // A network that flaps each 200 ms, a process whose loop is late by a second again and again, and newcomers while the
@@ -397,10 +412,10 @@
 	if os.Getenv("MEASURE") == "full" {
 		span = 30 * time.Second
 	}
-	g := talking(t, 6, 4)
+	g := startGossipCluster(t, 6, 4)
 	all := slices.Clone(g.Servers)
-	g.sees("six are there", all, settled(6))
-	both := g.claims()
+	g.waitForView("six are there", all, agreedOn(6))
+	both := g.countRivalMajorities()
 	halves := func(s *clustertest.Server) int { return s.Index % 2 }
 	for begun, cut := time.Now(), false; time.Since(begun) < span; time.Sleep(200 * time.Millisecond) {
 		if cut = !cut; cut {
@@ -410,7 +425,7 @@
 		}
 	}
 	g.Heal()
-	flapped := g.sees("after flapping", all, settled(6))
+	flapped := g.waitForView("after flapping", all, agreedOn(6))
 	changes := map[string]int{}
 	for _, s := range all {
 		changes[s.Name] = strings.Count(s.Log.String(), "event=quorum_status")
@@ -421,9 +436,9 @@
 		time.Sleep(time.Second)
 		g.NoError(late.Signal(syscall.SIGCONT))
 	}
-	g.sees("one that was late", all, settled(6))
+	g.waitForView("one that was late", all, agreedOn(6))
 	failed := 0
-	for _, s := range without(all, late) {
+	for _, s := range serversExcept(all, late) {
 		failed += strings.Count(s.Log.String(), "member="+late.Name+" to=failed")
 	}
 	// Two newcomers while the fleet is cut in two: one can reach the first peers, the other cannot.
@@ -441,10 +456,10 @@
 	for _, s := range g.Servers[6:] {
 		g.NoError(s.Start())
 	}
-	g.sees("on the side of the first", append(slices.Clone(all[:4]), g.Servers[6]), whole(5))
-	g.sees("on the other side", g.Servers[7:], func(r gossip.Status) bool { return r.QuorumStatus != "whole" })
+	g.waitForView("on the side of the first", append(slices.Clone(all[:4]), g.Servers[6]), majorityOf(5))
+	g.waitForView("on the other side", g.Servers[7:], func(r gossip.Status) bool { return r.QuorumStatus != "whole" })
 	g.Heal()
-	met := g.sees("they meet", g.Servers, settled(8))
+	met := g.waitForView("they meet", g.Servers, agreedOn(8))
 	t.Logf("measured peers-unsteady flapping_s=%.0f settled_after_ms=%d standing_changes=%d late_held_failed=%d "+
 		"met_after_ms=%d both_whole=%d", span.Seconds(),
 		flapped[len(flapped)-1].Milliseconds(), changes[all[0].Name], failed, met[len(met)-1].Milliseconds(), both())
@@ -461,22 +476,23 @@
 	var of map[string]any
 	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`, `"CallShare":2.0`, `"Servers":3`,
 		`"Servers":8`,
-		`"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(settings)), &of))
+		`"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(platformSettings)),
+		&of))
 	served, cost := map[bool]float64{}, map[bool]time.Duration{}
 	for _, talk := range []bool{false, true} {
 		index, err := emulator.NewIndex()
 		require.NoError(t, err)
 		index.ReplyDelay, index.MaxInFlight = 50*time.Millisecond, 16
-		g := fleetOf(t, clustertest.Plan{Servers: 8, Seed: 5, Gossip: talk, Settings: of, Index: index})
+		g := newTestCluster(t, clustertest.Plan{Servers: 8, Seed: 5, Gossip: talk, Settings: of, Index: index})
 		for _, s := range g.Servers {
 			s.Interpreter.CallProbability = 1
 			g.NoError(s.Start())
 		}
-		g.up(g.Servers)
+		g.waitUntilServing(g.Servers)
 		if talk {
-			g.sees("eight are there", g.Servers, settled(8))
+			g.waitForView("eight are there", g.Servers, agreedOn(8))
 		}
-		cost[talk] = g.latency(g.Servers[0], 300)
+		cost[talk] = g.medianLatency(g.Servers[0], 300)
 		rest := g.Servers[2:]
 		o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: 270, Length: length, WorkMs: 5,
 			SoftDeadline: time.Second, Deadline: 2 * time.Second,
@@ -499,8 +515,9 @@
 	require.Greater(t, served[true], served[false])
 }
 
-// latency is the median time to the answer of an item that costs next to nothing.
-func (g *together) latency(s *clustertest.Server, n int) time.Duration {
+// medianLatency is the median time to the response of a request that costs next to nothing.
+func (g *testCluster) medianLatency(s *clustertest.Server, n int) time.Duration {
+	g.t.Helper()
 	link, err := emulator.Dial(s.Listen)
 	g.NoError(err)
 	defer closeQuietly(link)
--- a/cmd/thistlequay/races_test.go
+++ b/cmd/thistlequay/races_test.go
@@ -21,8 +21,10 @@
 
 // Each test here forces one order of two events that could cross; docs/races.md has the table.
 
-// whole reads to the end of the other side's bytes and says that it was no reset, which would have taken bytes along.
-func (r *rig) whole(l *link) []byte {
+// readToEnd reads what is left up to the other side's close, which must not be a reset: a reset would have discarded
+// bytes.
+func (r *testServer) readToEnd(l *link) []byte {
+	r.t.Helper()
 	rest, err := io.ReadAll(l.Reader)
 	r.NoError(err)
 	return rest
@@ -31,54 +33,54 @@
 // A connection makes room for a newcomer in the very moment in which a request lies on it unread: it never ran, and its
 // sender hears an end, not a reset.
 func TestAnEndOverUnreadBytes(t *testing.T) {
-	r, v := start(t)
+	r, v := startServer(t)
 	var table int
-	_, text, _ := strings.Cut(logOf(r), "connections=")
+	_, text, _ := strings.Cut(logText(r), "connections=")
 	_, err := fmt.Sscan(text, &table)
 	r.NoError(err)
-	var oldest *router
+	var oldest *routerLink
 	for range table {
-		c := r.router()
-		v.serves(c, 1, "rests from now on")
+		c := r.connectRouter()
+		v.serveOne(c, 1, "rests from now on")
 		if oldest == nil {
 			oldest = c
 		}
 	}
 	r.NoError(r.process.Process.Signal(syscall.SIGSTOP))
-	r.router() // the newcomer lies there first, then the request on the one that must make room for it
-	id := oldest.look(2, "crosses")
+	r.connectRouter() // the newcomer lies there first, then the request on the one that must make room for it
+	id := oldest.sendLook(2, "crosses")
 	r.NoError(r.process.Process.Signal(syscall.SIGCONT))
-	r.Empty(r.whole(oldest.link))
-	other := r.router()
-	other.ask(1, "/health", "", nil)
-	other.answered(1, 200, "")
-	next := other.look(2, "goes on")
-	o := v.next()
+	r.Empty(r.readToEnd(oldest.link))
+	other := r.connectRouter()
+	other.send(1, "/health", "", nil)
+	other.expectResponse(1, 200, "")
+	next := other.sendLook(2, "goes on")
+	o := v.nextCommand()
 	r.Equal(next, o.Job, "%s was run after its connection ended", id)
 }
 
 // An answer that its reader has not taken yet goes out before the connection is closed.
 func TestAnEndAfterWhatIsBuffered(t *testing.T) {
-	r, v := start(t)
-	c, other := r.router(), r.router()
+	r, v := startServer(t)
+	c, other := r.connectRouter(), r.connectRouter()
 	result := strings.Repeat("r", 4000)
 	send := func(keep byte) {
-		id := r.id()
-		text := emulator.FastCGIRequest(1, "/rpc/look", "b", fields(id))
+		id := r.newRequestID()
+		text := emulator.FastCGIRequest(1, "/rpc/look", "b", requestParameters(id))
 		text[10] = keep // the flags of the first record
 		_, err := c.Write(text)
 		r.NoError(err)
-		v.applied(id, "b")
-		v.value(id, "OK", result)
-		other.ask(1, "/health", "", nil)
-		other.answered(1, 200, "") // by then the answer has been written
+		v.expectApply(id, "b")
+		v.sendValue(id, "OK", result)
+		other.send(1, "/health", "", nil)
+		other.expectResponse(1, 200, "") // by then the answer has been written
 	}
 	n := 0
 	for before, full := -1, 0; full < 3; n++ { // until the system takes no more and the program holds the rest
 		if send(1); n%8 != 0 {
 			continue
 		}
-		if lies := r.unread(c.link); lies > before {
+		if lies := r.unreadBytes(c.link); lies > before {
 			before, full = lies, 0
 		} else {
 			full++
@@ -86,15 +88,16 @@
 	}
 	send(0)
 	for range n + 1 {
-		_, status, _, body := c.answer()
+		_, status, _, body := c.readResponse()
 		r.Equal(200, status)
 		r.Equal(result, body)
 	}
-	r.Empty(r.whole(c.link))
+	r.Empty(r.readToEnd(c.link))
 }
 
-// unread is what the system holds, on both sides, of what was written to this connection.
-func (r *rig) unread(l *link) (sum int) {
+// unreadBytes is how many bytes the system holds, on both sides, of what was written to this connection.
+func (r *testServer) unreadBytes(l *link) (sum int) {
+	r.t.Helper()
 	port := func(a net.Addr) string { return fmt.Sprintf(":%04X", a.(*net.TCPAddr).Port) }
 	text, err := os.ReadFile("/proc/net/tcp")
 	r.NoError(err)
@@ -117,95 +120,96 @@
 
 // A request that wants its connection closed does not take along the answers of the others open on it.
 func TestAnEndUnderAnotherRequest(t *testing.T) {
-	r, v := start(t)
-	c := r.router()
-	first := c.look(1, "stays")
-	v.applied(first, "stays")
-	id := r.id()
-	text := emulator.FastCGIRequest(2, "/rpc/look", "ends", fields(id))
+	r, v := startServer(t)
+	c := r.connectRouter()
+	first := c.sendLook(1, "stays")
+	v.expectApply(first, "stays")
+	id := r.newRequestID()
+	text := emulator.FastCGIRequest(2, "/rpc/look", "ends", requestParameters(id))
 	text[10] = 0
 	_, err := c.Write(text)
 	r.NoError(err)
-	v.applied(id, "ends")
-	v.value(id, "OK", "e")
-	c.answered(2, 200, "e")
-	v.value(first, "OK", "s")
-	c.answered(1, 200, "s")
-	r.Empty(r.whole(c.link))
+	v.expectApply(id, "ends")
+	v.sendValue(id, "OK", "e")
+	c.expectResponse(2, 200, "e")
+	v.sendValue(first, "OK", "s")
+	c.expectResponse(1, 200, "s")
+	r.Empty(r.readToEnd(c.link))
 }
 
 // A request behind one that wants its connection closed, in the same piece, crosses the end: it is not run.
 func TestARequestBehindTheEnd(t *testing.T) {
-	r, v := start(t)
-	c := r.router()
+	r, v := startServer(t)
+	c := r.connectRouter()
 	last := emulator.FastCGIRequest(1, "/health", "", nil)
 	last[10] = 0
-	_, err := c.Write(append(last, emulator.FastCGIRequest(2, "/rpc/look", "crosses", fields(r.id()))...))
+	_, err := c.Write(append(last, emulator.FastCGIRequest(2, "/rpc/look", "crosses",
+		requestParameters(r.newRequestID()))...))
 	r.NoError(err)
-	c.answered(1, 200, "")
-	r.Empty(r.whole(c.link))
-	v.serves(r.router(), 1, "the first to run")
+	c.expectResponse(1, 200, "")
+	r.Empty(r.readToEnd(c.link))
+	v.serveOne(r.connectRouter(), 1, "the first to run")
 }
 
 // What a bad record follows in the same piece is answered, and the connection ends without a reset.
 func TestAnAnswerBeforeABadRecord(t *testing.T) {
-	r, _ := start(t)
-	c := r.router()
+	r, _ := startServer(t)
+	c := r.connectRouter()
 	_, err := c.Write(append(emulator.FastCGIRequest(1, "/health", "", nil), "GET / HTTP/1.1\r\n\r\n"...))
 	r.NoError(err)
-	c.answered(1, 200, "")
-	r.Empty(r.whole(c.link))
+	c.expectResponse(1, 200, "")
+	r.Empty(r.readToEnd(c.link))
 }
 
 // The notice to leave comes before the interpreter is up: health and directory say so, work is turned away, the end
 // is 0.
 func TestLeavingBeforeTheInterpreterIsUp(t *testing.T) {
-	r := prepare(t)
-	r.run()
-	v := r.link(r.vm)
-	r.line(v)
-	d := r.link(r.directory)
-	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.line(d))
+	r := newTestServer(t)
+	r.writeFilesAndStart()
+	v := r.nextLink(r.interpreter)
+	r.readLine(v)
+	d := r.nextLink(r.directory)
+	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.readLine(d))
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=shutting_down") }, patience, time.Millisecond)
-	c := r.router()
-	c.ask(1, "/health", "", nil)
-	c.answered(1, 503, "")
-	d = r.link(r.directory)
-	for r.line(d) != "" {
+	r.waitForLog("event=shutting_down")
+	c := r.connectRouter()
+	c.send(1, "/health", "", nil)
+	c.expectResponse(1, 503, "")
+	d = r.nextLink(r.directory)
+	for r.readLine(d) != "" {
 	}
 	mode := make([]byte, len(`{"mode":"closed"}`))
 	_, err := io.ReadFull(d.Reader, mode)
 	r.NoError(err)
 	r.Equal(`{"mode":"closed"}`, string(mode))
-	r.say(v, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
-	c.ask(2, "/health", "", nil)
-	c.answered(2, 503, "")
-	code, _ := r.exit()
+	r.writeLine(v, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
+	c.send(2, "/health", "", nil)
+	c.expectResponse(2, 503, "")
+	code, _ := r.waitForExit()
 	r.Equal(0, code)
 }
 
 // The machine stands still over the stop: what is in hand is answered before its connection ends.
 func TestAStandstillOverTheStop(t *testing.T) {
-	r, v := start(t)
-	c := r.router()
-	v.applied(c.look(1, "never ends"), "never ends")
+	r, v := startServer(t)
+	c := r.connectRouter()
+	v.expectApply(c.sendLook(1, "never ends"), "never ends")
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=shutting_down") }, patience, time.Millisecond)
+	r.waitForLog("event=shutting_down")
 	r.NoError(r.process.Process.Signal(syscall.SIGSTOP))
 	stop := time.Now().Add(1500 * time.Millisecond)
-	r.Eventually(func() bool { return time.Now().After(stop) }, patience, time.Millisecond)
+	r.Eventually(func() bool { return time.Now().After(stop) }, eventTimeout, time.Millisecond)
 	r.NoError(r.process.Process.Signal(syscall.SIGCONT))
-	c.answered(1, 500, "")
-	r.Empty(r.whole(c.link))
-	code, _ := r.exit()
+	c.expectResponse(1, 500, "")
+	r.Empty(r.readToEnd(c.link))
+	code, _ := r.waitForExit()
 	r.Equal(0, code)
 }
 
 // Notices that come while the configuration is still being read are carried out once there is a server: SIGHUP ends
 // nothing, and after SIGTERM the end is 0 before the stop.
 func TestNoticesBeforeThereIsAServer(t *testing.T) {
-	r := prepare(t)
+	r := newTestServer(t)
 	r.path = filepath.Join(t.TempDir(), "config.json")
 	r.NoError(syscall.Mkfifo(r.path, 0o600))
 	r.args = []string{"--config", r.path}
@@ -218,140 +222,141 @@
 	_, err = io.WriteString(hold, r.config)
 	r.NoError(err)
 	r.NoError(hold.Close())
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=listening") }, patience, time.Millisecond)
+	r.waitForLog("event=listening")
 	go func() { // for SIGHUP
 		if again, err := os.OpenFile(r.path, os.O_WRONLY, 0); err == nil {
 			_, _ = io.WriteString(again, r.config)
 			closeQuietly(again)
 		}
 	}()
-	code, log := r.exit()
+	code, log := r.waitForExit()
 	r.Equal(0, code, log)
 	r.Contains(log, "event=shutting_down")
-	r.Less(time.Since(begun), patience/4) // 1.5 s where the machine has nothing else to do
+	r.Less(time.Since(begun), eventTimeout/4) // 1.5 s where the machine has nothing else to do
 	_ = os.Remove(r.path)
 }
 
 // The directory closes the link after an answer, or is silent: the next report does not wait for its usual time.
 func TestReportsGoOnAtOnce(t *testing.T) {
-	r, _ := start(t)
+	r, _ := startServer(t)
 	report := func(d *link) {
-		r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.line(d))
-		for r.line(d) != "" {
+		r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.readLine(d))
+		for r.readLine(d) != "" {
 		}
 		_, err := io.ReadFull(d.Reader, make([]byte, len(`{"mode":"open"}`)))
 		r.NoError(err)
 	}
-	d := r.link(r.directory)
-	least := map[bool]time.Duration{true: patience, false: patience} // a machine with much to do may be late once
+	d := r.nextLink(r.directory)
+	// a machine with much to do may be late once
+	least := map[bool]time.Duration{true: eventTimeout, false: eventTimeout}
 	for n := range 8 {
 		answers := n%2 == 0
 		report(d)
 		if answers {
-			r.say(d, "HTTP/1.1 204 No Content\r\n\r")
+			r.writeLine(d, "HTTP/1.1 204 No Content\r\n\r")
 			closeQuietly(d)
 		}
 		from := time.Now()
-		d = r.link(r.directory)
+		d = r.nextLink(r.directory)
 		least[answers] = min(least[answers], time.Since(from))
 	}
 	r.Less(least[true], 600*time.Millisecond, "after an answer")
 	r.Less(least[false], 600*time.Millisecond, "after none")
 	r.NoError(r.directory.Listener.Close()) // it is gone, and back
 	closeQuietly(d)
-	r.Eventually(func() bool { return strings.Contains(logOf(r), "event=dial_failed") }, patience, time.Millisecond)
+	r.waitForLog("event=dial_failed")
 	r.NoError(r.directory.Reopen())
-	report(r.link(r.directory))
+	report(r.nextLink(r.directory))
 }
 
 // A repeat whose router's clock is ahead was written within the window all the same: it shares what ran. A window of 0
 // is a window, after which a request runs anew.
 func TestRepeatsByClocksThatAreAhead(t *testing.T) {
-	r, v := startWith(t, `"Window":30000.0`, `"Window":300.0`)
-	c := r.router()
+	r, v := startServerWith(t, `"Window":30000.0`, `"Window":300.0`)
+	c := r.connectRouter()
 	book := func(slot uint16, key string, ahead int64) string {
-		with := fields(r.id())
+		with := requestParameters(r.newRequestID())
 		at, err := strconv.ParseInt(with["HTTP_RECEIVED_AT"], 10, 64)
 		r.NoError(err)
 		with["HTTP_RECEIVED_AT"], with["HTTP_ONCE_KEY"] = strconv.FormatInt(at+ahead, 10), key
-		c.ask(slot, "/rpc/book", "entry "+key, with)
+		c.send(slot, "/rpc/book", "entry "+key, with)
 		return with["HTTP_REQUEST_ID"]
 	}
 	id := book(1, "k", 0)
-	v.applied(id, "entry k")
-	v.value(id, "OK", "ran")
-	c.answered(1, 200, "ran")
+	v.expectApply(id, "entry k")
+	v.sendValue(id, "OK", "ran")
+	c.expectResponse(1, 200, "ran")
 	book(2, "k", 900)
-	c.answered(2, 200, "ran")
+	c.expectResponse(2, 200, "ran")
 	id = book(3, "l", 900) // and the window of one that is ahead counts from there
-	v.applied(id, "entry l")
-	v.value(id, "OK", "ran too")
-	c.answered(3, 200, "ran too")
+	v.expectApply(id, "entry l")
+	v.sendValue(id, "OK", "ran too")
+	c.expectResponse(3, 200, "ran too")
 	ran := time.Now()
 	// the window, from its reading
-	r.Eventually(func() bool { return time.Since(ran) > 320*time.Millisecond }, patience, time.Millisecond)
+	r.Eventually(func() bool { return time.Since(ran) > 320*time.Millisecond }, eventTimeout, time.Millisecond)
 	book(4, "l", 0)
-	c.answered(4, 200, "ran too")
+	c.expectResponse(4, 200, "ran too")
 }
 
 func TestAWindowOfZeroServes(t *testing.T) {
-	r, v := startWith(t, `"Window":30000.0`, `"Window":0.0`)
-	c := r.router()
-	id := c.book(1, "k")
-	v.applied(id, "entry k")
-	shares := c.book(2, "k") // while it runs, there is a result to share
-	v.value(id, "OK", "once")
-	c.answered(1, 200, "once")
-	c.answered(2, 200, "once")
+	r, v := startServerWith(t, `"Window":30000.0`, `"Window":0.0`)
+	c := r.connectRouter()
+	id := c.sendBook(1, "k")
+	v.expectApply(id, "entry k")
+	shares := c.sendBook(2, "k") // while it runs, there is a result to share
+	v.sendValue(id, "OK", "once")
+	c.expectResponse(1, 200, "once")
+	c.expectResponse(2, 200, "once")
 	r.NotEqual(id, shares)
 	ended := time.Now()
-	r.Eventually(func() bool { return time.Since(ended) > 20*time.Millisecond }, patience, time.Millisecond)
-	id = c.book(3, "k") // after it, a new request
-	v.applied(id, "entry k")
-	v.value(id, "OK", "twice")
-	c.answered(3, 200, "twice")
+	r.Eventually(func() bool { return time.Since(ended) > 20*time.Millisecond }, eventTimeout, time.Millisecond)
+	id = c.sendBook(3, "k") // after it, a new request
+	v.expectApply(id, "entry k")
+	v.sendValue(id, "OK", "twice")
+	c.expectResponse(3, 200, "twice")
 }
 
 // No caller waits longer than its class allows, whatever it says: the answer is there by then.
 func TestABudgetBeyondTheDeadline(t *testing.T) {
-	r, v := start(t)
-	c, with := r.router(), fields(r.id())
+	r, v := startServer(t)
+	c, with := r.connectRouter(), requestParameters(r.newRequestID())
 	with["HTTP_BUDGET_MS"] = "1750" // of a class with 900
-	c.ask(1, "/rpc/brief", "b", with)
-	v.applied(with["HTTP_REQUEST_ID"], "b")
+	c.send(1, "/rpc/brief", "b", with)
+	v.expectApply(with["HTTP_REQUEST_ID"], "b")
 	from := time.Now()
-	c.answered(1, 500, "")
+	c.expectResponse(1, 500, "")
 	r.Less(time.Since(from), 1600*time.Millisecond)
 }
 
 // The system grants fewer descriptors than the configuration: a flood is turned away, nothing ends.
 func TestFewerDescriptorsThanTold(t *testing.T) {
-	r := prepare(t)
+	r := newTestServer(t)
 	r.config = strings.Replace(r.config, `"sockets":64`, `"sockets":512`, 1)
-	r.wrap = []string{"/bin/sh", "-c", `ulimit -n 90 && exec "$0" "$@"`}
-	r.run()
-	v := r.up(0)
+	r.wrapper = []string{"/bin/sh", "-c", `ulimit -n 90 && exec "$0" "$@"`}
+	r.writeFilesAndStart()
+	v := r.acceptInterpreter(0)
 	for range 300 {
 		if c, err := net.Dial("tcp", r.listen); err == nil {
 			t.Cleanup(func() { closeQuietly(c) })
 		}
 	}
-	c := r.router()
-	v.serves(c, 1, "goes on")
-	r.NotContains(logOf(r), "engine_error")
+	c := r.connectRouter()
+	v.serveOne(c, 1, "goes on")
+	r.NotContains(logText(r), "engine_error")
 }
 
 // A process that is killed leaves its port in TIME_WAIT, as it had ended a connection itself; its next life listens at
 // once, answers health checks while the interpreter is late, and serves once that is up.
 func TestAPortInTimeWaitAndALateInterpreter(t *testing.T) {
-	r, v := start(t)
-	c := r.router()
+	r, v := startServer(t)
+	c := r.connectRouter()
 	last := emulator.FastCGIRequest(1, "/health", "", nil)
 	last[10] = 0 // and the program ends the connection
 	_, err := c.Write(last)
 	r.NoError(err)
-	c.answered(1, 200, "")
-	r.Empty(r.whole(c.link))
+	c.expectResponse(1, 200, "")
+	r.Empty(r.readToEnd(c.link))
 	closeQuietly(c)
 	_, port, _ := net.SplitHostPort(r.listen)
 	number, err := strconv.Atoi(port)
@@ -367,65 +372,65 @@
 		}
 		return false
 	}
-	r.Eventually(waits, patience, time.Millisecond)
+	r.Eventually(waits, eventTimeout, time.Millisecond)
 	r.NoError(r.process.Process.Kill())
 	<-r.ended
 	closeQuietly(v)
 	r.True(waits(), "the port is in TIME_WAIT")
 	r.start()
-	c = r.router()
-	c.ask(1, "/health", "", nil)
-	c.answered(1, 200, "")
-	c.look(2, "too early")
-	c.answered(2, 503, "")
-	v = r.up(0)
-	v.serves(c, 3, "once it is up")
+	c = r.connectRouter()
+	c.send(1, "/health", "", nil)
+	c.expectResponse(1, 200, "")
+	c.sendLook(2, "too early")
+	c.expectResponse(2, 503, "")
+	v = r.acceptInterpreter(0)
+	v.serveOne(c, 3, "once it is up")
 }
 
 // The link to the interpreter is lost under a run, and its window ends meanwhile: a repeat that reached the machine in
 // the window and one that comes after it both wait for that run. One run, one result.
 func TestRepeatsAcrossALostLinkAndAShortWindow(t *testing.T) {
-	r, v := startWith(t, `"Window":30000.0`, `"Window":300.0`)
-	c := r.router()
-	id := c.book(1, "k")
-	v.applied(id, "entry k")
+	r, v := startServerWith(t, `"Window":30000.0`, `"Window":300.0`)
+	c := r.connectRouter()
+	id := c.sendBook(1, "k")
+	v.expectApply(id, "entry k")
 	ran := time.Now()
 	// no APPLY can be lost by now
-	r.Eventually(func() bool { return time.Since(ran) > 120*time.Millisecond }, patience, time.Millisecond)
+	r.Eventually(func() bool { return time.Since(ran) > 120*time.Millisecond }, eventTimeout, time.Millisecond)
 	closeQuietly(v)
-	v = &vm{r: r, link: r.link(r.vm)}
-	r.Equal(`{"type":"CONNECT","n":0}`, r.line(v.link))
-	c.book(2, "k")
-	r.Eventually(func() bool { return time.Since(ran) > 400*time.Millisecond }, patience, time.Millisecond)
-	c.book(3, "k")
-	c.ask(4, "/health", "", nil)
-	c.answered(4, 200, "") // both have been read while the link says nothing
-	r.say(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
-	v.value(id, "OK", "once")
+	v = &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
+	r.Equal(`{"type":"CONNECT","n":0}`, r.readLine(v.link))
+	c.sendBook(2, "k")
+	r.Eventually(func() bool { return time.Since(ran) > 400*time.Millisecond }, eventTimeout, time.Millisecond)
+	c.sendBook(3, "k")
+	c.send(4, "/health", "", nil)
+	c.expectResponse(4, 200, "") // both have been read while the link says nothing
+	r.writeLine(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
+	v.sendValue(id, "OK", "once")
 	got := map[uint16]string{}
 	for range 3 {
-		slot, status, _, body := c.answer()
+		slot, status, _, body := c.readResponse()
 		got[slot] = fmt.Sprint(status, " ", body)
 	}
 	r.Equal(map[uint16]string{1: "200 once", 2: "200 once", 3: "200 once"}, got)
-	look := c.look(5, "goes on")
-	v.applied(look, "goes on") // and no run in between
+	look := c.sendLook(5, "goes on")
+	v.expectApply(look, "goes on") // and no run in between
 }
 
-// drained is what became of one connection of the drain.
-type drained struct {
-	kind     string
-	received int64 // Received-At of its request, 0 where it was never whole
-	id       string
-	answers  int
-	refused  bool
-	err      error
+// drainedConnection is the outcome of one connection during a drain.
+type drainedConnection struct {
+	kind        string
+	received    int64 // Received-At of its request, 0 where it was never whole
+	id          string
+	answers     int
+	dialRefused bool
+	err         error
 }
 
 // A drain with bytes at every moment of it: requests on connections at rest and on new ones, half requests, half
 // records. Whatever was read has one answer, or ran never and ended cleanly; nothing that came after the grace is run.
 func TestMeasuredDrainOrders(t *testing.T) {
-	r, v := startWith(t, `"sockets":64`, `"sockets":256`)
+	r, v := startServerWith(t, `"sockets":64`, `"sockets":256`)
 	const every, moments = 4 * time.Millisecond, 340 // 1.36 s of the 1.5 s to the stop; the last part is refused
 	var lock sync.Mutex
 	ran := map[string]int{}
@@ -436,11 +441,12 @@
 				return
 			}
 			if _, job, found := strings.Cut(line, `{"type":"APPLY","job":"`); found {
-				v.n++
+				v.lastNotice++
 				lock.Lock()
 				ran[job[:16]]++
 				lock.Unlock()
-				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n", v.n,
+				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
+					v.lastNotice,
 					job[:16])
 			} else if _, tag, found := strings.Cut(line, `{"type":"TOP","ref":`); found {
 				_, _ = fmt.Fprintf(v, `{"type":"TOPS","ref":%s,"gauges":[0.1,1,0.1,3]}`+"\n",
@@ -451,20 +457,20 @@
 	// All but the newcomers are there before, at rest or fresh, few enough for the table.
 	var resting []*link
 	for range 60 {
-		c := r.router()
-		c.ask(1, "/health", "", nil)
-		c.answered(1, 200, "")
+		c := r.connectRouter()
+		c.send(1, "/health", "", nil)
+		c.expectResponse(1, 200, "")
 		resting = append(resting, c.link)
 	}
 	var floods []*link
 	for range 20 {
-		c := r.router()
-		c.ask(1, "/health", "", nil)
-		c.answered(1, 200, "")
+		c := r.connectRouter()
+		c.send(1, "/health", "", nil)
+		c.expectResponse(1, 200, "")
 		floods = append(floods, c.link)
 		go func() { // records of no open request, until the other side's end has been read
 			for {
-				if _, err := c.Write(fcgi(5, 9, "")); err != nil {
+				if _, err := c.Write(fastCGIRecord(5, 9, "")); err != nil {
 					return
 				}
 			}
@@ -472,9 +478,9 @@
 	}
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
 	notice := time.Now()
-	var all []*drained
+	var all []*drainedConnection
 	var done sync.WaitGroup
-	read := func(l *link, d *drained) {
+	read := func(l *link, d *drainedConnection) {
 		defer done.Done()
 		for {
 			if _, err := l.ReadResponse(); err != nil {
@@ -490,9 +496,9 @@
 		}
 	}
 	begin := func(kind string, l *link, whole bool) {
-		d := &drained{kind: kind, id: r.id()}
+		d := &drainedConnection{kind: kind, id: r.newRequestID()}
 		all = append(all, d)
-		with := fields(d.id)
+		with := requestParameters(d.id)
 		text := emulator.FastCGIRequest(2, "/rpc/look", "b", with)
 		if whole {
 			d.received, _ = strconv.ParseInt(with["HTTP_RECEIVED_AT"], 10, 64)
@@ -517,30 +523,30 @@
 		case i%3 < 2:
 			l, err := emulator.Dial(r.listen)
 			if err != nil {
-				all = append(all, &drained{kind: kind, refused: true})
+				all = append(all, &drainedConnection{kind: kind, dialRefused: true})
 				continue
 			}
-			r.NoError(l.SetDeadline(time.Now().Add(patience)))
+			r.NoError(l.SetDeadline(time.Now().Add(eventTimeout)))
 			begin(kind, l, i%3 == 0)
 		}
 	}
 	for _, l := range floods {
-		d := &drained{kind: "bytes without a pause"}
+		d := &drainedConnection{kind: "bytes without a pause"}
 		all = append(all, d)
 		done.Add(1)
 		go read(l, d)
 	}
 	for _, l := range resting { // and some rest until the server ends them
-		d := &drained{kind: "at rest to the end"}
+		d := &drainedConnection{kind: "at rest to the end"}
 		all = append(all, d)
 		done.Add(1)
 		go read(l, d)
 	}
 	done.Wait()
-	code, log := r.exit()
+	code, log := r.waitForExit()
 	ended := time.Since(notice)
 	r.Equal(0, code, log)
-	r.Less(ended, patience/4) // 1.5 s where the machine has nothing else to do: the figure is below
+	r.Less(ended, eventTimeout/4) // 1.5 s where the machine has nothing else to do: the figure is below
 	lost, double, late, reset, refused := 0, 0, 0, 0, 0
 	said, _, _ := strings.Cut(log[strings.LastIndex(log[:strings.Index(log, " event=shutting_down")], "\n")+1:], " ")
 	left, err := time.Parse(time.RFC3339Nano, said)
@@ -548,7 +554,7 @@
 	graceEnd := left.Add(350 * time.Millisecond).UnixMilli() // 300, and 50 of slack
 	for _, d := range all {
 		switch runs := ran[d.id]; {
-		case d.refused:
+		case d.dialRefused:
 			refused++
 		case d.answers > 1 || runs > 1:
 			double++
@@ -570,8 +576,8 @@
 // Clients that ask once or never and stay fill the descriptors while the directory is down: the program's own dials,
 // health checks and routers with work still have their place, and it reports at once when the directory is back.
 func TestMeasuredIdleConnections(t *testing.T) {
-	r, v := startWith(t, `"sockets":64`, `"sockets":128`)
-	d := r.link(r.directory)
+	r, v := startServerWith(t, `"sockets":64`, `"sockets":128`)
+	d := r.nextLink(r.directory)
 	r.NoError(r.directory.Listener.Close())
 	closeQuietly(d)
 	idle, served := 0, 0
@@ -597,20 +603,20 @@
 	}
 	work := func(n int) {
 		for i := range n {
-			c := r.router()
-			c.ask(1, "/health", "", nil)
-			c.answered(1, 200, "")
-			id := c.look(2, "w")
-			v.applied(id, "w")
+			c := r.connectRouter()
+			c.send(1, "/health", "", nil)
+			c.expectResponse(1, 200, "")
+			id := c.sendLook(2, "w")
+			v.expectApply(id, "w")
 			if i == 0 {
-				v.await(id, "call")
-				x := r.called(id)
-				r.say(x, "%s HIT 2\r\nok\r", id)
-				r.Equal("RESOLVE "+id, func() string { o := v.next(); return o.Type + " " + o.Job }())
+				v.sendAwait(id, "call")
+				x := r.indexCall(id)
+				r.writeLine(x, "%s HIT 2\r\nok\r", id)
+				r.Equal("RESOLVE "+id, func() string { o := v.nextCommand(); return o.Type + " " + o.Job }())
 				closeQuietly(x)
 			}
-			v.value(id, "OK", "done")
-			c.answered(2, 200, "done")
+			v.sendValue(id, "OK", "done")
+			c.expectResponse(2, 200, "done")
 			served++
 			closeQuietly(c)
 		}
@@ -618,31 +624,31 @@
 	crowd(200)
 	work(5)
 	closeQuietly(v) // and the link to the interpreter is dialled anew
-	n := v.n
-	v = &vm{r: r, link: r.link(r.vm), n: n}
-	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.line(v.link))
+	n := v.lastNotice
+	v = &interpreterLink{server: r, link: r.nextLink(r.interpreter), lastNotice: n}
+	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.readLine(v.link))
 	crowd(100)
-	r.say(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
+	r.writeLine(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
 	work(5)
 	crowd(100)
 	r.NoError(r.directory.Reopen())
 	from := time.Now()
-	d = r.link(r.directory)
-	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.line(d))
+	d = r.nextLink(r.directory)
+	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.readLine(d))
 	back := time.Since(from)
 	work(5)
 	fmt.Printf("measured idle connections=%d lost=%d served=%d reregistered_ms=%d source=stand-ins\n", idle,
 		15-served, served, back.Milliseconds())
 	r.Equal(15, served)
 	r.Less(back, 3*time.Second) // the lapse; what it is without other loads is printed
-	r.NotContains(logOf(r), "engine_error")
+	r.NotContains(logText(r), "engine_error")
 }
 
 // Thirty processes are killed and begin again at once, under their addresses, on this machine's cores: the directory is
 // down, the index refuses, clients knock already. Each answers health checks soon.
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
-	g := fleetOf(t, clustertest.Plan{Servers: processes, Seed: 33})
+	g := newTestCluster(t, clustertest.Plan{Servers: processes, Seed: 33})
 	g.NoError(g.Directory.Listener.Listener.Close())
 	g.NoError(g.Index.Listener.Listener.Close())
 	ready := func() (in []time.Duration) {
@@ -668,7 +674,7 @@
 						_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 						if knocker > 0 { // and asks for work, or says nothing
 							_, _ = c.Write(emulator.FastCGIRequest(1, "/rpc/look", "b",
-								fields("0000000000000001"))[:knocker*60])
+								requestParameters("0000000000000001"))[:knocker*60])
 						} else if _, err = c.Write(emulator.FastCGIRequest(1, "/health", "", nil)); err == nil {
 							if a, err := c.ReadResponse(); err == nil && a.Status == 200 {
 								in[i] = time.Since(begun[i])
--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -21,16 +21,18 @@
 	"thistlequay/internal/quota/service"
 )
 
-// sharingFleet is processes with a limit of calls in hand over all of them; without slots each keeps to a part of its
-// own.
-func sharingFleet(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
-	more string) *together {
-	return sharingFleetOf(t, servers, slots, calls, part, seed, delay, more, func([]*clustertest.Server) {})
+// startQuotaCluster starts a cluster with a quota of downstream calls in flight over all servers. With slots of 0
+// there is
+// no quota, and each server keeps to the fixed part in its settings.
+func startQuotaCluster(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
+	more string) *testCluster {
+	t.Helper()
+	return startQuotaClusterOf(t, servers, slots, calls, part, seed, delay, more, func([]*clustertest.Server) {})
 }
 
-// sharingFleetOf is sharingFleet with a change to the servers before they are started.
-func sharingFleetOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
-	more string, prepare func([]*clustertest.Server)) *together {
+// startQuotaClusterOf is startQuotaCluster with a change to the servers before they are started.
+func startQuotaClusterOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
+	more string, prepare func([]*clustertest.Server)) *testCluster {
 	index, err := emulator.NewIndex()
 	require.NoError(t, err)
 	index.ReplyDelay = delay
@@ -38,7 +40,7 @@
 	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`,
 		fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
 		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`,
-		`"HardLimit":2000.0`).Replace(settings)), &of))
+		`"HardLimit":2000.0`).Replace(platformSettings)), &of))
 	p := clustertest.Plan{Servers: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
 	if slots > 0 {
 		p.ServiceYAML = func(s *clustertest.Server) string {
@@ -46,25 +48,26 @@
 				strings.ReplaceAll(more, "{name}", s.Name)
 		}
 	}
-	g := fleetOf(t, p)
+	g := newTestCluster(t, p)
 	prepare(g.Servers)
 	for _, s := range g.Servers {
 		s.Interpreter.CallProbability = 1
 		g.NoError(s.Start())
 	}
-	g.up(g.Servers)
+	g.waitUntilServing(g.Servers)
 	return g
 }
 
-// share waits until each of the servers tells of its shares what the test wants.
-func (g *together) share(what string, of []*clustertest.Server, is func(service.Status) bool) time.Duration {
+// waitForQuota waits until the quota status of each of the servers is as the test wants, and gives how long that took.
+func (g *testCluster) waitForQuota(what string, of []*clustertest.Server, is func(service.Status) bool) time.Duration {
+	g.t.Helper()
 	begun := time.Now()
 	for left := slices.Clone(of); len(left) > 0; time.Sleep(50 * time.Millisecond) {
 		left = slices.DeleteFunc(left, func(s *clustertest.Server) bool {
 			r, err := s.Shares()
 			return err == nil && is(r)
 		})
-		if len(left) > 0 && time.Since(begun) > 3*patience {
+		if len(left) > 0 && time.Since(begun) > 3*eventTimeout {
 			r, err := left[0].Shares()
 			g.FailNow(what, "%s tells otherwise: %+v %v\n%v", left[0].Name, r, err, g.History())
 		}
@@ -73,13 +76,19 @@
 	return time.Since(begun)
 }
 
-func granted(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere > 1 }
-func onFloor(r service.Status) bool {
+// hasLease tests for a lease on more than the guaranteed minimum.
+func hasLease(r service.Status) bool {
+	return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere > 1
+}
+
+// onGuaranteedMinimum tests for a server without a lease, which keeps to the guaranteed minimum.
+func onGuaranteedMinimum(r service.Status) bool {
 	return r.Limits[0].ExpiresInMs == 0 && r.Limits[0].UsableHere == 1
 }
 
-// leader is who leads the keepers.
-func (g *together) leader(of []*clustertest.Server) (leader *clustertest.Server) {
+// waitForLeader waits for the leader of the quota coordinators and gives it.
+func (g *testCluster) waitForLeader(of []*clustertest.Server) (leader *clustertest.Server) {
+	g.t.Helper()
 	g.Eventually(func() bool {
 		for _, s := range of {
 			if r, err := s.Shares(); err == nil && r.IsLeader && r.HasQuorum && r.Opened {
@@ -88,12 +97,13 @@
 			}
 		}
 		return false
-	}, 3*patience, 50*time.Millisecond)
+	}, 3*eventTimeout, 50*time.Millisecond)
 	return leader
 }
 
-// load sends more than the index may have in hand until it is told to end.
-func (g *together) load(rate float64, list func() []*clustertest.Server) (end func() clustertest.Tally) {
+// startLoad sends more than the index may have in flight until end is called, which gives the tally.
+func (g *testCluster) startLoad(rate float64, list func() []*clustertest.Server) (end func() clustertest.Tally) {
+	g.t.Helper()
 	over, done := make(chan struct{}), make(chan clustertest.Tally)
 	go func() {
 		var sum clustertest.Tally
@@ -121,13 +131,13 @@
 func TestSharesThroughFaults(t *testing.T) {
 	t.Parallel()
 	const calls = 20
-	g := sharingFleet(t, 5, 8, calls, calls/5, 6, 60*time.Millisecond, "")
+	g := startQuotaCluster(t, 5, 8, calls, calls/5, 6, 60*time.Millisecond, "")
 	all, lock := slices.Clone(g.Servers), sync.Mutex{}
 	list := slices.Clone(all)
 	serving := func(of []*clustertest.Server) { lock.Lock(); list = of; lock.Unlock() }
-	g.share("grants", all, granted)
-	end := g.load(600, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
-	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, patience, 100*time.Millisecond,
+	g.waitForQuota("grants", all, hasLease)
+	end := g.startLoad(600, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
+	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, eventTimeout, 100*time.Millisecond,
 		"the load asks for too little")
 	over, peaks := 0, 0
 	within := func(what string, whole int) {
@@ -140,27 +150,27 @@
 	}
 
 	// The leader is killed: another leads, and those that were granted something go on meanwhile.
-	leader := g.leader(all)
-	serving(without(all, leader))
+	leader := g.waitForLeader(all)
+	serving(serversExcept(all, leader))
 	g.NoError(leader.Kill())
-	g.share("after the leader's death", without(all, leader), granted)
-	g.leader(without(all, leader))
+	g.waitForQuota("after the leader's death", serversExcept(all, leader), hasLease)
+	g.waitForLeader(serversExcept(all, leader))
 	within("leader killed", calls)
 	g.NoError(leader.Start())
 	g.NoError(waitUntilReady(leader.Listen))
 	serving(all)
-	g.share("it is back", all, granted)
+	g.waitForQuota("it is back", all, hasLease)
 	within("leader back", calls)
 
 	// The leader stands still for five seconds and goes on, then a holder with calls in hand, across the end of its
 	// grant.
-	leader = g.leader(all)
-	serving(without(all, leader))
+	leader = g.waitForLeader(all)
+	serving(serversExcept(all, leader))
 	g.NoError(leader.Signal(syscall.SIGSTOP))
 	time.Sleep(5 * time.Second) // the fault itself
 	g.NoError(leader.Signal(syscall.SIGCONT))
 	serving(all)
-	g.share("after a leader's stop", all, granted)
+	g.waitForQuota("after a leader's stop", all, hasLease)
 	within("leader stopped", calls)
 	holder := all[4]
 	for range 3 {
@@ -174,14 +184,14 @@
 	five := func(r service.Status) bool {
 		return r.Voter != 0 && len(r.Voters) == 5 && !slices.Contains(r.Voters, "?")
 	}
-	g.share("five keepers", all, five)
+	g.waitForQuota("five keepers", all, five)
 	two := []*clustertest.Server{all[0], all[1]}
 	g.Partition(func(s *clustertest.Server) int { return boolInt(s.Index > 1) })
-	g.share("the two", two, onFloor)
-	g.share("the three", all[2:], granted)
+	g.waitForQuota("the two", two, onGuaranteedMinimum)
+	g.waitForQuota("the three", all[2:], hasLease)
 	within("split", calls)
 	g.Heal()
-	g.share("they meet", all, granted)
+	g.waitForQuota("they meet", all, hasLease)
 	within("healed", calls)
 
 	// The whole is lowered by half in use, at one server after the other.
@@ -192,7 +202,7 @@
 	for _, s := range all {
 		g.NoError(s.ReloadWithKeys(clustertest.Key))
 	}
-	g.share("a lowered whole", []*clustertest.Server{g.leader(all)},
+	g.waitForQuota("a lowered whole", []*clustertest.Server{g.waitForLeader(all)},
 		func(r service.Status) bool { return r.Limits[0].Total == float64(half) })
 	within("lowered", calls)
 	time.Sleep(500 * time.Millisecond) // calls that were begun before come to their ends
@@ -205,7 +215,7 @@
 	for _, s := range all {
 		g.NoError(s.ReloadWithKeys(clustertest.Key))
 	}
-	g.leader(all)
+	g.waitForLeader(all)
 
 	// All are killed and begun again at once: nothing is granted before all that was granted has run out.
 	serving(nil)
@@ -216,9 +226,9 @@
 		<-s.Ended()
 		g.NoError(s.Start())
 	}
-	g.up(all)
+	g.waitUntilServing(all)
 	serving(all)
-	again := g.share("after all died", all, granted)
+	again := g.waitForQuota("after all died", all, hasLease)
 	within("all restarted", calls)
 	o := end()
 	t.Logf("measured shares-faults servers=5 whole=%d over=%d peak=%d asked=%d in_time=%d late=%d "+
@@ -227,7 +237,7 @@
 	g.Greater(o.OnTime, o.Requested/10)
 
 	var out bytes.Buffer
-	g.Zero(runCommandLine([]string{"shares", g.leader(all).Status}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"shares", g.waitForLeader(all).Status}, &out, &out), out.String())
 	g.Contains(out.String(), "leads the keepers")
 	g.Contains(out.String(), "calls: whole 20")
 	log := filepath.Join(t.TempDir(), "log")
@@ -237,6 +247,7 @@
 	g.Contains(out.String(), "calls in hand that could be used")
 }
 
+// boolInt is 1 for true and 0 for false.
 func boolInt(b bool) int {
 	if b {
 		return 1
@@ -266,7 +277,7 @@
 			if how == "shares" {
 				slots = servers
 			}
-			gain[how] = sharesDay(t, name, how, servers, begun, slots, calls, delay, length, int64(20+n))
+			gain[how] = playQuotaDay(t, name, how, servers, begun, slots, calls, delay, length, int64(20+n))
 		}
 		t.Logf("measured shares-gain day=%s whole=%d in_time_shares=%.3f in_time_fixed=%.3f in_time_none=%.3f", name,
 			calls, gain["shares"], gain["fixed"], gain["none"])
@@ -274,20 +285,22 @@
 	}
 }
 
-// sharesDay plays one day and gives the part that was served in time after its trouble has begun, of what the index
+// playQuotaDay plays one scenario and gives the part that was served in time after its fault has begun, of what the
+// index
 // could do.
-func sharesDay(t *testing.T, name, how string, servers, begun, slots, calls int, delay, length time.Duration,
+func playQuotaDay(t *testing.T, name, how string, servers, begun, slots, calls int, delay, length time.Duration,
 	seed int64) float64 {
+	t.Helper()
 	part := float64(calls) / float64(begun)
 	if how == "none" {
 		part = 1e6
 	}
 	more := map[string]string{"split": "  floor: 3\n"}[name] // floors as such a fleet would have them
-	g := sharingFleet(t, begun, slots, calls, part, seed, delay, more)
+	g := startQuotaCluster(t, begun, slots, calls, part, seed, delay, more)
 	g.Index.SlowdownThreshold = calls
 	all := slices.Clone(g.Servers)
 	if how == "shares" {
-		g.share("grants", all, func(r service.Status) bool {
+		g.waitForQuota("grants", all, func(r service.Status) bool {
 			return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere >= 1
 		})
 	}
@@ -329,7 +342,7 @@
 				s.Interpreter.CallProbability = 1
 			}
 			if how == "shares" { // routers hear of them once they are members with a grant
-				g.share("newcomers", g.CurrentServers(),
+				g.waitForQuota("newcomers", g.CurrentServers(),
 					func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
 			}
 			lock.Lock()
@@ -360,10 +373,10 @@
 // back, each as what it can prove to be, and the log goes on with what was agreed on.
 func TestKeepersWithADisk(t *testing.T) {
 	t.Parallel()
-	g := sharingFleet(t, 4, 4, 12, 3, 9, 30*time.Millisecond,
+	g := startQuotaCluster(t, 4, 4, 12, 3, 9, 30*time.Millisecond,
 		"  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n")
 	all := slices.Clone(g.Servers)
-	g.share("grants", all, granted)
+	g.waitForQuota("grants", all, hasLease)
 	directory := func(s *clustertest.Server) string { return filepath.Join(g.WorkDirectory, "keeper-"+s.Name) }
 	files := func(s *clustertest.Server) (names []string) {
 		names, err := filepath.Glob(filepath.Join(directory(s), "*"))
@@ -393,17 +406,17 @@
 		}, false},
 		{gone, func(s *clustertest.Server) { g.NoError(os.RemoveAll(directory(s))) }, false},
 	} {
-		g.sees("the fleet has its voters", all, settled(4))
+		g.waitForView("the fleet has its voters", all, agreedOn(4))
 		before := voter(one.s)
 		g.NoError(one.s.Kill())
 		one.spoil(one.s)
-		g.share("the others go on", without(all, one.s), granted)
+		g.waitForQuota("the others go on", serversExcept(all, one.s), hasLease)
 		g.NoError(one.s.Start())
 		g.NoError(waitUntilReady(one.s.Listen))
-		g.share("it is a voter again", all[:3], func(r service.Status) bool {
+		g.waitForQuota("it is a voter again", all[:3], func(r service.Status) bool {
 			return len(r.Voters) == 3 && !slices.Contains(r.Voters, "?") && r.Opened
 		})
-		g.share("grants again", all, granted)
+		g.waitForQuota("grants again", all, hasLease)
 		if one.same {
 			g.Equal(before, voter(one.s))
 		} else {
@@ -417,7 +430,7 @@
 		<-s.Ended()
 		g.NoError(s.Start())
 	}
-	g.share("after all died", all, granted)
+	g.waitForQuota("after all died", all, hasLease)
 	for _, s := range all[:3] {
 		g.Contains(s.Log.String(), "state=restored")
 	}
@@ -440,15 +453,15 @@
 			var of map[string]any
 			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`,
 				twoTenants(day.acme, 1-day.acme), `"Servers":3`,
-				fmt.Sprintf(`"Servers":%d`, servers)).Replace(settings)), &of))
-			g := fleetOf(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of,
+				fmt.Sprintf(`"Servers":%d`, servers)).Replace(platformSettings)), &of))
+			g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of,
 				ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
 			for _, s := range g.Servers {
 				g.NoError(s.Start())
 			}
-			g.up(g.Servers)
+			g.waitUntilServing(g.Servers)
 			if talk {
-				g.sees("all are there", g.Servers, settled(servers))
+				g.waitForView("all are there", g.Servers, agreedOn(servers))
 			}
 			const rate = 75.0 // a server, of 50 that its cores can do
 			at := func(of []*clustertest.Server) func(time.Duration) []*clustertest.Server {
@@ -491,12 +504,12 @@
 func TestSharesAsTheFleetChanges(t *testing.T) {
 	t.Parallel()
 	const calls = 24
-	g := sharingFleet(t, 4, 12, calls, 6, 12, 50*time.Millisecond, "")
+	g := startQuotaCluster(t, 4, 12, calls, 6, 12, 50*time.Millisecond, "")
 	var lock sync.Mutex
 	list := slices.Clone(g.Servers)
 	serving := func(of []*clustertest.Server) { lock.Lock(); list = slices.Clone(of); lock.Unlock() }
-	g.share("grants", list, granted)
-	end := g.load(500, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
+	g.waitForQuota("grants", list, hasLease)
+	end := g.startLoad(500, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
 	over := 0
 	within := func(what string) {
 		peak := g.Index.PeakInFlight()
@@ -513,7 +526,7 @@
 			g.NoError(s.Start())
 			new = append(new, s)
 		}
-		g.up(new)
+		g.waitUntilServing(new)
 		return new
 	}
 	leave := func(of []*clustertest.Server) {
@@ -529,24 +542,24 @@
 	gone, now := all[2:], append(slices.Clone(all[:2]), more(2)...)
 	serving(now)
 	leave(gone)
-	g.share("half are replaced", now, granted)
+	g.waitForQuota("half are replaced", now, hasLease)
 	within("half replaced")
 	now = append(now, more(4)...)
-	g.share("twice as many", now, func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
+	g.waitForQuota("twice as many", now, func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
 	serving(now)
-	g.sees("eight are agreed on", now, settled(8))
+	g.waitForView("eight are agreed on", now, agreedOn(8))
 	within("doubled")
 	serving(now[:4])
 	leave(now[4:])
 	now = now[:4]
-	g.share("as many as before", now, granted)
+	g.waitForQuota("as many as before", now, hasLease)
 	within("shrunk")
 	serving(now[:1]) // it asks for everything
-	g.share("one takes what the others leave", now[:1],
+	g.waitForQuota("one takes what the others leave", now[:1],
 		func(r service.Status) bool { return r.Limits[0].UsableHere > calls/3 })
 	within("greedy")
 	serving(now)
-	g.sees("four are agreed on", now, settled(4))
+	g.waitForView("four are agreed on", now, agreedOn(4))
 	var voters []*clustertest.Server
 	for _, s := range now {
 		if r, err := s.Shares(); err == nil && r.Voter != 0 && slices.Contains(r.Voters, s.Name) {
@@ -557,17 +570,17 @@
 	for _, s := range still {
 		g.NoError(s.Signal(syscall.SIGSTOP))
 	}
-	rest := without(now, still...)
+	rest := serversExcept(now, still...)
 	serving(rest)
-	g.share("no agreement", rest, onFloor)
+	g.waitForQuota("no agreement", rest, onGuaranteedMinimum)
 	time.Sleep(3 * time.Second) // the fault goes on
-	g.share("still none", rest, onFloor)
+	g.waitForQuota("still none", rest, onGuaranteedMinimum)
 	within("no agreement")
 	for _, s := range still {
 		g.NoError(s.Signal(syscall.SIGCONT))
 	}
 	serving(now)
-	g.share("agreement again", now, granted)
+	g.waitForQuota("agreement again", now, hasLease)
 	within("agreement again")
 	o := end()
 	t.Logf("measured shares-changes whole=%d over=%d asked=%d in_time=%d", calls, over, o.Requested, o.OnTime)
--- a/cmd/thistlequay/standins_test.go
+++ b/cmd/thistlequay/standins_test.go
@@ -21,23 +21,23 @@
 	"thistlequay/internal/emulator"
 )
 
-// The stand-ins speak as their protocol pages say and do only what a test has them do. Nothing here sleeps: all
-// waiting is for an event, up to a bound that only a failure reaches.
-const patience = 20 * time.Second
+// eventTimeout bounds every wait for an event; only a failure reaches it. The emulators speak as their protocol pages
+// say and do only what a test has them do, so no test sleeps for something that it could wait for.
+const eventTimeout = 20 * time.Second
 
-// The test binary is the program too, where this names it so: that links it with the tests' own flags, and no
-// change of the program leaves an old verdict standing.
-const asProgram = "THISTLEQUAY_AS_PROGRAM"
+// runAsProgramEnv names the environment variable under which the test binary runs as the program. The program is linked
+// with the tests' own flags that way, and no cached test result outlives a change of the program.
+const runAsProgramEnv = "THISTLEQUAY_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-const settings = `{"Categories":[
+const platformSettings = `{"Categories":[
 {"Effect":"repeatable","HardLimit":8000.0,"LateWorth":0.2,"Name":"look","OnTime":4000.0,"Window":5000.0,"Worth":1.0},
 {"Effect":"by_key","HardLimit":8000.0,"LateWorth":0.2,"Name":"book","OnTime":4000.0,"Window":30000.0,"Worth":3.0},
 {"Effect":"repeatable","HardLimit":900.0,"LateWorth":0.0,"Name":"brief","OnTime":600.0,"Window":5000.0,"Worth":1.0}],
@@ -47,118 +47,144 @@
 "Limits":{"MaxRetryAfter":1000.0,"RetryAfter":true},"Period":2.0,"Servers":3,"Tenants":[{"Name":"acme"}],
 "Rules":{"Cold":9000.0,"ColdFrom":0.3,"DrainGrace":300.0,"TipMultiple":8.0}}`
 
-// rig is one program and all that it talks to.
-type rig struct {
+// testServer is one process of the program under test together with the emulated interpreter, index and directory that
+// it talks to.
+type testServer struct {
 	*require.Assertions
-	t         *testing.T
-	vm        *standIn
-	index     *standIn
-	directory *standIn
-	listen    string
-	config    string
-	path      string
-	args      []string // of the program
-	wrap      []string // a command that becomes it
-	program   string   // another build of it; the test binary itself where empty
-	service   string   // our own settings; none where empty
-	process   *exec.Cmd
-	log       *lines
-	ended     chan struct{}
-	ids       int
+	t           *testing.T
+	interpreter *emulatedListener
+	index       *emulatedListener
+	directory   *emulatedListener
+	// listen is the address on which the program serves routers.
+	listen string
+	// config is the text of the platform's configuration file, and path is that file.
+	config string
+	path   string
+	// args are the program's arguments.
+	args []string
+	// wrapper is a command that becomes the program, such as a shell with a resource limit.
+	wrapper []string
+	// program is the path of another build of the program; the test binary itself where empty.
+	program string
+	// service is the text of our own settings, which lie beside path; none where empty.
+	service string
+	// process is the running program, output its log; ended is closed once it has exited.
+	process *exec.Cmd
+	output  *logBuffer
+	ended   chan struct{}
+	// requestCount counts the identifiers that newRequestID has given.
+	requestCount int
 }
 
 type (
-	standIn = emulator.Listener
-	link    = emulator.Link
+	emulatedListener = emulator.Listener
+	link             = emulator.Link
 )
 
-func (r *rig) standIn() *standIn {
+// newEmulator listens on a free loopback address as the interpreter, the index or the directory.
+func (r *testServer) newEmulator() *emulatedListener {
+	r.t.Helper()
 	s, err := emulator.Listen()
 	r.NoError(err)
 	r.t.Cleanup(func() { closeQuietly(s) })
 	return s
 }
 
-func (r *rig) link(s *standIn) *link {
+// nextLink waits for the program's next connection to an emulator.
+func (r *testServer) nextLink(s *emulatedListener) *link {
+	r.t.Helper()
 	select {
 	case l := <-s.Links:
-		r.NoError(l.SetDeadline(time.Now().Add(patience)))
+		r.NoError(l.SetDeadline(time.Now().Add(eventTimeout)))
 		r.t.Cleanup(func() { closeQuietly(l) })
 		return l
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		r.FailNow("no link came")
 		return nil
 	}
 }
 
-func (r *rig) line(l *link) string {
+// readLine reads a line from a connection, without its end.
+func (r *testServer) readLine(l *link) string {
+	r.t.Helper()
 	text, err := l.Reader.ReadString('\n')
 	r.NoError(err)
 	return strings.TrimRight(text, "\r\n")
 }
 
-func (r *rig) say(l *link, format string, args ...any) {
+// writeLine writes a formatted line to a connection.
+func (r *testServer) writeLine(l *link, format string, args ...any) {
+	r.t.Helper()
 	_, err := fmt.Fprintf(l, format+"\n", args...)
 	r.NoError(err)
 }
 
-// called gives the connection to the index on which the call of this work item came.
-func (r *rig) called(id string) *link {
-	x := r.link(r.index)
-	r.Contains(r.line(x), "GET "+id)
-	r.line(x) // its body
+// indexCall waits for the downstream call of this request and gives the connection to the index on which it came.
+func (r *testServer) indexCall(id string) *link {
+	r.t.Helper()
+	x := r.nextLink(r.index)
+	r.Contains(r.readLine(x), "GET "+id)
+	r.readLine(x) // its body
 	return x
 }
 
-// prepare makes the parties and the configuration.
-func prepare(t *testing.T) *rig {
-	r := &rig{Assertions: require.New(t), t: t}
-	r.vm, r.index, r.directory = r.standIn(), r.standIn(), r.standIn()
+// newTestServer makes the emulators and the configuration; the program is not started.
+func newTestServer(t *testing.T) *testServer {
+	t.Helper()
+	r := &testServer{Assertions: require.New(t), t: t}
+	r.interpreter, r.index, r.directory = r.newEmulator(), r.newEmulator(), r.newEmulator()
 	var err error
 	r.listen, err = emulator.FreeAddress()
 	r.NoError(err)
 	r.config = fmt.Sprintf(`{"name":"n3","listen":%q,"vm":%q,"lookup":%q,"index":%q,"seed":"8c1f30d27a5be964",
 "stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":%s}`,
-		r.listen, r.vm.Address, r.directory.Address, r.index.Address, settings)
+		r.listen, r.interpreter.Address, r.directory.Address, r.index.Address, platformSettings)
 	return r
 }
 
-func (r *rig) configure() {
+// writeFiles writes the platform's configuration and our own settings to their files.
+func (r *testServer) writeFiles() {
+	r.t.Helper()
 	r.NoError(os.WriteFile(r.path, []byte(r.config), 0o600))
 	r.NoError(os.WriteFile(r.path+".yaml", []byte(r.service), 0o600))
 }
 
-// again has the program read its files again and waits until it has said what became of that.
-func (r *rig) again() {
-	count := func(event string) int { return strings.Count(logOf(r), "event="+event) }
+// reload has the program read its files again and waits until it has logged the outcome.
+func (r *testServer) reload() {
+	r.t.Helper()
+	count := func(event string) int { return strings.Count(logText(r), "event="+event) }
 	said, read, ready := count("configuration_"), count("configuration_read"), count("plugins_ready")
-	r.configure()
+	r.writeFiles()
 	r.NoError(r.process.Process.Signal(syscall.SIGHUP))
-	r.Eventually(func() bool { return count("configuration_") > said }, patience, time.Millisecond)
+	r.Eventually(func() bool { return count("configuration_") > said }, eventTimeout, time.Millisecond)
 	if count("configuration_read") > read && strings.Contains(r.service, "plugins:") {
-		r.Eventually(func() bool { return count("plugins_ready") > ready }, patience, time.Millisecond)
+		r.Eventually(func() bool { return count("plugins_ready") > ready }, eventTimeout, time.Millisecond)
 	}
 }
 
-func (r *rig) run() {
+// writeFilesAndStart writes the files to a new folder and starts the program with them.
+func (r *testServer) writeFilesAndStart() {
+	r.t.Helper()
 	r.path = filepath.Join(r.t.TempDir(), "config.json")
-	r.configure()
+	r.writeFiles()
 	r.start()
 }
 
-// start starts the program with the files that are there.
-func (r *rig) start() {
+// start starts the program with the files that are there. At the end of the test it is killed, and its log must show no
+// data race and no violated invariant.
+func (r *testServer) start() {
+	r.t.Helper()
 	program, err := os.Executable()
 	r.NoError(err)
-	line := append(append(r.wrap, cmp.Or(r.program, program)), r.args...)
-	process, log, ended := exec.Command(line[0], line[1:]...), &lines{}, make(chan struct{})
-	process.Env = append(os.Environ(), asProgram+"=1", "PROXY_CONFIG="+r.path)
+	line := append(append(r.wrapper, cmp.Or(r.program, program)), r.args...)
+	process, log, ended := exec.Command(line[0], line[1:]...), &logBuffer{}, make(chan struct{})
+	process.Env = append(os.Environ(), runAsProgramEnv+"=1", "PROXY_CONFIG="+r.path)
 	if r.service != "" {
 		process.Env = append(process.Env, "THISTLEQUAY_SERVICE="+r.path+".yaml")
 	}
 	process.Stdout, process.Stderr = log, log
 	r.NoError(process.Start())
-	r.process, r.log, r.ended = process, log, ended
+	r.process, r.output, r.ended = process, log, ended
 	go func() {
 		_ = process.Wait() // the exit code is read from ProcessState
 		close(ended)
@@ -178,175 +204,218 @@
 // side, or the test itself, may have closed it before.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// lines is a log that is read while it is written.
-type lines = clustertest.LogBuffer
+// logBuffer is a log that can be read while it is written.
+type logBuffer = clustertest.LogBuffer
 
-func logOf(r *rig) string { return r.log.String() }
+// logText is what the program has logged so far.
+func logText(r *testServer) string { return r.output.String() }
 
-// exit waits for the program's end and gives its code and log.
-func (r *rig) exit() (int, string) {
+// waitForLog waits until the program has logged this text.
+func (r *testServer) waitForLog(text string) {
+	r.t.Helper()
+	r.Eventually(func() bool { return strings.Contains(logText(r), text) }, eventTimeout, time.Millisecond)
+}
+
+// waitForExit waits for the program's end and gives its exit code and log.
+func (r *testServer) waitForExit() (int, string) {
+	r.t.Helper()
 	select {
 	case <-r.ended:
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		r.FailNow("the program does not end")
 	}
-	return r.process.ProcessState.ExitCode(), r.log.String()
+	return r.process.ProcessState.ExitCode(), r.output.String()
 }
 
-// start runs the program up to where it serves: the interpreter's link is the result.
-func start(t *testing.T) (*rig, *vm) {
-	r := prepare(t)
-	r.run()
-	v := r.up(0)
+// startServer starts a program and waits until it serves; it gives the interpreter's end of its link.
+func startServer(t *testing.T) (*testServer, *interpreterLink) {
+	t.Helper()
+	r := newTestServer(t)
+	r.writeFilesAndStart()
+	v := r.acceptInterpreter(0)
 	return r, v
 }
 
-// startWith is start with something else in the configuration.
-func startWith(t *testing.T, from, to string) (*rig, *vm) {
-	r := prepare(t)
+// startServerWith is startServer with one replacement in the configuration.
+func startServerWith(t *testing.T, from, to string) (*testServer, *interpreterLink) {
+	t.Helper()
+	r := newTestServer(t)
 	r.Contains(r.config, from)
 	r.config = strings.Replace(r.config, from, to, 1)
-	r.run()
-	return r, r.up(0)
+	r.writeFilesAndStart()
+	return r, r.acceptInterpreter(0)
 }
 
-// vm is the interpreter's end of its link.
-type vm struct {
-	r *rig
+// interpreterLink is the interpreter's end of the program's link to it.
+type interpreterLink struct {
+	server *testServer
 	*link
-	n int
-}
-
-type order struct{ Type, Job, Kind, Data, Ref string }
-
-func (r *rig) up(n int) *vm {
-	v := &vm{r: r, link: r.link(r.vm)}
-	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.line(v.link))
-	r.say(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
-	c := r.router()
+	// lastNotice numbers the notices sent, as the protocol asks.
+	lastNotice int
+}
+
+// command is a line that the program sends to the interpreter.
+type command struct{ Type, Job, Kind, Data, Ref string }
+
+// acceptInterpreter accepts the program's link to the interpreter, checks the number of the last notice that it says,
+// and
+// waits until it takes requests.
+func (r *testServer) acceptInterpreter(n int) *interpreterLink {
+	r.t.Helper()
+	v := &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
+	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.readLine(v.link))
+	r.writeLine(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
+	c := r.connectRouter()
 	defer closeQuietly(c)
 	r.Eventually(func() bool { // the free value is said once the module has decided
-		c.ask(1, "/health", "", nil)
-		_, _, headers, _ := c.answer()
+		c.send(1, "/health", "", nil)
+		_, _, headers, _ := c.readResponse()
 		return strings.Contains(headers, "Server-Hint: ")
-	}, patience, time.Millisecond)
+	}, eventTimeout, time.Millisecond)
 	return v
 }
 
-// next gives the next command that is no question for the gauges; those are answered.
-func (v *vm) next() (o order) {
+// nextCommand gives the next command other than a question for the gauges; those are answered.
+func (v *interpreterLink) nextCommand() (o command) {
+	v.server.t.Helper()
 	for {
-		o = order{}
-		v.r.NoError(json.Unmarshal([]byte(v.r.line(v.link)), &o))
+		o = command{}
+		v.server.NoError(json.Unmarshal([]byte(v.server.readLine(v.link)), &o))
 		if o.Type != "TOP" {
 			return o
 		}
-		v.r.say(v.link, `{"type":"TOPS","ref":%q,"gauges":[1,2,0.1,3]}`, o.Ref)
+		v.server.writeLine(v.link, `{"type":"TOPS","ref":%q,"gauges":[1,2,0.1,3]}`, o.Ref)
 	}
 }
 
-func (v *vm) value(job, state, result string) {
-	v.n++
-	v.r.say(v.link, `{"type":"VALUE","n":%d,"job":%q,"state":%q,"took":12.5,"data":%q}`, v.n, job, state,
+// sendValue ends a run with a state and a result.
+func (v *interpreterLink) sendValue(job, state, result string) {
+	v.server.t.Helper()
+	v.lastNotice++
+	v.server.writeLine(v.link, `{"type":"VALUE","n":%d,"job":%q,"state":%q,"took":12.5,"data":%q}`, v.lastNotice, job,
+		state,
 		base64.StdEncoding.EncodeToString([]byte(result)))
 }
 
-func (v *vm) await(job, call string) {
-	v.n++
-	v.r.say(v.link, `{"type":"AWAIT","n":%d,"job":%q,"data":%q}`, v.n, job,
+// sendAwait has a run wait for a downstream call.
+func (v *interpreterLink) sendAwait(job, call string) {
+	v.server.t.Helper()
+	v.lastNotice++
+	v.server.writeLine(v.link, `{"type":"AWAIT","n":%d,"job":%q,"data":%q}`, v.lastNotice, job,
 		base64.StdEncoding.EncodeToString([]byte(call)))
 }
 
-func (v *vm) applied(id, body string) {
-	o := v.next()
+// expectApply checks that the next command starts this request with this body.
+func (v *interpreterLink) expectApply(id, body string) {
+	v.server.t.Helper()
+	o := v.nextCommand()
 	data, _ := base64.StdEncoding.DecodeString(o.Data)
-	v.r.Equal("APPLY "+id+" "+body, o.Type+" "+o.Job+" "+string(data))
+	v.server.Equal("APPLY "+id+" "+body, o.Type+" "+o.Job+" "+string(data))
 }
 
-// router is a connection as routers open them.
-type router struct {
-	r *rig
+// routerLink is a connection as routers open them.
+type routerLink struct {
+	server *testServer
 	*link
 }
 
-func (r *rig) router() *router {
+// connectRouter connects as a router, and waits until the program listens.
+func (r *testServer) connectRouter() *routerLink {
+	r.t.Helper()
 	var c net.Conn
 	r.Eventually(func() (up bool) {
 		var err error
 		c, err = net.Dial("tcp", r.listen)
 		return err == nil
-	}, patience, 5*time.Millisecond)
-	r.NoError(c.SetDeadline(time.Now().Add(patience)))
+	}, eventTimeout, 5*time.Millisecond)
+	r.NoError(c.SetDeadline(time.Now().Add(eventTimeout)))
 	r.t.Cleanup(func() { closeQuietly(c) })
-	return &router{r, emulator.NewLink(c)}
+	return &routerLink{r, emulator.NewLink(c)}
 }
 
-// id is a new try's.
-func (r *rig) id() string {
-	r.ids++
-	return fmt.Sprintf("%016x", 0xabc0000+r.ids)
+// newRequestID gives the identifier of a new attempt.
+func (r *testServer) newRequestID() string {
+	r.requestCount++
+	return fmt.Sprintf("%016x", 0xabc0000+r.requestCount)
 }
 
-func fields(id string) map[string]string {
+// requestParameters are the FastCGI parameters of an ordinary request.
+func requestParameters(id string) map[string]string {
 	return emulator.RequestParameters(id, "acme", 7*time.Second)
 }
 
-func fcgi(kind byte, slot uint16, content string) []byte {
+// fastCGIRecord is one FastCGI record of a kind for a request slot.
+func fastCGIRecord(kind byte, slot uint16, content string) []byte {
 	return emulator.FastCGIRecord(kind, slot, content)
 }
 
-func (c *router) ask(slot uint16, path, body string, with map[string]string) {
+// send writes a whole request.
+func (c *routerLink) send(slot uint16, path, body string, with map[string]string) {
+	c.server.t.Helper()
 	_, err := c.Write(emulator.FastCGIRequest(slot, path, body, with))
-	c.r.NoError(err)
+	c.server.NoError(err)
 }
 
-// look, book and brief ask for a work item of these categories and give its id.
-func (c *router) look(slot uint16, body string) string {
-	id := c.r.id()
-	c.ask(slot, "/rpc/look", body, fields(id))
+// sendLook sends an idempotent request (category look) and gives its identifier.
+func (c *routerLink) sendLook(slot uint16, body string) string {
+	c.server.t.Helper()
+	id := c.server.newRequestID()
+	c.send(slot, "/rpc/look", body, requestParameters(id))
 	return id
 }
 
-func (c *router) brief(slot uint16) string {
-	id, with := c.r.id(), fields("")
+// sendBrief sends a request with a deadline of 900 ms (category brief) and gives its identifier.
+func (c *routerLink) sendBrief(slot uint16) string {
+	c.server.t.Helper()
+	id, with := c.server.newRequestID(), requestParameters("")
 	with["HTTP_REQUEST_ID"], with["HTTP_BUDGET_MS"] = id, "900"
-	c.ask(slot, "/rpc/brief", "b", with)
+	c.send(slot, "/rpc/brief", "b", with)
 	return id
 }
 
-func (c *router) book(slot uint16, key string) string {
-	id := c.r.id()
-	with := fields(id)
+// sendBook sends a request with an idempotency key (category book) and gives its identifier.
+func (c *routerLink) sendBook(slot uint16, key string) string {
+	c.server.t.Helper()
+	id := c.server.newRequestID()
+	with := requestParameters(id)
 	with["HTTP_ONCE_KEY"] = key
-	c.ask(slot, "/rpc/book", "entry "+key, with)
+	c.send(slot, "/rpc/book", "entry "+key, with)
 	return id
 }
 
-// answer gives the next answer on the connection: its slot, status, headers and body.
-func (c *router) answer() (slot uint16, status int, headers, body string) {
+// readResponse gives the next response on the connection: its slot, status, headers and body.
+func (c *routerLink) readResponse() (slot uint16, status int, headers, body string) {
+	c.server.t.Helper()
 	a, err := c.ReadResponse()
-	c.r.NoError(err)
+	c.server.NoError(err)
 	return a.Slot, a.Status, a.Headers, a.Body
 }
 
-// answered checks the next answer.
-func (c *router) answered(slot uint16, status int, body string) {
-	s, got, headers, text := c.answer()
-	c.r.Equal(fmt.Sprint(slot, " ", status, " ", body), fmt.Sprint(s, " ", got, " ", text), headers)
+// expectResponse checks slot, status and body of the next response.
+func (c *routerLink) expectResponse(slot uint16, status int, body string) {
+	c.server.t.Helper()
+	s, got, headers, text := c.readResponse()
+	c.server.Equal(fmt.Sprint(slot, " ", status, " ", body), fmt.Sprint(s, " ", got, " ", text), headers)
 }
 
-// serves asks for a work item, has it run and checks that its result is the answer.
-func (v *vm) serves(c *router, slot uint16, body string) {
-	id := c.look(slot, body)
-	v.applied(id, body)
-	v.value(id, "OK", "result of "+body)
-	c.answered(slot, 200, "result of "+body)
+// serveOne sends a request, runs it and checks that its result is the response.
+func (v *interpreterLink) serveOne(c *routerLink, slot uint16, body string) {
+	v.server.t.Helper()
+	id := c.sendLook(slot, body)
+	v.expectApply(id, body)
+	v.sendValue(id, "OK", "result of "+body)
+	c.expectResponse(slot, 200, "result of "+body)
 }
 
-// over says that the other side closed the connection.
-func (c *router) over() { c.r.over(c.link) }
+// requireClosed reads until the other side has closed the connection; a reset will do.
+func (c *routerLink) requireClosed() {
+	c.server.t.Helper()
+	c.server.requireClosed(c.link)
+}
 
-func (r *rig) over(l *link) {
+// requireClosed reads until the other side has closed the connection; a reset will do.
+func (r *testServer) requireClosed(l *link) {
+	r.t.Helper()
 	_, err := io.Copy(io.Discard, l.Reader)
 	if err != nil {
 		r.ErrorIs(err, syscall.ECONNRESET)
