--- a/cmd/thistlequay/command_test.go
+++ b/cmd/thistlequay/command_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCommandLines(t *testing.T) {
+func TestCommandLineExitCodesAndMessages(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	for line, c := range map[string]struct {
 		code int
@@ -31,8 +31,8 @@
 	}
 }
 
-// Every fault of both files at once, each with its place.
-func TestCheck(t *testing.T) {
+// `check` reports every diagnostic of both files at once, each with its source position.
+func TestCheckReportsEveryDiagnosticWithItsPlace(t *testing.T) {
 	r := newTestServer(t)
 	json, yaml := filepath.Join(t.TempDir(), "c.json"), filepath.Join(t.TempDir(), "s.yaml")
 	check := func(config, service string) (int, string) {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestJSONLog(t *testing.T) {
+func TestServeWritesJSONLog(t *testing.T) {
 	r := newTestServer(t)
 	r.args = []string{"serve", "--log", "json"}
 	r.writeFilesAndStart()
--- a/cmd/thistlequay/fair_test.go
+++ b/cmd/thistlequay/fair_test.go
@@ -39,8 +39,9 @@
 	return id
 }
 
-// One that came first with much waits its turn behind one that came last with little; then terms change under load.
-func TestTurnsOverSockets(t *testing.T) {
+// A tenant that came first with much queued waits behind one that came last with little; then the settings change under
+// load.
+func TestFairQueueOrderAndReloadUnderLoad(t *testing.T) {
 	r, v := startFairServer(t, 0.5, 0.5)
 	c := r.connectRouter()
 	first, second := c.sendLookOf(1, "acme", "1"), c.sendLookOf(2, "acme", "2")
@@ -77,8 +78,10 @@
 	r.Equal(2, strings.Count(log, "event=configuration_read"))
 }
 
-// A repeat that shares a run is not charged, one that takes the place of the held one is charged for the run alone.
-func TestRepeatsAreChargedOnce(t *testing.T) {
+// A retry that shares a run is not accounted to its tenant; one that takes the place of a queued attempt is accounted
+// for
+// the run alone.
+func TestRetriesAreAccountedOnce(t *testing.T) {
 	r, v := startFairServer(t, 0.6, 0.4)
 	c := r.connectRouter()
 	run := c.sendBook(1, "k")
@@ -100,8 +103,8 @@
 	v.expectApply(waitsB, "b2")
 }
 
-// By the client's network, on the word of a trusted front; from others the peer's address counts.
-func TestTenantsByNetwork(t *testing.T) {
+// The tenant comes from the client's network where a trusted front says it; from others the peer's address counts.
+func TestTenantComesFromClientNetworkBehindTrustedProxy(t *testing.T) {
 	r := newTestServer(t)
 	r.service = `fair_queues:
   burst: 1ms
@@ -131,8 +134,9 @@
 	v.expectApply(sor, "10.2.0.1")
 }
 
-// The one command of a fresh machine, over sockets: whoever asked for less than its part has it with fair queues.
-func TestTry(t *testing.T) {
+// `try`, the one command for a fresh machine, runs over sockets: whoever asks for less than its share gets it with fair
+// queues.
+func TestTryCommandShowsFairSharesOverSockets(t *testing.T) {
 	t.Setenv(runAsProgramEnv, "1")
 	var out, errs bytes.Buffer
 	keep := filepath.Join(t.TempDir(), "kept")
@@ -146,9 +150,11 @@
 	require.Equal(t, "2 files, no fault\n", out.String())
 }
 
-// Short in CI, 30 s where MEASURE=full. A greedy tenant over sockets, with an interpreter whose notices are spoilt
-// and an index that does not always answer:
-// nobody goes without an answer, no request runs twice, and the polite tenant has more of its part than the greedy one.
+// A greedy tenant over sockets, with an interpreter whose notices are corrupted and an index that does not always
+// answer:
+// every request is answered, none runs twice, and the polite tenant gets more of its share than the greedy one. Two
+// seconds
+// in CI, 30 s where MEASURE=full.
 func TestMeasuredFairQueuesOverSockets(t *testing.T) {
 	r := newTestServer(t)
 	vm, err := emulator.NewInterpreter(2, 3)
--- a/cmd/thistlequay/fleet_test.go
+++ b/cmd/thistlequay/fleet_test.go
@@ -18,9 +18,9 @@
 	"thistlequay/internal/emulator"
 )
 
-// What hundreds of servers go through, on a few real processes without the bench: each work item that is read has one
-// answer in its time, no stamp runs twice on a server, and the worst second is told.
-func TestMeasuredFleetDays(t *testing.T) {
+// The scenarios of hundreds of servers, on a few real processes without the bench: each request that is read has one
+// response in its time, no idempotency key runs twice on a server, and the worst second is reported.
+func TestMeasuredClusterScenarios(t *testing.T) {
 	servers, length := 8, 4*time.Second
 	if os.Getenv("MEASURE") == "full" {
 		servers, length = 16, 30*time.Second
@@ -118,9 +118,10 @@
 	}
 }
 
-// What build makes is linked against the C library, and what run leaves is one process that starts no other and opens
-// no file for writing.
-func TestDeployFile(t *testing.T) {
+// The build command of the deploy file links against the C library, and its run command leaves one process that
+// starts no
+// other and opens no file for writing.
+func TestDeployFileBuildsAndRunsOneReadOnlyProcess(t *testing.T) {
 	r := newTestServer(t)
 	root, err := filepath.Abs("../..")
 	r.NoError(err)
--- a/cmd/thistlequay/golden_test.go
+++ b/cmd/thistlequay/golden_test.go
@@ -67,7 +67,7 @@
 	`"index":"127.0.0.1:3","seed":"8c1f30d27a5be964",
 "stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":` + platformSettings + "}"
 
-// What people and tools read of each command, as far as it hangs on nothing but its input.
+// The output of every command, as far as it depends on nothing but its input, is as in the golden file.
 func TestGoldenOutputs(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	o := &commandOutputs{t: t, dir: t.TempDir()}
--- a/cmd/thistlequay/hostile_test.go
+++ b/cmd/thistlequay/hostile_test.go
@@ -13,10 +13,9 @@
 	"thistlequay/internal/membership"
 )
 
-// A member with the fleet's key lies to processes about others and to them about themselves, and sends messages that
-// are spoilt, of 64 KiB and of kinds that nobody knows: none of it is taken, all is counted, and its own word still
-// holds.
-func TestPeersAndALiar(t *testing.T) {
+// A member with the cluster's key lies to processes about others and about themselves, and sends messages that are
+// corrupted, of 64 KiB and of unknown kinds: none is taken, all are counted, and its updates about itself still hold.
+func TestForgedGossipIsRejectedAndCounted(t *testing.T) {
 	t.Parallel()
 	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 8, Gossip: true, ConfiguredServers: 4})
 	all, home := g.Servers, g.Servers[:4]
--- a/cmd/thistlequay/known_red_test.go
+++ b/cmd/thistlequay/known_red_test.go
@@ -10,7 +10,7 @@
 )
 
 // CI passes over the tests that KNOWN-RED.txt lists, and over nothing else.
-func TestKnownRed(t *testing.T) {
+func TestKnownRedListIsTheOnlyExceptionInCI(t *testing.T) {
 	t.Parallel()
 	script, err := filepath.Abs("../../.ci/tests")
 	require.NoError(t, err)
--- a/cmd/thistlequay/lasting_test.go
+++ b/cmd/thistlequay/lasting_test.go
@@ -42,9 +42,10 @@
 	c.send(slot, "/rpc/book", "1 entry "+key, with)
 }
 
-// A hundred lives, each killed at a seeded moment while three tries a key come, of keys of this life and of lives
-// before: no key runs twice, and whoever is told that it was done is told the same.
-func TestMeasuredStoreLives(t *testing.T) {
+// A hundred incarnations, each killed at a seeded moment while three attempts per key arrive, of keys of this
+// incarnation
+// and of earlier ones: no key runs twice, and every successful response to a key is the same.
+func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	r := newTestServer(t)
 	config := r.config
 	r.service = storeSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
@@ -118,9 +119,10 @@
 	r.Greater(len(told), keys/8)
 }
 
-// A repeat after a restart gets the first answer, one with another body is refused, a second server on the directory
-// does not start, and the tools tell what lies there.
-func TestStoreOverARestart(t *testing.T) {
+// A retry after a restart gets the first result, one with another body is rejected, a second server on the same
+// directory
+// does not start, and the store commands show what the directory holds.
+func TestStoredResultsSurviveRestart(t *testing.T) {
 	r := newTestServer(t)
 	directory := filepath.Join(t.TempDir(), "store")
 	r.service = storeSection(directory, "")
@@ -192,7 +194,7 @@
 	c.expectResponse(2, 200, "result of 1 harmless")
 }
 
-// What stamped work items pay for their intents, and harmless ones beside them.
+// What keyed requests pay for their intent records, and idempotent requests beside them.
 func TestMeasuredStoreLatency(t *testing.T) {
 	n := 150
 	if os.Getenv("MEASURE") == "full" {
--- a/cmd/thistlequay/peers_test.go
+++ b/cmd/thistlequay/peers_test.go
@@ -152,9 +152,10 @@
 	}
 }
 
-// A crash, a stop, a one-way loss, a zone cut off, a notice to leave, a restart and all at once, on real processes:
-// each is told by its evidence, nobody holds itself for the whole beside another, and views meet again.
-func TestMeasuredPeers(t *testing.T) {
+// A crash, a stopped process, one-way loss, a partitioned zone, a graceful leave and restarts, on real processes:
+// each is
+// told by its evidence, no two parts claim the majority at once, and the views converge again.
+func TestMeasuredGossipThroughFaults(t *testing.T) {
 	t.Parallel()
 	n := 12
 	if os.Getenv("MEASURE") == "full" {
@@ -288,9 +289,10 @@
 	return kb
 }
 
-// Those who do not belong: another fleet, an old key, a wrong key, a name that is taken, a clock a minute ahead, and a
-// network that repeats and cuts short. None of it is taken, and nobody falls for it.
-func TestPeersThatDoNotBelong(t *testing.T) {
+// Members that do not belong: of another cluster, with an old or a wrong key, under a name that is taken, with a
+// clock a
+// minute ahead, and a network that duplicates and truncates. None is accepted, and no member fails because of them.
+func TestForeignGossipMembersAreRejected(t *testing.T) {
 	t.Parallel()
 	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 2, Gossip: true, ConfiguredServers: 4})
 	all := g.Servers
@@ -369,8 +371,8 @@
 	g.Contains(out.String(), `"state": "serving"`)
 }
 
-// All at once: every server is killed and begun again within a second, first peers included; then half are replaced.
-func TestPeersAllRestarted(t *testing.T) {
+// Every server is killed and started again within a second, seed members included; then half of them are replaced.
+func TestMembershipRecoversAfterAllRestart(t *testing.T) {
 	t.Parallel()
 	g := startGossipCluster(t, 6, 3)
 	all := g.Servers
@@ -404,9 +406,10 @@
 	g.waitForView("all of the first are gone", g.Servers[6:], agreedOn(3))
 }
 
-// A network that flaps each 200 ms, a process whose loop is late by a second again and again, and newcomers while the
-// fleet is cut in two: nobody fails for good, no two parts act as the whole, and all meet again.
-func TestMeasuredPeersUnsteady(t *testing.T) {
+// A network that flaps every 200 ms, a process whose event loop is late by a second again and again, and newcomers
+// during
+// a partition: no member stays failed, no two parts act as the majority, and all converge.
+func TestMeasuredGossipOnUnsteadyNetwork(t *testing.T) {
 	t.Parallel()
 	span := 6 * time.Second
 	if os.Getenv("MEASURE") == "full" {
@@ -466,9 +469,9 @@
 	g.Zero(both())
 }
 
-// What a view wins where the index that all share is the limit and a quarter of the servers are killed: each of the
-// others takes its larger part. And what the talk costs an item.
-func TestMeasuredPeersGain(t *testing.T) {
+// What the cluster view gains where the shared index is the limit and a quarter of the servers are killed: each of the
+// others takes its larger part. And what gossip costs a request.
+func TestMeasuredGossipGain(t *testing.T) {
 	length := 15 * time.Second
 	if os.Getenv("MEASURE") == "full" {
 		length = 45 * time.Second
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -39,8 +39,8 @@
 // generousLimits has the server wait for verdicts, however slow the machine is.
 const generousLimits = "call: 200ms, share: 0.5, core: 1" // verdicts are waited for, however slow the machine
 
-// What plug-ins may do, each seen in the answer; and what stays above them.
-func TestPluginsVerdicts(t *testing.T) {
+// What plug-ins may do, each seen in the response; and what stays out of their reach.
+func TestPluginVerdictsTakeEffect(t *testing.T) {
 	r := newTestServer(t)
 	r.service = pluginSection(pluginEntry("no", r.writeModule("declines"),
 		"hooks: [read], may: [decline], categories: [brief, book], "+generousLimits),
@@ -93,8 +93,8 @@
 	r.Zero(code)
 }
 
-// Verdicts that are not granted count for nothing: the work item goes on, and the plug-in is in quarantine soon.
-func TestPluginsBeyondTheirGrants(t *testing.T) {
+// Verdicts without permission have no effect: the request goes on, and the plug-in is soon in quarantine.
+func TestPluginVerdictsWithoutPermissionAreIgnored(t *testing.T) {
 	for _, kind := range []string{"declines", "recategorise", "tags", "status-9999", "no-such-category", "noise",
 		"points-outside", "answers-1gib", "traps"} {
 		permission := ""
@@ -114,8 +114,9 @@
 	}
 }
 
-// A version that is bad in any way leaves the old one in place; one that is bad at the start keeps the program from it.
-func TestPluginsReplaced(t *testing.T) {
+// A plug-in version that is bad in any way leaves the old one in place; one that is bad at the start keeps the program
+// from starting.
+func TestBadPluginVersionKeepsTheOldOne(t *testing.T) {
 	r := newTestServer(t)
 	good := pluginSection(pluginEntry("one", r.writeModule("declines"),
 		"hooks: [read], may: [decline], categories: [brief], "+generousLimits))
@@ -165,8 +166,8 @@
 	r.Contains(log, "plug-in one is no module that can be run")
 }
 
-// The caller leaves, the notice to leave comes and the process of plug-ins dies, each while a hook runs.
-func TestPluginsWhileMuchHappens(t *testing.T) {
+// The client aborts, the drain begins and the plug-in process dies, each while a hook runs.
+func TestPluginHookSurvivesAbortDrainAndProcessDeath(t *testing.T) {
 	r := newTestServer(t)
 	r.service = pluginSection(pluginEntry("loops", r.writeModule("loops"),
 		"hooks: [read, result], categories: [look], call: 150ms, share: 0.5, core: 1, faults_in_a_row: 1000"))
@@ -248,9 +249,8 @@
 	return mb, n
 }
 
-// Each hostile plug-in beside a well-behaved one, under load: whatever it does, nobody waits for it and nothing is
-// lost.
-func TestMeasuredPlugins(t *testing.T) {
+// Each hostile plug-in beside a well-behaved one, under load: no request waits for it and none is lost.
+func TestMeasuredHostilePlugins(t *testing.T) {
 	_, _, calm, _ := playPluginLoad(t, func(*testServer) string { return "" }, nil)
 	for _, kind := range []string{"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled",
 		"traps", "traps-one-in-ten",
@@ -294,8 +294,8 @@
 	}
 }
 
-// Forty versions in a row under load: each work item ends with one, none is lost.
-func TestPluginsReplacedFortyTimes(t *testing.T) {
+// Forty plug-in versions in a row under load: each request ends with the version it began with, and none is lost.
+func TestFortyPluginReloadsUnderLoadLoseNothing(t *testing.T) {
 	r, acme, beta, _ := playPluginLoad(t, func(r *testServer) string {
 		return pluginSection(pluginEntry("one", r.writeModule("good"),
 			"hooks: [read, result]"))
@@ -317,7 +317,7 @@
 	r.LessOrEqual(n, 6)
 }
 
-func TestPluginCommands(t *testing.T) {
+func TestPluginCommandExitCodesAndOutput(t *testing.T) {
 	r := newTestServer(t)
 	request := filepath.Join(t.TempDir(), "r.json")
 	r.NoError(os.WriteFile(request, []byte(`{"hook":"read","category":"look","tenant":"acme","body":"b"}`), 0o600))
@@ -348,9 +348,8 @@
 	return file
 }
 
-// Both worked examples, and what one of them keeps: it passes to the next version, and to the next process after a
-// death.
-func TestPluginExamples(t *testing.T) {
+// Both examples work, and what one of them keeps passes to its next version.
+func TestPluginExamplesWork(t *testing.T) {
 	r := newTestServer(t)
 	hall, short := r.buildExample("hallcheck"), r.buildExample("shortanswer")
 	r.config = strings.Replace(r.config, `"memory_mb":192`, `"memory_mb":1024`, 1)
@@ -392,8 +391,9 @@
 	r.Equal(2, strings.Count(log, "event=plugins_ready"))
 }
 
-// A plug-in that takes longer to be ready than it may, and one that writes as fast as it can.
-func TestPluginsNotReadyAndLoud(t *testing.T) {
+// A plug-in that is not ready within its limit keeps the program from starting; one that logs without end is rate
+// limited.
+func TestPluginReadinessTimeoutAndLogLimit(t *testing.T) {
 	r := newTestServer(t)
 	r.service = "plugins:\n  memory_mb: 90\n  ready: 2s\n  list:\n" +
 		pluginEntry("long", r.writeModule("loops-at-start"), "hooks: [read], start: 20s")
--- a/cmd/thistlequay/races_test.go
+++ b/cmd/thistlequay/races_test.go
@@ -30,9 +30,10 @@
 	return rest
 }
 
-// A connection makes room for a newcomer in the very moment in which a request lies on it unread: it never ran, and its
-// sender hears an end, not a reset.
-func TestAnEndOverUnreadBytes(t *testing.T) {
+// A connection is evicted for a newcomer at the moment at which a request lies on it unread: the request is not run,
+// and
+// its sender sees a close, not a reset.
+func TestCloseOverUnreadBytesDoesNotReset(t *testing.T) {
 	r, v := startServer(t)
 	var table int
 	_, text, _ := strings.Cut(logText(r), "connections=")
@@ -59,8 +60,8 @@
 	r.Equal(next, o.Job, "%s was run after its connection ended", id)
 }
 
-// An answer that its reader has not taken yet goes out before the connection is closed.
-func TestAnEndAfterWhatIsBuffered(t *testing.T) {
+// A response that its reader has not taken yet is written before the connection is closed.
+func TestCloseWaitsForBufferedResponses(t *testing.T) {
 	r, v := startServer(t)
 	c, other := r.connectRouter(), r.connectRouter()
 	result := strings.Repeat("r", 4000)
@@ -118,8 +119,8 @@
 	return sum
 }
 
-// A request that wants its connection closed does not take along the answers of the others open on it.
-func TestAnEndUnderAnotherRequest(t *testing.T) {
+// A request that wants its connection closed does not discard the responses of the others open on it.
+func TestCloseWaitsForOtherOpenRequests(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	first := c.sendLook(1, "stays")
@@ -137,8 +138,8 @@
 	r.Empty(r.readToEnd(c.link))
 }
 
-// A request behind one that wants its connection closed, in the same piece, crosses the end: it is not run.
-func TestARequestBehindTheEnd(t *testing.T) {
+// A request behind one that wants its connection closed, in the same segment, crosses the close: it is not run.
+func TestRequestBehindTheLastOneIsNotRun(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	last := emulator.FastCGIRequest(1, "/health", "", nil)
@@ -151,8 +152,8 @@
 	v.serveOne(r.connectRouter(), 1, "the first to run")
 }
 
-// What a bad record follows in the same piece is answered, and the connection ends without a reset.
-func TestAnAnswerBeforeABadRecord(t *testing.T) {
+// A request before a malformed record in the same segment is answered, and the connection ends without a reset.
+func TestResponseBeforeBadRecordIsSent(t *testing.T) {
 	r, _ := startServer(t)
 	c := r.connectRouter()
 	_, err := c.Write(append(emulator.FastCGIRequest(1, "/health", "", nil), "GET / HTTP/1.1\r\n\r\n"...))
@@ -161,9 +162,9 @@
 	r.Empty(r.readToEnd(c.link))
 }
 
-// The notice to leave comes before the interpreter is up: health and directory say so, work is turned away, the end
-// is 0.
-func TestLeavingBeforeTheInterpreterIsUp(t *testing.T) {
+// SIGTERM comes before the interpreter is up: health checks and the directory are told, requests are rejected, and the
+// exit code is 0.
+func TestDrainBeforeInterpreterIsUp(t *testing.T) {
 	r := newTestServer(t)
 	r.writeFilesAndStart()
 	v := r.nextLink(r.interpreter)
@@ -189,8 +190,8 @@
 	r.Equal(0, code)
 }
 
-// The machine stands still over the stop: what is in hand is answered before its connection ends.
-func TestAStandstillOverTheStop(t *testing.T) {
+// The process is paused over the stop deadline: requests in flight are answered before their connection ends.
+func TestPauseOverTheStopDeadlineStillAnswers(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	v.expectApply(c.sendLook(1, "never ends"), "never ends")
@@ -206,9 +207,10 @@
 	r.Equal(0, code)
 }
 
-// Notices that come while the configuration is still being read are carried out once there is a server: SIGHUP ends
-// nothing, and after SIGTERM the end is 0 before the stop.
-func TestNoticesBeforeThereIsAServer(t *testing.T) {
+// Signals that come while the configuration is still being read are handled once there is a server: SIGHUP ends
+// nothing,
+// and after SIGTERM the exit code is 0 before the stop deadline.
+func TestSignalsDuringStartupAreHandledLater(t *testing.T) {
 	r := newTestServer(t)
 	r.path = filepath.Join(t.TempDir(), "config.json")
 	r.NoError(syscall.Mkfifo(r.path, 0o600))
@@ -236,8 +238,9 @@
 	_ = os.Remove(r.path)
 }
 
-// The directory closes the link after an answer, or is silent: the next report does not wait for its usual time.
-func TestReportsGoOnAtOnce(t *testing.T) {
+// After the directory closes the link behind a response, or is silent, the next load report does not wait for its usual
+// interval.
+func TestLoadReportsResumeAtOnce(t *testing.T) {
 	r, _ := startServer(t)
 	report := func(d *link) {
 		r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.readLine(d))
@@ -269,9 +272,8 @@
 	report(r.nextLink(r.directory))
 }
 
-// A repeat whose router's clock is ahead was written within the window all the same: it shares what ran. A window of 0
-// is a window, after which a request runs anew.
-func TestRepeatsByClocksThatAreAhead(t *testing.T) {
+// A retry whose router's clock is ahead was still written within the deduplication window: it shares the run.
+func TestRetriesFromClocksAheadShareTheResult(t *testing.T) {
 	r, v := startServerWith(t, `"Window":30000.0`, `"Window":300.0`)
 	c := r.connectRouter()
 	book := func(slot uint16, key string, ahead int64) string {
@@ -299,7 +301,8 @@
 	c.expectResponse(4, 200, "ran too")
 }
 
-func TestAWindowOfZeroServes(t *testing.T) {
+// A deduplication window of 0 lets retries share a run in flight; after it a request runs anew.
+func TestZeroDeduplicationWindow(t *testing.T) {
 	r, v := startServerWith(t, `"Window":30000.0`, `"Window":0.0`)
 	c := r.connectRouter()
 	id := c.sendBook(1, "k")
@@ -317,8 +320,8 @@
 	c.expectResponse(3, 200, "twice")
 }
 
-// No caller waits longer than its class allows, whatever it says: the answer is there by then.
-func TestABudgetBeyondTheDeadline(t *testing.T) {
+// No client waits longer than its category's deadline, whatever budget it states.
+func TestBudgetBeyondDeadlineIsCut(t *testing.T) {
 	r, v := startServer(t)
 	c, with := r.connectRouter(), requestParameters(r.newRequestID())
 	with["HTTP_BUDGET_MS"] = "1750" // of a class with 900
@@ -329,8 +332,9 @@
 	r.Less(time.Since(from), 1600*time.Millisecond)
 }
 
-// The system grants fewer descriptors than the configuration: a flood is turned away, nothing ends.
-func TestFewerDescriptorsThanTold(t *testing.T) {
+// The system grants fewer file descriptors than the configuration: a flood of connections is rejected, and nothing
+// ends.
+func TestFewerFileDescriptorsThanConfigured(t *testing.T) {
 	r := newTestServer(t)
 	r.config = strings.Replace(r.config, `"sockets":64`, `"sockets":512`, 1)
 	r.wrapper = []string{"/bin/sh", "-c", `ulimit -n 90 && exec "$0" "$@"`}
@@ -346,9 +350,10 @@
 	r.NotContains(logText(r), "engine_error")
 }
 
-// A process that is killed leaves its port in TIME_WAIT, as it had ended a connection itself; its next life listens at
-// once, answers health checks while the interpreter is late, and serves once that is up.
-func TestAPortInTimeWaitAndALateInterpreter(t *testing.T) {
+// A killed process that had closed a connection itself leaves its port in TIME_WAIT; its next incarnation listens at
+// once,
+// answers health checks while the interpreter is late, and serves once it is up.
+func TestRestartOnPortInTimeWaitWithLateInterpreter(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	last := emulator.FastCGIRequest(1, "/health", "", nil)
@@ -387,9 +392,10 @@
 	v.serveOne(c, 3, "once it is up")
 }
 
-// The link to the interpreter is lost under a run, and its window ends meanwhile: a repeat that reached the machine in
-// the window and one that comes after it both wait for that run. One run, one result.
-func TestRepeatsAcrossALostLinkAndAShortWindow(t *testing.T) {
+// The interpreter link is lost during a run, and the deduplication window ends meanwhile: a retry that arrived within
+// the
+// window and one after it both wait for that run. One run, one result.
+func TestRetriesAcrossLostLinkAndShortWindowShareOneRun(t *testing.T) {
 	r, v := startServerWith(t, `"Window":30000.0`, `"Window":300.0`)
 	c := r.connectRouter()
 	id := c.sendBook(1, "k")
@@ -427,8 +433,9 @@
 	err         error
 }
 
-// A drain with bytes at every moment of it: requests on connections at rest and on new ones, half requests, half
-// records. Whatever was read has one answer, or ran never and ended cleanly; nothing that came after the grace is run.
+// A drain with bytes arriving at every moment of it: requests on idle and on new connections, half requests, half
+// records.
+// Whatever was read has one response, or never ran and ended cleanly; nothing that came after the grace period is run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	r, v := startServerWith(t, `"sockets":64`, `"sockets":256`)
 	const every, moments = 4 * time.Millisecond, 340 // 1.36 s of the 1.5 s to the stop; the last part is refused
@@ -573,8 +580,8 @@
 	r.Zero(lost + double + late + reset)
 }
 
-// Clients that ask once or never and stay fill the descriptors while the directory is down: the program's own dials,
-// health checks and routers with work still have their place, and it reports at once when the directory is back.
+// Clients that ask once or never and stay use up the descriptors while the directory is down: the program's own dials,
+// health checks and routers with requests still get theirs, and load reports resume when the directory is back.
 func TestMeasuredIdleConnections(t *testing.T) {
 	r, v := startServerWith(t, `"sockets":64`, `"sockets":128`)
 	d := r.nextLink(r.directory)
@@ -644,8 +651,8 @@
 	r.NotContains(logText(r), "engine_error")
 }
 
-// Thirty processes are killed and begin again at once, under their addresses, on this machine's cores: the directory is
-// down, the index refuses, clients knock already. Each answers health checks soon.
+// Thirty processes are killed and start again at once on the same addresses, on this machine's cores: the directory is
+// down, the index refuses, clients connect already. Each answers health checks soon.
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
 	g := newTestCluster(t, clustertest.Plan{Servers: processes, Seed: 33})
--- a/cmd/thistlequay/shares_test.go
+++ b/cmd/thistlequay/shares_test.go
@@ -126,9 +126,10 @@
 	return func() clustertest.Tally { close(over); return <-done }
 }
 
-// What happens to leaders, voters, holders and the whole, under a load that wants more than there is: the index never
-// has more in hand than the whole, by its own count.
-func TestSharesThroughFaults(t *testing.T) {
+// Faults of leaders, voters and lease holders and a change of the total, under a load that wants more than there is:
+// the
+// index never has more calls in flight than the total, by its own count.
+func TestQuotaIsNeverExceededThroughFaults(t *testing.T) {
 	t.Parallel()
 	const calls = 20
 	g := startQuotaCluster(t, 5, 8, calls, calls/5, 6, 60*time.Millisecond, "")
@@ -255,10 +256,10 @@
 	return 0
 }
 
-// What shares win where the index that all share is the limit: beside fixed parts reckoned from the settings, and
-// beside no limit at all. On each day calls beyond the whole make all calls slower, by the square of how many they
-// are.
-func TestMeasuredSharesGain(t *testing.T) {
+// What quotas gain where the shared index is the limit, beside fixed parts from the settings and beside no limit at
+// all.
+// In each scenario calls beyond the total make all calls slower, by the square of their number.
+func TestMeasuredQuotaGain(t *testing.T) {
 	length, names, ways := 10*time.Second, []string{"uneven"}, []string{"shares", "fixed"}
 	if os.Getenv("MEASURE") == "full" {
 		length, names, ways = 14*time.Second,
@@ -369,9 +370,9 @@
 	return served
 }
 
-// Named keepers with a disk: one whose file is cut short, one whose directory is gone and one that is killed come
-// back, each as what it can prove to be, and the log goes on with what was agreed on.
-func TestKeepersWithADisk(t *testing.T) {
+// Named coordinators with a disk: one whose file is truncated, one whose directory is gone and one that is killed come
+// back, each as what it can prove to be, and the log goes on with what was committed.
+func TestCoordinatorsRecoverFromDisk(t *testing.T) {
 	t.Parallel()
 	g := startQuotaCluster(t, 4, 4, 12, 3, 9, 30*time.Millisecond,
 		"  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n")
@@ -436,9 +437,10 @@
 	}
 }
 
-// Tenants' parts over the fleet: acme asks at one server of three (of twelve with MEASURE=full: at four), beta at all,
-// both for more than there is. Each gets what it is entitled to over the fleet, where its server has so much.
-func TestMeasuredTenantsOverTheFleet(t *testing.T) {
+// Tenants' shares over the cluster: acme asks at one server of three (at four of twelve where MEASURE=full), beta at
+// all,
+// both for more than there is. Each gets its share of the cluster as far as its servers have that much.
+func TestMeasuredTenantsOverTheCluster(t *testing.T) {
 	servers, length := 3, 12*time.Second
 	if os.Getenv("MEASURE") == "full" {
 		servers, length = 12, 30*time.Second
@@ -497,11 +499,12 @@
 	}
 }
 
-// The fleet changes under a load that wants more than there is: half of it is replaced within seconds, it doubles and
-// shrinks back, one server asks for everything, and more than half of the keepers stand still while all ask. Never is
-// more in hand at the index than the whole; without agreement all live on their floors, and after it all have grants
-// again.
-func TestSharesAsTheFleetChanges(t *testing.T) {
+// The cluster changes under a load that wants more than there is: half of it is replaced within seconds, it doubles and
+// shrinks back, one server asks for everything, and more than half of the coordinators pause while all ask. The index
+// never
+// has more in flight than the total; without a quorum all keep to their guaranteed minimum, and after it all have
+// leases.
+func TestQuotaIsNeverExceededAsClusterChanges(t *testing.T) {
 	t.Parallel()
 	const calls = 24
 	g := startQuotaCluster(t, 4, 12, calls, 6, 12, 50*time.Millisecond, "")
--- a/cmd/thistlequay/socket_test.go
+++ b/cmd/thistlequay/socket_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestServedWithACallBelow(t *testing.T) {
+func TestRequestWithDownstreamCall(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	c.send(1, "/health", "", nil)
@@ -40,7 +40,7 @@
 	c.expectResponse(3, 500, "")
 }
 
-func TestAnswersComeInAnyOrderOnOneConnection(t *testing.T) {
+func TestResponsesComeInAnyOrderOnOneConnection(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	one := c.sendLook(1, "1")
@@ -53,7 +53,7 @@
 	c.expectResponse(1, 200, "first")
 }
 
-func TestDeclinedWhereItIsTooLate(t *testing.T) {
+func TestRequestPastItsDeadlineIsRejected(t *testing.T) {
 	r, v := startServer(t)
 	c, with := r.connectRouter(), requestParameters(r.newRequestID())
 	with["HTTP_RECEIVED_AT"] = strconv.FormatInt(time.Now().UnixMilli()-1600, 10)
@@ -65,7 +65,7 @@
 	v.expectApply(c.sendLook(2, "goes on"), "goes on")
 }
 
-func TestAStrayWorkItemBeforeTheInterpreterIsUp(t *testing.T) {
+func TestRequestBeforeInterpreterIsUpIsRejected(t *testing.T) {
 	r := newTestServer(t)
 	r.writeFilesAndStart()
 	c := r.connectRouter()
@@ -77,7 +77,7 @@
 	v.expectApply(c.sendLook(3, "now"), "now")
 }
 
-func TestBrokenOffAtItsTimeAndStopped(t *testing.T) {
+func TestRequestIsAbortedAtItsDeadline(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	id := c.sendBrief(1)
@@ -89,8 +89,8 @@
 	v.serveOne(c, 2, "next")
 }
 
-// What came in while the machine stood still is read before late moments decide.
-func TestAMachineThatStoodStill(t *testing.T) {
+// What arrived while the process was paused is read before deadlines that passed meanwhile fire.
+func TestResultReadAfterPauseBeatsDeadline(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	id, due := c.sendBrief(1), time.Now().Add(time.Second)
@@ -102,7 +102,7 @@
 	c.expectResponse(1, 200, "in time")
 }
 
-func TestACallerThatLeaves(t *testing.T) {
+func TestClientAbortCancelsRequest(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	id := c.sendLook(1, "aborted")
@@ -124,8 +124,8 @@
 	v.serveOne(c, 1, "again under the same record id")
 }
 
-// Each way that a try of a stamped work item can find another: held, running, ended well, ended badly.
-func TestTriesOfAStampedWorkItem(t *testing.T) {
+// Each way in which an attempt of a keyed request can find another: queued, running, succeeded, failed.
+func TestRetriesOfKeyedRequestShareOneRun(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	first := c.sendLook(1, "fills")
@@ -163,8 +163,8 @@
 	v.expectApply(c.sendBook(10, "k3"), "entry k3")
 }
 
-// Two tries that come in one piece know of each other: one is run.
-func TestTwoTriesAtOnce(t *testing.T) {
+// Two attempts that arrive in one segment know of each other: one is run.
+func TestSimultaneousRetriesRunOnce(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	one, two := c.sendBook(1, "k"), c.sendBook(2, "k")
@@ -180,7 +180,8 @@
 	v.expectApply(c.sendLook(3, "no second run came before"), "no second run came before")
 }
 
-func TestABrokenLinkToTheInterpreter(t *testing.T) {
+// After a break the link states the last notice: finished runs are not started again, and queued requests follow.
+func TestInterpreterLinkIsResumed(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	look := c.sendLook(1, "1")
@@ -204,9 +205,10 @@
 	c.expectResponse(3, 200, "w")
 }
 
-// Commands of the last moment before a break may be lost: runs are asked for again, which begins none twice, and a
-// reply is passed on again unless the run has been heard of since. What proves not to have begun frees its stamp.
-func TestCommandsThatALinkMayHaveLost(t *testing.T) {
+// Commands of the last moment before a link breaks may be lost: runs are requested again, which starts none twice,
+// and a
+// reply is sent again unless the run has been heard of since. What provably did not start frees its idempotency entry.
+func TestCommandsLostWithLinkAreSentAgain(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	waits := c.sendLook(1, "waits")
@@ -237,9 +239,10 @@
 	c.expectResponse(3, 200, "b")
 }
 
-// A new configuration moves the program to other addresses: nothing in hand is lost, and a call that is out ends where
-// it is. A file that can't be meant changes nothing.
-func TestNewConfigurations(t *testing.T) {
+// A new configuration moves the program to other addresses: no request in flight is lost, and a downstream call that
+// is out
+// ends where it is. An invalid file changes nothing.
+func TestReloadMovesAddressesWithoutLoss(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	id := c.sendLook(1, "a")
@@ -279,7 +282,7 @@
 	r.Contains(log, "event=configuration_rejected reason=")
 }
 
-func TestALineThatIsNoNotice(t *testing.T) {
+func TestMalformedInterpreterLineReopensLink(t *testing.T) {
 	r, v := startServer(t)
 	r.writeLine(v.link, "no notice")
 	v = r.acceptInterpreter(0)
@@ -290,8 +293,8 @@
 	c.expectResponse(1, 500, "")
 }
 
-// A call that provably never ran is made again; one with effects that may have run is not.
-func TestOutcomesOfCalls(t *testing.T) {
+// A downstream call that provably never ran is retried; one with effects that may have run is not.
+func TestDownstreamCallIsRetriedOnlyWhenSafe(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	id := c.sendBook(1, "k")
@@ -321,7 +324,7 @@
 	c.expectResponse(2, 200, "h")
 }
 
-func TestAHangingIndexDelaysNothingElse(t *testing.T) {
+func TestHangingIndexDelaysNothingElse(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	id := c.sendBrief(1)
@@ -333,7 +336,8 @@
 	c.expectResponse(1, 500, "")
 }
 
-func TestAnIndexThatIsDown(t *testing.T) {
+// While the index is down a call ends with its request's deadline; afterwards the index is dialled again.
+func TestIndexOutageAndRecovery(t *testing.T) {
 	r, v := startServer(t)
 	r.NoError(r.index.Listener.Close())
 	c := r.connectRouter()
@@ -350,7 +354,7 @@
 	r.Contains(r.readLine(x), "GET "+id)
 }
 
-func TestReportsToTheDirectory(t *testing.T) {
+func TestLoadReportsToTheDirectory(t *testing.T) {
 	r, v := startServer(t)
 	d := r.nextLink(r.directory)
 	report := func(mode string) {
@@ -373,7 +377,7 @@
 	v.serveOne(c, 1, "without a directory")
 }
 
-func TestBadPeersLoseOnlyTheirConnection(t *testing.T) {
+func TestMalformedRecordsCloseOnlyTheirConnection(t *testing.T) {
 	r, v := startServer(t)
 	good := r.connectRouter()
 	id := good.sendLook(1, "good")
@@ -394,7 +398,8 @@
 	good.expectResponse(1, 200, "g")
 }
 
-func TestRequestsThatAreNoWorkItems(t *testing.T) {
+// Every malformed request gets its status, and the connection and its other request go on.
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	held := c.sendLook(1, "in hand")
@@ -438,7 +443,8 @@
 	c.expectResponse(1, 200, "h")
 }
 
-func TestDrainWithWorkInHand(t *testing.T) {
+// During a drain health checks fail, requests in flight are answered, and after the grace period nothing is run.
+func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	r, v := startServer(t)
 	c, checks := r.connectRouter(), r.connectRouter()
 	stuck := c.sendLook(1, "never ends")
@@ -481,7 +487,7 @@
 	c.requireClosed()
 }
 
-func TestKilledAndStartedAgainUnderItsAddress(t *testing.T) {
+func TestRestartAfterKillOnSameAddress(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	v.expectApply(c.sendBook(1, "k"), "entry k")
@@ -497,7 +503,7 @@
 	c.expectResponse(1, 200, "new life")
 }
 
-func TestIdleConnectionsCloseNeverUnderAnOpenRequest(t *testing.T) {
+func TestIdleTimeoutSparesOpenRequests(t *testing.T) {
 	r, v := startServerWith(t, `"KeepaliveMax":30000.0`, `"KeepaliveMax":100.0`)
 	busy, idle := r.connectRouter(), r.connectRouter()
 	id := busy.sendLook(1, "busy")
@@ -508,8 +514,9 @@
 	busy.requireClosed()
 }
 
-// Silent connections fill no table: the oldest of them makes room for a newcomer, and none outlives its time.
-func TestAFullTableAndNoDescriptorIsLost(t *testing.T) {
+// Silent connections do not fill the table: the oldest is evicted for a newcomer, none outlives its timeout, and no
+// descriptor is lost.
+func TestFullConnectionTableEvictsOldestIdle(t *testing.T) {
 	r, v := startServer(t)
 	descriptors := func() int {
 		entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.process.Process.Pid))
@@ -533,9 +540,9 @@
 	r.Eventually(func() bool { return descriptors() <= before+1 }, eventTimeout, 5*time.Millisecond)
 }
 
-// A request that does not come whole in its time is answered as it is; what else is open on the connection stays, and
-// a connection that brings nothing whole is closed.
-func TestRequestsThatStayHalf(t *testing.T) {
+// A request that is not complete in time is rejected; what else is open on the connection stays, and a connection that
+// brings nothing complete is closed.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	r, v := startServer(t)
 	half, c := r.connectRouter(), r.connectRouter()
 	id := c.sendLook(1, "whole")
@@ -560,7 +567,7 @@
 	c.requireClosed()
 }
 
-func TestARouterThatDoesNotReadIsClosed(t *testing.T) {
+func TestRouterThatDoesNotReadIsClosed(t *testing.T) {
 	r, _ := startServer(t)
 	c := r.connectRouter()
 	check := []byte{}
@@ -579,7 +586,8 @@
 	other.expectResponse(1, 200, "")
 }
 
-func TestConfigurationsThatCannotBeMeant(t *testing.T) {
+// A program with an invalid configuration or a taken address logs one line and exits with 1.
+func TestInvalidConfigurationsPreventStart(t *testing.T) {
 	r := newTestServer(t)
 	good := r.config
 	for from, to := range map[string]string{
@@ -607,15 +615,15 @@
 	r.Contains(log, "address already in use")
 }
 
-func TestNoConfiguration(t *testing.T) {
+func TestMissingConfigurationIsAnError(t *testing.T) {
 	_, err := readPlatformConfig("")
 	require.Error(t, err)
 	_, err = readPlatformConfig("/nonexistent/config.json")
 	require.Error(t, err)
 }
 
-// A server that has lived long is spoken to in numbers that grow for ever: of routers, of notices, of milliseconds.
-func TestNumbersOfALongLife(t *testing.T) {
+// A long-lived server meets numbers that grow without end: of routers, of notices, of milliseconds.
+func TestCountersOfLongLivedServers(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
 	for slot, number := range []string{"0", "1048575", "1048576", "4294967296", "9007199254740991"} {
