--- a/cmd/thistlequay/fleet_test.go
+++ b/cmd/thistlequay/cluster_scenarios_test.go
@@ -1,15 +1,7 @@
 package main
 
 import (
-	"bytes"
-	"debug/elf"
 	"os"
-	"os/exec"
-	"path/filepath"
-	"runtime"
-	"slices"
-	"strconv"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -117,74 +109,3 @@
 		})
 	}
 }
-
-// The build command of the deploy file links against the C library, and its run command leaves one process that
-// starts no
-// other and opens no file for writing.
-func TestDeployFileBuildsAndRunsOneReadOnlyProcess(t *testing.T) {
-	r := newTestServer(t)
-	root, err := filepath.Abs("../..")
-	r.NoError(err)
-	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
-	r.NoError(err)
-	value := func(key string) string {
-		for _, line := range strings.Split(string(text), "\n") {
-			if after, is := strings.CutPrefix(line, key+" = "); is {
-				return strings.Trim(after, `"`)
-			}
-		}
-		r.FailNow("no " + key)
-		return ""
-	}
-	folder := t.TempDir()
-	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(value("build"), "bin", folder+"/bin"))
-	build.Dir = root
-	out, err := build.CombinedOutput()
-	r.NoError(err, string(out))
-	r.Contains(value("build"), "-linkmode=external")
-	program, err := elf.Open(folder + "/bin/thistlequay")
-	r.NoError(err)
-	defer closeQuietly(program)
-	linked, err := program.ImportedLibraries()
-	r.NoError(err)
-	r.True(slices.ContainsFunc(linked, func(l string) bool { return strings.HasPrefix(l, "libc.so") }), linked)
-	r.True(slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }))
-	r.Equal("exec bin/thistlequay", value("run"))
-	r.path = filepath.Join(folder, "config.json")
-	r.writeFiles()
-	run := exec.Command("/bin/sh", "-c", value("run"))
-	run.Dir, run.Stderr = folder, &logBuffer{}
-	run.Env = append(os.Environ(), "PROXY_CONFIG="+r.path, "TMPDIR="+t.TempDir())
-	r.NoError(run.Start())
-	defer func() { _ = run.Process.Kill(); _ = run.Wait() }()
-	v := &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
-	r.readLine(v.link)
-	if runtime.GOOS != "linux" {
-		return
-	}
-	proc := filepath.Join("/proc", strconv.Itoa(run.Process.Pid))
-	name, err := os.Readlink(proc + "/exe")
-	r.NoError(err)
-	r.Equal("thistlequay", filepath.Base(name)) // the shell has made way
-	tasks, err := filepath.Glob(proc + "/task/*/children")
-	r.NoError(err)
-	for _, task := range tasks {
-		children, err := os.ReadFile(task)
-		if err == nil {
-			r.Empty(bytes.TrimSpace(children))
-		}
-	}
-	open, err := os.ReadDir(proc + "/fd")
-	r.NoError(err)
-	for _, fd := range open {
-		to, err := os.Readlink(filepath.Join(proc, "fd", fd.Name()))
-		if err != nil || !strings.HasPrefix(to, "/") || to == "/dev/null" {
-			continue // a socket, a pipe, an event
-		}
-		info, err := os.ReadFile(filepath.Join(proc, "fdinfo", fd.Name()))
-		r.NoError(err)
-		_, flags, _ := strings.Cut(string(info), "flags:")
-		mode := strings.Fields(flags)[0]
-		r.Contains("04", mode[len(mode)-1:], "%s is open for writing", to) // the last octal digit: read only
-	}
-}
--- /dev/null
+++ b/cmd/thistlequay/drain_test.go
@@ -0,0 +1,261 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"thistlequay/internal/emulator"
+)
+
+// During a drain health checks fail, requests in flight are answered, and after the grace period nothing is run.
+func TestDrainAnswersRequestsInFlight(t *testing.T) {
+	r, v := startServer(t)
+	c, checks := r.connectRouter(), r.connectRouter()
+	stuck := c.sendLook(1, "never ends")
+	v.expectApply(stuck, "never ends")
+	ends := c.sendLook(2, "ends")
+	v.expectApply(ends, "ends")
+	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
+	r.Eventually(func() bool {
+		checks.send(1, "/health", "", nil)
+		_, status, _, _ := checks.readResponse()
+		return status == 503
+	}, eventTimeout, time.Millisecond)
+	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
+	v.sendValue(ends, "OK", "e")
+	c.expectResponse(2, 200, "e")
+	go func() { // runs go on to be answered while there is grace
+		for {
+			line, err := v.Reader.ReadString('\n')
+			if err != nil {
+				return
+			}
+			if _, job, found := strings.Cut(line, `{"type":"APPLY","job":"`); found {
+				v.lastNotice++
+				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
+					v.lastNotice,
+					job[:16])
+			}
+		}
+	}()
+	late := r.connectRouter()
+	r.Eventually(func() bool { // and past the grace nothing is run
+		late.sendLook(1, "late")
+		_, status, _, _ := late.readResponse()
+		return status == 503
+	}, eventTimeout, time.Millisecond)
+	c.expectResponse(1, 500, "") // before the stop
+	code, log := r.waitForExit()
+	r.Equal(0, code)
+	r.Contains(log, "event=ended name=n3 requests=1 ") // the run itself, its answer is given
+	c.requireClosed()
+}
+
+// SIGTERM comes before the interpreter is up: health checks and the directory are told, requests are rejected, and the
+// exit code is 0.
+func TestDrainBeforeInterpreterIsUp(t *testing.T) {
+	r := newTestServer(t)
+	r.writeFilesAndStart()
+	v := r.nextLink(r.interpreter)
+	r.readLine(v)
+	d := r.nextLink(r.directory)
+	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.readLine(d))
+	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
+	r.waitForLog("event=shutting_down")
+	c := r.connectRouter()
+	c.send(1, "/health", "", nil)
+	c.expectResponse(1, 503, "")
+	d = r.nextLink(r.directory)
+	for r.readLine(d) != "" {
+	}
+	mode := make([]byte, len(`{"mode":"closed"}`))
+	_, err := io.ReadFull(d.Reader, mode)
+	r.NoError(err)
+	r.Equal(`{"mode":"closed"}`, string(mode))
+	r.writeLine(v, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
+	c.send(2, "/health", "", nil)
+	c.expectResponse(2, 503, "")
+	code, _ := r.waitForExit()
+	r.Equal(0, code)
+}
+
+// The process is paused over the stop deadline: requests in flight are answered before their connection ends.
+func TestPauseOverTheStopDeadlineStillAnswers(t *testing.T) {
+	r, v := startServer(t)
+	c := r.connectRouter()
+	v.expectApply(c.sendLook(1, "never ends"), "never ends")
+	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
+	r.waitForLog("event=shutting_down")
+	r.NoError(r.process.Process.Signal(syscall.SIGSTOP))
+	stop := time.Now().Add(1500 * time.Millisecond)
+	r.Eventually(func() bool { return time.Now().After(stop) }, eventTimeout, time.Millisecond)
+	r.NoError(r.process.Process.Signal(syscall.SIGCONT))
+	c.expectResponse(1, 500, "")
+	r.Empty(r.readToEnd(c.link))
+	code, _ := r.waitForExit()
+	r.Equal(0, code)
+}
+
+// drainedConnection is the outcome of one connection during a drain.
+type drainedConnection struct {
+	kind        string
+	received    int64 // Received-At of its request, 0 where it was never whole
+	id          string
+	answers     int
+	dialRefused bool
+	err         error
+}
+
+// A drain with bytes arriving at every moment of it: requests on idle and on new connections, half requests, half
+// records.
+// Whatever was read has one response, or never ran and ended cleanly; nothing that came after the grace period is run.
+func TestMeasuredDrainOrders(t *testing.T) {
+	r, v := startServerWith(t, `"sockets":64`, `"sockets":256`)
+	const every, moments = 4 * time.Millisecond, 340 // 1.36 s of the 1.5 s to the stop; the last part is refused
+	var lock sync.Mutex
+	ran := map[string]int{}
+	go func() {
+		for {
+			line, err := v.Reader.ReadString('\n')
+			if err != nil {
+				return
+			}
+			if _, job, found := strings.Cut(line, `{"type":"APPLY","job":"`); found {
+				v.lastNotice++
+				lock.Lock()
+				ran[job[:16]]++
+				lock.Unlock()
+				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
+					v.lastNotice,
+					job[:16])
+			} else if _, tag, found := strings.Cut(line, `{"type":"TOP","ref":`); found {
+				_, _ = fmt.Fprintf(v, `{"type":"TOPS","ref":%s,"gauges":[0.1,1,0.1,3]}`+"\n",
+					strings.TrimSuffix(strings.TrimSpace(tag), "}"))
+			}
+		}
+	}()
+	// All but the newcomers are there before, at rest or fresh, few enough for the table.
+	var resting []*link
+	for range 60 {
+		c := r.connectRouter()
+		c.send(1, "/health", "", nil)
+		c.expectResponse(1, 200, "")
+		resting = append(resting, c.link)
+	}
+	var floods []*link
+	for range 20 {
+		c := r.connectRouter()
+		c.send(1, "/health", "", nil)
+		c.expectResponse(1, 200, "")
+		floods = append(floods, c.link)
+		go func() { // records of no open request, until the other side's end has been read
+			for {
+				if _, err := c.Write(fastCGIRecord(5, 9, "")); err != nil {
+					return
+				}
+			}
+		}()
+	}
+	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
+	notice := time.Now()
+	var all []*drainedConnection
+	var done sync.WaitGroup
+	read := func(l *link, d *drainedConnection) {
+		defer done.Done()
+		for {
+			if _, err := l.ReadResponse(); err != nil {
+				if !errors.Is(err, io.EOF) {
+					d.err = err
+				}
+				closeQuietly(l)
+				return
+			}
+			lock.Lock()
+			d.answers++
+			lock.Unlock()
+		}
+	}
+	begin := func(kind string, l *link, whole bool) {
+		d := &drainedConnection{kind: kind, id: r.newRequestID()}
+		all = append(all, d)
+		with := requestParameters(d.id)
+		text := emulator.FastCGIRequest(2, "/rpc/look", "b", with)
+		if whole {
+			d.received, _ = strconv.ParseInt(with["HTTP_RECEIVED_AT"], 10, 64)
+		} else {
+			text = text[:len(text)/2]
+		}
+		done.Add(1)
+		go read(l, d)
+		if _, err := l.Write(text); err != nil {
+			d.received = 0 // the other side had ended before
+		}
+	}
+	for i := range moments {
+		for time.Since(notice) < time.Duration(i)*every {
+			time.Sleep(every / 8)
+		}
+		kind := []string{"a request on a new one", "half a request on a new one", "a request at rest"}[i%3]
+		switch {
+		case i%3 == 2 && len(resting) > 20 && i%6 == 5:
+			begin(kind, resting[0], true)
+			resting = resting[1:]
+		case i%3 < 2:
+			l, err := emulator.Dial(r.listen)
+			if err != nil {
+				all = append(all, &drainedConnection{kind: kind, dialRefused: true})
+				continue
+			}
+			r.NoError(l.SetDeadline(time.Now().Add(eventTimeout)))
+			begin(kind, l, i%3 == 0)
+		}
+	}
+	for _, l := range floods {
+		d := &drainedConnection{kind: "bytes without a pause"}
+		all = append(all, d)
+		done.Add(1)
+		go read(l, d)
+	}
+	for _, l := range resting { // and some rest until the server ends them
+		d := &drainedConnection{kind: "at rest to the end"}
+		all = append(all, d)
+		done.Add(1)
+		go read(l, d)
+	}
+	done.Wait()
+	code, log := r.waitForExit()
+	ended := time.Since(notice)
+	r.Equal(0, code, log)
+	r.Less(ended, eventTimeout/4) // 1.5 s where the machine has nothing else to do: the figure is below
+	lost, double, late, reset, refused := 0, 0, 0, 0, 0
+	said, _, _ := strings.Cut(log[strings.LastIndex(log[:strings.Index(log, " event=shutting_down")], "\n")+1:], " ")
+	left, err := time.Parse(time.RFC3339Nano, said)
+	r.NoError(err)
+	graceEnd := left.Add(350 * time.Millisecond).UnixMilli() // 300, and 50 of slack
+	for _, d := range all {
+		switch runs := ran[d.id]; {
+		case d.dialRefused:
+			refused++
+		case d.answers > 1 || runs > 1:
+			double++
+		case d.answers == 0 && runs > 0:
+			lost++
+		case runs > 0 && d.received > graceEnd:
+			late++
+		}
+		if d.err != nil && !errors.Is(d.err, io.ErrUnexpectedEOF) {
+			reset++
+			t.Log(d.kind, d.err)
+		}
+	}
+	fmt.Printf("measured drain orders=%d lost=%d double=%d late=%d reset=%d refused=%d ended_ms=%d source=stand-ins\n",
+		len(all), lost, double, late, reset, refused, ended.Milliseconds())
+	r.Zero(lost + double + late + reset)
+}
--- a/cmd/thistlequay/fair_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -2,19 +2,84 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/clustertest"
 	"thistlequay/internal/emulator"
 )
 
+// Tenants' shares over the cluster: acme asks at one server of three (at four of twelve where MEASURE=full), beta at
+// all,
+// both for more than there is. Each gets its share of the cluster as far as its servers have that much.
+func TestMeasuredTenantsOverTheCluster(t *testing.T) {
+	servers, length := 3, 12*time.Second
+	if os.Getenv("MEASURE") == "full" {
+		servers, length = 12, 30*time.Second
+	}
+	days, ways := []struct{ acme, entitled float64 }{{0.25, 0.25}}, []bool{true}
+	if os.Getenv("MEASURE") == "full" {
+		days, ways = append(days, struct{ acme, entitled float64 }{0.5, 1.0 / 3}), []bool{false, true}
+	}
+	for _, day := range days {
+		parts := map[bool]float64{}
+		for _, talk := range ways {
+			var of map[string]any
+			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`,
+				twoTenants(day.acme, 1-day.acme), `"Servers":3`,
+				fmt.Sprintf(`"Servers":%d`, servers)).Replace(platformSettings)), &of))
+			g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of,
+				ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
+			for _, s := range g.Servers {
+				g.NoError(s.Start())
+			}
+			g.waitUntilServing(g.Servers)
+			if talk {
+				g.waitForView("all are there", g.Servers, agreedOn(servers))
+			}
+			const rate = 75.0 // a server, of 50 that its cores can do
+			at := func(of []*clustertest.Server) func(time.Duration) []*clustertest.Server {
+				return func(time.Duration) []*clustertest.Server { return of }
+			}
+			served := map[string]float64{}
+			var both sync.WaitGroup
+			var lock sync.Mutex
+			for tenant, of := range map[string][]*clustertest.Server{"acme": g.Servers[:servers/3], "beta": g.Servers} {
+				both.Add(1)
+				go func() {
+					defer both.Done()
+					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6,
+						RequestsPerSecond: rate * float64(len(of)), Length: length, WorkMs: 40,
+						SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, IdempotentCategory: "look",
+						KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
+					lock.Lock()
+					defer lock.Unlock()
+					// By when the answers came: by when the work did, what is held comes and goes for some seconds
+					// each way.
+					for _, done := range o.OnTimeBySecond[int(length/time.Second)/3 : int(length/time.Second)] {
+						served[tenant] += float64(done)
+					}
+				}()
+			}
+			both.Wait()
+			parts[talk] = served["acme"] / (served["acme"] + served["beta"])
+			g.Close()
+		}
+		t.Logf("measured tenants-fleet servers=%d share=%.2f entitled=%.3f part_alone=%.3f part_together=%.3f",
+			servers, day.acme, day.entitled, parts[false], parts[true])
+		require.InDelta(t, day.entitled, parts[true], 0.03)
+	}
+}
+
 // twoTenants is the part of the configuration that gives acme and beta these shares.
 func twoTenants(acme, beta float64) string {
 	return fmt.Sprintf(`"Tenants":[{"Name":"acme","Share":%v},{"Name":"beta","Share":%v}]`, acme, beta)
--- /dev/null
+++ b/cmd/thistlequay/harness_cluster_test.go
@@ -0,0 +1,232 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/gossip"
+	"thistlequay/internal/membership"
+)
+
+// testCluster is a cluster of processes with the checks that tests make on it.
+type testCluster struct {
+	*require.Assertions
+	*clustertest.Cluster
+	t *testing.T
+}
+
+// startGossipCluster starts a cluster whose servers gossip.
+func startGossipCluster(t *testing.T, servers int, seed int64) *testCluster {
+	t.Helper()
+	g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: seed, Gossip: true})
+	for _, s := range g.Servers {
+		g.NoError(s.Start())
+	}
+	return g
+}
+
+// newTestCluster makes a cluster whose servers are not started. At the end of the test it is closed, and no log may
+// show
+// a data race, a violated invariant or a panic.
+func newTestCluster(t *testing.T, p clustertest.Plan) *testCluster {
+	t.Helper()
+	r := require.New(t)
+	var of map[string]any
+	r.NoError(json.Unmarshal([]byte(platformSettings), &of))
+	program, err := os.Executable()
+	r.NoError(err)
+	p.WorkDirectory, p.Program, p.Env, p.Cores = t.TempDir(), program, []string{runAsProgramEnv + "=1"}, 2
+	if p.Settings == nil {
+		p.Settings = of
+	}
+	cluster, err := clustertest.New(p)
+	r.NoError(err)
+	g := &testCluster{r, cluster, t}
+	t.Cleanup(func() {
+		cluster.Close()
+		for _, s := range cluster.Servers {
+			if t.Failed() {
+				t.Log(s.Name + ":\n" + s.Log.String())
+			}
+			r.NotContains(s.Log.String(), "DATA RACE")
+			r.NotContains(s.Log.String(), "invariant_violated")
+			r.NotContains(s.Log.String(), "panic:")
+		}
+	})
+	return g
+}
+
+// waitUntilServing waits until each of the servers answers and has its interpreter.
+func (g *testCluster) waitUntilServing(of []*clustertest.Server) {
+	g.t.Helper()
+	for _, s := range of {
+		g.NoError(waitUntilReady(s.Listen))
+		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, eventTimeout,
+			5*time.Millisecond, s.Name)
+	}
+}
+
+// waitForView waits until the cluster view of each of the servers is as the test wants, and gives how long each took,
+// sorted.
+func (g *testCluster) waitForView(what string, of []*clustertest.Server,
+	is func(gossip.Status) bool) (took []time.Duration) {
+	g.t.Helper()
+	begun := time.Now()
+	left := slices.Clone(of)
+	for len(left) > 0 {
+		for _, s := range slices.Clone(left) {
+			if r, err := s.View(); err == nil && is(r) {
+				took = append(took, time.Since(begun))
+				left = slices.DeleteFunc(left, func(o *clustertest.Server) bool { return o == s })
+			}
+		}
+		if time.Since(begun) > 3*eventTimeout {
+			r, err := left[0].View()
+			g.FailNow(what, "%s does not see it: %+v %v\n%v", left[0].Name, r, err, g.History())
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	slices.Sort(took)
+	g.Record("", "%s seen by %d", what, len(of))
+	return took
+}
+
+// memberLine is the status row of the incarnation that holds a name: the one whose state is best.
+func memberLine(r gossip.Status, name string) (of gossip.MemberStatus) {
+	for _, l := range r.Members {
+		if l.Name == name && (of.Name == "" ||
+			slices.Index(membership.StateNames, l.State) < slices.Index(membership.StateNames, of.State)) {
+			of = l
+		}
+	}
+	return of
+}
+
+// memberIs tests for a member's state and, if any are given, for one of these causes.
+func memberIs(name, state string, causes ...string) func(gossip.Status) bool {
+	return func(r gossip.Status) bool {
+		l := memberLine(r, name)
+		return l.State == state && (len(causes) == 0 || slices.Contains(causes, l.Cause))
+	}
+}
+
+// majorityOf tests for a majority in which n members serve.
+func majorityOf(n int) func(gossip.Status) bool {
+	return func(r gossip.Status) bool {
+		there := 0
+		for _, l := range r.Members {
+			if l.State == "serving" {
+				there++
+			}
+		}
+		return r.QuorumStatus == "whole" && there == n
+	}
+}
+
+// serversExcept is a copy of the servers without some of them.
+func serversExcept(of []*clustertest.Server, gone ...*clustertest.Server) []*clustertest.Server {
+	return slices.DeleteFunc(slices.Clone(of), func(s *clustertest.Server) bool { return slices.Contains(gone, s) })
+}
+
+// agreedOn tests for a majority of n whose cluster configuration has n members and voters that all serve.
+func agreedOn(n int) func(gossip.Status) bool {
+	return func(r gossip.Status) bool {
+		ok := majorityOf(n)(r) && r.AgreedSize == n
+		for _, name := range r.Voters {
+			ok = ok && memberLine(r, name).State == "serving"
+		}
+		return ok
+	}
+}
+
+// countRivalMajorities polls all servers until the test ends, and gives how often one claimed the majority while the
+// claim of another, with a different configuration, had not expired.
+func (g *testCluster) countRivalMajorities() (both func() int) {
+	type claim struct {
+		epoch uint64
+		until time.Time
+	}
+	var lock sync.Mutex
+	held, n, ended := map[*clustertest.Server]claim{}, 0, make(chan struct{})
+	g.t.Cleanup(func() { close(ended) })
+	go func() {
+		for {
+			for _, s := range g.CurrentServers() {
+				select {
+				case <-ended:
+					return
+				default:
+				}
+				asked := time.Now()
+				r, err := s.View()
+				if err != nil || r.UntilMs < 0 {
+					continue
+				}
+				lock.Lock()
+				for o, c := range held {
+					if o != s && c.epoch != r.Epoch && c.until.After(time.Now()) {
+						n++
+					}
+				}
+				held[s] = claim{r.Epoch, asked.Add(time.Duration(r.UntilMs) * time.Millisecond)}
+				lock.Unlock()
+			}
+			time.Sleep(20 * time.Millisecond)
+		}
+	}()
+	return func() int {
+		lock.Lock()
+		defer lock.Unlock()
+		return n
+	}
+}
+
+// anonymousMemoryKB is the memory of a process that no file backs, in kilobytes.
+func anonymousMemoryKB(g *testCluster, process int) (kb int) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process))
+	g.NoError(err)
+	_, after, found := strings.Cut(string(text), "RssAnon:")
+	g.True(found)
+	_, err = fmt.Sscan(after, &kb)
+	g.NoError(err)
+	return kb
+}
+
+// medianLatency is the median time to the response of a request that costs next to nothing.
+func (g *testCluster) medianLatency(s *clustertest.Server, n int) time.Duration {
+	g.t.Helper()
+	link, err := emulator.Dial(s.Listen)
+	g.NoError(err)
+	defer closeQuietly(link)
+	var took []time.Duration
+	for i := range n {
+		begun := time.Now()
+		_, err := link.Write(emulator.FastCGIRequest(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i),
+			emulator.RequestParameters(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
+		g.NoError(err)
+		a, err := link.ReadResponse()
+		g.NoError(err)
+		g.Equal(200, a.Status)
+		took = append(took, time.Since(begun))
+	}
+	slices.Sort(took)
+	return took[n/2]
+}
+
+// boolInt is 1 for true and 0 for false.
+func boolInt(b bool) int {
+	if b {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/cmd/thistlequay/harness_quota_test.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
+	"thistlequay/internal/quota/service"
+)
+
+// startQuotaCluster starts a cluster with a quota of downstream calls in flight over all servers. With slots of 0
+// there is
+// no quota, and each server keeps to the fixed part in its settings.
+func startQuotaCluster(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
+	more string) *testCluster {
+	t.Helper()
+	return startQuotaClusterOf(t, servers, slots, calls, part, seed, delay, more, func([]*clustertest.Server) {})
+}
+
+// startQuotaClusterOf is startQuotaCluster with a change to the servers before they are started.
+func startQuotaClusterOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
+	more string, prepare func([]*clustertest.Server)) *testCluster {
+	index, err := emulator.NewIndex()
+	require.NoError(t, err)
+	index.ReplyDelay = delay
+	var of map[string]any
+	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`,
+		fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
+		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`,
+		`"HardLimit":2000.0`).Replace(platformSettings)), &of))
+	p := clustertest.Plan{Servers: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
+	if slots > 0 {
+		p.ServiceYAML = func(s *clustertest.Server) string {
+			return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", calls, slots) +
+				strings.ReplaceAll(more, "{name}", s.Name)
+		}
+	}
+	g := newTestCluster(t, p)
+	prepare(g.Servers)
+	for _, s := range g.Servers {
+		s.Interpreter.CallProbability = 1
+		g.NoError(s.Start())
+	}
+	g.waitUntilServing(g.Servers)
+	return g
+}
+
+// waitForQuota waits until the quota status of each of the servers is as the test wants, and gives how long that took.
+func (g *testCluster) waitForQuota(what string, of []*clustertest.Server, is func(service.Status) bool) time.Duration {
+	g.t.Helper()
+	begun := time.Now()
+	for left := slices.Clone(of); len(left) > 0; time.Sleep(50 * time.Millisecond) {
+		left = slices.DeleteFunc(left, func(s *clustertest.Server) bool {
+			r, err := s.Shares()
+			return err == nil && is(r)
+		})
+		if len(left) > 0 && time.Since(begun) > 3*eventTimeout {
+			r, err := left[0].Shares()
+			g.FailNow(what, "%s tells otherwise: %+v %v\n%v", left[0].Name, r, err, g.History())
+		}
+	}
+	g.Record("", "%s told by %d", what, len(of))
+	return time.Since(begun)
+}
+
+// hasLease tests for a lease on more than the guaranteed minimum.
+func hasLease(r service.Status) bool {
+	return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere > 1
+}
+
+// onGuaranteedMinimum tests for a server without a lease, which keeps to the guaranteed minimum.
+func onGuaranteedMinimum(r service.Status) bool {
+	return r.Limits[0].ExpiresInMs == 0 && r.Limits[0].UsableHere == 1
+}
+
+// waitForLeader waits for the leader of the quota coordinators and gives it.
+func (g *testCluster) waitForLeader(of []*clustertest.Server) (leader *clustertest.Server) {
+	g.t.Helper()
+	g.Eventually(func() bool {
+		for _, s := range of {
+			if r, err := s.Shares(); err == nil && r.IsLeader && r.HasQuorum && r.Opened {
+				leader = s
+				return true
+			}
+		}
+		return false
+	}, 3*eventTimeout, 50*time.Millisecond)
+	return leader
+}
+
+// startLoad sends more than the index may have in flight until end is called, which gives the tally.
+func (g *testCluster) startLoad(rate float64, list func() []*clustertest.Server) (end func() clustertest.Tally) {
+	g.t.Helper()
+	over, done := make(chan struct{}), make(chan clustertest.Tally)
+	go func() {
+		var sum clustertest.Tally
+		for {
+			select {
+			case <-over:
+				done <- sum
+				return
+			default:
+			}
+			o := g.Play(clustertest.Traffic{Routers: 6, RequestsPerSecond: rate, Length: time.Second, WorkMs: 2,
+				SoftDeadline: time.Second, Deadline: 2 * time.Second,
+				IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1,
+				EndpointsAt: func(time.Duration) []*clustertest.Server { return list() }})
+			sum.Requested += o.Requested
+			sum.OnTime += o.OnTime
+			sum.PastDeadline += o.PastDeadline
+		}
+	}()
+	return func() clustertest.Tally { close(over); return <-done }
+}
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -201,122 +200,6 @@
 	r.Contains(log, "event=plugin_process_exited")
 }
 
-// playPluginLoad plays load for about a second against a server with these plug-ins, which see acme but not beta.
-func playPluginLoad(t *testing.T, service func(r *testServer) string, during func(r *testServer)) (r *testServer,
-	acme, beta *emulator.Account,
-	vm *emulator.Interpreter) {
-	t.Helper()
-	r = newTestServer(t)
-	var err error
-	vm, err = emulator.NewInterpreter(2, 3)
-	r.NoError(err)
-	t.Cleanup(vm.Close)
-	closeQuietly(r.interpreter)
-	r.config = strings.Replace(r.config, r.interpreter.Address, vm.Address, 1)
-	r.config = strings.Replace(r.config, `"Tenants":[{"Name":"acme"}]`, twoTenants(0.5, 0.5), 1)
-	r.service = service(r)
-	r.writeFilesAndStart()
-	r.waitForLog("interpreter_up")
-	length := 0.8
-	if os.Getenv("MEASURE") == "full" {
-		length = 20
-	}
-	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
-		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
-			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
-				PriorityWeight: 1},
-			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
-				PriorityWeight: 1}}}
-	var all sync.WaitGroup
-	if during != nil {
-		all.Go(func() { during(r) })
-	}
-	books, err := load.Run()
-	r.NoError(err)
-	all.Wait()
-	r.Zero(load.BrokenRequests())
-	return r, books[0], books[1], vm
-}
-
-// pluginMemory is the resident memory of the plug-in processes of a server, in MB, and how many of them there are.
-func pluginMemory(r *testServer) (mb float64, n int) {
-	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(r.process.Process.Pid), "-o", "rss=").Output()
-	for _, field := range strings.Fields(string(out)) {
-		kb, _ := strconv.ParseFloat(field, 64)
-		mb += kb / 1024
-		n++
-	}
-	return mb, n
-}
-
-// Each hostile plug-in beside a well-behaved one, under load: no request waits for it and none is lost.
-func TestMeasuredHostilePlugins(t *testing.T) {
-	_, _, calm, _ := playPluginLoad(t, func(*testServer) string { return "" }, nil)
-	for _, kind := range []string{"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled",
-		"traps", "traps-one-in-ten",
-		"points-outside", "answers-1gib", "status-9999", "no-such-category", "logs-without-end", "slow-4ms"} {
-		t.Run(kind, func(t *testing.T) {
-			name, compiled := strings.CutSuffix(kind, " compiled")
-			engine := map[bool]string{false: "interpreter", true: "compiler"}[compiled]
-			var most float64
-			r, acme, beta, vm := playPluginLoad(t, func(r *testServer) string {
-				return pluginSection(pluginEntry("hostile", r.writeModule(name),
-					"hooks: [read, result, tick], every: 20ms, tenants: "+
-						"[acme], may: [decline, rewrite], quarantine: 50ms, engine: "+engine),
-					pluginEntry("tagger", r.writeModule("tags"),
-						"hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5"))
-			}, func(r *testServer) {
-				for range 6 {
-					mb, _ := pluginMemory(r)
-					most = max(most, mb)
-					time.Sleep(100 * time.Millisecond) // a look now and then; nothing hangs on it
-				}
-			})
-			late, lost, double := 0, 0, 0
-			for _, a := range []*emulator.Account{acme, beta} {
-				late += a.PastDeadline
-				lost += a.Requested - a.OnTime - a.Late - a.Rejected - a.Aborted - a.BadRequests
-			}
-			vm.Inspect(func(v *emulator.Interpreter) {
-				for _, runs := range v.RunsByRequest {
-					double += runs - 1
-				}
-			})
-			alive := map[bool]int{true: 1}[r.process.ProcessState == nil]
-			t.Logf("measured plugins kind=%q late_answers=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
-				"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
-				kind, late, lost, double, alive, most,
-				float64(beta.Times.ValueAtQuantile(99))/float64(calm.Times.ValueAtQuantile(99)),
-				float64(acme.Times.ValueAtQuantile(50))/1000, float64(acme.Times.ValueAtQuantile(99))/1000)
-			r.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
-			r.Zero(beta.BadRequests + beta.Aborted)
-		})
-	}
-}
-
-// Forty plug-in versions in a row under load: each request ends with the version it began with, and none is lost.
-func TestFortyPluginReloadsUnderLoadLoseNothing(t *testing.T) {
-	r, acme, beta, _ := playPluginLoad(t, func(r *testServer) string {
-		return pluginSection(pluginEntry("one", r.writeModule("good"),
-			"hooks: [read, result]"))
-	}, func(r *testServer) {
-		for i := range 40 {
-			r.service = pluginSection(pluginEntry("one", r.writeModule([]string{"good", "tags"}[i%2]),
-				fmt.Sprintf("hooks: [read, result], may: [tag], row: %d", i)))
-			r.service = strings.Replace(r.service, "row", "faults_in_a_row", 1)
-			r.service = strings.Replace(r.service, "faults_in_a_row: 0", "faults_in_a_row: 1", 1)
-			r.reload()
-		}
-	})
-	for _, a := range []*emulator.Account{acme, beta} {
-		r.Equal(a.Requested, a.OnTime+a.Late+a.Rejected, a)
-		r.Zero(a.PastDeadline)
-	}
-	r.Equal(40, strings.Count(logText(r), "event=configuration_read"))
-	_, n := pluginMemory(r)
-	r.LessOrEqual(n, 6)
-}
-
 func TestPluginCommandExitCodesAndOutput(t *testing.T) {
 	r := newTestServer(t)
 	request := filepath.Join(t.TempDir(), "r.json")
--- /dev/null
+++ b/cmd/thistlequay/quota_gain_test.go
@@ -0,0 +1,130 @@
+package main
+
+import (
+	"cmp"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/quota/service"
+)
+
+// What quotas gain where the shared index is the limit, beside fixed parts from the settings and beside no limit at
+// all.
+// In each scenario calls beyond the total make all calls slower, by the square of their number.
+func TestMeasuredQuotaGain(t *testing.T) {
+	length, names, ways := 10*time.Second, []string{"uneven"}, []string{"shares", "fixed"}
+	if os.Getenv("MEASURE") == "full" {
+		length, names, ways = 14*time.Second,
+			strings.Fields(cmp.Or(os.Getenv("DAYS"), "steady uneven killed split growing")),
+			[]string{"shares", "fixed", "none"}
+	}
+	const calls, delay = 24, 50 * time.Millisecond
+	for n, name := range names {
+		gain := map[string]float64{}
+		for _, how := range ways {
+			servers, begun := 6, 6
+			if name == "growing" {
+				servers, begun = 12, 3
+			}
+			slots := 0
+			if how == "shares" {
+				slots = servers
+			}
+			gain[how] = playQuotaDay(t, name, how, servers, begun, slots, calls, delay, length, int64(20+n))
+		}
+		t.Logf("measured shares-gain day=%s whole=%d in_time_shares=%.3f in_time_fixed=%.3f in_time_none=%.3f", name,
+			calls, gain["shares"], gain["fixed"], gain["none"])
+		require.Greater(t, gain["shares"], gain["fixed"]*0.9, name)
+	}
+}
+
+// playQuotaDay plays one scenario and gives the part that was served in time after its fault has begun, of what the
+// index
+// could do.
+func playQuotaDay(t *testing.T, name, how string, servers, begun, slots, calls int, delay, length time.Duration,
+	seed int64) float64 {
+	t.Helper()
+	part := float64(calls) / float64(begun)
+	if how == "none" {
+		part = 1e6
+	}
+	more := map[string]string{"split": "  floor: 3\n"}[name] // floors as such a fleet would have them
+	g := startQuotaCluster(t, begun, slots, calls, part, seed, delay, more)
+	g.Index.SlowdownThreshold = calls
+	all := slices.Clone(g.Servers)
+	if how == "shares" {
+		g.waitForQuota("grants", all, func(r service.Status) bool {
+			return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere >= 1
+		})
+	}
+	able := float64(calls) / delay.Seconds()
+	lists := func(at time.Duration) []*clustertest.Server { return all }
+	trouble := map[time.Duration]func(*clustertest.Routers){}
+	rate := 0.8 * able
+	switch name {
+	case "uneven": // two of six get two thirds of all
+		lists = func(time.Duration) []*clustertest.Server {
+			return append(slices.Clone(all), all[0], all[0], all[0], all[0], all[1], all[1], all[1], all[1])
+		}
+	case "killed":
+		rest := all[2:]
+		lists = func(at time.Duration) []*clustertest.Server {
+			if at > length/4 {
+				return rest
+			}
+			return all
+		}
+		trouble[length/4] = func(r *clustertest.Routers) { r.Kill(all[0]); r.Kill(all[1]) }
+	case "split":
+		trouble[length/4] = func(*clustertest.Routers) {
+			g.Partition(func(s *clustertest.Server) int { return boolInt(s.Index < 2) })
+		}
+		trouble[length/4+6*time.Second] = func(*clustertest.Routers) { g.Heal() }
+	case "growing":
+		var lock sync.Mutex
+		now := all
+		lists = func(time.Duration) []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return now }
+		rate = 0.5 * able // three servers have their floors and what is no floor: fifteen of twenty-four
+		trouble[length/4] = func(*clustertest.Routers) {
+			for i := begun; i < servers; i++ {
+				s, err := g.AddServer(i)
+				if err != nil || s.Start() != nil || waitUntilReady(s.Listen) != nil {
+					t.Error(err)
+					return
+				}
+				s.Interpreter.CallProbability = 1
+			}
+			if how == "shares" { // routers hear of them once they are members with a grant
+				g.waitForQuota("newcomers", g.CurrentServers(),
+					func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
+			}
+			lock.Lock()
+			now = g.CurrentServers()
+			lock.Unlock()
+		}
+	}
+	o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: rate, Length: length, WorkMs: 2,
+		SoftDeadline: time.Second, Deadline: 2 * time.Second,
+		IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 2, EndpointsAt: lists, Actions: trouble})
+	served := 0.0
+	late := o.OnTimeShareBySecond[len(o.OnTimeShareBySecond)/2 : len(o.OnTimeShareBySecond)-1]
+	for _, part := range late {
+		served += part / float64(len(late))
+	}
+	peak := g.Index.PeakInFlight()
+	t.Logf("measured shares-day day=%s how=%s servers=%d in_time=%.3f declined=%d failed=%d peak=%d whole=%d "+
+		"late=%d lost=%d", name, how, begun, served, o.Rejected, o.Failed, peak, calls, o.PastDeadline, o.Unanswered)
+	if how == "shares" {
+		require.LessOrEqual(t, peak, calls)
+	}
+	require.Zero(t, o.PastDeadline+o.DuplicateRuns)
+	g.Close()
+	return served
+}
