--- a/cmd/thistlequay/cluster_scenarios_test.go
+++ b/cmd/thistlequay/cluster_scenarios_test.go
@@ -13,9 +13,11 @@
 // The scenarios of hundreds of servers, on a few real processes without the bench: each request that is read has one
 // response in its time, no idempotency key runs twice on a server, and the worst second is reported.
 func TestMeasuredClusterScenarios(t *testing.T) {
-	servers, length := 8, 4*time.Second
+	servers := 8
+	length := 4 * time.Second
 	if os.Getenv("MEASURE") == "full" {
-		servers, length = 16, 30*time.Second
+		servers = 16
+		length = 30 * time.Second
 	}
 	half := func(g *testCluster) []*clustertest.Server { return g.Servers[:len(g.Servers)/2] }
 	days := []struct {
@@ -52,7 +54,8 @@
 			}
 		}},
 		{"index-short", 0.3, func(g *testCluster) {
-			g.Index.ReplyDelay, g.Index.MaxInFlight = 40*time.Millisecond, 4
+			g.Index.ReplyDelay = 40 * time.Millisecond
+			g.Index.MaxInFlight = 4
 			for _, s := range g.Servers {
 				s.Interpreter.CallProbability = 0.8
 			}
--- a/cmd/thistlequay/command_test.go
+++ b/cmd/thistlequay/command_test.go
@@ -34,7 +34,8 @@
 // `check` reports every diagnostic of both files at once, each with its source position.
 func TestCheckReportsEveryDiagnosticWithItsPlace(t *testing.T) {
 	r := newTestServer(t)
-	json, yaml := filepath.Join(t.TempDir(), "c.json"), filepath.Join(t.TempDir(), "s.yaml")
+	json := filepath.Join(t.TempDir(), "c.json")
+	yaml := filepath.Join(t.TempDir(), "s.yaml")
 	check := func(config, service string) (int, string) {
 		require.NoError(t, os.WriteFile(json, []byte(config), 0o600))
 		require.NoError(t, os.WriteFile(yaml, []byte(service), 0o600))
--- a/cmd/thistlequay/configuration_test.go
+++ b/cmd/thistlequay/configuration_test.go
@@ -10,8 +10,7 @@
 )
 
 // A new configuration moves the program to other addresses: no request in flight is lost, and a downstream call that
-// is out
-// ends where it is. An invalid file changes nothing.
+// is out ends where it is. An invalid file changes nothing.
 func TestReloadMovesAddressesWithoutLoss(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
--- a/cmd/thistlequay/connection_test.go
+++ b/cmd/thistlequay/connection_test.go
@@ -16,7 +16,8 @@
 
 func TestIdleTimeoutSparesOpenRequests(t *testing.T) {
 	r, v := startServerWith(t, `"KeepaliveMax":30000.0`, `"KeepaliveMax":100.0`)
-	busy, idle := r.connectRouter(), r.connectRouter()
+	busy := r.connectRouter()
+	idle := r.connectRouter()
 	id := busy.sendLook(1, "busy")
 	v.expectApply(id, "busy")
 	idle.requireClosed()
@@ -71,8 +72,7 @@
 }
 
 // A connection is evicted for a newcomer at the moment at which a request lies on it unread: the request is not run,
-// and
-// its sender sees a close, not a reset.
+// and its sender sees a close, not a reset.
 func TestCloseOverUnreadBytesDoesNotReset(t *testing.T) {
 	r, v := startServer(t)
 	var table int
@@ -103,7 +103,8 @@
 // A response that its reader has not taken yet is written before the connection is closed.
 func TestCloseWaitsForBufferedResponses(t *testing.T) {
 	r, v := startServer(t)
-	c, other := r.connectRouter(), r.connectRouter()
+	c := r.connectRouter()
+	other := r.connectRouter()
 	result := strings.Repeat("r", 4000)
 	send := func(keep byte) {
 		id := r.newRequestID()
@@ -118,11 +119,13 @@
 	}
 	n := 0
 	for before, full := -1, 0; full < 3; n++ { // until the system takes no more and the program holds the rest
-		if send(1); n%8 != 0 {
+		send(1)
+		if n%8 != 0 {
 			continue
 		}
 		if lies := r.unreadBytes(c.link); lies > before {
-			before, full = lies, 0
+			before = lies
+			full = 0
 		} else {
 			full++
 		}
@@ -204,7 +207,8 @@
 	d := r.nextLink(r.directory)
 	r.NoError(r.directory.Listener.Close())
 	closeQuietly(d)
-	idle, served := 0, 0
+	idle := 0
+	served := 0
 	crowd := func(n int) {
 		for i := range n {
 			c, err := emulator.Dial(r.listen)
@@ -212,7 +216,8 @@
 				continue
 			}
 			t.Cleanup(func() { closeQuietly(c) })
-			switch idle++; i % 4 {
+			idle++
+			switch i % 4 {
 			case 0: // says nothing
 			case 1:
 				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil))
--- a/cmd/thistlequay/deploy_file_test.go
+++ b/cmd/thistlequay/deploy_file_test.go
@@ -14,8 +14,7 @@
 )
 
 // The build command of the deploy file links against the C library, and its run command leaves one process that
-// starts no
-// other and opens no file for writing.
+// starts no other and opens no file for writing.
 func TestDeployFileBuildsAndRunsOneReadOnlyProcess(t *testing.T) {
 	r := newTestServer(t)
 	root, err := filepath.Abs("../..")
@@ -48,10 +47,14 @@
 	r.path = filepath.Join(folder, "config.json")
 	r.writeFiles()
 	run := exec.Command("/bin/sh", "-c", value("run"))
-	run.Dir, run.Stderr = folder, &logBuffer{}
+	run.Dir = folder
+	run.Stderr = &logBuffer{}
 	run.Env = append(os.Environ(), "PROXY_CONFIG="+r.path, "TMPDIR="+t.TempDir())
 	r.NoError(run.Start())
-	defer func() { _ = run.Process.Kill(); _ = run.Wait() }()
+	defer func() {
+		_ = run.Process.Kill()
+		_ = run.Wait()
+	}()
 	v := &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
 	r.readLine(v.link)
 	if runtime.GOOS != "linux" {
--- a/cmd/thistlequay/drain_test.go
+++ b/cmd/thistlequay/drain_test.go
@@ -17,7 +17,8 @@
 // During a drain health checks fail, requests in flight are answered, and after the grace period nothing is run.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	r, v := startServer(t)
-	c, checks := r.connectRouter(), r.connectRouter()
+	c := r.connectRouter()
+	checks := r.connectRouter()
 	stuck := c.sendLook(1, "never ends")
 	v.expectApply(stuck, "never ends")
 	ends := c.sendLook(2, "ends")
@@ -40,8 +41,7 @@
 			if _, job, found := strings.Cut(line, `{"type":"APPLY","job":"`); found {
 				v.lastNotice++
 				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
-					v.lastNotice,
-					job[:16])
+					v.lastNotice, job[:16])
 			}
 		}
 	}()
@@ -114,8 +114,8 @@
 }
 
 // A drain with bytes arriving at every moment of it: requests on idle and on new connections, half requests, half
-// records.
-// Whatever was read has one response, or never ran and ended cleanly; nothing that came after the grace period is run.
+// records. Whatever was read has one response, or never ran and ended cleanly; nothing that came after the grace
+// period is run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	r, v := startServerWith(t, `"sockets":64`, `"sockets":256`)
 	const every, moments = 4 * time.Millisecond, 340 // 1.36 s of the 1.5 s to the stop; the last part is refused
@@ -133,8 +133,7 @@
 				ran[job[:16]]++
 				lock.Unlock()
 				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
-					v.lastNotice,
-					job[:16])
+					v.lastNotice, job[:16])
 			} else if _, tag, found := strings.Cut(line, `{"type":"TOP","ref":`); found {
 				_, _ = fmt.Fprintf(v, `{"type":"TOPS","ref":%s,"gauges":[0.1,1,0.1,3]}`+"\n",
 					strings.TrimSuffix(strings.TrimSpace(tag), "}"))
@@ -234,7 +233,11 @@
 	ended := time.Since(notice)
 	r.Equal(0, code, log)
 	r.Less(ended, eventTimeout/4) // 1.5 s where the machine has nothing else to do: the figure is below
-	lost, double, late, reset, refused := 0, 0, 0, 0, 0
+	lost := 0
+	double := 0
+	late := 0
+	reset := 0
+	refused := 0
 	said, _, _ := strings.Cut(log[strings.LastIndex(log[:strings.Index(log, " event=shutting_down")], "\n")+1:], " ")
 	left, err := time.Parse(time.RFC3339Nano, said)
 	r.NoError(err)
--- a/cmd/thistlequay/fairqueue_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -19,16 +19,19 @@
 )
 
 // Tenants' shares over the cluster: acme asks at one server of three (at four of twelve where MEASURE=full), beta at
-// all,
-// both for more than there is. Each gets its share of the cluster as far as its servers have that much.
+// all, both for more than there is. Each gets its share of the cluster as far as its servers have that much.
 func TestMeasuredTenantsOverTheCluster(t *testing.T) {
-	servers, length := 3, 12*time.Second
+	servers := 3
+	length := 12 * time.Second
 	if os.Getenv("MEASURE") == "full" {
-		servers, length = 12, 30*time.Second
+		servers = 12
+		length = 30 * time.Second
 	}
-	days, ways := []struct{ acme, entitled float64 }{{0.25, 0.25}}, []bool{true}
+	days := []struct{ acme, entitled float64 }{{0.25, 0.25}}
+	ways := []bool{true}
 	if os.Getenv("MEASURE") == "full" {
-		days, ways = append(days, struct{ acme, entitled float64 }{0.5, 1.0 / 3}), []bool{false, true}
+		days = append(days, struct{ acme, entitled float64 }{0.5, 1.0 / 3})
+		ways = []bool{false, true}
 	}
 	for _, day := range days {
 		parts := map[bool]float64{}
@@ -98,7 +101,8 @@
 // sendLookOf sends an idempotent request of a tenant and gives its identifier.
 func (c *routerLink) sendLookOf(slot uint16, tenant, body string) string {
 	c.server.t.Helper()
-	id, with := c.server.newRequestID(), requestParameters("")
+	id := c.server.newRequestID()
+	with := requestParameters("")
 	with["HTTP_REQUEST_ID"], with["HTTP_ACCOUNT"] = id, tenant
 	c.send(slot, "/rpc/look", body, with)
 	return id
@@ -109,7 +113,8 @@
 func TestFairQueueOrderAndReloadUnderLoad(t *testing.T) {
 	r, v := startFairServer(t, 0.5, 0.5)
 	c := r.connectRouter()
-	first, second := c.sendLookOf(1, "acme", "1"), c.sendLookOf(2, "acme", "2")
+	first := c.sendLookOf(1, "acme", "1")
+	second := c.sendLookOf(2, "acme", "2")
 	v.expectApply(first, "1")
 	v.expectApply(second, "2")
 	held := []string{c.sendLookOf(3, "acme", "3"), c.sendLookOf(4, "acme", "4")}
@@ -144,8 +149,7 @@
 }
 
 // A retry that shares a run is not accounted to its tenant; one that takes the place of a queued attempt is accounted
-// for
-// the run alone.
+// for the run alone.
 func TestRetriesAreAccountedOnce(t *testing.T) {
 	r, v := startFairServer(t, 0.6, 0.4)
 	c := r.connectRouter()
@@ -156,7 +160,8 @@
 	}
 	other := c.sendLookOf(9, "beta", "b")
 	v.expectApply(other, "b")
-	waitsA, waitsB := c.sendLookOf(10, "acme", "a2"), c.sendLookOf(11, "beta", "b2")
+	waitsA := c.sendLookOf(10, "acme", "a2")
+	waitsB := c.sendLookOf(11, "beta", "b2")
 	v.sendValue(run, "OK", "one")
 	for range 7 {
 		_, status, _, body := c.readResponse()
@@ -182,12 +187,14 @@
 	v := r.acceptInterpreter(0)
 	c := r.connectRouter()
 	from := func(slot uint16, address string) string {
-		id, with := c.server.newRequestID(), requestParameters("")
+		id := c.server.newRequestID()
+		with := requestParameters("")
 		with["HTTP_REQUEST_ID"], with["REMOTE_ADDR"] = id, address
 		c.send(slot, "/rpc/look", address, with)
 		return id
 	}
-	a, b := from(1, "10.1.0.1"), from(2, "10.1.0.2")
+	a := from(1, "10.1.0.1")
+	b := from(2, "10.1.0.2")
 	v.expectApply(a, "10.1.0.1")
 	v.expectApply(b, "10.1.0.2")
 	from(3, "::ffff:10.1.0.3")
@@ -216,10 +223,8 @@
 }
 
 // A greedy tenant over sockets, with an interpreter whose notices are corrupted and an index that does not always
-// answer:
-// every request is answered, none runs twice, and the polite tenant gets more of its share than the greedy one. Two
-// seconds
-// in CI, 30 s where MEASURE=full.
+// answer: every request is answered, none runs twice, and the polite tenant gets more of its share than the greedy
+// one. Two seconds in CI, 30 s where MEASURE=full.
 func TestMeasuredFairQueuesOverSockets(t *testing.T) {
 	r := newTestServer(t)
 	vm, err := emulator.NewInterpreter(2, 3)
--- a/cmd/thistlequay/golden_test.go
+++ b/cmd/thistlequay/golden_test.go
@@ -150,7 +150,8 @@
 		Payload: []byte("result")},
 		{Kind: recovery.KindCompletion, Key: "failed", Attempt: 3},
 		{Kind: recovery.KindCancellation, Key: "void", Attempt: 4}} {
-		r.WindowEnd, r.WrittenAt = until, segmentlog.MachineClock()
+		r.WindowEnd = until
+		r.WrittenAt = segmentlog.MachineClock()
 		s.AppendCompletion(r, r.Attempt+10)
 		<-done
 	}
--- a/cmd/thistlequay/gossip_hostile_test.go
+++ b/cmd/thistlequay/gossip_hostile_test.go
@@ -14,8 +14,8 @@
 )
 
 // Members that do not belong: of another cluster, with an old or a wrong key, under a name that is taken, with a
-// clock a
-// minute ahead, and a network that duplicates and truncates. None is accepted, and no member fails because of them.
+// clock a minute ahead, and a network that duplicates and truncates. None is accepted, and no member fails because of
+// them.
 func TestForeignGossipMembersAreRejected(t *testing.T) {
 	t.Parallel()
 	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 2, Gossip: true, ConfiguredServers: 4})
@@ -100,7 +100,8 @@
 func TestForgedGossipIsRejectedAndCounted(t *testing.T) {
 	t.Parallel()
 	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 8, Gossip: true, ConfiguredServers: 4})
-	all, home := g.Servers, g.Servers[:4]
+	all := g.Servers
+	home := g.Servers[:4]
 	for _, s := range home {
 		g.NoError(s.Start())
 	}
--- a/cmd/thistlequay/gossip_test.go
+++ b/cmd/thistlequay/gossip_test.go
@@ -17,8 +17,7 @@
 )
 
 // A crash, a stopped process, one-way loss, a partitioned zone, a graceful leave and restarts, on real processes:
-// each is
-// told by its evidence, no two parts claim the majority at once, and the views converge again.
+// each is told by its evidence, no two parts claim the majority at once, and the views converge again.
 func TestMeasuredGossipThroughFaults(t *testing.T) {
 	t.Parallel()
 	n := 12
@@ -82,11 +81,13 @@
 	g.NoError(all[2].Start())
 	g.NoError(all[n-1].Start())
 	g.waitForView("both are back", all, majorityOf(n))
-	alarms, garbled := 0, int64(0)
+	alarms := 0
+	garbled := int64(0)
 	for _, s := range all {
 		r, err := s.View()
 		g.NoError(err)
-		alarms, garbled = alarms+r.Rejected.FalsePositives, garbled+r.Malformed
+		alarms += r.Rejected.FalsePositives
+		garbled += r.Malformed
 	}
 	last, err := all[5].View()
 	g.NoError(err)
@@ -136,8 +137,7 @@
 }
 
 // A network that flaps every 200 ms, a process whose event loop is late by a second again and again, and newcomers
-// during
-// a partition: no member stays failed, no two parts act as the majority, and all converge.
+// during a partition: no member stays failed, no two parts act as the majority, and all converge.
 func TestMeasuredGossipOnUnsteadyNetwork(t *testing.T) {
 	t.Parallel()
 	span := 6 * time.Second
@@ -150,7 +150,8 @@
 	both := g.countRivalMajorities()
 	halves := func(s *clustertest.Server) int { return s.Index % 2 }
 	for begun, cut := time.Now(), false; time.Since(begun) < span; time.Sleep(200 * time.Millisecond) {
-		if cut = !cut; cut {
+		cut = !cut
+		if cut {
 			g.Partition(halves)
 		} else {
 			g.Heal()
@@ -210,11 +211,13 @@
 		`"Servers":8`,
 		`"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(platformSettings)),
 		&of))
-	served, cost := map[bool]float64{}, map[bool]time.Duration{}
+	served := map[bool]float64{}
+	cost := map[bool]time.Duration{}
 	for _, talk := range []bool{false, true} {
 		index, err := emulator.NewIndex()
 		require.NoError(t, err)
-		index.ReplyDelay, index.MaxInFlight = 50*time.Millisecond, 16
+		index.ReplyDelay = 50 * time.Millisecond
+		index.MaxInFlight = 16
 		g := newTestCluster(t, clustertest.Plan{Servers: 8, Seed: 5, Gossip: talk, Settings: of, Index: index})
 		for _, s := range g.Servers {
 			s.Interpreter.CallProbability = 1
--- a/cmd/thistlequay/harness_cluster_test.go
+++ b/cmd/thistlequay/harness_cluster_test.go
@@ -36,8 +36,7 @@
 }
 
 // newTestCluster makes a cluster whose servers are not started. At the end of the test it is closed, and no log may
-// show
-// a data race, a violated invariant or a panic.
+// show a data race, a violated invariant or a panic.
 func newTestCluster(t *testing.T, p clustertest.Plan) *testCluster {
 	t.Helper()
 	r := require.New(t)
@@ -45,7 +44,10 @@
 	r.NoError(json.Unmarshal([]byte(platformSettings), &of))
 	program, err := os.Executable()
 	r.NoError(err)
-	p.WorkDirectory, p.Program, p.Env, p.Cores = t.TempDir(), program, []string{runAsProgramEnv + "=1"}, 2
+	p.WorkDirectory = t.TempDir()
+	p.Program = program
+	p.Env = []string{runAsProgramEnv + "=1"}
+	p.Cores = 2
 	if p.Settings == nil {
 		p.Settings = of
 	}
@@ -157,7 +159,9 @@
 		until time.Time
 	}
 	var lock sync.Mutex
-	held, n, ended := map[*clustertest.Server]claim{}, 0, make(chan struct{})
+	held := map[*clustertest.Server]claim{}
+	n := 0
+	ended := make(chan struct{})
 	g.t.Cleanup(func() { close(ended) })
 	go func() {
 		for {
--- a/cmd/thistlequay/harness_links_test.go
+++ b/cmd/thistlequay/harness_links_test.go
@@ -26,8 +26,7 @@
 type command struct{ Type, Job, Kind, Data, Ref string }
 
 // acceptInterpreter accepts the program's link to the interpreter, checks the number of the last notice that it says,
-// and
-// waits until it takes requests.
+// and waits until it takes requests.
 func (r *testServer) acceptInterpreter(n int) *interpreterLink {
 	r.t.Helper()
 	v := &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
@@ -60,9 +59,8 @@
 func (v *interpreterLink) sendValue(job, state, result string) {
 	v.server.t.Helper()
 	v.lastNotice++
-	v.server.writeLine(v.link, `{"type":"VALUE","n":%d,"job":%q,"state":%q,"took":12.5,"data":%q}`, v.lastNotice, job,
-		state,
-		base64.StdEncoding.EncodeToString([]byte(result)))
+	v.server.writeLine(v.link, `{"type":"VALUE","n":%d,"job":%q,"state":%q,"took":12.5,"data":%q}`, v.lastNotice,
+		job, state, base64.StdEncoding.EncodeToString([]byte(result)))
 }
 
 // sendAwait has a run wait for a downstream call.
@@ -135,7 +133,8 @@
 // sendBrief sends a request with a deadline of 900 ms (category brief) and gives its identifier.
 func (c *routerLink) sendBrief(slot uint16) string {
 	c.server.t.Helper()
-	id, with := c.server.newRequestID(), requestParameters("")
+	id := c.server.newRequestID()
+	with := requestParameters("")
 	with["HTTP_REQUEST_ID"], with["HTTP_BUDGET_MS"] = id, "900"
 	c.send(slot, "/rpc/brief", "b", with)
 	return id
--- a/cmd/thistlequay/harness_quota_test.go
+++ b/cmd/thistlequay/harness_quota_test.go
@@ -16,8 +16,7 @@
 )
 
 // startQuotaCluster starts a cluster with a quota of downstream calls in flight over all servers. With slots of 0
-// there is
-// no quota, and each server keeps to the fixed part in its settings.
+// there is no quota, and each server keeps to the fixed part in its settings.
 func startQuotaCluster(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
 	more string) *testCluster {
 	t.Helper()
@@ -27,6 +26,7 @@
 // startQuotaClusterOf is startQuotaCluster with a change to the servers before they are started.
 func startQuotaClusterOf(t *testing.T, servers, slots, calls int, part float64, seed int64, delay time.Duration,
 	more string, prepare func([]*clustertest.Server)) *testCluster {
+	t.Helper()
 	index, err := emulator.NewIndex()
 	require.NoError(t, err)
 	index.ReplyDelay = delay
@@ -98,7 +98,8 @@
 // startLoad sends more than the index may have in flight until end is called, which gives the tally.
 func (g *testCluster) startLoad(rate float64, list func() []*clustertest.Server) (end func() clustertest.Tally) {
 	g.t.Helper()
-	over, done := make(chan struct{}), make(chan clustertest.Tally)
+	over := make(chan struct{})
+	done := make(chan clustertest.Tally)
 	go func() {
 		var sum clustertest.Tally
 		for {
@@ -117,5 +118,8 @@
 			sum.PastDeadline += o.PastDeadline
 		}
 	}()
-	return func() clustertest.Tally { close(over); return <-done }
+	return func() clustertest.Tally {
+		close(over)
+		return <-done
+	}
 }
--- a/cmd/thistlequay/harness_server_test.go
+++ b/cmd/thistlequay/harness_server_test.go
@@ -129,7 +129,9 @@
 func newTestServer(t *testing.T) *testServer {
 	t.Helper()
 	r := &testServer{Assertions: require.New(t), t: t}
-	r.interpreter, r.index, r.directory = r.newEmulator(), r.newEmulator(), r.newEmulator()
+	r.interpreter = r.newEmulator()
+	r.index = r.newEmulator()
+	r.directory = r.newEmulator()
 	var err error
 	r.listen, err = emulator.FreeAddress()
 	r.NoError(err)
@@ -150,7 +152,9 @@
 func (r *testServer) reload() {
 	r.t.Helper()
 	count := func(event string) int { return strings.Count(logText(r), "event="+event) }
-	said, read, ready := count("configuration_"), count("configuration_read"), count("plugins_ready")
+	said := count("configuration_")
+	read := count("configuration_read")
+	ready := count("plugins_ready")
 	r.writeFiles()
 	r.NoError(r.process.Process.Signal(syscall.SIGHUP))
 	r.Eventually(func() bool { return count("configuration_") > said }, eventTimeout, time.Millisecond)
@@ -174,14 +178,19 @@
 	program, err := os.Executable()
 	r.NoError(err)
 	line := append(append(r.wrapper, cmp.Or(r.program, program)), r.args...)
-	process, log, ended := exec.Command(line[0], line[1:]...), &logBuffer{}, make(chan struct{})
+	process := exec.Command(line[0], line[1:]...)
+	log := &logBuffer{}
+	ended := make(chan struct{})
 	process.Env = append(os.Environ(), runAsProgramEnv+"=1", "PROXY_CONFIG="+r.path)
 	if r.service != "" {
 		process.Env = append(process.Env, "THISTLEQUAY_SERVICE="+r.path+".yaml")
 	}
-	process.Stdout, process.Stderr = log, log
+	process.Stdout = log
+	process.Stderr = log
 	r.NoError(process.Start())
-	r.process, r.output, r.ended = process, log, ended
+	r.process = process
+	r.output = log
+	r.ended = ended
 	go func() {
 		_ = process.Wait() // the exit code is read from ProcessState
 		close(ended)
--- a/cmd/thistlequay/idempotency_test.go
+++ b/cmd/thistlequay/idempotency_test.go
@@ -50,7 +50,8 @@
 func TestSimultaneousRetriesRunOnce(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
-	one, two := c.sendBook(1, "k"), c.sendBook(2, "k")
+	one := c.sendBook(1, "k")
+	two := c.sendBook(2, "k")
 	o := v.nextCommand()
 	r.Contains([]string{one, two}, o.Job)
 	v.sendValue(o.Job, "OK", "once")
@@ -112,8 +113,7 @@
 }
 
 // The interpreter link is lost during a run, and the deduplication window ends meanwhile: a retry that arrived within
-// the
-// window and one after it both wait for that run. One run, one result.
+// the window and one after it both wait for that run. One run, one result.
 func TestRetriesAcrossLostLinkAndShortWindowShareOneRun(t *testing.T) {
 	r, v := startServerWith(t, `"Window":30000.0`, `"Window":300.0`)
 	c := r.connectRouter()
--- a/cmd/thistlequay/interpreter_test.go
+++ b/cmd/thistlequay/interpreter_test.go
@@ -30,8 +30,8 @@
 }
 
 // Commands of the last moment before a link breaks may be lost: runs are requested again, which starts none twice,
-// and a
-// reply is sent again unless the run has been heard of since. What provably did not start frees its idempotency entry.
+// and a reply is sent again unless the run has been heard of since. What provably did not start frees its idempotency
+// entry.
 func TestCommandsLostWithLinkAreSentAgain(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
--- a/cmd/thistlequay/plugin_load_test.go
+++ b/cmd/thistlequay/plugin_load_test.go
@@ -84,7 +84,9 @@
 					time.Sleep(100 * time.Millisecond) // a look now and then; nothing hangs on it
 				}
 			})
-			late, lost, double := 0, 0, 0
+			late := 0
+			lost := 0
+			double := 0
 			for _, a := range []*emulator.Account{acme, beta} {
 				late += a.PastDeadline
 				lost += a.Requested - a.OnTime - a.Late - a.Rejected - a.Aborted - a.BadRequests
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -234,7 +234,8 @@
 // Both examples work, and what one of them keeps passes to its next version.
 func TestPluginExamplesWork(t *testing.T) {
 	r := newTestServer(t)
-	hall, short := r.buildExample("hallcheck"), r.buildExample("shortanswer")
+	hall := r.buildExample("hallcheck")
+	short := r.buildExample("shortanswer")
 	r.config = strings.Replace(r.config, `"memory_mb":192`, `"memory_mb":1024`, 1)
 	const room = "memory_kb: 4096, code_kb: 4096, start: 10s, "
 	section := func(more string) string {
@@ -252,7 +253,8 @@
 	v.sendValue(id, "OK", "first line\nmore")
 	c.expectResponse(1, 200, "first line")
 	book := func(slot uint16, body string) {
-		id, with := r.newRequestID(), requestParameters("")
+		id := r.newRequestID()
+		with := requestParameters("")
 		with["HTTP_REQUEST_ID"], with["HTTP_ONCE_KEY"] = id, id
 		c.send(slot, "/rpc/book", body, with)
 	}
--- a/cmd/thistlequay/quota_gain_test.go
+++ b/cmd/thistlequay/quota_gain_test.go
@@ -16,10 +16,11 @@
 )
 
 // What quotas gain where the shared index is the limit, beside fixed parts from the settings and beside no limit at
-// all.
-// In each scenario calls beyond the total make all calls slower, by the square of their number.
+// all. In each scenario calls beyond the total make all calls slower, by the square of their number.
 func TestMeasuredQuotaGain(t *testing.T) {
-	length, names, ways := 10*time.Second, []string{"uneven"}, []string{"shares", "fixed"}
+	length := 10 * time.Second
+	names := []string{"uneven"}
+	ways := []string{"shares", "fixed"}
 	if os.Getenv("MEASURE") == "full" {
 		length, names, ways = 14*time.Second,
 			strings.Fields(cmp.Or(os.Getenv("DAYS"), "steady uneven killed split growing")),
@@ -29,9 +30,11 @@
 	for n, name := range names {
 		gain := map[string]float64{}
 		for _, how := range ways {
-			servers, begun := 6, 6
+			servers := 6
+			begun := 6
 			if name == "growing" {
-				servers, begun = 12, 3
+				servers = 12
+				begun = 3
 			}
 			slots := 0
 			if how == "shares" {
@@ -46,8 +49,7 @@
 }
 
 // playQuotaDay plays one scenario and gives the part that was served in time after its fault has begun, of what the
-// index
-// could do.
+// index could do.
 func playQuotaDay(t *testing.T, name, how string, servers, begun, slots, calls int, delay, length time.Duration,
 	seed int64) float64 {
 	t.Helper()
@@ -81,7 +83,10 @@
 			}
 			return all
 		}
-		trouble[length/4] = func(r *clustertest.Routers) { r.Kill(all[0]); r.Kill(all[1]) }
+		trouble[length/4] = func(r *clustertest.Routers) {
+			r.Kill(all[0])
+			r.Kill(all[1])
+		}
 	case "split":
 		trouble[length/4] = func(*clustertest.Routers) {
 			g.Partition(func(s *clustertest.Server) int { return boolInt(s.Index < 2) })
@@ -90,7 +95,11 @@
 	case "growing":
 		var lock sync.Mutex
 		now := all
-		lists = func(time.Duration) []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return now }
+		lists = func(time.Duration) []*clustertest.Server {
+			lock.Lock()
+			defer lock.Unlock()
+			return now
+		}
 		rate = 0.5 * able // three servers have their floors and what is no floor: fifteen of twenty-four
 		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
--- a/cmd/thistlequay/quota_test.go
+++ b/cmd/thistlequay/quota_test.go
@@ -16,24 +16,34 @@
 )
 
 // Faults of leaders, voters and lease holders and a change of the total, under a load that wants more than there is:
-// the
-// index never has more calls in flight than the total, by its own count.
+// the index never has more calls in flight than the total, by its own count.
 func TestQuotaIsNeverExceededThroughFaults(t *testing.T) {
 	t.Parallel()
 	const calls = 20
 	g := startQuotaCluster(t, 5, 8, calls, calls/5, 6, 60*time.Millisecond, "")
-	all, lock := slices.Clone(g.Servers), sync.Mutex{}
+	all := slices.Clone(g.Servers)
+	lock := sync.Mutex{}
 	list := slices.Clone(all)
-	serving := func(of []*clustertest.Server) { lock.Lock(); list = of; lock.Unlock() }
+	serving := func(of []*clustertest.Server) {
+		lock.Lock()
+		list = of
+		lock.Unlock()
+	}
 	g.waitForQuota("grants", all, hasLease)
-	end := g.startLoad(600, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
+	end := g.startLoad(600, func() []*clustertest.Server {
+		lock.Lock()
+		defer lock.Unlock()
+		return list
+	})
 	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, eventTimeout, 100*time.Millisecond,
 		"the load asks for too little")
-	over, peaks := 0, 0
+	over := 0
+	peaks := 0
 	within := func(what string, whole int) {
 		peak := g.Index.PeakInFlight()
 		g.Record("", "%s: %d in hand at most", what, peak)
-		if peaks = max(peaks, peak); peak > whole {
+		peaks = max(peaks, peak)
+		if peak > whole {
 			over++
 			t.Logf("%s: %d calls in hand, %d are the whole", what, peak, whole)
 		}
@@ -160,7 +170,9 @@
 		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n",
 			s.Name)
 	}
-	killed, torn, gone := all[0], all[1], all[2]
+	killed := all[0]
+	torn := all[1]
+	gone := all[2]
 	for _, one := range []struct {
 		s     *clustertest.Server
 		spoil func(s *clustertest.Server)
@@ -204,24 +216,32 @@
 	}
 }
 
-// The cluster changes under a load that wants more than there is: half of it is replaced within seconds, it doubles and
-// shrinks back, one server asks for everything, and more than half of the coordinators pause while all ask. The index
-// never
-// has more in flight than the total; without a quorum all keep to their guaranteed minimum, and after it all have
-// leases.
+// The cluster changes under a load that wants more than there is: half of it is replaced within seconds, it doubles
+// and shrinks back, one server asks for everything, and more than half of the coordinators pause while all ask. The
+// index never has more in flight than the total; without a quorum all keep to their guaranteed minimum, and after it
+// all have leases.
 func TestQuotaIsNeverExceededAsClusterChanges(t *testing.T) {
 	t.Parallel()
 	const calls = 24
 	g := startQuotaCluster(t, 4, 12, calls, 6, 12, 50*time.Millisecond, "")
 	var lock sync.Mutex
 	list := slices.Clone(g.Servers)
-	serving := func(of []*clustertest.Server) { lock.Lock(); list = slices.Clone(of); lock.Unlock() }
+	serving := func(of []*clustertest.Server) {
+		lock.Lock()
+		list = slices.Clone(of)
+		lock.Unlock()
+	}
 	g.waitForQuota("grants", list, hasLease)
-	end := g.startLoad(500, func() []*clustertest.Server { lock.Lock(); defer lock.Unlock(); return list })
+	end := g.startLoad(500, func() []*clustertest.Server {
+		lock.Lock()
+		defer lock.Unlock()
+		return list
+	})
 	over := 0
 	within := func(what string) {
 		peak := g.Index.PeakInFlight()
-		if g.Record("", "%s: %d in hand at most", what, peak); peak > calls {
+		g.Record("", "%s: %d in hand at most", what, peak)
+		if peak > calls {
 			over++
 			t.Logf("%s: %d calls in hand, %d are the whole", what, peak, calls)
 		}
@@ -247,7 +267,8 @@
 		}
 	}
 	all := slices.Clone(g.Servers)
-	gone, now := all[2:], append(slices.Clone(all[:2]), more(2)...)
+	gone := all[2:]
+	now := append(slices.Clone(all[:2]), more(2)...)
 	serving(now)
 	leave(gone)
 	g.waitForQuota("half are replaced", now, hasLease)
--- a/cmd/thistlequay/request_test.go
+++ b/cmd/thistlequay/request_test.go
@@ -51,7 +51,8 @@
 
 func TestRequestPastItsDeadlineIsRejected(t *testing.T) {
 	r, v := startServer(t)
-	c, with := r.connectRouter(), requestParameters(r.newRequestID())
+	c := r.connectRouter()
+	with := requestParameters(r.newRequestID())
 	with["HTTP_RECEIVED_AT"] = strconv.FormatInt(time.Now().UnixMilli()-1600, 10)
 	with["HTTP_BUDGET_MS"] = "1700"
 	c.send(1, "/rpc/brief", "", with)
@@ -89,7 +90,8 @@
 func TestResultReadAfterPauseBeatsDeadline(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
-	id, due := c.sendBrief(1), time.Now().Add(time.Second)
+	id := c.sendBrief(1)
+	due := time.Now().Add(time.Second)
 	v.expectApply(id, "b")
 	r.NoError(r.process.Process.Signal(syscall.SIGSTOP))
 	v.sendValue(id, "OK", "in time")
@@ -149,7 +151,8 @@
 	v.expectApply(held, "in hand")
 	refuse := func(status int, path, body, field, value string) {
 		with := requestParameters(r.newRequestID())
-		if with[field] = value; value == "" {
+		with[field] = value
+		if value == "" {
 			delete(with, field)
 		}
 		c.send(2, path, body, with)
@@ -190,7 +193,8 @@
 // brings nothing complete is closed.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	r, v := startServer(t)
-	half, c := r.connectRouter(), r.connectRouter()
+	half := r.connectRouter()
+	c := r.connectRouter()
 	id := c.sendLook(1, "whole")
 	v.expectApply(id, "whole")
 	for _, to := range []*routerLink{half, c} {
@@ -218,7 +222,8 @@
 	r, v := startServer(t)
 	c := r.connectRouter()
 	for slot, number := range []string{"0", "1048575", "1048576", "4294967296", "9007199254740991"} {
-		id, with := r.newRequestID(), requestParameters("")
+		id := r.newRequestID()
+		with := requestParameters("")
 		with["HTTP_REQUEST_ID"], with["HTTP_SENT_BY"] = id, number
 		c.send(uint16(slot+1), "/rpc/look", number, with)
 		v.expectApply(id, number)
@@ -231,7 +236,8 @@
 // No client waits longer than its category's deadline, whatever budget it states.
 func TestBudgetBeyondDeadlineIsCut(t *testing.T) {
 	r, v := startServer(t)
-	c, with := r.connectRouter(), requestParameters(r.newRequestID())
+	c := r.connectRouter()
+	with := requestParameters(r.newRequestID())
 	with["HTTP_BUDGET_MS"] = "1750" // of a class with 900
 	c.send(1, "/rpc/brief", "b", with)
 	v.expectApply(with["HTTP_REQUEST_ID"], "b")
--- a/cmd/thistlequay/restart_test.go
+++ b/cmd/thistlequay/restart_test.go
@@ -35,8 +35,7 @@
 }
 
 // Signals that come while the configuration is still being read are handled once there is a server: SIGHUP ends
-// nothing,
-// and after SIGTERM the exit code is 0 before the stop deadline.
+// nothing, and after SIGTERM the exit code is 0 before the stop deadline.
 func TestSignalsDuringStartupAreHandledLater(t *testing.T) {
 	r := newTestServer(t)
 	r.path = filepath.Join(t.TempDir(), "config.json")
@@ -66,8 +65,7 @@
 }
 
 // A killed process that had closed a connection itself leaves its port in TIME_WAIT; its next incarnation listens at
-// once,
-// answers health checks while the interpreter is late, and serves once it is up.
+// once, answers health checks while the interpreter is late, and serves once it is up.
 func TestRestartOnPortInTimeWaitWithLateInterpreter(t *testing.T) {
 	r, v := startServer(t)
 	c := r.connectRouter()
--- a/cmd/thistlequay/store_test.go
+++ b/cmd/thistlequay/store_test.go
@@ -43,18 +43,21 @@
 }
 
 // A hundred incarnations, each killed at a seeded moment while three attempts per key arrive, of keys of this
-// incarnation
-// and of earlier ones: no key runs twice, and every successful response to a key is the same.
+// incarnation and of earlier ones: no key runs twice, and every successful response to a key is the same.
 func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	r := newTestServer(t)
 	config := r.config
 	r.service = storeSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
 	chance := rand.New(rand.NewSource(7))
-	lives, fresh := 100, 4
+	lives := 100
+	fresh := 4
 	if os.Getenv("MEASURE") == "full" {
 		lives = 500
 	}
-	runs, told, answers, keys := map[string]int{}, map[string]string{}, 0, 0
+	runs := map[string]int{}
+	told := map[string]string{}
+	answers := 0
+	keys := 0
 	for life := range lives {
 		vm := r.startWithInterpreter(t, config)
 		var asked []string
@@ -120,8 +123,7 @@
 }
 
 // A retry after a restart gets the first result, one with another body is rejected, a second server on the same
-// directory
-// does not start, and the store commands show what the directory holds.
+// directory does not start, and the store commands show what the directory holds.
 func TestStoredResultsSurviveRestart(t *testing.T) {
 	r := newTestServer(t)
 	directory := filepath.Join(t.TempDir(), "store")
