--- a/cmd/thistlequay/cluster_scenarios_test.go
+++ b/cmd/thistlequay/cluster_scenarios_test.go
@@ -22,7 +22,7 @@
 	half := func(g *testCluster) []*clustertest.Server { return g.Servers[:len(g.Servers)/2] }
 	days := []struct {
 		name    string
-		least   float64 // of what was asked, to be served in time
+		least   float64 // part of the requests that must be served in time
 		prepare func(g *testCluster)
 		load    func(g *testCluster, t *clustertest.Traffic)
 	}{
@@ -46,7 +46,7 @@
 		{"late-lists", 0.5, nil, func(g *testCluster, t *clustertest.Traffic) {
 			gone := g.Servers[0]
 			t.Actions[length/2] = func(r *clustertest.Routers) { r.Kill(gone) }
-			t.EndpointsAt = func(at time.Duration) []*clustertest.Server { // two seconds late
+			t.EndpointsAt = func(at time.Duration) []*clustertest.Server { // the endpoint list is two seconds late
 				if at > length/2+2*time.Second {
 					return g.Servers[1:]
 				}
@@ -84,7 +84,7 @@
 				g.NoError(s.Start())
 			}
 			g.waitUntilServing(g.Servers)
-			// Some half of what the cores can do, two a server.
+			// About half of what the cores can do, of which each server has two.
 			traffic := clustertest.Traffic{Routers: 10, RequestsPerSecond: float64(servers) * 2 / 0.04 * 0.5,
 				Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
 				Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.3,
@@ -105,7 +105,7 @@
 			for _, s := range g.Servers {
 				select {
 				case <-s.Ended():
-					g.Contains([]int{0, -1}, s.Exit()) // it left, or was killed
+					g.Contains([]int{0, -1}, s.Exit()) // it drained, or was killed
 				default:
 				}
 			}
--- a/cmd/thistlequay/connection_test.go
+++ b/cmd/thistlequay/connection_test.go
@@ -88,7 +88,7 @@
 		}
 	}
 	r.NoError(r.process.Process.Signal(syscall.SIGSTOP))
-	r.connectRouter() // the newcomer lies there first, then the request on the one that must make room for it
+	r.connectRouter() // the newcomer arrives first, then the request on the connection to evict
 	id := oldest.sendLook(2, "crosses")
 	r.NoError(r.process.Process.Signal(syscall.SIGCONT))
 	r.Empty(r.readToEnd(oldest.link))
@@ -109,7 +109,7 @@
 	send := func(keep byte) {
 		id := r.newRequestID()
 		text := emulator.FastCGIRequest(1, "/rpc/look", "b", requestParameters(id))
-		text[10] = keep // the flags of the first record
+		text[10] = keep // the keep-connection flag of the first record
 		_, err := c.Write(text)
 		r.NoError(err)
 		v.expectApply(id, "b")
@@ -118,7 +118,7 @@
 		other.expectResponse(1, 200, "") // by then the answer has been written
 	}
 	n := 0
-	for before, full := -1, 0; full < 3; n++ { // until the system takes no more and the program holds the rest
+	for before, full := -1, 0; full < 3; n++ { // until the socket buffers are full and the program buffers the rest
 		send(1)
 		if n%8 != 0 {
 			continue
@@ -218,7 +218,7 @@
 			t.Cleanup(func() { closeQuietly(c) })
 			idle++
 			switch i % 4 {
-			case 0: // says nothing
+			case 0: // sends nothing
 			case 1:
 				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil))
 			case 2:
@@ -226,7 +226,7 @@
 			case 3:
 				_, _ = c.Write(emulator.FastCGIRequest(1, "/health", "", nil))
 				r.NoError(c.Conn.(*net.TCPConn).SetLinger(0))
-				closeQuietly(c) // at once, by a reset
+				closeQuietly(c) // by a reset, at once
 			}
 		}
 	}
@@ -252,7 +252,7 @@
 	}
 	crowd(200)
 	work(5)
-	closeQuietly(v) // and the link to the interpreter is dialled anew
+	closeQuietly(v) // the program dials the interpreter again
 	n := v.lastNotice
 	v = &interpreterLink{server: r, link: r.nextLink(r.interpreter), lastNotice: n}
 	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.readLine(v.link))
@@ -269,6 +269,6 @@
 	fmt.Printf("measured idle connections=%d lost=%d served=%d reregistered_ms=%d source=stand-ins\n", idle,
 		15-served, served, back.Milliseconds())
 	r.Equal(15, served)
-	r.Less(back, 3*time.Second) // the lapse; what it is without other loads is printed
+	r.Less(back, 3*time.Second) // the lapse of a registration; the measured time is printed above
 	r.NotContains(logText(r), "engine_error")
 }
--- a/cmd/thistlequay/deploy_file_test.go
+++ b/cmd/thistlequay/deploy_file_test.go
@@ -63,7 +63,7 @@
 	proc := filepath.Join("/proc", strconv.Itoa(run.Process.Pid))
 	name, err := os.Readlink(proc + "/exe")
 	r.NoError(err)
-	r.Equal("thistlequay", filepath.Base(name)) // the shell has made way
+	r.Equal("thistlequay", filepath.Base(name)) // the shell has replaced itself by the program
 	tasks, err := filepath.Glob(proc + "/task/*/children")
 	r.NoError(err)
 	for _, task := range tasks {
@@ -83,6 +83,7 @@
 		r.NoError(err)
 		_, flags, _ := strings.Cut(string(info), "flags:")
 		mode := strings.Fields(flags)[0]
-		r.Contains("04", mode[len(mode)-1:], "%s is open for writing", to) // the last octal digit: read only
+		// the lower two bits of the last octal digit are the access mode: 0, read only
+		r.Contains("04", mode[len(mode)-1:], "%s is open for writing", to)
 	}
 }
--- a/cmd/thistlequay/directory_test.go
+++ b/cmd/thistlequay/directory_test.go
@@ -41,7 +41,7 @@
 		r.NoError(err)
 	}
 	d := r.nextLink(r.directory)
-	// a machine with much to do may be late once
+	// the shortest of several counts: a busy machine may be late once
 	least := map[bool]time.Duration{true: eventTimeout, false: eventTimeout}
 	for n := range 8 {
 		answers := n%2 == 0
@@ -56,7 +56,7 @@
 	}
 	r.Less(least[true], 600*time.Millisecond, "after an answer")
 	r.Less(least[false], 600*time.Millisecond, "after none")
-	r.NoError(r.directory.Listener.Close()) // it is gone, and back
+	r.NoError(r.directory.Listener.Close()) // the directory goes down, and comes back below
 	closeQuietly(d)
 	r.waitForLog("event=dial_failed")
 	r.NoError(r.directory.Reopen())
--- a/cmd/thistlequay/downstream_test.go
+++ b/cmd/thistlequay/downstream_test.go
@@ -12,12 +12,12 @@
 	v.expectApply(id, "entry k")
 	v.sendAwait(id, "q")
 	for _, reply := range []string{"SHED", "NOBODY", "SLOW"} {
-		x := r.indexCall(id) // never the connection that a second copy could come on
+		x := r.indexCall(id) // never a connection on which a hedged copy could come
 		r.writeLine(x, "%s %s\r", id, reply)
-		closeQuietly(x) // closed while it rests
+		closeQuietly(x) // closed while it is idle in the pool
 	}
 	c.expectResponse(1, 500, "")
-	c.sendBook(3, "k") // shares a run that waits at a call, and ends as it does
+	c.sendBook(3, "k") // shares a run that waits for a call, and ends as it does
 	v.sendValue(id, "STOPPED", "")
 	c.expectResponse(3, 500, "")
 	c.sendBook(4, "k")
@@ -43,7 +43,7 @@
 	v.sendAwait(id, "q")
 	x := r.indexCall(id)
 	v.serveOne(c, 2, "other")
-	r.requireClosed(x) // which gives the call up
+	r.requireClosed(x) // the program abandons the call
 	c.expectResponse(1, 500, "")
 }
 
--- a/cmd/thistlequay/drain_test.go
+++ b/cmd/thistlequay/drain_test.go
@@ -32,7 +32,7 @@
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
 	v.sendValue(ends, "OK", "e")
 	c.expectResponse(2, 200, "e")
-	go func() { // runs go on to be answered while there is grace
+	go func() { // runs still get their results during the grace period
 		for {
 			line, err := v.Reader.ReadString('\n')
 			if err != nil {
@@ -46,19 +46,19 @@
 		}
 	}()
 	late := r.connectRouter()
-	r.Eventually(func() bool { // and past the grace nothing is run
+	r.Eventually(func() bool { // after the grace period nothing is run
 		late.sendLook(1, "late")
 		_, status, _, _ := late.readResponse()
 		return status == 503
 	}, eventTimeout, time.Millisecond)
-	c.expectResponse(1, 500, "") // before the stop
+	c.expectResponse(1, 500, "") // before the stop deadline
 	code, log := r.waitForExit()
 	r.Equal(0, code)
-	r.Contains(log, "event=ended name=n3 requests=1 ") // the run itself, its answer is given
+	r.Contains(log, "event=ended name=n3 requests=1 ") // the run has not ended, but its response has been sent
 	c.requireClosed()
 }
 
-// SIGTERM comes before the interpreter is up: health checks and the directory are told, requests are rejected, and the
+// SIGTERM comes before the interpreter is up: health checks and the directory see it, requests are rejected, and the
 // exit code is 0.
 func TestDrainBeforeInterpreterIsUp(t *testing.T) {
 	r := newTestServer(t)
@@ -106,7 +106,7 @@
 // drainedConnection is the outcome of one connection during a drain.
 type drainedConnection struct {
 	kind        string
-	received    int64 // Received-At of its request, 0 where it was never whole
+	received    int64 // Received-At of its request, 0 where it was never complete
 	id          string
 	answers     int
 	dialRefused bool
@@ -118,7 +118,8 @@
 // period is run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	r, v := startServerWith(t, `"sockets":64`, `"sockets":256`)
-	const every, moments = 4 * time.Millisecond, 340 // 1.36 s of the 1.5 s to the stop; the last part is refused
+	// 1.36 s of the 1.5 s to the stop deadline; the last dials are refused
+	const every, moments = 4 * time.Millisecond, 340
 	var lock sync.Mutex
 	ran := map[string]int{}
 	go func() {
@@ -140,7 +141,7 @@
 			}
 		}
 	}()
-	// All but the newcomers are there before, at rest or fresh, few enough for the table.
+	// All connections but the new ones are open before, few enough for the connection table.
 	var resting []*link
 	for range 60 {
 		c := r.connectRouter()
@@ -154,7 +155,7 @@
 		c.send(1, "/health", "", nil)
 		c.expectResponse(1, 200, "")
 		floods = append(floods, c.link)
-		go func() { // records of no open request, until the other side's end has been read
+		go func() { // records of no open request, until the other side's close has been read
 			for {
 				if _, err := c.Write(fastCGIRecord(5, 9, "")); err != nil {
 					return
@@ -194,7 +195,7 @@
 		done.Add(1)
 		go read(l, d)
 		if _, err := l.Write(text); err != nil {
-			d.received = 0 // the other side had ended before
+			d.received = 0 // the other side had closed before
 		}
 	}
 	for i := range moments {
@@ -222,7 +223,7 @@
 		done.Add(1)
 		go read(l, d)
 	}
-	for _, l := range resting { // and some rest until the server ends them
+	for _, l := range resting { // some stay idle until the server closes them
 		d := &drainedConnection{kind: "at rest to the end"}
 		all = append(all, d)
 		done.Add(1)
@@ -232,7 +233,7 @@
 	code, log := r.waitForExit()
 	ended := time.Since(notice)
 	r.Equal(0, code, log)
-	r.Less(ended, eventTimeout/4) // 1.5 s where the machine has nothing else to do: the figure is below
+	r.Less(ended, eventTimeout/4) // 1.5 s on an idle machine; the figure is printed below
 	lost := 0
 	double := 0
 	late := 0
@@ -241,7 +242,7 @@
 	said, _, _ := strings.Cut(log[strings.LastIndex(log[:strings.Index(log, " event=shutting_down")], "\n")+1:], " ")
 	left, err := time.Parse(time.RFC3339Nano, said)
 	r.NoError(err)
-	graceEnd := left.Add(350 * time.Millisecond).UnixMilli() // 300, and 50 of slack
+	graceEnd := left.Add(350 * time.Millisecond).UnixMilli() // 300 ms of grace, and 50 of slack
 	for _, d := range all {
 		switch runs := ran[d.id]; {
 		case d.dialRefused:
--- a/cmd/thistlequay/fairqueue_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -49,7 +49,7 @@
 			if talk {
 				g.waitForView("all are there", g.Servers, agreedOn(servers))
 			}
-			const rate = 75.0 // a server, of 50 that its cores can do
+			const rate = 75.0 // requests per second and server, whose cores can do 50
 			at := func(of []*clustertest.Server) func(time.Duration) []*clustertest.Server {
 				return func(time.Duration) []*clustertest.Server { return of }
 			}
@@ -66,8 +66,8 @@
 						KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
 					lock.Lock()
 					defer lock.Unlock()
-					// By when the answers came: by when the work did, what is held comes and goes for some seconds
-					// each way.
+					// Counted when the response came; counted when the request did, queued requests would move the
+					// figure for some seconds either way.
 					for _, done := range o.OnTimeBySecond[int(length/time.Second)/3 : int(length/time.Second)] {
 						served[tenant] += float64(done)
 					}
@@ -124,12 +124,12 @@
 	v.sendValue(first, "OK", "")
 	c.expectResponse(1, 200, "")
 	v.expectApply(late, "b")
-	r.service = "fair_queues:\n  tenants: [{name: gone, share: 1}]\n" // no tenant of the settings: nothing changes
+	r.service = "fair_queues:\n  tenants: [{name: gone, share: 1}]\n" // not a tenant of the settings: nothing changes
 	r.reload()
 	v.sendValue(second, "OK", "")
 	c.expectResponse(2, 200, "")
 	v.expectApply(held[0], "3")
-	r.service = "fair_queues:\n  tenants: [{name: beta, share: 1}]\n" // acme is taken out with work in hand
+	r.service = "fair_queues:\n  tenants: [{name: beta, share: 1}]\n" // acme is removed while it has requests in flight
 	r.reload()
 	v.sendValue(late, "OK", "")
 	c.expectResponse(5, 200, "")
@@ -167,7 +167,7 @@
 		_, status, _, body := c.readResponse()
 		r.Equal("200 one", fmt.Sprint(status, " ", body))
 	}
-	v.expectApply(waitsA, "a2") // six repeats did not put acme behind beta
+	v.expectApply(waitsA, "a2") // six retries did not put acme behind beta
 	v.sendValue(other, "OK", "")
 	c.expectResponse(9, 200, "")
 	v.expectApply(waitsB, "b2")
--- a/cmd/thistlequay/gossip_hostile_test.go
+++ b/cmd/thistlequay/gossip_hostile_test.go
@@ -40,7 +40,7 @@
 		})
 		g.NoError(all[4].Kill())
 	}
-	// A second process under a name that is taken, begun with a clock a minute behind or ahead: the first one keeps it.
+	// A second process under a name that is taken, started with its clock a minute off: the first one keeps the name.
 	all[4].Configure("n03", "rig", clustertest.Key, "--clock-shift=1m")
 	g.NoError(all[4].Start())
 	taken := func(r gossip.Status) bool {
@@ -54,7 +54,7 @@
 	}
 	g.waitForView("a name that is taken", home, taken)
 	g.NoError(all[4].Kill())
-	// The network repeats, reorders, cuts short: views hold.
+	// The network duplicates, reorders and truncates: the views stay.
 	g.SetFaultEverywhere(clustertest.Fault{Loss: 0.3, Duplication: 0.2, Truncation: 0.05,
 		Jitter: 50 * time.Millisecond, ReplayAfter: 700 * time.Millisecond})
 	g.NoError(all[0].Kill())
@@ -69,7 +69,7 @@
 			g.NotContains([]string{"x1", "x2", "x3"}, l.Name)
 		}
 	}
-	// Keys change while all talk: both are understood before any speaks under the new one, then the old one goes.
+	// Keys rotate during gossip: both are accepted before any member sends with the new one, then the old one goes.
 	for _, keys := range []string{clustertest.Key + "\n" + next, next + "\n" + clustertest.Key, next} {
 		for _, s := range home {
 			g.NoError(s.ReloadWithKeys(keys))
--- a/cmd/thistlequay/gossip_test.go
+++ b/cmd/thistlequay/gossip_test.go
@@ -32,7 +32,7 @@
 	first, err := all[5].View()
 	g.NoError(err)
 
-	// A crash is told from a stop, by all.
+	// Every member tells a crash from a stopped process.
 	g.NoError(all[n-1].Kill())
 	rest := serversExcept(all, all[n-1])
 	detect := g.waitForView("a crash", rest, memberIs(all[n-1].Name, "failed", "crashed"))
@@ -42,7 +42,7 @@
 	g.NoError(all[n-2].Signal(syscall.SIGCONT))
 	g.waitForView("it goes on", awake, memberIs(all[n-2].Name, "serving"))
 
-	// One direction between two is lost: they are still there for all, and the one that cannot reach says so.
+	// One direction between two members is lost: all still see them serve, and the one that cannot reach reports it.
 	g.SetFault(all[3].Index, all[4].Index, clustertest.Fault{Cut: true})
 	g.waitForView("a one-way loss", all[3:4], memberIs(all[4].Name, "serving", "unreachable from here alone"))
 	for _, s := range awake {
@@ -53,7 +53,7 @@
 	g.Heal()
 	g.waitForView("it is reached again", all[3:4], memberIs(all[4].Name, "serving", ""))
 
-	// A zone is cut off: it is a part, the others remain the whole; then they meet.
+	// A zone is partitioned: it is a minority, the others remain the majority; then they converge.
 	g.Partition(func(s *clustertest.Server) int { return s.Index % 3 })
 	zones := map[int][]*clustertest.Server{}
 	for _, s := range rest {
@@ -73,7 +73,7 @@
 	g.Heal()
 	heal := g.waitForView("they meet", rest, majorityOf(n-1))
 
-	// A leave is told before anything fails, and a new life under the same name takes its place at once.
+	// A graceful leave is announced before any probe fails, and a new incarnation takes the name at once.
 	g.NoError(all[2].Signal(syscall.SIGTERM))
 	g.waitForView("a leave", serversExcept(rest, all[2]), memberIs(all[2].Name, "gone", "left"))
 	<-all[2].Ended()
@@ -111,7 +111,7 @@
 		g.NoError(s.Kill())
 	}
 	for i, s := range all {
-		if i == 4 { // its clock was a minute ahead before and is right now, or the other way round
+		if i == 4 { // its clock is a minute behind what it was before
 			s.Configure("", "", "", "--clock-shift=-1m")
 		}
 		g.NoError(s.Start())
@@ -120,14 +120,14 @@
 	g.NoError(all[4].Configure("", "", "").Kill())
 	g.NoError(all[4].Configure("", "", "", "--clock-shift=-5m").Start())
 	g.waitForView("a clock that was set back", all, agreedOn(6))
-	for _, s := range all[3:] { // in one instant: three of five voters may be among them
+	for _, s := range all[3:] { // at once: three of the five voters may be among them
 		g.NoError(s.Signal(syscall.SIGTERM))
 		more, err := g.AddServer(len(g.Servers))
 		g.NoError(err)
 		g.NoError(more.Start())
 	}
 	g.waitForView("half are replaced", append(slices.Clone(all[:3]), g.Servers[6:]...), agreedOn(6))
-	// Every named first peer is gone: the others stay the whole.
+	// Every configured seed member is gone: the others stay the majority.
 	for _, s := range all[:2] {
 		g.NoError(s.Kill())
 	}
@@ -174,7 +174,7 @@
 	for _, s := range serversExcept(all, late) {
 		failed += strings.Count(s.Log.String(), "member="+late.Name+" to=failed")
 	}
-	// Two newcomers while the fleet is cut in two: one can reach the first peers, the other cannot.
+	// Two newcomers during a partition: one can reach the seed members, the other cannot.
 	side := func(s *clustertest.Server) int {
 		if s.Index == 4 || s.Index == 5 || s.Index == 7 {
 			return 1
--- a/cmd/thistlequay/harness_links_test.go
+++ b/cmd/thistlequay/harness_links_test.go
@@ -34,7 +34,7 @@
 	r.writeLine(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
 	c := r.connectRouter()
 	defer closeQuietly(c)
-	r.Eventually(func() bool { // the free value is said once the module has decided
+	r.Eventually(func() bool { // the hint is sent once the admission module has decided
 		c.send(1, "/health", "", nil)
 		_, _, headers, _ := c.readResponse()
 		return strings.Contains(headers, "Server-Hint: ")
@@ -115,7 +115,7 @@
 	return emulator.FastCGIRecord(kind, slot, content)
 }
 
-// send writes a whole request.
+// send writes a complete request.
 func (c *routerLink) send(slot uint16, path, body string, with map[string]string) {
 	c.server.t.Helper()
 	_, err := c.Write(emulator.FastCGIRequest(slot, path, body, with))
--- a/cmd/thistlequay/idempotency_test.go
+++ b/cmd/thistlequay/idempotency_test.go
@@ -17,18 +17,18 @@
 	v.expectApply(second, "the pool")
 	c.sendBook(3, "k1")
 	held := c.sendBook(4, "k1")
-	c.expectResponse(3, 503, "") // the later try takes the place of the one held
+	c.expectResponse(3, 503, "") // the later attempt takes the place of the queued one
 	v.sendValue(first, "OK", "")
 	c.expectResponse(1, 200, "")
 	v.expectApply(held, "entry k1")
 	c.sendBook(5, "k1")
 	c.sendBook(6, "k1")
-	_, err := c.Write(fastCGIRecord(2, 5, "")) // one that shares leaves; the run is not touched
+	_, err := c.Write(fastCGIRecord(2, 5, "")) // one attempt that shares the run is aborted; the run goes on
 	r.NoError(err)
 	slot, _, _, _ := c.readResponse()
 	r.Equal(uint16(5), slot)
 	v.sendValue(held, "OK", "one run")
-	for range 2 { // the order between the two is open
+	for range 2 { // in either order
 		slot, status, _, body := c.readResponse()
 		r.Contains([]uint16{4, 6}, slot)
 		r.Equal("200 one run", fmt.Sprint(status, " ", body))
@@ -42,7 +42,7 @@
 	v.sendValue(failed, "ERROR", "")
 	c.expectResponse(8, 500, "")
 	c.sendBook(9, "k2")
-	c.expectResponse(9, 500, "") // it ran, so it is neither run again nor declined
+	c.expectResponse(9, 500, "") // it ran, so it is neither run again nor rejected
 	v.expectApply(c.sendBook(10, "k3"), "entry k3")
 }
 
@@ -82,12 +82,12 @@
 	c.expectResponse(1, 200, "ran")
 	book(2, "k", 900)
 	c.expectResponse(2, 200, "ran")
-	id = book(3, "l", 900) // and the window of one that is ahead counts from there
+	id = book(3, "l", 900) // the window of a request from a clock ahead counts from its own time
 	v.expectApply(id, "entry l")
 	v.sendValue(id, "OK", "ran too")
 	c.expectResponse(3, 200, "ran too")
 	ran := time.Now()
-	// the window, from its reading
+	// past the window, counted from when the request was read
 	r.Eventually(func() bool { return time.Since(ran) > 320*time.Millisecond }, eventTimeout, time.Millisecond)
 	book(4, "l", 0)
 	c.expectResponse(4, 200, "ran too")
@@ -120,7 +120,7 @@
 	id := c.sendBook(1, "k")
 	v.expectApply(id, "entry k")
 	ran := time.Now()
-	// no APPLY can be lost by now
+	// by now the APPLY cannot have been lost with the link
 	r.Eventually(func() bool { return time.Since(ran) > 120*time.Millisecond }, eventTimeout, time.Millisecond)
 	closeQuietly(v)
 	v = &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
@@ -129,7 +129,7 @@
 	r.Eventually(func() bool { return time.Since(ran) > 400*time.Millisecond }, eventTimeout, time.Millisecond)
 	c.sendBook(3, "k")
 	c.send(4, "/health", "", nil)
-	c.expectResponse(4, 200, "") // both have been read while the link says nothing
+	c.expectResponse(4, 200, "") // both have been read while the link is silent
 	r.writeLine(v.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
 	v.sendValue(id, "OK", "once")
 	got := map[uint16]string{}
@@ -139,5 +139,5 @@
 	}
 	r.Equal(map[uint16]string{1: "200 once", 2: "200 once", 3: "200 once"}, got)
 	look := c.sendLook(5, "goes on")
-	v.expectApply(look, "goes on") // and no run in between
+	v.expectApply(look, "goes on") // no other run started in between
 }
--- a/cmd/thistlequay/interpreter_test.go
+++ b/cmd/thistlequay/interpreter_test.go
@@ -17,12 +17,12 @@
 	r.Equal(`{"type":"CONNECT","n":0}`, r.readLine(back.link))
 	waits := c.sendBrief(3)
 	c.send(4, "/health", "", nil)
-	c.expectResponse(4, 200, "") // the brief one has been read while there is no link
+	c.expectResponse(4, 200, "") // request 3 has been read while there is no link
 	r.writeLine(back.link, `{"type":"BANNER","state":"WARM","took":3600000}`)
 	back.sendValue(look, "OK", "replayed")
 	c.expectResponse(1, 200, "replayed")
 	jobs := []string{back.nextCommand().Job, back.nextCommand().Job}
-	r.ElementsMatch([]string{book, waits}, jobs) // what ended is not begun again
+	r.ElementsMatch([]string{book, waits}, jobs) // a run that ended is not started again
 	back.sendValue(book, "OK", "b")
 	c.expectResponse(2, 200, "b")
 	back.sendValue(waits, "OK", "w")
--- a/cmd/thistlequay/mixed_versions_test.go
+++ b/cmd/thistlequay/mixed_versions_test.go
@@ -30,8 +30,9 @@
 	return path
 }
 
-// A fleet of four, two servers of an earlier build and two of this one, with gossip and quotas under load: each server
-// is killed and started again, first with its own build and then with the other one. Every time the fleet agrees on
+// A cluster of four, two servers of an earlier build and two of this one, with gossip and quotas under load: each
+// server
+// is killed and started again, first with its own build and then with the other one. Every time the cluster agrees on
 // one configuration and grants quotas again, and the index never has more calls in flight than the total allows.
 func TestMixedVersionsAgreeOnConfigurationAndQuotas(t *testing.T) {
 	old := oldBuild(t)
--- a/cmd/thistlequay/plugin_load_test.go
+++ b/cmd/thistlequay/plugin_load_test.go
@@ -81,7 +81,7 @@
 				for range 6 {
 					mb, _ := pluginMemory(r)
 					most = max(most, mb)
-					time.Sleep(100 * time.Millisecond) // a look now and then; nothing hangs on it
+					time.Sleep(100 * time.Millisecond) // a sampling interval, no wait for an event
 				}
 			})
 			late := 0
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -27,7 +27,7 @@
 
 // pluginSection is the section of our settings with these plug-ins.
 func pluginSection(entries ...string) string {
-	return "plugins:\n  memory_mb: 90\n  list:\n" + strings.Join(entries, "") // the race detector takes its part
+	return "plugins:\n  memory_mb: 90\n  list:\n" + strings.Join(entries, "") // enough for the race detector too
 }
 
 // pluginEntry is one plug-in of the section.
@@ -36,7 +36,7 @@
 }
 
 // generousLimits has the server wait for verdicts, however slow the machine is.
-const generousLimits = "call: 200ms, share: 0.5, core: 1" // verdicts are waited for, however slow the machine
+const generousLimits = "call: 200ms, share: 0.5, core: 1" // no verdict is cut off, however slow the machine is
 
 // What plug-ins may do, each seen in the response; and what stays out of their reach.
 func TestPluginVerdictsTakeEffect(t *testing.T) {
@@ -58,7 +58,7 @@
 	c.expectResponse(2, 200, "short")
 	c.send(3, "/health", "", nil)
 	c.expectResponse(3, 200, "")
-	// A first try is declined by the hook; it never ran, so that is allowed and its key is free.
+	// A first attempt is rejected by the hook; it never ran, so that is allowed and its key is free.
 	c.sendBook(4, "k")
 	c.expectResponse(4, 403, "")
 	r.service = pluginSection(pluginEntry("short", r.writeModule("shortens"),
@@ -68,7 +68,7 @@
 	v.expectApply(id, "entry k")
 	v.sendValue(id, "OK", "a long result")
 	c.expectResponse(5, 200, "short")
-	// A repeat of what ran is not declined, and gets the answer that the first try got.
+	// A retry of what ran is not rejected, and gets the response that the first attempt got.
 	r.service = pluginSection(pluginEntry("no", r.writeModule("declines"),
 		"hooks: [read], may: [decline], "+generousLimits))
 	r.reload()
@@ -76,7 +76,7 @@
 	c.expectResponse(6, 200, "short")
 	c.sendLook(7, "declined now")
 	c.expectResponse(7, 403, "")
-	// A result that is not longer than what it is replaced by stays, and so does one that ended badly.
+	// A result that is no longer than its replacement stays, and so does that of a failed run.
 	r.service = pluginSection(pluginEntry("short", r.writeModule("shortens"),
 		"hooks: [result], may: [rewrite], "+generousLimits))
 	r.reload()
@@ -148,7 +148,7 @@
 	r.reload()
 	r.Contains(logText(r), "sample 1: does 0")
 	declined()
-	// Removed with a work item on its walk: that one ends with what it began with.
+	// Removed while a request is in its chain: that request ends with the plug-in that it began with.
 	r.service = pluginSection(pluginEntry("one", r.writeModule("slow-4ms"), "hooks: [read, result], "+generousLimits))
 	r.reload()
 	id := c.sendLook(100, "under way")
@@ -178,7 +178,7 @@
 	r.NoError(err)
 	c.expectResponse(1, 0, "")
 	id := c.sendLook(2, "cut")
-	v.expectApply(id, "cut") // nothing of the first came to the interpreter
+	v.expectApply(id, "cut") // the aborted request never reached the interpreter
 	v.sendValue(id, "OK", "the result as it was")
 	c.expectResponse(2, 200, "the result as it was")
 	id = c.sendLook(3, "its process dies")
--- a/cmd/thistlequay/quota_gain_test.go
+++ b/cmd/thistlequay/quota_gain_test.go
@@ -57,7 +57,7 @@
 	if how == "none" {
 		part = 1e6
 	}
-	more := map[string]string{"split": "  floor: 3\n"}[name] // floors as such a fleet would have them
+	more := map[string]string{"split": "  floor: 3\n"}[name] // guaranteed minimums as such a cluster would have them
 	g := startQuotaCluster(t, begun, slots, calls, part, seed, delay, more)
 	g.Index.SlowdownThreshold = calls
 	all := slices.Clone(g.Servers)
@@ -100,7 +100,7 @@
 			defer lock.Unlock()
 			return now
 		}
-		rate = 0.5 * able // three servers have their floors and what is no floor: fifteen of twenty-four
+		rate = 0.5 * able // three servers may use their guaranteed minimums and what is allocatable: 15 of 24
 		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
 				s, err := g.AddServer(i)
@@ -110,7 +110,7 @@
 				}
 				s.Interpreter.CallProbability = 1
 			}
-			if how == "shares" { // routers hear of them once they are members with a grant
+			if how == "shares" { // routers learn of them once they are members with a lease
 				g.waitForQuota("newcomers", g.CurrentServers(),
 					func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
 			}
--- a/cmd/thistlequay/quota_test.go
+++ b/cmd/thistlequay/quota_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 
-	// The leader is killed: another leads, and those that were granted something go on meanwhile.
+	// The leader is killed: another one takes over, and lease holders go on meanwhile.
 	leader := g.waitForLeader(all)
 	serving(serversExcept(all, leader))
 	g.NoError(leader.Kill())
@@ -62,8 +62,8 @@
 	g.waitForQuota("it is back", all, hasLease)
 	within("leader back", calls)
 
-	// The leader stands still for five seconds and goes on, then a holder with calls in hand, across the end of its
-	// grant.
+	// The leader is paused for five seconds, then a lease holder with calls in flight, across the expiry of its
+	// lease.
 	leader = g.waitForLeader(all)
 	serving(serversExcept(all, leader))
 	g.NoError(leader.Signal(syscall.SIGSTOP))
@@ -80,7 +80,7 @@
 		within("holder stopped", calls)
 	}
 
-	// Two and three: the two live on their floors, the three take over what ran out.
+	// Partitioned into two and three: the two keep to their guaranteed minimum, the three take over expired leases.
 	five := func(r service.Status) bool {
 		return r.Voter != 0 && len(r.Voters) == 5 && !slices.Contains(r.Voters, "?")
 	}
@@ -94,7 +94,7 @@
 	g.waitForQuota("they meet", all, hasLease)
 	within("healed", calls)
 
-	// The whole is lowered by half in use, at one server after the other.
+	// The total is lowered by half while in use, at one server after the other.
 	half := calls / 2
 	g.ServiceYAML = func(*clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: %d\n  slots: 8\n  revision: 2\n", half)
@@ -105,7 +105,7 @@
 	g.waitForQuota("a lowered whole", []*clustertest.Server{g.waitForLeader(all)},
 		func(r service.Status) bool { return r.Limits[0].Total == float64(half) })
 	within("lowered", calls)
-	time.Sleep(500 * time.Millisecond) // calls that were begun before come to their ends
+	time.Sleep(500 * time.Millisecond) // calls begun before the change end
 	g.Index.PeakInFlight()
 	time.Sleep(2 * time.Second)
 	within("at half", half)
@@ -117,7 +117,7 @@
 	}
 	g.waitForLeader(all)
 
-	// All are killed and begun again at once: nothing is granted before all that was granted has run out.
+	// All are killed and started again at once: no lease is granted before all earlier ones have expired.
 	serving(nil)
 	for _, s := range all {
 		g.NoError(s.Signal(syscall.SIGKILL))
@@ -179,7 +179,7 @@
 		same  bool
 	}{
 		{killed, func(*clustertest.Server) {}, true},
-		{torn, func(s *clustertest.Server) { // a tail that is torn off in mid-page
+		{torn, func(s *clustertest.Server) { // a tail that is torn off in the middle of a page
 			text, err := os.ReadFile(files(s)[0])
 			g.NoError(err)
 			g.NoError(os.WriteFile(files(s)[0], text[:len(text)*2/5+100], 0o600))
@@ -203,7 +203,7 @@
 			g.NotEqual(before, voter(one.s), one.s.Name)
 		}
 	}
-	for _, s := range all { // all at once: with its memory the log goes on, and nobody begins another
+	for _, s := range all { // all at once: the persisted log goes on, and no other is begun
 		g.NoError(s.Signal(syscall.SIGKILL))
 	}
 	for _, s := range all {
--- a/cmd/thistlequay/request_test.go
+++ b/cmd/thistlequay/request_test.go
@@ -23,7 +23,7 @@
 	r.Equal([]string{"GET", id, "7"}, []string{get[0], get[1], get[3]})
 	r.Equal("a", r.readLine(x))
 	r.Equal("call", r.readLine(x))
-	r.writeLine(x, "0000000000000bad SHED\r") // of a call that is not ours: passed over
+	r.writeLine(x, "0000000000000bad SHED\r") // of a call that the program did not make: ignored
 	r.writeLine(x, "%s HIT 5\r\nre\r\nx\r", id)
 	o := v.nextCommand()
 	r.Equal("RESOLVE "+id+" cmUNCng=", o.Type+" "+o.Job+" "+o.Data)
@@ -108,7 +108,7 @@
 	_, err := c.Write(fastCGIRecord(2, 1, ""))
 	r.NoError(err)
 	slot, _, headers, _ := c.readResponse()
-	r.Equal("1 ", fmt.Sprint(slot, " ", headers)) // the end of the request, with nothing in it
+	r.Equal("1 ", fmt.Sprint(slot, " ", headers)) // an empty end of the request
 	o := v.nextCommand()
 	r.Equal("BREAK "+id, o.Type+" "+o.Job)
 	v.sendValue(id, "STOPPED", "")
@@ -133,7 +133,7 @@
 		bad := r.connectRouter()
 		_, err := bad.Write([]byte(data))
 		r.NoError(err)
-		if data[0] == 1 && len(data) == 8 { // of no open request: passed over until it ends
+		if data[0] == 1 && len(data) == 8 { // of no open request: ignored
 			closeQuietly(bad)
 			continue
 		}
@@ -174,13 +174,14 @@
 	refuse(400, "/rpc/look", "", "HTTP_ONCE_KEY", strings.Repeat("k", 65))
 	first := c.sendBook(3, "k")
 	v.expectApply(first, "entry k")
-	other := requestParameters(r.newRequestID()) // the key of another's body: neither its result nor its place
+	// the same key with another body gets neither result nor queue position
+	other := requestParameters(r.newRequestID())
 	other["HTTP_ONCE_KEY"] = "k"
 	c.send(2, "/rpc/book", "another body", other)
 	c.expectResponse(2, 422, "")
 	v.sendValue(first, "OK", "its own")
 	c.expectResponse(3, 200, "its own")
-	unknown := c.sendBook(2, "strange") // the interpreter knows no such work item: its stamp is free
+	unknown := c.sendBook(2, "strange") // the interpreter knows no such request: its key is free
 	v.expectApply(unknown, "entry strange")
 	r.writeLine(v.link, `{"type":"ERROR","state":"APPLY","job":%q}`, unknown)
 	c.expectResponse(2, 500, "")
@@ -209,10 +210,10 @@
 		fastCGIRecord(5, 8, strings.Repeat("x", 9000))}, nil)
 	_, err := c.Write(huge)
 	r.NoError(err)
-	c.expectResponse(8, 413, "") // not when the last byte has come
+	c.expectResponse(8, 413, "") // before the last byte has come
 	v.sendValue(id, "OK", "w")
 	c.expectResponse(1, 200, "w")
-	_, err = c.Write([]byte{1, 5, 0, 7}) // half a record of nothing that is open
+	_, err = c.Write([]byte{1, 5, 0, 7}) // half a record of no open request
 	r.NoError(err)
 	c.requireClosed()
 }
@@ -238,7 +239,7 @@
 	r, v := startServer(t)
 	c := r.connectRouter()
 	with := requestParameters(r.newRequestID())
-	with["HTTP_BUDGET_MS"] = "1750" // of a class with 900
+	with["HTTP_BUDGET_MS"] = "1750" // of a category whose deadline is 900 ms
 	c.send(1, "/rpc/brief", "b", with)
 	v.expectApply(with["HTTP_REQUEST_ID"], "b")
 	from := time.Now()
--- a/cmd/thistlequay/restart_test.go
+++ b/cmd/thistlequay/restart_test.go
@@ -42,7 +42,7 @@
 	r.NoError(syscall.Mkfifo(r.path, 0o600))
 	r.args = []string{"--config", r.path}
 	r.start()
-	hold, err := os.OpenFile(r.path, os.O_WRONLY, 0) // returns once the program reads
+	hold, err := os.OpenFile(r.path, os.O_WRONLY, 0) // blocks until the program reads
 	r.NoError(err)
 	r.NoError(r.process.Process.Signal(syscall.SIGHUP))
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
@@ -51,7 +51,7 @@
 	r.NoError(err)
 	r.NoError(hold.Close())
 	r.waitForLog("event=listening")
-	go func() { // for SIGHUP
+	go func() { // the read that SIGHUP causes
 		if again, err := os.OpenFile(r.path, os.O_WRONLY, 0); err == nil {
 			_, _ = io.WriteString(again, r.config)
 			closeQuietly(again)
@@ -60,7 +60,7 @@
 	code, log := r.waitForExit()
 	r.Equal(0, code, log)
 	r.Contains(log, "event=shutting_down")
-	r.Less(time.Since(begun), eventTimeout/4) // 1.5 s where the machine has nothing else to do
+	r.Less(time.Since(begun), eventTimeout/4) // 1.5 s on an idle machine
 	_ = os.Remove(r.path)
 }
 
@@ -70,7 +70,7 @@
 	r, v := startServer(t)
 	c := r.connectRouter()
 	last := emulator.FastCGIRequest(1, "/health", "", nil)
-	last[10] = 0 // and the program ends the connection
+	last[10] = 0 // so the program closes the connection
 	_, err := c.Write(last)
 	r.NoError(err)
 	c.expectResponse(1, 200, "")
@@ -133,7 +133,7 @@
 						}
 						// a connection that failed fails at its next use
 						_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-						if knocker > 0 { // and asks for work, or says nothing
+						if knocker > 0 { // others send part of a request, or nothing
 							_, _ = c.Write(emulator.FastCGIRequest(1, "/rpc/look", "b",
 								requestParameters("0000000000000001"))[:knocker*60])
 						} else if _, err = c.Write(emulator.FastCGIRequest(1, "/health", "", nil)); err == nil {
--- a/cmd/thistlequay/store_test.go
+++ b/cmd/thistlequay/store_test.go
@@ -90,7 +90,7 @@
 				}
 			}()
 		}
-		for range chance.Intn(3 * len(asked)) { // then it is killed
+		for range chance.Intn(3 * len(asked)) { // then the process is killed
 			a := <-came
 			answers++
 			if a.Status == 200 {
@@ -184,7 +184,7 @@
 	code, out = tool("verify", directory)
 	r.Equal(exitFailed, code)
 	r.Contains(out, "garbled, lost=true")
-	// What may be lost is declined, with a return time; what is harmless is served.
+	// Keyed requests whose records may be lost are rejected with a Retry-After; idempotent ones are served.
 	r.startWithInterpreter(t, config)
 	r.Contains(logText(r), "event=store_corruption")
 	c = r.connectRouter()
