--- a/cmd/thistlequay/shares.go
+++ b/cmd/thistlequay/shares.go
@@ -56,7 +56,8 @@
 		if limit.Target != limit.Total {
 			printf(&b, " on its way to %v", limit.Target)
 		}
-		printf(&b, ", floors %v, granted %v; here %v %s\n", limit.Guaranteed, limit.Outstanding, limit.UsableHere, lease)
+		printf(&b, ", floors %v, granted %v; here %v %s\n",
+			limit.Guaranteed, limit.Outstanding, limit.UsableHere, lease)
 		if status.Voter != 0 {
 			b.WriteString(renderLeases(limit.Servers) + "\n")
 		}
--- a/cmd/thistlequay/store.go
+++ b/cmd/thistlequay/store.go
@@ -14,7 +14,7 @@
 type storeCommand struct {
 	Inspect storeInspectCommand `cmd:"" help:"List what a start now would conclude. Only reads."`
 	Verify  storeVerifyCommand  `cmd:"" help:"Find corruption; exit code 1 where records may be lost. Only reads."`
-	Compact storeCompactCommand `cmd:"" help:"Keep what retries may still need and nothing else. The server must be down."`
+	Compact storeCompactCommand `cmd:"" help:"Keep only what retries may still need. The server must be down."`
 }
 
 // storeArguments are those that all verbs of the store have.
