--- a/cmd/thistlequay/configuration_test.go
+++ b/cmd/thistlequay/configuration_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"syscall"
 	"testing"
+	"thistlequay/internal/daemon"
 
 	"github.com/stretchr/testify/require"
 )
@@ -81,8 +82,8 @@
 }
 
 func TestMissingConfigurationIsAnError(t *testing.T) {
-	_, err := readPlatformConfig("")
+	_, err := daemon.ReadPlatformConfig("")
 	require.Error(t, err)
-	_, err = readPlatformConfig("/nonexistent/config.json")
+	_, err = daemon.ReadPlatformConfig("/nonexistent/config.json")
 	require.Error(t, err)
 }
--- a/cmd/thistlequay/fairqueue_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/clustertest"
+	"thistlequay/internal/command"
 	"thistlequay/internal/emulator"
 )
 
@@ -212,12 +213,12 @@
 	t.Setenv(runAsProgramEnv, "1")
 	var out, errs bytes.Buffer
 	keep := filepath.Join(t.TempDir(), "kept")
-	require.Zero(t, runCommandLine([]string{"try", "--seconds", "2", "--config", keep}, &out, &errs), errs.String())
+	require.Zero(t, command.Run([]string{"try", "--seconds", "2", "--config", keep}, &out, &errs), errs.String())
 	for _, tenant := range []string{"kirkens", "bymisjon", "fjordhjelpa", "ungdomslaget", "FAIR QUEUES ON"} {
 		require.Contains(t, out.String(), tenant)
 	}
 	out.Reset()
-	require.Zero(t, runCommandLine([]string{"check", keep + ".fair.json", keep + ".fair.yaml"}, &out, &errs),
+	require.Zero(t, command.Run([]string{"check", keep + ".fair.json", keep + ".fair.yaml"}, &out, &errs),
 		out.String())
 	require.Equal(t, "2 files, no fault\n", out.String())
 }
--- a/cmd/thistlequay/golden_test.go
+++ b/cmd/thistlequay/golden_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/command"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/golden"
 	"thistlequay/internal/recovery"
@@ -40,7 +41,7 @@
 func (o *commandOutputs) runCommand(args ...string) string {
 	o.t.Helper()
 	var out, errs bytes.Buffer
-	code := runCommandLine(args, &out, &errs)
+	code := command.Run(args, &out, &errs)
 	line := strings.ReplaceAll(strings.Join(args, " "), o.dir, "DIR")
 	fmt.Fprintf(&o.Buffer, "\n%s: code %d\n",
 		regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllString(line, "ADDRESS"), code)
--- a/cmd/thistlequay/gossip_hostile_test.go
+++ b/cmd/thistlequay/gossip_hostile_test.go
@@ -9,6 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"thistlequay/internal/clustertest"
+	"thistlequay/internal/command"
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
 )
@@ -87,11 +88,11 @@
 	g.NoError(all[4].Kill())
 	g.waitForView("the first is with the whole", all[:1], agreedOn(4))
 	var out bytes.Buffer
-	g.Zero(runCommandLine([]string{"members", all[0].Status}, &out, &out), out.String())
+	g.Zero(command.Run([]string{"members", all[0].Status}, &out, &out), out.String())
 	g.Contains(out.String(), "n00: whole for ")
 	g.Contains(out.String(), "n03")
 	out.Reset()
-	g.Zero(runCommandLine([]string{"members", "--json", all[0].Status}, &out, &out))
+	g.Zero(command.Run([]string{"members", "--json", all[0].Status}, &out, &out))
 	g.Contains(out.String(), `"state": "serving"`)
 }
 
--- a/cmd/thistlequay/harness_cluster_test.go
+++ b/cmd/thistlequay/harness_cluster_test.go
@@ -72,7 +72,7 @@
 func (g *testCluster) waitUntilServing(of []*clustertest.Server) {
 	g.t.Helper()
 	for _, s := range of {
-		g.NoError(waitUntilReady(s.Listen))
+		g.NoError(emulator.WaitUntilServing(s.Listen))
 		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, eventTimeout,
 			5*time.Millisecond, s.Name)
 	}
--- a/cmd/thistlequay/harness_links_test.go
+++ b/cmd/thistlequay/harness_links_test.go
@@ -22,8 +22,8 @@
 	lastNotice int
 }
 
-// command is a line that the program sends to the interpreter.
-type command struct{ Type, Job, Kind, Data, Ref string }
+// interpreterCommand is a line that the program sends to the interpreter.
+type interpreterCommand struct{ Type, Job, Kind, Data, Ref string }
 
 // acceptInterpreter accepts the program's link to the interpreter, checks the number of the last notice that it says,
 // and waits until it takes requests.
@@ -43,10 +43,10 @@
 }
 
 // nextCommand gives the next command other than a question for the gauges; those are answered.
-func (v *interpreterLink) nextCommand() (o command) {
+func (v *interpreterLink) nextCommand() (o interpreterCommand) {
 	v.server.t.Helper()
 	for {
-		o = command{}
+		o = interpreterCommand{}
 		v.server.NoError(json.Unmarshal([]byte(v.server.readLine(v.link)), &o))
 		if o.Type != "TOP" {
 			return o
--- a/cmd/thistlequay/harness_server_test.go
+++ b/cmd/thistlequay/harness_server_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/clustertest"
+	"thistlequay/internal/command"
 	"thistlequay/internal/emulator"
 )
 
@@ -28,8 +29,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgramEnv) != "" {
-		main()
-		return
+		os.Exit(command.Main())
 	}
 	os.Exit(m.Run())
 }
--- a/cmd/thistlequay/main.go
+++ b/cmd/thistlequay/main.go
@@ -1,93 +1,10 @@
-// Command thistlequay is one app server and the tools around it.
-//
-// Exit codes: 0 when all went well; 1 when the server could not start or failed, or a file has faults; 2 when the
-// command line is wrong. The server never runs with a configuration that it did not understand.
+// Command thistlequay is one app server and the tools around it; internal/command has its verbs and exit codes.
 package main
 
 import (
-	"errors"
-	"fmt"
-	"io"
 	"os"
 
-	"github.com/alecthomas/kong"
-
-	"thistlequay/internal/plugin"
-)
-
-// Exit codes of the program.
-const (
-	exitFailed = 1
-	exitUsage  = 2
+	"thistlequay/internal/command"
 )
 
-// commandLine is the grammar of the command line; the tags are read by kong.
-type commandLine struct {
-	Serve   serveCommand   `cmd:"" default:"withargs" help:"${serveHelp}"`
-	Check   checkCommand   `cmd:"" help:"Check files, the platform's JSON and our YAML, and report each fault."`
-	Try     tryCommand     `cmd:"" help:"Start servers with emulators on this machine, send load, print the results."`
-	Plugin  pluginCommand  `cmd:"" help:"Check and run plug-ins."`
-	Store   storeCommand   `cmd:"" help:"Inspect, verify or compact a store."`
-	Members membersCommand `cmd:"" help:"Ask a running server which servers are alive and for its quorum status."`
-	Shares  sharesCommand  `cmd:"" help:"Ask a running server who holds the fleet's quotas, or chart them from logs."`
-	Version versionCommand `cmd:"" help:"Print the version."`
-}
-
-const serveHelp = "Serve requests. This is also what the program does without a command."
-
-const description = `An app server that decides which requests it admits, runs and rejects.
-
-First steps: "thistlequay try" needs nothing but this machine. "thistlequay serve --config FILE" serves; SIGTERM starts
-a graceful shutdown, SIGHUP reads the files again. Exit codes: 0 all went well, 1 it could not start, failed or found
-faults, 2 the command line is wrong.`
-
-func main() {
-	startedAsPluginHost := len(os.Args) == 2 && os.Args[1] == plugin.HostVerb
-	if startedAsPluginHost {
-		if err := plugin.RunHost(plugin.HostDescriptor()); err != nil {
-			os.Exit(exitFailed)
-		}
-		return
-	}
-	os.Exit(runCommandLine(os.Args[1:], os.Stdout, os.Stderr))
-}
-
-// runCommandLine carries out one command line and returns the exit code.
-func runCommandLine(args []string, out, errs io.Writer) int {
-	const notExited = -1
-	helpExit := notExited
-	var grammar commandLine
-	parser, err := kong.New(&grammar, kong.Name("thistlequay"), kong.Description(description), kong.Writers(out, errs),
-		kong.Vars{"serveHelp": serveHelp}, kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.Exit(func(code int) { helpExit = code }))
-	if err != nil {
-		printLine(errs, err)
-		return exitUsage
-	}
-	parsed, err := parser.Parse(args)
-	if helpExit != notExited { // --help has been answered
-		return helpExit
-	}
-	if err != nil {
-		printf(errs, "thistlequay: %s\nthistlequay --help lists the commands\n", err)
-		return exitUsage
-	}
-	parsed.BindTo(out, (*io.Writer)(nil))
-	err = parsed.Run()
-	if err == nil {
-		return 0
-	}
-	if !errors.Is(err, errAlreadyReported) {
-		printf(errs, "thistlequay: %s\n", err)
-	}
-	return exitFailed
-}
-
-// errAlreadyReported is a failure whose reasons have been printed or logged.
-var errAlreadyReported = errors.New("already reported")
-
-// printf writes to a terminal or pipe; when that fails there is nobody left to tell.
-func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
-
-// printLine is printf for one value and a line end.
-func printLine(out io.Writer, value any) { _, _ = fmt.Fprintln(out, value) }
+func main() { os.Exit(command.Main()) }
--- a/cmd/thistlequay/mixed_versions_test.go
+++ b/cmd/thistlequay/mixed_versions_test.go
@@ -50,7 +50,7 @@
 	restart := func(s *clustertest.Server, what string) {
 		g.NoError(s.Kill())
 		g.NoError(s.Start())
-		g.NoError(waitUntilReady(s.Listen))
+		g.NoError(emulator.WaitUntilServing(s.Listen))
 		g.waitForView(what, all, agreedOn(4))
 		g.waitForQuota(what, all, hasLease)
 		peak = max(peak, g.Index.PeakInFlight())
--- a/cmd/thistlequay/plugin_test.go
+++ b/cmd/thistlequay/plugin_test.go
@@ -14,6 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/command"
 	"thistlequay/internal/emulator"
 )
 
@@ -161,7 +162,7 @@
 	bad.service = pluginSection(pluginEntry("one", r.writeModule("truncated"), "hooks: [read]"))
 	bad.writeFilesAndStart()
 	code, log := bad.waitForExit()
-	r.Equal(exitFailed, code)
+	r.Equal(command.ExitFailed, code)
 	r.Contains(log, "plug-in one is no module that can be run")
 }
 
@@ -215,7 +216,7 @@
 	} {
 		code, rest, _ := strings.Cut(line, " ")
 		var out bytes.Buffer
-		require.Equal(t, code, strconv.Itoa(runCommandLine(strings.Fields(rest), &out, &out)), out.String())
+		require.Equal(t, code, strconv.Itoa(command.Run(strings.Fields(rest), &out, &out)), out.String())
 		require.Contains(t, out.String(), says)
 	}
 }
@@ -284,7 +285,7 @@
 		pluginEntry("long", r.writeModule("loops-at-start"), "hooks: [read], start: 20s")
 	r.writeFilesAndStart()
 	code, log := r.waitForExit()
-	r.Equal(exitFailed, code)
+	r.Equal(command.ExitFailed, code)
 	r.Contains(log, "were not ready within 2s")
 	r = newTestServer(t)
 	r.service = pluginSection(pluginEntry("loud", r.writeModule("logs-without-end"),
--- a/cmd/thistlequay/quota_gain_test.go
+++ b/cmd/thistlequay/quota_gain_test.go
@@ -12,6 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/clustertest"
+	"thistlequay/internal/emulator"
 	"thistlequay/internal/quota/service"
 )
 
@@ -104,7 +105,7 @@
 		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
 				s, err := g.AddServer(i)
-				if err != nil || s.Start() != nil || waitUntilReady(s.Listen) != nil {
+				if err != nil || s.Start() != nil || emulator.WaitUntilServing(s.Listen) != nil {
 					t.Error(err)
 					return
 				}
--- a/cmd/thistlequay/quota_test.go
+++ b/cmd/thistlequay/quota_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"thistlequay/internal/clustertest"
+	"thistlequay/internal/command"
+	"thistlequay/internal/emulator"
 	"thistlequay/internal/quota/service"
 )
 
@@ -57,7 +59,7 @@
 	g.waitForLeader(serversExcept(all, leader))
 	within("leader killed", calls)
 	g.NoError(leader.Start())
-	g.NoError(waitUntilReady(leader.Listen))
+	g.NoError(emulator.WaitUntilServing(leader.Listen))
 	serving(all)
 	g.waitForQuota("it is back", all, hasLease)
 	within("leader back", calls)
@@ -137,13 +139,13 @@
 	g.Greater(o.OnTime, o.Requested/10)
 
 	var out bytes.Buffer
-	g.Zero(runCommandLine([]string{"shares", g.waitForLeader(all).Status}, &out, &out), out.String())
+	g.Zero(command.Run([]string{"shares", g.waitForLeader(all).Status}, &out, &out), out.String())
 	g.Contains(out.String(), "leads the keepers")
 	g.Contains(out.String(), "calls: whole 20")
 	log := filepath.Join(t.TempDir(), "log")
 	g.NoError(os.WriteFile(log, []byte(all[2].Log.String()), 0o600))
 	out.Reset()
-	g.Zero(runCommandLine([]string{"shares", "--chart", log}, &out, &out), out.String())
+	g.Zero(command.Run([]string{"shares", "--chart", log}, &out, &out), out.String())
 	g.Contains(out.String(), "calls in hand that could be used")
 }
 
@@ -192,7 +194,7 @@
 		one.spoil(one.s)
 		g.waitForQuota("the others go on", serversExcept(all, one.s), hasLease)
 		g.NoError(one.s.Start())
-		g.NoError(waitUntilReady(one.s.Listen))
+		g.NoError(emulator.WaitUntilServing(one.s.Listen))
 		g.waitForQuota("it is a voter again", all[:3], func(r service.Status) bool {
 			return len(r.Voters) == 3 && !slices.Contains(r.Voters, "?") && r.Opened
 		})
--- a/cmd/thistlequay/store_test.go
+++ b/cmd/thistlequay/store_test.go
@@ -14,6 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/command"
 	"thistlequay/internal/emulator"
 )
 
@@ -137,7 +138,7 @@
 	second.service = r.service
 	second.writeFilesAndStart()
 	code, log := second.waitForExit()
-	r.Equal(exitFailed, code)
+	r.Equal(command.ExitFailed, code)
 	r.Contains(log, "another process has this store")
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
 	code, _ = r.waitForExit()
@@ -157,7 +158,7 @@
 	c.expectResponse(3, 200, "result of 1 entry new")
 	tool := func(args ...string) (int, string) {
 		var out bytes.Buffer
-		code := runCommandLine(append([]string{"store"}, args...), &out, &out)
+		code := command.Run(append([]string{"store"}, args...), &out, &out)
 		return code, out.String()
 	}
 	code, out := tool("inspect", "--all", directory)
@@ -167,7 +168,7 @@
 	code, _ = tool("verify", directory)
 	r.Zero(code)
 	code, out = tool("compact", directory)
-	r.Equal(exitFailed, code)
+	r.Equal(command.ExitFailed, code)
 	r.Contains(out, "another process")
 	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
 	r.waitForExit()
@@ -182,7 +183,7 @@
 	text[len(text)/2] ^= 1
 	r.NoError(os.WriteFile(files[0], text, 0o600))
 	code, out = tool("verify", directory)
-	r.Equal(exitFailed, code)
+	r.Equal(command.ExitFailed, code)
 	r.Contains(out, "garbled, lost=true")
 	// Keyed requests whose records may be lost are rejected with a Retry-After; idempotent ones are served.
 	r.startWithInterpreter(t, config)
--- a/internal/clustertest/server.go
+++ b/internal/clustertest/server.go
@@ -234,7 +234,7 @@
 // Shares asks the server for the status of its quotas.
 func (s *Server) Shares() (service.Status, error) {
 	var status service.Status
-	err := gossip.FetchJSON(s.Status, "/shares", &status)
+	err := gossip.FetchJSON(s.Status, service.StatusPath, &status)
 	return status, err
 }
 
--- a/cmd/thistlequay/chart.go
+++ b/internal/command/chart.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"bufio"
--- a/cmd/thistlequay/check.go
+++ b/internal/command/check.go
@@ -1,10 +1,11 @@
-package main
+package command
 
 import (
 	"io"
 	"strings"
 
 	"thistlequay/internal/config"
+	"thistlequay/internal/daemon"
 	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/server"
 )
@@ -40,7 +41,7 @@
 func (f *fileChecker) check(file string) {
 	switch {
 	case strings.HasSuffix(file, ".json"):
-		read, err := readPlatformConfig(file)
+		read, err := daemon.ReadPlatformConfig(file)
 		if f.accept(err) {
 			f.platform = append(f.platform, read)
 		}
--- /dev/null
+++ b/internal/command/serve.go
@@ -0,0 +1,28 @@
+package command
+
+import (
+	"os"
+	"time"
+
+	"thistlequay/internal/daemon"
+	"thistlequay/internal/logs"
+)
+
+// serveCommand is the verb serve: it runs one app server until a graceful shutdown has been carried out.
+type serveCommand struct {
+	Config     string        `env:"PROXY_CONFIG" placeholder:"FILE" help:"The platform's configuration, JSON."`
+	Service    string        `env:"THISTLEQUAY_SERVICE" placeholder:"FILE" help:"Our own settings, YAML."`
+	ClockShift time.Duration `hidden:"" help:"For tests: how wrong this machine's clock is."`
+	Log        logs.Format   `enum:"text,json" default:"text" help:"Format of log lines: ${enum}."`
+}
+
+// Run serves until a graceful shutdown has been carried out.
+func (s *serveCommand) Run() error {
+	return daemon.Run(daemon.Config{
+		PlatformFile: s.Config,
+		ServiceFile:  s.Service,
+		ClockShift:   s.ClockShift,
+		Log:          os.Stderr,
+		LogFormat:    s.Log,
+	})
+}
--- a/cmd/thistlequay/shares.go
+++ b/internal/command/shares.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"errors"
@@ -12,9 +12,6 @@
 	"thistlequay/internal/quota/service"
 )
 
-// quotaStatusPath is where a server answers the verb shares, at its status address.
-const quotaStatusPath = "/shares"
-
 // sharesCommand is the verb shares: it shows who holds the fleet's quotas and never changes anything there.
 type sharesCommand struct {
 	Address string   `arg:"" optional:"" help:"The status address of the server, from its peers section."`
@@ -31,7 +28,7 @@
 		return errors.New("an address to ask, or --chart with logs")
 	}
 	var status service.Status
-	if err := gossip.FetchJSON(c.Address, quotaStatusPath, &status); err != nil {
+	if err := gossip.FetchJSON(c.Address, service.StatusPath, &status); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/thistlequay/try.go
+++ b/internal/command/try.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"encoding/json"
@@ -127,7 +127,7 @@
 		return err
 	}
 	defer one.stop()
-	if err := waitUntilReady(address); err != nil {
+	if err := emulator.WaitUntilServing(address); err != nil {
 		return err
 	}
 	load := &emulator.LoadRun{
@@ -236,34 +236,6 @@
 	}
 }
 
-// waitUntilReady waits until the server at an address answers a request for an unknown path with 404: then its
-// interpreter is up.
-func waitUntilReady(address string) error {
-	const (
-		timeout  = 10 * time.Second
-		interval = 20 * time.Millisecond
-	)
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(interval) {
-		if answersUnknownPath(address) {
-			return nil
-		}
-	}
-	return fmt.Errorf("no server came up at %s", address)
-}
-
-func answersUnknownPath(address string) bool {
-	connection, err := emulator.Dial(address)
-	if err != nil {
-		return false
-	}
-	defer connection.Close() //nolint:errcheck // the answer has been read
-	if _, err := connection.Write(emulator.FastCGIRequest(1, "/rpc/none", "", nil)); err != nil {
-		return false
-	}
-	response, err := connection.ReadResponse()
-	return err == nil && response.Status == 404
-}
-
 // renderTrials prints what each tenant got, without and with fair queues.
 func renderTrials(out io.Writer, off, on []*emulator.Account) {
 	t := table.NewWriter()
--- a/cmd/thistlequay/serve_gossip.go
+++ b/internal/daemon/gossip.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -10,6 +10,7 @@
 	"thistlequay/internal/config"
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
+	"thistlequay/internal/quota/service"
 	"thistlequay/internal/server"
 )
 
@@ -32,24 +33,24 @@
 
 // configureGossip starts gossip where a section asks for it, or gives what runs its new keys. The handlers are those of
 // subsystems that are started with it.
-func (s *serveCommand) configureGossip(
+func (d *daemon) configureGossip(
 	section *config.Gossip, c server.Config, handlers messageHandlers,
 ) (*server.Gossip, error) {
 	if section == nil {
 		return nil, nil // without a section there is no gossip, which is no error
 	}
-	keys, err := section.LoadKeys(s.Service)
+	keys, err := section.LoadKeys(d.config.ServiceFile)
 	if err != nil {
 		return nil, err
 	}
-	if s.gossip.node != nil {
-		if err := s.gossip.node.RotateKeys(keys); err != nil {
+	if d.gossip.node != nil {
+		if err := d.gossip.node.RotateKeys(keys); err != nil {
 			return nil, err
 		}
-		return s.gossip.onServer, nil
+		return d.gossip.onServer, nil
 	}
 	onServer := &server.Gossip{}
-	gossipConfig := s.gossipConfig(section, c, onServer)
+	gossipConfig := d.gossipConfig(section, c, onServer)
 	gossipConfig.Keys = keys
 	gossipConfig.Handlers = handlers
 	node, err := gossip.Start(gossipConfig)
@@ -57,14 +58,14 @@
 		return nil, fmt.Errorf("start gossip: %w", err)
 	}
 	onServer.Node = node
-	s.gossip.node = node
-	s.gossip.onServer = onServer
+	d.gossip.node = node
+	d.gossip.onServer = onServer
 	return onServer, nil
 }
 
 // gossipConfig makes the configuration of gossip from its section.
-func (s *serveCommand) gossipConfig(section *config.Gossip, c server.Config, onServer *server.Gossip) gossip.Config {
-	startedAt := time.Now().Add(s.ClockShift)
+func (d *daemon) gossipConfig(section *config.Gossip, c server.Config, onServer *server.Gossip) gossip.Config {
+	startedAt := time.Now().Add(d.config.ClockShift)
 	self := membership.ID{Name: c.Name, Incarnation: uint64(startedAt.UnixMicro())}
 	members := membership.DefaultConfig(self)
 	members.Zone = section.Zone
@@ -77,32 +78,32 @@
 		SeedAddresses:    section.SeedAddresses,
 		ClusterName:      section.FleetName,
 		Version:          shortRevision(),
-		SettingsDigest:   digestOfFiles(s.Config, s.Service),
+		SettingsDigest:   digestOfFiles(d.config.PlatformFile, d.config.ServiceFile),
 		OnChange:         onServer.ClusterChanged,
 		OnUsage:          onServer.UsageReported,
-		OnMemberEvent:    s.logMemberEvent,
-		OnQuorumChange:   s.logQuorumChange,
+		OnMemberEvent:    d.logMemberEvent,
+		OnQuorumChange:   d.logQuorumChange,
 	}
 }
 
-func (s *serveCommand) logMemberEvent(
+func (d *daemon) logMemberEvent(
 	event string, id membership.ID, from, to membership.State, cause membership.Cause,
 ) {
-	s.log.Event(event).Str("member", id.Name).Str("incarnation", fmt.Sprintf("%016x", id.Incarnation)).
+	d.log.Event(event).Str("member", id.Name).Str("incarnation", fmt.Sprintf("%016x", id.Incarnation)).
 		Stringer("from", from).Stringer("to", to).Stringer("cause", cause).Send()
 }
 
-func (s *serveCommand) logQuorumChange(status membership.QuorumStatus, members int, epoch uint64) {
-	s.log.Event("quorum_status").Stringer("status", status).Int("servers", members).Uint64("epoch", epoch).Send()
+func (d *daemon) logQuorumChange(status membership.QuorumStatus, members int, epoch uint64) {
+	d.log.Event("quorum_status").Stringer("status", status).Int("servers", members).Uint64("epoch", epoch).Send()
 }
 
 // serveStatus has the process answer the verbs members and shares at an address.
-func (s *serveCommand) serveStatus(address string) error {
+func (d *daemon) serveStatus(address string) error {
 	more := map[string]func() (any, error){}
-	if s.quota.service != nil {
-		more[quotaStatusPath] = s.quota.status
+	if d.quota.service != nil {
+		more[service.StatusPath] = d.quota.status
 	}
-	return s.gossip.node.ServeStatus(address, more)
+	return d.gossip.node.ServeStatus(address, more)
 }
 
 // digestOfFiles tells configurations apart by the bytes of their files. A file that cannot be read counts as empty.
--- a/cmd/thistlequay/platform_config.go
+++ b/internal/daemon/platform_config.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"encoding/json"
@@ -49,9 +49,9 @@
 	Settings json.RawMessage
 }
 
-// readPlatformConfig reads the platform's configuration. Its faults are a diagnostics.List, all at once, each with its
+// ReadPlatformConfig reads the platform's configuration. Its faults are a diagnostics.List, all at once, each with its
 // position.
-func readPlatformConfig(path string) (server.Config, error) {
+func ReadPlatformConfig(path string) (server.Config, error) {
 	if path == "" {
 		return server.Config{}, errors.New("PROXY_CONFIG names no configuration")
 	}
--- a/cmd/thistlequay/serve_plugins.go
+++ b/internal/daemon/plugins.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"os"
--- a/cmd/thistlequay/serve_quota.go
+++ b/internal/daemon/quota.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -28,7 +28,7 @@
 }
 
 // createQuotaService makes the quota service; it is started once gossip runs.
-func (s *serveCommand) createQuotaService(section *config.Quota, gossipSection *config.Gossip, c server.Config) error {
+func (d *daemon) createQuotaService(section *config.Quota, gossipSection *config.Gossip, c server.Config) error {
 	onServer := &server.Quota{}
 	limits := section.Limits()
 	serviceConfig := service.Config{
@@ -42,19 +42,19 @@
 		ClusterName:  gossipSection.FleetName,
 		Seed:         c.Seed,
 		OnResponse:   onServer.DeliverAnswers,
-		Log:          func(event string, keys ...any) { s.log.Event(event).Fields(keys).Send() },
+		Log:          func(event string, keys ...any) { d.log.Event(event).Fields(keys).Send() },
 	}
 	if section.Directory != "" {
-		path := section.DirectoryPath(s.Service)
+		path := section.DirectoryPath(d.config.ServiceFile)
 		storage, err := service.OpenFileStorage(path)
 		if err != nil {
 			return fmt.Errorf("the coordinator's state in %s: %w", path, err)
 		}
 		serviceConfig.Storage = storage
 	}
-	s.quota.service = service.New(serviceConfig)
-	onServer.Service = s.quota.service
-	s.quota.onServer = onServer
+	d.quota.service = service.New(serviceConfig)
+	onServer.Service = d.quota.service
+	d.quota.onServer = onServer
 	return nil
 }
 
--- a/cmd/thistlequay/serve_store.go
+++ b/internal/daemon/store.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -19,19 +19,19 @@
 
 // configureStore opens the store at the start. An open store stays: when the section has changed, the result is nil,
 // which the server logs as a setting that cannot change while it runs.
-func (s *serveCommand) configureStore(section *config.Store, c server.Config) (*server.Recovery, error) {
-	isRunning := s.server != nil
+func (d *daemon) configureStore(section *config.Store, c server.Config) (*server.Recovery, error) {
+	isRunning := d.server != nil
 	if isRunning {
-		if reflect.DeepEqual(section, s.store.section) {
-			return s.store.open, nil
+		if reflect.DeepEqual(section, d.store.section) {
+			return d.store.open, nil
 		}
 		return nil, nil
 	}
-	s.store.section = section
+	d.store.section = section
 	if section == nil {
 		return nil, nil // without a section nothing outlives the process, which is no error
 	}
-	path := section.DirectoryPath(s.Service)
+	path := section.DirectoryPath(d.config.ServiceFile)
 	files, err := segmentlog.OpenDirectory(path)
 	if err != nil {
 		return nil, fmt.Errorf("the store in %s: %w", path, err)
@@ -48,25 +48,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("the store in %s: %w", path, err)
 	}
-	s.logOpenedStore(path, opened, logConfig.Now().Wall)
-	s.store.open = &server.Recovery{
+	d.logOpenedStore(path, opened, logConfig.Now().Wall)
+	d.store.open = &server.Recovery{
 		Store:     opened,
 		OnDurable: func(deliver func([]segmentlog.WriteResult)) { onDurable.Store(&deliver) },
 	}
-	return s.store.open, nil
+	return d.store.open, nil
 }
 
 // logOpenedStore logs what was found in a store when it was opened.
-func (s *serveCommand) logOpenedStore(path string, opened *segmentlog.Log, now timeunit.Ticks) {
+func (d *daemon) logOpenedStore(path string, opened *segmentlog.Log, now timeunit.Ticks) {
 	for _, found := range opened.Findings {
-		s.log.Event("store_corruption").Str("file", found.File).Int64("offset", found.Offset).
+		d.log.Event("store_corruption").Str("file", found.File).Int64("offset", found.Offset).
 			Str("kind", found.Corruption.String()).Bool("lost", found.DataLoss).Send()
 	}
 	rejectsFor := timeunit.Ticks(0)
 	if opened.RejectUntil != 0 {
 		rejectsFor = max(0, opened.RejectUntil-now)
 	}
-	s.log.Event("store_open").Str("directory", path).Int("records", opened.RecordCount).
+	d.log.Event("store_open").Str("directory", path).Int("records", opened.RecordCount).
 		Int("idempotency_entries", len(opened.Outcomes)).
 		Int64("rejects_for_ms", int64(rejectsFor/timeunit.TicksPerMillisecond)).Send()
 }
--- a/internal/quota/service/status.go
+++ b/internal/quota/service/status.go
@@ -14,6 +14,9 @@
 // unknownVoter stands for a voter that is not alive or not known by name.
 const unknownVoter = "?"
 
+// StatusPath is where a server answers the verb shares, at its status address.
+const StatusPath = "/shares"
+
 // ErrNoAnswer means that the service's goroutine is busy or has ended.
 var ErrNoAnswer = errors.New("the quota service does not answer")
 
