--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -10,6 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"thistlequay/internal/membership"
+	"thistlequay/internal/strictcbor"
 )
 
 // Kinds of messages, the first byte of each. They are on the wire and must keep their values. Other kinds are of a
@@ -63,22 +64,12 @@
 	paxos  membership.Message     // only of kindPaxos
 }
 
-// strictDecoder decodes messages within bounds that keep a faulty sender from exhausting memory or stack.
-var strictDecoder = newStrictDecoder()
-
-func newStrictDecoder() cbor.DecMode {
-	mode, err := cbor.DecOptions{
-		MaxArrayElements: 64,
-		MaxMapPairs:      64,
-		MaxNestedLevels:  8,
-		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
-		IndefLength:      cbor.IndefLengthForbidden,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options are constant, so that any test of the package would show it
-	}
-	return mode
-}
+// strictDecoder decodes messages, within bounds that no valid one exceeds.
+var strictDecoder = strictcbor.NewDecoder(strictcbor.Bounds{
+	MaxArrayElements:    64,
+	MaxMapPairs:         64,
+	RejectDuplicateKeys: true,
+})
 
 // maxMessageBytes returns how long a message of a kind may be.
 func maxMessageBytes(kind byte) int {
--- a/internal/quota/coordinator/ready.go
+++ b/internal/quota/coordinator/ready.go
@@ -5,6 +5,7 @@
 
 	"thistlequay/internal/consensus"
 	"thistlequay/internal/quota"
+	"thistlequay/internal/strictcbor"
 )
 
 // Ready is what the caller must do next. State, begun anew where IsNewState is set, must be durable before Messages and
@@ -88,14 +89,4 @@
 }
 
 // logDecoder reads commands and snapshots, within bounds that no valid one exceeds.
-var logDecoder = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{
-		MaxArrayElements: 1 << 16,
-		MaxNestedLevels:  8,
-		IndefLength:      cbor.IndefLengthForbidden,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options are constants
-	}
-	return mode
-}()
+var logDecoder = strictcbor.NewDecoder(strictcbor.Bounds{MaxArrayElements: 1 << 16})
--- a/internal/quota/service/messages.go
+++ b/internal/quota/service/messages.go
@@ -7,6 +7,7 @@
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
 	"thistlequay/internal/quota"
+	"thistlequay/internal/strictcbor"
 )
 
 // Kinds of envelopes between the services of a cluster. They are on the wire and must keep their values.
@@ -36,21 +37,8 @@
 	Leader   *membership.ID `cbor:"4,keyasint,omitempty"` // nil if it is not known
 }
 
-// messageDecoder decodes messages within bounds that keep a faulty sender from exhausting memory or stack.
-var messageDecoder = newMessageDecoder()
-
-func newMessageDecoder() cbor.DecMode {
-	mode, err := cbor.DecOptions{
-		MaxArrayElements: 1024,
-		MaxMapPairs:      4096,
-		MaxNestedLevels:  8,
-		IndefLength:      cbor.IndefLengthForbidden,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options are constant, so that any test of the package would show it
-	}
-	return mode
-}
+// messageDecoder decodes messages, within bounds that no valid one exceeds.
+var messageDecoder = strictcbor.NewDecoder(strictcbor.Bounds{MaxArrayElements: 1024, MaxMapPairs: 4096})
 
 // Handlers returns the functions that take the service's envelopes, for gossip.Config. They hand over to the service's
 // goroutine and do not block.
