--- a/internal/command/store.go
+++ b/internal/command/store.go
@@ -28,14 +28,12 @@
 func (a *storeArguments) analysis(now recovery.ClockReading) *recovery.Analysis {
 	const unlimited = 1 << 30
 	return recovery.NewAnalysis(recovery.Config{
-		MaxWindow:        ticks(a.Window),
-		ClockUncertainty: ticks(a.Doubt),
+		MaxWindow:        timeunit.TicksOf(a.Window),
+		ClockUncertainty: timeunit.TicksOf(a.Doubt),
 		MaxOutcomes:      unlimited,
 	}, now)
 }
 
-func ticks(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / timeunit.Ticks(1).Duration()) }
-
 // recordVisitor is called with the file, the offset in it and the content of each record.
 type recordVisitor = func(file string, offset int64, record *recovery.Record)
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,11 +12,9 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"time"
 
 	"thistlequay/internal/deployment"
 	"thistlequay/internal/diagnostics"
-	"thistlequay/timeunit"
 )
 
 // Config is what one file sets. Its zero value is what holds without a file: all sections are nil, everything is off.
@@ -104,8 +102,3 @@
 		}
 	}
 }
-
-// ticks converts a span of time, down.
-func ticks(span time.Duration) timeunit.Ticks {
-	return timeunit.Ticks(span / timeunit.Ticks(1).Duration())
-}
--- a/internal/config/fairqueues.go
+++ b/internal/config/fairqueues.go
@@ -10,6 +10,7 @@
 	"thistlequay/internal/diagnostics"
 	"thistlequay/internal/fairqueue"
 	"thistlequay/internal/tenancy"
+	"thistlequay/timeunit"
 )
 
 // FairQueues is the section fair_queues; docs/fairqueue/operating.md describes its keys.
@@ -138,9 +139,9 @@
 		NewcomerFraction: f.NewcomerFraction,
 		MaxHeavyHitters:  f.MaxHeavyHitters,
 		SharedFlows:      f.SharedFlows,
-		Burst:            ticks(f.Burst),
-		MinHistory:       ticks(f.MinHistory),
-		RehashInterval:   ticks(f.RehashInterval),
+		Burst:            timeunit.TicksOf(f.Burst),
+		MinHistory:       timeunit.TicksOf(f.MinHistory),
+		RehashInterval:   timeunit.TicksOf(f.RehashInterval),
 	}
 	for _, tenant := range f.Tenants {
 		config.Tenants = append(config.Tenants, fairqueue.Tenant{Name: tenant.Name, Weight: tenant.Weight})
--- a/internal/config/plugins_convert.go
+++ b/internal/config/plugins_convert.go
@@ -9,6 +9,7 @@
 	"thistlequay/internal/plugin"
 	"thistlequay/internal/plugin/abi"
 	"thistlequay/internal/plugin/chain"
+	"thistlequay/timeunit"
 )
 
 // hookPoints are the places in the chain by the words of the section.
@@ -97,15 +98,15 @@
 		MayReject:            p.may(mayReject),
 		MayTag:               p.may(mayTag),
 		MayRewrite:           p.may(mayRewrite),
-		CallTimeout:          ticks(p.CallTimeout),
+		CallTimeout:          timeunit.TicksOf(p.CallTimeout),
 		MaxTimeFraction:      p.MaxTimeFraction,
 		CoreFraction:         p.CoreFraction,
-		TickInterval:         ticks(p.TickInterval),
+		TickInterval:         timeunit.TicksOf(p.TickInterval),
 		FaultsByTenant:       p.FaultsByTenant,
 		MaxConsecutiveFaults: p.MaxConsecutiveFaults,
 		MaxFaultRate:         p.MaxFaultRate,
-		MinQuarantine:        ticks(p.Quarantine),
-		MaxQuarantine:        ticks(p.MaxQuarantine),
+		MinQuarantine:        timeunit.TicksOf(p.Quarantine),
+		MaxQuarantine:        timeunit.TicksOf(p.MaxQuarantine),
 	}
 	if len(p.Categories) == 0 {
 		policy.Categories = slices.Repeat([]bool{true}, len(platform.Categories))
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -6,6 +6,7 @@
 	"thistlequay/internal/deployment"
 	"thistlequay/internal/recovery"
 	"thistlequay/internal/segmentlog"
+	"thistlequay/timeunit"
 )
 
 // Store is the section store, on the log that crash recovery reads; docs/recovery/operating.md describes its keys.
@@ -46,7 +47,7 @@
 		MaxBytes:         int64(s.MaxMegabytes) << 20,
 		MaxRecords:       s.MaxRecords,
 		SegmentBytes:     int64(s.SegmentKB) << 10,
-		ClockUncertainty: ticks(s.ClockUncertainty),
+		ClockUncertainty: timeunit.TicksOf(s.ClockUncertainty),
 		MaxOutcomes:      max(1, memoryBytes/restoredMemoryPart/restoredEntryBytes),
 		AllowEmpty:       s.StartFresh,
 		Now:              segmentlog.MachineClock,
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -68,5 +68,5 @@
 	}
 	d.log.Event("store_open").Str("directory", path).Int("records", opened.RecordCount).
 		Int("idempotency_entries", len(opened.Outcomes)).
-		Int64("rejects_for_ms", int64(rejectsFor/timeunit.TicksPerMillisecond)).Send()
+		Int64("rejects_for_ms", rejectsFor.Milliseconds()).Send()
 }
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -102,7 +102,7 @@
 // NotifyPingComplete is called when a member has answered a probe of memberlist.
 func (d delegate) NotifyPingComplete(peer *memberlist.Node, roundTrip time.Duration, _ []byte) {
 	if id, ok := parseNodeName(peer.Name); ok {
-		d.node.enqueue(func() { d.node.view.ProbeSucceeded(id, milliseconds(roundTrip)) })
+		d.node.enqueue(func() { d.node.view.ProbeSucceeded(id, timeunit.MillisecondsOf(roundTrip)) })
 	}
 }
 
@@ -127,7 +127,3 @@
 	}
 	n.view.RecordFailure(id)
 }
-
-func milliseconds(duration time.Duration) timeunit.Milliseconds {
-	return timeunit.Milliseconds(duration.Milliseconds())
-}
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -220,7 +220,7 @@
 
 // advanceClock tells the view the time. The view takes a gap of several intervals for a pause of this server.
 func (n *Node) advanceClock() {
-	n.view.Advance(n.Now(), timeunit.Milliseconds(tickInterval/time.Millisecond))
+	n.view.Advance(n.Now(), timeunit.MillisecondsOf(tickInterval))
 }
 
 // reportChanges tells what has changed in the view since it was called last.
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"thistlequay/internal/membership"
+	"thistlequay/timeunit"
 )
 
 // Limits of this server's own pings, which go beside memberlist's probes.
@@ -71,7 +72,7 @@
 	for range pingAttempts {
 		roundTrip, err := n.memberlist.Ping(nodeName(id), address)
 		if err == nil {
-			n.enqueue(func() { n.view.ProbeSucceeded(id, milliseconds(roundTrip)) })
+			n.enqueue(func() { n.view.ProbeSucceeded(id, timeunit.MillisecondsOf(roundTrip)) })
 			return true
 		}
 	}
--- a/internal/segmentlog/clock.go
+++ b/internal/segmentlog/clock.go
@@ -12,18 +12,15 @@
 	"thistlequay/timeunit"
 )
 
-// tick is the length of one of timeunit.Ticks.
-const tick = 100 * time.Microsecond
-
 // bootIDFile holds a random id that the kernel draws at each start.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
 // MachineClock reads the clocks of this machine. What can't be read is 0.
 func MachineClock() recovery.ClockReading {
-	reading := recovery.ClockReading{Wall: timeunit.Ticks(time.Now().UnixMicro() / tick.Microseconds())}
+	reading := recovery.ClockReading{Wall: timeunit.UnixTicks(time.Now())}
 	var sinceBoot unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &sinceBoot) == nil {
-		reading.Monotonic = timeunit.Ticks(sinceBoot.Nano() / tick.Nanoseconds())
+		reading.Monotonic = timeunit.TicksOf(time.Duration(sinceBoot.Nano()))
 	}
 	if id, err := os.ReadFile(bootIDFile); err == nil {
 		reading.BootID = xxh3.HashString(strings.TrimSpace(string(id)))
--- a/internal/segmentlog/compact.go
+++ b/internal/segmentlog/compact.go
@@ -4,7 +4,6 @@
 	"fmt"
 
 	"thistlequay/internal/recovery"
-	"thistlequay/timeunit"
 )
 
 // Compact writes what retries may still need into one new segment, makes that durable and removes all others. It
@@ -16,7 +15,7 @@
 		return 0, 0, err
 	}
 	if scan.RejectUntil > 0 {
-		wait := (scan.RejectUntil - now.Wall) / timeunit.TicksPerMillisecond
+		wait := (scan.RejectUntil - now.Wall).Milliseconds()
 		return 0, 0, fmt.Errorf("records may be missing; try again in %d ms, when no repeat of them can come", wait)
 	}
 	previous, err := storage.List()
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -21,7 +21,7 @@
 func newClock() clock {
 	start := time.Now()
 	return clock{
-		startedAt: unixTicks(start),
+		startedAt: timeunit.UnixTicks(start),
 		readSystem: func() (time.Time, time.Duration) {
 			now := time.Now()
 			return now, now.Sub(start)
@@ -32,17 +32,10 @@
 // now returns the time and takes notice of a system clock that was set.
 func (c *clock) now() timeunit.Ticks {
 	system, elapsed := c.readSystem()
-	now := c.startedAt + ticksOf(elapsed)
-	change := unixTicks(system) - now - c.systemOffset
+	now := c.startedAt + timeunit.TicksOf(elapsed)
+	change := timeunit.UnixTicks(system) - now - c.systemOffset
 	if change > clockSetThreshold || change < -clockSetThreshold {
 		c.systemOffset += change
 	}
 	return now
 }
-
-func unixTicks(t time.Time) timeunit.Ticks { return timeunit.Ticks(t.UnixMicro() / 100) }
-
-func ticksOf(d time.Duration) timeunit.Ticks { return timeunit.Ticks(d / (100 * time.Microsecond)) }
-
-// milliseconds rounds a span down to whole milliseconds.
-func milliseconds(t timeunit.Ticks) int64 { return int64(t / timeunit.TicksPerMillisecond) }
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -9,6 +9,7 @@
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
 	"thistlequay/internal/quota/service"
+	"thistlequay/timeunit"
 )
 
 // gossipInterval is the time between two reports of this server to the others.
@@ -164,7 +165,7 @@
 		for _, tenant := range report.tenants {
 			remote = append(remote, fairqueue.Usage{Tenant: tenant.Tenant, CoreTime: tenant.CoreTime})
 		}
-		age := ticksOf(time.Since(report.reportedAt))
+		age := timeunit.TicksOf(time.Since(report.reportedAt))
 		s.fairQueue.scheduler.RecordRemoteUsage(service.HolderName(id), age, remote, s.now)
 	}
 	var local []membership.TenantUsage
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -54,7 +54,7 @@
 	for seconds := timeunit.Ticks(1); seconds <= 30; seconds++ {
 		router = connectRouter(s)
 		now := 10_000_000 + seconds*second
-		submitAttempt(t, s, router, fmt.Sprintf("%016x", 0xb0+seconds), fmt.Sprint(milliseconds(now)), now)
+		submitAttempt(t, s, router, fmt.Sprintf("%016x", 0xb0+seconds), fmt.Sprint(now.Milliseconds()), now)
 		for len(s.deadlines) > 0 && s.deadlines[0].deadline <= s.now {
 			s.now = max(s.now, s.deadlines[0].deadline)
 			s.resumeAfterStandstill()
--- a/internal/server/indexconnection.go
+++ b/internal/server/indexconnection.go
@@ -59,7 +59,7 @@
 	out := append(p.buffer(), "GET "...)
 	out = append(out, call.request.id...)
 	out = append(out, ' ')
-	out = strconv.AppendInt(out, max(1, milliseconds(call.deadline-p.server.now)), 10)
+	out = strconv.AppendInt(out, max(1, (call.deadline-p.server.now).Milliseconds()), 10)
 	out = append(out, ' ')
 	out = strconv.AppendInt(out, int64(len(body)), 10)
 	out = append(out, "\r\n"...)
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -150,7 +150,7 @@
 	}
 	s.startAdmission(state == stateCold, up)
 	s.log.Event("interpreter_up").Str("name", s.config.Name).Str("state", state).
-		Int64("since_ms", milliseconds(up)).Send()
+		Int64("since_ms", up.Milliseconds()).Send()
 	s.notifyAdmissionOfDrain()
 	s.advancePhase(phaseReady)
 	c.becomeReady()
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -28,7 +28,7 @@
 		return
 	}
 	timeLeft := max(0, s.config.ShutdownTimeout-min(shutdownMargin, s.config.ShutdownTimeout/4))
-	s.log.Event("shutting_down").Str("name", s.config.Name).Int64("within_ms", milliseconds(timeLeft)).
+	s.log.Event("shutting_down").Str("name", s.config.Name).Int64("within_ms", timeLeft.Milliseconds()).
 		Int("requests", s.requests.count()).Send()
 	s.shutdownDeadline = s.now + timeLeft
 	s.advancePhase(phaseDraining)
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -183,7 +183,7 @@
 		return
 	}
 	call.unlink()
-	took := ticksOf(spent) + 1
+	took := timeunit.TicksOf(spent) + 1
 	if outcome != plugin.CallSucceeded {
 		call.failed(callFaults[outcome], took)
 		return
--- a/internal/server/pluginevaluation.go
+++ b/internal/server/pluginevaluation.go
@@ -140,12 +140,12 @@
 // question returns what the plug-in is asked.
 func (e *chainEvaluation) question() abi.Request {
 	part := e.connection.part
-	question := abi.Request{Hook: int(e.hook), UnixMS: milliseconds(part.server.now)}
+	question := abi.Request{Hook: int(e.hook), UnixMS: part.server.now.Milliseconds()}
 	if e.request == nil {
 		return question
 	}
 	description := e.evaluation.Request()
-	question.TimeLeftMS = uint32(milliseconds(description.TimeLeft))
+	question.TimeLeftMS = uint32(description.TimeLeft.Milliseconds())
 	question.Category = part.categoryNames[e.request.category]
 	question.Tenant = description.Tenant
 	question.Tag = e.request.tag
@@ -184,5 +184,5 @@
 func (e *chainEvaluation) logQuarantine(fault chain.Fault) {
 	s := e.connection.part.server
 	s.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", chain.FaultNames[fault]).
-		Int64("wait_ms", milliseconds(e.plugin.QuarantineEnd()-s.now)).Send()
+		Int64("wait_ms", (e.plugin.QuarantineEnd() - s.now).Milliseconds()).Send()
 }
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -304,7 +304,7 @@
 	}
 	state := saved.Decay(p.server.now, p.settingsHash())
 	p.server.log.Event("warm_start").Bool("used", state != nil).
-		Int64("age_ms", milliseconds(p.server.now-saved.CapturedAt)).Send()
+		Int64("age_ms", (p.server.now - saved.CapturedAt).Milliseconds()).Send()
 	return state
 }
 
--- a/internal/server/requestparser.go
+++ b/internal/server/requestparser.go
@@ -120,7 +120,7 @@
 	}
 	receivedAtMs, err := strconv.ParseInt(string(fields[fieldReceivedAt]), 10, 64)
 	offset := t.server.clock.systemOffset // routers go by the system's clock
-	nowMs := milliseconds(t.server.now + offset)
+	nowMs := (t.server.now + offset).Milliseconds()
 	if err != nil || receivedAtMs < 0 || receivedAtMs > nowMs+maxClockSkewMs {
 		return errReceivedAt
 	}
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -32,7 +32,7 @@
 		return ""
 	}
 	roundedUp := retryAfter + timeunit.TicksPerMillisecond - 1
-	return "Back-Off-Ms: " + strconv.FormatInt(milliseconds(roundedUp), 10) + "\r\n"
+	return "Back-Off-Ms: " + strconv.FormatInt(roundedUp.Milliseconds(), 10) + "\r\n"
 }
 
 // statusError says why a request cannot be accepted, in the status line of its answer.
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -16,8 +16,8 @@
 func (s *Server) logState() {
 	event := s.log.Event("state").Int("requests", s.requests.count()).Int("connections", s.routers.openCount).
 		Int("idempotency_entries", len(s.requests.entries)).Int("downstream_calls", s.index.inFlight).
-		Int64("gauges_age_ms", milliseconds(s.interpreter.gaugeAges.percentile99())).
-		Int64("timer_late_ms", milliseconds(s.timerLateness.percentile99())).
+		Int64("gauges_age_ms", s.interpreter.gaugeAges.percentile99().Milliseconds()).
+		Int64("timer_late_ms", s.timerLateness.percentile99().Milliseconds()).
 		Int("interpreter_links", s.interpreter.linkCount).Int("directory_reports_missed", s.directory.missedReports).
 		Int("bad_peers", s.badPeers).Int("unread_closed", s.unreadClosed).Int("connections_evicted", s.routers.evicted)
 	for _, optional := range s.parts {
@@ -40,9 +40,9 @@
 		Int("admission_idempotency_entries", stats.Entries).Float64("concurrency_limit", stats.Limit).
 		Float64("downstream_limit", stats.DownstreamLimit).
 		Float64("downstream_limit_left", stats.DownstreamCredit).Float64("on_cores", stats.RunnableRequests).
-		Int64("read_delay_ms", milliseconds(stats.UnreadTime)).Int64("round_trip_ms", milliseconds(stats.RoundTrip)).
-		Int64("downstream_latency_recent_ms", milliseconds(stats.CallTime)).
-		Int64("downstream_latency_baseline_ms", milliseconds(stats.QuickCallTime)).
+		Int64("read_delay_ms", stats.UnreadTime.Milliseconds()).Int64("round_trip_ms", stats.RoundTrip.Milliseconds()).
+		Int64("downstream_latency_recent_ms", stats.CallTime.Milliseconds()).
+		Int64("downstream_latency_baseline_ms", stats.QuickCallTime.Milliseconds()).
 		Float64("reserved_kb", math.Round(stats.MemoryKB)).Int("pooled_connections", s.index.connections).
 		Int("downstream_calls_waiting", len(s.index.waiting))
 }
