--- a/admission/config.go
+++ b/admission/config.go
@@ -53,7 +53,7 @@
 	Idempotency Idempotency
 }
 
-// Config is what a Server is told when it starts. Fields left at zero mean what they say unless noted
+// Config is what a Server is given when it starts. Fields left at zero mean what they say unless noted
 // otherwise.
 type Config struct {
 	// Categories lists the kinds of requests; Arrival.Category is an index of it. At least one is needed.
@@ -118,7 +118,7 @@
 	// dependency.
 	TurnOffset float64
 
-	// AbandonedCallTime is how long a call that was given up still counts as in flight at the dependency.
+	// AbandonedCallTime is how long an abandoned call still counts as in flight at the dependency.
 	AbandonedCallTime timeunit.Ticks
 
 	// LoadReportMode is what routers make of the load report.
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -13,7 +13,7 @@
 //	request.CallEnded(...)          // a call that Host.StartCall asked for is over
 //	request.RunEnded(...)           // a run that Host.Run asked for, or a shared answer, is over
 //	request.Cancel()                // nobody waits for the request any more
-//	server.Drain(...)               // the process was told that it will be stopped
+//	server.Drain(...)               // the process has been notified that it will be stopped
 //	server.OnTimer(gauges)          // the time that Host.SetTimer asked for has come
 //	server.Dispatch()               // last: decides, and calls the Host
 //
--- a/admission/downstream.go
+++ b/admission/downstream.go
@@ -16,7 +16,7 @@
 )
 
 // downstream holds the calls to the dependency within this server's part of what that survives, and measures
-// how long calls take. The mean number in flight stays within the limit; calls that were given up count while
+// how long calls take. The mean number in flight stays within the limit; abandoned calls count while
 // the dependency still works on them.
 type downstream struct {
 	isShared      bool    // all servers call one dependency; elsewhere nothing is limited
@@ -25,8 +25,8 @@
 	credit        float64 // calls times ticks that the mean leaves: what was not used piles up, calls use it
 	updatedAt     timeunit.Ticks
 	inFlight      int
-	abandonedTime timeunit.Ticks   // a call that was given up counts for so long
-	abandoned     []timeunit.Ticks // when those given up no longer count, in order
+	abandonedTime timeunit.Ticks   // an abandoned call counts for so long
+	abandoned     []timeunit.Ticks // when abandoned calls no longer count, in order
 	waiting       []*Request       // whose calls are not made yet
 
 	quickTimes histogram // times of calls while they were not slow
@@ -63,7 +63,7 @@
 }
 
 // allowedUntil is until when another call may be in flight; now or earlier means not at all. withEffects says
-// that the call must not be given up. It brings the credit up to date.
+// that the call must not be abandoned. It brings the credit up to date.
 func (d *downstream) allowedUntil(now timeunit.Ticks, withEffects bool) timeunit.Ticks {
 	for len(d.abandoned) > 0 && d.abandoned[0] <= now {
 		d.abandoned = d.abandoned[1:]
@@ -81,7 +81,7 @@
 	return d.turns.until(now, d, withEffects)
 }
 
-// finish takes a call out of those in flight. One that was given up still counts for a while.
+// finish takes a call out of those in flight. An abandoned one still counts for a while.
 func (d *downstream) finish(now timeunit.Ticks, abandoned bool) {
 	d.allowedUntil(now, false) // for the credit: up to now the call was in flight
 	d.inFlight--
@@ -103,7 +103,7 @@
 // shared.
 func (s *Server) SetDownstreamLimit(limit float64) { s.downstream.limit = limit }
 
-// DownstreamCalls is the number of calls that the dependency works on, those included that were given up, and
+// DownstreamCalls is the number of calls that the dependency works on, abandoned ones included, and
 // the number of requests that wait to call it.
 func (s *Server) DownstreamCalls() (inFlight, waiting int) {
 	return s.downstream.inFlightAndAbandoned(), len(s.downstream.waiting)
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -22,7 +22,7 @@
 
 // Drain is the notice that the process will be stopped after this time. Requests that arrive within the grace
 // (Config.DrainGrace) still run, later ones are rejected, and all get their answers before the stop. Routers
-// are told through health checks and load reports. A second notice does nothing.
+// are notified through health checks and load reports. A second notice does nothing.
 func (s *Server) Drain(stopIn timeunit.Ticks) {
 	d := &s.drain
 	if d.draining {
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -16,7 +16,7 @@
 	rejectedShareSmoothing = smoothing / 8
 )
 
-// routerFeedback is what routers are told: the load report, how long to stay away, and whether a rejected
+// routerFeedback is what routers are notified of: the load report, how long to stay away, and whether a rejected
 // request may be tried on another server.
 type routerFeedback struct {
 	mode           LoadReportMode
--- a/admission/host.go
+++ b/admission/host.go
@@ -10,7 +10,7 @@
 	Succeeded     Outcome = iota
 	Failed                // it failed and may have had its effect
 	NotExecuted           // a call that was rejected or could not connect: it provably never ran
-	Indeterminate         // a call that was given up or whose connection broke: it may have had its effect
+	Indeterminate         // a call that was abandoned or whose connection broke: it may have had its effect
 	Aborted               // the run was stopped, or ended where it needed a call
 	NeverStarted          // nothing was started, the request was already over
 )
@@ -32,7 +32,7 @@
 	// UnreadTime is the time from when the request reached the machine until it was read.
 	UnreadTime timeunit.Ticks
 
-	// TimeLeft is how long its client still waits; 0 where that is not told.
+	// TimeLeft is how long its client still waits; 0 where that is not known.
 	TimeLeft timeunit.Ticks
 
 	// IsRetry says that the router marked the request as a retry.
@@ -52,7 +52,7 @@
 	// waits while others are eligible. 0 waits for nobody.
 	StartTag float64
 
-	// ExpectedDelay is how long the requests of its own tenant that are ahead of it will take; 0 where not told.
+	// ExpectedDelay is how long the requests of its own tenant that are ahead of it will take; 0 where not known.
 	ExpectedDelay timeunit.Ticks
 }
 
@@ -72,14 +72,14 @@
 // package. Every request gets exactly one answer, by the end of its run or shared result (Run, ShareResult),
 // by Reject or by Abort, unless it is cancelled before. Release comes last.
 type Host interface {
-	// Run starts the request. Its end is told by Request.RunEnded.
+	// Run starts the request. Its end is reported by Request.RunEnded.
 	Run(r *Request)
 
 	// ShareResult answers the request with the result of the attempt that it repeats, now or when that has
-	// ended. That this is done is told by Request.RunEnded, as Succeeded, or as Failed where there is no result.
+	// ended. That this is done is reported by Request.RunEnded, as Succeeded, or as Failed where there is no result.
 	ShareResult(r *Request)
 
-	// Reject answers a request that never ran here. The client should stay away for retryAfter (0: not told),
+	// Reject answers a request that never ran here. The client should stay away for retryAfter (0: not given),
 	// and where finalRejection is set it should not try another server either.
 	Reject(r *Request, retryAfter timeunit.Ticks, finalRejection bool)
 
@@ -90,11 +90,11 @@
 	StopRun(r *Request)
 
 	// StartCall makes the downstream call that the request needs, and gives it up at the time until. Its end is
-	// told by Request.CallEnded.
+	// reported by Request.CallEnded.
 	StartCall(r *Request, until timeunit.Ticks)
 
 	// SkipCall has the run go on without its call, to a degraded answer. Only requests of categories with a
-	// DegradedValue are told so.
+	// DegradedValue are notified of it.
 	SkipCall(r *Request)
 
 	// KeepEntry keeps the idempotency entry of the request for this time from now: requests that repeat it
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -22,7 +22,7 @@
 //	s                 step, which is alpha times n_c, the number of connections (here routers), and at least 1
 //	in_cur, in_last   started of the current and of the previous experiment
 //	out_cur, out_last answered of the same
-//	drop_cur          dropped of the current one: aborted requests and those given up in the queue
+//	drop_cur          dropped of the current one: aborted requests and those whose deadline passed in the queue
 //	RTT               roundTrip
 //
 // It differs from Algorithm 1 in four points. An experiment in which the limit bound no start, or that had no
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -11,7 +11,7 @@
 	// call, made or not.
 	Running, WaitingAtCalls int
 
-	// CallsInFlight is the number of downstream calls out, and AbandonedCalls that of those which were given up
+	// CallsInFlight is the number of downstream calls out, and AbandonedCalls that of abandoned ones
 	// and on which the dependency may still work.
 	CallsInFlight, AbandonedCalls int
 
--- a/admission/turns.go
+++ b/admission/turns.go
@@ -10,7 +10,7 @@
 // survives N calls: it may double, and all servers together must stay within N + 2 root N + 2. The others are
 // ours.
 const (
-	maxFleetGrowth      = 2 // times the size that was told that a fleet may grow to
+	maxFleetGrowth      = 2 // times the size announced that a fleet may grow to
 	allowedDeviations   = 5 // standard deviations that calls of many servers, each in its own turns, stay within
 	turnFractionStep    = 0.005
 	minTurnFraction     = 0.01
@@ -24,7 +24,7 @@
 // what other servers do at this moment, and all of them may begin, or come back, at once: if all rounded up
 // together the dependency, cold or just recovered, would be called by too many. So each server rounds up in
 // turns that its TurnOffset spreads: always, where few calls come of it if all do so, or while calls go well
-// and quickly. It does harm where calls outlast a turn: they are given up.
+// and quickly. It does harm where calls outlast a turn: they are abandoned.
 type turns struct {
 	offset      float64 // from 0 to 1, another on each server
 	length      float64 // of a whole round while calls are quick, in ticks
@@ -43,7 +43,7 @@
 }
 
 // until is until when the call may be in flight; now or earlier means not at all. withEffects says that it
-// must not be given up, so that it must fit twice.
+// must not be abandoned, so that it must fit twice.
 func (t *turns) until(now timeunit.Ticks, d *downstream, withEffects bool) timeunit.Ticks {
 	if t.fractionFor != d.limit*t.fleetSize {
 		t.setFraction(d.limit)
@@ -57,7 +57,7 @@
 		length *= 2
 	}
 	if !withEffects {
-		need /= 2 // a call that is given up can be made again
+		need /= 2 // an abandoned call can be made again
 	}
 	// Time in turns: the first of each round is this server's.
 	at := math.Mod(float64(now)/length*t.fraction+t.offset, 1) / t.fraction
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -31,7 +31,7 @@
 }
 
 // restore takes what an earlier incarnation found out, its concurrency limit up to maxLimit. The guards of
-// memory, cores and calls hold whatever it says: they go by what this server is told and measures.
+// memory, cores and calls hold whatever it says: they go by what this server is configured with and measures.
 func (s *Server) restore(state *WarmStartState, maxLimit float64) {
 	if state == nil {
 		return
--- a/internal/fairqueue/flow.go
+++ b/internal/fairqueue/flow.go
@@ -42,7 +42,7 @@
 
 	lastSeen   timeunit.Ticks
 	active     bool
-	lastReturn timeunit.Ticks // the latest time at which a rejected request was told to come back
+	lastReturn timeunit.Ticks // the latest time at which a rejected request was asked to come back
 }
 
 func (s *Scheduler) newFlow(kind flowKind) *flow {
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -24,7 +24,7 @@
 	StateJoining   State = iota // its process runs but cannot serve yet
 	StateWarmingUp              // it serves at a part of its speed (slow start)
 	StateServing                // it serves
-	StateDraining               // it was told to shut down and takes no new requests
+	StateDraining               // it was notified to shut down and takes no new requests
 	StateSuspected              // several probes failed; it still has time to refute
 	StateFailed                 // it did not refute in time
 	StateLeft                   // it left, a later incarnation replaced it, or another one owns its name
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -203,7 +203,7 @@
 // Self returns this server.
 func (v *View) Self() *Member { return v.self }
 
-// Now returns the latest moment that Advance was told.
+// Now returns the latest time that Advance was called with.
 func (v *View) Now() timeunit.Milliseconds { return v.now }
 
 // Events returns the changes of state since the last call.
--- a/internal/plugin/host.go
+++ b/internal/plugin/host.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// frameWriter writes whole frames, from any goroutine.
+// frameWriter writes complete frames, from any goroutine.
 type frameWriter struct {
 	mu     sync.Mutex
 	out    io.Writer
--- a/internal/quota/coordinator/coordinator.go
+++ b/internal/quota/coordinator/coordinator.go
@@ -58,7 +58,7 @@
 	// AppliedCommands counts the committed commands that were applied, from the start.
 	AppliedCommands int
 
-	// DiscardedStates counts the persistent states that had to be given up.
+	// DiscardedStates counts the persistent states that had to be discarded.
 	DiscardedStates int
 
 	config Config
@@ -73,7 +73,7 @@
 	// isNewState says that the voter was begun without a saved state, so that the next Ready must begin one.
 	isNewState bool
 
-	// discardedVoterID is the number of a state that was given up. It is never taken again.
+	// discardedVoterID is the number of a state that was discarded. It is never taken again.
 	discardedVoterID uint64
 
 	// leaderTerm is the term that this server was elected for, zero where it does not lead.
--- a/internal/quota/service/file_storage.go
+++ b/internal/quota/service/file_storage.go
@@ -32,10 +32,10 @@
 	metaChecksumLength = 8
 )
 
-// errUnreadable means that the file is not whole or a record in it is corrupt.
+// errUnreadable means that the file is not complete or a record in it is corrupt.
 var errUnreadable = errors.New("the coordinator's stored state cannot be read")
 
-// FileStorage is a Storage in one file of go.etcd.io/bbolt, whose transactions are written whole or not at all. It
+// FileStorage is a Storage in one file of go.etcd.io/bbolt, whose transactions are written completely or not at all. It
 // never reports a state as saved that is not, and never goes on with a file that cannot be read.
 type FileStorage struct {
 	path string
@@ -84,7 +84,7 @@
 // if the file cannot be renamed; it may be nil.
 func (f *FileStorage) replaceCorrupt(cause error) error {
 	if f.db != nil {
-		_ = f.db.Close() // the file is given up, whatever else is wrong with it
+		_ = f.db.Close() // the file is abandoned, whatever else is wrong with it
 		f.db = nil
 	}
 	aside := fmt.Sprintf("%s.lost-%d", f.path, time.Now().UnixNano())
@@ -171,7 +171,7 @@
 	return f.db.Update(do)
 }
 
-// isComplete reports whether the file has its whole length and both pages that say which state is the newest are
+// isComplete reports whether the file has its full length and both pages that say which state is the newest are
 // intact. Without one of them the other may lead to a state before a vote. Whether a crash tore the page or the disk
 // lost it cannot be known, so the state counts as lost.
 func (f *FileStorage) isComplete(tx *bolt.Tx) bool {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,5 @@
 // Package scenario reads the scenarios of tests: text files in testdata, one step a line, words separated by blanks, a
-// comment from # to the end of the line. What the words mean is told by the README.md beside the files.
+// comment from # to the end of the line. What the words mean is explained in the README.md beside the files.
 package scenario
 
 import (
--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -34,8 +34,8 @@
 	AllowEmpty bool
 	// Now reads the clocks; MachineClock outside of tests. Open and the writer call it.
 	Now func() recovery.ClockReading
-	// OnWritten is told what became of appended records. The writer calls it, so it must be fast and hand over to the
-	// event loop.
+	// OnWritten is notified of what became of appended records. The writer calls it, so it must be fast and hand over
+	// to the event loop.
 	OnWritten func(results []WriteResult)
 }
 
--- a/internal/segmentlog/writer.go
+++ b/internal/segmentlog/writer.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// ensureSegment begins a segment where the current one is full or was given up after an error.
+// ensureSegment begins a segment where the current one is full or was abandoned after an error.
 func (w *writer) ensureSegment() error {
 	w.mutex.Lock()
 	failure := w.failure
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -43,7 +43,7 @@
 	element   *list.Element // in closingConnections; nil once it is closed
 }
 
-// closeGracefully ends a connection; its handler is told at once that it is closed.
+// closeGracefully ends a connection; its handler is notified at once that it is closed.
 func (s *Server) closeGracefully(conn gnet.Conn) {
 	handler, _ := conn.Context().(connectionHandler)
 	if router, isRouter := handler.(*routerConnection); isRouter {
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -140,7 +140,7 @@
 	c.report()
 }
 
-// receive takes the answers that are whole. Any status will do: the next report comes in its time.
+// receive takes the complete answers. Any status will do: the next report comes in its time.
 func (c *directoryClient) receive(data []byte) error {
 	c.partial = append(c.partial, data...)
 	for {
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -45,7 +45,7 @@
 	c.idleTimer.fire = c.closeExpired
 }
 
-// makeCall makes the call that a run waits for. The index keeps no deadline, so the call is given up here.
+// makeCall makes the call that a run waits for. The index keeps no deadline, so the call is abandoned here.
 func (c *indexClient) makeCall(caller *request, deadline timeunit.Ticks) {
 	isWaiting := caller.call == nil && caller.runStarted && !caller.runDone
 	c.server.checkInvariant(isWaiting, "a run makes a second call, or a call comes without a run")
--- a/internal/server/indexreplies.go
+++ b/internal/server/indexreplies.go
@@ -38,7 +38,7 @@
 	length    int // of the whole reply, line ends included
 }
 
-// receive takes the replies that are whole. What comes after the reply to the call that is out closes the connection.
+// receive takes the complete replies. What comes after the reply to the call that is out closes the connection.
 func (p *pooledConnection) receive(data []byte) error {
 	if len(p.partial) > 0 {
 		p.partial = append(p.partial, data...)
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -40,7 +40,7 @@
 	replayFence  string // the tag of the question whose answer ends what is replayed; empty for none
 	partialLine  []byte
 	categoryJSON [][]byte // the categories' names
-	errorCount   int      // errors that the interpreter told
+	errorCount   int      // errors that the interpreter reported
 
 	gauges        admission.Gauges
 	gaugesAt      timeunit.Ticks // when they were true
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -67,7 +67,7 @@
 	"MOOT":    admission.NeverStarted,
 }
 
-// receive takes the notices that are whole.
+// receive takes the complete notices.
 func (c *interpreterClient) receive(data []byte) error {
 	for len(data) > 0 {
 		line, rest, isWhole := bytes.Cut(data, []byte{'\n'})
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// receive takes the frames that are whole.
+// receive takes the complete frames.
 func (c *pluginConnection) receive(data []byte) error {
 	if len(c.partial) > 0 {
 		data = append(c.partial, data...)
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -19,7 +19,7 @@
 	// again.
 	recheckAfter timeunit.Milliseconds = 5
 
-	// undeclaredLimit says that admission must be told the limit again.
+	// undeclaredLimit says that admission must be notified of the limit again.
 	undeclaredLimit quota.Amount = -1
 
 	// The limits by their index in Quota.LeaseHolders.
@@ -80,21 +80,21 @@
 	return answers
 }
 
-// quotaPart is the loop's side of the quota: before each decision admission is told how many calls may be in flight,
-// and what was used is asked for again. It must never make or allow a call beyond what is usable, nor wait for the
-// service.
+// quotaPart is the loop's side of the quota: before each decision admission is notified how many calls may be in
+// flight, and what was used is requested again. It must never make or allow a call beyond what is usable, nor wait for
+// the service.
 type quotaPart struct {
 	partDefaults
 	server         *Server
 	quota          *Quota                // nil where the settings alone limit calls
-	admissionLimit quota.Amount          // that admission was told
+	admissionLimit quota.Amount          // that admission was notified of
 	loggedLimit    quota.Amount          // the last one in the log
 	checkedAt      timeunit.Milliseconds // when the quota was looked at last
 	pollTimer      timer
 	leaseTimer     timer                 // for the end of the lease
 	leaseEnds      timeunit.Milliseconds // that leaseTimer is set for
 	rateTimer      timer                 // for the next call that the limit of calls a second allows
-	cancelledCalls int                   // that were given up as the lease was over
+	cancelledCalls int                   // that were cancelled as the lease was over
 }
 
 func (p *quotaPart) init(s *Server) {
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -51,14 +51,14 @@
 
 	// Its run, and what the interpreter knows of it. A request is run at most once.
 	runStarted   bool // admission had it run
-	runPending   bool // the interpreter has yet to be told
-	runSent      bool // the interpreter was told, on some link
+	runPending   bool // the interpreter has yet to be notified
+	runSent      bool // the interpreter was notified, on some link
 	runSentAt    timeunit.Ticks
 	runConfirmed bool // the interpreter has spoken of the run
 	runInDoubt   bool // a link broke before it did: the run may never have begun
 	runDone      bool // the run's end is known
-	stopPending  bool // the interpreter has yet to be told to stop it
-	stopSent     bool // it was told
+	stopPending  bool // the interpreter has yet to be notified to stop it
+	stopSent     bool // it was notified
 
 	// The call that its run waits for, and the reply to it.
 	callBody     []byte
@@ -144,7 +144,7 @@
 }
 
 // recordOutcome puts the end of its run into its idempotency entry. A result beyond the bound is not kept: repeats are
-// told that the run failed.
+// notified that the run failed.
 func (r *request) recordOutcome(outcome admission.Outcome, result []byte) {
 	entry := r.entry
 	entry.ended = true
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -40,7 +40,7 @@
 // count returns how many requests are in hand.
 func (t *requestTable) count() int { return len(t.byID) }
 
-// accept takes a whole request. One that cannot be accepted is answered with a status that says why.
+// accept takes a complete request. One that cannot be accepted is answered with a status that says why.
 func (t *requestTable) accept(router *routerConnection, stream *fastcgi.Request) {
 	accepted, err := t.parse(router, stream)
 	if err != nil {
--- a/internal/server/routerconnection.go
+++ b/internal/server/routerconnection.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// firstRequestTimeout: a new connection that brings no whole request for so long is closed.
+	// firstRequestTimeout: a new connection that sends no complete request for so long is closed.
 	firstRequestTimeout = 2 * second
 
-	// requestReadTimeout: a request that is not whole after one to two of these is answered as it is.
+	// requestReadTimeout: a request that is not complete after one to two of these is answered as it is.
 	requestReadTimeout = 1 * second
 )
 
@@ -23,7 +23,7 @@
 type connectionState int
 
 const (
-	connectionNew    connectionState = iota // it brought no whole request yet
+	connectionNew    connectionState = iota // it have not sent a complete request yet
 	connectionActive                        // it did, and carries something
 	connectionIdle                          // it did, and carries nothing
 	connectionEnding                        // it ends once no request is open on it
@@ -40,7 +40,7 @@
 	stateElement *list.Element  // in the list of new or of idle connections
 
 	requestTimer  timer
-	wasIncomplete bool // at the timer before this one, and no whole request has come since
+	wasIncomplete bool // at the timer before this one, and no complete request has come since
 
 	peerIP netip.Addr // the other end; read when tenants go by it
 }
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// onRequestTimeout answers requests that are not whole in time, and closes a connection that has nothing else open and
-// brings none whole: else they would keep their place and buffers for ever, and a little at a time is no excuse.
+// onRequestTimeout answers requests that are not complete in time, and closes a connection that has nothing else open
+// and completes none: otherwise a client that sends a little at a time would keep its place and buffers for ever.
 func (c *routerConnection) onRequestTimeout() {
 	for _, incomplete := range c.parser.IncompleteRequests() {
 		if incomplete.Overdue || c.state == connectionNew {
--- a/internal/server/routerrequests.go
+++ b/internal/server/routerrequests.go
@@ -19,7 +19,7 @@
 // HasCapacity implements fastcgi.Handler: whether the parser may begin a further request.
 func (c *routerConnection) HasCapacity() bool { return c.server.buffers.inUse < c.server.buffers.limit }
 
-// HandleRequest implements fastcgi.Handler: a request is whole.
+// HandleRequest implements fastcgi.Handler: a request is complete.
 func (c *routerConnection) HandleRequest(stream *fastcgi.Request) {
 	if c.closeAfterWrite { // it came behind the one that wanted the connection closed, and is never run
 		return
--- a/internal/server/routertable.go
+++ b/internal/server/routertable.go
@@ -15,14 +15,14 @@
 	newConnectionDivisor = 4
 )
 
-// routerTable holds the connections that routers open, and whoever else connects. It must never close one under a whole
-// request, nor act on what a request is about.
+// routerTable holds the connections that routers open, and whoever else connects. It must never close one that carries
+// a complete request, nor act on what a request is about.
 type routerTable struct {
 	server          *Server
 	openCount       int
 	maxConnections  int
 	all             *list.List // of *routerConnection
-	newConnections  *list.List // of those that brought no whole request yet, the oldest first
+	newConnections  *list.List // of those that have not sent a complete request yet, the oldest first
 	idleConnections *list.List // of those that did and carry nothing, the longest idle first
 	idleTimeout     timeunit.Ticks
 	idleTimer       timer
@@ -32,7 +32,7 @@
 
 	rejected   int // connections for which there was no room
 	evicted    int // connections closed to make room
-	incomplete int // connections closed as no whole request came
+	incomplete int // connections closed as no complete request came
 }
 
 func (t *routerTable) init(s *Server) {
@@ -75,7 +75,7 @@
 	return true
 }
 
-// evictionCandidate returns the connection whose place goes to a new one: one that never brought a whole request,
+// evictionCandidate returns the connection whose place goes to a new one: one that never sent a complete request,
 // unless that may be on its way, else the one that is idle longest, or nil where all carry something.
 func (t *routerTable) evictionCandidate() *routerConnection {
 	oldestNew := t.newConnections.Front()
