--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -23,25 +23,23 @@
 func (*busyHost) ReportLoad(float64)                 {}
 func (*busyHost) SetTimer(timeunit.Ticks)            {}
 
-func benchConfig() Config {
-	return Config{Cores: 8, MemoryKB: 1e12, RunMemoryFactor: 2, OverloadThreshold: 8, EntryKB: 1, BatchInterval: 10,
+// BenchmarkBatch measures a batch of one arrival, one start, one call and one end, with so many requests queued.
+func BenchmarkBatch(b *testing.B) {
+	config := Config{Cores: 8, MemoryKB: 1e12, RunMemoryFactor: 2, OverloadThreshold: 8, EntryKB: 1, BatchInterval: 10,
 		Routers: 4, SharedDependency: true, DownstreamLimit: 100, DownstreamWindow: 50_000,
 		AbandonedCallTime: 100, LoadReportMode: ReportLimit, Categories: []Category{
 			{Weight: 1, SoftDeadline: 1 << 40, Deadline: 1 << 41, LateValue: 0.2},
 			{Weight: 2, SoftDeadline: 1 << 40, Deadline: 1 << 41, Idempotency: Keyed, DeduplicationWindow: 100}}}
-}
-
-// BenchmarkBatch measures a batch of one arrival, one start, one call and one end, with so many requests queued.
-func BenchmarkBatch(b *testing.B) {
 	for _, queued := range []int{0, 100, 10_000} {
-		b.Run(fmt.Sprintf("held=%d", queued), func(b *testing.B) {
+		b.Run(fmt.Sprintf("queued=%d", queued), func(b *testing.B) {
 			host := &busyHost{}
-			server := New(benchConfig(), host, 0)
+			server := New(config, host, 0)
 			now := timeunit.Ticks(0)
 			id := 0
 			enqueue := func() {
 				id++
-				server.Enqueue(Arrival{QueuedKB: 1, Category: id % 2, Router: id % 4, TimeLeft: 1 << 41, ID: uint64(id)})
+				server.Enqueue(Arrival{QueuedKB: 1, Category: id % 2, Router: id % 4, TimeLeft: 1 << 41,
+					ID: uint64(id)})
 			}
 			for range queued + 8 {
 				enqueue()
--- a/admission/dependency_test.go
+++ b/admission/dependency_test.go
@@ -82,10 +82,10 @@
 		if d.history != nil {
 			host = recorder{caller, d.history}
 		}
-		caller.server = New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 30_000, Deadline: 60_000}}, Routers: 3,
-			Servers: fleetSize, Cores: 4, MemoryKB: 1e6, RunMemoryFactor: 4, BatchInterval: 20, OverloadThreshold: 8,
-			SharedDependency: true, DownstreamLimit: limit, DownstreamWindow: 50_000, AbandonedCallTime: abandonedTime,
-			TurnOffset: d.random.Float64()}, host, d.now)
+		caller.server = New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 30_000, Deadline: 60_000}},
+			Routers: 3, Servers: fleetSize, Cores: 4, MemoryKB: 1e6, RunMemoryFactor: 4, BatchInterval: 20,
+			OverloadThreshold: 8, SharedDependency: true, DownstreamLimit: limit, DownstreamWindow: 50_000,
+			AbandonedCallTime: abandonedTime, TurnOffset: d.random.Float64()}, host, d.now)
 		d.servers = append(d.servers, caller)
 	}
 }
@@ -170,8 +170,8 @@
 	return maxInFlight
 }
 
-// All servers start at once, the dependency is cold, down, up again and slow, and the fleet grows to twice its size: the
-// calls in flight of the whole fleet stay within N and an allowance for chance.
+// All servers start at once, the dependency is cold, down, up again and slow, and the fleet grows to twice its size.
+// The calls in flight of the whole fleet stay within N and an allowance for chance.
 func TestMeasuredCallsOfFleetStayWithinLimit(t *testing.T) {
 	for _, servers := range []int{1, 8, 20, 30} {
 		for _, survives := range []float64{3, 10, 40, 6 * float64(servers)} {
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -5,7 +5,7 @@
 	"thistlequay/timeunit"
 )
 
-// silentHost does nothing when it is notified. Tests whose server commands more of its host embed it and add that.
+// silentHost ignores what it is notified of. Hosts of tests embed it and add the methods that their servers call too.
 type silentHost struct{ Host }
 
 func (silentHost) CloseIdleConnections(timeunit.Ticks)   {}
@@ -13,22 +13,26 @@
 func (silentHost) Reject(*Request, timeunit.Ticks, bool) {}
 func (silentHost) Release(*Request)                      {}
 
-// recorder forwards a server's commands to another host and adds each to a history: a number that stands for the method,
-// the request's ID and all arguments. Floating-point figures are added as printed exactly, so the golden files hold for
-// machines that round each product by itself (amd64).
+// recorder forwards a server's commands to another host and adds each to a history: a number that stands for the
+// method, the request's ID and all arguments. Floating-point figures are added as printed exactly, so the golden files
+// hold for machines that round each product by itself (amd64).
 type recorder struct {
 	Host
 	history *golden.History
 }
 
-func (rec recorder) Run(r *Request) {
-	rec.history.Add(1, r.ID)
-	rec.Host.Run(r)
-}
+func (rec recorder) Run(r *Request)         { rec.forward(1, r, rec.Host.Run) }
+func (rec recorder) ShareResult(r *Request) { rec.forward(2, r, rec.Host.ShareResult) }
+func (rec recorder) Abort(r *Request)       { rec.forward(4, r, rec.Host.Abort) }
+func (rec recorder) StopRun(r *Request)     { rec.forward(5, r, rec.Host.StopRun) }
+func (rec recorder) SkipCall(r *Request)    { rec.forward(7, r, rec.Host.SkipCall) }
+func (rec recorder) DropEntry(r *Request)   { rec.forward(9, r, rec.Host.DropEntry) }
+func (rec recorder) Release(r *Request)     { rec.forward(14, r, rec.Host.Release) }
 
-func (rec recorder) ShareResult(r *Request) {
-	rec.history.Add(2, r.ID)
-	rec.Host.ShareResult(r)
+// forward records and forwards a command that has no arguments but its request.
+func (rec recorder) forward(method int, r *Request, command func(*Request)) {
+	rec.history.Add(method, r.ID)
+	command(r)
 }
 
 func (rec recorder) Reject(r *Request, retryAfter timeunit.Ticks, finalRejection bool) {
@@ -36,36 +40,16 @@
 	rec.Host.Reject(r, retryAfter, finalRejection)
 }
 
-func (rec recorder) Abort(r *Request) {
-	rec.history.Add(4, r.ID)
-	rec.Host.Abort(r)
-}
-
-func (rec recorder) StopRun(r *Request) {
-	rec.history.Add(5, r.ID)
-	rec.Host.StopRun(r)
-}
-
 func (rec recorder) StartCall(r *Request, until timeunit.Ticks) {
 	rec.history.Add(6, r.ID, int64(until))
 	rec.Host.StartCall(r, until)
 }
 
-func (rec recorder) SkipCall(r *Request) {
-	rec.history.Add(7, r.ID)
-	rec.Host.SkipCall(r)
-}
-
 func (rec recorder) KeepEntry(r *Request, lifetime timeunit.Ticks) {
 	rec.history.Add(8, r.ID, int64(lifetime))
 	rec.Host.KeepEntry(r, lifetime)
 }
 
-func (rec recorder) DropEntry(r *Request) {
-	rec.history.Add(9, r.ID)
-	rec.Host.DropEntry(r)
-}
-
 func (rec recorder) ReportLoad(value float64) {
 	rec.history.Add(10, value)
 	rec.Host.ReportLoad(value)
@@ -86,11 +70,6 @@
 	rec.Host.SetTimer(after)
 }
 
-func (rec recorder) Release(r *Request) {
-	rec.history.Add(14, r.ID)
-	rec.Host.Release(r)
-}
-
 // addStats adds all figures that a server reports about itself.
 func (rec recorder) addStats(s *Server) {
 	stats := s.Stats()
