--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -9,8 +9,7 @@
 	"thistlequay/timeunit"
 )
 
-// The system's clock is set, an hour back or ahead: the server's own time goes on evenly, and what a router says by the
-// new clock is understood by it.
+// The system clock is set an hour back or ahead: the server's own time goes on evenly.
 func TestClockGoesOnEvenlyWhenSystemClockIsSet(t *testing.T) {
 	clock := newClock()
 	elapsed := time.Duration(0)
@@ -25,26 +24,29 @@
 		require.Equal(t, timeunit.Ticks(system.Add(elapsed).UnixMicro()/100), now+clock.systemOffset)
 		before = now
 	}
-	s, _ := newRunningServer(t)
-	router := connectRouter(s)
-	s.clock.systemOffset = 3_600_000 // six minutes: routers' times are by so much ahead of the server's now
+}
+
+// Times from routers are by the system clock as it is set now; the server converts them to its own time.
+func TestReceivedAtIsConvertedAfterSystemClockIsSet(t *testing.T) {
+	server, _ := newRunningServer(t)
+	router := connectRouter(server)
+	server.clock.systemOffset = 3_600_000 // six minutes: routers' times are so much ahead of the server's now
 	const id = "00000000000000c1"
-	require.Empty(t, submitAttempt(t, s, router, id, "1364000", 10_050_000), "a new one, in time")
-	require.NotNil(t, s.requests.byID[id])
-	require.Equal(t, timeunit.Ticks(10_040_000), s.requests.byID[id].receivedAt)
+	require.Empty(t, submitAttempt(t, server, router, id, "1364000", 10_050_000), "a new request, in time")
+	require.NotNil(t, server.requests.byID[id])
+	require.Equal(t, timeunit.Ticks(10_040_000), server.requests.byID[id].receivedAt)
 }
 
-// After a standstill neither timers nor admission act before the sockets have been read once more.
+// After a standstill neither timers nor admission act before the sockets have been read again.
 func TestSocketsAreReadBeforeTimersFireAfterStandstill(t *testing.T) {
-	s, _ := newRunningServer(t)
-	s.loop = idleLoop{}
+	server, _ := newRunningServer(t)
 	fired := 0
-	s.setTimer(&timer{fire: func() { fired++ }}, s.now+1)
-	s.now += standstillThreshold + 2
-	s.fireTimers()
-	require.True(t, s.awaitingSockets())
+	server.setTimer(&timer{fire: func() { fired++ }}, server.now+1)
+	server.now += standstillThreshold + 2
+	server.fireTimers()
+	require.True(t, server.awaitingSockets())
 	require.Zero(t, fired)
-	s.resumeAfterStandstill()
-	require.False(t, s.awaitingSockets())
+	server.resumeAfterStandstill()
+	require.False(t, server.awaitingSockets())
 	require.Equal(t, 1, fired)
 }
--- a/internal/server/fixtures_test.go
+++ b/internal/server/fixtures_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 	"testing"
 
@@ -15,15 +16,15 @@
 	"thistlequay/timeunit"
 )
 
-// firstID is the ID of the request that runs from the beginning.
+// firstID is the ID of the request that runs from the start of a test.
 const firstID = "00000000000000aa"
 
-// testSettings have one category, whose requests bear an idempotency key that holds for 5 s; their deadline is 8 s.
+// testSettings have one category, with an idempotency key, a deduplication window of 5 s and a deadline of 8 s.
 const testSettings = `{"Categories":[{"Effect":"by_key","HardLimit":8000,"Name":"a","OnTime":4000,
 "Window":5000,"Worth":1}],"FamilyInfo":{"CallShare":9,"CallsOver":5000,"Cores":2,"Downstream":"common","MemoryKb":80000,
 "Meters":["core_use","on_cores"],"RunFactor":8,"Halt":"drop"},"Servers":1,"Rules":{"TipMultiple":8}}`
 
-// discardConn is a connection that nothing leaves.
+// discardConn is a connection that discards what is written.
 type discardConn struct{ gnet.Conn }
 
 func (discardConn) Write(b []byte) (int, error) { return len(b), nil }
@@ -32,63 +33,67 @@
 func (discardConn) SetContext(any)              {}
 func (discardConn) Fd() int                     { return -1 }
 
-// idleLoop is an event loop that runs nothing: the test ends batches.
+// idleLoop is an event loop that runs nothing: the test ends the batches.
 type idleLoop struct{ gnet.EventLoop }
 
 func (idleLoop) Execute(context.Context, gnet.Runnable) error { return nil }
 func (idleLoop) Close(gnet.Conn) error                        { return nil }
 
-// newRunningServer makes a server without an engine, with one request that runs. Nothing leaves it.
+// newRunningServer makes a server without an engine, with one request that runs. Nothing that it writes is sent.
 func newRunningServer(t *testing.T) (*Server, *routerConnection) {
 	t.Helper()
 	settings, err := deployment.Read([]byte(testSettings))
 	require.NoError(t, err)
 	config := Config{Name: "n", MaxSockets: 64, MemoryBytes: 64 << 20, Settings: settings}
-	s := New(config, logs.New(io.Discard, logs.FormatText))
-	s.now = 10_000_000
-	notify(t, s, `{"type":"BANNER","state":"WARM","took":1}`)
-	router := connectRouter(s)
+	server := New(config, logs.New(io.Discard, logs.FormatText))
+	server.loop = idleLoop{}
+	server.now = 10_000_000
+	notify(t, server, `{"type":"BANNER","state":"WARM","took":1}`)
+	router := connectRouter(server)
 	router.conn = nil
 	feed(t, router, wholeRequest)
-	s.admission.Dispatch()
+	server.admission.Dispatch()
 	run := `{"type":"APPLY","job":"` + firstID + `","kind":"a","data":"eA=="}`
-	require.Contains(t, string(s.interpreter.output), run)
-	return s, router
+	require.Contains(t, string(server.interpreter.output), run)
+	return server, router
 }
 
-// newServerWithRun is newRunningServer where nothing waits to be written.
+// newServerWithRun is newRunningServer with all output written.
 func newServerWithRun(t *testing.T) (*Server, *routerConnection) {
 	t.Helper()
-	s, router := newRunningServer(t)
-	s.loop = idleLoop{}
+	server, router := newRunningServer(t)
 	router.conn = discardConn{}
-	takeOutput(&s.interpreter.outputBuffer)
-	return s, router
+	takeOutput(&server.interpreter.outputBuffer)
+	return server, router
 }
 
-// newServerWithCall is newRunningServer where the run waits for a call that is out on a connection.
+// newServerWithCall is newRunningServer where the run waits for a call in flight on a connection.
 func newServerWithCall(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
 	t.Helper()
-	s, router := newRunningServer(t)
-	s.loop = idleLoop{}
-	s.requests.byID[firstID].handle.NeedsCall()
-	s.admission.Dispatch()
-	connection := s.requests.byID[firstID].call.connection
+	server, router := newRunningServer(t)
+	server.requests.byID[firstID].handle.NeedsCall()
+	server.admission.Dispatch()
+	return server, router, openCallConnection(server)
+}
+
+// openCallConnection opens the connection that the call of the first request waits for.
+func openCallConnection(server *Server) *pooledConnection {
+	connection := server.requests.byID[firstID].call.connection
 	connection.opened(discardConn{})
-	return s, router, connection
+	return connection
 }
 
-// connectRouter makes a router's connection that nothing leaves.
-func connectRouter(s *Server) *routerConnection {
-	router := s.routers.accept().(*routerConnection)
+// connectRouter makes a router's connection that discards what is written.
+func connectRouter(server *Server) *routerConnection {
+	router := server.routers.accept().(*routerConnection)
 	router.opened(discardConn{})
 	return router
 }
 
-// notify has the interpreter say a line.
-func notify(t *testing.T, s *Server, format string, args ...any) {
+// notify has the interpreter send a notice, which is one line.
+func notify(t *testing.T, server *Server, format string, args ...any) {
 	t.Helper()
-	require.NoError(t, s.interpreter.receive([]byte(fmt.Sprintf(format, args...)+"\n")))
+	require.NoError(t, server.interpreter.receive([]byte(fmt.Sprintf(format, args...)+"\n")))
 }
 
 // feed has a router send records.
@@ -131,40 +136,45 @@
 	return begin + record(4, pairs) + record(4, "") + stdin + record(5, "")
 }
 
-// feedInPieces gives data to receive in pieces of a size, until it fails.
-func feedInPieces(data string, size int, receive func([]byte) error) (err error) {
-	for len(data) > 0 && err == nil {
-		n := min(size, len(data))
-		err = receive([]byte(data[:n]))
-		data = data[n:]
+// feedInPieces passes data to receive in pieces of a size, until it fails.
+func feedInPieces(data string, size int, receive func([]byte) error) error {
+	for piece := range slices.Chunk([]byte(data), size) {
+		if err := receive(piece); err != nil {
+			return err
+		}
 	}
-	return err
+	return nil
 }
 
-// submitAttempt sends one more attempt of the request at a moment and returns what is answered in the batch.
+// submitAttempt sends another attempt of the request at a time and returns the output of the batch to the router.
 func submitAttempt(
-	t *testing.T, s *Server, router *routerConnection, id, receivedAt string, now timeunit.Ticks,
+	t *testing.T, server *Server, router *routerConnection, id, receivedAt string, now timeunit.Ticks,
 ) string {
 	t.Helper()
-	s.now = max(s.now, now)
-	s.admission.Advance(s.now)
+	server.now = max(server.now, now)
+	server.admission.Advance(server.now)
 	router.output = nil
 	attempt := strings.Replace(wholeRequest, firstID, id, 1)
 	feed(t, router, strings.Replace(attempt, "1000000", receivedAt, 1))
-	dispatchBatch(s)
+	dispatchBatch(server)
 	return string(router.output)
 }
 
 // dispatchBatch ends a batch by hand.
-func dispatchBatch(s *Server) {
-	s.requests.settle()
-	s.admission.Dispatch()
+func dispatchBatch(server *Server) {
+	server.requests.settle()
+	server.admission.Dispatch()
+}
+
+// passTime advances the time, fires the timers that are due and ends the batch.
+func passTime(server *Server, span timeunit.Ticks) {
+	advanceTime(server, span)
+	dispatchBatch(server)
 }
 
-// passTime moves the time on and fires what is due.
-func passTime(s *Server, span timeunit.Ticks) {
-	s.now += span
-	s.admission.Advance(s.now)
-	s.resumeAfterStandstill()
-	dispatchBatch(s)
+// advanceTime advances the time and fires the timers that are due.
+func advanceTime(server *Server, span timeunit.Ticks) {
+	server.now += span
+	server.admission.Advance(server.now)
+	server.resumeAfterStandstill()
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -5,6 +5,7 @@
 	"math/rand"
 	"net"
 	"os/exec"
+	"slices"
 	"strings"
 	"testing"
 
@@ -16,32 +17,48 @@
 	"thistlequay/internal/plugin/chain"
 )
 
-// transcript is a golden file of the bytes that go in and out, a line each.
+// transcript is a golden file of the bytes that are received and sent, a line each.
 type transcript struct{ text strings.Builder }
 
-func (s *transcript) add(what string, data string) { fmt.Fprintf(&s.text, "%s: %q\n", what, data) }
+func (s *transcript) add(what, data string) { fmt.Fprintf(&s.text, "%s: %q\n", what, data) }
+
+// addOutput adds what is to be written to a connection, and empties it.
+func (s *transcript) addOutput(what string, of *outputBuffer) { s.add(what, takeOutput(of)) }
+
+// addResponses adds what is to be written to a router and to the interpreter.
+func (s *transcript) addResponses(point string, server *Server, router *routerConnection) {
+	s.addOutput(point+"router", &router.outputBuffer)
+	s.addOutput(point+"interpreter", &server.interpreter.outputBuffer)
+}
 
 // addValues adds values separated by spaces.
 func (s *transcript) addValues(what string, values ...any) {
 	s.add(what, strings.TrimSuffix(fmt.Sprintln(values...), "\n"))
 }
 
-func (s *transcript) check(t *testing.T, name string) { golden.Check(t, name, []byte(s.text.String())) }
+func (s *transcript) check(t *testing.T, name string) {
+	t.Helper()
+	golden.Check(t, name, []byte(s.text.String()))
+}
 
-// paramsWith returns the fields of the usual request with some of them replaced or added.
+// paramsWith returns the parameters of the usual request with some of them replaced or added.
 func paramsWith(changes ...string) [][2]string {
-	fields := append([][2]string(nil), requestParams...)
-next:
-	for i := 0; i < len(changes); i += 2 {
-		for j := range fields {
-			if fields[j][0] == changes[i] {
-				fields[j][1] = changes[i+1]
-				continue next
-			}
+	params := slices.Clone(requestParams)
+	for change := range slices.Chunk(changes, 2) {
+		changed := [2]string{change[0], change[1]}
+		i := slices.IndexFunc(params, func(param [2]string) bool { return param[0] == changed[0] })
+		if i >= 0 {
+			params[i] = changed
+		} else {
+			params = append(params, changed)
 		}
-		fields = append(fields, [2]string{changes[i], changes[i+1]})
 	}
-	return fields
+	return params
+}
+
+// withID gives the request another ID, by its last two digits, before other changes.
+func withID(lastDigits string, changes ...string) []string {
+	return append([]string{"HTTP_REQUEST_ID", "00000000000000" + lastDigits}, changes...)
 }
 
 var tooLongKey = strings.Repeat("k", maxKeyBytes+1)
@@ -51,10 +68,10 @@
 	changes []string
 	body    string
 }{
-	{"accepted", []string{"HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"}, "x"},
-	{"no time left", []string{"HTTP_REQUEST_ID", "00000000000000a2", "HTTP_ONCE_KEY", "m", "HTTP_BUDGET_MS", "0"}, "x"},
-	{"repeat of the key", []string{"HTTP_REQUEST_ID", "00000000000000a3"}, "x"},
-	{"key with another body", []string{"HTTP_REQUEST_ID", "00000000000000a4"}, "y"},
+	{"accepted", withID("a1", "HTTP_ONCE_KEY", "l"), "x"},
+	{"no time left", withID("a2", "HTTP_ONCE_KEY", "m", "HTTP_BUDGET_MS", "0"), "x"},
+	{"repeat of the key", withID("a3"), "x"},
+	{"key with another body", withID("a4"), "y"},
 	{"health", []string{"SCRIPT_NAME", "/health"}, ""},
 	{"path", []string{"SCRIPT_NAME", "/x"}, "x"},
 	{"category", []string{"SCRIPT_NAME", "/rpc/b"}, "x"},
@@ -65,76 +82,79 @@
 	{"id is not hex", []string{"HTTP_REQUEST_ID", "zzzzzzzzzzzzzzzz"}, "x"},
 	{"id is short", []string{"HTTP_REQUEST_ID", "1"}, "x"},
 	{"id in hand", nil, "x"},
-	{"received before all time", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_RECEIVED_AT", "-1"}, "x"},
-	{"received at no number", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_RECEIVED_AT", "x"}, "x"},
-	{"received in the future", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_RECEIVED_AT", "1001001"}, "x"},
-	{"budget beyond", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_BUDGET_MS", "16000"}, "x"},
-	{"budget below zero", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_BUDGET_MS", "-0.1"}, "x"},
-	{"no sender", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_SENT_BY", ""}, "x"},
-	{"sender beyond", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_SENT_BY", "9007199254740992"}, "x"},
-	{"footprint of zero", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_FOOTPRINT_KB", "0"}, "x"},
-	{"footprint beyond", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_FOOTPRINT_KB", "2000"}, "x"},
-	{"rank beyond", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_PRIORITY_RANK", "1"}, "x"},
-	{"account", []string{"HTTP_REQUEST_ID", "00000000000000a5", "HTTP_ACCOUNT", strings.Repeat("a", 100)}, "x"},
-	{"no key", []string{"HTTP_REQUEST_ID", "00000000000000a6", "HTTP_ONCE_KEY", ""}, "x"},
-	{"key beyond", []string{"HTTP_REQUEST_ID", "00000000000000a7", "HTTP_ONCE_KEY", tooLongKey}, "x"},
+	{"received before all time", withID("a5", "HTTP_RECEIVED_AT", "-1"), "x"},
+	{"received at no number", withID("a5", "HTTP_RECEIVED_AT", "x"), "x"},
+	{"received in the future", withID("a5", "HTTP_RECEIVED_AT", "1001001"), "x"},
+	{"budget beyond", withID("a5", "HTTP_BUDGET_MS", "16000"), "x"},
+	{"budget below zero", withID("a5", "HTTP_BUDGET_MS", "-0.1"), "x"},
+	{"no sender", withID("a5", "HTTP_SENT_BY", ""), "x"},
+	{"sender beyond", withID("a5", "HTTP_SENT_BY", "9007199254740992"), "x"},
+	{"footprint of zero", withID("a5", "HTTP_FOOTPRINT_KB", "0"), "x"},
+	{"footprint beyond", withID("a5", "HTTP_FOOTPRINT_KB", "2000"), "x"},
+	{"rank beyond", withID("a5", "HTTP_PRIORITY_RANK", "1"), "x"},
+	{"account", withID("a5", "HTTP_ACCOUNT", strings.Repeat("a", 100)), "x"},
+	{"no key", withID("a6", "HTTP_ONCE_KEY", ""), "x"},
+	{"key beyond", withID("a7", "HTTP_ONCE_KEY", tooLongKey), "x"},
 	{"two faults", []string{"REQUEST_METHOD", "GET", "HTTP_REQUEST_ID", "1", "HTTP_SENT_BY", ""}, "x"},
 }
 
-// What a router is answered, byte for byte, from the first request until after the notice to leave.
-func TestGoldenRequests(t *testing.T) {
-	var s transcript
-	a, first := newRunningServer(t)
-	a.loop, first.conn, a.routers.maxConnections = idleLoop{}, discardConn{}, 1000
-	exchange := func(name string, keep byte, fields [][2]string, body string) {
-		c := connectRouter(a)
-		text := requestRecords(keep, fields, body)
-		closes := c.parser.Feed([]byte(text), c) != nil
-		dispatchBatch(a)
-		s.addValues(name, closes, c.closeAfterWrite, takeOutput(&c.outputBuffer))
+// Responses to a router are as recorded, byte for byte, from the first request until the drain has ended.
+func TestResponsesToRoutersAreAsRecorded(t *testing.T) {
+	var recorded transcript
+	server, first := newRunningServer(t)
+	first.conn = discardConn{}
+	server.routers.maxConnections = 1000
+	exchange := func(name string, keepConnection byte, params [][2]string, body string) {
+		router := connectRouter(server)
+		records := requestRecords(keepConnection, params, body)
+		closes := router.parser.Feed([]byte(records), router) != nil
+		dispatchBatch(server)
+		recorded.addValues(name, closes, router.closeAfterWrite, takeOutput(&router.outputBuffer))
 	}
-	s.add("first run", takeOutput(&a.interpreter.outputBuffer))
-	for _, one := range requestCases {
-		exchange(one.name, 1, paramsWith(one.changes...), one.body)
+	healthCheck := paramsWith("SCRIPT_NAME", "/health")
+	recorded.addOutput("first run", &server.interpreter.outputBuffer)
+	for _, test := range requestCases {
+		exchange(test.name, 1, paramsWith(test.changes...), test.body)
 	}
 	exchange("a field twice", 1, append(paramsWith(), [2]string{"HTTP_SENT_BY", "2"}), "x")
-	exchange("not kept", 0, paramsWith("SCRIPT_NAME", "/health"), "")
-	s.add("runs", takeOutput(&a.interpreter.outputBuffer))
-	aborted := connectRouter(a)
-	feed(t, aborted, requestRecords(1, paramsWith("HTTP_REQUEST_ID", "00000000000000b1", "HTTP_ONCE_KEY", "n"), "x"))
+	exchange("not kept", 0, healthCheck, "")
+	recorded.addOutput("runs", &server.interpreter.outputBuffer)
+	aborted := connectRouter(server)
+	feed(t, aborted, requestRecords(1, paramsWith(withID("b1", "HTTP_ONCE_KEY", "n")...), "x"))
 	require.NoError(t, aborted.parser.Feed([]byte{1, 2, 0, 1, 0, 0, 0, 0}, aborted))
-	dispatchBatch(a)
-	s.add("aborted", takeOutput(&aborted.outputBuffer))
-	half := connectRouter(a)
+	dispatchBatch(server)
+	recorded.addOutput("aborted", &aborted.outputBuffer)
+	half := connectRouter(server)
 	require.NoError(t, half.parser.Feed([]byte(requestRecords(1, paramsWith(), "x"))[:40], half))
-	passTime(a, firstRequestTimeout)
-	s.addValues("half a request", half.closeAfterWrite, takeOutput(&half.outputBuffer))
-	a.routers.setLoadReport(0.25)
-	exchange("with the free value", 1, paramsWith("SCRIPT_NAME", "/health"), "")
-	a.directory.opened(discardConn{})
-	takeOutput(&a.directory.outputBuffer)
-	a.beginShutdown()
-	s.add("directory", takeOutput(&a.directory.outputBuffer))
-	exchange("leaving: health", 1, paramsWith("SCRIPT_NAME", "/health"), "")
-	late := paramsWith("HTTP_REQUEST_ID", "00000000000000c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")
+	passTime(server, firstRequestTimeout)
+	recorded.addValues("half a request", half.closeAfterWrite, takeOutput(&half.outputBuffer))
+	server.routers.setLoadReport(0.25)
+	exchange("with the free value", 1, healthCheck, "")
+	server.directory.opened(discardConn{})
+	takeOutput(&server.directory.outputBuffer)
+	server.beginShutdown()
+	recorded.addOutput("directory", &server.directory.outputBuffer)
+	exchange("leaving: health", 1, healthCheck, "")
+	late := paramsWith(withID("c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")...)
 	exchange("leaving: request", 1, late, "x")
 	for range 70 {
-		passTime(a, second/10)
+		passTime(server, second/10)
 	}
-	s.add("at its deadline", takeOutput(&first.outputBuffer))
-	s.add("to the interpreter", takeOutput(&a.interpreter.outputBuffer))
-	fresh := New(a.config, a.log)
-	fresh.now, fresh.loop = 10_000_000, idleLoop{}
-	c := connectRouter(fresh)
-	feed(t, c, wholeRequest)
-	s.add("starting", takeOutput(&c.outputBuffer))
-	s.check(t, "requests.txt")
+	recorded.addOutput("at its deadline", &first.outputBuffer)
+	recorded.addOutput("to the interpreter", &server.interpreter.outputBuffer)
+	fresh := New(server.config, server.log)
+	fresh.now = 10_000_000
+	fresh.loop = idleLoop{}
+	router := connectRouter(fresh)
+	feed(t, router, wholeRequest)
+	recorded.addOutput("starting", &router.outputBuffer)
+	recorded.check(t, "requests.txt")
 }
 
-// What each of the interpreter's notices does, byte for byte: whether it closes the link, what goes to the router, to
-// the interpreter and to the index.
-func TestGoldenNotices(t *testing.T) {
-	var s transcript
+// The effects of each of the interpreter's notices are as recorded, byte for byte: whether it closes the link, what is
+// sent to the router, to the interpreter and to the index.
+func TestEffectsOfInterpreterNoticesAreAsRecorded(t *testing.T) {
+	var recorded transcript
 	for _, lines := range []string{
 		`{"type":"VALUE","n":1,"job":"JOB","state":"OK","took":5,"data":"eA=="}`,
 		`{"type":"VALUE","n":1,"job":"JOB","state":"ERROR","took":5}`,
@@ -158,25 +178,23 @@
 		`{"type":"BANNER","state":"COLD","took":3}`,
 		`{"type":"OTHER"}`, `[]`, ` `, strings.Repeat("x", maxLineBytes+1),
 	} {
-		a, c := newServerWithRun(t)
-		closes := a.interpreter.receive([]byte(strings.ReplaceAll(lines, "JOB", firstID)+"\n")) != nil
-		dispatchBatch(a)
-		s.add("notice", lines[:min(len(lines), 200)])
-		s.addValues("closes", closes, a.interpreter.lastNotice, a.requests.count(), a.index.inFlight)
-		s.add("router", takeOutput(&c.outputBuffer))
-		s.add("interpreter", takeOutput(&a.interpreter.outputBuffer))
-		if it := a.requests.byID[firstID]; it != nil && it.call != nil {
-			l := it.call.connection
-			l.opened(discardConn{})
-			s.add("index", takeOutput(&l.outputBuffer))
+		server, router := newServerWithRun(t)
+		closes := server.interpreter.receive([]byte(strings.ReplaceAll(lines, "JOB", firstID)+"\n")) != nil
+		dispatchBatch(server)
+		recorded.add("notice", lines[:min(len(lines), 200)])
+		recorded.addValues("closes", closes, server.interpreter.lastNotice, server.requests.count(),
+			server.index.inFlight)
+		recorded.addResponses("", server, router)
+		if first := server.requests.byID[firstID]; first != nil && first.call != nil {
+			recorded.addOutput("index", &openCallConnection(server).outputBuffer)
 		}
 	}
-	s.check(t, "notices.txt")
+	recorded.check(t, "notices.txt")
 }
 
-// What each of the index's replies does, byte for byte.
-func TestGoldenReplies(t *testing.T) {
-	var s transcript
+// The effects of each of the index's replies are as recorded, byte for byte.
+func TestEffectsOfIndexRepliesAreAsRecorded(t *testing.T) {
+	var recorded transcript
 	for _, text := range []string{
 		"JOB HIT 2\r\nok\r\n", "JOB HIT 0\r\n\r\n", "JOB SHED\r\n", "JOB BROKEN\r\n", "JOB SLOW\r\n", "JOB NOBODY\r\n",
 		"JOB HIT\r\n", "JOB SHED 2\r\nok\r\n", "JOB OTHER\r\n", "JOB\r\n", "1 SHED\r\n",
@@ -184,60 +202,60 @@
 		"JOB HIT 2\r\nokxx", "JOB HIT 2\r\nok", "00000000000000ff SHED\r\n", "00000000000000ff SHED\r\nJOB SLOW\r\n",
 		"JOB SLOW\r\nJOB SLOW\r\n", strings.Repeat("x", 129), strings.Repeat("x", 128), "\r\n",
 	} {
-		a, c, l := newServerWithCall(t)
-		c.conn = discardConn{}
-		a.interpreter.output = nil
-		s.add("call", takeOutput(&l.outputBuffer))
-		closes := l.receive([]byte(strings.ReplaceAll(text, "JOB", firstID))) != nil
+		server, router, connection := newServerWithCall(t)
+		router.conn = discardConn{}
+		server.interpreter.output = nil
+		recorded.addOutput("call", &connection.outputBuffer)
+		closes := connection.receive([]byte(strings.ReplaceAll(text, "JOB", firstID))) != nil
 		if closes {
-			l.closed()
+			connection.closed()
 		}
-		dispatchBatch(a)
-		s.add("reply", text)
-		s.addValues("closes", closes, a.index.inFlight, len(a.index.idle), a.index.connections)
-		s.add("router", takeOutput(&c.outputBuffer))
-		s.add("interpreter", takeOutput(&a.interpreter.outputBuffer))
+		dispatchBatch(server)
+		recorded.add("reply", text)
+		recorded.addValues("closes", closes, server.index.inFlight, len(server.index.idle), server.index.connections)
+		recorded.addResponses("", server, router)
 	}
-	a, _, l := newServerWithCall(t)
-	takeOutput(&l.outputBuffer)
-	a.interpreter.output = nil
-	passTime(a, 100_000)
-	s.addValues("given up", l.call == nil, a.index.inFlight, takeOutput(&a.interpreter.outputBuffer))
-	s.check(t, "replies.txt")
+	server, _, connection := newServerWithCall(t)
+	takeOutput(&connection.outputBuffer)
+	server.interpreter.output = nil
+	passTime(server, 100_000)
+	toInterpreter := takeOutput(&server.interpreter.outputBuffer)
+	recorded.addValues("given up", connection.call == nil, server.index.inFlight, toInterpreter)
+	recorded.check(t, "replies.txt")
 }
 
-// A link to the interpreter that breaks and comes back, byte for byte.
-func TestGoldenReconnect(t *testing.T) {
-	var s transcript
-	a, c := newServerWithRun(t)
+// The output after a reconnection to the interpreter is as recorded, byte for byte.
+func TestOutputAfterReconnectionIsAsRecorded(t *testing.T) {
+	var recorded transcript
+	server, router := newServerWithRun(t)
+	interpreter := &server.interpreter
 	for i := range 2 {
-		a.interpreter.conn = discardConn{}
-		a.interpreter.closed()
-		a.interpreter.opened(discardConn{})
-		s.add("connect", takeOutput(&a.interpreter.outputBuffer))
-		notify(t, a, `{"type":"BANNER","state":"WARM","took":1}`)
-		s.add("fence", takeOutput(&a.interpreter.outputBuffer))
-		notify(t, a, `{"type":"TOPS","ref":"%s","gauges":[1,2]}`, a.interpreter.replayFence)
-		s.add("ready", takeOutput(&a.interpreter.outputBuffer))
+		interpreter.conn = discardConn{}
+		interpreter.closed()
+		interpreter.opened(discardConn{})
+		recorded.addOutput("connect", &interpreter.outputBuffer)
+		notify(t, server, `{"type":"BANNER","state":"WARM","took":1}`)
+		recorded.addOutput("fence", &interpreter.outputBuffer)
+		notify(t, server, `{"type":"TOPS","ref":"%s","gauges":[1,2]}`, interpreter.replayFence)
+		recorded.addOutput("ready", &interpreter.outputBuffer)
 		if i == 0 {
-			notify(t, a, `{"type":"AWAIT","n":1,"job":"%s","data":"cQ=="}`, firstID)
-			dispatchBatch(a)
-			l := a.requests.byID[firstID].call.connection
-			l.opened(discardConn{})
-			s.add("call", takeOutput(&l.outputBuffer))
-			require.NoError(t, l.receive([]byte(firstID+" HIT 2\r\nok\r\n")))
-			s.add("resolve", takeOutput(&a.interpreter.outputBuffer))
+			notify(t, server, `{"type":"AWAIT","n":1,"job":"%s","data":"cQ=="}`, firstID)
+			dispatchBatch(server)
+			connection := openCallConnection(server)
+			recorded.addOutput("call", &connection.outputBuffer)
+			require.NoError(t, connection.receive([]byte(firstID+" HIT 2\r\nok\r\n")))
+			recorded.addOutput("resolve", &interpreter.outputBuffer)
 		}
 	}
-	notify(t, a, `{"type":"VALUE","n":2,"job":"%s","state":"OK","took":5,"data":"eA=="}`, firstID)
-	dispatchBatch(a)
-	s.add("router", takeOutput(&c.outputBuffer))
-	s.check(t, "reconnect.txt")
+	notify(t, server, `{"type":"VALUE","n":2,"job":"%s","state":"OK","took":5,"data":"eA=="}`, firstID)
+	dispatchBatch(server)
+	recorded.addOutput("router", &router.outputBuffer)
+	recorded.check(t, "reconnect.txt")
 }
 
-// The reports to the directory and what its answers do, byte for byte.
-func TestGoldenDirectory(t *testing.T) {
-	var s transcript
+// The reports to the directory and the effects of its answers are as recorded, byte for byte.
+func TestReportsToDirectoryAreAsRecorded(t *testing.T) {
+	var recorded transcript
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 404 No\r\ncontent-length:0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
@@ -245,44 +263,49 @@
 		"FTP/1.1 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", strings.Repeat("x", maxAnswerBytes+1),
 		strings.Repeat("x", maxAnswerBytes), "HTTP/1.1 200 OK\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
-		a, _ := newServerWithRun(t)
-		d := &a.directory
-		a.config.Directory = "directory:1"
-		a.routers.admissionHealthy = len(text)%2 == 0
-		d.opened(discardConn{})
-		s.add("report", takeOutput(&d.outputBuffer))
-		closes := d.receive([]byte(text)) != nil
-		s.add("answer", text[:min(len(text), 100)])
-		isAwaiting := d.state == directoryAwaitingAnswer
-		s.addValues("closes", closes, isAwaiting, int64(d.reportTimer.deadline-a.now), len(d.partial))
-		passTime(a, reportInterval)
-		s.addValues("next", d.missedReports, d.consecutiveMisses, takeOutput(&d.outputBuffer))
+		server, _ := newServerWithRun(t)
+		directory := &server.directory
+		server.config.Directory = "directory:1"
+		server.routers.admissionHealthy = len(text)%2 == 0
+		directory.opened(discardConn{})
+		recorded.addOutput("report", &directory.outputBuffer)
+		closes := directory.receive([]byte(text)) != nil
+		recorded.add("answer", text[:min(len(text), 100)])
+		isAwaiting := directory.state == directoryAwaitingAnswer
+		nextReportIn := int64(directory.reportTimer.deadline - server.now)
+		recorded.addValues("closes", closes, isAwaiting, nextReportIn, len(directory.partial))
+		passTime(server, reportInterval)
+		nextReport := takeOutput(&directory.outputBuffer)
+		recorded.addValues("next", directory.missedReports, directory.consecutiveMisses, nextReport)
 	}
-	s.check(t, "directory.txt")
+	recorded.check(t, "directory.txt")
 }
 
-// The whole histories of seeded sequences: every byte that would leave, connection by connection, and the books.
-func TestGoldenSequences(t *testing.T) {
-	const seeds, group = 300, 10
+// The histories of seeded sequences are as recorded: all output, connection by connection, and the server's figures.
+func TestHistoriesOfRandomSequencesAreAsRecorded(t *testing.T) {
+	const (
+		seeds = 300
+		group = 10
+	)
 	var lines strings.Builder
 	for from := int64(0); from < seeds; from += group {
-		h := golden.NewHistory()
+		history := golden.NewHistory()
 		for seed := from; seed < from+group; seed++ {
-			r := rand.New(rand.NewSource(seed))
-			data := make([]byte, 2*(20+r.Intn(80)))
-			r.Read(data)
-			h.Add("seed", seed)
-			playObserved(t, data, true, h.Add)
+			random := rand.New(rand.NewSource(seed))
+			data := make([]byte, 2*(20+random.Intn(80)))
+			random.Read(data)
+			history.Add("seed", seed)
+			playObserved(t, data, true, history.Add)
 		}
-		fmt.Fprintf(&lines, "seeds %d to %d: %s\n", from, from+group-1, h)
+		fmt.Fprintf(&lines, "seeds %d to %d: %s\n", from, from+group-1, history)
 	}
 	golden.Check(t, "sequences.txt", []byte(lines.String()))
 }
 
-// newServerWithPlugin makes a server whose requests are shown to one plug-in that may do everything, on a connection
-// that nothing leaves.
+// newServerWithPlugin makes a server with one plug-in that may do everything, on a connection that discards output.
 func newServerWithPlugin(t *testing.T) (*Server, *pluginConnection) {
-	a, _ := newServerWithRun(t)
+	t.Helper()
+	server, _ := newServerWithRun(t)
 	policy := chain.Policy{
 		Name:                 "p",
 		Hooks:                [3]bool{true, true, true},
@@ -301,83 +324,86 @@
 		MaxQuarantine:        10_000,
 	}
 	isNew := func(string) bool { return false }
-	pluginChain := chain.New([]chain.Policy{policy}, nil, isNew, a.random, a.now)
+	pluginChain := chain.New([]chain.Policy{policy}, nil, isNew, server.random, server.now)
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { _ = theirs.Close() })
 	process := &plugin.Process{Conn: ours, Command: &exec.Cmd{}}
-	h := &pluginConnection{part: &a.plugins, config: &Plugins{}, chain: pluginChain, process: process}
-	h.outputBuffer = outputBuffer{server: a, maxUnread: maxUnreadPerLink, conn: discardConn{}}
-	a.plugins.config, a.plugins.live, a.plugins.chain = h.config, h, pluginChain
-	return a, h
+	connection := &pluginConnection{part: &server.plugins, config: &Plugins{}, chain: pluginChain, process: process}
+	connection.outputBuffer = outputBuffer{server: server, maxUnread: maxUnreadPerLink, conn: discardConn{}}
+	server.plugins.config = connection.config
+	server.plugins.live = connection
+	server.plugins.chain = pluginChain
+	return server, connection
 }
 
-// What a process of plug-ins is asked and what its verdicts do, byte for byte, before a run and after.
-func TestGoldenPlugins(t *testing.T) {
-	var s transcript
-	verdict := func(how byte, v abi.Verdict) []byte {
-		return v.Append([]byte{how, 100, 0, 0, 0})
+// The calls of a plug-in and the effects of its verdicts are as recorded, byte for byte, before and after a run.
+func TestPluginCallsAndVerdictsAreAsRecorded(t *testing.T) {
+	var recorded transcript
+	ended := func(outcome byte, verdict abi.Verdict) []byte {
+		return verdict.Append([]byte{outcome, 100, 0, 0, 0})
 	}
-	says := func(v abi.Verdict) []byte { return verdict(plugin.CallSucceeded, v) }
-	nothing := says(abi.Verdict{})
-	for _, one := range []struct {
-		name         string
-		read, result []byte
+	returned := func(verdict abi.Verdict) []byte { return ended(plugin.CallSucceeded, verdict) }
+	nothing := returned(abi.Verdict{})
+	request := requestRecords(1, paramsWith(withID("a1", "HTTP_ONCE_KEY", "l")...), "body")
+	for _, test := range []struct {
+		name   string
+		read   []byte // verdict before the run; nil for none within the time limit
+		result []byte // verdict after it
 	}{
 		{"nothing said", nothing, nothing},
 		{"no verdict at all", []byte{plugin.CallSucceeded, 1, 0, 0, 0}, nothing},
-		{"declined", says(abi.Verdict{Actions: abi.ActionReject, Status: 403}), nothing},
-		{"declined as busy", says(abi.Verdict{Actions: abi.ActionReject, Status: 503}), nothing},
-		{"declined with a status that is none", says(abi.Verdict{Actions: abi.ActionReject, Status: 200}), nothing},
-		{"tagged", says(abi.Verdict{Actions: abi.ActionTag, Tag: "vip"}), nothing},
-		{"another category", says(abi.Verdict{Actions: abi.ActionCategorize, Category: "a"}), nothing},
-		{"an unknown category", says(abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), nothing},
-		{"cut", verdict(plugin.CallTimedOut, abi.Verdict{}), verdict(plugin.CallTrapped, abi.Verdict{})},
-		{"unreadable", verdict(plugin.CallMalformed, abi.Verdict{}), verdict(plugin.CallNotStarted, abi.Verdict{})},
+		{"declined", returned(abi.Verdict{Actions: abi.ActionReject, Status: 403}), nothing},
+		{"declined as busy", returned(abi.Verdict{Actions: abi.ActionReject, Status: 503}), nothing},
+		{"declined with a status that is none", returned(abi.Verdict{Actions: abi.ActionReject, Status: 200}), nothing},
+		{"tagged", returned(abi.Verdict{Actions: abi.ActionTag, Tag: "vip"}), nothing},
+		{"another category", returned(abi.Verdict{Actions: abi.ActionCategorize, Category: "a"}), nothing},
+		{"an unknown category", returned(abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), nothing},
+		{"cut", ended(plugin.CallTimedOut, abi.Verdict{}), ended(plugin.CallTrapped, abi.Verdict{})},
+		{"unreadable", ended(plugin.CallMalformed, abi.Verdict{}), ended(plugin.CallNotStarted, abi.Verdict{})},
 		{"bytes that are none", []byte{plugin.CallSucceeded, 1, 0, 0, 0, 9}, []byte{1}},
-		{"another result", nothing, says(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
-		{"a longer result", nothing, says(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
+		{"another result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
+		{"a longer result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
 		{"silent", nil, nil},
 	} {
-		a, h := newServerWithPlugin(t)
-		c := connectRouter(a)
-		say := func(point string, payload []byte) {
-			s.add(point+": asked", takeOutput(&h.outputBuffer))
+		server, connection := newServerWithPlugin(t)
+		router := connectRouter(server)
+		decide := func(point string, payload []byte) {
+			recorded.addOutput(point+": asked", &connection.outputBuffer)
 			if payload == nil {
-				passTime(a, 200)
+				passTime(server, 200)
 			} else {
-				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, a.plugins.lastCall, payload)
-				require.NoError(t, feedInPieces(string(frame), 7, h.receive))
+				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, server.plugins.lastCall, payload)
+				require.NoError(t, feedInPieces(string(frame), 7, connection.receive))
 			}
-			dispatchBatch(a)
-			s.add(point+": router", takeOutput(&c.outputBuffer))
-			s.add(point+": interpreter", takeOutput(&a.interpreter.outputBuffer))
+			dispatchBatch(server)
+			recorded.addResponses(point+": ", server, router)
 		}
-		s.add("plug-in", one.name)
-		text := requestRecords(1, paramsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body")
-		feed(t, c, text)
-		dispatchBatch(a)
-		say("read", one.read)
-		notify(t, a, `{"type":"VALUE","n":1,"job":"00000000000000a1","state":"OK","data":"eHh4"}`)
-		dispatchBatch(a)
-		say("result", one.result)
-		s.addValues("books", h.pendingCalls, h.requests, a.plugins.lateVerdicts, a.requests.count(),
-			h.chain.Plugins[0].Faults)
+		recorded.add("plug-in", test.name)
+		feed(t, router, request)
+		dispatchBatch(server)
+		decide("read", test.read)
+		notify(t, server, `{"type":"VALUE","n":1,"job":"00000000000000a1","state":"OK","data":"eHh4"}`)
+		dispatchBatch(server)
+		decide("result", test.result)
+		recorded.addValues("books", connection.pendingCalls, connection.requests, server.plugins.lateVerdicts,
+			server.requests.count(), connection.chain.Plugins[0].Faults)
 	}
-	a, h := newServerWithPlugin(t)
-	c := connectRouter(a)
-	feed(t, c, requestRecords(1, paramsWith("HTTP_REQUEST_ID", "00000000000000a1", "HTTP_ONCE_KEY", "l"), "body"))
-	keep := func(key, value string) {
+	server, connection := newServerWithPlugin(t)
+	feed(t, connectRouter(server), request)
+	store := func(key, value string) {
 		payload := append([]byte{byte(len(key))}, key+value...)
-		require.NoError(t, h.receive(plugin.AppendFrame(nil, plugin.FrameState, 0, 0, payload)))
+		require.NoError(t, connection.receive(plugin.AppendFrame(nil, plugin.FrameState, 0, 0, payload)))
 	}
-	keep("k", "v")
-	keep("l", "w")
-	keep("l", "")
-	require.NoError(t, h.receive(plugin.AppendFrame(nil, plugin.FrameCounters, 0, 0, []byte(`{"seen":3}`))))
-	s.addValues("kept", a.plugins.snapshot(), a.plugins.stateBytes, a.plugins.counters)
-	s.addValues("place beyond", h.receive(plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)) != nil)
-	h.closed()
-	dispatchBatch(a)
-	s.add("process died: interpreter", takeOutput(&a.interpreter.outputBuffer))
-	s.check(t, "plugins.txt")
+	store("k", "v")
+	store("l", "w")
+	store("l", "")
+	counters := plugin.AppendFrame(nil, plugin.FrameCounters, 0, 0, []byte(`{"seen":3}`))
+	require.NoError(t, connection.receive(counters))
+	recorded.addValues("kept", server.plugins.snapshot(), server.plugins.stateBytes, server.plugins.counters)
+	logOfNoPlugin := plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)
+	recorded.addValues("place beyond", connection.receive(logOfNoPlugin) != nil)
+	connection.closed()
+	dispatchBatch(server)
+	recorded.addOutput("process died: interpreter", &server.interpreter.outputBuffer)
+	recorded.check(t, "plugins.txt")
 }
--- a/internal/server/index_test.go
+++ b/internal/server/index_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/timeunit"
 )
 
-// What the index says never panics, and means the same however it is split.
+// No input from the index makes the server panic, and its effect does not depend on how it is split.
 func FuzzReplies(f *testing.F) {
 	f.Add(firstID+" HIT 3\r\na\r\n\r\n", 1)
 	f.Add(firstID+" SHED\r\n"+firstID+" SLOW\r\n", 4)
@@ -18,24 +18,32 @@
 	f.Add(strings.Repeat("x", 200), 9)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		receive := func(size int) string {
-			s, router, connection := newServerWithCall(t)
+			server, router, connection := newServerWithCall(t)
 			err := feedInPieces(text, size, connection.receive)
-			return fmt.Sprint(err, s.index.inFlight, string(router.output), string(s.interpreter.output))
+			return fmt.Sprint(err, server.index.inFlight, string(router.output), string(server.interpreter.output))
 		}
 		require.Equal(t, receive(max(1, len(text))), receive(1+max(0, size)%61))
 	})
 }
 
-// A connection that was idle for long may have been forgotten by the index. It carries no call, also when the timer
-// that closes it is late.
+// The index may have dropped a connection that was idle for long. It carries no call, even if the timer that closes it
+// is late.
 func TestExpiredIdleConnectionCarriesNoCall(t *testing.T) {
-	cases := map[timeunit.Ticks]bool{idleConnectionTimeout - 1: true, idleConnectionTimeout: false}
-	for idle, isUsed := range cases {
-		s, _, connection := newServerWithCall(t)
-		require.NoError(t, connection.receive([]byte(firstID+" HIT 0\r\n\r\n")))
-		s.now += idle
-		call := &indexCall{request: &request{id: "another"}}
-		s.index.assign(call)
-		require.Equal(t, isUsed, call.connection == connection)
+	for _, test := range []struct {
+		name     string
+		idleTime timeunit.Ticks
+		isUsed   bool
+	}{
+		{"not yet expired", idleConnectionTimeout - 1, true},
+		{"expired", idleConnectionTimeout, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			server, _, connection := newServerWithCall(t)
+			require.NoError(t, connection.receive([]byte(firstID+" HIT 0\r\n\r\n")))
+			server.now += test.idleTime
+			call := &indexCall{request: &request{id: "another"}}
+			server.index.assign(call)
+			require.Equal(t, test.isUsed, call.connection == connection)
+		})
 	}
 }
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -13,7 +13,7 @@
 	"thistlequay/internal/segmentlog"
 )
 
-// blockingDisk keeps nothing; its syncs wait for the test to tell their results.
+// blockingDisk stores nothing; its syncs block until the test sends their results.
 type blockingDisk struct{ syncResults chan error }
 
 func (d *blockingDisk) List() ([]string, error)                       { return nil, nil }
@@ -30,7 +30,7 @@
 	runCommand = `"APPLY","job":"` + intendedID + `"`
 )
 
-// diskTest is a server with a recovery log on a blocking disk, which has been sent one request with a key.
+// diskTest is a server with a recovery log on a blocking disk, which has received one request with a key.
 type diskTest struct {
 	*testing.T
 	server  *Server
@@ -56,8 +56,7 @@
 		OnWritten:    func(done []segmentlog.WriteResult) { d.written <- done },
 	})
 	require.NoError(t, err)
-	d.server, _ = newRunningServer(t) // one request runs already, without a log
-	d.server.loop = idleLoop{}
+	d.server, _ = newRunningServer(t) // one request already runs, without a log
 	d.server.recovery.init(d.server, &Recovery{Store: log, OnDurable: func(func([]segmentlog.WriteResult)) {}})
 	d.router = connectRouter(d.server)
 	d.server.endBatchQueued = true // batches are ended by the test
@@ -67,7 +66,7 @@
 	return d
 }
 
-// sync has the disk end a sync and the server hear of it.
+// sync ends a sync of the disk and notifies the server of its result.
 func (d *diskTest) sync(result error) {
 	d.Helper()
 	d.disk.syncResults <- result
@@ -75,7 +74,7 @@
 	case done := <-d.written:
 		d.server.recovery.onDurable(done)
 	case <-time.After(20 * time.Second):
-		require.Fail(d, "nothing came back from the log")
+		require.Fail(d, "the log reported no result")
 	}
 }
 
@@ -91,7 +90,7 @@
 	require.Empty(t, d.server.recovery.pending)
 }
 
-// The disk stands still: the request is answered in time and never run, and its intent is taken back later.
+// The disk stalls: the request is rejected in time and never run, and its intent is concluded later.
 func TestRequestIsRejectedInTimeWhenDiskStalls(t *testing.T) {
 	d := newDiskTest(t)
 	intended := d.server.requests.byID[intendedID]
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
@@ -19,32 +20,32 @@
 	indexReplies      = []string{"HIT 2\r\nok", "SHED", "BROKEN", "SLOW", "NOBODY"}
 )
 
-// sequence is a server to which a sequence of random events happens, and what is known of them.
+// sequence is a server that is driven by a sequence of random events, and the history of them.
 type sequence struct {
 	*testing.T
 	server  *Server
 	routers []*routerConnection
-	observe func(values ...any) // is given all output, and figures after each batch
+	observe func(values ...any) // called with all output, and with figures after each batch
 
-	streams    int // opened, over all routers
+	streams    int // opened, by all routers
 	requests   int // besides the first
 	notices    int
 	keys       map[string]byte           // of requests, by ID
 	receivedAt map[string]timeunit.Ticks // by ID
-	runs       map[string]bool           // that were begun, by ID
+	runs       map[string]bool           // that were started, by ID
 	lastRun    map[byte]timeunit.Ticks   // when the attempt that ran last was received, by key
 	numbers    map[*outputBuffer]int     // of connections, in the order of their first output
 }
 
-// playSequence has a sequence of events happen that data chooses. In the end every request must have had its one
-// answer, and no idempotency key more than one run.
+// playSequence plays a sequence of events that data chooses. In the end every request must have had exactly one
+// response, and no idempotency key more than one run.
 func playSequence(t *testing.T, data []byte) { playObserved(t, data, false, func(...any) {}) }
 
-// playObserved is playSequence, and all output is observed. Where it must be the same each time the interpreter's link
-// breaks and comes back with one request in hand at most: several are gone through in no order.
+// playObserved is playSequence with all output observed. If isRepeatable, the output is the same each time: then the
+// interpreter's link breaks or is restored only with one open request at most, as several are visited in no order.
 func playObserved(t *testing.T, data []byte, isRepeatable bool, observe func(...any)) {
+	t.Helper()
 	server, first := newRunningServer(t)
-	server.loop = idleLoop{}
 	server.interpreter.conn = discardConn{}
 	first.conn = discardConn{}
 	p := &sequence{
@@ -59,23 +60,23 @@
 		lastRun:    map[byte]timeunit.Ticks{},
 		numbers:    map[*outputBuffer]int{},
 	}
-	p.endBatch() // the first run's command leaves before anything is heard of it
+	p.endBatch() // the first run's command is written before any notice of it
 	for len(data) >= 2 {
 		p.event(data[0]%10, data[1], isRepeatable)
 		p.endBatch()
 		p.pass(timeunit.Ticks(data[1]) * 4)
 		data = data[2:]
 	}
-	for range 900 { // everything that is owed is due by then
+	for range 900 { // every response is due by then
 		p.pass(100)
 	}
 	for _, router := range p.routers {
-		require.Zero(t, router.parser.OpenRequests(), "requests without an answer")
+		require.Zero(t, router.parser.OpenRequests(), "requests without a response")
 	}
 	require.Zero(t, server.brokenInvariants)
 }
 
-// event has one thing happen; which is its choice among the possible ones of the kind.
+// event plays one event; choice selects among the possible events of the kind.
 func (p *sequence) event(kind, choice byte, isRepeatable bool) {
 	router := p.routers[choice%2]
 	chosen := p.pick(choice)
@@ -106,7 +107,7 @@
 	}
 }
 
-// pick returns a request in hand, the same each time, or nil.
+// pick returns an open request, the same each time, or nil.
 func (p *sequence) pick(choice byte) *request {
 	for i := 0; i <= p.requests; i++ {
 		number := (i + int(choice)) % (p.requests + 1)
@@ -140,7 +141,7 @@
 	feed(p.T, router, string(records))
 }
 
-// abort has the router of a request stop waiting.
+// abort has the router of a request abort it.
 func (p *sequence) abort(aborted *request) {
 	if aborted == nil || aborted.router == nil {
 		return
@@ -149,7 +150,7 @@
 	feed(p.T, aborted.router, string([]byte{1, 2, byte(stream >> 8), byte(stream), 0, 0, 0, 0}))
 }
 
-// endRun has the interpreter tell the end of a run.
+// endRun has the interpreter report the end of a run.
 func (p *sequence) endRun(ended *request, state string) {
 	if ended == nil || !ended.runSent || !p.hasLink() {
 		return
@@ -162,7 +163,7 @@
 		p.notices, ended.id, state)
 }
 
-// indexEvent has the index answer the call of a request, or its connection open, or close.
+// indexEvent has the index reply to the call of a request, or opens or closes its connection.
 func (p *sequence) indexEvent(caller *request, choice byte) {
 	if caller == nil || caller.call == nil || caller.call.connection == nil {
 		return
@@ -180,7 +181,7 @@
 	}
 }
 
-// toggleLink breaks the interpreter's link, or has it come back.
+// toggleLink breaks the interpreter's link, or restores it.
 func (p *sequence) toggleLink() {
 	if p.hasLink() {
 		p.server.interpreter.closed()
@@ -190,32 +191,30 @@
 	notify(p.T, p.server, `{"type":"BANNER","state":"WARM","took":1}`)
 }
 
-// pass moves the time on, as after a standstill: the steps are long.
+// pass advances the time, as after a standstill: the steps are long.
 func (p *sequence) pass(span timeunit.Ticks) {
-	p.server.now += span
-	p.server.admission.Advance(p.server.now)
-	p.server.resumeAfterStandstill()
+	advanceTime(p.server, span)
 	p.endBatch()
 }
 
-// endBatch dispatches until nothing more comes of it, and has all output leave.
+// endBatch dispatches until that has no further effect, and discards all output.
 func (p *sequence) endBatch() {
-	s := p.server
+	server := p.server
 	for range 3 {
-		dispatchBatch(s)
+		dispatchBatch(server)
 		p.takeCommands()
 	}
-	for _, output := range s.pendingWrites {
-		if output != &s.interpreter.outputBuffer {
+	for _, output := range server.pendingWrites {
+		if output != &server.interpreter.outputBuffer {
 			p.observeOutput(output)
 			output.output = nil
 		}
 	}
-	s.pendingWrites = nil
-	s.buffers.inUse = 0
-	stats := s.admission.Stats()
-	p.observe(int64(s.now), s.requests.count(), s.index.inFlight, s.index.connections, len(s.requests.entries),
-		stats.Queued, stats.Running, stats.WaitingAtCalls)
+	server.pendingWrites = nil
+	server.buffers.inUse = 0
+	stats := server.admission.Stats()
+	p.observe(int64(server.now), server.requests.count(), server.index.inFlight, server.index.connections,
+		len(server.requests.entries), stats.Queued, stats.Running, stats.WaitingAtCalls)
 }
 
 func (p *sequence) observeOutput(of *outputBuffer) {
@@ -228,40 +227,40 @@
 	p.observe(p.numbers[of], string(of.output))
 }
 
-// takeCommands is the interpreter: it begins runs and answers questions for the gauges, in that order. A command to run
-// does nothing where its request runs, and starts nothing where that is over.
+// takeCommands acts as the interpreter: it starts runs and answers queries for the gauges, in that order. A command to
+// run has no effect if its request runs or has run.
 func (p *sequence) takeCommands() {
 	p.observeOutput(&p.server.interpreter.outputBuffer)
 	output := takeOutput(&p.server.interpreter.outputBuffer)
 	for _, match := range runCommandPattern.FindAllStringSubmatch(output, -1) {
-		p.beginRun(match[1])
+		p.startRun(match[1])
 	}
 	if !p.hasLink() {
 		return
 	}
-	var questions []string
+	var queries []string
 	for _, line := range strings.Split(output, "\n") {
-		if tag, isQuestion := strings.CutPrefix(line, `{"type":"TOP","ref":"`); isQuestion {
-			questions = append(questions, strings.TrimSuffix(tag, `"}`))
+		if tag, isQuery := strings.CutPrefix(line, `{"type":"TOP","ref":"`); isQuery {
+			queries = append(queries, strings.TrimSuffix(tag, `"}`))
 		}
 	}
-	for i := len(questions) - 1; i >= 0; i-- { // the last first
-		notify(p.T, p.server, `{"type":"TOPS","ref":"%s","gauges":[0.5,1]}`, questions[i])
+	for _, tag := range slices.Backward(queries) {
+		notify(p.T, p.server, `{"type":"TOPS","ref":"%s","gauges":[0.5,1]}`, tag)
 	}
 }
 
-func (p *sequence) beginRun(id string) {
+func (p *sequence) startRun(id string) {
 	if p.runs[id] {
 		return
 	}
 	last, hasRun := p.lastRun[p.keys[id]]
-	require.False(p, hasRun && p.receivedAt[id] < last+50_000, "a run begun twice")
+	require.False(p, hasRun && p.receivedAt[id] < last+50_000, "a run started twice")
 	p.runs[id] = true
 	p.lastRun[p.keys[id]] = p.receivedAt[id]
 }
 
 func FuzzSequences(f *testing.F) {
-	f.Add([]byte("\x00\x00\x00\x02\x00\x04\x04\x00\x04\x01\x00\x00\x05\x00\x06\x00\"7000000")) // MOOT of a run heard of
+	f.Add([]byte("\x00\x00\x00\x02\x00\x04\x04\x00\x04\x01\x00\x00\x05\x00\x06\x00\"7000000")) // MOOT, run confirmed
 	f.Add([]byte{0, 0, 0, 2, 0, 4, 4, 0, 4, 1, 0, 0, 5, 0, 6, 0, 6, 3, 6, 0, 8, 7, 0, 1})
 	f.Add([]byte{0, 0, 0, 1, 7, 0, 0, 3, 7, 0, 4, 0, 3, 1, 8, 255, 8, 254, 0, 0, 4, 1})
 	f.Fuzz(playSequence)
