--- a/internal/subsetting/subsetting_test.go
+++ b/internal/subsetting/subsetting_test.go
@@ -9,108 +9,122 @@
 	"github.com/stretchr/testify/require"
 )
 
-func fleet(n int, zones ...int) (list []Server) {
-	for i := range n {
-		zone, left := 0, i
-		for zone < len(zones)-1 && left >= zones[zone] {
-			left -= zones[zone]
+// newFleet makes so many servers in zones of these sizes; the last zone gets what is left.
+func newFleet(count int, zoneSizes ...int) (servers []Server) {
+	for i := range count {
+		zone := 0
+		left := i
+		for zone < len(zoneSizes)-1 && left >= zoneSizes[zone] {
+			left -= zoneSizes[zone]
 			zone++
 		}
-		list = append(list, Server{fmt.Sprintf("n%04d", i), fmt.Sprint("z", zone)})
+		servers = append(servers, Server{fmt.Sprintf("n%04d", i), fmt.Sprint("z", zone)})
 	}
-	return list
+	return servers
 }
 
-func tenants(n int) (list []string) {
-	for i := range n {
-		list = append(list, fmt.Sprint("tenant-", i))
+func tenantNames(count int) (names []string) {
+	for i := range count {
+		names = append(names, fmt.Sprint("tenant-", i))
 	}
-	return list
+	return names
 }
 
-// moved returns the part of all places that differ.
-func moved(before, after *Assignment, tenants []string) float64 {
-	differ := 0
-	all := 0
-	for _, tenant := range tenants {
-		old := before.Subset(tenant)
-		for _, server := range after.Subset(tenant) {
-			all++
-			if !slices.Contains(old, server) {
-				differ++
-			}
+// countShared returns how many servers of a subset are in the other one too.
+func countShared(subset, other []Server) (shared int) {
+	for _, server := range subset {
+		if slices.Contains(other, server) {
+			shared++
 		}
 	}
-	return float64(differ) / float64(all)
+	return shared
+}
+
+// movedFraction returns the fraction of all servers in subsets that were not in the same subset before.
+func movedFraction(before, after *Assignment, tenants []string) float64 {
+	moved := 0
+	total := 0
+	for _, tenant := range tenants {
+		subset := after.Subset(tenant)
+		total += len(subset)
+		moved += len(subset) - countShared(subset, before.Subset(tenant))
+	}
+	return float64(moved) / float64(total)
 }
 
-// poisoned returns how many other tenants share all of their servers with the first, and the most that one shares.
-func poisoned(assignment *Assignment, tenants []string) (hurt, mostShared int) {
-	poisoned := assignment.Subset(tenants[0])
+// countFullOverlaps returns how many other tenants share all of their servers with the first tenant, and the largest
+// number of servers that one of them shares.
+func countFullOverlaps(assignment *Assignment, tenants []string) (overlaps, maxShared int) {
+	faulty := assignment.Subset(tenants[0])
 	for _, other := range tenants[1:] {
-		shared := 0
-		for _, server := range assignment.Subset(other) {
-			if slices.Contains(poisoned, server) {
-				shared++
-			}
-		}
-		mostShared = max(mostShared, shared)
-		if shared == len(assignment.Subset(other)) {
-			hurt++
+		subset := assignment.Subset(other)
+		shared := countShared(subset, faulty)
+		maxShared = max(maxShared, shared)
+		if shared == len(subset) {
+			overlaps++
 		}
 	}
-	return hurt, mostShared
+	return overlaps, maxShared
 }
 
-// Balance, what a server that leaves or joins moves, and how many other tenants lose all of their servers where one
-// harms all of its own.
-func TestMeasuredSubsets(t *testing.T) {
-	for _, c := range []struct {
-		servers, tenants, size int
-		zones                  []int
+// Load is balanced, few subsets change when a server leaves or joins, and a tenant that makes all of its servers fail
+// leaves every other tenant at least one server.
+func TestMeasuredSubsetsAreBalancedStableAndIsolating(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		servers    int
+		tenants    int
+		subsetSize int
+		zoneSizes  []int
 	}{
-		{12, 40, 3, []int{4, 4, 4}},
-		{33, 200, 4, []int{3, 30}},
-		{300, 3000, 6, []int{100, 100, 100}},
-		{300, 3000, 6, []int{20, 80, 200}},
+		{"small fleet", 12, 40, 3, []int{4, 4, 4}},
+		{"two unequal zones", 33, 200, 4, []int{3, 30}},
+		{"large fleet", 300, 3000, 6, []int{100, 100, 100}},
+		{"large fleet in unequal zones", 300, 3000, 6, []int{20, 80, 200}},
 	} {
-		config := Config{Seed: 9, SubsetSize: c.size, LoadSlack: 0.2}
-		servers := fleet(c.servers, c.zones...)
-		names := tenants(c.tenants)
-		assignment := Assign(config, servers, names)
-		left := Assign(config, slices.Delete(slices.Clone(servers), c.servers/2, c.servers/2+1), names)
-		joined := Assign(config, append(slices.Clone(servers), Server{"n9999", "z0"}), names)
-		hurt, mostShared := poisoned(assignment, names)
-		t.Logf("measured subsets servers=%d zones=%v tenants=%d most=%d spread=%.3f moved_leave=%.4f moved_join=%.4f "+
-			"one_of_n=%.4f hurt_by_poison=%d most_shared=%d",
-			c.servers, c.zones, c.tenants, c.size, assignment.MaxOverMean(), moved(assignment, left, names),
-			moved(assignment, joined, names), 1/float64(c.servers), hurt, mostShared)
-		require.Zero(t, hurt)
-		require.LessOrEqual(t, moved(assignment, left, names), 5/float64(c.servers))
-		require.LessOrEqual(t, moved(assignment, joined, names), 5/float64(c.servers))
-		if c.servers == 300 {
-			require.LessOrEqual(t, assignment.MaxOverMean(), 1.15)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			config := Config{Seed: 9, SubsetSize: test.subsetSize, LoadSlack: 0.2}
+			servers := newFleet(test.servers, test.zoneSizes...)
+			names := tenantNames(test.tenants)
+			assignment := Assign(config, servers, names)
+			afterLeave := Assign(config, slices.Delete(slices.Clone(servers), test.servers/2, test.servers/2+1), names)
+			afterJoin := Assign(config, append(slices.Clone(servers), Server{"n9999", "z0"}), names)
+			movedByLeave := movedFraction(assignment, afterLeave, names)
+			movedByJoin := movedFraction(assignment, afterJoin, names)
+			overlaps, maxShared := countFullOverlaps(assignment, names)
+			t.Logf("measured subsets servers=%d zones=%v tenants=%d size=%d max_over_mean=%.3f moved_leave=%.4f "+
+				"moved_join=%.4f one_of_n=%.4f full_overlaps=%d max_shared=%d",
+				test.servers, test.zoneSizes, test.tenants, test.subsetSize, assignment.MaxOverMean(), movedByLeave,
+				movedByJoin, 1/float64(test.servers), overlaps, maxShared)
+			require.Zero(t, overlaps)
+			require.LessOrEqual(t, movedByLeave, 5/float64(test.servers))
+			require.LessOrEqual(t, movedByJoin, 5/float64(test.servers))
+			if test.servers == 300 {
+				require.LessOrEqual(t, assignment.MaxOverMean(), 1.15)
+			}
+		})
 	}
 }
 
-// Servers that hold one view get the same subsets, in whatever order they heard of servers and tenants. No subset is
+// shuffledWithRepeat returns a list in random order, with its first element twice.
+func shuffledWithRepeat[T any](random *rand.Rand, list []T) []T {
+	shuffled := append(slices.Clone(list), list[0])
+	random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	return shuffled
+}
+
+// Servers with the same view get the same subsets, in whatever order they learned of servers and tenants. No subset is
 // empty, and none has a server twice.
 func TestSubsetsDependOnNothingButTheView(t *testing.T) {
-	chance := rand.New(rand.NewSource(3))
+	random := rand.New(rand.NewSource(3))
 	for range 200 {
-		count := 1 + chance.Intn(40)
-		servers := fleet(count, 1+chance.Intn(count), 1+chance.Intn(count), count)
-		names := tenants(1 + chance.Intn(60))
-		config := Config{Seed: chance.Uint64(), SubsetSize: 1 + chance.Intn(8), LoadSlack: 0.2}
+		count := 1 + random.Intn(40)
+		servers := newFleet(count, 1+random.Intn(count), 1+random.Intn(count), count)
+		names := tenantNames(1 + random.Intn(60))
+		config := Config{Seed: random.Uint64(), SubsetSize: 1 + random.Intn(8), LoadSlack: 0.2}
 		assignment := Assign(config, servers, names)
-		shuffled := append(slices.Clone(servers), servers[0])
-		chance.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		shuffledNames := append(slices.Clone(names), names[0])
-		chance.Shuffle(len(shuffledNames), func(i, j int) {
-			shuffledNames[i], shuffledNames[j] = shuffledNames[j], shuffledNames[i]
-		})
-		other := Assign(config, shuffled, shuffledNames)
+		shuffledServers := shuffledWithRepeat(random, servers)
+		other := Assign(config, shuffledServers, shuffledWithRepeat(random, names))
 		for _, name := range append(names, "a stranger", "") {
 			subset := assignment.Subset(name)
 			require.Equal(t, subset, other.Subset(name))
@@ -123,13 +137,14 @@
 			require.Len(t, assignment.Explain(name).Load, len(subset))
 		}
 	}
-	require.Empty(t, Assign(Config{SubsetSize: 3}, nil, tenants(3)).Subset("tenant-1"))
+	require.Empty(t, Assign(Config{SubsetSize: 3}, nil, tenantNames(3)).Subset("tenant-1"))
 }
 
 func BenchmarkContains(b *testing.B) {
 	for _, count := range []int{12, 300, 3000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			assignment := Assign(Config{Seed: 1, SubsetSize: 6, LoadSlack: 0.2}, fleet(count, count), tenants(200))
+			config := Config{Seed: 1, SubsetSize: 6, LoadSlack: 0.2}
+			assignment := Assign(config, newFleet(count, count), tenantNames(200))
 			name := assignment.Subset("tenant-7")[5].Name
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLongestPrefixDecidesTenant checks which tenant a request belongs to, by peer and by what the peer says.
+// The tenant of a request is that of the longest prefix of its peer, or of the address that a trusted proxy gives.
 func TestLongestPrefixDecidesTenant(t *testing.T) {
 	table := New("elsewhere")
 	for prefix, tenant := range map[string]string{
@@ -23,24 +23,25 @@
 	}
 	table.TrustProxies(netip.MustParsePrefix("127.0.0.0/8"))
 	table.TrustProxies(netip.MustParsePrefix("::1/128"))
-	for _, c := range []struct{ peer, remote, tenant string }{
-		{"127.0.0.1", "10.9.9.9", "wide"},
-		{"127.0.0.1", "10.1.9.9", "narrow"},
-		{"127.0.0.1", "10.1.2.3", "one"},
-		{"::1", "2001:db8:2::1", "six"},
-		{"::1", "2001:db8:1::1", "six-narrow"},
-		{"::1", "fe80::1%eth0", "elsewhere"},
-		{"127.0.0.1", "::ffff:10.1.2.3", "one"}, // mapped
-		{"127.0.0.1", "192.0.2.7", "mapped"},
-		{"::ffff:127.0.0.1", "10.1.2.3", "one"},
-		{"127.0.0.1", "172.16.0.1", "elsewhere"},
-		{"127.0.0.1", "", "elsewhere"}, // the proxy says nothing: it is not the client itself
-		{"127.0.0.1", "10.1.2.3:80", "elsewhere"},
-		{"10.1.2.3", "10.9.9.9", "one"}, // not trusted: what it says counts for nothing
-		{"10.9.9.9", "10.1.2.3", "wide"},
+	for _, test := range []struct{ name, peer, remote, tenant string }{
+		{"wide network", "127.0.0.1", "10.9.9.9", "wide"},
+		{"narrow network", "127.0.0.1", "10.1.9.9", "narrow"},
+		{"one address", "127.0.0.1", "10.1.2.3", "one"},
+		{"IPv6 network", "::1", "2001:db8:2::1", "six"},
+		{"narrow IPv6 network", "::1", "2001:db8:1::1", "six-narrow"},
+		{"address with a zone", "::1", "fe80::1%eth0", "elsewhere"},
+		{"mapped address", "127.0.0.1", "::ffff:10.1.2.3", "one"},
+		{"mapped network", "127.0.0.1", "192.0.2.7", "mapped"},
+		{"mapped proxy", "::ffff:127.0.0.1", "10.1.2.3", "one"},
+		{"address of no network", "127.0.0.1", "172.16.0.1", "elsewhere"},
+		{"no address: the proxy is not the client itself", "127.0.0.1", "", "elsewhere"},
+		{"address with a port", "127.0.0.1", "10.1.2.3:80", "elsewhere"},
+		{"untrusted peer: the address given is ignored", "10.1.2.3", "10.9.9.9", "one"},
+		{"untrusted peer in the wide network", "10.9.9.9", "10.1.2.3", "wide"},
 	} {
-		got := table.Lookup(netip.MustParseAddr(c.peer), []byte(c.remote))
-		require.Equal(t, c.tenant, got, fmt.Sprint(c))
+		t.Run(test.name, func(t *testing.T) {
+			require.Equal(t, test.tenant, table.Lookup(netip.MustParseAddr(test.peer), []byte(test.remote)))
+		})
 	}
 	require.Equal(t, "elsewhere", New("elsewhere").Lookup(netip.Addr{}, nil))
 }
