--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"os"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -15,7 +16,7 @@
 // requestCoreSeconds is the mean work of a request: the four cores of a day do a hundred requests a second.
 const requestCoreSeconds = 0.04
 
-// stream is the load of one tenant, by fifty routers, from the beginning of the day to its end.
+// stream is the load of one tenant, from fifty routers, from the beginning of the day to its end.
 func stream(tenant string, weight, arrivalsPerSecond float64) *emulator.Stream {
 	return &emulator.Stream{
 		Tenant:            tenant,
@@ -28,7 +29,7 @@
 	}
 }
 
-// length of a day in seconds: short in CI, and that of a real peak where the measurement is asked for in full.
+// length of a day in seconds: short in CI, and that of a real peak if MEASURE asks for the full measurement.
 func length() float64 {
 	if os.Getenv("MEASURE") == "full" {
 		return 300
@@ -38,7 +39,7 @@
 
 // day has four cores and one category.
 func day(fair bool, streams ...*emulator.Stream) Day {
-	d := Day{
+	played := Day{
 		Seed:          7,
 		Length:        length(),
 		Cores:         4,
@@ -54,12 +55,12 @@
 		}},
 	}
 	if fair {
-		d.FairQueue = fairQueueConfig(streams)
+		played.FairQueue = fairQueueConfig(streams)
 	}
-	return d
+	return played
 }
 
-// fairQueueConfig names each stream of one tenant that has a weight.
+// fairQueueConfig names the tenant of each stream that has one tenant and a weight.
 func fairQueueConfig(streams []*emulator.Stream) *fairqueue.Config {
 	config := &fairqueue.Config{
 		OthersWeight:     0.1,
@@ -72,34 +73,44 @@
 		Cores:            4,
 		SoftDeadlines:    []timeunit.Ticks{2 * ticksPerSecond},
 	}
-	for _, s := range streams {
-		if s.TenantOf == nil && s.Weight > 0 {
-			config.Tenants = append(config.Tenants, fairqueue.Tenant{Name: s.Tenant, Weight: s.Weight})
+	for _, load := range streams {
+		if load.TenantOf == nil && load.Weight > 0 {
+			config.Tenants = append(config.Tenants, fairqueue.Tenant{Name: load.Tenant, Weight: load.Weight})
 		}
 	}
 	return config
 }
 
 // accountOf is the account of one tenant, which must have one.
-func accountOf(t *testing.T, o Outcome, tenant string) *emulator.Account {
+func accountOf(t *testing.T, outcome Outcome, tenant string) *emulator.Account {
 	t.Helper()
-	for _, a := range o.Accounts {
-		if a.Tenant == tenant {
-			return a
-		}
+	isOfTenant := func(account *emulator.Account) bool { return account.Tenant == tenant }
+	i := slices.IndexFunc(outcome.Accounts, isOfTenant)
+	require.GreaterOrEqual(t, i, 0, "no account of %s", tenant)
+	return outcome.Accounts[i]
+}
+
+// requireDelivered requires a part of what each of the tenants is entitled to.
+func requireDelivered(t *testing.T, outcome Outcome, minShare float64, tenants ...string) {
+	t.Helper()
+	for _, tenant := range tenants {
+		require.GreaterOrEqual(t, accountOf(t, outcome, tenant).DeliveredShare(), minShare, tenant)
 	}
-	require.Fail(t, "no account", tenant)
-	return nil
 }
 
-// report logs the measured lines of a day, and requires a response in time to every request.
-func report(t *testing.T, name, queues string, o Outcome) {
+// playDay plays a day, logs its measured lines and requires a response in time to every request.
+func playDay(t *testing.T, name string, played Day) Outcome {
 	t.Helper()
-	for _, a := range o.Accounts {
-		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, a)
+	queues := "off"
+	if played.FairQueue != nil {
+		queues = "on"
+	}
+	outcome := Play(played)
+	total := emulator.Total(outcome.Accounts)
+	for _, account := range append(slices.Clone(outcome.Accounts), &total) {
+		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, account)
 	}
-	total := emulator.Total(o.Accounts)
-	t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, &total)
-	require.Zero(t, o.Unanswered, "requests without a response")
-	require.Zero(t, o.AnsweredPastDeadline, "responses after the deadline")
+	require.Zero(t, outcome.Unanswered, "requests without a response")
+	require.Zero(t, outcome.AnsweredPastDeadline, "responses after the deadline")
+	return outcome
 }
--- a/internal/simulation/fairqueue_test.go
+++ b/internal/simulation/fairqueue_test.go
@@ -12,7 +12,7 @@
 	"thistlequay/timeunit"
 )
 
-// greedyTenant is three tenants that ask for less than their parts, and a fourth that asks for ten times its own.
+// greedyTenant is three tenants that request less than their shares, and a fourth that requests ten times its own.
 func greedyTenant() []*emulator.Stream {
 	return []*emulator.Stream{
 		stream("kirken", 0.31, 20),
@@ -22,28 +22,25 @@
 	}
 }
 
-// Fair queues give the three what they are entitled to, which they lack without, and cost no value in all.
+// With fair queues the three get what they are entitled to, without them they do not, and the total value stays.
 func TestMeasuredGreedyTenantTakesNothingFromOthers(t *testing.T) {
-	off := Play(day(false, greedyTenant()...))
-	on := Play(day(true, greedyTenant()...))
-	report(t, "greedy", "off", off)
-	report(t, "greedy", "on", on)
-	for _, name := range []string{"kirken", "byen", "fjord"} {
-		with := accountOf(t, on, name).DeliveredShare()
-		without := accountOf(t, off, name).DeliveredShare()
-		require.GreaterOrEqual(t, with, 0.95, name)
-		require.Less(t, without, 0.95, "without fair queues %s does not need them", name)
+	off := playDay(t, "greedy", day(false, greedyTenant()...))
+	on := playDay(t, "greedy", day(true, greedyTenant()...))
+	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord")
+	for _, tenant := range []string{"kirken", "byen", "fjord"} {
+		share := accountOf(t, off, tenant).DeliveredShare()
+		require.Less(t, share, 0.95, "%s gets its share without fair queues", tenant)
 	}
 	before := emulator.Total(off.Accounts)
 	after := emulator.Total(on.Accounts)
 	require.GreaterOrEqual(t, after.Value, 0.97*before.Value)
 }
 
-// newTenants is four known tenants, and ten thousand names a minute that were never seen before.
+// newTenants is four known tenants, and ten thousand new names a minute.
 func newTenants() []*emulator.Stream {
 	flood := stream("flood", 0.1, 10_000.0/60)
 	flood.Routers = 0
-	flood.TenantOf = func(n int) string { return fmt.Sprint("new-", n) }
+	flood.TenantOf = func(request int) string { return fmt.Sprint("new-", request) }
 	return []*emulator.Stream{
 		stream("kirken", 0.27, 20),
 		stream("byen", 0.25, 18),
@@ -53,74 +50,74 @@
 	}
 }
 
-// A flood of new names takes nothing from known tenants, and none of them is taken for a heavy hitter.
+// A flood of new names takes nothing from known tenants, and none of the names becomes a heavy hitter.
 func TestMeasuredFloodOfNewTenantsTakesNothingFromKnownOnes(t *testing.T) {
-	d := day(true, newTenants()...)
+	flooded := day(true, newTenants()...)
 	var stats []fairqueue.Stats
-	d.OnSecond = func(_ int, l *fairqueue.Scheduler) { stats = append(stats, l.Stats()) }
-	off := Play(day(false, newTenants()...))
-	on := Play(d)
-	report(t, "flood", "off", off)
-	report(t, "flood", "on", on)
-	for _, name := range []string{"kirken", "byen", "fjord", "lag"} {
-		require.GreaterOrEqual(t, accountOf(t, on, name).DeliveredShare(), 0.95, name)
-	}
-	for _, s := range stats {
-		require.Zero(t, s.HeavyHitters, "a fresh name is a heavy hitter")
+	flooded.OnSecond = func(_ int, scheduler *fairqueue.Scheduler) { stats = append(stats, scheduler.Stats()) }
+	playDay(t, "flood", day(false, newTenants()...))
+	on := playDay(t, "flood", flooded)
+	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord", "lag")
+	for _, second := range stats {
+		require.Zero(t, second.HeavyHitters, "a new name is a heavy hitter")
 	}
 }
 
-// The thousand rejected clients of a heavy tenant are told times that spread them, and are admitted when they come
-// back.
+// The thousand rejected clients of a heavy tenant get Retry-After times that spread them, and are admitted when they
+// come back.
 func TestMeasuredRejectedClientsAreAdmittedWhenTheyComeBack(t *testing.T) {
-	const perSecond, kirkenRate, byenRate = 100.0, 36.0, 26.0
+	const (
+		servedPerSecond = 100.0
+		kirkenRate      = 36.0
+		byenRate        = 26.0
+	)
 	crowd := stream("crowd", 0.3, 900)
 	crowd.To = 1.3
 	crowd.MaxRetries = 1
 	crowd.Routers = 1000
-	d := day(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
-	d.MaxRetryAfter = 60 * ticksPerSecond // a thousand need half a minute: clients must heed as much
-	o := Play(d)
-	report(t, "return-times", "on", o)
+	crowded := day(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
+	crowded.MaxRetryAfter = 60 * ticksPerSecond // a thousand need half a minute: clients must heed as much
+	outcome := playDay(t, "return-times", crowded)
 
-	account := accountOf(t, o, "crowd")
-	worst := mostIn100ms(o.AdvisedRetries, "crowd")
-	entitled := perSecond - kirkenRate - byenRate // what the others leave
+	account := accountOf(t, outcome, "crowd")
+	maxReturns := maxIn100ms(outcome.AdvisedRetries, "crowd")
+	entitled := servedPerSecond - kirkenRate - byenRate // what the others leave
 	admittedShare := float64(account.RetriesAdmitted) / float64(account.Backs)
 	t.Logf("measured fair-queues day=return-times "+
-		"told=%d entitled_a_second=%.0f most_in_100ms=%d backs=%d taken=%d part=%.3f",
-		len(o.AdvisedRetries), entitled, worst, account.Backs, account.RetriesAdmitted, admittedShare)
+		"advised=%d entitled_per_second=%.0f max_in_100ms=%d retries=%d admitted=%d admitted_share=%.3f",
+		len(outcome.AdvisedRetries), entitled, maxReturns, account.Backs, account.RetriesAdmitted, admittedShare)
 	require.Greater(t, account.Backs, 500)
-	require.LessOrEqual(t, float64(worst), 2*entitled/10)
+	require.LessOrEqual(t, float64(maxReturns), 2*entitled/10)
 	require.GreaterOrEqual(t, float64(account.RetriesAdmitted), 0.8*float64(account.Backs))
-	require.GreaterOrEqual(t, accountOf(t, o, "kirken").DeliveredShare(), 0.95)
+	requireDelivered(t, outcome, 0.95, "kirken")
 }
 
-// mostIn100ms is the largest number of a tenant's clients that were told to come back in the same tenth of a second.
-func mostIn100ms(advised []AdvisedRetry, tenant string) int {
+// maxIn100ms is the largest number of a tenant's clients that were advised to come back in the same tenth of a second.
+func maxIn100ms(advised []AdvisedRetry, tenant string) (maxCount int) {
 	counts := map[int]int{}
-	most := 0
-	for _, a := range advised {
-		if a.Tenant == tenant {
-			slot := int(a.At * 10)
+	for _, retry := range advised {
+		if retry.Tenant == tenant {
+			slot := int(retry.At * 10)
 			counts[slot]++
-			most = max(most, counts[slot])
+			maxCount = max(maxCount, counts[slot])
 		}
 	}
-	return most
+	return maxCount
 }
 
-// Each hard case is a day of its own: what its tenants have at least of what they are entitled to.
-func TestTenantsHaveWhatTheyAreEntitledTo(t *testing.T) {
+// Each hard case is a day of its own, with the minimum that its tenants get of what they are entitled to.
+func TestTenantsGetWhatTheyAreEntitledTo(t *testing.T) {
 	expensive := stream("dear", 0.17, 20)
 	expensive.MeanCoreSeconds = 30 * requestCoreSeconds
 	manyNames := stream("names", 0.1, 200)
-	manyNames.TenantOf = func(n int) string { return fmt.Sprint(rand.New(rand.NewSource(int64(n))).Uint64()) }
+	manyNames.TenantOf = func(request int) string {
+		return fmt.Sprint(rand.New(rand.NewSource(int64(request))).Uint64())
+	}
 	oneRouter := stream("one", 0.5, 60)
 	oneRouter.Routers = 1
 	manyRouters := stream("many", 0.5, 160)
 	manyRouters.Routers = 1000
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		streams   []*emulator.Stream
 		minShares map[string]float64
 	}{
@@ -148,45 +145,48 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := Play(day(true, c.streams...))
-			report(t, name, "on", o)
-			for tenant, minShare := range c.minShares {
-				require.GreaterOrEqual(t, accountOf(t, o, tenant).DeliveredShare(), minShare, tenant)
+			outcome := playDay(t, name, day(true, test.streams...))
+			for tenant, minShare := range test.minShares {
+				requireDelivered(t, outcome, minShare, tenant)
 			}
 		})
 	}
 }
 
-// A server that starts cold, a configuration that changes under load, a tenant that is taken out while it has requests
-// in flight, and a drain: every request has its response in time, and tenants keep what they are entitled to.
+// A server starts cold, its configuration changes under load, a tenant is removed while it has requests in flight, and
+// the server drains: every request gets its response in time, and tenants keep what they are entitled to.
 func TestChangesUnderLoadKeepEntitlements(t *testing.T) {
-	const removeKirkenAt, restoreKirkenAt, drainAt, end = 15, 25, 35, 40
-	d := day(true, greedyTenant()...)
-	d.SlowStart = 10 * ticksPerSecond
-	before := *d.FairQueue
-	after := *d.FairQueue
+	const (
+		removeKirkenAt  = 15
+		restoreKirkenAt = 25
+		drainAt         = 35
+		end             = 40
+	)
+	changing := day(true, greedyTenant()...)
+	changing.SlowStart = 10 * ticksPerSecond
+	before := *changing.FairQueue
+	after := *changing.FairQueue
 	after.Tenants = []fairqueue.Tenant{
 		{Name: "byen", Weight: 0.3},
 		{Name: "fjord", Weight: 0.2},
 		{Name: "greedy", Weight: 0.3},
 	}
-	d.Reconfigure = func(at float64, l *fairqueue.Scheduler) {
+	changing.Reconfigure = func(at float64, scheduler *fairqueue.Scheduler) {
 		now := timeunit.Ticks(at * ticksPerSecond)
 		switch at {
 		case removeKirkenAt:
-			l.Reconfigure(after, now) // kirken is one of the others now
+			scheduler.Reconfigure(after, now) // kirken is one of the others now
 		case restoreKirkenAt:
-			l.Reconfigure(before, now)
+			scheduler.Reconfigure(before, now)
 		}
 	}
-	d.DrainAt = drainAt
-	o := Play(d)
-	report(t, "changes", "on", o)
-	for _, name := range []string{"byen", "fjord"} {
-		account := accountOf(t, o, name)
-		require.GreaterOrEqual(t, float64(account.OnTime), 0.97*drainAt/end*float64(account.Requested), name)
+	changing.DrainAt = drainAt
+	outcome := playDay(t, "changes", changing)
+	for _, tenant := range []string{"byen", "fjord"} {
+		account := accountOf(t, outcome, tenant)
+		require.GreaterOrEqual(t, float64(account.OnTime), 0.97*drainAt/end*float64(account.Requested), tenant)
 	}
-	kirken := accountOf(t, o, "kirken")
+	kirken := accountOf(t, outcome, "kirken")
 	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requested))
 }
 
--- a/internal/simulation/longrun_test.go
+++ b/internal/simulation/longrun_test.go
@@ -15,22 +15,21 @@
 // heapKB is the size of the heap in use, in kilobytes.
 func heapKB() float64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc) / 1024
+	var statistics runtime.MemStats
+	runtime.ReadMemStats(&statistics)
+	return float64(statistics.HeapAlloc) / 1024
 }
 
-// Forty-five minutes in which every request comes by a router that was never seen and every third of the time has a
-// new tenant: what is served does not fall from third to third, and the memory of the admission server and the fair
-// scheduler does not grow.
+// For forty-five minutes every request comes from a new router, and every third of the time has a new tenant. The share
+// served does not fall from third to third, and the memory of admission server and fair scheduler does not grow.
 func TestMeasuredLongRunKeepsServingAndDoesNotGrow(t *testing.T) {
 	const (
-		length        = 2700.0 // seconds
-		quarter       = 675    // seconds
-		sampleAt      = 300    // seconds into each quarter
-		maxGrowthKB   = 1024
-		requestsASec  = 90
-		minOfBestPart = 0.9
+		length            = 2700.0 // seconds
+		quarter           = 675    // seconds
+		sampleAt          = 300    // seconds into each quarter
+		maxGrowthKB       = 1024
+		requestsPerSecond = 90
+		minShareOfBest    = 0.9
 	)
 	var streams []*emulator.Stream
 	for i, tenant := range []string{"first", "second", "last"} {
@@ -38,38 +37,39 @@
 		streams = append(streams, &emulator.Stream{
 			Tenant:            tenant,
 			Weight:            1,
-			ArrivalsPerSecond: requestsASec,
+			ArrivalsPerSecond: requestsPerSecond,
 			From:              from,
 			To:                from + length/3,
 			MeanCoreSeconds:   requestCoreSeconds,
 			PriorityWeight:    1,
 		})
 	}
-	d := day(true, streams...)
-	d.Length = length
-	d.NewRouterEachRequest = true
+	longRun := day(true, streams...)
+	longRun.Length = length
+	longRun.NewRouterEachRequest = true
 	random := rand.New(rand.NewSource(3))
 	var heap []float64
-	d.OnSecond = func(second int, l *fairqueue.Scheduler) {
+	longRun.OnSecond = func(second int, scheduler *fairqueue.Scheduler) {
 		now := timeunit.Ticks(second) * ticksPerSecond
 		tenant := []byte{byte(random.Intn(256)), byte(random.Intn(256)), byte(random.Intn(256))}
-		reservation := l.Reserve(tenant, 0, 0, now)
+		reservation := scheduler.Reserve(tenant, 0, 0, now)
 		reservation.Release(now)
 		if second%quarter == sampleAt {
 			heap = append(heap, heapKB())
 		}
 	}
-	o := Play(d)
+	outcome := Play(longRun)
 	best := 0.0
 	worst := 1.0
-	for _, a := range o.Accounts {
-		part := a.Value / a.RequestedValue
-		best = max(best, part)
-		worst = min(worst, part)
-		t.Logf("measured long-life third=%s asked=%d served=%.3f", a.Tenant, a.Requested, part)
+	for _, account := range outcome.Accounts {
+		share := account.Value / account.RequestedValue
+		best = max(best, share)
+		worst = min(worst, share)
+		t.Logf("measured long-run third=%s requested=%d served=%.3f", account.Tenant, account.Requested, share)
 	}
-	t.Logf("measured long-life heap_kb_by_quarter=%.0f silent=%d late=%d", heap, o.Unanswered, o.AnsweredPastDeadline)
-	require.GreaterOrEqual(t, worst, minOfBestPart*best)
+	t.Logf("measured long-run heap_kb_by_quarter=%.0f unanswered=%d past_deadline=%d",
+		heap, outcome.Unanswered, outcome.AnsweredPastDeadline)
+	require.GreaterOrEqual(t, worst, minShareOfBest*best)
 	require.Less(t, heap[len(heap)-1], heap[1]+maxGrowthKB)
-	require.Zero(t, o.Unanswered+o.AnsweredPastDeadline)
+	require.Zero(t, outcome.Unanswered+outcome.AnsweredPastDeadline)
 }
