--- a/internal/uwsgi/request_test.go
+++ b/internal/uwsgi/request_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -9,6 +10,7 @@
 )
 
 func request(t testing.TB, body string, pairs ...[2]string) []byte {
+	t.Helper()
 	data, err := AppendRequest(nil, pairs, []byte(body))
 	require.NoError(t, err)
 	return data
@@ -18,83 +20,92 @@
 	data := request(t, "four",
 		[2]string{"PATH_INFO", "/rpc/look"}, [2]string{"CONTENT_LENGTH", "4"}, [2]string{"EMPTY", ""})
 	for size := 1; size <= len(data); size++ {
-		p := Parser{MaxBodyBytes: 4}
-		for rest := data; len(rest) > 0; rest = rest[min(size, len(rest)):] {
-			require.False(t, p.Complete())
-			require.NoError(t, p.Feed(rest[:min(size, len(rest))]))
+		parser := Parser{MaxBodyBytes: 4}
+		for piece := range slices.Chunk(data, size) {
+			require.False(t, parser.Complete())
+			require.NoError(t, parser.Feed(piece))
 		}
-		require.True(t, p.Complete())
-		require.Equal(t, "four /rpc/look", string(p.Body())+" "+string(p.Variable("PATH_INFO")))
-		require.Equal(t, []byte{}, p.Variable("EMPTY"))
-		require.Nil(t, p.Variable("MISSING"))
-		require.ErrorIs(t, p.Feed([]byte{0}), errTrailingBytes)
+		require.True(t, parser.Complete())
+		require.Equal(t, "four /rpc/look", string(parser.Body())+" "+string(parser.Variable("PATH_INFO")))
+		require.Equal(t, []byte{}, parser.Variable("EMPTY"))
+		require.Nil(t, parser.Variable("MISSING"))
+		require.ErrorIs(t, parser.Feed([]byte{0}), errTrailingBytes)
 	}
+}
+
+func TestRepeatedVariableIsReported(t *testing.T) {
 	values := make([][]byte, 1)
-	p := Parser{}
-	require.NoError(t, p.Feed(request(t, "", [2]string{"A", "1"}, [2]string{"A", "2"})))
-	require.True(t, p.Variables([]string{"A"}, values))
-	require.True(t, p.Complete())
+	parser := Parser{}
+	require.NoError(t, parser.Feed(request(t, "", [2]string{"A", "1"}, [2]string{"A", "2"})))
+	require.True(t, parser.Variables([]string{"A"}, values))
+	require.True(t, parser.Complete())
 }
 
 func TestPingIsComplete(t *testing.T) {
-	p := Parser{}
-	require.NoError(t, p.Feed([]byte{ModifierPing, 0, 0, 0}))
-	require.True(t, p.Complete())
-	require.Equal(t, byte(ModifierPing), p.Modifier)
+	parser := Parser{}
+	require.NoError(t, parser.Feed([]byte{ModifierPing, 0, 0, 0}))
+	require.True(t, parser.Complete())
+	require.Equal(t, byte(ModifierPing), parser.Modifier)
 	require.Equal(t, []byte{ModifierPing, 0, 0, 0}, AppendPong(nil))
 }
 
-func TestBadRequestsHaveTheirStatus(t *testing.T) {
-	var many [][2]string
-	for range MaxVariables + 1 {
-		many = append(many, [2]string{"A", "b"})
-	}
-	for _, c := range []struct {
-		data []byte
-		want StatusError
+func TestInvalidRequestsHaveTheirStatus(t *testing.T) {
+	tooMany := slices.Repeat([][2]string{{"A", "b"}}, MaxVariables+1)
+	withLength := func(length string) []byte { return request(t, "", [2]string{"CONTENT_LENGTH", length}) }
+	for _, test := range []struct {
+		name   string
+		data   []byte
+		status StatusError
 	}{
-		{[]byte{5, 0, 0, 0}, ErrModifier},
-		{[]byte{0, 0, 0, 7}, ErrModifier},
-		{[]byte{ModifierPing, 1, 0, 0}, ErrModifier},
-		{[]byte{0, 0xff, 0xff, 0}, ErrBlockTooLarge},
-		{request(t, "", many...), ErrBlockTooLarge},
-		{[]byte{0, 3, 0, 0, 9, 0, 'A'}, ErrUnreadableVariables},
-		{[]byte{0, 2, 0, 0, 0, 0}, ErrUnreadableVariables},
-		{request(t, "", [2]string{strings.Repeat("n", MaxNameBytes+1), ""}), ErrUnreadableVariables},
-		{request(t, "", [2]string{"CONTENT_LENGTH", "-1"}), ErrContentLength},
-		{request(t, "", [2]string{"CONTENT_LENGTH", "1e3"}), ErrContentLength},
-		{request(t, "", [2]string{"CONTENT_LENGTH", "5"}), ErrBodyTooLong},
+		{"unknown modifier1", []byte{5, 0, 0, 0}, ErrModifier},
+		{"unknown modifier2", []byte{0, 0, 0, 7}, ErrModifier},
+		{"ping with a block", []byte{ModifierPing, 1, 0, 0}, ErrModifier},
+		{"block too large", []byte{0, 0xff, 0xff, 0}, ErrBlockTooLarge},
+		{"too many variables", request(t, "", tooMany...), ErrBlockTooLarge},
+		{"name longer than the block", []byte{0, 3, 0, 0, 9, 0, 'A'}, ErrUnreadableVariables},
+		{"empty name", []byte{0, 2, 0, 0, 0, 0}, ErrUnreadableVariables},
+		{"name too long", request(t, "", [2]string{strings.Repeat("n", MaxNameBytes+1), ""}), ErrUnreadableVariables},
+		{"negative length", withLength("-1"), ErrContentLength},
+		{"length with an exponent", withLength("1e3"), ErrContentLength},
+		{"body too long", withLength("5"), ErrBodyTooLong},
 	} {
-		p := Parser{MaxBodyBytes: 4}
-		require.ErrorIs(t, p.Feed(c.data), c.want)
+		t.Run(test.name, func(t *testing.T) {
+			parser := Parser{MaxBodyBytes: 4}
+			require.ErrorIs(t, parser.Feed(test.data), test.status)
+		})
 	}
 }
 
-func TestParseResponse(t *testing.T) {
+func TestResponseIsCompleteOnlyAtItsEnd(t *testing.T) {
 	data := AppendResponse(nil, "200 OK", "Server-Hint: 1\r\n", []byte("body"))
-	for n := range len(data) {
-		_, _, complete, err := ParseResponse(data[:n], false, 100)
+	for length := range len(data) {
+		_, _, complete, err := ParseResponse(data[:length], false, 100)
 		require.False(t, complete)
 		require.NoError(t, err)
-		_, _, complete, err = ParseResponse(data[:n], true, 100)
-		require.False(t, complete, "cut off after %d", n)
+		_, _, complete, err = ParseResponse(data[:length], true, 100)
+		require.False(t, complete, "cut off after %d", length)
 		require.Error(t, err)
 	}
 	status, body, complete, err := ParseResponse(data, false, 100)
 	require.NoError(t, err)
 	require.True(t, complete)
 	require.Equal(t, "200 body", fmt.Sprint(status, " ", string(body)))
-	for _, bad := range []string{
-		"HTTP/1.0 200\r\nContent-Length: x\r\n\r\n",
-		"HTTP/1.0 900 X\r\n\r\n",
-		"SPDY 200 X\r\n\r\n",
-		"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nab",
-		"HTTP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na",
-		"HTTP/1.0 200 OK\r\nContent-Length: 1000\r\n\r\n",
+}
+
+func TestInvalidResponsesAreErrors(t *testing.T) {
+	for _, test := range []struct{ name, response string }{
+		{"length is no number", "HTTP/1.0 200\r\nContent-Length: x\r\n\r\n"},
+		{"status out of range", "HTTP/1.0 900 X\r\n\r\n"},
+		{"unknown protocol", "SPDY 200 X\r\n\r\n"},
+		{"body longer than its length", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nab"},
+		{"two lengths", "HTTP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na"},
+		{"length beyond the bound", "HTTP/1.0 200 OK\r\nContent-Length: 1000\r\n\r\n"},
 	} {
-		_, _, complete, err := ParseResponse([]byte(bad), false, 100)
-		require.False(t, complete)
-		require.Error(t, err, bad)
+		t.Run(test.name, func(t *testing.T) {
+			_, _, complete, err := ParseResponse([]byte(test.response), false, 100)
+			require.False(t, complete)
+			require.Error(t, err)
+		})
 	}
 }
 
@@ -103,15 +114,19 @@
 	f.Add([]byte{ModifierPing, 0, 0, 0}, 1)
 	f.Fuzz(func(t *testing.T, data []byte, size int) {
 		size = max(1, size)
-		whole, pieces := Parser{MaxBodyBytes: 64}, Parser{MaxBodyBytes: 64}
+		whole := Parser{MaxBodyBytes: 64}
+		split := Parser{MaxBodyBytes: 64}
 		errWhole := whole.Feed(data)
-		var errPieces error
-		for rest := data; len(rest) > 0 && errPieces == nil; rest = rest[min(size, len(rest)):] {
-			errPieces = pieces.Feed(rest[:min(size, len(rest))])
+		var errSplit error
+		for piece := range slices.Chunk(data, size) {
+			errSplit = split.Feed(piece)
+			if errSplit != nil {
+				break
+			}
 		}
-		require.Equal(t, errWhole, errPieces)
-		require.Equal(t, whole.Complete(), pieces.Complete())
-		require.Equal(t, whole.Body(), pieces.Body())
+		require.Equal(t, errWhole, errSplit)
+		require.Equal(t, whole.Complete(), split.Complete())
+		require.Equal(t, whole.Body(), split.Body())
 		require.LessOrEqual(t, len(whole.body), 64)
 		_, _, _, _ = ParseResponse(data, size%2 == 0, 64) // must not panic
 	})
@@ -123,9 +138,9 @@
 		[2]string{"HTTP_ACCOUNT", "acme"}, [2]string{"HTTP_BUDGET_MS", "7000"}, [2]string{"CONTENT_LENGTH", "10"})
 	b.ReportAllocs()
 	for b.Loop() {
-		p := Parser{MaxBodyBytes: 64}
-		if p.Feed(data) != nil || !p.Complete() {
-			b.Fatal("not whole")
+		parser := Parser{MaxBodyBytes: 64}
+		if parser.Feed(data) != nil || !parser.Complete() {
+			b.Fatal("the request is not complete")
 		}
 	}
 }
