--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -17,10 +17,11 @@
 EOF_BATCH
 `
 
+// serve returns what is answered to a conversation, and the error that ends it.
 func serve(text string) (string, error) {
-	var out strings.Builder
-	err := Serve(strings.NewReader(text), &out)
-	return out.String(), err
+	var output strings.Builder
+	err := Serve(strings.NewReader(text), &output)
+	return output.String(), err
 }
 
 const conversation = createBatch + `MARK T=11.05
@@ -46,8 +47,8 @@
 EOF_BATCH
 `
 
-func TestConversation(t *testing.T) {
-	out, err := serve(conversation)
+func TestBatchesAreAnsweredInOrder(t *testing.T) {
+	output, err := serve(conversation)
 	require.NoError(t, err)
 	require.Equal(t, `AS Server=server-1
 MARK_HEALTH Cheap=1 Want=1
@@ -65,7 +66,7 @@
 MARK_HEALTH Cheap=1 Want=1
 EOR
 EOR
-`, out)
+`, output)
 }
 
 // cachedReads is a conversation with marked retries, reads that share a result, and an answer without a downstream
@@ -90,46 +91,50 @@
 `
 
 func TestReadsShareResultsAndSkipCalls(t *testing.T) {
-	out, err := serve(cachedReads)
+	output, err := serve(cachedReads)
 	require.NoError(t, err)
 	for _, line := range []string{
 		"MEMO Xid=5 HoldFor=", "EXECUTE Xid=5\n", "SHARE Xid=6\n", "INVOKE Xid=5 Until=", "OMIT Xid=5\n",
 	} {
-		require.Contains(t, out, line)
+		require.Contains(t, output, line)
 	}
 }
 
-// malformed are conversations with a line that can't be read, and a part of the error.
-var malformed = []struct{ text, message string }{
-	{"EOF_BATCH\n", "line 1: a batch opens with MARK"},
-	{"MARK T=1\nFOR Server=server-1\n", "the input ends in the middle of a batch"},
-	{"MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n", "before any FOR"},
-	{"MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH", "never created"},
-	{"MARK T=1", "middle of a line"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=-5\nEOF_BATCH\n", "not a whole number"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 Retry=2\nEOF_BATCH\n", "neither 1 nor 0"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nENDED\nEOF_BATCH\n", "no Xid"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND junk\nEOF_BATCH\n", "not name=value"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=1,z\nEOF_BATCH\n", "not a number"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nDEADLINE_HIT Usage=,1\nEOF_BATCH\n", "not a number"},
-	{"MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n", "can't be read"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 OriginPeer=99999999999\nEOF_BATCH\n",
-		"out of range"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 TimeLeft=1e300\nEOF_BATCH\n", "out of range"},
-	{createBatch + "MARK T=11\nFOR Server=server-1\nINBOUND Xid=5 HeldKb=-1\nEOF_BATCH\n", "out of range"},
-	{strings.Replace(createBatch, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1), "out of range"},
-	{strings.Replace(createBatch, `"OnTime":50.0`, `"OnTime":1e200`, 1), "out of range"},
+// batch is a batch with one line for the server that createBatch creates.
+func batch(line string) string { return "MARK T=11\nFOR Server=server-1\n" + line + "\nEOF_BATCH\n" }
+
+// malformed are conversations with a line that cannot be read, and a part of the error.
+var malformed = []struct{ name, text, message string }{
+	{"no MARK", "EOF_BATCH\n", "line 1: a batch opens with MARK"},
+	{"input ends within a batch", "MARK T=1\nFOR Server=server-1\n", "the input ends in the middle of a batch"},
+	{"input ends within a line", "MARK T=1", "middle of a line"},
+	{"no FOR", "MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n", "before any FOR"},
+	{"server not created", "MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH", "never created"},
+	{"settings cut short", "MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n", "can't be read"},
+	{"memory below zero", strings.Replace(createBatch, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1), "out of range"},
+	{"soft deadline too long", strings.Replace(createBatch, `"OnTime":50.0`, `"OnTime":1e200`, 1), "out of range"},
+	{"request below zero", createBatch + batch("INBOUND Xid=-5"), "not a whole number"},
+	{"flag of two", createBatch + batch("INBOUND Xid=5 Retry=2"), "neither 1 nor 0"},
+	{"no request", createBatch + batch("ENDED"), "no Xid"},
+	{"no value", createBatch + batch("INBOUND junk"), "not name=value"},
+	{"gauge is a letter", createBatch + batch("DEADLINE_HIT Usage=1,z"), "not a number"},
+	{"gauge is empty", createBatch + batch("DEADLINE_HIT Usage=,1"), "not a number"},
+	{"router too large", createBatch + batch("INBOUND Xid=5 OriginPeer=99999999999"), "out of range"},
+	{"time left too long", createBatch + batch("INBOUND Xid=5 TimeLeft=1e300"), "out of range"},
+	{"size below zero", createBatch + batch("INBOUND Xid=5 HeldKb=-1"), "out of range"},
 }
 
 func TestMalformedLinesEndTheSession(t *testing.T) {
-	for _, c := range malformed {
-		out, err := serve(c.text)
-		require.ErrorContains(t, err, c.message, c.text)
-		require.NotContains(t, out, "EXECUTE", c.text)
+	for _, test := range malformed {
+		t.Run(test.name, func(t *testing.T) {
+			output, err := serve(test.text)
+			require.ErrorContains(t, err, test.message)
+			require.NotContains(t, output, "EXECUTE")
+		})
 	}
 }
 
-// deployments are the settings of two deployments that differ in all that they can.
+// deployments are the settings of two deployments that differ in every setting.
 var deployments = [2]string{
 	`"Categories":[{"Name":"a","Effect":"by_key","HardLimit":900,"OnTime":300,"Worth":1,"Window":400},` +
 		`{"Name":"b","Effect":"repeatable","HardLimit":500,"OnTime":200,"LateWorth":0.5,"Worth":3}],` +
@@ -142,70 +147,72 @@
 		`"Rules":{"TipMultiple":9},"Period":4,"Servers":300`,
 }
 
-// schedules draws what each of the two deployments is told alone, and both of them in one process.
+// schedules draws the input of each of the two deployments alone, and of both of them in one process.
 func schedules(seed int64) (alone [2]string, together string) {
-	chance := rand.New(rand.NewSource(seed))
-	var texts [3]strings.Builder
+	random := rand.New(rand.NewSource(seed))
+	var apart [2]strings.Builder
+	var mixed strings.Builder
 	for step := range 300 {
-		fmt.Fprintf(&texts[2], "MARK T=%d\n", step*7)
-		for n, settings := range deployments {
+		fmt.Fprintf(&mixed, "MARK T=%d\n", step*7)
+		for i, settings := range deployments {
 			events := fmt.Sprintf("CREATE Prng=%d Env={%s}\n", seed, settings)
 			if step > 0 {
-				events = drawEvents(chance, step, 2-n)
+				events = drawEvents(random, step, 2-i)
 			}
-			fmt.Fprintf(&texts[2], "FOR Server=s%d\n%s", n, events)
-			fmt.Fprintf(&texts[n], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", step*7, n, events)
+			fmt.Fprintf(&mixed, "FOR Server=s%d\n%s", i, events)
+			fmt.Fprintf(&apart[i], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", step*7, i, events)
 		}
-		texts[2].WriteString("EOF_BATCH\n")
+		mixed.WriteString("EOF_BATCH\n")
 	}
-	return [2]string{texts[0].String(), texts[1].String()}, texts[2].String()
+	return [2]string{apart[0].String(), apart[1].String()}, mixed.String()
 }
 
 // drawEvents draws the events of a batch for a server with so many categories.
-func drawEvents(chance *rand.Rand, step, categories int) string {
+func drawEvents(random *rand.Rand, step, categories int) string {
 	var events strings.Builder
-	for k := range chance.Intn(3) {
+	for i := range random.Intn(3) {
 		fmt.Fprintf(&events, "INBOUND Xid=%d OriginPeer=%d Band=%d HeldKb=%d Lay=%d\n",
-			step*10+k, chance.Intn(4), chance.Intn(categories), 1+chance.Intn(40), chance.Intn(30))
+			step*10+i, random.Intn(4), random.Intn(categories), 1+random.Intn(40), random.Intn(30))
 	}
-	id := max(1, step-chance.Intn(6))*10 + chance.Intn(2)
+	id := max(1, step-random.Intn(6))*10 + random.Intn(2)
 	event := []string{
 		"ENDED Xid=%d Status=GOOD Duration=12\n", "READY_TO_CALL Xid=%d\n",
 		"CALLED Xid=%d Status=GOOD Duration=9\n", "WITHDRAWN Xid=%d\n",
-	}[chance.Intn(4)]
+	}[random.Intn(4)]
 	fmt.Fprintf(&events, event, id)
-	fmt.Fprintf(&events, "DEADLINE_HIT Token=look Usage=%d,%d\n", chance.Intn(2), chance.Intn(5))
+	fmt.Fprintf(&events, "DEADLINE_HIT Token=look Usage=%d,%d\n", random.Intn(2), random.Intn(5))
 	return events.String()
 }
 
-// What each deployment answers is what it answers alone, whatever the other one in the process is told.
+// The output of each deployment is that of the deployment alone, whatever the input of the other one in the process.
 func TestDeploymentsInOneProcessShareNothing(t *testing.T) {
-	var alone, both [2]strings.Builder
+	var alone [2]strings.Builder
 	var together strings.Builder
+	serveInto := func(output *strings.Builder, text string) {
+		answer, err := serve(text)
+		require.NoError(t, err)
+		output.WriteString(answer)
+	}
 	for seed := range int64(20) {
 		apart, mixed := schedules(seed)
-		for n := range deployments {
-			out, err := serve(apart[n])
-			require.NoError(t, err)
-			alone[n].WriteString(out)
-		}
-		out, err := serve(mixed)
-		require.NoError(t, err)
-		together.WriteString(out)
+		serveInto(&alone[0], apart[0])
+		serveInto(&alone[1], apart[1])
+		serveInto(&together, mixed)
 	}
-	who := 0
+	var separated [2]strings.Builder
+	current := 0
 	for line := range strings.Lines(together.String()) {
 		switch line {
 		case "AS Server=s0\n", "AS Server=s1\n":
-			who = int(line[len("AS Server=s")] - '0')
+			current = int(line[len("AS Server=s")] - '0')
 		case "EOR\n":
 			continue
 		}
-		both[who].WriteString(line)
+		separated[current].WriteString(line)
 	}
-	for n := range deployments {
-		require.Contains(t, both[n].String(), "EXECUTE")
-		require.Equal(t, strings.ReplaceAll(alone[n].String(), "EOR\n", ""), both[n].String())
+	for i := range deployments {
+		require.Contains(t, separated[i].String(), "EXECUTE")
+		require.Equal(t, strings.ReplaceAll(alone[i].String(), "EOR\n", ""), separated[i].String())
 	}
 }
 
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -12,37 +12,37 @@
 	"thistlequay/internal/golden"
 )
 
-// The lines of the simulator's wire: two conversations in full, what is answered before a line that cannot be read
-// and which line that is, and a hash of the answers to seeded schedules.
-func TestGoldenLines(t *testing.T) {
-	var out bytes.Buffer
+// The lines of the simulator's protocol are as recorded: two conversations in full, the output before a line that can't
+// be read with the number of that line, and a hash of the output of seeded schedules.
+func TestOutputLinesAreAsRecorded(t *testing.T) {
+	var lines bytes.Buffer
 	for _, text := range []string{conversation, cachedReads} {
-		answer, err := serve(text)
+		output, err := serve(text)
 		require.NoError(t, err)
-		fmt.Fprintf(&out, "%s\n%s\n", text, answer)
+		fmt.Fprintf(&lines, "%s\n%s\n", text, output)
 	}
 	texts := []string{}
-	for _, c := range malformed {
-		texts = append(texts, c.text)
+	for _, test := range malformed {
+		texts = append(texts, test.text)
 	}
 	slices.Sort(texts)
 	for _, text := range texts {
-		answer, err := serve(text)
+		output, err := serve(text)
 		require.Error(t, err)
-		place, _, _ := strings.Cut(err.Error(), ":")
-		fmt.Fprintf(&out, "%q %s %q\n", text, place, answer)
+		lineNumber, _, _ := strings.Cut(err.Error(), ":")
+		fmt.Fprintf(&lines, "%q %s %q\n", text, lineNumber, output)
 	}
 	for first := int64(0); first < 100; first += 10 {
 		history := golden.NewHistory()
 		for seed := first; seed < first+10; seed++ {
 			apart, mixed := schedules(seed)
 			for _, text := range []string{apart[0], apart[1], mixed} {
-				answer, err := serve(text)
+				output, err := serve(text)
 				require.NoError(t, err)
-				history.Add(answer)
+				history.Add(output)
 			}
 		}
-		fmt.Fprintf(&out, "seeds %d to %d: %s\n", first, first+9, history)
+		fmt.Fprintf(&lines, "seeds %d to %d: %s\n", first, first+9, history)
 	}
-	golden.Check(t, "lines.txt", out.Bytes())
+	golden.Check(t, "lines.txt", lines.Bytes())
 }
