--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -21,18 +21,26 @@
 	history *golden.History
 }
 
-func (rec recorder) Run(r *Request)         { rec.forward(1, r, rec.Host.Run) }
-func (rec recorder) ShareResult(r *Request) { rec.forward(2, r, rec.Host.ShareResult) }
-func (rec recorder) Abort(r *Request)       { rec.forward(4, r, rec.Host.Abort) }
-func (rec recorder) StopRun(r *Request)     { rec.forward(5, r, rec.Host.StopRun) }
-func (rec recorder) SkipCall(r *Request)    { rec.forward(7, r, rec.Host.SkipCall) }
-func (rec recorder) DropEntry(r *Request)   { rec.forward(9, r, rec.Host.DropEntry) }
-func (rec recorder) Release(r *Request)     { rec.forward(14, r, rec.Host.Release) }
+func (rec recorder) Run(r *Request)           { forward(rec, 1, rec.Host.Run, r, r.ID) }
+func (rec recorder) ShareResult(r *Request)   { forward(rec, 2, rec.Host.ShareResult, r, r.ID) }
+func (rec recorder) Abort(r *Request)         { forward(rec, 4, rec.Host.Abort, r, r.ID) }
+func (rec recorder) StopRun(r *Request)       { forward(rec, 5, rec.Host.StopRun, r, r.ID) }
+func (rec recorder) SkipCall(r *Request)      { forward(rec, 7, rec.Host.SkipCall, r, r.ID) }
+func (rec recorder) DropEntry(r *Request)     { forward(rec, 9, rec.Host.DropEntry, r, r.ID) }
+func (rec recorder) ReportLoad(value float64) { forward(rec, 10, rec.Host.ReportLoad, value, value) }
+func (rec recorder) SetTimer(after timeunit.Ticks) {
+	forward(rec, 13, rec.Host.SetTimer, after, int64(after))
+}
+func (rec recorder) Release(r *Request) { forward(rec, 14, rec.Host.Release, r, r.ID) }
 
-// forward records and forwards a command that has no arguments but its request.
-func (rec recorder) forward(method int, r *Request, command func(*Request)) {
-	rec.history.Add(method, r.ID)
-	command(r)
+func (rec recorder) CloseIdleConnections(after timeunit.Ticks) {
+	forward(rec, 12, rec.Host.CloseIdleConnections, after, int64(after))
+}
+
+// forward records a command that has one argument and passes it on.
+func forward[T any](rec recorder, method int, command func(T), argument T, recorded any) {
+	rec.history.Add(method, recorded)
+	command(argument)
 }
 
 func (rec recorder) Reject(r *Request, retryAfter timeunit.Ticks, finalRejection bool) {
@@ -50,26 +58,11 @@
 	rec.Host.KeepEntry(r, lifetime)
 }
 
-func (rec recorder) ReportLoad(value float64) {
-	rec.history.Add(10, value)
-	rec.Host.ReportLoad(value)
-}
-
 func (rec recorder) SetHealth(healthy, fromStore bool) {
 	rec.history.Add(11, healthy, fromStore)
 	rec.Host.SetHealth(healthy, fromStore)
 }
 
-func (rec recorder) CloseIdleConnections(after timeunit.Ticks) {
-	rec.history.Add(12, int64(after))
-	rec.Host.CloseIdleConnections(after)
-}
-
-func (rec recorder) SetTimer(after timeunit.Ticks) {
-	rec.history.Add(13, int64(after))
-	rec.Host.SetTimer(after)
-}
-
 // addStats adds all figures that a server reports about itself.
 func (rec recorder) addStats(s *Server) {
 	stats := s.Stats()
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -27,14 +27,19 @@
 	routers []*routerConnection
 	observe func(values ...any) // called with all output, and with figures after each batch
 
-	streams    int // opened, by all routers
-	requests   int // besides the first
-	notices    int
-	keys       map[string]byte           // of requests, by ID
-	receivedAt map[string]timeunit.Ticks // by ID
-	runs       map[string]bool           // that were started, by ID
-	lastRun    map[byte]timeunit.Ticks   // when the attempt that ran last was received, by key
-	numbers    map[*outputBuffer]int     // of connections, in the order of their first output
+	streams  int // opened, by all routers
+	requests int // besides the first
+	notices  int
+	attempts map[string]*attempt     // by request ID
+	lastRun  map[byte]timeunit.Ticks // when the attempt that ran last was received, by key
+	numbers  map[*outputBuffer]int   // of connections, in the order of their first output
+}
+
+// attempt is one request that was sent.
+type attempt struct {
+	key        byte
+	receivedAt timeunit.Ticks
+	hasRun     bool
 }
 
 // playSequence plays a sequence of events that data chooses. In the end every request must have had exactly one
@@ -49,16 +54,14 @@
 	server.interpreter.conn = discardConn{}
 	first.conn = discardConn{}
 	p := &sequence{
-		T:          t,
-		server:     server,
-		routers:    []*routerConnection{first, connectRouter(server)},
-		observe:    observe,
-		streams:    1,
-		keys:       map[string]byte{firstID: 'k'},
-		receivedAt: map[string]timeunit.Ticks{firstID: server.now},
-		runs:       map[string]bool{},
-		lastRun:    map[byte]timeunit.Ticks{},
-		numbers:    map[*outputBuffer]int{},
+		T:        t,
+		server:   server,
+		routers:  []*routerConnection{first, connectRouter(server)},
+		observe:  observe,
+		streams:  1,
+		attempts: map[string]*attempt{firstID: {key: 'k', receivedAt: server.now}},
+		lastRun:  map[byte]timeunit.Ticks{},
+		numbers:  map[*outputBuffer]int{},
 	}
 	p.endBatch() // the first run's command is written before any notice of it
 	for len(data) >= 2 {
@@ -129,8 +132,7 @@
 	p.streams++
 	id := fmt.Sprintf("%016x", 0xaa+p.requests)
 	key := 'k' + choice%3
-	p.keys[id] = key
-	p.receivedAt[id] = p.server.now / 10 * 10
+	p.attempts[id] = &attempt{key: key, receivedAt: p.server.now / 10 * 10}
 	records := bytes.ReplaceAll([]byte(wholeRequest), []byte(firstID), []byte(id))
 	records = bytes.Replace(records, []byte("HTTP_ONCE_KEYk"), fmt.Appendf(nil, "HTTP_ONCE_KEY%c", key), 1)
 	records = bytes.Replace(records, []byte("1000000"), fmt.Appendf(nil, "%07d", p.server.now/10), 1)
@@ -157,7 +159,7 @@
 	}
 	p.notices++
 	if state == "MOOT" && !ended.runConfirmed && !ended.runDone {
-		delete(p.lastRun, p.keys[ended.id]) // it never ran
+		delete(p.lastRun, p.attempts[ended.id].key) // it never ran
 	}
 	notify(p.T, p.server, `{"type":"VALUE","n":%d,"job":"%s","state":"%s","took":9,"data":"eA=="}`,
 		p.notices, ended.id, state)
@@ -250,13 +252,14 @@
 }
 
 func (p *sequence) startRun(id string) {
-	if p.runs[id] {
+	started := p.attempts[id]
+	if started.hasRun {
 		return
 	}
-	last, hasRun := p.lastRun[p.keys[id]]
-	require.False(p, hasRun && p.receivedAt[id] < last+50_000, "a run started twice")
-	p.runs[id] = true
-	p.lastRun[p.keys[id]] = p.receivedAt[id]
+	last, keyHasRun := p.lastRun[started.key]
+	require.False(p, keyHasRun && started.receivedAt < last+50_000, "a run started twice")
+	started.hasRun = true
+	p.lastRun[started.key] = started.receivedAt
 }
 
 func FuzzSequences(f *testing.F) {
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -17,13 +17,21 @@
 EOF_BATCH
 `
 
-// serve returns what is answered to a conversation, and the error that ends it.
+// serve returns the output of a conversation, and the error that ends it.
 func serve(text string) (string, error) {
 	var output strings.Builder
 	err := Serve(strings.NewReader(text), &output)
 	return output.String(), err
 }
 
+// requireServed returns the output of a conversation, which must end without an error.
+func requireServed(t *testing.T, text string) string {
+	t.Helper()
+	output, err := serve(text)
+	require.NoError(t, err)
+	return output
+}
+
 const conversation = createBatch + `MARK T=11.05
 FOR Server=server-1
 INBOUND Xid=5 Lay=0.55 HeldKb=1 Novel=x
@@ -48,8 +56,6 @@
 `
 
 func TestBatchesAreAnsweredInOrder(t *testing.T) {
-	output, err := serve(conversation)
-	require.NoError(t, err)
 	require.Equal(t, `AS Server=server-1
 MARK_HEALTH Cheap=1 Want=1
 EOR
@@ -66,7 +72,7 @@
 MARK_HEALTH Cheap=1 Want=1
 EOR
 EOR
-`, output)
+`, requireServed(t, conversation))
 }
 
 // cachedReads is a conversation with marked retries, reads that share a result, and an answer without a downstream
@@ -91,8 +97,7 @@
 `
 
 func TestReadsShareResultsAndSkipCalls(t *testing.T) {
-	output, err := serve(cachedReads)
-	require.NoError(t, err)
+	output := requireServed(t, cachedReads)
 	for _, line := range []string{
 		"MEMO Xid=5 HoldFor=", "EXECUTE Xid=5\n", "SHARE Xid=6\n", "INVOKE Xid=5 Until=", "OMIT Xid=5\n",
 	} {
@@ -188,16 +193,11 @@
 func TestDeploymentsInOneProcessShareNothing(t *testing.T) {
 	var alone [2]strings.Builder
 	var together strings.Builder
-	serveInto := func(output *strings.Builder, text string) {
-		answer, err := serve(text)
-		require.NoError(t, err)
-		output.WriteString(answer)
-	}
 	for seed := range int64(20) {
 		apart, mixed := schedules(seed)
-		serveInto(&alone[0], apart[0])
-		serveInto(&alone[1], apart[1])
-		serveInto(&together, mixed)
+		alone[0].WriteString(requireServed(t, apart[0]))
+		alone[1].WriteString(requireServed(t, apart[1]))
+		together.WriteString(requireServed(t, mixed))
 	}
 	var separated [2]strings.Builder
 	current := 0
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -17,9 +17,7 @@
 func TestOutputLinesAreAsRecorded(t *testing.T) {
 	var lines bytes.Buffer
 	for _, text := range []string{conversation, cachedReads} {
-		output, err := serve(text)
-		require.NoError(t, err)
-		fmt.Fprintf(&lines, "%s\n%s\n", text, output)
+		fmt.Fprintf(&lines, "%s\n%s\n", text, requireServed(t, text))
 	}
 	texts := []string{}
 	for _, test := range malformed {
@@ -37,9 +35,7 @@
 		for seed := first; seed < first+10; seed++ {
 			apart, mixed := schedules(seed)
 			for _, text := range []string{apart[0], apart[1], mixed} {
-				output, err := serve(text)
-				require.NoError(t, err)
-				history.Add(output)
+				history.Add(requireServed(t, text))
 			}
 		}
 		fmt.Fprintf(&lines, "seeds %d to %d: %s\n", first, first+9, history)
