--- a/admission/dependency_test.go
+++ b/admission/dependency_test.go
@@ -48,18 +48,18 @@
 func (c *callingServer) Run(r *Request) { r.NeedsCall() }
 
 func (c *callingServer) StartCall(r *Request, until timeunit.Ticks) {
-	d := c.dependency
-	takes := d.minTime + timeunit.Ticks(d.random.Int63n(int64(d.maxTime-d.minTime)+1))
-	call := &pendingCall{request: r, startedAt: d.now, endsAt: d.now + takes, succeeds: true}
+	shared := c.dependency
+	takes := shared.minTime + timeunit.Ticks(shared.random.Int63n(int64(shared.maxTime-shared.minTime)+1))
+	call := &pendingCall{request: r, startedAt: shared.now, endsAt: shared.now + takes, succeeds: true}
 	if call.endsAt > until {
-		call.endsAt = max(until, d.now+1)
+		call.endsAt = max(until, shared.now+1)
 		call.succeeds = false
 	}
-	if d.isDown { // its connection is refused
-		call.endsAt = d.now
+	if shared.isDown { // its connection is refused
+		call.endsAt = shared.now
 	} else {
-		d.inFlight++
-		d.maxInFlight = max(d.maxInFlight, d.inFlight)
+		shared.inFlight++
+		shared.maxInFlight = max(shared.maxInFlight, shared.inFlight)
 	}
 	c.calls = append(c.calls, call)
 }
--- a/admission/downstream_test.go
+++ b/admission/downstream_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The part of the downstream limit follows the size of the fleet, and comes back to where it was whatever lay between.
+// A server's part of the downstream limit follows the size of the fleet, and is the same again for the same size.
 func TestDownstreamLimitFollowsFleetSize(t *testing.T) {
 	server := New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 1000, Deadline: 2000}}, Cores: 2, Servers: 8,
 		SharedDependency: true, DownstreamLimit: 2, DownstreamWindow: 50000}, silentHost{}, 0)
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/timeunit"
 )
 
-// The order by the trees is the order by a scan of the whole queue, whatever runs took and at any time.
+// The order by the trees is the order by a scan of the whole queue, for any run times and at any time.
 func TestQueueOrderIsThatOfFullScan(t *testing.T) {
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -73,7 +73,7 @@
 		stats.MemoryKB, s.VirtualTime(), s.IsWarmingUp(), callsInFlight, waiting)
 }
 
-// addWarmStart adds the state that a server would leave to its next incarnation.
+// addWarmStart adds the warm-start state for the next incarnation of a server.
 func (rec recorder) addWarmStart(state WarmStartState) {
 	rec.history.Add(21, state.Limit, state.QuickCallTimes)
 	for i := range state.RunTimes {
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -99,7 +99,7 @@
 	s.server.Advance(s.now)
 }
 
-// playTimers plays all timers that are due by then, with the gauges given or else busy cores without excess.
+// playTimers fires all timers that are due by then, with these gauges or, if there are none, busy cores.
 func (s *scenario) playTimers(end timeunit.Ticks, gauges map[string]float64) {
 	if len(gauges) == 0 {
 		gauges = map[string]float64{"utilization": 1, "runnable": s.server.cores.cores}
@@ -204,7 +204,7 @@
 	})
 }
 
-// enqueue enqueues requests; several names may be given as a1-9.
+// enqueue enqueues requests; a1-9 names nine of them.
 func (s *scenario) enqueue(name string, words []string, where string) {
 	names := []string{name}
 	if stem, last, isRange := strings.Cut(name, "1-"); isRange {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math/rand"
-	"net"
-	"os/exec"
 	"slices"
 	"strings"
 	"testing"
@@ -12,9 +10,6 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
-	"thistlequay/internal/plugin"
-	"thistlequay/internal/plugin/abi"
-	"thistlequay/internal/plugin/chain"
 )
 
 // transcript is a golden file of the bytes that are received and sent, a line each.
@@ -301,109 +296,3 @@
 	}
 	golden.Check(t, "sequences.txt", []byte(lines.String()))
 }
-
-// newServerWithPlugin makes a server with one plug-in that may do everything, on a connection that discards output.
-func newServerWithPlugin(t *testing.T) (*Server, *pluginConnection) {
-	t.Helper()
-	server, _ := newServerWithRun(t)
-	policy := chain.Policy{
-		Name:                 "p",
-		Hooks:                [3]bool{true, true, true},
-		Categories:           []bool{true},
-		MayReject:            true,
-		TargetCategories:     []bool{true},
-		MayTag:               true,
-		MayRewrite:           true,
-		CallTimeout:          100,
-		MaxTimeFraction:      0.5,
-		CoreFraction:         1,
-		TickInterval:         10 * second,
-		MaxConsecutiveFaults: 3,
-		MaxFaultRate:         1,
-		MinQuarantine:        1000,
-		MaxQuarantine:        10_000,
-	}
-	isNew := func(string) bool { return false }
-	pluginChain := chain.New([]chain.Policy{policy}, nil, isNew, server.random, server.now)
-	ours, theirs := net.Pipe()
-	t.Cleanup(func() { _ = theirs.Close() })
-	process := &plugin.Process{Conn: ours, Command: &exec.Cmd{}}
-	connection := &pluginConnection{part: &server.plugins, config: &Plugins{}, chain: pluginChain, process: process}
-	connection.outputBuffer = outputBuffer{server: server, maxUnread: maxUnreadPerLink, conn: discardConn{}}
-	server.plugins.config = connection.config
-	server.plugins.live = connection
-	server.plugins.chain = pluginChain
-	return server, connection
-}
-
-// The calls of a plug-in and the effects of its verdicts are as recorded, byte for byte, before and after a run.
-func TestPluginCallsAndVerdictsAreAsRecorded(t *testing.T) {
-	var recorded transcript
-	ended := func(outcome byte, verdict abi.Verdict) []byte {
-		return verdict.Append([]byte{outcome, 100, 0, 0, 0})
-	}
-	returned := func(verdict abi.Verdict) []byte { return ended(plugin.CallSucceeded, verdict) }
-	nothing := returned(abi.Verdict{})
-	request := requestRecords(1, paramsWith(withID("a1", "HTTP_ONCE_KEY", "l")...), "body")
-	for _, test := range []struct {
-		name   string
-		read   []byte // verdict before the run; nil for none within the time limit
-		result []byte // verdict after it
-	}{
-		{"nothing said", nothing, nothing},
-		{"no verdict at all", []byte{plugin.CallSucceeded, 1, 0, 0, 0}, nothing},
-		{"declined", returned(abi.Verdict{Actions: abi.ActionReject, Status: 403}), nothing},
-		{"declined as busy", returned(abi.Verdict{Actions: abi.ActionReject, Status: 503}), nothing},
-		{"declined with a status that is none", returned(abi.Verdict{Actions: abi.ActionReject, Status: 200}), nothing},
-		{"tagged", returned(abi.Verdict{Actions: abi.ActionTag, Tag: "vip"}), nothing},
-		{"another category", returned(abi.Verdict{Actions: abi.ActionCategorize, Category: "a"}), nothing},
-		{"an unknown category", returned(abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), nothing},
-		{"cut", ended(plugin.CallTimedOut, abi.Verdict{}), ended(plugin.CallTrapped, abi.Verdict{})},
-		{"unreadable", ended(plugin.CallMalformed, abi.Verdict{}), ended(plugin.CallNotStarted, abi.Verdict{})},
-		{"bytes that are none", []byte{plugin.CallSucceeded, 1, 0, 0, 0, 9}, []byte{1}},
-		{"another result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
-		{"a longer result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
-		{"silent", nil, nil},
-	} {
-		server, connection := newServerWithPlugin(t)
-		router := connectRouter(server)
-		decide := func(point string, payload []byte) {
-			recorded.addOutput(point+": asked", &connection.outputBuffer)
-			if payload == nil {
-				passTime(server, 200)
-			} else {
-				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, server.plugins.lastCall, payload)
-				require.NoError(t, feedInPieces(string(frame), 7, connection.receive))
-			}
-			dispatchBatch(server)
-			recorded.addResponses(point+": ", server, router)
-		}
-		recorded.add("plug-in", test.name)
-		feed(t, router, request)
-		dispatchBatch(server)
-		decide("read", test.read)
-		notify(t, server, `{"type":"VALUE","n":1,"job":"00000000000000a1","state":"OK","data":"eHh4"}`)
-		dispatchBatch(server)
-		decide("result", test.result)
-		recorded.addValues("books", connection.pendingCalls, connection.requests, server.plugins.lateVerdicts,
-			server.requests.count(), connection.chain.Plugins[0].Faults)
-	}
-	server, connection := newServerWithPlugin(t)
-	feed(t, connectRouter(server), request)
-	store := func(key, value string) {
-		payload := append([]byte{byte(len(key))}, key+value...)
-		require.NoError(t, connection.receive(plugin.AppendFrame(nil, plugin.FrameState, 0, 0, payload)))
-	}
-	store("k", "v")
-	store("l", "w")
-	store("l", "")
-	counters := plugin.AppendFrame(nil, plugin.FrameCounters, 0, 0, []byte(`{"seen":3}`))
-	require.NoError(t, connection.receive(counters))
-	recorded.addValues("kept", server.plugins.snapshot(), server.plugins.stateBytes, server.plugins.counters)
-	logOfNoPlugin := plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)
-	recorded.addValues("place beyond", connection.receive(logOfNoPlugin) != nil)
-	connection.closed()
-	dispatchBatch(server)
-	recorded.addOutput("process died: interpreter", &server.interpreter.outputBuffer)
-	recorded.check(t, "plugins.txt")
-}
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -41,10 +41,13 @@
 
 func newDiskTest(t *testing.T) *diskTest {
 	t.Helper()
-	d := &diskTest{T: t, disk: &blockingDisk{syncResults: make(chan error, 8)},
-		written: make(chan []segmentlog.WriteResult, 8)}
-	d.disk.syncResults <- nil // the header
-	log, err := segmentlog.Open(d.disk, segmentlog.Config{
+	test := &diskTest{
+		T:       t,
+		disk:    &blockingDisk{syncResults: make(chan error, 8)},
+		written: make(chan []segmentlog.WriteResult, 8),
+	}
+	test.disk.syncResults <- nil // the header
+	log, err := segmentlog.Open(test.disk, segmentlog.Config{
 		Durability:   recovery.DurabilityMachine,
 		MaxBytes:     1 << 20,
 		MaxRecords:   1000,
@@ -53,17 +56,22 @@
 		MaxOutcomes:  10,
 		AllowEmpty:   true,
 		Now:          segmentlog.MachineClock,
-		OnWritten:    func(done []segmentlog.WriteResult) { d.written <- done },
+		OnWritten:    func(done []segmentlog.WriteResult) { test.written <- done },
 	})
 	require.NoError(t, err)
-	d.server, _ = newRunningServer(t) // one request already runs, without a log
-	d.server.recovery.init(d.server, &Recovery{Store: log, OnDurable: func(func([]segmentlog.WriteResult)) {}})
-	d.router = connectRouter(d.server)
-	d.server.endBatchQueued = true // batches are ended by the test
+	t.Cleanup(func() {
+		close(test.disk.syncResults) // all syncs succeed from here on
+		log.Close()
+		<-log.Done()
+	})
+	test.server, _ = newRunningServer(t) // one request already runs, without a log
+	test.server.recovery.init(test.server, &Recovery{Store: log, OnDurable: func(func([]segmentlog.WriteResult)) {}})
+	test.router = connectRouter(test.server)
+	test.server.endBatchQueued = true // batches are ended by the test
 	another := strings.Replace(wholeRequest, firstID, intendedID, 1)
-	feed(t, d.router, strings.Replace(another, "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1))
-	d.server.admission.Dispatch()
-	return d
+	feed(t, test.router, strings.Replace(another, "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1))
+	test.server.admission.Dispatch()
+	return test
 }
 
 // sync ends a sync of the disk and notifies the server of its result.
@@ -81,36 +89,36 @@
 func (d *diskTest) commands() string { return string(d.server.interpreter.output) }
 
 func TestRequestRunsOnlyOnceIntentIsDurable(t *testing.T) {
-	d := newDiskTest(t)
-	require.NotContains(t, d.commands(), runCommand)
-	require.Len(t, d.server.recovery.pending, 1)
-	d.sync(nil)
-	d.server.admission.Dispatch()
-	require.Contains(t, d.commands(), runCommand)
-	require.Empty(t, d.server.recovery.pending)
+	test := newDiskTest(t)
+	require.NotContains(t, test.commands(), runCommand)
+	require.Len(t, test.server.recovery.pending, 1)
+	test.sync(nil)
+	test.server.admission.Dispatch()
+	require.Contains(t, test.commands(), runCommand)
+	require.Empty(t, test.server.recovery.pending)
 }
 
 // The disk stalls: the request is rejected in time and never run, and its intent is concluded later.
 func TestRequestIsRejectedInTimeWhenDiskStalls(t *testing.T) {
-	d := newDiskTest(t)
-	intended := d.server.requests.byID[intendedID]
+	test := newDiskTest(t)
+	intended := test.server.requests.byID[intendedID]
 	require.Equal(t, intended.deadline-answerMargin, intended.intentTimer.deadline)
-	d.server.recovery.onIntentTimeout(intended)
-	require.Contains(t, string(d.router.output), "503 Declined")
-	for len(d.server.recovery.pending) > 0 {
-		d.sync(nil)
+	test.server.recovery.onIntentTimeout(intended)
+	require.Contains(t, string(test.router.output), "503 Declined")
+	for len(test.server.recovery.pending) > 0 {
+		test.sync(nil)
 	}
-	d.server.admission.Dispatch()
-	require.NotContains(t, d.commands(), runCommand)
-	require.Nil(t, d.server.requests.byID[intendedID])
+	test.server.admission.Dispatch()
+	require.NotContains(t, test.commands(), runCommand)
+	require.Nil(t, test.server.requests.byID[intendedID])
 	require.Zero(t, intended.intentUntil) // concluded
 }
 
 func TestRequestIsRejectedWhenIntentCannotBeWritten(t *testing.T) {
-	d := newDiskTest(t)
-	d.sync(errors.New("input/output error"))
-	d.server.admission.Dispatch()
-	require.Contains(t, string(d.router.output), "503 Declined")
-	require.NotContains(t, d.commands(), runCommand)
-	require.Nil(t, d.server.requests.byID[intendedID])
+	test := newDiskTest(t)
+	test.sync(errors.New("input/output error"))
+	test.server.admission.Dispatch()
+	require.Contains(t, string(test.router.output), "503 Declined")
+	require.NotContains(t, test.commands(), runCommand)
+	require.Nil(t, test.server.requests.byID[intendedID])
 }
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -189,7 +189,7 @@
 	return events.String()
 }
 
-// The output of each deployment is that of the deployment alone, whatever the input of the other one in the process.
+// The output of each deployment is that of the deployment alone, for any input of the other one in the process.
 func TestDeploymentsInOneProcessShareNothing(t *testing.T) {
 	var alone [2]strings.Builder
 	var together strings.Builder
