--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -12,7 +12,8 @@
 	"thistlequay/internal/golden"
 )
 
-// transcript is a golden file of the bytes that are received and sent, a line each.
+// transcript is a golden file of the bytes that are received and sent, a line each. Its labels, and the names of cases
+// that are added to it, are part of the recorded file and stay as they are.
 type transcript struct{ text strings.Builder }
 
 func (s *transcript) add(what, data string) { fmt.Fprintf(&s.text, "%s: %q\n", what, data) }
