--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -5,22 +5,42 @@
 	"thistlequay/timeunit"
 )
 
-// recorder passes what a server tells its host on to another host and adds each of it to a history: a number that
-// stands for the method, the request's ID and all arguments. Floating-point figures are added as printed exactly, so
-// the golden files hold for machines that round each product by itself (amd64).
+// silentHost ignores what it is notified of. Hosts of tests embed it and add the methods that their servers call too.
+type silentHost struct{ Host }
+
+func (silentHost) CloseIdleConnections(timeunit.Ticks)   {}
+func (silentHost) SetHealth(bool, bool)                  {}
+func (silentHost) Reject(*Request, timeunit.Ticks, bool) {}
+func (silentHost) Release(*Request)                      {}
+
+// recorder forwards a server's commands to another host and adds each to a history: a number that stands for the
+// method, the request's ID and all arguments. Floating-point figures are added as printed exactly, so the golden files
+// hold for machines that round each product by itself (amd64).
 type recorder struct {
 	Host
 	history *golden.History
 }
 
-func (rec recorder) Run(r *Request) {
-	rec.history.Add(1, r.ID)
-	rec.Host.Run(r)
+func (rec recorder) Run(r *Request)           { forward(rec, 1, rec.Host.Run, r, r.ID) }
+func (rec recorder) ShareResult(r *Request)   { forward(rec, 2, rec.Host.ShareResult, r, r.ID) }
+func (rec recorder) Abort(r *Request)         { forward(rec, 4, rec.Host.Abort, r, r.ID) }
+func (rec recorder) StopRun(r *Request)       { forward(rec, 5, rec.Host.StopRun, r, r.ID) }
+func (rec recorder) SkipCall(r *Request)      { forward(rec, 7, rec.Host.SkipCall, r, r.ID) }
+func (rec recorder) DropEntry(r *Request)     { forward(rec, 9, rec.Host.DropEntry, r, r.ID) }
+func (rec recorder) ReportLoad(value float64) { forward(rec, 10, rec.Host.ReportLoad, value, value) }
+func (rec recorder) SetTimer(after timeunit.Ticks) {
+	forward(rec, 13, rec.Host.SetTimer, after, int64(after))
+}
+func (rec recorder) Release(r *Request) { forward(rec, 14, rec.Host.Release, r, r.ID) }
+
+func (rec recorder) CloseIdleConnections(after timeunit.Ticks) {
+	forward(rec, 12, rec.Host.CloseIdleConnections, after, int64(after))
 }
 
-func (rec recorder) ShareResult(r *Request) {
-	rec.history.Add(2, r.ID)
-	rec.Host.ShareResult(r)
+// forward records a command that has one argument and passes it on.
+func forward[T any](rec recorder, method int, command func(T), argument T, recorded any) {
+	rec.history.Add(method, recorded)
+	command(argument)
 }
 
 func (rec recorder) Reject(r *Request, retryAfter timeunit.Ticks, finalRejection bool) {
@@ -28,62 +48,22 @@
 	rec.Host.Reject(r, retryAfter, finalRejection)
 }
 
-func (rec recorder) Abort(r *Request) {
-	rec.history.Add(4, r.ID)
-	rec.Host.Abort(r)
-}
-
-func (rec recorder) StopRun(r *Request) {
-	rec.history.Add(5, r.ID)
-	rec.Host.StopRun(r)
-}
-
 func (rec recorder) StartCall(r *Request, until timeunit.Ticks) {
 	rec.history.Add(6, r.ID, int64(until))
 	rec.Host.StartCall(r, until)
 }
 
-func (rec recorder) SkipCall(r *Request) {
-	rec.history.Add(7, r.ID)
-	rec.Host.SkipCall(r)
-}
-
 func (rec recorder) KeepEntry(r *Request, lifetime timeunit.Ticks) {
 	rec.history.Add(8, r.ID, int64(lifetime))
 	rec.Host.KeepEntry(r, lifetime)
 }
 
-func (rec recorder) DropEntry(r *Request) {
-	rec.history.Add(9, r.ID)
-	rec.Host.DropEntry(r)
-}
-
-func (rec recorder) ReportLoad(value float64) {
-	rec.history.Add(10, value)
-	rec.Host.ReportLoad(value)
-}
-
 func (rec recorder) SetHealth(healthy, fromStore bool) {
 	rec.history.Add(11, healthy, fromStore)
 	rec.Host.SetHealth(healthy, fromStore)
 }
 
-func (rec recorder) CloseIdleConnections(after timeunit.Ticks) {
-	rec.history.Add(12, int64(after))
-	rec.Host.CloseIdleConnections(after)
-}
-
-func (rec recorder) SetTimer(after timeunit.Ticks) {
-	rec.history.Add(13, int64(after))
-	rec.Host.SetTimer(after)
-}
-
-func (rec recorder) Release(r *Request) {
-	rec.history.Add(14, r.ID)
-	rec.Host.Release(r)
-}
-
-// addStats adds all figures that a server shows of itself.
+// addStats adds all figures that a server reports about itself.
 func (rec recorder) addStats(s *Server) {
 	stats := s.Stats()
 	callsInFlight, waiting := s.DownstreamCalls()
@@ -93,7 +73,7 @@
 		stats.MemoryKB, s.VirtualTime(), s.IsWarmingUp(), callsInFlight, waiting)
 }
 
-// addWarmStart adds what a server would hand over to its next incarnation.
+// addWarmStart adds the warm-start state for the next incarnation of a server.
 func (rec recorder) addWarmStart(state WarmStartState) {
 	rec.history.Add(21, state.Limit, state.QuickCallTimes)
 	for i := range state.RunTimes {
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -13,7 +13,7 @@
 	"thistlequay/internal/segmentlog"
 )
 
-// blockingDisk keeps nothing; its syncs wait for the test to tell their results.
+// blockingDisk stores nothing; its syncs block until the test sends their results.
 type blockingDisk struct{ syncResults chan error }
 
 func (d *blockingDisk) List() ([]string, error)                       { return nil, nil }
@@ -30,7 +30,7 @@
 	runCommand = `"APPLY","job":"` + intendedID + `"`
 )
 
-// diskTest is a server with a recovery log on a blocking disk, which has been sent one request with a key.
+// diskTest is a server with a recovery log on a blocking disk, which has received one request with a key.
 type diskTest struct {
 	*testing.T
 	server  *Server
@@ -41,10 +41,13 @@
 
 func newDiskTest(t *testing.T) *diskTest {
 	t.Helper()
-	d := &diskTest{T: t, disk: &blockingDisk{syncResults: make(chan error, 8)},
-		written: make(chan []segmentlog.WriteResult, 8)}
-	d.disk.syncResults <- nil // the header
-	log, err := segmentlog.Open(d.disk, segmentlog.Config{
+	test := &diskTest{
+		T:       t,
+		disk:    &blockingDisk{syncResults: make(chan error, 8)},
+		written: make(chan []segmentlog.WriteResult, 8),
+	}
+	test.disk.syncResults <- nil // the header
+	log, err := segmentlog.Open(test.disk, segmentlog.Config{
 		Durability:   recovery.DurabilityMachine,
 		MaxBytes:     1 << 20,
 		MaxRecords:   1000,
@@ -53,21 +56,25 @@
 		MaxOutcomes:  10,
 		AllowEmpty:   true,
 		Now:          segmentlog.MachineClock,
-		OnWritten:    func(done []segmentlog.WriteResult) { d.written <- done },
+		OnWritten:    func(done []segmentlog.WriteResult) { test.written <- done },
 	})
 	require.NoError(t, err)
-	d.server, _ = newRunningServer(t) // one request runs already, without a log
-	d.server.loop = idleLoop{}
-	d.server.recovery.init(d.server, &Recovery{Store: log, OnDurable: func(func([]segmentlog.WriteResult)) {}})
-	d.router = connectRouter(d.server)
-	d.server.endBatchQueued = true // batches are ended by the test
+	t.Cleanup(func() {
+		close(test.disk.syncResults) // all syncs succeed from here on
+		log.Close()
+		<-log.Done()
+	})
+	test.server, _ = newRunningServer(t) // one request already runs, without a log
+	test.server.recovery.init(test.server, &Recovery{Store: log, OnDurable: func(func([]segmentlog.WriteResult)) {}})
+	test.router = connectRouter(test.server)
+	test.server.endBatchQueued = true // batches are ended by the test
 	another := strings.Replace(wholeRequest, firstID, intendedID, 1)
-	feed(t, d.router, strings.Replace(another, "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1))
-	d.server.admission.Dispatch()
-	return d
+	feed(t, test.router, strings.Replace(another, "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1))
+	test.server.admission.Dispatch()
+	return test
 }
 
-// sync has the disk end a sync and the server hear of it.
+// sync ends a sync of the disk and notifies the server of its result.
 func (d *diskTest) sync(result error) {
 	d.Helper()
 	d.disk.syncResults <- result
@@ -75,43 +82,43 @@
 	case done := <-d.written:
 		d.server.recovery.onDurable(done)
 	case <-time.After(20 * time.Second):
-		require.Fail(d, "nothing came back from the log")
+		require.Fail(d, "the log reported no result")
 	}
 }
 
 func (d *diskTest) commands() string { return string(d.server.interpreter.output) }
 
 func TestRequestRunsOnlyOnceIntentIsDurable(t *testing.T) {
-	d := newDiskTest(t)
-	require.NotContains(t, d.commands(), runCommand)
-	require.Len(t, d.server.recovery.pending, 1)
-	d.sync(nil)
-	d.server.admission.Dispatch()
-	require.Contains(t, d.commands(), runCommand)
-	require.Empty(t, d.server.recovery.pending)
+	test := newDiskTest(t)
+	require.NotContains(t, test.commands(), runCommand)
+	require.Len(t, test.server.recovery.pending, 1)
+	test.sync(nil)
+	test.server.admission.Dispatch()
+	require.Contains(t, test.commands(), runCommand)
+	require.Empty(t, test.server.recovery.pending)
 }
 
-// The disk stands still: the request is answered in time and never run, and its intent is taken back later.
+// The disk stalls: the request is rejected in time and never run, and its intent is concluded later.
 func TestRequestIsRejectedInTimeWhenDiskStalls(t *testing.T) {
-	d := newDiskTest(t)
-	intended := d.server.requests.byID[intendedID]
+	test := newDiskTest(t)
+	intended := test.server.requests.byID[intendedID]
 	require.Equal(t, intended.deadline-answerMargin, intended.intentTimer.deadline)
-	d.server.recovery.onIntentTimeout(intended)
-	require.Contains(t, string(d.router.output), "503 Declined")
-	for len(d.server.recovery.pending) > 0 {
-		d.sync(nil)
+	test.server.recovery.onIntentTimeout(intended)
+	require.Contains(t, string(test.router.output), "503 Declined")
+	for len(test.server.recovery.pending) > 0 {
+		test.sync(nil)
 	}
-	d.server.admission.Dispatch()
-	require.NotContains(t, d.commands(), runCommand)
-	require.Nil(t, d.server.requests.byID[intendedID])
+	test.server.admission.Dispatch()
+	require.NotContains(t, test.commands(), runCommand)
+	require.Nil(t, test.server.requests.byID[intendedID])
 	require.Zero(t, intended.intentUntil) // concluded
 }
 
 func TestRequestIsRejectedWhenIntentCannotBeWritten(t *testing.T) {
-	d := newDiskTest(t)
-	d.sync(errors.New("input/output error"))
-	d.server.admission.Dispatch()
-	require.Contains(t, string(d.router.output), "503 Declined")
-	require.NotContains(t, d.commands(), runCommand)
-	require.Nil(t, d.server.requests.byID[intendedID])
+	test := newDiskTest(t)
+	test.sync(errors.New("input/output error"))
+	test.server.admission.Dispatch()
+	require.Contains(t, string(test.router.output), "503 Declined")
+	require.NotContains(t, test.commands(), runCommand)
+	require.Nil(t, test.server.requests.byID[intendedID])
 }
