--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// advance ends the current experiment when its time is over and moves the limit by one step, up or down.
-func (l *limiter) advance(now timeunit.Ticks) {
+// adjustLimit ends the current experiment when its time is over and moves the limit by one step, up or down.
+func (l *limiter) adjustLimit(now timeunit.Ticks) {
 	if l.countFrom > 0 && now >= l.countFrom {
 		// A new limit takes one round trip to show in throughput: that is not counted.
 		l.current = experiment{}
--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -20,16 +20,16 @@
 func playExperiments(experiments []window) (limits []float64) {
 	limiter := newLimiter(4, 2000)
 	limiter.limit = 10
-	limiter.advance(0)
+	limiter.adjustLimit(0)
 	now := timeunit.Ticks(0)
 	for _, counts := range experiments {
 		limiter.current.started = 1e6 // of the first round trip: not counted
 		now += initialRoundTrip
-		limiter.advance(now)
+		limiter.adjustLimit(now)
 		limiter.current = experiment{started: counts.started, answered: counts.answered, dropped: counts.dropped}
 		limiter.wasFull = counts.wasFull
 		now += (roundTripsPerExperiment - 1) * initialRoundTrip
-		limiter.advance(now)
+		limiter.adjustLimit(now)
 		limits = append(limits, limiter.limit)
 	}
 	return limits
--- a/admission/server.go
+++ b/admission/server.go
@@ -127,7 +127,7 @@
 // concurrency limit and the guards allow it, rejects what would wait too long, and tells routers and the
 // host's timer what comes next.
 func (s *Server) Dispatch() {
-	s.limiter.advance(s.now)
+	s.limiter.adjustLimit(s.now)
 	s.fireTimers()
 	s.startCalls()
 	for _, r := range s.queue.arrivals {
