--- a/cmd/thistlequay/fairqueue_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -261,11 +261,11 @@
 	r.NoError(err)
 	for _, a := range books {
 		t.Logf("measured fair-queues-sockets %s", a)
-		r.Equal(a.Requested, a.OnTime+a.Late+a.Rejected+a.Aborted, "work items without an answer")
+		r.Equal(a.Requests, a.OnTime+a.Late+a.Rejected+a.Aborted, "work items without an answer")
 	}
 	r.Zero(load.BrokenRequests())
 	r.GreaterOrEqual(books[0].DeliveredShare(), 0.9)
-	r.Greater(books[1].Rejected, books[1].Requested/4)
+	r.Greater(books[1].Rejected, books[1].Requests/4)
 	vm.Inspect(func(v *emulator.Interpreter) {
 		for id, runs := range v.RunsByRequest {
 			r.Equal(1, runs, id)
--- a/cmd/thistlequay/plugin_load_test.go
+++ b/cmd/thistlequay/plugin_load_test.go
@@ -15,7 +15,7 @@
 
 // playPluginLoad plays load for about a second against a server with these plug-ins, which see acme but not beta.
 func playPluginLoad(t *testing.T, service func(r *testServer) string, during func(r *testServer)) (r *testServer,
-	acme, beta *emulator.Account,
+	acme, beta *emulator.TenantStats,
 	vm *emulator.Interpreter) {
 	t.Helper()
 	r = newTestServer(t)
@@ -87,9 +87,9 @@
 			late := 0
 			lost := 0
 			double := 0
-			for _, a := range []*emulator.Account{acme, beta} {
+			for _, a := range []*emulator.TenantStats{acme, beta} {
 				late += a.PastDeadline
-				lost += a.Requested - a.OnTime - a.Late - a.Rejected - a.Aborted - a.BadRequests
+				lost += a.Requests - a.OnTime - a.Late - a.Rejected - a.Aborted - a.OtherStatuses
 			}
 			vm.Inspect(func(v *emulator.Interpreter) {
 				for _, runs := range v.RunsByRequest {
@@ -100,10 +100,11 @@
 			t.Logf("measured plugins kind=%q late_answers=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
 				"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
 				kind, late, lost, double, alive, most,
-				float64(beta.Times.ValueAtQuantile(99))/float64(calm.Times.ValueAtQuantile(99)),
-				float64(acme.Times.ValueAtQuantile(50))/1000, float64(acme.Times.ValueAtQuantile(99))/1000)
+				float64(beta.ResponseTimes.ValueAtQuantile(99))/float64(calm.ResponseTimes.ValueAtQuantile(99)),
+				float64(acme.ResponseTimes.ValueAtQuantile(50))/1000,
+				float64(acme.ResponseTimes.ValueAtQuantile(99))/1000)
 			r.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
-			r.Zero(beta.BadRequests + beta.Aborted)
+			r.Zero(beta.OtherStatuses + beta.Aborted)
 		})
 	}
 }
@@ -122,8 +123,8 @@
 			r.reload()
 		}
 	})
-	for _, a := range []*emulator.Account{acme, beta} {
-		r.Equal(a.Requested, a.OnTime+a.Late+a.Rejected, a)
+	for _, a := range []*emulator.TenantStats{acme, beta} {
+		r.Equal(a.Requests, a.OnTime+a.Late+a.Rejected, a)
 		r.Zero(a.PastDeadline)
 	}
 	r.Equal(40, strings.Count(logText(r), "event=configuration_read"))
--- a/cmd/thistlequay/try.go
+++ b/cmd/thistlequay/try.go
@@ -44,7 +44,7 @@
 	lookup        *emulator.Directory
 	process       *exec.Cmd
 	log           strings.Builder
-	accounts      []*emulator.Account
+	stats         []*emulator.TenantStats
 }
 
 // Run plays both trials at once, each on a server of its own, and prints the table.
@@ -70,7 +70,7 @@
 			return fmt.Errorf("%w\n%s", err, trials[i].log.String())
 		}
 	}
-	renderTrials(out, off.accounts, on.accounts)
+	renderTrials(out, off.stats, on.stats)
 	return nil
 }
 
@@ -140,7 +140,7 @@
 		Deadline:     tryDeadline,
 		Streams:      t.streams(),
 	}
-	one.accounts, err = load.Run()
+	one.stats, err = load.Run()
 	return err
 }
 
@@ -265,7 +265,7 @@
 }
 
 // renderTrials prints what each tenant got, without and with fair queues.
-func renderTrials(out io.Writer, off, on []*emulator.Account) {
+func renderTrials(out io.Writer, off, on []*emulator.TenantStats) {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
 	t.SetStyle(table.StyleLight)
@@ -274,11 +274,11 @@
 	t.AppendHeader(table.Row{"tenant", "requests",
 		"on time", "late", "rejected", "aborted", "of entitled",
 		"on time", "late", "rejected", "aborted", "of entitled"})
-	row := func(off, on *emulator.Account) table.Row {
-		cells := table.Row{off.Tenant, off.Requested}
-		for _, account := range []*emulator.Account{off, on} {
-			delivered := fmt.Sprintf("%.0f%%", 100*account.DeliveredShare())
-			cells = append(cells, account.OnTime, account.Late, account.Rejected, account.Aborted, delivered)
+	row := func(off, on *emulator.TenantStats) table.Row {
+		cells := table.Row{off.Tenant, off.Requests}
+		for _, stats := range []*emulator.TenantStats{off, on} {
+			delivered := fmt.Sprintf("%.0f%%", 100*stats.DeliveredShare())
+			cells = append(cells, stats.OnTime, stats.Late, stats.Rejected, stats.Aborted, delivered)
 		}
 		return cells
 	}
--- a/internal/emulator/accounts.go
+++ b/internal/emulator/accounts.go
@@ -14,116 +14,140 @@
 	recordedDigits    = 2
 )
 
-// Account is what came of one tenant's requests, each counted once however often it was sent.
-type Account struct {
-	Tenant               string
-	Requested            int
-	OnTime               int     // answered within their soft deadline
-	Late                 int     // answered after it
-	Rejected             int     // attempts answered with 503
-	Aborted              int     // answered with a failure
-	RequestedCoreSeconds float64 // of all requests
-	RequestedValue       float64 // of all requests, had all been on time
-	Value                float64 // of those on time
-	EntitledValue        float64 // of the part of the server's work that the tenant is entitled to
-	Backs                int     // retries sent
-	RetriesAdmitted      int     // retries that were run
-	PastDeadline         int     // answered after their deadline
-	BadRequests          int     // answered with a status below 500 that is neither of the above, as plug-ins give
-	Times                *hdrhistogram.Histogram
-	weight               float64
+// TenantStats counts the outcomes of one tenant's requests. Counts are of requests where the comment of the field does
+// not say attempts; a request counts once however many attempts were made.
+type TenantStats struct {
+	// Tenant is the name of the stream, which stands for all tenants that the stream's TenantOf gives.
+	Tenant string
+	// Requests is the number of requests sent.
+	Requests int
+	// OnTime is the number answered with 200 within their soft deadline.
+	OnTime int
+	// Late is the number answered with 200 after their soft deadline.
+	Late int
+	// Rejected is the number of attempts answered with 503.
+	Rejected int
+	// Aborted is the number answered with any other status from 500 on; in the simulation, of those that the admission
+	// server aborted.
+	Aborted int
+	// RequestedCoreSeconds is the work of all requests, in seconds of one core.
+	RequestedCoreSeconds float64
+	// RequestedValue is the priority weight of all requests: the DeliveredValue if all were on time.
+	RequestedValue float64
+	// DeliveredValue is the priority weight of the requests that were on time.
+	DeliveredValue float64
+	// EntitledValue is the part of RequestedValue that the tenant's max-min fair part of the cores could earn. It is 0
+	// until StatsByTenant.AssignEntitlements.
+	EntitledValue float64
+	// RetriesSent is the number of attempts after the first.
+	RetriesSent int
+	// RetriesAdmitted is the number of retries that were run. Only the simulation counts them.
+	RetriesAdmitted int
+	// PastDeadline is the number of attempts answered after their deadline. Only LoadRun counts them.
+	PastDeadline int
+	// OtherStatuses is the number of attempts answered with a status below 500 other than 200, as plug-ins give. Only
+	// LoadRun counts them.
+	OtherStatuses int
+	// ResponseTimes has the time from sending an attempt to its response, in microseconds. Only LoadRun records it.
+	ResponseTimes *hdrhistogram.Histogram
+
+	weight float64 // of the tenant in AssignEntitlements
 }
 
-// DeliveredShare is the value delivered on time as a part of what the tenant is entitled to; 1 where that is nothing.
-func (a *Account) DeliveredShare() float64 {
-	if a.EntitledValue == 0 {
+// DeliveredShare returns DeliveredValue as a fraction of EntitledValue. It returns 1 where EntitledValue is 0.
+func (s *TenantStats) DeliveredShare() float64 {
+	if s.EntitledValue == 0 {
 		return 1
 	}
-	return a.Value / a.EntitledValue
+	return s.DeliveredValue / s.EntitledValue
 }
 
-// String is the account as the measured lines of the tests and `thistlequay try` show it.
-func (a *Account) String() string {
+// String formats the counts and values for the measured lines that the tests log.
+func (s *TenantStats) String() string {
 	const format = "tenant=%s asked=%d fulfilled=%d late=%d declined=%d broken_off=%d gain=%.1f entitled=%.1f part=%.3f"
-	return fmt.Sprintf(format, a.Tenant, a.Requested, a.OnTime, a.Late, a.Rejected, a.Aborted, a.Value, a.EntitledValue,
-		a.DeliveredShare())
+	return fmt.Sprintf(format, s.Tenant, s.Requests, s.OnTime, s.Late, s.Rejected, s.Aborted, s.DeliveredValue,
+		s.EntitledValue, s.DeliveredShare())
 }
 
-// Accounts holds the accounts by tenant, in the order of the streams.
-type Accounts struct {
-	list   []*Account
-	byName map[string]*Account
+// StatsByTenant holds the TenantStats of all tenants of a load, in the order of its streams. It is not safe for
+// concurrent use.
+type StatsByTenant struct {
+	list   []*TenantStats
+	byName map[string]*TenantStats
 }
 
-// NewAccounts opens an account for each tenant of the streams.
-func NewAccounts(streams []*Stream) *Accounts {
-	all := &Accounts{byName: map[string]*Account{}}
+// NewStatsByTenant returns empty statistics for each tenant of the streams. Streams with the same Tenant share one
+// TenantStats, with the weight of the first.
+func NewStatsByTenant(streams []*Stream) *StatsByTenant {
+	byTenant := &StatsByTenant{byName: map[string]*TenantStats{}}
 	for _, s := range streams {
-		if all.byName[s.Tenant] != nil {
+		if byTenant.byName[s.Tenant] != nil {
 			continue
 		}
-		account := &Account{
-			Tenant: s.Tenant,
-			Times:  hdrhistogram.New(1, maxRecordedMicros, recordedDigits),
-			weight: s.Weight,
+		stats := &TenantStats{
+			Tenant:        s.Tenant,
+			ResponseTimes: hdrhistogram.New(1, maxRecordedMicros, recordedDigits),
+			weight:        s.Weight,
 		}
-		all.byName[s.Tenant] = account
-		all.list = append(all.list, account)
+		byTenant.byName[s.Tenant] = stats
+		byTenant.list = append(byTenant.list, stats)
 	}
-	return all
+	return byTenant
 }
 
-// Account is the account that an attempt belongs to.
-func (all *Accounts) Account(a *Attempt) *Account { return all.byName[a.Stream.Tenant] }
+// ForAttempt returns the statistics of the tenant whose stream the attempt is from.
+func (b *StatsByTenant) ForAttempt(a *Attempt) *TenantStats { return b.byName[a.Stream.Tenant] }
 
-// Asked counts an attempt as it is sent.
-func (all *Accounts) Asked(a *Attempt) {
-	account := all.Account(a)
+// RecordSent counts an attempt when it is sent: as a request where it is the first, else as a retry.
+func (b *StatsByTenant) RecordSent(a *Attempt) {
+	stats := b.ForAttempt(a)
 	if a.Retries > 0 {
-		account.Backs++
+		stats.RetriesSent++
 		return
 	}
-	account.Requested++
-	account.RequestedCoreSeconds += a.CoreSeconds
-	account.RequestedValue += a.Stream.PriorityWeight
+	stats.Requests++
+	stats.RequestedCoreSeconds += a.CoreSeconds
+	stats.RequestedValue += a.Stream.PriorityWeight
 }
 
-// Entitle sets the EntitledValue of each account, from its max-min fair part of the core seconds that the server could
-// do: what one tenant leaves is divided by weight among those that want it. It returns all accounts.
-func (all *Accounts) Entitle(coreSeconds float64) []*Account {
-	demands := make([]float64, len(all.list))
-	weights := make([]float64, len(all.list))
-	for i, a := range all.list {
+// AssignEntitlements sets the EntitledValue of each tenant from its max-min fair allocation (see MaxMin) of the core
+// seconds that the server can do in the time of the load. It returns the statistics in the order of the streams.
+func (b *StatsByTenant) AssignEntitlements(coreSeconds float64) []*TenantStats {
+	demands := make([]float64, len(b.list))
+	weights := make([]float64, len(b.list))
+	for i, a := range b.list {
 		demands[i] = a.RequestedCoreSeconds
 		weights[i] = a.weight
 	}
 	for i, part := range MaxMin(coreSeconds, demands, weights) {
-		a := all.list[i]
+		a := b.list[i]
 		if a.RequestedCoreSeconds > 0 {
 			a.EntitledValue = a.RequestedValue * part / a.RequestedCoreSeconds
 		}
 	}
-	return all.list
+	return b.list
 }
 
-// Total sums the accounts' counts and values, under the name "all".
-func Total(list []*Account) (sum Account) {
+// Total returns the sum of the tenants' requests, outcomes (on time, late, rejected, aborted) and values, with "all" as
+// its Tenant. The other fields stay 0.
+func Total(list []*TenantStats) (sum TenantStats) {
 	sum.Tenant = "all"
 	for _, a := range list {
-		sum.Requested += a.Requested
+		sum.Requests += a.Requests
 		sum.OnTime += a.OnTime
 		sum.Late += a.Late
 		sum.Rejected += a.Rejected
 		sum.Aborted += a.Aborted
-		sum.Value += a.Value
+		sum.DeliveredValue += a.DeliveredValue
 		sum.EntitledValue += a.EntitledValue
 		sum.RequestedValue += a.RequestedValue
 	}
 	return sum
 }
 
-// MaxMin divides an amount by weights so that nobody gets more than its demand (max-min fairness by progressive
-// filling: those with the least demand for their weight are served first).
+// MaxMin returns the weighted max-min fair allocation of an amount: no allocation exceeds its demand, and what one
+// leaves is divided by weight among the others. It uses progressive filling, in the order of demand by weight. Demands
+// and weights must have the same length, and weights must be positive.
 func MaxMin(amount float64, demands, weights []float64) []float64 {
 	allocations := make([]float64, len(demands))
 	order := make([]int, len(demands))
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -9,7 +9,7 @@
 
 // Stream is the load of one tenant, or of many who behave alike.
 type Stream struct {
-	// Tenant is the name that the accounts use.
+	// Tenant is the name under which TenantStats counts the requests.
 	Tenant string
 	// TenantOf gives the tenant of the n-th request; nil for Tenant on all.
 	TenantOf func(n int) string
--- a/internal/emulator/loadrun.go
+++ b/internal/emulator/loadrun.go
@@ -36,7 +36,7 @@
 
 	lock           sync.Mutex // guards all that follows
 	load           *Load
-	accounts       *Accounts
+	statsByTenant  *StatsByTenant
 	connections    []*loadConnection
 	brokenRequests int // whose connection broke before the response
 }
@@ -55,10 +55,11 @@
 	sentAt  time.Time
 }
 
-// Run sends the load and waits for the last response. It gives the accounts in the order of the streams.
-func (s *LoadRun) Run() ([]*Account, error) {
+// Run sends the load and waits for the last response. It returns the statistics of the tenants in the order of the
+// streams.
+func (s *LoadRun) Run() ([]*TenantStats, error) {
 	s.load = NewLoad(s.Seed, s.Streams)
-	s.accounts = NewAccounts(s.Streams)
+	s.statsByTenant = NewStatsByTenant(s.Streams)
 	s.startedAt = time.Now()
 	s.retryReady = make(chan struct{}, 1)
 	for s.pending() {
@@ -76,7 +77,7 @@
 	for _, c := range s.connections {
 		c.drop()
 	}
-	return s.accounts.Entitle(s.Cores * s.Seconds), nil
+	return s.statsByTenant.AssignEntitlements(s.Cores * s.Seconds), nil
 }
 
 // pending says whether more is to be sent or answered.
@@ -124,7 +125,7 @@
 		return err
 	}
 	slot := c.freeSlot()
-	s.accounts.Asked(a)
+	s.statsByTenant.RecordSent(a)
 	c.open[slot] = &sentAttempt{a, time.Now()}
 	id := fmt.Sprintf("%08x%08x", a.sequence, a.Retries)
 	path := "/rpc/" + s.Categories[a.Stream.Category]
@@ -193,28 +194,28 @@
 	}
 	delete(c.open, response.Slot)
 	a := sent.attempt
-	account := s.accounts.Account(a)
+	stats := s.statsByTenant.ForAttempt(a)
 	took := time.Since(sent.sentAt)
-	_ = account.Times.RecordValue(min(took.Microseconds(), maxRecordedMicros)) // in range by the min
+	_ = stats.ResponseTimes.RecordValue(min(took.Microseconds(), maxRecordedMicros)) // in range by the min
 	if took > s.Deadline {
-		account.PastDeadline++
+		stats.PastDeadline++
 	}
 	switch {
 	case response.Status == http.StatusOK && took > s.SoftDeadline:
-		account.Late++
+		stats.Late++
 	case response.Status == http.StatusOK:
-		account.OnTime++
-		account.Value += a.Stream.PriorityWeight
+		stats.OnTime++
+		stats.DeliveredValue += a.Stream.PriorityWeight
 	case response.Status == http.StatusServiceUnavailable:
-		account.Rejected++
+		stats.Rejected++
 		retryAfter := response.RetryAfter()
 		if retryAfter > 0 && a.Retries < a.Stream.MaxRetries {
 			s.load.Retry(a, s.seconds()+retryAfter.Seconds())
 		}
 	case response.Status < http.StatusInternalServerError:
-		account.BadRequests++
+		stats.OtherStatuses++
 	default:
-		account.Aborted++
+		stats.Aborted++
 	}
 }
 
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -80,25 +80,25 @@
 	return config
 }
 
-// accountOf is the account of one tenant, which must have one.
-func accountOf(t *testing.T, o Outcome, tenant string) *emulator.Account {
+// statsOf returns the statistics of one tenant, which the outcome must have.
+func statsOf(t *testing.T, o Outcome, tenant string) *emulator.TenantStats {
 	t.Helper()
-	for _, a := range o.Accounts {
+	for _, a := range o.Tenants {
 		if a.Tenant == tenant {
 			return a
 		}
 	}
-	require.Fail(t, "no account", tenant)
+	require.Fail(t, "no statistics", tenant)
 	return nil
 }
 
 // report logs the measured lines of a day, and requires a response in time to every request.
 func report(t *testing.T, name, queues string, o Outcome) {
 	t.Helper()
-	for _, a := range o.Accounts {
+	for _, a := range o.Tenants {
 		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, a)
 	}
-	total := emulator.Total(o.Accounts)
+	total := emulator.Total(o.Tenants)
 	t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, &total)
 	require.Zero(t, o.Unanswered, "requests without a response")
 	require.Zero(t, o.AnsweredPastDeadline, "responses after the deadline")
--- a/internal/simulation/fairqueue_test.go
+++ b/internal/simulation/fairqueue_test.go
@@ -29,14 +29,14 @@
 	report(t, "greedy", "off", off)
 	report(t, "greedy", "on", on)
 	for _, name := range []string{"kirken", "byen", "fjord"} {
-		with := accountOf(t, on, name).DeliveredShare()
-		without := accountOf(t, off, name).DeliveredShare()
+		with := statsOf(t, on, name).DeliveredShare()
+		without := statsOf(t, off, name).DeliveredShare()
 		require.GreaterOrEqual(t, with, 0.95, name)
 		require.Less(t, without, 0.95, "without fair queues %s does not need them", name)
 	}
-	before := emulator.Total(off.Accounts)
-	after := emulator.Total(on.Accounts)
-	require.GreaterOrEqual(t, after.Value, 0.97*before.Value)
+	before := emulator.Total(off.Tenants)
+	after := emulator.Total(on.Tenants)
+	require.GreaterOrEqual(t, after.DeliveredValue, 0.97*before.DeliveredValue)
 }
 
 // newTenants is four known tenants, and ten thousand names a minute that were never seen before.
@@ -63,7 +63,7 @@
 	report(t, "flood", "off", off)
 	report(t, "flood", "on", on)
 	for _, name := range []string{"kirken", "byen", "fjord", "lag"} {
-		require.GreaterOrEqual(t, accountOf(t, on, name).DeliveredShare(), 0.95, name)
+		require.GreaterOrEqual(t, statsOf(t, on, name).DeliveredShare(), 0.95, name)
 	}
 	for _, s := range stats {
 		require.Zero(t, s.HeavyHitters, "a fresh name is a heavy hitter")
@@ -83,17 +83,17 @@
 	o := Play(d)
 	report(t, "return-times", "on", o)
 
-	account := accountOf(t, o, "crowd")
+	stats := statsOf(t, o, "crowd")
 	worst := mostIn100ms(o.AdvisedRetries, "crowd")
 	entitled := perSecond - kirkenRate - byenRate // what the others leave
-	admittedShare := float64(account.RetriesAdmitted) / float64(account.Backs)
+	admittedShare := float64(stats.RetriesAdmitted) / float64(stats.RetriesSent)
 	t.Logf("measured fair-queues day=return-times "+
 		"told=%d entitled_a_second=%.0f most_in_100ms=%d backs=%d taken=%d part=%.3f",
-		len(o.AdvisedRetries), entitled, worst, account.Backs, account.RetriesAdmitted, admittedShare)
-	require.Greater(t, account.Backs, 500)
+		len(o.AdvisedRetries), entitled, worst, stats.RetriesSent, stats.RetriesAdmitted, admittedShare)
+	require.Greater(t, stats.RetriesSent, 500)
 	require.LessOrEqual(t, float64(worst), 2*entitled/10)
-	require.GreaterOrEqual(t, float64(account.RetriesAdmitted), 0.8*float64(account.Backs))
-	require.GreaterOrEqual(t, accountOf(t, o, "kirken").DeliveredShare(), 0.95)
+	require.GreaterOrEqual(t, float64(stats.RetriesAdmitted), 0.8*float64(stats.RetriesSent))
+	require.GreaterOrEqual(t, statsOf(t, o, "kirken").DeliveredShare(), 0.95)
 }
 
 // mostIn100ms is the largest number of a tenant's clients that were told to come back in the same tenth of a second.
@@ -151,7 +151,7 @@
 			o := Play(day(true, c.streams...))
 			report(t, name, "on", o)
 			for tenant, minShare := range c.minShares {
-				require.GreaterOrEqual(t, accountOf(t, o, tenant).DeliveredShare(), minShare, tenant)
+				require.GreaterOrEqual(t, statsOf(t, o, tenant).DeliveredShare(), minShare, tenant)
 			}
 		})
 	}
@@ -183,11 +183,11 @@
 	o := Play(d)
 	report(t, "changes", "on", o)
 	for _, name := range []string{"byen", "fjord"} {
-		account := accountOf(t, o, name)
-		require.GreaterOrEqual(t, float64(account.OnTime), 0.97*drainAt/end*float64(account.Requested), name)
+		stats := statsOf(t, o, name)
+		require.GreaterOrEqual(t, float64(stats.OnTime), 0.97*drainAt/end*float64(stats.Requests), name)
 	}
-	kirken := accountOf(t, o, "kirken")
-	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requested))
+	kirken := statsOf(t, o, "kirken")
+	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requests))
 }
 
 func TestSameSeedGivesSameOutcome(t *testing.T) {
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -14,7 +14,7 @@
 	fairQueue     *fairqueue.Scheduler // nil without one
 	cores         *emulator.Cores
 	load          *emulator.Load
-	accounts      *emulator.Accounts
+	statsByTenant *emulator.StatsByTenant
 	requests      map[uint64]*request // by ID, until Release
 	requestsByJob map[*emulator.Job]*request
 	lastID        uint64
@@ -42,7 +42,7 @@
 
 // arrive hands an attempt to the admission server.
 func (h *host) arrive(a *emulator.Attempt) {
-	h.accounts.Asked(a)
+	h.statsByTenant.RecordSent(a)
 	h.lastID++
 	category := &h.day.Categories[a.Stream.Category]
 	r := &request{
@@ -75,12 +75,12 @@
 	delete(h.requestsByJob, j)
 	if !r.answered {
 		h.answer(r)
-		account := h.accounts.Account(r.attempt)
+		stats := h.statsByTenant.ForAttempt(r.attempt)
 		if h.now <= r.softDeadline {
-			account.OnTime++
-			account.Value += r.attempt.Stream.PriorityWeight
+			stats.OnTime++
+			stats.DeliveredValue += r.attempt.Stream.PriorityWeight
 		} else {
-			account.Late++
+			stats.Late++
 		}
 	}
 	r.handle.RunEnded(admission.Succeeded, ticks(h.now-j.StartedAt))
@@ -99,7 +99,7 @@
 	r := h.requests[w.ID]
 	r.reservation.Start(h.ticks())
 	if r.attempt.Retries > 0 {
-		h.accounts.Account(r.attempt).RetriesAdmitted++
+		h.statsByTenant.ForAttempt(r.attempt).RetriesAdmitted++
 	}
 	r.job = h.cores.Start("", r.attempt.CoreSeconds)
 	h.requestsByJob[r.job] = r
@@ -116,7 +116,7 @@
 	advised := AdvisedRetry{Tenant: a.Tenant, RetryAfter: seconds(retryAfter)}
 	advised.At = h.now + advised.RetryAfter
 	h.outcome.AdvisedRetries = append(h.outcome.AdvisedRetries, advised)
-	h.accounts.Account(a).Rejected++
+	h.statsByTenant.ForAttempt(a).Rejected++
 	if a.Retries < a.Stream.MaxRetries && advised.RetryAfter > 0 {
 		h.load.Retry(a, advised.At)
 	}
@@ -126,7 +126,7 @@
 func (h *host) Abort(w *admission.Request) {
 	r := h.requests[w.ID]
 	h.answer(r)
-	h.accounts.Account(r.attempt).Aborted++
+	h.statsByTenant.ForAttempt(r.attempt).Aborted++
 }
 
 // StopRun takes a run off the cores. The admission server is told in the batch to come.
--- a/internal/simulation/longrun_test.go
+++ b/internal/simulation/longrun_test.go
@@ -62,11 +62,11 @@
 	o := Play(d)
 	best := 0.0
 	worst := 1.0
-	for _, a := range o.Accounts {
-		part := a.Value / a.RequestedValue
+	for _, a := range o.Tenants {
+		part := a.DeliveredValue / a.RequestedValue
 		best = max(best, part)
 		worst = min(worst, part)
-		t.Logf("measured long-life third=%s asked=%d served=%.3f", a.Tenant, a.Requested, part)
+		t.Logf("measured long-life third=%s asked=%d served=%.3f", a.Tenant, a.Requests, part)
 	}
 	t.Logf("measured long-life heap_kb_by_quarter=%.0f silent=%d late=%d", heap, o.Unanswered, o.AnsweredPastDeadline)
 	require.GreaterOrEqual(t, worst, minOfBestPart*best)
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -78,8 +78,8 @@
 
 // Outcome is what came of a day.
 type Outcome struct {
-	// Accounts of the tenants, in the order of the streams.
-	Accounts []*emulator.Account
+	// Tenants are the statistics of the tenants, in the order of the streams.
+	Tenants []*emulator.TenantStats
 	// AdvisedRetries are in the order in which they were told.
 	AdvisedRetries []AdvisedRetry
 	// CoreSeconds is the work done.
@@ -109,7 +109,7 @@
 		day:           d,
 		cores:         &emulator.Cores{Count: float64(d.Cores), Slowdown: d.Slowdown},
 		load:          emulator.NewLoad(d.Seed, d.Streams),
-		accounts:      emulator.NewAccounts(d.Streams),
+		statsByTenant: emulator.NewStatsByTenant(d.Streams),
 		requests:      map[uint64]*request{},
 		requestsByJob: map[*emulator.Job]*request{},
 		timer:         math.Inf(1),
@@ -198,6 +198,6 @@
 		}
 	}
 	h.outcome.CoreSeconds = h.cores.CoreSeconds
-	h.outcome.Accounts = h.accounts.Entitle(float64(h.day.Cores) * h.day.Length)
+	h.outcome.Tenants = h.statsByTenant.AssignEntitlements(float64(h.day.Cores) * h.day.Length)
 	return h.outcome
 }
