--- a/cmd/thistlequay/fairqueue_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -239,7 +239,10 @@
 	index, err := emulator.NewIndex()
 	r.NoError(err)
 	defer closeQuietly(index)
-	index.Script = func(n int) string { return map[int]string{5: "SHED", 9: "noise", 15: "reset"}[n%20] }
+	index.ReplyScript = func(n int) emulator.IndexReply {
+		return map[int]emulator.IndexReply{5: emulator.ReplyShed, 9: emulator.ReplyMalformed,
+			15: emulator.ReplyReset}[n%20] // the zero value is ReplyHit
+	}
 	defer closeQuietly(r.interpreter)
 	config := strings.Replace(strings.Replace(r.config, r.interpreter.Address, vm.Address, 1), r.index.Address,
 		index.Address, 1)
@@ -251,7 +254,6 @@
 	if os.Getenv("MEASURE") == "full" {
 		length = 30
 	}
-	index.Script = answerWhereSilent(index.Script)
 	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
 		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
 			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 20, To: length, MeanCoreSeconds: 0.03, PriorityWeight: 1},
@@ -272,13 +274,3 @@
 		}
 	})
 }
-
-// answerWhereSilent has an index answer with a hit wherever its script says nothing.
-func answerWhereSilent(script func(int) string) func(int) string {
-	return func(n int) string {
-		if reply := script(n); reply != "" {
-			return reply
-		}
-		return "HIT"
-	}
-}
--- a/internal/emulator/index.go
+++ b/internal/emulator/index.go
@@ -9,24 +9,44 @@
 	"time"
 )
 
-// Replies that a script of the index may ask for. Any other text is sent as the status word of the reply: SHED, BROKEN,
-// SLOW and NOBODY are those of the protocol.
+// IndexReply is how the index answers one call.
+type IndexReply int
+
 const (
-	replyHit     = "HIT"
-	replyShed    = "SHED"
-	replySilence = "silence" // no reply at all
-	replyReset   = "reset"   // the connection is closed instead
-	replyNoise   = "noise"   // bytes that are no reply
+	// ReplyHit answers with HIT and a body of four bytes.
+	ReplyHit IndexReply = iota
+	// ReplyShed answers with SHED: the index is overloaded and has not run the call.
+	ReplyShed
+	// ReplyFailed answers with BROKEN: the call has failed.
+	ReplyFailed
+	// ReplyTimedOut answers with SLOW: the call timed out and may have taken effect.
+	ReplyTimedOut
+	// ReplyUnavailable answers with NOBODY: no backend was there to run the call.
+	ReplyUnavailable
+	// ReplyNone sends nothing and leaves the connection open.
+	ReplyNone
+	// ReplyReset closes the connection without a reply.
+	ReplyReset
+	// ReplyMalformed sends bytes that are not a reply of the protocol.
+	ReplyMalformed
 )
 
+// statusWords are the protocol's status words of the replies that have no body.
+var statusWords = map[IndexReply]string{
+	ReplyShed:        "SHED",
+	ReplyFailed:      "BROKEN",
+	ReplyTimedOut:    "SLOW",
+	ReplyUnavailable: "NOBODY",
+}
+
 // Index emulates the index service: it answers calls on any number of connections.
 type Index struct {
 	*Listener
 	// ReplyDelay is how long a call takes while the index is not overloaded.
 	ReplyDelay time.Duration
-	// Script gives the reply to the n-th call, counted from 0 over all connections: a status word of the protocol,
-	// "silence", "reset" or "noise". Nil answers every call with HIT.
-	Script func(n int) string
+	// ReplyScript returns the reply to the n-th call, counted from 0 over all connections, and must be safe for
+	// concurrent use. Nil answers every call with ReplyHit. Set it before the first call.
+	ReplyScript func(n int) IndexReply
 	// MaxInFlight is the number of calls in flight beyond which more are answered with SHED; 0 for no limit.
 	MaxInFlight int
 	// SlowdownThreshold is the number of calls in flight beyond which all take longer, by the square of the ratio
@@ -68,7 +88,7 @@
 			return
 		}
 		reply := x.process()
-		if reply == replyReset {
+		if reply == ReplyReset {
 			return
 		}
 		sendReply(link, id, reply)
@@ -98,17 +118,17 @@
 }
 
 // process takes the time of one call and gives the reply to it.
-func (x *Index) process() string {
+func (x *Index) process() IndexReply {
 	n := int(x.callCount.Add(1)) - 1
-	reply := replyHit
-	if x.Script != nil {
-		reply = x.Script(n)
+	reply := ReplyHit
+	if x.ReplyScript != nil {
+		reply = x.ReplyScript(n)
 	}
 	inFlight := x.inFlight.Add(1)
 	defer x.inFlight.Add(-1)
 	x.raisePeak(inFlight)
 	if x.MaxInFlight > 0 && inFlight > int64(x.MaxInFlight) {
-		return replyShed
+		return ReplyShed
 	}
 	time.Sleep(x.delay(inFlight))
 	return reply
@@ -133,15 +153,15 @@
 	return time.Duration(float64(x.ReplyDelay) * overload * overload)
 }
 
-// sendReply writes the reply to the call with this id.
-func sendReply(link *Link, id, reply string) {
+// sendReply writes the reply to the call with this ID.
+func sendReply(link *Link, id string, reply IndexReply) {
 	switch reply {
-	case replySilence:
-	case replyNoise:
+	case ReplyNone:
+	case ReplyMalformed:
 		link.send([]byte("\x00\xff no reply at all\r\n"))
-	case replyHit:
+	case ReplyHit:
 		link.sendf("%s HIT 4\r\ngood\r\n", id)
 	default:
-		link.sendf("%s %s\r\n", id, reply)
+		link.sendf("%s %s\r\n", id, statusWords[reply])
 	}
 }
