--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -12,10 +12,10 @@
 	"thistlequay/timeunit"
 )
 
-// requestCoreSeconds is the mean work of a request: the four cores of a day do a hundred requests a second.
+// requestCoreSeconds is the mean work of a request: the four cores of newConfig do a hundred requests a second.
 const requestCoreSeconds = 0.04
 
-// stream is the load of one tenant, by fifty routers, from the beginning of the day to its end.
+// stream is the load of one tenant, by fifty routers, from the beginning of the run to its end.
 func stream(tenant string, weight, arrivalsPerSecond float64) *emulator.Stream {
 	return &emulator.Stream{
 		Tenant:            tenant,
@@ -28,7 +28,7 @@
 	}
 }
 
-// length of a day in seconds: short in CI, and that of a real peak where the measurement is asked for in full.
+// length returns the length of a run in seconds: short in CI, and that of a real peak with MEASURE=full.
 func length() float64 {
 	if os.Getenv("MEASURE") == "full" {
 		return 300
@@ -36,16 +36,16 @@
 	return 40
 }
 
-// day has four cores and one category.
-func day(fair bool, streams ...*emulator.Stream) Day {
-	d := Day{
-		Seed:          7,
-		Length:        length(),
-		Cores:         4,
-		Slowdown:      0.02,
-		Memory:        80_000,
-		MaxRetryAfter: 30 * ticksPerSecond,
-		Streams:       streams,
+// newConfig returns a server with four cores and one category under a load.
+func newConfig(fair bool, streams ...*emulator.Stream) Config {
+	config := Config{
+		Seed:            7,
+		DurationSeconds: length(),
+		Cores:           4,
+		Slowdown:        0.02,
+		MemoryKB:        80_000,
+		MaxRetryAfter:   30 * ticksPerSecond,
+		Streams:         streams,
 		Categories: []admission.Category{{
 			Weight:       1,
 			SoftDeadline: 2 * ticksPerSecond,
@@ -54,9 +54,9 @@
 		}},
 	}
 	if fair {
-		d.FairQueue = fairQueueConfig(streams)
+		config.FairQueue = fairQueueConfig(streams)
 	}
-	return d
+	return config
 }
 
 // fairQueueConfig names each stream of one tenant that has a weight.
@@ -80,10 +80,10 @@
 	return config
 }
 
-// statsOf returns the statistics of one tenant, which the outcome must have.
-func statsOf(t *testing.T, o Outcome, tenant string) *emulator.TenantStats {
+// statsOf returns the statistics of one tenant, which the result must have.
+func statsOf(t *testing.T, result Result, tenant string) *emulator.TenantStats {
 	t.Helper()
-	for _, a := range o.Tenants {
+	for _, a := range result.Tenants {
 		if a.Tenant == tenant {
 			return a
 		}
@@ -92,14 +92,14 @@
 	return nil
 }
 
-// report logs the measured lines of a day, and requires a response in time to every request.
-func report(t *testing.T, name, queues string, o Outcome) {
+// report logs the measured lines of a run, and requires a response in time to every request.
+func report(t *testing.T, name, queues string, result Result) {
 	t.Helper()
-	for _, a := range o.Tenants {
+	for _, a := range result.Tenants {
 		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, a)
 	}
-	total := emulator.Total(o.Tenants)
+	total := emulator.Total(result.Tenants)
 	t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, &total)
-	require.Zero(t, o.Unanswered, "requests without a response")
-	require.Zero(t, o.AnsweredPastDeadline, "responses after the deadline")
+	require.Zero(t, result.Unanswered, "requests without a response")
+	require.Zero(t, result.AnsweredPastDeadline, "responses after the deadline")
 }
--- a/internal/simulation/fairqueue_test.go
+++ b/internal/simulation/fairqueue_test.go
@@ -24,8 +24,8 @@
 
 // Fair queues give the three what they are entitled to, which they lack without, and cost no value in all.
 func TestMeasuredGreedyTenantTakesNothingFromOthers(t *testing.T) {
-	off := Play(day(false, greedyTenant()...))
-	on := Play(day(true, greedyTenant()...))
+	off := Run(newConfig(false, greedyTenant()...))
+	on := Run(newConfig(true, greedyTenant()...))
 	report(t, "greedy", "off", off)
 	report(t, "greedy", "on", on)
 	for _, name := range []string{"kirken", "byen", "fjord"} {
@@ -55,11 +55,11 @@
 
 // A flood of new names takes nothing from known tenants, and none of them is taken for a heavy hitter.
 func TestMeasuredFloodOfNewTenantsTakesNothingFromKnownOnes(t *testing.T) {
-	d := day(true, newTenants()...)
+	config := newConfig(true, newTenants()...)
 	var stats []fairqueue.Stats
-	d.OnSecond = func(_ int, l *fairqueue.Scheduler) { stats = append(stats, l.Stats()) }
-	off := Play(day(false, newTenants()...))
-	on := Play(d)
+	config.OnSecond = func(_ int, scheduler *fairqueue.Scheduler) { stats = append(stats, scheduler.Stats()) }
+	off := Run(newConfig(false, newTenants()...))
+	on := Run(config)
 	report(t, "flood", "off", off)
 	report(t, "flood", "on", on)
 	for _, name := range []string{"kirken", "byen", "fjord", "lag"} {
@@ -78,22 +78,22 @@
 	crowd.To = 1.3
 	crowd.MaxRetries = 1
 	crowd.Routers = 1000
-	d := day(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
-	d.MaxRetryAfter = 60 * ticksPerSecond // a thousand need half a minute: clients must heed as much
-	o := Play(d)
-	report(t, "return-times", "on", o)
+	config := newConfig(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
+	config.MaxRetryAfter = 60 * ticksPerSecond // a thousand need half a minute: clients must heed as much
+	result := Run(config)
+	report(t, "return-times", "on", result)
 
-	stats := statsOf(t, o, "crowd")
-	worst := mostIn100ms(o.AdvisedRetries, "crowd")
+	stats := statsOf(t, result, "crowd")
+	worst := mostIn100ms(result.AdvisedRetries, "crowd")
 	entitled := perSecond - kirkenRate - byenRate // what the others leave
 	admittedShare := float64(stats.RetriesAdmitted) / float64(stats.RetriesSent)
 	t.Logf("measured fair-queues day=return-times "+
 		"told=%d entitled_a_second=%.0f most_in_100ms=%d backs=%d taken=%d part=%.3f",
-		len(o.AdvisedRetries), entitled, worst, stats.RetriesSent, stats.RetriesAdmitted, admittedShare)
+		len(result.AdvisedRetries), entitled, worst, stats.RetriesSent, stats.RetriesAdmitted, admittedShare)
 	require.Greater(t, stats.RetriesSent, 500)
 	require.LessOrEqual(t, float64(worst), 2*entitled/10)
 	require.GreaterOrEqual(t, float64(stats.RetriesAdmitted), 0.8*float64(stats.RetriesSent))
-	require.GreaterOrEqual(t, statsOf(t, o, "kirken").DeliveredShare(), 0.95)
+	require.GreaterOrEqual(t, statsOf(t, result, "kirken").DeliveredShare(), 0.95)
 }
 
 // mostIn100ms is the largest number of a tenant's clients that were told to come back in the same tenth of a second.
@@ -102,7 +102,7 @@
 	most := 0
 	for _, a := range advised {
 		if a.Tenant == tenant {
-			slot := int(a.At * 10)
+			slot := int(a.DueSeconds * 10)
 			counts[slot]++
 			most = max(most, counts[slot])
 		}
@@ -110,7 +110,7 @@
 	return most
 }
 
-// Each hard case is a day of its own: what its tenants have at least of what they are entitled to.
+// Each case is a run of its own, with the least share of its entitlement that a tenant must have.
 func TestTenantsHaveWhatTheyAreEntitledTo(t *testing.T) {
 	expensive := stream("dear", 0.17, 20)
 	expensive.MeanCoreSeconds = 30 * requestCoreSeconds
@@ -148,10 +148,10 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := Play(day(true, c.streams...))
-			report(t, name, "on", o)
+			result := Run(newConfig(true, c.streams...))
+			report(t, name, "on", result)
 			for tenant, minShare := range c.minShares {
-				require.GreaterOrEqual(t, statsOf(t, o, tenant).DeliveredShare(), minShare, tenant)
+				require.GreaterOrEqual(t, statsOf(t, result, tenant).DeliveredShare(), minShare, tenant)
 			}
 		})
 	}
@@ -161,37 +161,37 @@
 // in flight, and a drain: every request has its response in time, and tenants keep what they are entitled to.
 func TestChangesUnderLoadKeepEntitlements(t *testing.T) {
 	const removeKirkenAt, restoreKirkenAt, drainAt, end = 15, 25, 35, 40
-	d := day(true, greedyTenant()...)
-	d.SlowStart = 10 * ticksPerSecond
-	before := *d.FairQueue
-	after := *d.FairQueue
+	config := newConfig(true, greedyTenant()...)
+	config.WarmUpTime = 10 * ticksPerSecond
+	before := *config.FairQueue
+	after := *config.FairQueue
 	after.Tenants = []fairqueue.Tenant{
 		{Name: "byen", Weight: 0.3},
 		{Name: "fjord", Weight: 0.2},
 		{Name: "greedy", Weight: 0.3},
 	}
-	d.Reconfigure = func(at float64, l *fairqueue.Scheduler) {
+	config.Reconfigure = func(at float64, scheduler *fairqueue.Scheduler) {
 		now := timeunit.Ticks(at * ticksPerSecond)
 		switch at {
 		case removeKirkenAt:
-			l.Reconfigure(after, now) // kirken is one of the others now
+			scheduler.Reconfigure(after, now) // kirken is one of the others now
 		case restoreKirkenAt:
-			l.Reconfigure(before, now)
+			scheduler.Reconfigure(before, now)
 		}
 	}
-	d.DrainAt = drainAt
-	o := Play(d)
-	report(t, "changes", "on", o)
+	config.DrainAtSeconds = drainAt
+	result := Run(config)
+	report(t, "changes", "on", result)
 	for _, name := range []string{"byen", "fjord"} {
-		stats := statsOf(t, o, name)
+		stats := statsOf(t, result, name)
 		require.GreaterOrEqual(t, float64(stats.OnTime), 0.97*drainAt/end*float64(stats.Requests), name)
 	}
-	kirken := statsOf(t, o, "kirken")
+	kirken := statsOf(t, result, "kirken")
 	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requests))
 }
 
 func TestSameSeedGivesSameOutcome(t *testing.T) {
-	first := Play(day(true, greedyTenant()...))
-	second := Play(day(true, greedyTenant()...))
+	first := Run(newConfig(true, greedyTenant()...))
+	second := Run(newConfig(true, greedyTenant()...))
 	require.Equal(t, first, second)
 }
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -7,9 +7,9 @@
 	"thistlequay/timeunit"
 )
 
-// host is the admission server's host in the simulation (admission.Host): it carries out decisions on emulated cores.
+// host implements admission.Host: it carries out the decisions of the admission server on emulated cores.
 type host struct {
-	day           Day
+	config        Config
 	server        *admission.Server
 	fairQueue     *fairqueue.Scheduler // nil without one
 	cores         *emulator.Cores
@@ -19,14 +19,14 @@
 	requestsByJob map[*emulator.Job]*request
 	lastID        uint64
 	now           float64    // seconds
-	second        int        // the next one to call the day's hooks for
+	second        int        // the next one to call the hooks of the configuration for
 	timer         float64    // when OnTimer is due, in seconds; infinite for never
-	stopped       []*request // whose end the admission server is to be told in the next batch
+	stopped       []*request // whose end is reported to the admission server in the next batch
 	draining      bool
-	outcome       Outcome
+	result        Result
 }
 
-// request is one attempt that the server has not forgotten.
+// request is one attempt until the admission server releases it.
 type request struct {
 	attempt      *emulator.Attempt
 	handle       *admission.Request
@@ -37,14 +37,14 @@
 	answered     bool
 }
 
-// ticks is the time as the admission server counts it.
+// ticks returns the current time.
 func (h *host) ticks() timeunit.Ticks { return ticks(h.now) }
 
 // arrive hands an attempt to the admission server.
 func (h *host) arrive(a *emulator.Attempt) {
 	h.statsByTenant.RecordSent(a)
 	h.lastID++
-	category := &h.day.Categories[a.Stream.Category]
+	category := &h.config.Categories[a.Stream.Category]
 	r := &request{
 		attempt:      a,
 		softDeadline: a.At + seconds(category.SoftDeadline),
@@ -58,7 +58,7 @@
 		ID:       h.lastID,
 		TimeLeft: category.Deadline,
 	}
-	if h.day.NewRouterEachRequest {
+	if h.config.UniqueRouterPerRequest {
 		arrival.Router = int(h.lastID)
 	}
 	if h.fairQueue != nil {
@@ -69,7 +69,7 @@
 	r.handle = h.server.Enqueue(arrival)
 }
 
-// completed ends a run. Where the request had its response before, the result is of no use.
+// completed ends a run that has done its work. The result is dropped where the request was answered before.
 func (h *host) completed(j *emulator.Job) {
 	r := h.requestsByJob[j]
 	delete(h.requestsByJob, j)
@@ -86,17 +86,17 @@
 	r.handle.RunEnded(admission.Succeeded, ticks(h.now-j.StartedAt))
 }
 
-// answer marks that the client has its response.
+// answer records that the client has its response.
 func (h *host) answer(r *request) {
 	r.answered = true
 	if h.now > r.deadline {
-		h.outcome.AnsweredPastDeadline++
+		h.result.AnsweredPastDeadline++
 	}
 }
 
 // Run starts a request on the cores.
-func (h *host) Run(w *admission.Request) {
-	r := h.requests[w.ID]
+func (h *host) Run(q *admission.Request) {
+	r := h.requests[q.ID]
 	r.reservation.Start(h.ticks())
 	if r.attempt.Retries > 0 {
 		h.statsByTenant.ForAttempt(r.attempt).RetriesAdmitted++
@@ -105,46 +105,46 @@
 	h.requestsByJob[r.job] = r
 }
 
-// Reject tells the client when to come back, and has it do so while it has retries left.
-func (h *host) Reject(w *admission.Request, retryAfter timeunit.Ticks, _ bool) {
-	r := h.requests[w.ID]
+// Reject answers a request with a Retry-After, and schedules the retry where the stream has retries left.
+func (h *host) Reject(q *admission.Request, retryAfter timeunit.Ticks, _ bool) {
+	r := h.requests[q.ID]
 	h.answer(r)
 	if h.fairQueue != nil {
-		retryAfter = r.reservation.RetryAfter(retryAfter, h.day.MaxRetryAfter, h.ticks())
+		retryAfter = r.reservation.RetryAfter(retryAfter, h.config.MaxRetryAfter, h.ticks())
 	}
 	a := r.attempt
-	advised := AdvisedRetry{Tenant: a.Tenant, RetryAfter: seconds(retryAfter)}
-	advised.At = h.now + advised.RetryAfter
-	h.outcome.AdvisedRetries = append(h.outcome.AdvisedRetries, advised)
+	advised := AdvisedRetry{Tenant: a.Tenant, RetryAfterSeconds: seconds(retryAfter)}
+	advised.DueSeconds = h.now + advised.RetryAfterSeconds
+	h.result.AdvisedRetries = append(h.result.AdvisedRetries, advised)
 	h.statsByTenant.ForAttempt(a).Rejected++
-	if a.Retries < a.Stream.MaxRetries && advised.RetryAfter > 0 {
-		h.load.Retry(a, advised.At)
+	if a.Retries < a.Stream.MaxRetries && advised.RetryAfterSeconds > 0 {
+		h.load.Retry(a, advised.DueSeconds)
 	}
 }
 
 // Abort answers a request that failed or has reached its deadline.
-func (h *host) Abort(w *admission.Request) {
-	r := h.requests[w.ID]
+func (h *host) Abort(q *admission.Request) {
+	r := h.requests[q.ID]
 	h.answer(r)
 	h.statsByTenant.ForAttempt(r.attempt).Aborted++
 }
 
-// StopRun takes a run off the cores. The admission server is told in the batch to come.
-func (h *host) StopRun(w *admission.Request) {
-	r := h.requests[w.ID]
+// StopRun takes a run off the cores. Its end is reported to the admission server in the next batch.
+func (h *host) StopRun(q *admission.Request) {
+	r := h.requests[q.ID]
 	h.cores.Abort(r.job)
 	delete(h.requestsByJob, r.job)
 	h.stopped = append(h.stopped, r)
 }
 
-// Release forgets a request.
-func (h *host) Release(w *admission.Request) {
-	r := h.requests[w.ID]
+// Release drops a request that the admission server needs no longer.
+func (h *host) Release(q *admission.Request) {
+	r := h.requests[q.ID]
 	r.reservation.Release(h.ticks())
-	delete(h.requests, w.ID)
+	delete(h.requests, q.ID)
 }
 
-// SetTimer has OnTimer called after so long, or before where it was set so.
+// SetTimer has OnTimer called after a time, or earlier where an earlier call had been asked for.
 func (h *host) SetTimer(after timeunit.Ticks) { h.timer = min(h.timer, h.now+seconds(after)) }
 
 // ShareResult does nothing: no request has an idempotency key.
@@ -165,7 +165,7 @@
 // ReportLoad does nothing: routers send all their load to the one server.
 func (h *host) ReportLoad(float64) {}
 
-// SetHealth does nothing: nobody checks the server's health.
+// SetHealth does nothing: the simulation has no health checks.
 func (h *host) SetHealth(bool, bool) {}
 
 // CloseIdleConnections does nothing: there are no connections.
--- a/internal/simulation/longrun_test.go
+++ b/internal/simulation/longrun_test.go
@@ -45,31 +45,32 @@
 			PriorityWeight:    1,
 		})
 	}
-	d := day(true, streams...)
-	d.Length = length
-	d.NewRouterEachRequest = true
+	config := newConfig(true, streams...)
+	config.DurationSeconds = length
+	config.UniqueRouterPerRequest = true
 	random := rand.New(rand.NewSource(3))
 	var heap []float64
-	d.OnSecond = func(second int, l *fairqueue.Scheduler) {
+	config.OnSecond = func(second int, scheduler *fairqueue.Scheduler) {
 		now := timeunit.Ticks(second) * ticksPerSecond
 		tenant := []byte{byte(random.Intn(256)), byte(random.Intn(256)), byte(random.Intn(256))}
-		reservation := l.Reserve(tenant, 0, 0, now)
+		reservation := scheduler.Reserve(tenant, 0, 0, now)
 		reservation.Release(now)
 		if second%quarter == sampleAt {
 			heap = append(heap, heapKB())
 		}
 	}
-	o := Play(d)
+	result := Run(config)
 	best := 0.0
 	worst := 1.0
-	for _, a := range o.Tenants {
+	for _, a := range result.Tenants {
 		part := a.DeliveredValue / a.RequestedValue
 		best = max(best, part)
 		worst = min(worst, part)
 		t.Logf("measured long-life third=%s asked=%d served=%.3f", a.Tenant, a.Requests, part)
 	}
-	t.Logf("measured long-life heap_kb_by_quarter=%.0f silent=%d late=%d", heap, o.Unanswered, o.AnsweredPastDeadline)
+	t.Logf("measured long-life heap_kb_by_quarter=%.0f silent=%d late=%d", heap, result.Unanswered,
+		result.AnsweredPastDeadline)
 	require.GreaterOrEqual(t, worst, minOfBestPart*best)
 	require.Less(t, heap[len(heap)-1], heap[1]+maxGrowthKB)
-	require.Zero(t, o.Unanswered+o.AnsweredPastDeadline)
+	require.Zero(t, result.Unanswered+result.AnsweredPastDeadline)
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,7 +1,7 @@
-// Package simulation plays a day of load against the decisions alone, as fast as the machine can: the admission
-// server, the fair scheduler and emulated cores, without sockets and clocks, from one seed. The same day always has
-// the same outcome. The package carries out what the admission server says, as the app server does, and takes no
-// decision itself.
+// Package simulation runs a load against the admission server, the fair scheduler and emulated cores in virtual time:
+// without sockets and clocks, as fast as the machine can, and with random numbers from one seed. The same Config always
+// gives the same Result. The package carries out the decisions of the admission server, as the app server does, and
+// takes none itself.
 package simulation
 
 import (
@@ -17,85 +17,91 @@
 // ticksPerSecond is the number of timeunit.Ticks in a second.
 const ticksPerSecond = 10_000
 
-// ticks converts seconds.
+// ticks converts seconds to ticks.
 func ticks(seconds float64) timeunit.Ticks { return timeunit.Ticks(seconds * ticksPerSecond) }
 
-// seconds converts ticks.
+// seconds converts ticks to seconds.
 func seconds(t timeunit.Ticks) float64 { return float64(t) / ticksPerSecond }
 
-// Constants of every day.
+// Constants of every run.
 const (
 	routers         = 4
 	requestMemoryKB = 10   // of each request while it is queued
-	runMemoryFactor = 4    // of a run, against that of the queued request
+	runMemoryFactor = 4    // memory of a run, as a multiple of that of the queued request
 	entryKB         = 1    // of an idempotency entry
-	coldSpeed       = 0.3  // of a server that has just started, against a warm one
-	overloadLimit   = 8    // runnable requests a core
-	settleSeconds   = 60.0 // after the last arrival, until what is unanswered counts so
+	coldSpeed       = 0.3  // of a server that has just started, as a fraction of a warm one
+	overloadLimit   = 8    // runnable requests per core
+	settleSeconds   = 60.0 // after the end of the load: then requests without a response are counted as unanswered
 
 	batchInterval timeunit.Ticks = 10                 // 1 ms
 	drainGrace    timeunit.Ticks = 2 * ticksPerSecond // of the admission server's configuration
-	drainTime     timeunit.Ticks = 3 * ticksPerSecond // from DrainAt to the end
+	drainTime     timeunit.Ticks = 3 * ticksPerSecond // from Config.DrainAtSeconds to the end
 )
 
-// Day is what is played.
-type Day struct {
-	// Seed of the load and of the fair scheduler.
+// Config describes the server and the load of one run.
+type Config struct {
+	// Seed is the seed of the load and of the fair scheduler.
 	Seed int64
-	// Length in seconds.
-	Length float64
-	// Cores of the machine, and their Slowdown when overloaded (see emulator.Cores).
-	Cores    int
+	// DurationSeconds is the length of the load. Responses are waited for up to a minute longer.
+	DurationSeconds float64
+	// Cores is the number of cores that run requests.
+	Cores int
+	// Slowdown is the loss of speed when the cores are overloaded (see emulator.Cores).
 	Slowdown float64
-	// Memory in kilobytes.
-	Memory float64
-	// Categories of requests.
+	// MemoryKB is the memory limit of the admission server, in kilobytes.
+	MemoryKB float64
+	// Categories are the categories of requests. Streams name them by index.
 	Categories []admission.Category
 	// Streams are the load.
 	Streams []*emulator.Stream
 	// MaxRetryAfter is the longest Retry-After that clients heed.
 	MaxRetryAfter timeunit.Ticks
-	// SlowStart is how long the server warms up; 0 for one that starts warm.
-	SlowStart timeunit.Ticks
-	// FairQueue configures the fair scheduler; nil to play without one.
+	// WarmUpTime is how long the server warms up; 0 for a server that starts warm.
+	WarmUpTime timeunit.Ticks
+	// FairQueue configures the fair scheduler; nil for a server without one.
 	FairQueue *fairqueue.Config
-	// DrainAt is when the server begins to drain, in seconds; 0 for never.
-	DrainAt float64
-	// NewRouterEachRequest has each request come by a router that was never seen before.
-	NewRouterEachRequest bool
-	// Reconfigure is called each second, to change the fair scheduler's configuration; nil for never.
-	Reconfigure func(at float64, l *fairqueue.Scheduler)
-	// OnSecond is called each second, before Reconfigure; nil for never.
-	OnSecond func(second int, l *fairqueue.Scheduler)
+	// DrainAtSeconds is when the server begins to drain, in seconds from the start; 0 for never.
+	DrainAtSeconds float64
+	// UniqueRouterPerRequest has each request come by a router that was not seen before.
+	UniqueRouterPerRequest bool
+	// Reconfigure is called at each full second, counted from 0, and may change the configuration of the scheduler,
+	// which is nil without FairQueue. Nil for no calls.
+	Reconfigure func(atSeconds float64, scheduler *fairqueue.Scheduler)
+	// OnSecond is called at each full second, before Reconfigure. Nil for no calls.
+	OnSecond func(second int, scheduler *fairqueue.Scheduler)
 }
 
-// AdvisedRetry is a Retry-After that a client was told.
+// AdvisedRetry is the Retry-After of one rejection.
 type AdvisedRetry struct {
-	Tenant     string
-	At         float64 // when the client is to come back, in seconds
-	RetryAfter float64 // seconds
+	// Tenant is the tenant of the rejected request.
+	Tenant string
+	// DueSeconds is when the client is to send the request again, in seconds from the start.
+	DueSeconds float64
+	// RetryAfterSeconds is the Retry-After, in seconds from the rejection.
+	RetryAfterSeconds float64
 }
 
-// Outcome is what came of a day.
-type Outcome struct {
+// Result is the outcome of a run.
+type Result struct {
 	// Tenants are the statistics of the tenants, in the order of the streams.
 	Tenants []*emulator.TenantStats
-	// AdvisedRetries are in the order in which they were told.
+	// AdvisedRetries has an entry for each rejection, in their order.
 	AdvisedRetries []AdvisedRetry
-	// CoreSeconds is the work done.
+	// CoreSeconds is the work done, in seconds of one core.
 	CoreSeconds float64
-	// Unanswered counts requests without a response at the end.
+	// Unanswered is the number of requests without a response at the end.
 	Unanswered int
-	// AnsweredPastDeadline counts responses after the deadline.
+	// AnsweredPastDeadline is the number of responses after the deadline.
 	AnsweredPastDeadline int
 }
 
-// Play plays a day.
-func Play(d Day) Outcome {
-	h := newHost(d)
+// Run simulates the load until nothing is left to happen, or a minute after the end of the load, and returns the
+// result.
+func Run(config Config) Result {
+	h := newHost(config)
 	for {
 		at := h.nextEvent()
-		if math.IsInf(at, 1) || at > d.Length+settleSeconds {
+		if math.IsInf(at, 1) || at > config.DurationSeconds+settleSeconds {
 			break
 		}
 		h.batch(at)
@@ -103,40 +109,40 @@
 	return h.finish()
 }
 
-// newHost prepares a day.
-func newHost(d Day) *host {
+// newHost returns a host at time 0, with the admission server and the load of the configuration.
+func newHost(config Config) *host {
 	h := &host{
-		day:           d,
-		cores:         &emulator.Cores{Count: float64(d.Cores), Slowdown: d.Slowdown},
-		load:          emulator.NewLoad(d.Seed, d.Streams),
-		statsByTenant: emulator.NewStatsByTenant(d.Streams),
+		config:        config,
+		cores:         &emulator.Cores{Count: float64(config.Cores), Slowdown: config.Slowdown},
+		load:          emulator.NewLoad(config.Seed, config.Streams),
+		statsByTenant: emulator.NewStatsByTenant(config.Streams),
 		requests:      map[uint64]*request{},
 		requestsByJob: map[*emulator.Job]*request{},
 		timer:         math.Inf(1),
 	}
-	if d.FairQueue != nil {
-		h.fairQueue = fairqueue.New(*d.FairQueue, rand.New(rand.NewSource(d.Seed)), 0)
+	if config.FairQueue != nil {
+		h.fairQueue = fairqueue.New(*config.FairQueue, rand.New(rand.NewSource(config.Seed)), 0)
 	}
 	h.server = admission.New(admission.Config{
-		Categories:        d.Categories,
+		Categories:        config.Categories,
 		Routers:           routers,
-		Cores:             d.Cores,
-		MemoryKB:          d.Memory,
+		Cores:             config.Cores,
+		MemoryKB:          config.MemoryKB,
 		RunMemoryFactor:   runMemoryFactor,
 		EntryKB:           entryKB,
 		BatchInterval:     batchInterval,
 		DrainGrace:        drainGrace,
 		OverloadThreshold: overloadLimit,
-		MaxRetryAfter:     d.MaxRetryAfter,
+		MaxRetryAfter:     config.MaxRetryAfter,
 		CanStopRuns:       true,
-		StartsCold:        d.SlowStart > 0,
+		StartsCold:        config.WarmUpTime > 0,
 		ColdSpeed:         coldSpeed,
-		WarmUpTime:        d.SlowStart,
+		WarmUpTime:        config.WarmUpTime,
 	}, h, 0)
 	return h
 }
 
-// nextEvent is when something happens next, in seconds; infinite for never.
+// nextEvent returns the time of the next event, in seconds; infinite where there is none.
 func (h *host) nextEvent() float64 {
 	if len(h.stopped) > 0 {
 		return h.now
@@ -144,13 +150,14 @@
 	return min(h.cores.NextCompletion(), h.load.Next(), h.timer)
 }
 
-// batch moves the time on and tells the admission server all that happens then, as one batch of the app server's loop.
+// batch moves the time on and reports all events of that moment to the admission server, as one iteration of the app
+// server's event loop does.
 func (h *host) batch(at float64) {
 	h.cores.AdvanceTo(at)
 	h.now = at
 	h.callHooks()
 	h.server.Advance(h.ticks())
-	if h.day.DrainAt > 0 && at >= h.day.DrainAt && !h.draining {
+	if h.config.DrainAtSeconds > 0 && at >= h.config.DrainAtSeconds && !h.draining {
 		h.draining = true
 		h.server.Drain(drainTime)
 	}
@@ -169,20 +176,20 @@
 	h.server.Dispatch()
 }
 
-// callHooks calls the day's hooks for each second that has begun.
+// callHooks calls the hooks of the configuration for each second that has begun.
 func (h *host) callHooks() {
-	for float64(h.second) <= h.now && h.now < h.day.Length {
-		if h.day.OnSecond != nil {
-			h.day.OnSecond(h.second, h.fairQueue)
+	for float64(h.second) <= h.now && h.now < h.config.DurationSeconds {
+		if h.config.OnSecond != nil {
+			h.config.OnSecond(h.second, h.fairQueue)
 		}
-		if h.day.Reconfigure != nil {
-			h.day.Reconfigure(float64(h.second), h.fairQueue)
+		if h.config.Reconfigure != nil {
+			h.config.Reconfigure(float64(h.second), h.fairQueue)
 		}
 		h.second++
 	}
 }
 
-// reportStopped tells the admission server of the runs that it stopped in the batch before.
+// reportStopped reports the end of the runs that the admission server stopped in the previous batch.
 func (h *host) reportStopped() {
 	for _, r := range h.stopped {
 		r.handle.RunEnded(admission.Aborted, ticks(h.now-r.job.StartedAt))
@@ -190,14 +197,14 @@
 	h.stopped = h.stopped[:0]
 }
 
-// finish sums up the day.
-func (h *host) finish() Outcome {
+// finish completes the result.
+func (h *host) finish() Result {
 	for _, r := range h.requests {
 		if !r.answered {
-			h.outcome.Unanswered++
+			h.result.Unanswered++
 		}
 	}
-	h.outcome.CoreSeconds = h.cores.CoreSeconds
-	h.outcome.Tenants = h.statsByTenant.AssignEntitlements(float64(h.day.Cores) * h.day.Length)
-	return h.outcome
+	h.result.CoreSeconds = h.cores.CoreSeconds
+	h.result.Tenants = h.statsByTenant.AssignEntitlements(float64(h.config.Cores) * h.config.DurationSeconds)
+	return h.result
 }
