--- a/cmd/thistlequay/cluster_scenarios_test.go
+++ b/cmd/thistlequay/cluster_scenarios_test.go
@@ -32,7 +32,7 @@
 			}
 		}, nil},
 		{"routers-reconnect", 0.8, nil, func(_ *testCluster, t *clustertest.Traffic) {
-			t.Actions[length/2] = func(r *clustertest.Routers) { r.Reconnect(0.7) }
+			t.Actions[length/2] = func(r *clustertest.Routers) { r.DropConnections(0.7) }
 		}},
 		{"directory-gone", 0.9, nil, func(g *testCluster, t *clustertest.Traffic) {
 			t.Actions[length/4] = func(*clustertest.Routers) { closeQuietly(g.Directory.Listener.Listener) }
@@ -76,7 +76,7 @@
 	}
 	for n, day := range days {
 		t.Run(day.name, func(t *testing.T) {
-			g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: int64(n + 1)})
+			g := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: int64(n + 1)})
 			if day.prepare != nil {
 				day.prepare(g)
 			}
@@ -85,27 +85,27 @@
 			}
 			g.waitUntilServing(g.Servers)
 			// About half of what the cores can do, of which each server has two.
-			traffic := clustertest.Traffic{Routers: 10, RequestsPerSecond: float64(servers) * 2 / 0.04 * 0.5,
-				Length: length, WorkMs: 40, SoftDeadline: 4 * time.Second,
-				Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.3,
+			traffic := clustertest.Traffic{RouterCount: 10, RequestsPerSecond: float64(servers) * 2 / 0.04 * 0.5,
+				Duration: length, MeanWorkMs: 40, SoftDeadline: 4 * time.Second,
+				Deadline: 7 * time.Second, IdempotentCategory: "look", KeyedCategory: "book", KeyedFraction: 0.3,
 				MaxAttempts: 3, Actions: map[time.Duration]func(*clustertest.Routers){},
 				EndpointsAt: func(time.Duration) []*clustertest.Server { return g.Servers }}
 			if day.load != nil {
 				day.load(g, &traffic)
 			}
-			o := g.Play(traffic)
+			o := g.RunTraffic(traffic)
 			t.Logf("measured fleetdays day=%s servers=%d asked=%d in_time=%.3f declined=%d failed=%d unsent=%d "+
 				"lost=%d double=%d late=%d worst_second=%.2f",
-				day.name, servers, o.Requested, float64(o.OnTime)/float64(o.Requested), o.Rejected, o.Failed,
-				o.Unsent, o.Unanswered, o.DuplicateRuns, o.PastDeadline, o.WorstSecond)
+				day.name, servers, o.Requests, float64(o.OnTime)/float64(o.Requests), o.Rejected, o.Failed,
+				o.Unsent, o.Unanswered, o.DuplicateRuns, o.PastDeadline, o.MinOnTimeFraction)
 			g.Zero(o.Unanswered)
 			g.Zero(o.DuplicateRuns)
 			g.Zero(o.PastDeadline)
-			g.Greater(float64(o.OnTime), day.least*float64(o.Requested))
+			g.Greater(float64(o.OnTime), day.least*float64(o.Requests))
 			for _, s := range g.Servers {
 				select {
-				case <-s.Ended():
-					g.Contains([]int{0, -1}, s.Exit()) // it drained, or was killed
+				case <-s.Exited():
+					g.Contains([]int{0, -1}, s.ExitCode()) // it drained, or was killed
 				default:
 				}
 			}
--- a/cmd/thistlequay/fairqueue_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -40,7 +40,7 @@
 			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`,
 				twoTenants(day.acme, 1-day.acme), `"Servers":3`,
 				fmt.Sprintf(`"Servers":%d`, servers)).Replace(platformSettings)), &of))
-			g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of,
+			g := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: 31, Gossip: talk, Settings: of,
 				ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
 			for _, s := range g.Servers {
 				g.NoError(s.Start())
@@ -60,8 +60,8 @@
 				both.Add(1)
 				go func() {
 					defer both.Done()
-					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6,
-						RequestsPerSecond: rate * float64(len(of)), Length: length, WorkMs: 40,
+					o := g.RunTraffic(clustertest.Traffic{Tenant: tenant, RouterCount: 6,
+						RequestsPerSecond: rate * float64(len(of)), Duration: length, MeanWorkMs: 40,
 						SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, IdempotentCategory: "look",
 						KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
 					lock.Lock()
--- a/cmd/thistlequay/gossip_hostile_test.go
+++ b/cmd/thistlequay/gossip_hostile_test.go
@@ -18,7 +18,7 @@
 // them.
 func TestForeignGossipMembersAreRejected(t *testing.T) {
 	t.Parallel()
-	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 2, Gossip: true, ConfiguredServers: 4})
+	g := newTestCluster(t, clustertest.Config{ServerCount: 5, Seed: 2, Gossip: true, ConfiguredServerCount: 4})
 	all := g.Servers
 	key := func(text string) string { return base64.StdEncoding.EncodeToString([]byte(text)) }
 	next := key("the key of later")
@@ -28,7 +28,7 @@
 	home := all[:4]
 	g.waitForView("four are there", home, majorityOf(4))
 	strangers := map[string]func(s *clustertest.Server){
-		"another fleet":     func(s *clustertest.Server) { s.Configure("x1", "other", clustertest.Key) },
+		"another fleet":     func(s *clustertest.Server) { s.Configure("x1", "other", clustertest.DefaultKey) },
 		"a wrong key":       func(s *clustertest.Server) { s.Configure("x2", "rig", key("a key of nowhere")) },
 		"a key of tomorrow": func(s *clustertest.Server) { s.Configure("x3", "rig", next) },
 	}
@@ -41,7 +41,7 @@
 		g.NoError(all[4].Kill())
 	}
 	// A second process under a name that is taken, started with its clock a minute off: the first one keeps the name.
-	all[4].Configure("n03", "rig", clustertest.Key, "--clock-shift=1m")
+	all[4].Configure("n03", "rig", clustertest.DefaultKey, "--clock-shift=1m")
 	g.NoError(all[4].Start())
 	taken := func(r gossip.Status) bool {
 		lives := 0
@@ -63,14 +63,14 @@
 	g.NoError(all[0].Start())
 	g.waitForView("all are back", home, majorityOf(4))
 	for _, s := range home {
-		r, err := s.View()
+		r, err := s.GossipStatus()
 		g.NoError(err)
 		for _, l := range r.Members {
 			g.NotContains([]string{"x1", "x2", "x3"}, l.Name)
 		}
 	}
 	// Keys rotate during gossip: both are accepted before any member sends with the new one, then the old one goes.
-	for _, keys := range []string{clustertest.Key + "\n" + next, next + "\n" + clustertest.Key, next} {
+	for _, keys := range []string{clustertest.DefaultKey + "\n" + next, next + "\n" + clustertest.DefaultKey, next} {
 		for _, s := range home {
 			g.NoError(s.ReloadWithKeys(keys))
 		}
@@ -78,7 +78,7 @@
 	g.NoError(all[3].Kill())
 	g.NoError(all[3].Configure("", "", next).Start())
 	g.waitForView("under the new key", home, majorityOf(4))
-	all[4].Configure("x4", "rig", clustertest.Key)
+	all[4].Configure("x4", "rig", clustertest.DefaultKey)
 	g.NoError(all[4].Start())
 	g.waitForView("the old key", all[4:], func(r gossip.Status) bool {
 		return r.QuorumStatus == "alone" &&
@@ -87,11 +87,11 @@
 	g.NoError(all[4].Kill())
 	g.waitForView("the first is with the whole", all[:1], agreedOn(4))
 	var out bytes.Buffer
-	g.Zero(runCommandLine([]string{"members", all[0].Status}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"members", all[0].StatusAddress}, &out, &out), out.String())
 	g.Contains(out.String(), "n00: whole for ")
 	g.Contains(out.String(), "n03")
 	out.Reset()
-	g.Zero(runCommandLine([]string{"members", "--json", all[0].Status}, &out, &out))
+	g.Zero(runCommandLine([]string{"members", "--json", all[0].StatusAddress}, &out, &out))
 	g.Contains(out.String(), `"state": "serving"`)
 }
 
@@ -99,7 +99,7 @@
 // corrupted, of 64 KiB and of unknown kinds: none is taken, all are counted, and its updates about itself still hold.
 func TestForgedGossipIsRejectedAndCounted(t *testing.T) {
 	t.Parallel()
-	g := newTestCluster(t, clustertest.Plan{Servers: 5, Seed: 8, Gossip: true, ConfiguredServers: 4})
+	g := newTestCluster(t, clustertest.Config{ServerCount: 5, Seed: 8, Gossip: true, ConfiguredServerCount: 4})
 	all := g.Servers
 	home := g.Servers[:4]
 	for _, s := range home {
@@ -108,7 +108,7 @@
 	g.waitForView("four are there", home, agreedOn(4))
 	listen, advertise, err := all[4].GossipAddresses()
 	g.NoError(err)
-	key, err := base64.StdEncoding.DecodeString(clustertest.Key)
+	key, err := base64.StdEncoding.DecodeString(clustertest.DefaultKey)
 	g.NoError(err)
 	_, first, err := all[0].GossipAddresses()
 	g.NoError(err)
@@ -119,7 +119,7 @@
 	defer liar.Close()
 	liar.SetLocalState(gossip.LocalState{State: membership.StateServing})
 	g.waitForView("it is one of them", home, memberIs("liar", "serving"))
-	before, err := all[1].View()
+	before, err := all[1].GossipStatus()
 	g.NoError(err)
 	var victim, target membership.Member
 	g.NoError(liar.Inspect(func(v *membership.View, _ *membership.Agreement) {
--- a/cmd/thistlequay/gossip_test.go
+++ b/cmd/thistlequay/gossip_test.go
@@ -29,7 +29,7 @@
 	both := g.countRivalMajorities()
 	converge := g.waitForView("all are there", all, majorityOf(n))
 	before := time.Now()
-	first, err := all[5].View()
+	first, err := all[5].GossipStatus()
 	g.NoError(err)
 
 	// Every member tells a crash from a stopped process.
@@ -46,7 +46,7 @@
 	g.SetFault(all[3].Index, all[4].Index, clustertest.Fault{Cut: true})
 	g.waitForView("a one-way loss", all[3:4], memberIs(all[4].Name, "serving", "unreachable from here alone"))
 	for _, s := range awake {
-		r, err := s.View()
+		r, err := s.GossipStatus()
 		g.NoError(err)
 		g.Equal("serving", memberLine(r, all[4].Name).State, s.Name)
 	}
@@ -65,7 +65,7 @@
 	g.waitForView("the others", append(slices.Clone(zones[1]), zones[2]...),
 		func(r gossip.Status) bool { return r.QuorumStatus == "whole" })
 	for _, s := range zones[0] {
-		r, err := s.View()
+		r, err := s.GossipStatus()
 		g.NoError(err)
 		g.Equal("part", r.QuorumStatus)
 		g.GreaterOrEqual(r.ExpectedSize, n-1, "a part takes no more than its part")
@@ -76,27 +76,27 @@
 	// A graceful leave is announced before any probe fails, and a new incarnation takes the name at once.
 	g.NoError(all[2].Signal(syscall.SIGTERM))
 	g.waitForView("a leave", serversExcept(rest, all[2]), memberIs(all[2].Name, "gone", "left"))
-	<-all[2].Ended()
-	g.Equal(0, all[2].Exit())
+	<-all[2].Exited()
+	g.Equal(0, all[2].ExitCode())
 	g.NoError(all[2].Start())
 	g.NoError(all[n-1].Start())
 	g.waitForView("both are back", all, majorityOf(n))
 	alarms := 0
 	garbled := int64(0)
 	for _, s := range all {
-		r, err := s.View()
+		r, err := s.GossipStatus()
 		g.NoError(err)
 		alarms += r.Rejected.FalsePositives
 		garbled += r.Malformed
 	}
-	last, err := all[5].View()
+	last, err := all[5].GossipStatus()
 	g.NoError(err)
 	rate := float64(last.SentBytes-first.SentBytes) / time.Since(before).Seconds()
 	t.Logf("measured peers members=%d detect_p50_ms=%d detect_p99_ms=%d false_alarms=%d converge_ms=%d heal_ms=%d "+
 		"both_whole=%d bytes_a_second=%.0f rss_kb=%d garbled=%d",
 		n, detect[len(detect)/2].Milliseconds(), detect[len(detect)-1].Milliseconds(), alarms,
 		converge[len(converge)-1].Milliseconds(),
-		heal[len(heal)-1].Milliseconds(), both(), rate, anonymousMemoryKB(g, all[5].Process()), garbled)
+		heal[len(heal)-1].Milliseconds(), both(), rate, anonymousMemoryKB(g, all[5].PID()), garbled)
 	g.Zero(garbled)
 	g.Zero(both())
 }
@@ -218,7 +218,7 @@
 		require.NoError(t, err)
 		index.ReplyDelay = 50 * time.Millisecond
 		index.MaxInFlight = 16
-		g := newTestCluster(t, clustertest.Plan{Servers: 8, Seed: 5, Gossip: talk, Settings: of, Index: index})
+		g := newTestCluster(t, clustertest.Config{ServerCount: 8, Seed: 5, Gossip: talk, Settings: of, Index: index})
 		for _, s := range g.Servers {
 			s.Interpreter.CallProbability = 1
 			g.NoError(s.Start())
@@ -229,15 +229,15 @@
 		}
 		cost[talk] = g.medianLatency(g.Servers[0], 300)
 		rest := g.Servers[2:]
-		o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: 270, Length: length, WorkMs: 5,
+		o := g.RunTraffic(clustertest.Traffic{RouterCount: 8, RequestsPerSecond: 270, Duration: length, MeanWorkMs: 5,
 			SoftDeadline: time.Second, Deadline: 2 * time.Second,
-			IdempotentCategory: "look", KeyedCategory: "book", KeyedShare: 0.2, MaxAttempts: 1,
+			IdempotentCategory: "look", KeyedCategory: "book", KeyedFraction: 0.2, MaxAttempts: 1,
 			EndpointsAt: func(time.Duration) []*clustertest.Server { return rest },
 			Actions: map[time.Duration]func(*clustertest.Routers){time.Second: func(r *clustertest.Routers) {
 				r.Kill(g.Servers[0])
 				r.Kill(g.Servers[1])
 			}}})
-		late := o.OnTimeShareBySecond[len(o.OnTimeShareBySecond)*2/3:]
+		late := o.OnTimeFractionBySecond[len(o.OnTimeFractionBySecond)*2/3:]
 		for _, part := range late {
 			served[talk] += part / float64(len(late))
 		}
--- a/cmd/thistlequay/harness_cluster_test.go
+++ b/cmd/thistlequay/harness_cluster_test.go
@@ -28,7 +28,7 @@
 // startGossipCluster starts a cluster whose servers gossip.
 func startGossipCluster(t *testing.T, servers int, seed int64) *testCluster {
 	t.Helper()
-	g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: seed, Gossip: true})
+	g := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: seed, Gossip: true})
 	for _, s := range g.Servers {
 		g.NoError(s.Start())
 	}
@@ -37,7 +37,7 @@
 
 // newTestCluster makes a cluster whose servers are not started. At the end of the test it is closed, and no log may
 // show a data race, a violated invariant or a panic.
-func newTestCluster(t *testing.T, p clustertest.Plan) *testCluster {
+func newTestCluster(t *testing.T, p clustertest.Config) *testCluster {
 	t.Helper()
 	r := require.New(t)
 	var of map[string]any
@@ -72,7 +72,7 @@
 func (g *testCluster) waitUntilServing(of []*clustertest.Server) {
 	g.t.Helper()
 	for _, s := range of {
-		g.NoError(waitUntilReady(s.Listen))
+		g.NoError(waitUntilReady(s.RouterAddress))
 		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, eventTimeout,
 			5*time.Millisecond, s.Name)
 	}
@@ -87,13 +87,13 @@
 	left := slices.Clone(of)
 	for len(left) > 0 {
 		for _, s := range slices.Clone(left) {
-			if r, err := s.View(); err == nil && is(r) {
+			if r, err := s.GossipStatus(); err == nil && is(r) {
 				took = append(took, time.Since(begun))
 				left = slices.DeleteFunc(left, func(o *clustertest.Server) bool { return o == s })
 			}
 		}
 		if time.Since(begun) > 3*eventTimeout {
-			r, err := left[0].View()
+			r, err := left[0].GossipStatus()
 			g.FailNow(what, "%s does not see it: %+v %v\n%v", left[0].Name, r, err, g.History())
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -172,7 +172,7 @@
 				default:
 				}
 				asked := time.Now()
-				r, err := s.View()
+				r, err := s.GossipStatus()
 				if err != nil || r.UntilMs < 0 {
 					continue
 				}
@@ -209,7 +209,7 @@
 // medianLatency is the median time to the response of a request that costs next to nothing.
 func (g *testCluster) medianLatency(s *clustertest.Server, n int) time.Duration {
 	g.t.Helper()
-	link, err := emulator.Dial(s.Listen)
+	link, err := emulator.Dial(s.RouterAddress)
 	g.NoError(err)
 	defer closeQuietly(link)
 	var took []time.Duration
--- a/cmd/thistlequay/harness_quota_test.go
+++ b/cmd/thistlequay/harness_quota_test.go
@@ -35,7 +35,7 @@
 		fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
 		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`,
 		`"HardLimit":2000.0`).Replace(platformSettings)), &of))
-	p := clustertest.Plan{Servers: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
+	p := clustertest.Config{ServerCount: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
 	if slots > 0 {
 		p.ServiceYAML = func(s *clustertest.Server) string {
 			return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", calls, slots) +
@@ -58,11 +58,11 @@
 	begun := time.Now()
 	for left := slices.Clone(of); len(left) > 0; time.Sleep(50 * time.Millisecond) {
 		left = slices.DeleteFunc(left, func(s *clustertest.Server) bool {
-			r, err := s.Shares()
+			r, err := s.QuotaStatus()
 			return err == nil && is(r)
 		})
 		if len(left) > 0 && time.Since(begun) > 3*eventTimeout {
-			r, err := left[0].Shares()
+			r, err := left[0].QuotaStatus()
 			g.FailNow(what, "%s tells otherwise: %+v %v\n%v", left[0].Name, r, err, g.History())
 		}
 	}
@@ -85,7 +85,7 @@
 	g.t.Helper()
 	g.Eventually(func() bool {
 		for _, s := range of {
-			if r, err := s.Shares(); err == nil && r.IsLeader && r.HasQuorum && r.Opened {
+			if r, err := s.QuotaStatus(); err == nil && r.IsLeader && r.HasQuorum && r.Opened {
 				leader = s
 				return true
 			}
@@ -96,12 +96,12 @@
 }
 
 // startLoad sends more than the index may have in flight until end is called, which gives the tally.
-func (g *testCluster) startLoad(rate float64, list func() []*clustertest.Server) (end func() clustertest.Tally) {
+func (g *testCluster) startLoad(rate float64, list func() []*clustertest.Server) (end func() clustertest.TrafficStats) {
 	g.t.Helper()
 	over := make(chan struct{})
-	done := make(chan clustertest.Tally)
+	done := make(chan clustertest.TrafficStats)
 	go func() {
-		var sum clustertest.Tally
+		var sum clustertest.TrafficStats
 		for {
 			select {
 			case <-over:
@@ -109,16 +109,16 @@
 				return
 			default:
 			}
-			o := g.Play(clustertest.Traffic{Routers: 6, RequestsPerSecond: rate, Length: time.Second, WorkMs: 2,
+			o := g.RunTraffic(clustertest.Traffic{RouterCount: 6, RequestsPerSecond: rate, Duration: time.Second, MeanWorkMs: 2,
 				SoftDeadline: time.Second, Deadline: 2 * time.Second,
 				IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1,
 				EndpointsAt: func(time.Duration) []*clustertest.Server { return list() }})
-			sum.Requested += o.Requested
+			sum.Requests += o.Requests
 			sum.OnTime += o.OnTime
 			sum.PastDeadline += o.PastDeadline
 		}
 	}()
-	return func() clustertest.Tally {
+	return func() clustertest.TrafficStats {
 		close(over)
 		return <-done
 	}
--- a/cmd/thistlequay/mixed_versions_test.go
+++ b/cmd/thistlequay/mixed_versions_test.go
@@ -50,7 +50,7 @@
 	restart := func(s *clustertest.Server, what string) {
 		g.NoError(s.Kill())
 		g.NoError(s.Start())
-		g.NoError(waitUntilReady(s.Listen))
+		g.NoError(waitUntilReady(s.RouterAddress))
 		g.waitForView(what, all, agreedOn(4))
 		g.waitForQuota(what, all, hasLease)
 		peak = max(peak, g.Index.PeakInFlight())
@@ -74,7 +74,7 @@
 	peak = max(peak, g.Index.PeakInFlight())
 	epochs := map[uint64]bool{}
 	for _, s := range all {
-		view, err := s.View()
+		view, err := s.GossipStatus()
 		g.NoError(err)
 		epochs[view.Epoch] = true
 	}
@@ -103,7 +103,7 @@
 	for round, program := range []string{"", old, ""} {
 		for _, s := range all {
 			g.NoError(s.Signal(syscall.SIGKILL))
-			<-s.Ended()
+			<-s.Exited()
 		}
 		for _, s := range all {
 			s.Program = program
@@ -112,7 +112,7 @@
 		g.waitUntilServing(all)
 		g.waitForQuota(fmt.Sprint("quotas granted again, round ", round), all, hasLease)
 		for _, s := range all[:3] {
-			status, err := s.Shares()
+			status, err := s.QuotaStatus()
 			g.NoError(err)
 			g.Equal(3, voters(status))
 			g.Zero(status.DiscardedStates, "a voter came back without its memory")
--- a/cmd/thistlequay/quota_gain_test.go
+++ b/cmd/thistlequay/quota_gain_test.go
@@ -104,7 +104,7 @@
 		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
 				s, err := g.AddServer(i)
-				if err != nil || s.Start() != nil || waitUntilReady(s.Listen) != nil {
+				if err != nil || s.Start() != nil || waitUntilReady(s.RouterAddress) != nil {
 					t.Error(err)
 					return
 				}
@@ -119,11 +119,11 @@
 			lock.Unlock()
 		}
 	}
-	o := g.Play(clustertest.Traffic{Routers: 8, RequestsPerSecond: rate, Length: length, WorkMs: 2,
+	o := g.RunTraffic(clustertest.Traffic{RouterCount: 8, RequestsPerSecond: rate, Duration: length, MeanWorkMs: 2,
 		SoftDeadline: time.Second, Deadline: 2 * time.Second,
 		IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 2, EndpointsAt: lists, Actions: trouble})
 	served := 0.0
-	late := o.OnTimeShareBySecond[len(o.OnTimeShareBySecond)/2 : len(o.OnTimeShareBySecond)-1]
+	late := o.OnTimeFractionBySecond[len(o.OnTimeFractionBySecond)/2 : len(o.OnTimeFractionBySecond)-1]
 	for _, part := range late {
 		served += part / float64(len(late))
 	}
--- a/cmd/thistlequay/quota_test.go
+++ b/cmd/thistlequay/quota_test.go
@@ -57,7 +57,7 @@
 	g.waitForLeader(serversExcept(all, leader))
 	within("leader killed", calls)
 	g.NoError(leader.Start())
-	g.NoError(waitUntilReady(leader.Listen))
+	g.NoError(waitUntilReady(leader.RouterAddress))
 	serving(all)
 	g.waitForQuota("it is back", all, hasLease)
 	within("leader back", calls)
@@ -100,7 +100,7 @@
 		return fmt.Sprintf("shares:\n  calls: %d\n  slots: 8\n  revision: 2\n", half)
 	}
 	for _, s := range all {
-		g.NoError(s.ReloadWithKeys(clustertest.Key))
+		g.NoError(s.ReloadWithKeys(clustertest.DefaultKey))
 	}
 	g.waitForQuota("a lowered whole", []*clustertest.Server{g.waitForLeader(all)},
 		func(r service.Status) bool { return r.Limits[0].Total == float64(half) })
@@ -113,7 +113,7 @@
 		return fmt.Sprintf("shares:\n  calls: %d\n  slots: 8\n  revision: 3\n", calls)
 	}
 	for _, s := range all {
-		g.NoError(s.ReloadWithKeys(clustertest.Key))
+		g.NoError(s.ReloadWithKeys(clustertest.DefaultKey))
 	}
 	g.waitForLeader(all)
 
@@ -123,7 +123,7 @@
 		g.NoError(s.Signal(syscall.SIGKILL))
 	}
 	for _, s := range all {
-		<-s.Ended()
+		<-s.Exited()
 		g.NoError(s.Start())
 	}
 	g.waitUntilServing(all)
@@ -132,12 +132,12 @@
 	within("all restarted", calls)
 	o := end()
 	t.Logf("measured shares-faults servers=5 whole=%d over=%d peak=%d asked=%d in_time=%d late=%d "+
-		"granted_again_ms=%d", calls, over, peaks, o.Requested, o.OnTime, o.PastDeadline, again.Milliseconds())
+		"granted_again_ms=%d", calls, over, peaks, o.Requests, o.OnTime, o.PastDeadline, again.Milliseconds())
 	g.Zero(over)
-	g.Greater(o.OnTime, o.Requested/10)
+	g.Greater(o.OnTime, o.Requests/10)
 
 	var out bytes.Buffer
-	g.Zero(runCommandLine([]string{"shares", g.waitForLeader(all).Status}, &out, &out), out.String())
+	g.Zero(runCommandLine([]string{"shares", g.waitForLeader(all).StatusAddress}, &out, &out), out.String())
 	g.Contains(out.String(), "leads the keepers")
 	g.Contains(out.String(), "calls: whole 20")
 	log := filepath.Join(t.TempDir(), "log")
@@ -162,7 +162,7 @@
 		return names
 	}
 	voter := func(s *clustertest.Server) uint64 {
-		r, err := s.Shares()
+		r, err := s.QuotaStatus()
 		g.NoError(err)
 		return r.Voter
 	}
@@ -192,7 +192,7 @@
 		one.spoil(one.s)
 		g.waitForQuota("the others go on", serversExcept(all, one.s), hasLease)
 		g.NoError(one.s.Start())
-		g.NoError(waitUntilReady(one.s.Listen))
+		g.NoError(waitUntilReady(one.s.RouterAddress))
 		g.waitForQuota("it is a voter again", all[:3], func(r service.Status) bool {
 			return len(r.Voters) == 3 && !slices.Contains(r.Voters, "?") && r.Opened
 		})
@@ -207,7 +207,7 @@
 		g.NoError(s.Signal(syscall.SIGKILL))
 	}
 	for _, s := range all {
-		<-s.Ended()
+		<-s.Exited()
 		g.NoError(s.Start())
 	}
 	g.waitForQuota("after all died", all, hasLease)
@@ -262,8 +262,8 @@
 			g.NoError(s.Signal(syscall.SIGTERM))
 		}
 		for _, s := range of {
-			<-s.Ended()
-			g.Zero(s.Exit())
+			<-s.Exited()
+			g.Zero(s.ExitCode())
 		}
 	}
 	all := slices.Clone(g.Servers)
@@ -291,7 +291,7 @@
 	g.waitForView("four are agreed on", now, agreedOn(4))
 	var voters []*clustertest.Server
 	for _, s := range now {
-		if r, err := s.Shares(); err == nil && r.Voter != 0 && slices.Contains(r.Voters, s.Name) {
+		if r, err := s.QuotaStatus(); err == nil && r.Voter != 0 && slices.Contains(r.Voters, s.Name) {
 			voters = append(voters, s)
 		}
 	}
@@ -312,6 +312,6 @@
 	g.waitForQuota("agreement again", now, hasLease)
 	within("agreement again")
 	o := end()
-	t.Logf("measured shares-changes whole=%d over=%d asked=%d in_time=%d", calls, over, o.Requested, o.OnTime)
+	t.Logf("measured shares-changes whole=%d over=%d asked=%d in_time=%d", calls, over, o.Requests, o.OnTime)
 	g.Zero(over)
 }
--- a/cmd/thistlequay/restart_test.go
+++ b/cmd/thistlequay/restart_test.go
@@ -109,7 +109,7 @@
 // down, the index refuses, clients connect already. Each answers health checks soon.
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
-	g := newTestCluster(t, clustertest.Plan{Servers: processes, Seed: 33})
+	g := newTestCluster(t, clustertest.Config{ServerCount: processes, Seed: 33})
 	g.NoError(g.Directory.Listener.Listener.Close())
 	g.NoError(g.Index.Listener.Listener.Close())
 	ready := func() (in []time.Duration) {
@@ -126,7 +126,7 @@
 				go func() {
 					defer done.Done()
 					for time.Since(begun[i]) < 30*time.Second {
-						c, err := emulator.Dial(s.Listen)
+						c, err := emulator.Dial(s.RouterAddress)
 						if err != nil {
 							time.Sleep(5 * time.Millisecond)
 							continue
--- a/internal/clustertest/attempt.go
+++ b/internal/clustertest/attempt.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// deadlineSlack is how much after the deadline the rules allow a response on sockets.
+	// deadlineSlack is how long after the deadline a response may come on sockets, by the rules of the users' pages.
 	deadlineSlack = 50 * time.Millisecond
-	// giveUpAfter is how long after the deadline a response is waited for.
+	// giveUpAfter is how long after the deadline a router gives up waiting for a response.
 	giveUpAfter = 2 * time.Second
-	// maxOpenRequests on one connection of a router.
+	// maxOpenRequests is the number of requests in flight on one connection of a router.
 	maxOpenRequests = 24
-	// defaultTenant of the traffic.
+	// defaultTenant is the tenant of traffic that names none.
 	defaultTenant = "acme"
 	// noStatus is the status of an attempt without a response.
 	noStatus = 0
 )
 
-// errNoResponse is a response that did not come until the router gave up.
+// errNoResponse means that the router gave up waiting for a response.
 var errNoResponse = errors.New("no response")
 
 // routerConnection is the connection of one router to one server.
@@ -42,17 +42,17 @@
 	err error
 }
 
-// attempt sends one attempt and waits for its response. It gives the status, or noStatus.
+// attempt sends one attempt and waits for its response. It returns the status, or noStatus.
 func (r *Routers) attempt(q request, server *Server, left time.Duration) int {
 	connection := r.connection(q.router, server)
 	if connection == nil {
 		r.lock.Lock()
 		defer r.lock.Unlock()
-		r.tally.Unsent++
+		r.stats.Unsent++
 		return noStatus
 	}
 	r.lock.Lock()
-	r.tally.Attempts++
+	r.stats.Attempts++
 	id := r.requestID()
 	r.lock.Unlock()
 	response, writeError := connection.send(r.encoder(q, id, left))
@@ -71,18 +71,18 @@
 	switch {
 	case result.err == nil:
 		if took > left+deadlineSlack {
-			r.tally.PastDeadline++
+			r.stats.PastDeadline++
 		}
 		return result.Status
 	case writeError != nil || r.killed[server] || connection.isDead():
-		r.tally.Unsent++
+		r.stats.Unsent++
 	default:
-		r.tally.Unanswered++
+		r.stats.Unanswered++
 	}
 	return noStatus
 }
 
-// encoder gives the bytes of an attempt for any slot.
+// encoder returns a function that encodes an attempt for a slot.
 func (r *Routers) encoder(q request, id string, left time.Duration) func(slot uint16) []byte {
 	parameters := emulator.RequestParameters(id, cmp.Or(r.Tenant, defaultTenant), left)
 	parameters["HTTP_SENT_BY"] = fmt.Sprint(q.router)
@@ -98,7 +98,8 @@
 	}
 }
 
-// connection gives a router's connection to a server with a free slot; nil where none can be had.
+// connection returns a router's connection to a server with a free slot. It dials where there is none, and returns nil
+// where that fails.
 func (r *Routers) connection(router int, server *Server) *routerConnection {
 	r.lock.Lock()
 	connection := r.connections[router][server]
@@ -106,7 +107,7 @@
 	if connection != nil && connection.hasFreeSlot() {
 		return connection
 	}
-	link, err := emulator.Dial(server.Listen)
+	link, err := emulator.Dial(server.RouterAddress)
 	if err != nil {
 		return nil
 	}
@@ -133,7 +134,7 @@
 // drop closes the connection. A second close reports an error that says nothing.
 func (c *routerConnection) drop() { _ = c.Close() }
 
-// kill closes the connection for the test, so that what is open there is not the server's fault.
+// kill closes the connection for the test, so that requests in flight on it do not count as unanswered.
 func (c *routerConnection) kill() {
 	c.lock.Lock()
 	c.dead = true
@@ -141,7 +142,8 @@
 	c.drop()
 }
 
-// send writes a request on the next free slot. The response, or the end of the connection, comes over the channel.
+// send writes a request on the next free slot. The channel delivers its response, or the error that ended the
+// connection.
 func (c *routerConnection) send(encode func(slot uint16) []byte) (<-chan attemptResult, error) {
 	response := make(chan attemptResult, 1)
 	c.lock.Lock()
@@ -155,7 +157,7 @@
 	return response, err
 }
 
-// readResponses hands out responses until the connection ends.
+// readResponses delivers responses until the connection ends.
 func (c *routerConnection) readResponses() {
 	for {
 		response, err := c.ReadResponse()
@@ -167,7 +169,7 @@
 	}
 }
 
-// responded hands out one response.
+// responded delivers one response to the attempt on its slot.
 func (c *routerConnection) responded(response emulator.Response) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -178,7 +180,7 @@
 	}
 }
 
-// ended tells all open requests that the connection has ended.
+// ended fails all open requests with the error that ended the connection.
 func (c *routerConnection) ended(err error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/clustertest/cluster.go
+++ b/internal/clustertest/cluster.go
@@ -1,7 +1,7 @@
-// Package clustertest starts several processes of the program on loopback with emulators of their neighbours, has them
-// gossip through relays, and does to both what a test says: links that lose, delay, repeat and cut, processes that are
-// killed, stopped, continued and started again with an empty memory. It keeps one history of what was done. It never
-// takes a decision for a server, and never touches a process that it did not start.
+// Package clustertest runs several processes of the program on loopback, with emulators of the services that they use
+// and a relay before each gossip address. Tests inject faults: the relays drop, delay, duplicate, truncate and replay
+// what they carry, and processes are killed, stopped, continued and restarted. The cluster keeps a history of what was
+// done. The package takes no decision for a server, and sends signals only to processes that it started.
 package clustertest
 
 import (
@@ -17,59 +17,61 @@
 	"thistlequay/internal/emulator"
 )
 
-// Founders is the number of servers that form the first cluster configuration.
-const Founders = 3
+// FounderCount is the largest number of servers that form the first cluster configuration.
+const FounderCount = 3
 
-// Key is the key that all servers of a cluster gossip under unless told otherwise, in base64.
-var Key = base64.StdEncoding.EncodeToString([]byte("the key of a rig"))
+// DefaultKey is the gossip key of all servers that Server.Configure gives no other, in base64.
+var DefaultKey = base64.StdEncoding.EncodeToString([]byte("the key of a rig"))
 
-// defaultFleet is the fleet's name in the servers' settings unless told otherwise.
+// defaultFleet is the cluster name of all servers that Server.Configure gives no other.
 const defaultFleet = "rig"
 
 // zones is the number of zones that servers are spread over.
 const zones = 3
 
-// Defaults of a plan.
+// Defaults of a Config.
 const (
 	defaultStopTimeout = 3 * time.Second
 	defaultMemoryMB    = 64
 )
 
-// Plan says what a cluster is made of.
-type Plan struct {
-	// Servers is the number of servers that New makes.
-	Servers int
-	// Seed of the servers, the emulators, the relays and the routers.
+// Config describes a cluster.
+type Config struct {
+	// ServerCount is the number of servers that New makes. Cluster.AddServer makes more.
+	ServerCount int
+	// Seed is the seed of the servers, the emulators, the relays and the routers.
 	Seed int64
 	// WorkDirectory is where the servers' files are written.
 	WorkDirectory string
 	// Program is the path of the executable.
 	Program string
-	// Env is added to the environment of this process.
+	// Env is added to the environment of this process for the servers, as "name=value".
 	Env []string
 	// Settings are the servers' "settings", as in the users' pages.
 	Settings map[string]any
-	// Cores of each interpreter.
+	// Cores is the number of cores of each interpreter.
 	Cores float64
-	// Gossip has the servers know each other.
+	// Gossip connects the servers by gossip, through relays.
 	Gossip bool
-	// ConfiguredServers is the size of the fleet that the settings name; 0 for Servers.
-	ConfiguredServers int
-	// StopTimeout of the servers; 0 for 3 seconds.
+	// ConfiguredServerCount is the cluster size in the servers' settings; 0 for ServerCount.
+	ConfiguredServerCount int
+	// StopTimeout is the servers' time for a graceful shutdown; 0 for 3 seconds.
 	StopTimeout time.Duration
-	// Index is shared by all servers; nil for one that New starts. Close closes it.
+	// Index is the index that all servers use; nil for one that New starts. Cluster.Close closes it in both cases.
 	Index *emulator.Index
-	// MemoryMB is each server's memory limit; 0 for 64.
+	// MemoryMB is each server's memory limit in megabytes; 0 for 64.
 	MemoryMB int
-	// ServiceYAML gives more sections of a server's own settings; nil for none.
+	// ServiceYAML returns further sections of a server's own settings; nil for none.
 	ServiceYAML func(s *Server) string
 }
 
-// Cluster is a number of server processes with the emulators around them. Servers are added by the test's goroutine
-// only; others look at CurrentServers.
+// Cluster is a number of server processes with the emulators that they use. While a goroutine calls AddServer or Close,
+// others may only call CurrentServers, Record, History and SetFault. Several calls of RunTraffic may run at once.
 type Cluster struct {
-	Plan
-	Servers   []*Server
+	Config
+	// Servers are the servers in the order in which they were added.
+	Servers []*Server
+	// Directory is the directory that all servers report to.
 	Directory *emulator.Directory
 
 	network   *network
@@ -81,27 +83,31 @@
 	history []Event
 }
 
-// Event is one entry of the history.
+// Event is one entry of the history of a cluster.
 type Event struct {
-	At     time.Duration // since the cluster was made
-	Server string        // empty for all
-	What   string
+	// Elapsed is the time since New.
+	Elapsed time.Duration
+	// Server is the name of the server that the event is about; empty for all servers.
+	Server string
+	// Description is what was done.
+	Description string
 }
 
-// New makes the emulators and the servers; Server.Start starts a process. The caller ends all by Close.
-func New(plan Plan) (*Cluster, error) {
+// New starts the emulators and relays and makes the servers, whose processes Server.Start starts. The caller must call
+// Close.
+func New(config Config) (*Cluster, error) {
 	directory, err := emulator.NewDirectory()
 	if err != nil {
 		return nil, err
 	}
-	if plan.Index == nil {
-		plan.Index, err = emulator.NewIndex()
+	if config.Index == nil {
+		config.Index, err = emulator.NewIndex()
 		if err != nil {
 			return nil, err
 		}
 	}
-	c := &Cluster{Plan: plan, Directory: directory, network: newNetwork(plan.Seed), startedAt: time.Now()}
-	for i := range plan.Servers {
+	c := &Cluster{Config: config, Directory: directory, network: newNetwork(config.Seed), startedAt: time.Now()}
+	for i := range config.ServerCount {
 		if _, err := c.AddServer(i); err != nil {
 			return nil, err
 		}
@@ -118,7 +124,8 @@
 	networkAdvertised = 78 // what its relay listens on
 )
 
-// AddServer makes one more server. The index gives its name, zone, seed and addresses, and must be new.
+// AddServer makes one more server, which is not started. Its name, zone, seed and addresses follow from the index,
+// which no other server of the cluster may have.
 func (c *Cluster) AddServer(index int) (*Server, error) {
 	s := &Server{
 		cluster: c,
@@ -126,15 +133,15 @@
 		Name:    serverName(index),
 		Zone:    fmt.Sprint("z", index%zones),
 		Log:     &LogBuffer{},
-		key:     Key,
+		key:     DefaultKey,
 		fleet:   defaultFleet,
 	}
 	var err error
-	s.Listen, err = freeAddress(c.host(networkRouters, index))
+	s.RouterAddress, err = freeAddress(c.host(networkRouters, index))
 	if err != nil {
 		return nil, err
 	}
-	s.Status, err = freeAddress(c.host(networkStatus, index))
+	s.StatusAddress, err = freeAddress(c.host(networkStatus, index))
 	if err != nil {
 		return nil, err
 	}
@@ -154,7 +161,7 @@
 	return s, nil
 }
 
-// addRelay makes the relay before one server.
+// addRelay makes the relay of one server.
 func (c *Cluster) addRelay(index int) (*relay, error) {
 	advertised, err := freeAddress(c.host(networkAdvertised, index))
 	if err != nil {
@@ -169,16 +176,16 @@
 	return newRelay(c.network, index, advertised, listen)
 }
 
-// serverName is the name of the server with this index.
+// serverName returns the name of the server with this index.
 func serverName(index int) string { return fmt.Sprintf("n%02d", index) }
 
-// host is a server's address in one of the loopback networks. Clusters of other seeds and processes have others.
+// host returns a server's address in one of the loopback networks. Clusters of other seeds and processes have others.
 func (c *Cluster) host(loopback, index int) string {
 	const spread = 37 // an odd factor: seeds that follow each other get distinct networks
 	return fmt.Sprintf("127.%d.%d.%d", loopback, (c.Seed*spread+int64(syscall.Getpid()))&255, index+1)
 }
 
-// freeAddress is an address of the host on which nothing listens at this moment.
+// freeAddress returns an address of the host on which nothing listens at this moment.
 func freeAddress(host string) (string, error) {
 	socket, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -187,41 +194,41 @@
 	return socket.Addr().String(), socket.Close()
 }
 
-// CurrentServers are the servers that there are now, for goroutines beside the test's.
+// CurrentServers returns a copy of Servers. It is safe for concurrent use.
 func (c *Cluster) CurrentServers() []*Server {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return slices.Clone(c.Servers)
 }
 
-// Record adds an event to the history, with the name of a server or "" for all.
+// Record adds an event to the history, with the name of a server, or "" for all. It is safe for concurrent use.
 func (c *Cluster) Record(server, format string, args ...any) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.history = append(c.history, Event{time.Since(c.startedAt), server, fmt.Sprintf(format, args...)})
 }
 
-// History is what was done and concluded so far.
+// History returns the events so far, in the order in which they were recorded. It is safe for concurrent use.
 func (c *Cluster) History() []Event {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return slices.Clone(c.history)
 }
 
-// SetFault sets the fault of the direction between two servers, by their indexes.
+// SetFault sets the fault of the direction from one server to another, by their indexes. It is safe for concurrent use.
 func (c *Cluster) SetFault(from, to int, fault Fault) { c.network.setFault(from, to, fault) }
 
-// SetFaultEverywhere sets the fault of all directions.
+// SetFaultEverywhere sets the fault of all directions between the current servers, and records it.
 func (c *Cluster) SetFaultEverywhere(fault Fault) {
 	c.Record("", "everywhere %+v", fault)
 	c.setFaults(func(_, _ *Server) Fault { return fault })
 }
 
-// Heal takes all faults away.
+// Heal removes all faults.
 func (c *Cluster) Heal() { c.SetFaultEverywhere(Fault{}) }
 
-// Partition cuts the cluster into groups, by the number that group gives for each server. Directions inside a group are
-// without faults.
+// Partition cuts the cluster into groups, by the number that group returns for each server. Directions inside a group
+// have no faults.
 func (c *Cluster) Partition(group func(s *Server) int) {
 	c.Record("", "split")
 	c.setFaults(func(from, to *Server) Fault { return Fault{Cut: group(from) != group(to)} })
@@ -238,8 +245,8 @@
 	}
 }
 
-// Close kills all processes and closes all emulators. A second call does nothing. The errors of closing sockets say
-// nothing to a test that is over.
+// Close kills all processes and closes the relays and emulators. A second call does nothing. Errors from closing
+// sockets are ignored: they do not matter to a test that is over.
 func (c *Cluster) Close() {
 	if c.closed {
 		return
--- a/internal/clustertest/network.go
+++ b/internal/clustertest/network.go
@@ -7,30 +7,33 @@
 	"time"
 )
 
-// Fault is what one direction between two servers does to what is sent. The zero value passes everything on at once.
+// Fault describes the faults of one direction between two servers. The zero value passes everything on at once.
+// Fractions are probabilities from 0 to 1.
 type Fault struct {
-	// Cut loses everything.
+	// Cut drops all packets and stalls streams; after some 10 seconds they are closed.
 	Cut bool
-	// Loss is the part of packets that are lost.
+	// Loss is the fraction of packets that are lost.
 	Loss float64
-	// Duplication is the part of packets that come twice.
+	// Duplication is the fraction of packets that arrive twice.
 	Duplication float64
-	// Truncation is the part of packets that lose their second half, and of a stream's chunks that break it midway.
+	// Truncation is the fraction of packets that lose their second half, and of a stream's chunks after whose first half
+	// the stream is closed.
 	Truncation float64
-	// Delay of all packets and chunks.
+	// Delay is added to all packets and to each chunk of a stream.
 	Delay time.Duration
-	// Jitter is the most that a packet is delayed on top of Delay, at random, so that packets overtake each other.
+	// Jitter is the largest random delay of a packet on top of Delay. It reorders packets.
 	Jitter time.Duration
-	// BytesPerWrite is the size of a stream's writes, one each 10 ms; 0 for no limit.
+	// BytesPerWrite is the size of a stream's writes, one every 10 ms; 0 for no limit.
 	BytesPerWrite int
-	// ReplayAfter has each packet come again so much later; 0 for never.
+	// ReplayAfter is the time after which each packet arrives again; 0 for never.
 	ReplayAfter time.Duration
 }
 
 // direction is from one server to another, by their indexes.
 type direction struct{ from, to int }
 
-// network is what all relays of a cluster share: the faults, the seed they are drawn from, and who sends from where.
+// network is the state that all relays of a cluster share: the faults, the random numbers that decide on them, and
+// which server sends from which host.
 type network struct {
 	closed chan struct{} // closed with the cluster
 
@@ -49,14 +52,14 @@
 	}
 }
 
-// setSender says which server sends from a host.
+// setSender sets which server sends from a host.
 func (n *network) setSender(host string, index int) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.senders[host] = index
 }
 
-// sender is the server that sends from an address; false for an address of nobody.
+// sender returns the server that sends from an address; false where no server does.
 func (n *network) sender(address net.Addr) (index int, known bool) {
 	host, _, _ := net.SplitHostPort(address.String()) // what is no address is nobody's
 	n.lock.Lock()
@@ -72,22 +75,22 @@
 	n.faults[direction{from, to}] = fault
 }
 
-// fault is the fault of one direction now.
+// fault returns the current fault of one direction.
 func (n *network) fault(from, to int) Fault {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.faults[direction{from, to}]
 }
 
-// draw gives a random number in [0, 1).
+// draw returns a random number in [0, 1).
 func (n *network) draw() float64 {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.rand.Float64()
 }
 
-// happens draws whether something of this probability happens. It draws nothing for what never does, so that a fault
-// that is off leaves the draws of the others as they are.
+// happens draws whether an event of this probability happens. It draws no number where the probability is 0, so that a
+// fault that is off leaves the random numbers of the others as they are.
 func (n *network) happens(probability float64) bool {
 	return probability > 0 && n.draw() < probability
 }
--- a/internal/clustertest/relay.go
+++ b/internal/clustertest/relay.go
@@ -16,8 +16,8 @@
 	cutPolls        = 500                   // looks before a stream is given up
 )
 
-// relay stands before one server and carries what others send to its gossip address, UDP and TCP, under the fault of
-// each direction. It never looks into what it carries.
+// relay forwards what other servers send to the gossip address of one server, over UDP and TCP, and applies the fault
+// of each direction. It does not interpret what it forwards.
 type relay struct {
 	network    *network
 	index      int    // of the server behind it
@@ -31,7 +31,7 @@
 	open    map[net.Conn]struct{}
 }
 
-// newRelay makes the relay of one server and carries packets from now on; streams need up.
+// newRelay makes the relay of one server. It forwards packets from now on, and streams from up on.
 func newRelay(n *network, index int, advertised, listen string) (*relay, error) {
 	outside, err := net.ResolveUDPAddr("udp", advertised)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return r, nil
 }
 
-// carryPackets passes packets on until the socket is closed.
+// carryPackets forwards packets until the socket is closed.
 func (r *relay) carryPackets() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
@@ -73,7 +73,7 @@
 	}
 }
 
-// carryPacket does to one packet what the fault says. The draws come in the order loss, truncation, jitter,
+// carryPacket forwards one packet under a fault. Random numbers are drawn in the order loss, truncation, jitter,
 // duplication; that of the jitter always.
 func (r *relay) carryPacket(packet []byte, fault Fault) {
 	if fault.Cut || r.network.happens(fault.Loss) {
@@ -131,13 +131,13 @@
 	}
 }
 
-// close ends the relay.
+// close closes the sockets and streams of the relay.
 func (r *relay) close() {
 	r.down()
 	_ = r.packets.Close()
 }
 
-// carryStream carries one stream in both directions until one of them ends.
+// carryStream forwards one stream in both directions until one of them ends.
 func (r *relay) carryStream(outside net.Conn) {
 	defer outside.Close() //nolint:errcheck // down may have closed it before
 	from, known := r.network.sender(outside.RemoteAddr())
@@ -169,8 +169,8 @@
 	r.lock.Unlock()
 }
 
-// waitWhileCut holds a stream while its direction is cut, as a network does that loses all packets. It is false when
-// the cut lasts for some seconds, or the cluster is closed.
+// waitWhileCut stalls a stream while its direction is cut, as a network does that loses all packets. It returns false
+// when the cut lasts for some 10 seconds (see cutPolls), or the cluster is closed.
 func (r *relay) waitWhileCut(from, to int) bool {
 	for range cutPolls {
 		if !r.network.fault(from, to).Cut {
@@ -185,7 +185,7 @@
 	return false
 }
 
-// copy carries one direction of a stream until it ends or its fault breaks it.
+// copy forwards one direction of a stream until it ends or a fault closes it.
 func (r *relay) copy(out, in net.Conn, from, to int) {
 	buffer := make([]byte, streamChunk)
 	for {
--- a/internal/clustertest/routers.go
+++ b/internal/clustertest/routers.go
@@ -10,52 +10,70 @@
 	"thistlequay/internal/emulator"
 )
 
-// Traffic is what routers send.
+// Traffic describes the requests that routers send.
 type Traffic struct {
-	// Routers is their number.
-	Routers int
+	// RouterCount is the number of routers.
+	RouterCount int
 	// RequestsPerSecond is the rate of all routers together, a Poisson process.
 	RequestsPerSecond float64
-	// Length of the traffic.
-	Length time.Duration
-	// WorkMs is the mean work of a request, in milliseconds of a core, uniform from half of it to one and a half.
-	WorkMs float64
-	// SoftDeadline and Deadline of all requests.
+	// Duration is how long requests are sent.
+	Duration time.Duration
+	// MeanWorkMs is the mean work of a request, in milliseconds of a core. The work is uniform from half of the mean to
+	// one and a half.
+	MeanWorkMs float64
+	// SoftDeadline is the latency objective of all requests, from their arrival.
 	SoftDeadline time.Duration
-	Deadline     time.Duration
-	// IdempotentCategory and KeyedCategory are the names of the categories.
+	// Deadline is the deadline of all requests, from their arrival. Each attempt is sent with the time that is left.
+	Deadline time.Duration
+	// IdempotentCategory is the name of the category of requests without an idempotency key.
 	IdempotentCategory string
-	KeyedCategory      string
-	// KeyedShare is the part of the requests that have an idempotency key.
-	KeyedShare float64
-	// MaxAttempts is the number of servers that a request is sent to, one after the other.
+	// KeyedCategory is the name of the category of requests with an idempotency key.
+	KeyedCategory string
+	// KeyedFraction is the fraction of the requests that have an idempotency key.
+	KeyedFraction float64
+	// MaxAttempts is the number of attempts per request, one after the other, most of them at different servers.
 	MaxAttempts int
-	// Tenant of the requests; empty for "acme".
+	// Tenant is the tenant of all requests; empty for "acme".
 	Tenant string
-	// EndpointsAt gives the servers that routers know at a time since the start.
+	// EndpointsAt returns the servers that routers know at a time since the start. It must be safe for concurrent use.
 	EndpointsAt func(at time.Duration) []*Server
-	// Actions are called at times since the start, each in a goroutine of its own. Play waits for them.
+	// Actions are called at times since the start, each in a goroutine of its own. RunTraffic waits for them.
 	Actions map[time.Duration]func(t *Routers)
 }
 
-// Tally is what came of the traffic. Unanswered, PastDeadline and DuplicateRuns must be 0.
-type Tally struct {
-	Requested           int       // requests
-	Served              int       // requests answered with 200
-	OnTime              int       // of them, within the soft deadline
-	Attempts            int       // sent
-	Rejected            int       // attempts answered with 503 or 429
-	Failed              int       // attempts answered with any other status
-	Unanswered          int       // attempts that a server read and did not answer
-	PastDeadline        int       // attempts answered after their deadline
-	DuplicateRuns       int       // runs of a body beyond the first on one server
-	Unsent              int       // attempts that no server took: refused, or the process was killed meanwhile
-	OnTimeShareBySecond []float64 // of the requests that came in each second, the part served on time
-	OnTimeBySecond      []int     // served on time, by the second of the response
-	WorstSecond         float64   // the least of OnTimeShareBySecond, 1 for none
+// TrafficStats counts the outcomes of the traffic. Unanswered, PastDeadline and DuplicateRuns must be 0.
+type TrafficStats struct {
+	// Requests is the number of requests.
+	Requests int
+	// Served is the number of requests answered with 200.
+	Served int
+	// OnTime is the number of requests answered with 200 within the soft deadline.
+	OnTime int
+	// Attempts is the number of attempts that were sent.
+	Attempts int
+	// Rejected is the number of attempts answered with 503 or 429.
+	Rejected int
+	// Failed is the number of attempts answered with any other status than these and 200.
+	Failed int
+	// Unanswered is the number of attempts that a server read and did not answer.
+	Unanswered int
+	// PastDeadline is the number of attempts answered more than 50 ms after their deadline.
+	PastDeadline int
+	// DuplicateRuns is the number of runs of a body beyond the first on the same server.
+	DuplicateRuns int
+	// Unsent is the number of attempts that no server took: the connection was refused, or the test killed the server
+	// or dropped the connection meanwhile.
+	Unsent int
+	// OnTimeFractionBySecond has, for each second in which requests came, the fraction of them that was on time.
+	OnTimeFractionBySecond []float64
+	// OnTimeBySecond has the number of requests on time by the second of the response.
+	OnTimeBySecond []int
+	// MinOnTimeFraction is the least of OnTimeFractionBySecond; 1 for none.
+	MinOnTimeFraction float64
 }
 
-// Routers send traffic to a cluster in real time. A request that one server rejects goes to another.
+// Routers emulates routers that send traffic to a cluster in real time. A request that one server rejects goes to
+// another. Kill and DropConnections are for the actions of the traffic, and safe for concurrent use.
 type Routers struct {
 	Traffic
 	cluster   *Cluster
@@ -65,13 +83,13 @@
 	lock              sync.Mutex // guards all that follows; it is taken before that of a connection
 	rand              *rand.Rand
 	connections       []map[*Server]*routerConnection // by router
-	tally             Tally
+	stats             TrafficStats
 	requestedBySecond []int
 	servedBySecond    []int            // on time, by the second of the request
 	killed            map[*Server]bool // by the test: what is open there is not the server's fault
 }
 
-// request is one request of the traffic.
+// request is one request of the traffic, with the number that its idempotency key is made from.
 type request struct {
 	number int
 	router int
@@ -80,8 +98,8 @@
 	second int // of the traffic in which it came
 }
 
-// Play sends the traffic, waits for all responses, and counts them.
-func (c *Cluster) Play(traffic Traffic) Tally {
+// RunTraffic sends the traffic, waits for all responses and actions, and returns the counts.
+func (c *Cluster) RunTraffic(traffic Traffic) TrafficStats {
 	r := newRouters(c, traffic)
 	for at, action := range traffic.Actions {
 		r.pending.Add(1)
@@ -94,11 +112,11 @@
 	r.pending.Wait()
 	r.closeConnections()
 	r.sumUp()
-	return r.tally
+	return r.stats
 }
 
 func newRouters(c *Cluster, traffic Traffic) *Routers {
-	seconds := int(traffic.Length/time.Second) + 1
+	seconds := int(traffic.Duration/time.Second) + 1
 	r := &Routers{
 		Traffic:           traffic,
 		cluster:           c,
@@ -108,8 +126,8 @@
 		servedBySecond:    make([]int, seconds),
 		killed:            map[*Server]bool{},
 	}
-	r.tally.OnTimeBySecond = make([]int, seconds+int(traffic.SoftDeadline/time.Second)+1)
-	for range traffic.Routers {
+	r.stats.OnTimeBySecond = make([]int, seconds+int(traffic.SoftDeadline/time.Second)+1)
+	for range traffic.RouterCount {
 		r.connections = append(r.connections, map[*Server]*routerConnection{})
 	}
 	return r
@@ -118,7 +136,7 @@
 // sendAll starts all requests, each at its time.
 func (r *Routers) sendAll() {
 	at := time.Duration(0)
-	for at < r.Length {
+	for at < r.Duration {
 		time.Sleep(time.Until(r.startedAt.Add(at)))
 		next, gap := r.nextRequest(at)
 		r.pending.Add(1)
@@ -135,11 +153,11 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	gap := time.Duration(r.rand.ExpFloat64() / r.RequestsPerSecond * float64(time.Second))
-	next := request{number: r.tally.Requested, second: int(at / time.Second)}
-	next.router = r.rand.Intn(r.Routers)
-	next.workMs = r.WorkMs * (0.5 + r.rand.Float64())
-	next.keyed = r.rand.Float64() < r.KeyedShare
-	r.tally.Requested++
+	next := request{number: r.stats.Requests, second: int(at / time.Second)}
+	next.router = r.rand.Intn(r.RouterCount)
+	next.workMs = r.MeanWorkMs * (0.5 + r.rand.Float64())
+	next.keyed = r.rand.Float64() < r.KeyedFraction
+	r.stats.Requests++
 	r.requestedBySecond[next.second]++
 	return next, gap
 }
@@ -155,26 +173,26 @@
 	}
 }
 
-// sumUp completes the tally once all requests are over.
+// sumUp completes the counts once all requests are over.
 func (r *Routers) sumUp() {
-	r.tally.WorstSecond = 1
+	r.stats.MinOnTimeFraction = 1
 	for second, requested := range r.requestedBySecond {
 		if requested > 0 {
 			share := float64(r.servedBySecond[second]) / float64(requested)
-			r.tally.OnTimeShareBySecond = append(r.tally.OnTimeShareBySecond, share)
-			r.tally.WorstSecond = min(r.tally.WorstSecond, share)
+			r.stats.OnTimeFractionBySecond = append(r.stats.OnTimeFractionBySecond, share)
+			r.stats.MinOnTimeFraction = min(r.stats.MinOnTimeFraction, share)
 		}
 	}
 	for _, server := range r.cluster.Servers {
 		server.Interpreter.Inspect(func(v *emulator.Interpreter) {
 			for _, runs := range v.RunsByBody {
-				r.tally.DuplicateRuns += runs - 1
+				r.stats.DuplicateRuns += runs - 1
 			}
 		})
 	}
 }
 
-// Kill kills a server. What is open there is lost by the test and counts as Unsent.
+// Kill kills a server. Attempts that are in flight there count as Unsent, not as Unanswered.
 func (r *Routers) Kill(server *Server) {
 	r.lock.Lock()
 	r.killed[server] = true
@@ -182,11 +200,12 @@
 	_ = server.Kill() // it may have ended by itself
 }
 
-// Reconnect drops all connections of a part of the routers at once. What was open on them counts as Unsent.
-func (r *Routers) Reconnect(part float64) {
+// DropConnections closes all connections of a fraction of the routers at once. Attempts in flight on them count as
+// Unsent. The routers dial again for their next attempt.
+func (r *Routers) DropConnections(fraction float64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	for i := range int(part * float64(len(r.connections))) {
+	for i := range int(fraction * float64(len(r.connections))) {
 		for server, connection := range r.connections[i] {
 			connection.kill()
 			delete(r.connections[i], server)
@@ -211,7 +230,7 @@
 	}
 }
 
-// choose picks the server of the n-th attempt.
+// choose returns the server of the n-th attempt.
 func (r *Routers) choose(endpoints []*Server, q request, n int) *Server {
 	const stride = 7 // from attempt to attempt
 	r.lock.Lock()
@@ -219,12 +238,13 @@
 	return endpoints[(q.number+n*stride+r.rand.Intn(2))%len(endpoints)]
 }
 
-// isRejected says that a server declined the request without running it.
+// isRejected reports whether a status says that the server rejected the request without running it.
 func isRejected(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// isFinal says that a request is not sent again after this status. One with an idempotency key may be, after a failure.
+// isFinal reports whether a request is not sent again after this status. One with an idempotency key is sent again
+// after a failure.
 func isFinal(status int, keyed bool) bool {
 	if status == http.StatusOK {
 		return true
@@ -232,27 +252,27 @@
 	return status != noStatus && !isRejected(status) && !keyed
 }
 
-// count adds the outcome of one attempt to the tally; took is the time since the request came.
+// count counts the outcome of one attempt; took is the time since the request came.
 func (r *Routers) count(status int, took time.Duration, q request) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	switch {
 	case status == http.StatusOK:
-		r.tally.Served++
+		r.stats.Served++
 		if took <= r.SoftDeadline {
-			r.tally.OnTime++
+			r.stats.OnTime++
 			second := int(time.Since(r.startedAt) / time.Second)
-			r.tally.OnTimeBySecond[min(second, len(r.tally.OnTimeBySecond)-1)]++
+			r.stats.OnTimeBySecond[min(second, len(r.stats.OnTimeBySecond)-1)]++
 			r.servedBySecond[q.second]++
 		}
 	case isRejected(status):
-		r.tally.Rejected++
+		r.stats.Rejected++
 	case status != noStatus:
-		r.tally.Failed++
+		r.stats.Failed++
 	}
 }
 
-// requestID is unique to one attempt in the whole cluster.
+// requestID returns an ID that no other attempt of the cluster has.
 func (r *Routers) requestID() string {
 	return fmt.Sprintf("%016x", uint64(r.cluster.Seed)<<40|r.cluster.attempts.Add(1))
 }
--- a/internal/clustertest/server.go
+++ b/internal/clustertest/server.go
@@ -18,16 +18,25 @@
 	"thistlequay/internal/quota/service"
 )
 
-// Server is one process of the program with its interpreter and its relay.
+// Server is one server of a cluster, with its interpreter and its relay. It has at most one process at a time. Start,
+// Configure and ReloadWithKeys must not run at the same time as any other method of the server.
 type Server struct {
-	Index       int
-	Name        string
-	Zone        string
-	Listen      string // address for routers
-	Status      string // address of the status page
-	Program     string // started instead of the plan's from the next Start on; empty for the plan's
+	// Index is the index given to AddServer.
+	Index int
+	// Name is the name in the server's settings.
+	Name string
+	// Zone is the zone in the server's settings.
+	Zone string
+	// RouterAddress is the address that the server listens on for routers.
+	RouterAddress string
+	// StatusAddress is the address of the server's status page.
+	StatusAddress string
+	// Program is the path of the executable from the next Start on; empty for that of the cluster's Config.
+	Program string
+	// Interpreter is the server's interpreter, which outlives its processes.
 	Interpreter *emulator.Interpreter
-	Log         *LogBuffer // standard output and error of all its processes
+	// Log is the standard output and error of all processes of the server.
+	Log *LogBuffer
 
 	cluster *Cluster
 	relay   *relay // nil without gossip
@@ -38,28 +47,29 @@
 	fleet   string
 }
 
-// LogBuffer is a log that may be read while it is written.
+// LogBuffer is an io.Writer that keeps all that is written. It is safe for concurrent use.
 type LogBuffer struct {
 	lock sync.Mutex
 	text strings.Builder
 }
 
-// Write appends to the log.
+// Write appends to the log. It never fails.
 func (b *LogBuffer) Write(data []byte) (int, error) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.text.Write(data)
 }
 
-// String is the log so far.
+// String returns the log so far.
 func (b *LogBuffer) String() string {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.text.String()
 }
 
-// Configure changes what the server is started with from the next Start on: its name, its fleet, its keys (base64, one
-// a line), each left as it is where empty, and the arguments added to its command line.
+// Configure sets what the server is started with from the next Start on: its name, the name of its cluster, its keys
+// (base64, one per line) and the arguments added to its command line. An empty name, fleet or key leaves that as it is;
+// the arguments replace those of an earlier call. It returns the server.
 func (s *Server) Configure(name, fleet, key string, args ...string) *Server {
 	s.Name = cmp.Or(name, s.Name)
 	s.fleet = cmp.Or(fleet, s.fleet)
@@ -68,7 +78,8 @@
 	return s
 }
 
-// Start starts a process of the server, which knows nothing of an earlier one but what that stored.
+// Start writes the server's files and starts a process, without waiting until it serves. The process has the memory of
+// an earlier one only as far as that stored it on disk.
 func (s *Server) Start() error {
 	c := s.cluster
 	if err := s.writeConfig(); err != nil {
@@ -103,16 +114,16 @@
 	return nil
 }
 
-// reap waits for the end of a process, and refuses connections to its gossip address from then on.
+// reap waits for the end of a process, and has connections to its gossip address refused from then on.
 func (s *Server) reap(process *exec.Cmd, exited chan struct{}) {
-	_ = process.Wait() // Exit gives the code; being killed is no error here
+	_ = process.Wait() // ExitCode returns the code; being killed is no error here
 	if s.relay != nil {
 		s.relay.down()
 	}
 	close(exited)
 }
 
-// path is that of one of the server's files.
+// path returns the path of one of the server's files.
 func (s *Server) path(extension string) string {
 	return filepath.Join(s.cluster.WorkDirectory, fmt.Sprint(s.Name, "-", s.Index)+extension)
 }
@@ -126,7 +137,7 @@
 	stopTimeout := cmp.Or(c.StopTimeout, defaultStopTimeout)
 	text, err := json.Marshal(map[string]any{
 		"name":     s.Name,
-		"listen":   s.Listen,
+		"listen":   s.RouterAddress,
 		"vm":       s.Interpreter.Address,
 		"index":    c.Index.Address,
 		"lookup":   c.Directory.Address,
@@ -157,11 +168,11 @@
 	return os.WriteFile(s.path(".yaml"), []byte(text), filesMode)
 }
 
-// gossipYAML is the section "peers" of the server's own settings.
+// gossipYAML returns the section "peers" of the server's own settings.
 func (s *Server) gossipYAML() string {
 	c := s.cluster
 	var seeds, founders []string
-	for i := range min(Founders, c.Plan.Servers) {
+	for i := range min(FounderCount, c.ServerCount) {
 		seeds = append(seeds, c.Servers[i].relay.advertised)
 		founders = append(founders, serverName(i))
 	}
@@ -173,10 +184,10 @@
 	put("first", "["+strings.Join(seeds, ", ")+"]")
 	put("founders", "["+strings.Join(founders, ", ")+"]")
 	put("fleet", s.fleet)
-	put("servers", cmp.Or(c.ConfiguredServers, c.Plan.Servers))
+	put("servers", cmp.Or(c.ConfiguredServerCount, c.ServerCount))
 	put("zone", s.Zone)
 	put("key_file", filepath.Base(s.path(".keys")))
-	put("status", s.Status)
+	put("status", s.StatusAddress)
 	return out.String()
 }
 
@@ -186,10 +197,11 @@
 	reloadInterval = 10 * time.Millisecond
 )
 
-// errNoReload is a server that does not say that it has read its files again.
+// errNoReload means that the server did not log that it has read its files again.
 var errNoReload = errors.New("it does not read its files again")
 
-// ReloadWithKeys gives the server other keys, has it read its files again, and waits until it has logged that.
+// ReloadWithKeys writes other keys (base64, one per line), sends SIGHUP, and waits until the server has logged that it
+// read its files. It fails after 10 seconds without that line.
 func (s *Server) ReloadWithKeys(keys string) error {
 	s.key = keys
 	if err := s.writeServiceFiles(); err != nil {
@@ -209,40 +221,41 @@
 	return errNoReload
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process and records it in the history.
 func (s *Server) Signal(signal os.Signal) error {
 	s.cluster.Record(s.Name, "%v", signal)
 	return s.process.Process.Signal(signal)
 }
 
-// Kill kills the process and waits for its end. Connections to its gossip address are refused from then on.
+// Kill kills the process by SIGKILL and waits for its end. Connections to its gossip address are refused from then on.
 func (s *Server) Kill() error {
 	err := s.Signal(syscall.SIGKILL)
 	<-s.exited
 	return err
 }
 
-// Ended is closed when the process has ended.
-func (s *Server) Ended() <-chan struct{} { return s.exited }
+// Exited returns a channel that is closed when the process has ended.
+func (s *Server) Exited() <-chan struct{} { return s.exited }
 
-// Exit is the exit code of the process once it has ended; -1 where it was killed.
-func (s *Server) Exit() int { return s.process.ProcessState.ExitCode() }
+// ExitCode returns the exit code of the process, which must have ended: -1 where a signal killed it.
+func (s *Server) ExitCode() int { return s.process.ProcessState.ExitCode() }
 
-// Process is the process ID.
-func (s *Server) Process() int { return s.process.Process.Pid }
+// PID returns the process ID.
+func (s *Server) PID() int { return s.process.Process.Pid }
 
-// Shares asks the server for the status of its quotas.
-func (s *Server) Shares() (service.Status, error) {
+// QuotaStatus fetches the status of the quotas from the server's status page.
+func (s *Server) QuotaStatus() (service.Status, error) {
 	var status service.Status
-	err := gossip.FetchJSON(s.Status, "/shares", &status)
+	err := gossip.FetchJSON(s.StatusAddress, "/shares", &status)
 	return status, err
 }
 
-// View asks the server for its view of the cluster.
-func (s *Server) View() (gossip.Status, error) { return gossip.FetchStatus(s.Status) }
+// GossipStatus fetches the server's view of the cluster from its status page.
+func (s *Server) GossipStatus() (gossip.Status, error) { return gossip.FetchStatus(s.StatusAddress) }
 
-// GossipAddresses gives the addresses of a server that the test itself speaks for: where it is to listen, and where
-// others reach it.
+// GossipAddresses returns the gossip addresses of a server for which the test itself speaks the protocol: the one to
+// listen on, and the one at which others reach it. It opens the relay unless a process was started. The cluster must
+// have gossip.
 func (s *Server) GossipAddresses() (listen, advertise string, err error) {
 	if s.process == nil {
 		err = s.relay.up()
@@ -250,7 +263,7 @@
 	return s.relay.listen, s.relay.advertised, err
 }
 
-// close kills the process, where there is one, and closes what stands around it.
+// close kills the process, where there is one, and closes the relay and the interpreter.
 func (s *Server) close() {
 	if s.process != nil {
 		_ = s.process.Process.Signal(syscall.SIGKILL) // it may have ended by itself
