--- a/cmd/thistlequay/harness_quota_test.go
+++ b/cmd/thistlequay/harness_quota_test.go
@@ -109,8 +109,8 @@
 				return
 			default:
 			}
-			o := g.RunTraffic(clustertest.Traffic{RouterCount: 6, RequestsPerSecond: rate, Duration: time.Second, MeanWorkMs: 2,
-				SoftDeadline: time.Second, Deadline: 2 * time.Second,
+			o := g.RunTraffic(clustertest.Traffic{RouterCount: 6, RequestsPerSecond: rate, Duration: time.Second,
+				MeanWorkMs: 2, SoftDeadline: time.Second, Deadline: 2 * time.Second,
 				IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1,
 				EndpointsAt: func(time.Duration) []*clustertest.Server { return list() }})
 			sum.Requests += o.Requests
--- a/internal/clustertest/network.go
+++ b/internal/clustertest/network.go
@@ -16,8 +16,8 @@
 	Loss float64
 	// Duplication is the fraction of packets that arrive twice.
 	Duplication float64
-	// Truncation is the fraction of packets that lose their second half, and of a stream's chunks after whose first half
-	// the stream is closed.
+	// Truncation is the fraction of packets that lose their second half, and of a stream's chunks after whose first
+	// half the stream is closed.
 	Truncation float64
 	// Delay is added to all packets and to each chunk of a stream.
 	Delay time.Duration
--- a/internal/emulator/commands.go
+++ b/internal/emulator/commands.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Commands of the server to the interpreter. Others are ignored.
+// Commands of the server to the interpreter. Any other command is ignored.
 const (
 	commandConnect = "CONNECT"
 	commandTop     = "TOP"
@@ -66,7 +66,8 @@
 	}
 }
 
-// connect makes this the link of the server, and sends the banner and the notices after the first so many.
+// connect makes this the link of the server, in place of any other, and sends the banner and the notices that the
+// server has not received.
 func (v *Interpreter) connect(link *Link, received int) {
 	v.dropLink()
 	v.link = link
@@ -80,7 +81,7 @@
 	}
 }
 
-// linkEnded forgets a link that the server closed.
+// linkEnded drops a link that the server closed.
 func (v *Interpreter) linkEnded(link *Link) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
--- a/internal/emulator/cores.go
+++ b/internal/emulator/cores.go
@@ -2,21 +2,23 @@
 
 import "math"
 
-// workEpsilon is the number of core seconds below which a job counts as complete: rounding leaves such rests.
+// workEpsilon is the number of core seconds below which a job counts as complete, since rounding leaves small
+// remainders.
 const workEpsilon = 1e-9
 
 // freeJobsPerCore is the number of runnable jobs a core up to which switching between them costs nothing.
 const freeJobsPerCore = 2
 
 // Cores emulates processor sharing: every runnable job has an equal part of the cores, and at most one core. Times are
-// seconds since an origin that the caller chooses. The zero value with Count set is ready to use; it is not safe for
+// seconds since an origin that the caller chooses. The zero value with Count set is ready to use. Cores is not safe for
 // concurrent use.
 type Cores struct {
 	// Count is the number of cores.
 	Count float64
-	// Slowdown is the loss of speed for each runnable job beyond two a core: speed is divided by 1 + Slowdown*excess.
+	// Slowdown is the loss of speed by switching between jobs: speed is divided by 1 + Slowdown*excess, where excess is
+	// the number of runnable jobs beyond two per core. 0 for none.
 	Slowdown float64
-	// CoreSeconds is the work done so far.
+	// CoreSeconds is the work done so far, in seconds of one core.
 	CoreSeconds float64
 
 	now  float64
@@ -25,13 +27,17 @@
 
 // Job is a run on the cores.
 type Job struct {
-	ID        string
-	Remaining float64 // core seconds
-	StartedAt float64 // seconds
+	// ID is the ID given to Cores.Start.
+	ID string
+	// Remaining is the work left, in seconds of one core.
+	Remaining float64
+	// StartedAt is the time of Cores.Start, in seconds.
+	StartedAt float64
+
 	suspended bool
 }
 
-// runnable counts the jobs that are not suspended.
+// runnable returns the number of jobs that are not suspended.
 func (c *Cores) runnable() float64 {
 	count := 0
 	for _, j := range c.jobs {
@@ -42,7 +48,7 @@
 	return float64(count)
 }
 
-// speedPerJob is the part of a core that each runnable job has.
+// speedPerJob returns the part of a core that each runnable job has.
 func (c *Cores) speedPerJob() float64 {
 	runnable := c.runnable()
 	if runnable == 0 {
@@ -52,7 +58,8 @@
 	return min(1, c.Count/runnable) / (1 + c.Slowdown*excess)
 }
 
-// AdvanceTo moves the time on. It must not pass NextCompletion, because speeds change there.
+// AdvanceTo moves the time on to now, in seconds, and does the work of that time. It must not pass NextCompletion,
+// because speeds change there. A time in the past does nothing.
 func (c *Cores) AdvanceTo(now float64) {
 	done := max(0, now-c.now) * c.speedPerJob()
 	for _, j := range c.jobs {
@@ -64,7 +71,7 @@
 	c.now = max(c.now, now)
 }
 
-// NextCompletion is when the next job ends; infinite where none is runnable.
+// NextCompletion returns the time at which the next job has no work left, in seconds; infinite where none is runnable.
 func (c *Cores) NextCompletion() float64 {
 	earliest := math.Inf(1)
 	speed := c.speedPerJob()
@@ -76,14 +83,14 @@
 	return c.now + earliest
 }
 
-// Start adds a job of so many core seconds.
+// Start adds a runnable job of so many core seconds and returns it. IDs need not be unique.
 func (c *Cores) Start(id string, coreSeconds float64) *Job {
 	j := &Job{ID: id, Remaining: coreSeconds, StartedAt: c.now}
 	c.jobs = append(c.jobs, j)
 	return j
 }
 
-// PopCompleted removes a job that has no work left and returns it; nil where there is none.
+// PopCompleted removes a runnable job that has no work left and returns it; nil where there is none.
 func (c *Cores) PopCompleted() *Job {
 	for _, j := range c.jobs {
 		if !j.suspended && j.Remaining <= workEpsilon {
@@ -94,7 +101,7 @@
 	return nil
 }
 
-// Abort removes a job, whatever work it has left.
+// Abort removes a job, whatever work it has left. It does nothing for a job that was removed before.
 func (c *Cores) Abort(job *Job) {
 	for i, j := range c.jobs {
 		if j == job {
@@ -110,7 +117,7 @@
 // Resume puts a suspended job back on the cores.
 func (c *Cores) Resume(j *Job) { j.suspended = false }
 
-// Gauges are the part of the cores that is busy, 0 to 1, and the number of runnable jobs.
+// Gauges returns the fraction of the cores that is busy, 0 to 1, and the number of runnable jobs.
 func (c *Cores) Gauges() (utilization, runnable float64) {
 	runnable = c.runnable()
 	return min(1, runnable/c.Count), runnable
--- a/internal/emulator/directory.go
+++ b/internal/emulator/directory.go
@@ -8,7 +8,7 @@
 // Directory emulates the directory: it accepts every load report and answers with 204.
 type Directory struct{ *Listener }
 
-// NewDirectory starts a directory on a loopback address of its own. It runs until Close.
+// NewDirectory starts a directory on a free loopback address. It accepts connections until Close.
 func NewDirectory() (*Directory, error) {
 	listener, err := Listen()
 	if err != nil {
@@ -30,7 +30,7 @@
 		if err != nil {
 			return
 		}
-		// A body that breaks off is found by the next read.
+		// A truncated body makes the next read fail.
 		_, _ = io.Copy(io.Discard, request.Body)
 		link.send([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 	}
--- a/internal/emulator/index.go
+++ b/internal/emulator/index.go
@@ -39,13 +39,14 @@
 	ReplyUnavailable: "NOBODY",
 }
 
-// Index emulates the index service: it answers calls on any number of connections.
+// Index emulates the index service: it answers calls on any number of connections, one at a time on each. Its fields
+// must be set before the first call.
 type Index struct {
 	*Listener
-	// ReplyDelay is how long a call takes while the index is not overloaded.
+	// ReplyDelay is the time that a call takes while the index is not overloaded.
 	ReplyDelay time.Duration
 	// ReplyScript returns the reply to the n-th call, counted from 0 over all connections, and must be safe for
-	// concurrent use. Nil answers every call with ReplyHit. Set it before the first call.
+	// concurrent use. Nil answers every call with ReplyHit.
 	ReplyScript func(n int) IndexReply
 	// MaxInFlight is the number of calls in flight beyond which more are answered with SHED; 0 for no limit.
 	MaxInFlight int
@@ -58,7 +59,7 @@
 	peakInFlight atomic.Int64
 }
 
-// NewIndex starts an index on a loopback address of its own. It runs until Close.
+// NewIndex starts an index on a free loopback address. It accepts connections until Close.
 func NewIndex() (*Index, error) {
 	listener, err := Listen()
 	if err != nil {
@@ -73,7 +74,8 @@
 	return x, nil
 }
 
-// PeakInFlight is the largest number of calls that were in flight at once since it was last asked.
+// PeakInFlight returns the largest number of calls that were in flight at once since the last call of PeakInFlight, and
+// resets it to the number in flight now.
 func (x *Index) PeakInFlight() int { return int(x.peakInFlight.Swap(x.inFlight.Load())) }
 
 // serve answers the calls of one connection, one after the other, until either side closes it.
@@ -82,7 +84,7 @@
 	for {
 		id, err := readCall(link)
 		if errors.Is(err, errNotACall) {
-			continue // a STOP: the reply to the call that it gives up is read by nobody
+			continue // a STOP: the server ignores the reply to the call that it cancels
 		}
 		if err != nil {
 			return
@@ -95,7 +97,7 @@
 	}
 }
 
-// errNotACall is a line that is not a GET.
+// errNotACall means that a line is not a GET.
 var errNotACall = errors.New("not a call")
 
 // readCall reads "GET <id> <name> <length>", then the body of that length, and gives the id.
@@ -117,7 +119,7 @@
 	return words[1], err
 }
 
-// process takes the time of one call and gives the reply to it.
+// process takes the time of one call and returns the reply to it.
 func (x *Index) process() IndexReply {
 	n := int(x.callCount.Add(1)) - 1
 	reply := ReplyHit
@@ -144,7 +146,7 @@
 	}
 }
 
-// delay is how long a call takes with so many in flight.
+// delay returns the time that a call takes with so many in flight.
 func (x *Index) delay(inFlight int64) time.Duration {
 	if x.SlowdownThreshold == 0 {
 		return x.ReplyDelay
--- a/internal/emulator/interpreter.go
+++ b/internal/emulator/interpreter.go
@@ -15,20 +15,20 @@
 	maxSleepSeconds = 1.0    // until the interpreter looks again whether it is closed
 )
 
-// Interpreter emulates the interpreter: runs on shared cores, numbered notices that are kept, and one link that may
-// break while runs go on. It never starts a run twice. Fields without a comment on locking are set before the first
-// request.
+// Interpreter emulates the interpreter: runs on shared cores, numbered notices that are stored for later links, and one
+// link that may break while runs go on. It never starts a run twice. Fields must be set before the first request where
+// their comments do not name Inspect.
 type Interpreter struct {
 	*Listener
-	// Cores run the jobs. They may be changed under Inspect only.
+	// Cores run the jobs. They may be read and changed under Inspect only.
 	Cores Cores
-	// CallProbability is the chance that a run makes a call after half of its work.
+	// CallProbability is the probability that a run makes a call to the index after half of its work.
 	CallProbability float64
-	// NoticeScript says what happens to the n-th notice, counted from 1; nil leaves all intact.
+	// NoticeScript returns what happens to the n-th notice, counted from 1. Nil leaves all intact.
 	NoticeScript func(n int) Corruption
-	// ReportsCold has the banner say that the interpreter has only just come up.
+	// ReportsCold has the banner say that the interpreter has just started; otherwise it has run for an hour.
 	ReportsCold bool
-	// RunsByRequest counts runs by request ID, for checkers that read it under Inspect.
+	// RunsByRequest counts runs by request ID. Read it under Inspect.
 	RunsByRequest map[string]int
 	// RunsByBody counts runs by body, which is unique to a request with an idempotency key. Read it under Inspect.
 	RunsByBody map[string]int
@@ -52,8 +52,9 @@
 	abandoned          bool // its request is over: it ends at its call
 }
 
-// NewInterpreter starts an interpreter on a loopback address of its own. Service times come from the body ("40.5 ...":
-// milliseconds of a core) or, where that begins with no number, from the seed. It runs until Close.
+// NewInterpreter starts an interpreter on a free loopback address. The service time of a run is the number that its
+// body begins with ("40.5 ...", in milliseconds of a core) or, where there is none, a random one of 20 ms in the mean,
+// from the seed. It runs until Close.
 func NewInterpreter(cores float64, seed int64) (*Interpreter, error) {
 	listener, err := Listen()
 	if err != nil {
@@ -78,7 +79,7 @@
 	return v, nil
 }
 
-// seconds is the time on the cores.
+// seconds returns the time of Cores: since the start, in seconds.
 func (v *Interpreter) seconds() float64 { return time.Since(v.startedAt).Seconds() }
 
 // runJobs completes runs in real time until the interpreter is closed.
@@ -97,8 +98,8 @@
 	}
 }
 
-// completeJobs ends what has no work left. It gives the time until it is to be called again, in seconds, and whether
-// the interpreter is open.
+// completeJobs ends the runs that have no work left. It returns the time until it must be called again, in seconds, and
+// whether the interpreter is open.
 func (v *Interpreter) completeJobs() (seconds float64, open bool) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// finish ends a run and sends its value.
+// finish ends a run and sends its result in a VALUE notice.
 func (v *Interpreter) finish(r *run, state, result string) {
 	delete(v.jobs, r.ID)
 	took := float64(time.Since(r.startedAt).Microseconds()) / 1000
@@ -160,7 +161,7 @@
 	v.jobs[id] = r
 }
 
-// serviceMs is the number that the body begins with, or a random one.
+// serviceMs returns the number that the body begins with, or a random one; milliseconds of a core.
 func (v *Interpreter) serviceMs(body []byte) float64 {
 	first, _, _ := bytes.Cut(body, []byte{' '})
 	ms, err := strconv.ParseFloat(string(first), 64)
@@ -170,8 +171,8 @@
 	return ms
 }
 
-// RequestEnded tells the interpreter that a request has its response, or that nobody waits for it: its run ends at its
-// call, as the protocol asks.
+// RequestEnded tells the interpreter that a request has its response, or that nobody waits for it: its run then ends at
+// its call, as the protocol requires. It does nothing for a run that has ended.
 func (v *Interpreter) RequestEnded(id string) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -185,21 +186,22 @@
 	}
 }
 
-// BreakLink closes the link to the server; runs go on.
+// BreakLink closes the link to the server, if there is one. Runs go on.
 func (v *Interpreter) BreakLink() {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.dropLink()
 }
 
-// Inspect calls look with the interpreter locked, so that a checker can read what was counted.
+// Inspect calls look with the interpreter locked. The callback must not call other methods of the interpreter that lock
+// it.
 func (v *Interpreter) Inspect(look func(v *Interpreter)) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	look(v)
 }
 
-// Close ends the interpreter; its runs are forgotten.
+// Close stops the interpreter and drops its runs. A second call does nothing.
 func (v *Interpreter) Close() {
 	_ = v.Listener.Close() // a second close of a socket reports an error that says nothing
 	v.BreakLink()
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -12,17 +12,23 @@
 	readBufferBytes = 8 << 10 // of each connection
 )
 
-// Listener accepts connections on a loopback address of its own and hands them out over Links.
+// Listener accepts connections on a loopback address and delivers them over Links. Every link received must be closed
+// by the receiver.
 type Listener struct {
+	// Listener is the current socket. Its Close closes only the socket, so that Reopen can follow.
 	net.Listener
+	// Address is the address, as host:port. It stays the same after Reopen.
 	Address string
-	Links   chan *Link // closed after Close
-	closed  atomic.Bool
+	// Links delivers the accepted connections. It is closed after Close.
+	Links chan *Link
+
+	closed atomic.Bool
 }
 
 // Link is a connection that is read by lines or by records.
 type Link struct {
 	net.Conn
+	// Reader buffers what is read from the connection. Reads must go through it.
 	Reader *bufio.Reader
 }
 
@@ -37,7 +43,7 @@
 	return l, nil
 }
 
-// accept hands out connections until the socket is closed.
+// accept delivers connections until the socket is closed.
 func (l *Listener) accept() {
 	socket := l.Listener // Reopen puts another in its place, with an accept of its own
 	for {
@@ -52,13 +58,14 @@
 	}
 }
 
-// Close ends the listener for good. To close only the socket, and Reopen it later, call Listener.Close.
+// Close closes the listener for good. To close only the socket, for a later Reopen, call Listener.Close on the embedded
+// net.Listener.
 func (l *Listener) Close() error {
 	l.closed.Store(true)
 	return l.Listener.Close()
 }
 
-// Reopen listens again on the same address after Listener.Close.
+// Reopen listens again on the same address after Listener.Close on the embedded net.Listener.
 func (l *Listener) Reopen() error {
 	socket, err := net.Listen("tcp", l.Address)
 	l.Listener = socket
@@ -74,7 +81,7 @@
 	return &Link{connection, bufio.NewReaderSize(connection, readBufferBytes)}
 }
 
-// Dial connects to a server.
+// Dial connects to an address over TCP.
 func Dial(address string) (*Link, error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -92,7 +99,7 @@
 // drop closes the link. A second close reports an error that says nothing.
 func (l *Link) drop() { _ = l.Close() }
 
-// FreeAddress is a loopback address on which nothing listens at this moment.
+// FreeAddress returns a loopback address, as host:port, on which nothing listens at this moment.
 func FreeAddress() (string, error) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -7,42 +7,52 @@
 	"math/rand"
 )
 
-// Stream is the load of one tenant, or of many who behave alike.
+// Stream is the load of one tenant, or of many tenants that send alike.
 type Stream struct {
 	// Tenant is the name under which TenantStats counts the requests.
 	Tenant string
-	// TenantOf gives the tenant of the n-th request; nil for Tenant on all.
+	// TenantOf returns the tenant of the n-th request, counted from 0; nil for Tenant on all.
 	TenantOf func(n int) string
-	// Weight is the tenant's weight in what it is entitled to.
+	// Weight is the tenant's weight in the max-min fair allocation of the cores.
 	Weight float64
-	// ArrivalsPerSecond is the rate of a Poisson process.
+	// ArrivalsPerSecond is the rate of the requests, a Poisson process.
 	ArrivalsPerSecond float64
-	// From and To are seconds since the start of the load.
-	From, To float64
-	// MeanCoreSeconds is the mean work of a request, which is uniform between half of it and one and a half.
+	// From is when the first request may come, in seconds since the start of the load.
+	From float64
+	// To is when requests end, in seconds since the start of the load.
+	To float64
+	// MeanCoreSeconds is the mean work of a request, in seconds of one core. The work is uniform from half of the mean
+	// to one and a half.
 	MeanCoreSeconds float64
 	// Category is the index of the requests' category.
 	Category int
 	// PriorityWeight is the value of a request that is answered within its soft deadline.
 	PriorityWeight float64
-	// MaxRetries is how often a rejected request is sent again after the Retry-After that it was told.
+	// MaxRetries is how many times a rejected request is sent again, each after the Retry-After of the rejection.
 	MaxRetries int
 	// Routers is the number of routers that the requests come by, in turn; 0 for one.
 	Routers int
 }
 
-// Attempt is a request to be sent, for the first time or again.
+// Attempt is one attempt of a request.
 type Attempt struct {
-	At          float64 // seconds since the start of the load
-	Stream      *Stream
-	Tenant      string
+	// At is when it is due, in seconds since the start of the load.
+	At float64
+	// Stream is the stream that the request is from.
+	Stream *Stream
+	// Tenant is the tenant of the request.
+	Tenant string
+	// CoreSeconds is the work of the request, in seconds of one core.
 	CoreSeconds float64
-	Retries     int // attempts before this one
-	Router      int
-	sequence    int // of the request in the load
+	// Retries is the number of attempts before this one.
+	Retries int
+	// Router is the index of the router that sends it, from 0.
+	Router int
+
+	sequence int // of the request in the load
 }
 
-// Load gives the attempts in the order of their times. It knows nothing of how the server decides.
+// Load yields the attempts in the order of their times. It is not safe for concurrent use.
 type Load struct {
 	attempts attemptQueue
 	rand     *rand.Rand
@@ -68,7 +78,8 @@
 	return x
 }
 
-// NewLoad draws the first attempts of all streams from the seed.
+// NewLoad returns a load with the first attempts of all requests of the streams. Their times and work are drawn from
+// the seed: the same seed and streams give the same load.
 func NewLoad(seed int64, streams []*Stream) *Load {
 	l := &Load{rand: rand.New(rand.NewSource(seed))}
 	for _, s := range streams {
@@ -95,10 +106,10 @@
 	}
 }
 
-// gap draws the seconds between two requests of a stream.
+// gap draws the time between two requests of a stream, in seconds.
 func (l *Load) gap(s *Stream) float64 { return l.rand.ExpFloat64() / s.ArrivalsPerSecond }
 
-// Next is when the next attempt is due; infinite where none is.
+// Next returns when the next attempt is due, in seconds since the start of the load; infinite where none is left.
 func (l *Load) Next() float64 {
 	if len(l.attempts) == 0 {
 		return math.Inf(1)
@@ -106,10 +117,10 @@
 	return l.attempts[0].At
 }
 
-// Pop removes the next attempt and returns it.
+// Pop removes the next attempt and returns it. It panics where none is left.
 func (l *Load) Pop() *Attempt { return heap.Pop(&l.attempts).(*Attempt) }
 
-// Retry schedules a further attempt of the request.
+// Retry schedules a further attempt of the request, at a time in seconds since the start of the load.
 func (l *Load) Retry(a *Attempt, at float64) {
 	retry := *a
 	retry.At = at
--- a/internal/emulator/loadrun.go
+++ b/internal/emulator/loadrun.go
@@ -14,20 +14,23 @@
 	graceDeadlines     = 2   // deadlines that open requests are waited for after the load
 )
 
-// LoadRun sends a load to one server in real time, and never waits for a response before the next request is sent.
+// LoadRun sends a load to one server in real time. It is an open loop: no request waits for the response to another.
+// All exported fields must be set before Run, which must be called once.
 type LoadRun struct {
-	// Address is the server's, for routers.
+	// Address is the address on which the server listens for routers.
 	Address string
-	// Seed of the load.
+	// Seed is the seed of the load.
 	Seed int64
-	// Seconds is the length of the load.
+	// Seconds is the length of the load, in seconds.
 	Seconds float64
-	// Cores of the interpreter: with Seconds, the work that is divided among the tenants.
+	// Cores is the number of cores of the interpreter. Cores times Seconds is the work to which tenants are entitled.
 	Cores float64
-	// Categories are their names by index.
+	// Categories are the names of the categories, by Stream.Category.
 	Categories []string
-	// SoftDeadline and Deadline hold for all categories.
-	SoftDeadline, Deadline time.Duration
+	// SoftDeadline is the latency objective of all requests.
+	SoftDeadline time.Duration
+	// Deadline is the deadline of all requests.
+	Deadline time.Duration
 	// Streams are the load.
 	Streams []*Stream
 
@@ -55,8 +58,8 @@
 	sentAt  time.Time
 }
 
-// Run sends the load and waits for the last response. It returns the statistics of the tenants in the order of the
-// streams.
+// Run sends the load and waits for the last response, at most for two deadlines after the load. It returns the
+// statistics of the tenants in the order of the streams, or an error where a connection cannot be opened or written to.
 func (s *LoadRun) Run() ([]*TenantStats, error) {
 	s.load = NewLoad(s.Seed, s.Streams)
 	s.statsByTenant = NewStatsByTenant(s.Streams)
@@ -80,7 +83,7 @@
 	return s.statsByTenant.AssignEntitlements(s.Cores * s.Seconds), nil
 }
 
-// pending says whether more is to be sent or answered.
+// pending reports whether attempts are to be sent or answered.
 func (s *LoadRun) pending() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -95,10 +98,10 @@
 	return false
 }
 
-// seconds is the time since the load began.
+// seconds returns the time since the load began, in seconds.
 func (s *LoadRun) seconds() float64 { return time.Since(s.startedAt).Seconds() }
 
-// secondsToNext is the time until the next attempt is due.
+// secondsToNext returns the time until the next attempt is due, in seconds.
 func (s *LoadRun) secondsToNext() float64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -134,7 +137,7 @@
 	return err
 }
 
-// connection gives the newest connection that has a free slot, or a further one.
+// connection returns the newest connection that has a free slot, or dials another.
 func (s *LoadRun) connection() (*loadConnection, error) {
 	for i := len(s.connections) - 1; i >= 0; i-- {
 		if len(s.connections[i].open) < slotsPerConnection {
@@ -151,7 +154,7 @@
 	return c, nil
 }
 
-// freeSlot gives the next slot that is not open; 0 is FastCGI's own.
+// freeSlot returns the next slot without a request in flight. Slot 0 is reserved by FastCGI.
 func (c *loadConnection) freeSlot() uint16 {
 	c.lastSlot++
 	for c.lastSlot == 0 || c.open[c.lastSlot] != nil {
@@ -160,7 +163,7 @@
 	return c.lastSlot
 }
 
-// readResponses books the responses of one connection until it ends.
+// readResponses counts the responses of one connection until it ends.
 func (c *loadConnection) readResponses() {
 	for {
 		response, err := c.ReadResponse()
@@ -176,7 +179,7 @@
 	}
 }
 
-// connectionBroke gives up the open requests of a connection.
+// connectionBroke counts the requests in flight on a connection as broken.
 func (s *LoadRun) connectionBroke(c *loadConnection) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -184,7 +187,7 @@
 	clear(c.open)
 }
 
-// responded books one response, and schedules the retry that it asks for.
+// responded counts one response, and schedules the retry that it asks for.
 func (s *LoadRun) responded(c *loadConnection, response *Response) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -219,7 +222,7 @@
 	}
 }
 
-// BrokenRequests counts the requests whose connection ended before their response.
+// BrokenRequests returns the number of attempts whose connection ended before their response.
 func (s *LoadRun) BrokenRequests() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/emulator/notices.go
+++ b/internal/emulator/notices.go
@@ -13,13 +13,13 @@
 	Intact Corruption = iota
 	// Duplicated sends the notice twice under one number.
 	Duplicated
-	// PrecededByTrace sends a remark before the notice.
+	// PrecededByTrace sends a TRACE notice before the notice.
 	PrecededByTrace
 	// LinkCutMidway closes the link after the first half of the notice.
 	LinkCutMidway
 	// SplitInTwo sends the notice in two writes.
 	SplitInTwo
-	// Withheld closes the link instead: the notice comes over the next one.
+	// Withheld closes the link without sending the notice, which is sent over the next link.
 	Withheld
 )
 
@@ -29,8 +29,8 @@
 	stateStopped = "STOPPED"
 )
 
-// sendNotice numbers a notice, keeps it, and sends it as the script says where there is a link. The format gives the
-// JSON members after the number.
+// sendNotice numbers a notice, stores it, and sends it with the corruption of the script where there is a link. The
+// format gives the JSON members after the number.
 func (v *Interpreter) sendNotice(format string, args ...any) {
 	n := len(v.notices) + 1
 	line := fmt.Appendf(nil, `{"n":%d,`, n)
@@ -47,7 +47,7 @@
 	v.transmit(line, corruption)
 }
 
-// transmit sends one notice over the link, corrupted as told.
+// transmit sends one notice over the link with a corruption.
 func (v *Interpreter) transmit(line []byte, corruption Corruption) {
 	half := len(line) / 2
 	switch corruption {
--- a/internal/emulator/plugins.go
+++ b/internal/emulator/plugins.go
@@ -2,8 +2,8 @@
 
 import "thistlequay/internal/plugin/abi"
 
-// Plug-ins that do harm, and some that do not, put together byte by byte so that tests need no other tool chain. Each
-// follows docs/plugin/authors.md as far as its kind lets it.
+// Faulty and correct plug-ins, as WebAssembly modules that are assembled here so that tests need no other tool chain.
+// Each follows docs/plugin/authors.md except for the fault of its kind.
 
 // Bodies of hooks.
 var (
@@ -84,7 +84,8 @@
 // kindTruncated is the first half of a good module.
 const kindTruncated = "truncated"
 
-// PluginModule makes the module of a kind. It panics for a kind that there is not.
+// PluginModule returns the WebAssembly module of a kind: a key of moduleSpecs, or "truncated". It panics for an unknown
+// kind.
 func PluginModule(kind string) []byte {
 	if kind == kindTruncated {
 		complete := PluginModule("good")
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -25,7 +25,8 @@
 	beginResponderKeepOpen = "\x00\x01\x01\x00\x00\x00\x00\x00"
 )
 
-// FastCGIRecord is one FastCGI record without padding. The slot is FastCGI's request ID.
+// FastCGIRecord returns one FastCGI record without padding. The slot is FastCGI's request ID. The content must be
+// shorter than 64 KiB.
 func FastCGIRecord(kind byte, slot uint16, content string) []byte {
 	record := []byte{fastCGIVersion, kind}
 	record = binary.BigEndian.AppendUint16(record, slot)
@@ -34,8 +35,8 @@
 	return append(record, content...)
 }
 
-// FastCGIRequest is one complete request. Parameters come in the order of their names; names and values must be shorter
-// than 128 bytes each.
+// FastCGIRequest returns the records of one complete request. Parameters come in the order of their names after the
+// path, which is SCRIPT_NAME; names and values must be shorter than 128 bytes each.
 func FastCGIRequest(slot uint16, path, body string, parameters map[string]string) []byte {
 	data := FastCGIRecord(recordBeginRequest, slot, beginResponderKeepOpen)
 	data = append(data, FastCGIRecord(recordParams, slot, encodeParameters(path, parameters))...)
@@ -46,7 +47,7 @@
 	return append(data, FastCGIRecord(recordStdin, slot, "")...)
 }
 
-// encodeParameters gives the name-value pairs, the path first.
+// encodeParameters returns the name-value pairs, the path first.
 func encodeParameters(path string, parameters map[string]string) string {
 	var out strings.Builder
 	put := func(name, value string) {
@@ -65,7 +66,8 @@
 	return out.String()
 }
 
-// RequestParameters are the parameters of a request that has just arrived at its router, with so much time left.
+// RequestParameters returns the parameters of a request that has just arrived at its router, with its ID, its tenant
+// and the time left until its deadline.
 func RequestParameters(id, tenant string, budget time.Duration) map[string]string {
 	return map[string]string{
 		"HTTP_REQUEST_ID":    id,
@@ -81,28 +83,32 @@
 
 // Response is one response of the server.
 type Response struct {
-	Slot    uint16
-	Status  int
-	Headers string // all lines, the status line too, without the empty one
-	Body    string
+	// Slot is FastCGI's request ID.
+	Slot uint16
+	// Status is the HTTP status; 0 where the response has none.
+	Status int
+	// Headers has all header lines, the status line among them, without the empty line after them.
+	Headers string
+	// Body is the body.
+	Body string
 }
 
-// RetryAfter is the time after which the client was told to come back, 0 for none.
-func (a *Response) RetryAfter() time.Duration {
-	for _, line := range strings.Split(a.Headers, "\r\n") {
+// RetryAfter returns the Retry-After of the response (Back-Off-Ms, in milliseconds on the wire); 0 where it has none.
+func (r *Response) RetryAfter() time.Duration {
+	for _, line := range strings.Split(r.Headers, "\r\n") {
 		text, found := strings.CutPrefix(line, "Back-Off-Ms: ")
 		if found {
-			ms, _ := strconv.Atoi(text) // what is no number counts as none told
+			ms, _ := strconv.Atoi(text) // a value that is not a number counts as none
 			return time.Duration(ms) * time.Millisecond
 		}
 	}
 	return 0
 }
 
-// errUnexpectedRecord is a record type that no response has.
+// errUnexpectedRecord means that a record has a type that no response has.
 var errUnexpectedRecord = errors.New("a record that is no part of a response")
 
-// ReadResponse reads the next response. Its records must not be mixed with those of another.
+// ReadResponse reads the next response. Its records must not be interleaved with those of another.
 func (l *Link) ReadResponse() (Response, error) {
 	var output []byte
 	for {
