--- a/cmd/thistlequay/fairqueue_test.go
+++ b/cmd/thistlequay/fairqueue_test.go
@@ -41,7 +41,7 @@
 			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`,
 				twoTenants(day.acme, 1-day.acme), `"Servers":3`,
 				fmt.Sprintf(`"Servers":%d`, servers)).Replace(platformSettings)), &of))
-			g := newTestCluster(t, clustertest.Plan{Servers: servers, Seed: 31, Gossip: talk, Settings: of,
+			g := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: 31, Gossip: talk, Settings: of,
 				ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
 			for _, s := range g.Servers {
 				g.NoError(s.Start())
@@ -61,8 +61,8 @@
 				both.Add(1)
 				go func() {
 					defer both.Done()
-					o := g.Play(clustertest.Traffic{Tenant: tenant, Routers: 6,
-						RequestsPerSecond: rate * float64(len(of)), Length: length, WorkMs: 40,
+					o := g.RunTraffic(clustertest.Traffic{Tenant: tenant, RouterCount: 6,
+						RequestsPerSecond: rate * float64(len(of)), Duration: length, MeanWorkMs: 40,
 						SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, IdempotentCategory: "look",
 						KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
 					lock.Lock()
@@ -240,7 +240,10 @@
 	index, err := emulator.NewIndex()
 	r.NoError(err)
 	defer closeQuietly(index)
-	index.Script = func(n int) string { return map[int]string{5: "SHED", 9: "noise", 15: "reset"}[n%20] }
+	index.ReplyScript = func(n int) emulator.IndexReply {
+		return map[int]emulator.IndexReply{5: emulator.ReplyShed, 9: emulator.ReplyMalformed,
+			15: emulator.ReplyReset}[n%20] // the zero value is ReplyHit
+	}
 	defer closeQuietly(r.interpreter)
 	config := strings.Replace(strings.Replace(r.config, r.interpreter.Address, vm.Address, 1), r.index.Address,
 		index.Address, 1)
@@ -252,7 +255,6 @@
 	if os.Getenv("MEASURE") == "full" {
 		length = 30
 	}
-	index.Script = answerWhereSilent(index.Script)
 	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
 		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
 			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 20, To: length, MeanCoreSeconds: 0.03, PriorityWeight: 1},
@@ -262,24 +264,14 @@
 	r.NoError(err)
 	for _, a := range books {
 		t.Logf("measured fair-queues-sockets %s", a)
-		r.Equal(a.Requested, a.OnTime+a.Late+a.Rejected+a.Aborted, "work items without an answer")
+		r.Equal(a.Requests, a.OnTime+a.Late+a.Rejected+a.Aborted, "work items without an answer")
 	}
 	r.Zero(load.BrokenRequests())
 	r.GreaterOrEqual(books[0].DeliveredShare(), 0.9)
-	r.Greater(books[1].Rejected, books[1].Requested/4)
+	r.Greater(books[1].Rejected, books[1].Requests/4)
 	vm.Inspect(func(v *emulator.Interpreter) {
 		for id, runs := range v.RunsByRequest {
 			r.Equal(1, runs, id)
 		}
 	})
 }
-
-// answerWhereSilent has an index answer with a hit wherever its script says nothing.
-func answerWhereSilent(script func(int) string) func(int) string {
-	return func(n int) string {
-		if reply := script(n); reply != "" {
-			return reply
-		}
-		return "HIT"
-	}
-}
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/config_test.go
@@ -13,10 +13,10 @@
 	"thistlequay/timeunit"
 )
 
-// requestCoreSeconds is the mean work of a request: the four cores of a day do a hundred requests a second.
+// requestCoreSeconds is the mean work of a request: the four cores of newConfig do a hundred requests a second.
 const requestCoreSeconds = 0.04
 
-// stream is the load of one tenant, from fifty routers, from the beginning of the day to its end.
+// stream is the load of one tenant, from fifty routers, from the beginning of the run to its end.
 func stream(tenant string, weight, arrivalsPerSecond float64) *emulator.Stream {
 	return &emulator.Stream{
 		Tenant:            tenant,
@@ -29,7 +29,7 @@
 	}
 }
 
-// length of a day in seconds: short in CI, and that of a real peak if MEASURE asks for the full measurement.
+// length returns the length of a run in seconds: short in CI, and that of a real peak if MEASURE asks for the full measurement.
 func length() float64 {
 	if os.Getenv("MEASURE") == "full" {
 		return 300
@@ -37,16 +37,16 @@
 	return 40
 }
 
-// day has four cores and one category.
-func day(fair bool, streams ...*emulator.Stream) Day {
-	played := Day{
-		Seed:          7,
-		Length:        length(),
-		Cores:         4,
-		Slowdown:      0.02,
-		Memory:        80_000,
-		MaxRetryAfter: 30 * ticksPerSecond,
-		Streams:       streams,
+// newConfig returns a server with four cores and one category.
+func newConfig(fair bool, streams ...*emulator.Stream) Config {
+	config := Config{
+		Seed:            7,
+		DurationSeconds: length(),
+		Cores:           4,
+		Slowdown:        0.02,
+		MemoryKB:        80_000,
+		MaxRetryAfter:   30 * ticksPerSecond,
+		Streams:         streams,
 		Categories: []admission.Category{{
 			Weight:       1,
 			SoftDeadline: 2 * ticksPerSecond,
@@ -55,9 +55,9 @@
 		}},
 	}
 	if fair {
-		played.FairQueue = fairQueueConfig(streams)
+		config.FairQueue = fairQueueConfig(streams)
 	}
-	return played
+	return config
 }
 
 // fairQueueConfig names the tenant of each stream that has one tenant and a weight.
@@ -81,36 +81,36 @@
 	return config
 }
 
-// accountOf is the account of one tenant, which must have one.
-func accountOf(t *testing.T, outcome Outcome, tenant string) *emulator.Account {
+// statsOf returns the statistics of one tenant, which the result must have.
+func statsOf(t *testing.T, result Result, tenant string) *emulator.TenantStats {
 	t.Helper()
-	isOfTenant := func(account *emulator.Account) bool { return account.Tenant == tenant }
-	i := slices.IndexFunc(outcome.Accounts, isOfTenant)
-	require.GreaterOrEqual(t, i, 0, "no account of %s", tenant)
-	return outcome.Accounts[i]
+	isOfTenant := func(stats *emulator.TenantStats) bool { return stats.Tenant == tenant }
+	i := slices.IndexFunc(result.Tenants, isOfTenant)
+	require.GreaterOrEqual(t, i, 0, "no statistics of %s", tenant)
+	return result.Tenants[i]
 }
 
 // requireDelivered requires a part of what each of the tenants is entitled to.
-func requireDelivered(t *testing.T, outcome Outcome, minShare float64, tenants ...string) {
+func requireDelivered(t *testing.T, result Result, minShare float64, tenants ...string) {
 	t.Helper()
 	for _, tenant := range tenants {
-		require.GreaterOrEqual(t, accountOf(t, outcome, tenant).DeliveredShare(), minShare, tenant)
+		require.GreaterOrEqual(t, statsOf(t, result, tenant).DeliveredShare(), minShare, tenant)
 	}
 }
 
-// playDay plays a day, logs its measured lines and requires a response in time to every request.
-func playDay(t *testing.T, name string, played Day) Outcome {
+// runConfig runs a configuration, logs its measured lines and requires a response in time to every request.
+func runConfig(t *testing.T, name string, config Config) Result {
 	t.Helper()
 	queues := "off"
-	if played.FairQueue != nil {
+	if config.FairQueue != nil {
 		queues = "on"
 	}
-	outcome := Play(played)
-	total := emulator.Total(outcome.Accounts)
-	for _, account := range append(slices.Clone(outcome.Accounts), &total) {
-		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, account)
+	result := Run(config)
+	total := emulator.Total(result.Tenants)
+	for _, stats := range append(slices.Clone(result.Tenants), &total) {
+		t.Logf("measured fair-queues day=%s queues=%s %s", name, queues, stats)
 	}
-	require.Zero(t, outcome.Unanswered, "requests without a response")
-	require.Zero(t, outcome.AnsweredPastDeadline, "responses after the deadline")
-	return outcome
+	require.Zero(t, result.Unanswered, "requests without a response")
+	require.Zero(t, result.AnsweredPastDeadline, "responses after the deadline")
+	return result
 }
--- a/internal/simulation/fairqueue_test.go
+++ b/internal/simulation/fairqueue_test.go
@@ -24,16 +24,16 @@
 
 // With fair queues the three get what they are entitled to, without them they do not, and the total value stays.
 func TestMeasuredGreedyTenantTakesNothingFromOthers(t *testing.T) {
-	off := playDay(t, "greedy", day(false, greedyTenant()...))
-	on := playDay(t, "greedy", day(true, greedyTenant()...))
+	off := runConfig(t, "greedy", newConfig(false, greedyTenant()...))
+	on := runConfig(t, "greedy", newConfig(true, greedyTenant()...))
 	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord")
 	for _, tenant := range []string{"kirken", "byen", "fjord"} {
-		share := accountOf(t, off, tenant).DeliveredShare()
+		share := statsOf(t, off, tenant).DeliveredShare()
 		require.Less(t, share, 0.95, "%s gets its share without fair queues", tenant)
 	}
-	before := emulator.Total(off.Accounts)
-	after := emulator.Total(on.Accounts)
-	require.GreaterOrEqual(t, after.Value, 0.97*before.Value)
+	before := emulator.Total(off.Tenants)
+	after := emulator.Total(on.Tenants)
+	require.GreaterOrEqual(t, after.DeliveredValue, 0.97*before.DeliveredValue)
 }
 
 // newTenants is four known tenants, and ten thousand new names a minute.
@@ -52,11 +52,11 @@
 
 // A flood of new names takes nothing from known tenants, and none of the names becomes a heavy hitter.
 func TestMeasuredFloodOfNewTenantsTakesNothingFromKnownOnes(t *testing.T) {
-	flooded := day(true, newTenants()...)
+	flooded := newConfig(true, newTenants()...)
 	var stats []fairqueue.Stats
 	flooded.OnSecond = func(_ int, scheduler *fairqueue.Scheduler) { stats = append(stats, scheduler.Stats()) }
-	playDay(t, "flood", day(false, newTenants()...))
-	on := playDay(t, "flood", flooded)
+	runConfig(t, "flood", newConfig(false, newTenants()...))
+	on := runConfig(t, "flood", flooded)
 	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord", "lag")
 	for _, second := range stats {
 		require.Zero(t, second.HeavyHitters, "a new name is a heavy hitter")
@@ -75,21 +75,21 @@
 	crowd.To = 1.3
 	crowd.MaxRetries = 1
 	crowd.Routers = 1000
-	crowded := day(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
+	crowded := newConfig(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
 	crowded.MaxRetryAfter = 60 * ticksPerSecond // a thousand need half a minute: clients must heed as much
-	outcome := playDay(t, "return-times", crowded)
+	result := runConfig(t, "return-times", crowded)
 
-	account := accountOf(t, outcome, "crowd")
-	maxReturns := maxIn100ms(outcome.AdvisedRetries, "crowd")
+	stats := statsOf(t, result, "crowd")
+	maxReturns := maxIn100ms(result.AdvisedRetries, "crowd")
 	entitled := servedPerSecond - kirkenRate - byenRate // what the others leave
-	admittedShare := float64(account.RetriesAdmitted) / float64(account.Backs)
+	admittedShare := float64(stats.RetriesAdmitted) / float64(stats.RetriesSent)
 	t.Logf("measured fair-queues day=return-times "+
 		"advised=%d entitled_per_second=%.0f max_in_100ms=%d retries=%d admitted=%d admitted_share=%.3f",
-		len(outcome.AdvisedRetries), entitled, maxReturns, account.Backs, account.RetriesAdmitted, admittedShare)
-	require.Greater(t, account.Backs, 500)
+		len(result.AdvisedRetries), entitled, maxReturns, stats.RetriesSent, stats.RetriesAdmitted, admittedShare)
+	require.Greater(t, stats.RetriesSent, 500)
 	require.LessOrEqual(t, float64(maxReturns), 2*entitled/10)
-	require.GreaterOrEqual(t, float64(account.RetriesAdmitted), 0.8*float64(account.Backs))
-	requireDelivered(t, outcome, 0.95, "kirken")
+	require.GreaterOrEqual(t, float64(stats.RetriesAdmitted), 0.8*float64(stats.RetriesSent))
+	requireDelivered(t, result, 0.95, "kirken")
 }
 
 // maxIn100ms is the largest number of a tenant's clients that were advised to come back in the same tenth of a second.
@@ -97,7 +97,7 @@
 	counts := map[int]int{}
 	for _, retry := range advised {
 		if retry.Tenant == tenant {
-			slot := int(retry.At * 10)
+			slot := int(retry.DueSeconds * 10)
 			counts[slot]++
 			maxCount = max(maxCount, counts[slot])
 		}
@@ -105,7 +105,7 @@
 	return maxCount
 }
 
-// Each hard case is a day of its own, with the minimum that its tenants get of what they are entitled to.
+// Each hard case is a run of its own, with the minimum that its tenants get of what they are entitled to.
 func TestTenantsGetWhatTheyAreEntitledTo(t *testing.T) {
 	expensive := stream("dear", 0.17, 20)
 	expensive.MeanCoreSeconds = 30 * requestCoreSeconds
@@ -145,9 +145,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			outcome := playDay(t, name, day(true, test.streams...))
+			result := runConfig(t, name, newConfig(true, test.streams...))
 			for tenant, minShare := range test.minShares {
-				requireDelivered(t, outcome, minShare, tenant)
+				requireDelivered(t, result, minShare, tenant)
 			}
 		})
 	}
@@ -162,8 +162,8 @@
 		drainAt         = 35
 		end             = 40
 	)
-	changing := day(true, greedyTenant()...)
-	changing.SlowStart = 10 * ticksPerSecond
+	changing := newConfig(true, greedyTenant()...)
+	changing.WarmUpTime = 10 * ticksPerSecond
 	before := *changing.FairQueue
 	after := *changing.FairQueue
 	after.Tenants = []fairqueue.Tenant{
@@ -180,18 +180,18 @@
 			scheduler.Reconfigure(before, now)
 		}
 	}
-	changing.DrainAt = drainAt
-	outcome := playDay(t, "changes", changing)
+	changing.DrainAtSeconds = drainAt
+	result := runConfig(t, "changes", changing)
 	for _, tenant := range []string{"byen", "fjord"} {
-		account := accountOf(t, outcome, tenant)
-		require.GreaterOrEqual(t, float64(account.OnTime), 0.97*drainAt/end*float64(account.Requested), tenant)
+		stats := statsOf(t, result, tenant)
+		require.GreaterOrEqual(t, float64(stats.OnTime), 0.97*drainAt/end*float64(stats.Requests), tenant)
 	}
-	kirken := accountOf(t, outcome, "kirken")
-	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requested))
+	kirken := statsOf(t, result, "kirken")
+	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requests))
 }
 
 func TestSameSeedGivesSameOutcome(t *testing.T) {
-	first := Play(day(true, greedyTenant()...))
-	second := Play(day(true, greedyTenant()...))
+	first := Run(newConfig(true, greedyTenant()...))
+	second := Run(newConfig(true, greedyTenant()...))
 	require.Equal(t, first, second)
 }
--- a/internal/simulation/longrun_test.go
+++ b/internal/simulation/longrun_test.go
@@ -44,9 +44,9 @@
 			PriorityWeight:    1,
 		})
 	}
-	longRun := day(true, streams...)
-	longRun.Length = length
-	longRun.NewRouterEachRequest = true
+	longRun := newConfig(true, streams...)
+	longRun.DurationSeconds = length
+	longRun.UniqueRouterPerRequest = true
 	random := rand.New(rand.NewSource(3))
 	var heap []float64
 	longRun.OnSecond = func(second int, scheduler *fairqueue.Scheduler) {
@@ -58,18 +58,18 @@
 			heap = append(heap, heapKB())
 		}
 	}
-	outcome := Play(longRun)
+	result := Run(longRun)
 	best := 0.0
 	worst := 1.0
-	for _, account := range outcome.Accounts {
-		share := account.Value / account.RequestedValue
+	for _, stats := range result.Tenants {
+		share := stats.DeliveredValue / stats.RequestedValue
 		best = max(best, share)
 		worst = min(worst, share)
-		t.Logf("measured long-run third=%s requested=%d served=%.3f", account.Tenant, account.Requested, share)
+		t.Logf("measured long-run third=%s requested=%d served=%.3f", stats.Tenant, stats.Requests, share)
 	}
 	t.Logf("measured long-run heap_kb_by_quarter=%.0f unanswered=%d past_deadline=%d",
-		heap, outcome.Unanswered, outcome.AnsweredPastDeadline)
+		heap, result.Unanswered, result.AnsweredPastDeadline)
 	require.GreaterOrEqual(t, worst, minShareOfBest*best)
 	require.Less(t, heap[len(heap)-1], heap[1]+maxGrowthKB)
-	require.Zero(t, outcome.Unanswered+outcome.AnsweredPastDeadline)
+	require.Zero(t, result.Unanswered+result.AnsweredPastDeadline)
 }
