--- a/cmd/thistlequay/cluster_scenarios_test.go
+++ b/internal/clustertest/cluster_scenarios_test.go
@@ -1,4 +1,4 @@
-package main
+package clustertest_test
 
 import (
 	"os"
@@ -8,6 +8,7 @@
 
 	"thistlequay/internal/clustertest"
 	"thistlequay/internal/emulator"
+	"thistlequay/internal/servertest"
 )
 
 // The scenarios of hundreds of servers, on a few real processes without the bench: each request that is read has one
@@ -35,7 +36,7 @@
 			t.Actions[length/2] = func(r *clustertest.Routers) { r.DropConnections(0.7) }
 		}},
 		{"directory-gone", 0.9, nil, func(g *testCluster, t *clustertest.Traffic) {
-			t.Actions[length/4] = func(*clustertest.Routers) { closeQuietly(g.Directory.Listener.Listener) }
+			t.Actions[length/4] = func(*clustertest.Routers) { servertest.CloseQuietly(g.Directory.Listener.Listener) }
 			t.Actions[length*3/4] = func(*clustertest.Routers) { _ = g.Directory.Reopen() }
 		}},
 		{"one-in-eight-slow", 0.7, func(g *testCluster) {
--- a/cmd/thistlequay/gossip_test.go
+++ b/internal/clustertest/gossip_test.go
@@ -1,4 +1,4 @@
-package main
+package clustertest_test
 
 import (
 	"encoding/json"
@@ -14,6 +14,7 @@
 	"thistlequay/internal/clustertest"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/gossip"
+	"thistlequay/internal/servertest"
 )
 
 // A crash, a stopped process, one-way loss, a partitioned zone, a graceful leave and restarts, on real processes:
@@ -209,7 +210,7 @@
 	var of map[string]any
 	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`, `"CallShare":2.0`, `"Servers":3`,
 		`"Servers":8`,
-		`"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(platformSettings)),
+		`"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`, `"HardLimit":2000.0`).Replace(servertest.PlatformSettings)),
 		&of))
 	served := map[bool]float64{}
 	cost := map[bool]time.Duration{}
--- a/cmd/thistlequay/harness_quota_test.go
+++ b/internal/clustertest/harness_quota_test.go
@@ -1,4 +1,4 @@
-package main
+package clustertest_test
 
 import (
 	"encoding/json"
@@ -13,6 +13,7 @@
 	"thistlequay/internal/clustertest"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/quota/service"
+	"thistlequay/internal/servertest"
 )
 
 // startQuotaCluster starts a cluster with a quota of downstream calls in flight over all servers. With slots of 0
@@ -34,7 +35,7 @@
 	require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"CallShare":9.0`,
 		fmt.Sprintf(`"CallShare":%f`, part), `"Servers":3`,
 		fmt.Sprintf(`"Servers":%d`, servers), `"OnTime":4000.0`, `"OnTime":1000.0`, `"HardLimit":8000.0`,
-		`"HardLimit":2000.0`).Replace(platformSettings)), &of))
+		`"HardLimit":2000.0`).Replace(servertest.PlatformSettings)), &of))
 	p := clustertest.Config{ServerCount: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
 	if slots > 0 {
 		p.ServiceYAML = func(s *clustertest.Server) string {
@@ -61,7 +62,7 @@
 			r, err := s.QuotaStatus()
 			return err == nil && is(r)
 		})
-		if len(left) > 0 && time.Since(begun) > 3*eventTimeout {
+		if len(left) > 0 && time.Since(begun) > 3*servertest.EventTimeout {
 			r, err := left[0].QuotaStatus()
 			g.FailNow(what, "%s tells otherwise: %+v %v\n%v", left[0].Name, r, err, g.History())
 		}
@@ -91,7 +92,7 @@
 			}
 		}
 		return false
-	}, 3*eventTimeout, 50*time.Millisecond)
+	}, 3*servertest.EventTimeout, 50*time.Millisecond)
 	return leader
 }
 
--- a/cmd/thistlequay/harness_cluster_test.go
+++ b/internal/clustertest/harness_test.go
@@ -1,4 +1,4 @@
-package main
+package clustertest_test
 
 import (
 	"encoding/json"
@@ -16,6 +16,7 @@
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/gossip"
 	"thistlequay/internal/membership"
+	"thistlequay/internal/servertest"
 )
 
 // testCluster is a cluster of processes with the checks that tests make on it.
@@ -41,12 +42,12 @@
 	t.Helper()
 	r := require.New(t)
 	var of map[string]any
-	r.NoError(json.Unmarshal([]byte(platformSettings), &of))
+	r.NoError(json.Unmarshal([]byte(servertest.PlatformSettings), &of))
 	program, err := os.Executable()
 	r.NoError(err)
 	p.WorkDirectory = t.TempDir()
 	p.Program = program
-	p.Env = []string{runAsProgramEnv + "=1"}
+	p.Env = []string{servertest.RunAsProgramEnv + "=1"}
 	p.Cores = 2
 	if p.Settings == nil {
 		p.Settings = of
@@ -73,7 +74,7 @@
 	g.t.Helper()
 	for _, s := range of {
 		g.NoError(emulator.WaitUntilServing(s.RouterAddress))
-		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, eventTimeout,
+		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, servertest.EventTimeout,
 			5*time.Millisecond, s.Name)
 	}
 }
@@ -92,7 +93,7 @@
 				left = slices.DeleteFunc(left, func(o *clustertest.Server) bool { return o == s })
 			}
 		}
-		if time.Since(begun) > 3*eventTimeout {
+		if time.Since(begun) > 3*servertest.EventTimeout {
 			r, err := left[0].GossipStatus()
 			g.FailNow(what, "%s does not see it: %+v %v\n%v", left[0].Name, r, err, g.History())
 		}
@@ -211,7 +212,7 @@
 	g.t.Helper()
 	link, err := emulator.Dial(s.RouterAddress)
 	g.NoError(err)
-	defer closeQuietly(link)
+	defer servertest.CloseQuietly(link)
 	var took []time.Duration
 	for i := range n {
 		begun := time.Now()
--- a/cmd/thistlequay/known_red_test.go
+++ b/internal/clustertest/known_red_test.go
@@ -1,4 +1,4 @@
-package main
+package clustertest_test
 
 import (
 	"os"
--- a/cmd/thistlequay/mixed_versions_test.go
+++ b/internal/clustertest/mixed_versions_test.go
@@ -1,4 +1,4 @@
-package main
+package clustertest_test
 
 import (
 	"fmt"
@@ -13,6 +13,7 @@
 	"thistlequay/internal/clustertest"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/quota/service"
+	"thistlequay/internal/servertest"
 )
 
 // oldBuild gives the path of an earlier build, which the environment variable OLD names. The tests of mixed versions
@@ -124,32 +125,32 @@
 // A store written by one build is read by the other, either way: a repeat gets the first answer and nothing runs twice.
 func TestMixedVersionsShareAStore(t *testing.T) {
 	old := oldBuild(t)
-	r := newTestServer(t)
-	r.service = storeSection(filepath.Join(t.TempDir(), "store"), "")
-	config := r.config
+	r := servertest.New(t)
+	r.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "")
+	config := r.Config
 	programs := []string{old, "", old, ""}
 	for life, program := range programs {
-		r.program = program
-		interpreter := r.startWithInterpreter(t, config)
-		c := r.connectRouter()
+		r.Program = program
+		interpreter := r.StartWithInterpreter(t, config)
+		c := r.ConnectRouter()
 		for earlier := range life {
-			c.sendTimedBook(uint16(earlier+1), fmt.Sprint("key-", earlier))
-			c.expectResponse(uint16(earlier+1), 200, fmt.Sprint("result of 1 entry key-", earlier))
+			c.SendTimedBook(uint16(earlier+1), fmt.Sprint("key-", earlier))
+			c.ExpectResponse(uint16(earlier+1), 200, fmt.Sprint("result of 1 entry key-", earlier))
 		}
-		c.sendTimedBook(uint16(life+1), fmt.Sprint("key-", life))
-		c.expectResponse(uint16(life+1), 200, fmt.Sprint("result of 1 entry key-", life))
+		c.SendTimedBook(uint16(life+1), fmt.Sprint("key-", life))
+		c.ExpectResponse(uint16(life+1), 200, fmt.Sprint("result of 1 entry key-", life))
 		interpreter.Inspect(func(v *emulator.Interpreter) {
 			r.Len(v.RunsByBody, 1, "only the key of this life ran")
 		})
 		if life > 0 {
-			r.Regexp(`event=warm_start .*(taken|used)=true`, logText(r))
+			r.Regexp(`event=warm_start .*(taken|used)=true`, r.LogText())
 		}
 		if life%2 == 0 {
-			r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-			r.waitForExit()
+			r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
+			r.WaitForExit()
 		} else {
-			r.NoError(r.process.Process.Kill())
-			<-r.ended
+			r.NoError(r.Process.Process.Kill())
+			<-r.Ended()
 		}
 		interpreter.Close()
 	}
--- a/cmd/thistlequay/quota_test.go
+++ b/internal/clustertest/quota_test.go
@@ -1,4 +1,4 @@
-package main
+package clustertest_test
 
 import (
 	"bytes"
@@ -15,6 +15,7 @@
 	"thistlequay/internal/command"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/quota/service"
+	"thistlequay/internal/servertest"
 )
 
 // Faults of leaders, voters and lease holders and a change of the total, under a load that wants more than there is:
@@ -37,7 +38,7 @@
 		defer lock.Unlock()
 		return list
 	})
-	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, eventTimeout, 100*time.Millisecond,
+	g.Eventually(func() bool { return g.Index.PeakInFlight() > calls/2 }, servertest.EventTimeout, 100*time.Millisecond,
 		"the load asks for too little")
 	over := 0
 	peaks := 0
--- a/cmd/thistlequay/deploy_file_test.go
+++ b/internal/command/deploy_file_test.go
@@ -1,4 +1,4 @@
-package main
+package command_test
 
 import (
 	"bytes"
@@ -11,12 +11,14 @@
 	"strconv"
 	"strings"
 	"testing"
+	"thistlequay/internal/clustertest"
+	"thistlequay/internal/servertest"
 )
 
 // The build command of the deploy file links against the C library, and its run command leaves one process that
 // starts no other and opens no file for writing.
 func TestDeployFileBuildsAndRunsOneReadOnlyProcess(t *testing.T) {
-	r := newTestServer(t)
+	r := servertest.New(t)
 	root, err := filepath.Abs("../..")
 	r.NoError(err)
 	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
@@ -38,25 +40,25 @@
 	r.Contains(value("build"), "-linkmode=external")
 	program, err := elf.Open(folder + "/bin/thistlequay")
 	r.NoError(err)
-	defer closeQuietly(program)
+	defer servertest.CloseQuietly(program)
 	linked, err := program.ImportedLibraries()
 	r.NoError(err)
 	r.True(slices.ContainsFunc(linked, func(l string) bool { return strings.HasPrefix(l, "libc.so") }), linked)
 	r.True(slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }))
 	r.Equal("exec bin/thistlequay", value("run"))
-	r.path = filepath.Join(folder, "config.json")
-	r.writeFiles()
+	r.Path = filepath.Join(folder, "config.json")
+	r.WriteFiles()
 	run := exec.Command("/bin/sh", "-c", value("run"))
 	run.Dir = folder
-	run.Stderr = &logBuffer{}
-	run.Env = append(os.Environ(), "PROXY_CONFIG="+r.path, "TMPDIR="+t.TempDir())
+	run.Stderr = &clustertest.LogBuffer{}
+	run.Env = append(os.Environ(), "PROXY_CONFIG="+r.Path, "TMPDIR="+t.TempDir())
 	r.NoError(run.Start())
 	defer func() {
 		_ = run.Process.Kill()
 		_ = run.Wait()
 	}()
-	v := &interpreterLink{server: r, link: r.nextLink(r.interpreter)}
-	r.readLine(v.link)
+	v := r.NextInterpreterLink(0)
+	r.ReadLine(v.Link)
 	if runtime.GOOS != "linux" {
 		return
 	}
--- a/cmd/thistlequay/golden_test.go
+++ b/internal/command/golden_test.go
@@ -1,4 +1,4 @@
-package main
+package command_test
 
 import (
 	"bytes"
@@ -20,6 +20,7 @@
 	"thistlequay/internal/golden"
 	"thistlequay/internal/recovery"
 	"thistlequay/internal/segmentlog"
+	"thistlequay/internal/servertest"
 )
 
 // commandOutputs runs commands and writes down their exit codes and what they print.
@@ -66,7 +67,7 @@
 
 const goldenConfig = `{"name":"n3","listen":"127.0.0.1:8443","vm":"127.0.0.1:1","lookup":"127.0.0.1:2",` +
 	`"index":"127.0.0.1:3","seed":"8c1f30d27a5be964",
-"stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":` + platformSettings + "}"
+"stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":` + servertest.PlatformSettings + "}"
 
 // The output of every command, as far as it depends on nothing but its input, is as in the golden file.
 func TestGoldenOutputs(t *testing.T) {
--- /dev/null
+++ b/internal/command/plugin_test.go
@@ -0,0 +1,34 @@
+package command_test
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"thistlequay/internal/command"
+	"thistlequay/internal/servertest"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestPluginCommandExitCodesAndOutput(t *testing.T) {
+	r := servertest.New(t)
+	request := filepath.Join(t.TempDir(), "r.json")
+	r.NoError(os.WriteFile(request, []byte(`{"hook":"read","category":"look","tenant":"acme","body":"b"}`), 0o600))
+	for line, says := range map[string]string{
+		"0 plugin check " + r.WriteModule("good"):                                           "KB of memory an instance",
+		"1 plugin check " + r.WriteModule("other-version"):                                  "is of version 7",
+		"1 plugin check " + r.WriteModule("foreign"):                                        "open_socket",
+		"0 plugin run " + r.WriteModule("declines") + " --request " + request:               `"does":"decline"`,
+		"0 plugin run " + r.WriteModule("good") + " --engine=compiler --request " + request: `"does":"nothing"`,
+		"1 plugin run " + r.WriteModule("loops") + " --request " + request:                  "",
+		"2 plugin run " + r.WriteModule("loops"):                                            "--request",
+	} {
+		code, rest, _ := strings.Cut(line, " ")
+		var out bytes.Buffer
+		require.Equal(t, code, strconv.Itoa(command.Run(strings.Fields(rest), &out, &out)), out.String())
+		require.Contains(t, out.String(), says)
+	}
+}
--- a/cmd/thistlequay/drain_test.go
+++ b/internal/server/drain_socket_test.go
@@ -1,4 +1,4 @@
-package main
+package server_test
 
 import (
 	"errors"
@@ -12,26 +12,27 @@
 	"time"
 
 	"thistlequay/internal/emulator"
+	"thistlequay/internal/servertest"
 )
 
 // During a drain health checks fail, requests in flight are answered, and after the grace period nothing is run.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
-	r, v := startServer(t)
-	c := r.connectRouter()
-	checks := r.connectRouter()
-	stuck := c.sendLook(1, "never ends")
-	v.expectApply(stuck, "never ends")
-	ends := c.sendLook(2, "ends")
-	v.expectApply(ends, "ends")
-	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
+	r, v := servertest.Start(t)
+	c := r.ConnectRouter()
+	checks := r.ConnectRouter()
+	stuck := c.SendLook(1, "never ends")
+	v.ExpectApply(stuck, "never ends")
+	ends := c.SendLook(2, "ends")
+	v.ExpectApply(ends, "ends")
+	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
 	r.Eventually(func() bool {
-		checks.send(1, "/health", "", nil)
-		_, status, _, _ := checks.readResponse()
+		checks.Send(1, "/health", "", nil)
+		_, status, _, _ := checks.NextResponse()
 		return status == 503
-	}, eventTimeout, time.Millisecond)
-	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	v.sendValue(ends, "OK", "e")
-	c.expectResponse(2, 200, "e")
+	}, servertest.EventTimeout, time.Millisecond)
+	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
+	v.SendValue(ends, "OK", "e")
+	c.ExpectResponse(2, 200, "e")
 	go func() { // runs still get their results during the grace period
 		for {
 			line, err := v.Reader.ReadString('\n')
@@ -39,67 +40,67 @@
 				return
 			}
 			if _, job, found := strings.Cut(line, `{"type":"APPLY","job":"`); found {
-				v.lastNotice++
+				v.LastNotice++
 				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
-					v.lastNotice, job[:16])
+					v.LastNotice, job[:16])
 			}
 		}
 	}()
-	late := r.connectRouter()
+	late := r.ConnectRouter()
 	r.Eventually(func() bool { // after the grace period nothing is run
-		late.sendLook(1, "late")
-		_, status, _, _ := late.readResponse()
+		late.SendLook(1, "late")
+		_, status, _, _ := late.NextResponse()
 		return status == 503
-	}, eventTimeout, time.Millisecond)
-	c.expectResponse(1, 500, "") // before the stop deadline
-	code, log := r.waitForExit()
+	}, servertest.EventTimeout, time.Millisecond)
+	c.ExpectResponse(1, 500, "") // before the stop deadline
+	code, log := r.WaitForExit()
 	r.Equal(0, code)
 	r.Contains(log, "event=ended name=n3 requests=1 ") // the run has not ended, but its response has been sent
-	c.requireClosed()
+	c.RequireClosed()
 }
 
 // SIGTERM comes before the interpreter is up: health checks and the directory see it, requests are rejected, and the
 // exit code is 0.
 func TestDrainBeforeInterpreterIsUp(t *testing.T) {
-	r := newTestServer(t)
-	r.writeFilesAndStart()
-	v := r.nextLink(r.interpreter)
-	r.readLine(v)
-	d := r.nextLink(r.directory)
-	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.readLine(d))
-	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.waitForLog("event=shutting_down")
-	c := r.connectRouter()
-	c.send(1, "/health", "", nil)
-	c.expectResponse(1, 503, "")
-	d = r.nextLink(r.directory)
-	for r.readLine(d) != "" {
+	r := servertest.New(t)
+	r.WriteFilesAndStart()
+	v := r.NextLink(r.Interpreter)
+	r.ReadLine(v)
+	d := r.NextLink(r.Directory)
+	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.ReadLine(d))
+	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
+	r.WaitForLog("event=shutting_down")
+	c := r.ConnectRouter()
+	c.Send(1, "/health", "", nil)
+	c.ExpectResponse(1, 503, "")
+	d = r.NextLink(r.Directory)
+	for r.ReadLine(d) != "" {
 	}
 	mode := make([]byte, len(`{"mode":"closed"}`))
 	_, err := io.ReadFull(d.Reader, mode)
 	r.NoError(err)
 	r.Equal(`{"mode":"closed"}`, string(mode))
-	r.writeLine(v, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
-	c.send(2, "/health", "", nil)
-	c.expectResponse(2, 503, "")
-	code, _ := r.waitForExit()
+	r.WriteLine(v, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
+	c.Send(2, "/health", "", nil)
+	c.ExpectResponse(2, 503, "")
+	code, _ := r.WaitForExit()
 	r.Equal(0, code)
 }
 
 // The process is paused over the stop deadline: requests in flight are answered before their connection ends.
 func TestPauseOverTheStopDeadlineStillAnswers(t *testing.T) {
-	r, v := startServer(t)
-	c := r.connectRouter()
-	v.expectApply(c.sendLook(1, "never ends"), "never ends")
-	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.waitForLog("event=shutting_down")
-	r.NoError(r.process.Process.Signal(syscall.SIGSTOP))
+	r, v := servertest.Start(t)
+	c := r.ConnectRouter()
+	v.ExpectApply(c.SendLook(1, "never ends"), "never ends")
+	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
+	r.WaitForLog("event=shutting_down")
+	r.NoError(r.Process.Process.Signal(syscall.SIGSTOP))
 	stop := time.Now().Add(1500 * time.Millisecond)
-	r.Eventually(func() bool { return time.Now().After(stop) }, eventTimeout, time.Millisecond)
-	r.NoError(r.process.Process.Signal(syscall.SIGCONT))
-	c.expectResponse(1, 500, "")
-	r.Empty(r.readToEnd(c.link))
-	code, _ := r.waitForExit()
+	r.Eventually(func() bool { return time.Now().After(stop) }, servertest.EventTimeout, time.Millisecond)
+	r.NoError(r.Process.Process.Signal(syscall.SIGCONT))
+	c.ExpectResponse(1, 500, "")
+	r.Empty(r.ReadToEnd(c.Link))
+	code, _ := r.WaitForExit()
 	r.Equal(0, code)
 }
 
@@ -117,7 +118,7 @@
 // records. Whatever was read has one response, or never ran and ended cleanly; nothing that came after the grace
 // period is run.
 func TestMeasuredDrainOrders(t *testing.T) {
-	r, v := startServerWith(t, `"sockets":64`, `"sockets":256`)
+	r, v := servertest.StartWith(t, `"sockets":64`, `"sockets":256`)
 	// 1.36 s of the 1.5 s to the stop deadline; the last dials are refused
 	const every, moments = 4 * time.Millisecond, 340
 	var lock sync.Mutex
@@ -129,12 +130,12 @@
 				return
 			}
 			if _, job, found := strings.Cut(line, `{"type":"APPLY","job":"`); found {
-				v.lastNotice++
+				v.LastNotice++
 				lock.Lock()
 				ran[job[:16]]++
 				lock.Unlock()
 				_, _ = fmt.Fprintf(v, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
-					v.lastNotice, job[:16])
+					v.LastNotice, job[:16])
 			} else if _, tag, found := strings.Cut(line, `{"type":"TOP","ref":`); found {
 				_, _ = fmt.Fprintf(v, `{"type":"TOPS","ref":%s,"gauges":[0.1,1,0.1,3]}`+"\n",
 					strings.TrimSuffix(strings.TrimSpace(tag), "}"))
@@ -142,39 +143,39 @@
 		}
 	}()
 	// All connections but the new ones are open before, few enough for the connection table.
-	var resting []*link
+	var resting []*emulator.Link
 	for range 60 {
-		c := r.connectRouter()
-		c.send(1, "/health", "", nil)
-		c.expectResponse(1, 200, "")
-		resting = append(resting, c.link)
+		c := r.ConnectRouter()
+		c.Send(1, "/health", "", nil)
+		c.ExpectResponse(1, 200, "")
+		resting = append(resting, c.Link)
 	}
-	var floods []*link
+	var floods []*emulator.Link
 	for range 20 {
-		c := r.connectRouter()
-		c.send(1, "/health", "", nil)
-		c.expectResponse(1, 200, "")
-		floods = append(floods, c.link)
+		c := r.ConnectRouter()
+		c.Send(1, "/health", "", nil)
+		c.ExpectResponse(1, 200, "")
+		floods = append(floods, c.Link)
 		go func() { // records of no open request, until the other side's close has been read
 			for {
-				if _, err := c.Write(fastCGIRecord(5, 9, "")); err != nil {
+				if _, err := c.Write(emulator.FastCGIRecord(5, 9, "")); err != nil {
 					return
 				}
 			}
 		}()
 	}
-	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
+	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
 	notice := time.Now()
 	var all []*drainedConnection
 	var done sync.WaitGroup
-	read := func(l *link, d *drainedConnection) {
+	read := func(l *emulator.Link, d *drainedConnection) {
 		defer done.Done()
 		for {
 			if _, err := l.ReadResponse(); err != nil {
 				if !errors.Is(err, io.EOF) {
 					d.err = err
 				}
-				closeQuietly(l)
+				servertest.CloseQuietly(l)
 				return
 			}
 			lock.Lock()
@@ -182,10 +183,10 @@
 			lock.Unlock()
 		}
 	}
-	begin := func(kind string, l *link, whole bool) {
-		d := &drainedConnection{kind: kind, id: r.newRequestID()}
+	begin := func(kind string, l *emulator.Link, whole bool) {
+		d := &drainedConnection{kind: kind, id: r.NewRequestID()}
 		all = append(all, d)
-		with := requestParameters(d.id)
+		with := servertest.RequestParameters(d.id)
 		text := emulator.FastCGIRequest(2, "/rpc/look", "b", with)
 		if whole {
 			d.received, _ = strconv.ParseInt(with["HTTP_RECEIVED_AT"], 10, 64)
@@ -208,12 +209,12 @@
 			begin(kind, resting[0], true)
 			resting = resting[1:]
 		case i%3 < 2:
-			l, err := emulator.Dial(r.listen)
+			l, err := emulator.Dial(r.Listen)
 			if err != nil {
 				all = append(all, &drainedConnection{kind: kind, dialRefused: true})
 				continue
 			}
-			r.NoError(l.SetDeadline(time.Now().Add(eventTimeout)))
+			r.NoError(l.SetDeadline(time.Now().Add(servertest.EventTimeout)))
 			begin(kind, l, i%3 == 0)
 		}
 	}
@@ -230,10 +231,10 @@
 		go read(l, d)
 	}
 	done.Wait()
-	code, log := r.waitForExit()
+	code, log := r.WaitForExit()
 	ended := time.Since(notice)
 	r.Equal(0, code, log)
-	r.Less(ended, eventTimeout/4) // 1.5 s on an idle machine; the figure is printed below
+	r.Less(ended, servertest.EventTimeout/4) // 1.5 s on an idle machine; the figure is printed below
 	lost := 0
 	double := 0
 	late := 0
--- a/cmd/thistlequay/plugin_load_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -1,4 +1,4 @@
-package main
+package server_test
 
 import (
 	"fmt"
@@ -11,29 +11,30 @@
 	"time"
 
 	"thistlequay/internal/emulator"
+	"thistlequay/internal/servertest"
 )
 
 // playPluginLoad plays load for about a second against a server with these plug-ins, which see acme but not beta.
-func playPluginLoad(t *testing.T, service func(r *testServer) string, during func(r *testServer)) (r *testServer,
+func playPluginLoad(t *testing.T, service func(r *servertest.Server) string, during func(r *servertest.Server)) (r *servertest.Server,
 	acme, beta *emulator.TenantStats,
 	vm *emulator.Interpreter) {
 	t.Helper()
-	r = newTestServer(t)
+	r = servertest.New(t)
 	var err error
 	vm, err = emulator.NewInterpreter(2, 3)
 	r.NoError(err)
 	t.Cleanup(vm.Close)
-	closeQuietly(r.interpreter)
-	r.config = strings.Replace(r.config, r.interpreter.Address, vm.Address, 1)
-	r.config = strings.Replace(r.config, `"Tenants":[{"Name":"acme"}]`, twoTenants(0.5, 0.5), 1)
-	r.service = service(r)
-	r.writeFilesAndStart()
-	r.waitForLog("interpreter_up")
+	servertest.CloseQuietly(r.Interpreter)
+	r.Config = strings.Replace(r.Config, r.Interpreter.Address, vm.Address, 1)
+	r.Config = strings.Replace(r.Config, `"Tenants":[{"Name":"acme"}]`, servertest.TwoTenants(0.5, 0.5), 1)
+	r.Service = service(r)
+	r.WriteFilesAndStart()
+	r.WaitForLog("interpreter_up")
 	length := 0.8
 	if os.Getenv("MEASURE") == "full" {
 		length = 20
 	}
-	load := &emulator.LoadRun{Address: r.listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
+	load := &emulator.LoadRun{Address: r.Listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
 		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
 			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
 				PriorityWeight: 1},
@@ -51,8 +52,8 @@
 }
 
 // pluginMemory is the resident memory of the plug-in processes of a server, in MB, and how many of them there are.
-func pluginMemory(r *testServer) (mb float64, n int) {
-	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(r.process.Process.Pid), "-o", "rss=").Output()
+func pluginMemory(r *servertest.Server) (mb float64, n int) {
+	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(r.Process.Process.Pid), "-o", "rss=").Output()
 	for _, field := range strings.Fields(string(out)) {
 		kb, _ := strconv.ParseFloat(field, 64)
 		mb += kb / 1024
@@ -63,7 +64,7 @@
 
 // Each hostile plug-in beside a well-behaved one, under load: no request waits for it and none is lost.
 func TestMeasuredHostilePlugins(t *testing.T) {
-	_, _, calm, _ := playPluginLoad(t, func(*testServer) string { return "" }, nil)
+	_, _, calm, _ := playPluginLoad(t, func(*servertest.Server) string { return "" }, nil)
 	for _, kind := range []string{"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled",
 		"traps", "traps-one-in-ten",
 		"points-outside", "answers-1gib", "status-9999", "no-such-category", "logs-without-end", "slow-4ms"} {
@@ -71,13 +72,13 @@
 			name, compiled := strings.CutSuffix(kind, " compiled")
 			engine := map[bool]string{false: "interpreter", true: "compiler"}[compiled]
 			var most float64
-			r, acme, beta, vm := playPluginLoad(t, func(r *testServer) string {
-				return pluginSection(pluginEntry("hostile", r.writeModule(name),
+			r, acme, beta, vm := playPluginLoad(t, func(r *servertest.Server) string {
+				return pluginSection(pluginEntry("hostile", r.WriteModule(name),
 					"hooks: [read, result, tick], every: 20ms, tenants: "+
 						"[acme], may: [decline, rewrite], quarantine: 50ms, engine: "+engine),
-					pluginEntry("tagger", r.writeModule("tags"),
+					pluginEntry("tagger", r.WriteModule("tags"),
 						"hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5"))
-			}, func(r *testServer) {
+			}, func(r *servertest.Server) {
 				for range 6 {
 					mb, _ := pluginMemory(r)
 					most = max(most, mb)
@@ -96,7 +97,7 @@
 					double += runs - 1
 				}
 			})
-			alive := map[bool]int{true: 1}[r.process.ProcessState == nil]
+			alive := map[bool]int{true: 1}[r.Process.ProcessState == nil]
 			t.Logf("measured plugins kind=%q late_answers=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
 				"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
 				kind, late, lost, double, alive, most,
@@ -111,23 +112,23 @@
 
 // Forty plug-in versions in a row under load: each request ends with the version it began with, and none is lost.
 func TestFortyPluginReloadsUnderLoadLoseNothing(t *testing.T) {
-	r, acme, beta, _ := playPluginLoad(t, func(r *testServer) string {
-		return pluginSection(pluginEntry("one", r.writeModule("good"),
+	r, acme, beta, _ := playPluginLoad(t, func(r *servertest.Server) string {
+		return pluginSection(pluginEntry("one", r.WriteModule("good"),
 			"hooks: [read, result]"))
-	}, func(r *testServer) {
+	}, func(r *servertest.Server) {
 		for i := range 40 {
-			r.service = pluginSection(pluginEntry("one", r.writeModule([]string{"good", "tags"}[i%2]),
+			r.Service = pluginSection(pluginEntry("one", r.WriteModule([]string{"good", "tags"}[i%2]),
 				fmt.Sprintf("hooks: [read, result], may: [tag], row: %d", i)))
-			r.service = strings.Replace(r.service, "row", "faults_in_a_row", 1)
-			r.service = strings.Replace(r.service, "faults_in_a_row: 0", "faults_in_a_row: 1", 1)
-			r.reload()
+			r.Service = strings.Replace(r.Service, "row", "faults_in_a_row", 1)
+			r.Service = strings.Replace(r.Service, "faults_in_a_row: 0", "faults_in_a_row: 1", 1)
+			r.Reload()
 		}
 	})
 	for _, a := range []*emulator.TenantStats{acme, beta} {
 		r.Equal(a.Requests, a.OnTime+a.Late+a.Rejected, a)
 		r.Zero(a.PastDeadline)
 	}
-	r.Equal(40, strings.Count(logText(r), "event=configuration_read"))
+	r.Equal(40, strings.Count(r.LogText(), "event=configuration_read"))
 	_, n := pluginMemory(r)
 	r.LessOrEqual(n, 6)
 }
--- a/cmd/thistlequay/store_test.go
+++ b/internal/server/store_socket_test.go
@@ -1,4 +1,4 @@
-package main
+package server_test
 
 import (
 	"bytes"
@@ -16,39 +16,15 @@
 
 	"thistlequay/internal/command"
 	"thistlequay/internal/emulator"
+	"thistlequay/internal/servertest"
 )
 
-// storeSection is the section of our settings for a store in this directory.
-func storeSection(directory, more string) string {
-	return fmt.Sprintf("store:\n  directory: %s\n  fresh: true\n%s", directory, more)
-}
-
-// startWithInterpreter starts another incarnation of the server with an interpreter of its own.
-func (r *testServer) startWithInterpreter(t *testing.T, config string) *emulator.Interpreter {
-	r.t.Helper()
-	vm, err := emulator.NewInterpreter(4, 1)
-	r.NoError(err)
-	t.Cleanup(vm.Close)
-	r.config = strings.Replace(config, r.interpreter.Address, vm.Address, 1)
-	r.writeFilesAndStart()
-	r.waitForLog("interpreter_up")
-	return vm
-}
-
-// sendTimedBook sends one attempt of a request with an idempotency key, whose body asks for 1 ms of work.
-func (c *routerLink) sendTimedBook(slot uint16, key string) {
-	c.server.t.Helper()
-	with := requestParameters(c.server.newRequestID())
-	with["HTTP_ONCE_KEY"] = key
-	c.send(slot, "/rpc/book", "1 entry "+key, with)
-}
-
 // A hundred incarnations, each killed at a seeded moment while three attempts per key arrive, of keys of this
 // incarnation and of earlier ones: no key runs twice, and every successful response to a key is the same.
 func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
-	r := newTestServer(t)
-	config := r.config
-	r.service = storeSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
+	r := servertest.New(t)
+	config := r.Config
+	r.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
 	chance := rand.New(rand.NewSource(7))
 	lives := 100
 	fresh := 4
@@ -60,7 +36,7 @@
 	answers := 0
 	keys := 0
 	for life := range lives {
-		vm := r.startWithInterpreter(t, config)
+		vm := r.StartWithInterpreter(t, config)
 		var asked []string
 		for range fresh {
 			keys++
@@ -76,9 +52,9 @@
 		came := make(chan got, 100)
 		ends := make(chan struct{}, 3)
 		for range 3 {
-			c := r.connectRouter()
+			c := r.ConnectRouter()
 			for slot, key := range asked {
-				c.sendTimedBook(uint16(slot+1), key)
+				c.SendTimedBook(uint16(slot+1), key)
 			}
 			go func() {
 				for {
@@ -101,8 +77,8 @@
 				told[a.key] = a.Body
 			}
 		}
-		r.NoError(r.process.Process.Kill())
-		<-r.ended
+		r.NoError(r.Process.Process.Kill())
+		<-r.Ended()
 		for range 3 {
 			<-ends
 		}
@@ -126,36 +102,36 @@
 // A retry after a restart gets the first result, one with another body is rejected, a second server on the same
 // directory does not start, and the store commands show what the directory holds.
 func TestStoredResultsSurviveRestart(t *testing.T) {
-	r := newTestServer(t)
+	r := servertest.New(t)
 	directory := filepath.Join(t.TempDir(), "store")
-	r.service = storeSection(directory, "")
-	config := r.config
-	vm := r.startWithInterpreter(t, config)
-	c := r.connectRouter()
-	c.sendTimedBook(1, "k")
-	c.expectResponse(1, 200, "result of 1 entry k")
-	second := newTestServer(t)
-	second.service = r.service
-	second.writeFilesAndStart()
-	code, log := second.waitForExit()
+	r.Service = servertest.StoreSection(directory, "")
+	config := r.Config
+	vm := r.StartWithInterpreter(t, config)
+	c := r.ConnectRouter()
+	c.SendTimedBook(1, "k")
+	c.ExpectResponse(1, 200, "result of 1 entry k")
+	second := servertest.New(t)
+	second.Service = r.Service
+	second.WriteFilesAndStart()
+	code, log := second.WaitForExit()
 	r.Equal(command.ExitFailed, code)
 	r.Contains(log, "another process has this store")
-	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	code, _ = r.waitForExit()
+	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
+	code, _ = r.WaitForExit()
 	r.Zero(code)
 	vm.Close()
-	r.startWithInterpreter(t, config)
-	r.Contains(logText(r), "event=store_open")
-	r.Regexp("event=warm_start .*used=true", logText(r))
-	c = r.connectRouter()
-	c.sendTimedBook(1, "k")
-	c.expectResponse(1, 200, "result of 1 entry k")
-	with := requestParameters(r.newRequestID())
+	r.StartWithInterpreter(t, config)
+	r.Contains(r.LogText(), "event=store_open")
+	r.Regexp("event=warm_start .*used=true", r.LogText())
+	c = r.ConnectRouter()
+	c.SendTimedBook(1, "k")
+	c.ExpectResponse(1, 200, "result of 1 entry k")
+	with := servertest.RequestParameters(r.NewRequestID())
 	with["HTTP_ONCE_KEY"] = "k"
-	c.send(2, "/rpc/book", "another body", with)
-	c.expectResponse(2, 422, "")
-	c.sendTimedBook(3, "new")
-	c.expectResponse(3, 200, "result of 1 entry new")
+	c.Send(2, "/rpc/book", "another body", with)
+	c.ExpectResponse(2, 422, "")
+	c.SendTimedBook(3, "new")
+	c.ExpectResponse(3, 200, "result of 1 entry new")
 	tool := func(args ...string) (int, string) {
 		var out bytes.Buffer
 		code := command.Run(append([]string{"store"}, args...), &out, &out)
@@ -170,8 +146,8 @@
 	code, out = tool("compact", directory)
 	r.Equal(command.ExitFailed, code)
 	r.Contains(out, "another process")
-	r.NoError(r.process.Process.Signal(syscall.SIGTERM))
-	r.waitForExit()
+	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
+	r.WaitForExit()
 	code, out = tool("compact", directory)
 	r.Zero(code, out)
 	r.Contains(out, "2 stamps kept")
@@ -186,15 +162,15 @@
 	r.Equal(command.ExitFailed, code)
 	r.Contains(out, "garbled, lost=true")
 	// Keyed requests whose records may be lost are rejected with a Retry-After; idempotent ones are served.
-	r.startWithInterpreter(t, config)
-	r.Contains(logText(r), "event=store_corruption")
-	c = r.connectRouter()
-	c.sendTimedBook(1, "never heard of")
-	_, status, headers, _ := c.readResponse()
+	r.StartWithInterpreter(t, config)
+	r.Contains(r.LogText(), "event=store_corruption")
+	c = r.ConnectRouter()
+	c.SendTimedBook(1, "never heard of")
+	_, status, headers, _ := c.NextResponse()
 	r.Equal(503, status)
 	r.Contains(headers, "Back-Off-Ms: 1000")
-	c.sendLook(2, "1 harmless")
-	c.expectResponse(2, 200, "result of 1 harmless")
+	c.SendLook(2, "1 harmless")
+	c.ExpectResponse(2, 200, "result of 1 harmless")
 }
 
 // What keyed requests pay for their intent records, and idempotent requests beside them.
@@ -205,24 +181,24 @@
 	}
 	base := map[string]*hdrhistogram.Histogram{}
 	for _, mode := range []string{"none", "process", "machine"} {
-		r := newTestServer(t)
+		r := servertest.New(t)
 		if mode != "none" {
-			r.service = storeSection(filepath.Join(t.TempDir(), "store"), "  durability: "+mode+"\n")
+			r.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: "+mode+"\n")
 		}
-		config := r.config
-		r.startWithInterpreter(t, config)
-		c := r.connectRouter()
+		config := r.Config
+		r.StartWithInterpreter(t, config)
+		c := r.ConnectRouter()
 		times := map[string]*hdrhistogram.Histogram{"stamped": hdrhistogram.New(1, 60e6, 3),
 			"harmless": hdrhistogram.New(1, 60e6, 3)}
 		begun := time.Now()
 		for i := range n {
 			at := time.Now()
-			c.sendTimedBook(1, fmt.Sprint("key-", i))
-			c.expectResponse(1, 200, fmt.Sprint("result of 1 entry key-", i))
+			c.SendTimedBook(1, fmt.Sprint("key-", i))
+			c.ExpectResponse(1, 200, fmt.Sprint("result of 1 entry key-", i))
 			r.NoError(times["stamped"].RecordValue(time.Since(at).Microseconds()))
 			at = time.Now()
-			c.sendLook(2, "1 harmless")
-			c.expectResponse(2, 200, "result of 1 harmless")
+			c.SendLook(2, "1 harmless")
+			c.ExpectResponse(2, 200, "result of 1 harmless")
 			r.NoError(times["harmless"].RecordValue(time.Since(at).Microseconds()))
 		}
 		if mode == "none" {
@@ -234,6 +210,6 @@
 			times["stamped"].ValueAtQuantile(99),
 			times["stamped"].ValueAtQuantile(50)-base["stamped"].ValueAtQuantile(50),
 			float64(times["harmless"].ValueAtQuantile(50))/float64(base["harmless"].ValueAtQuantile(50)))
-		require.False(t, strings.Contains(logText(r), "store_rejections"))
+		require.False(t, strings.Contains(r.LogText(), "store_rejections"))
 	}
 }
