--- a/internal/clustertest/cluster.go
+++ b/internal/clustertest/cluster.go
@@ -62,7 +62,7 @@
 	// MemoryMB is each server's memory limit in megabytes; 0 for 64.
 	MemoryMB int
 	// ServiceYAML returns further sections of a server's own settings; nil for none.
-	ServiceYAML func(s *Server) string
+	ServiceYAML func(server *Server) string
 }
 
 // Cluster is a number of server processes with the emulators that they use. While a goroutine calls AddServer or Close,
@@ -127,7 +127,7 @@
 // AddServer makes one more server, which is not started. Its name, zone, seed and addresses follow from the index,
 // which no other server of the cluster may have.
 func (c *Cluster) AddServer(index int) (*Server, error) {
-	s := &Server{
+	server := &Server{
 		cluster: c,
 		Index:   index,
 		Name:    serverName(index),
@@ -137,28 +137,28 @@
 		fleet:   defaultFleet,
 	}
 	var err error
-	s.RouterAddress, err = freeAddress(c.host(networkRouters, index))
+	server.RouterAddress, err = freeAddress(c.host(networkRouters, index))
 	if err != nil {
 		return nil, err
 	}
-	s.StatusAddress, err = freeAddress(c.host(networkStatus, index))
+	server.StatusAddress, err = freeAddress(c.host(networkStatus, index))
 	if err != nil {
 		return nil, err
 	}
-	s.Interpreter, err = emulator.NewInterpreter(c.Cores, c.Seed+int64(index))
+	server.Interpreter, err = emulator.NewInterpreter(c.Cores, c.Seed+int64(index))
 	if err != nil {
 		return nil, err
 	}
 	if c.Gossip {
-		s.relay, err = c.addRelay(index)
+		server.relay, err = c.addRelay(index)
 		if err != nil {
 			return nil, err
 		}
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.Servers = append(c.Servers, s)
-	return s, nil
+	c.Servers = append(c.Servers, server)
+	return server, nil
 }
 
 // addRelay makes the relay of one server.
@@ -229,7 +229,7 @@
 
 // Partition cuts the cluster into groups, by the number that group returns for each server. Directions inside a group
 // have no faults.
-func (c *Cluster) Partition(group func(s *Server) int) {
+func (c *Cluster) Partition(group func(server *Server) int) {
 	c.Record("", "split")
 	c.setFaults(func(from, to *Server) Fault { return Fault{Cut: group(from) != group(to)} })
 }
@@ -253,8 +253,8 @@
 	}
 	c.closed = true
 	close(c.network.closed)
-	for _, s := range c.Servers {
-		s.close()
+	for _, server := range c.Servers {
+		server.close()
 	}
 	_ = c.Directory.Close()
 	_ = c.Index.Close()
--- a/internal/clustertest/fairqueue_test.go
+++ b/internal/clustertest/fairqueue_test.go
@@ -36,14 +36,14 @@
 			require.NoError(t, json.Unmarshal([]byte(strings.NewReplacer(`"Tenants":[{"Name":"acme"}]`,
 				servertest.TwoTenants(day.acme, 1-day.acme), `"Servers":3`,
 				fmt.Sprintf(`"Servers":%d`, servers)).Replace(servertest.PlatformSettings)), &of))
-			g := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: 31, Gossip: talk, Settings: of,
+			cluster := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: 31, Gossip: talk, Settings: of,
 				ServiceYAML: func(*clustertest.Server) string { return "fair_queues:\n" }})
-			for _, s := range g.Servers {
-				g.NoError(s.Start())
+			for _, server := range cluster.Servers {
+				cluster.NoError(server.Start())
 			}
-			g.waitUntilServing(g.Servers)
+			cluster.waitUntilServing(cluster.Servers)
 			if talk {
-				g.waitForView("all are there", g.Servers, agreedOn(servers))
+				cluster.waitForView("all are there", cluster.Servers, agreedOn(servers))
 			}
 			const rate = 75.0 // requests per second and server, whose cores can do 50
 			at := func(of []*clustertest.Server) func(time.Duration) []*clustertest.Server {
@@ -52,11 +52,12 @@
 			served := map[string]float64{}
 			var both sync.WaitGroup
 			var lock sync.Mutex
-			for tenant, of := range map[string][]*clustertest.Server{"acme": g.Servers[:servers/3], "beta": g.Servers} {
+			for tenant, of := range map[string][]*clustertest.Server{"acme": cluster.Servers[:servers/3],
+				"beta": cluster.Servers} {
 				both.Add(1)
 				go func() {
 					defer both.Done()
-					o := g.RunTraffic(clustertest.Traffic{Tenant: tenant, RouterCount: 6,
+					stats := cluster.RunTraffic(clustertest.Traffic{Tenant: tenant, RouterCount: 6,
 						RequestsPerSecond: rate * float64(len(of)), Duration: length, MeanWorkMs: 40,
 						SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, IdempotentCategory: "look",
 						KeyedCategory: "book", MaxAttempts: 1, EndpointsAt: at(of)})
@@ -64,14 +65,14 @@
 					defer lock.Unlock()
 					// Counted when the response came; counted when the request did, queued requests would move the
 					// figure for some seconds either way.
-					for _, done := range o.OnTimeBySecond[int(length/time.Second)/3 : int(length/time.Second)] {
+					for _, done := range stats.OnTimeBySecond[int(length/time.Second)/3 : int(length/time.Second)] {
 						served[tenant] += float64(done)
 					}
 				}()
 			}
 			both.Wait()
 			parts[talk] = served["acme"] / (served["acme"] + served["beta"])
-			g.Close()
+			cluster.Close()
 		}
 		t.Logf("measured tenants-fleet servers=%d share=%.2f entitled=%.3f part_alone=%.3f part_together=%.3f",
 			servers, day.acme, day.entitled, parts[false], parts[true])
--- a/internal/clustertest/harness_quota_test.go
+++ b/internal/clustertest/harness_quota_test.go
@@ -38,56 +38,56 @@
 		`"HardLimit":2000.0`).Replace(servertest.PlatformSettings)), &of))
 	p := clustertest.Config{ServerCount: servers, Seed: seed, Gossip: slots > 0, Settings: of, Index: index}
 	if slots > 0 {
-		p.ServiceYAML = func(s *clustertest.Server) string {
+		p.ServiceYAML = func(server *clustertest.Server) string {
 			return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", calls, slots) +
-				strings.ReplaceAll(more, "{name}", s.Name)
+				strings.ReplaceAll(more, "{name}", server.Name)
 		}
 	}
-	g := newTestCluster(t, p)
-	prepare(g.Servers)
-	for _, s := range g.Servers {
-		s.Interpreter.CallProbability = 1
-		g.NoError(s.Start())
+	cluster := newTestCluster(t, p)
+	prepare(cluster.Servers)
+	for _, server := range cluster.Servers {
+		server.Interpreter.CallProbability = 1
+		cluster.NoError(server.Start())
 	}
-	g.waitUntilServing(g.Servers)
-	return g
+	cluster.waitUntilServing(cluster.Servers)
+	return cluster
 }
 
 // waitForQuota waits until the quota status of each of the servers is as the test wants, and gives how long that took.
-func (g *testCluster) waitForQuota(what string, of []*clustertest.Server, is func(service.Status) bool) time.Duration {
-	g.t.Helper()
+func (c *testCluster) waitForQuota(what string, of []*clustertest.Server, is func(service.Status) bool) time.Duration {
+	c.t.Helper()
 	begun := time.Now()
 	for left := slices.Clone(of); len(left) > 0; time.Sleep(50 * time.Millisecond) {
-		left = slices.DeleteFunc(left, func(s *clustertest.Server) bool {
-			r, err := s.QuotaStatus()
-			return err == nil && is(r)
+		left = slices.DeleteFunc(left, func(server *clustertest.Server) bool {
+			status, err := server.QuotaStatus()
+			return err == nil && is(status)
 		})
 		if len(left) > 0 && time.Since(begun) > 3*servertest.EventTimeout {
-			r, err := left[0].QuotaStatus()
-			g.FailNow(what, "%s tells otherwise: %+v %v\n%v", left[0].Name, r, err, g.History())
+			status, err := left[0].QuotaStatus()
+			c.FailNow(what, "%s tells otherwise: %+v %v\n%v", left[0].Name, status, err, c.History())
 		}
 	}
-	g.Record("", "%s told by %d", what, len(of))
+	c.Record("", "%s told by %d", what, len(of))
 	return time.Since(begun)
 }
 
 // hasLease tests for a lease on more than the guaranteed minimum.
-func hasLease(r service.Status) bool {
-	return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere > 1
+func hasLease(status service.Status) bool {
+	return status.Limits[0].ExpiresInMs > 0 && status.Limits[0].UsableHere > 1
 }
 
 // onGuaranteedMinimum tests for a server without a lease, which keeps to the guaranteed minimum.
-func onGuaranteedMinimum(r service.Status) bool {
-	return r.Limits[0].ExpiresInMs == 0 && r.Limits[0].UsableHere == 1
+func onGuaranteedMinimum(status service.Status) bool {
+	return status.Limits[0].ExpiresInMs == 0 && status.Limits[0].UsableHere == 1
 }
 
 // waitForLeader waits for the leader of the quota coordinators and gives it.
-func (g *testCluster) waitForLeader(of []*clustertest.Server) (leader *clustertest.Server) {
-	g.t.Helper()
-	g.Eventually(func() bool {
-		for _, s := range of {
-			if r, err := s.QuotaStatus(); err == nil && r.IsLeader && r.HasQuorum && r.Opened {
-				leader = s
+func (c *testCluster) waitForLeader(of []*clustertest.Server) (leader *clustertest.Server) {
+	c.t.Helper()
+	c.Eventually(func() bool {
+		for _, server := range of {
+			if status, err := server.QuotaStatus(); err == nil && status.IsLeader && status.HasQuorum && status.Opened {
+				leader = server
 				return true
 			}
 		}
@@ -97,8 +97,8 @@
 }
 
 // startLoad sends more than the index may have in flight until end is called, which gives the tally.
-func (g *testCluster) startLoad(rate float64, list func() []*clustertest.Server) (end func() clustertest.TrafficStats) {
-	g.t.Helper()
+func (c *testCluster) startLoad(rate float64, list func() []*clustertest.Server) (end func() clustertest.TrafficStats) {
+	c.t.Helper()
 	over := make(chan struct{})
 	done := make(chan clustertest.TrafficStats)
 	go func() {
@@ -110,13 +110,13 @@
 				return
 			default:
 			}
-			o := g.RunTraffic(clustertest.Traffic{RouterCount: 6, RequestsPerSecond: rate, Duration: time.Second,
+			stats := c.RunTraffic(clustertest.Traffic{RouterCount: 6, RequestsPerSecond: rate, Duration: time.Second,
 				MeanWorkMs: 2, SoftDeadline: time.Second, Deadline: 2 * time.Second,
 				IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 1,
 				EndpointsAt: func(time.Duration) []*clustertest.Server { return list() }})
-			sum.Requests += o.Requests
-			sum.OnTime += o.OnTime
-			sum.PastDeadline += o.PastDeadline
+			sum.Requests += stats.Requests
+			sum.OnTime += stats.OnTime
+			sum.PastDeadline += stats.PastDeadline
 		}
 	}()
 	return func() clustertest.TrafficStats {
--- a/internal/clustertest/harness_test.go
+++ b/internal/clustertest/harness_test.go
@@ -29,11 +29,11 @@
 // startGossipCluster starts a cluster whose servers gossip.
 func startGossipCluster(t *testing.T, servers int, seed int64) *testCluster {
 	t.Helper()
-	g := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: seed, Gossip: true})
-	for _, s := range g.Servers {
-		g.NoError(s.Start())
+	cluster := newTestCluster(t, clustertest.Config{ServerCount: servers, Seed: seed, Gossip: true})
+	for _, server := range cluster.Servers {
+		cluster.NoError(server.Start())
 	}
-	return g
+	return cluster
 }
 
 // newTestCluster makes a cluster whose servers are not started. At the end of the test it is closed, and no log may
@@ -54,59 +54,60 @@
 	}
 	cluster, err := clustertest.New(p)
 	r.NoError(err)
-	g := &testCluster{r, cluster, t}
+	checked := &testCluster{r, cluster, t}
 	t.Cleanup(func() {
 		cluster.Close()
-		for _, s := range cluster.Servers {
+		for _, server := range cluster.Servers {
 			if t.Failed() {
-				t.Log(s.Name + ":\n" + s.Log.String())
+				t.Log(server.Name + ":\n" + server.Log.String())
 			}
-			r.NotContains(s.Log.String(), "DATA RACE")
-			r.NotContains(s.Log.String(), "invariant_violated")
-			r.NotContains(s.Log.String(), "panic:")
+			r.NotContains(server.Log.String(), "DATA RACE")
+			r.NotContains(server.Log.String(), "invariant_violated")
+			r.NotContains(server.Log.String(), "panic:")
 		}
 	})
-	return g
+	return checked
 }
 
 // waitUntilServing waits until each of the servers answers and has its interpreter.
-func (g *testCluster) waitUntilServing(of []*clustertest.Server) {
-	g.t.Helper()
-	for _, s := range of {
-		g.NoError(emulator.WaitUntilServing(s.RouterAddress))
-		g.Eventually(func() bool { return strings.Contains(s.Log.String(), "event=interpreter_up") }, servertest.EventTimeout,
-			5*time.Millisecond, s.Name)
+func (c *testCluster) waitUntilServing(of []*clustertest.Server) {
+	c.t.Helper()
+	for _, server := range of {
+		c.NoError(emulator.WaitUntilServing(server.RouterAddress))
+		c.Eventually(func() bool { return strings.Contains(server.Log.String(), "event=interpreter_up") },
+			servertest.EventTimeout,
+			5*time.Millisecond, server.Name)
 	}
 }
 
 // waitForView waits until the cluster view of each of the servers is as the test wants, and gives how long each took,
 // sorted.
-func (g *testCluster) waitForView(what string, of []*clustertest.Server,
+func (c *testCluster) waitForView(what string, of []*clustertest.Server,
 	is func(gossip.Status) bool) (took []time.Duration) {
-	g.t.Helper()
+	c.t.Helper()
 	begun := time.Now()
 	left := slices.Clone(of)
 	for len(left) > 0 {
-		for _, s := range slices.Clone(left) {
-			if r, err := s.GossipStatus(); err == nil && is(r) {
+		for _, server := range slices.Clone(left) {
+			if status, err := server.GossipStatus(); err == nil && is(status) {
 				took = append(took, time.Since(begun))
-				left = slices.DeleteFunc(left, func(o *clustertest.Server) bool { return o == s })
+				left = slices.DeleteFunc(left, func(o *clustertest.Server) bool { return o == server })
 			}
 		}
 		if time.Since(begun) > 3*servertest.EventTimeout {
-			r, err := left[0].GossipStatus()
-			g.FailNow(what, "%s does not see it: %+v %v\n%v", left[0].Name, r, err, g.History())
+			status, err := left[0].GossipStatus()
+			c.FailNow(what, "%s does not see it: %+v %v\n%v", left[0].Name, status, err, c.History())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	slices.Sort(took)
-	g.Record("", "%s seen by %d", what, len(of))
+	c.Record("", "%s seen by %d", what, len(of))
 	return took
 }
 
 // memberLine is the status row of the incarnation that holds a name: the one whose state is best.
-func memberLine(r gossip.Status, name string) (of gossip.MemberStatus) {
-	for _, l := range r.Members {
+func memberLine(status gossip.Status, name string) (of gossip.MemberStatus) {
+	for _, l := range status.Members {
 		if l.Name == name && (of.Name == "" ||
 			slices.Index(membership.StateNames, l.State) < slices.Index(membership.StateNames, of.State)) {
 			of = l
@@ -117,36 +118,39 @@
 
 // memberIs tests for a member's state and, if any are given, for one of these causes.
 func memberIs(name, state string, causes ...string) func(gossip.Status) bool {
-	return func(r gossip.Status) bool {
-		l := memberLine(r, name)
+	return func(status gossip.Status) bool {
+		l := memberLine(status, name)
 		return l.State == state && (len(causes) == 0 || slices.Contains(causes, l.Cause))
 	}
 }
 
 // majorityOf tests for a majority in which n members serve.
 func majorityOf(n int) func(gossip.Status) bool {
-	return func(r gossip.Status) bool {
+	return func(status gossip.Status) bool {
 		there := 0
-		for _, l := range r.Members {
+		for _, l := range status.Members {
 			if l.State == "serving" {
 				there++
 			}
 		}
-		return r.QuorumStatus == "whole" && there == n
+		return status.QuorumStatus == "whole" && there == n
 	}
 }
 
 // serversExcept is a copy of the servers without some of them.
 func serversExcept(of []*clustertest.Server, gone ...*clustertest.Server) []*clustertest.Server {
-	return slices.DeleteFunc(slices.Clone(of), func(s *clustertest.Server) bool { return slices.Contains(gone, s) })
+	return slices.DeleteFunc(slices.Clone(of), func(server *clustertest.Server) bool {
+		return slices.Contains(gone,
+			server)
+	})
 }
 
 // agreedOn tests for a majority of n whose cluster configuration has n members and voters that all serve.
 func agreedOn(n int) func(gossip.Status) bool {
-	return func(r gossip.Status) bool {
-		ok := majorityOf(n)(r) && r.AgreedSize == n
-		for _, name := range r.Voters {
-			ok = ok && memberLine(r, name).State == "serving"
+	return func(status gossip.Status) bool {
+		ok := majorityOf(n)(status) && status.AgreedSize == n
+		for _, name := range status.Voters {
+			ok = ok && memberLine(status, name).State == "serving"
 		}
 		return ok
 	}
@@ -154,7 +158,7 @@
 
 // countRivalMajorities polls all servers until the test ends, and gives how often one claimed the majority while the
 // claim of another, with a different configuration, had not expired.
-func (g *testCluster) countRivalMajorities() (both func() int) {
+func (c *testCluster) countRivalMajorities() (both func() int) {
 	type claim struct {
 		epoch uint64
 		until time.Time
@@ -163,27 +167,27 @@
 	held := map[*clustertest.Server]claim{}
 	n := 0
 	ended := make(chan struct{})
-	g.t.Cleanup(func() { close(ended) })
+	c.t.Cleanup(func() { close(ended) })
 	go func() {
 		for {
-			for _, s := range g.CurrentServers() {
+			for _, server := range c.CurrentServers() {
 				select {
 				case <-ended:
 					return
 				default:
 				}
 				asked := time.Now()
-				r, err := s.GossipStatus()
-				if err != nil || r.UntilMs < 0 {
+				status, err := server.GossipStatus()
+				if err != nil || status.UntilMs < 0 {
 					continue
 				}
 				lock.Lock()
-				for o, c := range held {
-					if o != s && c.epoch != r.Epoch && c.until.After(time.Now()) {
+				for other, rival := range held {
+					if other != server && rival.epoch != status.Epoch && rival.until.After(time.Now()) {
 						n++
 					}
 				}
-				held[s] = claim{r.Epoch, asked.Add(time.Duration(r.UntilMs) * time.Millisecond)}
+				held[server] = claim{status.Epoch, asked.Add(time.Duration(status.UntilMs) * time.Millisecond)}
 				lock.Unlock()
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -197,31 +201,31 @@
 }
 
 // anonymousMemoryKB is the memory of a process that no file backs, in kilobytes.
-func anonymousMemoryKB(g *testCluster, process int) (kb int) {
+func anonymousMemoryKB(cluster *testCluster, process int) (kb int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process))
-	g.NoError(err)
+	cluster.NoError(err)
 	_, after, found := strings.Cut(string(text), "RssAnon:")
-	g.True(found)
+	cluster.True(found)
 	_, err = fmt.Sscan(after, &kb)
-	g.NoError(err)
+	cluster.NoError(err)
 	return kb
 }
 
 // medianLatency is the median time to the response of a request that costs next to nothing.
-func (g *testCluster) medianLatency(s *clustertest.Server, n int) time.Duration {
-	g.t.Helper()
-	link, err := emulator.Dial(s.RouterAddress)
-	g.NoError(err)
+func (c *testCluster) medianLatency(server *clustertest.Server, n int) time.Duration {
+	c.t.Helper()
+	link, err := emulator.Dial(server.RouterAddress)
+	c.NoError(err)
 	defer servertest.CloseQuietly(link)
 	var took []time.Duration
 	for i := range n {
 		begun := time.Now()
 		_, err := link.Write(emulator.FastCGIRequest(uint16(i+1), "/rpc/brief", fmt.Sprint("0.1 ", i),
 			emulator.RequestParameters(fmt.Sprintf("%016x", 1<<60+i), "acme", 900*time.Millisecond)))
-		g.NoError(err)
+		c.NoError(err)
 		a, err := link.ReadResponse()
-		g.NoError(err)
-		g.Equal(200, a.Status)
+		c.NoError(err)
+		c.Equal(200, a.Status)
 		took = append(took, time.Since(begun))
 	}
 	slices.Sort(took)
--- a/internal/clustertest/mixed_versions_test.go
+++ b/internal/clustertest/mixed_versions_test.go
@@ -38,85 +38,86 @@
 func TestMixedVersionsAgreeOnConfigurationAndQuotas(t *testing.T) {
 	old := oldBuild(t)
 	const calls = 16
-	g := startQuotaClusterOf(t, 4, 8, calls, calls/4, 11, 60*time.Millisecond, "", func(servers []*clustertest.Server) {
-		servers[0].Program = old
-		servers[2].Program = old
-	})
-	all := g.Servers
-	g.waitForView("one configuration of both builds", all, agreedOn(4))
-	g.waitForQuota("quotas granted", all, hasLease)
-	end := g.startLoad(400, func() []*clustertest.Server { return all })
+	cluster := startQuotaClusterOf(t, 4, 8, calls, calls/4, 11, 60*time.Millisecond, "",
+		func(servers []*clustertest.Server) {
+			servers[0].Program = old
+			servers[2].Program = old
+		})
+	all := cluster.Servers
+	cluster.waitForView("one configuration of both builds", all, agreedOn(4))
+	cluster.waitForQuota("quotas granted", all, hasLease)
+	end := cluster.startLoad(400, func() []*clustertest.Server { return all })
 	defer end()
 	peak := 0
-	restart := func(s *clustertest.Server, what string) {
-		g.NoError(s.Kill())
-		g.NoError(s.Start())
-		g.NoError(emulator.WaitUntilServing(s.RouterAddress))
-		g.waitForView(what, all, agreedOn(4))
-		g.waitForQuota(what, all, hasLease)
-		peak = max(peak, g.Index.PeakInFlight())
+	restart := func(server *clustertest.Server, what string) {
+		cluster.NoError(server.Kill())
+		cluster.NoError(server.Start())
+		cluster.NoError(emulator.WaitUntilServing(server.RouterAddress))
+		cluster.waitForView(what, all, agreedOn(4))
+		cluster.waitForQuota(what, all, hasLease)
+		peak = max(peak, cluster.Index.PeakInFlight())
 	}
-	for _, s := range all {
-		restart(s, fmt.Sprintf("%s again, same build", s.Name))
+	for _, server := range all {
+		restart(server, fmt.Sprintf("%s again, same build", server.Name))
 	}
-	for _, s := range all {
-		if s.Program == "" {
-			s.Program = old
+	for _, server := range all {
+		if server.Program == "" {
+			server.Program = old
 		} else {
-			s.Program = ""
+			server.Program = ""
 		}
-		restart(s, fmt.Sprintf("%s again, other build", s.Name))
+		restart(server, fmt.Sprintf("%s again, other build", server.Name))
 	}
-	leader := g.waitForLeader(all)
-	g.NoError(leader.Kill())
-	g.waitForQuota("after the leader's death", serversExcept(all, leader), hasLease)
-	g.NoError(leader.Start())
-	g.waitForQuota("the leader is back", all, hasLease)
-	peak = max(peak, g.Index.PeakInFlight())
+	leader := cluster.waitForLeader(all)
+	cluster.NoError(leader.Kill())
+	cluster.waitForQuota("after the leader's death", serversExcept(all, leader), hasLease)
+	cluster.NoError(leader.Start())
+	cluster.waitForQuota("the leader is back", all, hasLease)
+	peak = max(peak, cluster.Index.PeakInFlight())
 	epochs := map[uint64]bool{}
-	for _, s := range all {
-		view, err := s.GossipStatus()
-		g.NoError(err)
+	for _, server := range all {
+		view, err := server.GossipStatus()
+		cluster.NoError(err)
 		epochs[view.Epoch] = true
 	}
 	t.Logf("measured mixed-versions servers=4 restarts=9 epochs=%d total=%d peak=%d", len(epochs), calls, peak)
-	g.Len(epochs, 1)
-	g.LessOrEqual(peak, calls)
-	g.Positive(peak)
+	cluster.Len(epochs, 1)
+	cluster.LessOrEqual(peak, calls)
+	cluster.Positive(peak)
 }
 
 // The log of the quota coordinators on disk, written by one build, is read by the other, either way.
 func TestMixedVersionsShareTheCoordinatorsDisk(t *testing.T) {
 	old := oldBuild(t)
-	g := startQuotaClusterOf(t, 4, 4, 12, 3, 12, 30*time.Millisecond,
+	cluster := startQuotaClusterOf(t, 4, 4, 12, 3, 12, 30*time.Millisecond,
 		"  keepers: [n00, n01, n02]\n  directory: keeper-{name}\n  fresh: true\n", func(servers []*clustertest.Server) {
-			for _, s := range servers {
-				s.Program = old
+			for _, server := range servers {
+				server.Program = old
 			}
 		})
-	all := g.Servers
-	g.waitForQuota("quotas granted by the earlier build", all, hasLease)
-	g.ServiceYAML = func(s *clustertest.Server) string {
+	all := cluster.Servers
+	cluster.waitForQuota("quotas granted by the earlier build", all, hasLease)
+	cluster.ServiceYAML = func(server *clustertest.Server) string {
 		return fmt.Sprintf("shares:\n  calls: 12\n  slots: 4\n  keepers: [n00, n01, n02]\n  directory: keeper-%s\n",
-			s.Name)
+			server.Name)
 	}
 	voters := func(of service.Status) (n int) { return len(of.Voters) }
 	for round, program := range []string{"", old, ""} {
-		for _, s := range all {
-			g.NoError(s.Signal(syscall.SIGKILL))
-			<-s.Exited()
+		for _, server := range all {
+			cluster.NoError(server.Signal(syscall.SIGKILL))
+			<-server.Exited()
 		}
-		for _, s := range all {
-			s.Program = program
-			g.NoError(s.Start())
+		for _, server := range all {
+			server.Program = program
+			cluster.NoError(server.Start())
 		}
-		g.waitUntilServing(all)
-		g.waitForQuota(fmt.Sprint("quotas granted again, round ", round), all, hasLease)
-		for _, s := range all[:3] {
-			status, err := s.QuotaStatus()
-			g.NoError(err)
-			g.Equal(3, voters(status))
-			g.Zero(status.DiscardedStates, "a voter came back without its memory")
+		cluster.waitUntilServing(all)
+		cluster.waitForQuota(fmt.Sprint("quotas granted again, round ", round), all, hasLease)
+		for _, server := range all[:3] {
+			status, err := server.QuotaStatus()
+			cluster.NoError(err)
+			cluster.Equal(3, voters(status))
+			cluster.Zero(status.DiscardedStates, "a voter came back without its memory")
 		}
 	}
 	t.Log("measured mixed-versions coordinator-disk rounds=3 memories_lost=0")
@@ -125,32 +126,32 @@
 // A store written by one build is read by the other, either way: a repeat gets the first answer and nothing runs twice.
 func TestMixedVersionsShareAStore(t *testing.T) {
 	old := oldBuild(t)
-	r := servertest.New(t)
-	r.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "")
-	config := r.Config
+	server := servertest.New(t)
+	server.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "")
+	config := server.Config
 	programs := []string{old, "", old, ""}
 	for life, program := range programs {
-		r.Program = program
-		interpreter := r.StartWithInterpreter(t, config)
-		c := r.ConnectRouter()
+		server.Program = program
+		interpreter := server.StartWithInterpreter(t, config)
+		router := server.ConnectRouter()
 		for earlier := range life {
-			c.SendTimedBook(uint16(earlier+1), fmt.Sprint("key-", earlier))
-			c.ExpectResponse(uint16(earlier+1), 200, fmt.Sprint("result of 1 entry key-", earlier))
+			router.SendTimedBook(uint16(earlier+1), fmt.Sprint("key-", earlier))
+			router.ExpectResponse(uint16(earlier+1), 200, fmt.Sprint("result of 1 entry key-", earlier))
 		}
-		c.SendTimedBook(uint16(life+1), fmt.Sprint("key-", life))
-		c.ExpectResponse(uint16(life+1), 200, fmt.Sprint("result of 1 entry key-", life))
+		router.SendTimedBook(uint16(life+1), fmt.Sprint("key-", life))
+		router.ExpectResponse(uint16(life+1), 200, fmt.Sprint("result of 1 entry key-", life))
 		interpreter.Inspect(func(v *emulator.Interpreter) {
-			r.Len(v.RunsByBody, 1, "only the key of this life ran")
+			server.Len(v.RunsByBody, 1, "only the key of this life ran")
 		})
 		if life > 0 {
-			r.Regexp(`event=warm_start .*(taken|used)=true`, r.LogText())
+			server.Regexp(`event=warm_start .*(taken|used)=true`, server.LogText())
 		}
 		if life%2 == 0 {
-			r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
-			r.WaitForExit()
+			server.NoError(server.Process.Process.Signal(syscall.SIGTERM))
+			server.WaitForExit()
 		} else {
-			r.NoError(r.Process.Process.Kill())
-			<-r.Ended()
+			server.NoError(server.Process.Process.Kill())
+			<-server.Ended()
 		}
 		interpreter.Close()
 	}
--- a/internal/clustertest/quota_gain_test.go
+++ b/internal/clustertest/quota_gain_test.go
@@ -59,12 +59,12 @@
 		part = 1e6
 	}
 	more := map[string]string{"split": "  floor: 3\n"}[name] // guaranteed minimums as such a cluster would have them
-	g := startQuotaCluster(t, begun, slots, calls, part, seed, delay, more)
-	g.Index.SlowdownThreshold = calls
-	all := slices.Clone(g.Servers)
+	cluster := startQuotaCluster(t, begun, slots, calls, part, seed, delay, more)
+	cluster.Index.SlowdownThreshold = calls
+	all := slices.Clone(cluster.Servers)
 	if how == "shares" {
-		g.waitForQuota("grants", all, func(r service.Status) bool {
-			return r.Limits[0].ExpiresInMs > 0 && r.Limits[0].UsableHere >= 1
+		cluster.waitForQuota("grants", all, func(status service.Status) bool {
+			return status.Limits[0].ExpiresInMs > 0 && status.Limits[0].UsableHere >= 1
 		})
 	}
 	able := float64(calls) / delay.Seconds()
@@ -90,9 +90,9 @@
 		}
 	case "split":
 		trouble[length/4] = func(*clustertest.Routers) {
-			g.Partition(func(s *clustertest.Server) int { return boolInt(s.Index < 2) })
+			cluster.Partition(func(server *clustertest.Server) int { return boolInt(server.Index < 2) })
 		}
-		trouble[length/4+6*time.Second] = func(*clustertest.Routers) { g.Heal() }
+		trouble[length/4+6*time.Second] = func(*clustertest.Routers) { cluster.Heal() }
 	case "growing":
 		var lock sync.Mutex
 		now := all
@@ -104,37 +104,39 @@
 		rate = 0.5 * able // three servers may use their guaranteed minimums and what is allocatable: 15 of 24
 		trouble[length/4] = func(*clustertest.Routers) {
 			for i := begun; i < servers; i++ {
-				s, err := g.AddServer(i)
-				if err != nil || s.Start() != nil || emulator.WaitUntilServing(s.RouterAddress) != nil {
+				server, err := cluster.AddServer(i)
+				if err != nil || server.Start() != nil || emulator.WaitUntilServing(server.RouterAddress) != nil {
 					t.Error(err)
 					return
 				}
-				s.Interpreter.CallProbability = 1
+				server.Interpreter.CallProbability = 1
 			}
 			if how == "shares" { // routers learn of them once they are members with a lease
-				g.waitForQuota("newcomers", g.CurrentServers(),
-					func(r service.Status) bool { return r.Limits[0].ExpiresInMs > 0 })
+				cluster.waitForQuota("newcomers", cluster.CurrentServers(),
+					func(status service.Status) bool { return status.Limits[0].ExpiresInMs > 0 })
 			}
 			lock.Lock()
-			now = g.CurrentServers()
+			now = cluster.CurrentServers()
 			lock.Unlock()
 		}
 	}
-	o := g.RunTraffic(clustertest.Traffic{RouterCount: 8, RequestsPerSecond: rate, Duration: length, MeanWorkMs: 2,
+	stats := cluster.RunTraffic(clustertest.Traffic{RouterCount: 8, RequestsPerSecond: rate, Duration: length,
+		MeanWorkMs:   2,
 		SoftDeadline: time.Second, Deadline: 2 * time.Second,
 		IdempotentCategory: "look", KeyedCategory: "book", MaxAttempts: 2, EndpointsAt: lists, Actions: trouble})
 	served := 0.0
-	late := o.OnTimeFractionBySecond[len(o.OnTimeFractionBySecond)/2 : len(o.OnTimeFractionBySecond)-1]
+	late := stats.OnTimeFractionBySecond[len(stats.OnTimeFractionBySecond)/2 : len(stats.OnTimeFractionBySecond)-1]
 	for _, part := range late {
 		served += part / float64(len(late))
 	}
-	peak := g.Index.PeakInFlight()
+	peak := cluster.Index.PeakInFlight()
 	t.Logf("measured shares-day day=%s how=%s servers=%d in_time=%.3f declined=%d failed=%d peak=%d whole=%d "+
-		"late=%d lost=%d", name, how, begun, served, o.Rejected, o.Failed, peak, calls, o.PastDeadline, o.Unanswered)
+		"late=%d lost=%d", name, how, begun, served, stats.Rejected, stats.Failed, peak, calls, stats.PastDeadline,
+		stats.Unanswered)
 	if how == "shares" {
 		require.LessOrEqual(t, peak, calls)
 	}
-	require.Zero(t, o.PastDeadline+o.DuplicateRuns)
-	g.Close()
+	require.Zero(t, stats.PastDeadline+stats.DuplicateRuns)
+	cluster.Close()
 	return served
 }
--- a/internal/clustertest/restart_test.go
+++ b/internal/clustertest/restart_test.go
@@ -15,24 +15,24 @@
 // down, the index refuses, clients connect already. Each answers health checks soon.
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
-	g := newTestCluster(t, clustertest.Config{ServerCount: processes, Seed: 33})
-	g.NoError(g.Directory.Listener.Listener.Close())
-	g.NoError(g.Index.Listener.Listener.Close())
+	cluster := newTestCluster(t, clustertest.Config{ServerCount: processes, Seed: 33})
+	cluster.NoError(cluster.Directory.Listener.Listener.Close())
+	cluster.NoError(cluster.Index.Listener.Listener.Close())
 	ready := func() (in []time.Duration) {
 		begun := make([]time.Time, processes)
-		for i, s := range g.Servers {
+		for i, server := range cluster.Servers {
 			begun[i] = time.Now()
-			g.NoError(s.Start())
+			cluster.NoError(server.Start())
 		}
 		in = make([]time.Duration, processes)
 		var done sync.WaitGroup
-		for i, s := range g.Servers {
+		for i, server := range cluster.Servers {
 			for knocker := range 3 {
 				done.Add(1)
 				go func() {
 					defer done.Done()
 					for time.Since(begun[i]) < 30*time.Second {
-						c, err := emulator.Dial(s.RouterAddress)
+						c, err := emulator.Dial(server.RouterAddress)
 						if err != nil {
 							time.Sleep(5 * time.Millisecond)
 							continue
@@ -73,10 +73,10 @@
 		fmt.Printf("measured restart processes=%d start=%s ready_10s=%d ready_all_s=%.2f median_s=%.2f "+
 			"source=stand-ins\n", processes, name, within,
 			in[processes-1].Seconds(), in[processes/2].Seconds())
-		g.GreaterOrEqual(within, processes*9/10)
-		g.Positive(in[0], "one was never ready")
-		for _, s := range g.Servers {
-			g.NoError(s.Kill())
+		cluster.GreaterOrEqual(within, processes*9/10)
+		cluster.Positive(in[0], "one was never ready")
+		for _, server := range cluster.Servers {
+			cluster.NoError(server.Kill())
 		}
 	}
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -35,7 +35,7 @@
 
 // `check` reports every diagnostic of both files at once, each with its source position.
 func TestCheckReportsEveryDiagnosticWithItsPlace(t *testing.T) {
-	r := servertest.New(t)
+	server := servertest.New(t)
 	json := filepath.Join(t.TempDir(), "c.json")
 	yaml := filepath.Join(t.TempDir(), "s.yaml")
 	check := func(config, service string) (int, string) {
@@ -45,13 +45,13 @@
 		code := command.Run([]string{"check", json, yaml}, &out, &out)
 		return code, strings.ReplaceAll(strings.ReplaceAll(out.String(), json, "c"), yaml, "s")
 	}
-	code, out := check(r.Config, "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
+	code, out := check(server.Config, "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
 	require.Equal(t, "0 2 files, no fault\n", strings.Join([]string{string(rune('0' + code)), out}, " "))
-	code, out = check(r.Config, "fair_queues:\n  tenants: [{name: amce, share: 1}]\n")
+	code, out = check(server.Config, "fair_queues:\n  tenants: [{name: amce, share: 1}]\n")
 	require.Equal(t, command.ExitFailed, code)
 	require.Contains(t, out, `s:2:20: fair_queues.tenants[0].name: "amce" is none; expected a tenant of the `+
 		`platform's settings`)
-	bad := strings.Replace(strings.Replace(strings.Replace(r.Config, `"by_key"`, `"by_kye"`, 1), `"sockets":64`,
+	bad := strings.Replace(strings.Replace(strings.Replace(server.Config, `"by_key"`, `"by_kye"`, 1), `"sockets":64`,
 		`"sockets":4`, 1),
 		`"name":"n3"`, `"name":""`, 1)
 	code, out = check(bad, "fair_queues:\n  books: x\n")
@@ -66,9 +66,9 @@
 }
 
 func TestServeWritesJSONLog(t *testing.T) {
-	r := servertest.New(t)
-	r.Args = []string{"serve", "--log", "json"}
-	r.WriteFilesAndStart()
-	r.AcceptInterpreter(0)
-	r.Contains(r.LogText(), `"event":"listening","name":"n3"`)
+	server := servertest.New(t)
+	server.Args = []string{"serve", "--log", "json"}
+	server.WriteFilesAndStart()
+	server.AcceptInterpreter(0)
+	server.Contains(server.LogText(), `"event":"listening","name":"n3"`)
 }
--- a/internal/command/plugin_test.go
+++ b/internal/command/plugin_test.go
@@ -14,17 +14,18 @@
 )
 
 func TestPluginCommandExitCodesAndOutput(t *testing.T) {
-	r := servertest.New(t)
+	server := servertest.New(t)
 	request := filepath.Join(t.TempDir(), "r.json")
-	r.NoError(os.WriteFile(request, []byte(`{"hook":"read","category":"look","tenant":"acme","body":"b"}`), 0o600))
+	server.NoError(os.WriteFile(request, []byte(`{"hook":"read","category":"look","tenant":"acme","body":"b"}`), 0o600))
 	for line, says := range map[string]string{
-		"0 plugin check " + r.WriteModule("good"):                                           "KB of memory an instance",
-		"1 plugin check " + r.WriteModule("other-version"):                                  "is of version 7",
-		"1 plugin check " + r.WriteModule("foreign"):                                        "open_socket",
-		"0 plugin run " + r.WriteModule("declines") + " --request " + request:               `"does":"decline"`,
-		"0 plugin run " + r.WriteModule("good") + " --engine=compiler --request " + request: `"does":"nothing"`,
-		"1 plugin run " + r.WriteModule("loops") + " --request " + request:                  "",
-		"2 plugin run " + r.WriteModule("loops"):                                            "--request",
+		"0 plugin check " +
+			server.WriteModule("good"): "KB of memory an instance",
+		"1 plugin check " + server.WriteModule("other-version"):                                  "is of version 7",
+		"1 plugin check " + server.WriteModule("foreign"):                                        "open_socket",
+		"0 plugin run " + server.WriteModule("declines") + " --request " + request:               `"does":"decline"`,
+		"0 plugin run " + server.WriteModule("good") + " --engine=compiler --request " + request: `"does":"nothing"`,
+		"1 plugin run " + server.WriteModule("loops") + " --request " + request:                  "",
+		"2 plugin run " + server.WriteModule("loops"):                                            "--request",
 	} {
 		code, rest, _ := strings.Cut(line, " ")
 		var out bytes.Buffer
--- a/internal/server/configuration_socket_test.go
+++ b/internal/server/configuration_socket_test.go
@@ -12,70 +12,70 @@
 // A new configuration moves the program to other addresses: no request in flight is lost, and a downstream call that
 // is out ends where it is. An invalid file changes nothing.
 func TestReloadMovesAddressesWithoutLoss(t *testing.T) {
-	r, v := servertest.Start(t)
-	c := r.ConnectRouter()
-	id := c.SendLook(1, "a")
-	v.ExpectApply(id, "a")
-	v.SendAwait(id, "q")
-	old := r.IndexCall(id)
-	r.NextLink(r.Directory)
-	config := r.Config
-	for _, s := range []**emulator.Listener{&r.Interpreter, &r.Index, &r.Directory} {
-		to := r.NewEmulator()
-		r.Config = strings.Replace(r.Config, (*s).Address, to.Address, 1)
-		r.NoError((*s).Listener.Close())
+	server, interpreter := servertest.Start(t)
+	router := server.ConnectRouter()
+	id := router.SendLook(1, "a")
+	interpreter.ExpectApply(id, "a")
+	interpreter.SendAwait(id, "q")
+	old := server.IndexCall(id)
+	server.NextLink(server.Directory)
+	config := server.Config
+	for _, s := range []**emulator.Listener{&server.Interpreter, &server.Index, &server.Directory} {
+		to := server.NewEmulator()
+		server.Config = strings.Replace(server.Config, (*s).Address, to.Address, 1)
+		server.NoError((*s).Listener.Close())
 		*s = to
 	}
-	r.WriteFiles()
-	r.NoError(r.Process.Process.Signal(syscall.SIGHUP))
-	moved := r.AcceptInterpreter(v.LastNotice)
-	moved.LastNotice = v.LastNotice
-	_, err := v.Reader.ReadString(0)
-	r.Error(err) // the old link is closed
-	r.Equal("PUT /dir/nodes/n3 HTTP/1.1", r.ReadLine(r.NextLink(r.Directory)))
-	r.WriteLine(old, "%s HIT 2\r\nok\r", id)
+	server.WriteFiles()
+	server.NoError(server.Process.Process.Signal(syscall.SIGHUP))
+	moved := server.AcceptInterpreter(interpreter.LastNotice)
+	moved.LastNotice = interpreter.LastNotice
+	_, err := interpreter.Reader.ReadString(0)
+	server.Error(err) // the old link is closed
+	server.Equal("PUT /dir/nodes/n3 HTTP/1.1", server.ReadLine(server.NextLink(server.Directory)))
+	server.WriteLine(old, "%s HIT 2\r\nok\r", id)
 	o := moved.NextCommand()
-	r.Equal("RESOLVE "+id, o.Type+" "+o.Job)
+	server.Equal("RESOLVE "+id, o.Type+" "+o.Job)
 	moved.SendAwait(id, "q2")
-	x := r.NextLink(r.Index)
-	r.Contains(r.ReadLine(x), "GET "+id)
+	index := server.NextLink(server.Index)
+	server.Contains(server.ReadLine(index), "GET "+id)
 	moved.SendValue(id, "OK", "a")
-	c.ExpectResponse(1, 200, "a")
-	r.Config = "{"
-	r.WriteFiles()
-	r.NoError(r.Process.Process.Signal(syscall.SIGHUP))
-	r.Config = strings.Replace(config, `"sockets":64`, `"sockets":65`, 1)
-	moved.ServeOne(c, 2, "goes on")
-	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
-	_, log := r.WaitForExit()
-	r.Contains(log, "event=configuration_rejected reason=")
+	router.ExpectResponse(1, 200, "a")
+	server.Config = "{"
+	server.WriteFiles()
+	server.NoError(server.Process.Process.Signal(syscall.SIGHUP))
+	server.Config = strings.Replace(config, `"sockets":64`, `"sockets":65`, 1)
+	moved.ServeOne(router, 2, "goes on")
+	server.NoError(server.Process.Process.Signal(syscall.SIGTERM))
+	_, log := server.WaitForExit()
+	server.Contains(log, "event=configuration_rejected reason=")
 }
 
 // A program with an invalid configuration or a taken address logs one line and exits with 1.
 func TestInvalidConfigurationsPreventStart(t *testing.T) {
-	r := servertest.New(t)
-	good := r.Config
+	server := servertest.New(t)
+	good := server.Config
 	for from, to := range map[string]string{
 		`"name":"n3"`: `"name":""`, `"stop_ms":1500`: `"stop_ms":-1`, `"cores":1.0`: `"cores":0`,
 		`"memory_mb":192`: `"memory_mb":1`, `"sockets":64`: `"sockets":3`, `"Cores":2`: `"Cores":0`,
-		`"MemoryKb":80000.0`: `"MemoryKb":-1`, `"settings":`: `"others":`, r.Interpreter.Address: "nowhere",
+		`"MemoryKb":80000.0`: `"MemoryKb":-1`, `"settings":`: `"others":`, server.Interpreter.Address: "nowhere",
 		`{"name"`:         `"name"`,
 		`"OnTime":4000.0`: `"OnTime":1e300`,
 	} {
-		r.Config = strings.Replace(good, from, to, 1)
-		r.NotEqual(good, r.Config, from)
-		r.WriteFilesAndStart()
-		code, log := r.WaitForExit()
-		r.Equal(1, code, from)
-		r.Equal(1, strings.Count(log, "\n"), log)
-		r.Contains(log, "event=cannot_start reason=")
+		server.Config = strings.Replace(good, from, to, 1)
+		server.NotEqual(good, server.Config, from)
+		server.WriteFilesAndStart()
+		code, log := server.WaitForExit()
+		server.Equal(1, code, from)
+		server.Equal(1, strings.Count(log, "\n"), log)
+		server.Contains(log, "event=cannot_start reason=")
 	}
-	taken, err := net.Listen("tcp", r.Listen)
-	r.NoError(err)
+	taken, err := net.Listen("tcp", server.Listen)
+	server.NoError(err)
 	defer servertest.CloseQuietly(taken)
-	r.Config = good
-	r.WriteFilesAndStart()
-	code, log := r.WaitForExit()
-	r.Equal(1, code)
-	r.Contains(log, "address already in use")
+	server.Config = good
+	server.WriteFilesAndStart()
+	code, log := server.WaitForExit()
+	server.Equal(1, code)
+	server.Contains(log, "address already in use")
 }
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -15,26 +15,27 @@
 )
 
 // playPluginLoad plays load for about a second against a server with these plug-ins, which see acme but not beta.
-func playPluginLoad(t *testing.T, service func(r *servertest.Server) string, during func(r *servertest.Server)) (r *servertest.Server,
+func playPluginLoad(t *testing.T, service func(server *servertest.Server) string,
+	during func(server *servertest.Server)) (server *servertest.Server,
 	acme, beta *emulator.TenantStats,
 	vm *emulator.Interpreter) {
 	t.Helper()
-	r = servertest.New(t)
+	server = servertest.New(t)
 	var err error
 	vm, err = emulator.NewInterpreter(2, 3)
-	r.NoError(err)
+	server.NoError(err)
 	t.Cleanup(vm.Close)
-	servertest.CloseQuietly(r.Interpreter)
-	r.Config = strings.Replace(r.Config, r.Interpreter.Address, vm.Address, 1)
-	r.Config = strings.Replace(r.Config, `"Tenants":[{"Name":"acme"}]`, servertest.TwoTenants(0.5, 0.5), 1)
-	r.Service = service(r)
-	r.WriteFilesAndStart()
-	r.WaitForLog("interpreter_up")
+	servertest.CloseQuietly(server.Interpreter)
+	server.Config = strings.Replace(server.Config, server.Interpreter.Address, vm.Address, 1)
+	server.Config = strings.Replace(server.Config, `"Tenants":[{"Name":"acme"}]`, servertest.TwoTenants(0.5, 0.5), 1)
+	server.Service = service(server)
+	server.WriteFilesAndStart()
+	server.WaitForLog("interpreter_up")
 	length := 0.8
 	if os.Getenv("MEASURE") == "full" {
 		length = 20
 	}
-	load := &emulator.LoadRun{Address: r.Listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
+	load := &emulator.LoadRun{Address: server.Listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
 		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
 			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
 				PriorityWeight: 1},
@@ -42,18 +43,18 @@
 				PriorityWeight: 1}}}
 	var all sync.WaitGroup
 	if during != nil {
-		all.Go(func() { during(r) })
+		all.Go(func() { during(server) })
 	}
 	books, err := load.Run()
-	r.NoError(err)
+	server.NoError(err)
 	all.Wait()
-	r.Zero(load.BrokenRequests())
-	return r, books[0], books[1], vm
+	server.Zero(load.BrokenRequests())
+	return server, books[0], books[1], vm
 }
 
 // pluginMemory is the resident memory of the plug-in processes of a server, in MB, and how many of them there are.
-func pluginMemory(r *servertest.Server) (mb float64, n int) {
-	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(r.Process.Process.Pid), "-o", "rss=").Output()
+func pluginMemory(server *servertest.Server) (mb float64, n int) {
+	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(server.Process.Process.Pid), "-o", "rss=").Output()
 	for _, field := range strings.Fields(string(out)) {
 		kb, _ := strconv.ParseFloat(field, 64)
 		mb += kb / 1024
@@ -72,15 +73,15 @@
 			name, compiled := strings.CutSuffix(kind, " compiled")
 			engine := map[bool]string{false: "interpreter", true: "compiler"}[compiled]
 			var most float64
-			r, acme, beta, vm := playPluginLoad(t, func(r *servertest.Server) string {
-				return pluginSection(pluginEntry("hostile", r.WriteModule(name),
+			server, acme, beta, vm := playPluginLoad(t, func(server *servertest.Server) string {
+				return pluginSection(pluginEntry("hostile", server.WriteModule(name),
 					"hooks: [read, result, tick], every: 20ms, tenants: "+
 						"[acme], may: [decline, rewrite], quarantine: 50ms, engine: "+engine),
-					pluginEntry("tagger", r.WriteModule("tags"),
+					pluginEntry("tagger", server.WriteModule("tags"),
 						"hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5"))
-			}, func(r *servertest.Server) {
+			}, func(server *servertest.Server) {
 				for range 6 {
-					mb, _ := pluginMemory(r)
+					mb, _ := pluginMemory(server)
 					most = max(most, mb)
 					time.Sleep(100 * time.Millisecond) // a sampling interval, no wait for an event
 				}
@@ -88,47 +89,48 @@
 			late := 0
 			lost := 0
 			double := 0
-			for _, a := range []*emulator.TenantStats{acme, beta} {
-				late += a.PastDeadline
-				lost += a.Requests - a.OnTime - a.Late - a.Rejected - a.Aborted - a.OtherStatuses
+			for _, tenant := range []*emulator.TenantStats{acme, beta} {
+				late += tenant.PastDeadline
+				answered := tenant.OnTime + tenant.Late + tenant.Rejected + tenant.Aborted + tenant.OtherStatuses
+				lost += tenant.Requests - answered
 			}
 			vm.Inspect(func(v *emulator.Interpreter) {
 				for _, runs := range v.RunsByRequest {
 					double += runs - 1
 				}
 			})
-			alive := map[bool]int{true: 1}[r.Process.ProcessState == nil]
+			alive := map[bool]int{true: 1}[server.Process.ProcessState == nil]
 			t.Logf("measured plugins kind=%q late_answers=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
 				"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
 				kind, late, lost, double, alive, most,
 				float64(beta.ResponseTimes.ValueAtQuantile(99))/float64(calm.ResponseTimes.ValueAtQuantile(99)),
 				float64(acme.ResponseTimes.ValueAtQuantile(50))/1000,
 				float64(acme.ResponseTimes.ValueAtQuantile(99))/1000)
-			r.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
-			r.Zero(beta.OtherStatuses + beta.Aborted)
+			server.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
+			server.Zero(beta.OtherStatuses + beta.Aborted)
 		})
 	}
 }
 
 // Forty plug-in versions in a row under load: each request ends with the version it began with, and none is lost.
 func TestFortyPluginReloadsUnderLoadLoseNothing(t *testing.T) {
-	r, acme, beta, _ := playPluginLoad(t, func(r *servertest.Server) string {
-		return pluginSection(pluginEntry("one", r.WriteModule("good"),
+	server, acme, beta, _ := playPluginLoad(t, func(server *servertest.Server) string {
+		return pluginSection(pluginEntry("one", server.WriteModule("good"),
 			"hooks: [read, result]"))
-	}, func(r *servertest.Server) {
+	}, func(server *servertest.Server) {
 		for i := range 40 {
-			r.Service = pluginSection(pluginEntry("one", r.WriteModule([]string{"good", "tags"}[i%2]),
+			server.Service = pluginSection(pluginEntry("one", server.WriteModule([]string{"good", "tags"}[i%2]),
 				fmt.Sprintf("hooks: [read, result], may: [tag], row: %d", i)))
-			r.Service = strings.Replace(r.Service, "row", "faults_in_a_row", 1)
-			r.Service = strings.Replace(r.Service, "faults_in_a_row: 0", "faults_in_a_row: 1", 1)
-			r.Reload()
+			server.Service = strings.Replace(server.Service, "row", "faults_in_a_row", 1)
+			server.Service = strings.Replace(server.Service, "faults_in_a_row: 0", "faults_in_a_row: 1", 1)
+			server.Reload()
 		}
 	})
-	for _, a := range []*emulator.TenantStats{acme, beta} {
-		r.Equal(a.Requests, a.OnTime+a.Late+a.Rejected, a)
-		r.Zero(a.PastDeadline)
+	for _, tenant := range []*emulator.TenantStats{acme, beta} {
+		server.Equal(tenant.Requests, tenant.OnTime+tenant.Late+tenant.Rejected, tenant)
+		server.Zero(tenant.PastDeadline)
 	}
-	r.Equal(40, strings.Count(r.LogText(), "event=configuration_read"))
-	_, n := pluginMemory(r)
-	r.LessOrEqual(n, 6)
+	server.Equal(40, strings.Count(server.LogText(), "event=configuration_read"))
+	_, n := pluginMemory(server)
+	server.LessOrEqual(n, 6)
 }
--- a/internal/server/store_socket_test.go
+++ b/internal/server/store_socket_test.go
@@ -22,9 +22,9 @@
 // A hundred incarnations, each killed at a seeded moment while three attempts per key arrive, of keys of this
 // incarnation and of earlier ones: no key runs twice, and every successful response to a key is the same.
 func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
-	r := servertest.New(t)
-	config := r.Config
-	r.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
+	server := servertest.New(t)
+	config := server.Config
+	server.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
 	chance := rand.New(rand.NewSource(7))
 	lives := 100
 	fresh := 4
@@ -36,7 +36,7 @@
 	answers := 0
 	keys := 0
 	for life := range lives {
-		vm := r.StartWithInterpreter(t, config)
+		vm := server.StartWithInterpreter(t, config)
 		var asked []string
 		for range fresh {
 			keys++
@@ -52,13 +52,13 @@
 		came := make(chan got, 100)
 		ends := make(chan struct{}, 3)
 		for range 3 {
-			c := r.ConnectRouter()
+			router := server.ConnectRouter()
 			for slot, key := range asked {
-				c.SendTimedBook(uint16(slot+1), key)
+				router.SendTimedBook(uint16(slot+1), key)
 			}
 			go func() {
 				for {
-					a, err := c.ReadResponse()
+					a, err := router.ReadResponse()
 					if err != nil {
 						ends <- struct{}{}
 						return
@@ -72,13 +72,13 @@
 			answers++
 			if a.Status == 200 {
 				if before, known := told[a.key]; known {
-					r.Equal(before, a.Body)
+					server.Equal(before, a.Body)
 				}
 				told[a.key] = a.Body
 			}
 		}
-		r.NoError(r.Process.Process.Kill())
-		<-r.Ended()
+		server.NoError(server.Process.Process.Kill())
+		<-server.Ended()
 		for range 3 {
 			<-ends
 		}
@@ -95,82 +95,82 @@
 	}
 	t.Logf("measured store-lives lives=%d keys=%d runs=%d answers=%d fulfilled_keys=%d double_runs=%d", lives, keys,
 		len(runs), answers, len(told), double)
-	r.Zero(double)
-	r.Greater(len(told), keys/8)
+	server.Zero(double)
+	server.Greater(len(told), keys/8)
 }
 
 // A retry after a restart gets the first result, one with another body is rejected, a second server on the same
 // directory does not start, and the store commands show what the directory holds.
 func TestStoredResultsSurviveRestart(t *testing.T) {
-	r := servertest.New(t)
+	server := servertest.New(t)
 	directory := filepath.Join(t.TempDir(), "store")
-	r.Service = servertest.StoreSection(directory, "")
-	config := r.Config
-	vm := r.StartWithInterpreter(t, config)
-	c := r.ConnectRouter()
-	c.SendTimedBook(1, "k")
-	c.ExpectResponse(1, 200, "result of 1 entry k")
+	server.Service = servertest.StoreSection(directory, "")
+	config := server.Config
+	vm := server.StartWithInterpreter(t, config)
+	router := server.ConnectRouter()
+	router.SendTimedBook(1, "k")
+	router.ExpectResponse(1, 200, "result of 1 entry k")
 	second := servertest.New(t)
-	second.Service = r.Service
+	second.Service = server.Service
 	second.WriteFilesAndStart()
 	code, log := second.WaitForExit()
-	r.Equal(command.ExitFailed, code)
-	r.Contains(log, "another process has this store")
-	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
-	code, _ = r.WaitForExit()
-	r.Zero(code)
+	server.Equal(command.ExitFailed, code)
+	server.Contains(log, "another process has this store")
+	server.NoError(server.Process.Process.Signal(syscall.SIGTERM))
+	code, _ = server.WaitForExit()
+	server.Zero(code)
 	vm.Close()
-	r.StartWithInterpreter(t, config)
-	r.Contains(r.LogText(), "event=store_open")
-	r.Regexp("event=warm_start .*used=true", r.LogText())
-	c = r.ConnectRouter()
-	c.SendTimedBook(1, "k")
-	c.ExpectResponse(1, 200, "result of 1 entry k")
-	with := servertest.RequestParameters(r.NewRequestID())
+	server.StartWithInterpreter(t, config)
+	server.Contains(server.LogText(), "event=store_open")
+	server.Regexp("event=warm_start .*used=true", server.LogText())
+	router = server.ConnectRouter()
+	router.SendTimedBook(1, "k")
+	router.ExpectResponse(1, 200, "result of 1 entry k")
+	with := servertest.RequestParameters(server.NewRequestID())
 	with["HTTP_ONCE_KEY"] = "k"
-	c.Send(2, "/rpc/book", "another body", with)
-	c.ExpectResponse(2, 422, "")
-	c.SendTimedBook(3, "new")
-	c.ExpectResponse(3, 200, "result of 1 entry new")
+	router.Send(2, "/rpc/book", "another body", with)
+	router.ExpectResponse(2, 422, "")
+	router.SendTimedBook(3, "new")
+	router.ExpectResponse(3, 200, "result of 1 entry new")
 	tool := func(args ...string) (int, string) {
 		var out bytes.Buffer
 		code := command.Run(append([]string{"store"}, args...), &out, &out)
 		return code, out.String()
 	}
 	code, out := tool("inspect", "--all", directory)
-	r.Zero(code)
-	r.Contains(out, `gets the kept result, 19 bytes`)
-	r.Contains(out, "intent key=")
+	server.Zero(code)
+	server.Contains(out, `gets the kept result, 19 bytes`)
+	server.Contains(out, "intent key=")
 	code, _ = tool("verify", directory)
-	r.Zero(code)
+	server.Zero(code)
 	code, out = tool("compact", directory)
-	r.Equal(command.ExitFailed, code)
-	r.Contains(out, "another process")
-	r.NoError(r.Process.Process.Signal(syscall.SIGTERM))
-	r.WaitForExit()
+	server.Equal(command.ExitFailed, code)
+	server.Contains(out, "another process")
+	server.NoError(server.Process.Process.Signal(syscall.SIGTERM))
+	server.WaitForExit()
 	code, out = tool("compact", directory)
-	r.Zero(code, out)
-	r.Contains(out, "2 stamps kept")
+	server.Zero(code, out)
+	server.Contains(out, "2 stamps kept")
 	files, err := filepath.Glob(filepath.Join(directory, "*.seg"))
-	r.NoError(err)
-	r.Len(files, 1)
+	server.NoError(err)
+	server.Len(files, 1)
 	text, err := os.ReadFile(files[0])
-	r.NoError(err)
+	server.NoError(err)
 	text[len(text)/2] ^= 1
-	r.NoError(os.WriteFile(files[0], text, 0o600))
+	server.NoError(os.WriteFile(files[0], text, 0o600))
 	code, out = tool("verify", directory)
-	r.Equal(command.ExitFailed, code)
-	r.Contains(out, "garbled, lost=true")
+	server.Equal(command.ExitFailed, code)
+	server.Contains(out, "garbled, lost=true")
 	// Keyed requests whose records may be lost are rejected with a Retry-After; idempotent ones are served.
-	r.StartWithInterpreter(t, config)
-	r.Contains(r.LogText(), "event=store_corruption")
-	c = r.ConnectRouter()
-	c.SendTimedBook(1, "never heard of")
-	_, status, headers, _ := c.NextResponse()
-	r.Equal(503, status)
-	r.Contains(headers, "Back-Off-Ms: 1000")
-	c.SendLook(2, "1 harmless")
-	c.ExpectResponse(2, 200, "result of 1 harmless")
+	server.StartWithInterpreter(t, config)
+	server.Contains(server.LogText(), "event=store_corruption")
+	router = server.ConnectRouter()
+	router.SendTimedBook(1, "never heard of")
+	_, status, headers, _ := router.NextResponse()
+	server.Equal(503, status)
+	server.Contains(headers, "Back-Off-Ms: 1000")
+	router.SendLook(2, "1 harmless")
+	router.ExpectResponse(2, 200, "result of 1 harmless")
 }
 
 // What keyed requests pay for their intent records, and idempotent requests beside them.
@@ -181,25 +181,25 @@
 	}
 	base := map[string]*hdrhistogram.Histogram{}
 	for _, mode := range []string{"none", "process", "machine"} {
-		r := servertest.New(t)
+		server := servertest.New(t)
 		if mode != "none" {
-			r.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: "+mode+"\n")
+			server.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: "+mode+"\n")
 		}
-		config := r.Config
-		r.StartWithInterpreter(t, config)
-		c := r.ConnectRouter()
+		config := server.Config
+		server.StartWithInterpreter(t, config)
+		router := server.ConnectRouter()
 		times := map[string]*hdrhistogram.Histogram{"stamped": hdrhistogram.New(1, 60e6, 3),
 			"harmless": hdrhistogram.New(1, 60e6, 3)}
 		begun := time.Now()
 		for i := range n {
 			at := time.Now()
-			c.SendTimedBook(1, fmt.Sprint("key-", i))
-			c.ExpectResponse(1, 200, fmt.Sprint("result of 1 entry key-", i))
-			r.NoError(times["stamped"].RecordValue(time.Since(at).Microseconds()))
+			router.SendTimedBook(1, fmt.Sprint("key-", i))
+			router.ExpectResponse(1, 200, fmt.Sprint("result of 1 entry key-", i))
+			server.NoError(times["stamped"].RecordValue(time.Since(at).Microseconds()))
 			at = time.Now()
-			c.SendLook(2, "1 harmless")
-			c.ExpectResponse(2, 200, "result of 1 harmless")
-			r.NoError(times["harmless"].RecordValue(time.Since(at).Microseconds()))
+			router.SendLook(2, "1 harmless")
+			router.ExpectResponse(2, 200, "result of 1 harmless")
+			server.NoError(times["harmless"].RecordValue(time.Since(at).Microseconds()))
 		}
 		if mode == "none" {
 			base = times
@@ -210,6 +210,6 @@
 			times["stamped"].ValueAtQuantile(99),
 			times["stamped"].ValueAtQuantile(50)-base["stamped"].ValueAtQuantile(50),
 			float64(times["harmless"].ValueAtQuantile(50))/float64(base["harmless"].ValueAtQuantile(50)))
-		require.False(t, strings.Contains(r.LogText(), "store_rejections"))
+		require.False(t, strings.Contains(server.LogText(), "store_rejections"))
 	}
 }
--- a/internal/servertest/links.go
+++ b/internal/servertest/links.go
@@ -27,26 +27,26 @@
 
 // NextInterpreterLink accepts the program's next link to the interpreter, without a word said. lastNotice is the number
 // of the last notice sent on an earlier link.
-func (r *Server) NextInterpreterLink(lastNotice int) *InterpreterLink {
-	r.T.Helper()
-	return &InterpreterLink{Server: r, Link: r.NextLink(r.Interpreter), LastNotice: lastNotice}
+func (s *Server) NextInterpreterLink(lastNotice int) *InterpreterLink {
+	s.T.Helper()
+	return &InterpreterLink{Server: s, Link: s.NextLink(s.Interpreter), LastNotice: lastNotice}
 }
 
 // AcceptInterpreter accepts the program's link to the interpreter, checks the number of the last notice that it says,
 // and waits until it takes requests.
-func (r *Server) AcceptInterpreter(n int) *InterpreterLink {
-	r.T.Helper()
-	v := r.NextInterpreterLink(0)
-	r.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), r.ReadLine(v.Link))
-	r.WriteLine(v.Link, `{"type":"BANNER","state":"WARM","took":3600000}`)
-	c := r.ConnectRouter()
-	defer CloseQuietly(c)
-	r.Eventually(func() bool { // the hint is sent once the admission module has decided
-		c.Send(1, "/health", "", nil)
-		_, _, headers, _ := c.NextResponse()
+func (s *Server) AcceptInterpreter(n int) *InterpreterLink {
+	s.T.Helper()
+	interpreter := s.NextInterpreterLink(0)
+	s.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, n), s.ReadLine(interpreter.Link))
+	s.WriteLine(interpreter.Link, `{"type":"BANNER","state":"WARM","took":3600000}`)
+	router := s.ConnectRouter()
+	defer CloseQuietly(router)
+	s.Eventually(func() bool { // the hint is sent once the admission module has decided
+		router.Send(1, "/health", "", nil)
+		_, _, headers, _ := router.NextResponse()
 		return strings.Contains(headers, "Server-Hint: ")
 	}, EventTimeout, time.Millisecond)
-	return v
+	return interpreter
 }
 
 // NextCommand gives the next command other than a question for the gauges; those are answered.
@@ -93,23 +93,23 @@
 }
 
 // ConnectRouter connects as a router, and waits until the program listens.
-func (r *Server) ConnectRouter() *RouterLink {
-	r.T.Helper()
+func (s *Server) ConnectRouter() *RouterLink {
+	s.T.Helper()
 	var c net.Conn
-	r.Eventually(func() (up bool) {
+	s.Eventually(func() (up bool) {
 		var err error
-		c, err = net.Dial("tcp", r.Listen)
+		c, err = net.Dial("tcp", s.Listen)
 		return err == nil
 	}, EventTimeout, 5*time.Millisecond)
-	r.NoError(c.SetDeadline(time.Now().Add(EventTimeout)))
-	r.T.Cleanup(func() { CloseQuietly(c) })
-	return &RouterLink{r, emulator.NewLink(c)}
+	s.NoError(c.SetDeadline(time.Now().Add(EventTimeout)))
+	s.T.Cleanup(func() { CloseQuietly(c) })
+	return &RouterLink{s, emulator.NewLink(c)}
 }
 
 // NewRequestID gives the identifier of a new attempt.
-func (r *Server) NewRequestID() string {
-	r.requestCount++
-	return fmt.Sprintf("%016x", 0xabc0000+r.requestCount)
+func (s *Server) NewRequestID() string {
+	s.requestCount++
+	return fmt.Sprintf("%016x", 0xabc0000+s.requestCount)
 }
 
 // RequestParameters are the FastCGI parameters of an ordinary request.
@@ -168,12 +168,12 @@
 }
 
 // ServeOne sends a request, runs it and checks that its result is the response.
-func (v *InterpreterLink) ServeOne(c *RouterLink, slot uint16, body string) {
+func (v *InterpreterLink) ServeOne(router *RouterLink, slot uint16, body string) {
 	v.Server.T.Helper()
-	id := c.SendLook(slot, body)
+	id := router.SendLook(slot, body)
 	v.ExpectApply(id, body)
 	v.SendValue(id, "OK", "result of "+body)
-	c.ExpectResponse(slot, 200, "result of "+body)
+	router.ExpectResponse(slot, 200, "result of "+body)
 }
 
 // RequireClosed reads until the other side has closed the connection; a reset will do.
@@ -183,29 +183,29 @@
 }
 
 // RequireClosed reads until the other side has closed the connection; a reset will do.
-func (r *Server) RequireClosed(l *emulator.Link) {
-	r.T.Helper()
-	_, err := io.Copy(io.Discard, l.Reader)
+func (s *Server) RequireClosed(link *emulator.Link) {
+	s.T.Helper()
+	_, err := io.Copy(io.Discard, link.Reader)
 	if err != nil {
-		r.ErrorIs(err, syscall.ECONNRESET)
+		s.ErrorIs(err, syscall.ECONNRESET)
 	}
 }
 
 // ReadToEnd reads what is left up to the other side's close, which must not be a reset: a reset would have discarded
 // bytes.
-func (r *Server) ReadToEnd(l *emulator.Link) []byte {
-	r.T.Helper()
-	rest, err := io.ReadAll(l.Reader)
-	r.NoError(err)
+func (s *Server) ReadToEnd(link *emulator.Link) []byte {
+	s.T.Helper()
+	rest, err := io.ReadAll(link.Reader)
+	s.NoError(err)
 	return rest
 }
 
 // UnreadBytes is how many bytes the system holds, on both sides, of what was written to this connection.
-func (r *Server) UnreadBytes(l *emulator.Link) (sum int) {
-	r.T.Helper()
+func (s *Server) UnreadBytes(link *emulator.Link) (sum int) {
+	s.T.Helper()
 	port := func(a net.Addr) string { return fmt.Sprintf(":%04X", a.(*net.TCPAddr).Port) }
 	text, err := os.ReadFile("/proc/net/tcp")
-	r.NoError(err)
+	s.NoError(err)
 	for _, line := range strings.Split(string(text), "\n") {
 		f := strings.Fields(line)
 		if len(f) < 5 {
@@ -214,9 +214,9 @@
 		var sent, come int
 		_, _ = fmt.Sscanf(f[4], "%x:%x", &sent, &come)
 		switch {
-		case strings.HasSuffix(f[1], port(l.RemoteAddr())) && strings.HasSuffix(f[2], port(l.LocalAddr())):
+		case strings.HasSuffix(f[1], port(link.RemoteAddr())) && strings.HasSuffix(f[2], port(link.LocalAddr())):
 			sum += sent
-		case strings.HasSuffix(f[1], port(l.LocalAddr())) && strings.HasSuffix(f[2], port(l.RemoteAddr())):
+		case strings.HasSuffix(f[1], port(link.LocalAddr())) && strings.HasSuffix(f[2], port(link.RemoteAddr())):
 			sum += come
 		}
 	}
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -82,130 +82,130 @@
 }
 
 // NewEmulator listens on a free loopback address as the interpreter, the index or the directory.
-func (r *Server) NewEmulator() *emulator.Listener {
-	r.T.Helper()
-	s, err := emulator.Listen()
-	r.NoError(err)
-	r.T.Cleanup(func() { CloseQuietly(s) })
-	return s
+func (s *Server) NewEmulator() *emulator.Listener {
+	s.T.Helper()
+	listener, err := emulator.Listen()
+	s.NoError(err)
+	s.T.Cleanup(func() { CloseQuietly(listener) })
+	return listener
 }
 
 // NextLink waits for the program's next connection to an emulator.
-func (r *Server) NextLink(s *emulator.Listener) *emulator.Link {
-	r.T.Helper()
+func (s *Server) NextLink(listener *emulator.Listener) *emulator.Link {
+	s.T.Helper()
 	select {
-	case l := <-s.Links:
-		r.NoError(l.SetDeadline(time.Now().Add(EventTimeout)))
-		r.T.Cleanup(func() { CloseQuietly(l) })
-		return l
+	case link := <-listener.Links:
+		s.NoError(link.SetDeadline(time.Now().Add(EventTimeout)))
+		s.T.Cleanup(func() { CloseQuietly(link) })
+		return link
 	case <-time.After(EventTimeout):
-		r.FailNow("no link came")
+		s.FailNow("no link came")
 		return nil
 	}
 }
 
 // ReadLine reads a line from a connection, without its end.
-func (r *Server) ReadLine(l *emulator.Link) string {
-	r.T.Helper()
-	text, err := l.Reader.ReadString('\n')
-	r.NoError(err)
+func (s *Server) ReadLine(link *emulator.Link) string {
+	s.T.Helper()
+	text, err := link.Reader.ReadString('\n')
+	s.NoError(err)
 	return strings.TrimRight(text, "\r\n")
 }
 
 // WriteLine writes a formatted line to a connection.
-func (r *Server) WriteLine(l *emulator.Link, format string, args ...any) {
-	r.T.Helper()
-	_, err := fmt.Fprintf(l, format+"\n", args...)
-	r.NoError(err)
+func (s *Server) WriteLine(link *emulator.Link, format string, args ...any) {
+	s.T.Helper()
+	_, err := fmt.Fprintf(link, format+"\n", args...)
+	s.NoError(err)
 }
 
 // IndexCall waits for the downstream call of this request and gives the connection to the index on which it came.
-func (r *Server) IndexCall(id string) *emulator.Link {
-	r.T.Helper()
-	x := r.NextLink(r.Index)
-	r.Contains(r.ReadLine(x), "GET "+id)
-	r.ReadLine(x) // its body
-	return x
+func (s *Server) IndexCall(id string) *emulator.Link {
+	s.T.Helper()
+	index := s.NextLink(s.Index)
+	s.Contains(s.ReadLine(index), "GET "+id)
+	s.ReadLine(index) // its body
+	return index
 }
 
 // New makes the emulators and the configuration; the program is not started.
 func New(t *testing.T) *Server {
 	t.Helper()
-	r := &Server{Assertions: require.New(t), T: t}
-	r.Interpreter = r.NewEmulator()
-	r.Index = r.NewEmulator()
-	r.Directory = r.NewEmulator()
+	server := &Server{Assertions: require.New(t), T: t}
+	server.Interpreter = server.NewEmulator()
+	server.Index = server.NewEmulator()
+	server.Directory = server.NewEmulator()
 	var err error
-	r.Listen, err = emulator.FreeAddress()
-	r.NoError(err)
-	r.Config = fmt.Sprintf(`{"name":"n3","listen":%q,"vm":%q,"lookup":%q,"index":%q,"seed":"8c1f30d27a5be964",
+	server.Listen, err = emulator.FreeAddress()
+	server.NoError(err)
+	server.Config = fmt.Sprintf(`{"name":"n3","listen":%q,"vm":%q,"lookup":%q,"index":%q,"seed":"8c1f30d27a5be964",
 "stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":%s}`,
-		r.Listen, r.Interpreter.Address, r.Directory.Address, r.Index.Address, PlatformSettings)
-	return r
+		server.Listen, server.Interpreter.Address, server.Directory.Address, server.Index.Address, PlatformSettings)
+	return server
 }
 
 // WriteFiles writes the platform's configuration and our own settings to their files.
-func (r *Server) WriteFiles() {
-	r.T.Helper()
-	r.NoError(os.WriteFile(r.Path, []byte(r.Config), 0o600))
-	r.NoError(os.WriteFile(r.Path+".yaml", []byte(r.Service), 0o600))
+func (s *Server) WriteFiles() {
+	s.T.Helper()
+	s.NoError(os.WriteFile(s.Path, []byte(s.Config), 0o600))
+	s.NoError(os.WriteFile(s.Path+".yaml", []byte(s.Service), 0o600))
 }
 
 // Reload has the program read its files again and waits until it has logged the outcome.
-func (r *Server) Reload() {
-	r.T.Helper()
-	count := func(event string) int { return strings.Count(r.LogText(), "event="+event) }
+func (s *Server) Reload() {
+	s.T.Helper()
+	count := func(event string) int { return strings.Count(s.LogText(), "event="+event) }
 	said := count("configuration_")
 	read := count("configuration_read")
 	ready := count("plugins_ready")
-	r.WriteFiles()
-	r.NoError(r.Process.Process.Signal(syscall.SIGHUP))
-	r.Eventually(func() bool { return count("configuration_") > said }, EventTimeout, time.Millisecond)
-	if count("configuration_read") > read && strings.Contains(r.Service, "plugins:") {
-		r.Eventually(func() bool { return count("plugins_ready") > ready }, EventTimeout, time.Millisecond)
+	s.WriteFiles()
+	s.NoError(s.Process.Process.Signal(syscall.SIGHUP))
+	s.Eventually(func() bool { return count("configuration_") > said }, EventTimeout, time.Millisecond)
+	if count("configuration_read") > read && strings.Contains(s.Service, "plugins:") {
+		s.Eventually(func() bool { return count("plugins_ready") > ready }, EventTimeout, time.Millisecond)
 	}
 }
 
 // WriteFilesAndStart writes the files to a new folder and starts the program with them.
-func (r *Server) WriteFilesAndStart() {
-	r.T.Helper()
-	r.Path = filepath.Join(r.T.TempDir(), "config.json")
-	r.WriteFiles()
-	r.StartProcess()
+func (s *Server) WriteFilesAndStart() {
+	s.T.Helper()
+	s.Path = filepath.Join(s.T.TempDir(), "config.json")
+	s.WriteFiles()
+	s.StartProcess()
 }
 
 // StartProcess starts the program with the files that are there. At the end of the test it is killed, and its log must
 // show no data race and no violated invariant.
-func (r *Server) StartProcess() {
-	r.T.Helper()
+func (s *Server) StartProcess() {
+	s.T.Helper()
 	program, err := os.Executable()
-	r.NoError(err)
-	line := append(append(r.Wrapper, cmp.Or(r.Program, program)), r.Args...)
+	s.NoError(err)
+	line := append(append(s.Wrapper, cmp.Or(s.Program, program)), s.Args...)
 	process := exec.Command(line[0], line[1:]...)
 	log := &clustertest.LogBuffer{}
 	ended := make(chan struct{})
-	process.Env = append(os.Environ(), RunAsProgramEnv+"=1", "PROXY_CONFIG="+r.Path)
-	if r.Service != "" {
-		process.Env = append(process.Env, "THISTLEQUAY_SERVICE="+r.Path+".yaml")
+	process.Env = append(os.Environ(), RunAsProgramEnv+"=1", "PROXY_CONFIG="+s.Path)
+	if s.Service != "" {
+		process.Env = append(process.Env, "THISTLEQUAY_SERVICE="+s.Path+".yaml")
 	}
 	process.Stdout = log
 	process.Stderr = log
-	r.NoError(process.Start())
-	r.Process = process
-	r.output = log
-	r.ended = ended
+	s.NoError(process.Start())
+	s.Process = process
+	s.output = log
+	s.ended = ended
 	go func() {
 		_ = process.Wait() // the exit code is read from ProcessState
 		close(ended)
 	}()
-	r.T.Cleanup(func() {
+	s.T.Cleanup(func() {
 		_ = process.Process.Signal(syscall.SIGKILL) // it fails where the process has ended
 		<-ended
-		if r.T.Failed() {
-			r.T.Log(log.String())
+		if s.T.Failed() {
+			s.T.Log(log.String())
 		}
-		r.NotContains(log.String(), "DATA RACE")
-		r.NotContains(log.String(), "invariant_violated")
+		s.NotContains(log.String(), "DATA RACE")
+		s.NotContains(log.String(), "invariant_violated")
 	})
 }
 
@@ -214,43 +214,43 @@
 func CloseQuietly(c io.Closer) { _ = c.Close() }
 
 // LogText is what the program has logged so far.
-func (r *Server) LogText() string { return r.output.String() }
+func (s *Server) LogText() string { return s.output.String() }
 
 // Ended is closed once the process has exited.
-func (r *Server) Ended() <-chan struct{} { return r.ended }
+func (s *Server) Ended() <-chan struct{} { return s.ended }
 
 // WaitForLog waits until the program has logged this text.
-func (r *Server) WaitForLog(text string) {
-	r.T.Helper()
-	r.Eventually(func() bool { return strings.Contains(r.LogText(), text) }, EventTimeout, time.Millisecond)
+func (s *Server) WaitForLog(text string) {
+	s.T.Helper()
+	s.Eventually(func() bool { return strings.Contains(s.LogText(), text) }, EventTimeout, time.Millisecond)
 }
 
 // WaitForExit waits for the program's end and gives its exit code and log.
-func (r *Server) WaitForExit() (int, string) {
-	r.T.Helper()
+func (s *Server) WaitForExit() (int, string) {
+	s.T.Helper()
 	select {
-	case <-r.ended:
+	case <-s.ended:
 	case <-time.After(EventTimeout):
-		r.FailNow("the program does not end")
+		s.FailNow("the program does not end")
 	}
-	return r.Process.ProcessState.ExitCode(), r.output.String()
+	return s.Process.ProcessState.ExitCode(), s.output.String()
 }
 
 // Start starts a program and waits until it serves; it gives the interpreter's end of its link.
 func Start(t *testing.T) (*Server, *InterpreterLink) {
 	t.Helper()
-	r := New(t)
-	r.WriteFilesAndStart()
-	v := r.AcceptInterpreter(0)
-	return r, v
+	server := New(t)
+	server.WriteFilesAndStart()
+	interpreter := server.AcceptInterpreter(0)
+	return server, interpreter
 }
 
 // StartWith is Start with one replacement in the configuration.
 func StartWith(t *testing.T, from, to string) (*Server, *InterpreterLink) {
 	t.Helper()
-	r := New(t)
-	r.Contains(r.Config, from)
-	r.Config = strings.Replace(r.Config, from, to, 1)
-	r.WriteFilesAndStart()
-	return r, r.AcceptInterpreter(0)
+	server := New(t)
+	server.Contains(server.Config, from)
+	server.Config = strings.Replace(server.Config, from, to, 1)
+	server.WriteFilesAndStart()
+	return server, server.AcceptInterpreter(0)
 }
--- a/internal/servertest/subsystems.go
+++ b/internal/servertest/subsystems.go
@@ -16,14 +16,14 @@
 }
 
 // StartWithInterpreter starts another incarnation of the server with an interpreter of its own.
-func (r *Server) StartWithInterpreter(t *testing.T, config string) *emulator.Interpreter {
-	r.T.Helper()
+func (s *Server) StartWithInterpreter(t *testing.T, config string) *emulator.Interpreter {
+	s.T.Helper()
 	vm, err := emulator.NewInterpreter(4, 1)
-	r.NoError(err)
+	s.NoError(err)
 	t.Cleanup(vm.Close)
-	r.Config = strings.Replace(config, r.Interpreter.Address, vm.Address, 1)
-	r.WriteFilesAndStart()
-	r.WaitForLog("interpreter_up")
+	s.Config = strings.Replace(config, s.Interpreter.Address, vm.Address, 1)
+	s.WriteFilesAndStart()
+	s.WaitForLog("interpreter_up")
 	return vm
 }
 
@@ -36,10 +36,10 @@
 }
 
 // WriteModule writes a plug-in of a kind and gives the path of its file.
-func (r *Server) WriteModule(kind string) string {
-	r.T.Helper()
-	file := filepath.Join(r.T.TempDir(), kind+".wasm")
-	r.NoError(os.WriteFile(file, emulator.PluginModule(kind), 0o600))
+func (s *Server) WriteModule(kind string) string {
+	s.T.Helper()
+	file := filepath.Join(s.T.TempDir(), kind+".wasm")
+	s.NoError(os.WriteFile(file, emulator.PluginModule(kind), 0o600))
 	return file
 }
 
--- a/internal/simulation/config_test.go
+++ b/internal/simulation/config_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// length returns the length of a run in seconds: short in CI, and that of a real peak if MEASURE asks for the full measurement.
+// length returns the length of a run in seconds: short in CI, and that of a real peak if MEASURE asks for the full
+// measurement.
 func length() float64 {
 	if os.Getenv("MEASURE") == "full" {
 		return 300
