--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"fmt"
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -12,6 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 )
 
 // wireMessage is a type of the engine that has a form on the wire and on the disk.
@@ -75,24 +75,13 @@
 // TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten
 // a line.
 func TestGoldenSchedules(t *testing.T) {
-	lines := make([]string, 10)
-	t.Run("ten seeds", func(t *testing.T) {
-		for i := range lines {
-			t.Run(fmt.Sprint(10*i), func(t *testing.T) {
-				t.Parallel()
-				history := golden.NewHistory()
-				for seed := 10 * i; seed < 10*i+10; seed++ {
-					c := newCluster(t, int64(seed), clusterSize(seed))
-					c.history = history
-					healed := c.run()
-					history.Add("end", seed, healed, len(c.log), len(c.leaderSince), c.confirmations,
-						c.falseConfirmations)
-				}
-				lines[i] = fmt.Sprintf("seeds %d to %d: %s\n", 10*i, 10*i+9, history)
-			})
-		}
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
+		c := newCluster(t, seed, clusterSize(seed))
+		c.history = history
+		healed := c.run()
+		history.Add("end", seed, healed, len(c.log), len(c.leaderSince), c.confirmations, c.falseConfirmations)
 	})
-	golden.Check(t, "schedules.txt", []byte(strings.Join(lines, "")))
 }
 
 // TestGoldenState compares the bytes of a state whose every part is filled, as a host saves it.
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -1,22 +1,20 @@
 package consensus
 
 import (
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/schedule"
 )
 
 // Whatever fails, all voters agree on one order, a leader whose read index was confirmed did lead when it asked, and a
 // voter without its memory never harms what was agreed on.
 func TestVotersAgreeOnOneLogUnderFaults(t *testing.T) {
-	seeds := 20
-	if os.Getenv("MEASURE") == "full" {
-		seeds = 2000
-	}
+	seeds := schedule.Scale(20, 2000)
 	var committed, terms, confirmations, healed int
 	for seed := range seeds {
-		c := newCluster(t, int64(seed), clusterSize(seed))
+		c := newCluster(t, int64(seed), clusterSize(int64(seed)))
 		if c.run() {
 			healed++
 		}
@@ -31,4 +29,4 @@
 }
 
 // clusterSize returns 3 voters for even seeds and 5 for odd ones.
-func clusterSize(seed int) int { return 3 + 2*(seed%2) }
+func clusterSize(seed int64) int { return 3 + 2*int(seed%2) }
--- a/internal/fairqueue/golden_test.go
+++ b/internal/fairqueue/golden_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -23,30 +24,17 @@
 	}
 }
 
-// goldenLines plays groups of ten seeds and returns a line for each group.
-func goldenLines(
-	t *testing.T, groups int, play func(t *testing.T, seed int64, history *golden.History),
-) (lines []byte) {
-	t.Helper()
-	for group := range groups {
-		history := golden.NewHistory()
-		for seed := range 10 {
-			play(t, int64(group*10+seed), history)
-		}
-		lines = fmt.Appendf(lines, "seeds=%d..%d %s\n", group*10, group*10+9, history)
-	}
-	return lines
-}
-
 // TestGoldenReservations compares seeded schedules of reservations of named tenants with what was recorded.
 func TestGoldenReservations(t *testing.T) {
-	golden.Check(t, "claims.txt", goldenLines(t, 20, playReservations))
+	file := schedule.GoldenFile{Name: "claims.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds=%d..%d"}
+	file.Check(t, playReservations)
 }
 
 // TestGoldenTenants compares seeded schedules with tenants that are not named, reconfigurations and reports of other
 // servers with what was recorded.
 func TestGoldenTenants(t *testing.T) {
-	golden.Check(t, "tenants.txt", goldenLines(t, 20, playTenants))
+	file := schedule.GoldenFile{Name: "tenants.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds=%d..%d"}
+	file.Check(t, playTenants)
 }
 
 func playTenants(_ *testing.T, seed int64, history *golden.History) {
--- a/internal/fairqueue/remoteusage_test.go
+++ b/internal/fairqueue/remoteusage_test.go
@@ -146,7 +146,7 @@
 	movesToAll := func(tenant string, server, second int) bool {
 		return tenant == "beta" || server == 0 || second >= 20
 	}
-	var histories []byte
+	var histories golden.Histories
 	for _, c := range []struct {
 		name       string
 		servers    int
@@ -163,15 +163,14 @@
 		for _, loss := range []float64{0, 0.4} {
 			f := newFleet(c.servers, c.acmeWeight, loss, c.sends)
 			f.run(40)
-			histories = fmt.Appendf(histories, "servers=%d part=%g loss=%g %s\n",
-				c.servers, c.acmeWeight, loss, f.history)
+			histories.Add(fmt.Sprintf("servers=%d part=%g loss=%g", c.servers, c.acmeWeight, loss), f.history)
 			share := f.coreTime["acme"] / (f.coreTime["acme"] + f.coreTime["beta"])
 			t.Logf("measured tenants-doors case=%q servers=%d loss=%.1f entitled=%.3f part=%.3f",
 				c.name, c.servers, loss, c.want, share)
 			require.InDelta(t, c.want, share, 0.05, c.name)
 		}
 	}
-	golden.Check(t, "fleet.txt", histories)
+	histories.Check(t, "fleet.txt")
 }
 
 // TestRemoteUsageCountsOnce checks that reported usage counts once whatever is repeated, and that the first report of
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -44,7 +44,8 @@
 }
 
 // History is a running hash (FNV-1a, 64 bits) of everything that was added to it, in order. The zero value is not
-// usable; NewHistory makes one.
+// usable; NewHistory makes one. A nil History ignores what is added to it, so that a test can play the same schedule
+// with and without recording it.
 type History struct {
 	sum interface {
 		Write(p []byte) (int, error)
@@ -58,6 +59,9 @@
 
 // Add appends one event, its values printed with %v and separated by a byte that no value contains.
 func (h *History) Add(values ...any) {
+	if h == nil {
+		return
+	}
 	h.events++
 	for _, value := range values {
 		_, _ = fmt.Fprintf(h.sum, "%v\x1f", value) // a hash never fails to take bytes
@@ -69,3 +73,27 @@
 func (h *History) String() string {
 	return fmt.Sprintf("events=%d hash=%016x", h.events, h.sum.Sum64())
 }
+
+// Histories collects the histories that stand in one golden file, a line each. The zero value is empty.
+type Histories struct {
+	lines []byte
+}
+
+// Add appends a line: the label, a blank and the history.
+func (l *Histories) Add(label string, history *History) {
+	l.lines = fmt.Appendf(l.lines, "%s %s\n", label, history)
+}
+
+// Record runs play as the subtest of a name and adds the history that it filled, with the name as its label.
+func (l *Histories) Record(t *testing.T, name string, play func(t *testing.T, history *History)) {
+	t.Helper()
+	history := NewHistory()
+	t.Run(name, func(t *testing.T) { play(t, history) })
+	l.Add(name, history)
+}
+
+// Check compares the lines with a golden file, as the function of that name does.
+func (l *Histories) Check(t testing.TB, name string) {
+	t.Helper()
+	Check(t, name, l.lines)
+}
--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"crypto/ed25519"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"testing"
@@ -16,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/membership"
+	"thistlequay/internal/schedule"
 )
 
 var spoofedAddress = net.UDPAddr{IP: net.IPv4(10, 0, 0, 9), Port: 7946}
@@ -180,11 +180,7 @@
 		time.Sleep(time.Second)
 		require.GreaterOrEqual(t, c.target.Malformed.Load()-malformed, int64(3))
 
-		pause := 3 * time.Minute
-		if os.Getenv("MEASURE") == "full" {
-			pause = time.Hour
-		}
-		time.Sleep(pause)
+		time.Sleep(schedule.Scale(3*time.Minute, time.Hour))
 		replayed := c.recording.replay()
 		time.Sleep(20 * time.Second)
 		if !allInMajority(c.nodes, 5) {
--- a/internal/gossip/virtual_test.go
+++ b/internal/gossip/virtual_test.go
@@ -1,7 +1,6 @@
 package gossip
 
 import (
-	"os"
 	"slices"
 	"testing"
 	"testing/synctest"
@@ -10,15 +9,12 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/membership"
+	"thistlequay/internal/schedule"
 )
 
 // Memberlist and package membership as they are, in virtual time: how soon a death is known, and what the gossip costs.
 func TestMeasuredFailureDetectionInVirtualTime(t *testing.T) {
-	sizes := []int{12, 40}
-	if os.Getenv("MEASURE") == "full" {
-		sizes = []int{12, 40, 100, 300}
-	}
-	for _, size := range sizes {
+	for _, size := range schedule.Scale([]int{12, 40}, []int{12, 40, 100, 300}) {
 		synctest.Test(t, func(t *testing.T) { measureFailureDetection(t, size) })
 	}
 }
--- a/internal/membership/agreement_test.go
+++ b/internal/membership/agreement_test.go
@@ -1,20 +1,18 @@
 package membership
 
 import (
-	"os"
 	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/schedule"
 )
 
 // Two configurations are never in force at once, whatever happens to the network and the processes; and once the
 // network is well again, one is.
 func TestTwoConfigurationsAreNeverInForceAtOnce(t *testing.T) {
-	seeds := 100
-	if os.Getenv("MEASURE") == "full" {
-		seeds = 5000
-	}
+	seeds := schedule.Scale(100, 5000)
 	splitBrains, majorities, observations, healed, changes := 0, 0, 0, 0, 0
 	for seed := range seeds {
 		c := newCluster(int64(seed), 3+seed%7)
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -15,16 +15,15 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
 // The golden files were recorded before the package was renamed and split (issue 37). Their histories hold only bytes
 // as they go over the wire and numbers, so that no renaming moves them.
 
-const (
-	goldenSeeds = 100
-	goldenSteps = 400 // random calls per seed of TestGoldenRandomCalls
-)
+// goldenSteps is the number of random calls per seed of TestGoldenRandomCalls.
+const goldenSteps = 400
 
 // wire returns the CBOR encoding of a message in hexadecimal digits.
 func wire(message any) string {
@@ -87,18 +86,12 @@
 }
 
 // checkSeeds compares one line a seed with a golden file.
-func checkSeeds(t *testing.T, name string, play func(seed int64, h *golden.History)) {
-	var lines strings.Builder
-	for seed := range int64(goldenSeeds) {
-		h := golden.NewHistory()
-		play(seed, h)
-		fmt.Fprintf(&lines, "seed=%d %s\n", seed, h)
-	}
-	golden.Check(t, name, []byte(lines.String()))
+func checkSeeds(t *testing.T, name string, play func(t *testing.T, seed int64, h *golden.History)) {
+	schedule.GoldenFile{Name: name, Seeds: 100, SeedsPerLine: 1, Label: "seed=%[1]d"}.Check(t, play)
 }
 
 func TestGoldenSchedules(t *testing.T) {
-	checkSeeds(t, "schedules.txt", func(seed int64, h *golden.History) {
+	checkSeeds(t, "schedules.txt", func(_ *testing.T, seed int64, h *golden.History) {
 		c := newCluster(seed, 3+int(seed)%7)
 		c.history = h
 		c.runFaultSchedule()
@@ -106,7 +99,7 @@
 }
 
 func TestGoldenInterleavings(t *testing.T) {
-	checkSeeds(t, "interleavings.txt", func(seed int64, h *golden.History) {
+	checkSeeds(t, "interleavings.txt", func(_ *testing.T, seed int64, h *golden.History) {
 		random := rand.New(rand.NewSource(seed))
 		e := newElectors()
 		for range 60 {
@@ -126,7 +119,7 @@
 func TestGoldenScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
-	var lines strings.Builder
+	var histories golden.Histories
 	for _, file := range files {
 		h := golden.NewHistory()
 		playScenario(t, file, func(p *player) {
@@ -136,15 +129,15 @@
 				h.Add(wire(message))
 			}
 		})
-		fmt.Fprintf(&lines, "%s %s\n", filepath.Base(file), h)
+		histories.Add(filepath.Base(file), h)
 	}
-	golden.Check(t, "scenarios.txt", []byte(lines.String()))
+	histories.Check(t, "scenarios.txt")
 }
 
 // Random calls reach what the schedules do not: probes, dials, unusable updates, a full view, messages at the wrong
 // time.
 func TestGoldenRandomCalls(t *testing.T) {
-	checkSeeds(t, "calls.txt", func(seed int64, h *golden.History) {
+	checkSeeds(t, "calls.txt", func(_ *testing.T, seed int64, h *golden.History) {
 		c := newCaller(seed)
 		for range goldenSteps {
 			h.Add(c.call())
--- a/internal/membership/large_cluster_test.go
+++ b/internal/membership/large_cluster_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"math"
 	"math/rand"
-	"os"
 	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -190,11 +190,7 @@
 }
 
 func TestMeasuredLargeClusters(t *testing.T) {
-	sizes := []int{300}
-	if os.Getenv("MEASURE") == "full" {
-		sizes = []int{300, 1000, 3000}
-	}
-	for _, size := range sizes {
+	for _, size := range schedule.Scale([]int{300}, []int{300, 1000, 3000}) {
 		c := newLargeCluster(size)
 		begun := c.now
 		for c.now-begun < convergenceTimeout && !c.hasConverged() {
--- a/internal/plugin/chain/golden_test.go
+++ b/internal/plugin/chain/golden_test.go
@@ -1,10 +1,10 @@
 package chain
 
 import (
-	"fmt"
 	"testing"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -28,13 +28,6 @@
 
 // TestGoldenEvaluations compares what came of a hundred seeded schedules, a line for ten seeds, with what was recorded.
 func TestGoldenEvaluations(t *testing.T) {
-	var lines []byte
-	for group := range 10 {
-		history := golden.NewHistory()
-		for seed := range 10 {
-			playEvaluations(t, int64(group*10+seed), history)
-		}
-		lines = fmt.Appendf(lines, "seeds=%d..%d %s\n", group*10, group*10+9, history)
-	}
-	golden.Check(t, "walks.txt", lines)
+	file := schedule.GoldenFile{Name: "walks.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds=%d..%d"}
+	file.Check(t, playEvaluations)
 }
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -33,14 +33,13 @@
 
 // TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
 func TestScenarios(t *testing.T) {
-	var histories []byte
+	var histories golden.Histories
 	for _, file := range scenariofile.Files(t) {
-		history := golden.NewHistory()
-		name := scenariofile.Name(file)
-		t.Run(name, func(t *testing.T) { playScenario(t, file, history) })
-		histories = fmt.Appendf(histories, "%s %s\n", name, history)
+		histories.Record(t, scenariofile.Name(file), func(t *testing.T, history *golden.History) {
+			playScenario(t, file, history)
+		})
 	}
-	golden.Check(t, "scenarios.txt", histories)
+	histories.Check(t, "scenarios.txt")
 }
 
 // scenario is the state of a scenario that is being played.
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -11,6 +11,7 @@
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
+	"thistlequay/internal/schedule"
 )
 
 // What a record of the history is about. The numbers are part of the golden files.
@@ -66,15 +67,8 @@
 // The whole history of seeded schedules: every saved record, every message between servers byte for byte, every
 // reply, and what each server may use and takes for true after each step.
 func TestGoldenSchedules(t *testing.T) {
-	var recorded bytes.Buffer
-	for first := 0; first < 100; first += 10 {
-		history := golden.NewHistory()
-		for seed := first; seed < first+10; seed++ {
-			runSchedule(t, seed, history)
-		}
-		fmt.Fprintf(&recorded, "seeds %d to %d: %s\n", first, first+9, history)
-	}
-	golden.Check(t, "schedules.txt", recorded.Bytes())
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
 // The bytes of what the log carries and of the identity on the disk: decoded as a server does, and encoded again.
--- a/internal/quota/coordinator/rebalance_test.go
+++ b/internal/quota/coordinator/rebalance_test.go
@@ -1,12 +1,12 @@
 package coordinator
 
 import (
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/quota"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -85,11 +85,7 @@
 // What leases cost and how soon they follow, in virtual time: a steady uneven load; a load that moves to other
 // servers at once; a majority of the voters paused for a minute under a load for all that there is, then back.
 func TestLeasesFollowLoad(t *testing.T) {
-	sizes := []int{12, 40}
-	if os.Getenv("MEASURE") == "full" {
-		sizes = []int{12, 40, 300}
-	}
-	for _, servers := range sizes {
+	for _, servers := range schedule.Scale([]int{12, 40}, []int{12, 40, 300}) {
 		testLeasesFollowLoad(t, servers)
 	}
 }
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -1,21 +1,21 @@
 package coordinator
 
 import (
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
 // runSchedule plays the faults that a seed draws, mends everything and plays on. It records what happens where a
 // history is given.
-func runSchedule(t *testing.T, seed int, history *golden.History) *cluster {
+func runSchedule(t *testing.T, seed int64, history *golden.History) *cluster {
 	t.Helper()
-	c := newCluster(int64(seed), 3+seed%6, seed%2 == 1)
+	c := newCluster(seed, 3+int(seed%6), seed%2 == 1)
 	c.history = history
 	c.run(12_000)
 	for range 12 {
@@ -43,13 +43,10 @@
 // The sum of what is usable and in use never exceeds the total in force, at every instant of true time, whatever
 // happens to coordinators, holders and the network. When everything works again, most of the total is in use again.
 func TestUsableNeverExceedsTotalThroughFaults(t *testing.T) {
-	seeds := 40
-	if os.Getenv("MEASURE") == "full" {
-		seeds = 3000
-	}
+	seeds := schedule.Scale(40, 3000)
 	checks, leaderChanges, leasesGranted, healed := 0, 0, 0, 0
 	for seed := range seeds {
-		c := runSchedule(t, seed, nil)
+		c := runSchedule(t, int64(seed), nil)
 		if 10*c.usedSum > 7*c.totalSum {
 			healed++
 		}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -10,32 +10,20 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 )
 
-// recordSchedules plays seeds and writes a line with the hash of the history for every ten of them.
-func recordSchedules(seeds int, play func(seed int, history *golden.History)) []byte {
-	var recorded bytes.Buffer
-	for first := 0; first < seeds; first += 10 {
-		history := golden.NewHistory()
-		for seed := first; seed < first+10; seed++ {
-			play(seed, history)
-		}
-		fmt.Fprintf(&recorded, "seeds %d to %d: %s\n", first, first+9, history)
-	}
-	return recorded.Bytes()
-}
-
 // The whole history of seeded schedules: every request, response and change, and what each holder may use after each
 // step.
 func TestGoldenSchedules(t *testing.T) {
-	recorded := recordSchedules(200, func(seed int, history *golden.History) { runSchedule(t, seed, history) })
-	golden.Check(t, "schedules.txt", recorded)
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
 // The same for limit sets: every message, command and snapshot byte for byte, and operators' status rows.
 func TestGoldenLimitSets(t *testing.T) {
-	recorded := recordSchedules(100, func(seed int, history *golden.History) { runLimitSets(t, int64(seed), history) })
-	golden.Check(t, "books.txt", recorded)
+	file := schedule.GoldenFile{Name: "books.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file.Check(t, runLimitSets)
 }
 
 // The bytes of every message and stored record, each key with a value and without.
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -1,19 +1,19 @@
 package quota
 
 import (
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
 // runSchedule plays the faults that a seed draws, and records what happens where a history is given.
-func runSchedule(t *testing.T, seed int, history *golden.History) *cluster {
+func runSchedule(t *testing.T, seed int64, history *golden.History) *cluster {
 	t.Helper()
-	c := newCluster(int64(seed), 3+seed%10)
+	c := newCluster(seed, 3+int(seed%10))
 	c.history = history
 	c.elect(0)
 	for range 25 {
@@ -30,13 +30,10 @@
 
 // The sum of what is usable or in use never exceeds the total in force, at every instant of true time.
 func TestUsableNeverExceedsTotal(t *testing.T) {
-	seeds := 250
-	if os.Getenv("MEASURE") == "full" {
-		seeds = 5000
-	}
+	seeds := schedule.Scale(250, 5000)
 	checks := 0
 	for seed := range seeds {
-		checks += runSchedule(t, seed, nil).checks
+		checks += runSchedule(t, int64(seed), nil).checks
 	}
 	t.Logf("measured shares-schedules seeds=%d looks=%d over=0", seeds, checks)
 }
--- /dev/null
+++ b/internal/schedule/golden.go
@@ -0,0 +1,46 @@
+package schedule
+
+import (
+	"fmt"
+	"testing"
+
+	"thistlequay/internal/golden"
+)
+
+// GoldenFile is a golden file of what came of seeded schedules, from seed 0 on. Each line has a label and the history
+// of one or more seeds.
+type GoldenFile struct {
+	// Name is the file's name in testdata/golden.
+	Name string
+	// Seeds is the number of seeds, a multiple of SeedsPerLine.
+	Seeds int
+	// SeedsPerLine is the number of seeds whose history is one line.
+	SeedsPerLine int
+	// Label is the format of a line's label; its operands are the first and the last seed of the line.
+	Label string
+}
+
+// Check plays all seeds, each line in a parallel subtest named after its first seed, and compares what they added to
+// their histories with the file. It returns when all have ended.
+func (f GoldenFile) Check(t *testing.T, play func(t *testing.T, seed int64, history *golden.History)) {
+	t.Helper()
+	lines := make([]*golden.History, f.Seeds/f.SeedsPerLine)
+	t.Run("seeds", func(t *testing.T) {
+		for i := range lines {
+			first := i * f.SeedsPerLine
+			lines[i] = golden.NewHistory()
+			t.Run(fmt.Sprint(first), func(t *testing.T) {
+				t.Parallel()
+				for seed := first; seed < first+f.SeedsPerLine; seed++ {
+					play(t, int64(seed), lines[i])
+				}
+			})
+		}
+	})
+	var histories golden.Histories
+	for i, history := range lines {
+		first := i * f.SeedsPerLine
+		histories.Add(fmt.Sprintf(f.Label, first, first+f.SeedsPerLine-1), history)
+	}
+	histories.Check(t, f.Name)
+}
