--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -26,13 +27,9 @@
 // cluster is a set of voters in virtual time. Messages are lost, delayed and duplicated, links are cut one way and
 // both, voters stand still, crash and come back with what they saved, or under another id without it.
 type cluster struct {
+	schedule.Network[envelope]
 	t                  *testing.T
-	random             *rand.Rand
-	now                timeunit.Milliseconds
 	members            []*member
-	blocked            map[[2]int]bool // links by the indexes of sender and receiver
-	lossRate           float64
-	inFlight           []envelope
 	lastID             uint64
 	log                [][]byte                         // what is committed, as the first voter to apply it had it
 	leaderSince        map[uint64]timeunit.Milliseconds // by term: since when a voter knows that it leads
@@ -43,22 +40,18 @@
 	history            *golden.History // of all that the voters put out; nil where it isn't wanted
 }
 
-// member is a voter and its disk.
+// member is a voter and its disk. The incarnation of the process is the voter's id.
 type member struct {
-	voter       *Voter
-	id          uint64
-	state       PersistentState // what is durable
-	applied     int             // entries applied
-	pausedUntil timeunit.Milliseconds
-	down        bool
+	schedule.Process
+	voter   *Voter
+	state   PersistentState // what is durable
+	applied int             // entries applied
 }
 
-// envelope is a message under way.
+// envelope is a message and the voter that sent it.
 type envelope struct {
-	deliverAt timeunit.Milliseconds
-	from      uint64
-	to        uint64
-	data      []byte
+	from uint64
+	data []byte
 }
 
 type readRequest struct {
@@ -68,9 +61,8 @@
 
 func newCluster(t *testing.T, seed int64, size int) *cluster {
 	c := &cluster{
+		Network:     schedule.NewNetwork[envelope](schedule.NewSimulation(seed, 0), maxDelay),
 		t:           t,
-		random:      rand.New(rand.NewSource(seed)),
-		blocked:     map[[2]int]bool{},
 		leaderSince: map[uint64]timeunit.Milliseconds{},
 		readAskedAt: map[readRequest]timeunit.Milliseconds{},
 		lastID:      uint64(size),
@@ -80,23 +72,25 @@
 		ids = append(ids, uint64(i+1))
 	}
 	for _, id := range ids {
-		m := &member{id: id, voter: c.startVoter(id, nil, ids)}
+		m := &member{voter: c.startVoter(id, nil, ids)}
+		m.Start(id)
 		m.state = m.voter.InitialState()
 		c.members = append(c.members, m)
+		c.Join(&m.Process)
 	}
 	return c
 }
 
 func (c *cluster) startVoter(id uint64, saved *PersistentState, firstVoters []uint64) *Voter {
 	c.t.Helper()
-	random := rand.New(rand.NewSource(c.random.Int63()))
-	voter, err := New(DefaultConfig(id), saved, firstVoters, random, c.now)
+	random := rand.New(rand.NewSource(c.Random.Int63()))
+	voter, err := New(DefaultConfig(id), saved, firstVoters, random, c.Now)
 	require.NoError(c.t, err)
 	return voter
 }
 
 func (c *cluster) indexOf(id uint64) int {
-	return slices.IndexFunc(c.members, func(m *member) bool { return m.id == id })
+	return slices.IndexFunc(c.members, func(m *member) bool { return m.Incarnation == id })
 }
 
 // persist stores what a voter wants durable on top of what its disk has.
@@ -139,7 +133,9 @@
 		c.record(m, ready)
 		m.persist(ready.State)
 		for _, message := range ready.Messages {
-			c.send(sender, message)
+			if receiver := c.indexOf(message.To); receiver >= 0 {
+				c.Send(sender, receiver, envelope{from: m.Incarnation, data: message.Data})
+			}
 		}
 		if ready.Snapshot != nil {
 			m.applySnapshot(ready.Snapshot)
@@ -159,26 +155,6 @@
 	}
 }
 
-// send puts a message on its way, one in ten of them twice, unless it is lost.
-func (c *cluster) send(sender int, message Message) {
-	receiver := c.indexOf(message.To)
-	if receiver < 0 {
-		return
-	}
-	for range 1 + c.random.Intn(10)/9 {
-		if c.blocked[[2]int{sender, receiver}] || c.random.Float64() < c.lossRate {
-			continue
-		}
-		delay := timeunit.Milliseconds(1 + c.random.Intn(maxDelay))
-		c.inFlight = append(c.inFlight, envelope{
-			deliverAt: c.now + delay,
-			from:      c.members[sender].id,
-			to:        message.To,
-			data:      message.Data,
-		})
-	}
-}
-
 // apply applies a committed entry and checks that all voters have the same in its place.
 func (c *cluster) apply(m *member, data []byte) {
 	if m.applied == len(c.log) {
@@ -190,7 +166,7 @@
 
 // checkConfirmation counts a confirmed read as false where a later leader was there before the question.
 func (c *cluster) checkConfirmation(m *member, token uint64) {
-	askedAt, asked := c.readAskedAt[readRequest{m.id, token}]
+	askedAt, asked := c.readAskedAt[readRequest{m.Incarnation, token}]
 	require.True(c.t, asked)
 	c.confirmations++
 	for term, since := range c.leaderSince {
@@ -202,25 +178,16 @@
 
 // advance moves the time on by one step: messages that are due arrive, then every voter ticks.
 func (c *cluster) advance() {
-	c.now += stepLength
-	arriving := c.inFlight
-	c.inFlight = nil
-	for _, e := range arriving {
-		receiver := c.indexOf(e.to)
-		switch {
-		case receiver < 0 || c.members[receiver].down:
-		case e.deliverAt > c.now || c.members[receiver].pausedUntil > c.now:
-			c.inFlight = append(c.inFlight, e)
-		default:
-			c.members[receiver].voter.Step(e.from, e.data)
-			c.deliverReady(receiver)
-		}
-	}
+	c.Now += stepLength
+	c.Deliver(func(receiver int, e envelope) {
+		c.members[receiver].voter.Step(e.from, e.data)
+		c.deliverReady(receiver)
+	})
 	for i, m := range c.members {
-		if m.down || m.pausedUntil > c.now {
+		if !m.IsRunning(c.Now) {
 			continue
 		}
-		m.voter.Tick(c.now)
+		m.voter.Tick(c.Now)
 		c.deliverReady(i)
 		if m.voter.IsLeader() {
 			c.lead(m)
@@ -232,45 +199,44 @@
 // lead has a leader propose now and then, ask for a read index, and want all members as voters.
 func (c *cluster) lead(m *member) {
 	if _, known := c.leaderSince[m.voter.Term()]; !known {
-		c.leaderSince[m.voter.Term()] = c.now
+		c.leaderSince[m.voter.Term()] = c.Now
 	}
-	if c.random.Intn(3) == 0 {
+	if c.Random.Intn(3) == 0 {
 		c.lastProposal++
 		m.voter.Propose(binary.BigEndian.AppendUint64(nil, c.lastProposal))
 	}
 	if token, asked := m.voter.ReadIndex(); asked {
-		c.readAskedAt[readRequest{m.id, token}] = c.now
+		c.readAskedAt[readRequest{m.Incarnation, token}] = c.Now
 	}
 	var ids []uint64
 	for _, other := range c.members {
-		ids = append(ids, other.id)
+		ids = append(ids, other.Incarnation)
 	}
 	m.voter.SetDesiredVoters(ids)
 }
 
 // injectFault lets one fault happen, or ends some.
 func (c *cluster) injectFault() {
-	victim := c.random.Intn(len(c.members))
+	victim := c.Random.Intn(len(c.members))
 	m := c.members[victim]
-	switch c.random.Intn(8) {
+	switch c.Random.Intn(8) {
 	case 0: // crashes; it comes back with what it saved
-		m.down = true
+		m.IsDown = true
 	case 1:
-		m.pausedUntil = c.now + timeunit.Milliseconds(c.random.Intn(maxPause))
+		m.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(maxPause))
 	case 2:
 		c.partition()
 	case 3:
-		c.blocked[[2]int{victim, c.random.Intn(len(c.members))}] = true
+		c.Cut(victim, c.Random.Intn(len(c.members)))
 	case 4:
-		clear(c.blocked)
-		c.lossRate = 0
+		c.Heal()
 	case 5:
-		c.lossRate = c.random.Float64() * 0.3
+		c.LossRate = c.Random.Float64() * 0.3
 	case 6: // loses its memory, if the others are there to vote its new id in
 		if !slices.ContainsFunc(c.members, c.isAbsent) {
 			c.lastID++
-			*m = member{id: c.lastID}
-			m.voter = c.startVoter(m.id, nil, nil)
+			*m = member{voter: c.startVoter(c.lastID, nil, nil)}
+			m.Start(c.lastID)
 		}
 	case 7:
 		c.restartStopped()
@@ -279,26 +245,25 @@
 
 // partition cuts the cluster into two random halves.
 func (c *cluster) partition() {
-	order := c.random.Perm(len(c.members))
-	for i := range order {
-		for j := range order {
-			c.blocked[[2]int{i, j}] = order[i]%2 != order[j]%2
-		}
+	groups := c.Random.Perm(len(c.members))
+	for i := range groups {
+		groups[i] %= 2
 	}
+	c.Partition(groups)
 }
 
 // isAbsent reports whether a member is down, or new and has not caught up.
 func (c *cluster) isAbsent(m *member) bool {
-	isNew := m.id > uint64(len(c.members))
-	return m.down || isNew && m.applied == 0
+	isNew := m.Incarnation > uint64(len(c.members))
+	return m.IsDown || isNew && m.applied == 0
 }
 
 func (c *cluster) restartStopped() {
 	for _, m := range c.members {
-		if m.down {
-			m.down = false
+		if m.IsDown {
+			m.IsDown = false
 			m.applySnapshot(m.state.Snapshot.Data)
-			m.voter = c.startVoter(m.id, &m.state, nil)
+			m.voter = c.startVoter(m.Incarnation, &m.state, nil)
 		}
 	}
 }
@@ -307,18 +272,11 @@
 func (c *cluster) run() (healed bool) {
 	for range faults {
 		c.injectFault()
-		c.advanceFor(timeunit.Milliseconds(minFaultGap + c.random.Intn(maxFaultGap-minFaultGap)))
+		c.RunFor(timeunit.Milliseconds(minFaultGap+c.Random.Intn(maxFaultGap-minFaultGap)), c.advance)
 	}
-	clear(c.blocked)
-	c.lossRate = 0
+	c.Heal()
 	c.restartStopped()
 	before := len(c.log)
-	c.advanceFor(calmAtTheEnd)
+	c.RunFor(calmAtTheEnd, c.advance)
 	return len(c.log) > before
 }
-
-func (c *cluster) advanceFor(span timeunit.Milliseconds) {
-	for end := c.now + span; c.now < end; {
-		c.advance()
-	}
-}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -67,7 +67,7 @@
 	for _, id := range m.voter.Voters() {
 		number(id)
 	}
-	c.history.Add(int64(c.now), m.id, m.voter.Term(), m.voter.Leader(), m.voter.IsLeader(), len(ready.State.Entries),
+	c.history.Add(int64(c.Now), m.Incarnation, m.voter.Term(), m.voter.Leader(), m.voter.IsLeader(), len(ready.State.Entries),
 		len(ready.Messages), len(ready.Committed), len(ready.ConfirmedReads), ready.Snapshot != nil, len(all),
 		xxh3.Hash(all))
 }
@@ -98,7 +98,7 @@
 	got := fmt.Sprintf("hard %x\nsnapshot %x\nentry %x\n", encoded(t, &hard, &raftpb.HardState{}),
 		encoded(t, &snapshot, &raftpb.Snapshot{}), encoded(t, &entry, &raftpb.Entry{}))
 	saved := PersistentState{HardState: hard, Snapshot: snapshot, Entries: []Entry{entry}}
-	voter, err := New(DefaultConfig(5), &saved, nil, newCluster(t, 1, 3).random, 0)
+	voter, err := New(DefaultConfig(5), &saved, nil, newCluster(t, 1, 3).Random, 0)
 	require.NoError(t, err)
 	initial := voter.InitialState()
 	got += fmt.Sprintf("hard %x\nsnapshot %x\n", encoded(t, &initial.HardState, &raftpb.HardState{}),
--- /dev/null
+++ b/internal/schedule/network_test.go
@@ -0,0 +1,116 @@
+package schedule_test
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/schedule"
+)
+
+// testNetwork is a network of three processes, and what each has received.
+type testNetwork struct {
+	schedule.Network[int]
+	processes [3]schedule.Process
+	received  [3][]int
+}
+
+func newTestNetwork(seed int64) *testNetwork {
+	n := &testNetwork{Network: schedule.NewNetwork[int](schedule.NewSimulation(seed, 0), 10)}
+	for i := range n.processes {
+		n.processes[i].Start(uint64(i + 1))
+		n.Join(&n.processes[i])
+	}
+	return n
+}
+
+// step delivers all that was sent before.
+func (n *testNetwork) step() {
+	n.Now += 10
+	n.Deliver(func(to, message int) { n.received[to] = append(n.received[to], message) })
+}
+
+func TestNetworkLosesDelaysAndDuplicates(t *testing.T) {
+	n := newTestNetwork(1)
+	n.LossRate = 0.5
+	const sent = 10_000
+	for message := range sent {
+		n.Send(0, 1, message)
+	}
+	arrivals := 0
+	for n.Now < 10 {
+		n.Now++
+		before := len(n.received[1])
+		n.Deliver(func(to, message int) { n.received[to] = append(n.received[to], message) })
+		if len(n.received[1]) > before {
+			arrivals++
+		}
+	}
+	require.InEpsilon(t, sent*1.1*0.5, len(n.received[1]), 0.05)
+	require.Equal(t, 10, arrivals, "a delay from 1 to 10 ms")
+	require.False(t, slices.IsSorted(n.received[1]), "messages overtake each other")
+	again := newTestNetwork(1)
+	again.LossRate = 0.5
+	for message := range sent {
+		again.Send(0, 1, message)
+	}
+	again.step()
+	require.ElementsMatch(t, n.received[1], again.received[1], "the same seed")
+}
+
+func TestCutLinkLosesOneDirection(t *testing.T) {
+	n := newTestNetwork(1)
+	n.Cut(0, 1)
+	require.True(t, n.IsCut(0, 1))
+	n.Send(0, 1, 1)
+	n.Send(1, 0, 2)
+	n.step()
+	require.Empty(t, n.received[1])
+	require.Contains(t, n.received[0], 2)
+}
+
+func TestPartitionLastsUntilTheNetworkHeals(t *testing.T) {
+	n := newTestNetwork(1)
+	n.Cut(0, 1)
+	n.Partition([]int{0, 0, 1})
+	n.Send(0, 1, 1) // within a group, links are mended
+	n.Send(0, 2, 2)
+	n.Send(2, 1, 3)
+	n.step()
+	require.Contains(t, n.received[1], 1)
+	require.NotContains(t, n.received[1], 3)
+	require.Empty(t, n.received[2])
+	n.LossRate = 1
+	n.Heal()
+	n.Send(0, 2, 4)
+	n.step()
+	require.Contains(t, n.received[2], 4)
+}
+
+func TestMessagesWaitForPausedProcessAndMissRestartedOne(t *testing.T) {
+	n := newTestNetwork(1)
+	n.processes[0].PausedUntil = 25
+	n.processes[1].IsDown = true
+	n.SendAfter(10, 0, 1)
+	n.SendAfter(10, 1, 2)
+	n.SendAfter(30, 2, 3)
+	n.step()
+	require.Equal(t, [3][]int{}, n.received)
+	n.processes[1].Start(10)
+	n.processes[2].Start(11)
+	require.True(t, n.processes[1].IsRunning(n.Now))
+	n.RunFor(30, n.step)
+	require.Equal(t, [3][]int{{1}}, n.received)
+}
+
+func TestLocalClockDrifts(t *testing.T) {
+	clock := schedule.LocalClock{Rate: 0.5, Offset: 100}
+	require.EqualValues(t, 600, clock.At(1000))
+	simulation := schedule.NewSimulation(1, 0)
+	for range 1000 {
+		drawn := simulation.NewLocalClock(0.1, 50)
+		require.InDelta(t, 1, drawn.Rate, 0.05)
+		require.True(t, drawn.Offset >= 0 && drawn.Offset < 50)
+	}
+}
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,5 +1,10 @@
 // Package schedule plays seeded schedules of faults against code that takes its time and its randomness from outside.
-// GoldenFile compares what came of many seeds with a recorded file.
+// A test embeds a Network in the cluster that it simulates: the Network has the virtual time, the random source, the
+// messages in flight between processes, and the faults that links and processes can have. GoldenFile compares what
+// came of many seeds with a recorded file.
+//
+// What a seed stands for depends on the order of the draws from the random source. Each function says what it draws;
+// another order would move every recorded schedule.
 package schedule
 
 import "os"
