--- a/internal/quota/coordinator/cluster_faults_test.go
+++ b/internal/quota/coordinator/cluster_faults_test.go
@@ -10,39 +10,38 @@
 
 // injectFault changes something at random. The numbers of the cases are part of what a seed plays.
 func (c *cluster) injectFault() {
-	i := c.random.Intn(len(c.servers))
+	i := c.Random.Intn(len(c.servers))
 	s := c.servers[i]
-	switch c.random.Intn(13) {
+	switch c.Random.Intn(13) {
 	case 0: // killed, perhaps started again at once
 		c.stopServer(i)
-		if c.random.Intn(2) == 0 {
+		if c.Random.Intn(2) == 0 {
 			c.startServer(i, false)
 		}
 	case 1:
-		s.pausedUntil = c.now + timeunit.Milliseconds(c.random.Intn(10000))
+		s.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(10000))
 	case 2:
-		c.partition()
+		c.partitionAtRandom()
 	case 3:
-		c.blocked[[2]int{i, c.random.Intn(len(c.servers))}] = true
+		c.Cut(i, c.Random.Intn(len(c.servers)))
 	case 4, 5:
-		clear(c.blocked)
-		c.lossRate = 0
+		c.Heal()
 	case 6:
-		c.lossRate = c.random.Float64() * 0.4
+		c.LossRate = c.Random.Float64() * 0.4
 	case 7:
 		c.restartStopped()
 	case 8: // one asks for everything
 		s.load = 10 * c.limit.Total
 	case 9:
 		for _, other := range c.servers {
-			other.load = quota.Amount(c.random.Intn(30)) * quota.Unit
+			other.load = quota.Amount(c.Random.Intn(30)) * quota.Unit
 		}
 	case 10: // the total changes while it is in use, at one server first
-		s.revision = uint64(c.now)
-		s.total = c.limit.Total * quota.Amount(1+c.random.Intn(4)) / 2
+		s.revision = uint64(c.Now)
+		s.total = c.limit.Total * quota.Amount(1+c.Random.Intn(4)) / 2
 	case 11: // its disk is gone, full or slow
-		s.disk = diskState(c.random.Intn(3))
-		if c.random.Intn(3) == 0 {
+		s.disk = diskState(c.Random.Intn(3))
+		if c.Random.Intn(3) == 0 {
 			s.state = nil
 			c.stopServer(i)
 		}
@@ -51,27 +50,23 @@
 	}
 }
 
-// partition cuts the servers into two or three groups at random.
-func (c *cluster) partition() {
+// partitionAtRandom cuts the servers into two or three groups.
+func (c *cluster) partitionAtRandom() {
 	groups := make([]int, len(c.servers))
 	for i := range groups {
-		groups[i] = c.random.Intn(2 + c.random.Intn(2))
-	}
-	for a := range groups {
-		for b := range groups {
-			c.blocked[[2]int{a, b}] = groups[a] != groups[b]
-		}
+		groups[i] = c.Random.Intn(2 + c.Random.Intn(2))
 	}
+	c.Partition(groups)
 }
 
 // stopLeaders pauses or kills whoever leads.
 func (c *cluster) stopLeaders() {
 	for i, s := range c.servers {
-		if s.isDown || !s.coordinator.IsLeader() {
+		if s.IsDown || !s.coordinator.IsLeader() {
 			continue
 		}
-		if c.random.Intn(2) == 0 {
-			s.pausedUntil = c.now + 5000
+		if c.Random.Intn(2) == 0 {
+			s.PausedUntil = c.Now + 5000
 		} else {
 			c.stopServer(i)
 		}
@@ -82,7 +77,7 @@
 func (c *cluster) restartStopped() {
 	for i, s := range c.servers {
 		s.disk = diskWorks
-		if s.isDown {
+		if s.IsDown {
 			c.startServer(i, false)
 		}
 	}
@@ -97,7 +92,7 @@
 	case diskFull:
 		return false
 	case diskSlow:
-		s.pausedUntil = c.now + timeunit.Milliseconds(c.random.Intn(700))
+		s.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(700))
 	case diskWorks:
 	}
 	state := &ready.State
--- a/internal/quota/coordinator/cluster_test.go
+++ b/internal/quota/coordinator/cluster_test.go
@@ -9,6 +9,7 @@
 	"thistlequay/internal/consensus"
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -17,14 +18,10 @@
 // what they saved, clocks run apart. The view of the cluster is as package membership has it: one side at most is the
 // majority, and another configuration is in force only when all that went before has expired.
 type cluster struct {
-	random   *rand.Rand
-	now      timeunit.Milliseconds // true time
-	config   Config
-	limit    quota.LimitConfig
-	servers  []*server
-	blocked  map[[2]int]bool // links by server, from and to
-	lossRate float64
-	inFlight []envelope
+	schedule.Network[handler]
+	config  Config
+	limit   quota.LimitConfig
+	servers []*server
 
 	lastIncarnation uint64
 	view            ClusterView // of the majority
@@ -49,14 +46,11 @@
 
 // server is a coordinator, a lease holder, a disk, and the work that is in use.
 type server struct {
+	schedule.Process
+	localClock   schedule.LocalClock
 	coordinator  *Coordinator
 	holder       *quota.LeaseHolder
 	name         string
-	incarnation  uint64
-	clockRate    float64
-	clockOffset  timeunit.Milliseconds
-	pausedUntil  timeunit.Milliseconds
-	isDown       bool
 	releaseTimes []timeunit.Milliseconds // of what is in use, a unit each, by true time
 	load         quota.Amount            // that it would have in use
 	viewedAt     timeunit.Milliseconds
@@ -80,19 +74,12 @@
 
 func (s *server) inUse() quota.Amount { return quota.Amount(len(s.releaseTimes)) * quota.Unit }
 
-// isRunning reports whether the server is neither down nor paused.
-func (c *cluster) isRunning(s *server) bool { return !s.isDown && s.pausedUntil <= c.now }
-
-// envelope is a message on its way to one incarnation of a server.
-type envelope struct {
-	deliverAt   timeunit.Milliseconds
-	to          int
-	incarnation uint64
-	deliver     func(*server)
-}
+// handler is a message on its way, as what its receiver does with it.
+type handler func(receiver *server)
 
 const (
 	configDigest = 7
+	maxDelay     = 80 // of a message
 
 	// incarnationFactor keeps the incarnation apart from the log in the number of a voter.
 	incarnationFactor = 1000
@@ -104,9 +91,7 @@
 
 func newCluster(seed int64, servers int, hasNamedCoordinators bool) *cluster {
 	c := &cluster{
-		random:      rand.New(rand.NewSource(seed)),
-		now:         1000,
-		blocked:     map[[2]int]bool{},
+		Network:     schedule.NewNetwork[handler](schedule.NewSimulation(seed, 1000), maxDelay),
 		seenLeaders: map[uint64]bool{},
 		limit: quota.LimitConfig{
 			Total:             quota.Amount(servers) * 10 * quota.Unit,
@@ -127,15 +112,14 @@
 		c.config.LogID = 99
 	}
 	for i := range servers {
-		clockRate := 1 + 0.18*(c.random.Float64()-0.5)
-		clockOffset := timeunit.Milliseconds(c.random.Intn(1e6))
-		c.servers = append(c.servers, &server{
-			name:        fmt.Sprint("s", i),
-			clockRate:   clockRate,
-			clockOffset: clockOffset,
-			total:       c.limit.Total,
-			revision:    1,
-		})
+		s := &server{
+			localClock: c.NewLocalClock(0.18, 1e6),
+			name:       fmt.Sprint("s", i),
+			total:      c.limit.Total,
+			revision:   1,
+		}
+		c.servers = append(c.servers, s)
+		c.Join(&s.Process)
 		c.startServer(i, true)
 	}
 	c.updateView()
@@ -143,23 +127,19 @@
 }
 
 // clock is what a server's own clock says.
-func (c *cluster) clock(s *server) timeunit.Milliseconds {
-	return timeunit.Milliseconds(float64(c.now)*s.clockRate) + s.clockOffset
-}
+func (c *cluster) clock(s *server) timeunit.Milliseconds { return s.localClock.At(c.Now) }
 
 // startServer starts another incarnation. The first named coordinators begin the log, later ones resume or join it.
 func (c *cluster) startServer(i int, isFirst bool) {
 	s := c.servers[i]
 	c.lastIncarnation++
 	incarnation := c.lastIncarnation
-	s.incarnation = incarnation
-	s.isDown = false
-	s.pausedUntil = 0
+	s.Start(incarnation)
 	s.releaseTimes = nil
 	s.leader = 0
 	config := c.config
 	config.VoterID = func(logID uint64) uint64 { return voterID(incarnation, logID) }
-	s.coordinator = New(config, rand.New(rand.NewSource(c.random.Int63())), c.clock(s))
+	s.coordinator = New(config, rand.New(rand.NewSource(c.Random.Int63())), c.clock(s))
 	holderName := fmt.Sprint(s.name, ".", incarnation)
 	s.holder = quota.NewLeaseHolder(holderName, c.limit, true, c.clock(s)+c.limit.GracePeriod)
 	if !slices.Contains(config.NamedCoordinators, s.name) {
@@ -178,57 +158,38 @@
 // stopServer kills a server. What it had in use goes on without it.
 func (c *cluster) stopServer(i int) {
 	s := c.servers[i]
-	if s.isDown {
+	if s.IsDown {
 		return
 	}
-	s.isDown = true
+	s.IsDown = true
 	c.abandonedCalls = append(c.abandonedCalls, s.releaseTimes...)
 	s.releaseTimes = nil
 }
 
-// send puts a message on its way, perhaps twice or not at all.
-func (c *cluster) send(from, to int, deliver func(*server)) {
-	copies := 1 + c.random.Intn(10)/9
-	for range copies {
-		if c.blocked[[2]int{from, to}] || c.random.Float64() < c.lossRate {
-			continue
-		}
-		deliverAt := c.now + timeunit.Milliseconds(1+c.random.Intn(80))
-		message := envelope{deliverAt: deliverAt, to: to, incarnation: c.servers[to].incarnation, deliver: deliver}
-		c.inFlight = append(c.inFlight, message)
-	}
-}
-
 // serverOf returns the index of the server with the number of a voter, -1 for none.
 func (c *cluster) serverOf(voterID uint64) int {
 	return slices.IndexFunc(c.servers, func(s *server) bool {
-		return s.coordinator.Identity().VoterID == voterID && !s.isDown
+		return s.coordinator.Identity().VoterID == voterID && !s.IsDown
 	})
 }
 
-func (c *cluster) run(span timeunit.Milliseconds) {
-	for end := c.now + span; c.now < end; {
-		c.step()
-	}
-}
-
 // step plays 20 ms of true time, then checks the sum of what may be in use.
 func (c *cluster) step() {
-	c.now += 20
-	c.deliver()
+	c.Now += 20
+	c.Deliver(c.handle)
 	c.updateView()
 	c.abandonedCalls = c.stillInUse(c.abandonedCalls)
 	sum := quota.Amount(len(c.abandonedCalls)) * quota.Unit
 	c.newestLeader = nil
 	for i, s := range c.servers {
-		if !s.isDown {
+		if !s.IsDown {
 			sum += c.stepServer(i)
 		}
 	}
 	if c.newestLeader != nil && c.newestLeader.Limits().Opened() {
 		c.effectiveTotal = c.newestLeader.Limits().Allocators()[0].EffectiveTotal()
 	}
-	c.record(eventStep, int64(c.now), c.effectiveTotal, sum)
+	c.history.Add(eventStep, int64(c.Now), c.effectiveTotal, sum)
 	c.totalSum += c.limit.Total
 	c.checks++
 	if sum > c.effectiveTotal {
@@ -237,26 +198,16 @@
 }
 
 func (c *cluster) stillInUse(releaseTimes []timeunit.Milliseconds) []timeunit.Milliseconds {
-	return slices.DeleteFunc(releaseTimes, func(end timeunit.Milliseconds) bool { return end <= c.now })
+	return slices.DeleteFunc(releaseTimes, func(end timeunit.Milliseconds) bool { return end <= c.Now })
 }
 
-// deliver hands over the messages whose time has come. Those to an earlier incarnation are lost.
-func (c *cluster) deliver() {
-	messages := c.inFlight
-	c.inFlight = nil
-	for _, message := range messages {
-		s := c.servers[message.to]
-		switch {
-		case s.isDown || s.incarnation != message.incarnation:
-		case message.deliverAt > c.now || s.pausedUntil > c.now:
-			c.inFlight = append(c.inFlight, message)
-		default:
-			c.timed(s, func() {
-				message.deliver(s)
-				c.deliverReady(message.to)
-			})
-		}
-	}
+// handle has a server do what a message asks for.
+func (c *cluster) handle(to int, message handler) {
+	s := c.servers[to]
+	c.timed(s, func() {
+		message(s)
+		c.deliverReady(to)
+	})
 }
 
 // timed runs a coordinator's work, and adds up the time that a leader takes.
@@ -274,7 +225,7 @@
 func (c *cluster) stepServer(i int) quota.Amount {
 	s := c.servers[i]
 	s.releaseTimes = c.stillInUse(s.releaseTimes)
-	if s.pausedUntil > c.now {
+	if s.PausedUntil > c.Now {
 		return max(s.inUse(), c.limit.GuaranteedMinimum)
 	}
 	now := c.clock(s)
@@ -289,7 +240,7 @@
 	})
 	s.holder.ReportUsage(inUse, 0, now)
 	for s.load > s.inUse() && s.holder.TryAcquire(quota.Unit, now) {
-		s.releaseTimes = append(s.releaseTimes, c.now+timeunit.Milliseconds(50+c.random.Intn(300)))
+		s.releaseTimes = append(s.releaseTimes, c.Now+timeunit.Milliseconds(50+c.Random.Intn(300)))
 	}
 	if request, due := s.holder.NextRequest(now); due {
 		c.sendRequest(i, request)
@@ -312,23 +263,23 @@
 	}
 	to := c.serverOf(s.leader)
 	if s.leader == 0 || to < 0 {
-		to = c.serverOf(c.view.Voters[c.random.Intn(len(c.view.Voters))].VoterID)
+		to = c.serverOf(c.view.Voters[c.Random.Intn(len(c.view.Voters))].VoterID)
 		if to < 0 {
-			to = c.random.Intn(len(c.servers))
+			to = c.Random.Intn(len(c.servers))
 		}
 		s.leader = c.servers[to].coordinator.Identity().VoterID
 	}
-	requestID := uint64(i)<<32 | s.incarnation
-	c.send(i, to, func(other *server) { other.coordinator.EnqueueRequest(requestID, request) })
+	requestID := uint64(i)<<32 | s.Incarnation
+	c.Send(i, to, func(other *server) { other.coordinator.EnqueueRequest(requestID, request) })
 }
 
 // sendReply sends a reply to the incarnation of the server that asked.
 func (c *cluster) sendReply(from int, reply Reply) {
 	to := int(reply.RequestID >> 32)
 	incarnation := reply.RequestID & (1<<32 - 1)
-	c.send(from, to, func(other *server) {
+	c.Send(from, to, func(other *server) {
 		switch {
-		case other.incarnation != incarnation:
+		case other.Incarnation != incarnation:
 		case reply.Granted:
 			c.leasesGranted++
 			other.holder.HandleResponse(reply.Response.Limits[0], c.clock(other))
@@ -355,7 +306,7 @@
 		sender := s.coordinator.Identity()
 		for _, message := range ready.Messages {
 			if to := c.serverOf(message.To); to >= 0 {
-				c.send(i, to, func(other *server) {
+				c.Send(i, to, func(other *server) {
 					other.coordinator.Step(sender.VoterID, sender.LogID, message.Data)
 				})
 			}
@@ -376,7 +327,7 @@
 		return
 	}
 	c.newestLeader = leader
-	key := s.incarnation<<20 | leader.leaderTerm
+	key := s.Incarnation<<20 | leader.leaderTerm
 	if !c.seenLeaders[key] {
 		c.seenLeaders[key] = true
 		c.leaderChanges++
--- a/internal/quota/coordinator/cluster_view_test.go
+++ b/internal/quota/coordinator/cluster_view_test.go
@@ -12,16 +12,16 @@
 
 // canReach reports whether two servers can talk with each other, or a server with itself.
 func (c *cluster) canReach(a, b int) bool {
-	isCut := c.blocked[[2]int{a, b}] || c.blocked[[2]int{b, a}]
-	return !isCut && c.isRunning(c.servers[a]) && c.isRunning(c.servers[b])
+	isCut := c.IsCut(a, b) || c.IsCut(b, a)
+	return !isCut && c.servers[a].IsRunning(c.Now) && c.servers[b].IsRunning(c.Now)
 }
 
 // updateView settles which side is the majority, at most one, and by which voters.
 func (c *cluster) updateView() {
 	alive := map[uint64]int{}
 	for i, s := range c.servers {
-		if !s.isDown {
-			alive[s.incarnation] = i
+		if !s.IsDown {
+			alive[s.Incarnation] = i
 		}
 	}
 	c.majoritySide = nil
@@ -54,7 +54,7 @@
 	votes := 0
 	for _, voter := range c.view.Voters {
 		i, isAlive := alive[incarnationOf(voter.VoterID)]
-		if isAlive && slices.Contains(side, i) && c.servers[i].pausedUntil <= c.now {
+		if isAlive && slices.Contains(side, i) && c.servers[i].PausedUntil <= c.Now {
 			votes++
 		}
 	}
@@ -63,7 +63,7 @@
 
 // reconfigure forms another configuration where voters are lost.
 func (c *cluster) reconfigure(lost int) {
-	isOver := 2*lost > len(c.view.Voters) && c.now-c.lastMajorityAt > viewLease
+	isOver := 2*lost > len(c.view.Voters) && c.Now-c.lastMajorityAt > viewLease
 	switch {
 	case c.view.GenesisEpoch == 0 || isOver: // a line of its own
 		c.formNewLine()
@@ -93,7 +93,7 @@
 	for _, voter := range c.view.Voters {
 		for _, i := range c.majoritySide {
 			s := c.servers[i]
-			if s.incarnation == incarnationOf(voter.VoterID) && c.isRunning(s) {
+			if s.Incarnation == incarnationOf(voter.VoterID) && s.IsRunning(c.Now) {
 				return s.coordinator.LeaderLost()
 			}
 		}
@@ -105,20 +105,20 @@
 	c.view = ClusterView{GenesisEpoch: epoch, IsGenesis: isGenesis}
 	for _, i := range members {
 		s := c.servers[i]
-		voter := Candidate{Name: s.name, VoterID: voterID(s.incarnation, epoch), LogID: epoch}
+		voter := Candidate{Name: s.name, VoterID: voterID(s.Incarnation, epoch), LogID: epoch}
 		c.view.Voters = append(c.view.Voters, voter)
 	}
 	c.view.Voters = c.view.Voters[:largestOddUpTo(min(len(c.view.Voters), 5))]
-	c.viewInForceFrom = c.now + viewLease
+	c.viewInForceFrom = c.Now + viewLease
 }
 
 // viewOf is what a server sees: it is in the majority for a lease, where it is on that side and the view is in force.
 func (c *cluster) viewOf(i int) ClusterView {
 	view := c.view
 	view.MajorityUntil = -1
-	if slices.Contains(c.majoritySide, i) && c.now >= c.viewInForceFrom {
+	if slices.Contains(c.majoritySide, i) && c.Now >= c.viewInForceFrom {
 		view.MajorityUntil = c.clock(c.servers[i]) + 1200
-		c.lastMajorityAt = c.now + 1500
+		c.lastMajorityAt = c.Now + 1500
 	}
 	for j, other := range c.servers {
 		if c.canReach(i, j) {
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -23,12 +23,6 @@
 	eventStep
 )
 
-func (c *cluster) record(values ...any) {
-	if c.history != nil {
-		c.history.Add(values...)
-	}
-}
-
 // recordReady records all that a coordinator gives, byte for byte.
 func (c *cluster) recordReady(i int, ready *Ready) {
 	if c.history == nil {
@@ -37,18 +31,18 @@
 	hard := ready.State.HardState
 	snapshot := ready.State.Snapshot
 	at := snapshot.Metadata
-	c.record(eventState, i, ready.IsNewState, hard.Term, hard.Vote, hard.Commit,
+	c.history.Add(eventState, i, ready.IsNewState, hard.Term, hard.Vote, hard.Commit,
 		at.Index, at.Term, at.ConfState.Voters, string(snapshot.Data))
 	for _, entry := range ready.State.Entries {
-		c.record(eventState, entry.Index, entry.Term, int(entry.Type), string(entry.Data))
+		c.history.Add(eventState, entry.Index, entry.Term, int(entry.Type), string(entry.Data))
 	}
 	for _, message := range ready.Messages {
-		c.record(eventMessage, i, message.To, string(message.Data))
+		c.history.Add(eventMessage, i, message.To, string(message.Data))
 	}
 	for _, reply := range ready.Replies {
-		c.record(eventReply, i, reply.RequestID, reply.Granted, reply.Leader)
+		c.history.Add(eventReply, i, reply.RequestID, reply.Granted, reply.Leader)
 		for _, r := range reply.Response.Limits {
-			c.record(eventReply, int64(r.RequestedAt), r.LeaseVersion, r.Amount, int64(r.LeaseDuration), r.LogID)
+			c.history.Add(eventReply, int64(r.RequestedAt), r.LeaseVersion, r.Amount, int64(r.LeaseDuration), r.LogID)
 		}
 	}
 }
@@ -60,7 +54,7 @@
 	}
 	own := s.coordinator
 	id := own.Identity()
-	c.record(eventServer, i, usable, len(s.releaseTimes), own.IsLeader(), own.InMajority(), own.Leader(),
+	c.history.Add(eventServer, i, usable, len(s.releaseTimes), own.IsLeader(), own.InMajority(), own.Leader(),
 		id.LogID, id.VoterID, own.Voters(), own.LeaderLost(), own.AppliedCommands, own.DiscardedStates)
 }
 
--- a/internal/quota/coordinator/rebalance_test.go
+++ b/internal/quota/coordinator/rebalance_test.go
@@ -10,16 +10,6 @@
 	"thistlequay/timeunit"
 )
 
-// runUntil plays until a condition holds and returns how long that took, -1 where it does not hold in time.
-func (c *cluster) runUntil(timeout timeunit.Milliseconds, condition func() bool) timeunit.Milliseconds {
-	for begun := c.now; c.now-begun < timeout; c.step() {
-		if condition() {
-			return c.now - begun
-		}
-	}
-	return -1
-}
-
 // usedFraction is the part of what could be used that is in use at this moment.
 func (c *cluster) usedFraction() float64 {
 	used := quota.Amount(0)
@@ -51,7 +41,7 @@
 // leadingServer returns the server that leads and may grant leases, nil for none.
 func (c *cluster) leadingServer() *server {
 	for _, s := range c.servers {
-		if c.isRunning(s) && s.coordinator.IsLeader() && s.coordinator.InMajority() {
+		if s.IsRunning(c.Now) && s.coordinator.IsLeader() && s.coordinator.InMajority() {
 			return s
 		}
 	}
@@ -62,8 +52,8 @@
 func (c *cluster) pauseMajority(until timeunit.Milliseconds) {
 	for _, voter := range c.view.Voters[:(len(c.view.Voters)+1)/2] {
 		for _, s := range c.servers {
-			if s.incarnation == incarnationOf(voter.VoterID) {
-				s.pausedUntil = until
+			if s.Incarnation == incarnationOf(voter.VoterID) {
+				s.PausedUntil = until
 			}
 		}
 	}
@@ -96,35 +86,35 @@
 	perSecond := func(count float64) float64 { return count / float64(span) * 1000 }
 	c := newSizedCluster(servers)
 	c.setUnevenLoad(0)
-	settledIn := c.runUntil(240_000, c.isMostlyUsed)
+	settledIn := c.RunUntil(240_000, c.step, c.isMostlyUsed)
 	require.Positive(t, settledIn, "%d servers", servers)
-	c.run(10_000)
+	c.RunFor(10_000, c.step)
 	leader := c.leadingServer()
 	require.NotNil(t, leader)
 	commandsBefore := leader.coordinator.AppliedCommands
 	grantedBefore := c.leasesGranted
 	c.leaderBusy = 0
-	used := c.usedPart(func() { c.run(span) })
+	used := c.usedPart(func() { c.RunFor(span, c.step) })
 	entries := perSecond(float64(leader.coordinator.AppliedCommands - commandsBefore))
 	answers := perSecond(float64(c.leasesGranted - grantedBefore))
 	busy := perSecond(float64(c.leaderBusy.Microseconds()))
 
 	c.setUnevenLoad(2) // those that had little want much, and the other way round
-	movedIn := c.runUntil(240_000, c.isMostlyUsed)
+	movedIn := c.RunUntil(240_000, c.step, c.isMostlyUsed)
 	require.Positive(t, movedIn)
 
 	for _, s := range c.servers {
 		s.load = 10 * c.limit.Total
 	}
-	pausedUntil := c.now + 60_000
+	pausedUntil := c.Now + 60_000
 	c.pauseMajority(pausedUntil)
-	c.run(3 * c.limit.LeaseDuration)
+	c.RunFor(3*c.limit.LeaseDuration, c.step)
 	usedWithoutLeases := c.usedPart(func() {
-		for c.now < pausedUntil-100 {
+		for c.Now < pausedUntil-100 {
 			c.step()
 		}
 	})
-	backIn := c.runUntil(60_000, c.isMostlyUsed)
+	backIn := c.RunUntil(60_000, c.step, c.isMostlyUsed)
 	require.Positive(t, backIn)
 
 	guaranteed := float64(c.limit.GuaranteedMinimum*quota.Amount(c.limit.Slots)) / float64(c.limit.Total)
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -17,25 +17,24 @@
 	t.Helper()
 	c := newCluster(seed, 3+int(seed%6), seed%2 == 1)
 	c.history = history
-	c.run(12_000)
+	c.RunFor(12_000, c.step)
 	for range 12 {
 		c.injectFault()
-		c.run(timeunit.Milliseconds(200 + c.random.Intn(5000)))
-		require.Zero(t, c.violations, "seed %d at %d", seed, c.now)
+		c.RunFor(timeunit.Milliseconds(200+c.Random.Intn(5000)), c.step)
+		require.Zero(t, c.violations, "seed %d at %d", seed, c.Now)
 	}
-	clear(c.blocked)
-	c.lossRate = 0
+	c.Heal()
 	c.restartStopped()
 	for _, s := range c.servers {
-		s.pausedUntil = 0
+		s.PausedUntil = 0
 		s.load = 20 * quota.Unit
 		s.total = c.limit.Total
-		s.revision = uint64(c.now)
+		s.revision = uint64(c.Now)
 	}
-	c.run(25_000)
+	c.RunFor(25_000, c.step)
 	c.usedSum = 0
 	c.totalSum = 0
-	c.run(5000)
+	c.RunFor(5000, c.step)
 	require.Zero(t, c.violations, "seed %d at the end", seed)
 	return c
 }
--- a/internal/schedule/simulation.go
+++ b/internal/schedule/simulation.go
@@ -26,6 +26,18 @@
 	}
 }
 
+// RunUntil calls step until a condition holds, and returns how long that took, -1 where it does not hold in time.
+func (s *Simulation) RunUntil(
+	timeout timeunit.Milliseconds, step func(), condition func() bool,
+) timeunit.Milliseconds {
+	for begun := s.Now; s.Now-begun < timeout; step() {
+		if condition() {
+			return s.Now - begun
+		}
+	}
+	return -1
+}
+
 // LocalClock is the clock of one process, which neither starts nor runs like the true time.
 type LocalClock struct {
 	// Rate is the time that passes on the clock in a unit of true time.
