--- a/internal/membership/agreement_test.go
+++ b/internal/membership/agreement_test.go
@@ -18,7 +18,7 @@
 		c := newCluster(int64(seed), 3+seed%7)
 		c.runFaultSchedule()
 		hasHealed := slices.ContainsFunc(c.nodes, func(n *node) bool {
-			return !n.isDown && n.agreement.QuorumStatus() == Majority
+			return !n.IsDown && n.agreement.QuorumStatus() == Majority
 		})
 		if hasHealed {
 			healed++
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"fmt"
-	"math/rand"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -14,12 +14,8 @@
 // delayed, doubled and reordered, links are cut in one direction, processes are killed, stopped and started again
 // with nothing kept, and clocks run apart. A failure is detected by silence, as the gossip library would.
 type cluster struct {
-	random       *rand.Rand
-	now          timeunit.Milliseconds // true time
+	schedule.Network[packet]
 	nodes        []*node
-	cut          map[link]bool
-	loss         float64 // probability that a packet is lost
-	inFlight     []packet
 	incarnations uint64 // started so far
 
 	observations int // of a running node
@@ -29,28 +25,21 @@
 	history *golden.History // of all that leaves the nodes; nil when none is kept
 }
 
-// link is one direction between two nodes.
-type link struct{ from, to int }
-
+// packet is a state update or a message; the other is nil.
 type packet struct {
-	arrival     timeunit.Milliseconds
-	to          int
-	incarnation uint64 // of the receiver when it was sent
-	update      *StateUpdate
-	message     *Message
+	update  *StateUpdate
+	message *Message
 }
 
 type node struct {
-	name      string
-	zone      string
-	address   string
-	view      *View
-	agreement *Agreement
+	schedule.Process
+	localClock schedule.LocalClock
+	name       string
+	zone       string
+	address    string
+	view       *View
+	agreement  *Agreement
 
-	clockRate     float64
-	clockOffset   timeunit.Milliseconds
-	stoppedUntil  timeunit.Milliseconds
-	isDown        bool
 	isDraining    bool
 	lastHeard     map[ID]timeunit.Milliseconds
 	heldForFailed map[ID]bool
@@ -61,18 +50,20 @@
 	advanceInterval                       = 2 * simulationStep
 	suspectAfter                          = 3 * second
 	failAfter                             = 5 * second
+	maxDelay                              = 250 // of a packet
 )
 
 func newCluster(seed int64, servers int) *cluster {
-	c := &cluster{random: rand.New(rand.NewSource(seed)), now: second, cut: map[link]bool{}}
+	c := &cluster{Network: schedule.NewNetwork[packet](schedule.NewSimulation(seed, second), maxDelay)}
 	for i := range servers {
-		c.nodes = append(c.nodes, &node{
-			name:        fmt.Sprint("n", i),
-			zone:        fmt.Sprint("z", i%3),
-			address:     fmt.Sprint("a", i),
-			clockRate:   1 + 0.04*(c.random.Float64()-0.5),
-			clockOffset: timeunit.Milliseconds(c.random.Intn(100000)),
-		})
+		n := &node{
+			localClock: c.NewLocalClock(0.04, 100000),
+			name:       fmt.Sprint("n", i),
+			zone:       fmt.Sprint("z", i%3),
+			address:    fmt.Sprint("a", i),
+		}
+		c.nodes = append(c.nodes, n)
+		c.Join(&n.Process)
 	}
 	for i := range c.nodes {
 		c.start(i)
@@ -84,14 +75,13 @@
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	c.incarnations++
-	config := DefaultConfig(ID{n.name, uint64(c.random.Intn(1000)+1)<<32 | c.incarnations})
+	config := DefaultConfig(ID{n.name, uint64(c.Random.Intn(1000)+1)<<32 | c.incarnations})
 	config.Zone = n.zone
 	config.InitialSize = len(c.nodes)
 	for _, founder := range c.nodes[:3] {
 		config.Founders = append(config.Founders, founder.name)
 	}
-	n.isDown = false
-	n.stoppedUntil = 0
+	n.Start(config.Self.Incarnation)
 	n.isDraining = false
 	n.view = NewView(config, c.clock(n))
 	n.agreement = NewAgreement(n.view)
@@ -100,11 +90,7 @@
 	n.view.UpdateSelf(StateUpdate{Address: n.address, State: StateServing})
 }
 
-func (c *cluster) clock(n *node) timeunit.Milliseconds {
-	return timeunit.Milliseconds(float64(c.now)*n.clockRate) + n.clockOffset
-}
-
-func (c *cluster) isRunning(n *node) bool { return !n.isDown && n.stoppedUntil <= c.now }
+func (c *cluster) clock(n *node) timeunit.Milliseconds { return n.localClock.At(c.Now) }
 
 func (c *cluster) indexOf(id ID) (int, bool) {
 	for i, n := range c.nodes {
@@ -115,54 +101,20 @@
 	return 0, false
 }
 
-// send puts a packet on its way, now and then twice.
-func (c *cluster) send(from, to int, p packet) {
-	copies := 1 + c.random.Intn(10)/9
-	for range copies {
-		if !c.cut[link{from, to}] && c.random.Float64() >= c.loss {
-			p.arrival = c.now + timeunit.Milliseconds(1+c.random.Intn(250))
-			p.to = to
-			p.incarnation = c.nodes[to].view.config.Self.Incarnation
-			c.inFlight = append(c.inFlight, p)
-		}
-	}
-}
-
-func (c *cluster) run(span timeunit.Milliseconds) {
-	for end := c.now + span; c.now < end; {
-		c.runStep()
-	}
-}
-
 func (c *cluster) runStep() {
-	c.now += simulationStep
-	c.deliver()
+	c.Now += simulationStep
+	c.Deliver(c.receive)
 	for i, n := range c.nodes {
-		if c.isRunning(n) {
+		if n.IsRunning(c.Now) {
 			c.runNode(i, n)
 		}
 	}
 	c.observe()
 }
 
-// deliver hands over what has arrived. Packets to a stopped process wait; those to another incarnation are lost.
-func (c *cluster) deliver() {
-	var later []packet
-	for _, p := range c.inFlight {
-		n := c.nodes[p.to]
-		switch {
-		case p.arrival > c.now || n.stoppedUntil > c.now && !n.isDown:
-			later = append(later, p)
-		case n.isDown || n.view.config.Self.Incarnation != p.incarnation:
-		default:
-			n.view.Advance(c.clock(n), advanceInterval)
-			n.receive(p)
-		}
-	}
-	c.inFlight = later
-}
-
-func (n *node) receive(p packet) {
+func (c *cluster) receive(to int, p packet) {
+	n := c.nodes[to]
+	n.view.Advance(c.clock(n), advanceInterval)
 	if p.message != nil {
 		n.agreement.Step(*p.message)
 		return
@@ -191,7 +143,7 @@
 	})
 	for j := range c.nodes {
 		if j != i {
-			c.send(i, j, packet{update: &update})
+			c.Send(i, j, packet{update: &update})
 		}
 	}
 	n.detectSilence()
@@ -206,7 +158,7 @@
 			c.history.Add(wire(message))
 		}
 		if j, found := c.indexOf(message.To); found {
-			c.send(i, j, packet{message: &message})
+			c.Send(i, j, packet{message: &message})
 		}
 	}
 }
@@ -238,7 +190,7 @@
 func (c *cluster) observe() {
 	var first *Configuration
 	for _, n := range c.nodes {
-		if !c.isRunning(n) {
+		if !n.IsRunning(c.Now) {
 			continue
 		}
 		n.view.Advance(c.clock(n), advanceInterval)
@@ -258,27 +210,27 @@
 
 // injectFault does one harm to the cluster, or repairs one.
 func (c *cluster) injectFault() {
-	i := c.random.Intn(len(c.nodes))
+	i := c.Random.Intn(len(c.nodes))
 	n := c.nodes[i]
-	switch c.random.Intn(9) {
+	switch c.Random.Intn(9) {
 	case 0:
-		n.isDown = true
-		if c.random.Intn(2) == 0 {
+		n.IsDown = true
+		if c.Random.Intn(2) == 0 {
 			c.start(i)
 		}
 	case 1:
-		n.stoppedUntil = c.now + timeunit.Milliseconds(c.random.Intn(8000))
+		n.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(8000))
 	case 2:
-		c.partition(2 + c.random.Intn(2))
+		c.partitionAtRandom(2 + c.Random.Intn(2))
 	case 3:
-		c.cut[link{i, c.random.Intn(len(c.nodes))}] = true
+		c.Cut(i, c.Random.Intn(len(c.nodes)))
 	case 4, 5:
-		c.repairNetwork()
+		c.Heal()
 	case 6:
-		c.loss = c.random.Float64() * 0.4
+		c.LossRate = c.Random.Float64() * 0.4
 	case 7:
 		for k, other := range c.nodes {
-			if other.isDown {
+			if other.IsDown {
 				c.start(k)
 			}
 		}
@@ -287,31 +239,22 @@
 	}
 }
 
-// partition cuts the nodes into groups at random.
-func (c *cluster) partition(groups int) {
+// partitionAtRandom cuts the nodes into groups.
+func (c *cluster) partitionAtRandom(groups int) {
 	groupOf := make([]int, len(c.nodes))
 	for k := range groupOf {
-		groupOf[k] = c.random.Intn(groups)
-	}
-	for from := range groupOf {
-		for to := range groupOf {
-			c.cut[link{from, to}] = groupOf[from] != groupOf[to]
-		}
+		groupOf[k] = c.Random.Intn(groups)
 	}
-}
-
-func (c *cluster) repairNetwork() {
-	clear(c.cut)
-	c.loss = 0
+	c.Partition(groupOf)
 }
 
 // runFaultSchedule injects faults one after the other, then lets the cluster heal.
 func (c *cluster) runFaultSchedule() {
-	c.run(10 * second)
+	c.RunFor(10*second, c.runStep)
 	for range 12 {
 		c.injectFault()
-		c.run(timeunit.Milliseconds(200 + c.random.Intn(6000)))
+		c.RunFor(timeunit.Milliseconds(200+c.Random.Intn(6000)), c.runStep)
 	}
-	c.repairNetwork()
-	c.run(30 * second)
+	c.Heal()
+	c.RunFor(30*second, c.runStep)
 }
--- a/internal/membership/large_cluster_test.go
+++ b/internal/membership/large_cluster_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"math/rand"
-	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -28,8 +26,7 @@
 // second in turn, a suspicion that lasts 4 x log10(members) probes, gossip by powers of four each 200 ms, and state
 // updates as package gossip paces them.
 type largeCluster struct {
-	random      *rand.Rand
-	now         timeunit.Milliseconds
+	schedule.Network[delivery]
 	size        int
 	views       []*View
 	agreements  []*Agreement
@@ -37,7 +34,6 @@
 	nextUpdate  []timeunit.Milliseconds // of each member
 	sequences   []uint64
 	spread      timeunit.Milliseconds // within which an update reaches everybody
-	inFlight    []delayed
 
 	crashed  int                     // -1: nobody
 	failedAt []timeunit.Milliseconds // when the carrier tells each full member of the crash
@@ -45,22 +41,21 @@
 	updatesHeard int
 }
 
-type delayed struct {
-	arrival timeunit.Milliseconds
-	to      int
+// delivery is a message or, without one, a state update.
+type delivery struct {
 	update  StateUpdate
-	message *Message // nil: it is the update
+	message *Message
 }
 
 func newLargeCluster(size int) *largeCluster {
+	spread := largeClusterTick * int(math.Ceil(math.Log(float64(size))/math.Log(4)))
 	c := &largeCluster{
-		random:      rand.New(rand.NewSource(int64(size))),
-		now:         second,
+		Network:     schedule.NewNetwork[delivery](schedule.NewSimulation(int64(size), second), spread),
 		size:        size,
 		updateEvery: max(second, 33*timeunit.Milliseconds(size)),
 		nextUpdate:  make([]timeunit.Milliseconds, size),
 		sequences:   make([]uint64, size),
-		spread:      timeunit.Milliseconds(largeClusterTick * math.Ceil(math.Log(float64(size))/math.Log(4))),
+		spread:      timeunit.Milliseconds(spread),
 		crashed:     -1,
 		failedAt:    make([]timeunit.Milliseconds, fullMembers),
 	}
@@ -69,11 +64,12 @@
 		config.InitialSize = size
 		config.Zone = c.zone(i)
 		config.Founders = []string{"n0000", "n0001", "n0002"}
-		c.views = append(c.views, NewView(config, c.now))
+		c.views = append(c.views, NewView(config, c.Now))
 		c.agreements = append(c.agreements, NewAgreement(c.views[i]))
+		c.Join(&schedule.Process{})
 	}
 	for i := range c.nextUpdate {
-		c.nextUpdate[i] = c.now + timeunit.Milliseconds(c.random.Intn(int(2*second)))
+		c.nextUpdate[i] = c.Now + timeunit.Milliseconds(c.Random.Intn(int(2*second)))
 	}
 	return c
 }
@@ -82,24 +78,24 @@
 func (c *largeCluster) zone(i int) string { return fmt.Sprint("z", i%3) }
 
 func (c *largeCluster) runStep() {
-	c.now += largeClusterTick
+	c.Now += largeClusterTick
 	for i := range c.nextUpdate {
-		if c.nextUpdate[i] <= c.now && i != c.crashed {
-			c.nextUpdate[i] = c.now + c.updateEvery
+		if c.nextUpdate[i] <= c.Now && i != c.crashed {
+			c.nextUpdate[i] = c.Now + c.updateEvery
 			c.publish(i)
 		}
 	}
-	c.inFlight = slices.DeleteFunc(c.inFlight, c.deliver)
+	c.Deliver(c.receive)
 	for i, v := range c.views {
-		v.Advance(c.now, largeClusterTick)
+		v.Advance(c.Now, largeClusterTick)
 		c.agreements[i].Tick()
-		if c.failedAt[i] > 0 && c.now >= c.failedAt[i] {
+		if c.failedAt[i] > 0 && c.Now >= c.failedAt[i] {
 			v.RecordFailure(c.id(c.crashed))
 		}
 		v.Tick(c.agreements[i].QuorumStatus())
 		for _, message := range c.agreements[i].TakeMessages() {
 			if to := int(message.To.Incarnation) - 1; to < fullMembers {
-				c.inFlight = append(c.inFlight, delayed{arrival: c.now + messageDelay, to: to, message: &message})
+				c.SendAfter(messageDelay, to, delivery{message: &message})
 			}
 		}
 	}
@@ -126,30 +122,19 @@
 	}
 	for to := range c.views {
 		if to != i {
-			arrival := c.now + timeunit.Milliseconds(c.random.Int63n(int64(c.spread)))
-			c.inFlight = append(c.inFlight, delayed{arrival: arrival, to: to, update: update})
+			delay := timeunit.Milliseconds(c.Random.Int63n(int64(c.spread)))
+			c.SendAfter(delay, to, delivery{update: update})
 		}
 	}
 }
 
-// deliver hands over what has arrived; it returns false for what has not.
-func (c *largeCluster) deliver(d delayed) bool {
-	if d.arrival > c.now {
-		return false
-	}
-	c.views[d.to].Advance(c.now, largeClusterTick)
+func (c *largeCluster) receive(to int, d delivery) {
+	c.views[to].Advance(c.Now, largeClusterTick)
 	if d.message != nil {
-		c.agreements[d.to].Step(*d.message)
-	} else if c.views[d.to].ApplyUpdate(d.update) {
+		c.agreements[to].Step(*d.message)
+	} else if c.views[to].ApplyUpdate(d.update) {
 		c.updatesHeard++
 	}
-	return true
-}
-
-func (c *largeCluster) run(span timeunit.Milliseconds) {
-	for end := c.now + span; c.now < end; {
-		c.runStep()
-	}
 }
 
 // hasConverged says whether all full members know everybody and act on a configuration.
@@ -165,24 +150,24 @@
 // crash ends a member and works out when the carrier tells each full member.
 func (c *largeCluster) crash(i int) {
 	c.crashed = i
-	probed := c.now + timeunit.Milliseconds(c.random.ExpFloat64()*largeClusterProbe)
+	probed := c.Now + timeunit.Milliseconds(c.Random.ExpFloat64()*largeClusterProbe)
 	suspicion := timeunit.Milliseconds(4 * max(1, math.Log10(float64(c.size))) * largeClusterProbe)
 	for k := range c.failedAt {
-		c.failedAt[k] = probed + suspicion + timeunit.Milliseconds(c.random.Int63n(int64(c.spread)))
+		c.failedAt[k] = probed + suspicion + timeunit.Milliseconds(c.Random.Int63n(int64(c.spread)))
 	}
 }
 
 // runUntilDetected returns after what time each full member held the crashed one for failed, in that order.
 func (c *largeCluster) runUntilDetected() (detected []timeunit.Milliseconds) {
-	crashedAt := c.now
+	crashedAt := c.Now
 	knows := make([]bool, fullMembers)
-	for c.now-crashedAt < detectionTimeout && len(detected) < fullMembers {
+	for c.Now-crashedAt < detectionTimeout && len(detected) < fullMembers {
 		c.runStep()
 		for i, v := range c.views {
 			m := v.Member(c.id(c.crashed))
 			if !knows[i] && (m == nil || m.State >= StateFailed) {
 				knows[i] = true
-				detected = append(detected, c.now-crashedAt)
+				detected = append(detected, c.Now-crashedAt)
 			}
 		}
 	}
@@ -192,16 +177,12 @@
 func TestMeasuredLargeClusters(t *testing.T) {
 	for _, size := range schedule.Scale([]int{300}, []int{300, 1000, 3000}) {
 		c := newLargeCluster(size)
-		begun := c.now
-		for c.now-begun < convergenceTimeout && !c.hasConverged() {
-			c.runStep()
-		}
+		converged := c.RunUntil(convergenceTimeout, c.runStep, c.hasConverged)
 		require.True(t, c.hasConverged(), "%d members never agreed", size)
-		converged := c.now - begun
 
 		c.updatesHeard = 0
 		window := max(30*second, 2*c.updateEvery)
-		c.run(window)
+		c.RunFor(window, c.runStep)
 		updatesPerSecond := float64(c.updatesHeard) / float64(window/second) / fullMembers
 		bytesPerSecond := updatesPerSecond * updateBytes
 
