--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -1,9 +1,8 @@
 package quota
 
 import (
-	"math/rand"
-
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -11,15 +10,13 @@
 // deposed, and what they have proposed is lost; requests and responses are lost, late and duplicated; clocks run
 // apart; holders are paused while they use what they have.
 type cluster struct {
-	random         *rand.Rand
-	now            timeunit.Milliseconds // true time
+	schedule.Network[envelope]
 	config         LimitConfig
 	allocators     []*Allocator
 	applied        []int // by allocator: how many entries of the log it has applied
 	log            []Change
 	leader         int // an index of allocators, noLeader for none
 	servers        []*server
-	inFlight       []envelope
 	effectiveTotal Amount // as the last leader had it
 
 	checks     int // of the sum of what is usable
@@ -30,7 +27,10 @@
 	history *golden.History // nil: nothing is recorded
 }
 
-const noLeader = -1
+const (
+	noLeader = -1
+	maxDelay = 300 // of a request or a response
+)
 
 // What a record of the history is about. The numbers are part of the golden files.
 const (
@@ -41,19 +41,11 @@
 	eventStep
 )
 
-func (c *cluster) record(values ...any) {
-	if c.history != nil {
-		c.history.Add(values...)
-	}
-}
-
 // server is a lease holder and the work that it has in use.
 type server struct {
+	schedule.Process
+	localClock   schedule.LocalClock
 	holder       *LeaseHolder
-	clockRate    float64
-	clockOffset  timeunit.Milliseconds
-	pausedUntil  timeunit.Milliseconds
-	isDown       bool
 	load         Amount                  // that it would have in use
 	releaseTimes []timeunit.Milliseconds // of what is in use, a unit each, by true time
 }
@@ -62,7 +54,6 @@
 
 // envelope is a request or a response on its way.
 type envelope struct {
-	deliverAt timeunit.Milliseconds
 	server    int
 	addressee *LeaseHolder // of the incarnation that asked
 	request   *LimitRequest
@@ -70,20 +61,18 @@
 }
 
 // serverClock is what a server's own clock says.
-func (c *cluster) serverClock(s *server) timeunit.Milliseconds {
-	return timeunit.Milliseconds(float64(c.now)*s.clockRate) + s.clockOffset
-}
+func (c *cluster) serverClock(s *server) timeunit.Milliseconds { return s.localClock.At(c.Now) }
 
 // allocatorClock is what the clock of an allocator's process says.
 func (c *cluster) allocatorClock(i int) timeunit.Milliseconds {
-	rate := 1 + 0.03*float64(i-1)
-	return timeunit.Milliseconds(float64(c.now)*rate) + timeunit.Milliseconds(i)*100_000
+	clock := schedule.LocalClock{Rate: 1 + 0.03*float64(i-1), Offset: timeunit.Milliseconds(i) * 100_000}
+	return clock.At(c.Now)
 }
 
 func newCluster(seed int64, servers int) *cluster {
 	total := Amount(servers) * 10 * Unit
 	c := &cluster{
-		random:         rand.New(rand.NewSource(seed)),
+		Network:        schedule.NewNetwork[envelope](schedule.NewSimulation(seed, 0), maxDelay),
 		leader:         noLeader,
 		effectiveTotal: total,
 		config: LimitConfig{
@@ -102,20 +91,20 @@
 		c.applied = append(c.applied, 0)
 	}
 	for i := range servers {
-		clockRate := 1 + 0.08*(c.random.Float64()-0.5)
-		clockOffset := timeunit.Milliseconds(c.random.Intn(1e6))
-		c.servers = append(c.servers, &server{clockRate: clockRate, clockOffset: clockOffset})
+		s := &server{localClock: c.NewLocalClock(0.08, 1e6)}
+		c.servers = append(c.servers, s)
+		c.Join(&s.Process)
 		c.startServer(i)
 	}
+	c.Join(&schedule.Process{}) // takes the requests for whoever leads when they arrive
 	return c
 }
 
 func (c *cluster) startServer(i int) {
 	s := c.servers[i]
 	s.holder = NewLeaseHolder(string(rune('A'+i)), c.config, true, 0)
-	s.isDown = false
 	s.releaseTimes = nil
-	s.pausedUntil = 0
+	s.Process = schedule.Process{}
 }
 
 func (c *cluster) elect(i int) {
@@ -136,33 +125,37 @@
 	}
 }
 
-// send puts a message on its way, perhaps twice or not at all.
+// send puts a message on its way, perhaps twice or not at all. What a seed plays depends on how the loss is drawn,
+// which is not as Network.Send does it.
 func (c *cluster) send(message envelope) {
 	c.recordMessage(message)
-	copies := 1 + c.random.Intn(10)/9
+	to := message.server
+	if message.request != nil {
+		to = len(c.servers)
+	}
+	copies := 1 + c.Random.Intn(10)/9
 	for range copies {
-		if c.random.Intn(8) > 0 {
-			message.deliverAt = c.now + timeunit.Milliseconds(1+c.random.Intn(300))
-			c.inFlight = append(c.inFlight, message)
+		if c.Random.Intn(8) > 0 {
+			c.SendAfter(timeunit.Milliseconds(1+c.Random.Intn(maxDelay)), to, message)
 		}
 	}
 }
 
 func (c *cluster) recordMessage(message envelope) {
 	if r := message.request; r != nil {
-		c.record(eventRequest, message.server, r.Server, int64(r.RequestedAt),
+		c.history.Add(eventRequest, message.server, r.Server, int64(r.RequestedAt),
 			r.HeldVersion, r.Desired, r.Required, r.LogID)
 	}
 	if r := message.response; r != nil {
-		c.record(eventResponse, message.server, int64(r.RequestedAt),
+		c.history.Add(eventResponse, message.server, int64(r.RequestedAt),
 			r.LeaseVersion, r.Amount, int64(r.LeaseDuration), r.LogID)
 	}
 }
 
 // step plays 20 ms of true time, then checks the sum of what may be in use.
 func (c *cluster) step() {
-	c.now += 20
-	c.deliver()
+	c.Now += 20
+	c.Deliver(c.receive)
 	c.decide()
 	sum := Amount(0)
 	for i := range c.servers {
@@ -171,7 +164,7 @@
 	if c.leader != noLeader {
 		leader := c.allocators[c.leader]
 		c.effectiveTotal = leader.EffectiveTotal()
-		c.record(eventStep, int64(c.now), c.leader, c.effectiveTotal, leader.Outstanding())
+		c.history.Add(eventStep, int64(c.Now), c.leader, c.effectiveTotal, leader.Outstanding())
 	}
 	c.totalSum += c.config.Total
 	c.checks++
@@ -180,23 +173,15 @@
 	}
 }
 
-// deliver hands over the messages whose time has come.
-func (c *cluster) deliver() {
-	messages := c.inFlight
-	c.inFlight = nil
-	var later []envelope
-	for _, message := range messages {
-		s := c.servers[message.server]
-		switch {
-		case message.deliverAt > c.now || message.response != nil && s.pausedUntil > c.now:
-			later = append(later, message)
-		case message.request != nil && c.leader != noLeader:
-			c.handleRequest(message)
-		case message.response != nil && message.addressee == s.holder && !s.isDown:
-			s.holder.HandleResponse(*message.response, c.serverClock(s))
-		}
+// receive hands a request to the leader, if there is one, and a response to the incarnation that asked.
+func (c *cluster) receive(_ int, message envelope) {
+	s := c.servers[message.server]
+	switch {
+	case message.request != nil && c.leader != noLeader:
+		c.handleRequest(message)
+	case message.response != nil && message.addressee == s.holder:
+		s.holder.HandleResponse(*message.response, c.serverClock(s))
 	}
-	c.inFlight = append(c.inFlight, later...)
 }
 
 func (c *cluster) handleRequest(message envelope) {
@@ -212,7 +197,7 @@
 		return
 	}
 	for _, change := range c.allocators[c.leader].NextChanges(c.allocatorClock(c.leader)) {
-		c.record(eventChange, change.Server, change.LeaseVersion,
+		c.history.Add(eventChange, change.Server, change.LeaseVersion,
 			change.Amount, change.Total, change.Expired, change.LimitIndex)
 		c.log = append(c.log, change)
 	}
@@ -223,54 +208,48 @@
 func (c *cluster) stepServer(i int) Amount {
 	s := c.servers[i]
 	c.releaseEnded(s)
-	if s.isDown || s.pausedUntil > c.now {
+	if !s.IsRunning(c.Now) {
 		return max(s.inUse(), c.config.GuaranteedMinimum)
 	}
 	now := c.serverClock(s)
 	for s.load > s.inUse() && s.holder.TryAcquire(Unit, now) {
-		s.releaseTimes = append(s.releaseTimes, c.now+timeunit.Milliseconds(50+c.random.Intn(300)))
+		s.releaseTimes = append(s.releaseTimes, c.Now+timeunit.Milliseconds(50+c.Random.Intn(300)))
 	}
 	if request, due := s.holder.NextRequest(now); due {
 		c.send(envelope{server: i, addressee: s.holder, request: &request})
 	}
 	c.usedSum += s.inUse()
 	usable := s.holder.Usable(now)
-	c.record(eventServer, i, usable, len(s.releaseTimes))
+	c.history.Add(eventServer, i, usable, len(s.releaseTimes))
 	return max(usable, s.inUse())
 }
 
 func (c *cluster) releaseEnded(s *server) {
 	stillInUse := s.releaseTimes[:0]
 	for _, end := range s.releaseTimes {
-		if end > c.now {
+		if end > c.Now {
 			stillInUse = append(stillInUse, end)
-		} else if !s.isDown {
+		} else if !s.IsDown {
 			s.holder.Release(Unit)
 		}
 	}
 	s.releaseTimes = stillInUse
 }
 
-func (c *cluster) run(span timeunit.Milliseconds) {
-	for end := c.now + span; c.now < end; {
-		c.step()
-	}
-}
-
 // injectFault changes something at random. The numbers of the cases are part of what a seed plays.
 func (c *cluster) injectFault() {
-	i := c.random.Intn(len(c.servers))
+	i := c.Random.Intn(len(c.servers))
 	s := c.servers[i]
-	switch c.random.Intn(8) {
+	switch c.Random.Intn(8) {
 	case 0:
-		c.elect(c.random.Intn(len(c.allocators)))
+		c.elect(c.Random.Intn(len(c.allocators)))
 	case 1:
 		c.elect(noLeader)
 	case 2:
-		s.pausedUntil = c.now + timeunit.Milliseconds(c.random.Intn(10000))
+		s.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(10000))
 	case 3:
-		s.isDown = !s.isDown
-		if !s.isDown {
+		s.IsDown = !s.IsDown
+		if !s.IsDown {
 			c.startServer(i)
 		}
 	case 4: // one asks for everything, the others for what they had
@@ -279,11 +258,11 @@
 		s.load = 0
 	case 6:
 		for _, other := range c.servers {
-			other.load = Amount(c.random.Intn(30)) * Unit
+			other.load = Amount(c.Random.Intn(30)) * Unit
 		}
 	case 7: // the total changes while it is in use
 		if c.leader != noLeader {
-			c.allocators[c.leader].RequestTotal(c.config.Total * Amount(1+c.random.Intn(4)) / 2)
+			c.allocators[c.leader].RequestTotal(c.config.Total * Amount(1+c.Random.Intn(4)) / 2)
 		}
 	}
 }
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -18,11 +18,11 @@
 	c.elect(0)
 	for range 25 {
 		c.injectFault()
-		c.run(timeunit.Milliseconds(100 + c.random.Intn(4000)))
+		c.RunFor(timeunit.Milliseconds(100+c.Random.Intn(4000)), c.step)
 		require.Zero(t, c.violations, "seed %d", seed)
 	}
 	c.elect(0) // a lower total comes into force once the earlier leases have expired
-	c.run(8000)
+	c.RunFor(8000, c.step)
 	require.Equal(t, c.allocators[0].targetTotal, c.allocators[0].EffectiveTotal(), "seed %d", seed)
 	require.Zero(t, c.violations, "seed %d", seed)
 	return c
@@ -55,11 +55,11 @@
 			s.load = day.load(i)
 			asked += s.load
 		}
-		c.run(10_000)
+		c.RunFor(10_000, c.step)
 		c.usedSum = 0
 		c.totalSum = 0
 		changesBefore := len(c.log)
-		c.run(60_000)
+		c.RunFor(60_000, c.step)
 		usedPart := float64(c.usedSum) / float64(min(asked*3000, c.totalSum))
 		changesPerSecond := float64(len(c.log)-changesBefore) / 60
 		t.Logf("measured shares day=%s servers=8 over=%d used_of_possible=%.3f proposals_a_second=%.2f",
