--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -223,9 +223,9 @@
 	case 0: // crashes; it comes back with what it saved
 		m.IsDown = true
 	case 1:
-		m.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(maxPause))
+		m.PausedUntil = c.Now + c.DrawSpan(0, maxPause)
 	case 2:
-		c.partition()
+		c.partitionAtRandom()
 	case 3:
 		c.Cut(victim, c.Random.Intn(len(c.members)))
 	case 4:
@@ -243,8 +243,8 @@
 	}
 }
 
-// partition cuts the cluster into two random halves.
-func (c *cluster) partition() {
+// partitionAtRandom cuts the cluster into two halves.
+func (c *cluster) partitionAtRandom() {
 	groups := c.Random.Perm(len(c.members))
 	for i := range groups {
 		groups[i] %= 2
@@ -272,7 +272,7 @@
 func (c *cluster) run() (healed bool) {
 	for range faults {
 		c.injectFault()
-		c.RunFor(timeunit.Milliseconds(minFaultGap+c.Random.Intn(maxFaultGap-minFaultGap)), c.advance)
+		c.RunFor(c.DrawSpan(minFaultGap, maxFaultGap), c.advance)
 	}
 	c.Heal()
 	c.restartStopped()
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -67,9 +67,9 @@
 	for _, id := range m.voter.Voters() {
 		number(id)
 	}
-	c.history.Add(int64(c.Now), m.Incarnation, m.voter.Term(), m.voter.Leader(), m.voter.IsLeader(), len(ready.State.Entries),
-		len(ready.Messages), len(ready.Committed), len(ready.ConfirmedReads), ready.Snapshot != nil, len(all),
-		xxh3.Hash(all))
+	c.history.Add(int64(c.Now), m.Incarnation, m.voter.Term(), m.voter.Leader(), m.voter.IsLeader(),
+		len(ready.State.Entries), len(ready.Messages), len(ready.Committed), len(ready.ConfirmedReads),
+		ready.Snapshot != nil, len(all), xxh3.Hash(all))
 }
 
 // TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -219,7 +219,7 @@
 			c.start(i)
 		}
 	case 1:
-		n.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(8000))
+		n.PausedUntil = c.Now + c.DrawSpan(0, 8*second)
 	case 2:
 		c.partitionAtRandom(2 + c.Random.Intn(2))
 	case 3:
@@ -253,7 +253,7 @@
 	c.RunFor(10*second, c.runStep)
 	for range 12 {
 		c.injectFault()
-		c.RunFor(timeunit.Milliseconds(200+c.Random.Intn(6000)), c.runStep)
+		c.RunFor(c.DrawSpan(200, 6200), c.runStep)
 	}
 	c.Heal()
 	c.RunFor(30*second, c.runStep)
--- a/internal/membership/large_cluster_test.go
+++ b/internal/membership/large_cluster_test.go
@@ -48,14 +48,14 @@
 }
 
 func newLargeCluster(size int) *largeCluster {
-	spread := largeClusterTick * int(math.Ceil(math.Log(float64(size))/math.Log(4)))
+	spread := timeunit.Milliseconds(largeClusterTick * math.Ceil(math.Log(float64(size))/math.Log(4)))
 	c := &largeCluster{
 		Network:     schedule.NewNetwork[delivery](schedule.NewSimulation(int64(size), second), spread),
 		size:        size,
 		updateEvery: max(second, 33*timeunit.Milliseconds(size)),
 		nextUpdate:  make([]timeunit.Milliseconds, size),
 		sequences:   make([]uint64, size),
-		spread:      timeunit.Milliseconds(spread),
+		spread:      spread,
 		crashed:     -1,
 		failedAt:    make([]timeunit.Milliseconds, fullMembers),
 	}
@@ -69,7 +69,7 @@
 		c.Join(&schedule.Process{})
 	}
 	for i := range c.nextUpdate {
-		c.nextUpdate[i] = c.Now + timeunit.Milliseconds(c.Random.Intn(int(2*second)))
+		c.nextUpdate[i] = c.Now + c.DrawSpan(0, 2*second)
 	}
 	return c
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -133,10 +133,9 @@
 	if message.request != nil {
 		to = len(c.servers)
 	}
-	copies := 1 + c.Random.Intn(10)/9
-	for range copies {
+	for range c.DrawCopies() {
 		if c.Random.Intn(8) > 0 {
-			c.SendAfter(timeunit.Milliseconds(1+c.Random.Intn(maxDelay)), to, message)
+			c.SendAfter(c.DrawSpan(1, maxDelay+1), to, message)
 		}
 	}
 }
@@ -213,7 +212,7 @@
 	}
 	now := c.serverClock(s)
 	for s.load > s.inUse() && s.holder.TryAcquire(Unit, now) {
-		s.releaseTimes = append(s.releaseTimes, c.Now+timeunit.Milliseconds(50+c.Random.Intn(300)))
+		s.releaseTimes = append(s.releaseTimes, c.Now+c.DrawSpan(50, 350))
 	}
 	if request, due := s.holder.NextRequest(now); due {
 		c.send(envelope{server: i, addressee: s.holder, request: &request})
@@ -246,7 +245,7 @@
 	case 1:
 		c.elect(noLeader)
 	case 2:
-		s.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(10000))
+		s.PausedUntil = c.Now + c.DrawSpan(0, 10_000)
 	case 3:
 		s.IsDown = !s.IsDown
 		if !s.IsDown {
--- a/internal/quota/coordinator/cluster_faults_test.go
+++ b/internal/quota/coordinator/cluster_faults_test.go
@@ -5,7 +5,6 @@
 
 	"thistlequay/internal/consensus"
 	"thistlequay/internal/quota"
-	"thistlequay/timeunit"
 )
 
 // injectFault changes something at random. The numbers of the cases are part of what a seed plays.
@@ -19,7 +18,7 @@
 			c.startServer(i, false)
 		}
 	case 1:
-		s.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(10000))
+		s.PausedUntil = c.Now + c.DrawSpan(0, 10_000)
 	case 2:
 		c.partitionAtRandom()
 	case 3:
@@ -92,7 +91,7 @@
 	case diskFull:
 		return false
 	case diskSlow:
-		s.PausedUntil = c.Now + timeunit.Milliseconds(c.Random.Intn(700))
+		s.PausedUntil = c.Now + c.DrawSpan(0, 700)
 	case diskWorks:
 	}
 	state := &ready.State
--- a/internal/quota/coordinator/cluster_test.go
+++ b/internal/quota/coordinator/cluster_test.go
@@ -240,7 +240,7 @@
 	})
 	s.holder.ReportUsage(inUse, 0, now)
 	for s.load > s.inUse() && s.holder.TryAcquire(quota.Unit, now) {
-		s.releaseTimes = append(s.releaseTimes, c.Now+timeunit.Milliseconds(50+c.Random.Intn(300)))
+		s.releaseTimes = append(s.releaseTimes, c.Now+c.DrawSpan(50, 350))
 	}
 	if request, due := s.holder.NextRequest(now); due {
 		c.sendRequest(i, request)
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -8,7 +8,6 @@
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
 	"thistlequay/internal/schedule"
-	"thistlequay/timeunit"
 )
 
 // runSchedule plays the faults that a seed draws, mends everything and plays on. It records what happens where a
@@ -20,7 +19,7 @@
 	c.RunFor(12_000, c.step)
 	for range 12 {
 		c.injectFault()
-		c.RunFor(timeunit.Milliseconds(200+c.Random.Intn(5000)), c.step)
+		c.RunFor(c.DrawSpan(200, 5200), c.step)
 		require.Zero(t, c.violations, "seed %d at %d", seed, c.Now)
 	}
 	c.Heal()
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -7,7 +7,6 @@
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/schedule"
-	"thistlequay/timeunit"
 )
 
 // runSchedule plays the faults that a seed draws, and records what happens where a history is given.
@@ -18,7 +17,7 @@
 	c.elect(0)
 	for range 25 {
 		c.injectFault()
-		c.RunFor(timeunit.Milliseconds(100+c.Random.Intn(4000)), c.step)
+		c.RunFor(c.DrawSpan(100, 4100), c.step)
 		require.Zero(t, c.violations, "seed %d", seed)
 	}
 	c.elect(0) // a lower total comes into force once the earlier leases have expired
--- a/internal/schedule/network.go
+++ b/internal/schedule/network.go
@@ -12,7 +12,7 @@
 	// LossRate is the probability that a message is lost.
 	LossRate float64
 
-	maxDelay  int // in milliseconds
+	maxDelay  timeunit.Milliseconds
 	processes []*Process
 	cut       map[link]bool
 	inFlight  []envelope[Message]
@@ -29,26 +29,30 @@
 	message     Message
 }
 
-// NewNetwork returns a network without faults, in which a message takes from 1 to maxDelay milliseconds.
-func NewNetwork[Message any](simulation Simulation, maxDelay int) Network[Message] {
+// NewNetwork returns a network that loses nothing, in which a message takes from 1 millisecond to maxDelay.
+func NewNetwork[Message any](simulation Simulation, maxDelay timeunit.Milliseconds) Network[Message] {
 	return Network[Message]{Simulation: simulation, maxDelay: maxDelay, cut: map[link]bool{}}
 }
 
 // Join adds a process.
 func (n *Network[Message]) Join(process *Process) { n.processes = append(n.processes, process) }
 
-// Send puts a message on its way to the present incarnation of a process, one in ten of them twice. It draws whether
-// there is a second copy; then for each copy, unless the link is cut, whether it is lost, and how long it takes.
+// Send puts copies of a message on their way to the present incarnation of a process. It draws how many; then for each,
+// unless the link is cut, whether it is lost, and how long it takes.
 func (n *Network[Message]) Send(from, to int, message Message) {
-	copies := 1 + n.Random.Intn(duplicateOneIn)/(duplicateOneIn-1)
-	for range copies {
+	for range n.DrawCopies() {
 		if n.cut[link{from, to}] || n.Random.Float64() < n.LossRate {
 			continue
 		}
-		n.SendAfter(timeunit.Milliseconds(1+n.Random.Intn(n.maxDelay)), to, message)
+		n.SendAfter(n.DrawSpan(1, n.maxDelay+1), to, message)
 	}
 }
 
+// DrawCopies draws how many copies of a message are sent: two of one in ten messages, one of the others.
+func (n *Network[Message]) DrawCopies() int {
+	return 1 + n.Random.Intn(duplicateOneIn)/(duplicateOneIn-1)
+}
+
 // SendAfter puts a message on its way that arrives after a delay, whatever faults the network has. It draws nothing.
 func (n *Network[Message]) SendAfter(delay timeunit.Milliseconds, to int, message Message) {
 	n.inFlight = append(n.inFlight, envelope[Message]{
--- a/internal/schedule/network_test.go
+++ b/internal/schedule/network_test.go
@@ -16,8 +16,8 @@
 	received  [3][]int
 }
 
-func newTestNetwork(seed int64) *testNetwork {
-	n := &testNetwork{Network: schedule.NewNetwork[int](schedule.NewSimulation(seed, 0), 10)}
+func newTestNetwork() *testNetwork {
+	n := &testNetwork{Network: schedule.NewNetwork[int](schedule.NewSimulation(1, 0), 10)}
 	for i := range n.processes {
 		n.processes[i].Start(uint64(i + 1))
 		n.Join(&n.processes[i])
@@ -32,7 +32,7 @@
 }
 
 func TestNetworkLosesDelaysAndDuplicates(t *testing.T) {
-	n := newTestNetwork(1)
+	n := newTestNetwork()
 	n.LossRate = 0.5
 	const sent = 10_000
 	for message := range sent {
@@ -50,7 +50,7 @@
 	require.InEpsilon(t, sent*1.1*0.5, len(n.received[1]), 0.05)
 	require.Equal(t, 10, arrivals, "a delay from 1 to 10 ms")
 	require.False(t, slices.IsSorted(n.received[1]), "messages overtake each other")
-	again := newTestNetwork(1)
+	again := newTestNetwork()
 	again.LossRate = 0.5
 	for message := range sent {
 		again.Send(0, 1, message)
@@ -60,7 +60,7 @@
 }
 
 func TestCutLinkLosesOneDirection(t *testing.T) {
-	n := newTestNetwork(1)
+	n := newTestNetwork()
 	n.Cut(0, 1)
 	require.True(t, n.IsCut(0, 1))
 	n.Send(0, 1, 1)
@@ -71,7 +71,7 @@
 }
 
 func TestPartitionLastsUntilTheNetworkHeals(t *testing.T) {
-	n := newTestNetwork(1)
+	n := newTestNetwork()
 	n.Cut(0, 1)
 	n.Partition([]int{0, 0, 1})
 	n.Send(0, 1, 1) // within a group, links are mended
@@ -89,7 +89,7 @@
 }
 
 func TestMessagesWaitForPausedProcessAndMissRestartedOne(t *testing.T) {
-	n := newTestNetwork(1)
+	n := newTestNetwork()
 	n.processes[0].PausedUntil = 25
 	n.processes[1].IsDown = true
 	n.SendAfter(10, 0, 1)
@@ -104,6 +104,14 @@
 	require.Equal(t, [3][]int{{1}}, n.received)
 }
 
+func TestRunUntilTellsHowLongItTook(t *testing.T) {
+	simulation := schedule.NewSimulation(1, 100)
+	step := func() { simulation.Now += 10 }
+	isAfter := func(moment int) func() bool { return func() bool { return int(simulation.Now) >= moment } }
+	require.EqualValues(t, 30, simulation.RunUntil(50, step, isAfter(125)))
+	require.EqualValues(t, -1, simulation.RunUntil(50, step, isAfter(1000)))
+}
+
 func TestLocalClockDrifts(t *testing.T) {
 	clock := schedule.LocalClock{Rate: 0.5, Offset: 100}
 	require.EqualValues(t, 600, clock.At(1000))
--- a/internal/schedule/simulation.go
+++ b/internal/schedule/simulation.go
@@ -38,6 +38,11 @@
 	return -1
 }
 
+// DrawSpan draws a span that is at least shortest and less than limit.
+func (s *Simulation) DrawSpan(shortest, limit timeunit.Milliseconds) timeunit.Milliseconds {
+	return shortest + timeunit.Milliseconds(s.Random.Intn(int(limit-shortest)))
+}
+
 // LocalClock is the clock of one process, which neither starts nor runs like the true time.
 type LocalClock struct {
 	// Rate is the time that passes on the clock in a unit of true time.
@@ -48,10 +53,9 @@
 
 // NewLocalClock draws a clock: first a rate that differs from 1 by at most half of rateSpread, then an offset below
 // maxOffset.
-func (s *Simulation) NewLocalClock(rateSpread float64, maxOffset int) LocalClock {
+func (s *Simulation) NewLocalClock(rateSpread float64, maxOffset timeunit.Milliseconds) LocalClock {
 	rate := 1 + rateSpread*(s.Random.Float64()-0.5)
-	offset := timeunit.Milliseconds(s.Random.Intn(maxOffset))
-	return LocalClock{Rate: rate, Offset: offset}
+	return LocalClock{Rate: rate, Offset: s.DrawSpan(0, maxOffset)}
 }
 
 // At returns what the clock shows at a true time.
