--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"fmt"
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -12,6 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 )
 
 // wireMessage is a type of the engine that has a form on the wire and on the disk.
@@ -67,32 +67,27 @@
 	for _, id := range m.voter.Voters() {
 		number(id)
 	}
-	c.history.Add(int64(c.now), m.id, m.voter.Term(), m.voter.Leader(), m.voter.IsLeader(), len(ready.State.Entries),
-		len(ready.Messages), len(ready.Committed), len(ready.ConfirmedReads), ready.Snapshot != nil, len(all),
-		xxh3.Hash(all))
+	c.history.Add(int64(c.Now), m.Incarnation, m.voter.Term(), m.voter.Leader(), m.voter.IsLeader(),
+		len(ready.State.Entries), len(ready.Messages), len(ready.Committed), len(ready.ConfirmedReads),
+		ready.Snapshot != nil, len(all), xxh3.Hash(all))
 }
 
 // TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten
 // a line.
 func TestGoldenSchedules(t *testing.T) {
-	lines := make([]string, 10)
-	t.Run("ten seeds", func(t *testing.T) {
-		for i := range lines {
-			t.Run(fmt.Sprint(10*i), func(t *testing.T) {
-				t.Parallel()
-				history := golden.NewHistory()
-				for seed := 10 * i; seed < 10*i+10; seed++ {
-					c := newCluster(t, int64(seed), clusterSize(seed))
-					c.history = history
-					healed := c.run()
-					history.Add("end", seed, healed, len(c.log), len(c.leaderSince), c.confirmations,
-						c.falseConfirmations)
-				}
-				lines[i] = fmt.Sprintf("seeds %d to %d: %s\n", 10*i, 10*i+9, history)
-			})
-		}
+	file := schedule.GoldenFile{
+		Name:         "schedules.txt",
+		Seeds:        100,
+		SeedsPerLine: 10,
+		Label:        "seeds %d to %d:",
+		Parallel:     true,
+	}
+	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
+		c := newCluster(t, seed, clusterSize(seed))
+		c.history = history
+		healed := c.run()
+		history.Add("end", seed, healed, len(c.log), len(c.leaderSince), c.confirmations, c.falseConfirmations)
 	})
-	golden.Check(t, "schedules.txt", []byte(strings.Join(lines, "")))
 }
 
 // TestGoldenState compares the bytes of a state whose every part is filled, as a host saves it.
@@ -109,7 +104,7 @@
 	got := fmt.Sprintf("hard %x\nsnapshot %x\nentry %x\n", encoded(t, &hard, &raftpb.HardState{}),
 		encoded(t, &snapshot, &raftpb.Snapshot{}), encoded(t, &entry, &raftpb.Entry{}))
 	saved := PersistentState{HardState: hard, Snapshot: snapshot, Entries: []Entry{entry}}
-	voter, err := New(DefaultConfig(5), &saved, nil, newCluster(t, 1, 3).random, 0)
+	voter, err := New(DefaultConfig(5), &saved, nil, newCluster(t, 1, 3).Random, 0)
 	require.NoError(t, err)
 	initial := voter.InitialState()
 	got += fmt.Sprintf("hard %x\nsnapshot %x\n", encoded(t, &initial.HardState, &raftpb.HardState{}),
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -11,6 +11,7 @@
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
+	"thistlequay/internal/schedule"
 )
 
 // What a record of the history is about. The numbers are part of the golden files.
@@ -22,12 +23,6 @@
 	eventStep
 )
 
-func (c *cluster) record(values ...any) {
-	if c.history != nil {
-		c.history.Add(values...)
-	}
-}
-
 // recordReady records all that a coordinator gives, byte for byte.
 func (c *cluster) recordReady(i int, ready *Ready) {
 	if c.history == nil {
@@ -36,18 +31,18 @@
 	hard := ready.State.HardState
 	snapshot := ready.State.Snapshot
 	at := snapshot.Metadata
-	c.record(eventState, i, ready.IsNewState, hard.Term, hard.Vote, hard.Commit,
+	c.history.Add(eventState, i, ready.IsNewState, hard.Term, hard.Vote, hard.Commit,
 		at.Index, at.Term, at.ConfState.Voters, string(snapshot.Data))
 	for _, entry := range ready.State.Entries {
-		c.record(eventState, entry.Index, entry.Term, int(entry.Type), string(entry.Data))
+		c.history.Add(eventState, entry.Index, entry.Term, int(entry.Type), string(entry.Data))
 	}
 	for _, message := range ready.Messages {
-		c.record(eventMessage, i, message.To, string(message.Data))
+		c.history.Add(eventMessage, i, message.To, string(message.Data))
 	}
 	for _, reply := range ready.Replies {
-		c.record(eventReply, i, reply.RequestID, reply.Granted, reply.Leader)
+		c.history.Add(eventReply, i, reply.RequestID, reply.Granted, reply.Leader)
 		for _, r := range reply.Response.Limits {
-			c.record(eventReply, int64(r.RequestedAt), r.LeaseVersion, r.Amount, int64(r.LeaseDuration), r.LogID)
+			c.history.Add(eventReply, int64(r.RequestedAt), r.LeaseVersion, r.Amount, int64(r.LeaseDuration), r.LogID)
 		}
 	}
 }
@@ -59,22 +54,15 @@
 	}
 	own := s.coordinator
 	id := own.Identity()
-	c.record(eventServer, i, usable, len(s.releaseTimes), own.IsLeader(), own.InMajority(), own.Leader(),
+	c.history.Add(eventServer, i, usable, len(s.releaseTimes), own.IsLeader(), own.InMajority(), own.Leader(),
 		id.LogID, id.VoterID, own.Voters(), own.LeaderLost(), own.AppliedCommands, own.DiscardedStates)
 }
 
 // The whole history of seeded schedules: every saved record, every message between servers byte for byte, every
 // reply, and what each server may use and takes for true after each step.
 func TestGoldenSchedules(t *testing.T) {
-	var recorded bytes.Buffer
-	for first := 0; first < 100; first += 10 {
-		history := golden.NewHistory()
-		for seed := first; seed < first+10; seed++ {
-			runSchedule(t, seed, history)
-		}
-		fmt.Fprintf(&recorded, "seeds %d to %d: %s\n", first, first+9, history)
-	}
-	golden.Check(t, "schedules.txt", recorded.Bytes())
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
 // The bytes of what the log carries and of the identity on the disk: decoded as a server does, and encoded again.
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -1,41 +1,39 @@
 package coordinator
 
 import (
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
-	"thistlequay/timeunit"
+	"thistlequay/internal/schedule"
 )
 
 // runSchedule plays the faults that a seed draws, mends everything and plays on. It records what happens where a
 // history is given.
-func runSchedule(t *testing.T, seed int, history *golden.History) *cluster {
+func runSchedule(t *testing.T, seed int64, history *golden.History) *cluster {
 	t.Helper()
-	c := newCluster(int64(seed), 3+seed%6, seed%2 == 1)
+	c := newCluster(seed, 3+int(seed%6), seed%2 == 1)
 	c.history = history
-	c.run(12_000)
+	c.RunFor(12_000, c.step)
 	for range 12 {
 		c.injectFault()
-		c.run(timeunit.Milliseconds(200 + c.random.Intn(5000)))
-		require.Zero(t, c.violations, "seed %d at %d", seed, c.now)
+		c.RunFor(c.DrawSpan(200, 5200), c.step)
+		require.Zero(t, c.violations, "seed %d at %d", seed, c.Now)
 	}
-	clear(c.blocked)
-	c.lossRate = 0
+	c.Heal()
 	c.restartStopped()
 	for _, s := range c.servers {
-		s.pausedUntil = 0
+		s.PausedUntil = 0
 		s.load = 20 * quota.Unit
 		s.total = c.limit.Total
-		s.revision = uint64(c.now)
+		s.revision = uint64(c.Now)
 	}
-	c.run(25_000)
+	c.RunFor(25_000, c.step)
 	c.usedSum = 0
 	c.totalSum = 0
-	c.run(5000)
+	c.RunFor(5000, c.step)
 	require.Zero(t, c.violations, "seed %d at the end", seed)
 	return c
 }
@@ -43,13 +41,10 @@
 // The sum of what is usable and in use never exceeds the total in force, at every instant of true time, whatever
 // happens to coordinators, holders and the network. When everything works again, most of the total is in use again.
 func TestUsableNeverExceedsTotalThroughFaults(t *testing.T) {
-	seeds := 40
-	if os.Getenv("MEASURE") == "full" {
-		seeds = 3000
-	}
+	seeds := schedule.Scale(40, 3000)
 	checks, leaderChanges, leasesGranted, healed := 0, 0, 0, 0
 	for seed := range seeds {
-		c := runSchedule(t, seed, nil)
+		c := runSchedule(t, int64(seed), nil)
 		if 10*c.usedSum > 7*c.totalSum {
 			healed++
 		}
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -1,28 +1,27 @@
 package quota
 
 import (
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
-	"thistlequay/timeunit"
+	"thistlequay/internal/schedule"
 )
 
 // runSchedule plays the faults that a seed draws, and records what happens where a history is given.
-func runSchedule(t *testing.T, seed int, history *golden.History) *cluster {
+func runSchedule(t *testing.T, seed int64, history *golden.History) *cluster {
 	t.Helper()
-	c := newCluster(int64(seed), 3+seed%10)
+	c := newCluster(seed, 3+int(seed%10))
 	c.history = history
 	c.elect(0)
 	for range 25 {
 		c.injectFault()
-		c.run(timeunit.Milliseconds(100 + c.random.Intn(4000)))
+		c.RunFor(c.DrawSpan(100, 4100), c.step)
 		require.Zero(t, c.violations, "seed %d", seed)
 	}
 	c.elect(0) // a lower total comes into force once the earlier leases have expired
-	c.run(8000)
+	c.RunFor(8000, c.step)
 	require.Equal(t, c.allocators[0].targetTotal, c.allocators[0].EffectiveTotal(), "seed %d", seed)
 	require.Zero(t, c.violations, "seed %d", seed)
 	return c
@@ -30,13 +29,10 @@
 
 // The sum of what is usable or in use never exceeds the total in force, at every instant of true time.
 func TestUsableNeverExceedsTotal(t *testing.T) {
-	seeds := 250
-	if os.Getenv("MEASURE") == "full" {
-		seeds = 5000
-	}
+	seeds := schedule.Scale(250, 5000)
 	checks := 0
 	for seed := range seeds {
-		checks += runSchedule(t, seed, nil).checks
+		checks += runSchedule(t, int64(seed), nil).checks
 	}
 	t.Logf("measured shares-schedules seeds=%d looks=%d over=0", seeds, checks)
 }
@@ -58,11 +54,11 @@
 			s.load = day.load(i)
 			asked += s.load
 		}
-		c.run(10_000)
+		c.RunFor(10_000, c.step)
 		c.usedSum = 0
 		c.totalSum = 0
 		changesBefore := len(c.log)
-		c.run(60_000)
+		c.RunFor(60_000, c.step)
 		usedPart := float64(c.usedSum) / float64(min(asked*3000, c.totalSum))
 		changesPerSecond := float64(len(c.log)-changesBefore) / 60
 		t.Logf("measured shares day=%s servers=8 over=%d used_of_possible=%.3f proposals_a_second=%.2f",
