--- a/cmd/thistlequay/plugin.go
+++ b/cmd/thistlequay/plugin.go
@@ -63,7 +63,7 @@
 
 // Run loads the module once.
 func (c *pluginCheckCommand) Run(out io.Writer) error {
-	trial, err := plugin.Try(c.moduleConfig(c.File), nil, 0)
+	trial, err := plugin.Check(c.moduleConfig(c.File))
 	if err != nil {
 		return err
 	}
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -17,11 +17,13 @@
 	LogLines    []string
 }
 
-// Try loads a module in this process and calls it the given number of times about a request, for those who write
-// plug-ins. The timeout of each call must be given if there are calls; if there are none, neither it nor the request is
-// read.
+// Check loads a module in this process without calling it, for those who write plug-ins.
+func Check(config ModuleConfig) (TrialResult, error) { return Try(config, nil, 0, 0) }
+
+// Try loads a module in this process and calls it the given number of times about a request, each time for timeout at
+// most, for those who write plug-ins.
 func Try(
-	config ModuleConfig, request *abi.Request, calls int, timeout ...time.Duration,
+	config ModuleConfig, request *abi.Request, calls int, timeout time.Duration,
 ) (result TrialResult, err error) {
 	ctx := context.Background()
 	start := time.Now()
@@ -37,7 +39,7 @@
 	result.StartupTime = time.Since(start)
 	result.SHA256 = m.SHA256
 	for range calls {
-		answer, took, err := m.call(ctx, request.Hook, request.Append(nil), timeout[0])
+		answer, took, err := m.call(ctx, request.Hook, request.Append(nil), timeout)
 		if err != nil {
 			return result, err
 		}
