--- a/internal/plugin/chain/circuitbreaker.go
+++ b/internal/plugin/chain/circuitbreaker.go
@@ -48,7 +48,7 @@
 type CircuitBreaker struct {
 	State  State
 	Calls  int
-	Faults [len(FaultNames)]int
+	Faults [faultCount]int // how often each fault occurred
 
 	random *rand.Rand
 
--- a/internal/plugin/chain/evaluation_test.go
+++ b/internal/plugin/chain/evaluation_test.go
@@ -136,7 +136,7 @@
 		took := timeunit.Ticks(random.Intn(int(timeout) + 1))
 		now += took
 		if random.flip() {
-			quarantined := e.RecordFault(Fault(random.Intn(len(FaultNames))), took, now)
+			quarantined := e.RecordFault(Fault(random.Intn(faultCount)), took, now)
 			history.Add(quarantined)
 			continue
 		}
@@ -147,8 +147,11 @@
 
 // TestFaultNames checks the names by which logs tell faults apart.
 func TestFaultNames(t *testing.T) {
-	names := [...]string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
-	require.Equal(t, names, FaultNames)
+	names := []string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
+	require.Len(t, names, faultCount)
+	for i, name := range names {
+		require.Equal(t, name, Fault(i).String())
+	}
 }
 
 // BenchmarkEvaluation measures an evaluation in which one plug-in of many is called.
--- a/internal/plugin/chain/verdict.go
+++ b/internal/plugin/chain/verdict.go
@@ -36,10 +36,15 @@
 	FaultNotPermitted              // the verdict does what the policy does not permit
 	FaultProcessDied               // the plug-in process ended during the call
 	FaultUnavailable               // the plug-in could not be called: its process is absent, or its budget used up
+
+	faultCount = iota // the number of faults
 )
 
-// FaultNames are the faults' names in logs.
-var FaultNames = [...]string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
+// faultNames are the faults' names in logs.
+var faultNames = [faultCount]string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
+
+// String returns the fault's name in logs.
+func (f Fault) String() string { return faultNames[f] }
 
 // validate checks a verdict on an evaluation against the rules that hold for every plug-in and against the policy. It
 // returns the fault if isFault.
--- a/internal/server/pluginevaluation.go
+++ b/internal/server/pluginevaluation.go
@@ -183,6 +183,6 @@
 // logQuarantine logs that the plug-in is not called for a while.
 func (e *chainEvaluation) logQuarantine(fault chain.Fault) {
 	s := e.connection.part.server
-	s.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", chain.FaultNames[fault]).
+	s.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", fault.String()).
 		Int64("wait_ms", milliseconds(e.plugin.QuarantineEnd()-s.now)).Send()
 }
