--- a/internal/plugin/frame.go
+++ b/internal/plugin/frame.go
@@ -35,13 +35,16 @@
 	FrameCounters = 'C' // by how much each counter moved, as JSON
 )
 
-// Outcomes of a call, in a frame of kind FrameVerdict.
+// CallOutcome is how a call ended, in a frame of kind FrameVerdict.
+type CallOutcome byte
+
+// The outcomes.
 const (
-	CallSucceeded  = iota // there is a verdict, maybe an empty one
-	CallTimedOut          // it exceeded its timeout
-	CallTrapped           // the plug-in failed
-	CallMalformed         // the verdict's bytes are no message
-	CallNotStarted        // no time was left when a worker was free
+	CallSucceeded  CallOutcome = iota // there is a verdict, maybe an empty one
+	CallTimedOut                      // it exceeded its timeout
+	CallTrapped                       // the plug-in failed
+	CallMalformed                     // the verdict's bytes are no message
+	CallNotStarted                    // no time was left when a worker was free
 )
 
 // callHeaderSize is the size of the numbers in front of the request in a call, and of the verdict in its answer.
@@ -124,12 +127,12 @@
 }
 
 // Verdict splits the payload of a frame of kind FrameVerdict; false if it is too short.
-func (f *Frame) Verdict() (outcome byte, took time.Duration, verdict []byte, ok bool) {
+func (f *Frame) Verdict() (outcome CallOutcome, took time.Duration, verdict []byte, ok bool) {
 	if len(f.Payload) < callHeaderSize {
 		return 0, 0, nil, false
 	}
 	took = time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * time.Microsecond
-	return f.Payload[0], took, f.Payload[callHeaderSize:], true
+	return CallOutcome(f.Payload[0]), took, f.Payload[callHeaderSize:], true
 }
 
 // appendStateEntry appends the payload of a frame of kind FrameState. The key has maxKeySize bytes at most.
--- a/internal/plugin/golden_test.go
+++ b/internal/plugin/golden_test.go
@@ -65,7 +65,7 @@
 		AppendFrame(nil, FrameCounters, 2, 0, []byte(`{"n":1}`)),
 		AppendCall(nil, 513, abi.HookResult, 1<<60+1, 25, request.Append(nil)))
 	out := &frameWriter{out: frameCollector{&frames}}
-	for _, outcome := range []byte{CallSucceeded, CallTimedOut, CallTrapped, CallMalformed, CallNotStarted} {
+	for _, outcome := range []CallOutcome{CallSucceeded, CallTimedOut, CallTrapped, CallMalformed, CallNotStarted} {
 		out.writeVerdict(callRequest{pluginIndex: 2, id: 77}, outcome, 1234*time.Microsecond, []byte{1, 2, 3})
 	}
 	return frames
--- a/internal/plugin/host.go
+++ b/internal/plugin/host.go
@@ -155,15 +155,20 @@
 		return
 	}
 	verdict, took, err := h.modules[call.pluginIndex].call(ctx, call.hook, call.request, timeout)
+	h.out.writeVerdict(call, outcomeOf(err), took, verdict)
+}
+
+// outcomeOf returns the outcome of a module's call that returned an error, or nil. There is a verdict with nil only.
+func outcomeOf(err error) CallOutcome {
 	switch {
 	case err == nil:
-		h.out.writeVerdict(call, CallSucceeded, took, verdict)
+		return CallSucceeded
 	case isTimeout(err):
-		h.out.writeVerdict(call, CallTimedOut, took, nil)
+		return CallTimedOut
 	case errors.Is(err, ErrMalformedVerdict):
-		h.out.writeVerdict(call, CallMalformed, took, nil)
+		return CallMalformed
 	default:
-		h.out.writeVerdict(call, CallTrapped, took, nil)
+		return CallTrapped
 	}
 }
 
@@ -197,7 +202,7 @@
 }
 
 // writeVerdict answers a call.
-func (w *frameWriter) writeVerdict(call callRequest, outcome byte, took time.Duration, verdict []byte) {
-	header := binary.LittleEndian.AppendUint32([]byte{outcome}, uint32(min(took.Microseconds(), 1<<31)))
+func (w *frameWriter) writeVerdict(call callRequest, outcome CallOutcome, took time.Duration, verdict []byte) {
+	header := binary.LittleEndian.AppendUint32([]byte{byte(outcome)}, uint32(min(took.Microseconds(), 1<<31)))
 	w.writeFrame(FrameVerdict, call.pluginIndex, call.id, header, verdict)
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -314,8 +314,8 @@
 // What a process of plug-ins is asked and what its verdicts do, byte for byte, before a run and after.
 func TestGoldenPlugins(t *testing.T) {
 	var s transcript
-	verdict := func(how byte, v abi.Verdict) []byte {
-		return v.Append([]byte{how, 100, 0, 0, 0})
+	verdict := func(outcome plugin.CallOutcome, v abi.Verdict) []byte {
+		return v.Append([]byte{byte(outcome), 100, 0, 0, 0})
 	}
 	says := func(v abi.Verdict) []byte { return verdict(plugin.CallSucceeded, v) }
 	nothing := says(abi.Verdict{})
@@ -324,7 +324,7 @@
 		read, result []byte
 	}{
 		{"nothing said", nothing, nothing},
-		{"no verdict at all", []byte{plugin.CallSucceeded, 1, 0, 0, 0}, nothing},
+		{"no verdict at all", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0}, nothing},
 		{"declined", says(abi.Verdict{Actions: abi.ActionReject, Status: 403}), nothing},
 		{"declined as busy", says(abi.Verdict{Actions: abi.ActionReject, Status: 503}), nothing},
 		{"declined with a status that is none", says(abi.Verdict{Actions: abi.ActionReject, Status: 200}), nothing},
@@ -333,7 +333,7 @@
 		{"an unknown category", says(abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), nothing},
 		{"cut", verdict(plugin.CallTimedOut, abi.Verdict{}), verdict(plugin.CallTrapped, abi.Verdict{})},
 		{"unreadable", verdict(plugin.CallMalformed, abi.Verdict{}), verdict(plugin.CallNotStarted, abi.Verdict{})},
-		{"bytes that are none", []byte{plugin.CallSucceeded, 1, 0, 0, 0, 9}, []byte{1}},
+		{"bytes that are none", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0, 9}, []byte{1}},
 		{"another result", nothing, says(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
 		{"a longer result", nothing, says(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
 		{"silent", nil, nil},
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -167,7 +167,7 @@
 }
 
 // callFaults are the faults that the process tells, by how the call ended.
-var callFaults = map[byte]chain.Fault{
+var callFaults = map[plugin.CallOutcome]chain.Fault{
 	plugin.CallTimedOut:   chain.FaultTimeout,
 	plugin.CallTrapped:    chain.FaultTrap,
 	plugin.CallMalformed:  chain.FaultMalformed,
