--- a/internal/segmentlog/crash_test.go
+++ b/internal/segmentlog/crash_test.go
@@ -24,8 +24,9 @@
 	processes  int
 }
 
-// Every crash: after each step of a process, with the last write torn at each byte, with unsynced writes kept, dropped
-// or reordered. Whatever is found then, no key that ran is run again, and a stored result is never another one.
+// TestNoKeyRunsTwiceAfterAnyCrash crashes a process after each of its steps on the disk, with the last write torn at
+// each byte, with unsynced writes kept, dropped or reordered. Whatever is found then, no key that ran is run again, and
+// a stored result is never another one.
 func TestNoKeyRunsTwiceAfterAnyCrash(t *testing.T) {
 	keys := 12
 	if os.Getenv("MEASURE") == "full" {
@@ -38,7 +39,7 @@
 		processes += run.processes
 		crashes += run.crashes
 	}
-	t.Logf("measured store lives=%d keys=%d double_runs=0 crash_points=%d", processes, keys, crashes)
+	t.Logf("measured store processes=%d keys=%d double_runs=0 crash_points=%d", processes, keys, crashes)
 	require.Greater(t, crashes, 1000)
 }
 
@@ -50,16 +51,15 @@
 		t:          t,
 		durability: durability,
 		keys:       keys,
-		clock:      &testClock{reading: firstReading},
+		clock:      newTestClock(),
 		begun:      map[string]int{},
 		completed:  map[string]int{},
 	}
 	disk := newMemoryDisk()
-	s, err := openSession(t, disk, run.clock, durability, true)
-	require.NoError(t, err)
+	s := startSession(t, disk, run.clock, durability)
 	for i := range keys {
 		key := keyName(i)
-		require.True(t, s.intend(key, run.clock.now().Wall+testWindow))
+		require.True(t, s.intend(key))
 		if i%5 == 4 {
 			s.complete(key, recovery.KindCancellation, s.lastAttempt, "")
 			continue
@@ -75,99 +75,104 @@
 	return run
 }
 
+// Boots of the machine.
+const (
+	firstBoot  = 1
+	secondBoot = 2
+)
+
 func keyName(i int) string { return fmt.Sprint("key-", i) }
 
 func keepUnsynced(int) bool { return true }
+
 func dropUnsynced(int) bool { return false }
 
 // crashEverywhere crashes after each step, in each way that the durability has to survive.
 func (r *crashRun) crashEverywhere() {
-	for n := range len(r.steps) + 1 {
-		r.check(n, crashedDisk(r.steps, n, keepUnsynced), 1) // the process is killed
-		if n > 0 && r.steps[n-1].operation == "write" {
-			r.tearLastWrite(n)
+	for stepCount := range len(r.steps) + 1 {
+		steps := r.steps[:stepCount]
+		r.check(stepCount, crashedDisk(steps, keepUnsynced), firstBoot) // the process is killed
+		if stepCount > 0 && steps[stepCount-1].operation == opWrite {
+			r.tearLastWrite(steps)
 		}
 		if r.durability == recovery.DurabilityProcess {
-			r.check(n, crashedDisk(r.steps, n, dropUnsynced), 2)
+			r.check(stepCount, crashedDisk(steps, dropUnsynced), secondBoot)
 			continue
 		}
 		for subset := range 8 { // the machine crashes: each subset of the last few unsynced writes survives
 			survives := func(unsynced int) bool { return subset>>min(unsynced, 2)&1 == 1 }
-			r.check(n, crashedDisk(r.steps, n, survives), 2)
+			r.check(stepCount, crashedDisk(steps, survives), secondBoot)
 		}
 	}
 }
 
-// tearLastWrite crashes in the middle of the write that is step n, at each of its bytes.
-func (r *crashRun) tearLastWrite(n int) {
-	write := r.steps[n-1]
+// tearLastWrite crashes in the middle of the last step, a write, at each of its bytes.
+func (r *crashRun) tearLastWrite(steps []diskStep) {
+	stepsBefore := len(steps) - 1
+	write := steps[stepsBefore]
 	for torn := range len(write.data) {
-		disk := crashedDisk(r.steps, n, keepUnsynced)
+		disk := crashedDisk(steps, keepUnsynced)
 		data := disk.files[write.name]
 		disk.files[write.name] = data[:len(data)-len(write.data)+torn]
-		r.check(n-1, disk, 1)
+		r.check(stepsBefore, disk, firstBoot)
 		if r.durability == recovery.DurabilityMachine {
-			r.check(n-1, disk, 2)
+			r.check(stepsBefore, disk, secondBoot)
 		}
 	}
 }
 
 // check starts another process, of the given boot, on a disk as it was after so many steps.
-func (r *crashRun) check(steps int, disk *memoryDisk, bootID uint64) {
+func (r *crashRun) check(stepCount int, disk *memoryDisk, bootID uint64) {
 	r.t.Helper()
 	r.crashes++
-	clock := &testClock{reading: recovery.ClockReading{
-		Wall:      r.clock.now().Wall + 100,
-		Monotonic: r.clock.now().Monotonic + 100,
-		BootID:    bootID,
-	}}
-	if bootID != 1 {
+	clock := r.clock.later(100, 100, bootID)
+	if bootID != firstBoot {
 		clock.reading.Monotonic = 100
 	}
-	now := clock.reading.Wall
-	s, err := openSession(r.t, disk, clock, r.durability, steps < 2) // an empty directory, before the first segment
+	isEmpty := stepCount < 2 // the directory, before the first segment
+	s, err := openSession(r.t, disk, testConfig(r.durability, isEmpty, clock.now))
 	require.NoError(r.t, err)
 	r.processes++
 	for i := range r.keys {
-		r.checkKey(keyName(i), retryOutcome(s.log, keyName(i), now), steps, bootID)
+		r.checkKey(keyName(i), s.retryOutcome(keyName(i)), stepCount, bootID)
 	}
 	s.close()
 }
 
-func (r *crashRun) checkKey(key, got string, steps int, bootID uint64) {
+// checkKey checks what a process of the given boot does with a retry of a key.
+func (r *crashRun) checkKey(key, got string, stepCount int, bootID uint64) {
 	r.t.Helper()
-	if begun, ran := r.begun[key]; ran && begun <= steps {
-		require.NotEqual(r.t, retryRuns, got, "durability %d: %s runs twice after %d steps", r.durability, key, steps)
+	if begun, ran := r.begun[key]; ran && begun <= stepCount {
+		require.NotEqual(r.t, retryRuns, got, "durability %d: %s runs twice after %d steps",
+			r.durability, key, stepCount)
 	}
 	if got != retryRuns && got != retryRejected && got != retryAborted {
 		require.Equal(r.t, "result of "+key, got)
 	}
 	completed, isCompleted := r.completed[key]
-	isDurable := isCompleted && completed <= steps && (bootID == 1 || r.durability == recovery.DurabilityMachine)
-	if isDurable && got != retryRejected {
-		require.Equal(r.t, "result of "+key, got, "what was durable is gone")
+	survivesBoot := bootID == firstBoot || r.durability == recovery.DurabilityMachine
+	if isCompleted && completed <= stepCount && survivesBoot && got != retryRejected {
+		require.Equal(r.t, "result of "+key, got, "a durable result is lost")
 	}
 }
 
-// A process that crashes while it opens the log: after each step, with its header torn at each byte, the next finds
-// what was there.
+// TestCrashWhileOpeningLosesNothing crashes a process while it opens the log: after each step, with its header torn at
+// each byte. The next process finds what was there.
 func TestCrashWhileOpeningLosesNothing(t *testing.T) {
 	disk := newMemoryDisk()
-	clock := &testClock{reading: firstReading}
-	s, err := openSession(t, disk, clock, recovery.DurabilityMachine, true)
-	require.NoError(t, err)
-	require.True(t, s.intend("ran", clock.now().Wall+testWindow))
-	require.True(t, s.intend("answered", clock.now().Wall+testWindow))
-	s.complete("answered", recovery.KindCompletion, 2, "r")
-	s.close()
+	clock := newTestClock()
+	first := startSession(t, disk, clock, recovery.DurabilityMachine)
+	require.True(t, first.intend("ran"))
+	require.True(t, first.intend("answered"))
+	first.complete("answered", recovery.KindCompletion, 2, "r")
+	first.close()
 	before := disk.count()
-	s, err = openSession(t, disk, clock, recovery.DurabilityMachine, false)
-	require.NoError(t, err)
+	second := restartSession(t, disk, clock)
 	opened := disk.count()
-	s.close()
-	for n := before; n <= opened; n++ {
+	second.close()
+	for stepCount := before; stepCount <= opened; stepCount++ {
 		for torn := range headerSize + 1 {
-			crashed := crashedDisk(disk.steps, n, keepUnsynced)
+			crashed := crashedDisk(disk.steps[:stepCount], keepUnsynced)
 			if data := crashed.files[segmentName(2)]; len(data) >= torn {
 				crashed.files[segmentName(2)] = data[:len(data)-torn]
 			} else if torn > 0 {
@@ -180,16 +185,15 @@
 
 func checkNothingLost(t *testing.T, disk *memoryDisk, clock *testClock) {
 	t.Helper()
-	s, err := openSession(t, disk, &testClock{reading: clock.reading}, recovery.DurabilityMachine, false)
-	require.NoError(t, err)
-	outcome := func(key string) string { return retryOutcome(s.log, key, clock.now().Wall) }
-	require.Equal(t, retryAborted, outcome("ran"))
-	require.Equal(t, "result r", outcome("answered"))
-	require.Equal(t, retryRuns, outcome("new"), "what was being begun lost nothing")
+	s := restartSession(t, disk, clock.later(0, 0, firstBoot))
+	require.Equal(t, retryAborted, s.retryOutcome("ran"))
+	require.Equal(t, "result r", s.retryOutcome("answered"))
+	require.Equal(t, retryRuns, s.retryOutcome("new"), "an unfinished segment was taken for data loss")
 	s.close()
 }
 
-// What lies there is corrupt: in the middle, in a header, a segment is gone, all are gone.
+// TestCorruptionRejectsUnknownKeysForAWindow checks that after corruption or loss of segments no key runs, as long as
+// one that was lost might be retried.
 func TestCorruptionRejectsUnknownKeysForAWindow(t *testing.T) {
 	for name, corrupt := range map[string]func(disk *memoryDisk){
 		"middle":  func(disk *memoryDisk) { disk.files[segmentName(2)][headerSize+70] ^= 1 },
@@ -198,80 +202,72 @@
 		"first":   func(disk *memoryDisk) { delete(disk.files, segmentName(1)) },
 		"all":     func(disk *memoryDisk) { clear(disk.files) },
 	} {
-		disk, clock := diskWithSegments(t)
-		corrupt(disk)
-		s, err := openSession(t, disk, &testClock{reading: clock.reading}, recovery.DurabilityMachine, false)
-		require.NoError(t, err, name)
-		require.Equal(t, retryRejected, retryOutcome(s.log, "never heard of", clock.now().Wall), name)
-		for i := range 60 {
-			require.NotEqual(t, retryRuns, retryOutcome(s.log, keyName(i), clock.now().Wall), name)
-		}
-		s.close()
-		if name == "all" {
-			continue
-		}
-		late := &testClock{reading: laterBy(clock, 2*testWindow, 2*testWindow, 1)} // by then no retry can come
-		s, err = openSession(t, disk, late, recovery.DurabilityMachine, false)
-		require.NoError(t, err)
-		require.Equal(t, retryRuns, retryOutcome(s.log, keyName(1), late.reading.Wall), name)
-		s.close()
+		t.Run(name, func(t *testing.T) {
+			disk, clock := diskWithSegments(t)
+			corrupt(disk)
+			first := restartSession(t, disk, clock.later(0, 0, firstBoot))
+			require.Equal(t, retryRejected, first.retryOutcome("unknown"))
+			for i := range segmentKeys {
+				require.NotEqual(t, retryRuns, first.retryOutcome(keyName(i)))
+			}
+			first.close()
+			if name == "all" {
+				return
+			}
+			second := restartSession(t, disk, clock.later(2*testWindow, 2*testWindow, firstBoot))
+			require.Equal(t, retryRuns, second.retryOutcome(keyName(1)), "by then no retry can come")
+		})
 	}
 }
 
+// TestSegmentOfAnotherVersionIsRefused checks that a segment of another version is an error and no corruption.
 func TestSegmentOfAnotherVersionIsRefused(t *testing.T) {
 	disk, clock := diskWithSegments(t)
 	disk.files[segmentName(2)][headerVersionOffset] = 9
-	_, err := openSession(t, disk, clock, recovery.DurabilityMachine, false)
+	_, err := openSession(t, disk, testConfig(recovery.DurabilityMachine, false, clock.now))
 	require.ErrorIs(t, err, errUnsupportedVersion)
 }
 
-// diskWithSegments returns a disk with the intents of 60 keys in several segments.
+// segmentKeys is the number of keys on the disk that diskWithSegments returns.
+const segmentKeys = 60
+
+// diskWithSegments returns a disk with the intents of segmentKeys keys in several segments.
 func diskWithSegments(t *testing.T) (*memoryDisk, *testClock) {
 	t.Helper()
 	disk := newMemoryDisk()
-	clock := &testClock{reading: firstReading}
-	s, err := openSession(t, disk, clock, recovery.DurabilityMachine, true)
-	require.NoError(t, err)
-	for i := range 60 {
-		require.True(t, s.intend(keyName(i), clock.now().Wall+testWindow))
+	clock := newTestClock()
+	s := startSession(t, disk, clock, recovery.DurabilityMachine)
+	for i := range segmentKeys {
+		require.True(t, s.intend(keyName(i)))
 	}
 	s.close()
 	return disk, clock
 }
 
-// laterBy returns a reading of clocks that have moved on, perhaps of another boot.
-func laterBy(clock *testClock, wall, monotonic timeunit.Ticks, bootID uint64) recovery.ClockReading {
-	return recovery.ClockReading{
-		Wall:      clock.now().Wall + wall,
-		Monotonic: clock.now().Monotonic + monotonic,
-		BootID:    bootID,
-	}
-}
-
-// The wall clock steps over a restart, within one boot and over another.
+// TestWindowSurvivesClockSteps checks that a window lasts as long as it should where the wall clock steps over a
+// restart, within one boot and over another.
 func TestWindowSurvivesClockSteps(t *testing.T) {
 	for _, test := range []struct {
+		name      string
 		wall      timeunit.Ticks
 		monotonic timeunit.Ticks
 		bootID    uint64
 		want      string
 	}{
-		{400_000, 400_000, 1, retryRuns}, // 40 s later
-		{400_000, 100, 1, retryAborted},  // the wall clock was set 40 s forward
-		{-400_000, 100, 1, retryAborted}, // and back
-		{355_000, 100, 2, retryAborted},  // another boot: uncertain for a second more
-		{400_000, 100, 2, retryRuns},
+		{"40 s later", 400_000, 400_000, firstBoot, retryRuns},
+		{"set 40 s forward", 400_000, 100, firstBoot, retryAborted},
+		{"set 40 s back", -400_000, 100, firstBoot, retryAborted},
+		{"another boot, uncertain for a second more", 355_000, 100, secondBoot, retryAborted},
+		{"another boot, 40 s later", 400_000, 100, secondBoot, retryRuns},
 	} {
-		disk := newMemoryDisk()
-		clock := &testClock{reading: firstReading}
-		s, err := openSession(t, disk, clock, recovery.DurabilityMachine, true)
-		require.NoError(t, err)
-		require.True(t, s.intend("k", clock.now().Wall+testWindow))
-		s.close()
-		later := &testClock{reading: laterBy(clock, test.wall, test.monotonic, test.bootID)}
-		s, err = openSession(t, disk, later, recovery.DurabilityMachine, false)
-		require.NoError(t, err)
-		require.Equal(t, test.want, retryOutcome(s.log, "k", later.reading.Wall), fmt.Sprint(test))
-		s.close()
+		t.Run(test.name, func(t *testing.T) {
+			disk := newMemoryDisk()
+			clock := newTestClock()
+			first := startSession(t, disk, clock, recovery.DurabilityMachine)
+			require.True(t, first.intend("k"))
+			first.close()
+			second := restartSession(t, disk, clock.later(test.wall, test.monotonic, test.bootID))
+			require.Equal(t, test.want, second.retryOutcome("k"))
+		})
 	}
 }
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -102,19 +102,16 @@
 // playProcesses has three processes write to one disk, each after another kind of harm, and adds every step on the
 // disk.
 func playProcesses(t *testing.T, h *golden.History, seed int64) {
+	t.Helper()
 	random := rand.New(rand.NewSource(seed))
 	disk := newMemoryDisk()
 	clock := &seededClock{random: rand.New(rand.NewSource(seed)), reading: firstReading}
 	for process := range 3 {
-		s := &session{Assertions: require.New(t), results: make(chan WriteResult, 64)}
-		config := testConfig(recovery.Durability(seed%2), process == 0)
+		config := testConfig(recovery.Durability(seed%2), process == 0, clock.now)
 		config.MaxOutcomes = 12
-		config.Now = clock.now
-		config.OnWritten = func(results []WriteResult) { s.results <- results[0] }
-		log, err := Open(disk, config)
+		s, err := openSession(t, disk, config)
 		require.NoError(t, err)
-		s.log = log
-		addScan(h, &log.ScanResult)
+		addScan(h, &s.log.ScanResult)
 		for i := range 20 {
 			s.lastAttempt = uint64(100*process + i)
 			playRequest(s, random)
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 	"path/filepath"
-	"sync/atomic"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,46 +12,51 @@
 	"thistlequay/internal/recovery"
 )
 
-// A write or a sync that fails rejects what waits for it, and nothing later makes it good: a new segment is begun.
+// TestFailedDiskRejectsIntentsUntilANewSegment checks that a write or a sync that fails rejects what waits for it, and
+// that nothing later makes it good: a new segment is begun.
 func TestFailedDiskRejectsIntentsUntilANewSegment(t *testing.T) {
-	for _, operation := range []string{"write", "sync", "create"} {
-		disk := newMemoryDisk()
-		clock := &testClock{reading: firstReading}
-		s, err := openSession(t, disk, clock, recovery.DurabilityMachine, true)
-		require.NoError(t, err)
-		require.True(t, s.intend("before", clock.now().Wall+testWindow))
-		var isFailing atomic.Bool
-		isFailing.Store(true)
-		disk.failWith(func(attempted string) error {
-			if isFailing.Load() && (attempted == operation || operation == "create" && attempted == "write") {
-				return errDisk
-			}
-			return nil
+	for _, test := range []struct {
+		name    string
+		failing []diskOperation
+	}{
+		{"write", []diskOperation{opWrite}},
+		{"sync", []diskOperation{opSync}},
+		{"create", []diskOperation{opCreate, opWrite}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			disk := newMemoryDisk()
+			clock := newTestClock()
+			first := startSession(t, disk, clock, recovery.DurabilityMachine)
+			require.True(t, first.intend("before"))
+			disk.failWith(func(attempted diskOperation) error {
+				if slices.Contains(test.failing, attempted) {
+					return errDisk
+				}
+				return nil
+			})
+			require.False(t, first.intend("during"))
+			require.ErrorIs(t, first.log.AppendIntent(recovery.Record{Key: "soon after"}, 0), ErrUnavailable)
+			disk.failWith(nil)
+			intendAfterwards := func() bool { return first.intend("after the repair") }
+			require.Eventually(t, intendAfterwards, waitLimit, 5*time.Millisecond)
+			first.close()
+			second := restartSession(t, disk, clock)
+			require.Equal(t, retryAborted, second.retryOutcome("before"))
+			require.NotEqual(t, retryRuns, second.retryOutcome("after the repair"))
 		})
-		require.False(t, s.intend("during", clock.now().Wall+testWindow))
-		require.ErrorIs(t, s.log.AppendIntent(recovery.Record{Key: "soon after"}, 0), ErrUnavailable)
-		isFailing.Store(false)
-		intendAfterwards := func() bool { return s.intend("when it is well", clock.now().Wall+testWindow) }
-		require.Eventually(t, intendAfterwards, waitLimit, 5*time.Millisecond)
-		s.close()
-		again, err := openSession(t, disk, &testClock{reading: clock.reading}, recovery.DurabilityMachine, false)
-		require.NoError(t, err)
-		require.Equal(t, retryAborted, retryOutcome(again.log, "before", clock.now().Wall))
-		require.NotEqual(t, retryRuns, retryOutcome(again.log, "when it is well", clock.now().Wall))
-		again.close()
 	}
 }
 
-// Full: rejected before the run; what was reserved is there for the completions; windows that end free space.
+// TestFullLogRejectsIntentsButTakesCompletions checks that a full log rejects a request before its run, that what was
+// reserved is there for the completions, and that windows that end free space.
 func TestFullLogRejectsIntentsButTakesCompletions(t *testing.T) {
 	disk := newMemoryDisk()
-	clock := &testClock{reading: firstReading}
-	s, err := openSession(t, disk, clock, recovery.DurabilityProcess, true)
-	require.NoError(t, err)
+	clock := newTestClock()
+	s := startSession(t, disk, clock, recovery.DurabilityProcess)
 	s.log.space.MaxBytes = 40 << 10
 	s.log.config.MaxBytes = 40 << 10
 	accepted := 0
-	for s.intend(fmt.Sprint(accepted), clock.now().Wall+testWindow) {
+	for s.intend(fmt.Sprint(accepted)) {
 		accepted++
 	}
 	require.Greater(t, accepted, 3)
@@ -63,11 +68,11 @@
 	require.Zero(t, reserved)
 	require.NoError(t, failure)
 	clock.moveWall(2 * testWindow)
-	intendLater := func() bool { return s.intend("later", clock.now().Wall+testWindow) }
-	require.Eventually(t, intendLater, waitLimit, time.Millisecond)
-	s.close()
+	require.Eventually(t, func() bool { return s.intend("later") }, waitLimit, time.Millisecond)
 }
 
+// TestDirectoryIsLockedAndCompacted checks that one process at a time has a directory, and that what is still needed
+// survives its compaction.
 func TestDirectoryIsLockedAndCompacted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	directory, err := OpenDirectory(path)
@@ -75,12 +80,11 @@
 	_, err = OpenDirectory(path)
 	require.ErrorIs(t, err, ErrLocked)
 	clock := &testClock{reading: MachineClock()}
-	s, err := openSession(t, directory, clock, recovery.DurabilityMachine, true)
-	require.NoError(t, err)
-	require.True(t, s.intend("k", clock.now().Wall+testWindow))
-	s.complete("k", recovery.KindCompletion, s.lastAttempt, "r")
-	require.True(t, s.intend("open", clock.now().Wall+testWindow))
-	s.close()
+	first := startSession(t, directory, clock, recovery.DurabilityMachine)
+	require.True(t, first.intend("k"))
+	first.complete("k", recovery.KindCompletion, first.lastAttempt, "r")
+	require.True(t, first.intend("open"))
+	first.close()
 	require.NoError(t, directory.Close())
 
 	directory, err = OpenDirectory(path)
@@ -89,14 +93,14 @@
 	kept, removed, err := Compact(directory, analysis, clock.reading)
 	require.NoError(t, err)
 	require.Equal(t, "2 1", fmt.Sprint(kept, " ", removed))
-	s, err = openSession(t, directory, clock, recovery.DurabilityMachine, false)
-	require.NoError(t, err)
-	require.Equal(t, "result r", retryOutcome(s.log, "k", clock.now().Wall))
-	require.Equal(t, retryAborted, retryOutcome(s.log, "open", clock.now().Wall))
-	s.close()
+	second := restartSession(t, directory, clock)
+	require.Equal(t, "result r", second.retryOutcome("k"))
+	require.Equal(t, retryAborted, second.retryOutcome("open"))
+	second.close()
 	require.NoError(t, directory.Close())
 }
 
+// BenchmarkAppend measures an intent and its completion, each durable, on the disk of the temporary directory.
 func BenchmarkAppend(b *testing.B) {
 	for name, durability := range map[string]recovery.Durability{
 		"process": recovery.DurabilityProcess,
@@ -106,16 +110,14 @@
 			directory, err := OpenDirectory(b.TempDir())
 			require.NoError(b, err)
 			clock := &testClock{reading: MachineClock()}
-			s, err := openSession(b, directory, clock, durability, true)
-			require.NoError(b, err)
+			s := startSession(b, directory, clock, durability)
 			s.log.space.MaxBytes = 1 << 40
 			s.log.space.MaxRecords = 1 << 30
 			s.log.config.SegmentBytes = 4 << 20
 			for b.Loop() {
-				s.intend("key", clock.now().Wall)
+				s.intendUntil("key", clock.now().Wall)
 				s.complete("key", recovery.KindCompletion, s.lastAttempt, "result")
 			}
-			s.close()
 		})
 	}
 }
--- a/internal/segmentlog/memorydisk_test.go
+++ b/internal/segmentlog/memorydisk_test.go
@@ -12,9 +12,21 @@
 	"thistlequay/timeunit"
 )
 
+// diskOperation is a kind of step on the disk, by its name in the recorded histories.
+type diskOperation string
+
+// The operations.
+const (
+	opCreate        diskOperation = "create"
+	opWrite         diskOperation = "write"
+	opSync          diskOperation = "sync"
+	opRemove        diskOperation = "remove"
+	opSyncDirectory diskOperation = "names"
+)
+
 // diskStep is one thing that was done to the disk, in order.
 type diskStep struct {
-	operation string // create, write, sync, names, remove
+	operation diskOperation
 	name      string
 	data      []byte
 }
@@ -24,40 +36,40 @@
 	mutex sync.Mutex
 	steps []diskStep
 	files map[string][]byte
-	fail  func(operation string) error // nil for a disk that works
+	fail  func(operation diskOperation) error // nil for a disk that works
 }
 
 func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
 
 // failWith has operations fail where the function returns an error.
-func (d *memoryDisk) failWith(fail func(operation string) error) {
+func (d *memoryDisk) failWith(fail func(operation diskOperation) error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fail = fail
 }
 
-func (d *memoryDisk) apply(s diskStep) error {
+func (d *memoryDisk) apply(step diskStep) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.fail != nil {
-		if err := d.fail(s.operation); err != nil {
-			if s.operation == "write" { // a part of it may be there
-				d.files[s.name] = append(d.files[s.name], s.data[:len(s.data)/2]...)
+		if err := d.fail(step.operation); err != nil {
+			if step.operation == opWrite { // a part of it may be there
+				d.files[step.name] = append(d.files[step.name], step.data[:len(step.data)/2]...)
 			}
 			return err
 		}
 	}
-	d.steps = append(d.steps, s)
-	switch s.operation {
-	case "create":
-		if _, there := d.files[s.name]; there {
+	d.steps = append(d.steps, step)
+	switch step.operation {
+	case opCreate:
+		if _, exists := d.files[step.name]; exists {
 			return os.ErrExist
 		}
-		d.files[s.name] = nil
-	case "write":
-		d.files[s.name] = append(d.files[s.name], s.data...)
-	case "remove":
-		delete(d.files, s.name)
+		d.files[step.name] = nil
+	case opWrite:
+		d.files[step.name] = append(d.files[step.name], step.data...)
+	case opRemove:
+		delete(d.files, step.name)
 	}
 	return nil
 }
@@ -85,43 +97,46 @@
 }
 
 func (d *memoryDisk) Create(name string) (SegmentFile, error) {
-	if err := d.apply(diskStep{operation: "create", name: name}); err != nil {
+	if err := d.apply(diskStep{operation: opCreate, name: name}); err != nil {
 		return nil, err
 	}
 	return &memoryFile{d, name}, nil
 }
+
 func (d *memoryDisk) Remove(name string) error {
-	return d.apply(diskStep{operation: "remove", name: name})
+	return d.apply(diskStep{operation: opRemove, name: name})
 }
-func (d *memoryDisk) SyncDirectory() error { return d.apply(diskStep{operation: "names"}) }
+
+func (d *memoryDisk) SyncDirectory() error { return d.apply(diskStep{operation: opSyncDirectory}) }
 
 type memoryFile struct {
 	disk *memoryDisk
 	name string
 }
 
-func (f *memoryFile) Write(b []byte) (int, error) {
-	if err := f.disk.apply(diskStep{operation: "write", name: f.name, data: bytes.Clone(b)}); err != nil {
+func (f *memoryFile) Write(data []byte) (int, error) {
+	if err := f.disk.apply(diskStep{operation: opWrite, name: f.name, data: bytes.Clone(data)}); err != nil {
 		return 0, err
 	}
-	return len(b), nil
+	return len(data), nil
 }
-func (f *memoryFile) Sync() error  { return f.disk.apply(diskStep{operation: "sync", name: f.name}) }
+
+func (f *memoryFile) Sync() error { return f.disk.apply(diskStep{operation: opSync, name: f.name}) }
+
 func (f *memoryFile) Close() error { return nil }
 
 var errDisk = errors.New("input/output error")
 
-// crashedDisk returns the disk as a crash after the first n steps leaves it. Of the unsynced writes, which are numbered
-// from 0, those survive that the function says.
-func crashedDisk(steps []diskStep, n int, survives func(unsynced int) bool) *memoryDisk {
+// crashedDisk returns the disk as a crash after these steps leaves it. Of the unsynced writes, which are numbered from
+// 0, those survive that the function says.
+func crashedDisk(steps []diskStep, survives func(unsynced int) bool) *memoryDisk {
 	disk := newMemoryDisk()
-	steps = steps[:n]
 	unsynced := 0
 	for i, step := range steps {
 		switch step.operation {
-		case "create":
+		case opCreate:
 			disk.files[step.name] = nil
-		case "write":
+		case opWrite:
 			data := step.data
 			if !isSynced(steps, i) {
 				if !survives(unsynced) {
@@ -132,7 +147,7 @@
 				unsynced++
 			}
 			disk.files[step.name] = append(disk.files[step.name], data...)
-		case "remove":
+		case opRemove:
 			delete(disk.files, step.name)
 		}
 	}
@@ -142,7 +157,7 @@
 // isSynced reports whether a later step syncs the file of a write.
 func isSynced(steps []diskStep, write int) bool {
 	return slices.ContainsFunc(steps[write+1:], func(later diskStep) bool {
-		return later.operation == "sync" && later.name == steps[write].name
+		return later.operation == opSync && later.name == steps[write].name
 	})
 }
 
@@ -152,6 +167,17 @@
 	reading recovery.ClockReading
 }
 
+func newTestClock() *testClock { return &testClock{reading: firstReading} }
+
+// later returns another clock, which has moved on, perhaps with another boot.
+func (c *testClock) later(wall, monotonic timeunit.Ticks, bootID uint64) *testClock {
+	reading := c.now()
+	reading.Wall += wall
+	reading.Monotonic += monotonic
+	reading.BootID = bootID
+	return &testClock{reading: reading}
+}
+
 func (c *testClock) now() recovery.ClockReading {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/segmentlog/scan_test.go
+++ b/internal/segmentlog/scan_test.go
@@ -11,6 +11,7 @@
 	"thistlequay/internal/recovery"
 )
 
+// FuzzRecords checks that any bytes can be parsed and scanned, and that what is a record can be written again.
 func FuzzRecords(f *testing.F) {
 	f.Add(appendRecord(nil, &recovery.Record{Kind: recovery.KindIntent, Key: "k"}))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -65,7 +66,7 @@
 	require.Len(t, scan.Outcomes, records/200)
 }
 
-// A million records only where MEASURE=full.
+// TestScanFindsAllRecordsOfALargeLog scans ten thousand records, and a million where MEASURE=full.
 func TestScanFindsAllRecordsOfALargeLog(t *testing.T) {
 	sizes := []int{10_000}
 	if os.Getenv("MEASURE") == "full" {
@@ -82,6 +83,7 @@
 	}
 }
 
+// BenchmarkRecover measures the scan of a log at the start of a process.
 func BenchmarkRecover(b *testing.B) {
 	now := recovery.ClockReading{Wall: 1e9, BootID: 1}
 	for _, records := range []int{10_000, 1_000_000} {
--- a/internal/segmentlog/session_test.go
+++ b/internal/segmentlog/session_test.go
@@ -1,6 +1,7 @@
 package segmentlog
 
 import (
+	"sync"
 	"testing"
 	"time"
 
@@ -17,9 +18,9 @@
 const waitLimit = 20 * time.Second
 
 // firstReading is what the clocks say when the first process of a test starts.
-var firstReading = recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: 1}
+var firstReading = recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: firstBoot}
 
-// What a later process does with a retry; see retryOutcome. A result is "result " and its text.
+// What a process does with a retry; see retryOutcome. A result is "result " and its text.
 const (
 	retryRuns     = "run"
 	retryAborted  = "aborted"
@@ -30,12 +31,14 @@
 type session struct {
 	*require.Assertions
 	log         *Log
+	now         func() recovery.ClockReading
 	results     chan WriteResult
 	lastAttempt uint64
+	closeOnce   sync.Once
 }
 
-// testConfig returns the parameters of most tests, without Now and OnWritten.
-func testConfig(durability recovery.Durability, allowEmpty bool) Config {
+// testConfig returns the parameters of most tests, without OnWritten.
+func testConfig(durability recovery.Durability, allowEmpty bool, now func() recovery.ClockReading) Config {
 	return Config{
 		Durability:       durability,
 		MaxBytes:         1 << 20,
@@ -45,15 +48,14 @@
 		ClockUncertainty: timeunit.TicksPerSecond,
 		MaxOutcomes:      1000,
 		AllowEmpty:       allowEmpty,
+		Now:              now,
 	}
 }
 
-func openSession(t testing.TB, storage Storage, clock *testClock, durability recovery.Durability,
-	allowEmpty bool) (*session, error) {
+// openSession opens a log, whose OnWritten it sets. The caller closes the session.
+func openSession(t testing.TB, storage Storage, config Config) (*session, error) {
 	t.Helper()
-	s := &session{Assertions: require.New(t), results: make(chan WriteResult, 4096)}
-	config := testConfig(durability, allowEmpty)
-	config.Now = clock.now
+	s := &session{Assertions: require.New(t), now: config.Now, results: make(chan WriteResult, 4096)}
 	config.OnWritten = func(results []WriteResult) {
 		for _, result := range results {
 			s.results <- result
@@ -64,6 +66,25 @@
 	return s, err
 }
 
+// startSession opens a log where there may be none yet. It is closed when the test ends, if not before.
+func startSession(t testing.TB, storage Storage, clock *testClock, durability recovery.Durability) *session {
+	t.Helper()
+	s, err := openSession(t, storage, testConfig(durability, true, clock.now))
+	require.NoError(t, err)
+	t.Cleanup(s.close)
+	return s
+}
+
+// restartSession opens a log of DurabilityMachine that was there before. It is closed when the test ends, if not
+// before.
+func restartSession(t testing.TB, storage Storage, clock *testClock) *session {
+	t.Helper()
+	s, err := openSession(t, storage, testConfig(recovery.DurabilityMachine, false, clock.now))
+	require.NoError(t, err)
+	t.Cleanup(s.close)
+	return s
+}
+
 // nextResult waits for what became of an appended record.
 func (s *session) nextResult() WriteResult {
 	select {
@@ -75,8 +96,11 @@
 	}
 }
 
-// intend appends an intent and reports whether it became durable.
-func (s *session) intend(key string, windowEnd timeunit.Ticks) bool {
+// intend appends an intent whose window begins now, and reports whether it became durable.
+func (s *session) intend(key string) bool { return s.intendUntil(key, s.now().Wall+testWindow) }
+
+// intendUntil appends an intent and reports whether it became durable.
+func (s *session) intendUntil(key string, windowEnd timeunit.Ticks) bool {
 	s.lastAttempt++
 	record := recovery.Record{Key: key, WindowEnd: windowEnd, Attempt: s.lastAttempt}
 	if s.log.AppendIntent(record, s.lastAttempt) != nil {
@@ -97,14 +121,17 @@
 	s.nextResult()
 }
 
+// close waits for the end of the writer. A second call has no effect.
 func (s *session) close() {
-	s.log.Close()
-	<-s.log.Done()
+	s.closeOnce.Do(func() {
+		s.log.Close()
+		<-s.log.Done()
+	})
 }
 
-// retryOutcome returns what a later process does with a retry: run it, reject it, or answer it from what is stored.
-func retryOutcome(log *Log, key string, now timeunit.Ticks) string {
-	for _, outcome := range log.Outcomes {
+// retryOutcome returns what this process does with a retry: run it, reject it, or answer it from what is stored.
+func (s *session) retryOutcome(key string) string {
+	for _, outcome := range s.log.Outcomes {
 		if outcome.Key != key {
 			continue
 		}
@@ -113,7 +140,7 @@
 		}
 		return retryAborted
 	}
-	if log.RejectUntil > now {
+	if s.log.RejectUntil > s.now().Wall {
 		return retryRejected
 	}
 	return retryRuns
