--- a/internal/plugin/frame_test.go
+++ b/internal/plugin/frame_test.go
@@ -11,12 +11,12 @@
 	f.Add(AppendFrame(nil, FrameVerdict, 1, 2, []byte{0, 1, 0, 0, 0, 1}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for {
-			f, rest, isComplete, err := ParseFrame(data)
+			frame, rest, isComplete, err := ParseFrame(data)
 			if err != nil || !isComplete {
 				return
 			}
-			f.Verdict()
-			f.StateEntry()
+			frame.Verdict()
+			frame.StateEntry()
 			require.Less(t, len(rest), len(data))
 			data = rest
 		}
--- a/internal/plugin/golden_test.go
+++ b/internal/plugin/golden_test.go
@@ -17,18 +17,18 @@
 func TestGoldenFrames(t *testing.T) {
 	var lines []byte
 	for _, data := range goldenFrames(t) {
-		f, rest, isComplete, err := ParseFrame(data)
+		frame, rest, isComplete, err := ParseFrame(data)
 		require.NoError(t, err)
 		require.True(t, isComplete)
 		require.Empty(t, rest)
-		require.Equal(t, data, AppendFrame(nil, f.Kind, f.PluginIndex, f.CallID, f.Payload))
-		lines = fmt.Appendf(lines, "%c %x\n", f.Kind, data)
-		switch f.Kind {
+		require.Equal(t, data, AppendFrame(nil, frame.Kind, frame.PluginIndex, frame.CallID, frame.Payload))
+		lines = fmt.Appendf(lines, "%c %x\n", frame.Kind, data)
+		switch frame.Kind {
 		case FrameState:
-			key, value, ok := f.StateEntry()
+			key, value, ok := frame.StateEntry()
 			lines = fmt.Appendf(lines, "kept %q %q %v\n", key, value, ok)
 		case FrameVerdict:
-			outcome, took, verdict, ok := f.Verdict()
+			outcome, took, verdict, ok := frame.Verdict()
 			lines = fmt.Appendf(lines, "verdict %d %d %x %v\n", outcome, took.Microseconds(), verdict, ok)
 		}
 	}
--- a/internal/plugin/module_test.go
+++ b/internal/plugin/module_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -43,74 +42,87 @@
 
 // TestUnusableModuleIsRefused checks that a module which can't be used is refused when it is loaded, with the reason.
 func TestUnusableModuleIsRefused(t *testing.T) {
-	requireRefused := func(config ModuleConfig, reason string) {
-		t.Helper()
-		_, err := loadModule(context.Background(), config, 1, nil)
-		require.ErrorContains(t, err, reason, config.Name)
-	}
-	for kind, reason := range map[string]string{
-		"truncated":      "is no module that can be run",
-		"other-version":  "is of version 7",
-		"foreign":        "open_socket",
-		"loops-at-start": "does not start",
+	noActions := 0
+	for _, test := range []struct {
+		name   string
+		kind   string
+		change func(config *ModuleConfig) // nil for none
+		reason string
+	}{
+		{name: "truncated", kind: "truncated", reason: "is no module that can be run"},
+		{name: "other version", kind: "other-version", reason: "is of version 7"},
+		{name: "unknown import", kind: "foreign", reason: "open_socket"},
+		{name: "endless start", kind: "loops-at-start", reason: "does not start"},
+		{
+			name:   "other hash",
+			kind:   "good",
+			change: func(config *ModuleConfig) { config.SHA256 = "00" },
+			reason: "the settings pin 00",
+		},
+		{
+			name:   "too large",
+			kind:   "good",
+			change: func(config *ModuleConfig) { config.MaxCodeKB = 0 },
+			reason: "0 at most",
+		},
+		{
+			name:   "unexpected verdict on a sample",
+			kind:   "declines",
+			change: func(config *ModuleConfig) { config.Samples = []Sample{{ExpectedActions: &noActions}} },
+			reason: "sample 1: does 1 with status 403",
+		},
 	} {
-		requireRefused(testConfig(t, kind), reason)
+		t.Run(test.name, func(t *testing.T) {
+			config := testConfig(t, test.kind)
+			if test.change != nil {
+				test.change(&config)
+			}
+			_, err := loadModule(context.Background(), config, 1, nil)
+			require.ErrorContains(t, err, test.reason)
+		})
 	}
-	config := testConfig(t, "good")
-	config.SHA256 = "00"
-	requireRefused(config, "the settings pin 00")
-	config = testConfig(t, "good")
-	config.MaxCodeKB = 0
-	requireRefused(config, "0 at most")
-	config = testConfig(t, "declines")
-	noActions := 0
-	config.Samples = []Sample{{ExpectedActions: &noActions}}
-	requireRefused(config, "sample 1: does 1 with status 403")
 }
 
-// outcome names what a call's error stands for in the plug-in process's answer.
-func outcome(err error) string {
-	switch {
-	case err == nil:
-		return "succeeded"
-	case isTimeout(err):
-		return "timed out"
-	case errors.Is(err, ErrMalformedVerdict):
-		return "malformed"
-	default:
-		return "trapped"
-	}
+// engines are the ways to run a module.
+var engines = []struct {
+	name    string
+	compile bool
+}{
+	{"interpreted", false},
+	{"compiled", true},
 }
 
 // TestHostileModuleFailsOnlyItsCall checks that whatever a module does ends in one of four ways, within a bounded time,
 // and that the next call finds a working instance.
 func TestHostileModuleFailsOnlyItsCall(t *testing.T) {
 	request := (&abi.Request{Category: "look", Body: []byte("body")}).Append(nil)
-	outcomes := map[string]string{
-		"good":             "succeeded",
-		"declines":         "succeeded",
-		"asks-4gib":        "succeeded",
-		"loops":            "timed out",
-		"asks-bit-by-bit":  "timed out",
-		"recurses":         "trapped",
-		"traps":            "trapped",
-		"points-outside":   "malformed",
-		"answers-1gib":     "malformed",
-		"slow-4ms":         "succeeded",
-		"logs-without-end": "timed out",
-		"noise":            "succeeded",
+	outcomes := map[string]CallOutcome{
+		"good":             CallSucceeded,
+		"declines":         CallSucceeded,
+		"asks-4gib":        CallSucceeded,
+		"loops":            CallTimedOut,
+		"asks-bit-by-bit":  CallTimedOut,
+		"recurses":         CallTrapped,
+		"traps":            CallTrapped,
+		"points-outside":   CallMalformed,
+		"answers-1gib":     CallMalformed,
+		"slow-4ms":         CallSucceeded,
+		"logs-without-end": CallTimedOut,
+		"noise":            CallSucceeded,
 	}
-	for _, compile := range []bool{false, true} {
+	for _, engine := range engines {
 		for kind, want := range outcomes {
-			if compile && kind == "recurses" {
+			if engine.compile && kind == "recurses" {
 				continue // its stack grows to hundreds of MB first, which the process's memory limit is for
 			}
-			m := loadTestModule(t, kind, compile)
-			for range 3 {
-				_, took, err := m.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
-				require.Equal(t, want, outcome(err), "%s compiled=%v: %v", kind, compile, err)
-				require.Less(t, took, 20*time.Second)
-			}
+			t.Run(engine.name+"/"+kind, func(t *testing.T) {
+				m := loadTestModule(t, kind, engine.compile)
+				for range 3 {
+					_, took, err := m.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
+					require.Equal(t, want, outcomeOf(err), err)
+					require.Less(t, took, 20*time.Second)
+				}
+			})
 		}
 	}
 }
@@ -130,10 +142,10 @@
 // BenchmarkCall measures one call inside the plug-in process.
 func BenchmarkCall(b *testing.B) {
 	request := (&abi.Request{Category: "look", Tenant: "acme", Body: make([]byte, 200)}).Append(nil)
-	for _, engine := range []string{"interpreted", "compiled"} {
+	for _, engine := range engines {
 		for _, kind := range []string{"good", "declines"} {
-			b.Run(engine+"/"+kind, func(b *testing.B) {
-				m := loadTestModule(b, kind, engine == "compiled")
+			b.Run(engine.name+"/"+kind, func(b *testing.B) {
+				m := loadTestModule(b, kind, engine.compile)
 				b.ReportAllocs()
 				for b.Loop() {
 					if _, _, err := m.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
