--- a/internal/plugin/chain/evaluation_test.go
+++ b/internal/plugin/chain/evaluation_test.go
@@ -11,7 +11,7 @@
 	"thistlequay/timeunit"
 )
 
-// allNew tells New to keep no circuit breaker.
+// allNew has New keep no circuit breaker.
 func allNew(string) bool { return true }
 
 // FuzzEvaluations checks that whatever verdicts come, an evaluation ends, gives nothing that no policy permits and
@@ -86,28 +86,37 @@
 		hook := Hook(random.Intn(2))
 		request := random.request()
 		body := random.body()
-		e := chain.Begin(hook, request, body, now)
+		evaluation := chain.Begin(hook, request, body, now)
 		permitted := permissions{categories: make([]bool, 3)}
-		now = playCalls(t, random, e, &permitted, now, history)
-		addEvaluation(history, e, nil, 0, now)
+		now = playCalls(t, random, evaluation, &permitted, now, history)
+		addEvaluation(history, evaluation, nil, 0, now)
 		addPlugins(history, chain)
-		if e.Rejected {
-			byPlugin := permitted.reject && e.Status >= 400 && e.Status < 500
-			require.True(t, hook == HookRead && (e.Status == statusUnavailable || byPlugin))
+		if evaluation.Rejected {
+			byPlugin := permitted.reject && evaluation.Status >= 400 && evaluation.Status < 500
+			require.Equal(t, HookRead, hook)
+			require.True(t, byPlugin || evaluation.Status == statusUnavailable, "status %d", evaluation.Status)
 		}
-		if e.Category != request.Category {
-			require.True(t, hook == HookRead && !request.CategoryFixed && permitted.categories[e.Category])
+		if evaluation.Category != request.Category {
+			require.Equal(t, HookRead, hook)
+			require.False(t, request.CategoryFixed)
+			require.True(t, permitted.categories[evaluation.Category], "category %d", evaluation.Category)
+		}
+		require.True(t, evaluation.Tag == "" || permitted.tag, "a tag without permission")
+		if evaluation.Rewritten {
+			require.Equal(t, HookResult, hook)
+			require.True(t, permitted.rewrite, "a rewritten result without permission")
+			require.Less(t, len(evaluation.Body), len(body))
 		}
-		require.True(t, e.Tag == "" || permitted.tag)
-		require.True(t, !e.Rewritten || hook == HookResult && permitted.rewrite && len(e.Body) < len(body))
 	}
 	require.Zero(t, chain.OpenEvaluations)
 }
 
 // permissions are what the plug-ins that were called may do, together.
 type permissions struct {
-	reject, tag, rewrite bool
-	categories           []bool
+	reject     bool
+	tag        bool
+	rewrite    bool
+	categories []bool
 }
 
 func (p *permissions) add(policy *Policy) {
@@ -121,26 +130,29 @@
 
 // playCalls ends each call of an evaluation with a random verdict or fault. It returns the time at its end.
 func playCalls(
-	t *testing.T, random randomizer, e *Evaluation, permitted *permissions, now timeunit.Ticks, history *golden.History,
+	t *testing.T, random randomizer, evaluation *Evaluation, permitted *permissions, now timeunit.Ticks,
+	history *golden.History,
 ) timeunit.Ticks {
 	t.Helper()
-	begin := now
+	deadline := now + evaluation.Request().TimeLeft/2
 	for {
-		plugin, timeout := e.Next(now)
+		plugin, timeout := evaluation.Next(now)
 		if plugin == nil {
 			return now
 		}
-		addEvaluation(history, e, plugin, timeout, now)
-		require.True(t, timeout > 0 && timeout <= plugin.CallTimeout && now+timeout <= begin+e.Request().TimeLeft/2+1)
+		addEvaluation(history, evaluation, plugin, timeout, now)
+		require.Positive(t, timeout)
+		require.LessOrEqual(t, timeout, plugin.CallTimeout)
+		require.LessOrEqual(t, now+timeout, deadline+1)
 		permitted.add(&plugin.Policy)
 		took := timeunit.Ticks(random.Intn(int(timeout) + 1))
 		now += took
 		if random.flip() {
-			quarantined := e.RecordFault(Fault(random.Intn(faultCount)), took, now)
+			quarantined := evaluation.RecordFault(Fault(random.Intn(faultCount)), took, now)
 			history.Add(quarantined)
 			continue
 		}
-		fault, isFault, quarantined := e.ApplyVerdict(random.verdict(), took, now)
+		fault, isFault, quarantined := evaluation.ApplyVerdict(random.verdict(), took, now)
 		history.Add(int(fault), isFault, quarantined)
 	}
 }
@@ -179,9 +191,9 @@
 			request := Request{Tenant: "acme", TimeLeft: 10_000}
 			for b.Loop() {
 				now += 10
-				e := chain.Begin(HookRead, request, nil, now)
-				for plugin, _ := e.Next(now); plugin != nil; plugin, _ = e.Next(now) {
-					e.ApplyVerdict(Verdict{Category: NoCategory}, 0, now)
+				evaluation := chain.Begin(HookRead, request, nil, now)
+				for plugin, _ := evaluation.Next(now); plugin != nil; plugin, _ = evaluation.Next(now) {
+					evaluation.ApplyVerdict(Verdict{Category: NoCategory}, 0, now)
 				}
 			}
 		})
