--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -149,6 +149,7 @@
 	return len(state.Outcomes) == 0 && state.RejectUntil == 0, state
 }
 
+// TestNoInterleavingOfAttemptsAndCrashesRunsTwice visits every order of the model and every log that a crash may leave.
 func TestNoInterleavingOfAttemptsAndCrashesRunsTwice(t *testing.T) {
 	crashes := 0
 	retries := map[string]int{}
@@ -161,24 +162,25 @@
 		addRecoveredState(history, state)
 		history.Add("run", runs, m.runs, m.answers, m.durableRecords, len(m.log))
 		if m.runs > 0 {
-			require.False(t, runs, "a second run: %v of %v", describe(left), describe(m.log))
+			require.False(t, runs, "runs twice: %v of %v", describe(left), describe(m.log))
 		}
 		switch {
 		case runs: // the retry runs in the second process; a third must not run it again
-			retries["run"]++
+			retries["runs"]++
 			again := model{log: left, durableRecords: len(left)}.appended(Record{Kind: KindIntent, Attempt: 9})
 			runsAgain, _ := recoverAfterCrash(again.log, 30)
 			require.False(t, runsAgain)
 		case state.Outcomes[0].Completed:
-			retries["kept"]++
+			retries["cached"]++
 			require.Equal(t, "r", string(state.Outcomes[0].Result))
 		default:
-			retries["broken off"]++
+			retries["aborted"]++
 		}
 		runs, state = recoverAfterCrash(left, 2_000) // when its window is over nothing is left of it
-		require.True(t, runs && state.RejectUntil == 0)
+		require.True(t, runs)
+		require.Zero(t, state.RejectUntil)
 	})
-	t.Logf("measured store-model crashes=%d repeats=%v", crashes, retries)
+	t.Logf("measured store-model crashes=%d retries=%v", crashes, retries)
 	require.Greater(t, crashes, 100)
 	require.Len(t, retries, 3)
 	golden.Check(t, "model.txt", []byte(history.String()+"\n"))
--- a/internal/recovery/warmstart_test.go
+++ b/internal/recovery/warmstart_test.go
@@ -9,39 +9,48 @@
 	"thistlequay/admission"
 )
 
+// freshState returns a state that counts in full at its CapturedAt.
+func freshState() *WarmStartState {
+	return &WarmStartState{CapturedAt: 1e9, SettingsHash: 7, Cores: 2, WarmStartState: admission.WarmStartState{
+		Limit:          10,
+		RunTimes:       [][]float64{{8, 0}},
+		QuietRunTimes:  [][]float64{{4, 2}},
+		QuickCallTimes: []float64{1},
+	}}
+}
+
+// TestWarmStartStateLosesWeightWithAge checks what of a state counts when it is captured and a half-life later.
 func TestWarmStartStateLosesWeightWithAge(t *testing.T) {
-	fresh := func() *WarmStartState {
-		return &WarmStartState{CapturedAt: 1e9, SettingsHash: 7, Cores: 2, WarmStartState: admission.WarmStartState{
-			Limit:          10,
-			RunTimes:       [][]float64{{8, 0}},
-			QuietRunTimes:  [][]float64{{4, 2}},
-			QuickCallTimes: []float64{1},
-		}}
-	}
-	restored := fresh().Decay(1e9, 7)
 	require.Equal(t, &admission.WarmStartState{
 		Limit:          10,
 		RunTimes:       [][]float64{{4, 0}},
 		QuietRunTimes:  [][]float64{{2, 1}},
 		QuickCallTimes: []float64{0.5},
-	}, restored)
-	restored = fresh().Decay(1e9+warmStartHalfLife, 7)
-	require.Equal(t, 6.0, restored.Limit)
-	require.Equal(t, 2.0, restored.RunTimes[0][0])
+	}, freshState().Decay(1e9, 7))
+	later := freshState().Decay(1e9+warmStartHalfLife, 7)
+	require.Equal(t, 6.0, later.Limit)
+	require.Equal(t, 2.0, later.RunTimes[0][0])
+}
+
+// TestUnusableWarmStartStateIsIgnored checks that nothing is restored from a state that is absent, of another time or
+// configuration, or corrupt.
+func TestUnusableWarmStartStateIsIgnored(t *testing.T) {
 	require.Nil(t, (*WarmStartState)(nil).Decay(1e9, 7), "none")
-	require.Nil(t, fresh().Decay(1e9, 8), "other settings")
-	require.Nil(t, fresh().Decay(1e9-1, 7), "of the future")
-	require.Nil(t, fresh().Decay(1e9+10*warmStartHalfLife, 7), "too old")
-	for _, spoil := range []func(s *WarmStartState){
-		func(s *WarmStartState) { s.Limit = math.NaN() },
-		func(s *WarmStartState) { s.Limit = 1e9 },
-		func(s *WarmStartState) { s.Cores = 0 },
-		func(s *WarmStartState) { s.RunTimes[0][0] = -1 },
-		func(s *WarmStartState) { s.QuietRunTimes[0][0] = math.Inf(1) },
-		func(s *WarmStartState) { s.QuickCallTimes[0] = math.NaN() },
+	require.Nil(t, freshState().Decay(1e9, 8), "other settings")
+	require.Nil(t, freshState().Decay(1e9-1, 7), "of the future")
+	require.Nil(t, freshState().Decay(1e9+10*warmStartHalfLife, 7), "too old")
+	for name, corrupt := range map[string]func(state *WarmStartState){
+		"limit no number":     func(state *WarmStartState) { state.Limit = math.NaN() },
+		"limit too large":     func(state *WarmStartState) { state.Limit = 1e9 },
+		"no cores":            func(state *WarmStartState) { state.Cores = 0 },
+		"negative run time":   func(state *WarmStartState) { state.RunTimes[0][0] = -1 },
+		"infinite run time":   func(state *WarmStartState) { state.QuietRunTimes[0][0] = math.Inf(1) },
+		"call time no number": func(state *WarmStartState) { state.QuickCallTimes[0] = math.NaN() },
 	} {
-		state := fresh()
-		spoil(state)
-		require.Nil(t, state.Decay(1e9, 7))
+		t.Run(name, func(t *testing.T) {
+			state := freshState()
+			corrupt(state)
+			require.Nil(t, state.Decay(1e9, 7))
+		})
 	}
 }
