--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,9 @@
 	"thistlequay/internal/deployment"
 )
 
+// read reads a text as a file, which the error calls f.
 func read(t testing.TB, text string) (*Config, error) {
+	t.Helper()
 	file := filepath.Join(t.TempDir(), "service.yaml")
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	config, err := Read(file)
@@ -23,17 +25,22 @@
 	return config, err
 }
 
+// mustRead reads a text as a file without faults.
+func mustRead(t testing.TB, text string) *Config {
+	t.Helper()
+	config, err := read(t, text)
+	require.NoError(t, err)
+	return config
+}
+
+// TestReadConvertsFairQueues checks the section fair_queues: absent, empty, and with values.
 func TestReadConvertsFairQueues(t *testing.T) {
 	config, err := Read("")
 	require.NoError(t, err)
 	require.Nil(t, config.FairQueues.SchedulerConfig(&deployment.Config{}))
-	config, err = read(t, "# nothing set\n")
-	require.NoError(t, err)
-	require.Nil(t, config.FairQueues)
-	config, err = read(t, "fair_queues:\n")
-	require.NoError(t, err)
-	require.Equal(t, 256, config.FairQueues.MaxHeavyHitters)
-	config, err = read(t, `
+	require.Nil(t, mustRead(t, "# nothing set\n").FairQueues)
+	require.Equal(t, 256, mustRead(t, "fair_queues:\n").FairQueues.MaxHeavyHitters)
+	section := mustRead(t, `
 fair_queues:
   tenants:
     - {name: a, share: 3}
@@ -44,9 +51,7 @@
     - {prefix: 10.0.0.0/8, tenant: a}
     - {prefix: "fd00::1", tenant: b}
   trusted_fronts: [127.0.0.1]
-`)
-	require.NoError(t, err)
-	section := config.FairQueues
+`).FairQueues
 	require.Equal(t, time.Second, section.Burst)
 	scheduler := section.SchedulerConfig(&deployment.Config{})
 	require.Equal(t, 2.25, scheduler.OthersWeight) // the mean of the weights
@@ -55,7 +60,10 @@
 }
 
 // badSection is the text of a file and a part of its diagnostic.
-type badSection struct{ text, diagnostic string }
+type badSection struct {
+	text       string
+	diagnostic string
+}
 
 // badFairQueues has bad sections for fair queues and the diagnostic of each.
 var badFairQueues = []badSection{
@@ -98,13 +106,7 @@
 		"f:3:56: fair_queues.networks[1].prefix: ::ffff:10.0.0.0/104 stands twice; expected each prefix once"},
 }
 
-func TestReadLocatesFaultsOfFairQueues(t *testing.T) {
-	for _, c := range badFairQueues {
-		_, err := read(t, c.text)
-		require.ErrorContains(t, err, c.diagnostic, c.text)
-	}
-}
-
+// FuzzRead checks that any text can be read, and that what is read can be converted.
 func FuzzRead(f *testing.F) {
 	f.Add("fair_queues:\n  tenants: [{name: a, share: 1}]\n  burst: 1s\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -133,28 +135,30 @@
 	{gossipSection + "shares: {calls: 8, slots: 4, clock_drift: 0.5}\n", "clock_drift"},
 }
 
-// Shares that cannot be kept are turned down with their places; what holds for a fleet holds in its config.
-func TestReadLocatesFaultsOfQuota(t *testing.T) {
-	read := func(text string) (*Config, error) {
-		file := filepath.Join(t.TempDir(), "own.yaml")
-		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		return Read(file)
-	}
-	for _, c := range badQuotas {
-		_, err := read(c.text)
-		require.ErrorContains(t, err, c.diagnostic)
-		require.ErrorContains(t, err, "own.yaml:")
+// TestReadLocatesFaults checks that each fault is told with its file, line and column.
+func TestReadLocatesFaults(t *testing.T) {
+	for section, faults := range map[string][]badSection{"fair queues": badFairQueues, "quota": badQuotas} {
+		for _, test := range faults {
+			t.Run(section+"/"+test.diagnostic, func(t *testing.T) {
+				_, err := read(t, test.text)
+				require.ErrorContains(t, err, test.diagnostic)
+				require.Regexp(t, `(?m)^f:\d+:\d+: `, err.Error())
+			})
+		}
 	}
-	own, err := read(gossipSection + "shares: {calls: 800, slots: 400, calls_a_second: 2000}\n")
-	require.NoError(t, err)
-	limits := own.Quota.Limits()
+}
+
+// TestServersMayDifferInQuotaTotals checks the limits that a section comes to, and that servers which differ in the
+// totals alone take each other to have the same section.
+func TestServersMayDifferInQuotaTotals(t *testing.T) {
+	config := mustRead(t, gossipSection+"shares: {calls: 800, slots: 400, calls_a_second: 2000}\n")
+	limits := config.Quota.Limits()
 	require.Len(t, limits, 2)
 	for _, limit := range limits {
 		require.NoError(t, limit.Validate())
 		require.EqualValues(t, 8000, limit.LeaseDuration)
 	}
-	more, err := read(gossipSection + "shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
-	require.NoError(t, err)
-	require.Equal(t, own.Quota.Digest(), more.Quota.Digest(), "totals may differ")
-	require.NotEqual(t, own.Quota.Totals(), more.Quota.Totals())
+	more := mustRead(t, gossipSection+"shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
+	require.Equal(t, config.Quota.Digest(), more.Quota.Digest())
+	require.NotEqual(t, config.Quota.Totals(), more.Quota.Totals())
 }
