--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -117,6 +117,7 @@
 	})
 }
 
+// gossipSection is a section that quotas need.
 const gossipSection = "peers: {listen: '127.0.0.1:1', fleet: f, servers: 4, key_file: k}\n"
 
 // badQuotas has bad sections for quotas and a part of the diagnostic of each.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -17,6 +17,7 @@
 	"thistlequay/internal/golden"
 )
 
+// pluginPart is the begin of a section plugins, to which the rest of the plug-in is added.
 const pluginPart = "plugins:\n  list:\n    - {name: p, file: p.wasm, hooks: [read]"
 
 // moreBadFiles are faults of the sections that the other tests leave out, and of YAML itself.
@@ -31,22 +32,28 @@
 	"fair_queues: {by: network, networks: [{prefix: [], tenant: a}, {tenant: b}, {prefix: 10.0.0.0/8}], " +
 		"trusted_fronts: [10.0.0.1/8, x]}\n",
 	"fair_queues: {trusted_fronts: [" + strings.Repeat("[", 40) + strings.Repeat("]", 40) + "]}\n",
-	"peers:\n", "peers: {listen: a, advertise: 1.2.3.4, status: ':1', first: ['localhost:1', '127.0.0.1:1'], " +
+	"peers:\n",
+	"peers: {listen: a, advertise: 1.2.3.4, status: ':1', first: ['localhost:1', '127.0.0.1:1'], " +
 		"fleet: '', servers: 0, key_file: ''}\n",
 	"peers: {listen: '127.0.0.1:1', fleet: f, servers: 5000, key_file: k, founders: [a, b]}\n",
 	"peers: {listen: '127.0.0.1:1', fleet: f, servers: 2, key_file: k, founders: [a, '', a]}\n",
 	"peers: {listen: '127.0.0.1:1', fleet: f, servers: 20, key_file: k, founders: [" + strings.Repeat("a, ",
 		16) + "a]}\n",
 	"peers: {listen: '127.0.0.1:1', fleet: f, servers: 2, key_file: k, first: [" + strings.Repeat("x, ", 64) + "x]}\n",
-	"store:\n", "store: {directory: '', durability: disk, megabytes: 0, records: 99, segment_kb: 15, " +
+	"store:\n",
+	"store: {directory: '', durability: disk, megabytes: 0, records: 99, segment_kb: 15, " +
 		"clock_doubt: -1s, fresh: 1}\n",
 	"store: {directory: d, megabytes: 65537, records: 100000001, segment_kb: 32769, clock_doubt: 25h, fresh: yes}\n",
-	"shares:\n", "shares: {revision: 0, calls: 0, calls_a_second: -1, slots: 0, floor: -1, floor_a_second: -1, " +
+	"shares:\n",
+	"shares: {revision: 0, calls: 0, calls_a_second: -1, slots: 0, floor: -1, floor_a_second: -1, " +
 		"longest_call: 0s, clock_drift: -0.1}\n",
 	gossipSection + "shares: {calls: 8, slots: 4, keepers: [a, '', b], directory: d, longest_call: 61s}\n",
-	"plugins:\n", "plugins: {list: []}\n", "plugins: {memory_mb: 11, workers: 17, ready: 1ms, list: [{}]}\n",
+	"plugins:\n",
+	"plugins: {list: []}\n",
+	"plugins: {memory_mb: 11, workers: 17, ready: 1ms, list: [{}]}\n",
 	"plugins: {memory_mb: 4097, workers: 0, ready: 3m, list: 1}\n",
-	pluginPart + "}\n    - {name: p, file: none.wasm, hooks: []}\n", pluginPart + ", code_kb: 1}\n",
+	pluginPart + "}\n    - {name: p, file: none.wasm, hooks: []}\n",
+	pluginPart + ", code_kb: 1}\n",
 	pluginPart + ", sha256: ab}\n",
 	pluginPart + ", may: [rewrite]}\n", pluginPart + ", may: [categorise]}\n", pluginPart + ", to: [a]}\n",
 	pluginPart + ", otherwise: decline}\n",
@@ -61,7 +68,8 @@
 
 // goodFiles are sections that stand, but not all beside the platform's settings.
 var goodFiles = []string{
-	"fair_queues:\n", "fair_queues: {tenants: [{name: t, share: 3}, {name: stranger, share: 1.5}], burst: 1s, " +
+	"fair_queues:\n",
+	"fair_queues: {tenants: [{name: t, share: 3}, {name: stranger, share: 1.5}], burst: 1s, " +
 		"history: 1500ms, reshuffle: 3s, books: 7, groups: 8, newcomers: 0.5}\n",
 	"fair_queues: {others: 2, by: network, networks: [{prefix: '::ffff:10.0.0.0/104', tenant: a}, " +
 		"{prefix: 'fd00::1', tenant: b}], trusted_fronts: [127.0.0.1]}\n",
@@ -69,7 +77,8 @@
 		"longest_call: 750ms, clock_drift: 0.05}\n",
 	gossipSection + "shares: {calls: 8, slots: 4, keepers: [a, b, c], directory: d, fresh: true, revision: 3}\n",
 	"store: {directory: d, durability: process, megabytes: 3, records: 200, segment_kb: 32, clock_doubt: 90s, " +
-		"fresh: true}\n", "store: {directory: /d}\n",
+		"fresh: true}\n",
+	"store: {directory: /d}\n",
 	"plugins:\n  memory_mb: 60\n  workers: 2\n  list:\n" +
 		"    - {name: p, file: p.wasm, hooks: [read, result], may: [decline, categorise, tag, rewrite], to: [a, " +
 		"none], categories: [c], tenants: [t, x], otherwise: decline," +
@@ -81,34 +90,47 @@
 		"code_kb: 2, keep_kb: 5, start: 2s}\n",
 }
 
-// bench is a folder for files and what is written down of them.
-type bench struct {
+// transcript is a folder for files, and what is recorded of them.
+type transcript struct {
 	bytes.Buffer
 	testing.TB
-	dir string
+	folder string
 }
 
-func newBench(t testing.TB) *bench {
-	b := &bench{TB: t, dir: t.TempDir()}
-	require.NoError(t, os.WriteFile(filepath.Join(b.dir, "p.wasm"), bytes.Repeat([]byte("module"), 200), 0o600))
-	return b
+func newTranscript(t testing.TB) *transcript {
+	t.Helper()
+	script := &transcript{TB: t, folder: t.TempDir()}
+	module := bytes.Repeat([]byte("module"), 200)
+	require.NoError(t, os.WriteFile(filepath.Join(script.folder, "p.wasm"), module, 0o600))
+	return script
 }
 
-// read reads a text as a file and writes down what is wrong with it. Where faults come in no fixed order, by the text.
-func (b *bench) read(text string) *Config {
-	file := filepath.Join(b.dir, "own.yaml")
-	require.NoError(b, os.WriteFile(file, []byte(text), 0o600))
-	terms, err := Read(file)
-	b.fault(err)
-	return terms
+// println records a line of values.
+func (s *transcript) println(values ...any) { fmt.Fprintln(&s.Buffer, values...) }
+
+// withoutFolder returns a text with DIR for the folder, which has another name each time.
+func (s *transcript) withoutFolder(text string) string {
+	return strings.ReplaceAll(text, s.folder, "DIR")
+}
+
+// read reads a text as a file and records the text and what is wrong with it.
+func (s *transcript) read(text string) *Config {
+	file := filepath.Join(s.folder, "own.yaml")
+	require.NoError(s, os.WriteFile(file, []byte(text), 0o600))
+	config, err := Read(file)
+	s.addError(err)
+	return config
 }
 
-func (b *bench) fault(err error) {
-	if err != nil {
-		lines := strings.Split(strings.ReplaceAll(err.Error(), b.dir, "DIR"), "\n")
-		slices.Sort(lines)
-		fmt.Fprintln(&b.Buffer, strings.Join(lines, "\n"))
+// addError records the lines of an error, if there is one, in the order of the alphabet: some faults come in no fixed
+// order.
+func (s *transcript) addError(err error) {
+	if err == nil {
+		return
 	}
+	lines := strings.Split(s.withoutFolder(err.Error()), "\n")
+	slices.Sort(lines)
+	s.println(strings.Join(lines, "\n"))
 }
 
 func sortedTexts(sections []badSection) (texts []string) {
@@ -119,96 +141,118 @@
 	return texts
 }
 
+// TestGoldenDiagnostics compares what is said about bad files, and about bad files of keys, with what was recorded.
 func TestGoldenDiagnostics(t *testing.T) {
-	b := newBench(t)
+	script := newTranscript(t)
 	texts := append(sortedTexts(badFairQueues), sortedTexts(badQuotas)...)
 	for _, text := range append(texts, moreBadFiles...) {
-		fmt.Fprintf(&b.Buffer, "\n%q\n", text)
-		b.read(text)
+		fmt.Fprintf(&script.Buffer, "\n%q\n", text)
+		script.read(text)
 	}
-	_, err := Read(filepath.Join(b.dir, "none.yaml"))
-	b.fault(err)
-	b.read(strings.Repeat("#", 4<<20+1))
+	_, err := Read(filepath.Join(script.folder, "none.yaml"))
+	script.addError(err)
+	script.read(strings.Repeat("#", 4<<20+1))
 	key := base64.StdEncoding.EncodeToString(make([]byte, 32))
-	for _, keys := range []string{"", "# none\n", "x\n", key + "\nQUJD\n\n=\n", strings.Repeat(key+"\n", 9),
-		strings.Repeat(key+"\n# more\n", 8), strings.Repeat("#", 64<<10+1)} {
-		require.NoError(t, os.WriteFile(filepath.Join(b.dir, "k"), []byte(keys), 0o600))
-		taken, err := (&Gossip{KeyFile: "k"}).LoadKeys(filepath.Join(b.dir, "own.yaml"))
-		fmt.Fprintln(&b.Buffer, len(keys), len(taken))
-		b.fault(err)
+	for _, text := range []string{
+		"",
+		"# none\n",
+		"x\n",
+		key + "\nQUJD\n\n=\n",
+		strings.Repeat(key+"\n", 9),
+		strings.Repeat(key+"\n# more\n", 8),
+		strings.Repeat("#", 64<<10+1),
+	} {
+		require.NoError(t, os.WriteFile(filepath.Join(script.folder, "k"), []byte(text), 0o600))
+		keys, err := (&Gossip{KeyFile: "k"}).LoadKeys(filepath.Join(script.folder, "own.yaml"))
+		script.println(len(text), len(keys))
+		script.addError(err)
 	}
-	_, err = (&Gossip{KeyFile: filepath.Join(b.dir, "none")}).LoadKeys("")
-	b.fault(err)
-	golden.Check(t, "diagnostics.txt", b.Bytes())
+	_, err = (&Gossip{KeyFile: filepath.Join(script.folder, "none")}).LoadKeys("")
+	script.addError(err)
+	golden.Check(t, "diagnostics.txt", script.Bytes())
 }
 
-// What good files come to: the figures that subsystems get, the digest that servers compare, and the faults beside
-// the platform's settings.
+// TestGoldenSettings compares what good files come to with what was recorded: the figures that subsystems get, the
+// digest that servers compare, and the faults beside the platform's settings.
 func TestGoldenSettings(t *testing.T) {
 	platform, err := deployment.Read([]byte(`{"Categories":[
 {"Name":"a","Effect":"by_key","HardLimit":8000,"OnTime":4000,"Worth":1,"Window":30000},
 {"Name":"c","Effect":"once","HardLimit":8000,"OnTime":4000,"Worth":1}],"FamilyInfo":{"Cores":1},
 "Tenants":[{"Name":"t","Share":0.2},{"Name":"u","Share":0.4}]}`))
 	require.NoError(t, err)
-	b := newBench(t)
+	script := newTranscript(t)
 	for _, text := range goodFiles {
-		fmt.Fprintf(&b.Buffer, "\n%q\n", text)
-		own := b.read(text)
-		require.NotNil(t, own, text)
-		b.fault(own.ValidateAgainst(platform, 64<<20))
-		if f := own.FairQueues; f != nil {
-			l := f.SchedulerConfig(platform)
-			fmt.Fprintln(&b.Buffer, l.OthersWeight, l.NewcomerFraction, l.MaxHeavyHitters, l.SharedFlows,
-				int64(l.Burst),
-				int64(l.MinHistory), int64(l.RehashInterval), f.TenantTable() != nil)
-			for _, one := range l.Tenants {
-				fmt.Fprintln(&b.Buffer, one.Name, one.Weight)
-			}
+		fmt.Fprintf(&script.Buffer, "\n%q\n", text)
+		config := script.read(text)
+		require.NotNil(t, config, text)
+		script.addError(config.ValidateAgainst(platform, 64<<20))
+		if config.FairQueues != nil {
+			script.addFairQueues(config.FairQueues, platform)
 		}
-		if s := own.Quota; s != nil {
-			fmt.Fprintln(&b.Buffer, s.Digest(), s.Revision, strings.ReplaceAll(s.DirectoryPath(filepath.Join(b.dir,
-				"own.yaml")), b.dir, "DIR"), s.StartFresh, s.Coordinators)
-			for i, l := range s.Limits() {
-				fmt.Fprintln(&b.Buffer, LimitNames[i], int64(l.Total), int64(l.GuaranteedMinimum), l.Slots,
-					int64(l.LeaseDuration), int64(l.GracePeriod), l.ClockDrift, int64(l.InitialAmount),
-					l.Hysteresis, l.IsRate, int64(l.Granularity))
-			}
+		if config.Quota != nil {
+			script.addQuota(config.Quota)
 		}
-		if s := own.Store; s != nil {
-			l := s.LogConfig(platform, 64<<20)
-			fmt.Fprintln(&b.Buffer, int(l.Durability), l.MaxBytes, l.MaxRecords, l.SegmentBytes, int64(l.MaxWindow),
-				int64(l.ClockUncertainty), l.MaxOutcomes, l.AllowEmpty, s.DirectoryPath("/e/own.yaml"))
+		if config.Store != nil {
+			script.addStore(config.Store, platform)
 		}
-		if p := own.Plugins; p != nil {
-			b.plugins(p, platform)
+		if config.Plugins != nil {
+			script.addPlugins(config.Plugins, platform)
 		}
 	}
-	golden.Check(t, "settings.txt", b.Bytes())
+	golden.Check(t, "settings.txt", script.Bytes())
+}
+
+func (s *transcript) addFairQueues(section *FairQueues, platform *deployment.Config) {
+	scheduler := section.SchedulerConfig(platform)
+	s.println(scheduler.OthersWeight, scheduler.NewcomerFraction, scheduler.MaxHeavyHitters, scheduler.SharedFlows,
+		int64(scheduler.Burst), int64(scheduler.MinHistory), int64(scheduler.RehashInterval),
+		section.TenantTable() != nil)
+	for _, tenant := range scheduler.Tenants {
+		s.println(tenant.Name, tenant.Weight)
+	}
+}
+
+func (s *transcript) addQuota(section *Quota) {
+	directory := section.DirectoryPath(filepath.Join(s.folder, "own.yaml"))
+	s.println(section.Digest(), section.Revision, s.withoutFolder(directory), section.StartFresh,
+		section.Coordinators)
+	for i, limit := range section.Limits() {
+		s.println(LimitNames[i], int64(limit.Total), int64(limit.GuaranteedMinimum), limit.Slots,
+			int64(limit.LeaseDuration), int64(limit.GracePeriod), limit.ClockDrift, int64(limit.InitialAmount),
+			limit.Hysteresis, limit.IsRate, int64(limit.Granularity))
+	}
+}
+
+func (s *transcript) addStore(section *Store, platform *deployment.Config) {
+	log := section.LogConfig(platform, 64<<20)
+	s.println(int(log.Durability), log.MaxBytes, log.MaxRecords, log.SegmentBytes, int64(log.MaxWindow),
+		int64(log.ClockUncertainty), log.MaxOutcomes, log.AllowEmpty, section.DirectoryPath("/e/own.yaml"))
 }
 
-func (b *bench) plugins(p *Plugins, platform *deployment.Config) {
-	spec := p.ProcessSpec(map[string]map[string][]byte{"p": {"k": []byte("v")}, "q": {"k": []byte("w")}})
-	fmt.Fprintln(&b.Buffer, spec.Workers, spec.MemoryMB, p.DiscardsState(), int64(p.ReadyTimeout))
-	for _, o := range spec.Plugins {
-		fmt.Fprintln(&b.Buffer, o.Name, strings.ReplaceAll(o.File, b.dir, "DIR"), o.SHA256, o.MemoryKB, o.MaxCodeKB,
-			int64(o.StartTimeout), o.Compile, o.Hooks, o.State, o.MaxStateKB, o.Seed)
-		for _, s := range o.Samples {
-			does := -1
-			if s.ExpectedActions != nil {
-				does = *s.ExpectedActions
+func (s *transcript) addPlugins(section *Plugins, platform *deployment.Config) {
+	spec := section.ProcessSpec(map[string]map[string][]byte{"p": {"k": []byte("v")}, "q": {"k": []byte("w")}})
+	s.println(spec.Workers, spec.MemoryMB, section.DiscardsState(), int64(section.ReadyTimeout))
+	for _, module := range spec.Plugins {
+		s.println(module.Name, s.withoutFolder(module.File), module.SHA256, module.MemoryKB, module.MaxCodeKB,
+			int64(module.StartTimeout), module.Compile, module.Hooks, module.State, module.MaxStateKB, module.Seed)
+		for _, sample := range module.Samples {
+			actions := -1
+			if sample.ExpectedActions != nil {
+				actions = *sample.ExpectedActions
 			}
-			fmt.Fprintln(&b.Buffer, s.Hook, s.Category, s.Tenant, s.Body, does, s.ExpectedStatus)
+			s.println(sample.Hook, sample.Category, sample.Tenant, sample.Body, actions, sample.ExpectedStatus)
 		}
 	}
-	for i := range p.Entries { // a category that the settings don't have is no one's
-		entry := &p.Entries[i]
+	for i := range section.Entries { // a category that the settings don't have is no one's
+		entry := &section.Entries[i]
 		isUnknown := func(name string) bool { return name == "none" }
 		entry.TargetCategories = slices.DeleteFunc(entry.TargetCategories, isUnknown)
 	}
-	for _, g := range p.Grants(platform) {
-		fmt.Fprintln(&b.Buffer, g.Name, g.Hooks, g.Categories, slices.Sorted(maps.Keys(g.Tenants)), g.MayReject,
-			g.TargetCategories, g.MayTag, g.MayRewrite, int64(g.CallTimeout), g.MaxTimeFraction, g.CoreFraction,
-			int64(g.TickInterval), int(g.Fallback), g.FaultsByTenant, g.MaxConsecutiveFaults, g.MaxFaultRate,
-			int64(g.MinQuarantine), int64(g.MaxQuarantine))
+	for _, policy := range section.Grants(platform) {
+		s.println(policy.Name, policy.Hooks, policy.Categories, slices.Sorted(maps.Keys(policy.Tenants)),
+			policy.MayReject, policy.TargetCategories, policy.MayTag, policy.MayRewrite, int64(policy.CallTimeout),
+			policy.MaxTimeFraction, policy.CoreFraction, int64(policy.TickInterval), int(policy.Fallback),
+			policy.FaultsByTenant, policy.MaxConsecutiveFaults, policy.MaxFaultRate, int64(policy.MinQuarantine),
+			int64(policy.MaxQuarantine))
 	}
 }
