--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -17,7 +17,7 @@
 	"thistlequay/internal/golden"
 )
 
-// pluginPart is the begin of a section plugins, to which the rest of the plug-in is added.
+// pluginPart begins a section plugins; the rest of the plug-in follows it.
 const pluginPart = "plugins:\n  list:\n    - {name: p, file: p.wasm, hooks: [read]"
 
 // moreBadFiles are faults of the sections that the other tests leave out, and of YAML itself.
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -10,6 +10,7 @@
 	"thistlequay/internal/diagnostics"
 )
 
+// good is a deployment without faults.
 const good = `{
   "Categories": [
     {"Name": "look", "Effect": "repeatable", "OnTime": 3200, "HardLimit": 7100, "LateWorth": 0.2, "Worth": 1, "New": 1},
@@ -18,28 +19,44 @@
   "Tenants": [{"Name": "a", "Share": 0.3}, {"Name": "b"}]
 }`
 
+// readGood reads good with one text replaced by another.
+func readGood(t *testing.T, from, to string) *Config {
+	t.Helper()
+	require.Contains(t, good, from)
+	config, err := Read([]byte(strings.Replace(good, from, to, 1)))
+	require.NoError(t, err)
+	return config
+}
+
+// TestReadConvertsSettings checks the figures and flags that subsystems get.
 func TestReadConvertsSettings(t *testing.T) {
 	config, err := Read([]byte(good))
 	require.NoError(t, err)
 	require.Equal(t, admission.Keyed, config.Categories[1].Idempotency)
 	require.Equal(t, 1, config.CategoryIndex["book"])
 	require.Len(t, config.TenantWeights, 1)
-	require.True(t, config.CanStopRuns && !config.PauseKeepsMemory)
-	pauses, err := Read([]byte(strings.Replace(good, `"drop"`, `"pause"`, 1)))
-	require.NoError(t, err)
-	require.True(t, pauses.CanStopRuns && pauses.PauseKeepsMemory)
-	require.True(t, config.HasTenant([]byte("b")) && !config.HasTenant([]byte("c")))
+	require.True(t, config.CanStopRuns)
+	require.False(t, config.PauseKeepsMemory)
+	pausing := readGood(t, `"drop"`, `"pause"`)
+	require.True(t, pausing.CanStopRuns)
+	require.True(t, pausing.PauseKeepsMemory)
+	require.True(t, config.HasTenant([]byte("b")))
+	require.False(t, config.HasTenant([]byte("c")))
 }
 
-// A window of 0 can be meant: no repeat comes. Absent, it is a fault.
+// TestWindowOfZeroIsAccepted checks that a window of 0 can be meant: no repeat comes. An absent one is a fault.
 func TestWindowOfZeroIsAccepted(t *testing.T) {
-	config, err := Read([]byte(strings.Replace(good, `"Window": 35000`, `"Window": 0`, 1)))
-	require.NoError(t, err)
+	config := readGood(t, `"Window": 35000`, `"Window": 0`)
 	require.Zero(t, config.Categories[1].DeduplicationWindow)
 }
 
 // badSettings are good settings with one thing replaced, the text that the diagnostic points at, and the diagnostic.
-var badSettings = []struct{ from, to, pointsAt, diagnostic string }{
+var badSettings = []struct {
+	from       string
+	to         string
+	pointsAt   string
+	diagnostic string
+}{
 	{`by_key`, `by_kye`, `"by_kye"`,
 		`Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
 	{`"Effect": "by_key", `, ``, `{"Name": "book"`,
@@ -69,23 +86,26 @@
 		`can't be read: invalid character 'H' looking for beginning of object key string; expected JSON`},
 }
 
-// A value that bears on a rule and is not known is a fault, told with its position.
+// TestReadLocatesEachFault checks that an unknown value is a fault where a rule depends on it, told with its position.
 func TestReadLocatesEachFault(t *testing.T) {
-	for _, c := range badSettings {
-		require.Contains(t, good, c.from)
-		text := []byte(strings.Replace(good, c.from, c.to, 1))
-		_, err := Read(text)
-		require.Error(t, err, c.to)
-		found := diagnostics.LocateJSON(text, diagnostics.FromError(err))
-		require.Len(t, found, 1)
-		line := strings.Split(string(text), "\n")[found[0].Line-1]
-		rest := line[found[0].Column-1:]
-		require.True(t, strings.HasPrefix(rest, c.pointsAt), "%s points at %s", c.diagnostic, rest)
-		found[0].Line = 0
-		require.Equal(t, c.diagnostic, found.Error())
+	for _, test := range badSettings {
+		t.Run(test.diagnostic, func(t *testing.T) {
+			require.Contains(t, good, test.from)
+			text := []byte(strings.Replace(good, test.from, test.to, 1))
+			_, err := Read(text)
+			require.Error(t, err)
+			found := diagnostics.LocateJSON(text, diagnostics.FromError(err))
+			require.Len(t, found, 1)
+			line := strings.Split(string(text), "\n")[found[0].Line-1]
+			rest := line[found[0].Column-1:]
+			require.True(t, strings.HasPrefix(rest, test.pointsAt), "points at %s", rest)
+			found[0].Line = 0
+			require.Equal(t, test.diagnostic, found.Error())
+		})
 	}
 }
 
+// FuzzRead checks that any text can be read, and that each fault in it has a line.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -36,17 +36,28 @@
 "Limits":{"MaxRetryAfter":-1},"Period":-1,"Servers":-1,"Tenants":[{"Name":"t","Share":-1},{"Name":"t","Share":1e13}],
 "Rules":{"Cold":-1,"ColdFrom":-1,"DrainGrace":-1,"TipMultiple":-1}}`
 
+// TestGoldenDiagnostics compares what is said about bad files, and about files cut short, with what was recorded.
 func TestGoldenDiagnostics(t *testing.T) {
 	var out bytes.Buffer
 	diagnose := func(text string) {
 		_, err := Read([]byte(text))
 		fmt.Fprintf(&out, "%s\n\n", diagnostics.LocateJSON([]byte(text), diagnostics.FromError(err)).Error())
 	}
-	for _, c := range badSettings {
-		diagnose(strings.Replace(good, c.from, c.to, 1))
+	for _, test := range badSettings {
+		diagnose(strings.Replace(good, test.from, test.to, 1))
 	}
-	for _, text := range []string{worstValues, ``, `{}`, `null`, `{"Servers":1.5}`, `{"Servers":1,"servers":2}`,
-		`{"Categories":[{"Worth":"x"}]}`, `{"Clients":{"MarksRetry":1}}`, "{\"Rules\":\n\t{\"Cold\":[]}}", `{} {}`} {
+	for _, text := range []string{
+		worstValues,
+		``,
+		`{}`,
+		`null`,
+		`{"Servers":1.5}`,
+		`{"Servers":1,"servers":2}`,
+		`{"Categories":[{"Worth":"x"}]}`,
+		`{"Clients":{"MarksRetry":1}}`,
+		"{\"Rules\":\n\t{\"Cold\":[]}}",
+		`{} {}`,
+	} {
 		diagnose(text)
 	}
 	// What is expected here names types of the program, which may change: only the place and the problem stay.
@@ -64,11 +75,12 @@
 	golden.Check(t, "diagnostics.txt", out.Bytes())
 }
 
+// TestGoldenSettings compares the figures that subsystems get from good files with what was recorded.
 func TestGoldenSettings(t *testing.T) {
-	otherWords := strings.NewReplacer(`"RetryAfter":true`, `"RetryAfter":false`, `"pause"`, `"drop"`,
+	otherValues := strings.NewReplacer(`"RetryAfter":true`, `"RetryAfter":false`, `"pause"`, `"drop"`,
 		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(everyKey)
 	var out bytes.Buffer
-	for _, text := range []string{good, everyKey, otherWords} {
+	for _, text := range []string{good, everyKey, otherValues} {
 		config, err := Read([]byte(text))
 		require.NoError(t, err)
 		fmt.Fprintln(&out, config.Routers, config.RetriesMarked, config.Servers, config.Cores, config.MemoryKB,
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestLinesInBothFormats checks an event as text and as JSON.
 func TestLinesInBothFormats(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, FormatText).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
@@ -21,6 +22,7 @@
 	require.NotEmpty(t, line["time"])
 }
 
+// BenchmarkEvent measures a line with five fields.
 func BenchmarkEvent(b *testing.B) {
 	for _, format := range []Format{FormatText, FormatJSON} {
 		b.Run(string(format), func(b *testing.B) {
@@ -28,7 +30,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				logger.Event("state").Int("requests", 7).Int("connections", 40).
-					Int("stamps", 900).Int("calls", 3).Str("name", "n3").Send()
+					Int("idempotency_entries", 900).Int("downstream_calls", 3).Str("name", "n3").Send()
 			}
 		})
 	}
