--- a/internal/quota/service/file_storage_test.go
+++ b/internal/quota/service/file_storage_test.go
@@ -1,6 +1,8 @@
 package service
 
 import (
+	"bytes"
+	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
@@ -26,22 +28,33 @@
 	return raftpb.Snapshot{Data: state, Metadata: raftpb.SnapshotMetadata{Index: index, Term: term}}
 }
 
+// openStorage opens a storage, which is closed when the test ends, if not before.
 func openStorage(t *testing.T, directory string) *FileStorage {
 	t.Helper()
 	storage, err := OpenFileStorage(directory)
 	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, storage.Close()) })
 	return storage
 }
 
-// What was saved is found again: entries that took the place of others, a log that was compacted, another voter's state
-// in its place.
+// load returns what a storage that was begun holds.
+func load(t *testing.T, storage *FileStorage) (coordinator.Identity, *consensus.PersistentState) {
+	t.Helper()
+	identity, saved, err := storage.Load()
+	require.NoError(t, err)
+	require.NotNil(t, saved)
+	return identity, saved
+}
+
+// TestFileStorageFindsSavedState checks that what was saved is found again: entries that replaced others, a log that
+// was compacted, the state of another voter in its place.
 func TestFileStorageFindsSavedState(t *testing.T) {
 	r := require.New(t)
 	directory := t.TempDir()
 	storage := openStorage(t, directory)
 	_, saved, err := storage.Load()
 	r.NoError(err)
-	r.Nil(saved, "a new one")
+	r.Nil(saved, "a new storage has a state")
 	identity := coordinator.Identity{LogID: 3, VoterID: 5}
 	first := consensus.PersistentState{
 		HardState: raftpb.HardState{Term: 1, Commit: 1},
@@ -58,66 +71,72 @@
 	r.NoError(storage.Close())
 
 	storage = openStorage(t, directory)
-	found, saved, err := storage.Load()
-	r.NoError(err)
+	found, saved := load(t, storage)
 	r.Equal(identity, found)
 	r.Equal(raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, saved.HardState)
 	r.Equal(append(entriesOf(2, 4, 1), entriesOf(5, 6, 2)...), saved.Entries)
 
 	compacted := consensus.PersistentState{HardState: saved.HardState, Snapshot: snapshotOf([]byte("state"), 5, 2)}
 	r.NoError(storage.Save(compacted))
-	_, saved, err = storage.Load()
-	r.NoError(err)
+	_, saved = load(t, storage)
 	r.Equal(entriesOf(6, 6, 2), saved.Entries)
 	r.Equal("state", string(saved.Snapshot.Data))
 
 	r.NoError(storage.Begin(coordinator.Identity{LogID: 3, VoterID: 8}, consensus.PersistentState{}))
-	found, saved, err = storage.Load()
-	r.NoError(err)
+	found, saved = load(t, storage)
 	r.Equal(uint64(8), found.VoterID)
 	r.Empty(saved.Entries)
-	r.NoError(storage.Close())
 }
 
-// A file cut short or damaged anywhere is either read as it was or set aside: it never stops the program, and never
-// gives a state that was not saved.
-func TestFileStorageSetsDamagedFileAside(t *testing.T) {
-	r := require.New(t)
-	intactDirectory := t.TempDir()
-	storage := openStorage(t, intactDirectory)
-	identity := coordinator.Identity{LogID: 1, VoterID: 2}
-	r.NoError(storage.Begin(identity, consensus.PersistentState{
+// savedIdentity is the voter of the file that savedFile returns.
+var savedIdentity = coordinator.Identity{LogID: 1, VoterID: 2}
+
+// savedFile returns the bytes of an intact storage with the entries 2 to 400.
+func savedFile(t *testing.T) []byte {
+	t.Helper()
+	directory := t.TempDir()
+	storage := openStorage(t, directory)
+	require.NoError(t, storage.Begin(savedIdentity, consensus.PersistentState{
 		HardState: raftpb.HardState{Term: 1, Commit: 1},
 		Snapshot:  snapshotOf(nil, 1, 1),
 	}))
-	r.NoError(storage.Save(consensus.PersistentState{Entries: entriesOf(2, 400, 1)}))
-	r.NoError(storage.Close())
-	intact, err := os.ReadFile(filepath.Join(intactDirectory, databaseFile))
-	r.NoError(err)
+	require.NoError(t, storage.Save(consensus.PersistentState{Entries: entriesOf(2, 400, 1)}))
+	require.NoError(t, storage.Close())
+	intact, err := os.ReadFile(filepath.Join(directory, databaseFile))
+	require.NoError(t, err)
+	return intact
+}
+
+// TestFileStorageSetsCorruptFileAside checks that a file which is truncated or corrupt anywhere is either read as it
+// was or set aside: it never stops the program, and never gives a state that was not saved.
+func TestFileStorageSetsCorruptFileAside(t *testing.T) {
+	intact := savedFile(t)
 	setAside := 0
-	try := func(name string, damaged []byte) {
-		directory := t.TempDir()
-		r.NoError(os.WriteFile(filepath.Join(directory, databaseFile), damaged, 0o600))
-		storage := openStorage(t, directory)
-		found, saved, err := storage.Load()
-		r.NoError(err, name)
-		if saved != nil {
-			r.Equal(identity, found, name)
-			r.Len(saved.Entries, 399, name)
-		} else {
+	check := func(name string, corrupt []byte) {
+		t.Run(name, func(t *testing.T) {
+			directory := t.TempDir()
+			require.NoError(t, os.WriteFile(filepath.Join(directory, databaseFile), corrupt, 0o600))
+			storage := openStorage(t, directory)
+			found, saved, err := storage.Load()
+			require.NoError(t, err)
+			if saved != nil {
+				require.Equal(t, savedIdentity, found)
+				require.Len(t, saved.Entries, 399)
+				return
+			}
 			setAside++
 			other := coordinator.Identity{LogID: 1, VoterID: 3}
-			r.NoError(storage.Begin(other, consensus.PersistentState{}), name)
-		}
-		r.NoError(storage.Close())
+			require.NoError(t, storage.Begin(other, consensus.PersistentState{}))
+		})
 	}
-	for cut := 0; cut < len(intact); cut += 1 + len(intact)/24 {
-		try("cut short", intact[:cut])
+	for size := 0; size < len(intact); size += 1 + len(intact)/24 {
+		check(fmt.Sprintf("truncated to %d bytes", size), intact[:size])
 	}
-	for page := 0; page < len(intact); page += os.Getpagesize() {
-		damaged := append([]byte(nil), intact...)
-		copy(damaged[page:page+os.Getpagesize()], make([]byte, os.Getpagesize()))
-		try("a page of zeros", damaged)
+	pageSize := os.Getpagesize()
+	for offset := 0; offset < len(intact); offset += pageSize {
+		corrupt := bytes.Clone(intact)
+		clear(corrupt[offset : offset+pageSize])
+		check(fmt.Sprintf("page of zeros at %d", offset), corrupt)
 	}
-	r.Greater(setAside, 20)
+	require.Greater(t, setAside, 20)
 }
--- a/internal/quota/service/golden_test.go
+++ b/internal/quota/service/golden_test.go
@@ -24,8 +24,8 @@
 
 var goldenID = membership.ID{Name: "n0001", Incarnation: 0x1122334455667788}
 
-// Every message among coordinators and servers, and every name and number made of an identity, is as recorded; a
-// message is the same when it is decoded and encoded again.
+// TestGoldenMessages compares every message among coordinators and servers, and every name and number made of an
+// identity, with what was recorded. A message is the same when it is decoded and encoded again.
 func TestGoldenMessages(t *testing.T) {
 	var out bytes.Buffer
 	add := func(name string, kind byte, content, empty any) {
@@ -87,11 +87,11 @@
 	}))
 }
 
-// A coordinator's storage has the recorded records after each step; what is read from it and written anew has the same.
+// TestGoldenDisk compares the records of a coordinator's storage after each step with what was recorded. What is read
+// from it and written to another has the same.
 func TestGoldenDisk(t *testing.T) {
 	r := require.New(t)
 	storage := openStorage(t, t.TempDir())
-	defer func() { r.NoError(storage.Close()) }()
 	var out bytes.Buffer
 	identity := coordinator.Identity{LogID: 1<<60 + 1, VoterID: 1<<63 + 1}
 	snapshot := func(index uint64, state string) raftpb.Snapshot {
@@ -122,23 +122,22 @@
 			r.NoError(storage.Save(step.state), step.title)
 		}
 		dumpRecords(t, storage, step.title, &out)
-		found, saved, err := storage.Load()
-		r.NoError(err)
+		found, saved := load(t, storage)
 		r.Equal(identity, found)
-		anew := openStorage(t, t.TempDir())
-		r.NoError(anew.Begin(found, *saved))
+		rewritten := openStorage(t, t.TempDir())
+		r.NoError(rewritten.Begin(found, *saved))
 		var before, after bytes.Buffer
 		dumpRecords(t, storage, step.title, &before)
-		dumpRecords(t, anew, step.title, &after)
+		dumpRecords(t, rewritten, step.title, &after)
 		r.Equal(before.String(), after.String(), step.title)
-		r.NoError(anew.Close())
 	}
 	r.NoError(storage.Begin(coordinator.Identity{LogID: identity.LogID, VoterID: 5}, consensus.PersistentState{}))
 	dumpRecords(t, storage, "another memory", &out)
 	golden.Check(t, "disk.txt", out.Bytes())
 }
 
-// What operators are told of quotas has the recorded JSON, and is the same when it is decoded and encoded again.
+// TestGoldenStatus compares the JSON in which operators see quotas with what was recorded. It is the same when it is
+// decoded and encoded again.
 func TestGoldenStatus(t *testing.T) {
 	r := require.New(t)
 	node, err := gossip.Start(gossip.Config{
@@ -148,7 +147,7 @@
 		Now:           func() time.Time { return time.Unix(1, 0) }, // a clock that stands still
 	})
 	r.NoError(err)
-	defer node.Close()
+	t.Cleanup(node.Close)
 	limits := []quota.LimitConfig{
 		{Total: 100_000, GuaranteedMinimum: 1000, Slots: 8, LeaseDuration: 10_000, GracePeriod: 500},
 		{Total: 50_500, LeaseDuration: 20_000, IsRate: true},
@@ -165,11 +164,13 @@
 	s.leader = membership.ID{Name: "n0002", Incarnation: 5}
 	config := coordinator.Config{Limits: limits, NamedCoordinators: names, LogID: 77}
 	s.coordinator = coordinator.New(config, rand.New(rand.NewSource(1)), 1)
-	voter, other := voterNumber(goldenID, 0), voterNumber(membership.ID{Name: "n0002"}, 0)
+	voter := voterNumber(goldenID, 0)
+	other := voterNumber(membership.ID{Name: "n0002"}, 0)
 	r.NoError(s.coordinator.Start(voter, []uint64{voter, other, 12345}))
 	s.coordinator.UpdateView(coordinator.ClusterView{MajorityUntil: 5000}, 1)
 	s.membersByVoter[other] = membership.Member{StateUpdate: membership.StateUpdate{ID: s.leader}}
-	s.coordinator.AppliedCommands, s.coordinator.DiscardedStates = 3, 4
+	s.coordinator.AppliedCommands = 3
+	s.coordinator.DiscardedStates = 4
 	s.coordinator.Limits().MismatchedRequests = 5
 	s.coordinator.Limits().Apply(quota.Command{Open: true, Revision: 2, Changes: []quota.Change{
 		{Server: HolderName(goldenID), LeaseVersion: 1, Amount: 2500},
