--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -30,6 +30,7 @@
 
 func (t *recordingTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
+// run passes packets on to the member until done is closed.
 func (t *recordingTransport) run(from <-chan *memberlist.Packet, done <-chan struct{}) {
 	for {
 		select {
@@ -58,14 +59,14 @@
 	return len(packets)
 }
 
-// hostileCluster is a cluster of five in which one member lies to another.
+// hostileCluster is a cluster of five in which one member, the forger, sends forged messages to another, the target.
 type hostileCluster struct {
 	nodes         []*Node
-	target        *Node // that is lied to, and whose packets are recorded
+	target        *Node
 	targetAddress string
-	recording     *recordingTransport
-	liar          *Node
-	lies          int
+	recording     *recordingTransport // of the packets that reached the target
+	forger        *Node
+	forged        int // messages that the forger sent
 }
 
 func startHostileCluster(t *testing.T, done <-chan struct{}) *hostileCluster {
@@ -83,43 +84,42 @@
 	c.target.SetLocalState(LocalState{State: membership.StateServing})
 	c.targetAddress = transport.address
 	c.nodes = append(c.nodes, c.target)
-	c.liar = c.nodes[3]
+	c.forger = c.nodes[3]
 	require.Positive(t, waitUntil(time.Minute, func() bool { return allInMajority(c.nodes, 5) }))
 	return c
 }
 
-// lie sends the target a message signed by the liar, with another key than its own if one is given.
-func (c *hostileCluster) lie(t *testing.T, kind byte, content any, key ed25519.PrivateKey) {
+// sendForged sends the target a message that the forger signs with a key.
+func (c *hostileCluster) sendForged(t *testing.T, key ed25519.PrivateKey, kind byte, content any) {
 	t.Helper()
-	own := c.liar.privateKey
-	if key != nil {
-		c.liar.privateKey = key
-	}
-	_, message := c.liar.sign(kind, content)
-	c.liar.privateKey = own
-	c.lies++
+	ownKey := c.forger.privateKey
+	c.forger.privateKey = key
+	_, message := c.forger.sign(kind, content)
+	c.forger.privateKey = ownKey
+	c.forged++
 	to := memberlist.Address{Addr: c.targetAddress, Name: nodeName(c.target.LocalID())}
-	require.NoError(t, c.liar.memberlist.SendToAddress(to, message))
+	require.NoError(t, c.forger.memberlist.SendToAddress(to, message))
 }
 
-// lieAbout sends lies about a victim: that it leaves, and a lease grant and a configuration in its name. The last lie
-// is in the name of a member that nobody knows.
-func (c *hostileCluster) lieAbout(t *testing.T, victim membership.ID) {
+// sendForgedAbout sends forged messages about a victim: that it is draining, and a lease grant and a configuration in
+// its name. The last message is in the name of a member that nobody knows.
+func (c *hostileCluster) sendForgedAbout(t *testing.T, victim membership.ID) {
 	t.Helper()
+	ownKey := c.forger.privateKey
 	_, otherKey, err := ed25519.GenerateKey(nil)
 	require.NoError(t, err)
 	to := c.target.LocalID()
-	leaves := membership.StateUpdate{ID: victim, Sequence: 1 << 40, State: membership.StateDraining}
-	c.lie(t, kindStateUpdate, leaves, nil)
-	c.lie(t, kindStateUpdate, leaves, otherKey)
-	c.lie(t, kindPaxos, membership.Message{
+	draining := membership.StateUpdate{ID: victim, Sequence: 1 << 40, State: membership.StateDraining}
+	c.sendForged(t, ownKey, kindStateUpdate, draining)
+	c.sendForged(t, otherKey, kindStateUpdate, draining)
+	c.sendForged(t, ownKey, kindPaxos, membership.Message{
 		Kind:        membership.MessageLeaseGrant,
 		From:        victim,
 		To:          to,
 		Epoch:       1,
 		RequestedAt: 1 << 50,
-	}, nil)
-	c.lie(t, kindPaxos, membership.Message{
+	})
+	c.sendForged(t, ownKey, kindPaxos, membership.Message{
 		Kind:  membership.MessageCommitted,
 		From:  victim,
 		To:    to,
@@ -128,16 +128,16 @@
 			Epoch:         1 << 40,
 			MemberCount:   1,
 			LeaseDuration: 60000,
-			Voters:        []membership.Voter{{ID: c.liar.LocalID()}},
+			Voters:        []membership.Voter{{ID: c.forger.LocalID()}},
 		},
-	}, nil)
-	c.lie(t, kindPaxos, membership.Message{
+	})
+	c.sendForged(t, ownKey, kindPaxos, membership.Message{
 		Kind:   membership.MessagePrepare,
 		From:   membership.ID{Name: "ghost", Incarnation: 9},
 		To:     to,
 		Epoch:  1,
 		Ballot: membership.Ballot{Round: 1 << 40},
-	}, nil)
+	})
 }
 
 // sendMalformed hands the target messages that are cut short, of 64 KiB, of noise, and of a kind that only a later
@@ -145,18 +145,23 @@
 func (c *hostileCluster) sendMalformed() {
 	honest := c.nodes[2]
 	update := membership.StateUpdate{ID: honest.LocalID(), Sequence: 1 << 30, State: membership.StateDraining}
-	_, sound := honest.sign(kindStateUpdate, update)
-	noise := slices.Repeat([]byte{0x9f}, 600)
+	_, valid := honest.sign(kindStateUpdate, update)
 	events := delegate{c.target}
-	for _, message := range [][]byte{sound[:len(sound)/2], {}, {kindStateUpdate}, make([]byte, 64<<10), noise} {
+	for _, message := range [][]byte{
+		valid[:len(valid)/2],
+		{},
+		{kindStateUpdate},
+		make([]byte, 64<<10),
+		slices.Repeat([]byte{0x9f}, 600),
+		{200, 1, 2, 3}, // a kind of a later version
+	} {
 		events.NotifyMsg(message)
 	}
-	events.NotifyMsg([]byte{200, 1, 2, 3})
-	events.MergeRemoteState(append([]byte{255, 255}, sound...), false)
+	events.MergeRemoteState(append([]byte{255, 255}, valid...), false)
 }
 
-// A member with the cluster's key lies about others, sends malformed messages, and replays three minutes of packets (an
-// hour if MEASURE=full): nothing of it is accepted, all of it is counted.
+// TestMeasuredRejectionOfHostileMessages has a member with the key of the cluster forge messages, send malformed
+// ones, and replay three minutes of packets (an hour if MEASURE=full): nothing of it is accepted, all of it is counted.
 func TestMeasuredRejectionOfHostileMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		done := make(chan struct{})
@@ -165,14 +170,14 @@
 		inspectView(t, c.target, func(view *membership.View) { before = view.Counts })
 		victim := c.nodes[1].LocalID()
 		accepted := 0
-		c.lieAbout(t, victim)
+		c.sendForgedAbout(t, victim)
 		time.Sleep(2 * time.Second)
 		inspectView(t, c.target, func(view *membership.View) {
 			if view.Member(victim).State != membership.StateServing {
 				accepted++
 			}
-			require.Equal(t, c.lies-1, view.Counts.Forged-before.Forged)        // in another's name
-			require.Positive(t, view.Counts.UnknownSender-before.UnknownSender) // and in nobody's
+			require.Equal(t, c.forged-1, view.Counts.Forged-before.Forged, "in another's name")
+			require.Positive(t, view.Counts.UnknownSender-before.UnknownSender, "in nobody's name")
 		})
 
 		malformed := c.target.Malformed.Load()
@@ -180,11 +185,11 @@
 		time.Sleep(time.Second)
 		require.GreaterOrEqual(t, c.target.Malformed.Load()-malformed, int64(3))
 
-		pause := 3 * time.Minute
+		recordingTime := 3 * time.Minute
 		if os.Getenv("MEASURE") == "full" {
-			pause = time.Hour
+			recordingTime = time.Hour
 		}
-		time.Sleep(pause)
+		time.Sleep(recordingTime)
 		replayed := c.recording.replay()
 		time.Sleep(20 * time.Second)
 		if !allInMajority(c.nodes, 5) {
@@ -192,26 +197,24 @@
 		}
 		stale := 0
 		inspectView(t, c.target, func(view *membership.View) { stale = view.Counts.Stale })
-		t.Logf("measured hostile-peers lies=%d forged_taken=%d replayed=%d old=%d garbled=%d",
-			c.lies, accepted, replayed, stale, c.target.Malformed.Load())
+		t.Logf("measured hostile-peers forged=%d forged_taken=%d replayed=%d stale=%d malformed=%d",
+			c.forged, accepted, replayed, stale, c.target.Malformed.Load())
 		require.Zero(t, accepted)
-		for _, node := range c.nodes {
-			node.Close()
-		}
+		closeNodes(c.nodes)
 		close(done)
-		time.Sleep(time.Minute)
 	})
 }
 
-// A death that is forged in memberlist's own protocol, under the cluster's key, is refuted by the member it is about:
-// nobody is held to have failed for good, and the cluster stays agreed.
+// TestMemberRefutesForgedDeath checks that a death forged in memberlist's own protocol, under the cluster's key, is
+// refuted by the member it is about: nobody is held to have failed for good, and the cluster stays agreed.
 func TestMemberRefutesForgedDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newVirtualNetwork(2)
 		network.withoutKeys = true
 		nodes := startNodes(t, network, 5)
 		require.Positive(t, waitUntil(time.Minute, func() bool { return allInMajority(nodes, 5) }))
-		victim, target := nodes[4], nodes[1]
+		victim := nodes[4]
+		target := nodes[1]
 		var dead []byte
 		require.NoError(t, codec.NewEncoderBytes(&dead, &codec.MsgpackHandle{}).Encode(map[string]any{
 			"Incarnation": 1 << 20,
@@ -232,13 +235,13 @@
 			})
 			return err == nil && hasFailed
 		})
-		require.GreaterOrEqual(t, failed, time.Duration(0), "the forged death did not come")
+		require.GreaterOrEqual(t, failed, time.Duration(0), "the forged death did not arrive")
 		require.Positive(t, waitUntil(20*time.Second, func() bool { return allInMajority(nodes, 5) }))
 		closeNodes(nodes)
 	})
 }
 
-// No bytes are decoded into what cannot be meant, and none stop the program.
+// FuzzParseMessage checks that any bytes can be parsed, and that no state update gives a member a negative figure.
 func FuzzParseMessage(f *testing.F) {
 	_, privateKey, err := ed25519.GenerateKey(nil)
 	require.NoError(f, err)
