--- a/internal/plugin/golden_test.go
+++ b/internal/plugin/golden_test.go
@@ -1,6 +1,7 @@
 package plugin
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"testing"
@@ -16,11 +17,12 @@
 // written again they are the same.
 func TestGoldenFrames(t *testing.T) {
 	var lines []byte
-	for _, data := range goldenFrames(t) {
-		frame, rest, isComplete, err := ParseFrame(data)
+	for rest := goldenFrames(t); len(rest) > 0; {
+		frame, next, isComplete, err := ParseFrame(rest)
 		require.NoError(t, err)
 		require.True(t, isComplete)
-		require.Empty(t, rest)
+		data := rest[:len(rest)-len(next)]
+		rest = next
 		require.Equal(t, data, AppendFrame(nil, frame.Kind, frame.PluginIndex, frame.CallID, frame.Payload))
 		lines = fmt.Appendf(lines, "%c %x\n", frame.Kind, data)
 		switch frame.Kind {
@@ -35,17 +37,17 @@
 	golden.Check(t, "frames.txt", lines)
 }
 
-// goldenFrames returns frames of every kind.
-func goldenFrames(t *testing.T) (frames [][]byte) {
+// goldenFrames returns frames of every kind, one behind the other.
+func goldenFrames(t *testing.T) []byte {
 	t.Helper()
+	var frames bytes.Buffer
+	out := &frameWriter{out: &frames}
 	m := &module{
 		ModuleConfig: ModuleConfig{MaxStateKB: 1},
 		state:        map[string][]byte{},
 		logTokens:    logLinesPerSecond,
 		logTokensAt:  time.Now(),
-		emit: func(kind byte, payload []byte) {
-			frames = append(frames, AppendFrame(nil, kind, 3, 0, payload))
-		},
+		emit:         func(kind byte, payload []byte) { out.writeFrame(kind, 3, 0, payload) },
 	}
 	require.True(t, m.putState("acme 17", "5"))
 	require.True(t, m.putState("acme 17", ""))
@@ -58,17 +60,15 @@
 		Tenant:     "acme",
 		Body:       []byte("body"),
 	}
-	frames = append(frames,
-		AppendFrame(nil, frameSpec, 0, 0, goldenSpec(t)),
-		AppendFrame(nil, FrameReady, 0, 0, nil),
-		AppendFrame(nil, FrameRefused, 1, 0, []byte("why")),
-		AppendFrame(nil, FrameCounters, 2, 0, []byte(`{"n":1}`)),
-		AppendCall(nil, 513, abi.HookResult, 1<<60+1, 25, request.Append(nil)))
-	out := &frameWriter{out: frameCollector{&frames}}
+	out.writeFrame(frameSpec, 0, 0, goldenSpec(t))
+	out.writeFrame(FrameReady, 0, 0, nil)
+	out.writeFrame(FrameRefused, 1, 0, []byte("why"))
+	out.writeFrame(FrameCounters, 2, 0, []byte(`{"n":1}`))
+	frames.Write(AppendCall(nil, 513, abi.HookResult, 1<<60+1, 25, request.Append(nil)))
 	for _, outcome := range []CallOutcome{CallSucceeded, CallTimedOut, CallTrapped, CallMalformed, CallNotStarted} {
 		out.writeVerdict(callRequest{pluginIndex: 2, id: 77}, outcome, 1234*time.Microsecond, []byte{1, 2, 3})
 	}
-	return frames
+	return frames.Bytes()
 }
 
 // goldenSpec returns a specification as JSON, with every field set in one plug-in and none in another.
@@ -110,11 +110,3 @@
 	require.Equal(t, text, again)
 	return text
 }
-
-// frameCollector takes each write as a frame of its own.
-type frameCollector struct{ frames *[][]byte }
-
-func (c frameCollector) Write(data []byte) (int, error) {
-	*c.frames = append(*c.frames, append([]byte(nil), data...))
-	return len(data), nil
-}
--- a/internal/plugin/module_test.go
+++ b/internal/plugin/module_test.go
@@ -42,37 +42,21 @@
 
 // TestUnusableModuleIsRefused checks that a module which can't be used is refused when it is loaded, with the reason.
 func TestUnusableModuleIsRefused(t *testing.T) {
-	noActions := 0
+	expectNoActions := func(config *ModuleConfig) { config.Samples = []Sample{{ExpectedActions: new(int)}} }
 	for _, test := range []struct {
-		name   string
 		kind   string
 		change func(config *ModuleConfig) // nil for none
 		reason string
 	}{
-		{name: "truncated", kind: "truncated", reason: "is no module that can be run"},
-		{name: "other version", kind: "other-version", reason: "is of version 7"},
-		{name: "unknown import", kind: "foreign", reason: "open_socket"},
-		{name: "endless start", kind: "loops-at-start", reason: "does not start"},
-		{
-			name:   "other hash",
-			kind:   "good",
-			change: func(config *ModuleConfig) { config.SHA256 = "00" },
-			reason: "the settings pin 00",
-		},
-		{
-			name:   "too large",
-			kind:   "good",
-			change: func(config *ModuleConfig) { config.MaxCodeKB = 0 },
-			reason: "0 at most",
-		},
-		{
-			name:   "unexpected verdict on a sample",
-			kind:   "declines",
-			change: func(config *ModuleConfig) { config.Samples = []Sample{{ExpectedActions: &noActions}} },
-			reason: "sample 1: does 1 with status 403",
-		},
+		{"truncated", nil, "is no module that can be run"},
+		{"other-version", nil, "is of version 7"},
+		{"foreign", nil, "open_socket"},
+		{"loops-at-start", nil, "does not start"},
+		{"good", func(config *ModuleConfig) { config.SHA256 = "00" }, "the settings pin 00"},
+		{"good", func(config *ModuleConfig) { config.MaxCodeKB = 0 }, "0 at most"},
+		{"declines", expectNoActions, "sample 1: does 1 with status 403"},
 	} {
-		t.Run(test.name, func(t *testing.T) {
+		t.Run(test.kind+" "+test.reason, func(t *testing.T) {
 			config := testConfig(t, test.kind)
 			if test.change != nil {
 				test.change(&config)
