--- a/internal/segmentlog/crash_test.go
+++ b/internal/segmentlog/crash_test.go
@@ -130,8 +130,7 @@
 		clock.reading.Monotonic = 100
 	}
 	isEmpty := stepCount < 2 // the directory, before the first segment
-	s, err := openSession(r.t, disk, testConfig(r.durability, isEmpty, clock.now))
-	require.NoError(r.t, err)
+	s := openSession(r.t, disk, testConfig(r.durability, isEmpty, clock.now))
 	r.processes++
 	for i := range r.keys {
 		r.checkKey(keyName(i), s.retryOutcome(keyName(i)), stepCount, bootID)
@@ -224,7 +223,7 @@
 func TestSegmentOfAnotherVersionIsRefused(t *testing.T) {
 	disk, clock := diskWithSegments(t)
 	disk.files[segmentName(2)][headerVersionOffset] = 9
-	_, err := openSession(t, disk, testConfig(recovery.DurabilityMachine, false, clock.now))
+	_, err := Open(disk, testConfig(recovery.DurabilityMachine, false, clock.now))
 	require.ErrorIs(t, err, errUnsupportedVersion)
 }
 
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -109,8 +109,7 @@
 	for process := range 3 {
 		config := testConfig(recovery.Durability(seed%2), process == 0, clock.now)
 		config.MaxOutcomes = 12
-		s, err := openSession(t, disk, config)
-		require.NoError(t, err)
+		s := openSession(t, disk, config)
 		addScan(h, &s.log.ScanResult)
 		for i := range 20 {
 			s.lastAttempt = uint64(100*process + i)
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -15,21 +15,18 @@
 // TestFailedDiskRejectsIntentsUntilANewSegment checks that a write or a sync that fails rejects what waits for it, and
 // that nothing later makes it good: a new segment is begun.
 func TestFailedDiskRejectsIntentsUntilANewSegment(t *testing.T) {
-	for _, test := range []struct {
-		name    string
-		failing []diskOperation
-	}{
-		{"write", []diskOperation{opWrite}},
-		{"sync", []diskOperation{opSync}},
-		{"create", []diskOperation{opCreate, opWrite}},
+	for name, failing := range map[string][]diskOperation{
+		"write":  {opWrite},
+		"sync":   {opSync},
+		"create": {opCreate, opWrite},
 	} {
-		t.Run(test.name, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			disk := newMemoryDisk()
 			clock := newTestClock()
 			first := startSession(t, disk, clock, recovery.DurabilityMachine)
 			require.True(t, first.intend("before"))
 			disk.failWith(func(attempted diskOperation) error {
-				if slices.Contains(test.failing, attempted) {
+				if slices.Contains(failing, attempted) {
 					return errDisk
 				}
 				return nil
--- a/internal/segmentlog/session_test.go
+++ b/internal/segmentlog/session_test.go
@@ -53,7 +53,7 @@
 }
 
 // openSession opens a log, whose OnWritten it sets. The caller closes the session.
-func openSession(t testing.TB, storage Storage, config Config) (*session, error) {
+func openSession(t testing.TB, storage Storage, config Config) *session {
 	t.Helper()
 	s := &session{Assertions: require.New(t), now: config.Now, results: make(chan WriteResult, 4096)}
 	config.OnWritten = func(results []WriteResult) {
@@ -63,14 +63,14 @@
 	}
 	var err error
 	s.log, err = Open(storage, config)
-	return s, err
+	require.NoError(t, err)
+	return s
 }
 
 // startSession opens a log where there may be none yet. It is closed when the test ends, if not before.
 func startSession(t testing.TB, storage Storage, clock *testClock, durability recovery.Durability) *session {
 	t.Helper()
-	s, err := openSession(t, storage, testConfig(durability, true, clock.now))
-	require.NoError(t, err)
+	s := openSession(t, storage, testConfig(durability, true, clock.now))
 	t.Cleanup(s.close)
 	return s
 }
@@ -79,8 +79,7 @@
 // before.
 func restartSession(t testing.TB, storage Storage, clock *testClock) *session {
 	t.Helper()
-	s, err := openSession(t, storage, testConfig(recovery.DurabilityMachine, false, clock.now))
-	require.NoError(t, err)
+	s := openSession(t, storage, testConfig(recovery.DurabilityMachine, false, clock.now))
 	t.Cleanup(s.close)
 	return s
 }
