--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -60,10 +60,7 @@
 }
 
 // badSection is the text of a file and a part of its diagnostic.
-type badSection struct {
-	text       string
-	diagnostic string
-}
+type badSection struct{ text, diagnostic string }
 
 // badFairQueues has bad sections for fair queues and the diagnostic of each.
 var badFairQueues = []badSection{
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -51,12 +51,7 @@
 }
 
 // badSettings are good settings with one thing replaced, the text that the diagnostic points at, and the diagnostic.
-var badSettings = []struct {
-	from       string
-	to         string
-	pointsAt   string
-	diagnostic string
-}{
+var badSettings = []struct{ from, to, pointsAt, diagnostic string }{
 	{`by_key`, `by_kye`, `"by_kye"`,
 		`Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
 	{`"Effect": "by_key", `, ``, `{"Name": "book"`,
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -46,18 +46,8 @@
 	for _, test := range badSettings {
 		diagnose(strings.Replace(good, test.from, test.to, 1))
 	}
-	for _, text := range []string{
-		worstValues,
-		``,
-		`{}`,
-		`null`,
-		`{"Servers":1.5}`,
-		`{"Servers":1,"servers":2}`,
-		`{"Categories":[{"Worth":"x"}]}`,
-		`{"Clients":{"MarksRetry":1}}`,
-		"{\"Rules\":\n\t{\"Cold\":[]}}",
-		`{} {}`,
-	} {
+	for _, text := range []string{worstValues, ``, `{}`, `null`, `{"Servers":1.5}`, `{"Servers":1,"servers":2}`,
+		`{"Categories":[{"Worth":"x"}]}`, `{"Clients":{"MarksRetry":1}}`, "{\"Rules\":\n\t{\"Cold\":[]}}", `{} {}`} {
 		diagnose(text)
 	}
 	// What is expected here names types of the program, which may change: only the place and the problem stay.
--- a/internal/quota/service/file_storage_test.go
+++ b/internal/quota/service/file_storage_test.go
@@ -88,29 +88,20 @@
 	r.Empty(saved.Entries)
 }
 
-// savedIdentity is the voter of the file that savedFile returns.
-var savedIdentity = coordinator.Identity{LogID: 1, VoterID: 2}
-
-// savedFile returns the bytes of an intact storage with the entries 2 to 400.
-func savedFile(t *testing.T) []byte {
-	t.Helper()
-	directory := t.TempDir()
-	storage := openStorage(t, directory)
-	require.NoError(t, storage.Begin(savedIdentity, consensus.PersistentState{
+// TestFileStorageSetsCorruptFileAside checks that a file which is truncated or corrupt anywhere is either read as it
+// was or set aside: it never stops the program, and never gives a state that was not saved.
+func TestFileStorageSetsCorruptFileAside(t *testing.T) {
+	intactDirectory := t.TempDir()
+	storage := openStorage(t, intactDirectory)
+	identity := coordinator.Identity{LogID: 1, VoterID: 2}
+	require.NoError(t, storage.Begin(identity, consensus.PersistentState{
 		HardState: raftpb.HardState{Term: 1, Commit: 1},
 		Snapshot:  snapshotOf(nil, 1, 1),
 	}))
 	require.NoError(t, storage.Save(consensus.PersistentState{Entries: entriesOf(2, 400, 1)}))
 	require.NoError(t, storage.Close())
-	intact, err := os.ReadFile(filepath.Join(directory, databaseFile))
+	intact, err := os.ReadFile(filepath.Join(intactDirectory, databaseFile))
 	require.NoError(t, err)
-	return intact
-}
-
-// TestFileStorageSetsCorruptFileAside checks that a file which is truncated or corrupt anywhere is either read as it
-// was or set aside: it never stops the program, and never gives a state that was not saved.
-func TestFileStorageSetsCorruptFileAside(t *testing.T) {
-	intact := savedFile(t)
 	setAside := 0
 	check := func(name string, corrupt []byte) {
 		t.Run(name, func(t *testing.T) {
@@ -120,7 +111,7 @@
 			found, saved, err := storage.Load()
 			require.NoError(t, err)
 			if saved != nil {
-				require.Equal(t, savedIdentity, found)
+				require.Equal(t, identity, found)
 				require.Len(t, saved.Entries, 399)
 				return
 			}
