--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -17,26 +17,26 @@
 
 // The words in a history ("fate", "promise", ...) are part of what was recorded and keep their old names.
 
-func addRecords(h *golden.History, records []Record) {
-	for _, r := range records {
-		h.Add("record", int(r.Kind), r.Attempt, r.Key, hex.EncodeToString(r.BodyHash[:]), int64(r.WindowEnd),
-			int64(r.WrittenAt.Wall), int64(r.WrittenAt.Monotonic), r.WrittenAt.BootID, r.Succeeded,
-			hex.EncodeToString(r.Payload))
+func addRecords(history *golden.History, records []Record) {
+	for _, record := range records {
+		history.Add("record", int(record.Kind), record.Attempt, record.Key, hex.EncodeToString(record.BodyHash[:]),
+			int64(record.WindowEnd), int64(record.WrittenAt.Wall), int64(record.WrittenAt.Monotonic),
+			record.WrittenAt.BootID, record.Succeeded, hex.EncodeToString(record.Payload))
 	}
 }
 
-func addRecoveredState(h *golden.History, state RecoveredState) {
-	h.Add("conclusion", int64(state.RejectUntil), hex.EncodeToString(state.WarmStart), state.Dropped,
+func addRecoveredState(history *golden.History, state RecoveredState) {
+	history.Add("conclusion", int64(state.RejectUntil), hex.EncodeToString(state.WarmStart), state.Dropped,
 		len(state.Outcomes))
-	for _, o := range state.Outcomes {
-		h.Add("fate", o.Key, hex.EncodeToString(o.BodyHash[:]), int64(o.WindowEnd), o.Completed, o.Succeeded,
-			hex.EncodeToString(o.Result))
+	for _, outcome := range state.Outcomes {
+		history.Add("fate", outcome.Key, hex.EncodeToString(outcome.BodyHash[:]), int64(outcome.WindowEnd),
+			outcome.Completed, outcome.Succeeded, hex.EncodeToString(outcome.Result))
 	}
 }
 
 // analyzeSeeded has an analysis read a seeded directory: segments of both durabilities, records of few keys,
 // corruption, restarts of the machine.
-func analyzeSeeded(h *golden.History, seed int64) {
+func analyzeSeeded(history *golden.History, seed int64) {
 	random := rand.New(rand.NewSource(seed))
 	now := ClockReading{Wall: 2_000, Monotonic: 1_500, BootID: 1 + uint64(random.Intn(2))}
 	analysis := NewAnalysis(Config{MaxWindow: 900, ClockUncertainty: 100, MaxOutcomes: 1 + random.Intn(4)}, now)
@@ -50,14 +50,14 @@
 			}
 			record := seededRecord(random)
 			analysis.AddRecord(record)
-			addRecords(h, []Record{record})
+			addRecords(history, []Record{record})
 		}
 	}
-	addRecoveredState(h, analysis.Finish())
-	for _, f := range analysis.Findings {
-		h.Add("found", int(f.Corruption), f.File, f.Offset, f.DataLoss)
+	addRecoveredState(history, analysis.Finish())
+	for _, finding := range analysis.Findings {
+		history.Add("found", int(finding.Corruption), finding.File, finding.Offset, finding.DataLoss)
 	}
-	h.Add("end", seed, analysis.RecordCount)
+	history.Add("end", seed, analysis.RecordCount)
 }
 
 func seededRecord(random *rand.Rand) Record {
@@ -77,7 +77,7 @@
 }
 
 // useSpaceSeeded plays a seeded order of reservations, writes and expiries.
-func useSpaceSeeded(h *golden.History, seed int64) {
+func useSpaceSeeded(history *golden.History, seed int64) {
 	random := rand.New(rand.NewSource(seed))
 	space := Space{MaxBytes: 6_000, MaxRecords: 40}
 	space.StartSegment(1, 72)
@@ -86,7 +86,7 @@
 		case 0:
 			space.StartSegment(uint64(i+2), 72)
 		case 1, 2:
-			h.Add("promise", space.Reserve(int64(random.Intn(200)), int64(random.Intn(300))))
+			history.Add("promise", space.Reserve(int64(random.Intn(200)), int64(random.Intn(300))))
 		case 3, 4:
 			if _, reserved, _ := space.Usage(); reserved > 0 {
 				bytes := int64(random.Intn(200))
@@ -94,11 +94,11 @@
 				space.CommitWrite(bytes, released, timeunit.Ticks(10*i+random.Intn(400)))
 			}
 		case 5:
-			h.Add("aged", space.RemoveExpired(timeunit.Ticks(10*i)))
+			history.Add("aged", space.RemoveExpired(timeunit.Ticks(10*i)))
 		}
 		used, reserved, records := space.Usage()
 		id, bytes, windowEnd := space.CurrentSegment()
-		h.Add("room", used, reserved, records, id, bytes, int64(windowEnd))
+		history.Add("room", used, reserved, records, id, bytes, int64(windowEnd))
 	}
 }
 
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -80,28 +80,29 @@
 
 // The words in a history ("fate", "room", ...) are part of what was recorded and keep their old names.
 
-func addScan(h *golden.History, scan *ScanResult) {
-	h.Add("scanned", int64(scan.RejectUntil), hex.EncodeToString(scan.WarmStart), scan.Dropped, scan.RecordCount,
+func addScan(history *golden.History, scan *ScanResult) {
+	history.Add("scanned", int64(scan.RejectUntil), hex.EncodeToString(scan.WarmStart), scan.Dropped, scan.RecordCount,
 		scan.nextID)
-	for _, o := range scan.Outcomes {
-		h.Add("fate", o.Key, int64(o.WindowEnd), o.Completed, o.Succeeded, hex.EncodeToString(o.Result))
+	for _, outcome := range scan.Outcomes {
+		history.Add("fate", outcome.Key, int64(outcome.WindowEnd), outcome.Completed, outcome.Succeeded,
+			hex.EncodeToString(outcome.Result))
 	}
-	for _, f := range scan.Findings {
-		h.Add("found", int(f.Corruption), f.File, f.Offset, f.DataLoss)
+	for _, finding := range scan.Findings {
+		history.Add("found", int(finding.Corruption), finding.File, finding.Offset, finding.DataLoss)
 	}
 	used, reserved, records := scan.space.Usage()
-	h.Add("room", used, reserved, records)
+	history.Add("room", used, reserved, records)
 }
 
-func addSteps(h *golden.History, steps []diskStep) {
-	for _, s := range steps {
-		h.Add("step", s.operation, s.name, hex.EncodeToString(s.data))
+func addSteps(history *golden.History, steps []diskStep) {
+	for _, step := range steps {
+		history.Add("step", step.operation, step.name, hex.EncodeToString(step.data))
 	}
 }
 
 // playProcesses has three processes write to one disk, each after another kind of harm, and adds every step on the
 // disk.
-func playProcesses(t *testing.T, h *golden.History, seed int64) {
+func playProcesses(t *testing.T, history *golden.History, seed int64) {
 	t.Helper()
 	random := rand.New(rand.NewSource(seed))
 	disk := newMemoryDisk()
@@ -110,7 +111,7 @@
 		config := testConfig(recovery.Durability(seed%2), process == 0, clock.now)
 		config.MaxOutcomes = 12
 		s := openSession(t, disk, config)
-		addScan(h, &s.log.ScanResult)
+		addScan(history, &s.log.ScanResult)
 		for i := range 20 {
 			s.lastAttempt = uint64(100*process + i)
 			playRequest(s, random)
@@ -118,12 +119,12 @@
 		s.close()
 		harm(disk, random, clock)
 	}
-	addSteps(h, disk.steps)
+	addSteps(history, disk.steps)
 	analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12},
 		clock.reading)
 	kept, removed, err := Compact(disk, analysis, clock.reading)
-	h.Add("compacted", kept, removed, err == nil)
-	addSteps(h, disk.steps)
+	history.Add("compacted", kept, removed, err == nil)
+	addSteps(history, disk.steps)
 }
 
 // playRequest appends the intent of a seeded request, and perhaps what became of it.
