--- a/internal/plugin/abi/abi_test.go
+++ b/internal/plugin/abi/abi_test.go
@@ -6,8 +6,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMessagesSurviveRoundTrip checks that a message that was written reads as the same, and that no verdict can be cut
-// short unnoticed.
+// testVerdict has every field set.
+var testVerdict = Verdict{
+	Actions:  ActionReject | ActionTag,
+	Status:   403,
+	Category: "x",
+	Tag:      "y",
+	Body:     []byte("z"),
+}
+
+// TestMessagesSurviveRoundTrip checks that a message that was written reads as the same.
 func TestMessagesSurviveRoundTrip(t *testing.T) {
 	request := Request{
 		Hook:       HookResult,
@@ -21,17 +29,14 @@
 	readRequest, err := ParseRequest(request.Append(nil))
 	require.NoError(t, err)
 	require.Equal(t, request, readRequest)
-	verdict := Verdict{
-		Actions:  ActionReject | ActionTag,
-		Status:   403,
-		Category: "x",
-		Tag:      "y",
-		Body:     []byte("z"),
-	}
-	data := verdict.Append(nil)
-	readVerdict, err := ParseVerdict(data)
+	readVerdict, err := ParseVerdict(testVerdict.Append(nil))
 	require.NoError(t, err)
-	require.Equal(t, verdict, readVerdict)
+	require.Equal(t, testVerdict, readVerdict)
+}
+
+// TestTruncatedVerdictIsMalformed checks that no verdict can be cut short unnoticed.
+func TestTruncatedVerdictIsMalformed(t *testing.T) {
+	data := testVerdict.Append(nil)
 	for length := 1; length < len(data); length++ {
 		_, err := ParseVerdict(data[:length])
 		require.ErrorIs(t, err, ErrMalformed)
--- a/internal/plugin/chain/evaluation_test.go
+++ b/internal/plugin/chain/evaluation_test.go
@@ -172,19 +172,10 @@
 		b.Run(fmt.Sprint("loaded=", loaded), func(b *testing.B) {
 			var policies []Policy
 			for i := range loaded {
-				policies = append(policies, Policy{
-					Name:                 fmt.Sprint(i),
-					Hooks:                [3]bool{HookRead: true},
-					Categories:           []bool{i == loaded/2, true},
-					TargetCategories:     []bool{false, false},
-					CallTimeout:          50,
-					MaxTimeFraction:      0.5,
-					CoreFraction:         1,
-					MaxConsecutiveFaults: 3,
-					MaxFaultRate:         1,
-					MinQuarantine:        1,
-					MaxQuarantine:        1,
-				})
+				policy := defaultPolicy(fmt.Sprint(i))
+				policy.Hooks[HookRead] = true
+				policy.Categories[0] = i == loaded/2
+				policies = append(policies, policy)
 			}
 			chain := New(policies, nil, allNew, rand.New(rand.NewSource(1)), 0)
 			now := timeunit.Ticks(0)
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -116,10 +116,10 @@
 	}
 }
 
-// policy reads NAME and what differs from the default policy.
-func (s *scenario) policy(args []string) Policy {
-	policy := Policy{
-		Name:                 args[0],
+// defaultPolicy returns a policy that applies at no hook and permits nothing.
+func defaultPolicy(name string) Policy {
+	return Policy{
+		Name:                 name,
 		Categories:           []bool{true, true, true},
 		TargetCategories:     make([]bool, scenarioCategories),
 		Tenants:              map[string]bool{},
@@ -131,6 +131,11 @@
 		MinQuarantine:        1_000,
 		MaxQuarantine:        10_000,
 	}
+}
+
+// policy reads NAME and what differs from the default policy.
+func (s *scenario) policy(args []string) Policy {
+	policy := defaultPolicy(args[0])
 	for _, arg := range args[1:] {
 		key, text, _ := strings.Cut(arg, "=")
 		switch key {
