--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -185,11 +185,11 @@
 		time.Sleep(time.Second)
 		require.GreaterOrEqual(t, c.target.Malformed.Load()-malformed, int64(3))
 
-		recordingTime := 3 * time.Minute
+		pause := 3 * time.Minute
 		if os.Getenv("MEASURE") == "full" {
-			recordingTime = time.Hour
+			pause = time.Hour
 		}
-		time.Sleep(recordingTime)
+		time.Sleep(pause)
 		replayed := c.recording.replay()
 		time.Sleep(20 * time.Second)
 		if !allInMajority(c.nodes, 5) {
