--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -72,21 +72,21 @@
 func startHostileCluster(t *testing.T, done <-chan struct{}) *hostileCluster {
 	t.Helper()
 	network := newVirtualNetwork(1)
-	c := &hostileCluster{nodes: startNodes(t, network, 4)}
+	cluster := &hostileCluster{nodes: startNodes(t, network, 4)}
 	transport := network.newTransport(5)
-	c.recording = &recordingTransport{Transport: transport, packets: make(chan *memberlist.Packet, 4096)}
-	go c.recording.run(transport.PacketCh(), done)
-	config := testConfig(4, 5, c.recording, transport.address)
+	cluster.recording = &recordingTransport{Transport: transport, packets: make(chan *memberlist.Packet, 4096)}
+	go cluster.recording.run(transport.PacketCh(), done)
+	config := testConfig(4, 5, cluster.recording, transport.address)
 	config.SeedAddresses = config.SeedAddresses[:1]
 	var err error
-	c.target, err = Start(config)
+	cluster.target, err = Start(config)
 	require.NoError(t, err)
-	c.target.SetLocalState(LocalState{State: membership.StateServing})
-	c.targetAddress = transport.address
-	c.nodes = append(c.nodes, c.target)
-	c.forger = c.nodes[3]
-	require.Positive(t, waitUntil(time.Minute, func() bool { return allInMajority(c.nodes, 5) }))
-	return c
+	cluster.target.SetLocalState(LocalState{State: membership.StateServing})
+	cluster.targetAddress = transport.address
+	cluster.nodes = append(cluster.nodes, cluster.target)
+	cluster.forger = cluster.nodes[3]
+	require.Positive(t, waitUntil(time.Minute, func() bool { return allInMajority(cluster.nodes, 5) }))
+	return cluster
 }
 
 // sendForged sends the target a message that the forger signs with a key.
@@ -165,42 +165,42 @@
 func TestMeasuredRejectionOfHostileMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		done := make(chan struct{})
-		c := startHostileCluster(t, done)
+		cluster := startHostileCluster(t, done)
 		var before membership.Counts
-		inspectView(t, c.target, func(view *membership.View) { before = view.Counts })
-		victim := c.nodes[1].LocalID()
+		inspectView(t, cluster.target, func(view *membership.View) { before = view.Counts })
+		victim := cluster.nodes[1].LocalID()
 		accepted := 0
-		c.sendForgedAbout(t, victim)
+		cluster.sendForgedAbout(t, victim)
 		time.Sleep(2 * time.Second)
-		inspectView(t, c.target, func(view *membership.View) {
+		inspectView(t, cluster.target, func(view *membership.View) {
 			if view.Member(victim).State != membership.StateServing {
 				accepted++
 			}
-			require.Equal(t, c.forged-1, view.Counts.Forged-before.Forged, "in another's name")
+			require.Equal(t, cluster.forged-1, view.Counts.Forged-before.Forged, "in another's name")
 			require.Positive(t, view.Counts.UnknownSender-before.UnknownSender, "in nobody's name")
 		})
 
-		malformed := c.target.Malformed.Load()
-		c.sendMalformed()
+		malformed := cluster.target.Malformed.Load()
+		cluster.sendMalformed()
 		time.Sleep(time.Second)
-		require.GreaterOrEqual(t, c.target.Malformed.Load()-malformed, int64(3))
+		require.GreaterOrEqual(t, cluster.target.Malformed.Load()-malformed, int64(3))
 
 		pause := 3 * time.Minute
 		if os.Getenv("MEASURE") == "full" {
 			pause = time.Hour
 		}
 		time.Sleep(pause)
-		replayed := c.recording.replay()
+		replayed := cluster.recording.replay()
 		time.Sleep(20 * time.Second)
-		if !allInMajority(c.nodes, 5) {
+		if !allInMajority(cluster.nodes, 5) {
 			accepted++
 		}
 		stale := 0
-		inspectView(t, c.target, func(view *membership.View) { stale = view.Counts.Stale })
+		inspectView(t, cluster.target, func(view *membership.View) { stale = view.Counts.Stale })
 		t.Logf("measured hostile-peers forged=%d forged_taken=%d replayed=%d stale=%d malformed=%d",
-			c.forged, accepted, replayed, stale, c.target.Malformed.Load())
+			cluster.forged, accepted, replayed, stale, cluster.target.Malformed.Load())
 		require.Zero(t, accepted)
-		closeNodes(c.nodes)
+		closeNodes(cluster.nodes)
 		close(done)
 	})
 }
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -198,9 +198,9 @@
 			s.Fail("unknown part of a request", s.where)
 		}
 	}
-	e := s.chain.Begin(hook, request, []byte(body), s.now)
-	s.evaluations[args[0]] = e
-	s.next(e, want)
+	evaluation := s.chain.Begin(hook, request, []byte(body), s.now)
+	s.evaluations[args[0]] = evaluation
+	s.next(evaluation, want)
 }
 
 // verdict reads [reject=STATUS to=CATEGORY tag=T replace=TEXT].
--- a/internal/plugin/module_test.go
+++ b/internal/plugin/module_test.go
@@ -34,10 +34,10 @@
 	t.Helper()
 	config := testConfig(t, kind)
 	config.Compile = compile
-	m, err := loadModule(context.Background(), config, 1, func(byte, []byte) {})
+	loaded, err := loadModule(context.Background(), config, 1, func(byte, []byte) {})
 	require.NoError(t, err, kind)
-	t.Cleanup(m.close)
-	return m
+	t.Cleanup(loaded.close)
+	return loaded
 }
 
 // TestUnusableModuleIsRefused checks that a module which can't be used is refused when it is loaded, with the reason.
@@ -100,9 +100,9 @@
 				continue // its stack grows to hundreds of MB first, which the process's memory limit is for
 			}
 			t.Run(engine.name+"/"+kind, func(t *testing.T) {
-				m := loadTestModule(t, kind, engine.compile)
+				loaded := loadTestModule(t, kind, engine.compile)
 				for range 3 {
-					_, took, err := m.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
+					_, took, err := loaded.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
 					require.Equal(t, want, outcomeOf(err), err)
 					require.Less(t, took, 20*time.Second)
 				}
@@ -113,14 +113,14 @@
 
 // TestStateIsBounded checks that keys and values together stay within MaxStateKB.
 func TestStateIsBounded(t *testing.T) {
-	m := loadTestModule(t, "good", false)
+	loaded := loadTestModule(t, "good", false)
 	value := string(make([]byte, 600))
-	require.True(t, m.putState("a", value))
-	require.False(t, m.putState("b", value))
-	require.True(t, m.putState("a", "short"))
-	require.True(t, m.putState("b", value))
-	require.True(t, m.putState("b", ""))
-	require.Equal(t, 6, m.stateSize)
+	require.True(t, loaded.putState("a", value))
+	require.False(t, loaded.putState("b", value))
+	require.True(t, loaded.putState("a", "short"))
+	require.True(t, loaded.putState("b", value))
+	require.True(t, loaded.putState("b", ""))
+	require.Equal(t, 6, loaded.stateSize)
 }
 
 // BenchmarkCall measures one call inside the plug-in process.
@@ -129,10 +129,10 @@
 	for _, engine := range engines {
 		for _, kind := range []string{"good", "declines"} {
 			b.Run(engine.name+"/"+kind, func(b *testing.B) {
-				m := loadTestModule(b, kind, engine.compile)
+				loaded := loadTestModule(b, kind, engine.compile)
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, _, err := m.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
+					if _, _, err := loaded.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/quota/service/file_storage_test.go
+++ b/internal/quota/service/file_storage_test.go
@@ -49,43 +49,43 @@
 // TestFileStorageFindsSavedState checks that what was saved is found again: entries that replaced others, a log that
 // was compacted, the state of another voter in its place.
 func TestFileStorageFindsSavedState(t *testing.T) {
-	r := require.New(t)
+	require := require.New(t)
 	directory := t.TempDir()
 	storage := openStorage(t, directory)
 	_, saved, err := storage.Load()
-	r.NoError(err)
-	r.Nil(saved, "a new storage has a state")
+	require.NoError(err)
+	require.Nil(saved, "a new storage has a state")
 	identity := coordinator.Identity{LogID: 3, VoterID: 5}
 	first := consensus.PersistentState{
 		HardState: raftpb.HardState{Term: 1, Commit: 1},
 		Snapshot:  snapshotOf([]byte{}, 1, 1),
 	}
-	r.NoError(storage.Begin(identity, first))
-	r.NoError(storage.Save(consensus.PersistentState{Entries: entriesOf(2, 9, 1)}))
-	r.NoError(storage.Save(consensus.PersistentState{ // 7 to 9 were never committed
+	require.NoError(storage.Begin(identity, first))
+	require.NoError(storage.Save(consensus.PersistentState{Entries: entriesOf(2, 9, 1)}))
+	require.NoError(storage.Save(consensus.PersistentState{ // 7 to 9 were never committed
 		HardState: raftpb.HardState{Term: 2, Vote: 7, Commit: 4},
 		Entries:   entriesOf(5, 6, 2),
 	}))
 	_, err = OpenFileStorage(directory)
-	r.ErrorIs(err, ErrLocked)
-	r.NoError(storage.Close())
+	require.ErrorIs(err, ErrLocked)
+	require.NoError(storage.Close())
 
 	storage = openStorage(t, directory)
 	found, saved := load(t, storage)
-	r.Equal(identity, found)
-	r.Equal(raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, saved.HardState)
-	r.Equal(append(entriesOf(2, 4, 1), entriesOf(5, 6, 2)...), saved.Entries)
+	require.Equal(identity, found)
+	require.Equal(raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, saved.HardState)
+	require.Equal(append(entriesOf(2, 4, 1), entriesOf(5, 6, 2)...), saved.Entries)
 
 	compacted := consensus.PersistentState{HardState: saved.HardState, Snapshot: snapshotOf([]byte("state"), 5, 2)}
-	r.NoError(storage.Save(compacted))
+	require.NoError(storage.Save(compacted))
 	_, saved = load(t, storage)
-	r.Equal(entriesOf(6, 6, 2), saved.Entries)
-	r.Equal("state", string(saved.Snapshot.Data))
+	require.Equal(entriesOf(6, 6, 2), saved.Entries)
+	require.Equal("state", string(saved.Snapshot.Data))
 
-	r.NoError(storage.Begin(coordinator.Identity{LogID: 3, VoterID: 8}, consensus.PersistentState{}))
+	require.NoError(storage.Begin(coordinator.Identity{LogID: 3, VoterID: 8}, consensus.PersistentState{}))
 	found, saved = load(t, storage)
-	r.Equal(uint64(8), found.VoterID)
-	r.Empty(saved.Entries)
+	require.Equal(uint64(8), found.VoterID)
+	require.Empty(saved.Entries)
 }
 
 // TestFileStorageSetsCorruptFileAside checks that a file which is truncated or corrupt anywhere is either read as it
--- a/internal/quota/service/golden_test.go
+++ b/internal/quota/service/golden_test.go
@@ -90,7 +90,7 @@
 // TestGoldenDisk compares the records of a coordinator's storage after each step with what was recorded. What is read
 // from it and written to another has the same.
 func TestGoldenDisk(t *testing.T) {
-	r := require.New(t)
+	require := require.New(t)
 	storage := openStorage(t, t.TempDir())
 	var out bytes.Buffer
 	identity := coordinator.Identity{LogID: 1<<60 + 1, VoterID: 1<<63 + 1}
@@ -117,21 +117,21 @@
 	}
 	for _, step := range steps {
 		if step.begin {
-			r.NoError(storage.Begin(identity, step.state), step.title)
+			require.NoError(storage.Begin(identity, step.state), step.title)
 		} else {
-			r.NoError(storage.Save(step.state), step.title)
+			require.NoError(storage.Save(step.state), step.title)
 		}
 		dumpRecords(t, storage, step.title, &out)
 		found, saved := load(t, storage)
-		r.Equal(identity, found)
+		require.Equal(identity, found)
 		rewritten := openStorage(t, t.TempDir())
-		r.NoError(rewritten.Begin(found, *saved))
+		require.NoError(rewritten.Begin(found, *saved))
 		var before, after bytes.Buffer
 		dumpRecords(t, storage, step.title, &before)
 		dumpRecords(t, rewritten, step.title, &after)
-		r.Equal(before.String(), after.String(), step.title)
+		require.Equal(before.String(), after.String(), step.title)
 	}
-	r.NoError(storage.Begin(coordinator.Identity{LogID: identity.LogID, VoterID: 5}, consensus.PersistentState{}))
+	require.NoError(storage.Begin(coordinator.Identity{LogID: identity.LogID, VoterID: 5}, consensus.PersistentState{}))
 	dumpRecords(t, storage, "another memory", &out)
 	golden.Check(t, "disk.txt", out.Bytes())
 }
@@ -139,53 +139,53 @@
 // TestGoldenStatus compares the JSON in which operators see quotas with what was recorded. It is the same when it is
 // decoded and encoded again.
 func TestGoldenStatus(t *testing.T) {
-	r := require.New(t)
+	require := require.New(t)
 	node, err := gossip.Start(gossip.Config{
 		Membership:    membership.DefaultConfig(goldenID),
 		ListenAddress: "127.0.0.1:0",
 		ClusterName:   "golden",
 		Now:           func() time.Time { return time.Unix(1, 0) }, // a clock that stands still
 	})
-	r.NoError(err)
+	require.NoError(err)
 	t.Cleanup(node.Close)
 	limits := []quota.LimitConfig{
 		{Total: 100_000, GuaranteedMinimum: 1000, Slots: 8, LeaseDuration: 10_000, GracePeriod: 500},
 		{Total: 50_500, LeaseDuration: 20_000, IsRate: true},
 	}
 	names := []string{"n0001", "n0002"}
-	s := New(Config{
+	service := New(Config{
 		ServerName:   goldenID.Name,
 		LimitNames:   []string{"calls", "rate"},
 		Limits:       limits,
 		Coordinators: names,
 	})
-	s.gossip = node
-	s.localID = goldenID
-	s.leader = membership.ID{Name: "n0002", Incarnation: 5}
+	service.gossip = node
+	service.localID = goldenID
+	service.leader = membership.ID{Name: "n0002", Incarnation: 5}
 	config := coordinator.Config{Limits: limits, NamedCoordinators: names, LogID: 77}
-	s.coordinator = coordinator.New(config, rand.New(rand.NewSource(1)), 1)
+	service.coordinator = coordinator.New(config, rand.New(rand.NewSource(1)), 1)
 	voter := voterNumber(goldenID, 0)
 	other := voterNumber(membership.ID{Name: "n0002"}, 0)
-	r.NoError(s.coordinator.Start(voter, []uint64{voter, other, 12345}))
-	s.coordinator.UpdateView(coordinator.ClusterView{MajorityUntil: 5000}, 1)
-	s.membersByVoter[other] = membership.Member{StateUpdate: membership.StateUpdate{ID: s.leader}}
-	s.coordinator.AppliedCommands = 3
-	s.coordinator.DiscardedStates = 4
-	s.coordinator.Limits().MismatchedRequests = 5
-	s.coordinator.Limits().Apply(quota.Command{Open: true, Revision: 2, Changes: []quota.Change{
+	require.NoError(service.coordinator.Start(voter, []uint64{voter, other, 12345}))
+	service.coordinator.UpdateView(coordinator.ClusterView{MajorityUntil: 5000}, 1)
+	service.membersByVoter[other] = membership.Member{StateUpdate: membership.StateUpdate{ID: service.leader}}
+	service.coordinator.AppliedCommands = 3
+	service.coordinator.DiscardedStates = 4
+	service.coordinator.Limits().MismatchedRequests = 5
+	service.coordinator.Limits().Apply(quota.Command{Open: true, Revision: 2, Changes: []quota.Change{
 		{Server: HolderName(goldenID), LeaseVersion: 1, Amount: 2500},
-		{Server: HolderName(s.leader), LeaseVersion: 2, Amount: 4000, LimitIndex: 0},
+		{Server: HolderName(service.leader), LeaseVersion: 2, Amount: 4000, LimitIndex: 0},
 		{Server: HolderName(goldenID), LeaseVersion: 1, Amount: 1500, LimitIndex: 1},
 	}}, 1)
-	go func() { (<-s.tasks)() }() // in the place of the service's goroutine
-	status, err := s.Status([]LocalLease{{Usable: 3500, ExpiresAt: 4001}})
-	r.NoError(err)
+	go func() { (<-service.tasks)() }() // in the place of the service's goroutine
+	status, err := service.Status([]LocalLease{{Usable: 3500, ExpiresAt: 4001}})
+	require.NoError(err)
 	encoded, err := json.MarshalIndent(status, "", " ")
-	r.NoError(err)
+	require.NoError(err)
 	var decoded Status
-	r.NoError(json.Unmarshal(encoded, &decoded))
+	require.NoError(json.Unmarshal(encoded, &decoded))
 	again, err := json.MarshalIndent(decoded, "", " ")
-	r.NoError(err)
-	r.Equal(string(encoded), string(again))
+	require.NoError(err)
+	require.Equal(string(encoded), string(again))
 	golden.Check(t, "status.json", encoded)
 }
--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -52,80 +52,85 @@
 }
 
 // explore visits everything that can follow and calls crash for each log that a crash may leave.
-func explore(m model, seen map[string]bool, crash func(m model, left []Record)) {
-	state := fmt.Sprint(m.attempts, m.intentEnd, m.durableRecords, m.runs, len(m.log), describe(m.log))
+func explore(from model, seen map[string]bool, crash func(crashed model, left []Record)) {
+	state := fmt.Sprint(from.attempts, from.intentEnd, from.durableRecords, from.runs, describe(from.log))
 	if seen[state] {
 		return
 	}
 	seen[state] = true
-	for survivors := m.durableRecords; survivors <= len(m.log); survivors++ {
-		crash(m, m.log[:survivors])
+	for survivors := from.durableRecords; survivors <= len(from.log); survivors++ {
+		crash(from, from.log[:survivors])
 	}
-	if m.durableRecords < len(m.log) {
-		next := m
+	if from.durableRecords < len(from.log) {
+		next := from
 		next.durableRecords++
 		explore(next, seen, crash)
 	}
-	for i := range m.attempts {
-		for _, next := range m.successors(i) {
+	for attempt := range from.attempts {
+		for _, next := range from.successors(attempt) {
 			explore(next, seen, crash)
 		}
 	}
 }
 
 // successors returns the models that can follow when one attempt moves on.
-func (m model) successors(i int) []model {
-	switch m.attempts[i] {
+func (m model) successors(attempt int) []model {
+	switch m.attempts[attempt] {
 	case pending:
-		return []model{m.afterPending(i)}
+		return []model{m.afterPending(attempt)}
 	case intended:
 		var next []model
-		if m.durableRecords >= m.intentEnd[i] {
+		if m.durableRecords >= m.intentEnd[attempt] {
 			isDurable := m
-			isDurable.attempts[i] = durable
+			isDurable.attempts[attempt] = durable
 			next = append(next, isDurable)
 		}
-		return append(next, m.afterCancellation(i)) // its client left, or the disk answered too late
+		return append(next, m.afterCancellation(attempt)) // its client left, or the disk answered too late
 	case durable:
-		return []model{m.afterDurable(i)}
+		return []model{m.afterDurable(attempt)}
 	case ran:
-		next := m.appended(Record{Kind: KindCompletion, Attempt: attemptOf(i), Succeeded: true, Payload: []byte("r")})
-		next.attempts[i] = completed
+		next := m.appended(Record{
+			Kind:      KindCompletion,
+			Attempt:   attemptOf(attempt),
+			Succeeded: true,
+			Payload:   []byte("r"),
+		})
+		next.attempts[attempt] = completed
 		next.answers++
 		return []model{next}
 	}
 	return nil
 }
 
-func attemptOf(i int) uint64 { return uint64(i + 1) }
+func attemptOf(attempt int) uint64 { return uint64(attempt + 1) }
 
 // afterPending shares the answer of an attempt that runs, or appends the intent.
-func (m model) afterPending(i int) model {
+func (m model) afterPending(attempt int) model {
 	if m.anyStarted() {
-		m.attempts[i] = withdrawn
+		m.attempts[attempt] = withdrawn
 		m.answers++
 		return m
 	}
-	m = m.appended(Record{Kind: KindIntent, Attempt: attemptOf(i)})
-	m.attempts[i] = intended
-	m.intentEnd[i] = len(m.log)
+	m = m.appended(Record{Kind: KindIntent, Attempt: attemptOf(attempt)})
+	m.attempts[attempt] = intended
+	m.intentEnd[attempt] = len(m.log)
 	return m
 }
 
-func (m model) afterCancellation(i int) model {
-	m = m.appended(Record{Kind: KindCancellation, Attempt: attemptOf(i)})
-	m.attempts[i] = withdrawn
+func (m model) afterCancellation(attempt int) model {
+	m = m.appended(Record{Kind: KindCancellation, Attempt: attemptOf(attempt)})
+	m.attempts[attempt] = withdrawn
 	return m
 }
 
 // afterDurable runs, or cancels the intent and shares the answer of an attempt that ran meanwhile.
-func (m model) afterDurable(i int) model {
+func (m model) afterDurable(attempt int) model {
 	if m.anyStarted() {
-		m = m.afterCancellation(i)
+		m = m.afterCancellation(attempt)
 		m.answers++
 		return m
 	}
-	m.attempts[i] = ran
+	m.attempts[attempt] = ran
 	m.runs++
 	return m
 }
@@ -154,15 +159,15 @@
 	crashes := 0
 	retries := map[string]int{}
 	history := golden.NewHistory()
-	explore(model{}, map[string]bool{}, func(m model, left []Record) {
+	explore(model{}, map[string]bool{}, func(crashed model, left []Record) {
 		crashes++
-		require.LessOrEqual(t, m.runs, 1)
+		require.LessOrEqual(t, crashed.runs, 1)
 		runs, state := recoverAfterCrash(left, 20)
 		addRecords(history, left)
 		addRecoveredState(history, state)
-		history.Add("run", runs, m.runs, m.answers, m.durableRecords, len(m.log))
-		if m.runs > 0 {
-			require.False(t, runs, "runs twice: %v of %v", describe(left), describe(m.log))
+		history.Add("run", runs, crashed.runs, crashed.answers, crashed.durableRecords, len(crashed.log))
+		if crashed.runs > 0 {
+			require.False(t, runs, "runs twice: %v of %v", describe(left), describe(crashed.log))
 		}
 		switch {
 		case runs: // the retry runs in the second process; a third must not run it again
--- a/internal/segmentlog/crash_test.go
+++ b/internal/segmentlog/crash_test.go
@@ -56,21 +56,21 @@
 		completed:  map[string]int{},
 	}
 	disk := newMemoryDisk()
-	s := startSession(t, disk, run.clock, durability)
+	session := startSession(t, disk, run.clock, durability)
 	for i := range keys {
 		key := keyName(i)
-		require.True(t, s.intend(key))
+		require.True(t, session.intend(key))
 		if i%5 == 4 {
-			s.complete(key, recovery.KindCancellation, s.lastAttempt, "")
+			session.complete(key, recovery.KindCancellation, session.lastAttempt, "")
 			continue
 		}
 		run.begun[key] = disk.count()
 		if i%3 != 2 {
-			s.complete(key, recovery.KindCompletion, s.lastAttempt, "of "+key)
+			session.complete(key, recovery.KindCompletion, session.lastAttempt, "of "+key)
 			run.completed[key] = disk.count()
 		}
 	}
-	s.close()
+	session.close()
 	run.steps = disk.steps
 	return run
 }
@@ -130,12 +130,12 @@
 		clock.reading.Monotonic = 100
 	}
 	isEmpty := stepCount < 2 // the directory, before the first segment
-	s := openSession(r.t, disk, testConfig(r.durability, isEmpty, clock.now))
+	session := openSession(r.t, disk, testConfig(r.durability, isEmpty, clock.now))
 	r.processes++
 	for i := range r.keys {
-		r.checkKey(keyName(i), s.retryOutcome(keyName(i)), stepCount, bootID)
+		r.checkKey(keyName(i), session.retryOutcome(keyName(i)), stepCount, bootID)
 	}
-	s.close()
+	session.close()
 }
 
 // checkKey checks what a process of the given boot does with a retry of a key.
@@ -184,11 +184,11 @@
 
 func checkNothingLost(t *testing.T, disk *memoryDisk, clock *testClock) {
 	t.Helper()
-	s := restartSession(t, disk, clock.later(0, 0, firstBoot))
-	require.Equal(t, retryAborted, s.retryOutcome("ran"))
-	require.Equal(t, "result r", s.retryOutcome("answered"))
-	require.Equal(t, retryRuns, s.retryOutcome("new"), "an unfinished segment was taken for data loss")
-	s.close()
+	session := restartSession(t, disk, clock.later(0, 0, firstBoot))
+	require.Equal(t, retryAborted, session.retryOutcome("ran"))
+	require.Equal(t, "result r", session.retryOutcome("answered"))
+	require.Equal(t, retryRuns, session.retryOutcome("new"), "an unfinished segment was taken for data loss")
+	session.close()
 }
 
 // TestCorruptionRejectsUnknownKeysForAWindow checks that after corruption or loss of segments no key runs, as long as
@@ -235,11 +235,11 @@
 	t.Helper()
 	disk := newMemoryDisk()
 	clock := newTestClock()
-	s := startSession(t, disk, clock, recovery.DurabilityMachine)
+	session := startSession(t, disk, clock, recovery.DurabilityMachine)
 	for i := range segmentKeys {
-		require.True(t, s.intend(keyName(i)))
+		require.True(t, session.intend(keyName(i)))
 	}
-	s.close()
+	session.close()
 	return disk, clock
 }
 
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -110,13 +110,13 @@
 	for process := range 3 {
 		config := testConfig(recovery.Durability(seed%2), process == 0, clock.now)
 		config.MaxOutcomes = 12
-		s := openSession(t, disk, config)
-		addScan(history, &s.log.ScanResult)
+		session := openSession(t, disk, config)
+		addScan(history, &session.log.ScanResult)
 		for i := range 20 {
-			s.lastAttempt = uint64(100*process + i)
-			playRequest(s, random)
+			session.lastAttempt = uint64(100*process + i)
+			playRequest(session, random)
 		}
-		s.close()
+		session.close()
 		harm(disk, random, clock)
 	}
 	addSteps(history, disk.steps)
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -49,23 +49,23 @@
 func TestFullLogRejectsIntentsButTakesCompletions(t *testing.T) {
 	disk := newMemoryDisk()
 	clock := newTestClock()
-	s := startSession(t, disk, clock, recovery.DurabilityProcess)
-	s.log.space.MaxBytes = 40 << 10
-	s.log.config.MaxBytes = 40 << 10
+	session := startSession(t, disk, clock, recovery.DurabilityProcess)
+	session.log.space.MaxBytes = 40 << 10
+	session.log.config.MaxBytes = 40 << 10
 	accepted := 0
-	for s.intend(fmt.Sprint(accepted)) {
+	for session.intend(fmt.Sprint(accepted)) {
 		accepted++
 	}
 	require.Greater(t, accepted, 3)
-	require.ErrorIs(t, s.log.AppendIntent(recovery.Record{Key: "more"}, 0), ErrFull)
+	require.ErrorIs(t, session.log.AppendIntent(recovery.Record{Key: "more"}, 0), ErrFull)
 	for i := range accepted {
-		s.complete(fmt.Sprint(i), recovery.KindCompletion, uint64(i+1), string(make([]byte, 4000)))
+		session.complete(fmt.Sprint(i), recovery.KindCompletion, uint64(i+1), string(make([]byte, 4000)))
 	}
-	_, reserved, _, failure := s.log.Usage()
+	_, reserved, _, failure := session.log.Usage()
 	require.Zero(t, reserved)
 	require.NoError(t, failure)
 	clock.moveWall(2 * testWindow)
-	require.Eventually(t, func() bool { return s.intend("later") }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return session.intend("later") }, waitLimit, time.Millisecond)
 }
 
 // TestDirectoryIsLockedAndCompacted checks that one process at a time has a directory, and that what is still needed
@@ -107,13 +107,13 @@
 			directory, err := OpenDirectory(b.TempDir())
 			require.NoError(b, err)
 			clock := &testClock{reading: MachineClock()}
-			s := startSession(b, directory, clock, durability)
-			s.log.space.MaxBytes = 1 << 40
-			s.log.space.MaxRecords = 1 << 30
-			s.log.config.SegmentBytes = 4 << 20
+			session := startSession(b, directory, clock, durability)
+			session.log.space.MaxBytes = 1 << 40
+			session.log.space.MaxRecords = 1 << 30
+			session.log.config.SegmentBytes = 4 << 20
 			for b.Loop() {
-				s.intendUntil("key", clock.now().Wall)
-				s.complete("key", recovery.KindCompletion, s.lastAttempt, "result")
+				session.intendUntil("key", clock.now().Wall)
+				session.complete("key", recovery.KindCompletion, session.lastAttempt, "result")
 			}
 		})
 	}
