--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -165,42 +165,42 @@
 func TestMeasuredRejectionOfHostileMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		done := make(chan struct{})
-		cluster := startHostileCluster(t, done)
+		c := startHostileCluster(t, done)
 		var before membership.Counts
-		inspectView(t, cluster.target, func(view *membership.View) { before = view.Counts })
-		victim := cluster.nodes[1].LocalID()
+		inspectView(t, c.target, func(view *membership.View) { before = view.Counts })
+		victim := c.nodes[1].LocalID()
 		accepted := 0
-		cluster.sendForgedAbout(t, victim)
+		c.sendForgedAbout(t, victim)
 		time.Sleep(2 * time.Second)
-		inspectView(t, cluster.target, func(view *membership.View) {
+		inspectView(t, c.target, func(view *membership.View) {
 			if view.Member(victim).State != membership.StateServing {
 				accepted++
 			}
-			require.Equal(t, cluster.forged-1, view.Counts.Forged-before.Forged, "in another's name")
+			require.Equal(t, c.forged-1, view.Counts.Forged-before.Forged, "in another's name")
 			require.Positive(t, view.Counts.UnknownSender-before.UnknownSender, "in nobody's name")
 		})
 
-		malformed := cluster.target.Malformed.Load()
-		cluster.sendMalformed()
+		malformed := c.target.Malformed.Load()
+		c.sendMalformed()
 		time.Sleep(time.Second)
-		require.GreaterOrEqual(t, cluster.target.Malformed.Load()-malformed, int64(3))
+		require.GreaterOrEqual(t, c.target.Malformed.Load()-malformed, int64(3))
 
 		pause := 3 * time.Minute
 		if os.Getenv("MEASURE") == "full" {
 			pause = time.Hour
 		}
 		time.Sleep(pause)
-		replayed := cluster.recording.replay()
+		replayed := c.recording.replay()
 		time.Sleep(20 * time.Second)
-		if !allInMajority(cluster.nodes, 5) {
+		if !allInMajority(c.nodes, 5) {
 			accepted++
 		}
 		stale := 0
-		inspectView(t, cluster.target, func(view *membership.View) { stale = view.Counts.Stale })
+		inspectView(t, c.target, func(view *membership.View) { stale = view.Counts.Stale })
 		t.Logf("measured hostile-peers forged=%d forged_taken=%d replayed=%d stale=%d malformed=%d",
-			cluster.forged, accepted, replayed, stale, cluster.target.Malformed.Load())
+			c.forged, accepted, replayed, stale, c.target.Malformed.Load())
 		require.Zero(t, accepted)
-		closeNodes(cluster.nodes)
+		closeNodes(c.nodes)
 		close(done)
 	})
 }
