--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -153,15 +153,8 @@
 	script.addError(err)
 	script.read(strings.Repeat("#", 4<<20+1))
 	key := base64.StdEncoding.EncodeToString(make([]byte, 32))
-	for _, text := range []string{
-		"",
-		"# none\n",
-		"x\n",
-		key + "\nQUJD\n\n=\n",
-		strings.Repeat(key+"\n", 9),
-		strings.Repeat(key+"\n# more\n", 8),
-		strings.Repeat("#", 64<<10+1),
-	} {
+	for _, text := range []string{"", "# none\n", "x\n", key + "\nQUJD\n\n=\n", strings.Repeat(key+"\n", 9),
+		strings.Repeat(key+"\n# more\n", 8), strings.Repeat("#", 64<<10+1)} {
 		require.NoError(t, os.WriteFile(filepath.Join(script.folder, "k"), []byte(text), 0o600))
 		keys, err := (&Gossip{KeyFile: "k"}).LoadKeys(filepath.Join(script.folder, "own.yaml"))
 		script.println(len(text), len(keys))
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLinesInBothFormats checks an event as text and as JSON.
-func TestLinesInBothFormats(t *testing.T) {
+// TestEventIsWrittenAsTextAndJSON checks a line of each format.
+func TestEventIsWrittenAsTextAndJSON(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, FormatText).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
 	require.Regexp(t, `^\d{4}-\d\d-\d\dT[\d:.]+Z event=bad_peer count=3 reason="two words"\n$`, out.String())
--- a/internal/plugin/abi/golden_test.go
+++ b/internal/plugin/abi/golden_test.go
@@ -9,9 +9,9 @@
 	"thistlequay/internal/golden"
 )
 
-// TestGoldenBytes compares the bytes of requests and verdicts with what was recorded. Read and written again they are
-// the same.
-func TestGoldenBytes(t *testing.T) {
+// TestGoldenMessages compares the bytes of requests and verdicts with what was recorded. Read and written again they
+// are the same.
+func TestGoldenMessages(t *testing.T) {
 	var lines []byte
 	for _, request := range goldenRequests {
 		data := request.Append(nil)
--- a/internal/plugin/chain/evaluation_test.go
+++ b/internal/plugin/chain/evaluation_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestFaultNames checks the names by which logs tell faults apart.
-func TestFaultNames(t *testing.T) {
+// TestFaultStringIsItsNameInLogs checks the names by which logs tell faults apart.
+func TestFaultStringIsItsNameInLogs(t *testing.T) {
 	names := []string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
 	require.Len(t, names, faultCount)
 	for i, name := range names {
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestGoldenLives compares every write, sync and removal of a hundred seeded series of processes, and what each of them
-// found, ten a line.
-func TestGoldenLives(t *testing.T) {
+// TestGoldenProcesses compares every write, sync and removal of a hundred seeded series of processes, and what each of
+// them found, ten a line.
+func TestGoldenProcesses(t *testing.T) {
 	var got bytes.Buffer
 	for first := int64(0); first < 100; first += 10 {
 		history := golden.NewHistory()
--- a/internal/segmentlog/memorydisk_test.go
+++ b/internal/segmentlog/memorydisk_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"io"
+	"maps"
 	"os"
 	"slices"
 	"sync"
@@ -80,14 +81,10 @@
 	return len(d.steps)
 }
 
-func (d *memoryDisk) List() (names []string, _ error) {
+func (d *memoryDisk) List() ([]string, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for name := range d.files {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names, nil
+	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
 func (d *memoryDisk) Open(name string) (io.ReadCloser, error) {
--- a/internal/segmentlog/session_test.go
+++ b/internal/segmentlog/session_test.go
@@ -1,6 +1,7 @@
 package segmentlog
 
 import (
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -130,17 +131,15 @@
 
 // retryOutcome returns what this process does with a retry: run it, reject it, or answer it from what is stored.
 func (s *session) retryOutcome(key string) string {
-	for _, outcome := range s.log.Outcomes {
-		if outcome.Key != key {
-			continue
-		}
-		if outcome.Completed {
-			return "result " + string(outcome.Result)
-		}
+	i := slices.IndexFunc(s.log.Outcomes, func(outcome recovery.Outcome) bool { return outcome.Key == key })
+	switch {
+	case i >= 0 && s.log.Outcomes[i].Completed:
+		return "result " + string(s.log.Outcomes[i].Result)
+	case i >= 0:
 		return retryAborted
-	}
-	if s.log.RejectUntil > s.now().Wall {
+	case s.log.RejectUntil > s.now().Wall:
 		return retryRejected
+	default:
+		return retryRuns
 	}
-	return retryRuns
 }
