--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -69,6 +69,8 @@
 	return value
 }
 
+func (s *scenario) integer(text string) int { return int(s.number(text)) }
+
 // ticks reads a time in milliseconds.
 func (s *scenario) ticks(text string) timeunit.Ticks {
 	return timeunit.Ticks(s.number(text) * float64(timeunit.TicksPerMillisecond))
@@ -133,47 +135,39 @@
 	}
 }
 
+// options reads KEY or KEY=VALUE, each by the function for its key.
+func (s *scenario) options(args []string, setters map[string]func(value string)) {
+	for _, arg := range args {
+		key, value, _ := strings.Cut(arg, "=")
+		set, isKnown := setters[key]
+		s.True(isKnown, "unknown option %s: %s", key, s.where)
+		set(value)
+	}
+}
+
 // policy reads NAME and what differs from the default policy.
 func (s *scenario) policy(args []string) Policy {
 	policy := defaultPolicy(args[0])
-	for _, arg := range args[1:] {
-		key, text, _ := strings.Cut(arg, "=")
-		switch key {
-		case "read":
-			policy.Hooks[HookRead] = true
-		case "result":
-			policy.Hooks[HookResult] = true
-		case "may-reject":
-			policy.MayReject = true
-		case "may-tag":
-			policy.MayTag = true
-		case "may-rewrite":
-			policy.MayRewrite = true
-		case "faults-by-tenant":
-			policy.FaultsByTenant = true
-		case "fallback-reject":
-			policy.Fallback = FallbackReject
-		case "category":
+	s.options(args[1:], map[string]func(value string){
+		"read":             func(string) { policy.Hooks[HookRead] = true },
+		"result":           func(string) { policy.Hooks[HookResult] = true },
+		"may-reject":       func(string) { policy.MayReject = true },
+		"may-tag":          func(string) { policy.MayTag = true },
+		"may-rewrite":      func(string) { policy.MayRewrite = true },
+		"faults-by-tenant": func(string) { policy.FaultsByTenant = true },
+		"fallback-reject":  func(string) { policy.Fallback = FallbackReject },
+		"category": func(value string) {
 			policy.Categories = make([]bool, scenarioCategories)
-			policy.Categories[int(s.number(text))] = true
-		case "tenant":
-			policy.Tenants[text] = true
-		case "to":
-			policy.TargetCategories[int(s.number(text))] = true
-		case "timeout":
-			policy.CallTimeout = s.ticks(text)
-		case "fraction":
-			policy.MaxTimeFraction = s.number(text)
-		case "core":
-			policy.CoreFraction = s.number(text)
-		case "max-faults":
-			policy.MaxConsecutiveFaults = int(s.number(text))
-		case "max-rate":
-			policy.MaxFaultRate = s.number(text)
-		default:
-			s.Fail("unknown policy", s.where)
-		}
-	}
+			policy.Categories[s.integer(value)] = true
+		},
+		"tenant":     func(value string) { policy.Tenants[value] = true },
+		"to":         func(value string) { policy.TargetCategories[s.integer(value)] = true },
+		"timeout":    func(value string) { policy.CallTimeout = s.ticks(value) },
+		"fraction":   func(value string) { policy.MaxTimeFraction = s.number(value) },
+		"core":       func(value string) { policy.CoreFraction = s.number(value) },
+		"max-faults": func(value string) { policy.MaxConsecutiveFaults = s.integer(value) },
+		"max-rate":   func(value string) { policy.MaxFaultRate = s.number(value) },
+	})
 	return policy
 }
 
@@ -181,23 +175,13 @@
 func (s *scenario) begin(hook Hook, args, want []string) {
 	request := Request{Tenant: "acme", TimeLeft: 10_000}
 	body := ""
-	for _, arg := range args[1:] {
-		key, text, _ := strings.Cut(arg, "=")
-		switch key {
-		case "category":
-			request.Category = int(s.number(text))
-		case "tenant":
-			request.Tenant = text
-		case "left":
-			request.TimeLeft = s.ticks(text)
-		case "fixed-category":
-			request.CategoryFixed = true
-		case "body":
-			body = text
-		default:
-			s.Fail("unknown part of a request", s.where)
-		}
-	}
+	s.options(args[1:], map[string]func(value string){
+		"category":       func(value string) { request.Category = s.integer(value) },
+		"tenant":         func(value string) { request.Tenant = value },
+		"left":           func(value string) { request.TimeLeft = s.ticks(value) },
+		"fixed-category": func(string) { request.CategoryFixed = true },
+		"body":           func(value string) { body = value },
+	})
 	evaluation := s.chain.Begin(hook, request, []byte(body), s.now)
 	s.evaluations[args[0]] = evaluation
 	s.next(evaluation, want)
@@ -206,24 +190,21 @@
 // verdict reads [reject=STATUS to=CATEGORY tag=T replace=TEXT].
 func (s *scenario) verdict(args []string) Verdict {
 	verdict := Verdict{Category: NoCategory}
-	for _, arg := range args {
-		key, text, _ := strings.Cut(arg, "=")
-		switch key {
-		case "reject":
+	s.options(args, map[string]func(value string){
+		"reject": func(value string) {
 			verdict.Reject = true
-			verdict.Status = int(s.number(text))
-		case "to":
-			verdict.Category = int(s.number(text))
-		case "tag":
+			verdict.Status = s.integer(value)
+		},
+		"to": func(value string) { verdict.Category = s.integer(value) },
+		"tag": func(value string) {
 			verdict.HasTag = true
-			verdict.Tag = text
-		case "replace":
+			verdict.Tag = value
+		},
+		"replace": func(value string) {
 			verdict.Replace = true
-			verdict.Body = []byte(text)
-		default:
-			s.Fail("unknown action", s.where)
-		}
-	}
+			verdict.Body = []byte(value)
+		},
+	})
 	return verdict
 }
 
