--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLinesInBothFormats(t *testing.T) {
+// TestEventIsWrittenAsTextAndJSON checks a line of each format.
+func TestEventIsWrittenAsTextAndJSON(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, FormatText).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
 	require.Regexp(t, `^\d{4}-\d\d-\d\dT[\d:.]+Z event=bad_peer count=3 reason="two words"\n$`, out.String())
@@ -21,6 +22,7 @@
 	require.NotEmpty(t, line["time"])
 }
 
+// BenchmarkEvent measures a line with five fields.
 func BenchmarkEvent(b *testing.B) {
 	for _, format := range []Format{FormatText, FormatJSON} {
 		b.Run(string(format), func(b *testing.B) {
@@ -28,7 +30,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				logger.Event("state").Int("requests", 7).Int("connections", 40).
-					Int("stamps", 900).Int("calls", 3).Str("name", "n3").Send()
+					Int("idempotency_entries", 900).Int("downstream_calls", 3).Str("name", "n3").Send()
 			}
 		})
 	}
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -80,54 +80,51 @@
 
 // The words in a history ("fate", "room", ...) are part of what was recorded and keep their old names.
 
-func addScan(h *golden.History, scan *ScanResult) {
-	h.Add("scanned", int64(scan.RejectUntil), hex.EncodeToString(scan.WarmStart), scan.Dropped, scan.RecordCount,
+func addScan(history *golden.History, scan *ScanResult) {
+	history.Add("scanned", int64(scan.RejectUntil), hex.EncodeToString(scan.WarmStart), scan.Dropped, scan.RecordCount,
 		scan.nextID)
-	for _, o := range scan.Outcomes {
-		h.Add("fate", o.Key, int64(o.WindowEnd), o.Completed, o.Succeeded, hex.EncodeToString(o.Result))
+	for _, outcome := range scan.Outcomes {
+		history.Add("fate", outcome.Key, int64(outcome.WindowEnd), outcome.Completed, outcome.Succeeded,
+			hex.EncodeToString(outcome.Result))
 	}
-	for _, f := range scan.Findings {
-		h.Add("found", int(f.Corruption), f.File, f.Offset, f.DataLoss)
+	for _, finding := range scan.Findings {
+		history.Add("found", int(finding.Corruption), finding.File, finding.Offset, finding.DataLoss)
 	}
 	used, reserved, records := scan.space.Usage()
-	h.Add("room", used, reserved, records)
+	history.Add("room", used, reserved, records)
 }
 
-func addSteps(h *golden.History, steps []diskStep) {
-	for _, s := range steps {
-		h.Add("step", s.operation, s.name, hex.EncodeToString(s.data))
+func addSteps(history *golden.History, steps []diskStep) {
+	for _, step := range steps {
+		history.Add("step", step.operation, step.name, hex.EncodeToString(step.data))
 	}
 }
 
 // playProcesses has three processes write to one disk, each after another kind of harm, and adds every step on the
 // disk.
-func playProcesses(t *testing.T, h *golden.History, seed int64) {
+func playProcesses(t *testing.T, history *golden.History, seed int64) {
+	t.Helper()
 	random := rand.New(rand.NewSource(seed))
 	disk := newMemoryDisk()
 	clock := &seededClock{random: rand.New(rand.NewSource(seed)), reading: firstReading}
 	for process := range 3 {
-		s := &session{Assertions: require.New(t), results: make(chan WriteResult, 64)}
-		config := testConfig(recovery.Durability(seed%2), process == 0)
+		config := testConfig(recovery.Durability(seed%2), process == 0, clock.now)
 		config.MaxOutcomes = 12
-		config.Now = clock.now
-		config.OnWritten = func(results []WriteResult) { s.results <- results[0] }
-		log, err := Open(disk, config)
-		require.NoError(t, err)
-		s.log = log
-		addScan(h, &log.ScanResult)
+		session := openSession(t, disk, config)
+		addScan(history, &session.log.ScanResult)
 		for i := range 20 {
-			s.lastAttempt = uint64(100*process + i)
-			playRequest(s, random)
+			session.lastAttempt = uint64(100*process + i)
+			playRequest(session, random)
 		}
-		s.close()
+		session.close()
 		harm(disk, random, clock)
 	}
-	addSteps(h, disk.steps)
+	addSteps(history, disk.steps)
 	analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12},
 		clock.reading)
 	kept, removed, err := Compact(disk, analysis, clock.reading)
-	h.Add("compacted", kept, removed, err == nil)
-	addSteps(h, disk.steps)
+	history.Add("compacted", kept, removed, err == nil)
+	addSteps(history, disk.steps)
 }
 
 // playRequest appends the intent of a seeded request, and perhaps what became of it.
@@ -172,9 +169,9 @@
 	}
 }
 
-// TestGoldenLives compares every write, sync and removal of a hundred seeded series of processes, and what each of them
-// found, ten a line.
-func TestGoldenLives(t *testing.T) {
+// TestGoldenProcesses compares every write, sync and removal of a hundred seeded series of processes, and what each of
+// them found, ten a line.
+func TestGoldenProcesses(t *testing.T) {
 	var got bytes.Buffer
 	for first := int64(0); first < 100; first += 10 {
 		history := golden.NewHistory()
--- a/internal/server/plugins_test.go
+++ b/internal/server/plugins_test.go
@@ -49,8 +49,8 @@
 // The calls of a plug-in and the effects of its verdicts are as recorded, byte for byte, before and after a run.
 func TestPluginCallsAndVerdictsAreAsRecorded(t *testing.T) {
 	var recorded transcript
-	ended := func(outcome byte, verdict abi.Verdict) []byte {
-		return verdict.Append([]byte{outcome, 100, 0, 0, 0})
+	ended := func(outcome plugin.CallOutcome, verdict abi.Verdict) []byte {
+		return verdict.Append([]byte{byte(outcome), 100, 0, 0, 0})
 	}
 	returned := func(verdict abi.Verdict) []byte { return ended(plugin.CallSucceeded, verdict) }
 	nothing := returned(abi.Verdict{})
@@ -61,7 +61,7 @@
 		result []byte // verdict after it
 	}{
 		{"nothing said", nothing, nothing},
-		{"no verdict at all", []byte{plugin.CallSucceeded, 1, 0, 0, 0}, nothing},
+		{"no verdict at all", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0}, nothing},
 		{"declined", returned(abi.Verdict{Actions: abi.ActionReject, Status: 403}), nothing},
 		{"declined as busy", returned(abi.Verdict{Actions: abi.ActionReject, Status: 503}), nothing},
 		{"declined with a status that is none", returned(abi.Verdict{Actions: abi.ActionReject, Status: 200}), nothing},
@@ -70,7 +70,7 @@
 		{"an unknown category", returned(abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), nothing},
 		{"cut", ended(plugin.CallTimedOut, abi.Verdict{}), ended(plugin.CallTrapped, abi.Verdict{})},
 		{"unreadable", ended(plugin.CallMalformed, abi.Verdict{}), ended(plugin.CallNotStarted, abi.Verdict{})},
-		{"bytes that are none", []byte{plugin.CallSucceeded, 1, 0, 0, 0, 9}, []byte{1}},
+		{"bytes that are none", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0, 9}, []byte{1}},
 		{"another result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
 		{"a longer result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
 		{"silent", nil, nil},
