--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -14,7 +14,7 @@
 
 // Decisions in random schedules, two incarnations of a server each, are those that were recorded. Any change of a
 // decision, of an order of events or of the rounding of a figure changes a line.
-func TestDecisionsOfRandomSchedulesAreAsRecorded(t *testing.T) {
+func TestGoldenDecisions(t *testing.T) {
 	var lines strings.Builder
 	for group := range 40 {
 		history := golden.NewHistory()
@@ -27,7 +27,7 @@
 }
 
 // The same for the schedules of many servers that share one dependency (dependency_test.go).
-func TestDecisionsOnSharedDependencyAreAsRecorded(t *testing.T) {
+func TestGoldenDownstreamCalls(t *testing.T) {
 	var lines strings.Builder
 	for _, servers := range []int{1, 8, 20} {
 		for _, survives := range []float64{3, 10, 40} {
@@ -45,7 +45,7 @@
 }
 
 // The text of which a hash is stored to recognize the settings.
-func TestStoredFormOfSettingsIsAsRecorded(t *testing.T) {
+func TestGoldenStoredSettings(t *testing.T) {
 	var lines strings.Builder
 	for seed := range int64(20) {
 		drawn := &schedule{random: rand.New(rand.NewSource(seed))}
@@ -56,7 +56,7 @@
 }
 
 // Warm-start state is stored under the recorded keys and read back as it was.
-func TestStoredFormOfWarmStartStateIsAsRecorded(t *testing.T) {
+func TestGoldenWarmStartState(t *testing.T) {
 	state := WarmStartState{Limit: 3.5, RunTimes: [][]float64{{1, 2}, {3}},
 		QuietRunTimes: [][]float64{{4}, {5, 6}}, QuickCallTimes: []float64{7, 0.25}}
 	text, err := json.Marshal(state)
--- a/internal/fastcgi/golden_test.go
+++ b/internal/fastcgi/golden_test.go
@@ -101,7 +101,7 @@
 }
 
 // FastCGI records received and sent are as recorded: one exchange byte for byte, and hashes of seeded exchanges.
-func TestRecordsReceivedAndSentAreAsRecorded(t *testing.T) {
+func TestGoldenRecords(t *testing.T) {
 	var lines bytes.Buffer
 	exchange := slices.Concat(request(1, "abcd"), request(2, ""), request(3, "last"),
 		record(typeGetValues, 0, "\x0f\x00FCGI_MPXS_CONNS", 1), record(77, 0, "?", 0), emptyRecord(78, 9),
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -82,7 +82,7 @@
 // pingFailed tells the view that a member does not answer this server, on the worker. Unless only this server cannot
 // reach it, the member is suspected.
 func (n *Node) pingFailed(id membership.ID) {
-	n.view.ProbeFailed(id)
+	n.view.RecordProbeFailure(id)
 	member := n.view.Member(id)
 	if member != nil && member.Cause != membership.CauseUnreachableFromHere {
 		n.view.RecordSuspicion(id)
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -5,7 +5,7 @@
 // It holds two state machines:
 //
 //   - View keeps a Member for each incarnation of each server. It takes the state updates that members publish
-//     about themselves (ApplyUpdate) and the reports of the failure detector (ProbeSucceeded, ProbeFailed,
+//     about themselves (ApplyUpdate) and the reports of the failure detector (ProbeSucceeded, RecordProbeFailure,
 //     RecordSuspicion, Refuted, RecordFailure, RecordLeave,
 //     DialFinished). The terms are those of SWIM and Serf.
 //   - Agreement lets a few voters agree on the Configuration of the cluster by single-decree Paxos, and obtains a
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -11,6 +11,6 @@
 	v := NewView(DefaultConfig(ID{"n0", 1}), 0)
 	other := ID{"n1", 1}
 	v.ApplyUpdate(StateUpdate{ID: other, Sequence: 1, Address: "a1", State: StateServing})
-	v.ProbeFailed(other)
+	v.RecordProbeFailure(other)
 	require.Equal(t, CauseUnreachable, v.Member(other).Cause)
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -176,7 +176,7 @@
 	case 4:
 		c.view.ProbeSucceeded(c.id(), timeunit.Milliseconds(c.random.Intn(90)))
 	case 5:
-		c.view.ProbeFailed(c.id())
+		c.view.RecordProbeFailure(c.id())
 	case 6:
 		c.view.RecordSuspicion(c.id())
 	case 7:
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -56,7 +56,7 @@
 	case "probe-succeeded":
 		p.view.ProbeSucceeded(p.id(args[0]), 10)
 	case "probe-failed":
-		p.view.ProbeFailed(p.id(args[0]))
+		p.view.RecordProbeFailure(p.id(args[0]))
 	case "suspected":
 		p.view.RecordSuspicion(p.id(args[0]))
 	case "failed":
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -172,10 +172,10 @@
 // RequestTotal asks the leader for another total, proposed by a later NextChanges.
 func (a *Allocator) RequestTotal(total Amount) { a.requestedTotal = total }
 
-// HandleRequest records what a server asks for and, at the leader, renews the lease that it has now. The response
+// renewLease records what a server asks for and, at the leader, renews the lease that it has now. The response
 // holds from when it was requested. Changes of the amount come by NextChanges, and with a later response. granted is
 // false where this is not the leader, the request is invalid, or there is no lease yet.
-func (a *Allocator) HandleRequest(
+func (a *Allocator) renewLease(
 	request LimitRequest, now timeunit.Milliseconds,
 ) (response LimitResponse, granted bool) {
 	a.now = max(a.now, now)
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -184,7 +184,7 @@
 }
 
 func (c *cluster) handleRequest(message envelope) {
-	response, granted := c.allocators[c.leader].HandleRequest(*message.request, c.allocatorClock(c.leader))
+	response, granted := c.allocators[c.leader].renewLease(*message.request, c.allocatorClock(c.leader))
 	if granted {
 		c.send(envelope{server: message.server, addressee: message.addressee, response: &response})
 	}
--- a/internal/quota/limit_set.go
+++ b/internal/quota/limit_set.go
@@ -88,7 +88,7 @@
 	s.takeUpTotals(request)
 	response.Limits = make([]LimitResponse, len(s.allocators))
 	for i, allocator := range s.allocators {
-		limitResponse, isLeased := allocator.HandleRequest(request.Limits[i], now)
+		limitResponse, isLeased := allocator.renewLease(request.Limits[i], now)
 		if isLeased && s.opened {
 			response.Limits[i] = limitResponse
 			granted = true
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -95,7 +95,7 @@
 }
 
 // Responses to a router are as recorded, byte for byte, from the first request until the drain has ended.
-func TestResponsesToRoutersAreAsRecorded(t *testing.T) {
+func TestGoldenRequests(t *testing.T) {
 	var recorded transcript
 	server, first := newRunningServer(t)
 	first.conn = discardConn{}
@@ -149,7 +149,7 @@
 
 // The effects of each of the interpreter's notices are as recorded, byte for byte: whether it closes the link, what is
 // sent to the router, to the interpreter and to the index.
-func TestEffectsOfInterpreterNoticesAreAsRecorded(t *testing.T) {
+func TestGoldenNotices(t *testing.T) {
 	var recorded transcript
 	for _, lines := range []string{
 		`{"type":"VALUE","n":1,"job":"JOB","state":"OK","took":5,"data":"eA=="}`,
@@ -189,7 +189,7 @@
 }
 
 // The effects of each of the index's replies are as recorded, byte for byte.
-func TestEffectsOfIndexRepliesAreAsRecorded(t *testing.T) {
+func TestGoldenReplies(t *testing.T) {
 	var recorded transcript
 	for _, text := range []string{
 		"JOB HIT 2\r\nok\r\n", "JOB HIT 0\r\n\r\n", "JOB SHED\r\n", "JOB BROKEN\r\n", "JOB SLOW\r\n", "JOB NOBODY\r\n",
@@ -221,7 +221,7 @@
 }
 
 // The output after a reconnection to the interpreter is as recorded, byte for byte.
-func TestOutputAfterReconnectionIsAsRecorded(t *testing.T) {
+func TestGoldenReconnect(t *testing.T) {
 	var recorded transcript
 	server, router := newServerWithRun(t)
 	interpreter := &server.interpreter
@@ -250,7 +250,7 @@
 }
 
 // The reports to the directory and the effects of its answers are as recorded, byte for byte.
-func TestReportsToDirectoryAreAsRecorded(t *testing.T) {
+func TestGoldenDirectory(t *testing.T) {
 	var recorded transcript
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 404 No\r\ncontent-length:0\r\n\r\n",
@@ -278,7 +278,7 @@
 }
 
 // The histories of seeded sequences are as recorded: all output, connection by connection, and the server's figures.
-func TestHistoriesOfRandomSequencesAreAsRecorded(t *testing.T) {
+func TestGoldenSequences(t *testing.T) {
 	const (
 		seeds = 300
 		group = 10
--- a/internal/server/plugins_test.go
+++ b/internal/server/plugins_test.go
@@ -47,7 +47,7 @@
 }
 
 // The calls of a plug-in and the effects of its verdicts are as recorded, byte for byte, before and after a run.
-func TestPluginCallsAndVerdictsAreAsRecorded(t *testing.T) {
+func TestGoldenPlugins(t *testing.T) {
 	var recorded transcript
 	ended := func(outcome plugin.CallOutcome, verdict abi.Verdict) []byte {
 		return verdict.Append([]byte{byte(outcome), 100, 0, 0, 0})
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -14,7 +14,7 @@
 
 // The lines of the simulator's protocol are as recorded: two conversations in full, the output before a line that can't
 // be read with the number of that line, and a hash of the output of seeded schedules.
-func TestOutputLinesAreAsRecorded(t *testing.T) {
+func TestGoldenLines(t *testing.T) {
 	var lines bytes.Buffer
 	for _, text := range []string{conversation, cachedReads} {
 		fmt.Fprintf(&lines, "%s\n%s\n", text, requireServed(t, text))
