--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// RecordProbeFailure reports that a member did not answer this server's own probe and its retries. Alone that proves nothing
-// against the member; its cause then tells what the updates of the others say about reaching it.
+// RecordProbeFailure reports that a member did not answer this server's own probe and its retries. Alone that proves
+// nothing against the member; its cause then tells what the updates of the others say about reaching it.
 func (v *View) RecordProbeFailure(id ID) {
 	m := v.members[id]
 	if m == nil || m == v.self || !m.isAlive() || m.Cause == CauseNameConflict || v.recentlyPaused() {
