--- a/internal/clustertest/mixed_versions_test.go
+++ b/internal/clustertest/mixed_versions_test.go
@@ -19,7 +19,7 @@
 // oldBuild gives the path of an earlier build, which the environment variable OLD names. The tests of mixed versions
 // run only where there is one:
 //
-//	OLD=/path/to/earlier/thistlequay go test -run TestMixedVersions ./cmd/thistlequay
+//	OLD=/path/to/earlier/thistlequay go test -run TestMixedVersions ./internal/clustertest
 func oldBuild(t *testing.T) string {
 	t.Helper()
 	path := os.Getenv("OLD")
