--- a/admission/budget.go
+++ b/admission/budget.go
@@ -37,22 +37,22 @@
 // joinQueueOrReject is the paper's check where a queue is joined, for a request that could not start at once: it is
 // rejected if the time that it has waited and the delay of the queue ahead of it exceed its budget. A queue's
 // delay is what its oldest request has waited, or what the requests of the same tenant ahead of it will take.
-func (s *Server) joinQueueOrReject(r *Request) {
-	waits := s.now - r.arrivedAt + max(s.queueingDelay(r), r.expectedDelay)
-	if waits > r.queueingBudget() {
-		s.reject(r, waits, false)
+func (s *Server) joinQueueOrReject(request *Request) {
+	waits := s.now - request.arrivedAt + max(s.queueingDelay(request), request.expectedDelay)
+	if waits > request.queueingBudget() {
+		s.reject(request, waits, false)
 		return
 	}
 	// When nine in ten runs no longer fit it has no fair chance any more and is answered at once.
-	chanceUntil := r.valuableUntil() - r.category.runTimes.quantile(fairChanceQuantile)
-	s.timers.set(r, max(s.now+1, min(r.deadline, chanceUntil)))
+	chanceUntil := request.valuableUntil() - request.category.runTimes.quantile(fairChanceQuantile)
+	s.timers.set(request, max(s.now+1, min(request.deadline, chanceUntil)))
 }
 
 // callIsTooLate is the same check where a request needs a downstream call: whether the call's answer would
 // come after the request's own has any value. One call is always let through, to learn that the dependency
 // has recovered.
-func (s *Server) callIsTooLate(r *Request) bool {
+func (s *Server) callIsTooLate(request *Request) bool {
 	// The median, if times are spread exponentially about their mean.
 	median := timeunit.Ticks(s.downstream.recentTime * math.Ln2)
-	return s.now+median > r.valuableUntil() && s.downstream.inFlight > 0
+	return s.now+median > request.valuableUntil() && s.downstream.inFlight > 0
 }
--- a/admission/cores.go
+++ b/admission/cores.go
@@ -29,10 +29,10 @@
 
 // growIntoIdleCores raises the limit at once while the cores read idle, the limit is full and requests wait:
 // experiments are slow, and idle cores say all.
-func (c *coreLoad) growIntoIdleCores(l *limiter, gauges Gauges, waiting int) {
+func (c *coreLoad) growIntoIdleCores(limiter *limiter, gauges Gauges, waiting int) {
 	idle := c.cores - gauges.RunnableRequests
 	if waiting > 0 && idle >= 1 && gauges.CoreUtilization < idleUtilization {
-		l.limit += math.Floor(min(idle, float64(waiting)))
+		limiter.limit += math.Floor(min(idle, float64(waiting)))
 	}
 }
 
@@ -40,11 +40,11 @@
 // What exceeds the cores adds nothing to throughput. This guards against load that piles up faster than
 // experiments see it (slow cores, bursts of reading). It does harm where the gauge counts requests that do
 // not compete for the cores.
-func (c *coreLoad) relieve(l *limiter, now timeunit.Ticks) {
+func (c *coreLoad) relieve(limiter *limiter, now timeunit.Ticks) {
 	over := c.runnable - reliefThreshold*c.cores
 	if over > 0 && now >= c.reliefAt {
-		l.limit = max(c.cores, min(l.limit, float64(l.inFlight))-math.Ceil(over))
-		c.reliefAt = now + timeunit.Ticks(l.roundTrip)
+		limiter.limit = max(c.cores, min(limiter.limit, float64(limiter.inFlight))-math.Ceil(over))
+		c.reliefAt = now + timeunit.Ticks(limiter.roundTrip)
 	}
 }
 
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -31,10 +31,10 @@
 	d.draining = true
 	d.stopAt = s.now + stopIn
 	d.graceEnd = s.now + d.grace
-	for _, r := range slices.Concat(s.queue.arrivals, s.timers.heap) {
-		r.deadline = min(r.deadline, d.stopAt-s.answerMargin)
-		if r.state != stateFinished {
-			r.checkAt = min(r.checkAt, r.deadline)
+	for _, request := range slices.Concat(s.queue.arrivals, s.timers.heap) {
+		request.deadline = min(request.deadline, d.stopAt-s.answerMargin)
+		if request.state != stateFinished {
+			request.checkAt = min(request.checkAt, request.deadline)
 		}
 	}
 	heap.Init(&s.timers.heap)
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -80,8 +80,8 @@
 // invitedRequests is how many requests routers are invited to have in flight here: the limit and a part of
 // what may wait for it. The longer answers take, the fewer.
 func (s *Server) invitedRequests() float64 {
-	l := &s.limiter
-	return l.limit * (1 + invitedFraction*max(0, s.reading.softDeadline/l.roundTrip-1))
+	limiter := &s.limiter
+	return limiter.limit * (1 + invitedFraction*max(0, s.reading.softDeadline/limiter.roundTrip-1))
 }
 
 // idleConnectionTime is how long routers' idle connections are kept. Of hundreds of routers hardly one comes
--- a/admission/host.go
+++ b/admission/host.go
@@ -73,36 +73,36 @@
 // by Reject or by Abort, unless it is cancelled before. Release comes last.
 type Host interface {
 	// Run starts the request. Its end is reported by Request.RunEnded.
-	Run(r *Request)
+	Run(request *Request)
 
 	// ShareResult answers the request with the result of the attempt that it repeats, now or when that has
 	// ended. That this is done is reported by Request.RunEnded, as Succeeded, or as Failed where there is no result.
-	ShareResult(r *Request)
+	ShareResult(request *Request)
 
 	// Reject answers a request that never ran here. The client should stay away for retryAfter (0: not given),
 	// and where finalRejection is set it should not try another server either.
-	Reject(r *Request, retryAfter timeunit.Ticks, finalRejection bool)
+	Reject(request *Request, retryAfter timeunit.Ticks, finalRejection bool)
 
 	// Abort answers a request that was started: it failed. Its run may go on until RunEnded.
-	Abort(r *Request)
+	Abort(request *Request)
 
 	// StopRun stops a run that nobody waits for. It is called only with Config.CanStopRuns.
-	StopRun(r *Request)
+	StopRun(request *Request)
 
 	// StartCall makes the downstream call that the request needs, and gives it up at the time until. Its end is
 	// reported by Request.CallEnded.
-	StartCall(r *Request, until timeunit.Ticks)
+	StartCall(request *Request, until timeunit.Ticks)
 
 	// SkipCall has the run go on without its call, to a degraded answer. Only requests of categories with a
 	// DegradedValue are notified of it.
-	SkipCall(r *Request)
+	SkipCall(request *Request)
 
 	// KeepEntry keeps the idempotency entry of the request for this time from now: requests that repeat it
 	// arrive with IsRepeat. A later call replaces the time.
-	KeepEntry(r *Request, lifetime timeunit.Ticks)
+	KeepEntry(request *Request, lifetime timeunit.Ticks)
 
 	// DropEntry drops the idempotency entry of the request, if it still owns it.
-	DropEntry(r *Request)
+	DropEntry(request *Request)
 
 	// ReportLoad sets the value that is sent to routers with each answer (Config.LoadReportMode).
 	ReportLoad(value float64)
@@ -117,5 +117,5 @@
 	SetTimer(after timeunit.Ticks)
 
 	// Release says that the handle is of no more use: the request is out of all accounts.
-	Release(r *Request)
+	Release(request *Request)
 }
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -38,33 +38,33 @@
 // the repeat to run itself and returns false. A later attempt shares the answer of a run that was started, or
 // takes the place of one that is queued, whose client has mostly gone. Had it arrived before that one,
 // another may have run in between.
-func (s *Server) shareOrReplace(r *Request, a *Arrival) bool {
-	if !a.IsRepeat {
+func (s *Server) shareOrReplace(request *Request, arrival *Arrival) bool {
+	if !arrival.IsRepeat {
 		return false
 	}
-	earlier := a.RepeatOf
-	isKeyed := r.category.Idempotency == Keyed
-	takesPlace := isKeyed && earlier != nil && earlier.state == stateQueued && r.arrivedAt >= earlier.arrivedAt
+	earlier := arrival.RepeatOf
+	isKeyed := request.category.Idempotency == Keyed
+	takesPlace := isKeyed && earlier != nil && earlier.state == stateQueued && request.arrivedAt >= earlier.arrivedAt
 	mustShare := isKeyed && !takesPlace
-	if !mustShare && !s.canShareResult(r, earlier) {
+	if !mustShare && !s.canShareResult(request, earlier) {
 		if takesPlace {
 			s.reject(earlier, 0, false)
 		}
 		return false
 	}
-	r.state = stateSharing
+	request.state = stateSharing
 	s.entries.sharing++
 	if earlier != nil {
 		earlier.awaited = true
-		if r.cacheable && earlier.state == stateQueued {
+		if request.cacheable && earlier.state == stateQueued {
 			s.queue.awaited = append(s.queue.awaited, earlier)
 		}
 	}
-	s.timers.set(r, r.deadline)
+	s.timers.set(request, request.deadline)
 	if s.memory.isTight() { // no room to wait in
-		s.abort(r)
+		s.abort(request)
 	} else {
-		s.host.ShareResult(r)
+		s.host.ShareResult(request)
 	}
 	return true
 }
@@ -72,8 +72,8 @@
 // canShareResult says whether a cacheable request may have the result of an earlier one. This guards against
 // what many ask for at one moment (hot keys, storms of retries). It harms those that share with one that
 // fails or is rejected.
-func (s *Server) canShareResult(r, earlier *Request) bool {
-	if !r.cacheable || s.memory.isTight() || s.drain.hasEndedFor(r.arrivedAt) || s.coresAreFull() {
+func (s *Server) canShareResult(request, earlier *Request) bool {
+	if !request.cacheable || s.memory.isTight() || s.drain.hasEndedFor(request.arrivedAt) || s.coresAreFull() {
 		return false
 	}
 	if float64(s.entries.sharing) >= s.overloadLimit()/2 {
@@ -83,20 +83,20 @@
 }
 
 // keepEntry has the host keep the request's idempotency entry up to this moment.
-func (s *Server) keepEntry(r *Request, until timeunit.Ticks) {
-	if r.entryUntil == 0 {
+func (s *Server) keepEntry(request *Request, until timeunit.Ticks) {
+	if request.entryUntil == 0 {
 		s.entries.count++
 		s.memory.usedKB += s.entries.sizeKB
 	}
-	r.entryUntil = max(s.now+1, until)
-	s.host.KeepEntry(r, r.entryUntil-s.now)
+	request.entryUntil = max(s.now+1, until)
+	s.host.KeepEntry(request, request.entryUntil-s.now)
 }
 
 // dropEntry drops the entry of a request that provably never ran, or whose result is of no use. Otherwise
 // requests that cannot run would fill the table.
-func (s *Server) dropEntry(r *Request) {
-	if r.entryUntil > s.now {
-		s.host.DropEntry(r)
-		r.entryUntil = s.now
+func (s *Server) dropEntry(request *Request) {
+	if request.entryUntil > s.now {
+		s.host.DropEntry(request)
+		request.entryUntil = s.now
 	}
 }
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -30,8 +30,8 @@
 
 // evictForRoom rejects the queued requests furthest beyond their tenants' parts until there is room to queue
 // r, if r itself is eligible. It returns whether there is room.
-func (s *Server) evictForRoom(r *Request) bool {
-	for r.eligible && s.memory.isTight() && s.queue.byStartTag.Len() > 0 {
+func (s *Server) evictForRoom(request *Request) bool {
+	for request.eligible && s.memory.isTight() && s.queue.byStartTag.Len() > 0 {
 		last, _ := s.queue.byStartTag.Max()
 		s.reject(last, s.timers.tick, false)
 	}
--- a/admission/order.go
+++ b/admission/order.go
@@ -28,10 +28,10 @@
 		}
 		// Within a category later soft deadlines are worth more, or as much: then the first of those is taken.
 		from := s.now + s.categories[i].runTimes.earliestEquivalent(last.softDeadline-s.now)
-		r := s.queue.firstFrom(tree, from, anyRequest)
-		value := r.value()
-		if best == nil || value > bestValue || value == bestValue && r.sequence < best.sequence {
-			best = r
+		request := s.queue.firstFrom(tree, from, anyRequest)
+		value := request.value()
+		if best == nil || value > bestValue || value == bestValue && request.sequence < best.sequence {
+			best = request
 			bestValue = value
 		}
 	}
@@ -40,11 +40,11 @@
 
 // queueingDelay is the delay of the queue ahead of the request: how long the oldest has waited of those that
 // would start before it.
-func (s *Server) queueingDelay(r *Request) timeunit.Ticks {
+func (s *Server) queueingDelay(request *Request) timeunit.Ticks {
 	var delay timeunit.Ticks
-	value := r.value()
+	value := request.value()
 	for i, tree := range s.queue.eligible {
-		from, some := s.softDeadlineAhead(r, value, s.categories[i])
+		from, some := s.softDeadlineAhead(request, value, s.categories[i])
 		if !some {
 			continue
 		}
@@ -52,11 +52,11 @@
 			delay = max(delay, s.now-first.arrivedAt)
 		}
 	}
-	if r.eligible {
+	if request.eligible {
 		return delay
 	}
 	first, found := s.queue.byStartTag.Min()
-	if found && hasJoined(first) && first.startTag <= r.startTag {
+	if found && hasJoined(first) && first.startTag <= request.startTag {
 		delay = max(delay, s.now-first.arrivedAt)
 	}
 	return delay
@@ -64,20 +64,20 @@
 
 // softDeadlineAhead is the soft deadline from which on eligible requests of category c would start before r,
 // whose value this is. It returns false where none of them would.
-func (s *Server) softDeadlineAhead(r *Request, value float64, c *categoryState) (timeunit.Ticks, bool) {
-	if !r.eligible {
+func (s *Server) softDeadlineAhead(request *Request, value float64, category *categoryState) (timeunit.Ticks, bool) {
+	if !request.eligible {
 		return -noDeadline, true // all that is eligible goes first
 	}
-	if c == r.category {
-		return s.now + c.runTimes.earliestEquivalent(r.softDeadline-s.now), true
+	if category == request.category {
+		return s.now + category.runTimes.earliestEquivalent(request.softDeadline-s.now), true
 	}
 	// The share of runs that must be in time for as much value, solved from categoryState.valueAt.
-	fits := (value*c.typicalRunTime()/c.Weight - c.LateValue) / (1 - c.LateValue)
+	fits := (value*category.typicalRunTime()/category.Weight - category.LateValue) / (1 - category.LateValue)
 	if fits > 1 {
 		return 0, false
 	}
-	if fits > 0 && c.runTimes.total > 0 {
-		return s.now + c.runTimes.quantile(min(fits, almostOne)), true
+	if fits > 0 && category.runTimes.total > 0 {
+		return s.now + category.runTimes.quantile(min(fits, almostOne)), true
 	}
 	return -noDeadline, true
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -41,24 +41,24 @@
 }
 
 // add enqueues a request that has just arrived.
-func (q *requestQueue) add(r *Request) {
+func (q *requestQueue) add(request *Request) {
 	q.lastSequence++
 	q.length++
-	r.sequence = q.lastSequence
-	r.eligible = r.startTag <= q.virtualTime
-	q.treeOf(r).ReplaceOrInsert(r)
-	q.arrivals = append(q.arrivals, r)
+	request.sequence = q.lastSequence
+	request.eligible = request.startTag <= q.virtualTime
+	q.treeOf(request).ReplaceOrInsert(request)
+	q.arrivals = append(q.arrivals, request)
 }
 
 // remove takes a request out, to start or to finish.
-func (q *requestQueue) remove(r *Request) {
+func (q *requestQueue) remove(request *Request) {
 	q.length--
-	q.treeOf(r).Delete(r)
+	q.treeOf(request).Delete(request)
 }
 
-func (q *requestQueue) treeOf(r *Request) *btree.BTreeG[*Request] {
-	if r.eligible {
-		return q.eligible[r.category.index]
+func (q *requestQueue) treeOf(request *Request) *btree.BTreeG[*Request] {
+	if request.eligible {
+		return q.eligible[request.category.index]
 	}
 	return q.byStartTag
 }
@@ -89,9 +89,9 @@
 	tree *btree.BTreeG[*Request], softDeadline timeunit.Ticks, test func(*Request) bool,
 ) (first *Request) {
 	q.pivot.softDeadline = softDeadline
-	tree.AscendGreaterOrEqual(&q.pivot, func(r *Request) bool {
-		if test(r) {
-			first = r
+	tree.AscendGreaterOrEqual(&q.pivot, func(request *Request) bool {
+		if test(request) {
+			first = request
 		}
 		return first == nil
 	})
@@ -101,7 +101,7 @@
 func anyRequest(*Request) bool { return true }
 
 // hasJoined says that the request passed its budget check in an earlier batch.
-func hasJoined(r *Request) bool { return r.heapIndex != notInHeap }
+func hasJoined(request *Request) bool { return request.heapIndex != notInHeap }
 
 // VirtualTime is the highest start tag that has become eligible (Arrival.StartTag).
 func (s *Server) VirtualTime() float64 { return s.queue.virtualTime }
--- a/admission/request.go
+++ b/admission/request.go
@@ -123,76 +123,77 @@
 }
 
 // measureRun takes the time of a successful run into what is known of its category.
-func (s *Server) measureRun(r *Request, took timeunit.Ticks) {
-	c := r.category
-	s.feedback.measureSlowdown(took, c.quietRunTimes.quantile(0.5))
-	c.runTimes.add(took)
-	if r.startedQuiet && s.cores.isQuiet() {
-		c.quietRunTimes.add(took)
+func (s *Server) measureRun(request *Request, took timeunit.Ticks) {
+	category := request.category
+	s.feedback.measureSlowdown(took, category.quietRunTimes.quantile(0.5))
+	category.runTimes.add(took)
+	if request.startedQuiet && s.cores.isQuiet() {
+		category.quietRunTimes.add(took)
 	}
 }
 
 // countAnswer books the end of a run whose request had no answer before. Only what still has its value counts
 // for the limiter: runs for clients that have gone would speak for a higher limit.
-func (s *Server) countAnswer(r *Request, outcome Outcome) {
+func (s *Server) countAnswer(request *Request, outcome Outcome) {
 	if outcome == Aborted || outcome == NeverStarted {
-		s.abort(r)
+		s.abort(request)
 	} else {
-		s.limiter.measureRoundTrip(s.now - r.arrivedAt)
+		s.limiter.measureRoundTrip(s.now - request.arrivedAt)
 	}
-	if outcome == Succeeded && s.now <= r.softDeadline {
+	if outcome == Succeeded && s.now <= request.softDeadline {
 		s.limiter.current.answered++
 	}
 }
 
 // stopUnwanted stops a run whose answer nobody waits for and that may run again.
-func (s *Server) stopUnwanted(r *Request) {
-	if r.state == stateRunning && s.canStopRuns && r.category.Idempotency == Idempotent && !r.awaited {
-		s.host.StopRun(r)
+func (s *Server) stopUnwanted(request *Request) {
+	if request.state == stateRunning && s.canStopRuns && request.category.Idempotency == Idempotent &&
+		!request.awaited {
+		s.host.StopRun(request)
 	}
 }
 
 // reject answers a request that never ran here.
-func (s *Server) reject(r *Request, retryAfter timeunit.Ticks, finalRejection bool) {
-	r.answered = true
+func (s *Server) reject(request *Request, retryAfter timeunit.Ticks, finalRejection bool) {
+	request.answered = true
 	s.feedback.countRejection()
-	s.host.Reject(r, min(retryAfter, s.feedback.maxRetryAfter), finalRejection || s.overloadIsFleetWide())
-	s.finish(r)
+	s.host.Reject(request, min(retryAfter, s.feedback.maxRetryAfter), finalRejection || s.overloadIsFleetWide())
+	s.finish(request)
 }
 
 // abort answers a request that was started. What runs on stays in flight until its run ends.
-func (s *Server) abort(r *Request) {
-	if r.isDone() {
+func (s *Server) abort(request *Request) {
+	if request.isDone() {
 		return
 	}
-	r.answered = true
+	request.answered = true
 	s.limiter.current.dropped++
-	s.host.Abort(r)
-	if r.state == stateSharing {
-		s.finish(r)
+	s.host.Abort(request)
+	if request.state == stateSharing {
+		s.finish(request)
 	} else {
-		r.category.runTimes.add(s.now - r.startedAt)
+		request.category.runTimes.add(s.now - request.startedAt)
 	}
 }
 
 // finish takes the request out of all accounts. Its idempotency entry goes only if the request never ran.
-func (s *Server) finish(r *Request) {
-	s.memory.usedKB -= r.queuedKB
-	switch r.state {
+func (s *Server) finish(request *Request) {
+	s.memory.usedKB -= request.queuedKB
+	switch request.state {
 	case stateQueued:
-		s.queue.remove(r)
-		s.dropEntry(r)
+		s.queue.remove(request)
+		s.dropEntry(request)
 	case stateSharing:
 		s.entries.sharing--
 	default:
 		s.limiter.inFlight--
-		s.memory.usedKB -= s.memory.runExtra(r.queuedKB)
+		s.memory.usedKB -= s.memory.runExtra(request.queuedKB)
 	}
-	r.state = stateFinished
-	s.host.Release(r)
-	if r.entryUntil > 0 {
-		s.timers.set(r, r.entryUntil) // then the memory of the entry is given back
+	request.state = stateFinished
+	s.host.Release(request)
+	if request.entryUntil > 0 {
+		s.timers.set(request, request.entryUntil) // then the memory of the entry is given back
 	} else {
-		s.timers.stop(r)
+		s.timers.stop(request)
 	}
 }
--- a/admission/retries.go
+++ b/admission/retries.go
@@ -42,17 +42,17 @@
 
 // observe counts a request whose client waits so many deadlines from its arrival on, and says whether it is a
 // retry whose client waits only for what is left of the first attempt's time.
-func (d *retryDetector) observe(a *Arrival, wait float64) bool {
-	router := d.routers[a.Router]
-	isUnusual := a.TimeLeft > 0 && router.isUnusual(wait)
-	isUnusualOfAll := a.TimeLeft > 0 && d.allRouters.isUnusual(wait)
+func (d *retryDetector) observe(arrival *Arrival, wait float64) bool {
+	router := d.routers[arrival.Router]
+	isUnusual := arrival.TimeLeft > 0 && router.isUnusual(wait)
+	isUnusualOfAll := arrival.TimeLeft > 0 && d.allRouters.isUnusual(wait)
 	if router.requests < minRouterRequests {
 		isUnusual = isUnusualOfAll
 	}
-	d.count(a.Router, router)
-	isLate := isUnusual && (a.IsRetry || !d.retriesMarked)
+	d.count(arrival.Router, router)
+	isLate := isUnusual && (arrival.IsRetry || !d.retriesMarked)
 	smooth(&d.retryShare, 0, retryShareSmoothing)
-	if isLate || a.IsRetry {
+	if isLate || arrival.IsRetry {
 		d.retryShare += retryShareSmoothing
 	}
 	return isLate
@@ -96,10 +96,10 @@
 }
 
 // noticeRetry moves the soft deadline of a retry back: it began with the first attempt.
-func (s *Server) noticeRetry(r *Request, a *Arrival) {
-	deadline := float64(r.category.Deadline)
-	wait := float64(a.TimeLeft+a.UnreadTime) / deadline
-	if s.retries.observe(a, wait) {
-		r.softDeadline -= timeunit.Ticks((1 - min(1, wait)) * deadline)
+func (s *Server) noticeRetry(request *Request, arrival *Arrival) {
+	deadline := float64(request.category.Deadline)
+	wait := float64(arrival.TimeLeft+arrival.UnreadTime) / deadline
+	if s.retries.observe(arrival, wait) {
+		request.softDeadline -= timeunit.Ticks((1 - min(1, wait)) * deadline)
 	}
 }
--- a/admission/server.go
+++ b/admission/server.go
@@ -82,45 +82,45 @@
 // downstream limit, and from when on rejections speak for the whole fleet, follow at once.
 func (s *Server) SetFleetSize(servers int) {
 	size := float64(max(1, servers))
-	d := &s.downstream
-	s.SetDownstreamLimit(d.limit * d.turns.fleetSize / size)
-	d.turns.fleetSize = size
+	downstream := &s.downstream
+	s.SetDownstreamLimit(downstream.limit * downstream.turns.fleetSize / size)
+	downstream.turns.fleetSize = size
 	s.feedback.fleetWideShare = fleetWideServers / size
 }
 
 // Enqueue takes a request that was read. What becomes of it is decided by Dispatch, but for repeats of other
 // requests, which may get their results at once (Host.ShareResult).
-func (s *Server) Enqueue(a Arrival) *Request {
-	r := s.newRequest(&a)
-	s.noticeRetry(r, &a)
-	smooth(&s.reading.mean, float64(a.UnreadTime), smoothing)
-	s.memory.usedKB += r.queuedKB
-	if !s.shareOrReplace(r, &a) {
-		s.queue.add(r)
+func (s *Server) Enqueue(arrival Arrival) *Request {
+	request := s.newRequest(&arrival)
+	s.noticeRetry(request, &arrival)
+	smooth(&s.reading.mean, float64(arrival.UnreadTime), smoothing)
+	s.memory.usedKB += request.queuedKB
+	if !s.shareOrReplace(request, &arrival) {
+		s.queue.add(request)
 	}
-	return r
+	return request
 }
 
-func (s *Server) newRequest(a *Arrival) *Request {
-	category := s.categories[max(0, min(a.Category, len(s.categories)-1))]
-	r := &Request{
-		ID:            a.ID,
+func (s *Server) newRequest(arrival *Arrival) *Request {
+	category := s.categories[max(0, min(arrival.Category, len(s.categories)-1))]
+	request := &Request{
+		ID:            arrival.ID,
 		server:        s,
 		category:      category,
-		arrivedAt:     s.now - a.UnreadTime,
+		arrivedAt:     s.now - arrival.UnreadTime,
 		heapIndex:     notInHeap,
-		queuedKB:      a.QueuedKB,
-		startTag:      a.StartTag,
-		expectedDelay: a.ExpectedDelay,
-		cacheable:     a.Cacheable && category.Idempotency == Idempotent && s.entries.resultTTL > 0,
+		queuedKB:      arrival.QueuedKB,
+		startTag:      arrival.StartTag,
+		expectedDelay: arrival.ExpectedDelay,
+		cacheable:     arrival.Cacheable && category.Idempotency == Idempotent && s.entries.resultTTL > 0,
 	}
-	r.softDeadline = r.arrivedAt + category.SoftDeadline
-	r.deadline = r.arrivedAt + category.Deadline
-	if a.TimeLeft > 0 {
-		r.deadline = s.now + a.TimeLeft
+	request.softDeadline = request.arrivedAt + category.SoftDeadline
+	request.deadline = request.arrivedAt + category.Deadline
+	if arrival.TimeLeft > 0 {
+		request.deadline = s.now + arrival.TimeLeft
 	}
-	r.deadline = min(r.deadline, s.drain.stopAt) - s.answerMargin
-	return r
+	request.deadline = min(request.deadline, s.drain.stopAt) - s.answerMargin
+	return request
 }
 
 // Dispatch ends a batch. It fires timers, makes downstream calls, starts queued requests while the
@@ -130,15 +130,15 @@
 	s.limiter.adjustLimit(s.now)
 	s.fireTimers()
 	s.startCalls()
-	for _, r := range s.queue.arrivals {
-		if r.state == stateQueued {
-			s.rejectUnfit(r)
+	for _, request := range s.queue.arrivals {
+		if request.state == stateQueued {
+			s.rejectUnfit(request)
 		}
 	}
 	s.startRequests()
-	for _, r := range s.queue.arrivals {
-		if r.state == stateQueued {
-			s.joinQueueOrReject(r)
+	for _, request := range s.queue.arrivals {
+		if request.state == stateQueued {
+			s.joinQueueOrReject(request)
 		}
 	}
 	s.queue.clearArrivals()
@@ -147,20 +147,20 @@
 }
 
 // rejectUnfit rejects at once what must not be queued, and has entries kept before their requests can run.
-func (s *Server) rejectUnfit(r *Request) {
-	isKeyed := r.category.Idempotency == Keyed
+func (s *Server) rejectUnfit(request *Request) {
+	isKeyed := request.category.Idempotency == Keyed
 	switch {
-	case s.drain.hasEndedFor(r.arrivedAt):
-		s.reject(r, noDeadline, false)
-	case r.isHopeless():
-		s.reject(r, 0, true)
-	case s.memory.isTight() && !s.evictForRoom(r), isKeyed && !s.hasEntryRoom():
-		s.reject(r, s.timers.tick, false) // no room to queue it, or to know later that it ran
-	case r.cacheable && s.hasEntryRoom():
-		s.keepEntry(r, r.deadline)
+	case s.drain.hasEndedFor(request.arrivedAt):
+		s.reject(request, noDeadline, false)
+	case request.isHopeless():
+		s.reject(request, 0, true)
+	case s.memory.isTight() && !s.evictForRoom(request), isKeyed && !s.hasEntryRoom():
+		s.reject(request, s.timers.tick, false) // no room to queue it, or to know later that it ran
+	case request.cacheable && s.hasEntryRoom():
+		s.keepEntry(request, request.deadline)
 	case isKeyed:
 		// Until the window from the arrival of this attempt has passed: repeats are matched by their arrival.
-		s.keepEntry(r, r.arrivedAt+r.category.DeduplicationWindow+s.answerMargin)
+		s.keepEntry(request, request.arrivedAt+request.category.DeduplicationWindow+s.answerMargin)
 	}
 }
 
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -27,16 +27,16 @@
 }
 
 // set gives the request a timer in place of any earlier one.
-func (t *timers) set(r *Request, at timeunit.Ticks) {
-	t.stop(r)
-	r.checkAt = at
-	heap.Push(&t.heap, r)
+func (t *timers) set(request *Request, at timeunit.Ticks) {
+	t.stop(request)
+	request.checkAt = at
+	heap.Push(&t.heap, request)
 }
 
 // stop takes the timer of the request away, if it has one.
-func (t *timers) stop(r *Request) {
-	if r.heapIndex != notInHeap {
-		heap.Remove(&t.heap, r.heapIndex)
+func (t *timers) stop(request *Request) {
+	if request.heapIndex != notInHeap {
+		heap.Remove(&t.heap, request.heapIndex)
 	}
 }
 
@@ -44,17 +44,17 @@
 // started ones have reached their deadline.
 func (s *Server) fireTimers() {
 	for len(s.timers.heap) > 0 && s.timers.heap[0].checkAt <= s.now {
-		r := heap.Pop(&s.timers.heap).(*Request)
+		request := heap.Pop(&s.timers.heap).(*Request)
 		switch {
-		case r.state == stateFinished:
+		case request.state == stateFinished:
 			s.entries.count--
 			s.memory.usedKB -= s.entries.sizeKB
-		case r.state == stateQueued:
+		case request.state == stateQueued:
 			s.limiter.current.dropped++
-			s.reject(r, s.timers.tick, false)
-		case !r.isDone():
-			s.abort(r)
-			s.stopUnwanted(r)
+			s.reject(request, s.timers.tick, false)
+		case !request.isDone():
+			s.abort(request)
+			s.stopUnwanted(request)
 		}
 	}
 }
@@ -92,16 +92,16 @@
 
 // Push is for package heap.
 func (h *deadlineHeap) Push(x any) {
-	r := x.(*Request)
-	r.heapIndex = len(*h)
-	*h = append(*h, r)
+	request := x.(*Request)
+	request.heapIndex = len(*h)
+	*h = append(*h, request)
 }
 
 // Pop is for package heap.
 func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
-	r := (*h)[last]
+	request := (*h)[last]
 	*h = (*h)[:last]
-	r.heapIndex = notInHeap
-	return r
+	request.heapIndex = notInHeap
+	return request
 }
--- a/admission/turns.go
+++ b/admission/turns.go
@@ -44,12 +44,12 @@
 
 // until is until when the call may be in flight; now or earlier means not at all. withEffects says that it
 // must not be abandoned, so that it must fit twice.
-func (t *turns) until(now timeunit.Ticks, d *downstream, withEffects bool) timeunit.Ticks {
-	if t.fractionFor != d.limit*t.fleetSize {
-		t.setFraction(d.limit)
+func (t *turns) until(now timeunit.Ticks, downstream *downstream, withEffects bool) timeunit.Ticks {
+	if t.fractionFor != downstream.limit*t.fleetSize {
+		t.setFraction(downstream.limit)
 	}
-	length := max(t.length*t.fraction, 2*float64(d.abandonedTime))
-	need := slowCallFactor * d.recentTime
+	length := max(t.length*t.fraction, 2*float64(downstream.abandonedTime))
+	need := slowCallFactor * downstream.recentTime
 	if t.fraction == 1 || t.confidence >= confidenceToRoundUp && need <= t.length*t.fraction {
 		return noDeadline
 	}
@@ -61,7 +61,7 @@
 	}
 	// Time in turns: the first of each round is this server's.
 	at := math.Mod(float64(now)/length*t.fraction+t.offset, 1) / t.fraction
-	left := (1-at)*length - float64(d.abandonedTime)
+	left := (1-at)*length - float64(downstream.abandonedTime)
 	if left > need {
 		return now + timeunit.Ticks(left)
 	}
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -23,9 +23,9 @@
 		Limit:          s.limiter.limit,
 		QuickCallTimes: s.downstream.quickTimes.snapshot(),
 	}
-	for _, c := range s.categories {
-		state.RunTimes = append(state.RunTimes, c.runTimes.snapshot())
-		state.QuietRunTimes = append(state.QuietRunTimes, c.quietRunTimes.snapshot())
+	for _, category := range s.categories {
+		state.RunTimes = append(state.RunTimes, category.runTimes.snapshot())
+		state.QuietRunTimes = append(state.QuietRunTimes, category.quietRunTimes.snapshot())
 	}
 	return state
 }
@@ -39,8 +39,8 @@
 	s.limiter.limit = max(s.limiter.floor, min(state.Limit, maxLimit))
 	s.downstream.quickTimes.restore(state.QuickCallTimes)
 	known := min(len(s.categories), len(state.RunTimes), len(state.QuietRunTimes))
-	for i, c := range s.categories[:known] {
-		c.runTimes.restore(state.RunTimes[i])
-		c.quietRunTimes.restore(state.QuietRunTimes[i])
+	for i, category := range s.categories[:known] {
+		category.runTimes.restore(state.RunTimes[i])
+		category.quietRunTimes.restore(state.QuietRunTimes[i])
 	}
 }
--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -102,9 +102,9 @@
 }
 
 // play starts the emulators and the server, sends the load and stops them.
-func (one *trial) play(t *tryCommand) error {
+func (one *trial) play(options *tryCommand) error {
 	var err error
-	one.interpreter, err = emulator.NewInterpreter(tryCores, t.Seed)
+	one.interpreter, err = emulator.NewInterpreter(tryCores, options.Seed)
 	if err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	if err := one.start(t, address); err != nil {
+	if err := one.start(options, address); err != nil {
 		return err
 	}
 	defer one.stop()
@@ -132,20 +132,20 @@
 	}
 	load := &emulator.LoadRun{
 		Address:      address,
-		Seed:         t.Seed,
-		Seconds:      t.Seconds,
+		Seed:         options.Seed,
+		Seconds:      options.Seconds,
 		Cores:        tryCores,
 		Categories:   []string{"look"},
 		SoftDeadline: trySoftDeadline,
 		Deadline:     tryDeadline,
-		Streams:      t.streams(),
+		Streams:      options.streams(),
 	}
 	one.stats, err = load.Run()
 	return err
 }
 
 // start writes the configuration and starts the server's process.
-func (one *trial) start(t *tryCommand, address string) error {
+func (one *trial) start(options *tryCommand, address string) error {
 	name := "plain"
 	if one.hasFairQueues {
 		name = "fair"
@@ -154,13 +154,13 @@
 	if err != nil {
 		return err
 	}
-	path, err := one.writeFile(t, name+".json", platform)
+	path, err := one.writeFile(options, name+".json", platform)
 	if err != nil {
 		return err
 	}
 	args := []string{"serve", "--config=" + path}
 	if one.hasFairQueues {
-		path, err := one.writeFile(t, name+".yaml", fairQueuesYAML(t.streams()))
+		path, err := one.writeFile(options, name+".yaml", fairQueuesYAML(options.streams()))
 		if err != nil {
 			return err
 		}
@@ -212,10 +212,10 @@
 }
 
 // writeFile writes a configuration to the trial's folder, or where the user wants to keep it, and returns its path.
-func (one *trial) writeFile(t *tryCommand, name, text string) (string, error) {
+func (one *trial) writeFile(options *tryCommand, name, text string) (string, error) {
 	path := filepath.Join(one.directory, name)
-	if t.Config != "" {
-		path = t.Config + "." + name
+	if options.Config != "" {
+		path = options.Config + "." + name
 	}
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -84,11 +84,11 @@
 // expireSnapshots reports snapshots as failed that are not acknowledged within the election timeout, so that the engine
 // sends again. One that did arrive has been acknowledged by then, and the report changes nothing.
 func (v *Voter) expireSnapshots() {
-	v.pendingSnapshots = slices.DeleteFunc(v.pendingSnapshots, func(s pendingSnapshot) bool {
-		if v.now-s.sentAt < v.config.ElectionTimeout {
+	v.pendingSnapshots = slices.DeleteFunc(v.pendingSnapshots, func(snapshot pendingSnapshot) bool {
+		if v.now-snapshot.sentAt < v.config.ElectionTimeout {
 			return false
 		}
-		v.raftNode.ReportSnapshot(s.to, raft.SnapshotFailure)
+		v.raftNode.ReportSnapshot(snapshot.to, raft.SnapshotFailure)
 		return true
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -110,43 +110,43 @@
 // readConfiguration reads both files and starts or updates the subsystems that they ask for: all of what the files say
 // takes effect, or nothing.
 func (d *daemon) readConfiguration() (server.Config, error) {
-	c, err := ReadPlatformConfig(d.config.PlatformFile)
+	serverConfig, err := ReadPlatformConfig(d.config.PlatformFile)
 	if err != nil {
-		return c, err
+		return serverConfig, err
 	}
 	own, err := config.Read(d.config.ServiceFile)
 	if err != nil {
-		return c, err
+		return serverConfig, err
 	}
-	if err := own.ValidateAgainst(c.Settings, c.MemoryBytes); err != nil {
-		return c, err
+	if err := own.ValidateAgainst(serverConfig.Settings, serverConfig.MemoryBytes); err != nil {
+		return serverConfig, err
 	}
-	c.FairQueue = own.FairQueues.SchedulerConfig(c.Settings)
-	c.Tenancy = own.FairQueues.TenantTable()
-	c.Plugins, err = d.plugins.configure(own.Plugins, c, d.server)
+	serverConfig.FairQueue = own.FairQueues.SchedulerConfig(serverConfig.Settings)
+	serverConfig.Tenancy = own.FairQueues.TenantTable()
+	serverConfig.Plugins, err = d.plugins.configure(own.Plugins, serverConfig, d.server)
 	if err != nil {
-		return c, err
+		return serverConfig, err
 	}
-	c.Recovery, err = d.configureStore(own.Store, c)
+	serverConfig.Recovery, err = d.configureStore(own.Store, serverConfig)
 	if err != nil {
-		return c, err
+		return serverConfig, err
 	}
-	if err := d.configureFleet(own.Gossip, own.Quota, &c); err != nil {
-		return c, err
+	if err := d.configureFleet(own.Gossip, own.Quota, &serverConfig); err != nil {
+		return serverConfig, err
 	}
-	applyProcessLimits(c)
-	return c, nil
+	applyProcessLimits(serverConfig)
+	return serverConfig, nil
 }
 
 // configureFleet starts gossip and the quotas over it where their sections ask for them. The quota service is made
 // first, as gossip delivers to it, and started last, as it sends over gossip.
 func (d *daemon) configureFleet(
-	gossipSection *config.Gossip, quotaSection *config.Quota, c *server.Config,
+	gossipSection *config.Gossip, quotaSection *config.Quota, serverConfig *server.Config,
 ) error {
 	isFirst := d.gossip.node == nil
 	startsQuota := quotaSection != nil && isFirst
 	if startsQuota {
-		if err := d.createQuotaService(quotaSection, gossipSection, *c); err != nil {
+		if err := d.createQuotaService(quotaSection, gossipSection, *serverConfig); err != nil {
 			return err
 		}
 	}
@@ -155,7 +155,7 @@
 		handlers = d.quota.service.Handlers()
 	}
 	var err error
-	c.Gossip, err = d.configureGossip(gossipSection, *c, handlers)
+	serverConfig.Gossip, err = d.configureGossip(gossipSection, *serverConfig, handlers)
 	if err != nil {
 		return err
 	}
@@ -173,6 +173,6 @@
 		d.quota.updateTotals(quotaSection)
 	}
 	d.quota.logIfUnchanged(quotaSection, d.log)
-	c.Quota = d.quota.onServer
+	serverConfig.Quota = d.quota.onServer
 	return nil
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -34,7 +34,7 @@
 // configureGossip starts gossip where a section asks for it, or gives what runs its new keys. The handlers are those of
 // subsystems that are started with it.
 func (d *daemon) configureGossip(
-	section *config.Gossip, c server.Config, handlers messageHandlers,
+	section *config.Gossip, serverConfig server.Config, handlers messageHandlers,
 ) (*server.Gossip, error) {
 	if section == nil {
 		return nil, nil // without a section there is no gossip, which is no error
@@ -50,7 +50,7 @@
 		return d.gossip.onServer, nil
 	}
 	onServer := &server.Gossip{}
-	gossipConfig := d.gossipConfig(section, c, onServer)
+	gossipConfig := d.gossipConfig(section, serverConfig, onServer)
 	gossipConfig.Keys = keys
 	gossipConfig.Handlers = handlers
 	node, err := gossip.Start(gossipConfig)
@@ -64,9 +64,10 @@
 }
 
 // gossipConfig makes the configuration of gossip from its section.
-func (d *daemon) gossipConfig(section *config.Gossip, c server.Config, onServer *server.Gossip) gossip.Config {
+func (d *daemon) gossipConfig(section *config.Gossip, serverConfig server.Config,
+	onServer *server.Gossip) gossip.Config {
 	startedAt := time.Now().Add(d.config.ClockShift)
-	self := membership.ID{Name: c.Name, Incarnation: uint64(startedAt.UnixMicro())}
+	self := membership.ID{Name: serverConfig.Name, Incarnation: uint64(startedAt.UnixMicro())}
 	members := membership.DefaultConfig(self)
 	members.Zone = section.Zone
 	members.Founders = section.InitialVoters
--- a/internal/daemon/platform_config.go
+++ b/internal/daemon/platform_config.go
@@ -131,11 +131,11 @@
 }
 
 // applyProcessLimits has the Go runtime keep to the limits of the process.
-func applyProcessLimits(c server.Config) {
-	threads := max(1, int(c.Cores))
-	if c.Recovery != nil { // a write that waits for the disk must not keep the event loop's thread
+func applyProcessLimits(serverConfig server.Config) {
+	threads := max(1, int(serverConfig.Cores))
+	if serverConfig.Recovery != nil { // a write that waits for the disk must not keep the event loop's thread
 		threads++
 	}
 	runtime.GOMAXPROCS(threads)
-	debug.SetMemoryLimit(int64(math.Round(float64(c.MemoryBytes) * softMemoryFraction)))
+	debug.SetMemoryLimit(int64(math.Round(float64(serverConfig.MemoryBytes) * softMemoryFraction)))
 }
--- a/internal/daemon/plugins.go
+++ b/internal/daemon/plugins.go
@@ -19,7 +19,7 @@
 // process compiles the modules and tries them on their samples, and only then they are asked about requests. State
 // that plug-ins keep is taken over from the running server, which may be nil.
 func (p *pluginSubsystem) configure(
-	section *config.Plugins, c server.Config, running *server.Server,
+	section *config.Plugins, serverConfig server.Config, running *server.Server,
 ) (*server.Plugins, error) {
 	if section == nil {
 		p.section = nil
@@ -30,7 +30,7 @@
 		return p.running, nil
 	}
 	next := &server.Plugins{
-		Grants:    section.Grants(c.Settings),
+		Grants:    section.Grants(serverConfig.Settings),
 		DropState: section.DiscardsState(),
 		Start: func(state map[string]map[string][]byte) (*plugin.Process, error) {
 			return plugin.Start(section.ProcessSpec(state), section.ReadyTimeout, os.Stderr)
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -28,7 +28,8 @@
 }
 
 // createQuotaService makes the quota service; it is started once gossip runs.
-func (d *daemon) createQuotaService(section *config.Quota, gossipSection *config.Gossip, c server.Config) error {
+func (d *daemon) createQuotaService(section *config.Quota, gossipSection *config.Gossip,
+	serverConfig server.Config) error {
 	onServer := &server.Quota{}
 	limits := section.Limits()
 	serviceConfig := service.Config{
@@ -37,10 +38,10 @@
 		ConfigDigest: section.Digest(),
 		Revision:     uint64(section.Revision),
 		Coordinators: section.Coordinators,
-		ServerName:   c.Name,
+		ServerName:   serverConfig.Name,
 		BootstrapLog: section.StartFresh,
 		ClusterName:  gossipSection.FleetName,
-		Seed:         c.Seed,
+		Seed:         serverConfig.Seed,
 		OnResponse:   onServer.DeliverAnswers,
 		Log:          func(event string, keys ...any) { d.log.Event(event).Fields(keys).Send() },
 	}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -19,7 +19,7 @@
 
 // configureStore opens the store at the start. An open store stays: when the section has changed, the result is nil,
 // which the server logs as a setting that cannot change while it runs.
-func (d *daemon) configureStore(section *config.Store, c server.Config) (*server.Recovery, error) {
+func (d *daemon) configureStore(section *config.Store, serverConfig server.Config) (*server.Recovery, error) {
 	isRunning := d.server != nil
 	if isRunning {
 		if reflect.DeepEqual(section, d.store.section) {
@@ -38,7 +38,7 @@
 	}
 	// The server, which does not exist yet, sets who hears of finished writes.
 	var onDurable atomic.Pointer[func([]segmentlog.WriteResult)]
-	logConfig := section.LogConfig(c.Settings, c.MemoryBytes)
+	logConfig := section.LogConfig(serverConfig.Settings, serverConfig.MemoryBytes)
 	logConfig.OnWritten = func(results []segmentlog.WriteResult) {
 		if deliver := onDurable.Load(); deliver != nil {
 			(*deliver)(results)
--- a/internal/emulator/commands.go
+++ b/internal/emulator/commands.go
@@ -42,26 +42,26 @@
 }
 
 // execute carries out one command.
-func (v *Interpreter) execute(link *Link, c *command) {
+func (v *Interpreter) execute(link *Link, command *command) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.Cores.AdvanceTo(v.seconds())
-	r := v.jobs[c.Job]
-	switch c.Type {
+	run := v.jobs[command.Job]
+	switch command.Type {
 	case commandConnect:
-		v.connect(link, c.N)
+		v.connect(link, command.N)
 	case commandTop:
 		utilization, runnable := v.Cores.Gauges()
-		link.sendf(`{"type":"TOPS","ref":%q,"gauges":[%.3f,%.0f]}`+"\n", c.Ref, utilization, runnable)
+		link.sendf(`{"type":"TOPS","ref":%q,"gauges":[%.3f,%.0f]}`+"\n", command.Ref, utilization, runnable)
 	case commandApply:
-		v.startRun(c.Job, c.Data)
+		v.startRun(command.Job, command.Data)
 	case commandBreak:
-		if r != nil {
-			v.stop(r)
+		if run != nil {
+			v.stop(run)
 		}
 	case commandResolve:
-		if r != nil {
-			v.Cores.Resume(r.Job)
+		if run != nil {
+			v.Cores.Resume(run.Job)
 		}
 	}
 }
--- a/internal/emulator/cores.go
+++ b/internal/emulator/cores.go
@@ -40,8 +40,8 @@
 // runnable returns the number of jobs that are not suspended.
 func (c *Cores) runnable() float64 {
 	count := 0
-	for _, j := range c.jobs {
-		if !j.suspended {
+	for _, job := range c.jobs {
+		if !job.suspended {
 			count++
 		}
 	}
@@ -62,9 +62,9 @@
 // because speeds change there. A time in the past does nothing.
 func (c *Cores) AdvanceTo(now float64) {
 	done := max(0, now-c.now) * c.speedPerJob()
-	for _, j := range c.jobs {
-		if !j.suspended {
-			j.Remaining -= done
+	for _, job := range c.jobs {
+		if !job.suspended {
+			job.Remaining -= done
 			c.CoreSeconds += done
 		}
 	}
@@ -75,9 +75,9 @@
 func (c *Cores) NextCompletion() float64 {
 	earliest := math.Inf(1)
 	speed := c.speedPerJob()
-	for _, j := range c.jobs {
-		if !j.suspended {
-			earliest = min(earliest, max(0, j.Remaining)/speed)
+	for _, job := range c.jobs {
+		if !job.suspended {
+			earliest = min(earliest, max(0, job.Remaining)/speed)
 		}
 	}
 	return c.now + earliest
@@ -85,17 +85,17 @@
 
 // Start adds a runnable job of so many core seconds and returns it. IDs need not be unique.
 func (c *Cores) Start(id string, coreSeconds float64) *Job {
-	j := &Job{ID: id, Remaining: coreSeconds, StartedAt: c.now}
-	c.jobs = append(c.jobs, j)
-	return j
+	job := &Job{ID: id, Remaining: coreSeconds, StartedAt: c.now}
+	c.jobs = append(c.jobs, job)
+	return job
 }
 
 // PopCompleted removes a runnable job that has no work left and returns it; nil where there is none.
 func (c *Cores) PopCompleted() *Job {
-	for _, j := range c.jobs {
-		if !j.suspended && j.Remaining <= workEpsilon {
-			c.Abort(j)
-			return j
+	for _, job := range c.jobs {
+		if !job.suspended && job.Remaining <= workEpsilon {
+			c.Abort(job)
+			return job
 		}
 	}
 	return nil
@@ -112,10 +112,10 @@
 }
 
 // Suspend takes a job off the cores while it waits for a call.
-func (c *Cores) Suspend(j *Job) { j.suspended = true }
+func (c *Cores) Suspend(job *Job) { job.suspended = true }
 
 // Resume puts a suspended job back on the cores.
-func (c *Cores) Resume(j *Job) { j.suspended = false }
+func (c *Cores) Resume(job *Job) { job.suspended = false }
 
 // Gauges returns the fraction of the cores that is busy, 0 to 1, and the number of runnable jobs.
 func (c *Cores) Gauges() (utilization, runnable float64) {
--- a/internal/emulator/interpreter.go
+++ b/internal/emulator/interpreter.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Interpreter{
+	interpreter := &Interpreter{
 		Listener:      listener,
 		Cores:         Cores{Count: cores},
 		RunsByRequest: map[string]int{},
@@ -70,13 +70,13 @@
 		jobs:          map[string]*run{},
 		wakeUp:        make(chan struct{}, 1),
 	}
-	go v.runJobs()
+	go interpreter.runJobs()
 	go func() {
 		for link := range listener.Links {
-			go v.readCommands(link)
+			go interpreter.readCommands(link)
 		}
 	}()
-	return v, nil
+	return interpreter, nil
 }
 
 // seconds returns the time of Cores: since the start, in seconds.
@@ -107,41 +107,41 @@
 		return 0, false
 	}
 	v.Cores.AdvanceTo(v.seconds())
-	for j := v.Cores.PopCompleted(); j != nil; j = v.Cores.PopCompleted() {
-		v.jobCompleted(v.jobs[j.ID])
+	for job := v.Cores.PopCompleted(); job != nil; job = v.Cores.PopCompleted() {
+		v.jobCompleted(v.jobs[job.ID])
 	}
 	untilNext := v.Cores.NextCompletion() - v.seconds()
 	return min(max(untilNext, 0), maxSleepSeconds), true
 }
 
 // jobCompleted ends a run, or has it make its call.
-func (v *Interpreter) jobCompleted(r *run) {
+func (v *Interpreter) jobCompleted(run *run) {
 	switch {
-	case r.remainingAfterCall == 0:
-		v.finish(r, stateOK, "result of "+r.data)
-	case r.abandoned:
-		v.finish(r, stateStopped, "")
+	case run.remainingAfterCall == 0:
+		v.finish(run, stateOK, "result of "+run.data)
+	case run.abandoned:
+		v.finish(run, stateStopped, "")
 	default:
-		r.Job = v.Cores.Start(r.ID, r.remainingAfterCall)
-		r.remainingAfterCall = 0
-		v.Cores.Suspend(r.Job)
-		call := base64.StdEncoding.EncodeToString([]byte("call of " + r.ID))
-		v.sendNotice(`"type":"AWAIT","job":%q,"data":%q`, r.ID, call)
+		run.Job = v.Cores.Start(run.ID, run.remainingAfterCall)
+		run.remainingAfterCall = 0
+		v.Cores.Suspend(run.Job)
+		call := base64.StdEncoding.EncodeToString([]byte("call of " + run.ID))
+		v.sendNotice(`"type":"AWAIT","job":%q,"data":%q`, run.ID, call)
 	}
 }
 
 // finish ends a run and sends its result in a VALUE notice.
-func (v *Interpreter) finish(r *run, state, result string) {
-	delete(v.jobs, r.ID)
-	took := float64(time.Since(r.startedAt).Microseconds()) / 1000
+func (v *Interpreter) finish(run *run, state, result string) {
+	delete(v.jobs, run.ID)
+	took := float64(time.Since(run.startedAt).Microseconds()) / 1000
 	data := base64.StdEncoding.EncodeToString([]byte(result))
-	v.sendNotice(`"type":"VALUE","job":%q,"state":%q,"took":%.1f,"data":%q`, r.ID, state, took, data)
+	v.sendNotice(`"type":"VALUE","job":%q,"state":%q,"took":%.1f,"data":%q`, run.ID, state, took, data)
 }
 
 // stop ends a run before its work is done.
-func (v *Interpreter) stop(r *run) {
-	v.Cores.Abort(r.Job)
-	v.finish(r, stateStopped, "")
+func (v *Interpreter) stop(run *run) {
+	v.Cores.Abort(run.Job)
+	v.finish(run, stateStopped, "")
 }
 
 // startRun starts the run of a request; one that has been started before is left alone.
@@ -176,13 +176,13 @@
 func (v *Interpreter) RequestEnded(id string) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
-	r := v.jobs[id]
-	if r == nil {
+	run := v.jobs[id]
+	if run == nil {
 		return
 	}
-	r.abandoned = true
-	if r.suspended {
-		v.stop(r)
+	run.abandoned = true
+	if run.suspended {
+		v.stop(run)
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // Inspect calls look with the interpreter locked. The callback must not call other methods of the interpreter that lock
 // it.
-func (v *Interpreter) Inspect(look func(v *Interpreter)) {
+func (v *Interpreter) Inspect(look func(interpreter *Interpreter)) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	look(v)
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -82,32 +82,32 @@
 // the seed: the same seed and streams give the same load.
 func NewLoad(seed int64, streams []*Stream) *Load {
 	l := &Load{rand: rand.New(rand.NewSource(seed))}
-	for _, s := range streams {
-		l.draw(s)
+	for _, stream := range streams {
+		l.draw(stream)
 	}
 	heap.Init(&l.attempts)
 	return l
 }
 
 // draw adds the requests of one stream, unsorted. For each it draws the gap before it, then its work.
-func (l *Load) draw(s *Stream) {
-	at := s.From + l.gap(s)
-	for n := 0; at < s.To; n++ {
-		a := &Attempt{At: at, Stream: s, Tenant: s.Tenant, sequence: len(l.attempts)}
-		if s.TenantOf != nil {
-			a.Tenant = s.TenantOf(n)
+func (l *Load) draw(stream *Stream) {
+	at := stream.From + l.gap(stream)
+	for n := 0; at < stream.To; n++ {
+		attempt := &Attempt{At: at, Stream: stream, Tenant: stream.Tenant, sequence: len(l.attempts)}
+		if stream.TenantOf != nil {
+			attempt.Tenant = stream.TenantOf(n)
 		}
-		a.CoreSeconds = s.MeanCoreSeconds * (0.5 + l.rand.Float64())
-		if s.Routers > 0 {
-			a.Router = n % s.Routers
+		attempt.CoreSeconds = stream.MeanCoreSeconds * (0.5 + l.rand.Float64())
+		if stream.Routers > 0 {
+			attempt.Router = n % stream.Routers
 		}
-		l.attempts = append(l.attempts, a)
-		at += l.gap(s)
+		l.attempts = append(l.attempts, attempt)
+		at += l.gap(stream)
 	}
 }
 
 // gap draws the time between two requests of a stream, in seconds.
-func (l *Load) gap(s *Stream) float64 { return l.rand.ExpFloat64() / s.ArrivalsPerSecond }
+func (l *Load) gap(stream *Stream) float64 { return l.rand.ExpFloat64() / stream.ArrivalsPerSecond }
 
 // Next returns when the next attempt is due, in seconds since the start of the load; infinite where none is left.
 func (l *Load) Next() float64 {
@@ -121,9 +121,9 @@
 func (l *Load) Pop() *Attempt { return heap.Pop(&l.attempts).(*Attempt) }
 
 // Retry schedules a further attempt of the request, at a time in seconds since the start of the load.
-func (l *Load) Retry(a *Attempt, at float64) {
-	retry := *a
+func (l *Load) Retry(attempt *Attempt, at float64) {
+	retry := *attempt
 	retry.At = at
-	retry.Retries = a.Retries + 1
+	retry.Retries = attempt.Retries + 1
 	heap.Push(&l.attempts, &retry)
 }
--- a/internal/emulator/loadrun.go
+++ b/internal/emulator/loadrun.go
@@ -77,8 +77,8 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	for _, c := range s.connections {
-		c.drop()
+	for _, connection := range s.connections {
+		connection.drop()
 	}
 	return s.statsByTenant.AssignEntitlements(s.Cores * s.Seconds), nil
 }
@@ -90,8 +90,8 @@
 	if !math.IsInf(s.load.Next(), 1) {
 		return true
 	}
-	for _, c := range s.connections {
-		if len(c.open) > 0 {
+	for _, connection := range s.connections {
+		if len(connection.open) > 0 {
 			return s.seconds() < s.Seconds+graceDeadlines*s.Deadline.Seconds()
 		}
 	}
@@ -122,18 +122,18 @@
 func (s *LoadRun) sendNext() error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	a := s.load.Pop()
-	c, err := s.connection()
+	attempt := s.load.Pop()
+	connection, err := s.connection()
 	if err != nil {
 		return err
 	}
-	slot := c.freeSlot()
-	s.statsByTenant.RecordSent(a)
-	c.open[slot] = &sentAttempt{a, time.Now()}
-	id := fmt.Sprintf("%08x%08x", a.sequence, a.Retries)
-	path := "/rpc/" + s.Categories[a.Stream.Category]
-	body := fmt.Sprintf("%.2f %d", a.CoreSeconds*1000, a.sequence)
-	_, err = c.Write(FastCGIRequest(slot, path, body, RequestParameters(id, a.Tenant, s.Deadline)))
+	slot := connection.freeSlot()
+	s.statsByTenant.RecordSent(attempt)
+	connection.open[slot] = &sentAttempt{attempt, time.Now()}
+	id := fmt.Sprintf("%08x%08x", attempt.sequence, attempt.Retries)
+	path := "/rpc/" + s.Categories[attempt.Stream.Category]
+	body := fmt.Sprintf("%.2f %d", attempt.CoreSeconds*1000, attempt.sequence)
+	_, err = connection.Write(FastCGIRequest(slot, path, body, RequestParameters(id, attempt.Tenant, s.Deadline)))
 	return err
 }
 
@@ -148,10 +148,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &loadConnection{Link: link, run: s, open: map[uint16]*sentAttempt{}}
-	s.connections = append(s.connections, c)
-	go c.readResponses()
-	return c, nil
+	connection := &loadConnection{Link: link, run: s, open: map[uint16]*sentAttempt{}}
+	s.connections = append(s.connections, connection)
+	go connection.readResponses()
+	return connection, nil
 }
 
 // freeSlot returns the next slot without a request in flight. Slot 0 is reserved by FastCGI.
@@ -180,24 +180,24 @@
 }
 
 // connectionBroke counts the requests in flight on a connection as broken.
-func (s *LoadRun) connectionBroke(c *loadConnection) {
+func (s *LoadRun) connectionBroke(connection *loadConnection) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.brokenRequests += len(c.open)
-	clear(c.open)
+	s.brokenRequests += len(connection.open)
+	clear(connection.open)
 }
 
 // responded counts one response, and schedules the retry that it asks for.
-func (s *LoadRun) responded(c *loadConnection, response *Response) {
+func (s *LoadRun) responded(connection *loadConnection, response *Response) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	sent := c.open[response.Slot]
+	sent := connection.open[response.Slot]
 	if sent == nil {
 		return
 	}
-	delete(c.open, response.Slot)
-	a := sent.attempt
-	stats := s.statsByTenant.ForAttempt(a)
+	delete(connection.open, response.Slot)
+	attempt := sent.attempt
+	stats := s.statsByTenant.ForAttempt(attempt)
 	took := time.Since(sent.sentAt)
 	_ = stats.ResponseTimes.RecordValue(min(took.Microseconds(), maxRecordedMicros)) // in range by the min
 	if took > s.Deadline {
@@ -208,12 +208,12 @@
 		stats.Late++
 	case response.Status == http.StatusOK:
 		stats.OnTime++
-		stats.DeliveredValue += a.Stream.PriorityWeight
+		stats.DeliveredValue += attempt.Stream.PriorityWeight
 	case response.Status == http.StatusServiceUnavailable:
 		stats.Rejected++
 		retryAfter := response.RetryAfter()
-		if retryAfter > 0 && a.Retries < a.Stream.MaxRetries {
-			s.load.Retry(a, s.seconds()+retryAfter.Seconds())
+		if retryAfter > 0 && attempt.Retries < attempt.Stream.MaxRetries {
+			s.load.Retry(attempt, s.seconds()+retryAfter.Seconds())
 		}
 	case response.Status < http.StatusInternalServerError:
 		stats.OtherStatuses++
--- a/internal/emulator/stats.go
+++ b/internal/emulator/stats.go
@@ -80,34 +80,36 @@
 // TenantStats, with the weight of the first.
 func NewStatsByTenant(streams []*Stream) *StatsByTenant {
 	byTenant := &StatsByTenant{byName: map[string]*TenantStats{}}
-	for _, s := range streams {
-		if byTenant.byName[s.Tenant] != nil {
+	for _, stream := range streams {
+		if byTenant.byName[stream.Tenant] != nil {
 			continue
 		}
 		stats := &TenantStats{
-			Tenant:        s.Tenant,
+			Tenant:        stream.Tenant,
 			ResponseTimes: hdrhistogram.New(1, maxRecordedMicros, recordedDigits),
-			weight:        s.Weight,
+			weight:        stream.Weight,
 		}
-		byTenant.byName[s.Tenant] = stats
+		byTenant.byName[stream.Tenant] = stats
 		byTenant.list = append(byTenant.list, stats)
 	}
 	return byTenant
 }
 
 // ForAttempt returns the statistics of the tenant whose stream the attempt is from.
-func (b *StatsByTenant) ForAttempt(a *Attempt) *TenantStats { return b.byName[a.Stream.Tenant] }
+func (b *StatsByTenant) ForAttempt(attempt *Attempt) *TenantStats {
+	return b.byName[attempt.Stream.Tenant]
+}
 
 // RecordSent counts an attempt when it is sent: as a request where it is the first, else as a retry.
-func (b *StatsByTenant) RecordSent(a *Attempt) {
-	stats := b.ForAttempt(a)
-	if a.Retries > 0 {
+func (b *StatsByTenant) RecordSent(attempt *Attempt) {
+	stats := b.ForAttempt(attempt)
+	if attempt.Retries > 0 {
 		stats.RetriesSent++
 		return
 	}
 	stats.Requests++
-	stats.RequestedCoreSeconds += a.CoreSeconds
-	stats.RequestedValue += a.Stream.PriorityWeight
+	stats.RequestedCoreSeconds += attempt.CoreSeconds
+	stats.RequestedValue += attempt.Stream.PriorityWeight
 }
 
 // AssignEntitlements sets the EntitledValue of each tenant from its max-min fair allocation (see MaxMin) of the core
--- a/internal/fairqueue/heavyhitters.go
+++ b/internal/fairqueue/heavyhitters.go
@@ -110,22 +110,23 @@
 // with a history and proven usage.
 func (s *Scheduler) promoteCandidates() {
 	const minUsage = minUsageFraction * measureInterval
-	s.individualFlows = slices.DeleteFunc(s.individualFlows, func(f *flow) bool {
-		if f.kind != heavyHitterFlow || f.openReservations > 0 || f.recentUsage >= minUsage {
+	s.individualFlows = slices.DeleteFunc(s.individualFlows, func(flow *flow) bool {
+		if flow.kind != heavyHitterFlow || flow.openReservations > 0 || flow.recentUsage >= minUsage {
 			return false
 		}
-		delete(s.heavyHitters, f.tenantHash)
+		delete(s.heavyHitters, flow.tenantHash)
 		return true
 	})
 	for i := len(s.candidates.entries) - 1; i >= 0; i-- {
-		c := s.candidates.entries[i]
-		proven := c.usage - c.overestimate
-		hasHistory := s.now-c.firstSeen >= s.config.MinHistory && s.now-c.lastSeen <= s.config.MinHistory
+		candidate := s.candidates.entries[i]
+		proven := candidate.usage - candidate.overestimate
+		hasHistory := s.now-candidate.firstSeen >= s.config.MinHistory &&
+			s.now-candidate.lastSeen <= s.config.MinHistory
 		if !hasHistory || proven < minUsage {
 			continue
 		}
 		if len(s.heavyHitters) < s.config.MaxHeavyHitters || s.evictHeavyHitter(proven) {
-			s.promote(c, proven)
+			s.promote(candidate, proven)
 			s.candidates.remove(i)
 		}
 	}
@@ -133,25 +134,25 @@
 
 // promote gives a candidate a flow of its own. Its finish tag starts at the virtual time and not a burst before it:
 // what the tenant used on its shared flow is not forgotten.
-func (s *Scheduler) promote(c candidate, provenUsage float64) {
-	f := s.newFlow(heavyHitterFlow)
-	f.tenantHash = c.hash
-	f.finishTag = s.virtualTime
-	f.recentUsage = provenUsage
-	f.lastSeen = c.lastSeen
-	s.heavyHitters[c.hash] = f
-	s.individualFlows = append(s.individualFlows, f)
+func (s *Scheduler) promote(candidate candidate, provenUsage float64) {
+	flow := s.newFlow(heavyHitterFlow)
+	flow.tenantHash = candidate.hash
+	flow.finishTag = s.virtualTime
+	flow.recentUsage = provenUsage
+	flow.lastSeen = candidate.lastSeen
+	s.heavyHitters[candidate.hash] = flow
+	s.individualFlows = append(s.individualFlows, flow)
 }
 
 // evictHeavyHitter drops the lightest heavy hitter without an open reservation, if it used far less than the candidate
 // that needs its place. It reports whether it did.
 func (s *Scheduler) evictHeavyHitter(candidateUsage float64) bool {
 	lightest := -1
-	for i, f := range s.individualFlows {
-		if f.kind != heavyHitterFlow || f.openReservations > 0 {
+	for i, flow := range s.individualFlows {
+		if flow.kind != heavyHitterFlow || flow.openReservations > 0 {
 			continue
 		}
-		if lightest < 0 || f.recentUsage < s.individualFlows[lightest].recentUsage {
+		if lightest < 0 || flow.recentUsage < s.individualFlows[lightest].recentUsage {
 			lightest = i
 		}
 	}
--- a/internal/fairqueue/remoteusage.go
+++ b/internal/fairqueue/remoteusage.go
@@ -36,8 +36,8 @@
 func (s *Scheduler) LocalUsage() []Usage {
 	var usages []Usage
 	for _, tenant := range s.config.Tenants {
-		if f := s.namedFlows[tenant.Name]; f != nil && f.localTotal > 0 {
-			usages = append(usages, Usage{Tenant: tenant.Name, CoreTime: f.localTotal})
+		if flow := s.namedFlows[tenant.Name]; flow != nil && flow.localTotal > 0 {
+			usages = append(usages, Usage{Tenant: tenant.Name, CoreTime: flow.localTotal})
 		}
 	}
 	slices.SortStableFunc(usages, func(a, b Usage) int {
@@ -65,14 +65,14 @@
 	}
 	isRecent := age >= 0 && age <= maxReportAge && s.now-server.lastReport <= maxSilence
 	for _, usage := range usages {
-		f := s.namedFlows[usage.Tenant]
+		flow := s.namedFlows[usage.Tenant]
 		before := server.reported[usage.Tenant]
-		if f == nil || !(usage.CoreTime > before) { // a NaN is not greater either
+		if flow == nil || !(usage.CoreTime > before) { // a NaN is not greater either
 			continue
 		}
 		server.reported[usage.Tenant] = usage.CoreTime
 		if isRecent {
-			f.chargeRemoteUsage(usage.CoreTime - before)
+			flow.chargeRemoteUsage(usage.CoreTime - before)
 		}
 	}
 	server.lastReport = s.now - max(0, age)
--- a/internal/fairqueue/reservation.go
+++ b/internal/fairqueue/reservation.go
@@ -55,30 +55,30 @@
 func (s *Scheduler) Reserve(tenant []byte, category int, virtualTime float64, now timeunit.Ticks) Reservation {
 	s.virtualTime = virtualTime
 	s.advance(now)
-	f, hash := s.flowOf(tenant)
-	weight := f.weight()
-	f.lastSeen = s.now
-	f.openReservations++
-	if !f.active {
-		s.activate(f)
+	flow, hash := s.flowOf(tenant)
+	weight := flow.weight()
+	flow.lastSeen = s.now
+	flow.openReservations++
+	if !flow.active {
+		s.activate(flow)
 	}
-	if f.kind == sharedFlow {
+	if flow.kind == sharedFlow {
 		s.candidates.observe(hash, s.now)
 	}
-	f.finishTag = max(f.finishTag, s.MinStartTag(virtualTime))
+	flow.finishTag = max(flow.finishTag, s.MinStartTag(virtualTime))
 	r := Reservation{
-		StartTag:     f.finishTag + f.overrun()/weight,
-		flow:         f,
+		StartTag:     flow.finishTag + flow.overrun()/weight,
+		flow:         flow,
 		tenantHash:   hash,
 		category:     category,
 		state:        queued,
-		expectedCost: s.typicalCosts[category] * f.costFactor,
+		expectedCost: s.typicalCosts[category] * flow.costFactor,
 		weight:       weight,
 	}
 	if ahead := (r.StartTag - virtualTime) * weight; ahead > 0 {
-		r.ExpectedDelay = timeunit.Ticks(min(ahead/f.expectedRate(f.recentRate), maxExpectedDelay))
+		r.ExpectedDelay = timeunit.Ticks(min(ahead/flow.expectedRate(flow.recentRate), maxExpectedDelay))
 	}
-	f.finishTag += r.expectedCost / weight
+	flow.finishTag += r.expectedCost / weight
 	return r
 }
 
@@ -125,22 +125,22 @@
 
 // occupyCore counts the request among those that need a core.
 func (r *Reservation) occupyCore() {
-	f := r.flow
+	flow := r.flow
 	r.state = running
-	f.runningRequests++
-	f.startSum += r.startedAt
-	f.expectedCostSum += r.expectedCost
-	f.scheduler.runningRequests++
+	flow.runningRequests++
+	flow.startSum += r.startedAt
+	flow.expectedCostSum += r.expectedCost
+	flow.scheduler.runningRequests++
 }
 
 // leaveCore counts the running request among those that need no core, in the state to.
 func (r *Reservation) leaveCore(to reservationState) {
-	f := r.flow
+	flow := r.flow
 	r.state = to
-	f.runningRequests--
-	f.startSum -= r.startedAt
-	f.expectedCostSum -= r.expectedCost
-	f.scheduler.runningRequests--
+	flow.runningRequests--
+	flow.startSum -= r.startedAt
+	flow.expectedCostSum -= r.expectedCost
+	flow.scheduler.runningRequests--
 }
 
 // Release ends the reservation: the expected cost is replaced by the measured one, which is nothing for a request that
@@ -149,34 +149,34 @@
 	if r.flow == nil || r.state == released {
 		return
 	}
-	f := r.flow
-	f.scheduler.advance(now)
+	flow := r.flow
+	flow.scheduler.advance(now)
 	cost := 0.0
 	switch r.state {
 	case running:
-		cost = f.scheduler.coreClock - r.startedAt
+		cost = flow.scheduler.coreClock - r.startedAt
 		r.leaveCore(released)
 		r.account(cost)
 	case suspended:
 		cost = r.suspendedAt - r.startedAt
 		r.account(cost)
 	}
-	f.finishTag += (cost - r.expectedCost) / r.weight
-	f.openReservations--
+	flow.finishTag += (cost - r.expectedCost) / r.weight
+	flow.openReservations--
 	r.state = released
 }
 
 // account adds the measured cost of a request that ran to the estimates and to the usage of its flow.
 func (r *Reservation) account(cost float64) {
-	f := r.flow
-	s := f.scheduler
+	flow := r.flow
+	s := flow.scheduler
 	typical := &s.typicalCosts[r.category]
-	f.costFactor += (min(cost / *typical, maxCostFactor) - f.costFactor) * flowCostSmoothing
+	flow.costFactor += (min(cost / *typical, maxCostFactor) - flow.costFactor) * flowCostSmoothing
 	*typical += (max(1, cost) - *typical) * categoryCostSmoothing
-	f.localSinceMeasured += cost
-	f.localTotal += cost
+	flow.localSinceMeasured += cost
+	flow.localTotal += cost
 	s.workSinceMeasured += cost
-	if f.kind == sharedFlow {
+	if flow.kind == sharedFlow {
 		s.candidates.charge(r.tenantHash, cost)
 	}
 }
@@ -189,19 +189,20 @@
 	if r.flow == nil || shortest <= 0 || longest <= 0 {
 		return min(shortest, longest)
 	}
-	f := r.flow
-	s := f.scheduler
+	flow := r.flow
+	s := flow.scheduler
 	s.advance(now)
 	s.rejectedSinceMeasured = true
-	timePerRequest := timeunit.Ticks(max(1, min(r.expectedCost/f.expectedRate(f.longTermRate()), maxExpectedDelay)))
+	timePerRequest := timeunit.Ticks(max(1, min(r.expectedCost/flow.expectedRate(flow.longTermRate()),
+		maxExpectedDelay)))
 	// Half of the requests that are queued before it will be through by then: there is capacity, and no core stands
 	// idle until it comes back.
 	earliest := s.now + min(max(r.ExpectedDelay, shortest)/2, longest)
-	f.lastReturn = max(f.lastReturn, earliest) + timePerRequest
-	if wait := f.lastReturn - s.now; wait <= longest {
+	flow.lastReturn = max(flow.lastReturn, earliest) + timePerRequest
+	if wait := flow.lastReturn - s.now; wait <= longest {
 		return max(wait, 1)
 	}
 	// More are rejected than have capacity within the time that clients heed: they are spread over its later half.
-	f.lastReturn = s.now + longest
+	flow.lastReturn = s.now + longest
 	return longest/2 + timeunit.Ticks(s.random.Int63n(int64(longest/2)+1))
 }
--- a/internal/fairqueue/scheduler.go
+++ b/internal/fairqueue/scheduler.go
@@ -130,8 +130,8 @@
 			s.sharedFlows[i] = *s.newFlow(sharedFlow)
 		}
 	}
-	for _, f := range before {
-		f.active = false // those that are still named are counted again below
+	for _, flow := range before {
+		flow.active = false // those that are still named are counted again below
 	}
 	s.keepHeaviest()
 	s.countActive()
@@ -142,16 +142,16 @@
 func (s *Scheduler) nameTenants(before map[string]*flow) {
 	s.namedFlows = map[string]*flow{}
 	for _, tenant := range s.config.Tenants {
-		f := before[tenant.Name]
-		if f == nil {
-			f = s.newFlow(namedFlow)
+		flow := before[tenant.Name]
+		if flow == nil {
+			flow = s.newFlow(namedFlow)
 		}
-		f.configuredWeight = tenant.Weight
-		s.namedFlows[tenant.Name] = f
-		s.individualFlows = append(s.individualFlows, f)
+		flow.configuredWeight = tenant.Weight
+		s.namedFlows[tenant.Name] = flow
+		s.individualFlows = append(s.individualFlows, flow)
 		hash := xxh3.HashStringSeed(tenant.Name, s.hashSeed)
 		if heavy := s.heavyHitters[hash]; heavy != nil {
-			f.finishTag = heavy.finishTag
+			flow.finishTag = heavy.finishTag
 			delete(s.heavyHitters, hash)
 		}
 	}
@@ -160,27 +160,27 @@
 // keepHeaviest lists the heavy hitters behind the named flows, the heaviest first, and drops those beyond the limit.
 func (s *Scheduler) keepHeaviest() {
 	heaviest := make([]*flow, 0, len(s.heavyHitters))
-	for _, f := range s.heavyHitters {
-		heaviest = append(heaviest, f)
+	for _, flow := range s.heavyHitters {
+		heaviest = append(heaviest, flow)
 	}
 	sortByUsage(heaviest)
-	for i, f := range heaviest {
+	for i, flow := range heaviest {
 		if i < s.config.MaxHeavyHitters {
-			s.individualFlows = append(s.individualFlows, f)
+			s.individualFlows = append(s.individualFlows, flow)
 		} else {
-			delete(s.heavyHitters, f.tenantHash)
+			delete(s.heavyHitters, flow.tenantHash)
 		}
 	}
 }
 
 // flowOf returns the flow that a tenant's requests are charged to, and the tenant's hash if it is not a named one.
-func (s *Scheduler) flowOf(tenant []byte) (f *flow, hash uint64) {
-	if f := s.namedFlows[string(tenant)]; f != nil {
-		return f, 0
+func (s *Scheduler) flowOf(tenant []byte) (flow *flow, hash uint64) {
+	if flow := s.namedFlows[string(tenant)]; flow != nil {
+		return flow, 0
 	}
 	hash = xxh3.HashSeed(tenant, s.hashSeed)
-	if f := s.heavyHitters[hash]; f != nil {
-		return f, hash
+	if flow := s.heavyHitters[hash]; flow != nil {
+		return flow, hash
 	}
 	// The salt changes at each rehash, so that two tenants which share a flow do not share it for good.
 	mixed := (hash ^ s.rehashSalt) * fibonacciMultiplier
@@ -193,8 +193,8 @@
 // allFlows yields every flow, in an order that does not change between two changes of the set.
 func (s *Scheduler) allFlows() iter.Seq[*flow] {
 	return func(yield func(*flow) bool) {
-		for _, f := range s.individualFlows {
-			if !yield(f) {
+		for _, flow := range s.individualFlows {
+			if !yield(flow) {
 				return
 			}
 		}
@@ -237,8 +237,8 @@
 	intervals := int(span / measureInterval)
 	rateLeft := decay(rateDecay, min(intervals, maxRateDecayIntervals))
 	usageLeft := decay(usageDecay, min(intervals, maxUsageDecayIntervals))
-	for f := range s.allFlows() {
-		f.measure(span, rateLeft, usageLeft)
+	for flow := range s.allFlows() {
+		flow.measure(span, rateLeft, usageLeft)
 	}
 	s.candidates.decay(usageLeft)
 	s.promoteCandidates()
@@ -276,30 +276,30 @@
 func (s *Scheduler) countActive() {
 	s.activeHeavyHitters = 0
 	s.activeSharedFlows = 0
-	for f := range s.allFlows() {
-		f.active = f.openReservations > 0 || s.now-f.lastSeen < activeIntervals*measureInterval
-		if f.active {
-			s.countKind(f)
+	for flow := range s.allFlows() {
+		flow.active = flow.openReservations > 0 || s.now-flow.lastSeen < activeIntervals*measureInterval
+		if flow.active {
+			s.countKind(flow)
 		}
 	}
 	// Weights depend on the counts, so they can only be added up now.
 	s.activeWeight = 0
-	for f := range s.allFlows() {
-		if f.active {
-			s.activeWeight += f.weight()
+	for flow := range s.allFlows() {
+		if flow.active {
+			s.activeWeight += flow.weight()
 		}
 	}
 }
 
 // activate counts a flow as active before the next measurement does.
-func (s *Scheduler) activate(f *flow) {
-	f.active = true
-	s.countKind(f)
-	s.activeWeight += f.weight()
+func (s *Scheduler) activate(flow *flow) {
+	flow.active = true
+	s.countKind(flow)
+	s.activeWeight += flow.weight()
 }
 
-func (s *Scheduler) countKind(f *flow) {
-	switch f.kind {
+func (s *Scheduler) countKind(flow *flow) {
+	switch flow.kind {
 	case heavyHitterFlow:
 		s.activeHeavyHitters++
 	case sharedFlow:
--- a/internal/membership/acceptor.go
+++ b/internal/membership/acceptor.go
@@ -29,24 +29,24 @@
 	return true
 }
 
-func (a *Agreement) handlePrepare(m Message) {
-	if !a.mayVote() || !a.acceptor.promise(m.Ballot) {
+func (a *Agreement) handlePrepare(message Message) {
+	if !a.mayVote() || !a.acceptor.promise(message.Ballot) {
 		return
 	}
-	a.send(m.From, Message{
+	a.send(message.From, Message{
 		Kind:           MessagePromise,
-		Ballot:         m.Ballot,
+		Ballot:         message.Ballot,
 		AcceptedBallot: a.acceptor.acceptedBallot,
 		Configuration:  a.acceptor.accepted,
 	})
 }
 
-func (a *Agreement) handleAccept(m Message) {
-	if !a.mayVote() || m.Configuration.Validate() != nil || m.Configuration.Epoch <= a.configuration.Epoch {
+func (a *Agreement) handleAccept(message Message) {
+	if !a.mayVote() || message.Configuration.Validate() != nil || message.Configuration.Epoch <= a.configuration.Epoch {
 		return
 	}
-	if a.acceptor.accept(m.Ballot, *m.Configuration) {
-		a.send(m.From, Message{Kind: MessageAccepted, Ballot: m.Ballot})
+	if a.acceptor.accept(message.Ballot, *message.Configuration) {
+		a.send(message.From, Message{Kind: MessageAccepted, Ballot: message.Ballot})
 	}
 }
 
@@ -90,7 +90,7 @@
 // isGoneForGood says that the incarnation of a voter is over: the view says so, or another incarnation has been alive
 // on its address for longer than a flapping member is taken for alive.
 func (a *Agreement) isGoneForGood(voter Voter) bool {
-	if m := a.view.Member(voter.ID); m != nil && m.terminated {
+	if member := a.view.Member(voter.ID); member != nil && member.terminated {
 		return true
 	}
 	ownerID, found := a.view.NameOwner(voter.Name)
--- a/internal/membership/agreement.go
+++ b/internal/membership/agreement.go
@@ -68,60 +68,60 @@
 }
 
 // send addresses a message. One to this server itself is handled at once.
-func (a *Agreement) send(to ID, m Message) {
-	m.From = a.config.Self
-	m.To = to
-	m.Epoch = a.configuration.Epoch
+func (a *Agreement) send(to ID, message Message) {
+	message.From = a.config.Self
+	message.To = to
+	message.Epoch = a.configuration.Epoch
 	if to == a.config.Self {
-		a.Step(m)
+		a.Step(message)
 		return
 	}
-	a.outbox = append(a.outbox, m)
+	a.outbox = append(a.outbox, message)
 }
 
 // Step handles a message from another member, or from this one.
-func (a *Agreement) Step(m Message) {
-	a.highestEpoch = max(a.highestEpoch, m.Epoch)
-	if m.Kind == MessageCommitted {
-		a.handleCommitted(m)
+func (a *Agreement) Step(message Message) {
+	a.highestEpoch = max(a.highestEpoch, message.Epoch)
+	if message.Kind == MessageCommitted {
+		a.handleCommitted(message)
 		return
 	}
-	if m.Epoch != a.configuration.Epoch {
-		a.handleOtherEpoch(m)
+	if message.Epoch != a.configuration.Epoch {
+		a.handleOtherEpoch(message)
 		return
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case MessageLeaseRequest:
-		a.handleLeaseRequest(m)
+		a.handleLeaseRequest(message)
 	case MessageLeaseGrant:
-		a.handleLeaseGrant(m)
+		a.handleLeaseGrant(message)
 	case MessagePrepare:
-		a.handlePrepare(m)
+		a.handlePrepare(message)
 	case MessagePromise:
-		a.handlePromise(m)
+		a.handlePromise(message)
 	case MessageAccept:
-		a.handleAccept(m)
+		a.handleAccept(message)
 	case MessageAccepted:
-		a.handleAccepted(m)
+		a.handleAccepted(message)
 	}
 }
 
 // handleOtherEpoch has the two servers share the later configuration: a sender that is behind gets it, and a sender
 // that is ahead is asked for it, by a request that it will find to be behind.
-func (a *Agreement) handleOtherEpoch(m Message) {
+func (a *Agreement) handleOtherEpoch(message Message) {
 	switch {
-	case m.Epoch < a.configuration.Epoch:
+	case message.Epoch < a.configuration.Epoch:
 		configuration := a.configuration
-		a.send(m.From, Message{Kind: MessageCommitted, Configuration: &configuration})
-	case m.Kind != MessageLeaseRequest: // a request answered by a request would go on without end
-		a.send(m.From, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
+		a.send(message.From, Message{Kind: MessageCommitted, Configuration: &configuration})
+	case message.Kind != MessageLeaseRequest: // a request answered by a request would go on without end
+		a.send(message.From, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
 	}
 }
 
 // handleCommitted learns the configuration that was chosen for an epoch.
-func (a *Agreement) handleCommitted(m Message) {
-	if m.Configuration.Validate() == nil {
-		a.learn(*m.Configuration)
+func (a *Agreement) handleCommitted(message Message) {
+	if message.Configuration.Validate() == nil {
+		a.learn(*message.Configuration)
 	}
 }
 
@@ -165,9 +165,9 @@
 
 // askMemberAhead asks one of the members that act on a later configuration for it.
 func (a *Agreement) askMemberAhead() {
-	for _, m := range a.view.members {
-		if m.Epoch > a.configuration.Epoch && m.isAlive() && m != a.view.self {
-			a.send(m.ID, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
+	for _, member := range a.view.members {
+		if member.Epoch > a.configuration.Epoch && member.isAlive() && member != a.view.self {
+			a.send(member.ID, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
 			return
 		}
 	}
--- a/internal/membership/effective_size.go
+++ b/internal/membership/effective_size.go
@@ -9,12 +9,13 @@
 // the size never falls below what was agreed on: members that this server cannot see still use their parts.
 func (v *View) updateEffectiveSize(status QuorumStatus) {
 	count := 0
-	for _, m := range v.members {
-		serves := v.serves(m)
-		if serves != m.counted && v.now-m.Since >= v.config.StabilityWindow && !m.isFlapping(v.now, &v.config) {
-			m.counted = serves
+	for _, member := range v.members {
+		serves := v.serves(member)
+		if serves != member.counted && v.now-member.Since >= v.config.StabilityWindow && !member.isFlapping(v.now,
+			&v.config) {
+			member.counted = serves
 		}
-		if m.counted {
+		if member.counted {
 			count++
 		}
 	}
@@ -26,12 +27,12 @@
 }
 
 // serves says whether a member takes part in the work; a suspected one goes on as it was.
-func (v *View) serves(m *Member) bool {
-	switch m.State {
+func (v *View) serves(member *Member) bool {
+	switch member.State {
 	case StateServing, StateWarmingUp:
 		return true
 	case StateSuspected:
-		return m.counted || m == v.self
+		return member.counted || member == v.self
 	}
-	return m == v.self
+	return member == v.self
 }
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -28,50 +28,51 @@
 // ProbeSucceeded reports that a member answered this server's own probe after roundTrip. This clears a suspicion, but
 // not a failure: the answer may have been on its way since before it, so a failed member comes back only by refuting.
 func (v *View) ProbeSucceeded(id ID, roundTrip timeunit.Milliseconds) {
-	m := v.members[id]
-	if m == nil || m.terminated {
+	member := v.members[id]
+	if member == nil || member.terminated {
 		return
 	}
-	if m.RoundTrip == 0 {
-		m.RoundTrip = roundTrip
+	if member.RoundTrip == 0 {
+		member.RoundTrip = roundTrip
 	}
-	m.RoundTrip += (roundTrip - m.RoundTrip) / roundTripWeight
-	m.LastReply = v.now
-	if m.Cause == CauseUnreachableFromHere || m.Cause == CauseUnreachableFromSome {
-		m.Cause = CauseNone
+	member.RoundTrip += (roundTrip - member.RoundTrip) / roundTripWeight
+	member.LastReply = v.now
+	if member.Cause == CauseUnreachableFromHere || member.Cause == CauseUnreachableFromSome {
+		member.Cause = CauseNone
 	}
-	if m.State == StateSuspected {
-		v.refuted(m)
+	if member.State == StateSuspected {
+		v.refuted(member)
 	}
 }
 
 // RecordProbeFailure reports that a member did not answer this server's own probe and its retries. Alone that proves
 // nothing against the member; its cause then tells what the updates of the others say about reaching it.
 func (v *View) RecordProbeFailure(id ID) {
-	m := v.members[id]
-	if m == nil || m == v.self || !m.isAlive() || m.Cause == CauseNameConflict || v.recentlyPaused() {
+	member := v.members[id]
+	if member == nil || member == v.self || !member.isAlive() || member.Cause == CauseNameConflict ||
+		v.recentlyPaused() {
 		return
 	}
-	others, cannotReach := v.countReachability(m)
+	others, cannotReach := v.countReachability(member)
 	switch {
-	case m.State == StateDraining:
+	case member.State == StateDraining:
 	case cannotReach == 0 && others > 0:
-		m.Cause = CauseUnreachableFromHere
+		member.Cause = CauseUnreachableFromHere
 	case cannotReach > 0 && cannotReach < others:
-		m.Cause = CauseUnreachableFromSome
+		member.Cause = CauseUnreachableFromSome
 	default:
-		m.Cause = CauseUnreachable
+		member.Cause = CauseUnreachable
 	}
 }
 
 // countReachability returns how many other members are alive, and how many of those report that they cannot reach m.
-func (v *View) countReachability(m *Member) (others, cannotReach int) {
+func (v *View) countReachability(member *Member) (others, cannotReach int) {
 	for _, other := range v.members {
-		if other == v.self || other == m || !other.isAlive() {
+		if other == v.self || other == member || !other.isAlive() {
 			continue
 		}
 		others++
-		if slices.Contains(other.Unreachable, m.Name) {
+		if slices.Contains(other.Unreachable, member.Name) {
 			cannotReach++
 		}
 	}
@@ -81,54 +82,54 @@
 // RecordSuspicion records that this server, and at least one other if there are others, got no answer from a member. It
 // has until RecordFailure to refute.
 func (v *View) RecordSuspicion(id ID) {
-	m := v.members[id]
-	if m == nil || m == v.self || !m.isAlive() || m.Cause == CauseNameConflict {
+	member := v.members[id]
+	if member == nil || member == v.self || !member.isAlive() || member.Cause == CauseNameConflict {
 		return
 	}
-	if m.State == StateDraining || v.recentlyPaused() {
+	if member.State == StateDraining || v.recentlyPaused() {
 		return
 	}
-	v.transition(m, StateSuspected, m.Cause)
-	v.resolveName(m.Name)
+	v.transition(member, StateSuspected, member.Cause)
+	v.resolveName(member.Name)
 }
 
 // RecordFailure reports that a member did not refute in time. One that was draining has left.
 func (v *View) RecordFailure(id ID) {
-	m := v.members[id]
+	member := v.members[id]
 	switch {
-	case m == nil || m == v.self || m.State == StateLeft && m.Cause != CauseNameConflict:
+	case member == nil || member == v.self || member.State == StateLeft && member.Cause != CauseNameConflict:
 		return
-	case m.StateUpdate.State == StateDraining:
-		m.terminated = true
-		v.transition(m, StateLeft, CauseLeft)
+	case member.StateUpdate.State == StateDraining:
+		member.terminated = true
+		v.transition(member, StateLeft, CauseLeft)
 	default:
-		v.transition(m, StateFailed, m.Cause)
+		v.transition(member, StateFailed, member.Cause)
 	}
-	v.resolveName(m.Name)
+	v.resolveName(member.Name)
 }
 
 // Refuted reports that a member refuted its suspicion or failure. Whether that was a false positive its own update
 // tells: a process that stood still reports its pause.
 func (v *View) Refuted(id ID) {
-	if m := v.members[id]; m != nil && !m.terminated {
-		v.refuted(m)
+	if member := v.members[id]; member != nil && !member.terminated {
+		v.refuted(member)
 	}
 }
 
-func (v *View) refuted(m *Member) {
-	if m.State != StateSuspected && m.State != StateFailed {
+func (v *View) refuted(member *Member) {
+	if member.State != StateSuspected && member.State != StateFailed {
 		return
 	}
-	wasPaused := m.Cause == CauseStopped || m.Cause == CausePaused
-	if m.State == StateFailed && !wasPaused && m.Cause != CauseCrashed && !v.recentlyPaused() {
+	wasPaused := member.Cause == CauseStopped || member.Cause == CausePaused
+	if member.State == StateFailed && !wasPaused && member.Cause != CauseCrashed && !v.recentlyPaused() {
 		v.Counts.FalsePositives++
 	}
-	cause := m.causeWhileAlive()
+	cause := member.causeWhileAlive()
 	if wasPaused {
 		cause = CausePaused
 	}
-	v.transition(m, m.StateUpdate.State, cause)
-	v.resolveName(m.Name)
+	v.transition(member, member.StateUpdate.State, cause)
+	v.resolveName(member.Name)
 }
 
 // causeWhileAlive returns what a member that answers shows of itself.
@@ -145,29 +146,29 @@
 // DialFinished reports what came of a connection attempt to a member that does not answer. It tells a crashed process
 // from a stopped one, and both from a network that carries nothing.
 func (v *View) DialFinished(id ID, result DialResult) {
-	m := v.members[id]
-	if m == nil || m.State != StateSuspected && m.State != StateFailed {
+	member := v.members[id]
+	if member == nil || member.State != StateSuspected && member.State != StateFailed {
 		return
 	}
 	switch result {
 	case DialRefused:
-		m.Cause = CauseCrashed
+		member.Cause = CauseCrashed
 	case DialAccepted:
-		m.Cause = CauseStopped
+		member.Cause = CauseStopped
 	case DialTimedOut:
-		if m.Cause != CauseUnreachableFromSome {
-			m.Cause = CauseUnreachable
+		if member.Cause != CauseUnreachableFromSome {
+			member.Cause = CauseUnreachable
 		}
 	}
 }
 
 // RecordLeave reports that a member announced that it leaves now.
 func (v *View) RecordLeave(id ID) {
-	m := v.members[id]
-	if m == nil || m == v.self || m.terminated {
+	member := v.members[id]
+	if member == nil || member == v.self || member.terminated {
 		return
 	}
-	m.terminated = true
-	v.transition(m, StateLeft, CauseLeft)
-	v.resolveName(m.Name)
+	member.terminated = true
+	v.transition(member, StateLeft, CauseLeft)
+	v.resolveName(member.Name)
 }
--- a/internal/membership/name_owner.go
+++ b/internal/membership/name_owner.go
@@ -11,9 +11,9 @@
 // nothing from the first.
 func (v *View) resolveName(name string) {
 	var candidates []*Member
-	for _, m := range v.byName[name] {
-		if !m.terminated {
-			candidates = append(candidates, m)
+	for _, member := range v.byName[name] {
+		if !member.terminated {
+			candidates = append(candidates, member)
 		}
 	}
 	owner := v.chooseOwner(candidates)
@@ -21,15 +21,15 @@
 		return
 	}
 	v.nameOwners[name] = owner.ID
-	for _, m := range candidates {
+	for _, member := range candidates {
 		switch {
-		case m.terminated:
-		case m == owner && m.Cause == CauseNameConflict: // the owner before it is over
-			v.transition(m, m.StateUpdate.State, CauseNone)
-		case m == owner:
-		case m.isAlive() && m.Cause != CauseNameConflict:
+		case member.terminated:
+		case member == owner && member.Cause == CauseNameConflict: // the owner before it is over
+			v.transition(member, member.StateUpdate.State, CauseNone)
+		case member == owner:
+		case member.isAlive() && member.Cause != CauseNameConflict:
 			v.Counts.NameConflicts++
-			v.transition(m, StateLeft, CauseNameConflict)
+			v.transition(member, StateLeft, CauseNameConflict)
 		}
 	}
 }
@@ -37,21 +37,21 @@
 // chooseOwner terminates the candidates that another one supersedes and returns the first of the rest that is alive;
 // when none is, the first.
 func (v *View) chooseOwner(candidates []*Member) (owner *Member) {
-	for _, m := range candidates {
+	for _, member := range candidates {
 		switch {
-		case v.isSuperseded(m, candidates):
-			m.terminated = true
-			v.transition(m, StateLeft, CauseReplaced)
-		case owner == nil, !owner.isAlive() && m.isAlive():
-			owner = m
+		case v.isSuperseded(member, candidates):
+			member.terminated = true
+			v.transition(member, StateLeft, CauseReplaced)
+		case owner == nil, !owner.isAlive() && member.isAlive():
+			owner = member
 		}
 	}
 	return owner
 }
 
-func (v *View) isSuperseded(m *Member, candidates []*Member) bool {
+func (v *View) isSuperseded(member *Member, candidates []*Member) bool {
 	for _, other := range candidates {
-		if v.supersedes(other, m) {
+		if v.supersedes(other, member) {
 			return true
 		}
 	}
--- a/internal/membership/proposer.go
+++ b/internal/membership/proposer.go
@@ -42,22 +42,23 @@
 
 // addPromise counts a promise. If the elector has accepted a configuration under a higher ballot than any seen so
 // far, that one is proposed instead of the own: it may have been chosen already.
-func (p *proposer) addPromise(m Message) {
-	p.promises = append(p.promises, m.From)
-	if m.Configuration.Validate() == nil && m.AcceptedBallot.compare(p.highestAccepted) > 0 {
-		p.highestAccepted = m.AcceptedBallot
-		p.proposal = m.Configuration
+func (p *proposer) addPromise(message Message) {
+	p.promises = append(p.promises, message.From)
+	if message.Configuration.Validate() == nil && message.AcceptedBallot.compare(p.highestAccepted) > 0 {
+		p.highestAccepted = message.AcceptedBallot
+		p.proposal = message.Configuration
 	}
 }
 
 // expectsPromise says whether a promise is the elector's first in phase 1 of the proposal under way.
-func (p *proposer) expectsPromise(m Message) bool {
-	return m.Ballot == p.ballot && p.ballot.Round > 0 && !p.isAccepting && !slices.Contains(p.promises, m.From)
+func (p *proposer) expectsPromise(message Message) bool {
+	return message.Ballot == p.ballot && p.ballot.Round > 0 && !p.isAccepting && !slices.Contains(p.promises,
+		message.From)
 }
 
 // expectsAcceptance says whether an acceptance is the elector's first in phase 2 of the proposal under way.
-func (p *proposer) expectsAcceptance(m Message) bool {
-	return m.Ballot == p.ballot && p.isAccepting && !slices.Contains(p.acceptances, m.From)
+func (p *proposer) expectsAcceptance(message Message) bool {
+	return message.Ballot == p.ballot && p.isAccepting && !slices.Contains(p.acceptances, message.From)
 }
 
 // startProposal asks the electors for a promise, under a ballot above all that this server has seen.
@@ -71,11 +72,11 @@
 }
 
 // handlePromise starts phase 2 when a quorum has promised.
-func (a *Agreement) handlePromise(m Message) {
-	if !a.proposer.expectsPromise(m) || !a.isElector(m.From) {
+func (a *Agreement) handlePromise(message Message) {
+	if !a.proposer.expectsPromise(message) || !a.isElector(message.From) {
 		return
 	}
-	a.proposer.addPromise(m)
+	a.proposer.addPromise(message)
 	electors, quorum := a.electorate()
 	if len(a.proposer.promises) < quorum {
 		return
@@ -91,11 +92,11 @@
 }
 
 // handleAccepted learns the proposal when a quorum has accepted it, and tells the electors and the new voters.
-func (a *Agreement) handleAccepted(m Message) {
-	if !a.proposer.expectsAcceptance(m) || !a.isElector(m.From) {
+func (a *Agreement) handleAccepted(message Message) {
+	if !a.proposer.expectsAcceptance(message) || !a.isElector(message.From) {
 		return
 	}
-	a.proposer.acceptances = append(a.proposer.acceptances, m.From)
+	a.proposer.acceptances = append(a.proposer.acceptances, message.From)
 	recipients, quorum := a.electorate()
 	if len(a.proposer.acceptances) < quorum {
 		return
--- a/internal/membership/quorum_lease.go
+++ b/internal/membership/quorum_lease.go
@@ -62,24 +62,24 @@
 
 // handleLeaseRequest grants a lease as a voter, unless it has accepted the next configuration, drains, or does not
 // know which of two configurations is right.
-func (a *Agreement) handleLeaseRequest(m Message) {
+func (a *Agreement) handleLeaseRequest(message Message) {
 	if a.configuration.Epoch == 0 || !a.configuration.hasVoter(a.config.Self) || a.conflicting {
 		return
 	}
 	if a.acceptor.accepted != nil || a.view.self.StateUpdate.State == StateDraining {
 		return
 	}
-	a.send(m.From, Message{Kind: MessageLeaseGrant, RequestedAt: m.RequestedAt})
+	a.send(message.From, Message{Kind: MessageLeaseGrant, RequestedAt: message.RequestedAt})
 }
 
 // handleLeaseGrant records a grant. It counts from when it was requested, by this server's own clock, less what the
 // clocks may differ by. A moment of the request that is yet to come was made up.
-func (a *Agreement) handleLeaseGrant(m Message) {
-	if !a.configuration.hasVoter(m.From) || m.RequestedAt > a.view.now {
+func (a *Agreement) handleLeaseGrant(message Message) {
+	if !a.configuration.hasVoter(message.From) || message.RequestedAt > a.view.now {
 		return
 	}
 	duration := timeunit.Milliseconds(float64(a.configuration.LeaseDuration) * (1 - a.config.MaxClockDrift))
-	a.lease.grantedUntil[m.From] = max(a.lease.grantedUntil[m.From], m.RequestedAt+duration)
+	a.lease.grantedUntil[message.From] = max(a.lease.grantedUntil[message.From], message.RequestedAt+duration)
 }
 
 // QuorumStatus returns what this server may act as now. It is worked out anew at each call, so that a server that
@@ -88,8 +88,8 @@
 	if a.view.now < a.MajorityUntil() && a.view.now >= a.inForceFrom {
 		return Majority
 	}
-	for _, m := range a.view.members {
-		if m != a.view.self && m.isAlive() {
+	for _, member := range a.view.members {
+		if member != a.view.self && member.isAlive() {
 			return Minority
 		}
 	}
--- a/internal/membership/succession.go
+++ b/internal/membership/succession.go
@@ -61,12 +61,12 @@
 	var candidates []ID
 	aliveCount := 0
 	for _, id := range electors {
-		m := a.view.Member(id)
-		if m == nil || !m.isAlive() {
+		member := a.view.Member(id)
+		if member == nil || !member.isAlive() {
 			continue
 		}
 		aliveCount++
-		if m.State != StateDraining {
+		if member.State != StateDraining {
 			candidates = append(candidates, id)
 		}
 	}
@@ -126,11 +126,11 @@
 }
 
 func (a *Agreement) voterUrgency(voter Voter) urgency {
-	m := a.view.Member(voter.ID)
+	member := a.view.Member(voter.ID)
 	switch {
-	case m == nil || !m.isAlive():
+	case member == nil || !member.isAlive():
 		return votersMissing
-	case m.State == StateDraining:
+	case member.State == StateDraining:
 		return immediate
 	}
 	return noChange
@@ -161,8 +161,8 @@
 		next.GenesisEpoch = next.Epoch
 	}
 	next.LeaseDuration = max(a.config.LeaseDuration, timeunit.Milliseconds(next.MemberCount)*leasePerMember)
-	for _, m := range a.chooseVoters(alive, largestOdd(min(next.MemberCount, a.config.MaxVoters))) {
-		next.Voters = append(next.Voters, Voter{m.ID, m.Address})
+	for _, member := range a.chooseVoters(alive, largestOdd(min(next.MemberCount, a.config.MaxVoters))) {
+		next.Voters = append(next.Voters, Voter{member.ID, member.Address})
 	}
 	slices.SortFunc(next.Voters, func(x, y Voter) int { return x.Compare(y.ID) })
 	return next
@@ -174,23 +174,23 @@
 	var rest []*Member
 	perZone := map[string]int{}
 	for _, id := range alive {
-		m := a.view.Member(id)
+		member := a.view.Member(id)
 		switch {
-		case m.State == StateDraining:
+		case member.State == StateDraining:
 		case a.configuration.hasVoter(id) && len(chosen) < count:
-			chosen = append(chosen, m)
-			perZone[m.Zone]++
+			chosen = append(chosen, member)
+			perZone[member.Zone]++
 		default:
-			rest = append(rest, m)
+			rest = append(rest, member)
 		}
 	}
 	for len(chosen) < count && len(rest) > 0 {
-		m := slices.MinFunc(rest, func(x, y *Member) int {
+		member := slices.MinFunc(rest, func(x, y *Member) int {
 			return cmp.Or(cmp.Compare(perZone[x.Zone], perZone[y.Zone]), cmp.Compare(x.Incarnation, y.Incarnation))
 		})
-		chosen = append(chosen, m)
-		perZone[m.Zone]++
-		rest = slices.DeleteFunc(rest, func(other *Member) bool { return other == m })
+		chosen = append(chosen, member)
+		perZone[member.Zone]++
+		rest = slices.DeleteFunc(rest, func(other *Member) bool { return other == member })
 	}
 	return chosen
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -115,10 +115,10 @@
 
 // unreachableNames returns the names that this server cannot reach although others may.
 func (v *View) unreachableNames() (names []string) {
-	for _, m := range v.Members() {
-		isUnreachable := m.Cause == CauseUnreachableFromHere || m.State == StateSuspected
-		if m != v.self && isUnreachable && len(names) < MaxUnreachable {
-			names = append(names, m.Name)
+	for _, member := range v.Members() {
+		isUnreachable := member.Cause == CauseUnreachableFromHere || member.State == StateSuspected
+		if member != v.self && isUnreachable && len(names) < MaxUnreachable {
+			names = append(names, member.Name)
 		}
 	}
 	return names
@@ -135,15 +135,15 @@
 	if update.ID == v.config.Self {
 		return false // only the server itself says how it is
 	}
-	m := v.members[update.ID]
-	if m == nil {
+	member := v.members[update.ID]
+	if member == nil {
 		return v.addFrom(&update)
 	}
-	if update.Sequence <= m.Sequence {
+	if update.Sequence <= member.Sequence {
 		v.Counts.Stale++
 		return false
 	}
-	v.applyNewer(m, &update)
+	v.applyNewer(member, &update)
 	return true
 }
 
@@ -167,22 +167,22 @@
 }
 
 // applyNewer replaces a member's update by a newer one and concludes its state.
-func (v *View) applyNewer(m *Member, update *StateUpdate) {
-	hasPausedAnew := update.PausedMs > 0 && update.PausedMs != m.PausedMs
-	m.StateUpdate = *update
-	m.LastUpdate = max(m.LastUpdate, v.now-timeunit.Milliseconds(update.AgeMs))
+func (v *View) applyNewer(member *Member, update *StateUpdate) {
+	hasPausedAnew := update.PausedMs > 0 && update.PausedMs != member.PausedMs
+	member.StateUpdate = *update
+	member.LastUpdate = max(member.LastUpdate, v.now-timeunit.Milliseconds(update.AgeMs))
 	switch {
-	case m.terminated || m.Cause == CauseNameConflict:
+	case member.terminated || member.Cause == CauseNameConflict:
 		// What is over does not come back, and who has no name waits for it.
-	case m.State == StateFailed || m.State == StateSuspected:
+	case member.State == StateFailed || member.State == StateSuspected:
 		// The update may be older than the suspicion: only an answer or a refutation clears it.
 		if hasPausedAnew {
-			m.Cause = CausePaused
+			member.Cause = CausePaused
 		}
 	case update.State == StateDraining:
-		v.transition(m, StateDraining, CauseLeft)
+		v.transition(member, StateDraining, CauseLeft)
 	default:
-		v.transition(m, update.State, m.causeWhileAlive())
+		v.transition(member, update.State, member.causeWhileAlive())
 	}
 	v.resolveName(update.Name)
 }
@@ -190,8 +190,8 @@
 // Members returns all incarnations that are kept, ordered by ID.
 func (v *View) Members() []*Member {
 	list := make([]*Member, 0, len(v.members))
-	for _, m := range v.members {
-		list = append(list, m)
+	for _, member := range v.members {
+		list = append(list, member)
 	}
 	slices.SortFunc(list, func(a, b *Member) int { return a.Compare(b.ID) })
 	return list
@@ -215,9 +215,9 @@
 
 // Alive returns the members that are alive and own their names, this server included, ordered by ID.
 func (v *View) Alive() (ids []ID) {
-	for _, m := range v.Members() {
-		if m.State < StateSuspected {
-			ids = append(ids, m.ID)
+	for _, member := range v.Members() {
+		if member.State < StateSuspected {
+			ids = append(ids, member.ID)
 		}
 	}
 	return ids
@@ -225,8 +225,8 @@
 
 // AliveCount returns the number of members that Alive would return.
 func (v *View) AliveCount() (count int) {
-	for _, m := range v.members {
-		if m.State < StateSuspected {
+	for _, member := range v.members {
+		if member.State < StateSuspected {
 			count++
 		}
 	}
@@ -236,10 +236,10 @@
 // Tick does what follows from time alone: members that left or failed long ago are removed, and the effective size
 // follows the view. The host calls it a few times a second.
 func (v *View) Tick(status QuorumStatus) {
-	for _, m := range v.members {
-		isOver := m.State >= StateFailed && m.Cause != CauseNameConflict
-		if m != v.self && isOver && v.now-m.Since > v.config.Retention {
-			v.remove(m)
+	for _, member := range v.members {
+		isOver := member.State >= StateFailed && member.Cause != CauseNameConflict
+		if member != v.self && isOver && v.now-member.Since > v.config.Retention {
+			v.remove(member)
 		}
 	}
 	v.updateEffectiveSize(status)
@@ -249,9 +249,9 @@
 // is none.
 func (v *View) evictOldest() bool {
 	var oldest *Member
-	for _, m := range v.Members() {
-		if m != v.self && m.State >= StateFailed && (oldest == nil || m.Since < oldest.Since) {
-			oldest = m
+	for _, member := range v.Members() {
+		if member != v.self && member.State >= StateFailed && (oldest == nil || member.Since < oldest.Since) {
+			oldest = member
 		}
 	}
 	if oldest == nil {
@@ -261,34 +261,34 @@
 	return true
 }
 
-func (v *View) add(m *Member) {
-	v.members[m.ID] = m
-	incarnations := append(v.byName[m.Name], m)
+func (v *View) add(member *Member) {
+	v.members[member.ID] = member
+	incarnations := append(v.byName[member.Name], member)
 	slices.SortFunc(incarnations, func(a, b *Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-	v.byName[m.Name] = incarnations
+	v.byName[member.Name] = incarnations
 }
 
-func (v *View) remove(m *Member) {
-	delete(v.members, m.ID)
-	rest := slices.DeleteFunc(v.byName[m.Name], func(other *Member) bool { return other == m })
-	v.byName[m.Name] = rest
+func (v *View) remove(member *Member) {
+	delete(v.members, member.ID)
+	rest := slices.DeleteFunc(v.byName[member.Name], func(other *Member) bool { return other == member })
+	v.byName[member.Name] = rest
 	if len(rest) == 0 {
-		delete(v.byName, m.Name)
+		delete(v.byName, member.Name)
 	}
-	if v.nameOwners[m.Name] == m.ID {
-		delete(v.nameOwners, m.Name)
+	if v.nameOwners[member.Name] == member.ID {
+		delete(v.nameOwners, member.Name)
 	}
 }
 
 // transition sets a member's state and cause. A change of the state is an event and counts towards flapping.
-func (v *View) transition(m *Member, state State, cause Cause) {
-	if m.State == state {
-		m.Cause = cause
+func (v *View) transition(member *Member, state State, cause Cause) {
+	if member.State == state {
+		member.Cause = cause
 		return
 	}
-	v.events = append(v.events, Event{m.ID, m.State, state, cause})
-	m.State = state
-	m.Cause = cause
-	m.Since = v.now
-	m.recordTransition(v.now, v.config.FlapThreshold)
+	v.events = append(v.events, Event{member.ID, member.State, state, cause})
+	member.State = state
+	member.Cause = cause
+	member.Since = v.now
+	member.recordTransition(v.now, v.config.FlapThreshold)
 }
--- a/internal/plugin/chain/circuitbreaker.go
+++ b/internal/plugin/chain/circuitbreaker.go
@@ -108,11 +108,11 @@
 	if b.State == StateQuarantined || b.State == StateProbation && b.trialInFlight {
 		return false
 	}
-	if t := b.tenantBreaker(tenant); t != nil && t.consecutiveFaults >= policy.MaxConsecutiveFaults {
-		if now < t.quarantineEnd {
+	if breaker := b.tenantBreaker(tenant); breaker != nil && breaker.consecutiveFaults >= policy.MaxConsecutiveFaults {
+		if now < breaker.quarantineEnd {
 			return false
 		}
-		t.quarantineEnd = now + t.quarantineLength // this call is the one trial for the tenant
+		breaker.quarantineEnd = now + breaker.quarantineLength // this call is the one trial for the tenant
 	}
 	b.trialInFlight = b.State == StateProbation
 	b.Calls++
@@ -208,18 +208,18 @@
 // blameTenant counts a fault for the tenant whose request it was, and reports whether it is the plug-in's own fault
 // because the plug-in is blocked for many tenants.
 func (b *CircuitBreaker) blameTenant(tenant string, now timeunit.Ticks, policy *Policy) (isPluginsOwn bool) {
-	t := b.tenantBreaker(tenant)
-	if t == nil {
+	breaker := b.tenantBreaker(tenant)
+	if breaker == nil {
 		if len(b.tenants) >= maxTenantBreakers {
 			b.tenants = slices.Delete(b.tenants, 0, 1)
 		}
 		b.tenants = append(b.tenants, tenantBreaker{tenant: tenant})
-		t = &b.tenants[len(b.tenants)-1]
+		breaker = &b.tenants[len(b.tenants)-1]
 	}
-	t.consecutiveFaults++
-	if t.consecutiveFaults >= policy.MaxConsecutiveFaults {
-		t.quarantineLength = policy.nextQuarantine(t.quarantineLength)
-		t.quarantineEnd = now + t.quarantineLength
+	breaker.consecutiveFaults++
+	if breaker.consecutiveFaults >= policy.MaxConsecutiveFaults {
+		breaker.quarantineLength = policy.nextQuarantine(breaker.quarantineLength)
+		breaker.quarantineEnd = now + breaker.quarantineLength
 	}
 	blocked := 0
 	for i := range b.tenants {
@@ -232,7 +232,7 @@
 
 // forgiveTenant drops the record of a tenant.
 func (b *CircuitBreaker) forgiveTenant(tenant string) {
-	i := slices.IndexFunc(b.tenants, func(t tenantBreaker) bool { return t.tenant == tenant })
+	i := slices.IndexFunc(b.tenants, func(breaker tenantBreaker) bool { return breaker.tenant == tenant })
 	if i >= 0 {
 		b.tenants = slices.Delete(b.tenants, i, i+1)
 	}
--- a/internal/plugin/chain/verdict.go
+++ b/internal/plugin/chain/verdict.go
@@ -48,14 +48,14 @@
 
 // validate checks a verdict on an evaluation against the rules that hold for every plug-in and against the policy. It
 // returns the fault if isFault.
-func (p *Policy) validate(e *Evaluation, verdict *Verdict) (fault Fault, isFault bool) {
+func (p *Policy) validate(evaluation *Evaluation, verdict *Verdict) (fault Fault, isFault bool) {
 	switch {
 	case !verdict.isPlausible(len(p.TargetCategories)):
 		return FaultMalformed, true
-	case verdict.Replace && len(verdict.Body) >= len(e.Body):
+	case verdict.Replace && len(verdict.Body) >= len(evaluation.Body):
 		// A result only becomes shorter, so that no limit on the size of results needs to be checked again.
 		return FaultMalformed, true
-	case !p.permits(e, verdict):
+	case !p.permits(evaluation, verdict):
 		return FaultNotPermitted, true
 	}
 	return 0, false
@@ -71,16 +71,16 @@
 
 // permits reports whether the policy permits a verdict at the evaluation's hook. A request that was started is never
 // rejected; the category of an idempotency-keyed or non-idempotent request is part of its identity and stays.
-func (p *Policy) permits(e *Evaluation, verdict *Verdict) bool {
-	if verdict.Reject && (!p.MayReject || e.hook != HookRead) {
+func (p *Policy) permits(evaluation *Evaluation, verdict *Verdict) bool {
+	if verdict.Reject && (!p.MayReject || evaluation.hook != HookRead) {
 		return false
 	}
-	mayCategorize := e.hook == HookRead && !e.request.CategoryFixed
+	mayCategorize := evaluation.hook == HookRead && !evaluation.request.CategoryFixed
 	if verdict.Category >= 0 && (!mayCategorize || !p.TargetCategories[verdict.Category]) {
 		return false
 	}
 	if verdict.HasTag && !p.MayTag {
 		return false
 	}
-	return !verdict.Replace || p.MayRewrite && e.hook == HookResult
+	return !verdict.Replace || p.MayRewrite && evaluation.hook == HookResult
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -77,11 +77,11 @@
 	a.requestedTotal = 0
 	a.totalChangePending = false
 	clear(a.pending)
-	for _, l := range a.leases {
-		l.expiresAt = now + a.config.maxLeaseSpan()
-		l.desired = l.amount
-		l.required = l.amount
-		l.lastRequestAt = now
+	for _, lease := range a.leases {
+		lease.expiresAt = now + a.config.maxLeaseSpan()
+		lease.desired = lease.amount
+		lease.required = lease.amount
+		lease.lastRequestAt = now
 	}
 }
 
@@ -107,11 +107,11 @@
 
 // applyExpiry ends the leases of a server. The leader remembers a server that still asks, for what it desires.
 func (a *Allocator) applyExpiry(change Change) {
-	l := a.committed(change)
-	l.amount = 0
-	l.previous = nil
-	l.version = 0
-	if !a.isLeader || a.now-l.lastRequestAt > a.config.maxLeaseSpan() {
+	lease := a.committed(change)
+	lease.amount = 0
+	lease.previous = nil
+	lease.version = 0
+	if !a.isLeader || a.now-lease.lastRequestAt > a.config.maxLeaseSpan() {
 		delete(a.leases, change.Server)
 	}
 	a.updateEffectiveTotal()
@@ -120,13 +120,13 @@
 // applyLease sets the lease of a server. What it had before counts until the server says that it keeps to a later
 // version.
 func (a *Allocator) applyLease(change Change) {
-	l := a.committed(change)
-	if l.amount > 0 {
-		l.previous = append(l.previous, previousLease{version: l.version, amount: l.amount})
+	lease := a.committed(change)
+	if lease.amount > 0 {
+		lease.previous = append(lease.previous, previousLease{version: lease.version, amount: lease.amount})
 	}
-	l.version = change.LeaseVersion
-	l.amount = change.Amount
-	l.expiresAt = a.now + a.config.maxLeaseSpan()
+	lease.version = change.LeaseVersion
+	lease.amount = change.Amount
+	lease.expiresAt = a.now + a.config.maxLeaseSpan()
 }
 
 // committed ends the proposal of a change and returns the lease that it is about.
@@ -150,8 +150,8 @@
 
 // Outstanding returns the sum of what all servers may be using beyond their guaranteed minimums.
 func (a *Allocator) Outstanding() (sum Amount) {
-	for _, l := range a.leases {
-		sum += l.outstanding()
+	for _, lease := range a.leases {
+		sum += lease.outstanding()
 	}
 	return sum
 }
@@ -162,8 +162,8 @@
 	sum := a.Outstanding()
 	for server, amount := range a.pending {
 		sum += amount
-		if l := a.leases[server]; l != nil {
-			sum -= min(amount, l.outstanding())
+		if lease := a.leases[server]; lease != nil {
+			sum -= min(amount, lease.outstanding())
 		}
 	}
 	return sum
@@ -182,23 +182,23 @@
 	if !a.isLeader || !request.isValid() {
 		return response, false
 	}
-	l := a.requestingServer(request.Server)
-	if l == nil {
+	lease := a.requestingServer(request.Server)
+	if lease == nil {
 		return response, false
 	}
-	l.recordRequest(request, a.effectiveTotal, a.now)
+	lease.recordRequest(request, a.effectiveTotal, a.now)
 	if request.LogID == a.logID {
-		l.confirmHeld(request.HeldVersion)
+		lease.confirmHeld(request.HeldVersion)
 	}
 	a.updateEffectiveTotal()
-	if l.version == 0 || a.isPending(request.Server) || l.expiresAt <= a.now {
+	if lease.version == 0 || a.isPending(request.Server) || lease.expiresAt <= a.now {
 		return response, false // no lease yet, or it is over and is being taken back
 	}
-	l.expiresAt = max(l.expiresAt, a.now+a.config.maxLeaseSpan())
+	lease.expiresAt = max(lease.expiresAt, a.now+a.config.maxLeaseSpan())
 	return LimitResponse{
 		RequestedAt:   request.RequestedAt,
-		LeaseVersion:  l.version,
-		Amount:        l.amount,
+		LeaseVersion:  lease.version,
+		Amount:        lease.amount,
 		LeaseDuration: a.config.LeaseDuration,
 		LogID:         a.logID,
 	}, true
@@ -212,8 +212,8 @@
 // requestingServer finds the lease of a server, or begins to remember the server. It returns nil when there are too
 // many.
 func (a *Allocator) requestingServer(server string) *lease {
-	if l := a.leases[server]; l != nil {
-		return l
+	if lease := a.leases[server]; lease != nil {
+		return lease
 	}
 	if len(a.leases) >= maxServers {
 		return nil
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -32,12 +32,12 @@
 // reclaimExpired takes back the leases that have expired, and forgets servers that have none and no longer ask.
 func (a *Allocator) reclaimExpired() (changes []Change) {
 	for _, server := range a.servers() {
-		l := a.leases[server]
+		lease := a.leases[server]
 		switch {
 		case a.isPending(server):
-		case l.expiresAt <= a.now && l.outstanding() > 0:
+		case lease.expiresAt <= a.now && lease.outstanding() > 0:
 			changes = append(changes, a.propose(Change{Server: server, Expired: true}))
-		case l.outstanding() == 0 && a.now-l.lastRequestAt > a.config.maxLeaseSpan():
+		case lease.outstanding() == 0 && a.now-lease.lastRequestAt > a.config.maxLeaseSpan():
 			delete(a.leases, server)
 		}
 	}
@@ -49,16 +49,16 @@
 	targets := a.targetAmounts()
 	room := min(a.targetTotal, a.effectiveTotal) - a.config.guaranteedTotal() - a.reserved()
 	for _, server := range a.servers() {
-		l := a.leases[server]
-		if a.isPending(server) || len(l.previous) >= maxPreviousLeases {
+		lease := a.leases[server]
+		if a.isPending(server) || len(lease.previous) >= maxPreviousLeases {
 			continue
 		}
-		amount := a.nextAmount(l, targets[server], room)
-		if amount == l.amount {
+		amount := a.nextAmount(lease, targets[server], room)
+		if amount == lease.amount {
 			continue
 		}
-		if amount > l.amount {
-			room -= max(0, amount-l.outstanding())
+		if amount > lease.amount {
+			room -= max(0, amount-lease.outstanding())
 		}
 		changes = append(changes, a.propose(Change{Server: server, Amount: amount}))
 	}
@@ -67,37 +67,37 @@
 
 // nextAmount is what a lease should allow next, given its target and the room for more. It is the present amount
 // where the lease should stay as it is.
-func (a *Allocator) nextAmount(l *lease, target, room Amount) Amount {
+func (a *Allocator) nextAmount(lease *lease, target, room Amount) Amount {
 	switch {
-	case target > l.amount:
-		return a.raisedAmount(l, target, room)
-	case target < l.amount && !a.keepsSurplus(l, target):
+	case target > lease.amount:
+		return a.raisedAmount(lease, target, room)
+	case target < lease.amount && !a.keepsSurplus(lease, target):
 		return target
 	}
-	return l.amount
+	return lease.amount
 }
 
 // keepsSurplus reports whether a lease above its target stays, since the difference is small and nothing else calls
 // for it.
-func (a *Allocator) keepsSurplus(l *lease, target Amount) bool {
-	isSmall := float64(l.amount-target) < a.config.Hysteresis*float64(l.amount)
+func (a *Allocator) keepsSurplus(lease *lease, target Amount) bool {
+	isSmall := float64(lease.amount-target) < a.config.Hysteresis*float64(lease.amount)
 	return isSmall && target > 0 && a.effectiveTotal == a.targetTotal
 }
 
 // raisedAmount is what a lease may be raised to.
-func (a *Allocator) raisedAmount(l *lease, target, room Amount) Amount {
-	if l.version > 0 && float64(target-l.amount) < a.config.Hysteresis*float64(l.amount) {
-		return l.amount
+func (a *Allocator) raisedAmount(lease *lease, target, room Amount) Amount {
+	if lease.version > 0 && float64(target-lease.amount) < a.config.Hysteresis*float64(lease.amount) {
+		return lease.amount
 	}
 	// Negative room: an earlier amount that counts here may be another server's by now, as the last leader knew.
 	if room < 0 {
-		return l.amount
+		return lease.amount
 	}
-	additional := target - l.outstanding()
+	additional := target - lease.outstanding()
 	if additional > room {
 		target = a.config.roundDown(target - (additional - room))
 	}
-	return max(l.amount, target)
+	return max(lease.amount, target)
 }
 
 // propose gives a change the next version and remembers it until it is applied or the proposal has failed.
--- a/internal/quota/division.go
+++ b/internal/quota/division.go
@@ -32,15 +32,15 @@
 
 // desiredAmount is what a server asks for, and at least the initial amount: it cannot know what it could use before
 // it has some.
-func (a *Allocator) desiredAmount(l *lease) Amount {
-	return a.config.roundUp(max(l.desired, a.config.InitialAmount))
+func (a *Allocator) desiredAmount(lease *lease) Amount {
+	return a.config.roundUp(max(lease.desired, a.config.InitialAmount))
 }
 
 // requiredAmount is what a server would surely use, and at least the initial amount. A server that has had a lease and
 // requires nothing gets nothing here; one without a lease cannot know yet.
-func (a *Allocator) requiredAmount(l *lease) Amount {
-	if l.required == 0 && l.version > 0 {
+func (a *Allocator) requiredAmount(lease *lease) Amount {
+	if lease.required == 0 && lease.version > 0 {
 		return 0
 	}
-	return a.config.roundUp(max(l.required, a.config.InitialAmount))
+	return a.config.roundUp(max(lease.required, a.config.InitialAmount))
 }
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -14,13 +14,13 @@
 func (a *Allocator) snapshot() LimitSnapshot {
 	snapshot := LimitSnapshot{LastVersion: a.lastVersion, TargetTotal: a.targetTotal, EffectiveTotal: a.effectiveTotal}
 	for _, server := range a.servers() {
-		l := a.leases[server]
-		for _, earlier := range l.previous {
+		lease := a.leases[server]
+		for _, earlier := range lease.previous {
 			change := Change{Server: server, LeaseVersion: earlier.version, Amount: earlier.amount}
 			snapshot.Leases = append(snapshot.Leases, change)
 		}
-		if l.version > 0 {
-			change := Change{Server: server, LeaseVersion: l.version, Amount: l.amount}
+		if lease.version > 0 {
+			change := Change{Server: server, LeaseVersion: lease.version, Amount: lease.amount}
 			snapshot.Leases = append(snapshot.Leases, change)
 		}
 	}
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -27,14 +27,14 @@
 
 // StatusRows returns the leases of the limit, the largest first.
 func (a *Allocator) StatusRows(now timeunit.Milliseconds) (rows []StatusRow) {
-	for server, l := range a.leases {
+	for server, lease := range a.leases {
 		rows = append(rows, StatusRow{
 			Server:         server,
-			Amount:         l.amount,
-			Outstanding:    l.outstanding(),
-			Desired:        l.desired,
-			RemainingMS:    max(0, l.expiresAt-now),
-			SinceRequestMS: max(0, now-l.lastRequestAt),
+			Amount:         lease.amount,
+			Outstanding:    lease.outstanding(),
+			Desired:        lease.desired,
+			RemainingMS:    max(0, lease.expiresAt-now),
+			SinceRequestMS: max(0, now-lease.lastRequestAt),
 		})
 	}
 	slices.SortFunc(rows, func(one, other StatusRow) int {
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -53,8 +53,8 @@
 	consecutiveMisses int // since the last answer
 }
 
-func (c *directoryClient) init(s *Server) {
-	c.outputBuffer = outputBuffer{server: s, maxUnread: maxUnreadPerLink}
+func (c *directoryClient) init(server *Server) {
+	c.outputBuffer = outputBuffer{server: server, maxUnread: maxUnreadPerLink}
 	c.reportTimer.fire = c.report
 }
 
--- a/internal/server/fairqueue.go
+++ b/internal/server/fairqueue.go
@@ -16,8 +16,8 @@
 	scheduler *fairqueue.Scheduler // nil where queues are not fair
 }
 
-func (p *fairQueuePart) init(s *Server) {
-	p.server = s
+func (p *fairQueuePart) init(server *Server) {
+	p.server = server
 	p.configure()
 }
 
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -88,8 +88,8 @@
 	timer  timer
 }
 
-func (p *gossipPart) init(s *Server) {
-	p.server = s
+func (p *gossipPart) init(server *Server) {
+	p.server = server
 	p.timer.fire = p.onTimer
 }
 
@@ -120,31 +120,31 @@
 
 // publish tells the others how this server is.
 func (p *gossipPart) publish() {
-	s := p.server
+	server := p.server
 	state := gossip.LocalState{
 		Usage:   p.exchangeUsage(),
 		State:   p.memberState(),
-		LoopLag: s.timerLateness.percentile99().Duration(),
+		LoopLag: server.timerLateness.percentile99().Duration(),
 	}
-	if s.admission != nil {
-		stats := s.admission.Stats()
+	if server.admission != nil {
+		stats := server.admission.Stats()
 		state.ConcurrencyLimit = stats.Limit
 		state.InFlight = float64(stats.Queued + stats.Running)
 		state.AvailableCapacity = max(0, stats.Limit-float64(stats.Running))
 		state.IndexLatencyMs = float64(stats.CallTime) / 10
 		p.applyClusterSize()
 	}
-	s.config.Gossip.Node.SetLocalState(state)
+	server.config.Gossip.Node.SetLocalState(state)
 }
 
 func (p *gossipPart) memberState() membership.State {
-	s := p.server
+	server := p.server
 	switch {
-	case s.shutdownDeadline < noDeadline:
+	case server.shutdownDeadline < noDeadline:
 		return membership.StateDraining
-	case s.admission == nil:
+	case server.admission == nil:
 		return membership.StateJoining
-	case s.admission.IsWarmingUp():
+	case server.admission.IsWarmingUp():
 		return membership.StateWarmingUp
 	default:
 		return membership.StateServing
@@ -154,11 +154,11 @@
 // exchangeUsage has the fair queue account what tenants were given by other servers, and returns what they were given
 // by this one.
 func (p *gossipPart) exchangeUsage() []membership.TenantUsage {
-	s := p.server
-	if s.fairQueue.scheduler == nil {
+	server := p.server
+	if server.fairQueue.scheduler == nil {
 		return nil
 	}
-	servers, reports := s.config.Gossip.takeUsage()
+	servers, reports := server.config.Gossip.takeUsage()
 	for _, id := range servers {
 		report := reports[id]
 		var remote []fairqueue.Usage
@@ -166,10 +166,10 @@
 			remote = append(remote, fairqueue.Usage{Tenant: tenant.Tenant, CoreTime: tenant.CoreTime})
 		}
 		age := timeunit.TicksOf(time.Since(report.reportedAt))
-		s.fairQueue.scheduler.RecordRemoteUsage(service.HolderName(id), age, remote, s.now)
+		server.fairQueue.scheduler.RecordRemoteUsage(service.HolderName(id), age, remote, server.now)
 	}
 	var local []membership.TenantUsage
-	for _, tenant := range s.fairQueue.scheduler.LocalUsage() {
+	for _, tenant := range server.fairQueue.scheduler.LocalUsage() {
 		if len(local) < membership.MaxUsageEntries {
 			local = append(local, membership.TenantUsage{Tenant: tenant.Tenant, CoreTime: tenant.CoreTime})
 		}
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -39,9 +39,9 @@
 	connection *pooledConnection // that carries it; nil while it waits
 }
 
-func (c *indexClient) init(s *Server) {
-	c.server = s
-	c.maxConnections = max(1, s.config.MaxSockets/connectionDescriptorDivisor)
+func (c *indexClient) init(server *Server) {
+	c.server = server
+	c.maxConnections = max(1, server.config.MaxSockets/connectionDescriptorDivisor)
 	c.idleTimer.fire = c.closeExpired
 }
 
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -52,14 +52,14 @@
 	gaugeTimer    timer          // but no longer than this
 }
 
-func (c *interpreterClient) init(s *Server) {
-	c.outputBuffer = outputBuffer{server: s, maxUnread: maxUnreadPerLink}
+func (c *interpreterClient) init(server *Server) {
+	c.outputBuffer = outputBuffer{server: server, maxUnread: maxUnreadPerLink}
 	c.redialTimer.fire = c.dial
 	c.gaugeTimer.fire = c.deliverGauges
-	c.categoryJSON = make([][]byte, len(s.config.Settings.Categories))
-	for name, category := range s.config.Settings.CategoryIndex {
+	c.categoryJSON = make([][]byte, len(server.config.Settings.Categories))
+	for name, category := range server.config.Settings.CategoryIndex {
 		encoded, err := json.Marshal(name)
-		s.checkInvariant(err == nil, "a category's name is no JSON") // a string always is
+		server.checkInvariant(err == nil, "a category's name is no JSON") // a string always is
 		c.categoryJSON[category] = encoded
 	}
 }
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -142,17 +142,18 @@
 // onBanner starts admission the first time, as cold or warm as the interpreter says it is; up is how long it has been
 // up. After that a banner begins what the interpreter replays on a new link.
 func (c *interpreterClient) onBanner(state string, up timeunit.Ticks) {
-	s := c.server
-	if s.admission != nil {
-		s.log.Event("interpreter_reconnected").Str("name", s.config.Name).Int("interpreter_links", c.linkCount).Send()
+	server := c.server
+	if server.admission != nil {
+		server.log.Event("interpreter_reconnected").Str("name", server.config.Name).Int("interpreter_links",
+			c.linkCount).Send()
 		c.replayFence = c.askGauges()
 		return
 	}
-	s.startAdmission(state == stateCold, up)
-	s.log.Event("interpreter_up").Str("name", s.config.Name).Str("state", state).
+	server.startAdmission(state == stateCold, up)
+	server.log.Event("interpreter_up").Str("name", server.config.Name).Str("state", state).
 		Int64("since_ms", up.Milliseconds()).Send()
-	s.notifyAdmissionOfDrain()
-	s.advancePhase(phaseReady)
+	server.notifyAdmissionOfDrain()
+	server.advancePhase(phaseReady)
 	c.becomeReady()
 }
 
--- a/internal/server/pluginevaluation.go
+++ b/internal/server/pluginevaluation.go
@@ -100,9 +100,9 @@
 
 // step calls the next plug-in, or ends the evaluation.
 func (e *chainEvaluation) step() {
-	s := e.connection.part.server
+	server := e.connection.part.server
 	for {
-		next, timeLimit := e.evaluation.Next(s.now)
+		next, timeLimit := e.evaluation.Next(server.now)
 		if next == nil {
 			e.done(e.evaluation)
 			e.connection.closeIfUnused()
@@ -111,7 +111,7 @@
 		if e.send(next, timeLimit) {
 			return
 		}
-		e.evaluation.RecordFault(chain.FaultUnavailable, 0, s.now)
+		e.evaluation.RecordFault(chain.FaultUnavailable, 0, server.now)
 	}
 }
 
@@ -182,7 +182,7 @@
 
 // logQuarantine logs that the plug-in is not called for a while.
 func (e *chainEvaluation) logQuarantine(fault chain.Fault) {
-	s := e.connection.part.server
-	s.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", fault.String()).
-		Int64("wait_ms", (e.plugin.QuarantineEnd() - s.now).Milliseconds()).Send()
+	server := e.connection.part.server
+	server.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", fault.String()).
+		Int64("wait_ms", (e.plugin.QuarantineEnd() - server.now).Milliseconds()).Send()
 }
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -60,15 +60,15 @@
 	lateVerdicts int
 }
 
-func (p *pluginPart) init(s *Server) {
-	p.server = s
+func (p *pluginPart) init(server *Server) {
+	p.server = server
 	p.calls = map[uint64]*chainEvaluation{}
 	p.state = map[string]map[string][]byte{}
 	p.counters = map[string]int64{}
 	p.restartTimer.fire = p.restart
 	p.frameBuffer = make([]byte, 0, plugin.MaxFrameSize)
-	p.categoryNames = make([]string, len(s.config.Settings.Categories))
-	for name, category := range s.config.Settings.CategoryIndex {
+	p.categoryNames = make([]string, len(server.config.Settings.Categories))
+	for name, category := range server.config.Settings.CategoryIndex {
 		p.categoryNames[category] = name
 	}
 }
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -97,13 +97,13 @@
 	cancelledCalls int                   // that were cancelled as the lease was over
 }
 
-func (p *quotaPart) init(s *Server) {
-	p.server = s
-	p.quota = s.config.Quota
+func (p *quotaPart) init(server *Server) {
+	p.server = server
+	p.quota = server.config.Quota
 	p.admissionLimit = undeclaredLimit
 	p.pollTimer.fire = p.poll
 	p.leaseTimer.fire = p.update
-	p.rateTimer.fire = s.index.sendRateLimited
+	p.rateTimer.fire = server.index.sendRateLimited
 }
 
 func (p *quotaPart) isEnabled() bool { return p.quota != nil }
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -51,16 +51,16 @@
 }
 
 // init takes up what the log holds of earlier lives.
-func (p *recoveryPart) init(s *Server, config *Recovery) {
-	p.server = s
+func (p *recoveryPart) init(server *Server, config *Recovery) {
+	p.server = server
 	p.pending = map[uint64]*request{}
 	if config == nil {
 		return
 	}
 	p.log = config.Store
 	p.doubtUntil = p.log.RejectUntil
-	p.lastAttempt = uint64(s.clock.now()) << attemptClockShift
-	config.OnDurable(func(done []segmentlog.WriteResult) { s.submit(func() { p.onDurable(done) }) })
+	p.lastAttempt = uint64(server.clock.now()) << attemptClockShift
+	config.OnDurable(func(done []segmentlog.WriteResult) { server.submit(func() { p.onDurable(done) }) })
 	longest := p.longestUnread()
 	for i := range p.log.Outcomes {
 		p.restoreEntry(&p.log.Outcomes[i], longest)
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -30,11 +30,11 @@
 	invalid     int   // requests that could not be accepted
 }
 
-func (t *requestTable) init(s *Server) {
-	t.server = s
+func (t *requestTable) init(server *Server) {
+	t.server = server
 	t.byID = map[string]*request{}
 	t.entries = map[string]*idempotencyEntry{}
-	t.wakeupTimer.fire = s.interpreter.onWakeup
+	t.wakeupTimer.fire = server.interpreter.onWakeup
 }
 
 // count returns how many requests are in hand.
--- a/internal/server/routertable.go
+++ b/internal/server/routertable.go
@@ -35,17 +35,17 @@
 	incomplete int // connections closed as no complete request came
 }
 
-func (t *routerTable) init(s *Server) {
-	t.server = s
+func (t *routerTable) init(server *Server) {
+	t.server = server
 	t.all = list.New()
 	t.newConnections = list.New()
 	t.idleConnections = list.New()
 	t.idleTimeout = noDeadline
 	t.admissionHealthy = true
-	s.closing.reserved = max(1, s.config.MaxSockets/lingerDescriptorDivisor)
+	server.closing.reserved = max(1, server.config.MaxSockets/lingerDescriptorDivisor)
 	// A dial to the index takes two descriptors for a moment.
-	others := reservedDescriptors + 2*s.index.maxConnections + s.closing.reserved
-	t.maxConnections = max(1, s.config.MaxSockets-others)
+	others := reservedDescriptors + 2*server.index.maxConnections + server.closing.reserved
+	t.maxConnections = max(1, server.config.MaxSockets-others)
 	t.idleTimer.fire = t.closeIdle
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -101,7 +101,7 @@
 
 // New makes an app server; Run starts it.
 func New(config Config, log logs.Logger) *Server {
-	s := &Server{
+	server := &Server{
 		config:            config,
 		log:               log,
 		random:            rand.New(rand.NewSource(config.Seed)),
@@ -112,19 +112,19 @@
 		unreadConnections: map[*outputBuffer]struct{}{},
 		shutdownDeadline:  noDeadline,
 	}
-	s.buffers.setLimit(config.MemoryBytes)
-	s.fairQueue.init(s)
-	s.index.init(s)
-	s.routers.init(s)
-	s.requests.init(s)
-	s.interpreter.init(s)
-	s.directory.init(s)
-	s.plugins.init(s)
-	s.gossip.init(s)
-	s.recovery.init(s, config.Recovery)
-	s.quota.init(s)
-	s.collectParts()
-	return s
+	server.buffers.setLimit(config.MemoryBytes)
+	server.fairQueue.init(server)
+	server.index.init(server)
+	server.routers.init(server)
+	server.requests.init(server)
+	server.interpreter.init(server)
+	server.directory.init(server)
+	server.plugins.init(server)
+	server.gossip.init(server)
+	server.recovery.init(server, config.Recovery)
+	server.quota.init(server)
+	server.collectParts()
+	return server
 }
 
 // ErrLoopEnded is what Run returns when the event loop ended though nobody asked for it.
--- a/internal/server/timers.go
+++ b/internal/server/timers.go
@@ -44,16 +44,16 @@
 }
 
 // setTimer sets a timer, or sets it anew.
-func (s *Server) setTimer(t *timer, deadline timeunit.Ticks) {
-	s.stopTimer(t)
-	t.deadline = deadline
-	heap.Push(&s.deadlines, t)
+func (s *Server) setTimer(timer *timer, deadline timeunit.Ticks) {
+	s.stopTimer(timer)
+	timer.deadline = deadline
+	heap.Push(&s.deadlines, timer)
 }
 
 // stopTimer stops a timer; one that is not set stays so.
-func (s *Server) stopTimer(t *timer) {
-	if t.isSet() {
-		heap.Remove(&s.deadlines, t.heapPosition-1)
+func (s *Server) stopTimer(timer *timer) {
+	if timer.isSet() {
+		heap.Remove(&s.deadlines, timer.heapPosition-1)
 	}
 }
 
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -128,15 +128,15 @@
 
 // endBatch has each server that was touched decide, and writes the replies.
 func (s *session) endBatch() {
-	for _, i := range s.touched {
-		i.touched = false
-		if i.server != nil {
-			i.server.Dispatch()
+	for _, instance := range s.touched {
+		instance.touched = false
+		if instance.server != nil {
+			instance.server.Dispatch()
 		}
-		if i.reply.Len() > 0 {
-			fmt.Fprintf(&s.reply, "AS Server=%s\n", i.name)
-			s.reply.Write(i.reply.Bytes())
-			i.reply.Reset()
+		if instance.reply.Len() > 0 {
+			fmt.Fprintf(&s.reply, "AS Server=%s\n", instance.name)
+			s.reply.Write(instance.reply.Bytes())
+			instance.reply.Reset()
 		}
 	}
 	s.reply.WriteString("EOR\n")
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -136,7 +136,7 @@
 // withRequest returns a handler that finds the request that an event is about. One that is not known is passed over:
 // the server has released it while the event was on its way.
 func withRequest(apply func(*admission.Request, *message) error) func(*instance, *message) error {
-	return func(i *instance, event *message) error {
+	return func(instance *instance, event *message) error {
 		if !event.has(keyID) {
 			return fmt.Errorf("%s has no Xid", event.kind)
 		}
@@ -144,7 +144,7 @@
 		if event.err != nil {
 			return event.err
 		}
-		request := i.requests[id]
+		request := instance.requests[id]
 		if request == nil {
 			return nil
 		}
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -41,19 +41,19 @@
 func (h *host) ticks() timeunit.Ticks { return ticks(h.now) }
 
 // arrive hands an attempt to the admission server.
-func (h *host) arrive(a *emulator.Attempt) {
-	h.statsByTenant.RecordSent(a)
+func (h *host) arrive(attempt *emulator.Attempt) {
+	h.statsByTenant.RecordSent(attempt)
 	h.lastID++
-	category := &h.config.Categories[a.Stream.Category]
+	category := &h.config.Categories[attempt.Stream.Category]
 	r := &request{
-		attempt:      a,
-		softDeadline: a.At + seconds(category.SoftDeadline),
+		attempt:      attempt,
+		softDeadline: attempt.At + seconds(category.SoftDeadline),
 		deadline:     h.now + seconds(category.Deadline),
 	}
 	h.requests[h.lastID] = r
 	arrival := admission.Arrival{
-		Category: a.Stream.Category,
-		Router:   a.Router % routers,
+		Category: attempt.Stream.Category,
+		Router:   attempt.Router % routers,
 		QueuedKB: requestMemoryKB,
 		ID:       h.lastID,
 		TimeLeft: category.Deadline,
@@ -62,7 +62,8 @@
 		arrival.Router = int(h.lastID)
 	}
 	if h.fairQueue != nil {
-		r.reservation = h.fairQueue.Reserve([]byte(a.Tenant), a.Stream.Category, h.server.VirtualTime(), h.ticks())
+		r.reservation = h.fairQueue.Reserve([]byte(attempt.Tenant), attempt.Stream.Category, h.server.VirtualTime(),
+			h.ticks())
 		arrival.StartTag = r.reservation.StartTag
 		arrival.ExpectedDelay = r.reservation.ExpectedDelay
 	}
@@ -70,78 +71,78 @@
 }
 
 // completed ends a run that has done its work. The result is dropped where the request was answered before.
-func (h *host) completed(j *emulator.Job) {
-	r := h.requestsByJob[j]
-	delete(h.requestsByJob, j)
-	if !r.answered {
-		h.answer(r)
-		stats := h.statsByTenant.ForAttempt(r.attempt)
-		if h.now <= r.softDeadline {
+func (h *host) completed(job *emulator.Job) {
+	request := h.requestsByJob[job]
+	delete(h.requestsByJob, job)
+	if !request.answered {
+		h.answer(request)
+		stats := h.statsByTenant.ForAttempt(request.attempt)
+		if h.now <= request.softDeadline {
 			stats.OnTime++
-			stats.DeliveredValue += r.attempt.Stream.PriorityWeight
+			stats.DeliveredValue += request.attempt.Stream.PriorityWeight
 		} else {
 			stats.Late++
 		}
 	}
-	r.handle.RunEnded(admission.Succeeded, ticks(h.now-j.StartedAt))
+	request.handle.RunEnded(admission.Succeeded, ticks(h.now-job.StartedAt))
 }
 
 // answer records that the client has its response.
-func (h *host) answer(r *request) {
-	r.answered = true
-	if h.now > r.deadline {
+func (h *host) answer(request *request) {
+	request.answered = true
+	if h.now > request.deadline {
 		h.result.AnsweredPastDeadline++
 	}
 }
 
 // Run starts a request on the cores.
-func (h *host) Run(q *admission.Request) {
-	r := h.requests[q.ID]
-	r.reservation.Start(h.ticks())
-	if r.attempt.Retries > 0 {
-		h.statsByTenant.ForAttempt(r.attempt).RetriesAdmitted++
+func (h *host) Run(admitted *admission.Request) {
+	request := h.requests[admitted.ID]
+	request.reservation.Start(h.ticks())
+	if request.attempt.Retries > 0 {
+		h.statsByTenant.ForAttempt(request.attempt).RetriesAdmitted++
 	}
-	r.job = h.cores.Start("", r.attempt.CoreSeconds)
-	h.requestsByJob[r.job] = r
+	request.job = h.cores.Start("", request.attempt.CoreSeconds)
+	h.requestsByJob[request.job] = request
 }
 
 // Reject answers a request with a Retry-After, and schedules the retry where the stream has retries left.
-func (h *host) Reject(q *admission.Request, retryAfter timeunit.Ticks, _ bool) {
-	r := h.requests[q.ID]
-	h.answer(r)
+func (h *host) Reject(admitted *admission.Request, retryAfter timeunit.Ticks, _ bool) {
+	request := h.requests[admitted.ID]
+	h.answer(request)
 	if h.fairQueue != nil {
-		retryAfter = r.reservation.RetryAfter(retryAfter, h.config.MaxRetryAfter, h.ticks())
+		retryAfter = request.reservation.RetryAfter(retryAfter, h.config.MaxRetryAfter, h.ticks())
 	}
-	a := r.attempt
-	advised := AdvisedRetry{Tenant: a.Tenant, RetryAfterSeconds: seconds(retryAfter)}
+	attempt := request.attempt
+	advised := AdvisedRetry{Tenant: attempt.Tenant, RetryAfterSeconds: seconds(retryAfter)}
 	advised.DueSeconds = h.now + advised.RetryAfterSeconds
 	h.result.AdvisedRetries = append(h.result.AdvisedRetries, advised)
-	h.statsByTenant.ForAttempt(a).Rejected++
-	if a.Retries < a.Stream.MaxRetries && advised.RetryAfterSeconds > 0 {
-		h.load.Retry(a, advised.DueSeconds)
+	h.statsByTenant.ForAttempt(attempt).Rejected++
+	if attempt.Retries < attempt.Stream.MaxRetries && advised.RetryAfterSeconds > 0 {
+		h.load.Retry(attempt, advised.DueSeconds)
 	}
 }
 
 // Abort answers a request that failed or has reached its deadline.
-func (h *host) Abort(q *admission.Request) {
-	r := h.requests[q.ID]
-	h.answer(r)
-	h.statsByTenant.ForAttempt(r.attempt).Aborted++
+func (h *host) Abort(admitted *admission.Request) {
+	request := h.requests[admitted.ID]
+	h.answer(request)
+	h.statsByTenant.ForAttempt(request.attempt).Aborted++
 }
 
 // StopRun takes a run off the cores. Its end is reported to the admission server in the next batch.
-func (h *host) StopRun(q *admission.Request) {
-	r := h.requests[q.ID]
-	h.cores.Abort(r.job)
-	delete(h.requestsByJob, r.job)
-	h.stopped = append(h.stopped, r)
+func (h *host) StopRun(admitted *admission.Request) {
+	request := h.requests[admitted.ID]
+	h.cores.Abort(request.job)
+	delete(h.requestsByJob, request.job)
+	h.stopped = append(h.stopped, request)
 }
 
 // Release drops a request that the admission server needs no longer.
-func (h *host) Release(q *admission.Request) {
-	r := h.requests[q.ID]
-	r.reservation.Release(h.ticks())
-	delete(h.requests, q.ID)
+func (h *host) Release(admitted *admission.Request) {
+	request := h.requests[admitted.ID]
+	request.reservation.Release(h.ticks())
+	delete(h.requests, admitted.ID)
 }
 
 // SetTimer has OnTimer called after a time, or earlier where an earlier call had been asked for.
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -162,8 +162,8 @@
 		h.server.Drain(drainTime)
 	}
 	h.reportStopped()
-	for j := h.cores.PopCompleted(); j != nil; j = h.cores.PopCompleted() {
-		h.completed(j)
+	for job := h.cores.PopCompleted(); job != nil; job = h.cores.PopCompleted() {
+		h.completed(job)
 	}
 	for h.load.Next() <= at {
 		h.arrive(h.load.Pop())
@@ -191,16 +191,16 @@
 
 // reportStopped reports the end of the runs that the admission server stopped in the previous batch.
 func (h *host) reportStopped() {
-	for _, r := range h.stopped {
-		r.handle.RunEnded(admission.Aborted, ticks(h.now-r.job.StartedAt))
+	for _, request := range h.stopped {
+		request.handle.RunEnded(admission.Aborted, ticks(h.now-request.job.StartedAt))
 	}
 	h.stopped = h.stopped[:0]
 }
 
 // finish completes the result.
 func (h *host) finish() Result {
-	for _, r := range h.requests {
-		if !r.answered {
+	for _, request := range h.requests {
+		if !request.answered {
 			h.result.Unanswered++
 		}
 	}
