--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -257,7 +257,8 @@
 	for i := range off {
 		t.AppendRow(row(off[i], on[i]))
 	}
-	totalOff, totalOn := emulator.Total(off), emulator.Total(on)
+	totalOff := emulator.Total(off)
+	totalOn := emulator.Total(on)
 	t.AppendFooter(row(&totalOff, &totalOn))
 	t.Render()
 	printLine(out, "of entitled: value delivered before the soft deadline, of what the tenant's share (max-min) of "+
--- a/internal/emulator/commands.go
+++ b/internal/emulator/commands.go
@@ -71,9 +71,11 @@
 func (v *Interpreter) connect(link *Link, received int) {
 	v.dropLink()
 	v.link = link
-	state, uptimeMs := "WARM", 3_600_000
+	state := "WARM"
+	uptimeMs := 3_600_000
 	if v.ReportsCold {
-		state, uptimeMs = "COLD", 0
+		state = "COLD"
+		uptimeMs = 0
 	}
 	link.sendf(`{"type":"BANNER","state":%q,"took":%d}`+"\n", state, uptimeMs)
 	for _, line := range v.notices[min(received, len(v.notices)):] {
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -226,7 +226,9 @@
 	if p.chain == nil {
 		return
 	}
-	calls, faults, inactive := 0, 0, 0
+	calls := 0
+	faults := 0
+	inactive := 0
 	for _, one := range p.chain.Plugins {
 		calls += one.Calls
 		for _, count := range one.Faults {
