--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -6,10 +6,11 @@
 	"path/filepath"
 	"strings"
 	"testing"
-	"thistlequay/internal/command"
-	"thistlequay/internal/servertest"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/command"
+	"thistlequay/internal/servertest"
 )
 
 func TestCommandLineExitCodesAndMessages(t *testing.T) {
--- a/internal/command/deploy_file_test.go
+++ b/internal/command/deploy_file_test.go
@@ -11,6 +11,7 @@
 	"strconv"
 	"strings"
 	"testing"
+
 	"thistlequay/internal/clustertest"
 	"thistlequay/internal/servertest"
 )
--- a/internal/command/plugin_test.go
+++ b/internal/command/plugin_test.go
@@ -7,10 +7,11 @@
 	"strconv"
 	"strings"
 	"testing"
-	"thistlequay/internal/command"
-	"thistlequay/internal/servertest"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/command"
+	"thistlequay/internal/servertest"
 )
 
 func TestPluginCommandExitCodesAndOutput(t *testing.T) {
--- a/internal/command/try_test.go
+++ b/internal/command/try_test.go
@@ -4,10 +4,11 @@
 	"bytes"
 	"path/filepath"
 	"testing"
-	"thistlequay/internal/command"
-	"thistlequay/internal/servertest"
 
 	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/command"
+	"thistlequay/internal/servertest"
 )
 
 // `try`, the one command for a fresh machine, runs over sockets: whoever asks for less than its share gets it with fair
--- a/internal/server/configuration_socket_test.go
+++ b/internal/server/configuration_socket_test.go
@@ -5,77 +5,95 @@
 	"strings"
 	"syscall"
 	"testing"
+
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/servertest"
 )
 
-// A new configuration moves the program to other addresses: no request in flight is lost, and a downstream call that
-// is out ends where it is. An invalid file changes nothing.
+// moveEmulator starts an emulator on another address, puts that address into the configuration, and stops listening on
+// the address of the old one.
+func moveEmulator(server *servertest.Server, old *emulator.Listener) *emulator.Listener {
+	server.T.Helper()
+	moved := server.NewEmulator()
+	server.Config = strings.Replace(server.Config, old.Address, moved.Address, 1)
+	server.NoError(old.Listener.Close())
+	return moved
+}
+
+// A new configuration moves the program to other addresses: no request in flight is lost, and a downstream call in
+// flight ends on the connection on which it was sent. An invalid configuration changes nothing.
 func TestReloadMovesAddressesWithoutLoss(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
 	id := router.SendLook(1, "a")
 	interpreter.ExpectApply(id, "a")
 	interpreter.SendAwait(id, "q")
-	old := server.IndexCall(id)
+	oldIndex := server.IndexCall(id)
 	server.NextLink(server.Directory)
 	config := server.Config
-	for _, s := range []**emulator.Listener{&server.Interpreter, &server.Index, &server.Directory} {
-		to := server.NewEmulator()
-		server.Config = strings.Replace(server.Config, (*s).Address, to.Address, 1)
-		server.NoError((*s).Listener.Close())
-		*s = to
-	}
-	server.WriteFiles()
-	server.NoError(server.Process.Process.Signal(syscall.SIGHUP))
+	server.Interpreter = moveEmulator(server, server.Interpreter)
+	server.Index = moveEmulator(server, server.Index)
+	server.Directory = moveEmulator(server, server.Directory)
+	server.WriteFilesAndSignal()
 	moved := server.AcceptInterpreter(interpreter.LastNotice)
-	moved.LastNotice = interpreter.LastNotice
 	_, err := interpreter.Reader.ReadString(0)
 	server.Error(err) // the old link is closed
 	server.Equal("PUT /dir/nodes/n3 HTTP/1.1", server.ReadLine(server.NextLink(server.Directory)))
-	server.WriteLine(old, "%s HIT 2\r\nok\r", id)
-	o := moved.NextCommand()
-	server.Equal("RESOLVE "+id, o.Type+" "+o.Job)
+
+	server.WriteLine(oldIndex, "%s HIT 2\r\nok\r", id)
+	moved.ExpectCommand("RESOLVE", id)
 	moved.SendAwait(id, "q2")
 	index := server.NextLink(server.Index)
 	server.Contains(server.ReadLine(index), "GET "+id)
 	moved.SendValue(id, "OK", "a")
 	router.ExpectResponse(1, 200, "a")
+
 	server.Config = "{"
-	server.WriteFiles()
-	server.NoError(server.Process.Process.Signal(syscall.SIGHUP))
+	server.WriteFilesAndSignal()
 	server.Config = strings.Replace(config, `"sockets":64`, `"sockets":65`, 1)
 	moved.ServeOne(router, 2, "goes on")
-	server.NoError(server.Process.Process.Signal(syscall.SIGTERM))
+	server.Signal(syscall.SIGTERM)
 	_, log := server.WaitForExit()
 	server.Contains(log, "event=configuration_rejected reason=")
 }
 
-// A program with an invalid configuration or a taken address logs one line and exits with 1.
-func TestInvalidConfigurationsPreventStart(t *testing.T) {
-	server := servertest.New(t)
-	good := server.Config
-	for from, to := range map[string]string{
-		`"name":"n3"`: `"name":""`, `"stop_ms":1500`: `"stop_ms":-1`, `"cores":1.0`: `"cores":0`,
-		`"memory_mb":192`: `"memory_mb":1`, `"sockets":64`: `"sockets":3`, `"Cores":2`: `"Cores":0`,
-		`"MemoryKb":80000.0`: `"MemoryKb":-1`, `"settings":`: `"others":`, server.Interpreter.Address: "nowhere",
-		`{"name"`:         `"name"`,
-		`"OnTime":4000.0`: `"OnTime":1e300`,
-	} {
-		server.Config = strings.Replace(good, from, to, 1)
-		server.NotEqual(good, server.Config, from)
-		server.WriteFilesAndStart()
-		code, log := server.WaitForExit()
-		server.Equal(1, code, from)
-		server.Equal(1, strings.Count(log, "\n"), log)
-		server.Contains(log, "event=cannot_start reason=")
-	}
-	taken, err := net.Listen("tcp", server.Listen)
-	server.NoError(err)
-	defer servertest.CloseQuietly(taken)
-	server.Config = good
+// startRejected starts the program with a configuration with which it must not start, and returns what it has logged.
+func startRejected(server *servertest.Server) string {
+	server.T.Helper()
 	server.WriteFilesAndStart()
 	code, log := server.WaitForExit()
 	server.Equal(1, code)
-	server.Contains(log, "address already in use")
+	return log
+}
+
+// A program with an invalid configuration logs one line, with the reason, and exits with 1. One whose address is taken
+// exits with 1 and logs that.
+func TestInvalidConfigurationsPreventStart(t *testing.T) {
+	invalid := func(from, to string) func(t *testing.T) {
+		return func(t *testing.T) {
+			server := servertest.New(t)
+			server.ReplaceConfig(strings.ReplaceAll(from, "INTERPRETER", server.Interpreter.Address), to)
+			log := startRejected(server)
+			server.Equal(1, strings.Count(log, "\n"), log)
+			server.Contains(log, "event=cannot_start reason=")
+		}
+	}
+	t.Run("empty name", invalid(`"name":"n3"`, `"name":""`))
+	t.Run("negative shutdown deadline", invalid(`"stop_ms":1500`, `"stop_ms":-1`))
+	t.Run("no cores", invalid(`"cores":1.0`, `"cores":0`))
+	t.Run("too little memory", invalid(`"memory_mb":192`, `"memory_mb":1`))
+	t.Run("too few sockets", invalid(`"sockets":64`, `"sockets":3`))
+	t.Run("no cores in the settings", invalid(`"Cores":2`, `"Cores":0`))
+	t.Run("negative memory in the settings", invalid(`"MemoryKb":80000.0`, `"MemoryKb":-1`))
+	t.Run("unknown key", invalid(`"settings":`, `"others":`))
+	t.Run("interpreter without a port", invalid("INTERPRETER", "nowhere"))
+	t.Run("not JSON", invalid(`{"name"`, `"name"`))
+	t.Run("objective out of range", invalid(`"OnTime":4000.0`, `"OnTime":1e300`))
+	t.Run("address in use", func(t *testing.T) {
+		server := servertest.New(t)
+		other, err := net.Listen("tcp", server.Listen)
+		server.NoError(err)
+		defer servertest.CloseQuietly(other)
+		server.Contains(startRejected(server), "address already in use")
+	})
 }
--- a/internal/server/downstream_socket_test.go
+++ b/internal/server/downstream_socket_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"testing"
+
 	"thistlequay/internal/servertest"
 )
 
-// A downstream call that provably never ran is retried; one with effects that may have run is not.
+// The call of a request that is not idempotent is retried while it provably never ran (SHED, NOBODY), and not once it
+// may have run (SLOW). The call of an idempotent one is retried after a malformed reply, on another connection.
 func TestDownstreamCallIsRetriedOnlyWhenSafe(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -15,27 +17,30 @@
 	for _, reply := range []string{"SHED", "NOBODY", "SLOW"} {
 		index := server.IndexCall(id) // never a connection on which a hedged copy could come
 		server.WriteLine(index, "%s %s\r", id, reply)
-		servertest.CloseQuietly(index) // closed while it is idle in the pool
+		servertest.CloseQuietly(index) // while it is idle in the connection pool
 	}
 	router.ExpectResponse(1, 500, "")
-	router.SendBook(3, "k") // shares a run that waits for a call, and ends as it does
+
+	router.SendBook(3, "k") // shares the run, which waits for a call, and gets its outcome
 	interpreter.SendValue(id, "STOPPED", "")
 	router.ExpectResponse(3, 500, "")
 	router.SendBook(4, "k")
 	router.ExpectResponse(4, 500, "")
-	harmless := router.SendLook(2, "h")
-	interpreter.ExpectApply(harmless, "h")
-	interpreter.SendAwait(harmless, "q")
-	index := server.IndexCall(harmless)
+
+	idempotent := router.SendLook(2, "h")
+	interpreter.ExpectApply(idempotent, "h")
+	interpreter.SendAwait(idempotent, "q")
+	index := server.IndexCall(idempotent)
 	server.WriteLine(index, "nonsense\r")
 	server.RequireClosed(index)
-	index = server.IndexCall(harmless)
-	server.WriteLine(index, "%s HIT 0\r\n\r", harmless)
+	index = server.IndexCall(idempotent)
+	server.WriteLine(index, "%s HIT 0\r\n\r", idempotent)
 	server.Equal("RESOLVE", interpreter.NextCommand().Type)
-	interpreter.SendValue(harmless, "OK", "h")
+	interpreter.SendValue(idempotent, "OK", "h")
 	router.ExpectResponse(2, 200, "h")
 }
 
+// While the index does not answer one call other requests are served, and the call ends with its request's deadline.
 func TestHangingIndexDelaysNothingElse(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -48,7 +53,7 @@
 	router.ExpectResponse(1, 500, "")
 }
 
-// While the index is down a call ends with its request's deadline; afterwards the index is dialled again.
+// While the index is down a call ends with its request's deadline; once it is back the program connects to it again.
 func TestIndexOutageAndRecovery(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	server.NoError(server.Index.Listener.Close())
--- a/internal/server/idempotency_socket_test.go
+++ b/internal/server/idempotency_socket_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"strconv"
 	"testing"
-	"thistlequay/internal/emulator"
-	"thistlequay/internal/servertest"
 	"time"
+
+	"thistlequay/internal/servertest"
 )
 
 // Each way in which an attempt of a keyed request can find another: queued, running, succeeded, failed.
@@ -17,29 +17,31 @@
 	interpreter.ExpectApply(first, "fills")
 	second := router.SendLook(2, "the pool")
 	interpreter.ExpectApply(second, "the pool")
+
 	router.SendBook(3, "k1")
-	held := router.SendBook(4, "k1")
+	queued := router.SendBook(4, "k1")
 	router.ExpectResponse(3, 503, "") // the later attempt takes the place of the queued one
 	interpreter.SendValue(first, "OK", "")
 	router.ExpectResponse(1, 200, "")
-	interpreter.ExpectApply(held, "entry k1")
+	interpreter.ExpectApply(queued, "entry k1")
+
 	router.SendBook(5, "k1")
 	router.SendBook(6, "k1")
-	_, err := router.Write(emulator.FastCGIRecord(2, 5,
-		"")) // one attempt that shares the run is aborted; the run goes on
-	server.NoError(err)
+	router.SendAbort(5) // of the attempts that share the run one is aborted; the run goes on
 	slot, _, _, _ := router.NextResponse()
 	server.Equal(uint16(5), slot)
-	interpreter.SendValue(held, "OK", "one run")
+	interpreter.SendValue(queued, "OK", "one run")
 	for range 2 { // in either order
 		slot, status, _, body := router.NextResponse()
 		server.Contains([]uint16{4, 6}, slot)
 		server.Equal("200 one run", fmt.Sprint(status, " ", body))
 	}
+
 	router.SendBook(7, "k1")
 	router.ExpectResponse(7, 200, "one run")
 	interpreter.SendValue(second, "OK", "")
 	router.ExpectResponse(2, 200, "")
+
 	failed := router.SendBook(8, "k2")
 	interpreter.ExpectApply(failed, "entry k2")
 	interpreter.SendValue(failed, "ERROR", "")
@@ -49,15 +51,15 @@
 	interpreter.ExpectApply(router.SendBook(10, "k3"), "entry k3")
 }
 
-// Two attempts that arrive in one segment know of each other: one is run.
+// Of two attempts that arrive together one is run; the other shares its run or is rejected.
 func TestSimultaneousRetriesRunOnce(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	one := router.SendBook(1, "k")
-	two := router.SendBook(2, "k")
-	o := interpreter.NextCommand()
-	server.Contains([]string{one, two}, o.Job)
-	interpreter.SendValue(o.Job, "OK", "once")
+	first := router.SendBook(1, "k")
+	second := router.SendBook(2, "k")
+	command := interpreter.NextCommand()
+	server.Contains([]string{first, second}, command.Job)
+	interpreter.SendValue(command.Job, "OK", "once")
 	statuses := map[int]int{}
 	for range 2 {
 		_, status, _, _ := router.NextResponse()
@@ -67,84 +69,81 @@
 	interpreter.ExpectApply(router.SendLook(3, "no second run came before"), "no second run came before")
 }
 
-// A retry whose router's clock is ahead was still written within the deduplication window: it shares the run.
+// Where the clocks of routers differ, a retry within the deduplication window of the first attempt gets its result: the
+// Received-At of either may be ahead.
 func TestRetriesFromClocksAheadShareTheResult(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
-	book := func(slot uint16, key string, ahead int64) string {
-		with := servertest.RequestParameters(server.NewRequestID())
-		at, err := strconv.ParseInt(with["HTTP_RECEIVED_AT"], 10, 64)
+	sendBook := func(slot uint16, key string, aheadMS int64) string {
+		id := server.NewRequestID()
+		parameters := servertest.RequestParameters(id)
+		received, err := strconv.ParseInt(parameters["HTTP_RECEIVED_AT"], 10, 64)
 		server.NoError(err)
-		with["HTTP_RECEIVED_AT"], with["HTTP_ONCE_KEY"] = strconv.FormatInt(at+ahead, 10), key
-		router.Send(slot, "/rpc/book", "entry "+key, with)
-		return with["HTTP_REQUEST_ID"]
+		parameters["HTTP_RECEIVED_AT"] = strconv.FormatInt(received+aheadMS, 10)
+		parameters["HTTP_ONCE_KEY"] = key
+		router.Send(slot, "/rpc/book", "entry "+key, parameters)
+		return id
 	}
-	id := book(1, "k", 0)
+	id := sendBook(1, "k", 0)
 	interpreter.ExpectApply(id, "entry k")
 	interpreter.SendValue(id, "OK", "ran")
 	router.ExpectResponse(1, 200, "ran")
-	book(2, "k", 900)
+	sendBook(2, "k", 900)
 	router.ExpectResponse(2, 200, "ran")
-	id = book(3, "l", 900) // the window of a request from a clock ahead counts from its own time
+
+	id = sendBook(3, "l", 900) // its window counts from its Received-At
 	interpreter.ExpectApply(id, "entry l")
 	interpreter.SendValue(id, "OK", "ran too")
 	router.ExpectResponse(3, 200, "ran too")
-	ran := time.Now()
-	// past the window, counted from when the request was read
-	server.Eventually(func() bool { return time.Since(ran) > 320*time.Millisecond }, servertest.EventTimeout,
-		time.Millisecond)
-	book(4, "l", 0)
+	// Past the window, counted from when the request was read.
+	server.WaitUntilPast(time.Now().Add(320 * time.Millisecond))
+	sendBook(4, "l", 0)
 	router.ExpectResponse(4, 200, "ran too")
 }
 
-// A deduplication window of 0 lets retries share a run in flight; after it a request runs anew.
+// With a deduplication window of 0 a retry shares a run in flight; after the run the same key starts another.
 func TestZeroDeduplicationWindow(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":0.0`)
 	router := server.ConnectRouter()
 	id := router.SendBook(1, "k")
 	interpreter.ExpectApply(id, "entry k")
-	shares := router.SendBook(2, "k") // while it runs, there is a result to share
+	retry := router.SendBook(2, "k") // during the run
 	interpreter.SendValue(id, "OK", "once")
 	router.ExpectResponse(1, 200, "once")
 	router.ExpectResponse(2, 200, "once")
-	server.NotEqual(id, shares)
-	ended := time.Now()
-	server.Eventually(func() bool { return time.Since(ended) > 20*time.Millisecond }, servertest.EventTimeout,
-		time.Millisecond)
-	id = router.SendBook(3, "k") // after it, a new request
+	server.NotEqual(id, retry)
+	server.WaitUntilPast(time.Now().Add(20 * time.Millisecond))
+	id = router.SendBook(3, "k") // after the run
 	interpreter.ExpectApply(id, "entry k")
 	interpreter.SendValue(id, "OK", "twice")
 	router.ExpectResponse(3, 200, "twice")
 }
 
-// The interpreter link is lost during a run, and the deduplication window ends meanwhile: a retry that arrived within
-// the window and one after it both wait for that run. One run, one result.
+// Where the link to the interpreter is lost during a run and the deduplication window ends meanwhile, a retry within the
+// window and one after it both wait for that run and get its result.
 func TestRetriesAcrossLostLinkAndShortWindowShareOneRun(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
 	id := router.SendBook(1, "k")
 	interpreter.ExpectApply(id, "entry k")
-	ran := time.Now()
-	// by now the APPLY cannot have been lost with the link
-	server.Eventually(func() bool { return time.Since(ran) > 120*time.Millisecond }, servertest.EventTimeout,
-		time.Millisecond)
+	started := time.Now()
+	// Once this has passed, the program does not take the APPLY for lost with the link.
+	server.WaitUntilPast(started.Add(120 * time.Millisecond))
 	servertest.CloseQuietly(interpreter)
 	interpreter = server.NextInterpreterLink(0)
 	server.Equal(`{"type":"CONNECT","n":0}`, server.ReadLine(interpreter.Link))
 	router.SendBook(2, "k")
-	server.Eventually(func() bool { return time.Since(ran) > 400*time.Millisecond }, servertest.EventTimeout,
-		time.Millisecond)
+	server.WaitUntilPast(started.Add(400 * time.Millisecond))
 	router.SendBook(3, "k")
-	router.Send(4, "/health", "", nil)
-	router.ExpectResponse(4, 200, "") // both have been read while the link is silent
-	server.WriteLine(interpreter.Link, `{"type":"BANNER","state":"WARM","took":3600000}`)
+	router.ExpectHealth(4, 200) // the program has read both before the link takes requests
+	server.WriteLine(interpreter.Link, servertest.BannerWarm)
 	interpreter.SendValue(id, "OK", "once")
-	got := map[uint16]string{}
+	responses := map[uint16]string{}
 	for range 3 {
 		slot, status, _, body := router.NextResponse()
-		got[slot] = fmt.Sprint(status, " ", body)
+		responses[slot] = fmt.Sprint(status, " ", body)
 	}
-	server.Equal(map[uint16]string{1: "200 once", 2: "200 once", 3: "200 once"}, got)
+	server.Equal(map[uint16]string{1: "200 once", 2: "200 once", 3: "200 once"}, responses)
 	look := router.SendLook(5, "goes on")
 	interpreter.ExpectApply(look, "goes on") // no other run started in between
 }
--- a/internal/server/interpreter_socket_test.go
+++ b/internal/server/interpreter_socket_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"testing"
+
 	"thistlequay/internal/servertest"
 )
 
-// After a break the link states the last notice: finished runs are not started again, and queued requests follow.
+// After the link to the interpreter broke, the program states the last notice on its next link: a run whose result is
+// replayed is not started again, the other one is, and requests that came without a link follow.
 func TestInterpreterLinkIsResumed(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -14,47 +16,44 @@
 	book := router.SendBook(2, "k")
 	interpreter.ExpectApply(book, "entry k")
 	servertest.CloseQuietly(interpreter)
-	back := server.NextInterpreterLink(0)
-	server.Equal(`{"type":"CONNECT","n":0}`, server.ReadLine(back.Link))
-	waits := router.SendBrief(3)
-	router.Send(4, "/health", "", nil)
-	router.ExpectResponse(4, 200, "") // request 3 has been read while there is no link
-	server.WriteLine(back.Link, `{"type":"BANNER","state":"WARM","took":3600000}`)
-	back.SendValue(look, "OK", "replayed")
+	resumed := server.NextInterpreterLink(0)
+	server.Equal(`{"type":"CONNECT","n":0}`, server.ReadLine(resumed.Link))
+	brief := router.SendBrief(3)
+	router.ExpectHealth(4, 200) // the program has read request 3 before the link takes requests
+	server.WriteLine(resumed.Link, servertest.BannerWarm)
+	resumed.SendValue(look, "OK", "replayed")
 	router.ExpectResponse(1, 200, "replayed")
-	jobs := []string{back.NextCommand().Job, back.NextCommand().Job}
-	server.ElementsMatch([]string{book, waits}, jobs) // a run that ended is not started again
-	back.SendValue(book, "OK", "b")
+	started := []string{resumed.NextCommand().Job, resumed.NextCommand().Job}
+	server.ElementsMatch([]string{book, brief}, started)
+	resumed.SendValue(book, "OK", "b")
 	router.ExpectResponse(2, 200, "b")
-	back.SendValue(waits, "OK", "w")
+	resumed.SendValue(brief, "OK", "w")
 	router.ExpectResponse(3, 200, "w")
 }
 
-// Commands of the last moment before a link breaks may be lost: runs are requested again, which starts none twice,
-// and a reply is sent again unless the run has been heard of since. What provably did not start frees its idempotency
-// entry.
+// The last commands before the link breaks may be lost, so the program sends them again on its next link: the APPLY of a
+// run and the RESOLVE of a downstream call. Where the interpreter replies MOOT the run provably did not start, and its
+// idempotency key is free again.
 func TestCommandsLostWithLinkAreSentAgain(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	waits := router.SendLook(1, "waits")
-	interpreter.ExpectApply(waits, "waits")
-	interpreter.SendAwait(waits, "q")
-	index := server.IndexCall(waits)
-	server.WriteLine(index, "%s HIT 2\r\nok\r", waits)
-	server.Equal("RESOLVE "+waits, func() string { o := interpreter.NextCommand(); return o.Type + " " + o.Job }())
+	look := router.SendLook(1, "waits")
+	interpreter.ExpectApply(look, "waits")
+	interpreter.SendAwait(look, "q")
+	index := server.IndexCall(look)
+	server.WriteLine(index, "%s HIT 2\r\nok\r", look)
+	interpreter.ExpectCommand("RESOLVE", look)
 	book := router.SendBook(2, "k")
 	interpreter.ExpectApply(book, "entry k")
-	n := interpreter.LastNotice
 	servertest.CloseQuietly(interpreter)
-	interpreter = server.AcceptInterpreter(n)
-	interpreter.LastNotice = n
-	again := map[string]bool{}
+	interpreter = server.AcceptInterpreter(interpreter.LastNotice)
+	resent := map[string]bool{}
 	for range 2 {
-		o := interpreter.NextCommand()
-		again[o.Type+" "+o.Job+" "+o.Data] = true
+		command := interpreter.NextCommand()
+		resent[command.Type+" "+command.Job+" "+command.Data] = true
 	}
-	server.Equal(map[string]bool{"APPLY " + book + " ZW50cnkgaw==": true, "RESOLVE " + waits + " b2s=": true}, again)
-	interpreter.SendValue(waits, "OK", "w")
+	server.Equal(map[string]bool{"APPLY " + book + " ZW50cnkgaw==": true, "RESOLVE " + look + " b2s=": true}, resent)
+	interpreter.SendValue(look, "OK", "w")
 	router.ExpectResponse(1, 200, "w")
 	interpreter.SendValue(book, "MOOT", "")
 	router.ExpectResponse(2, 500, "")
@@ -64,6 +63,8 @@
 	router.ExpectResponse(3, 200, "b")
 }
 
+// After a malformed line from the interpreter the program opens a new link. A request that the interpreter then does not
+// know is answered with 500.
 func TestMalformedInterpreterLineReopensLink(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	server.WriteLine(interpreter.Link, "no notice")
@@ -71,6 +72,6 @@
 	router := server.ConnectRouter()
 	id := router.SendLook(1, "x")
 	interpreter.ExpectApply(id, "x")
-	server.WriteLine(interpreter.Link, `{"type":"ERROR","state":"APPLY","job":%q}`, id)
+	interpreter.SendUnknownRequest(id)
 	router.ExpectResponse(1, 500, "")
 }
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -14,123 +14,162 @@
 	"thistlequay/internal/servertest"
 )
 
-// playPluginLoad plays load for about a second against a server with these plug-ins, which see acme but not beta.
-func playPluginLoad(t *testing.T, service func(server *servertest.Server) string,
-	during func(server *servertest.Server)) (server *servertest.Server,
-	acme, beta *emulator.TenantStats,
-	vm *emulator.Interpreter) {
+// pluginLoad is a load of about a second against a server whose plug-ins see the requests of acme but not those of beta.
+type pluginLoad struct {
+	server      *servertest.Server
+	interpreter *emulator.Interpreter
+	acme        *emulator.TenantStats
+	beta        *emulator.TenantStats
+}
+
+// newPluginLoad makes the server and its interpreter; the program is not started.
+func newPluginLoad(t *testing.T) *pluginLoad {
 	t.Helper()
-	server = servertest.New(t)
-	var err error
-	vm, err = emulator.NewInterpreter(2, 3)
+	server := servertest.New(t)
+	interpreter, err := emulator.NewInterpreter(2, 3)
 	server.NoError(err)
-	t.Cleanup(vm.Close)
+	t.Cleanup(interpreter.Close)
 	servertest.CloseQuietly(server.Interpreter)
-	server.Config = strings.Replace(server.Config, server.Interpreter.Address, vm.Address, 1)
-	server.Config = strings.Replace(server.Config, `"Tenants":[{"Name":"acme"}]`, servertest.TwoTenants(0.5, 0.5), 1)
-	server.Service = service(server)
-	server.WriteFilesAndStart()
-	server.WaitForLog("interpreter_up")
-	length := 0.8
+	server.ReplaceConfig(server.Interpreter.Address, interpreter.Address)
+	server.ReplaceConfig(`"Tenants":[{"Name":"acme"}]`, servertest.TwoTenants(0.5, 0.5))
+	return &pluginLoad{server: server, interpreter: interpreter}
+}
+
+// play starts the program with these settings, plays the load and calls during, where it is not nil, meanwhile. The load
+// takes 0.8 s, with MEASURE=full 20. The test fails where a connection ends before a response.
+func (l *pluginLoad) play(service string, during func()) {
+	l.server.T.Helper()
+	l.server.Service = service
+	l.server.WriteFilesAndStart()
+	l.server.WaitForLog("interpreter_up")
+	seconds := 0.8
 	if os.Getenv("MEASURE") == "full" {
-		length = 20
+		seconds = 20
 	}
-	load := &emulator.LoadRun{Address: server.Listen, Seed: 5, Seconds: length, Cores: 2, Categories: []string{"look"},
-		SoftDeadline: 4 * time.Second, Deadline: 7 * time.Second, Streams: []*emulator.Stream{
-			{Tenant: "acme", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
-				PriorityWeight: 1},
-			{Tenant: "beta", Weight: 0.5, ArrivalsPerSecond: 250, To: length, MeanCoreSeconds: 0.002,
-				PriorityWeight: 1}}}
-	var all sync.WaitGroup
+	load := twoTenantLoad(l.server, seconds, 0.002, 250, 250)
+	var meanwhile sync.WaitGroup
 	if during != nil {
-		all.Go(func() { during(server) })
+		meanwhile.Go(during)
 	}
-	books, err := load.Run()
-	server.NoError(err)
-	all.Wait()
-	server.Zero(load.BrokenRequests())
-	return server, books[0], books[1], vm
+	tenants, err := load.Run()
+	l.server.NoError(err)
+	meanwhile.Wait()
+	l.server.Zero(load.BrokenRequests())
+	l.acme = tenants[0]
+	l.beta = tenants[1]
 }
 
-// pluginMemory is the resident memory of the plug-in processes of a server, in MB, and how many of them there are.
-func pluginMemory(server *servertest.Server) (mb float64, n int) {
+// lateAndLost returns how many attempts were answered after their deadline, and how many requests without a response
+// there are.
+func (l *pluginLoad) lateAndLost() (late, lost int) {
+	for _, tenant := range []*emulator.TenantStats{l.acme, l.beta} {
+		late += tenant.PastDeadline
+		answered := tenant.OnTime + tenant.Late + tenant.Rejected + tenant.Aborted + tenant.OtherStatuses
+		lost += tenant.Requests - answered
+	}
+	return late, lost
+}
+
+// doubleRuns returns how many runs there were beyond the first of each request.
+func (l *pluginLoad) doubleRuns() int {
+	double := 0
+	l.interpreter.Inspect(func(v *emulator.Interpreter) {
+		for _, runs := range v.RunsByRequest {
+			double += runs - 1
+		}
+	})
+	return double
+}
+
+// pluginMemory returns the resident memory of the plug-in processes of a server, in MB, and how many of them there are.
+func pluginMemory(server *servertest.Server) (memoryMB float64, processes int) {
+	// ps exits with 1 where there is no such process; then there is no output.
 	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(server.Process.Process.Pid), "-o", "rss=").Output()
 	for _, field := range strings.Fields(string(out)) {
-		kb, _ := strconv.ParseFloat(field, 64)
-		mb += kb / 1024
-		n++
+		kb, _ := strconv.ParseFloat(field, 64) // ps writes nothing but numbers
+		memoryMB += kb / 1024
+		processes++
 	}
-	return mb, n
+	return memoryMB, processes
 }
 
-// Each hostile plug-in beside a well-behaved one, under load: no request waits for it and none is lost.
+// peakPluginMemory returns the largest of some samples of pluginMemory during the load, in MB.
+func peakPluginMemory(server *servertest.Server) float64 {
+	peakMB := 0.0
+	for range 6 {
+		memoryMB, _ := pluginMemory(server)
+		peakMB = max(peakMB, memoryMB)
+		time.Sleep(100 * time.Millisecond) // a sampling interval, no wait for an event
+	}
+	return peakMB
+}
+
+// A hostile plug-in beside a well-behaved one, under load, of each kind: no response is late, no request is lost or run
+// twice, and the requests that no plug-in sees all succeed or are rejected.
 func TestMeasuredHostilePlugins(t *testing.T) {
-	_, _, calm, _ := playPluginLoad(t, func(*servertest.Server) string { return "" }, nil)
-	for _, kind := range []string{"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled",
-		"traps", "traps-one-in-ten",
-		"points-outside", "answers-1gib", "status-9999", "no-such-category", "logs-without-end", "slow-4ms"} {
-		t.Run(kind, func(t *testing.T) {
-			name, compiled := strings.CutSuffix(kind, " compiled")
-			engine := map[bool]string{false: "interpreter", true: "compiler"}[compiled]
-			var most float64
-			server, acme, beta, vm := playPluginLoad(t, func(server *servertest.Server) string {
-				return pluginSection(pluginEntry("hostile", server.WriteModule(name),
-					"hooks: [read, result, tick], every: 20ms, tenants: "+
-						"[acme], may: [decline, rewrite], quarantine: 50ms, engine: "+engine),
-					pluginEntry("tagger", server.WriteModule("tags"),
-						"hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5"))
-			}, func(server *servertest.Server) {
-				for range 6 {
-					mb, _ := pluginMemory(server)
-					most = max(most, mb)
-					time.Sleep(100 * time.Millisecond) // a sampling interval, no wait for an event
-				}
-			})
-			late := 0
-			lost := 0
-			double := 0
-			for _, tenant := range []*emulator.TenantStats{acme, beta} {
-				late += tenant.PastDeadline
-				answered := tenant.OnTime + tenant.Late + tenant.Rejected + tenant.Aborted + tenant.OtherStatuses
-				lost += tenant.Requests - answered
-			}
-			vm.Inspect(func(v *emulator.Interpreter) {
-				for _, runs := range v.RunsByRequest {
-					double += runs - 1
-				}
-			})
-			alive := map[bool]int{true: 1}[server.Process.ProcessState == nil]
-			t.Logf("measured plugins kind=%q late_answers=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
-				"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
-				kind, late, lost, double, alive, most,
-				float64(beta.ResponseTimes.ValueAtQuantile(99))/float64(calm.ResponseTimes.ValueAtQuantile(99)),
-				float64(acme.ResponseTimes.ValueAtQuantile(50))/1000,
-				float64(acme.ResponseTimes.ValueAtQuantile(99))/1000)
-			server.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
-			server.Zero(beta.OtherStatuses + beta.Aborted)
-		})
+	calm := newPluginLoad(t)
+	calm.play("", nil)
+	for _, kind := range []string{
+		"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled", "traps", "traps-one-in-ten",
+		"points-outside", "answers-1gib", "status-9999", "no-such-category", "logs-without-end", "slow-4ms",
+	} {
+		t.Run(kind, func(t *testing.T) { measureHostilePlugin(t, kind, calm) })
+	}
+}
+
+// measureHostilePlugin is one case of TestMeasuredHostilePlugins. calm is the load without plug-ins.
+func measureHostilePlugin(t *testing.T, kind string, calm *pluginLoad) {
+	t.Helper()
+	module, compiled := strings.CutSuffix(kind, " compiled")
+	engine := "interpreter"
+	if compiled {
+		engine = "compiler"
+	}
+	load := newPluginLoad(t)
+	server := load.server
+	hostile := pluginEntry("hostile", server.WriteModule(module), "hooks: [read, result, tick], every: 20ms, "+
+		"tenants: [acme], may: [decline, rewrite], quarantine: 50ms, engine: "+engine)
+	tagger := pluginEntry("tagger", server.WriteModule("tags"),
+		"hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5")
+	peakMB := 0.0
+	load.play(pluginSection(hostile, tagger), func() { peakMB = peakPluginMemory(server) })
+
+	late, lost := load.lateAndLost()
+	double := load.doubleRuns()
+	alive := 0
+	if server.Process.ProcessState == nil {
+		alive = 1
 	}
+	calmP99 := float64(calm.beta.ResponseTimes.ValueAtQuantile(99))
+	t.Logf("measured plugins kind=%q late_responses=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
+		"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
+		kind, late, lost, double, alive, peakMB,
+		float64(load.beta.ResponseTimes.ValueAtQuantile(99))/calmP99,
+		float64(load.acme.ResponseTimes.ValueAtQuantile(50))/1000,
+		float64(load.acme.ResponseTimes.ValueAtQuantile(99))/1000)
+	server.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
+	server.Zero(load.beta.OtherStatuses + load.beta.Aborted)
 }
 
-// Forty plug-in versions in a row under load: each request ends with the version it began with, and none is lost.
+// Forty plug-in versions in a row under load: every request is answered in time, and few processes of old
+// versions remain.
 func TestFortyPluginReloadsUnderLoadLoseNothing(t *testing.T) {
-	server, acme, beta, _ := playPluginLoad(t, func(server *servertest.Server) string {
-		return pluginSection(pluginEntry("one", server.WriteModule("good"),
-			"hooks: [read, result]"))
-	}, func(server *servertest.Server) {
+	load := newPluginLoad(t)
+	server := load.server
+	first := pluginSection(pluginEntry("one", server.WriteModule("good"), "hooks: [read, result]"))
+	load.play(first, func() {
 		for i := range 40 {
-			server.Service = pluginSection(pluginEntry("one", server.WriteModule([]string{"good", "tags"}[i%2]),
-				fmt.Sprintf("hooks: [read, result], may: [tag], row: %d", i)))
-			server.Service = strings.Replace(server.Service, "row", "faults_in_a_row", 1)
-			server.Service = strings.Replace(server.Service, "faults_in_a_row: 0", "faults_in_a_row: 1", 1)
+			module := server.WriteModule([]string{"good", "tags"}[i%2])
+			settings := fmt.Sprintf("hooks: [read, result], may: [tag], faults_in_a_row: %d", max(i, 1))
+			server.Service = pluginSection(pluginEntry("one", module, settings))
 			server.Reload()
 		}
 	})
-	for _, tenant := range []*emulator.TenantStats{acme, beta} {
+	for _, tenant := range []*emulator.TenantStats{load.acme, load.beta} {
 		server.Equal(tenant.Requests, tenant.OnTime+tenant.Late+tenant.Rejected, tenant)
 		server.Zero(tenant.PastDeadline)
 	}
-	server.Equal(40, strings.Count(server.LogText(), "event=configuration_read"))
-	_, n := pluginMemory(server)
-	server.LessOrEqual(n, 6)
+	server.Equal(40, server.EventCount("configuration_read"))
+	_, processes := pluginMemory(server)
+	server.LessOrEqual(processes, 6)
 }
--- a/internal/server/store_socket_test.go
+++ b/internal/server/store_socket_test.go
@@ -19,148 +19,174 @@
 	"thistlequay/internal/servertest"
 )
 
-// A hundred incarnations, each killed at a seeded moment while three attempts per key arrive, of keys of this
-// incarnation and of earlier ones: no key runs twice, and every successful response to a key is the same.
+// keyedResponse is a response to an attempt with an idempotency key.
+type keyedResponse struct {
+	key string
+	emulator.Response
+}
+
+// attemptsPerKey is how often each key is sent, on a connection each, before the process is killed.
+const attemptsPerKey = 3
+
+// sendKeyedAttempts sends one attempt of each key, in slots from 1 on, on each of attemptsPerKey connections. The first
+// channel has the responses; the second has an entry for each connection that has ended.
+func sendKeyedAttempts(server *servertest.Server, keys []string) (<-chan keyedResponse, <-chan struct{}) {
+	server.T.Helper()
+	responses := make(chan keyedResponse, 100)
+	ended := make(chan struct{}, attemptsPerKey)
+	for range attemptsPerKey {
+		router := server.ConnectRouter()
+		for i, key := range keys {
+			router.SendTimedBook(uint16(i+1), key)
+		}
+		go func() {
+			for {
+				response, err := router.ReadResponse()
+				if err != nil {
+					ended <- struct{}{}
+					return
+				}
+				responses <- keyedResponse{keys[response.Slot-1], response}
+			}
+		}()
+	}
+	return responses, ended
+}
+
+// A hundred incarnations, with MEASURE=full 500, each killed after a random number of responses while three attempts per
+// key arrive, of new keys and of earlier ones: no key is run twice, and all successful responses to a key are the same.
 func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	server := servertest.New(t)
 	config := server.Config
 	server.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: process\n")
-	chance := rand.New(rand.NewSource(7))
-	lives := 100
-	fresh := 4
+	random := rand.New(rand.NewSource(7))
+	incarnations := 100
+	newKeys := 4
 	if os.Getenv("MEASURE") == "full" {
-		lives = 500
+		incarnations = 500
 	}
-	runs := map[string]int{}
-	told := map[string]string{}
-	answers := 0
-	keys := 0
-	for life := range lives {
-		vm := server.StartWithInterpreter(t, config)
-		var asked []string
-		for range fresh {
-			keys++
-			asked = append(asked, fmt.Sprint("key-", keys))
-		}
-		for range min(life, 4) {
-			asked = append(asked, fmt.Sprint("key-", max(1, keys-chance.Intn(30))))
+	runs := map[string]int{}       // by body
+	results := map[string]string{} // by key
+	responses := 0
+	keyCount := 0
+	for incarnation := range incarnations {
+		interpreter := server.StartWithInterpreter(t, config)
+		var keys []string
+		for range newKeys {
+			keyCount++
+			keys = append(keys, fmt.Sprint("key-", keyCount))
 		}
-		type got struct {
-			key string
-			emulator.Response
+		for range min(incarnation, 4) {
+			keys = append(keys, fmt.Sprint("key-", max(1, keyCount-random.Intn(30))))
 		}
-		came := make(chan got, 100)
-		ends := make(chan struct{}, 3)
-		for range 3 {
-			router := server.ConnectRouter()
-			for slot, key := range asked {
-				router.SendTimedBook(uint16(slot+1), key)
+		received, ended := sendKeyedAttempts(server, keys)
+		for range random.Intn(attemptsPerKey * len(keys)) { // then the process is killed
+			response := <-received
+			responses++
+			if response.Status != 200 {
+				continue
 			}
-			go func() {
-				for {
-					a, err := router.ReadResponse()
-					if err != nil {
-						ends <- struct{}{}
-						return
-					}
-					came <- got{asked[a.Slot-1], a}
-				}
-			}()
-		}
-		for range chance.Intn(3 * len(asked)) { // then the process is killed
-			a := <-came
-			answers++
-			if a.Status == 200 {
-				if before, known := told[a.key]; known {
-					server.Equal(before, a.Body)
-				}
-				told[a.key] = a.Body
+			earlier, known := results[response.key]
+			if known {
+				server.Equal(earlier, response.Body)
 			}
+			results[response.key] = response.Body
 		}
-		server.NoError(server.Process.Process.Kill())
-		<-server.Ended()
-		for range 3 {
-			<-ends
+		server.Kill()
+		for range attemptsPerKey {
+			<-ended
 		}
-		vm.Inspect(func(v *emulator.Interpreter) {
-			for body, n := range v.RunsByBody {
-				runs[body] += n
+		interpreter.Inspect(func(v *emulator.Interpreter) {
+			for body, count := range v.RunsByBody {
+				runs[body] += count
 			}
 		})
-		vm.Close()
+		interpreter.Close()
 	}
 	double := 0
-	for _, n := range runs {
-		double += n - 1
+	for _, count := range runs {
+		double += count - 1
 	}
-	t.Logf("measured store-lives lives=%d keys=%d runs=%d answers=%d fulfilled_keys=%d double_runs=%d", lives, keys,
-		len(runs), answers, len(told), double)
+	t.Logf("measured store-crashes incarnations=%d keys=%d runs=%d responses=%d succeeded_keys=%d double_runs=%d",
+		incarnations, keyCount, len(runs), responses, len(results), double)
 	server.Zero(double)
-	server.Greater(len(told), keys/8)
+	server.Greater(len(results), keyCount/8)
+}
+
+// runStoreCommand runs a store command in this process and returns its exit code and output.
+func runStoreCommand(args ...string) (int, string) {
+	var out bytes.Buffer
+	code := command.Run(append([]string{"store"}, args...), &out, &out)
+	return code, out.String()
 }
 
-// A retry after a restart gets the first result, one with another body is rejected, a second server on the same
-// directory does not start, and the store commands show what the directory holds.
+// flipStoredByte changes a byte in the middle of the only segment of a store.
+func flipStoredByte(server *servertest.Server, directory string) {
+	server.T.Helper()
+	segments, err := filepath.Glob(filepath.Join(directory, "*.seg"))
+	server.NoError(err)
+	server.Len(segments, 1)
+	text, err := os.ReadFile(segments[0])
+	server.NoError(err)
+	text[len(text)/2] ^= 1
+	server.NoError(os.WriteFile(segments[0], text, 0o600))
+}
+
+// A retry after a restart gets the first result, and one with another body is rejected. A second server on the same
+// directory does not start. The store commands show what the directory holds, also after one byte is corrupt; then keyed
+// requests whose records may be lost are rejected.
 func TestStoredResultsSurviveRestart(t *testing.T) {
 	server := servertest.New(t)
 	directory := filepath.Join(t.TempDir(), "store")
 	server.Service = servertest.StoreSection(directory, "")
 	config := server.Config
-	vm := server.StartWithInterpreter(t, config)
+	interpreter := server.StartWithInterpreter(t, config)
 	router := server.ConnectRouter()
 	router.SendTimedBook(1, "k")
 	router.ExpectResponse(1, 200, "result of 1 entry k")
+
 	second := servertest.New(t)
 	second.Service = server.Service
 	second.WriteFilesAndStart()
 	code, log := second.WaitForExit()
 	server.Equal(command.ExitFailed, code)
 	server.Contains(log, "another process has this store")
-	server.NoError(server.Process.Process.Signal(syscall.SIGTERM))
+
+	server.Signal(syscall.SIGTERM)
 	code, _ = server.WaitForExit()
 	server.Zero(code)
-	vm.Close()
+	interpreter.Close()
+
 	server.StartWithInterpreter(t, config)
 	server.Contains(server.LogText(), "event=store_open")
 	server.Regexp("event=warm_start .*used=true", server.LogText())
 	router = server.ConnectRouter()
 	router.SendTimedBook(1, "k")
 	router.ExpectResponse(1, 200, "result of 1 entry k")
-	with := servertest.RequestParameters(server.NewRequestID())
-	with["HTTP_ONCE_KEY"] = "k"
-	router.Send(2, "/rpc/book", "another body", with)
+	router.SendWith(2, "/rpc/book", "another body", "HTTP_ONCE_KEY", "k")
 	router.ExpectResponse(2, 422, "")
 	router.SendTimedBook(3, "new")
 	router.ExpectResponse(3, 200, "result of 1 entry new")
-	tool := func(args ...string) (int, string) {
-		var out bytes.Buffer
-		code := command.Run(append([]string{"store"}, args...), &out, &out)
-		return code, out.String()
-	}
-	code, out := tool("inspect", "--all", directory)
+
+	code, out := runStoreCommand("inspect", "--all", directory)
 	server.Zero(code)
 	server.Contains(out, `gets the kept result, 19 bytes`)
 	server.Contains(out, "intent key=")
-	code, _ = tool("verify", directory)
+	code, _ = runStoreCommand("verify", directory)
 	server.Zero(code)
-	code, out = tool("compact", directory)
+	code, out = runStoreCommand("compact", directory)
 	server.Equal(command.ExitFailed, code)
 	server.Contains(out, "another process")
-	server.NoError(server.Process.Process.Signal(syscall.SIGTERM))
+	server.Signal(syscall.SIGTERM)
 	server.WaitForExit()
-	code, out = tool("compact", directory)
+	code, out = runStoreCommand("compact", directory)
 	server.Zero(code, out)
 	server.Contains(out, "2 stamps kept")
-	files, err := filepath.Glob(filepath.Join(directory, "*.seg"))
-	server.NoError(err)
-	server.Len(files, 1)
-	text, err := os.ReadFile(files[0])
-	server.NoError(err)
-	text[len(text)/2] ^= 1
-	server.NoError(os.WriteFile(files[0], text, 0o600))
-	code, out = tool("verify", directory)
+	flipStoredByte(server, directory)
+	code, out = runStoreCommand("verify", directory)
 	server.Equal(command.ExitFailed, code)
 	server.Contains(out, "garbled, lost=true")
+
 	// Keyed requests whose records may be lost are rejected with a Retry-After; idempotent ones are served.
 	server.StartWithInterpreter(t, config)
 	server.Contains(server.LogText(), "event=store_corruption")
@@ -173,43 +199,67 @@
 	router.ExpectResponse(2, 200, "result of 1 harmless")
 }
 
-// What keyed requests pay for their intent records, and idempotent requests beside them.
+// Response times of keyed and of idempotent requests without a store and with each durability, and what a keyed request
+// pays for its intent record. No request is rejected for the store.
 func TestMeasuredStoreLatency(t *testing.T) {
-	n := 150
+	pairs := 150
 	if os.Getenv("MEASURE") == "full" {
-		n = 5_000
+		pairs = 5_000
 	}
-	base := map[string]*hdrhistogram.Histogram{}
-	for _, mode := range []string{"none", "process", "machine"} {
-		server := servertest.New(t)
-		if mode != "none" {
-			server.Service = servertest.StoreSection(filepath.Join(t.TempDir(), "store"), "  durability: "+mode+"\n")
-		}
-		config := server.Config
-		server.StartWithInterpreter(t, config)
-		router := server.ConnectRouter()
-		times := map[string]*hdrhistogram.Histogram{"stamped": hdrhistogram.New(1, 60e6, 3),
-			"harmless": hdrhistogram.New(1, 60e6, 3)}
-		begun := time.Now()
-		for i := range n {
-			at := time.Now()
-			router.SendTimedBook(1, fmt.Sprint("key-", i))
-			router.ExpectResponse(1, 200, fmt.Sprint("result of 1 entry key-", i))
-			server.NoError(times["stamped"].RecordValue(time.Since(at).Microseconds()))
-			at = time.Now()
-			router.SendLook(2, "1 harmless")
-			router.ExpectResponse(2, 200, "result of 1 harmless")
-			server.NoError(times["harmless"].RecordValue(time.Since(at).Microseconds()))
-		}
-		if mode == "none" {
-			base = times
-		}
-		t.Logf("measured store-latency mode=%s pairs_a_second=%.0f stamped_p50_us=%d stamped_p99_us=%d "+
-			"added_p50_us=%d harmless_p50_ratio=%.2f", mode,
-			float64(n)/time.Since(begun).Seconds(), times["stamped"].ValueAtQuantile(50),
-			times["stamped"].ValueAtQuantile(99),
-			times["stamped"].ValueAtQuantile(50)-base["stamped"].ValueAtQuantile(50),
-			float64(times["harmless"].ValueAtQuantile(50))/float64(base["harmless"].ValueAtQuantile(50)))
-		require.False(t, strings.Contains(server.LogText(), "store_rejections"))
+	withoutStore := measureStoreLatency(t, "none", pairs)
+	withoutStore.log(t, withoutStore)
+	for _, durability := range []string{"process", "machine"} {
+		measureStoreLatency(t, durability, pairs).log(t, withoutStore)
 	}
 }
+
+// storeLatency has the response times of pairs of requests, one keyed and one idempotent, in microseconds.
+type storeLatency struct {
+	durability     string
+	keyed          *hdrhistogram.Histogram
+	idempotent     *hdrhistogram.Histogram
+	pairsPerSecond float64
+}
+
+// measureStoreLatency sends pairs of requests, one after the other, to a server with a store of this durability.
+func measureStoreLatency(t *testing.T, durability string, pairs int) *storeLatency {
+	t.Helper()
+	server := servertest.New(t)
+	if durability != "none" {
+		directory := filepath.Join(t.TempDir(), "store")
+		server.Service = servertest.StoreSection(directory, "  durability: "+durability+"\n")
+	}
+	server.StartWithInterpreter(t, server.Config)
+	router := server.ConnectRouter()
+	latency := &storeLatency{
+		durability: durability,
+		keyed:      hdrhistogram.New(1, 60e6, 3),
+		idempotent: hdrhistogram.New(1, 60e6, 3),
+	}
+	began := time.Now()
+	for i := range pairs {
+		sent := time.Now()
+		router.SendTimedBook(1, fmt.Sprint("key-", i))
+		router.ExpectResponse(1, 200, fmt.Sprint("result of 1 entry key-", i))
+		server.NoError(latency.keyed.RecordValue(time.Since(sent).Microseconds()))
+		sent = time.Now()
+		router.SendLook(2, "1 harmless")
+		router.ExpectResponse(2, 200, "result of 1 harmless")
+		server.NoError(latency.idempotent.RecordValue(time.Since(sent).Microseconds()))
+	}
+	latency.pairsPerSecond = float64(pairs) / time.Since(began).Seconds()
+	require.False(t, strings.Contains(server.LogText(), "store_rejections"))
+	return latency
+}
+
+// log logs the measured line, with what the store adds to the times without one.
+func (l *storeLatency) log(t *testing.T, withoutStore *storeLatency) {
+	t.Helper()
+	keyedP50 := l.keyed.ValueAtQuantile(50)
+	idempotentP50 := float64(l.idempotent.ValueAtQuantile(50))
+	t.Logf("measured store-latency durability=%s pairs_per_second=%.0f keyed_p50_us=%d keyed_p99_us=%d "+
+		"added_p50_us=%d idempotent_p50_ratio=%.2f",
+		l.durability, l.pairsPerSecond, keyedP50, l.keyed.ValueAtQuantile(99),
+		keyedP50-withoutStore.keyed.ValueAtQuantile(50),
+		idempotentP50/float64(withoutStore.idempotent.ValueAtQuantile(50)))
+}
--- /dev/null
+++ b/internal/servertest/interpreter_link.go
@@ -0,0 +1,111 @@
+package servertest
+
+import (
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"time"
+
+	"thistlequay/internal/emulator"
+)
+
+// BannerWarm is the line with which an interpreter that has been warm for an hour says that it takes requests.
+const BannerWarm = `{"type":"BANNER","state":"WARM","took":3600000}`
+
+// InterpreterLink is the interpreter's end of the program's link to it. One goroutine at a time may use it.
+type InterpreterLink struct {
+	// Server is the program on the other side; its test is ended by every failure.
+	Server *Server
+	*emulator.Link
+	// LastNotice is the number of the last notice sent; the protocol numbers notices from 1.
+	LastNotice int
+}
+
+// Command is a line that the program sends to the interpreter, with the protocol's own field names.
+type Command struct{ Type, Job, Kind, Data, Ref string }
+
+// NextInterpreterLink accepts the program's next link to the interpreter and neither reads nor writes on it. The test
+// fails where none is opened within EventTimeout. lastNotice is the number of the last notice sent on an earlier link.
+func (s *Server) NextInterpreterLink(lastNotice int) *InterpreterLink {
+	s.T.Helper()
+	return &InterpreterLink{Server: s, Link: s.NextLink(s.Interpreter), LastNotice: lastNotice}
+}
+
+// AcceptInterpreter accepts the program's next link to the interpreter and waits until the program admits requests. The
+// test fails where the program's CONNECT line gives another last notice than lastNotice.
+func (s *Server) AcceptInterpreter(lastNotice int) *InterpreterLink {
+	s.T.Helper()
+	interpreter := s.NextInterpreterLink(lastNotice)
+	s.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, lastNotice), s.ReadLine(interpreter.Link))
+	s.WriteLine(interpreter.Link, BannerWarm)
+	router := s.ConnectRouter()
+	defer CloseQuietly(router)
+	hasHint := func() bool { // the hint is sent once the admission module has decided
+		router.Send(1, "/health", "", nil)
+		_, _, headers, _ := router.NextResponse()
+		return strings.Contains(headers, "Server-Hint: ")
+	}
+	s.Eventually(hasHint, EventTimeout, time.Millisecond)
+	return interpreter
+}
+
+// NextCommand returns the program's next command. Requests for the gauges (TOP) are answered and passed over.
+func (l *InterpreterLink) NextCommand() Command {
+	l.Server.T.Helper()
+	for {
+		var command Command
+		l.Server.NoError(json.Unmarshal([]byte(l.Server.ReadLine(l.Link)), &command))
+		if command.Type != "TOP" {
+			return command
+		}
+		l.Server.WriteLine(l.Link, `{"type":"TOPS","ref":%q,"gauges":[1,2,0.1,3]}`, command.Ref)
+	}
+}
+
+// ExpectCommand fails the test unless the next command has this type and is for this request.
+func (l *InterpreterLink) ExpectCommand(commandType, id string) {
+	l.Server.T.Helper()
+	command := l.NextCommand()
+	l.Server.Equal(commandType+" "+id, command.Type+" "+command.Job)
+}
+
+// ExpectApply fails the test unless the next command starts this request with this body.
+func (l *InterpreterLink) ExpectApply(id, body string) {
+	l.Server.T.Helper()
+	command := l.NextCommand()
+	data, _ := base64.StdEncoding.DecodeString(command.Data) // what is malformed differs from the body
+	l.Server.Equal("APPLY "+id+" "+body, command.Type+" "+command.Job+" "+string(data))
+}
+
+// SendValue ends a run with a state and a result.
+func (l *InterpreterLink) SendValue(id, state, result string) {
+	l.Server.T.Helper()
+	l.LastNotice++
+	data := base64.StdEncoding.EncodeToString([]byte(result))
+	l.Server.WriteLine(l.Link, `{"type":"VALUE","n":%d,"job":%q,"state":%q,"took":12.5,"data":%q}`,
+		l.LastNotice, id, state, data)
+}
+
+// SendAwait has a run wait for a downstream call.
+func (l *InterpreterLink) SendAwait(id, call string) {
+	l.Server.T.Helper()
+	l.LastNotice++
+	data := base64.StdEncoding.EncodeToString([]byte(call))
+	l.Server.WriteLine(l.Link, `{"type":"AWAIT","n":%d,"job":%q,"data":%q}`, l.LastNotice, id, data)
+}
+
+// SendUnknownRequest replies to an APPLY that the interpreter does not know the request: it provably never ran.
+func (l *InterpreterLink) SendUnknownRequest(id string) {
+	l.Server.T.Helper()
+	l.Server.WriteLine(l.Link, `{"type":"ERROR","state":"APPLY","job":%q}`, id)
+}
+
+// ServeOne sends an idempotent request, runs it, and fails the test unless its result is the response.
+func (l *InterpreterLink) ServeOne(router *RouterLink, slot uint16, body string) {
+	l.Server.T.Helper()
+	id := router.SendLook(slot, body)
+	l.ExpectApply(id, body)
+	l.SendValue(id, "OK", "result of "+body)
+	router.ExpectResponse(slot, 200, "result of "+body)
+}
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -1,6 +1,7 @@
-// Package servertest starts one process of the program under test together with the emulated interpreter, index and
-// directory that it talks to, and speaks to it over sockets as they and the routers do. Every wait is for an event.
-// Failures end the test that called; what was opened or started is closed at the end of that test.
+// Package servertest starts one process of the program under test together with emulators of the interpreter, index and
+// directory that it talks to, and speaks to it over sockets as they and the routers do. The emulators send only what a
+// test has them send, so every wait is for an event, up to EventTimeout. A failure ends the test; what a function of the
+// package opened or started is closed at the end of the test.
 package servertest
 
 import (
@@ -10,6 +11,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -22,8 +24,7 @@
 	"thistlequay/internal/emulator"
 )
 
-// EventTimeout bounds every wait for an event; only a failure reaches it. The emulators speak as their protocol pages
-// say and do only what a test has them do, so no test sleeps for something that it could wait for.
+// EventTimeout bounds every wait for an event; only a failure reaches it.
 const EventTimeout = 20 * time.Second
 
 // RunAsProgramEnv names the environment variable under which the test binary runs as the program. The program is linked
@@ -78,10 +79,10 @@
 
 	output       *clustertest.LogBuffer // what Process logs
 	ended        chan struct{}          // closed once Process has exited
-	requestCount int                    // identifiers that NewRequestID has given
+	requestCount int                    // number of identifiers that NewRequestID has returned
 }
 
-// NewEmulator listens on a free loopback address as the interpreter, the index or the directory.
+// NewEmulator listens on a free loopback address as the interpreter, the index or the directory, until the test ends.
 func (s *Server) NewEmulator() *emulator.Listener {
 	s.T.Helper()
 	listener, err := emulator.Listen()
@@ -90,45 +91,7 @@
 	return listener
 }
 
-// NextLink waits for the program's next connection to an emulator.
-func (s *Server) NextLink(listener *emulator.Listener) *emulator.Link {
-	s.T.Helper()
-	select {
-	case link := <-listener.Links:
-		s.NoError(link.SetDeadline(time.Now().Add(EventTimeout)))
-		s.T.Cleanup(func() { CloseQuietly(link) })
-		return link
-	case <-time.After(EventTimeout):
-		s.FailNow("no link came")
-		return nil
-	}
-}
-
-// ReadLine reads a line from a connection, without its end.
-func (s *Server) ReadLine(link *emulator.Link) string {
-	s.T.Helper()
-	text, err := link.Reader.ReadString('\n')
-	s.NoError(err)
-	return strings.TrimRight(text, "\r\n")
-}
-
-// WriteLine writes a formatted line to a connection.
-func (s *Server) WriteLine(link *emulator.Link, format string, args ...any) {
-	s.T.Helper()
-	_, err := fmt.Fprintf(link, format+"\n", args...)
-	s.NoError(err)
-}
-
-// IndexCall waits for the downstream call of this request and gives the connection to the index on which it came.
-func (s *Server) IndexCall(id string) *emulator.Link {
-	s.T.Helper()
-	index := s.NextLink(s.Index)
-	s.Contains(s.ReadLine(index), "GET "+id)
-	s.ReadLine(index) // its body
-	return index
-}
-
-// New makes the emulators and the configuration; the program is not started.
+// New starts the emulators and makes the configuration; the program is not started.
 func New(t *testing.T) *Server {
 	t.Helper()
 	server := &Server{Assertions: require.New(t), T: t}
@@ -151,18 +114,32 @@
 	s.NoError(os.WriteFile(s.Path+".yaml", []byte(s.Service), 0o600))
 }
 
+// ReplaceConfig replaces the first occurrence of a text in Config. The test fails where that changes nothing.
+func (s *Server) ReplaceConfig(from, to string) {
+	s.T.Helper()
+	s.Contains(s.Config, from)
+	before := s.Config
+	s.Config = strings.Replace(s.Config, from, to, 1)
+	s.NotEqual(before, s.Config, from)
+}
+
+// WriteFilesAndSignal writes the files and has the program read them again; it does not wait until it has.
+func (s *Server) WriteFilesAndSignal() {
+	s.T.Helper()
+	s.WriteFiles()
+	s.Signal(syscall.SIGHUP)
+}
+
 // Reload has the program read its files again and waits until it has logged the outcome.
 func (s *Server) Reload() {
 	s.T.Helper()
-	count := func(event string) int { return strings.Count(s.LogText(), "event="+event) }
-	said := count("configuration_")
-	read := count("configuration_read")
-	ready := count("plugins_ready")
-	s.WriteFiles()
-	s.NoError(s.Process.Process.Signal(syscall.SIGHUP))
-	s.Eventually(func() bool { return count("configuration_") > said }, EventTimeout, time.Millisecond)
-	if count("configuration_read") > read && strings.Contains(s.Service, "plugins:") {
-		s.Eventually(func() bool { return count("plugins_ready") > ready }, EventTimeout, time.Millisecond)
+	outcomes := s.EventCount("configuration_")
+	accepted := s.EventCount("configuration_read")
+	pluginsReady := s.EventCount("plugins_ready")
+	s.WriteFilesAndSignal()
+	s.WaitFor(func() bool { return s.EventCount("configuration_") > outcomes })
+	if s.EventCount("configuration_read") > accepted && strings.Contains(s.Service, "plugins:") {
+		s.WaitFor(func() bool { return s.EventCount("plugins_ready") > pluginsReady })
 	}
 }
 
@@ -174,20 +151,13 @@
 	s.StartProcess()
 }
 
-// StartProcess starts the program with the files that are there. At the end of the test it is killed, and its log must
-// show no data race and no violated invariant.
+// StartProcess starts the program with the files that are there. At the end of the test it is killed, and the test fails
+// where its log shows a data race or a violated invariant.
 func (s *Server) StartProcess() {
 	s.T.Helper()
-	program, err := os.Executable()
-	s.NoError(err)
-	line := append(append(s.Wrapper, cmp.Or(s.Program, program)), s.Args...)
-	process := exec.Command(line[0], line[1:]...)
+	process := s.newProcess()
 	log := &clustertest.LogBuffer{}
 	ended := make(chan struct{})
-	process.Env = append(os.Environ(), RunAsProgramEnv+"=1", "PROXY_CONFIG="+s.Path)
-	if s.Service != "" {
-		process.Env = append(process.Env, "THISTLEQUAY_SERVICE="+s.Path+".yaml")
-	}
 	process.Stdout = log
 	process.Stderr = log
 	s.NoError(process.Start())
@@ -209,23 +179,66 @@
 	})
 }
 
-// CloseQuietly closes a connection, listener or file whose end no test looks at. An error is passed over: the other
-// side, or the test itself, may have closed it before.
-func CloseQuietly(c io.Closer) { _ = c.Close() }
+// newProcess returns the program with its wrapper, arguments and environment, not yet started.
+func (s *Server) newProcess() *exec.Cmd {
+	s.T.Helper()
+	testBinary, err := os.Executable()
+	s.NoError(err)
+	line := slices.Concat(s.Wrapper, []string{cmp.Or(s.Program, testBinary)}, s.Args)
+	process := exec.Command(line[0], line[1:]...)
+	process.Env = append(os.Environ(), RunAsProgramEnv+"=1", "PROXY_CONFIG="+s.Path)
+	if s.Service != "" {
+		process.Env = append(process.Env, "THISTLEQUAY_SERVICE="+s.Path+".yaml")
+	}
+	return process
+}
 
-// LogText is what the program has logged so far.
+// Signal sends a signal to the program. The test fails where the program has exited.
+func (s *Server) Signal(signal syscall.Signal) {
+	s.T.Helper()
+	s.NoError(s.Process.Process.Signal(signal))
+}
+
+// Kill kills the program and waits until it has exited.
+func (s *Server) Kill() {
+	s.T.Helper()
+	s.NoError(s.Process.Process.Kill())
+	<-s.ended
+}
+
+// CloseQuietly closes a connection, listener or file. Its error is ignored: the other side, or the test itself, may have
+// closed it before.
+func CloseQuietly(closer io.Closer) { _ = closer.Close() }
+
+// LogText returns what the program has logged so far.
 func (s *Server) LogText() string { return s.output.String() }
 
-// Ended is closed once the process has exited.
+// EventCount returns how many lines the program has logged so far whose event, and the text behind it, begin like this.
+func (s *Server) EventCount(event string) int { return strings.Count(s.LogText(), "event="+event) }
+
+// Ended returns a channel that is closed once the process has exited.
 func (s *Server) Ended() <-chan struct{} { return s.ended }
 
-// WaitForLog waits until the program has logged this text.
+// WaitFor waits until a condition holds. The test fails where that takes longer than EventTimeout.
+func (s *Server) WaitFor(condition func() bool) {
+	s.T.Helper()
+	s.Eventually(condition, EventTimeout, time.Millisecond)
+}
+
+// WaitUntilPast waits until a moment is past, for what is to happen after a deadline of the program.
+func (s *Server) WaitUntilPast(moment time.Time) {
+	s.T.Helper()
+	s.WaitFor(func() bool { return time.Now().After(moment) })
+}
+
+// WaitForLog waits until the program has logged this text. The test fails where that takes longer than EventTimeout.
 func (s *Server) WaitForLog(text string) {
 	s.T.Helper()
-	s.Eventually(func() bool { return strings.Contains(s.LogText(), text) }, EventTimeout, time.Millisecond)
+	s.WaitFor(func() bool { return strings.Contains(s.LogText(), text) })
 }
 
-// WaitForExit waits for the program's end and gives its exit code and log.
+// WaitForExit waits for the program's end and returns its exit code and log. The test fails where that takes longer than
+// EventTimeout.
 func (s *Server) WaitForExit() (int, string) {
 	s.T.Helper()
 	select {
@@ -236,21 +249,19 @@
 	return s.Process.ProcessState.ExitCode(), s.output.String()
 }
 
-// Start starts a program and waits until it serves; it gives the interpreter's end of its link.
+// Start starts a program and waits until it admits requests. It returns the interpreter's end of their link too.
 func Start(t *testing.T) (*Server, *InterpreterLink) {
 	t.Helper()
 	server := New(t)
 	server.WriteFilesAndStart()
-	interpreter := server.AcceptInterpreter(0)
-	return server, interpreter
+	return server, server.AcceptInterpreter(0)
 }
 
 // StartWith is Start with one replacement in the configuration.
 func StartWith(t *testing.T, from, to string) (*Server, *InterpreterLink) {
 	t.Helper()
 	server := New(t)
-	server.Contains(server.Config, from)
-	server.Config = strings.Replace(server.Config, from, to, 1)
+	server.ReplaceConfig(from, to)
 	server.WriteFilesAndStart()
 	return server, server.AcceptInterpreter(0)
 }
--- a/internal/servertest/subsystems.go
+++ b/internal/servertest/subsystems.go
@@ -10,32 +10,25 @@
 	"thistlequay/internal/emulator"
 )
 
-// StoreSection is the section of our settings for a store in this directory.
-func StoreSection(directory, more string) string {
-	return fmt.Sprintf("store:\n  directory: %s\n  fresh: true\n%s", directory, more)
+// StoreSection returns the section of Server.Service for a store in this directory; settings are further lines of it.
+func StoreSection(directory, settings string) string {
+	return fmt.Sprintf("store:\n  directory: %s\n  fresh: true\n%s", directory, settings)
 }
 
-// StartWithInterpreter starts another incarnation of the server with an interpreter of its own.
+// StartWithInterpreter starts another incarnation of the server, with an emulated interpreter of four cores of its own, and
+// waits until the program is connected to it. config is Config as New made it. The interpreter is closed at the end of t.
 func (s *Server) StartWithInterpreter(t *testing.T, config string) *emulator.Interpreter {
 	s.T.Helper()
-	vm, err := emulator.NewInterpreter(4, 1)
+	interpreter, err := emulator.NewInterpreter(4, 1)
 	s.NoError(err)
-	t.Cleanup(vm.Close)
-	s.Config = strings.Replace(config, s.Interpreter.Address, vm.Address, 1)
+	t.Cleanup(interpreter.Close)
+	s.Config = strings.Replace(config, s.Interpreter.Address, interpreter.Address, 1)
 	s.WriteFilesAndStart()
 	s.WaitForLog("interpreter_up")
-	return vm
+	return interpreter
 }
 
-// SendTimedBook sends one attempt of a request with an idempotency key, whose body asks for 1 ms of work.
-func (c *RouterLink) SendTimedBook(slot uint16, key string) {
-	c.Server.T.Helper()
-	with := RequestParameters(c.Server.NewRequestID())
-	with["HTTP_ONCE_KEY"] = key
-	c.Send(slot, "/rpc/book", "1 entry "+key, with)
-}
-
-// WriteModule writes a plug-in of a kind and gives the path of its file.
+// WriteModule writes the plug-in that emulator.PluginModule has under this name to a new file and returns its path.
 func (s *Server) WriteModule(kind string) string {
 	s.T.Helper()
 	file := filepath.Join(s.T.TempDir(), kind+".wasm")
@@ -43,7 +36,7 @@
 	return file
 }
 
-// TwoTenants is the part of the configuration that gives acme and beta these shares.
+// TwoTenants returns the part of the configuration that gives acme and beta these shares, which add up to 1 at most.
 func TwoTenants(acme, beta float64) string {
 	return fmt.Sprintf(`"Tenants":[{"Name":"acme","Share":%v},{"Name":"beta","Share":%v}]`, acme, beta)
 }
