--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -13,11 +13,13 @@
 	"thistlequay/internal/servertest"
 )
 
+// Help and versions exit with 0, wrong arguments with command.ExitUsage and files that cannot be checked with
+// command.ExitFailed; each says what is expected or wrong.
 func TestCommandLineExitCodesAndMessages(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
-	for line, c := range map[string]struct {
-		code int
-		says string
+	for line, want := range map[string]struct {
+		code    int
+		message string
 	}{
 		"--help":             {0, "thistlequay try"},
 		"serve --help":       {0, "--service"},
@@ -28,44 +30,62 @@
 		"check nowhere.json": {command.ExitFailed, "no such file"},
 		"check some.toml":    {command.ExitFailed, "is of no known kind"},
 	} {
-		var out, errs bytes.Buffer
-		require.Equal(t, c.code, command.Run(strings.Fields(line), &out, &errs), line)
-		require.Contains(t, out.String()+errs.String(), c.says, line)
+		t.Run(line, func(t *testing.T) {
+			var out, errs bytes.Buffer
+			require.Equal(t, want.code, command.Run(strings.Fields(line), &out, &errs), line)
+			require.Contains(t, out.String()+errs.String(), want.message, line)
+		})
 	}
 }
 
-// `check` reports every diagnostic of both files at once, each with its source position.
+// runCheck runs the command check on a configuration (c in the output) and settings of ours (s in the output), and
+// returns its exit code and output.
+func runCheck(t *testing.T, config, service string) (int, string) {
+	t.Helper()
+	configPath := filepath.Join(t.TempDir(), "c.json")
+	servicePath := filepath.Join(t.TempDir(), "s.yaml")
+	require.NoError(t, os.WriteFile(configPath, []byte(config), 0o600))
+	require.NoError(t, os.WriteFile(servicePath, []byte(service), 0o600))
+	var out bytes.Buffer
+	code := command.Run([]string{"check", configPath, servicePath}, &out, &out)
+	return code, strings.NewReplacer(configPath, "c", servicePath, "s").Replace(out.String())
+}
+
+// The command check reports every diagnostic of both files at once, each with its source position.
 func TestCheckReportsEveryDiagnosticWithItsPlace(t *testing.T) {
-	server := servertest.New(t)
-	json := filepath.Join(t.TempDir(), "c.json")
-	yaml := filepath.Join(t.TempDir(), "s.yaml")
-	check := func(config, service string) (int, string) {
-		require.NoError(t, os.WriteFile(json, []byte(config), 0o600))
-		require.NoError(t, os.WriteFile(yaml, []byte(service), 0o600))
-		var out bytes.Buffer
-		code := command.Run([]string{"check", json, yaml}, &out, &out)
-		return code, strings.ReplaceAll(strings.ReplaceAll(out.String(), json, "c"), yaml, "s")
-	}
-	code, out := check(server.Config, "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
-	require.Equal(t, "0 2 files, no fault\n", strings.Join([]string{string(rune('0' + code)), out}, " "))
-	code, out = check(server.Config, "fair_queues:\n  tenants: [{name: amce, share: 1}]\n")
-	require.Equal(t, command.ExitFailed, code)
-	require.Contains(t, out, `s:2:20: fair_queues.tenants[0].name: "amce" is none; expected a tenant of the `+
-		`platform's settings`)
-	bad := strings.Replace(strings.Replace(strings.Replace(server.Config, `"by_key"`, `"by_kye"`, 1), `"sockets":64`,
-		`"sockets":4`, 1),
-		`"name":"n3"`, `"name":""`, 1)
-	code, out = check(bad, "fair_queues:\n  books: x\n")
-	require.Equal(t, command.ExitFailed, code)
-	for _, fault := range []string{`c:1:9: name: is missing or empty`,
-		`limits.sockets: 4 is out of range; expected from 48 to`,
-		`c:4:11: settings.Categories[1].Effect: "by_kye" is not known`,
-		`s:2:10: fair_queues.books: "x"; expected a whole number`,
-		"4 faults in 2 files"} {
-		require.Contains(t, out, fault)
-	}
+	config := servertest.New(t).Config
+	t.Run("valid files", func(t *testing.T) {
+		code, out := runCheck(t, config, "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
+		require.Zero(t, code)
+		require.Equal(t, "2 files, no fault\n", out)
+	})
+	t.Run("settings that do not fit the configuration", func(t *testing.T) {
+		code, out := runCheck(t, config, "fair_queues:\n  tenants: [{name: amce, share: 1}]\n")
+		require.Equal(t, command.ExitFailed, code)
+		require.Contains(t, out,
+			`s:2:20: fair_queues.tenants[0].name: "amce" is none; expected a tenant of the platform's settings`)
+	})
+	t.Run("faults in both files", func(t *testing.T) {
+		invalid := strings.NewReplacer(
+			`"by_key"`, `"by_kye"`,
+			`"sockets":64`, `"sockets":4`,
+			`"name":"n3"`, `"name":""`,
+		).Replace(config)
+		code, out := runCheck(t, invalid, "fair_queues:\n  books: x\n")
+		require.Equal(t, command.ExitFailed, code)
+		for _, diagnostic := range []string{
+			`c:1:9: name: is missing or empty`,
+			`limits.sockets: 4 is out of range; expected from 48 to`,
+			`c:4:11: settings.Categories[1].Effect: "by_kye" is not known`,
+			`s:2:10: fair_queues.books: "x"; expected a whole number`,
+			"4 faults in 2 files",
+		} {
+			require.Contains(t, out, diagnostic)
+		}
+	})
 }
 
+// With --log json the program writes its log events as JSON.
 func TestServeWritesJSONLog(t *testing.T) {
 	server := servertest.New(t)
 	server.Args = []string{"serve", "--log", "json"}
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -23,155 +23,223 @@
 	"thistlequay/internal/servertest"
 )
 
-// commandOutputs runs commands and writes down their exit codes and what they print.
+// Parts of the output that differ from run to run.
+var (
+	serverAddress   = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+	timeOrMemory    = regexp.MustCompile(`"(took_us|memory_kb)":\d+`)
+	durationForUser = regexp.MustCompile(`-?[\d.]+(h|m|s|ms|µs)([\d.]+(m|s))*\b`)
+)
+
+// wholeNumber is a number in a text for people.
+var wholeNumber = regexp.MustCompile(`\b\d+\b`)
+
+// commandOutputs runs commands and has their exit codes and what they print, as the golden file does.
 type commandOutputs struct {
 	bytes.Buffer
-	t   *testing.T
-	dir string
+	t         *testing.T
+	directory string // for input files
 }
 
-// writeFile writes an input file into the folder and gives its path.
+// writeFile writes an input file and returns its path.
 func (o *commandOutputs) writeFile(name, text string) string {
 	o.t.Helper()
-	path := filepath.Join(o.dir, name)
+	path := filepath.Join(o.directory, name)
 	require.NoError(o.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// runCommand gives what a command prints, without what differs from run to run: the folder, server addresses and times.
+// writeModule writes the plug-in that emulator.PluginModule has under this name and returns its path.
+func (o *commandOutputs) writeModule(name string) string {
+	o.t.Helper()
+	return o.writeFile(name+".wasm", string(emulator.PluginModule(name)))
+}
+
+// runCommand writes down the arguments and the exit code of a command. It returns what the command printed, without
+// what differs from run to run: the directory, server addresses, times and memory.
 func (o *commandOutputs) runCommand(args ...string) string {
 	o.t.Helper()
 	var out, errs bytes.Buffer
 	code := command.Run(args, &out, &errs)
-	line := strings.ReplaceAll(strings.Join(args, " "), o.dir, "DIR")
-	fmt.Fprintf(&o.Buffer, "\n%s: code %d\n",
-		regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllString(line, "ADDRESS"), code)
-	printed := strings.ReplaceAll(out.String(), o.dir, "DIR")
-	return regexp.MustCompile(`"(took_us|memory_kb)":\d+`).ReplaceAllString(printed, `"$1":0`)
+	line := strings.ReplaceAll(strings.Join(args, " "), o.directory, "DIR")
+	fmt.Fprintf(&o.Buffer, "\n%s: code %d\n", serverAddress.ReplaceAllString(line, "ADDRESS"), code)
+	printed := strings.ReplaceAll(out.String(), o.directory, "DIR")
+	return timeOrMemory.ReplaceAllString(printed, `"$1":0`)
 }
 
 // runCheck writes down the diagnostics of files sorted by their text: some come in no fixed order.
 func (o *commandOutputs) runCheck(files ...string) {
 	o.t.Helper()
-	lines := strings.Split(strings.TrimSpace(o.runCommand(append([]string{"check"}, files...)...)), "\n")
+	printed := o.runCommand(append([]string{"check"}, files...)...)
+	lines := strings.Split(strings.TrimSpace(printed), "\n")
 	slices.Sort(lines)
 	fmt.Fprintln(&o.Buffer, strings.Join(lines, "\n"))
 }
 
-// writeNumbers writes down the whole numbers of a text for people, without durations.
-func (o *commandOutputs) writeNumbers(text string) {
+// runAndWriteNumbers runs a command and writes down the whole numbers that it prints, without durations.
+func (o *commandOutputs) runAndWriteNumbers(args ...string) {
 	o.t.Helper()
-	text = regexp.MustCompile(`-?[\d.]+(h|m|s|ms|µs)([\d.]+(m|s))*\b`).ReplaceAllString(text, "")
-	fmt.Fprintln(&o.Buffer, regexp.MustCompile(`\b\d+\b`).FindAllString(text, -1))
+	text := durationForUser.ReplaceAllString(o.runCommand(args...), "")
+	fmt.Fprintln(&o.Buffer, wholeNumber.FindAllString(text, -1))
 }
 
+// goldenConfig is a valid configuration.
 const goldenConfig = `{"name":"n3","listen":"127.0.0.1:8443","vm":"127.0.0.1:1","lookup":"127.0.0.1:2",` +
 	`"index":"127.0.0.1:3","seed":"8c1f30d27a5be964",
 "stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":` + servertest.PlatformSettings + "}"
 
-// The output of every command, as far as it depends on nothing but its input, is as in the golden file.
+// What the status endpoints of a server answer in the golden test; every number is another.
+const (
+	membersAnswer = `{"name":"n1","life":"0000000000000001","standing":"whole","since_ms":2,"until_ms":3,"epoch":4,` +
+		`"voters":["n1","n2"],"agreed":5,"size":6,
+"counts":{"Insane":7,"Old":8,"Foreign":9,"Unknown":10,"Full":11,"FalseAlarms":12,"NameTaken":13},` +
+		`"dropped":14,"garbled":15,"sent_bytes":16,
+"members":[{"name":"n2","life":"0000000000000017","address":"a","zone":"z","version":"v","state":"there",` +
+		`"cause":"none","since_ms":18,"age_ms":19,
+"direct_ms":-1,"trip_ms":20,"epoch":21,"pool":22.5,"load":23.5,"free":24.5,"index_ms":25.5}]}`
+	sharesAnswer = `{"name":"n1","voter":2,"leads":true,"leader":"n3","whole":true,"voters":["n1"],"opened":true,` +
+		`"entries":4,"memories_lost":5,
+"strange_terms":6,"limits":[{"name":"calls","whole":7.5,"target":8.5,"floors":9.5,"granted":10.5,` +
+		`"length_ms":11,"usable_here":12.5,"ends_ms":13,
+"servers":[{"server":"s","amount":14,"counts":15,"wants":16,"left_ms":17,"heard_ms":18}]}]}`
+)
+
+// The exit code and output of every command, as far as they depend on nothing but its input, are as in the golden
+// file.
 func TestGoldenOutputs(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
-	o := &commandOutputs{t: t, dir: t.TempDir()}
-	good := o.writeFile("good.json", goldenConfig)
-	own := o.writeFile("own.yaml", "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
-	o.runCheck(good, own)
-	o.runCheck(good, o.writeFile("other.yml",
-		"fair_queues:\n  tenants: [{name: amce, share: 1}, {name: beta, share: 1}]\n"+
-			"shares: {calls: 1, slots: 2}\n"))
-	o.runCheck(own, o.writeFile("strange.toml", ""), filepath.Join(o.dir, "none.json"))
-	for i, change := range [][]string{
+	o := &commandOutputs{t: t, directory: t.TempDir()}
+	o.runCheckCommands()
+	o.runStatusCommands()
+	o.runPluginCommands()
+	o.runStoreCommands()
+	golden.Check(t, "outputs.txt", o.Bytes())
+}
+
+// runCheckCommands checks valid files, files of no known kind, and configurations with one to three faults.
+func (o *commandOutputs) runCheckCommands() {
+	o.t.Helper()
+	config := o.writeFile("good.json", goldenConfig)
+	service := o.writeFile("own.yaml", "fair_queues:\n  tenants: [{name: acme, share: 1}]\n")
+	o.runCheck(config, service)
+	o.runCheck(config, o.writeFile("other.yml",
+		"fair_queues:\n  tenants: [{name: amce, share: 1}, {name: beta, share: 1}]\nshares: {calls: 1, slots: 2}\n"))
+	o.runCheck(service, o.writeFile("strange.toml", ""), filepath.Join(o.directory, "none.json"))
+	for i, replacements := range [][]string{
 		{`"by_key"`, `"by_kye"`, `"sockets":64`, `"sockets":4`, `"name":"n3"`, `"name":""`},
-		{`"stop_ms":1500`, `"stop_ms":-1`, `"cores":1.0`, `"cores":0`, `"memory_mb":192`, `"memory_mb":8`, `:8443`,
-			``, `"127.0.0.1:1"`, `"x"`},
-		{`"settings":{`, `"setting":{`}, {`"settings":{`, `"settings":[{`}, {`"stop_ms":1500`, `"stop_ms":"x"`},
+		{
+			`"stop_ms":1500`, `"stop_ms":-1`, `"cores":1.0`, `"cores":0`, `"memory_mb":192`, `"memory_mb":8`,
+			`:8443`, ``, `"127.0.0.1:1"`, `"x"`,
+		},
+		{`"settings":{`, `"setting":{`},
+		{`"settings":{`, `"settings":[{`},
+		{`"stop_ms":1500`, `"stop_ms":"x"`},
 		{`"name":"n3"`, `"name":"n3","Name":"n4"`},
-		{`"Cores":2`, `"Cores":"2"`}, {`"sockets":64`, `"sockets":64.5`}, {`"Meters"`, `Meters`},
-		{`"seed"`, `"seed":"","seed"`}, {`"limits":{`, `"limits":null,"l":{`},
+		{`"Cores":2`, `"Cores":"2"`},
+		{`"sockets":64`, `"sockets":64.5`},
+		{`"Meters"`, `Meters`},
+		{`"seed"`, `"seed":"","seed"`},
+		{`"limits":{`, `"limits":null,"l":{`},
 	} {
-		require.Contains(t, goldenConfig, change[0])
-		o.runCheck(o.writeFile(fmt.Sprintf("bad%d.json", i), strings.NewReplacer(change...).Replace(goldenConfig)))
+		require.Contains(o.t, goldenConfig, replacements[0])
+		invalid := strings.NewReplacer(replacements...).Replace(goldenConfig)
+		o.runCheck(o.writeFile(fmt.Sprintf("bad%d.json", i), invalid))
 	}
+}
 
-	answers := map[string]string{
-		"/members": `{"name":"n1","life":"0000000000000001","standing":"whole","since_ms":2,"until_ms":3,"epoch":4,` +
-			`"voters":["n1","n2"],"agreed":5,"size":6,
-"counts":{"Insane":7,"Old":8,"Foreign":9,"Unknown":10,"Full":11,"FalseAlarms":12,"NameTaken":13},` +
-			`"dropped":14,"garbled":15,"sent_bytes":16,
-"members":[{"name":"n2","life":"0000000000000017","address":"a","zone":"z","version":"v","state":"there",` +
-			`"cause":"none","since_ms":18,"age_ms":19,
-"direct_ms":-1,"trip_ms":20,"epoch":21,"pool":22.5,"load":23.5,"free":24.5,"index_ms":25.5}]}`,
-		"/shares": `{"name":"n1","voter":2,"leads":true,"leader":"n3","whole":true,"voters":["n1"],"opened":true,` +
-			`"entries":4,"memories_lost":5,
-"strange_terms":6,"limits":[{"name":"calls","whole":7.5,"target":8.5,"floors":9.5,"granted":10.5,` +
-			`"length_ms":11,"usable_here":12.5,"ends_ms":13,
-"servers":[{"server":"s","amount":14,"counts":15,"wants":16,"left_ms":17,"heard_ms":18}]}]}`}
+// runStatusCommands asks a server for its members and its shares, and for the shares without an address.
+func (o *commandOutputs) runStatusCommands() {
+	o.t.Helper()
+	answers := map[string]string{"/members": membersAnswer, "/shares": sharesAnswer}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = w.Write([]byte(answers[r.URL.Path]))
+		_, _ = w.Write([]byte(answers[r.URL.Path])) // a command that does not get it fails the golden test
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	o.WriteString(o.runCommand("members", "--json", address))
 	o.WriteString(o.runCommand("shares", "--json", address))
 	o.runCommand("shares")
+}
 
+// runPluginCommands checks plug-ins and runs each hook of others.
+func (o *commandOutputs) runPluginCommands() {
+	o.t.Helper()
 	for _, kind := range []string{"good", "other-version", "foreign", "truncated"} {
-		o.runCommand("plugin", "check", o.writeFile(kind+".wasm", string(emulator.PluginModule(kind))))
+		o.runCommand("plugin", "check", o.writeModule(kind))
 	}
+	const requestFormat = `{"hook":%q,"left_ms":500,"category":"look","tenant":"acme","tag":"t","body":"a long body"}`
 	for _, hook := range []string{"read", "result", "tick", "none"} {
-		request := o.writeFile(hook+"-request.json",
-			fmt.Sprintf(`{"hook":%q,"left_ms":500,"category":"look","tenant":"acme","tag":"t","body":"a long body"}`,
-				hook))
+		request := o.writeFile(hook+"-request.json", fmt.Sprintf(requestFormat, hook))
 		for _, kind := range []string{"good", "declines", "recategorise", "tags", "shortens", "status-9999"} {
-			o.WriteString(o.runCommand("plugin", "run", "--call", "2s", "--request", request,
-				o.writeFile(kind+".wasm", string(emulator.PluginModule(kind)))))
+			o.WriteString(o.runCommand("plugin", "run", "--call", "2s", "--request", request, o.writeModule(kind)))
 		}
 	}
-	o.runStoreCommands()
-	golden.Check(t, "outputs.txt", o.Bytes())
 }
 
-// runStoreCommands writes a store and has it inspected, verified, compacted, and verified again with one byte changed.
+// runStoreCommands has a store compacted while it is open, then inspected, verified, compacted, inspected again, and
+// verified with one byte changed; and a directory verified that does not exist.
 func (o *commandOutputs) runStoreCommands() {
 	o.t.Helper()
-	directory := filepath.Join(o.dir, "store")
+	directory := filepath.Join(o.directory, "store")
+	o.writeStore(directory, func() { o.runCommand("store", "compact", directory) })
+	o.runAndWriteNumbers("store", "inspect", "--all", "--window", "60s", "--doubt", time.Minute.String(), directory)
+	o.runAndWriteNumbers("store", "verify", directory)
+	o.runAndWriteNumbers("store", "compact", directory)
+	o.runAndWriteNumbers("store", "inspect", directory)
+	segments, err := filepath.Glob(filepath.Join(directory, "*.seg"))
+	require.NoError(o.t, err)
+	text, err := os.ReadFile(segments[0])
+	require.NoError(o.t, err)
+	text[len(text)/2] ^= 1
+	require.NoError(o.t, os.WriteFile(segments[0], text, 0o600))
+	o.runCommand("store", "verify", directory)
+	o.runCommand("store", "verify", filepath.Join(o.directory, "nowhere"))
+}
+
+// deduplicationWindow is that of the records in the store, in milliseconds: long enough to be open throughout the
+// test.
+const deduplicationWindow = 36_000_000
+
+// writeStore writes a store with the records of four keys: one without an outcome, one that succeeded, one that failed
+// and one that was cancelled. It calls whileOpen before it closes the store.
+func (o *commandOutputs) writeStore(directory string, whileOpen func()) {
+	o.t.Helper()
 	files, err := segmentlog.OpenDirectory(directory)
 	require.NoError(o.t, err)
-	done := make(chan []segmentlog.WriteResult, 100)
-	s, err := segmentlog.Open(files, segmentlog.Config{MaxBytes: 1 << 20, MaxRecords: 1000, SegmentBytes: 1 << 16,
-		MaxWindow: 600_000, MaxOutcomes: 10, AllowEmpty: true,
-		Now: segmentlog.MachineClock, OnWritten: func(d []segmentlog.WriteResult) { done <- d }})
+	written := make(chan struct{}, 100)
+	store, err := segmentlog.Open(files, segmentlog.Config{
+		MaxBytes:     1 << 20,
+		MaxRecords:   1000,
+		SegmentBytes: 1 << 16,
+		MaxWindow:    600_000,
+		MaxOutcomes:  10,
+		AllowEmpty:   true,
+		Now:          segmentlog.MachineClock,
+		OnWritten:    func([]segmentlog.WriteResult) { written <- struct{}{} },
+	})
 	require.NoError(o.t, err)
-	until := segmentlog.MachineClock().Wall + 36_000_000
+	windowEnd := segmentlog.MachineClock().Wall + deduplicationWindow
 	for i, key := range []string{"open", "kept", "failed", "void"} {
-		require.NoError(o.t, s.AppendIntent(recovery.Record{Kind: recovery.KindIntent, Key: key,
-			Attempt: uint64(i + 1), WindowEnd: until, WrittenAt: segmentlog.MachineClock()}, uint64(i)))
-		<-done
+		require.NoError(o.t, store.AppendIntent(recovery.Record{
+			Kind:      recovery.KindIntent,
+			Key:       key,
+			Attempt:   uint64(i + 1),
+			WindowEnd: windowEnd,
+			WrittenAt: segmentlog.MachineClock(),
+		}, uint64(i)))
+		<-written
 	}
-	for _, r := range []recovery.Record{{Kind: recovery.KindCompletion, Key: "kept", Attempt: 2, Succeeded: true,
-		Payload: []byte("result")},
+	for _, record := range []recovery.Record{
+		{Kind: recovery.KindCompletion, Key: "kept", Attempt: 2, Succeeded: true, Payload: []byte("result")},
 		{Kind: recovery.KindCompletion, Key: "failed", Attempt: 3},
-		{Kind: recovery.KindCancellation, Key: "void", Attempt: 4}} {
-		r.WindowEnd = until
-		r.WrittenAt = segmentlog.MachineClock()
-		s.AppendCompletion(r, r.Attempt+10)
-		<-done
+		{Kind: recovery.KindCancellation, Key: "void", Attempt: 4},
+	} {
+		record.WindowEnd = windowEnd
+		record.WrittenAt = segmentlog.MachineClock()
+		store.AppendCompletion(record, record.Attempt+10)
+		<-written
 	}
-	o.runCommand("store", "compact", directory)
-	s.Close()
-	<-s.Done()
+	whileOpen()
+	store.Close()
+	<-store.Done()
 	require.NoError(o.t, files.Close())
-	o.writeNumbers(o.runCommand("store", "inspect", "--all", "--window", "60s", "--doubt", time.Minute.String(),
-		directory))
-	o.writeNumbers(o.runCommand("store", "verify", directory))
-	o.writeNumbers(o.runCommand("store", "compact", directory))
-	o.writeNumbers(o.runCommand("store", "inspect", directory))
-	segments, err := filepath.Glob(filepath.Join(directory, "*.seg"))
-	require.NoError(o.t, err)
-	text, err := os.ReadFile(segments[0])
-	require.NoError(o.t, err)
-	text[len(text)/2] ^= 1
-	require.NoError(o.t, os.WriteFile(segments[0], text, 0o600))
-	o.runCommand("store", "verify", directory)
-	o.runCommand("store", "verify", filepath.Join(o.dir, "nowhere"))
 }
--- a/internal/command/plugin_test.go
+++ b/internal/command/plugin_test.go
@@ -14,23 +14,33 @@
 	"thistlequay/internal/servertest"
 )
 
+// The commands plugin check and plugin run exit with 0 where the module is sound and its hook ends, with 1 where not,
+// and with 2 on wrong arguments; their output says what the module needs or does.
 func TestPluginCommandExitCodesAndOutput(t *testing.T) {
 	server := servertest.New(t)
 	request := filepath.Join(t.TempDir(), "r.json")
 	server.NoError(os.WriteFile(request, []byte(`{"hook":"read","category":"look","tenant":"acme","body":"b"}`), 0o600))
-	for line, says := range map[string]string{
-		"0 plugin check " +
-			server.WriteModule("good"): "KB of memory an instance",
-		"1 plugin check " + server.WriteModule("other-version"):                                  "is of version 7",
-		"1 plugin check " + server.WriteModule("foreign"):                                        "open_socket",
-		"0 plugin run " + server.WriteModule("declines") + " --request " + request:               `"does":"decline"`,
-		"0 plugin run " + server.WriteModule("good") + " --engine=compiler --request " + request: `"does":"nothing"`,
-		"1 plugin run " + server.WriteModule("loops") + " --request " + request:                  "",
-		"2 plugin run " + server.WriteModule("loops"):                                            "--request",
+	for _, test := range []struct {
+		code      string
+		verb      string
+		module    string
+		arguments string
+		output    string
+	}{
+		{"0", "check", "good", "", "KB of memory an instance"},
+		{"1", "check", "other-version", "", "is of version 7"},
+		{"1", "check", "foreign", "", "open_socket"},
+		{"0", "run", "declines", " --request " + request, `"does":"decline"`},
+		{"0", "run", "good", " --engine=compiler --request " + request, `"does":"nothing"`},
+		{"1", "run", "loops", " --request " + request, ""},
+		{"2", "run", "loops", "", "--request"},
 	} {
-		code, rest, _ := strings.Cut(line, " ")
-		var out bytes.Buffer
-		require.Equal(t, code, strconv.Itoa(command.Run(strings.Fields(rest), &out, &out)), out.String())
-		require.Contains(t, out.String(), says)
+		line := "plugin " + test.verb + " " + server.WriteModule(test.module) + test.arguments
+		t.Run(test.verb+" "+test.module+" exits with "+test.code, func(t *testing.T) {
+			var out bytes.Buffer
+			code := command.Run(strings.Fields(line), &out, &out)
+			require.Equal(t, test.code, strconv.Itoa(code), out.String())
+			require.Contains(t, out.String(), test.output)
+		})
 	}
 }
--- a/internal/command/try_test.go
+++ b/internal/command/try_test.go
@@ -11,18 +11,19 @@
 	"thistlequay/internal/servertest"
 )
 
-// `try`, the one command for a fresh machine, runs over sockets: whoever asks for less than its share gets it with fair
-// queues.
+// The command try plays its load over sockets and reports every tenant without fair queues and with them. The
+// configuration that it keeps is valid.
 func TestTryCommandShowsFairSharesOverSockets(t *testing.T) {
 	t.Setenv(servertest.RunAsProgramEnv, "1")
 	var out, errs bytes.Buffer
-	keep := filepath.Join(t.TempDir(), "kept")
-	require.Zero(t, command.Run([]string{"try", "--seconds", "2", "--config", keep}, &out, &errs), errs.String())
-	for _, tenant := range []string{"kirkens", "bymisjon", "fjordhjelpa", "ungdomslaget", "FAIR QUEUES ON"} {
-		require.Contains(t, out.String(), tenant)
+	path := filepath.Join(t.TempDir(), "kept")
+	code := command.Run([]string{"try", "--seconds", "2", "--config", path}, &out, &errs)
+	require.Zero(t, code, errs.String())
+	for _, text := range []string{"kirkens", "bymisjon", "fjordhjelpa", "ungdomslaget", "FAIR QUEUES ON"} {
+		require.Contains(t, out.String(), text)
 	}
 	out.Reset()
-	require.Zero(t, command.Run([]string{"check", keep + ".fair.json", keep + ".fair.yaml"}, &out, &errs),
-		out.String())
+	code = command.Run([]string{"check", path + ".fair.json", path + ".fair.yaml"}, &out, &errs)
+	require.Zero(t, code, out.String())
 	require.Equal(t, "2 files, no fault\n", out.String())
 }
--- a/internal/server/connection_socket_test.go
+++ b/internal/server/connection_socket_test.go
@@ -16,8 +16,8 @@
 
 // docs/races.md lists the pairs of events that can cross, with the test that forces each order of them.
 
-// A connection with an open request outlives its idle timeout, and is closed once the request has been answered; an idle
-// one is closed after its timeout.
+// A connection with an open request outlives its idle timeout, and is closed once the request has been answered; an
+// idle one is closed after its timeout.
 func TestIdleTimeoutSparesOpenRequests(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"KeepaliveMax":30000.0`, `"KeepaliveMax":100.0`)
 	busy := server.ConnectRouter()
@@ -30,8 +30,8 @@
 	busy.RequireClosed()
 }
 
-// Idle connections do not keep new ones out: the oldest is evicted for a new one, none outlives its timeout, and no file
-// descriptor is leaked.
+// Idle connections do not keep new ones out: the oldest is evicted for a new one, none outlives its timeout, and no
+// file descriptor is leaked.
 func TestFullConnectionTableEvictsOldestIdle(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	descriptors := func() int {
@@ -176,8 +176,8 @@
 	server.Empty(server.ReadToEnd(router.Link))
 }
 
-// The process may open fewer file descriptors than the configuration says: of more connections than that the surplus is
-// rejected, and the program goes on.
+// The process may open fewer file descriptors than the configuration says: of more connections than that the surplus
+// is rejected, and the program goes on.
 func TestFewerFileDescriptorsThanConfigured(t *testing.T) {
 	server := servertest.New(t)
 	server.ReplaceConfig(`"sockets":64`, `"sockets":512`)
@@ -195,8 +195,8 @@
 	server.NotContains(server.LogText(), "engine_error")
 }
 
-// openIdleConnections opens up to count connections that send a complete health check, half of one, or nothing, and then
-// stay open, or are reset at once. It returns how many the program's listener accepted.
+// openIdleConnections opens up to count connections that send a complete health check, half of one, or nothing, and
+// then stay open, or are reset at once. It returns how many the program's listener accepted.
 func openIdleConnections(server *servertest.Server, count int) int {
 	server.T.Helper()
 	opened := 0
@@ -250,8 +250,8 @@
 }
 
 // Clients that send one request or none and keep their connections use up the file descriptors while the directory is
-// down: the program's own dials, health checks and routers with requests still get theirs, and load reports resume when
-// the directory is back.
+// down: the program's own dials, health checks and routers with requests still get theirs, and load reports resume
+// when the directory is back.
 func TestMeasuredIdleConnections(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":128`)
 	directory := server.NextLink(server.Directory)
--- a/internal/server/directory_socket_test.go
+++ b/internal/server/directory_socket_test.go
@@ -25,8 +25,8 @@
 	server.Equal(want, string(body))
 }
 
-// Load reports follow each other on one connection as long as the directory answers them, and on a new one where it did
-// not. While the directory is down, requests are served.
+// Load reports follow each other on one connection as long as the directory answers them, and on a new one where it
+// did not. While the directory is down, requests are served.
 func TestLoadReportsToTheDirectory(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	directory := server.NextLink(server.Directory)
--- a/internal/server/drain_socket_test.go
+++ b/internal/server/drain_socket_test.go
@@ -15,8 +15,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// handleLines calls handle with every line that the program sends to the interpreter, until the link ends. The channel is
-// closed then.
+// handleLines calls handle with every line that the program sends to the interpreter, until the link ends. The channel
+// is closed then.
 func handleLines(interpreter *servertest.InterpreterLink, handle func(line string)) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -48,8 +48,8 @@
 		interpreter.LastNotice, id)
 }
 
-// During a drain health checks fail, requests in flight are answered, and after the grace period no request is run. What
-// is still in flight at the shutdown deadline is answered with 500.
+// During a drain health checks fail, requests in flight are answered, and after the grace period no request is run.
+// What is still in flight at the shutdown deadline is answered with 500.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -87,7 +87,8 @@
 	<-linkEnded
 }
 
-// After a SIGTERM before the interpreter is up health checks fail, the load report says closed, and the exit code is 0.
+// After a SIGTERM before the interpreter is up health checks fail, the load report says closed, and the exit code is
+// 0.
 func TestDrainBeforeInterpreterIsUp(t *testing.T) {
 	server := servertest.New(t)
 	server.WriteFilesAndStart()
@@ -106,8 +107,8 @@
 	server.Equal(0, code)
 }
 
-// Requests in flight in a process that is paused until after the shutdown deadline are answered before their connection
-// is closed.
+// Requests in flight in a process that is paused until after the shutdown deadline are answered before their
+// connection is closed.
 func TestPauseOverTheStopDeadlineStillAnswers(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -297,9 +298,9 @@
 	return logged
 }
 
-// A drain with bytes arriving at every moment of it: requests on idle and on new connections, half requests, and records
-// without a pause. Every request that was read has one response, or was not run and its connection is closed without a
-// reset; none that arrived after the grace period is run.
+// A drain with bytes arriving at every moment of it: requests on idle and on new connections, half requests, and
+// records without a pause. Every request that was read has one response, or was not run and its connection is closed
+// without a reset; none that arrived after the grace period is run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":256`)
 	run := &drainRun{server: server, runs: map[string]int{}}
--- a/internal/server/fairqueue_socket_test.go
+++ b/internal/server/fairqueue_socket_test.go
@@ -29,7 +29,8 @@
 }
 
 // The only request of one tenant is run before the queued ones of another that came first. Then the settings change
-// under load: an invalid change has no effect, a tenant with requests in flight is removed, fair queues are turned off.
+// under load: an invalid change has no effect, a tenant with requests in flight is removed, fair queues are turned
+// off.
 func TestFairQueueOrderAndReloadUnderLoad(t *testing.T) {
 	server, interpreter := startFairServer(t, 0.5, 0.5)
 	router := server.ConnectRouter()
@@ -159,9 +160,9 @@
 	}
 }
 
-// Two tenants with equal shares send over sockets, one of them much more than its share, while the interpreter corrupts
-// some notices and the index fails some calls: every request is answered, none is run twice, and the tenant within its
-// share gets at least nine tenths of it. The load takes two seconds, with MEASURE=full 30.
+// Two tenants with equal shares send over sockets, one of them much more than its share, while the interpreter
+// corrupts some notices and the index fails some calls: every request is answered, none is run twice, and the tenant
+// within its share gets at least nine tenths of it. The load takes two seconds, with MEASURE=full 30.
 func TestMeasuredFairQueuesOverSockets(t *testing.T) {
 	server := servertest.New(t)
 	interpreter, err := emulator.NewInterpreter(2, 3)
--- a/internal/server/idempotency_socket_test.go
+++ b/internal/server/idempotency_socket_test.go
@@ -69,8 +69,8 @@
 	interpreter.ExpectApply(router.SendLook(3, "no second run came before"), "no second run came before")
 }
 
-// Where the clocks of routers differ, a retry within the deduplication window of the first attempt gets its result: the
-// Received-At of either may be ahead.
+// Where the clocks of routers differ, a retry within the deduplication window of the first attempt gets its result:
+// the Received-At of either may be ahead.
 func TestRetriesFromClocksAheadShareTheResult(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
@@ -119,8 +119,8 @@
 	router.ExpectResponse(3, 200, "twice")
 }
 
-// Where the link to the interpreter is lost during a run and the deduplication window ends meanwhile, a retry within the
-// window and one after it both wait for that run and get its result.
+// Where the link to the interpreter is lost during a run and the deduplication window ends meanwhile, a retry within
+// the window and one after it both wait for that run and get its result.
 func TestRetriesAcrossLostLinkAndShortWindowShareOneRun(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
--- a/internal/server/interpreter_socket_test.go
+++ b/internal/server/interpreter_socket_test.go
@@ -31,9 +31,9 @@
 	router.ExpectResponse(3, 200, "w")
 }
 
-// The last commands before the link breaks may be lost, so the program sends them again on its next link: the APPLY of a
-// run and the RESOLVE of a downstream call. Where the interpreter replies MOOT the run provably did not start, and its
-// idempotency key is free again.
+// The last commands before the link breaks may be lost, so the program sends them again on its next link: the APPLY of
+// a run and the RESOLVE of a downstream call. Where the interpreter replies MOOT the run provably did not start, and
+// its idempotency key is free again.
 func TestCommandsLostWithLinkAreSentAgain(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -63,8 +63,8 @@
 	router.ExpectResponse(3, 200, "b")
 }
 
-// After a malformed line from the interpreter the program opens a new link. A request that the interpreter then does not
-// know is answered with 500.
+// After a malformed line from the interpreter the program opens a new link. A request that the interpreter then does
+// not know is answered with 500.
 func TestMalformedInterpreterLineReopensLink(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	server.WriteLine(interpreter.Link, "no notice")
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -14,7 +14,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// pluginLoad is a load of about a second against a server whose plug-ins see the requests of acme but not those of beta.
+// pluginLoad is a load of about a second against a server whose plug-ins see the requests of acme but not those of
+// beta.
 type pluginLoad struct {
 	server      *servertest.Server
 	interpreter *emulator.Interpreter
@@ -35,8 +36,8 @@
 	return &pluginLoad{server: server, interpreter: interpreter}
 }
 
-// play starts the program with these settings, plays the load and calls during, where it is not nil, meanwhile. The load
-// takes 0.8 s, with MEASURE=full 20. The test fails where a connection ends before a response.
+// play starts the program with these settings, plays the load and calls during, where it is not nil, meanwhile. The
+// load takes 0.8 s, with MEASURE=full 20. The test fails where a connection ends before a response.
 func (l *pluginLoad) play(service string, during func()) {
 	l.server.T.Helper()
 	l.server.Service = service
@@ -81,7 +82,8 @@
 	return double
 }
 
-// pluginMemory returns the resident memory of the plug-in processes of a server, in MB, and how many of them there are.
+// pluginMemory returns the resident memory of the plug-in processes of a server, in MB, and how many of them there
+// are.
 func pluginMemory(server *servertest.Server) (memoryMB float64, processes int) {
 	// ps exits with 1 where there is no such process; then there is no output.
 	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(server.Process.Process.Pid), "-o", "rss=").Output()
@@ -104,8 +106,8 @@
 	return peakMB
 }
 
-// A hostile plug-in beside a well-behaved one, under load, of each kind: no response is late, no request is lost or run
-// twice, and the requests that no plug-in sees all succeed or are rejected.
+// A hostile plug-in beside a well-behaved one, under load, of each kind: no response is late, no request is lost or
+// run twice, and the requests that no plug-in sees all succeed or are rejected.
 func TestMeasuredHostilePlugins(t *testing.T) {
 	calm := newPluginLoad(t)
 	calm.play("", nil)
--- a/internal/server/plugin_socket_test.go
+++ b/internal/server/plugin_socket_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// A new version of a plug-in that cannot be loaded leaves the old one in place, and the log says why. Where there is no
-// old one, the program does not start.
+// A new version of a plug-in that cannot be loaded leaves the old one in place, and the log says why. Where there is
+// no old one, the program does not start.
 func TestBadPluginVersionKeepsTheOldOne(t *testing.T) {
 	server := servertest.New(t)
 	server.Service = pluginSection(pluginEntry("one", server.WriteModule("declines"),
@@ -217,8 +217,8 @@
 	return file
 }
 
-// Both examples work: one rejects requests without a note, the other shortens results to their first line. The first goes
-// on after a reload that changes its settings.
+// Both examples work: one rejects requests without a note, the other shortens results to their first line. The first
+// goes on after a reload that changes its settings.
 func TestPluginExamplesWork(t *testing.T) {
 	server := servertest.New(t)
 	hall := buildExample(server, "hallcheck")
--- a/internal/server/request_socket_test.go
+++ b/internal/server/request_socket_test.go
@@ -13,7 +13,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// A request and its downstream call pass through unchanged, whatever bytes they have; a failed run is answered with 500.
+// A request and its downstream call pass through unchanged, whatever bytes they have; a failed run is answered with
+// 500.
 func TestRequestWithDownstreamCall(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -105,7 +106,8 @@
 	router.ExpectResponse(1, 200, "in time")
 }
 
-// The run of a request is cancelled where its client aborts it and where its connection is lost. Its slot is free again.
+// The run of a request is cancelled where its client aborts it and where its connection is lost. Its slot is free
+// again.
 func TestClientAbortCancelsRequest(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -126,8 +128,8 @@
 	interpreter.ServeOne(router, 1, "again under the same record id")
 }
 
-// Malformed records close the connection on which they came. A router that closes its connection after the first record
-// of a request, and what is wrong on other connections, changes nothing for a request in flight.
+// Malformed records close the connection on which they came. A router that closes its connection after the first
+// record of a request, and what is wrong on other connections, changes nothing for a request in flight.
 func TestMalformedRecordsCloseOnlyTheirConnection(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	good := server.ConnectRouter()
@@ -202,8 +204,8 @@
 	router.ExpectResponse(1, 200, "h")
 }
 
-// A request that is not complete in time is answered with 408, one that is too long with 413, and another request on the
-// connection goes on. A connection without a complete request, or with half a record, is closed.
+// A request that is not complete in time is answered with 408, one that is too long with 413, and another request on
+// the connection goes on. A connection without a complete request, or with half a record, is closed.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	incompleteOnly := server.ConnectRouter()
--- a/internal/server/restart_socket_test.go
+++ b/internal/server/restart_socket_test.go
@@ -11,8 +11,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// After a SIGKILL another process starts on the same address and runs a request whose key ran before: without a store the
-// key is not remembered.
+// After a SIGKILL another process starts on the same address and runs a request whose key ran before: without a store
+// the key is not remembered.
 func TestRestartAfterKillOnSameAddress(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -28,8 +28,8 @@
 	router.ExpectResponse(1, 200, "new life")
 }
 
-// Signals that come while the configuration is still being read are handled once the program listens: a SIGHUP does not
-// end it, and after a SIGTERM it exits with 0 by the shutdown deadline.
+// Signals that come while the configuration is still being read are handled once the program listens: a SIGHUP does
+// not end it, and after a SIGTERM it exits with 0 by the shutdown deadline.
 func TestSignalsDuringStartupAreHandledLater(t *testing.T) {
 	server := servertest.New(t)
 	server.Path = filepath.Join(t.TempDir(), "config.json")
@@ -59,8 +59,8 @@
 	_ = os.Remove(server.Path)
 }
 
-// A process that closed a connection itself and is killed leaves its port in TIME_WAIT. Its next incarnation listens at
-// once, answers health checks while the interpreter is not up, and serves once it is.
+// A process that closed a connection itself and is killed leaves its port in TIME_WAIT. Its next incarnation listens
+// at once, answers health checks while the interpreter is not up, and serves once it is.
 func TestRestartOnPortInTimeWaitWithLateInterpreter(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
--- a/internal/server/store_socket_test.go
+++ b/internal/server/store_socket_test.go
@@ -28,8 +28,8 @@
 // attemptsPerKey is how often each key is sent, on a connection each, before the process is killed.
 const attemptsPerKey = 3
 
-// sendKeyedAttempts sends one attempt of each key, in slots from 1 on, on each of attemptsPerKey connections. The first
-// channel has the responses; the second has an entry for each connection that has ended.
+// sendKeyedAttempts sends one attempt of each key, in slots from 1 on, on each of attemptsPerKey connections. The
+// first channel has the responses; the second has an entry for each connection that has ended.
 func sendKeyedAttempts(server *servertest.Server, keys []string) (<-chan keyedResponse, <-chan struct{}) {
 	server.T.Helper()
 	responses := make(chan keyedResponse, 100)
@@ -53,8 +53,9 @@
 	return responses, ended
 }
 
-// A hundred incarnations, with MEASURE=full 500, each killed after a random number of responses while three attempts per
-// key arrive, of new keys and of earlier ones: no key is run twice, and all successful responses to a key are the same.
+// A hundred incarnations, with MEASURE=full 500, each killed after a random number of responses while three attempts
+// per key arrive, of new keys and of earlier ones: no key is run twice, and all successful responses to a key are the
+// same.
 func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	server := servertest.New(t)
 	config := server.Config
@@ -133,8 +134,8 @@
 }
 
 // A retry after a restart gets the first result, and one with another body is rejected. A second server on the same
-// directory does not start. The store commands show what the directory holds, also after one byte is corrupt; then keyed
-// requests whose records may be lost are rejected.
+// directory does not start. The store commands show what the directory holds, also after one byte is corrupt; then
+// keyed requests whose records may be lost are rejected.
 func TestStoredResultsSurviveRestart(t *testing.T) {
 	server := servertest.New(t)
 	directory := filepath.Join(t.TempDir(), "store")
@@ -199,8 +200,8 @@
 	router.ExpectResponse(2, 200, "result of 1 harmless")
 }
 
-// Response times of keyed and of idempotent requests without a store and with each durability, and what a keyed request
-// pays for its intent record. No request is rejected for the store.
+// Response times of keyed and of idempotent requests without a store and with each durability, and what a keyed
+// request pays for its intent record. No request is rejected for the store.
 func TestMeasuredStoreLatency(t *testing.T) {
 	pairs := 150
 	if os.Getenv("MEASURE") == "full" {
--- a/internal/servertest/interpreter_link.go
+++ b/internal/servertest/interpreter_link.go
@@ -32,8 +32,8 @@
 	return &InterpreterLink{Server: s, Link: s.NextLink(s.Interpreter), LastNotice: lastNotice}
 }
 
-// AcceptInterpreter accepts the program's next link to the interpreter and waits until the program admits requests. The
-// test fails where the program's CONNECT line gives another last notice than lastNotice.
+// AcceptInterpreter accepts the program's next link to the interpreter and waits until the program admits requests.
+// The test fails where the program's CONNECT line gives another last notice than lastNotice.
 func (s *Server) AcceptInterpreter(lastNotice int) *InterpreterLink {
 	s.T.Helper()
 	interpreter := s.NextInterpreterLink(lastNotice)
--- a/internal/servertest/link.go
+++ b/internal/servertest/link.go
@@ -12,8 +12,8 @@
 	"thistlequay/internal/emulator"
 )
 
-// NextLink waits for the program's next connection to an emulator. The test fails where none comes within EventTimeout;
-// so does every read and write that takes the connection beyond that time.
+// NextLink waits for the program's next connection to an emulator. The test fails where none comes within
+// EventTimeout; so does every read and write that takes the connection beyond that time.
 func (s *Server) NextLink(listener *emulator.Listener) *emulator.Link {
 	s.T.Helper()
 	select {
--- a/internal/servertest/router_link.go
+++ b/internal/servertest/router_link.go
@@ -126,8 +126,8 @@
 	r.Server.Equal(want, got, headers)
 }
 
-// ExpectHealth sends a health check and fails the test unless its response, the next on the connection, has this status.
-// By then the program has read whatever was written to the connection before.
+// ExpectHealth sends a health check and fails the test unless its response, the next on the connection, has this
+// status. By then the program has read whatever was written to the connection before.
 func (r *RouterLink) ExpectHealth(slot uint16, status int) {
 	r.Server.T.Helper()
 	r.Send(slot, "/health", "", nil)
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -1,7 +1,7 @@
-// Package servertest starts one process of the program under test together with emulators of the interpreter, index and
-// directory that it talks to, and speaks to it over sockets as they and the routers do. The emulators send only what a
-// test has them send, so every wait is for an event, up to EventTimeout. A failure ends the test; what a function of the
-// package opened or started is closed at the end of the test.
+// Package servertest starts one process of the program under test together with emulators of the interpreter, index
+// and directory that it talks to, and speaks to it over sockets as they and the routers do. The emulators send only
+// what a test has them send, so every wait is for an event, up to EventTimeout. A failure ends the test; what a
+// function of the package opened or started is closed at the end of the test.
 package servertest
 
 import (
@@ -27,11 +27,12 @@
 // EventTimeout bounds every wait for an event; only a failure reaches it.
 const EventTimeout = 20 * time.Second
 
-// RunAsProgramEnv names the environment variable under which the test binary runs as the program. The program is linked
-// with the tests' own flags that way, and no cached test result outlives a change of the program.
+// RunAsProgramEnv names the environment variable under which the test binary runs as the program. The program is
+// linked with the tests' own flags that way, and no cached test result outlives a change of the program.
 const RunAsProgramEnv = "THISTLEQUAY_AS_PROGRAM"
 
-// Main is the TestMain of packages whose tests start the program: under RunAsProgramEnv the test binary is the program.
+// Main is the TestMain of packages whose tests start the program: under RunAsProgramEnv the test binary is the
+// program.
 func Main(m *testing.M) {
 	if os.Getenv(RunAsProgramEnv) != "" {
 		os.Exit(command.Main())
@@ -151,8 +152,8 @@
 	s.StartProcess()
 }
 
-// StartProcess starts the program with the files that are there. At the end of the test it is killed, and the test fails
-// where its log shows a data race or a violated invariant.
+// StartProcess starts the program with the files that are there. At the end of the test it is killed, and the test
+// fails where its log shows a data race or a violated invariant.
 func (s *Server) StartProcess() {
 	s.T.Helper()
 	process := s.newProcess()
@@ -206,14 +207,15 @@
 	<-s.ended
 }
 
-// CloseQuietly closes a connection, listener or file. Its error is ignored: the other side, or the test itself, may have
-// closed it before.
+// CloseQuietly closes a connection, listener or file. Its error is ignored: the other side, or the test itself, may
+// have closed it before.
 func CloseQuietly(closer io.Closer) { _ = closer.Close() }
 
 // LogText returns what the program has logged so far.
 func (s *Server) LogText() string { return s.output.String() }
 
-// EventCount returns how many lines the program has logged so far whose event, and the text behind it, begin like this.
+// EventCount returns how many lines the program has logged so far whose event, and the text behind it, begin like
+// this.
 func (s *Server) EventCount(event string) int { return strings.Count(s.LogText(), "event="+event) }
 
 // Ended returns a channel that is closed once the process has exited.
@@ -237,8 +239,8 @@
 	s.WaitFor(func() bool { return strings.Contains(s.LogText(), text) })
 }
 
-// WaitForExit waits for the program's end and returns its exit code and log. The test fails where that takes longer than
-// EventTimeout.
+// WaitForExit waits for the program's end and returns its exit code and log. The test fails where that takes longer
+// than EventTimeout.
 func (s *Server) WaitForExit() (int, string) {
 	s.T.Helper()
 	select {
--- a/internal/servertest/subsystems.go
+++ b/internal/servertest/subsystems.go
@@ -15,8 +15,9 @@
 	return fmt.Sprintf("store:\n  directory: %s\n  fresh: true\n%s", directory, settings)
 }
 
-// StartWithInterpreter starts another incarnation of the server, with an emulated interpreter of four cores of its own, and
-// waits until the program is connected to it. config is Config as New made it. The interpreter is closed at the end of t.
+// StartWithInterpreter starts another incarnation of the server, with an emulated interpreter of four cores of its
+// own, and waits until the program is connected to it. config is Config as New made it. The interpreter is closed at
+// the end of t.
 func (s *Server) StartWithInterpreter(t *testing.T, config string) *emulator.Interpreter {
 	s.T.Helper()
 	interpreter, err := emulator.NewInterpreter(4, 1)
