--- a/internal/server/configuration_socket_test.go
+++ b/internal/server/configuration_socket_test.go
@@ -25,8 +25,7 @@
 func TestReloadMovesAddressesWithoutLoss(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	id := router.SendLook(1, "a")
-	interpreter.ExpectApply(id, "a")
+	id := interpreter.StartLook(router, 1, "a")
 	interpreter.SendAwait(id, "q")
 	oldIndex := server.IndexCall(id)
 	server.NextLink(server.Directory)
@@ -45,8 +44,7 @@
 	moved.SendAwait(id, "q2")
 	index := server.NextLink(server.Index)
 	server.Contains(server.ReadLine(index), "GET "+id)
-	moved.SendValue(id, "OK", "a")
-	router.ExpectResponse(1, 200, "a")
+	moved.CompleteRun(router, 1, id, "a")
 
 	server.Config = "{"
 	server.WriteFilesAndSignal()
--- a/internal/server/connection_socket_test.go
+++ b/internal/server/connection_socket_test.go
@@ -22,11 +22,9 @@
 	server, interpreter := servertest.StartWith(t, `"KeepaliveMax":30000.0`, `"KeepaliveMax":100.0`)
 	busy := server.ConnectRouter()
 	idle := server.ConnectRouter()
-	id := busy.SendLook(1, "busy")
-	interpreter.ExpectApply(id, "busy")
+	id := interpreter.StartLook(busy, 1, "busy")
 	idle.RequireClosed()
-	interpreter.SendValue(id, "OK", "b")
-	busy.ExpectResponse(1, 200, "b")
+	interpreter.CompleteRun(busy, 1, id, "b")
 	busy.RequireClosed()
 }
 
@@ -142,15 +140,12 @@
 func TestCloseWaitsForOtherOpenRequests(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	first := router.SendLook(1, "stays")
-	interpreter.ExpectApply(first, "stays")
+	first := interpreter.StartLook(router, 1, "stays")
 	id := server.NewRequestID()
 	router.WriteBytes(servertest.LastRequest(2, "/rpc/look", "ends", servertest.RequestParameters(id)))
 	interpreter.ExpectApply(id, "ends")
-	interpreter.SendValue(id, "OK", "e")
-	router.ExpectResponse(2, 200, "e")
-	interpreter.SendValue(first, "OK", "s")
-	router.ExpectResponse(1, 200, "s")
+	interpreter.CompleteRun(router, 2, id, "e")
+	interpreter.CompleteRun(router, 1, first, "s")
 	server.Empty(server.ReadToEnd(router.Link))
 }
 
@@ -232,8 +227,7 @@
 	for i := range count {
 		router := server.ConnectRouter()
 		router.ExpectHealth(1, 200)
-		id := router.SendLook(2, "w")
-		interpreter.ExpectApply(id, "w")
+		id := interpreter.StartLook(router, 2, "w")
 		if i == 0 {
 			interpreter.SendAwait(id, "call")
 			index := server.IndexCall(id)
@@ -241,8 +235,7 @@
 			interpreter.ExpectCommand("RESOLVE", id)
 			servertest.CloseQuietly(index)
 		}
-		interpreter.SendValue(id, "OK", "done")
-		router.ExpectResponse(2, 200, "done")
+		interpreter.CompleteRun(router, 2, id, "done")
 		served++
 		servertest.CloseQuietly(router)
 	}
--- a/internal/server/downstream_socket_test.go
+++ b/internal/server/downstream_socket_test.go
@@ -11,8 +11,7 @@
 func TestDownstreamCallIsRetriedOnlyWhenSafe(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	id := router.SendBook(1, "k")
-	interpreter.ExpectApply(id, "entry k")
+	id := interpreter.StartBook(router, 1, "k")
 	interpreter.SendAwait(id, "q")
 	for _, reply := range []string{"SHED", "NOBODY", "SLOW"} {
 		index := server.IndexCall(id) // never a connection on which a hedged copy could come
@@ -27,8 +26,7 @@
 	router.SendBook(4, "k")
 	router.ExpectResponse(4, 500, "")
 
-	idempotent := router.SendLook(2, "h")
-	interpreter.ExpectApply(idempotent, "h")
+	idempotent := interpreter.StartLook(router, 2, "h")
 	interpreter.SendAwait(idempotent, "q")
 	index := server.IndexCall(idempotent)
 	server.WriteLine(index, "nonsense\r")
@@ -36,16 +34,14 @@
 	index = server.IndexCall(idempotent)
 	server.WriteLine(index, "%s HIT 0\r\n\r", idempotent)
 	server.Equal("RESOLVE", interpreter.NextCommand().Type)
-	interpreter.SendValue(idempotent, "OK", "h")
-	router.ExpectResponse(2, 200, "h")
+	interpreter.CompleteRun(router, 2, idempotent, "h")
 }
 
 // While the index does not answer one call other requests are served, and the call ends with its request's deadline.
 func TestHangingIndexDelaysNothingElse(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	id := router.SendBrief(1)
-	interpreter.ExpectApply(id, "b")
+	id := interpreter.StartBrief(router, 1)
 	interpreter.SendAwait(id, "q")
 	index := server.IndexCall(id)
 	interpreter.ServeOne(router, 2, "other")
@@ -58,14 +54,12 @@
 	server, interpreter := servertest.Start(t)
 	server.NoError(server.Index.Listener.Close())
 	router := server.ConnectRouter()
-	id := router.SendBrief(1)
-	interpreter.ExpectApply(id, "b")
+	id := interpreter.StartBrief(router, 1)
 	interpreter.SendAwait(id, "q")
 	router.ExpectResponse(1, 500, "")
 	interpreter.SendValue(id, "STOPPED", "")
 	server.NoError(server.Index.Reopen())
-	id = router.SendLook(2, "l")
-	interpreter.ExpectApply(id, "l")
+	id = interpreter.StartLook(router, 2, "l")
 	interpreter.SendAwait(id, "q")
 	index := server.NextLink(server.Index)
 	server.Contains(server.ReadLine(index), "GET "+id)
--- a/internal/server/drain_socket_test.go
+++ b/internal/server/drain_socket_test.go
@@ -54,10 +54,8 @@
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
 	checks := server.ConnectRouter()
-	stuck := router.SendLook(1, "never ends")
-	interpreter.ExpectApply(stuck, "never ends")
-	ends := router.SendLook(2, "ends")
-	interpreter.ExpectApply(ends, "ends")
+	interpreter.StartLook(router, 1, "never ends")
+	ends := interpreter.StartLook(router, 2, "ends")
 	server.Signal(syscall.SIGTERM)
 	server.WaitFor(func() bool {
 		checks.Send(1, "/health", "", nil)
@@ -65,8 +63,7 @@
 		return status == 503
 	})
 	server.Signal(syscall.SIGTERM)
-	interpreter.SendValue(ends, "OK", "e")
-	router.ExpectResponse(2, 200, "e")
+	interpreter.CompleteRun(router, 2, ends, "e")
 	linkEnded := handleLines(interpreter, func(line string) { // during the grace period runs still get their results
 		id, found := appliedRequest(line)
 		if found {
@@ -112,7 +109,7 @@
 func TestPauseOverTheStopDeadlineStillAnswers(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	interpreter.ExpectApply(router.SendLook(1, "never ends"), "never ends")
+	interpreter.StartLook(router, 1, "never ends")
 	server.Signal(syscall.SIGTERM)
 	server.WaitForLog("event=shutting_down")
 	server.Signal(syscall.SIGSTOP)
--- a/internal/server/fairqueue_socket_test.go
+++ b/internal/server/fairqueue_socket_test.go
@@ -42,30 +42,25 @@
 	fourth := sendLookOf(router, 4, "acme", "4")
 	beta := sendLookOf(router, 5, "beta", "b")
 	router.ExpectHealth(6, 200) // the program has read all of them
-	interpreter.SendValue(first, "OK", "")
-	router.ExpectResponse(1, 200, "")
+	interpreter.CompleteRun(router, 1, first, "")
 	interpreter.ExpectApply(beta, "b")
 
 	// Not a tenant of the settings: nothing changes.
 	server.Service = "fair_queues:\n  tenants: [{name: gone, share: 1}]\n"
 	server.Reload()
-	interpreter.SendValue(second, "OK", "")
-	router.ExpectResponse(2, 200, "")
+	interpreter.CompleteRun(router, 2, second, "")
 	interpreter.ExpectApply(third, "3")
 
 	// The tenant acme is removed while it has requests in flight.
 	server.Service = "fair_queues:\n  tenants: [{name: beta, share: 1}]\n"
 	server.Reload()
-	interpreter.SendValue(beta, "OK", "")
-	router.ExpectResponse(5, 200, "")
+	interpreter.CompleteRun(router, 5, beta, "")
 	interpreter.ExpectApply(fourth, "4")
 
 	server.Service = "# off\n"
 	server.Reload()
-	interpreter.SendValue(third, "OK", "")
-	router.ExpectResponse(3, 200, "")
-	interpreter.SendValue(fourth, "OK", "")
-	router.ExpectResponse(4, 200, "")
+	interpreter.CompleteRun(router, 3, third, "")
+	interpreter.CompleteRun(router, 4, fourth, "")
 	interpreter.ServeOne(router, 7, "still")
 	server.Signal(syscall.SIGTERM)
 	code, log := server.WaitForExit()
@@ -79,8 +74,7 @@
 func TestRetriesAreAccountedOnce(t *testing.T) {
 	server, interpreter := startFairServer(t, 0.6, 0.4)
 	router := server.ConnectRouter()
-	run := router.SendBook(1, "k")
-	interpreter.ExpectApply(run, "entry k")
+	run := interpreter.StartBook(router, 1, "k")
 	for slot := uint16(2); slot < 8; slot++ {
 		router.SendBook(slot, "k")
 	}
@@ -94,8 +88,7 @@
 		server.Equal("200 one", fmt.Sprint(status, " ", body))
 	}
 	interpreter.ExpectApply(queuedAcme, "a2") // six retries have not put acme behind beta
-	interpreter.SendValue(other, "OK", "")
-	router.ExpectResponse(9, 200, "")
+	interpreter.CompleteRun(router, 9, other, "")
 	interpreter.ExpectApply(queuedBeta, "b2")
 }
 
@@ -123,8 +116,7 @@
 	sendFrom(3, "::ffff:10.1.0.3")
 	otherTenant := sendFrom(4, "10.2.0.1")
 	router.ExpectHealth(6, 200)
-	interpreter.SendValue(first, "OK", "")
-	router.ExpectResponse(1, 200, "")
+	interpreter.CompleteRun(router, 1, first, "")
 	interpreter.ExpectApply(otherTenant, "10.2.0.1")
 }
 
@@ -198,8 +190,8 @@
 	beta := tenants[1]
 	server.GreaterOrEqual(acme.DeliveredShare(), 0.9)
 	server.Greater(beta.Rejected, beta.Requests/4)
-	interpreter.Inspect(func(v *emulator.Interpreter) {
-		for id, runs := range v.RunsByRequest {
+	interpreter.Inspect(func(inspected *emulator.Interpreter) {
+		for id, runs := range inspected.RunsByRequest {
 			server.Equal(1, runs, id)
 		}
 	})
--- a/internal/server/idempotency_socket_test.go
+++ b/internal/server/idempotency_socket_test.go
@@ -13,16 +13,13 @@
 func TestRetriesOfKeyedRequestShareOneRun(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	first := router.SendLook(1, "fills")
-	interpreter.ExpectApply(first, "fills")
-	second := router.SendLook(2, "the pool")
-	interpreter.ExpectApply(second, "the pool")
+	first := interpreter.StartLook(router, 1, "fills")
+	second := interpreter.StartLook(router, 2, "the pool")
 
 	router.SendBook(3, "k1")
 	queued := router.SendBook(4, "k1")
 	router.ExpectResponse(3, 503, "") // the later attempt takes the place of the queued one
-	interpreter.SendValue(first, "OK", "")
-	router.ExpectResponse(1, 200, "")
+	interpreter.CompleteRun(router, 1, first, "")
 	interpreter.ExpectApply(queued, "entry k1")
 
 	router.SendBook(5, "k1")
@@ -39,16 +36,14 @@
 
 	router.SendBook(7, "k1")
 	router.ExpectResponse(7, 200, "one run")
-	interpreter.SendValue(second, "OK", "")
-	router.ExpectResponse(2, 200, "")
+	interpreter.CompleteRun(router, 2, second, "")
 
-	failed := router.SendBook(8, "k2")
-	interpreter.ExpectApply(failed, "entry k2")
+	failed := interpreter.StartBook(router, 8, "k2")
 	interpreter.SendValue(failed, "ERROR", "")
 	router.ExpectResponse(8, 500, "")
 	router.SendBook(9, "k2")
 	router.ExpectResponse(9, 500, "") // it ran, so it is neither run again nor rejected
-	interpreter.ExpectApply(router.SendBook(10, "k3"), "entry k3")
+	interpreter.StartBook(router, 10, "k3")
 }
 
 // Of two attempts that arrive together one is run; the other shares its run or is rejected.
@@ -66,7 +61,7 @@
 		statuses[status]++
 	}
 	server.Contains([]map[int]int{{200: 2}, {200: 1, 503: 1}}, statuses)
-	interpreter.ExpectApply(router.SendLook(3, "no second run came before"), "no second run came before")
+	interpreter.StartLook(router, 3, "no second run came before")
 }
 
 // Where the clocks of routers differ, a retry within the deduplication window of the first attempt gets its result:
@@ -86,15 +81,13 @@
 	}
 	id := sendBook(1, "k", 0)
 	interpreter.ExpectApply(id, "entry k")
-	interpreter.SendValue(id, "OK", "ran")
-	router.ExpectResponse(1, 200, "ran")
+	interpreter.CompleteRun(router, 1, id, "ran")
 	sendBook(2, "k", 900)
 	router.ExpectResponse(2, 200, "ran")
 
 	id = sendBook(3, "l", 900) // its window counts from its Received-At
 	interpreter.ExpectApply(id, "entry l")
-	interpreter.SendValue(id, "OK", "ran too")
-	router.ExpectResponse(3, 200, "ran too")
+	interpreter.CompleteRun(router, 3, id, "ran too")
 	// Past the window, counted from when the request was read.
 	server.WaitUntilPast(time.Now().Add(320 * time.Millisecond))
 	sendBook(4, "l", 0)
@@ -105,18 +98,14 @@
 func TestZeroDeduplicationWindow(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":0.0`)
 	router := server.ConnectRouter()
-	id := router.SendBook(1, "k")
-	interpreter.ExpectApply(id, "entry k")
+	id := interpreter.StartBook(router, 1, "k")
 	retry := router.SendBook(2, "k") // during the run
-	interpreter.SendValue(id, "OK", "once")
-	router.ExpectResponse(1, 200, "once")
+	interpreter.CompleteRun(router, 1, id, "once")
 	router.ExpectResponse(2, 200, "once")
 	server.NotEqual(id, retry)
 	server.WaitUntilPast(time.Now().Add(20 * time.Millisecond))
-	id = router.SendBook(3, "k") // after the run
-	interpreter.ExpectApply(id, "entry k")
-	interpreter.SendValue(id, "OK", "twice")
-	router.ExpectResponse(3, 200, "twice")
+	id = interpreter.StartBook(router, 3, "k") // after the run
+	interpreter.CompleteRun(router, 3, id, "twice")
 }
 
 // Where the link to the interpreter is lost during a run and the deduplication window ends meanwhile, a retry within
@@ -124,8 +113,7 @@
 func TestRetriesAcrossLostLinkAndShortWindowShareOneRun(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
-	id := router.SendBook(1, "k")
-	interpreter.ExpectApply(id, "entry k")
+	id := interpreter.StartBook(router, 1, "k")
 	started := time.Now()
 	// Once this has passed, the program does not take the APPLY for lost with the link.
 	server.WaitUntilPast(started.Add(120 * time.Millisecond))
@@ -144,6 +132,5 @@
 		responses[slot] = fmt.Sprint(status, " ", body)
 	}
 	server.Equal(map[uint16]string{1: "200 once", 2: "200 once", 3: "200 once"}, responses)
-	look := router.SendLook(5, "goes on")
-	interpreter.ExpectApply(look, "goes on") // no other run started in between
+	interpreter.StartLook(router, 5, "goes on") // no other run started in between
 }
--- a/internal/server/interpreter_socket_test.go
+++ b/internal/server/interpreter_socket_test.go
@@ -11,24 +11,19 @@
 func TestInterpreterLinkIsResumed(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	look := router.SendLook(1, "1")
-	interpreter.ExpectApply(look, "1")
-	book := router.SendBook(2, "k")
-	interpreter.ExpectApply(book, "entry k")
+	look := interpreter.StartLook(router, 1, "1")
+	book := interpreter.StartBook(router, 2, "k")
 	servertest.CloseQuietly(interpreter)
 	resumed := server.NextInterpreterLink(0)
 	server.Equal(`{"type":"CONNECT","n":0}`, server.ReadLine(resumed.Link))
 	brief := router.SendBrief(3)
 	router.ExpectHealth(4, 200) // the program has read request 3 before the link takes requests
 	server.WriteLine(resumed.Link, servertest.BannerWarm)
-	resumed.SendValue(look, "OK", "replayed")
-	router.ExpectResponse(1, 200, "replayed")
+	resumed.CompleteRun(router, 1, look, "replayed")
 	started := []string{resumed.NextCommand().Job, resumed.NextCommand().Job}
 	server.ElementsMatch([]string{book, brief}, started)
-	resumed.SendValue(book, "OK", "b")
-	router.ExpectResponse(2, 200, "b")
-	resumed.SendValue(brief, "OK", "w")
-	router.ExpectResponse(3, 200, "w")
+	resumed.CompleteRun(router, 2, book, "b")
+	resumed.CompleteRun(router, 3, brief, "w")
 }
 
 // The last commands before the link breaks may be lost, so the program sends them again on its next link: the APPLY of
@@ -37,14 +32,12 @@
 func TestCommandsLostWithLinkAreSentAgain(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	look := router.SendLook(1, "waits")
-	interpreter.ExpectApply(look, "waits")
+	look := interpreter.StartLook(router, 1, "waits")
 	interpreter.SendAwait(look, "q")
 	index := server.IndexCall(look)
 	server.WriteLine(index, "%s HIT 2\r\nok\r", look)
 	interpreter.ExpectCommand("RESOLVE", look)
-	book := router.SendBook(2, "k")
-	interpreter.ExpectApply(book, "entry k")
+	book := interpreter.StartBook(router, 2, "k")
 	servertest.CloseQuietly(interpreter)
 	interpreter = server.AcceptInterpreter(interpreter.LastNotice)
 	resent := map[string]bool{}
@@ -53,14 +46,11 @@
 		resent[command.Type+" "+command.Job+" "+command.Data] = true
 	}
 	server.Equal(map[string]bool{"APPLY " + book + " ZW50cnkgaw==": true, "RESOLVE " + look + " b2s=": true}, resent)
-	interpreter.SendValue(look, "OK", "w")
-	router.ExpectResponse(1, 200, "w")
+	interpreter.CompleteRun(router, 1, look, "w")
 	interpreter.SendValue(book, "MOOT", "")
 	router.ExpectResponse(2, 500, "")
-	book = router.SendBook(3, "k")
-	interpreter.ExpectApply(book, "entry k")
-	interpreter.SendValue(book, "OK", "b")
-	router.ExpectResponse(3, 200, "b")
+	book = interpreter.StartBook(router, 3, "k")
+	interpreter.CompleteRun(router, 3, book, "b")
 }
 
 // After a malformed line from the interpreter the program opens a new link. A request that the interpreter then does
@@ -70,8 +60,7 @@
 	server.WriteLine(interpreter.Link, "no notice")
 	interpreter = server.AcceptInterpreter(0)
 	router := server.ConnectRouter()
-	id := router.SendLook(1, "x")
-	interpreter.ExpectApply(id, "x")
+	id := interpreter.StartLook(router, 1, "x")
 	interpreter.SendUnknownRequest(id)
 	router.ExpectResponse(1, 500, "")
 }
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -74,8 +74,8 @@
 // doubleRuns returns how many runs there were beyond the first of each request.
 func (l *pluginLoad) doubleRuns() int {
 	double := 0
-	l.interpreter.Inspect(func(v *emulator.Interpreter) {
-		for _, runs := range v.RunsByRequest {
+	l.interpreter.Inspect(func(inspected *emulator.Interpreter) {
+		for _, runs := range inspected.RunsByRequest {
 			double += runs - 1
 		}
 	})
--- a/internal/server/plugin_socket_test.go
+++ b/internal/server/plugin_socket_test.go
@@ -49,8 +49,7 @@
 	router := server.ConnectRouter()
 	router.SendBrief(1)
 	router.ExpectResponse(1, 403, "")
-	id := router.SendLook(2, "body")
-	interpreter.ExpectApply(id, "body")
+	id := interpreter.StartLook(router, 2, "body")
 	interpreter.SendValue(id, "OK", "a long result")
 	router.ExpectResponse(2, 200, "short")
 	router.ExpectHealth(3, 200)
@@ -60,8 +59,7 @@
 	router.ExpectResponse(4, 403, "")
 	reloadPlugin(server, "short", "shortens",
 		"hooks: [result], may: [rewrite], categories: [look, book], "+generousLimits)
-	id = router.SendBook(5, "k")
-	interpreter.ExpectApply(id, "entry k")
+	id = interpreter.StartBook(router, 5, "k")
 	interpreter.SendValue(id, "OK", "a long result")
 	router.ExpectResponse(5, 200, "short")
 
@@ -74,10 +72,8 @@
 
 	// A result that is no longer than its replacement stays.
 	reloadPlugin(server, "short", "shortens", "hooks: [result], may: [rewrite], "+generousLimits)
-	id = router.SendLook(8, "")
-	interpreter.ExpectApply(id, "")
-	interpreter.SendValue(id, "OK", "r")
-	router.ExpectResponse(8, 200, "r")
+	id = interpreter.StartLook(router, 8, "")
+	interpreter.CompleteRun(router, 8, id, "r")
 	server.Service = ""
 	server.Reload()
 	interpreter.ServeOne(router, 9, "no plug-ins")
@@ -156,8 +152,7 @@
 	server.Service = "# none\n"
 	server.Reload()
 	interpreter.ExpectApply(id, "under way")
-	interpreter.SendValue(id, "OK", "r")
-	router.ExpectResponse(100, 200, "r")
+	interpreter.CompleteRun(router, 100, id, "r")
 
 	other := servertest.New(t)
 	other.Service = pluginSection(pluginEntry("one", server.WriteModule("truncated"), "hooks: [read]"))
@@ -180,10 +175,8 @@
 	router.SendAbort(1)
 	router.ExpectResponse(1, 0, "")
 
-	id := router.SendLook(2, "cut")
-	interpreter.ExpectApply(id, "cut") // the aborted request never reached the interpreter
-	interpreter.SendValue(id, "OK", "the result as it was")
-	router.ExpectResponse(2, 200, "the result as it was")
+	id := interpreter.StartLook(router, 2, "cut") // the aborted request never reached the interpreter
+	interpreter.CompleteRun(router, 2, id, "the result as it was")
 
 	id = router.SendLook(3, "its process dies")
 	_, text, _ := strings.Cut(server.LogText(), " process=")
@@ -192,15 +185,13 @@
 	server.NoError(err)
 	server.NoError(syscall.Kill(processID, syscall.SIGKILL))
 	interpreter.ExpectApply(id, "its process dies")
-	interpreter.SendValue(id, "OK", "r")
-	router.ExpectResponse(3, 200, "r")
+	interpreter.CompleteRun(router, 3, id, "r")
 	server.WaitFor(func() bool { return server.EventCount("plugins_ready") == 2 })
 
 	id = router.SendLook(4, "leaving")
 	server.Signal(syscall.SIGTERM)
 	interpreter.ExpectApply(id, "leaving")
-	interpreter.SendValue(id, "OK", "r")
-	router.ExpectResponse(4, 200, "r")
+	interpreter.CompleteRun(router, 4, id, "r")
 	code, log := server.WaitForExit()
 	server.Zero(code)
 	server.Contains(log, "event=plugin_process_exited")
@@ -236,8 +227,7 @@
 	server.WriteFilesAndStart()
 	interpreter := server.AcceptInterpreter(0)
 	router := server.ConnectRouter()
-	id := router.SendLook(1, "l")
-	interpreter.ExpectApply(id, "l")
+	id := interpreter.StartLook(router, 1, "l")
 	interpreter.SendValue(id, "OK", "first line\nmore")
 	router.ExpectResponse(1, 200, "first line")
 	book := func(slot uint16, body string) {
--- a/internal/server/request_socket_test.go
+++ b/internal/server/request_socket_test.go
@@ -19,8 +19,7 @@
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
 	router.ExpectHealth(1, 200)
-	id := router.SendLook(2, "\x00body\xff")
-	interpreter.ExpectApply(id, "\x00body\xff")
+	id := interpreter.StartLook(router, 2, "\x00body\xff")
 	interpreter.SendAwait(id, "a\r\ncall")
 	index := server.NextLink(server.Index)
 	call := strings.Fields(server.ReadLine(index))
@@ -32,10 +31,8 @@
 	command := interpreter.NextCommand()
 	server.Equal("RESOLVE "+id+" cmUNCng=", command.Type+" "+command.Job+" "+command.Data)
 	result := strings.Repeat("r", 4096)
-	interpreter.SendValue(id, "OK", result)
-	router.ExpectResponse(2, 200, result)
-	id = router.SendLook(3, "")
-	interpreter.ExpectApply(id, "")
+	interpreter.CompleteRun(router, 2, id, result)
+	id = interpreter.StartLook(router, 3, "")
 	interpreter.SendValue(id, "ERROR", "")
 	router.ExpectResponse(3, 500, "")
 }
@@ -44,14 +41,10 @@
 func TestResponsesComeInAnyOrderOnOneConnection(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	first := router.SendLook(1, "1")
-	interpreter.ExpectApply(first, "1")
-	second := router.SendLook(2, "2")
-	interpreter.ExpectApply(second, "2")
-	interpreter.SendValue(second, "OK", "second")
-	router.ExpectResponse(2, 200, "second")
-	interpreter.SendValue(first, "OK", "first")
-	router.ExpectResponse(1, 200, "first")
+	first := interpreter.StartLook(router, 1, "1")
+	second := interpreter.StartLook(router, 2, "2")
+	interpreter.CompleteRun(router, 2, second, "second")
+	interpreter.CompleteRun(router, 1, first, "first")
 }
 
 // A request that arrives after its category's deadline, counted from its Received-At, is rejected finally and not run.
@@ -65,7 +58,7 @@
 	_, status, headers, _ := router.NextResponse()
 	server.Equal(503, status)
 	server.Contains(headers, "Final-Refusal: 1")
-	interpreter.ExpectApply(router.SendLook(2, "goes on"), "goes on")
+	interpreter.StartLook(router, 2, "goes on")
 }
 
 // Before the interpreter is up health checks succeed and requests are rejected; afterwards requests are run.
@@ -77,15 +70,14 @@
 	router.SendLook(2, "")
 	router.ExpectResponse(2, 503, "")
 	interpreter := server.AcceptInterpreter(0)
-	interpreter.ExpectApply(router.SendLook(3, "now"), "now")
+	interpreter.StartLook(router, 3, "now")
 }
 
 // At its deadline a request is answered with 500 and its run is cancelled, and the next request is served.
 func TestRequestIsAbortedAtItsDeadline(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	id := router.SendBrief(1)
-	interpreter.ExpectApply(id, "b")
+	id := interpreter.StartBrief(router, 1)
 	router.ExpectResponse(1, 500, "")
 	interpreter.ExpectCommand("BREAK", id)
 	interpreter.SendValue(id, "STOPPED", "")
@@ -111,8 +103,7 @@
 func TestClientAbortCancelsRequest(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	id := router.SendLook(1, "aborted")
-	interpreter.ExpectApply(id, "aborted")
+	id := interpreter.StartLook(router, 1, "aborted")
 	router.SendAbort(1)
 	slot, _, headers, _ := router.NextResponse()
 	server.Equal("1 ", fmt.Sprint(slot, " ", headers)) // the request ends without a response
@@ -120,38 +111,38 @@
 	interpreter.SendValue(id, "STOPPED", "")
 
 	lost := server.ConnectRouter()
-	id = lost.SendLook(1, "lost")
-	interpreter.ExpectApply(id, "lost")
+	id = interpreter.StartLook(lost, 1, "lost")
 	servertest.CloseQuietly(lost)
 	interpreter.ExpectCommand("BREAK", id)
 	interpreter.SendValue(id, "MOOT", "")
 	interpreter.ServeOne(router, 1, "again under the same record id")
 }
 
-// Malformed records close the connection on which they came. A router that closes its connection after the first
-// record of a request, and what is wrong on other connections, changes nothing for a request in flight.
+// Malformed records close the connection on which they came, while a record of no open request is ignored. Neither
+// changes anything for a request in flight on another connection.
 func TestMalformedRecordsCloseOnlyTheirConnection(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	good := server.ConnectRouter()
-	id := good.SendLook(1, "good")
-	interpreter.ExpectApply(id, "good")
+	id := interpreter.StartLook(good, 1, "good")
 	begin := string(emulator.FastCGIRecord(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00"))
-	for name, data := range map[string]string{
-		"another protocol":           "GET / HTTP/1.1\r\n\r\n",
-		"longer than any request":    string(emulator.FastCGIRecord(5, 1, "x")[:4]) + "\xff\xff\x00\x00",
-		"a slot that is open begins": begin + begin,
+	for _, test := range []struct {
+		data   string
+		closes bool
+	}{
+		{data: "GET / HTTP/1.1\r\n\r\n", closes: true},
+		// The header of a record of 64 KiB, of no open request.
+		{data: string(emulator.FastCGIRecord(5, 1, "x")[:4]) + "\xff\xff\x00\x00", closes: false},
+		{data: begin + begin, closes: true},
 	} {
 		bad := server.ConnectRouter()
-		bad.WriteBytes([]byte(data))
-		if data[0] == 1 && len(data) == 8 { // of no open request: ignored
+		bad.WriteBytes([]byte(test.data))
+		if test.closes {
+			bad.RequireClosed()
+		} else {
 			servertest.CloseQuietly(bad)
-			continue
 		}
-		t.Log(name)
-		bad.RequireClosed()
 	}
-	interpreter.SendValue(id, "OK", "g")
-	good.ExpectResponse(1, 200, "g")
+	interpreter.CompleteRun(good, 1, id, "g")
 }
 
 // Every malformed request gets its status, and the connection and the other request on it go on. So do a request whose
@@ -159,8 +150,7 @@
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	inFlight := router.SendLook(1, "in hand")
-	interpreter.ExpectApply(inFlight, "in hand")
+	inFlight := interpreter.StartLook(router, 1, "in hand")
 	expectStatus := func(status int, path, body, parameter, value string) {
 		t.Helper()
 		parameters := servertest.RequestParameters(server.NewRequestID())
@@ -188,20 +178,16 @@
 	expectStatus(400, "/rpc/look", "body", "CONTENT_LENGTH", "5")
 	expectStatus(400, "/rpc/look", "", "HTTP_ONCE_KEY", strings.Repeat("k", 65))
 
-	first := router.SendBook(3, "k")
-	interpreter.ExpectApply(first, "entry k")
+	first := interpreter.StartBook(router, 3, "k")
 	// The same key with another body gets neither the result nor the place in the queue.
 	expectStatus(422, "/rpc/book", "another body", "HTTP_ONCE_KEY", "k")
-	interpreter.SendValue(first, "OK", "its own")
-	router.ExpectResponse(3, 200, "its own")
+	interpreter.CompleteRun(router, 3, first, "its own")
 
-	unknown := router.SendBook(2, "strange") // the interpreter does not know it: its key is free
-	interpreter.ExpectApply(unknown, "entry strange")
+	unknown := interpreter.StartBook(router, 2, "strange") // the interpreter does not know it: its key is free
 	interpreter.SendUnknownRequest(unknown)
 	router.ExpectResponse(2, 500, "")
-	interpreter.ExpectApply(router.SendBook(2, "strange"), "entry strange")
-	interpreter.SendValue(inFlight, "OK", "h")
-	router.ExpectResponse(1, 200, "h")
+	interpreter.StartBook(router, 2, "strange")
+	interpreter.CompleteRun(router, 1, inFlight, "h")
 }
 
 // A request that is not complete in time is answered with 408, one that is too long with 413, and another request on
@@ -210,8 +196,7 @@
 	server, interpreter := servertest.Start(t)
 	incompleteOnly := server.ConnectRouter()
 	router := server.ConnectRouter()
-	id := router.SendLook(1, "whole")
-	interpreter.ExpectApply(id, "whole")
+	id := interpreter.StartLook(router, 1, "whole")
 	incomplete := slices.Concat(
 		emulator.FastCGIRecord(1, 7, "\x00\x01\x01\x00\x00\x00\x00\x00"),
 		emulator.FastCGIRecord(4, 7, "begun"))
@@ -225,8 +210,7 @@
 		emulator.FastCGIRecord(4, 8, ""),
 		emulator.FastCGIRecord(5, 8, strings.Repeat("x", 9000))))
 	router.ExpectResponse(8, 413, "") // before the end of the request has come
-	interpreter.SendValue(id, "OK", "w")
-	router.ExpectResponse(1, 200, "w")
+	interpreter.CompleteRun(router, 1, id, "w")
 	router.WriteBytes([]byte{1, 5, 0, 7}) // half a record of no open request
 	router.RequireClosed()
 }
--- a/internal/server/restart_socket_test.go
+++ b/internal/server/restart_socket_test.go
@@ -16,16 +16,14 @@
 func TestRestartAfterKillOnSameAddress(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	interpreter.ExpectApply(router.SendBook(1, "k"), "entry k")
+	interpreter.StartBook(router, 1, "k")
 	server.Kill()
 	router.RequireClosed()
 	server.WriteFilesAndStart()
 	interpreter = server.AcceptInterpreter(0)
 	router = server.ConnectRouter()
-	id := router.SendBook(1, "k")
-	interpreter.ExpectApply(id, "entry k")
-	interpreter.SendValue(id, "OK", "new life")
-	router.ExpectResponse(1, 200, "new life")
+	id := interpreter.StartBook(router, 1, "k")
+	interpreter.CompleteRun(router, 1, id, "new life")
 }
 
 // Signals that come while the configuration is still being read are handled once the program listens: a SIGHUP does
--- a/internal/server/store_socket_test.go
+++ b/internal/server/store_socket_test.go
@@ -97,8 +97,8 @@
 		for range attemptsPerKey {
 			<-ended
 		}
-		interpreter.Inspect(func(v *emulator.Interpreter) {
-			for body, count := range v.RunsByBody {
+		interpreter.Inspect(func(inspected *emulator.Interpreter) {
+			for body, count := range inspected.RunsByBody {
 				runs[body] += count
 			}
 		})
--- a/internal/servertest/interpreter_link.go
+++ b/internal/servertest/interpreter_link.go
@@ -101,11 +101,40 @@
 	l.Server.WriteLine(l.Link, `{"type":"ERROR","state":"APPLY","job":%q}`, id)
 }
 
-// ServeOne sends an idempotent request, runs it, and fails the test unless its result is the response.
-func (l *InterpreterLink) ServeOne(router *RouterLink, slot uint16, body string) {
+// StartLook sends an idempotent request, fails the test unless the next command starts it, and returns its identifier.
+func (l *InterpreterLink) StartLook(router *RouterLink, slot uint16, body string) string {
 	l.Server.T.Helper()
 	id := router.SendLook(slot, body)
 	l.ExpectApply(id, body)
-	l.SendValue(id, "OK", "result of "+body)
-	router.ExpectResponse(slot, 200, "result of "+body)
+	return id
+}
+
+// StartBrief is StartLook for a request with a budget of 900 ms.
+func (l *InterpreterLink) StartBrief(router *RouterLink, slot uint16) string {
+	l.Server.T.Helper()
+	id := router.SendBrief(slot)
+	l.ExpectApply(id, "b")
+	return id
+}
+
+// StartBook is StartLook for a request with an idempotency key.
+func (l *InterpreterLink) StartBook(router *RouterLink, slot uint16, key string) string {
+	l.Server.T.Helper()
+	id := router.SendBook(slot, key)
+	l.ExpectApply(id, "entry "+key)
+	return id
+}
+
+// CompleteRun ends a run successfully and fails the test unless its result is the next response.
+func (l *InterpreterLink) CompleteRun(router *RouterLink, slot uint16, id, result string) {
+	l.Server.T.Helper()
+	l.SendValue(id, "OK", result)
+	router.ExpectResponse(slot, 200, result)
+}
+
+// ServeOne sends an idempotent request, runs it, and fails the test unless its result is the response.
+func (l *InterpreterLink) ServeOne(router *RouterLink, slot uint16, body string) {
+	l.Server.T.Helper()
+	id := l.StartLook(router, slot, body)
+	l.CompleteRun(router, slot, id, "result of "+body)
 }
