--- a/internal/server/drain_socket_test.go
+++ b/internal/server/drain_socket_test.go
@@ -84,8 +84,7 @@
 	<-linkEnded
 }
 
-// After a SIGTERM before the interpreter is up health checks fail, the load report says closed, and the exit code is
-// 0.
+// After a SIGTERM before the interpreter is up health checks fail, load reports say closed, and the exit code is 0.
 func TestDrainBeforeInterpreterIsUp(t *testing.T) {
 	server := servertest.New(t)
 	server.WriteFilesAndStart()
--- a/internal/server/fairqueue_socket_test.go
+++ b/internal/server/fairqueue_socket_test.go
@@ -29,8 +29,7 @@
 }
 
 // The only request of one tenant is run before the queued ones of another that came first. Then the settings change
-// under load: an invalid change has no effect, a tenant with requests in flight is removed, fair queues are turned
-// off.
+// under load: an invalid change has no effect, a tenant with requests in flight is removed, fair queues end.
 func TestFairQueueOrderAndReloadUnderLoad(t *testing.T) {
 	server, interpreter := startFairServer(t, 0.5, 0.5)
 	router := server.ConnectRouter()
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -14,8 +14,7 @@
 	"thistlequay/internal/servertest"
 )
 
-// pluginLoad is a load of about a second against a server whose plug-ins see the requests of acme but not those of
-// beta.
+// pluginLoad is a load of about a second on a server whose plug-ins see the requests of acme but not those of beta.
 type pluginLoad struct {
 	server      *servertest.Server
 	interpreter *emulator.Interpreter
@@ -82,8 +81,7 @@
 	return double
 }
 
-// pluginMemory returns the resident memory of the plug-in processes of a server, in MB, and how many of them there
-// are.
+// pluginMemory returns the resident memory of a server's plug-in processes, in MB, and how many of them there are.
 func pluginMemory(server *servertest.Server) (memoryMB float64, processes int) {
 	// ps exits with 1 where there is no such process; then there is no output.
 	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(server.Process.Process.Pid), "-o", "rss=").Output()
--- a/internal/server/request_socket_test.go
+++ b/internal/server/request_socket_test.go
@@ -13,8 +13,7 @@
 	"thistlequay/internal/servertest"
 )
 
-// A request and its downstream call pass through unchanged, whatever bytes they have; a failed run is answered with
-// 500.
+// A request and its downstream call pass through unchanged, whatever their bytes; a failed run is answered with 500.
 func TestRequestWithDownstreamCall(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -98,8 +97,7 @@
 	router.ExpectResponse(1, 200, "in time")
 }
 
-// The run of a request is cancelled where its client aborts it and where its connection is lost. Its slot is free
-// again.
+// The run of a request is cancelled where its client aborts it and where its connection is lost. Its slot is reused.
 func TestClientAbortCancelsRequest(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
--- a/internal/server/store_socket_test.go
+++ b/internal/server/store_socket_test.go
@@ -54,8 +54,7 @@
 }
 
 // A hundred incarnations, with MEASURE=full 500, each killed after a random number of responses while three attempts
-// per key arrive, of new keys and of earlier ones: no key is run twice, and all successful responses to a key are the
-// same.
+// per key arrive, of new and of earlier keys: no key is run twice, and all successful responses to a key are equal.
 func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	server := servertest.New(t)
 	config := server.Config
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -31,8 +31,8 @@
 // linked with the tests' own flags that way, and no cached test result outlives a change of the program.
 const RunAsProgramEnv = "THISTLEQUAY_AS_PROGRAM"
 
-// Main is the TestMain of packages whose tests start the program: under RunAsProgramEnv the test binary is the
-// program.
+// Main is the TestMain of packages whose tests start the program. Under RunAsProgramEnv the test binary becomes the
+// program itself.
 func Main(m *testing.M) {
 	if os.Getenv(RunAsProgramEnv) != "" {
 		os.Exit(command.Main())
@@ -214,8 +214,7 @@
 // LogText returns what the program has logged so far.
 func (s *Server) LogText() string { return s.output.String() }
 
-// EventCount returns how many lines the program has logged so far whose event, and the text behind it, begin like
-// this.
+// EventCount returns how many events the program has logged so far whose name, and the text after it, begin so.
 func (s *Server) EventCount(event string) int { return strings.Count(s.LogText(), "event="+event) }
 
 // Ended returns a channel that is closed once the process has exited.
