--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -10,25 +10,19 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 )
 
 // Decisions in random schedules, two incarnations of a server each, are those that were recorded. Any change of a
 // decision, of an order of events or of the rounding of a figure changes a line.
 func TestGoldenDecisions(t *testing.T) {
-	var lines strings.Builder
-	for group := range 40 {
-		history := golden.NewHistory()
-		for seed := range 10 {
-			playRandomSchedule(int64(group*10+seed), history)
-		}
-		fmt.Fprintf(&lines, "seeds %d to %d %s\n", group*10, group*10+9, history)
-	}
-	golden.Check(t, "random-schedules.txt", []byte(lines.String()))
+	file := schedule.GoldenFile{Name: "random-schedules.txt", Seeds: 400, SeedsPerLine: 10, Label: "seeds %d to %d"}
+	file.Check(t, playRandomSchedule)
 }
 
 // The same for the schedules of many servers that share one dependency (dependency_test.go).
 func TestGoldenDownstreamCalls(t *testing.T) {
-	var lines strings.Builder
+	var histories golden.Histories
 	for _, servers := range []int{1, 8, 20} {
 		for _, survives := range []float64{3, 10, 40} {
 			history := golden.NewHistory()
@@ -38,17 +32,17 @@
 				shared.play(servers, survives, seed%2 == 1)
 				history.Add(shared.maxInFlight)
 			}
-			fmt.Fprintf(&lines, "servers=%d n=%.0f %s\n", servers, survives, history)
+			histories.Add(fmt.Sprintf("servers=%d n=%.0f", servers, survives), history)
 		}
 	}
-	golden.Check(t, "shared-dependency.txt", []byte(lines.String()))
+	histories.Check(t, "shared-dependency.txt")
 }
 
 // The text of which a hash is stored to recognize the settings.
 func TestGoldenStoredSettings(t *testing.T) {
 	var lines strings.Builder
 	for seed := range int64(20) {
-		drawn := &schedule{random: rand.New(rand.NewSource(seed))}
+		drawn := &scheduleHost{random: rand.New(rand.NewSource(seed))}
 		config := drawn.randomConfig()
 		lines.WriteString(config.StoredForm() + "\n")
 	}
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -57,7 +57,7 @@
 		s.playLine(step.Words, step.Where)
 	}
 	s.True(s.checked, "%s ends without =>", file)
-	golden.Check(t, "scenario-"+filepath.Base(file), []byte(s.history.String()+"\n"))
+	s.history.Check(t, "scenario-"+filepath.Base(file))
 }
 
 func (s *scenario) playLine(words []string, where string) {
--- a/admission/schedule_test.go
+++ b/admission/schedule_test.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand"
 	"slices"
+	"testing"
 
 	"thistlequay/internal/golden"
 	"thistlequay/timeunit"
@@ -22,8 +23,8 @@
 	callStarted timeunit.Ticks
 }
 
-// schedule is a host that drives one server by random events in virtual time.
-type schedule struct {
+// scheduleHost is a host that drives one server by random events in virtual time.
+type scheduleHost struct {
 	random      *rand.Rand
 	record      recorder
 	config      Config
@@ -37,8 +38,8 @@
 }
 
 // playRandomSchedule plays two incarnations of a server; the second starts with the warm-start state of the first.
-func playRandomSchedule(seed int64, history *golden.History) {
-	s := &schedule{random: rand.New(rand.NewSource(seed))}
+func playRandomSchedule(_ *testing.T, seed int64, history *golden.History) {
+	s := &scheduleHost{random: rand.New(rand.NewSource(seed))}
 	s.record = recorder{s, history}
 	s.config = s.randomConfig()
 	batches := 150
@@ -50,7 +51,7 @@
 }
 
 // playIncarnation plays so many batches, with a drain in one of them, and returns the server's warm-start state.
-func (s *schedule) playIncarnation(state *WarmStartState, batches, drainIn int) WarmStartState {
+func (s *scheduleHost) playIncarnation(state *WarmStartState, batches, drainIn int) WarmStartState {
 	s.live = map[uint64]*scheduled{}
 	s.order = nil
 	s.withEntries = nil
@@ -66,7 +67,7 @@
 }
 
 // playBatch plays one batch of events and dispatches.
-func (s *schedule) playBatch(batch, drainIn int) {
+func (s *scheduleHost) playBatch(batch, drainIn int) {
 	s.now += s.span(0, 1) * s.span(1, 400)
 	s.record.history.Add(31, int64(s.now))
 	s.server.Advance(s.now)
@@ -94,7 +95,7 @@
 }
 
 // reconfigure changes now and then what the server is configured with from outside.
-func (s *schedule) reconfigure() {
+func (s *scheduleHost) reconfigure() {
 	if s.oneIn(40) {
 		s.server.SetFleetSize(s.pick(0, 70))
 	}
@@ -107,7 +108,7 @@
 }
 
 // randomConfig draws settings under which every protection may have to act.
-func (s *schedule) randomConfig() Config {
+func (s *scheduleHost) randomConfig() Config {
 	config := Config{Routers: s.either(s.pick(1, 9), 400), RetriesMarked: s.oneIn(2), Servers: s.pick(1, 60),
 		Cores: s.pick(1, 6), MemoryKB: float64(s.either(s.pick(30, 300), 1_000_000)),
 		RunMemoryFactor: float64(s.pick(1, 4)), EntryKB: float64(s.pick(0, 2)), MaxEntries: s.either(0, s.pick(1, 40)),
@@ -129,7 +130,7 @@
 }
 
 // enqueue enqueues one request with random properties; it may repeat one that has an idempotency entry.
-func (s *schedule) enqueue() {
+func (s *scheduleHost) enqueue() {
 	s.lastID++
 	arrival := Arrival{Category: s.random.Intn(len(s.config.Categories)), Router: s.random.Intn(5),
 		QueuedKB: float64(s.pick(0, 12)), IsRetry: s.oneIn(6), Cacheable: s.oneIn(2), ID: s.lastID}
@@ -162,7 +163,7 @@
 }
 
 // step plays the event of one request that is due.
-func (s *schedule) step(current *scheduled) {
+func (s *scheduleHost) step(current *scheduled) {
 	switch {
 	case s.oneIn(150):
 		current.handle.Cancel()
@@ -188,7 +189,7 @@
 }
 
 // endCall ends the call of a request, successfully or not.
-func (s *schedule) endCall(current *scheduled) {
+func (s *scheduleHost) endCall(current *scheduled) {
 	outcomes := []Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Failed, NotExecuted, Indeterminate}
 	outcome := outcomes[s.random.Intn(len(outcomes))]
 	current.calling = false
@@ -197,21 +198,21 @@
 	current.handle.CallEnded(outcome, s.now-current.callStarted)
 }
 
-func (s *schedule) start(r *Request) {
+func (s *scheduleHost) start(r *Request) {
 	current := s.of(r)
 	current.running = true
 	current.startedAt = s.now
 	current.nextAt = s.now + s.span(1, 4000)
 }
 
-func (s *schedule) Run(r *Request) { s.start(r) }
+func (s *scheduleHost) Run(r *Request) { s.start(r) }
 
-func (s *schedule) ShareResult(r *Request) {
+func (s *scheduleHost) ShareResult(r *Request) {
 	s.of(r).sharing = true
 	s.start(r)
 }
 
-func (s *schedule) StartCall(r *Request, until timeunit.Ticks) {
+func (s *scheduleHost) StartCall(r *Request, until timeunit.Ticks) {
 	current := s.of(r)
 	current.needsCall = false
 	current.calling = true
@@ -219,37 +220,39 @@
 	current.nextAt = min(until, s.now+s.span(1, s.pick(1, 3000)))
 }
 
-func (s *schedule) SkipCall(r *Request) {
+func (s *scheduleHost) SkipCall(r *Request) {
 	current := s.of(r)
 	current.needsCall = false
 	current.calling = false
 	current.nextAt = s.now + s.span(1, 2000)
 }
 
-func (s *schedule) DropEntry(r *Request) {
+func (s *scheduleHost) DropEntry(r *Request) {
 	s.withEntries = slices.DeleteFunc(s.withEntries, func(other *Request) bool { return other == r })
 }
 
-func (s *schedule) Abort(r *Request)                       { s.of(r).answered = true }
-func (s *schedule) StopRun(r *Request)                     { s.of(r).stopped = true }
-func (s *schedule) KeepEntry(r *Request, _ timeunit.Ticks) { s.withEntries = append(s.withEntries, r) }
-func (s *schedule) SetTimer(after timeunit.Ticks)          { s.timer = s.now + after }
-func (s *schedule) Release(r *Request)                     { delete(s.live, r.ID) }
+func (s *scheduleHost) Abort(r *Request)   { s.of(r).answered = true }
+func (s *scheduleHost) StopRun(r *Request) { s.of(r).stopped = true }
+func (s *scheduleHost) KeepEntry(r *Request, _ timeunit.Ticks) {
+	s.withEntries = append(s.withEntries, r)
+}
+func (s *scheduleHost) SetTimer(after timeunit.Ticks) { s.timer = s.now + after }
+func (s *scheduleHost) Release(r *Request)            { delete(s.live, r.ID) }
 
-func (*schedule) Reject(*Request, timeunit.Ticks, bool) {}
-func (*schedule) ReportLoad(float64)                    {}
-func (*schedule) SetHealth(_, _ bool)                   {}
-func (*schedule) CloseIdleConnections(timeunit.Ticks)   {}
+func (*scheduleHost) Reject(*Request, timeunit.Ticks, bool) {}
+func (*scheduleHost) ReportLoad(float64)                    {}
+func (*scheduleHost) SetHealth(_, _ bool)                   {}
+func (*scheduleHost) CloseIdleConnections(timeunit.Ticks)   {}
 
-func (s *schedule) of(r *Request) *scheduled { return s.live[r.ID] }
+func (s *scheduleHost) of(r *Request) *scheduled { return s.live[r.ID] }
 
 // pick draws a whole number from low to high, both included.
-func (s *schedule) pick(low, high int) int { return low + s.random.Intn(high-low+1) }
+func (s *scheduleHost) pick(low, high int) int { return low + s.random.Intn(high-low+1) }
 
-func (s *schedule) span(low, high int) timeunit.Ticks { return timeunit.Ticks(s.pick(low, high)) }
+func (s *scheduleHost) span(low, high int) timeunit.Ticks { return timeunit.Ticks(s.pick(low, high)) }
 
-func (s *schedule) oneIn(n int) bool { return s.random.Intn(n) == 0 }
+func (s *scheduleHost) oneIn(n int) bool { return s.random.Intn(n) == 0 }
 
-func (s *schedule) quarters() float64 { return float64(s.pick(0, 4)) / 4 }
+func (s *scheduleHost) quarters() float64 { return float64(s.pick(0, 4)) / 4 }
 
-func (s *schedule) either(a, b int) int { return []int{a, b}[s.random.Intn(2)] }
+func (s *scheduleHost) either(a, b int) int { return []int{a, b}[s.random.Intn(2)] }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -75,13 +75,7 @@
 // TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten
 // a line.
 func TestGoldenSchedules(t *testing.T) {
-	file := schedule.GoldenFile{
-		Name:         "schedules.txt",
-		Seeds:        100,
-		SeedsPerLine: 10,
-		Label:        "seeds %d to %d:",
-		Parallel:     true,
-	}
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10, Parallel: true}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
 		c := newCluster(t, seed, clusterSize(seed))
 		c.history = history
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -74,11 +74,20 @@
 	return fmt.Sprintf("events=%d hash=%016x", h.events, h.sum.Sum64())
 }
 
+// Check compares the history, as the only line, with a golden file.
+func (h *History) Check(t testing.TB, name string) {
+	t.Helper()
+	Check(t, name, fmt.Appendln(nil, h))
+}
+
 // Histories collects the histories that stand in one golden file, a line each. The zero value is empty.
 type Histories struct {
 	lines []byte
 }
 
+// NewHistories returns histories that follow a text in their file. The text is empty or ends with a line feed.
+func NewHistories(preface string) Histories { return Histories{lines: []byte(preface)} }
+
 // Add appends a line: the label, a blank and the history.
 func (l *Histories) Add(label string, history *History) {
 	l.lines = fmt.Appendf(l.lines, "%s %s\n", label, history)
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -61,7 +61,7 @@
 // The whole history of seeded schedules: every saved record, every message between servers byte for byte, every
 // reply, and what each server may use and takes for true after each step.
 func TestGoldenSchedules(t *testing.T) {
-	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -16,13 +16,13 @@
 // The whole history of seeded schedules: every request, response and change, and what each holder may use after each
 // step.
 func TestGoldenSchedules(t *testing.T) {
-	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 200, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
 // The same for limit sets: every message, command and snapshot byte for byte, and operators' status rows.
 func TestGoldenLimitSets(t *testing.T) {
-	file := schedule.GoldenFile{Name: "books.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file := schedule.GoldenFile{Name: "books.txt", Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, runLimitSets)
 }
 
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -1,7 +1,6 @@
 package recovery
 
 import (
-	"bytes"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
@@ -12,6 +11,7 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -104,16 +104,11 @@
 
 // TestGoldenSchedules compares what three hundred seeded directories, and seeded uses of space, come to, ten a line.
 func TestGoldenSchedules(t *testing.T) {
-	var got bytes.Buffer
-	for first := int64(0); first < 300; first += 10 {
-		history := golden.NewHistory()
-		for seed := first; seed < first+10; seed++ {
-			analyzeSeeded(history, seed)
-			useSpaceSeeded(history, seed)
-		}
-		fmt.Fprintf(&got, "seeds %d to %d: %s\n", first, first+9, history)
-	}
-	golden.Check(t, "schedules.txt", got.Bytes())
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 300, SeedsPerLine: 10}
+	file.Check(t, func(_ *testing.T, seed int64, history *golden.History) {
+		analyzeSeeded(history, seed)
+		useSpaceSeeded(history, seed)
+	})
 }
 
 // TestGoldenWarmStart compares the stored form of a warm-start state, and what of it counts later.
--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -188,5 +188,5 @@
 	t.Logf("measured store-model crashes=%d retries=%v", crashes, retries)
 	require.Greater(t, crashes, 100)
 	require.Len(t, retries, 3)
-	golden.Check(t, "model.txt", []byte(history.String()+"\n"))
+	history.Check(t, "model.txt")
 }
--- a/internal/schedule/golden.go
+++ b/internal/schedule/golden.go
@@ -1,12 +1,16 @@
 package schedule
 
 import (
+	"cmp"
 	"fmt"
 	"testing"
 
 	"thistlequay/internal/golden"
 )
 
+// defaultLabel is the label of a line for which a GoldenFile gives none.
+const defaultLabel = "seeds %d to %d:"
+
 // GoldenFile is a golden file of what came of seeded schedules, from seed 0 on. Each line has a label and the history
 // of one or more seeds.
 type GoldenFile struct {
@@ -16,8 +20,11 @@
 	Seeds int
 	// SeedsPerLine is the number of seeds whose history is one line.
 	SeedsPerLine int
-	// Label is the format of a line's label; its operands are the first and the last seed of the line.
+	// Label is the format of a line's label; its operands are the first and the last seed of the line. The zero value
+	// stands for "seeds %d to %d:".
 	Label string
+	// Preface is what stands in the file before the first line, already ended by a line feed. The zero value is nothing.
+	Preface string
 	// Parallel has the lines played side by side, for schedules that take long. The others are played one by one, so
 	// that tests of other packages, which wait in real time, find free cores.
 	Parallel bool
@@ -42,10 +49,11 @@
 			})
 		}
 	})
-	var histories golden.Histories
+	label := cmp.Or(f.Label, defaultLabel)
+	histories := golden.NewHistories(f.Preface)
 	for i, history := range lines {
 		first := i * f.SeedsPerLine
-		histories.Add(fmt.Sprintf(f.Label, first, first+f.SeedsPerLine-1), history)
+		histories.Add(fmt.Sprintf(label, first, first+f.SeedsPerLine-1), history)
 	}
 	histories.Check(t, f.Name)
 }
--- a/internal/schedule/golden_test.go
+++ b/internal/schedule/golden_test.go
@@ -1,6 +1,7 @@
 package schedule_test
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -19,10 +20,20 @@
 		for _, seed := range seeds {
 			history.Add(seed)
 		}
-		expected.Add(map[int64]string{0: "seeds 0 to 1:", 2: "seeds 2 to 3:"}[seeds[0]], history)
+		expected.Add(map[int64]string{0: "seeds=0..1", 2: "seeds=2..3"}[seeds[0]], history)
 	}
 	expected.Check(t, "seeds.txt") // records the file
-	file := schedule.GoldenFile{Name: "seeds.txt", Seeds: 4, SeedsPerLine: 2, Label: "seeds %d to %d:"}
+	file := schedule.GoldenFile{Name: "seeds.txt", Seeds: 4, SeedsPerLine: 2, Label: "seeds=%d..%d"}
+	file.Check(t, func(_ *testing.T, seed int64, history *golden.History) { history.Add(seed) })
+}
+
+func TestGoldenFileBeginsWithItsPreface(t *testing.T) {
+	t.Chdir(t.TempDir())
+	t.Setenv("RECORD_GOLDEN", "1")
+	history := golden.NewHistory()
+	history.Add(int64(0))
+	golden.Check(t, "seeds.txt", fmt.Appendf(nil, "first\nseeds 0 to 0: %s\n", history)) // records the file
+	file := schedule.GoldenFile{Name: "seeds.txt", Seeds: 1, SeedsPerLine: 1, Preface: "first\n"}
 	file.Check(t, func(_ *testing.T, seed int64, history *golden.History) { history.Add(seed) })
 }
 
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -13,6 +13,7 @@
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/recovery"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -102,7 +103,7 @@
 
 // playProcesses has three processes write to one disk, each after another kind of harm, and adds every step on the
 // disk.
-func playProcesses(t *testing.T, history *golden.History, seed int64) {
+func playProcesses(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	random := rand.New(rand.NewSource(seed))
 	disk := newMemoryDisk()
@@ -172,13 +173,5 @@
 // TestGoldenProcesses compares every write, sync and removal of a hundred seeded series of processes, and what each of
 // them found, ten a line.
 func TestGoldenProcesses(t *testing.T) {
-	var got bytes.Buffer
-	for first := int64(0); first < 100; first += 10 {
-		history := golden.NewHistory()
-		for seed := first; seed < first+10; seed++ {
-			playProcesses(t, history, seed)
-		}
-		fmt.Fprintf(&got, "seeds %d to %d: %s\n", first, first+9, history)
-	}
-	golden.Check(t, "lives.txt", got.Bytes())
+	schedule.GoldenFile{Name: "lives.txt", Seeds: 100, SeedsPerLine: 10}.Check(t, playProcesses)
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 )
 
 // transcript is a golden file of the bytes that are received and sent, a line each. Its labels, and the names of cases
@@ -279,21 +280,12 @@
 
 // The histories of seeded sequences are as recorded: all output, connection by connection, and the server's figures.
 func TestGoldenSequences(t *testing.T) {
-	const (
-		seeds = 300
-		group = 10
-	)
-	var lines strings.Builder
-	for from := int64(0); from < seeds; from += group {
-		history := golden.NewHistory()
-		for seed := from; seed < from+group; seed++ {
-			random := rand.New(rand.NewSource(seed))
-			data := make([]byte, 2*(20+random.Intn(80)))
-			random.Read(data)
-			history.Add("seed", seed)
-			playObserved(t, data, true, history.Add)
-		}
-		fmt.Fprintf(&lines, "seeds %d to %d: %s\n", from, from+group-1, history)
-	}
-	golden.Check(t, "sequences.txt", []byte(lines.String()))
+	file := schedule.GoldenFile{Name: "sequences.txt", Seeds: 300, SeedsPerLine: 10}
+	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
+		random := rand.New(rand.NewSource(seed))
+		data := make([]byte, 2*(20+random.Intn(80)))
+		random.Read(data)
+		history.Add("seed", seed)
+		playObserved(t, data, true, history.Add)
+	})
 }
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -1,7 +1,6 @@
 package simadapter
 
 import (
-	"bytes"
 	"fmt"
 	"slices"
 	"strings"
@@ -10,35 +9,32 @@
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 )
 
 // The lines of the simulator's protocol are as recorded: two conversations in full, the output before a line that can't
 // be read with the number of that line, and a hash of the output of seeded schedules.
 func TestGoldenLines(t *testing.T) {
-	var lines bytes.Buffer
+	var texts strings.Builder
 	for _, text := range []string{conversation, cachedReads} {
-		fmt.Fprintf(&lines, "%s\n%s\n", text, requireServed(t, text))
+		fmt.Fprintf(&texts, "%s\n%s\n", text, requireServed(t, text))
 	}
-	texts := []string{}
+	malformedTexts := []string{}
 	for _, test := range malformed {
-		texts = append(texts, test.text)
+		malformedTexts = append(malformedTexts, test.text)
 	}
-	slices.Sort(texts)
-	for _, text := range texts {
+	slices.Sort(malformedTexts)
+	for _, text := range malformedTexts {
 		output, err := serve(text)
 		require.Error(t, err)
 		lineNumber, _, _ := strings.Cut(err.Error(), ":")
-		fmt.Fprintf(&lines, "%q %s %q\n", text, lineNumber, output)
+		fmt.Fprintf(&texts, "%q %s %q\n", text, lineNumber, output)
 	}
-	for first := int64(0); first < 100; first += 10 {
-		history := golden.NewHistory()
-		for seed := first; seed < first+10; seed++ {
-			apart, mixed := schedules(seed)
-			for _, text := range []string{apart[0], apart[1], mixed} {
-				history.Add(requireServed(t, text))
-			}
+	file := schedule.GoldenFile{Name: "lines.txt", Preface: texts.String(), Seeds: 100, SeedsPerLine: 10}
+	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
+		apart, mixed := schedules(seed)
+		for _, text := range []string{apart[0], apart[1], mixed} {
+			history.Add(requireServed(t, text))
 		}
-		fmt.Fprintf(&lines, "seeds %d to %d: %s\n", first, first+9, history)
-	}
-	golden.Check(t, "lines.txt", lines.Bytes())
+	})
 }
