--- a/admission/dependency_test.go
+++ b/admission/dependency_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"math"
 	"math/rand"
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -185,10 +185,7 @@
 // requireCallsWithinLimit plays many seeds for a dependency that survives so many calls at once.
 func requireCallsWithinLimit(t *testing.T, servers int, survives float64) {
 	t.Helper()
-	seeds := 16
-	if os.Getenv("MEASURE") == "full" {
-		seeds = 600
-	}
+	seeds := schedule.Scale(16, 600)
 	maxInFlight := 0
 	maxWarm := 0
 	succeeded := 0.0
--- a/internal/segmentlog/crash_test.go
+++ b/internal/segmentlog/crash_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"fmt"
-	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/recovery"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -28,10 +28,7 @@
 // each byte, with unsynced writes kept, dropped or reordered. Whatever is found then, no key that ran is run again, and
 // a stored result is never another one.
 func TestNoKeyRunsTwiceAfterAnyCrash(t *testing.T) {
-	keys := 12
-	if os.Getenv("MEASURE") == "full" {
-		keys = 60
-	}
+	keys := schedule.Scale(12, 60)
 	processes, crashes := 0, 0
 	for _, durability := range []recovery.Durability{recovery.DurabilityProcess, recovery.DurabilityMachine} {
 		run := playCrashRun(t, durability, keys)
--- a/internal/segmentlog/scan_test.go
+++ b/internal/segmentlog/scan_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"fmt"
-	"os"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/recovery"
+	"thistlequay/internal/schedule"
 )
 
 // FuzzRecords checks that any bytes can be parsed and scanned, and that what is a record can be written again.
@@ -68,12 +68,8 @@
 
 // TestScanFindsAllRecordsOfALargeLog scans ten thousand records, and a million where MEASURE=full.
 func TestScanFindsAllRecordsOfALargeLog(t *testing.T) {
-	sizes := []int{10_000}
-	if os.Getenv("MEASURE") == "full" {
-		sizes = append(sizes, 1_000_000)
-	}
 	now := recovery.ClockReading{Wall: 1e9, BootID: 1}
-	for _, records := range sizes {
+	for _, records := range schedule.Scale([]int{10_000}, []int{10_000, 1_000_000}) {
 		disk := diskWithRecords(records, now)
 		begun := time.Now()
 		checkRecovery(t, disk, records, now)
--- a/internal/simulation/config_test.go
+++ b/internal/simulation/config_test.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"os"
 	"slices"
 	"testing"
 
@@ -10,6 +9,7 @@
 	"thistlequay/admission"
 	"thistlequay/internal/emulator"
 	"thistlequay/internal/fairqueue"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -31,12 +31,7 @@
 
 // length returns the length of a run in seconds: short in CI, and that of a real peak if MEASURE asks for the full
 // measurement.
-func length() float64 {
-	if os.Getenv("MEASURE") == "full" {
-		return 300
-	}
-	return 40
-}
+func length() float64 { return schedule.Scale(40.0, 300.0) }
 
 // newConfig returns a server with four cores and one category.
 func newConfig(fair bool, streams ...*emulator.Stream) Config {
