--- a/internal/fairqueue/scenario_test.go
+++ b/internal/fairqueue/scenario_test.go
@@ -15,13 +15,7 @@
 
 // TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
 func TestScenarios(t *testing.T) {
-	var histories golden.Histories
-	for _, file := range scenariofile.Files(t) {
-		histories.Record(t, scenariofile.Name(file), func(t *testing.T, history *golden.History) {
-			playScenario(t, file, history)
-		})
-	}
-	histories.Check(t, "scenarios.txt")
+	golden.CheckScenarios(t, "scenarios.txt", playScenario)
 }
 
 // scenario is the state of a scenario that is being played.
--- /dev/null
+++ b/internal/golden/codec_test.go
@@ -0,0 +1,42 @@
+package golden_test
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"thistlequay/internal/golden"
+)
+
+// failingTest takes the failure of a check, with which the check ends.
+type failingTest struct{ testing.TB }
+
+func (failingTest) Helper() {}
+
+func (failingTest) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+
+func TestCodecReturnsTheEncodingAndFillsDecoded(t *testing.T) {
+	var decoded []int
+	codec := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
+	require.Equal(t, "[1,2]", string(codec.Encode(t, []int{1, 2}, &decoded)))
+	require.Equal(t, []int{1, 2}, decoded)
+}
+
+func TestCodecFailsUnlessTheEncodingIsTheSameAgain(t *testing.T) {
+	errEncoding := errors.New("encoding failed")
+	fails := func([]byte, any) error { return errEncoding }
+	loses := func([]byte, any) error { return nil }
+	for message, codec := range map[string]golden.Codec{
+		"encode []int: encoding failed": {
+			Marshal:   func(any) ([]byte, error) { return nil, errEncoding },
+			Unmarshal: json.Unmarshal,
+		},
+		"decode *[]int: encoding failed":                                {Marshal: json.Marshal, Unmarshal: fails},
+		"[]int was encoded as\n5b312c325d\nand after decoding as\n5b5d": {Marshal: json.Marshal, Unmarshal: loses},
+	} {
+		require.PanicsWithValue(t, message, func() { codec.Encode(failingTest{t}, []int{1, 2}, &[]int{}) })
+	}
+}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -10,6 +10,8 @@
 	"os"
 	"path/filepath"
 	"testing"
+
+	"thistlequay/internal/scenario"
 )
 
 // recordVariable names the environment variable that lets Check create golden files that do not exist yet.
@@ -93,16 +95,21 @@
 	l.lines = fmt.Appendf(l.lines, "%s %s\n", label, history)
 }
 
-// Record runs play as the subtest of a name and adds the history that it filled, with the name as its label.
-func (l *Histories) Record(t *testing.T, name string, play func(t *testing.T, history *History)) {
-	t.Helper()
-	history := NewHistory()
-	t.Run(name, func(t *testing.T) { play(t, history) })
-	l.Add(name, history)
-}
-
 // Check compares the lines with a golden file, as the function of that name does.
 func (l *Histories) Check(t testing.TB, name string) {
 	t.Helper()
 	Check(t, name, l.lines)
 }
+
+// CheckScenarios plays each scenario of the package under test in a subtest of its name, and compares what they added
+// to their histories, a line each, with a golden file.
+func CheckScenarios(t *testing.T, name string, play func(t *testing.T, file string, history *History)) {
+	t.Helper()
+	var histories Histories
+	for _, file := range scenario.Files(t) {
+		history := NewHistory()
+		t.Run(scenario.Name(file), func(t *testing.T) { play(t, file, history) })
+		histories.Add(scenario.Name(file), history)
+	}
+	histories.Check(t, name)
+}
--- a/internal/plugin/golden_test.go
+++ b/internal/plugin/golden_test.go
@@ -75,7 +75,7 @@
 func goldenSpec(t *testing.T) []byte {
 	t.Helper()
 	actions := 5
-	text, err := json.Marshal(HostSpec{Workers: 2, MemoryMB: 32, Plugins: []ModuleConfig{
+	spec := HostSpec{Workers: 2, MemoryMB: 32, Plugins: []ModuleConfig{
 		{
 			Name:         "hall-check",
 			File:         "/srv/hall.wasm",
@@ -101,14 +101,8 @@
 			},
 		},
 		{},
-	}})
-	require.NoError(t, err)
-	var read HostSpec
-	require.NoError(t, json.Unmarshal(text, &read))
-	again, err := json.Marshal(read)
-	require.NoError(t, err)
-	require.Equal(t, text, again)
-	return text
+	}}
+	return golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}.Encode(t, spec, &HostSpec{})
 }
 
 // frameCollector takes each write as a frame of its own.
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"fmt"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
@@ -67,15 +65,11 @@
 
 // The bytes of what the log carries and of the identity on the disk: decoded as a server does, and encoded again.
 func TestGoldenRecords(t *testing.T) {
+	codec := golden.Codec{Marshal: cbor.Marshal, Unmarshal: logDecoder.Unmarshal}
 	var recorded bytes.Buffer
 	record := func(name string, value, decoded any) {
-		data, err := cbor.Marshal(value)
-		require.NoError(t, err)
-		require.NoError(t, logDecoder.Unmarshal(data, decoded))
-		again, err := cbor.Marshal(decoded)
-		require.NoError(t, err)
-		require.Equal(t, data, again)
-		fmt.Fprintf(&recorded, "%s %s\n", name, hex.EncodeToString(data))
+		t.Helper()
+		fmt.Fprintf(&recorded, "%s %x\n", name, codec.Encode(t, value, decoded))
 	}
 	command := quota.Command{
 		Open:     true,
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"testing"
@@ -60,8 +59,7 @@
 		{"saved", snapshot, &Snapshot{}},
 		{"empty saved", Snapshot{}, &Snapshot{}},
 	} {
-		data := encoded(t, record.value, record.decoded)
-		fmt.Fprintf(&recorded, "%s %s\n", record.name, hex.EncodeToString(data))
+		fmt.Fprintf(&recorded, "%s %x\n", record.name, codec.Encode(t, record.value, record.decoded))
 	}
 	row := StatusRow{Server: "a", Amount: 1, Outstanding: 2, Desired: 3, RemainingMS: 4, SinceRequestMS: 5}
 	data, err := json.Marshal(row)
--- a/internal/quota/limit_set_test.go
+++ b/internal/quota/limit_set_test.go
@@ -108,12 +108,12 @@
 
 func (l *limitSets) restoreFromLeader(t *testing.T, set int) {
 	t.Helper()
-	data := encoded(t, l.sets[l.leader].Snapshot(), &Snapshot{})
+	data := codec.Encode(t, l.sets[l.leader].Snapshot(), &Snapshot{})
 	var snapshot Snapshot
 	require.NoError(t, cbor.Unmarshal(data, &snapshot))
 	l.sets[set].Restore(snapshot, l.clock(set))
 	l.applied[set] = len(l.log)
-	l.history.Add(set, string(data), string(encoded(t, l.sets[set].Snapshot(), &Snapshot{})))
+	l.history.Add(set, string(data), string(codec.Encode(t, l.sets[set].Snapshot(), &Snapshot{})))
 }
 
 // use has a server use what it may, or report what it uses.
@@ -151,9 +151,9 @@
 	if l.random.Intn(40) == 0 {
 		request.ConfigDigest++
 	}
-	l.history.Add(string(encoded(t, request, &Request{})))
+	l.history.Add(string(codec.Encode(t, request, &Request{})))
 	response, granted := l.sets[l.leader].HandleRequest(request, l.clock(l.leader))
-	l.history.Add(granted, string(encoded(t, response, &Response{})))
+	l.history.Add(granted, string(codec.Encode(t, response, &Response{})))
 	if !granted || l.random.Intn(8) == 0 {
 		return
 	}
@@ -172,7 +172,7 @@
 	if !due {
 		return
 	}
-	l.history.Add(int64(l.now), string(encoded(t, command, &Command{})))
+	l.history.Add(int64(l.now), string(codec.Encode(t, command, &Command{})))
 	if l.random.Intn(10) == 0 {
 		leader.ProposalFailed(command)
 		return
@@ -192,14 +192,5 @@
 	}
 }
 
-// encoded returns the bytes of a message, and fails unless they are the same after they were decoded.
-func encoded(t *testing.T, value, decoded any) []byte {
-	t.Helper()
-	data, err := cbor.Marshal(value)
-	require.NoError(t, err)
-	require.NoError(t, cbor.Unmarshal(data, decoded))
-	again, err := cbor.Marshal(decoded)
-	require.NoError(t, err)
-	require.Equal(t, data, again)
-	return data
-}
+// codec is the encoding of messages and stored records.
+var codec = golden.Codec{Marshal: cbor.Marshal, Unmarshal: cbor.Unmarshal}
--- a/internal/quota/service/golden_test.go
+++ b/internal/quota/service/golden_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"math/rand"
-	"reflect"
 	"testing"
 	"time"
 
@@ -27,15 +26,11 @@
 // TestGoldenMessages compares every message among coordinators and servers, and every name and number made of an
 // identity, with what was recorded. A message is the same when it is decoded and encoded again.
 func TestGoldenMessages(t *testing.T) {
+	codec := golden.Codec{Marshal: cbor.Marshal, Unmarshal: messageDecoder.Unmarshal}
 	var out bytes.Buffer
 	add := func(name string, kind byte, content, empty any) {
-		encoded, err := cbor.Marshal(content)
-		require.NoError(t, err)
-		require.NoError(t, messageDecoder.Unmarshal(encoded, empty))
-		again, err := cbor.Marshal(reflect.ValueOf(empty).Elem().Interface())
-		require.NoError(t, err)
-		require.Equal(t, encoded, again, name)
-		fmt.Fprintf(&out, "%s %d %x\n", name, kind, encoded)
+		t.Helper()
+		fmt.Fprintf(&out, "%s %d %x\n", name, kind, codec.Encode(t, content, empty))
 	}
 	raft := raftMessage{LogID: 1 << 60, From: 1<<63 + 1, Payload: []byte("what it says")}
 	add("raft", kindRaft, raft, &raftMessage{})
@@ -180,12 +175,7 @@
 	go func() { (<-service.tasks)() }() // in the place of the service's goroutine
 	status, err := service.Status([]LocalLease{{Usable: 3500, ExpiresAt: 4001}})
 	require.NoError(err)
-	encoded, err := json.MarshalIndent(status, "", " ")
-	require.NoError(err)
-	var decoded Status
-	require.NoError(json.Unmarshal(encoded, &decoded))
-	again, err := json.MarshalIndent(decoded, "", " ")
-	require.NoError(err)
-	require.Equal(string(encoded), string(again))
-	golden.Check(t, "status.json", encoded)
+	marshalIndented := func(value any) ([]byte, error) { return json.MarshalIndent(value, "", " ") }
+	codec := golden.Codec{Marshal: marshalIndented, Unmarshal: json.Unmarshal}
+	golden.Check(t, "status.json", codec.Encode(t, status, &Status{}))
 }
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -120,14 +120,9 @@
 		QuickCallTimes: []float64{1, 0.5},
 	}
 	state := WarmStartState{CapturedAt: 1e9, SettingsHash: 1<<63 + 7, Cores: 2.5, WarmStartState: learnt}
-	text, err := json.Marshal(state)
-	require.NoError(t, err)
 	var again WarmStartState
-	require.NoError(t, json.Unmarshal(text, &again))
+	text := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}.Encode(t, state, &again)
 	require.Equal(t, learnt, again.WarmStartState)
-	repeated, err := json.Marshal(again)
-	require.NoError(t, err)
-	require.Equal(t, string(text), string(repeated))
 	got := string(text) + "\n"
 	for age := timeunit.Ticks(0); age < 8*warmStartHalfLife; age += warmStartHalfLife / 2 {
 		if restored := again.Decay(again.CapturedAt+age, again.SettingsHash); restored != nil {
--- a/internal/schedule/golden.go
+++ b/internal/schedule/golden.go
@@ -23,7 +23,7 @@
 	// Label is the format of a line's label; its operands are the first and the last seed of the line. The zero value
 	// stands for "seeds %d to %d:".
 	Label string
-	// Preface is what stands in the file before the first line, already ended by a line feed. The zero value is nothing.
+	// Preface is the text before the first line. The zero value is none; another ends with a line feed.
 	Preface string
 	// Parallel has the lines played side by side, for schedules that take long. The others are played one by one, so
 	// that tests of other packages, which wait in real time, find free cores.
