--- a/internal/fairqueue/scenario_test.go
+++ b/internal/fairqueue/scenario_test.go
@@ -15,13 +15,7 @@
 
 // TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
 func TestScenarios(t *testing.T) {
-	var histories golden.Histories
-	for _, file := range scenariofile.Files(t) {
-		histories.Record(t, scenariofile.Name(file), func(t *testing.T, history *golden.History) {
-			playScenario(t, file, history)
-		})
-	}
-	histories.Check(t, "scenarios.txt")
+	golden.CheckScenarios(t, "scenarios.txt", playScenario)
 }
 
 // scenario is the state of a scenario that is being played.
@@ -163,22 +157,12 @@
 }
 
 func (s *scenario) change(r *Reservation, verb string, args []string) {
-	switch verb {
-	case "start":
-		r.Start(s.now)
-	case "suspend":
-		r.Suspend(s.now)
-	case "resume":
-		r.Resume(s.now)
-	case "undo-start":
-		r.UndoStart(s.now)
-	case "release":
-		r.Release(s.now)
-	case "retry-after":
+	if verb == "retry-after" {
 		got := milliseconds(r.RetryAfter(s.ticks(args[0]), s.ticks(args[1]), s.now))
 		s.history.Add(s.now, got)
 		s.True(got >= s.number(args[2]) && got <= s.number(args[3]), "%s: %v", s.where, got)
-	default:
-		s.Fail("unknown line", s.where)
+		return
 	}
+	s.Contains(reservationChanges, verb, s.where)
+	reservationChanges[verb](r, s.now)
 }
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"fmt"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/stretchr/testify/require"
 
 	"thistlequay/internal/golden"
 	"thistlequay/internal/quota"
@@ -61,21 +59,17 @@
 // The whole history of seeded schedules: every saved record, every message between servers byte for byte, every
 // reply, and what each server may use and takes for true after each step.
 func TestGoldenSchedules(t *testing.T) {
-	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
 // The bytes of what the log carries and of the identity on the disk: decoded as a server does, and encoded again.
 func TestGoldenRecords(t *testing.T) {
+	codec := golden.Codec{Marshal: cbor.Marshal, Unmarshal: logDecoder.Unmarshal}
 	var recorded bytes.Buffer
 	record := func(name string, value, decoded any) {
-		data, err := cbor.Marshal(value)
-		require.NoError(t, err)
-		require.NoError(t, logDecoder.Unmarshal(data, decoded))
-		again, err := cbor.Marshal(decoded)
-		require.NoError(t, err)
-		require.Equal(t, data, again)
-		fmt.Fprintf(&recorded, "%s %s\n", name, hex.EncodeToString(data))
+		t.Helper()
+		fmt.Fprintf(&recorded, "%s %x\n", name, codec.Encode(t, value, decoded))
 	}
 	command := quota.Command{
 		Open:     true,
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"testing"
@@ -16,13 +15,13 @@
 // The whole history of seeded schedules: every request, response and change, and what each holder may use after each
 // step.
 func TestGoldenSchedules(t *testing.T) {
-	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 200, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
 // The same for limit sets: every message, command and snapshot byte for byte, and operators' status rows.
 func TestGoldenLimitSets(t *testing.T) {
-	file := schedule.GoldenFile{Name: "books.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds %d to %d:"}
+	file := schedule.GoldenFile{Name: "books.txt", Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, runLimitSets)
 }
 
@@ -60,8 +59,7 @@
 		{"saved", snapshot, &Snapshot{}},
 		{"empty saved", Snapshot{}, &Snapshot{}},
 	} {
-		data := encoded(t, record.value, record.decoded)
-		fmt.Fprintf(&recorded, "%s %s\n", record.name, hex.EncodeToString(data))
+		fmt.Fprintf(&recorded, "%s %x\n", record.name, codec.Encode(t, record.value, record.decoded))
 	}
 	row := StatusRow{Server: "a", Amount: 1, Outstanding: 2, Desired: 3, RemainingMS: 4, SinceRequestMS: 5}
 	data, err := json.Marshal(row)
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -1,7 +1,6 @@
 package recovery
 
 import (
-	"bytes"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
@@ -12,6 +11,7 @@
 
 	"thistlequay/admission"
 	"thistlequay/internal/golden"
+	"thistlequay/internal/schedule"
 	"thistlequay/timeunit"
 )
 
@@ -104,16 +104,11 @@
 
 // TestGoldenSchedules compares what three hundred seeded directories, and seeded uses of space, come to, ten a line.
 func TestGoldenSchedules(t *testing.T) {
-	var got bytes.Buffer
-	for first := int64(0); first < 300; first += 10 {
-		history := golden.NewHistory()
-		for seed := first; seed < first+10; seed++ {
-			analyzeSeeded(history, seed)
-			useSpaceSeeded(history, seed)
-		}
-		fmt.Fprintf(&got, "seeds %d to %d: %s\n", first, first+9, history)
-	}
-	golden.Check(t, "schedules.txt", got.Bytes())
+	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 300, SeedsPerLine: 10}
+	file.Check(t, func(_ *testing.T, seed int64, history *golden.History) {
+		analyzeSeeded(history, seed)
+		useSpaceSeeded(history, seed)
+	})
 }
 
 // TestGoldenWarmStart compares the stored form of a warm-start state, and what of it counts later.
@@ -125,14 +120,9 @@
 		QuickCallTimes: []float64{1, 0.5},
 	}
 	state := WarmStartState{CapturedAt: 1e9, SettingsHash: 1<<63 + 7, Cores: 2.5, WarmStartState: learnt}
-	text, err := json.Marshal(state)
-	require.NoError(t, err)
 	var again WarmStartState
-	require.NoError(t, json.Unmarshal(text, &again))
+	text := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}.Encode(t, state, &again)
 	require.Equal(t, learnt, again.WarmStartState)
-	repeated, err := json.Marshal(again)
-	require.NoError(t, err)
-	require.Equal(t, string(text), string(repeated))
 	got := string(text) + "\n"
 	for age := timeunit.Ticks(0); age < 8*warmStartHalfLife; age += warmStartHalfLife / 2 {
 		if restored := again.Decay(again.CapturedAt+age, again.SettingsHash); restored != nil {
