--- a/internal/fairqueue/flow.go
+++ b/internal/fairqueue/flow.go
@@ -2,49 +2,53 @@
 
 import "thistlequay/timeunit"
 
-// flowKind says whose requests a flow accounts for.
+// flowKind says which tenants a flow accounts for.
 type flowKind int
 
 const (
-	namedFlow       flowKind = iota // one tenant of the configuration
-	heavyHitterFlow                 // one other tenant, among those that use most
-	sharedFlow                      // all other tenants that hash into it
+	namedFlow       flowKind = iota // one tenant named in the configuration
+	heavyHitterFlow                 // one tenant that is not named and is among those that use the most
+	sharedFlow                      // all other tenants whose hash selects the flow
 )
 
-// neverSeen is the time of the last request of a flow that had none.
+// neverSeen is the lastSeen time of a flow without requests and the lastReport time of a server without reports. It is
+// so far in the past that either counts as long inactive.
 const neverSeen timeunit.Ticks = -1 << 60
 
-// minRate is the lowest rate, in core time per tick, that a flow can expect; it only keeps divisions finite.
+// minRate is a lower bound on a flow's expected rate, in core time per tick. It only keeps divisions finite.
 const minRate = 1e-9
 
-// flow is the account of one tenant, or of all tenants that share it.
+// flow holds the scheduling state and the usage of one tenant, or of all tenants that share the flow. Core time is in
+// ticks of one core.
 type flow struct {
 	scheduler        *Scheduler
 	kind             flowKind
-	configuredWeight float64 // of a named flow
-	tenantHash       uint64  // of a heavy hitter
+	configuredWeight float64 // set for a named flow only
+	tenantHash       uint64  // set for a heavy hitter only
 
-	// finishTag is the virtual time after everything that was charged to the flow.
+	// finishTag is the virtual time at which everything charged to the flow so far is served. It is the start tag of
+	// the flow's next request, apart from the burst allowance and the overrun.
 	finishTag float64
 
 	openReservations int
-	runningRequests  int     // that need a core
-	startSum         float64 // sum of the running requests' starts on the core clock
-	expectedCostSum  float64 // and of their expected costs
+	runningRequests  int     // started requests that need a core, so not the suspended ones
+	startSum         float64 // sum of the running requests' start times on the core clock
+	expectedCostSum  float64 // sum of the running requests' expected costs
 
-	costFactor float64 // running mean of a request's cost over the typical cost of its category
+	costFactor float64 // exponential moving average of request cost divided by the category's typical cost
 
-	localSinceMeasured  float64 // core time used here since the last measurement
-	remoteSinceMeasured float64 // core time used at other servers since then; it counts towards the rate
-	recentRate          float64 // core time per tick, of late
-	recentUsage         float64 // core time used here, decaying
-	localTotal          float64 // core time used here since the start of the process
+	localSinceMeasured  float64 // core time used on this server since the last measurement
+	remoteSinceMeasured float64 // core time used on other servers since the last measurement
+	recentRate          float64 // core time per tick here and on other servers, as an exponential moving average
+	recentUsage         float64 // core time used on this server, decaying exponentially
+	localTotal          float64 // core time used on this server since the process started
 
 	lastSeen   timeunit.Ticks
 	active     bool
-	lastReturn timeunit.Ticks // the latest time at which a rejected request was asked to come back
+	lastReturn timeunit.Ticks // latest time at which a rejected request was told to retry
 }
 
+// newFlow returns an idle flow whose finish tag allows it a full burst.
 func (s *Scheduler) newFlow(kind flowKind) *flow {
 	return &flow{
 		scheduler:  s,
@@ -55,8 +59,9 @@
 	}
 }
 
-// weight is the flow's share of the server's work relative to the other weights. All tenants that are not named split
-// one weight, and those without a history a bounded part of that: a fresh name gains nothing.
+// weight returns the flow's share of the server's core time relative to the other weights. All tenants that are not
+// named split OthersWeight. The shared flows, which hold the tenants without a history, get only NewcomerFraction of
+// it, so that a client gains nothing by switching to a new tenant name.
 func (f *flow) weight() float64 {
 	config := &f.scheduler.config
 	switch f.kind {
@@ -69,25 +74,26 @@
 	}
 }
 
-// expectedRate is the core time per tick that the flow can count on: its part among the active flows, or the rate it
-// was measured to get where other flows leave theirs unused.
+// expectedRate returns the core time per tick that the flow can count on: its share among the active flows, or the
+// measured rate if that is higher because other flows leave part of their share unused.
 func (f *flow) expectedRate(measured float64) float64 {
 	s := f.scheduler
 	weight := f.weight()
 	return max(measured, s.serviceRate*weight/max(weight, s.activeWeight), minRate)
 }
 
-// longTermRate is the core time per tick that the flow got over some seconds. Retry-After times are computed from it,
-// as they must not follow a rate that holds for a moment only.
+// longTermRate returns the core time per tick that the flow got on this server, averaged over several seconds.
+// Retry-After times are computed from it because they must not follow short-lived changes of the rate.
 func (f *flow) longTermRate() float64 { return f.recentUsage * (1 - usageDecay) / measureInterval }
 
-// overrun is the core time by which the running requests together have exceeded their expected cost. It counts at once
-// and not only when the requests end.
+// overrun returns the core time by which the flow's running requests, taken together, have exceeded their expected
+// cost. It delays the flow's next start tag immediately rather than only once those requests have ended.
 func (f *flow) overrun() float64 {
 	return max(0, float64(f.runningRequests)*f.scheduler.coreClock-f.startSum-f.expectedCostSum)
 }
 
-// measure takes the usage of an interval of the given span into the flow's rate and usage.
+// measure folds the core time used since the last measurement, span ticks ago, into the flow's recent rate and usage.
+// rateLeft and usageLeft are the fractions of the previous values that are retained.
 func (f *flow) measure(span, rateLeft, usageLeft float64) {
 	f.recentRate = f.recentRate*rateLeft + (f.localSinceMeasured+f.remoteSinceMeasured)/span*(1-rateLeft)
 	f.recentUsage = (f.recentUsage + f.localSinceMeasured) * usageLeft
--- a/internal/fairqueue/golden_test.go
+++ b/internal/fairqueue/golden_test.go
@@ -10,12 +10,12 @@
 	"thistlequay/timeunit"
 )
 
-// addReservation adds what a reservation tells its holder.
+// addReservation appends the start tag and the expected delay of a reservation to the history.
 func addReservation(history *golden.History, r *Reservation, now timeunit.Ticks) {
 	history.Add(now, r.StartTag, r.ExpectedDelay)
 }
 
-// addScheduler adds what a scheduler tells about itself.
+// addScheduler appends the statistics and the local usage of a scheduler to the history.
 func addScheduler(history *golden.History, s *Scheduler) {
 	stats := s.Stats()
 	history.Add(stats.HeavyHitters, stats.ActiveSharedFlows, stats.ServiceRate, stats.Candidates)
@@ -24,19 +24,21 @@
 	}
 }
 
-// TestGoldenReservations compares seeded schedules of reservations of named tenants with what was recorded.
+// TestGoldenReservations replays seeded random schedules of reservations of named tenants and compares the results with
+// the golden file.
 func TestGoldenReservations(t *testing.T) {
 	file := schedule.GoldenFile{Name: "claims.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds=%d..%d"}
 	file.Check(t, playReservations)
 }
 
-// TestGoldenTenants compares seeded schedules with tenants that are not named, reconfigurations and reports of other
-// servers with what was recorded.
+// TestGoldenTenants replays seeded random schedules with tenants that are not named, reconfigurations and usage reports
+// of other servers, and compares the results with the golden file.
 func TestGoldenTenants(t *testing.T) {
 	file := schedule.GoldenFile{Name: "tenants.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds=%d..%d"}
 	file.Check(t, playTenants)
 }
 
+// playTenants runs the random schedule of one seed and appends the results to history.
 func playTenants(_ *testing.T, seed int64, history *golden.History) {
 	random := rand.New(rand.NewSource(seed))
 	s := New(randomConfig(random), rand.New(rand.NewSource(seed)), 0)
@@ -73,7 +75,7 @@
 	}
 }
 
-// randomConfig draws how many tenants are named, and how many heavy hitters and shared flows there may be.
+// randomConfig returns a configuration with random numbers of named tenants, heavy hitters and shared flows.
 func randomConfig(random *rand.Rand) Config {
 	config := testConfig(2 + random.Intn(3))
 	config.MaxHeavyHitters = 1 + random.Intn(5)
@@ -84,7 +86,8 @@
 	return config
 }
 
-// changeReservation does something to one reservation, and returns those that are still open.
+// changeReservation applies the change that action selects to reservation i and returns the reservations that are still
+// open.
 func changeReservation(open []*Reservation, i, action int, now timeunit.Ticks) []*Reservation {
 	verb := [...]string{"start", "start", "suspend", "resume", "undo-start", "release"}[action%6]
 	reservationChanges[verb](open[i], now)
--- a/internal/fairqueue/heavyhitters.go
+++ b/internal/fairqueue/heavyhitters.go
@@ -7,38 +7,39 @@
 	"thistlequay/timeunit"
 )
 
-// How heavy hitters are chosen.
+// Parameters of the selection of heavy hitters.
 const (
-	// maxCandidates is the size of the table of candidates.
+	// maxCandidates is the capacity of the candidate table.
 	maxCandidates = 256
 
-	// evictionFactor is how many times the usage of the lightest heavy hitter a candidate must have to replace it.
+	// evictionFactor is the minimum ratio of a candidate's proven usage to the usage of the lightest heavy hitter for
+	// the candidate to replace it.
 	evictionFactor = 2
 )
 
-// candidate is a tenant that may become a heavy hitter.
+// candidate is a tenant in a shared flow that may become a heavy hitter.
 type candidate struct {
 	hash         uint64
 	firstSeen    timeunit.Ticks
 	lastSeen     timeunit.Ticks
-	usage        float64 // core time, decaying; includes overestimate
-	overestimate float64 // usage taken over from the candidate whose place this one has
+	usage        float64 // core time in ticks, decaying exponentially; includes overestimate
+	overestimate float64 // part of usage inherited from the candidate that this one replaced
 }
 
-// candidateTable counts the usage of the tenants without a flow of their own, in a table of fixed size: the
-// Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005). A new tenant in a full table takes the place and the
-// count of the candidate with the least usage; the count taken over is noted as the overestimate, which proves
-// nothing.
+// candidateTable tracks the usage of tenants without their own flow in a table of fixed size. It implements the
+// Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005): if the table is full, a new tenant replaces the
+// candidate with the least usage and inherits its usage. The inherited part is recorded as the overestimate and does
+// not count as proven usage of the new tenant.
 type candidateTable struct {
 	entries []candidate
-	index   map[uint64]int // from hash to place in entries
+	index   map[uint64]int // position in entries by tenant hash
 }
 
 func newCandidateTable(size int) candidateTable {
 	return candidateTable{entries: make([]candidate, 0, size), index: make(map[uint64]int, size)}
 }
 
-// observe notes a request of a tenant.
+// observe records that a tenant sent a request, and adds the tenant to the table if it is not in it.
 func (t *candidateTable) observe(hash uint64, now timeunit.Ticks) {
 	if i, known := t.index[hash]; known {
 		t.entries[i].lastSeen = now
@@ -59,7 +60,8 @@
 	t.entries[place] = added
 }
 
-// lightest is the place of the candidate with the least usage, among equals of the one not seen for longest.
+// lightest returns the position of the candidate with the least usage. Among candidates with equal usage it picks the
+// one seen least recently.
 func (t *candidateTable) lightest() int {
 	place := 0
 	least := &t.entries[0]
@@ -73,14 +75,14 @@
 	return place
 }
 
-// charge adds core time to a candidate's usage, if the tenant is still one.
+// charge adds core time to a candidate's usage. It does nothing if the tenant is no longer a candidate.
 func (t *candidateTable) charge(hash uint64, coreTime float64) {
 	if i, known := t.index[hash]; known {
 		t.entries[i].usage += coreTime
 	}
 }
 
-// decay leaves the given part of all usage.
+// decay multiplies the usage of all candidates by left.
 func (t *candidateTable) decay(left float64) {
 	for i := range t.entries {
 		t.entries[i].usage *= left
@@ -88,7 +90,7 @@
 	}
 }
 
-// remove removes the candidate at a place; the last one takes the place.
+// remove deletes the candidate at the given position and moves the last candidate there.
 func (t *candidateTable) remove(place int) {
 	last := len(t.entries) - 1
 	delete(t.index, t.entries[place].hash)
@@ -99,15 +101,15 @@
 	t.entries = t.entries[:last]
 }
 
-// sortByUsage sorts flows of heavy hitters, the heaviest first.
+// sortByUsage sorts the flows of heavy hitters by recent usage, highest first.
 func sortByUsage(flows []*flow) {
 	slices.SortFunc(flows, func(a, b *flow) int {
 		return cmp.Or(cmp.Compare(b.recentUsage, a.recentUsage), cmp.Compare(a.tenantHash, b.tenantHash))
 	})
 }
 
-// promoteCandidates takes the flows of heavy hitters that have used next to nothing, and gives a flow to each candidate
-// with a history and proven usage.
+// promoteCandidates removes the flows of heavy hitters whose recent usage is negligible. It then gives a flow to each
+// candidate that has a history and enough proven usage, as far as MaxHeavyHitters and evictHeavyHitter allow.
 func (s *Scheduler) promoteCandidates() {
 	const minUsage = minUsageFraction * measureInterval
 	s.individualFlows = slices.DeleteFunc(s.individualFlows, func(flow *flow) bool {
@@ -132,8 +134,8 @@
 	}
 }
 
-// promote gives a candidate a flow of its own. Its finish tag starts at the virtual time and not a burst before it:
-// what the tenant used on its shared flow is not forgotten.
+// promote gives a candidate its own flow. The flow's finish tag starts at the virtual time, without a burst allowance,
+// because the tenant has already used core time on its shared flow.
 func (s *Scheduler) promote(candidate candidate, provenUsage float64) {
 	flow := s.newFlow(heavyHitterFlow)
 	flow.tenantHash = candidate.hash
@@ -144,8 +146,8 @@
 	s.individualFlows = append(s.individualFlows, flow)
 }
 
-// evictHeavyHitter drops the lightest heavy hitter without an open reservation, if it used far less than the candidate
-// that needs its place. It reports whether it did.
+// evictHeavyHitter removes the lightest heavy hitter without an open reservation if the candidate's usage is at least
+// evictionFactor times as high. It reports whether it removed one.
 func (s *Scheduler) evictHeavyHitter(candidateUsage float64) bool {
 	lightest := -1
 	for i, flow := range s.individualFlows {
--- a/internal/fairqueue/remoteusage.go
+++ b/internal/fairqueue/remoteusage.go
@@ -7,32 +7,36 @@
 	"thistlequay/timeunit"
 )
 
-// Bounds on what other servers report.
+// Limits on the usage reports of other servers.
 const (
-	// maxRemoteServers bounds the table of other servers' incarnations.
+	// maxRemoteServers is the maximum number of incarnations of other servers that are tracked.
 	maxRemoteServers = 4096
 
-	// maxReportAge is 10 s in ticks. An older report says nothing about what is used now, and no finish tag is moved
-	// ahead by more than all servers' work in that time.
+	// maxReportAge is 10 s in ticks. Usage in an older report is not charged, because the report says nothing about
+	// current usage. Remote usage moves no finish tag further ahead of the virtual time than the work of all servers in
+	// this time.
 	maxReportAge = 100_000
 
-	// maxSilence is how long an incarnation may say nothing before its next report is taken as its first.
+	// maxSilence is the longest gap, in ticks, between two reports of an incarnation. After a longer gap the next
+	// report is treated as the first one.
 	maxSilence = 2 * maxReportAge
 )
 
-// Usage is the core time that one incarnation of a server gave to a named tenant since the incarnation began.
+// Usage is the core time, in ticks, that a named tenant has used on one incarnation of a server since the incarnation
+// started.
 type Usage struct {
 	Tenant   string
 	CoreTime float64
 }
 
-// remoteServer is one incarnation of another server.
+// remoteServer holds the latest reported totals of one incarnation of another server.
 type remoteServer struct {
 	lastReport timeunit.Ticks
-	reported   map[string]float64 // core time by tenant
+	reported   map[string]float64 // total core time by tenant
 }
 
-// LocalUsage returns what the named tenants were given here, those that used most of late first.
+// LocalUsage returns the core time that each named tenant has used on this server, ordered by recent usage, highest
+// first. Tenants that have used none are left out.
 func (s *Scheduler) LocalUsage() []Usage {
 	var usages []Usage
 	for _, tenant := range s.config.Tenants {
@@ -46,13 +50,14 @@
 	return usages
 }
 
-// RecordRemoteUsage takes the report of an incarnation of another server, sent the given time ago. A tenant's finish
-// tag moves on as if the reported core time had been used here (start-time fair queueing with the total service as its
-// clock: Wang and Merchant, 2007), so that a tenant which sends to every server comes after one that can send to this
-// one alone, and nobody's part of the fleet grows by the number of servers it sends to.
+// RecordRemoteUsage processes a usage report that an incarnation of another server sent age ticks ago. It advances each
+// tenant's finish tag as if the reported core time had been used on this server (start-time fair queueing over total
+// service: Wang and Merchant, 2007). A tenant that sends to every server is therefore served after one that can send
+// only to this server, and no tenant increases its share of the fleet by sending to more servers.
 //
-// Totals only grow, so a report that is late, repeated or lost is made good by the next and no time counts twice. The
-// first report of an incarnation, and the first after a long silence, only tells where to count from.
+// Reports carry totals that only grow. The next report therefore makes up for one that was late or lost, and no core
+// time is charged twice if a report is repeated. The first report of an incarnation, and the first after a gap longer
+// than maxSilence, only sets the totals from which later usage is counted.
 func (s *Scheduler) RecordRemoteUsage(incarnation string, age timeunit.Ticks, usages []Usage, now timeunit.Ticks) {
 	s.advance(now)
 	server := s.remoteServers[incarnation]
@@ -67,7 +72,7 @@
 	for _, usage := range usages {
 		flow := s.namedFlows[usage.Tenant]
 		before := server.reported[usage.Tenant]
-		if flow == nil || !(usage.CoreTime > before) { // a NaN is not greater either
+		if flow == nil || !(usage.CoreTime > before) { // written so that NaN is skipped too
 			continue
 		}
 		server.reported[usage.Tenant] = usage.CoreTime
@@ -78,8 +83,8 @@
 	server.lastReport = s.now - max(0, age)
 }
 
-// chargeRemoteUsage moves the finish tag on by core time used elsewhere, no further ahead of the virtual time than all
-// servers' work within maxReportAge.
+// chargeRemoteUsage advances the finish tag by core time used on another server, but no further ahead of the virtual
+// time than the work of all servers within maxReportAge.
 func (f *flow) chargeRemoteUsage(coreTime float64) {
 	s := f.scheduler
 	allCores := float64(s.config.Cores * (1 + len(s.remoteServers)))
@@ -93,7 +98,8 @@
 	f.remoteSinceMeasured += coreTime
 }
 
-// forgetRemoteServers drops incarnations that have been silent for long, or all of them if none has.
+// forgetRemoteServers removes incarnations that have not reported for longer than maxSilence. If the table is still
+// full after that, it removes all of them.
 func (s *Scheduler) forgetRemoteServers() {
 	for incarnation, server := range s.remoteServers {
 		if s.now-server.lastReport > maxSilence {
--- a/internal/fairqueue/remoteusage_test.go
+++ b/internal/fairqueue/remoteusage_test.go
@@ -11,29 +11,31 @@
 	"thistlequay/timeunit"
 )
 
-// fleet is some servers of one core that always have more requests than they can run. Reports on usage go between them.
+// fleet is a group of servers with one core each that always receive more requests than they can run and report their
+// usage to each other.
 type fleet struct {
 	tenants  []Tenant
-	sends    func(tenant string, server, second int) bool // whether a tenant sends requests to a server
-	loss     float64                                      // part of the reports that is lost
+	sends    func(tenant string, server, second int) bool // reports whether a tenant sends requests to a server
+	loss     float64                                      // probability that a report is lost
 	random   *rand.Rand
 	history  *golden.History
 	servers  []*Scheduler
-	virtual  []float64 // virtual time by server
+	virtual  []float64 // virtual time, indexed by server
 	reports  []usageReport
-	coreTime map[string]float64 // given to each tenant in the later half
+	coreTime map[string]float64 // core time of each tenant in the second half of the run, in ticks
 }
 
-// usageReport is what a server reported at a time.
+// usageReport is the usage that a server reported at one time.
 type usageReport struct {
 	from   int
 	sentAt timeunit.Ticks
 	usages []Usage
 }
 
-// requestCost is the core time of each request of a fleet.
+// requestCost is the core time of each request.
 const requestCost timeunit.Ticks = 100
 
+// newFleet returns a fleet with the named tenants acme and beta, whose weights add up to 1.
 func newFleet(servers int, acmeWeight, loss float64, sends func(tenant string, server, second int) bool) *fleet {
 	f := &fleet{
 		tenants:  []Tenant{{Name: "acme", Weight: acmeWeight}, {Name: "beta", Weight: 1 - acmeWeight}},
@@ -62,7 +64,7 @@
 	return f
 }
 
-// run lets the fleet work for some seconds.
+// run simulates the fleet for the given number of seconds.
 func (f *fleet) run(seconds timeunit.Ticks) {
 	for now := requestCost; now < seconds*timeunit.TicksPerSecond; now += requestCost {
 		for server := range f.servers {
@@ -81,8 +83,8 @@
 	}
 }
 
-// runRequest runs the request with the lowest start tag of those that wait at a server, one of each tenant, and returns
-// its tenant. It ends now.
+// runRequest reserves one request of each sending tenant on a server, runs the one with the lowest start tag and
+// returns its tenant, or "" if no tenant sends. The request ends at now.
 func (f *fleet) runRequest(server int, now timeunit.Ticks) string {
 	start := now - requestCost
 	var first Reservation
@@ -110,7 +112,7 @@
 	return tenant
 }
 
-// report has every server report its usage.
+// report adds a usage report of every server.
 func (f *fleet) report(now timeunit.Ticks) {
 	for i, server := range f.servers {
 		usages := server.LocalUsage()
@@ -121,7 +123,8 @@
 	}
 }
 
-// deliver delivers each report three times, at once, again and much later, except for those that are lost.
+// deliver delivers each report to every other server three times: when it is sent, after 300 ms and after 2 s. Each
+// delivery may be lost.
 func (f *fleet) deliver(now timeunit.Ticks) {
 	for _, report := range f.reports {
 		age := now - report.sentAt
@@ -136,9 +139,10 @@
 	}
 }
 
-// TestTenantShareHoldsAcrossServers checks that a tenant's share is one of the fleet: sending to one server of three
-// it gets there what it does not get elsewhere, sending to all no more than its share; reports that are lost, late or
-// doubled change nothing; a tenant that moves to all servers at once keeps its share.
+// TestTenantShareHoldsAcrossServers checks that a tenant's weight applies to the fleet as a whole. A tenant that sends
+// to only some servers gets its share of the fleet there, as far as they have capacity; one that sends to all servers
+// gets no more than its share; and one that switches from one server to all of them keeps it. Lost, late and repeated
+// reports must not change this.
 func TestTenantShareHoldsAcrossServers(t *testing.T) {
 	toFirst := func(servers int) func(string, int, int) bool {
 		return func(tenant string, server, _ int) bool { return tenant == "beta" || server < servers }
@@ -173,8 +177,9 @@
 	histories.Check(t, "fleet.txt")
 }
 
-// TestRemoteUsageCountsOnce checks that reported usage counts once whatever is repeated, and that the first report of
-// an incarnation, and the first after a long silence, only tells where to count from.
+// TestRemoteUsageCountsOnce checks that reported core time is charged only once even if reports are repeated or late,
+// that reports that are too old are not charged, and that the first report of an incarnation only sets the totals from
+// which later usage is counted.
 func TestRemoteUsageCountsOnce(t *testing.T) {
 	s := New(Config{
 		Tenants:          []Tenant{{"acme", 1}},
@@ -194,17 +199,18 @@
 	}
 	before := finishTag()
 	report("a.1", 0, 5000, 1000)
-	require.Equal(t, before, finishTag(), "a first report")
+	require.Equal(t, before, finishTag(), "the first report of an incarnation must not be charged")
 	report("a.1", 0, 5200, 2000)
 	require.InDelta(t, before+200, finishTag(), 1)
 	moved := finishTag()
 	report("a.1", 0, 5200, 2500)
 	report("a.1", 1500, 5100, 2600)
-	require.Equal(t, moved, finishTag(), "twice and late")
+	require.Equal(t, moved, finishTag(), "repeated and late reports must not be charged")
 	report("a.1", maxReportAge+1, 9000, 3000)
-	require.Equal(t, moved, finishTag(), "too old")
+	require.Equal(t, moved, finishTag(), "a report older than maxReportAge must not be charged")
 	report("a.2", 0, 300, 4000)
-	require.Equal(t, moved, finishTag(), "another incarnation")
+	require.Equal(t, moved, finishTag(), "the first report of a new incarnation must not be charged")
 	report("a.2", 0, 1e12, 5000)
-	require.LessOrEqual(t, finishTag(), s.virtualTime+float64(maxReportAge)*3, "no more than all servers could do")
+	require.LessOrEqual(t, finishTag(), s.virtualTime+float64(maxReportAge)*3,
+		"finish tag exceeds the work of all servers within maxReportAge")
 }
--- a/internal/fairqueue/reservation.go
+++ b/internal/fairqueue/reservation.go
@@ -2,56 +2,58 @@
 
 import "thistlequay/timeunit"
 
-// How the cost of a request is estimated.
+// Parameters of the estimate of a request's cost.
 const (
-	// initialCostFraction of its soft deadline is what a request is expected to cost before any was measured.
+	// initialCostFraction is the fraction of a category's soft deadline that serves as the expected cost of its
+	// requests until one has been measured.
 	initialCostFraction = 1.0 / 16
 
-	// flowCostSmoothing is the weight of the newest request in a flow's cost factor, a running mean.
+	// flowCostSmoothing is the weight of the newest request in the moving average of a flow's cost factor.
 	flowCostSmoothing = 1.0 / 8
 
-	// categoryCostSmoothing is the weight of the newest request in a category's typical cost, a running mean.
+	// categoryCostSmoothing is the weight of the newest request in the moving average of a category's typical cost.
 	categoryCostSmoothing = 1.0 / 64
 
-	// maxCostFactor bounds the cost that one request contributes to its flow's cost factor, in typical costs.
+	// maxCostFactor limits what one request contributes to its flow's cost factor, as a multiple of the typical cost.
 	maxCostFactor = 64
 )
 
-// maxExpectedDelay bounds times computed from a rate, so that they fit timeunit.Ticks.
+// maxExpectedDelay limits durations computed from a rate, in ticks, so that they fit into timeunit.Ticks.
 const maxExpectedDelay = 1 << 40
 
-// reservationState is where a request stands in the eyes of the scheduler.
+// reservationState is the state of a request as known to the scheduler.
 type reservationState int
 
 const (
-	released  reservationState = iota // ended, or never opened
-	queued                            // not started
-	running                           // started and in need of a core
+	released  reservationState = iota // ended, or never reserved
+	queued                            // not started yet
+	running                           // started and needs a core
 	suspended                         // started and waiting for a downstream call
 )
 
-// Reservation is the place of one request in the accounts of its flow, from arrival to end. The zero Reservation
-// belongs to no flow: nothing is charged and every method does nothing. No request is charged twice, and none that did
-// not run.
+// Reservation accounts for one request in its flow, from arrival to end. No request is charged twice, and a request
+// that did not run is charged nothing in the end. The zero Reservation belongs to no flow: it charges nothing, and its
+// methods that change a reservation have no effect.
 type Reservation struct {
 	// StartTag is the virtual start tag of the request.
 	StartTag float64
 
-	// ExpectedDelay is the time until the virtual time reaches StartTag if the tenant goes on as it does.
+	// ExpectedDelay is the estimated time until the virtual time reaches StartTag, assuming that the tenant's rate does
+	// not change.
 	ExpectedDelay timeunit.Ticks
 
 	flow         *flow
 	tenantHash   uint64
 	category     int
 	state        reservationState
-	expectedCost float64 // core time charged in advance
-	weight       float64 // of the flow when it was charged
-	startedAt    float64 // on the core clock, moved on by the time spent suspended
-	suspendedAt  float64 // on the core clock
+	expectedCost float64 // core time in ticks that was charged on arrival
+	weight       float64 // the flow's weight when the expected cost was charged
+	startedAt    float64 // start time on the core clock, moved forward by the time spent suspended
+	suspendedAt  float64 // time of the last suspension on the core clock
 }
 
-// Reserve opens a reservation for a request that has arrived. The virtual time is the highest start tag that the server
-// has started.
+// Reserve opens a reservation for a request that has arrived and charges its expected cost to the tenant's flow.
+// virtualTime is the highest start tag among the requests that the server has started.
 func (s *Scheduler) Reserve(tenant []byte, category int, virtualTime float64, now timeunit.Ticks) Reservation {
 	s.virtualTime = virtualTime
 	s.advance(now)
@@ -82,7 +84,7 @@
 	return r
 }
 
-// Start notes that the request starts to run.
+// Start records that the request starts to run.
 func (r *Reservation) Start(now timeunit.Ticks) {
 	if r.flow == nil || r.state != queued {
 		return
@@ -92,7 +94,7 @@
 	r.occupyCore()
 }
 
-// UndoStart notes that the request is proven not to have started after all.
+// UndoStart returns the request to the queued state after it has been proven that it did not start.
 func (r *Reservation) UndoStart(now timeunit.Ticks) {
 	r.Resume(now)
 	if r.flow == nil || r.state != running {
@@ -102,7 +104,7 @@
 	r.leaveCore(queued)
 }
 
-// Suspend notes that the request waits for a downstream call and needs no core.
+// Suspend records that the request waits for a downstream call and needs no core.
 func (r *Reservation) Suspend(now timeunit.Ticks) {
 	if r.flow == nil || r.state != running {
 		return
@@ -112,7 +114,7 @@
 	r.leaveCore(suspended)
 }
 
-// Resume notes that the downstream call has ended.
+// Resume records that the downstream call has ended and the request needs a core again.
 func (r *Reservation) Resume(now timeunit.Ticks) {
 	if r.flow == nil || r.state != suspended {
 		return
@@ -123,7 +125,7 @@
 	r.occupyCore()
 }
 
-// occupyCore counts the request among those that need a core.
+// occupyCore sets the state to running and counts the request among those that need a core.
 func (r *Reservation) occupyCore() {
 	flow := r.flow
 	r.state = running
@@ -133,7 +135,8 @@
 	flow.scheduler.runningRequests++
 }
 
-// leaveCore counts the running request among those that need no core, in the state to.
+// leaveCore changes the state from running to the given one and no longer counts the request among those that need a
+// core.
 func (r *Reservation) leaveCore(to reservationState) {
 	flow := r.flow
 	r.state = to
@@ -143,8 +146,8 @@
 	flow.scheduler.runningRequests--
 }
 
-// Release ends the reservation: the expected cost is replaced by the measured one, which is nothing for a request that
-// did not start. Releasing again does nothing.
+// Release ends the reservation and replaces the expected cost by the measured one, which is 0 for a request that did
+// not start. Releasing it again has no effect.
 func (r *Reservation) Release(now timeunit.Ticks) {
 	if r.flow == nil || r.state == released {
 		return
@@ -166,7 +169,7 @@
 	r.state = released
 }
 
-// account adds the measured cost of a request that ran to the estimates and to the usage of its flow.
+// account adds the measured cost of a request that ran to the cost estimates and to the usage of its flow.
 func (r *Reservation) account(cost float64) {
 	flow := r.flow
 	s := flow.scheduler
@@ -181,10 +184,11 @@
 	}
 }
 
-// RetryAfter is how long the client of a request that is being rejected should wait: until its tenant has capacity,
-// one place after the other at the rate that the tenant can count on, and no longer than clients heed (longest). The
-// server asks every client to wait for shortest; where that is 0 or less it asks for nothing, and the smaller of both
-// is returned.
+// RetryAfter returns how long the client of a request that is being rejected should wait before it retries. Successive
+// rejected requests of a flow get successive retry times, spaced at the rate that the flow can count on, so that each
+// retry arrives when its tenant has capacity. The result is at most longest, the longest wait that clients respect.
+// shortest is the wait that the server asks of every client; it is 0 or less if the server asks for none. If either is
+// 0 or less, or the reservation belongs to no flow, RetryAfter returns the smaller of the two.
 func (r *Reservation) RetryAfter(shortest, longest, now timeunit.Ticks) timeunit.Ticks {
 	if r.flow == nil || shortest <= 0 || longest <= 0 {
 		return min(shortest, longest)
@@ -195,14 +199,15 @@
 	s.rejectedSinceMeasured = true
 	timePerRequest := timeunit.Ticks(max(1, min(r.expectedCost/flow.expectedRate(flow.longTermRate()),
 		maxExpectedDelay)))
-	// Half of the requests that are queued before it will be through by then: there is capacity, and no core stands
-	// idle until it comes back.
+	// After half of the expected delay, half of the requests queued ahead of this one will have been served. A retry
+	// then finds capacity, and no core is idle until it arrives.
 	earliest := s.now + min(max(r.ExpectedDelay, shortest)/2, longest)
 	flow.lastReturn = max(flow.lastReturn, earliest) + timePerRequest
 	if wait := flow.lastReturn - s.now; wait <= longest {
 		return max(wait, 1)
 	}
-	// More are rejected than have capacity within the time that clients heed: they are spread over its later half.
+	// More requests are rejected than the flow has capacity for within the longest wait that clients respect. Their
+	// retries are spread at random over the second half of that time.
 	flow.lastReturn = s.now + longest
 	return longest/2 + timeunit.Ticks(s.random.Int63n(int64(longest/2)+1))
 }
--- a/internal/fairqueue/reservation_test.go
+++ b/internal/fairqueue/reservation_test.go
@@ -11,16 +11,16 @@
 	"thistlequay/timeunit"
 )
 
-// FuzzReservations checks that whatever happens in whatever order, a request that did not run is charged nothing and
-// none is charged twice: in the end two tenants with the same requests have the same start tag, and one that was only
-// rejected has the one it began with.
+// FuzzReservations checks that, for any sequence of changes, a request that did not run is charged nothing and no
+// request is charged twice. At the end, two tenants with the same requests must have the same start tag, and a tenant
+// whose requests were all rejected must have its initial one.
 func FuzzReservations(f *testing.F) {
 	f.Add(int64(1))
 	f.Fuzz(func(t *testing.T, seed int64) { playReservations(t, seed, golden.NewHistory()) })
 }
 
-// playReservations opens reservations of three named tenants and does random things to them. What each reservation
-// tells goes into history.
+// playReservations opens reservations of three named tenants and applies random changes to them. It appends the start
+// tag and the expected delay of each reservation to history.
 func playReservations(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	const virtualTime = 0.0
@@ -31,7 +31,7 @@
 		r := s.Reserve([]byte(tenant), 0, virtualTime, now)
 		return &r
 	}
-	var open [][2]*Reservation // of tenant-0 and tenant-1, which get the same
+	var open [][2]*Reservation // one each of tenant-0 and tenant-1, which get the same changes
 	for range 200 {
 		now += timeunit.Ticks(random.Intn(300))
 		switch action := random.Intn(6); {
@@ -68,7 +68,7 @@
 	addScheduler(history, s)
 }
 
-// reservationChanges are what may be done to a reservation, by the words of the scenarios.
+// reservationChanges maps the commands of the scenario files to the methods that change a reservation.
 var reservationChanges = map[string]func(r *Reservation, now timeunit.Ticks){
 	"start":      (*Reservation).Start,
 	"suspend":    (*Reservation).Suspend,
@@ -77,7 +77,8 @@
 	"release":    (*Reservation).Release,
 }
 
-// changeOnce does the action to a reservation; releasing is done twice, as the second must have no effect.
+// changeOnce applies the change that action selects to a reservation. It releases twice, because the second release
+// must have no effect.
 func changeOnce(r *Reservation, action int, now timeunit.Ticks) {
 	verb := [...]string{1: "start", 2: "suspend", 3: "resume", 4: "release", 5: "undo-start"}[action]
 	reservationChanges[verb](r, now)
@@ -86,7 +87,7 @@
 	}
 }
 
-// BenchmarkReservation measures the life of one reservation.
+// BenchmarkReservation measures reserving, starting and releasing one request.
 func BenchmarkReservation(b *testing.B) {
 	for _, tenants := range []int{10, 1_000, 100_000} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
--- a/internal/fairqueue/scenario_test.go
+++ b/internal/fairqueue/scenario_test.go
@@ -13,12 +13,12 @@
 	"thistlequay/timeunit"
 )
 
-// TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
+// TestScenarios runs each scenario in testdata line by line. The README.md in that directory describes the notation.
 func TestScenarios(t *testing.T) {
 	golden.CheckScenarios(t, "scenarios.txt", playScenario)
 }
 
-// scenario is the state of a scenario that is being played.
+// scenario holds the state of a running scenario.
 type scenario struct {
 	*require.Assertions
 	config       Config
@@ -27,9 +27,10 @@
 	virtualTime  float64
 	reservations map[string]*Reservation
 	history      *golden.History
-	where        string // the line that is being played
+	where        string // source position of the current line, for failure messages
 }
 
+// playScenario runs the scenario in file and appends its results to history.
 func playScenario(t *testing.T, file string, history *golden.History) {
 	t.Helper()
 	s := &scenario{
@@ -54,13 +55,14 @@
 	}
 }
 
+// number parses a number and fails the test if it is invalid.
 func (s *scenario) number(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	s.NoError(err, s.where)
 	return value
 }
 
-// ticks reads a time in milliseconds.
+// ticks parses a time in milliseconds.
 func (s *scenario) ticks(text string) timeunit.Ticks {
 	return timeunit.Ticks(s.number(text) * float64(timeunit.TicksPerMillisecond))
 }
@@ -69,6 +71,7 @@
 	return float64(ticks) / float64(timeunit.TicksPerMillisecond)
 }
 
+// step executes one line of the scenario.
 func (s *scenario) step(verb string, args []string) {
 	switch verb {
 	case "config":
@@ -98,7 +101,8 @@
 	}
 }
 
-// configure reads KEY=V, where a tenant's weight stands under its name with a dot before it.
+// configure executes the config command. Its arguments have the form KEY=V; the key of a tenant's weight is the
+// tenant's name with a leading dot.
 func (s *scenario) configure(args []string) {
 	s.config.Tenants = nil
 	for _, arg := range args {
@@ -134,6 +138,7 @@
 	return f
 }
 
+// reserve executes the reserve command and checks the start tag and the expected delay if the line gives them.
 func (s *scenario) reserve(args []string) {
 	r := s.scheduler.Reserve([]byte(args[1]), 0, s.virtualTime, s.now)
 	s.reservations[args[0]] = &r
@@ -145,6 +150,7 @@
 	}
 }
 
+// runRequests executes the runs command: a tenant runs requests of equal cost at regular intervals.
 func (s *scenario) runRequests(args []string) {
 	interval := s.ticks(args[1])
 	cost := s.ticks(args[2])
@@ -156,11 +162,12 @@
 	}
 }
 
+// change executes a command that checks or changes one reservation.
 func (s *scenario) change(r *Reservation, verb string, args []string) {
 	if verb == "retry-after" {
 		got := milliseconds(r.RetryAfter(s.ticks(args[0]), s.ticks(args[1]), s.now))
 		s.history.Add(s.now, got)
-		s.True(got >= s.number(args[2]) && got <= s.number(args[3]), "%s: %v", s.where, got)
+		s.True(got >= s.number(args[2]) && got <= s.number(args[3]), "%s: Retry-After is %v ms", s.where, got)
 		return
 	}
 	s.Contains(reservationChanges, verb, s.where)
--- a/internal/fairqueue/scheduler.go
+++ b/internal/fairqueue/scheduler.go
@@ -1,18 +1,18 @@
 // Package fairqueue divides a server's core time among tenants by weight. It gives each request a virtual start tag, by
-// which the admission queue orders requests, accounts the core time that requests really used, and tells rejected ones
-// when their tenant can expect capacity again.
+// which the admission queue orders requests. It accounts for the core time that requests actually used, and computes
+// when the client of a rejected request should retry.
 //
 // The algorithm is start-time fair queueing (Goyal, Vin and Cheng, 1996). The start tag of a request is the finish tag
-// of its flow, which is the core time charged to the flow over the flow's weight, but lies no further behind the
-// server's virtual time than a burst allowance. A request is charged an expected cost when it arrives and its measured
-// cost when it ends.
+// of its flow, but at most a burst allowance behind the server's virtual time. The finish tag advances by the core time
+// charged to the flow divided by the flow's weight. A request is charged an expected cost when it arrives; when it
+// ends, its measured cost replaces the expected one.
 //
-// A flow is the state kept for one named tenant, for one heavy hitter among the tenants that are not named, or for all
+// A flow holds the state of one named tenant, of one heavy hitter among the tenants that are not named, or of all
 // tenants that hash into one shared flow.
 //
-// The package reads no clock, does no I/O and starts no goroutine: time and randomness are passed in. A Scheduler
-// belongs to one goroutine, the event loop. It never decides what is admitted, started or rejected; that is the
-// admission package's task.
+// The package reads no clock, does no I/O and starts no goroutines: time and randomness are passed in. A Scheduler must
+// be used by only one goroutine, the event loop. It never decides which requests are admitted, started or rejected; the
+// admission package does.
 package fairqueue
 
 import (
@@ -24,63 +24,69 @@
 	"thistlequay/timeunit"
 )
 
-// How rates and usage are measured. The figures were chosen by trials in the simulator.
+// Parameters of the measurement of rates and usage. The values were chosen by trials in the simulator.
 const (
-	// measureInterval is the time between two measurements, 250 ms in ticks.
+	// measureInterval is the minimum time between two measurements, 250 ms in ticks.
 	measureInterval = 2_500
 
-	// rateDecay is the part of a measured rate that is left after one interval.
+	// rateDecay is the fraction of a measured rate that is retained after one interval.
 	rateDecay = 0.75
 
-	// usageDecay is the part of a flow's usage that is left after one interval: half after about four seconds.
+	// usageDecay is the fraction of a flow's usage that is retained after one interval. Usage halves in about 4 s.
 	usageDecay = 0.96
 
-	// Beyond so many intervals without a measurement nothing of a rate or of a usage is left worth computing.
+	// maxRateDecayIntervals and maxUsageDecayIntervals limit the number of intervals for which the decay is computed
+	// after a long time without a measurement. What is retained after that many intervals is negligible.
 	maxRateDecayIntervals  = 20
 	maxUsageDecayIntervals = 400
 
-	// activeIntervals is how many intervals after its last request a flow without an open reservation counts as active.
+	// activeIntervals is the number of intervals for which a flow without an open reservation still counts as active
+	// after its last request.
 	activeIntervals = 2
 
-	// minUsageFraction of a core's work in one interval is the usage below which a flow is not kept for its own sake.
+	// minUsageFraction is the usage below which a tenant that is not named gets or keeps no flow of its own, as a
+	// fraction of the work of one core in one interval. It is also the lower bound of the service rate, as a fraction
+	// of the server's cores.
 	minUsageFraction = 1.0 / 256
 )
 
-// Scheduler is the state of fair queueing on one server.
+// Scheduler holds the state of fair queueing on one server.
 type Scheduler struct {
 	config Config
 	random *rand.Rand
 	now    timeunit.Ticks
 
-	// virtualTime is the highest start tag that the server has started, as the admission package reported it last.
+	// virtualTime is the highest start tag among the requests that the server has started, as the admission package
+	// last reported it.
 	virtualTime float64
 
 	namedFlows   map[string]*flow
-	heavyHitters map[uint64]*flow // by hash, so that a flow costs the same memory whatever the name
+	heavyHitters map[uint64]*flow // by tenant hash, so that memory use does not depend on the length of names
 	sharedFlows  []flow
 
-	// individualFlows are the named flows and the heavy hitters in a fixed order, so that no decision depends on the
-	// order of a map.
+	// individualFlows holds the named flows and the flows of heavy hitters in a fixed order, so that no decision
+	// depends on map iteration order.
 	individualFlows []*flow
 
 	candidates    candidateTable
 	remoteServers map[string]*remoteServer
 
-	hashSeed   uint64 // of the hash that tells tenants apart
-	rehashSalt uint64 // of the hash that puts tenants into shared flows
+	hashSeed   uint64 // seed of the hash that identifies tenants
+	rehashSalt uint64 // salt of the hash that selects a tenant's shared flow
 	rehashedAt timeunit.Ticks
 
-	// coreClock is the core time that one request would have had which ran since the start. It advances slower than the
-	// wall clock while more requests run than there are cores (processor sharing).
+	// coreClock is the core time, in ticks, that a request would have received if it had run since the scheduler was
+	// created. It assumes processor sharing: the clock advances more slowly than wall-clock time while there are more
+	// running requests than cores.
 	coreClock       float64
-	runningRequests int // that need a core
+	runningRequests int // started requests that need a core, so not the suspended ones
 
-	typicalCosts []float64 // running mean of the core time of a request, by category
+	typicalCosts []float64 // moving average of the core time of a request in ticks, indexed by category
 
 	measuredAt            timeunit.Ticks
-	workSinceMeasured     float64 // core time accounted since measuredAt
+	workSinceMeasured     float64 // core time in ticks accounted since measuredAt
 	rejectedSinceMeasured bool
-	serviceRate           float64 // core time per tick that the server delivers while it rejects requests
+	serviceRate           float64 // core time per tick that the server can deliver, measured while it rejects requests
 
 	totalWeight        float64
 	activeWeight       float64
@@ -88,7 +94,7 @@
 	activeSharedFlows  int
 }
 
-// New returns a scheduler. The hash that tells tenants apart and the spreading of retries draw from random.
+// New returns a scheduler. random provides the seeds of the tenant hashes and the spread of retry times.
 func New(config Config, random *rand.Rand, now timeunit.Ticks) *Scheduler {
 	s := &Scheduler{
 		random:        random,
@@ -110,14 +116,15 @@
 	return s
 }
 
-// Reconfigure changes everything but the number of cores and the categories. Tenants that stay named keep their flows;
-// reservations of tenants that are no longer named end on the flows that they began on.
+// Reconfigure replaces the configuration except for the number of cores and the categories. Tenants that stay named
+// keep their flows. An open reservation of a tenant that is no longer named stays with the flow on which it was opened.
 func (s *Scheduler) Reconfigure(config Config, now timeunit.Ticks) {
 	s.advance(now)
 	config.Cores = s.config.Cores
 	s.applyConfig(config)
 }
 
+// applyConfig sets the configuration and creates, keeps or removes flows to match it.
 func (s *Scheduler) applyConfig(config Config) {
 	before := s.namedFlows
 	s.config = config
@@ -131,14 +138,14 @@
 		}
 	}
 	for _, flow := range before {
-		flow.active = false // those that are still named are counted again below
+		flow.active = false // countActive sets it again for the flows that are still named
 	}
 	s.keepHeaviest()
 	s.countActive()
 }
 
-// nameTenants gives each configured tenant its flow: the one it had before, or a new one that goes on from the finish
-// tag that the tenant had as a heavy hitter.
+// nameTenants gives each configured tenant its previous flow, or a new one if it had none. If the tenant was a heavy
+// hitter, its flow continues from the heavy hitter's finish tag.
 func (s *Scheduler) nameTenants(before map[string]*flow) {
 	s.namedFlows = map[string]*flow{}
 	for _, tenant := range s.config.Tenants {
@@ -157,7 +164,8 @@
 	}
 }
 
-// keepHeaviest lists the heavy hitters behind the named flows, the heaviest first, and drops those beyond the limit.
+// keepHeaviest appends the heavy hitters to individualFlows, highest usage first, and removes those beyond
+// MaxHeavyHitters.
 func (s *Scheduler) keepHeaviest() {
 	heaviest := make([]*flow, 0, len(s.heavyHitters))
 	for _, flow := range s.heavyHitters {
@@ -173,7 +181,7 @@
 	}
 }
 
-// flowOf returns the flow that a tenant's requests are charged to, and the tenant's hash if it is not a named one.
+// flowOf returns the flow to which a tenant's requests are charged, and the tenant's hash or 0 if the tenant is named.
 func (s *Scheduler) flowOf(tenant []byte) (flow *flow, hash uint64) {
 	if flow := s.namedFlows[string(tenant)]; flow != nil {
 		return flow, 0
@@ -182,15 +190,15 @@
 	if flow := s.heavyHitters[hash]; flow != nil {
 		return flow, hash
 	}
-	// The salt changes at each rehash, so that two tenants which share a flow do not share it for good.
+	// The salt changes at each rehash, so that two tenants do not share a flow permanently.
 	mixed := (hash ^ s.rehashSalt) * fibonacciMultiplier
 	return &s.sharedFlows[mixed>>32%uint64(len(s.sharedFlows))], hash
 }
 
-// fibonacciMultiplier is 2^64 over the golden ratio (Knuth's multiplicative hashing).
+// fibonacciMultiplier is 2^64 divided by the golden ratio (Knuth's multiplicative hashing).
 const fibonacciMultiplier = 0x9e3779b97f4a7c15
 
-// allFlows yields every flow, in an order that does not change between two changes of the set.
+// allFlows yields every flow, in an order that stays the same until the set of flows changes.
 func (s *Scheduler) allFlows() iter.Seq[*flow] {
 	return func(yield func(*flow) bool) {
 		for _, flow := range s.individualFlows {
@@ -206,17 +214,17 @@
 	}
 }
 
-// burstAllowance is how far behind the virtual time a finish tag may lie: the tag distance of a burst if every tenant
-// took part in it.
+// burstAllowance returns how far a start tag may be behind the virtual time. It is the distance by which the tags would
+// advance if all tenants together used the whole burst.
 func (s *Scheduler) burstAllowance() float64 {
 	return float64(s.config.Burst) * float64(s.config.Cores) / s.totalWeight
 }
 
-// MinStartTag is the start tag of a flow that used nothing of late, at the given virtual time: no more than a burst is
-// saved up while a tenant rests.
+// MinStartTag returns the lowest start tag of a request at the given virtual time, which is that of a flow without
+// recent usage. It limits the capacity that an idle tenant saves up to one burst.
 func (s *Scheduler) MinStartTag(virtualTime float64) float64 { return virtualTime - s.burstAllowance() }
 
-// advance moves the clocks on to now and measures when an interval is over.
+// advance advances the clocks to now and takes a measurement if an interval has passed.
 func (s *Scheduler) advance(now timeunit.Ticks) {
 	if now > s.now {
 		corePerRequest := min(1, float64(s.config.Cores)/float64(max(1, s.runningRequests)))
@@ -228,8 +236,9 @@
 	}
 }
 
-// measure ends an interval, which is longer than measureInterval if nothing happened meanwhile: it updates rates and
-// usage, chooses the heavy hitters, rehashes the shared flows when that is due, and counts the active flows.
+// measure ends the current interval, which is longer than measureInterval if the scheduler was not called in time. It
+// updates rates and usage, selects the heavy hitters, rehashes the shared flows when that is due, and recounts the
+// active flows.
 func (s *Scheduler) measure() {
 	span := float64(s.now - s.measuredAt)
 	s.measuredAt = s.now
@@ -249,7 +258,8 @@
 	s.countActive()
 }
 
-// decay is what is left after so many intervals, at least one, where left is left after one.
+// decay returns the fraction retained after the given number of intervals, at least one, if the fraction left is
+// retained after each.
 func decay(left float64, intervals int) float64 {
 	total := left
 	for range intervals - 1 {
@@ -258,8 +268,8 @@
 	return total
 }
 
-// measureServiceRate takes the work of an interval into the service rate. Only an interval in which requests were
-// rejected shows what the server can do; any other shows that it can do at least as much.
+// measureServiceRate updates the service rate with the work done in an interval of span ticks. Only an interval in
+// which requests were rejected shows how much the server can deliver. Any other interval gives only a lower bound.
 func (s *Scheduler) measureServiceRate(span float64) {
 	rate := s.workSinceMeasured / span
 	if s.rejectedSinceMeasured {
@@ -272,7 +282,8 @@
 	s.rejectedSinceMeasured = false
 }
 
-// countActive finds the active flows: those with an open reservation, and those that had a request of late.
+// countActive determines which flows are active and adds up their weights. A flow is active if it has an open
+// reservation or had a request within the last activeIntervals intervals.
 func (s *Scheduler) countActive() {
 	s.activeHeavyHitters = 0
 	s.activeSharedFlows = 0
@@ -282,7 +293,7 @@
 			s.countKind(flow)
 		}
 	}
-	// Weights depend on the counts, so they can only be added up now.
+	// The weights depend on the final counts, so they are added up in a second pass.
 	s.activeWeight = 0
 	for flow := range s.allFlows() {
 		if flow.active {
@@ -291,13 +302,14 @@
 	}
 }
 
-// activate counts a flow as active before the next measurement does.
+// activate marks a flow as active immediately instead of at the next measurement.
 func (s *Scheduler) activate(flow *flow) {
 	flow.active = true
 	s.countKind(flow)
 	s.activeWeight += flow.weight()
 }
 
+// countKind increments the count of active flows of the given flow's kind.
 func (s *Scheduler) countKind(flow *flow) {
 	switch flow.kind {
 	case heavyHitterFlow:
@@ -307,15 +319,15 @@
 	}
 }
 
-// Stats are figures on a scheduler for logs.
+// Stats holds statistics of a scheduler for logs.
 type Stats struct {
 	HeavyHitters      int
 	ActiveSharedFlows int
-	ServiceRate       float64 // cores' worth of work that the server delivers while it rejects requests
+	ServiceRate       float64 // work that the server can deliver, in cores, measured while it rejects requests
 	Candidates        int     // tenants that may become heavy hitters
 }
 
-// Stats returns the figures of now.
+// Stats returns the current statistics.
 func (s *Scheduler) Stats() Stats {
 	return Stats{
 		HeavyHitters:      len(s.heavyHitters),
--- a/internal/fairqueue/scheduler_test.go
+++ b/internal/fairqueue/scheduler_test.go
@@ -12,7 +12,8 @@
 	"thistlequay/timeunit"
 )
 
-// testConfig has the given number of named tenants, tenant-0 and so on, of equal weight.
+// testConfig returns a configuration with the given number of named tenants of equal weight: tenant-0, tenant-1 and so
+// on.
 func testConfig(namedTenants int) Config {
 	config := Config{
 		OthersWeight:     0.1,
@@ -31,7 +32,7 @@
 	return config
 }
 
-// liveHeap is the size of what is reachable.
+// liveHeap returns the size of the reachable heap in bytes.
 func liveHeap() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -40,8 +41,8 @@
 	return stats.HeapAlloc
 }
 
-// TestMemoryStaysFlatUnderNewTenants sends ten thousand new names in a minute: the scheduler has at the end what it had
-// after a second.
+// TestMemoryStaysFlatUnderNewTenants sends one request from each of 10,000 new tenants within a minute. The memory use
+// after that minute must be about the same as after the first second.
 func TestMemoryStaysFlatUnderNewTenants(t *testing.T) {
 	before := liveHeap()
 	s := New(testConfig(4), rand.New(rand.NewSource(1)), 0)
@@ -63,7 +64,7 @@
 	require.Zero(t, heavyHitters)
 }
 
-// quietHost is a host of the admission package that starts requests and does nothing else.
+// quietHost is a host of the admission package that only records the requests to run.
 type quietHost struct{ run []*admission.Request }
 
 func (h *quietHost) Run(request *admission.Request)                { h.run = append(h.run, request) }
@@ -81,7 +82,7 @@
 func (*quietHost) SetTimer(timeunit.Ticks)                         {}
 func (*quietHost) Release(*admission.Request)                      {}
 
-// dispatchBench is an admission server with one core whose requests get their start tags from a scheduler.
+// dispatchBench combines an admission server with one core and the scheduler that assigns the requests' start tags.
 type dispatchBench struct {
 	host      *quietHost
 	server    *admission.Server
@@ -91,6 +92,8 @@
 	arrivals  int
 }
 
+// newDispatchBench returns a dispatchBench with the given number of tenants. Without tenants the requests get no start
+// tags.
 func newDispatchBench(tenants int) *dispatchBench {
 	const never = 1 << 40
 	host := &quietHost{}
@@ -115,7 +118,7 @@
 	return bench
 }
 
-// enqueue has one request arrive.
+// enqueue adds one arriving request to the admission queue.
 func (b *dispatchBench) enqueue() {
 	arrival := admission.Arrival{QueuedKB: 1, Category: b.arrivals % 2}
 	if len(b.tenants) > 0 {
@@ -128,7 +131,7 @@
 	b.server.Enqueue(arrival)
 }
 
-// endRuns ends all requests that run.
+// endRuns ends all running requests.
 func (b *dispatchBench) endRuns() {
 	running := b.host.run
 	b.host.run = b.host.run[:0:0]
@@ -137,7 +140,7 @@
 	}
 }
 
-// BenchmarkDispatch measures one start and one arrival.
+// BenchmarkDispatch measures the arrival of one request, the end of a running one and the start of the next.
 func BenchmarkDispatch(b *testing.B) {
 	for _, queued := range []int{10, 1_000, 10_000} {
 		for _, tenants := range []int{0, 10, 1_000, 100_000} {
--- a/internal/subsetting/assign.go
+++ b/internal/subsetting/assign.go
@@ -6,23 +6,25 @@
 	"slices"
 )
 
-// The capacity of a server goes by steps of a sixteenth of its mean load, so that a server or tenant that comes or goes
-// seldom changes it: each change would move some tenants of every server.
+// A server's capacity is rounded to steps of about 1/16 of the mean load, so that it seldom changes when a server or
+// tenant joins or leaves. Each change of the capacity would move some tenants of every server.
 const (
 	capacitySteps = 16
 
-	// stepOffset keeps the steps off round numbers, which fleets often have.
+	// stepOffset moves the step boundaries away from round mean loads, which are common in real fleets.
 	stepOffset = 1.4
 )
 
-// capacityFor returns how many tenants a server has room for where the mean load is as given.
+// capacityFor returns the number of tenants that a server has capacity for, given the mean number of tenants per server
+// and the slack (see Config.LoadSlack).
 func capacityFor(meanLoad, slack float64) int {
 	step := math.Pow(2, math.Floor(math.Log2(max(1, meanLoad)))) / capacitySteps
 	return int(math.Ceil(math.Floor(meanLoad/step+stepOffset) * step * (1 + slack/2)))
 }
 
-// assign chooses the subset of a tenant: the first servers of its ranking that have capacity left and whose zone has
-// not given its share; if that is too few, those of any zone; if that is still too few, those without capacity.
+// assign chooses the subset of a tenant in up to three passes over its ranking. The first pass takes servers that have
+// capacity left and whose zone is below its limit; the second ignores the zone limits; the third also ignores the
+// capacity.
 func (a *Assignment) assign(tenant string, size int) (chosen []int) {
 	ranking := a.ranking(tenant)
 	zoneLimits := a.zoneLimits(size)
@@ -52,7 +54,8 @@
 	return chosen
 }
 
-// zoneLimits returns how many servers of each zone a tenant may have: the zone's share of the subset, and one.
+// zoneLimits returns the maximum number of servers in a subset by zone: the zone's rounded share of the subset plus
+// one.
 func (a *Assignment) zoneLimits(size int) map[string]int {
 	counts := map[string]int{}
 	for _, server := range a.servers {
@@ -65,7 +68,7 @@
 	return limits
 }
 
-// ranking returns all servers, as places in a.servers, in the order of the tenant's hashes.
+// ranking returns the indexes of all servers in a.servers, ordered by the tenant's hash of each server.
 func (a *Assignment) ranking(tenant string) []int {
 	type hashed struct {
 		server int
--- a/internal/subsetting/subsetting.go
+++ b/internal/subsetting/subsetting.go
@@ -1,17 +1,18 @@
-// Package subsetting decides which servers of a fleet may run a tenant's requests, so that a tenant whose requests
-// harm servers (heavy, looping, crashing) reaches few of them, and no other tenant loses all of its own.
+// Package subsetting decides which servers of a fleet may run a tenant's requests. A tenant whose requests harm servers
+// because they are heavy, loop or crash then reaches only a few servers, and no other tenant loses all of its servers.
 //
-// It waits for later work: nothing uses it yet. docs/subsetting/design.md says what is still to come.
+// No other package uses it yet. docs/subsetting/design.md describes the remaining work.
 //
-// It is a pure function of a view of servers and tenants: no socket, no clock, and no randomness but a seed that all
-// servers share. All servers that hold the same view get the same subsets, in whatever order they heard of servers
-// and tenants. A subset must never be empty while there is a server.
+// The result is a pure function of the known servers and tenants: the package uses no sockets, no clock and no
+// randomness except a seed that all servers share. Servers with the same view compute the same subsets, in whatever
+// order they learned of servers and tenants. A subset is never empty while there is a server.
 //
-// Each tenant ranks all servers by a hash of its own (rendezvous hashing: Thaler and Ravishankar, "Using name-based
-// mappings to increase hit rates", 1998) and takes the first ones with capacity left; a server has capacity for a
-// little more than its share (bounded loads: Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded
-// loads", 2018). Tenants choose in the order of a hash, so that the earlier ones keep their servers when a later one
-// comes or goes; a zone gives a tenant no more than its share and one.
+// Each tenant ranks all servers by its own hash (rendezvous hashing: Thaler and Ravishankar, "Using name-based mappings
+// to increase hit rates", 1998) and takes the first ones with capacity left. A server has capacity for slightly more
+// than its share of the load (bounded loads: Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded
+// loads", 2018). Tenants choose in hash order, so that the earlier ones keep their servers when a later one is added or
+// removed. A subset contains at most the zone's share plus one of the servers of a zone, unless too few other servers
+// have capacity.
 package subsetting
 
 import (
@@ -21,31 +22,30 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Config is what all servers must have alike to compute the same subsets.
+// Config holds the parameters of the assignment. All servers must use the same values to compute the same subsets.
 type Config struct {
-	Seed       uint64  // of all hashes
-	SubsetSize int     // servers of a tenant, 1 at least; fewer where the fleet has fewer
-	LoadSlack  float64 // how much more than the mean load a server may have, as a part of it
+	Seed       uint64  // seed of all hashes
+	SubsetSize int     // servers per tenant, at least 1; at most the whole fleet is used
+	LoadSlack  float64 // determines by how much a server's load may exceed the mean load, as a fraction of it
 }
 
-// Server is one that may be in a subset. Its name is unique in the fleet.
+// Server identifies a server and its zone. The name is unique in the fleet.
 type Server struct {
 	Name string
 	Zone string
 }
 
-// Assignment is the result of Assign. It is not changed afterwards and so is safe for concurrent use.
+// Assignment holds the subsets that Assign computed. It is immutable and therefore safe for concurrent use.
 type Assignment struct {
 	config      Config
-	servers     []Server         // by name
-	capacity    int              // tenants that each server has room for
-	subsets     map[string][]int // by tenant: places in servers, in the order of the tenant's ranking
-	load        []int            // tenants of each server
-	skippedFull map[string]int   // by tenant: servers passed over because they had no capacity left
+	servers     []Server         // sorted by name
+	capacity    int              // maximum number of tenants per server; assign exceeds it only as a last resort
+	subsets     map[string][]int // indexes in servers by tenant, in the order of the tenant's ranking
+	load        []int            // number of tenants of each server, indexed like servers
+	skippedFull map[string]int   // number of servers skipped because they had no capacity left, by tenant
 }
 
-// Assign computes the subsets of all tenants that are known by name. A server or tenant that is named twice counts
-// once.
+// Assign computes the subsets of the given tenants. A server or tenant that is listed more than once counts once.
 func Assign(config Config, servers []Server, tenants []string) *Assignment {
 	servers = uniqueServers(servers)
 	tenants = inHashOrder(config, tenants)
@@ -68,14 +68,14 @@
 	return assignment
 }
 
-// uniqueServers returns the servers by name, each once.
+// uniqueServers returns the servers sorted by name, without duplicates.
 func uniqueServers(servers []Server) []Server {
 	servers = slices.Clone(servers)
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
 	return slices.CompactFunc(servers, func(a, b Server) bool { return a.Name == b.Name })
 }
 
-// inHashOrder returns the tenants in the order in which they choose, each once.
+// inHashOrder returns the tenants in the order in which they choose their servers, without duplicates.
 func inHashOrder(config Config, tenants []string) []string {
 	tenants = slices.Clone(tenants)
 	slices.Sort(tenants)
@@ -86,7 +86,7 @@
 	return tenants
 }
 
-// hash returns a hash of some words, each seeded by the one before.
+// hash returns a hash of a sequence of words. The hash of each word is the seed for the next.
 func (c *Config) hash(words ...string) uint64 {
 	sum := c.Seed
 	for _, word := range words {
@@ -95,9 +95,8 @@
 	return sum
 }
 
-// Subset returns the servers of a tenant in the order of its ranking: the first is to be asked first. A tenant that is
-// not known by name gets the first servers of its ranking, whatever their load: how many such tenants there are is not
-// known.
+// Subset returns the servers of a tenant in order of preference. A tenant that was not passed to Assign gets the first
+// servers of its ranking regardless of their load, because the number of such tenants is unknown.
 func (a *Assignment) Subset(tenant string) []Server {
 	chosen, known := a.subsets[tenant]
 	if !known {
@@ -111,8 +110,8 @@
 	return subset
 }
 
-// Contains reports whether a server is in a tenant's subset. For a tenant that is known by name it is cheap enough for
-// the path of each request and allocates nothing.
+// Contains reports whether a server is in a tenant's subset. For a tenant that was passed to Assign it does not
+// allocate and is cheap enough to be called for each request.
 func (a *Assignment) Contains(tenant, server string) bool {
 	chosen, known := a.subsets[tenant]
 	if !known {
@@ -126,15 +125,15 @@
 	return false
 }
 
-// Explanation is a subset with the reasons for it, for operators.
+// Explanation describes a subset and how it was chosen, for operators.
 type Explanation struct {
 	Servers     []Server // the subset
-	Load        []int    // tenants of each of them
-	Capacity    int      // tenants that each server of the fleet has room for
-	SkippedFull int      // servers that rank before some of these and had no capacity left
+	Load        []int    // number of tenants of each server in the subset
+	Capacity    int      // number of tenants that each server of the fleet has capacity for
+	SkippedFull int      // number of servers that rank before a chosen one but had no capacity left
 }
 
-// Explain tells why a tenant has its subset.
+// Explain returns a tenant's subset with the loads and the capacity that determined it.
 func (a *Assignment) Explain(tenant string) Explanation {
 	explanation := Explanation{
 		Servers:     a.Subset(tenant),
@@ -150,7 +149,7 @@
 	return explanation
 }
 
-// MaxOverMean returns the largest load of a server over the mean load; 0 where there is none.
+// MaxOverMean returns the highest load of a server divided by the mean load, or 0 if no server has any load.
 func (a *Assignment) MaxOverMean() float64 {
 	largest := 0
 	total := 0
--- a/internal/subsetting/subsetting_test.go
+++ b/internal/subsetting/subsetting_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newFleet makes so many servers in zones of these sizes; the last zone gets what is left.
+// newFleet returns count servers in zones of the given sizes. The last zone gets all remaining servers.
 func newFleet(count int, zoneSizes ...int) (servers []Server) {
 	for i := range count {
 		zone := 0
@@ -23,6 +23,7 @@
 	return servers
 }
 
+// tenantNames returns count distinct tenant names.
 func tenantNames(count int) (names []string) {
 	for i := range count {
 		names = append(names, fmt.Sprint("tenant-", i))
@@ -30,7 +31,7 @@
 	return names
 }
 
-// countShared returns how many servers of a subset are in the other one too.
+// countShared returns the number of servers that two subsets have in common.
 func countShared(subset, other []Server) (shared int) {
 	for _, server := range subset {
 		if slices.Contains(other, server) {
@@ -40,7 +41,8 @@
 	return shared
 }
 
-// movedFraction returns the fraction of all servers in subsets that were not in the same subset before.
+// movedFraction returns the fraction of the subsets' members in after that were not in the same tenant's subset in
+// before.
 func movedFraction(before, after *Assignment, tenants []string) float64 {
 	moved := 0
 	total := 0
@@ -52,8 +54,8 @@
 	return float64(moved) / float64(total)
 }
 
-// countFullOverlaps returns how many other tenants share all of their servers with the first tenant, and the largest
-// number of servers that one of them shares.
+// countFullOverlaps returns the number of other tenants that share all of their servers with the first tenant, and the
+// largest number of servers that any of them shares with it.
 func countFullOverlaps(assignment *Assignment, tenants []string) (overlaps, maxShared int) {
 	faulty := assignment.Subset(tenants[0])
 	for _, other := range tenants[1:] {
@@ -67,8 +69,8 @@
 	return overlaps, maxShared
 }
 
-// Load is balanced, few subsets change when a server leaves or joins, and a tenant that makes all of its servers fail
-// leaves every other tenant at least one server.
+// TestMeasuredSubsets checks that the load is balanced, that few subsets change when a server leaves or joins, and that
+// a tenant that makes all of its servers fail leaves every other tenant at least one server.
 func TestMeasuredSubsets(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -106,15 +108,15 @@
 	}
 }
 
-// shuffledWithRepeat returns a list in random order, with its first element twice.
+// shuffledWithRepeat returns a copy of a list in random order that contains the first element twice.
 func shuffledWithRepeat[T any](random *rand.Rand, list []T) []T {
 	shuffled := append(slices.Clone(list), list[0])
 	random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 	return shuffled
 }
 
-// Servers with the same view get the same subsets, in whatever order they learned of servers and tenants. No subset is
-// empty, and none has a server twice.
+// TestSubsetsDependOnNothingButTheView checks that servers with the same view compute the same subsets, in whatever
+// order they learned of servers and tenants. No subset may be empty or contain a server twice.
 func TestSubsetsDependOnNothingButTheView(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	for range 200 {
@@ -140,6 +142,7 @@
 	require.Empty(t, Assign(Config{SubsetSize: 3}, nil, tenantNames(3)).Subset("tenant-1"))
 }
 
+// BenchmarkContains measures a lookup of a tenant that was passed to Assign.
 func BenchmarkContains(b *testing.B) {
 	for _, count := range []int{12, 300, 3000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The tenant of a request is that of the longest prefix of its peer, or of the address that a trusted proxy gives.
+// TestLongestPrefixDecidesTenant checks that a request belongs to the tenant of the longest prefix that contains the
+// peer's address, or the client address if the peer is a trusted proxy.
 func TestLongestPrefixDecidesTenant(t *testing.T) {
 	table := New("elsewhere")
 	for prefix, tenant := range map[string]string{
@@ -46,7 +47,7 @@
 	require.Equal(t, "elsewhere", New("elsewhere").Lookup(netip.Addr{}, nil))
 }
 
-// BenchmarkLookup measures a lookup through a trusted proxy.
+// BenchmarkLookup measures a lookup of a client behind a trusted proxy.
 func BenchmarkLookup(b *testing.B) {
 	for _, prefixes := range []int{10, 100_000} {
 		b.Run(fmt.Sprintf("prefixes=%d", prefixes), func(b *testing.B) {
