--- a/internal/fairqueue/config.go
+++ b/internal/fairqueue/config.go
@@ -51,9 +51,9 @@
 
 // totalWeight returns the sum of all weights.
 func (c *Config) totalWeight() float64 {
-	sum := c.OthersWeight
+	total := c.OthersWeight
 	for _, tenant := range c.Tenants {
-		sum += tenant.Weight
+		total += tenant.Weight
 	}
-	return sum
+	return total
 }
--- a/internal/fairqueue/flow.go
+++ b/internal/fairqueue/flow.go
@@ -32,20 +32,20 @@
 
 	openReservations int
 	runningRequests  int     // started requests that need a core, so not the suspended ones
-	startSum         float64 // sum of the running requests' start times on the core clock
+	startTimeSum     float64 // sum of the running requests' start times on the core clock
 	expectedCostSum  float64 // sum of the running requests' expected costs
 
 	costFactor float64 // exponential moving average of request cost divided by the category's typical cost
 
-	localSinceMeasured  float64 // core time used on this server since the last measurement
-	remoteSinceMeasured float64 // core time used on other servers since the last measurement
-	recentRate          float64 // core time per tick here and on other servers, as an exponential moving average
-	recentUsage         float64 // core time used on this server, decaying exponentially
-	localTotal          float64 // core time used on this server since the process started
+	localUsageSinceMeasured  float64 // core time used on this server since the last measurement
+	remoteUsageSinceMeasured float64 // core time used on other servers since the last measurement
+	recentRate               float64 // core time per tick here and on other servers, as an exponential moving average
+	recentUsage              float64 // core time used on this server, decaying exponentially
+	totalLocalUsage          float64 // core time used on this server since the process started
 
-	lastSeen   timeunit.Ticks
-	active     bool
-	lastReturn timeunit.Ticks // latest time at which a rejected request was told to retry
+	lastSeen    timeunit.Ticks
+	isActive    bool
+	lastRetryAt timeunit.Ticks // latest time at which a rejected request was told to retry
 }
 
 // newFlow returns an idle flow whose finish tag allows it a full burst.
@@ -76,10 +76,10 @@
 
 // expectedRate returns the core time per tick that the flow can count on: its share among the active flows, or the
 // measured rate if that is higher because other flows leave part of their share unused.
-func (f *flow) expectedRate(measured float64) float64 {
+func (f *flow) expectedRate(measuredRate float64) float64 {
 	s := f.scheduler
 	weight := f.weight()
-	return max(measured, s.serviceRate*weight/max(weight, s.activeWeight), minRate)
+	return max(measuredRate, s.serviceRate*weight/max(weight, s.activeWeight), minRate)
 }
 
 // longTermRate returns the core time per tick that the flow got on this server, averaged over several seconds.
@@ -89,14 +89,15 @@
 // overrun returns the core time by which the flow's running requests, taken together, have exceeded their expected
 // cost. It delays the flow's next start tag immediately rather than only once those requests have ended.
 func (f *flow) overrun() float64 {
-	return max(0, float64(f.runningRequests)*f.scheduler.coreClock-f.startSum-f.expectedCostSum)
+	return max(0, float64(f.runningRequests)*f.scheduler.coreClock-f.startTimeSum-f.expectedCostSum)
 }
 
-// measure folds the core time used since the last measurement, span ticks ago, into the flow's recent rate and usage.
-// rateLeft and usageLeft are the fractions of the previous values that are retained.
-func (f *flow) measure(span, rateLeft, usageLeft float64) {
-	f.recentRate = f.recentRate*rateLeft + (f.localSinceMeasured+f.remoteSinceMeasured)/span*(1-rateLeft)
-	f.recentUsage = (f.recentUsage + f.localSinceMeasured) * usageLeft
-	f.localSinceMeasured = 0
-	f.remoteSinceMeasured = 0
+// updateUsage adds the core time used since the last measurement, elapsedTicks ago, to the flow's recent rate and
+// usage. rateRetained and usageRetained are the fractions of the previous values that are retained.
+func (f *flow) updateUsage(elapsedTicks, rateRetained, usageRetained float64) {
+	f.recentRate = f.recentRate*rateRetained +
+		(f.localUsageSinceMeasured+f.remoteUsageSinceMeasured)/elapsedTicks*(1-rateRetained)
+	f.recentUsage = (f.recentUsage + f.localUsageSinceMeasured) * usageRetained
+	f.localUsageSinceMeasured = 0
+	f.remoteUsageSinceMeasured = 0
 }
--- a/internal/fairqueue/golden_test.go
+++ b/internal/fairqueue/golden_test.go
@@ -10,13 +10,13 @@
 	"thistlequay/timeunit"
 )
 
-// addReservation appends the start tag and the expected delay of a reservation to the history.
-func addReservation(history *golden.History, r *Reservation, now timeunit.Ticks) {
+// recordReservation appends the start tag and the expected delay of a reservation to the history.
+func recordReservation(history *golden.History, r *Reservation, now timeunit.Ticks) {
 	history.Add(now, r.StartTag, r.ExpectedDelay)
 }
 
-// addScheduler appends the statistics and the local usage of a scheduler to the history.
-func addScheduler(history *golden.History, s *Scheduler) {
+// recordScheduler appends the statistics and the local usage of a scheduler to the history.
+func recordScheduler(history *golden.History, s *Scheduler) {
 	stats := s.Stats()
 	history.Add(stats.HeavyHitters, stats.ActiveSharedFlows, stats.ServiceRate, stats.Candidates)
 	for _, usage := range s.LocalUsage() {
@@ -28,18 +28,18 @@
 // the golden file.
 func TestGoldenReservations(t *testing.T) {
 	file := schedule.GoldenFile{Name: "claims.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds=%d..%d"}
-	file.Check(t, playReservations)
+	file.Check(t, runReservationSchedule)
 }
 
 // TestGoldenTenants replays seeded random schedules with tenants that are not named, reconfigurations and usage reports
 // of other servers, and compares the results with the golden file.
 func TestGoldenTenants(t *testing.T) {
 	file := schedule.GoldenFile{Name: "tenants.txt", Seeds: 200, SeedsPerLine: 10, Label: "seeds=%d..%d"}
-	file.Check(t, playTenants)
+	file.Check(t, runTenantSchedule)
 }
 
-// playTenants runs the random schedule of one seed and appends the results to history.
-func playTenants(_ *testing.T, seed int64, history *golden.History) {
+// runTenantSchedule runs the random schedule of one seed and appends the results to history.
+func runTenantSchedule(_ *testing.T, seed int64, history *golden.History) {
 	random := rand.New(rand.NewSource(seed))
 	s := New(randomConfig(random), rand.New(rand.NewSource(seed)), 0)
 	virtualTime := 0.0
@@ -50,12 +50,12 @@
 		case action < 35:
 			tenant := fmt.Append(nil, "tenant-", min(random.Intn(40), random.Intn(40)))
 			r := s.Reserve(tenant, random.Intn(2), virtualTime, now)
-			addReservation(history, &r, now)
+			recordReservation(history, &r, now)
 			open = append(open, &r)
 			virtualTime = max(virtualTime, r.StartTag*random.Float64())
 		case action < 40:
 			r := s.Reserve(fmt.Append(nil, "new-", random.Intn(1000)), random.Intn(2), virtualTime, now)
-			addReservation(history, &r, now)
+			recordReservation(history, &r, now)
 			history.Add(r.RetryAfter(timeunit.Ticks(random.Intn(200)), timeunit.Ticks(random.Intn(20_000)), now))
 			r.Release(now)
 		case action < 42:
@@ -70,7 +70,7 @@
 			open = changeReservation(open, random.Intn(len(open)), action, now)
 		}
 		if random.Intn(50) == 0 {
-			addScheduler(history, s)
+			recordScheduler(history, s)
 		}
 	}
 }
@@ -89,9 +89,9 @@
 // changeReservation applies the change that action selects to reservation i and returns the reservations that are still
 // open.
 func changeReservation(open []*Reservation, i, action int, now timeunit.Ticks) []*Reservation {
-	verb := [...]string{"start", "start", "suspend", "resume", "undo-start", "release"}[action%6]
-	reservationChanges[verb](open[i], now)
-	if verb == "release" {
+	change := [...]string{"start", "start", "suspend", "resume", "undo-start", "release"}[action%6]
+	reservationChanges[change](open[i], now)
+	if change == "release" {
 		open[i] = open[len(open)-1]
 		open = open[:len(open)-1]
 	}
--- a/internal/fairqueue/heavyhitters.go
+++ b/internal/fairqueue/heavyhitters.go
@@ -31,72 +31,72 @@
 // candidate with the least usage and inherits its usage. The inherited part is recorded as the overestimate and does
 // not count as proven usage of the new tenant.
 type candidateTable struct {
-	entries []candidate
-	index   map[uint64]int // position in entries by tenant hash
+	entries   []candidate
+	positions map[uint64]int // position in entries by tenant hash
 }
 
 func newCandidateTable(size int) candidateTable {
-	return candidateTable{entries: make([]candidate, 0, size), index: make(map[uint64]int, size)}
+	return candidateTable{entries: make([]candidate, 0, size), positions: make(map[uint64]int, size)}
 }
 
 // observe records that a tenant sent a request, and adds the tenant to the table if it is not in it.
 func (t *candidateTable) observe(hash uint64, now timeunit.Ticks) {
-	if i, known := t.index[hash]; known {
+	if i, known := t.positions[hash]; known {
 		t.entries[i].lastSeen = now
 		return
 	}
-	added := candidate{hash: hash, firstSeen: now, lastSeen: now}
+	newCandidate := candidate{hash: hash, firstSeen: now, lastSeen: now}
 	if len(t.entries) < cap(t.entries) {
-		t.index[hash] = len(t.entries)
-		t.entries = append(t.entries, added)
+		t.positions[hash] = len(t.entries)
+		t.entries = append(t.entries, newCandidate)
 		return
 	}
-	place := t.lightest()
-	replaced := t.entries[place]
-	added.usage = replaced.usage
-	added.overestimate = replaced.usage
-	delete(t.index, replaced.hash)
-	t.index[hash] = place
-	t.entries[place] = added
+	position := t.lightestPosition()
+	replaced := t.entries[position]
+	newCandidate.usage = replaced.usage
+	newCandidate.overestimate = replaced.usage
+	delete(t.positions, replaced.hash)
+	t.positions[hash] = position
+	t.entries[position] = newCandidate
 }
 
-// lightest returns the position of the candidate with the least usage. Among candidates with equal usage it picks the
-// one seen least recently.
-func (t *candidateTable) lightest() int {
-	place := 0
-	least := &t.entries[0]
+// lightestPosition returns the position of the candidate with the least usage. Among candidates with equal usage it
+// picks the one seen least recently.
+func (t *candidateTable) lightestPosition() int {
+	position := 0
+	lightest := &t.entries[0]
 	for i := range t.entries {
 		c := &t.entries[i]
-		if c.usage < least.usage || c.usage == least.usage && c.lastSeen < least.lastSeen {
-			place = i
-			least = c
+		if c.usage < lightest.usage || c.usage == lightest.usage && c.lastSeen < lightest.lastSeen {
+			position = i
+			lightest = c
 		}
 	}
-	return place
+	return position
 }
 
 // charge adds core time to a candidate's usage. It does nothing if the tenant is no longer a candidate.
 func (t *candidateTable) charge(hash uint64, coreTime float64) {
-	if i, known := t.index[hash]; known {
+	if i, known := t.positions[hash]; known {
 		t.entries[i].usage += coreTime
 	}
 }
 
-// decay multiplies the usage of all candidates by left.
-func (t *candidateTable) decay(left float64) {
+// scaleUsage multiplies the usage of all candidates by retained.
+func (t *candidateTable) scaleUsage(retained float64) {
 	for i := range t.entries {
-		t.entries[i].usage *= left
-		t.entries[i].overestimate *= left
+		t.entries[i].usage *= retained
+		t.entries[i].overestimate *= retained
 	}
 }
 
 // remove deletes the candidate at the given position and moves the last candidate there.
-func (t *candidateTable) remove(place int) {
+func (t *candidateTable) remove(position int) {
 	last := len(t.entries) - 1
-	delete(t.index, t.entries[place].hash)
-	if place < last {
-		t.entries[place] = t.entries[last]
-		t.index[t.entries[place].hash] = place
+	delete(t.positions, t.entries[position].hash)
+	if position < last {
+		t.entries[position] = t.entries[last]
+		t.positions[t.entries[position].hash] = position
 	}
 	t.entries = t.entries[:last]
 }
@@ -121,14 +121,14 @@
 	})
 	for i := len(s.candidates.entries) - 1; i >= 0; i-- {
 		candidate := s.candidates.entries[i]
-		proven := candidate.usage - candidate.overestimate
+		provenUsage := candidate.usage - candidate.overestimate
 		hasHistory := s.now-candidate.firstSeen >= s.config.MinHistory &&
 			s.now-candidate.lastSeen <= s.config.MinHistory
-		if !hasHistory || proven < minUsage {
+		if !hasHistory || provenUsage < minUsage {
 			continue
 		}
-		if len(s.heavyHitters) < s.config.MaxHeavyHitters || s.evictHeavyHitter(proven) {
-			s.promote(candidate, proven)
+		if len(s.heavyHitters) < s.config.MaxHeavyHitters || s.evictHeavyHitter(provenUsage) {
+			s.promote(candidate, provenUsage)
 			s.candidates.remove(i)
 		}
 	}
--- a/internal/fairqueue/remoteusage.go
+++ b/internal/fairqueue/remoteusage.go
@@ -17,9 +17,9 @@
 	// this time.
 	maxReportAge = 100_000
 
-	// maxSilence is the longest gap, in ticks, between two reports of an incarnation. After a longer gap the next
+	// maxReportGap is the longest gap, in ticks, between two reports of an incarnation. After a longer gap the next
 	// report is treated as the first one.
-	maxSilence = 2 * maxReportAge
+	maxReportGap = 2 * maxReportAge
 )
 
 // Usage is the core time, in ticks, that a named tenant has used on one incarnation of a server since the incarnation
@@ -31,8 +31,8 @@
 
 // remoteServer holds the latest reported totals of one incarnation of another server.
 type remoteServer struct {
-	lastReport timeunit.Ticks
-	reported   map[string]float64 // total core time by tenant
+	lastReport       timeunit.Ticks
+	reportedCoreTime map[string]float64 // total core time by tenant
 }
 
 // LocalUsage returns the core time that each named tenant has used on this server, ordered by recent usage, highest
@@ -40,8 +40,8 @@
 func (s *Scheduler) LocalUsage() []Usage {
 	var usages []Usage
 	for _, tenant := range s.config.Tenants {
-		if flow := s.namedFlows[tenant.Name]; flow != nil && flow.localTotal > 0 {
-			usages = append(usages, Usage{Tenant: tenant.Name, CoreTime: flow.localTotal})
+		if flow := s.namedFlows[tenant.Name]; flow != nil && flow.totalLocalUsage > 0 {
+			usages = append(usages, Usage{Tenant: tenant.Name, CoreTime: flow.totalLocalUsage})
 		}
 	}
 	slices.SortStableFunc(usages, func(a, b Usage) int {
@@ -57,27 +57,27 @@
 //
 // Reports carry totals that only grow. The next report therefore makes up for one that was late or lost, and no core
 // time is charged twice if a report is repeated. The first report of an incarnation, and the first after a gap longer
-// than maxSilence, only sets the totals from which later usage is counted.
+// than maxReportGap, only sets the totals from which later usage is counted.
 func (s *Scheduler) RecordRemoteUsage(incarnation string, age timeunit.Ticks, usages []Usage, now timeunit.Ticks) {
 	s.advance(now)
 	server := s.remoteServers[incarnation]
 	if server == nil {
 		if len(s.remoteServers) >= maxRemoteServers {
-			s.forgetRemoteServers()
+			s.evictRemoteServers()
 		}
-		server = &remoteServer{reported: map[string]float64{}, lastReport: neverSeen}
+		server = &remoteServer{reportedCoreTime: map[string]float64{}, lastReport: neverSeen}
 		s.remoteServers[incarnation] = server
 	}
-	isRecent := age >= 0 && age <= maxReportAge && s.now-server.lastReport <= maxSilence
+	isRecent := age >= 0 && age <= maxReportAge && s.now-server.lastReport <= maxReportGap
 	for _, usage := range usages {
 		flow := s.namedFlows[usage.Tenant]
-		before := server.reported[usage.Tenant]
-		if flow == nil || !(usage.CoreTime > before) { // written so that NaN is skipped too
+		previous := server.reportedCoreTime[usage.Tenant]
+		if flow == nil || !(usage.CoreTime > previous) { // written so that NaN is skipped too
 			continue
 		}
-		server.reported[usage.Tenant] = usage.CoreTime
+		server.reportedCoreTime[usage.Tenant] = usage.CoreTime
 		if isRecent {
-			flow.chargeRemoteUsage(usage.CoreTime - before)
+			flow.chargeRemoteUsage(usage.CoreTime - previous)
 		}
 	}
 	server.lastReport = s.now - max(0, age)
@@ -89,20 +89,20 @@
 	s := f.scheduler
 	allCores := float64(s.config.Cores * (1 + len(s.remoteServers)))
 	maxTag := s.virtualTime + maxReportAge*allCores/s.totalWeight
-	next := max(f.finishTag, s.MinStartTag(s.virtualTime)) + coreTime/f.weight()
-	if next <= maxTag {
-		f.finishTag = next
+	newTag := max(f.finishTag, s.MinStartTag(s.virtualTime)) + coreTime/f.weight()
+	if newTag <= maxTag {
+		f.finishTag = newTag
 	} else {
 		f.finishTag = max(f.finishTag, maxTag)
 	}
-	f.remoteSinceMeasured += coreTime
+	f.remoteUsageSinceMeasured += coreTime
 }
 
-// forgetRemoteServers removes incarnations that have not reported for longer than maxSilence. If the table is still
+// evictRemoteServers removes incarnations that have not reported for longer than maxReportGap. If the table is still
 // full after that, it removes all of them.
-func (s *Scheduler) forgetRemoteServers() {
+func (s *Scheduler) evictRemoteServers() {
 	for incarnation, server := range s.remoteServers {
-		if s.now-server.lastReport > maxSilence {
+		if s.now-server.lastReport > maxReportGap {
 			delete(s.remoteServers, incarnation)
 		}
 	}
--- a/internal/fairqueue/remoteusage_test.go
+++ b/internal/fairqueue/remoteusage_test.go
@@ -14,20 +14,20 @@
 // fleet is a group of servers with one core each that always receive more requests than they can run and report their
 // usage to each other.
 type fleet struct {
-	tenants  []Tenant
-	sends    func(tenant string, server, second int) bool // reports whether a tenant sends requests to a server
-	loss     float64                                      // probability that a report is lost
-	random   *rand.Rand
-	history  *golden.History
-	servers  []*Scheduler
-	virtual  []float64 // virtual time, indexed by server
-	reports  []usageReport
-	coreTime map[string]float64 // core time of each tenant in the second half of the run, in ticks
+	tenants      []Tenant
+	sends        func(tenant string, server, second int) bool // reports whether a tenant sends requests to a server
+	lossRate     float64                                      // probability that a report is lost
+	random       *rand.Rand
+	history      *golden.History
+	servers      []*Scheduler
+	virtualTimes []float64 // virtual time, indexed by server
+	reports      []usageReport
+	coreTime     map[string]float64 // core time of each tenant in the second half of the run, in ticks
 }
 
 // usageReport is the usage that a server reported at one time.
 type usageReport struct {
-	from   int
+	sender int
 	sentAt timeunit.Ticks
 	usages []Usage
 }
@@ -38,13 +38,13 @@
 // newFleet returns a fleet with the named tenants acme and beta, whose weights add up to 1.
 func newFleet(servers int, acmeWeight, loss float64, sends func(tenant string, server, second int) bool) *fleet {
 	f := &fleet{
-		tenants:  []Tenant{{Name: "acme", Weight: acmeWeight}, {Name: "beta", Weight: 1 - acmeWeight}},
-		sends:    sends,
-		loss:     loss,
-		random:   rand.New(rand.NewSource(7)),
-		history:  golden.NewHistory(),
-		virtual:  make([]float64, servers),
-		coreTime: map[string]float64{},
+		tenants:      []Tenant{{Name: "acme", Weight: acmeWeight}, {Name: "beta", Weight: 1 - acmeWeight}},
+		sends:        sends,
+		lossRate:     loss,
+		random:       rand.New(rand.NewSource(7)),
+		history:      golden.NewHistory(),
+		virtualTimes: make([]float64, servers),
+		coreTime:     map[string]float64{},
 	}
 	for range servers {
 		config := Config{
@@ -74,9 +74,9 @@
 			}
 		}
 		if now%timeunit.TicksPerSecond == 0 {
-			f.report(now)
+			f.reportUsage(now)
 		}
-		f.deliver(now)
+		f.deliverReports(now)
 		if old := len(f.reports) - 4*len(f.servers); old > 0 {
 			f.reports = f.reports[old:]
 		}
@@ -87,53 +87,53 @@
 // returns its tenant, or "" if no tenant sends. The request ends at now.
 func (f *fleet) runRequest(server int, now timeunit.Ticks) string {
 	start := now - requestCost
-	var first Reservation
+	var next Reservation
 	tenant := ""
 	for _, candidate := range f.tenants {
 		if !f.sends(candidate.Name, server, int(now/timeunit.TicksPerSecond)) {
 			continue
 		}
-		r := f.servers[server].Reserve([]byte(candidate.Name), 0, f.virtual[server], start)
-		if tenant != "" && r.StartTag >= first.StartTag {
+		r := f.servers[server].Reserve([]byte(candidate.Name), 0, f.virtualTimes[server], start)
+		if tenant != "" && r.StartTag >= next.StartTag {
 			r.Release(start)
 			continue
 		}
-		first.Release(start)
-		first = r
+		next.Release(start)
+		next = r
 		tenant = candidate.Name
 	}
 	if tenant == "" {
 		return ""
 	}
-	f.virtual[server] = max(f.virtual[server], first.StartTag)
-	f.history.Add(now, server, tenant, first.StartTag, first.ExpectedDelay)
-	first.Start(start)
-	first.Release(now)
+	f.virtualTimes[server] = max(f.virtualTimes[server], next.StartTag)
+	f.history.Add(now, server, tenant, next.StartTag, next.ExpectedDelay)
+	next.Start(start)
+	next.Release(now)
 	return tenant
 }
 
-// report adds a usage report of every server.
-func (f *fleet) report(now timeunit.Ticks) {
+// reportUsage adds a usage report of every server.
+func (f *fleet) reportUsage(now timeunit.Ticks) {
 	for i, server := range f.servers {
 		usages := server.LocalUsage()
-		f.reports = append(f.reports, usageReport{from: i, sentAt: now, usages: usages})
+		f.reports = append(f.reports, usageReport{sender: i, sentAt: now, usages: usages})
 		for _, usage := range usages {
 			f.history.Add(now, i, usage.Tenant, usage.CoreTime)
 		}
 	}
 }
 
-// deliver delivers each report to every other server three times: when it is sent, after 300 ms and after 2 s. Each
-// delivery may be lost.
-func (f *fleet) deliver(now timeunit.Ticks) {
+// deliverReports delivers each report to every other server three times: when it is sent, after 300 ms and after 2 s.
+// Each delivery may be lost.
+func (f *fleet) deliverReports(now timeunit.Ticks) {
 	for _, report := range f.reports {
 		age := now - report.sentAt
 		for i, server := range f.servers {
-			if i == report.from || f.random.Float64() < f.loss {
+			if i == report.sender || f.random.Float64() < f.lossRate {
 				continue
 			}
 			if age == 0 || age == 3000 || age == 20_000 {
-				server.RecordRemoteUsage(string(rune('a'+report.from)), age, report.usages, now)
+				server.RecordRemoteUsage(string(rune('a'+report.sender)), age, report.usages, now)
 			}
 		}
 	}
@@ -144,10 +144,10 @@
 // gets no more than its share; and one that switches from one server to all of them keeps it. Lost, late and repeated
 // reports must not change this.
 func TestTenantShareHoldsAcrossServers(t *testing.T) {
-	toFirst := func(servers int) func(string, int, int) bool {
+	sendsToFirst := func(servers int) func(string, int, int) bool {
 		return func(tenant string, server, _ int) bool { return tenant == "beta" || server < servers }
 	}
-	movesToAll := func(tenant string, server, second int) bool {
+	movesToAllServers := func(tenant string, server, second int) bool {
 		return tenant == "beta" || server == 0 || second >= 20
 	}
 	var histories golden.Histories
@@ -158,11 +158,11 @@
 		sends      func(tenant string, server, second int) bool
 		want       float64
 	}{
-		{"one server of three", 3, 0.25, toFirst(1), 0.25},
-		{"more than its server has", 3, 0.5, toFirst(1), 1.0 / 3},
-		{"all servers", 3, 0.3, toFirst(3), 0.3},
-		{"four servers of twelve", 12, 0.2, toFirst(4), 0.2},
-		{"moves to all at once", 3, 0.3, movesToAll, 0.3},
+		{"one server of three", 3, 0.25, sendsToFirst(1), 0.25},
+		{"more than its server has", 3, 0.5, sendsToFirst(1), 1.0 / 3},
+		{"all servers", 3, 0.3, sendsToFirst(3), 0.3},
+		{"four servers of twelve", 12, 0.2, sendsToFirst(4), 0.2},
+		{"moves to all at once", 3, 0.3, movesToAllServers, 0.3},
 	} {
 		for _, loss := range []float64{0, 0.4} {
 			f := newFleet(c.servers, c.acmeWeight, loss, c.sends)
@@ -197,19 +197,19 @@
 	report := func(incarnation string, age timeunit.Ticks, total float64, now timeunit.Ticks) {
 		s.RecordRemoteUsage(incarnation, age, []Usage{{"acme", total}, {"nobody", 5}}, now)
 	}
-	before := finishTag()
+	initialTag := finishTag()
 	report("a.1", 0, 5000, 1000)
-	require.Equal(t, before, finishTag(), "the first report of an incarnation must not be charged")
+	require.Equal(t, initialTag, finishTag(), "the first report of an incarnation must not be charged")
 	report("a.1", 0, 5200, 2000)
-	require.InDelta(t, before+200, finishTag(), 1)
-	moved := finishTag()
+	require.InDelta(t, initialTag+200, finishTag(), 1)
+	tagAfterCharge := finishTag()
 	report("a.1", 0, 5200, 2500)
 	report("a.1", 1500, 5100, 2600)
-	require.Equal(t, moved, finishTag(), "repeated and late reports must not be charged")
+	require.Equal(t, tagAfterCharge, finishTag(), "repeated and late reports must not be charged")
 	report("a.1", maxReportAge+1, 9000, 3000)
-	require.Equal(t, moved, finishTag(), "a report older than maxReportAge must not be charged")
+	require.Equal(t, tagAfterCharge, finishTag(), "a report older than maxReportAge must not be charged")
 	report("a.2", 0, 300, 4000)
-	require.Equal(t, moved, finishTag(), "the first report of a new incarnation must not be charged")
+	require.Equal(t, tagAfterCharge, finishTag(), "the first report of a new incarnation must not be charged")
 	report("a.2", 0, 1e12, 5000)
 	require.LessOrEqual(t, finishTag(), s.virtualTime+float64(maxReportAge)*3,
 		"finish tag exceeds the work of all servers within maxReportAge")
--- a/internal/fairqueue/reservation.go
+++ b/internal/fairqueue/reservation.go
@@ -25,10 +25,10 @@
 type reservationState int
 
 const (
-	released  reservationState = iota // ended, or never reserved
-	queued                            // not started yet
-	running                           // started and needs a core
-	suspended                         // started and waiting for a downstream call
+	stateReleased  reservationState = iota // ended, or never reserved
+	stateQueued                            // not started yet
+	stateRunning                           // started and needs a core
+	stateSuspended                         // started and waiting for a downstream call
 )
 
 // Reservation accounts for one request in its flow, from arrival to end. No request is charged twice, and a request
@@ -61,7 +61,7 @@
 	weight := flow.weight()
 	flow.lastSeen = s.now
 	flow.openReservations++
-	if !flow.active {
+	if !flow.isActive {
 		s.activate(flow)
 	}
 	if flow.kind == sharedFlow {
@@ -73,12 +73,12 @@
 		flow:         flow,
 		tenantHash:   hash,
 		category:     category,
-		state:        queued,
+		state:        stateQueued,
 		expectedCost: s.typicalCosts[category] * flow.costFactor,
 		weight:       weight,
 	}
-	if ahead := (r.StartTag - virtualTime) * weight; ahead > 0 {
-		r.ExpectedDelay = timeunit.Ticks(min(ahead/flow.expectedRate(flow.recentRate), maxExpectedDelay))
+	if workAhead := (r.StartTag - virtualTime) * weight; workAhead > 0 {
+		r.ExpectedDelay = timeunit.Ticks(min(workAhead/flow.expectedRate(flow.recentRate), maxExpectedDelay))
 	}
 	flow.finishTag += r.expectedCost / weight
 	return r
@@ -86,7 +86,7 @@
 
 // Start records that the request starts to run.
 func (r *Reservation) Start(now timeunit.Ticks) {
-	if r.flow == nil || r.state != queued {
+	if r.flow == nil || r.state != stateQueued {
 		return
 	}
 	r.flow.scheduler.advance(now)
@@ -97,26 +97,26 @@
 // UndoStart returns the request to the queued state after it has been proven that it did not start.
 func (r *Reservation) UndoStart(now timeunit.Ticks) {
 	r.Resume(now)
-	if r.flow == nil || r.state != running {
+	if r.flow == nil || r.state != stateRunning {
 		return
 	}
 	r.flow.scheduler.advance(now)
-	r.leaveCore(queued)
+	r.leaveCore(stateQueued)
 }
 
 // Suspend records that the request waits for a downstream call and needs no core.
 func (r *Reservation) Suspend(now timeunit.Ticks) {
-	if r.flow == nil || r.state != running {
+	if r.flow == nil || r.state != stateRunning {
 		return
 	}
 	r.flow.scheduler.advance(now)
 	r.suspendedAt = r.flow.scheduler.coreClock
-	r.leaveCore(suspended)
+	r.leaveCore(stateSuspended)
 }
 
 // Resume records that the downstream call has ended and the request needs a core again.
 func (r *Reservation) Resume(now timeunit.Ticks) {
-	if r.flow == nil || r.state != suspended {
+	if r.flow == nil || r.state != stateSuspended {
 		return
 	}
 	s := r.flow.scheduler
@@ -128,20 +128,19 @@
 // occupyCore sets the state to running and counts the request among those that need a core.
 func (r *Reservation) occupyCore() {
 	flow := r.flow
-	r.state = running
+	r.state = stateRunning
 	flow.runningRequests++
-	flow.startSum += r.startedAt
+	flow.startTimeSum += r.startedAt
 	flow.expectedCostSum += r.expectedCost
 	flow.scheduler.runningRequests++
 }
 
-// leaveCore changes the state from running to the given one and no longer counts the request among those that need a
-// core.
-func (r *Reservation) leaveCore(to reservationState) {
+// leaveCore changes the state from running to newState and no longer counts the request among those that need a core.
+func (r *Reservation) leaveCore(newState reservationState) {
 	flow := r.flow
-	r.state = to
+	r.state = newState
 	flow.runningRequests--
-	flow.startSum -= r.startedAt
+	flow.startTimeSum -= r.startedAt
 	flow.expectedCostSum -= r.expectedCost
 	flow.scheduler.runningRequests--
 }
@@ -149,36 +148,36 @@
 // Release ends the reservation and replaces the expected cost by the measured one, which is 0 for a request that did
 // not start. Releasing it again has no effect.
 func (r *Reservation) Release(now timeunit.Ticks) {
-	if r.flow == nil || r.state == released {
+	if r.flow == nil || r.state == stateReleased {
 		return
 	}
 	flow := r.flow
 	flow.scheduler.advance(now)
 	cost := 0.0
 	switch r.state {
-	case running:
+	case stateRunning:
 		cost = flow.scheduler.coreClock - r.startedAt
-		r.leaveCore(released)
-		r.account(cost)
-	case suspended:
+		r.leaveCore(stateReleased)
+		r.recordCost(cost)
+	case stateSuspended:
 		cost = r.suspendedAt - r.startedAt
-		r.account(cost)
+		r.recordCost(cost)
 	}
 	flow.finishTag += (cost - r.expectedCost) / r.weight
 	flow.openReservations--
-	r.state = released
+	r.state = stateReleased
 }
 
-// account adds the measured cost of a request that ran to the cost estimates and to the usage of its flow.
-func (r *Reservation) account(cost float64) {
+// recordCost adds the measured cost of a request that ran to the cost estimates and to the usage of its flow.
+func (r *Reservation) recordCost(cost float64) {
 	flow := r.flow
 	s := flow.scheduler
-	typical := &s.typicalCosts[r.category]
-	flow.costFactor += (min(cost / *typical, maxCostFactor) - flow.costFactor) * flowCostSmoothing
-	*typical += (max(1, cost) - *typical) * categoryCostSmoothing
-	flow.localSinceMeasured += cost
-	flow.localTotal += cost
-	s.workSinceMeasured += cost
+	typicalCost := &s.typicalCosts[r.category]
+	flow.costFactor += (min(cost / *typicalCost, maxCostFactor) - flow.costFactor) * flowCostSmoothing
+	*typicalCost += (max(1, cost) - *typicalCost) * categoryCostSmoothing
+	flow.localUsageSinceMeasured += cost
+	flow.totalLocalUsage += cost
+	s.usageSinceMeasured += cost
 	if flow.kind == sharedFlow {
 		s.candidates.charge(r.tenantHash, cost)
 	}
@@ -186,28 +185,28 @@
 
 // RetryAfter returns how long the client of a request that is being rejected should wait before it retries. Successive
 // rejected requests of a flow get successive retry times, spaced at the rate that the flow can count on, so that each
-// retry arrives when its tenant has capacity. The result is at most longest, the longest wait that clients respect.
-// shortest is the wait that the server asks of every client; it is 0 or less if the server asks for none. If either is
+// retry arrives when its tenant has capacity. The result is at most maxWait, the longest wait that clients respect.
+// minWait is the wait that the server asks of every client; it is 0 or less if the server asks for none. If either is
 // 0 or less, or the reservation belongs to no flow, RetryAfter returns the smaller of the two.
-func (r *Reservation) RetryAfter(shortest, longest, now timeunit.Ticks) timeunit.Ticks {
-	if r.flow == nil || shortest <= 0 || longest <= 0 {
-		return min(shortest, longest)
+func (r *Reservation) RetryAfter(minWait, maxWait, now timeunit.Ticks) timeunit.Ticks {
+	if r.flow == nil || minWait <= 0 || maxWait <= 0 {
+		return min(minWait, maxWait)
 	}
 	flow := r.flow
 	s := flow.scheduler
 	s.advance(now)
-	s.rejectedSinceMeasured = true
-	timePerRequest := timeunit.Ticks(max(1, min(r.expectedCost/flow.expectedRate(flow.longTermRate()),
+	s.hasRejectedSinceMeasured = true
+	retrySpacing := timeunit.Ticks(max(1, min(r.expectedCost/flow.expectedRate(flow.longTermRate()),
 		maxExpectedDelay)))
 	// After half of the expected delay, half of the requests queued ahead of this one will have been served. A retry
 	// then finds capacity, and no core is idle until it arrives.
-	earliest := s.now + min(max(r.ExpectedDelay, shortest)/2, longest)
-	flow.lastReturn = max(flow.lastReturn, earliest) + timePerRequest
-	if wait := flow.lastReturn - s.now; wait <= longest {
+	earliestRetry := s.now + min(max(r.ExpectedDelay, minWait)/2, maxWait)
+	flow.lastRetryAt = max(flow.lastRetryAt, earliestRetry) + retrySpacing
+	if wait := flow.lastRetryAt - s.now; wait <= maxWait {
 		return max(wait, 1)
 	}
 	// More requests are rejected than the flow has capacity for within the longest wait that clients respect. Their
 	// retries are spread at random over the second half of that time.
-	flow.lastReturn = s.now + longest
-	return longest/2 + timeunit.Ticks(s.random.Int63n(int64(longest/2)+1))
+	flow.lastRetryAt = s.now + maxWait
+	return maxWait/2 + timeunit.Ticks(s.random.Int63n(int64(maxWait/2)+1))
 }
--- a/internal/fairqueue/reservation_test.go
+++ b/internal/fairqueue/reservation_test.go
@@ -16,12 +16,12 @@
 // whose requests were all rejected must have its initial one.
 func FuzzReservations(f *testing.F) {
 	f.Add(int64(1))
-	f.Fuzz(func(t *testing.T, seed int64) { playReservations(t, seed, golden.NewHistory()) })
+	f.Fuzz(func(t *testing.T, seed int64) { runReservationSchedule(t, seed, golden.NewHistory()) })
 }
 
-// playReservations opens reservations of three named tenants and applies random changes to them. It appends the start
-// tag and the expected delay of each reservation to history.
-func playReservations(t *testing.T, seed int64, history *golden.History) {
+// runReservationSchedule opens reservations of three named tenants and applies random changes to them. It appends the
+// start tag and the expected delay of each reservation to history.
+func runReservationSchedule(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	const virtualTime = 0.0
 	random := rand.New(rand.NewSource(seed))
@@ -40,16 +40,16 @@
 			open = append(open, pair)
 			rejected := reserve("tenant-2")
 			retryAfter := rejected.RetryAfter(100, 10_000, now)
-			addReservation(history, pair[0], now)
-			addReservation(history, pair[1], now)
-			addReservation(history, rejected, now)
+			recordReservation(history, pair[0], now)
+			recordReservation(history, pair[1], now)
+			recordReservation(history, rejected, now)
 			history.Add(retryAfter)
 			require.True(t, retryAfter > 0 && retryAfter <= 10_000, retryAfter)
 			rejected.Release(now)
 			rejected.Release(now)
 		case len(open) > 0:
 			for _, r := range open[random.Intn(len(open))] {
-				changeOnce(r, action, now)
+				applyChange(r, action, now)
 			}
 		}
 	}
@@ -62,10 +62,10 @@
 	third := reserve("tenant-2")
 	require.InDelta(t, first.StartTag, second.StartTag, 1e-6)
 	require.InDelta(t, s.MinStartTag(virtualTime), third.StartTag, 1e-6)
-	addReservation(history, first, now)
-	addReservation(history, second, now)
-	addReservation(history, third, now)
-	addScheduler(history, s)
+	recordReservation(history, first, now)
+	recordReservation(history, second, now)
+	recordReservation(history, third, now)
+	recordScheduler(history, s)
 }
 
 // reservationChanges maps the commands of the scenario files to the methods that change a reservation.
@@ -77,12 +77,12 @@
 	"release":    (*Reservation).Release,
 }
 
-// changeOnce applies the change that action selects to a reservation. It releases twice, because the second release
+// applyChange applies the change that action selects to a reservation. It releases twice, because the second release
 // must have no effect.
-func changeOnce(r *Reservation, action int, now timeunit.Ticks) {
-	verb := [...]string{1: "start", 2: "suspend", 3: "resume", 4: "release", 5: "undo-start"}[action]
-	reservationChanges[verb](r, now)
-	if verb == "release" {
+func applyChange(r *Reservation, action int, now timeunit.Ticks) {
+	change := [...]string{1: "start", 2: "suspend", 3: "resume", 4: "release", 5: "undo-start"}[action]
+	reservationChanges[change](r, now)
+	if change == "release" {
 		r.Release(now)
 	}
 }
--- a/internal/fairqueue/scenario_test.go
+++ b/internal/fairqueue/scenario_test.go
@@ -15,7 +15,7 @@
 
 // TestScenarios runs each scenario in testdata line by line. The README.md in that directory describes the notation.
 func TestScenarios(t *testing.T) {
-	golden.CheckScenarios(t, "scenarios.txt", playScenario)
+	golden.CheckScenarios(t, "scenarios.txt", runScenario)
 }
 
 // scenario holds the state of a running scenario.
@@ -27,11 +27,11 @@
 	virtualTime  float64
 	reservations map[string]*Reservation
 	history      *golden.History
-	where        string // source position of the current line, for failure messages
+	position     string // source position of the current line, for failure messages
 }
 
-// playScenario runs the scenario in file and appends its results to history.
-func playScenario(t *testing.T, file string, history *golden.History) {
+// runScenario runs the scenario in file and appends its results to history.
+func runScenario(t *testing.T, file string, history *golden.History) {
 	t.Helper()
 	s := &scenario{
 		Assertions:   require.New(t),
@@ -50,15 +50,15 @@
 		},
 	}
 	for _, step := range scenariofile.Steps(t, file) {
-		s.where = step.Where
-		s.step(step.Words[0], step.Words[1:])
+		s.position = step.Where
+		s.runCommand(step.Words[0], step.Words[1:])
 	}
 }
 
 // number parses a number and fails the test if it is invalid.
 func (s *scenario) number(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
-	s.NoError(err, s.where)
+	s.NoError(err, s.position)
 	return value
 }
 
@@ -71,15 +71,15 @@
 	return float64(ticks) / float64(timeunit.TicksPerMillisecond)
 }
 
-// step executes one line of the scenario.
-func (s *scenario) step(verb string, args []string) {
-	switch verb {
+// runCommand executes one line of the scenario.
+func (s *scenario) runCommand(command string, args []string) {
+	switch command {
 	case "config":
 		s.configure(args)
 	case "at":
 		s.now = s.ticks(args[0])
 		if len(args) > 1 {
-			s.step(args[1], args[2:])
+			s.runCommand(args[1], args[2:])
 		}
 	case "virtual-time":
 		s.virtualTime = s.number(args[0])
@@ -89,15 +89,15 @@
 		s.runRequests(args)
 	case "kind":
 		kinds := map[flowKind]string{namedFlow: "named", heavyHitterFlow: "heavy", sharedFlow: "shared"}
-		s.Equal(args[1], kinds[s.flow(args[0]).kind], s.where)
+		s.Equal(args[1], kinds[s.flow(args[0]).kind], s.position)
 	case "apart":
-		s.NotSame(s.flow(args[0]), s.flow(args[1]), s.where)
+		s.NotSame(s.flow(args[0]), s.flow(args[1]), s.position)
 	case "together":
-		s.Same(s.flow(args[0]), s.flow(args[1]), s.where)
+		s.Same(s.flow(args[0]), s.flow(args[1]), s.position)
 	default:
 		r := s.reservations[args[0]]
-		s.NotNil(r, s.where)
-		s.change(r, verb, args[1:])
+		s.NotNil(r, s.position)
+		s.runReservationCommand(r, command, args[1:])
 	}
 }
 
@@ -122,7 +122,7 @@
 		case "cores":
 			s.config.Cores = int(value)
 		default:
-			s.True(strings.HasPrefix(key, "."), s.where)
+			s.True(strings.HasPrefix(key, "."), s.position)
 			s.config.Tenants = append(s.config.Tenants, Tenant{Name: key[1:], Weight: value})
 		}
 	}
@@ -142,11 +142,11 @@
 func (s *scenario) reserve(args []string) {
 	r := s.scheduler.Reserve([]byte(args[1]), 0, s.virtualTime, s.now)
 	s.reservations[args[0]] = &r
-	addReservation(s.history, &r, s.now)
+	recordReservation(s.history, &r, s.now)
 	for _, arg := range args[2:] {
 		key, text, _ := strings.Cut(arg, "=")
 		got := map[string]float64{"tag": r.StartTag, "delay": milliseconds(r.ExpectedDelay)}[key]
-		s.InDelta(s.number(text), got, 0.11, s.where)
+		s.InDelta(s.number(text), got, 0.11, s.position)
 	}
 }
 
@@ -156,20 +156,20 @@
 	cost := s.ticks(args[2])
 	for end := s.ticks(args[3]); s.now < end; s.now += interval {
 		r := s.scheduler.Reserve([]byte(args[0]), 0, s.virtualTime, s.now)
-		addReservation(s.history, &r, s.now)
+		recordReservation(s.history, &r, s.now)
 		r.Start(s.now)
 		r.Release(s.now + cost)
 	}
 }
 
-// change executes a command that checks or changes one reservation.
-func (s *scenario) change(r *Reservation, verb string, args []string) {
-	if verb == "retry-after" {
+// runReservationCommand executes a command that checks or changes one reservation.
+func (s *scenario) runReservationCommand(r *Reservation, command string, args []string) {
+	if command == "retry-after" {
 		got := milliseconds(r.RetryAfter(s.ticks(args[0]), s.ticks(args[1]), s.now))
 		s.history.Add(s.now, got)
-		s.True(got >= s.number(args[2]) && got <= s.number(args[3]), "%s: Retry-After is %v ms", s.where, got)
+		s.True(got >= s.number(args[2]) && got <= s.number(args[3]), "%s: Retry-After is %v ms", s.position, got)
 		return
 	}
-	s.Contains(reservationChanges, verb, s.where)
-	reservationChanges[verb](r, s.now)
+	s.Contains(reservationChanges, command, s.position)
+	reservationChanges[command](r, s.now)
 }
--- a/internal/fairqueue/scheduler.go
+++ b/internal/fairqueue/scheduler.go
@@ -83,10 +83,10 @@
 
 	typicalCosts []float64 // moving average of the core time of a request in ticks, indexed by category
 
-	measuredAt            timeunit.Ticks
-	workSinceMeasured     float64 // core time in ticks accounted since measuredAt
-	rejectedSinceMeasured bool
-	serviceRate           float64 // core time per tick that the server can deliver, measured while it rejects requests
+	measuredAt               timeunit.Ticks
+	usageSinceMeasured       float64 // core time in ticks accounted since measuredAt
+	hasRejectedSinceMeasured bool
+	serviceRate              float64 // core time per tick that the server can deliver, see updateServiceRate
 
 	totalWeight        float64
 	activeWeight       float64
@@ -126,30 +126,30 @@
 
 // applyConfig sets the configuration and creates, keeps or removes flows to match it.
 func (s *Scheduler) applyConfig(config Config) {
-	before := s.namedFlows
+	previousFlows := s.namedFlows
 	s.config = config
 	s.totalWeight = config.totalWeight()
 	s.individualFlows = nil
-	s.nameTenants(before)
+	s.assignNamedFlows(previousFlows)
 	if len(s.sharedFlows) != config.SharedFlows {
 		s.sharedFlows = make([]flow, config.SharedFlows)
 		for i := range s.sharedFlows {
 			s.sharedFlows[i] = *s.newFlow(sharedFlow)
 		}
 	}
-	for _, flow := range before {
-		flow.active = false // countActive sets it again for the flows that are still named
+	for _, flow := range previousFlows {
+		flow.isActive = false // recountActiveFlows sets it again for the flows that are still named
 	}
-	s.keepHeaviest()
-	s.countActive()
+	s.trimHeavyHitters()
+	s.recountActiveFlows()
 }
 
-// nameTenants gives each configured tenant its previous flow, or a new one if it had none. If the tenant was a heavy
-// hitter, its flow continues from the heavy hitter's finish tag.
-func (s *Scheduler) nameTenants(before map[string]*flow) {
+// assignNamedFlows gives each configured tenant its previous flow, or a new one if it had none. If the tenant was a
+// heavy hitter, its flow continues from the heavy hitter's finish tag.
+func (s *Scheduler) assignNamedFlows(previousFlows map[string]*flow) {
 	s.namedFlows = map[string]*flow{}
 	for _, tenant := range s.config.Tenants {
-		flow := before[tenant.Name]
+		flow := previousFlows[tenant.Name]
 		if flow == nil {
 			flow = s.newFlow(namedFlow)
 		}
@@ -157,22 +157,22 @@
 		s.namedFlows[tenant.Name] = flow
 		s.individualFlows = append(s.individualFlows, flow)
 		hash := xxh3.HashStringSeed(tenant.Name, s.hashSeed)
-		if heavy := s.heavyHitters[hash]; heavy != nil {
-			flow.finishTag = heavy.finishTag
+		if heavyHitter := s.heavyHitters[hash]; heavyHitter != nil {
+			flow.finishTag = heavyHitter.finishTag
 			delete(s.heavyHitters, hash)
 		}
 	}
 }
 
-// keepHeaviest appends the heavy hitters to individualFlows, highest usage first, and removes those beyond
+// trimHeavyHitters appends the heavy hitters to individualFlows, highest usage first, and removes those beyond
 // MaxHeavyHitters.
-func (s *Scheduler) keepHeaviest() {
-	heaviest := make([]*flow, 0, len(s.heavyHitters))
+func (s *Scheduler) trimHeavyHitters() {
+	heavyHitters := make([]*flow, 0, len(s.heavyHitters))
 	for _, flow := range s.heavyHitters {
-		heaviest = append(heaviest, flow)
+		heavyHitters = append(heavyHitters, flow)
 	}
-	sortByUsage(heaviest)
-	for i, flow := range heaviest {
+	sortByUsage(heavyHitters)
+	for i, flow := range heavyHitters {
 		if i < s.config.MaxHeavyHitters {
 			s.individualFlows = append(s.individualFlows, flow)
 		} else {
@@ -191,8 +191,8 @@
 		return flow, hash
 	}
 	// The salt changes at each rehash, so that two tenants do not share a flow permanently.
-	mixed := (hash ^ s.rehashSalt) * fibonacciMultiplier
-	return &s.sharedFlows[mixed>>32%uint64(len(s.sharedFlows))], hash
+	saltedHash := (hash ^ s.rehashSalt) * fibonacciMultiplier
+	return &s.sharedFlows[saltedHash>>32%uint64(len(s.sharedFlows))], hash
 }
 
 // fibonacciMultiplier is 2^64 divided by the golden ratio (Knuth's multiplicative hashing).
@@ -227,76 +227,76 @@
 // advance advances the clocks to now and takes a measurement if an interval has passed.
 func (s *Scheduler) advance(now timeunit.Ticks) {
 	if now > s.now {
-		corePerRequest := min(1, float64(s.config.Cores)/float64(max(1, s.runningRequests)))
-		s.coreClock += float64(now-s.now) * corePerRequest
+		coreShare := min(1, float64(s.config.Cores)/float64(max(1, s.runningRequests)))
+		s.coreClock += float64(now-s.now) * coreShare
 		s.now = now
 	}
 	if s.now-s.measuredAt >= measureInterval {
-		s.measure()
+		s.endInterval()
 	}
 }
 
-// measure ends the current interval, which is longer than measureInterval if the scheduler was not called in time. It
-// updates rates and usage, selects the heavy hitters, rehashes the shared flows when that is due, and recounts the
+// endInterval ends the current interval, which is longer than measureInterval if the scheduler was not called in time.
+// It updates rates and usage, selects the heavy hitters, rehashes the shared flows when that is due, and recounts the
 // active flows.
-func (s *Scheduler) measure() {
-	span := float64(s.now - s.measuredAt)
+func (s *Scheduler) endInterval() {
+	elapsedTicks := float64(s.now - s.measuredAt)
 	s.measuredAt = s.now
-	s.measureServiceRate(span)
-	intervals := int(span / measureInterval)
-	rateLeft := decay(rateDecay, min(intervals, maxRateDecayIntervals))
-	usageLeft := decay(usageDecay, min(intervals, maxUsageDecayIntervals))
+	s.updateServiceRate(elapsedTicks)
+	intervals := int(elapsedTicks / measureInterval)
+	rateRetained := compoundDecay(rateDecay, min(intervals, maxRateDecayIntervals))
+	usageRetained := compoundDecay(usageDecay, min(intervals, maxUsageDecayIntervals))
 	for flow := range s.allFlows() {
-		flow.measure(span, rateLeft, usageLeft)
+		flow.updateUsage(elapsedTicks, rateRetained, usageRetained)
 	}
-	s.candidates.decay(usageLeft)
+	s.candidates.scaleUsage(usageRetained)
 	s.promoteCandidates()
 	if s.now-s.rehashedAt >= s.config.RehashInterval {
 		s.rehashSalt = s.random.Uint64()
 		s.rehashedAt = s.now
 	}
-	s.countActive()
+	s.recountActiveFlows()
 }
 
-// decay returns the fraction retained after the given number of intervals, at least one, if the fraction left is
-// retained after each.
-func decay(left float64, intervals int) float64 {
-	total := left
+// compoundDecay returns the fraction that remains after the given number of intervals, at least one, if the fraction
+// retained remains after each.
+func compoundDecay(retained float64, intervals int) float64 {
+	total := retained
 	for range intervals - 1 {
-		total *= left
+		total *= retained
 	}
 	return total
 }
 
-// measureServiceRate updates the service rate with the work done in an interval of span ticks. Only an interval in
-// which requests were rejected shows how much the server can deliver. Any other interval gives only a lower bound.
-func (s *Scheduler) measureServiceRate(span float64) {
-	rate := s.workSinceMeasured / span
-	if s.rejectedSinceMeasured {
+// updateServiceRate updates the service rate with the work done in an interval of elapsedTicks ticks. Only an interval
+// in which requests were rejected shows how much the server can deliver. Any other interval gives only a lower bound.
+func (s *Scheduler) updateServiceRate(elapsedTicks float64) {
+	rate := s.usageSinceMeasured / elapsedTicks
+	if s.hasRejectedSinceMeasured {
 		cores := float64(s.config.Cores)
 		s.serviceRate = min(cores, max(s.serviceRate*rateDecay+rate*(1-rateDecay), cores*minUsageFraction))
 	} else {
 		s.serviceRate = max(s.serviceRate, rate)
 	}
-	s.workSinceMeasured = 0
-	s.rejectedSinceMeasured = false
+	s.usageSinceMeasured = 0
+	s.hasRejectedSinceMeasured = false
 }
 
-// countActive determines which flows are active and adds up their weights. A flow is active if it has an open
+// recountActiveFlows determines which flows are active and adds up their weights. A flow is active if it has an open
 // reservation or had a request within the last activeIntervals intervals.
-func (s *Scheduler) countActive() {
+func (s *Scheduler) recountActiveFlows() {
 	s.activeHeavyHitters = 0
 	s.activeSharedFlows = 0
 	for flow := range s.allFlows() {
-		flow.active = flow.openReservations > 0 || s.now-flow.lastSeen < activeIntervals*measureInterval
-		if flow.active {
-			s.countKind(flow)
+		flow.isActive = flow.openReservations > 0 || s.now-flow.lastSeen < activeIntervals*measureInterval
+		if flow.isActive {
+			s.incrementActiveCount(flow)
 		}
 	}
 	// The weights depend on the final counts, so they are added up in a second pass.
 	s.activeWeight = 0
 	for flow := range s.allFlows() {
-		if flow.active {
+		if flow.isActive {
 			s.activeWeight += flow.weight()
 		}
 	}
@@ -304,13 +304,13 @@
 
 // activate marks a flow as active immediately instead of at the next measurement.
 func (s *Scheduler) activate(flow *flow) {
-	flow.active = true
-	s.countKind(flow)
+	flow.isActive = true
+	s.incrementActiveCount(flow)
 	s.activeWeight += flow.weight()
 }
 
-// countKind increments the count of active flows of the given flow's kind.
-func (s *Scheduler) countKind(flow *flow) {
+// incrementActiveCount increments the count of active flows of the given flow's kind.
+func (s *Scheduler) incrementActiveCount(flow *flow) {
 	switch flow.kind {
 	case heavyHitterFlow:
 		s.activeHeavyHitters++
--- a/internal/fairqueue/scheduler_test.go
+++ b/internal/fairqueue/scheduler_test.go
@@ -32,8 +32,8 @@
 	return config
 }
 
-// liveHeap returns the size of the reachable heap in bytes.
-func liveHeap() uint64 {
+// liveHeapBytes returns the size of the reachable heap in bytes.
+func liveHeapBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -44,47 +44,48 @@
 // TestMemoryStaysFlatUnderNewTenants sends one request from each of 10,000 new tenants within a minute. The memory use
 // after that minute must be about the same as after the first second.
 func TestMemoryStaysFlatUnderNewTenants(t *testing.T) {
-	before := liveHeap()
+	heapBefore := liveHeapBytes()
 	s := New(testConfig(4), rand.New(rand.NewSource(1)), 0)
-	var first uint64
+	var bytesAfter1s uint64
 	for i := range 10_000 {
 		now := timeunit.Ticks(i * 60)
 		r := s.Reserve(fmt.Append(nil, "new-", i), 0, 0, now)
 		r.Start(now)
 		r.Release(now + 50)
 		if i == 170 {
-			first = liveHeap() - before
+			bytesAfter1s = liveHeapBytes() - heapBefore
 		}
 	}
-	last := liveHeap() - before
+	bytesAfter60s := liveHeapBytes() - heapBefore
 	heavyHitters := s.Stats().HeavyHitters
-	t.Logf("measured fair-queues memory_after_1s=%d memory_after_60s=%d books=%d", first, last, heavyHitters)
-	require.Less(t, last, uint64(512<<10))
-	require.Less(t, last, first+first/4+4096)
+	t.Logf("measured fair-queues memory_after_1s=%d memory_after_60s=%d books=%d",
+		bytesAfter1s, bytesAfter60s, heavyHitters)
+	require.Less(t, bytesAfter60s, uint64(512<<10))
+	require.Less(t, bytesAfter60s, bytesAfter1s+bytesAfter1s/4+4096)
 	require.Zero(t, heavyHitters)
 }
 
-// quietHost is a host of the admission package that only records the requests to run.
-type quietHost struct{ run []*admission.Request }
+// recordingHost is a host of the admission package that only records the requests to run.
+type recordingHost struct{ started []*admission.Request }
 
-func (h *quietHost) Run(request *admission.Request)                { h.run = append(h.run, request) }
-func (*quietHost) ShareResult(*admission.Request)                  {}
-func (*quietHost) Reject(*admission.Request, timeunit.Ticks, bool) {}
-func (*quietHost) Abort(*admission.Request)                        {}
-func (*quietHost) StopRun(*admission.Request)                      {}
-func (*quietHost) SkipCall(*admission.Request)                     {}
-func (*quietHost) StartCall(*admission.Request, timeunit.Ticks)    {}
-func (*quietHost) KeepEntry(*admission.Request, timeunit.Ticks)    {}
-func (*quietHost) DropEntry(*admission.Request)                    {}
-func (*quietHost) ReportLoad(float64)                              {}
-func (*quietHost) SetHealth(bool, bool)                            {}
-func (*quietHost) CloseIdleConnections(timeunit.Ticks)             {}
-func (*quietHost) SetTimer(timeunit.Ticks)                         {}
-func (*quietHost) Release(*admission.Request)                      {}
+func (h *recordingHost) Run(request *admission.Request)                { h.started = append(h.started, request) }
+func (*recordingHost) ShareResult(*admission.Request)                  {}
+func (*recordingHost) Reject(*admission.Request, timeunit.Ticks, bool) {}
+func (*recordingHost) Abort(*admission.Request)                        {}
+func (*recordingHost) StopRun(*admission.Request)                      {}
+func (*recordingHost) SkipCall(*admission.Request)                     {}
+func (*recordingHost) StartCall(*admission.Request, timeunit.Ticks)    {}
+func (*recordingHost) KeepEntry(*admission.Request, timeunit.Ticks)    {}
+func (*recordingHost) DropEntry(*admission.Request)                    {}
+func (*recordingHost) ReportLoad(float64)                              {}
+func (*recordingHost) SetHealth(bool, bool)                            {}
+func (*recordingHost) CloseIdleConnections(timeunit.Ticks)             {}
+func (*recordingHost) SetTimer(timeunit.Ticks)                         {}
+func (*recordingHost) Release(*admission.Request)                      {}
 
-// dispatchBench combines an admission server with one core and the scheduler that assigns the requests' start tags.
-type dispatchBench struct {
-	host      *quietHost
+// dispatchFixture combines an admission server with one core and the scheduler that assigns the requests' start tags.
+type dispatchFixture struct {
+	host      *recordingHost
 	server    *admission.Server
 	scheduler *Scheduler
 	tenants   [][]byte
@@ -92,14 +93,14 @@
 	arrivals  int
 }
 
-// newDispatchBench returns a dispatchBench with the given number of tenants. Without tenants the requests get no start
-// tags.
-func newDispatchBench(tenants int) *dispatchBench {
+// newDispatchFixture returns a dispatchFixture with the given number of tenants. Without tenants the requests get no
+// start tags.
+func newDispatchFixture(tenants int) *dispatchFixture {
 	const never = 1 << 40
-	host := &quietHost{}
+	host := &recordingHost{}
 	config := testConfig(min(tenants, 4))
 	config.SoftDeadlines = []timeunit.Ticks{6_400, 6_400}
-	bench := &dispatchBench{
+	fixture := &dispatchFixture{
 		host: host,
 		server: admission.New(admission.Config{
 			Cores:           1,
@@ -113,13 +114,13 @@
 		scheduler: New(config, rand.New(rand.NewSource(1)), 0),
 	}
 	for i := range tenants {
-		bench.tenants = append(bench.tenants, fmt.Append(nil, "tenant-", i))
+		fixture.tenants = append(fixture.tenants, fmt.Append(nil, "tenant-", i))
 	}
-	return bench
+	return fixture
 }
 
 // enqueue adds one arriving request to the admission queue.
-func (b *dispatchBench) enqueue() {
+func (b *dispatchFixture) enqueue() {
 	arrival := admission.Arrival{QueuedKB: 1, Category: b.arrivals % 2}
 	if len(b.tenants) > 0 {
 		tenant := b.tenants[b.arrivals*7919%len(b.tenants)]
@@ -132,9 +133,9 @@
 }
 
 // endRuns ends all running requests.
-func (b *dispatchBench) endRuns() {
-	running := b.host.run
-	b.host.run = b.host.run[:0:0]
+func (b *dispatchFixture) endRuns() {
+	running := b.host.started
+	b.host.started = b.host.started[:0:0]
 	for _, request := range running {
 		request.RunEnded(admission.Succeeded, 10)
 	}
@@ -145,18 +146,18 @@
 	for _, queued := range []int{10, 1_000, 10_000} {
 		for _, tenants := range []int{0, 10, 1_000, 100_000} {
 			b.Run(fmt.Sprintf("queued=%d/tenants=%d", queued, tenants), func(b *testing.B) {
-				bench := newDispatchBench(tenants)
+				fixture := newDispatchFixture(tenants)
 				for range queued + 1 {
-					bench.enqueue()
+					fixture.enqueue()
 				}
-				bench.server.Dispatch()
+				fixture.server.Dispatch()
 				b.ReportAllocs()
 				for b.Loop() {
-					bench.now++
-					bench.server.Advance(bench.now)
-					bench.endRuns()
-					bench.enqueue()
-					bench.server.Dispatch()
+					fixture.now++
+					fixture.server.Advance(fixture.now)
+					fixture.endRuns()
+					fixture.enqueue()
+					fixture.server.Dispatch()
 				}
 			})
 		}
--- a/internal/subsetting/assign.go
+++ b/internal/subsetting/assign.go
@@ -22,24 +22,24 @@
 	return int(math.Ceil(math.Floor(meanLoad/step+stepOffset) * step * (1 + slack/2)))
 }
 
-// assign chooses the subset of a tenant in up to three passes over its ranking. The first pass takes servers that have
-// capacity left and whose zone is below its limit; the second ignores the zone limits; the third also ignores the
+// chooseSubset chooses the subset of a tenant in up to three passes over its ranking. The first pass takes servers that
+// have capacity left and whose zone is below its limit; the second ignores the zone limits; the third also ignores the
 // capacity.
-func (a *Assignment) assign(tenant string, size int) (chosen []int) {
+func (a *Assignment) chooseSubset(tenant string, subsetSize int) (chosen []int) {
 	ranking := a.ranking(tenant)
-	zoneLimits := a.zoneLimits(size)
+	zoneLimits := a.zoneLimits(subsetSize)
 	zoneCounts := map[string]int{}
 	choose := func(server int) {
 		chosen = append(chosen, server)
 		zoneCounts[a.servers[server].Zone]++
-		a.load[server]++
+		a.tenantCounts[server]++
 	}
 	for pass := range 3 {
 		for _, server := range ranking {
 			zone := a.servers[server].Zone
-			isFull := a.load[server] >= a.capacity
+			isFull := a.tenantCounts[server] >= a.capacity
 			switch {
-			case len(chosen) == size:
+			case len(chosen) == subsetSize:
 				return chosen
 			case slices.Contains(chosen, server):
 			case pass == 0 && isFull:
@@ -56,14 +56,14 @@
 
 // zoneLimits returns the maximum number of servers in a subset by zone: the zone's rounded share of the subset plus
 // one.
-func (a *Assignment) zoneLimits(size int) map[string]int {
+func (a *Assignment) zoneLimits(subsetSize int) map[string]int {
 	counts := map[string]int{}
 	for _, server := range a.servers {
 		counts[server.Zone]++
 	}
 	limits := map[string]int{}
 	for zone, count := range counts {
-		limits[zone] = int(math.Round(float64(size*count)/float64(len(a.servers)))) + 1
+		limits[zone] = int(math.Round(float64(subsetSize*count)/float64(len(a.servers)))) + 1
 	}
 	return limits
 }
--- a/internal/subsetting/subsetting.go
+++ b/internal/subsetting/subsetting.go
@@ -37,33 +37,33 @@
 
 // Assignment holds the subsets that Assign computed. It is immutable and therefore safe for concurrent use.
 type Assignment struct {
-	config      Config
-	servers     []Server         // sorted by name
-	capacity    int              // maximum number of tenants per server; assign exceeds it only as a last resort
-	subsets     map[string][]int // indexes in servers by tenant, in the order of the tenant's ranking
-	load        []int            // number of tenants of each server, indexed like servers
-	skippedFull map[string]int   // number of servers skipped because they had no capacity left, by tenant
+	config       Config
+	servers      []Server         // sorted by name
+	capacity     int              // maximum number of tenants per server; chooseSubset exceeds it only as a last resort
+	subsets      map[string][]int // indexes in servers by tenant, in the order of the tenant's ranking
+	tenantCounts []int            // number of tenants of each server, indexed like servers
+	skippedFull  map[string]int   // number of servers skipped because they had no capacity left, by tenant
 }
 
 // Assign computes the subsets of the given tenants. A server or tenant that is listed more than once counts once.
 func Assign(config Config, servers []Server, tenants []string) *Assignment {
 	servers = uniqueServers(servers)
-	tenants = inHashOrder(config, tenants)
+	tenants = tenantsInHashOrder(config, tenants)
 	assignment := &Assignment{
-		config:      config,
-		servers:     servers,
-		subsets:     make(map[string][]int, len(tenants)),
-		load:        make([]int, len(servers)),
-		skippedFull: map[string]int{},
+		config:       config,
+		servers:      servers,
+		subsets:      make(map[string][]int, len(tenants)),
+		tenantCounts: make([]int, len(servers)),
+		skippedFull:  map[string]int{},
 	}
 	if len(servers) == 0 {
 		return assignment
 	}
-	size := max(1, min(config.SubsetSize, len(servers)))
-	meanLoad := float64(len(tenants)*size) / float64(len(servers))
+	subsetSize := max(1, min(config.SubsetSize, len(servers)))
+	meanLoad := float64(len(tenants)*subsetSize) / float64(len(servers))
 	assignment.capacity = capacityFor(meanLoad, config.LoadSlack)
 	for _, tenant := range tenants {
-		assignment.subsets[tenant] = assignment.assign(tenant, size)
+		assignment.subsets[tenant] = assignment.chooseSubset(tenant, subsetSize)
 	}
 	return assignment
 }
@@ -75,8 +75,8 @@
 	return slices.CompactFunc(servers, func(a, b Server) bool { return a.Name == b.Name })
 }
 
-// inHashOrder returns the tenants in the order in which they choose their servers, without duplicates.
-func inHashOrder(config Config, tenants []string) []string {
+// tenantsInHashOrder returns the tenants in the order in which they choose their servers, without duplicates.
+func tenantsInHashOrder(config Config, tenants []string) []string {
 	tenants = slices.Clone(tenants)
 	slices.Sort(tenants)
 	tenants = slices.Compact(tenants)
@@ -141,10 +141,10 @@
 		SkippedFull: a.skippedFull[tenant],
 	}
 	for _, member := range explanation.Servers {
-		place, _ := slices.BinarySearchFunc(a.servers, member.Name, func(server Server, name string) int {
+		index, _ := slices.BinarySearchFunc(a.servers, member.Name, func(server Server, name string) int {
 			return cmp.Compare(server.Name, name)
 		})
-		explanation.Load = append(explanation.Load, a.load[place])
+		explanation.Load = append(explanation.Load, a.tenantCounts[index])
 	}
 	return explanation
 }
@@ -153,12 +153,12 @@
 func (a *Assignment) MaxOverMean() float64 {
 	largest := 0
 	total := 0
-	for _, load := range a.load {
+	for _, load := range a.tenantCounts {
 		largest = max(largest, load)
 		total += load
 	}
 	if total == 0 {
 		return 0
 	}
-	return float64(largest) * float64(len(a.load)) / float64(total)
+	return float64(largest) * float64(len(a.tenantCounts)) / float64(total)
 }
--- a/internal/subsetting/subsetting_test.go
+++ b/internal/subsetting/subsetting_test.go
@@ -13,9 +13,9 @@
 func newFleet(count int, zoneSizes ...int) (servers []Server) {
 	for i := range count {
 		zone := 0
-		left := i
-		for zone < len(zoneSizes)-1 && left >= zoneSizes[zone] {
-			left -= zoneSizes[zone]
+		remaining := i
+		for zone < len(zoneSizes)-1 && remaining >= zoneSizes[zone] {
+			remaining -= zoneSizes[zone]
 			zone++
 		}
 		servers = append(servers, Server{fmt.Sprintf("n%04d", i), fmt.Sprint("z", zone)})
@@ -57,10 +57,10 @@
 // countFullOverlaps returns the number of other tenants that share all of their servers with the first tenant, and the
 // largest number of servers that any of them shares with it.
 func countFullOverlaps(assignment *Assignment, tenants []string) (overlaps, maxShared int) {
-	faulty := assignment.Subset(tenants[0])
+	firstSubset := assignment.Subset(tenants[0])
 	for _, other := range tenants[1:] {
 		subset := assignment.Subset(other)
-		shared := countShared(subset, faulty)
+		shared := countShared(subset, firstSubset)
 		maxShared = max(maxShared, shared)
 		if shared == len(subset) {
 			overlaps++
