--- a/internal/subsetting/assign.go
+++ b/internal/subsetting/assign.go
@@ -6,38 +6,40 @@
 	"slices"
 )
 
-// The capacity of a server goes by steps of a sixteenth of its mean load, so that a server or tenant that comes or goes
-// seldom changes it: each change would move some tenants of every server.
+// A server's capacity is rounded to steps of about 1/16 of the mean load, so that it seldom changes when a server or
+// tenant joins or leaves. Each change of the capacity would move some tenants of every server.
 const (
 	capacitySteps = 16
 
-	// stepOffset keeps the steps off round numbers, which fleets often have.
+	// stepOffset moves the step boundaries away from round mean loads, which are common in real fleets.
 	stepOffset = 1.4
 )
 
-// capacityFor returns how many tenants a server has room for where the mean load is as given.
+// capacityFor returns the number of tenants that a server has capacity for, given the mean number of tenants per server
+// and the slack (see Config.LoadSlack).
 func capacityFor(meanLoad, slack float64) int {
 	step := math.Pow(2, math.Floor(math.Log2(max(1, meanLoad)))) / capacitySteps
 	return int(math.Ceil(math.Floor(meanLoad/step+stepOffset) * step * (1 + slack/2)))
 }
 
-// assign chooses the subset of a tenant: the first servers of its ranking that have capacity left and whose zone has
-// not given its share; if that is too few, those of any zone; if that is still too few, those without capacity.
-func (a *Assignment) assign(tenant string, size int) (chosen []int) {
+// chooseSubset chooses the subset of a tenant in up to three passes over its ranking. The first pass takes servers that
+// have capacity left and whose zone is below its limit; the second ignores the zone limits; the third also ignores the
+// capacity.
+func (a *Assignment) chooseSubset(tenant string, subsetSize int) (chosen []int) {
 	ranking := a.ranking(tenant)
-	zoneLimits := a.zoneLimits(size)
+	zoneLimits := a.zoneLimits(subsetSize)
 	zoneCounts := map[string]int{}
 	choose := func(server int) {
 		chosen = append(chosen, server)
 		zoneCounts[a.servers[server].Zone]++
-		a.load[server]++
+		a.tenantCounts[server]++
 	}
 	for pass := range 3 {
 		for _, server := range ranking {
 			zone := a.servers[server].Zone
-			isFull := a.load[server] >= a.capacity
+			isFull := a.tenantCounts[server] >= a.capacity
 			switch {
-			case len(chosen) == size:
+			case len(chosen) == subsetSize:
 				return chosen
 			case slices.Contains(chosen, server):
 			case pass == 0 && isFull:
@@ -52,20 +54,21 @@
 	return chosen
 }
 
-// zoneLimits returns how many servers of each zone a tenant may have: the zone's share of the subset, and one.
-func (a *Assignment) zoneLimits(size int) map[string]int {
+// zoneLimits returns the maximum number of servers in a subset by zone: the zone's rounded share of the subset plus
+// one.
+func (a *Assignment) zoneLimits(subsetSize int) map[string]int {
 	counts := map[string]int{}
 	for _, server := range a.servers {
 		counts[server.Zone]++
 	}
 	limits := map[string]int{}
 	for zone, count := range counts {
-		limits[zone] = int(math.Round(float64(size*count)/float64(len(a.servers)))) + 1
+		limits[zone] = int(math.Round(float64(subsetSize*count)/float64(len(a.servers)))) + 1
 	}
 	return limits
 }
 
-// ranking returns all servers, as places in a.servers, in the order of the tenant's hashes.
+// ranking returns the indexes of all servers in a.servers, ordered by the tenant's hash of each server.
 func (a *Assignment) ranking(tenant string) []int {
 	type hashed struct {
 		server int
