--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -13,47 +13,49 @@
 	"thistlequay/timeunit"
 )
 
-// Parameters of a schedule, in milliseconds of virtual time where they are times.
+// Parameters of a schedule. Times are in milliseconds of virtual time.
 const (
 	stepLength   = 20
-	maxDelay     = 120  // of a message
-	maxPause     = 6000 // that a voter stands still
-	minFaultGap  = 200  // between two faults
+	maxDelay     = 120  // maximum delay of a message
+	maxPause     = 6000 // maximum pause of a voter
+	minFaultGap  = 200  // time between two faults
 	maxFaultGap  = 4200
 	calmAtTheEnd = 15000
 	faults       = 10
 )
 
-// cluster is a set of voters in virtual time. Messages are lost, delayed and duplicated, links are cut one way and
-// both, voters stand still, crash and come back with what they saved, or under another id without it.
+// cluster is a set of voters in virtual time. Messages are lost, delayed and duplicated, links are cut in one or both
+// directions, and voters pause or crash. A crashed voter restarts with its saved state; a voter that has lost its state
+// rejoins under another ID.
 type cluster struct {
 	schedule.Network[envelope]
 	t                  *testing.T
 	members            []*member
 	lastID             uint64
-	log                [][]byte                         // what is committed, as the first voter to apply it had it
-	leaderSince        map[uint64]timeunit.Milliseconds // by term: since when a voter knows that it leads
+	log                [][]byte                         // committed entries; the first voter to apply one adds it
+	leaderSince        map[uint64]timeunit.Milliseconds // by term: when its leader was first seen to lead
 	readAskedAt        map[readRequest]timeunit.Milliseconds
 	lastProposal       uint64
 	confirmations      int
-	falseConfirmations int             // confirmed though another voter led before the question
-	history            *golden.History // of all that the voters put out; nil where it isn't wanted
+	falseConfirmations int             // confirmations counted as false by checkConfirmation
+	history            *golden.History // output of all voters; nil if it is not recorded
 }
 
-// member is a voter and its disk. The incarnation of the process is the voter's id.
+// member is a voter and its simulated disk. The incarnation of the process is the voter's ID.
 type member struct {
 	schedule.Process
 	voter   *Voter
-	state   PersistentState // what is durable
-	applied int             // entries applied
+	state   PersistentState // stored on the disk
+	applied int             // number of entries applied
 }
 
-// envelope is a message and the voter that sent it.
+// envelope is an encoded message and the ID of its sender.
 type envelope struct {
 	from uint64
 	data []byte
 }
 
+// readRequest identifies a call of ReadIndex by the ID of the voter and its token.
 type readRequest struct {
 	voter uint64
 	token uint64
@@ -93,7 +95,7 @@
 	return slices.IndexFunc(c.members, func(m *member) bool { return m.Incarnation == id })
 }
 
-// persist stores what a voter wants durable on top of what its disk has.
+// persist adds a state update to the state on the disk.
 func (m *member) persist(update PersistentState) {
 	if len(update.Entries) > 0 {
 		first := update.Entries[0].Index
@@ -113,7 +115,7 @@
 	}
 }
 
-// applySnapshot takes a state, which in these tests is the number of entries that it covers.
+// applySnapshot restores the state from a snapshot. In these tests the state is the number of applied entries.
 func (m *member) applySnapshot(state []byte) {
 	m.applied = 0
 	if len(state) == 8 {
@@ -121,7 +123,7 @@
 	}
 }
 
-// deliverReady does for one voter what a host has to do.
+// deliverReady processes the output of one voter as a host must.
 func (c *cluster) deliverReady(sender int) {
 	m := c.members[sender]
 	for {
@@ -155,16 +157,17 @@
 	}
 }
 
-// apply applies a committed entry and checks that all voters have the same in its place.
+// apply applies a committed entry and checks that all voters have the same entry at this position.
 func (c *cluster) apply(m *member, data []byte) {
 	if m.applied == len(c.log) {
 		c.log = append(c.log, data)
 	}
-	require.Equal(c.t, c.log[m.applied], data, "two voters differ")
+	require.Equal(c.t, c.log[m.applied], data, "voters disagree on a committed entry")
 	m.applied++
 }
 
-// checkConfirmation counts a confirmed read as false where a later leader was there before the question.
+// checkConfirmation checks a confirmed read. The confirmation is false if a leader of a later term already existed when
+// the read index was requested.
 func (c *cluster) checkConfirmation(m *member, token uint64) {
 	askedAt, asked := c.readAskedAt[readRequest{m.Incarnation, token}]
 	require.True(c.t, asked)
@@ -176,7 +179,7 @@
 	}
 }
 
-// advance moves the time on by one step: messages that are due arrive, then every voter ticks.
+// advance advances the time by one step: it delivers the messages that are due, then ticks every running voter.
 func (c *cluster) advance() {
 	c.Now += stepLength
 	c.Deliver(func(receiver int, e envelope) {
@@ -196,7 +199,8 @@
 	}
 }
 
-// lead has a leader propose now and then, ask for a read index, and want all members as voters.
+// lead acts as the host of a leader: it makes a proposal in one of three steps on average, requests a read index, and
+// asks for all members as voters.
 func (c *cluster) lead(m *member) {
 	if _, known := c.leaderSince[m.voter.Term()]; !known {
 		c.leaderSince[m.voter.Term()] = c.Now
@@ -215,12 +219,12 @@
 	m.voter.SetDesiredVoters(ids)
 }
 
-// injectFault lets one fault happen, or ends some.
+// injectFault injects one random fault or repairs earlier ones.
 func (c *cluster) injectFault() {
 	victim := c.Random.Intn(len(c.members))
 	m := c.members[victim]
 	switch c.Random.Intn(8) {
-	case 0: // crashes; it comes back with what it saved
+	case 0: // crash; restartStopped restarts the voter with its saved state
 		m.IsDown = true
 	case 1:
 		m.PausedUntil = c.Now + c.DrawSpan(0, maxPause)
@@ -232,7 +236,7 @@
 		c.Heal()
 	case 5:
 		c.LossRate = c.Random.Float64() * 0.3
-	case 6: // loses its memory, if the others are there to vote its new id in
+	case 6: // loss of the persistent state; only if no member is absent, so that the others can add the new ID
 		if !slices.ContainsFunc(c.members, c.isAbsent) {
 			c.lastID++
 			*m = member{voter: c.startVoter(c.lastID, nil, nil)}
@@ -243,7 +247,7 @@
 	}
 }
 
-// partitionAtRandom cuts the cluster into two halves.
+// partitionAtRandom partitions the cluster into two random halves.
 func (c *cluster) partitionAtRandom() {
 	groups := c.Random.Perm(len(c.members))
 	for i := range groups {
@@ -252,7 +256,7 @@
 	c.Partition(groups)
 }
 
-// isAbsent reports whether a member is down, or new and has not caught up.
+// isAbsent reports whether a member is down, or is new and has not applied any entry yet.
 func (c *cluster) isAbsent(m *member) bool {
 	isNew := m.Incarnation > uint64(len(c.members))
 	return m.IsDown || isNew && m.applied == 0
@@ -268,7 +272,8 @@
 	}
 }
 
-// run plays one schedule of faults, then a calm, and reports whether more was committed in the calm.
+// run plays one schedule of faults followed by a period without faults. It reports whether entries were committed in
+// that period.
 func (c *cluster) run() (healed bool) {
 	for range faults {
 		c.injectFault()
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// quorumTimeoutFactor is the number of election timeouts after which a leader without a majority steps down.
+	// quorumTimeoutFactor is the number of election timeouts without a majority's confirmation after which a leader
+	// steps down.
 	quorumTimeoutFactor = 3
-	// quorumCheckToken marks read indexes that this package asks for itself; tokens of ReadIndex begin after it.
+	// quorumCheckToken marks read requests of checkQuorum. Tokens of ReadIndex start above it.
 	quorumCheckToken = 0
 )
 
+// drawElectionTimeout draws a random timeout for the next election.
 func (v *Voter) drawElectionTimeout() {
 	extra := v.random.Int63n(int64(v.config.ElectionTimeout) + 1)
 	v.electionTimeout = v.config.ElectionTimeout + timeunit.Milliseconds(extra)
 }
 
-// Tick moves the time on; a time before the last one is ignored. A leader sends heartbeats, a voter that hears of no
-// leader campaigns. The host calls it at least once in a heartbeat interval.
+// Tick advances the time; a time earlier than the previous one is ignored. A leader sends heartbeats, and a voter that
+// receives no messages from a leader starts an election. The host must call Tick at least once per heartbeat interval.
 func (v *Voter) Tick(now timeunit.Milliseconds) {
 	v.now = max(v.now, now)
 	if v.failure != nil {
@@ -40,7 +42,8 @@
 	v.campaignIfLeaderless()
 }
 
-// campaignIfLeaderless starts an election where no leader was heard of, and none was started, for the election timeout.
+// campaignIfLeaderless starts an election if, for the election timeout, no message from a leader has arrived and this
+// voter has not started an election.
 func (v *Voter) campaignIfLeaderless() {
 	quietSince := max(v.leaderHeardAt, v.campaignedAt)
 	if v.isRaftLeader() || v.now-quietSince <= v.electionTimeout || !v.isVoter(v.config.ID) {
@@ -48,11 +51,11 @@
 	}
 	v.campaignedAt = v.now
 	v.drawElectionTimeout()
-	_ = v.raftNode.Campaign() // it fails where the engine can't stand for election now; the next timeout tries again
+	_ = v.raftNode.Campaign() // if the library cannot start an election now, the next timeout tries again
 }
 
-// checkQuorum makes a leader step down that no majority answers, so that others need not wait for it. The engine's own
-// check of the quorum needs election ticks, which this package doesn't use.
+// checkQuorum makes a leader step down if no majority responds to it, so that the other servers do not wait for it. The
+// library's own quorum check needs election ticks, which this package does not use.
 func (v *Voter) checkQuorum() {
 	if !v.isRaftLeader() {
 		v.quorumHeardAt = v.now
@@ -67,22 +70,22 @@
 	}
 }
 
-// stepDown makes the engine give up its leadership, as if another voter had answered from a later term.
+// stepDown makes the Raft library give up the leadership, by a response from another voter with a later term.
 func (v *Voter) stepDown() {
 	other := slices.IndexFunc(v.membership.Voters, func(id uint64) bool { return id != v.config.ID })
 	if other >= 0 {
-		_ = v.raftNode.Step(raftpb.Message{ // the engine never refuses a response of a later term
+		_ = v.raftNode.Step(raftpb.Message{ // the library never rejects a response with a later term
 			Type: raftpb.MsgAppResp,
 			From: v.membership.Voters[other],
 			To:   v.config.ID,
 			Term: v.Term() + 1,
 		})
 	}
-	v.leaderHeardAt = v.now - v.config.ElectionTimeout // nobody leads: the next election is due soon
+	v.leaderHeardAt = v.now - v.config.ElectionTimeout // there is no leader now: start an election soon
 }
 
-// expireSnapshots reports snapshots as failed that are not acknowledged within the election timeout, so that the engine
-// sends again. One that did arrive has been acknowledged by then, and the report changes nothing.
+// expireSnapshots reports each snapshot as failed that was sent an election timeout ago, so that the Raft library sends
+// it again. A snapshot that did arrive has been acknowledged by then, and the report has no effect.
 func (v *Voter) expireSnapshots() {
 	v.pendingSnapshots = slices.DeleteFunc(v.pendingSnapshots, func(snapshot pendingSnapshot) bool {
 		if v.now-snapshot.sentAt < v.config.ElectionTimeout {
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -14,13 +14,14 @@
 	"thistlequay/internal/schedule"
 )
 
-// wireMessage is a type of the engine that has a form on the wire and on the disk.
+// wireMessage is a type of the Raft library that is sent to other voters or stored on disk.
 type wireMessage interface {
 	Marshal() ([]byte, error)
 	Unmarshal([]byte) error
 }
 
-// encoded returns the bytes of a message and checks that they decode into again, which encodes to the same bytes.
+// encoded returns the encoding of a message. It checks that the encoding decodes into again and that again has the same
+// encoding.
 func encoded(t *testing.T, message, again wireMessage) []byte {
 	text, err := message.Marshal()
 	require.NoError(t, err)
@@ -31,7 +32,8 @@
 	return text
 }
 
-// record adds a hash of what one voter put out, and of where it stands, to the history.
+// record adds the output and the status of one voter to the history, with a hash of the encoded output and the voter
+// IDs.
 func (c *cluster) record(m *member, ready Ready) {
 	if c.history == nil {
 		return
@@ -72,8 +74,8 @@
 		ready.Snapshot != nil, len(all), xxh3.Hash(all))
 }
 
-// TestGoldenSchedules compares the messages, the saved state and the applied entries of a hundred seeded schedules, ten
-// a line.
+// TestGoldenSchedules compares the messages, the saved state and the committed entries of a hundred seeded schedules
+// with a golden file, which has one line for every ten seeds.
 func TestGoldenSchedules(t *testing.T) {
 	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10, Parallel: true}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
@@ -84,7 +86,8 @@
 	})
 }
 
-// TestGoldenState compares the bytes of a state whose every part is filled, as a host saves it.
+// TestGoldenState compares the encoding of a persistent state, in which every part is set, with a golden file. A host
+// stores these bytes.
 func TestGoldenState(t *testing.T) {
 	hard := raftpb.HardState{Term: 7, Vote: 2, Commit: 251}
 	members := raftpb.ConfState{Voters: []uint64{1, 2, 5}, VotersOutgoing: []uint64{1, 2, 3}, AutoLeave: true}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -6,12 +6,13 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// SetDesiredVoters tells which voters there should be. A leader proposes changes until the log names exactly these, by
-// joint consensus (section 4.3 of Ongaro's thesis on Raft). None means that the voters stay as they are.
+// SetDesiredVoters sets the IDs that the log should have as its voters. While this voter is the leader, it proposes
+// changes by joint consensus (section 4.3 of Ongaro's thesis on Raft) until the voters are exactly these. An empty list
+// leaves the voters as they are.
 func (v *Voter) SetDesiredVoters(voters []uint64) { v.desiredVoters = sortedIDs(voters) }
 
-// proposeMembershipChange proposes the desired voters, one change at a time. A leader that is not among them first
-// hands the leadership over.
+// proposeMembershipChange proposes a change to the desired voters unless another change is in progress. A leader that
+// is not among the desired voters first transfers its leadership.
 func (v *Voter) proposeMembershipChange() {
 	if !v.membershipChangeDue() {
 		return
@@ -25,13 +26,13 @@
 		Changes:    v.membershipChanges(),
 	}
 	if len(change.Changes) > 0 {
-		// Where the engine refuses it, a tick after another election timeout proposes again.
+		// If the library rejects the proposal, Tick proposes it again after an election timeout.
 		_ = v.raftNode.ProposeConfChange(change)
 	}
 }
 
-// membershipChangeDue reports whether this voter leads, other voters are desired than there are, and no change is under
-// way.
+// membershipChangeDue reports whether this voter is the leader, the desired voters differ from the current ones, no
+// change is in progress, and none was proposed within the last election timeout.
 func (v *Voter) membershipChangeDue() bool {
 	switch {
 	case len(v.desiredVoters) == 0 || !v.IsLeader():
@@ -42,8 +43,8 @@
 	return !slices.Equal(v.desiredVoters, sortedIDs(v.membership.Voters))
 }
 
-// membershipChanges lists the voters to add and to remove. The leader itself is removed only where it can hand over to
-// nobody.
+// membershipChanges lists the voters to add and to remove. The leader removes itself only if there is no voter to which
+// it could transfer its leadership.
 func (v *Voter) membershipChanges() (changes []raftpb.ConfChangeSingle) {
 	for _, id := range v.desiredVoters {
 		if !slices.Contains(v.membership.Voters, id) {
@@ -59,7 +60,8 @@
 	return changes
 }
 
-// transferLeadership starts to hand over to the transfer target, where that is active and nearly up to date.
+// transferLeadership starts to transfer the leadership to the transfer target. It returns false if the target is not
+// active or is too far behind in the log.
 func (v *Voter) transferLeadership() (started bool) {
 	target := v.transferTarget()
 	progress, known := v.raftNode.Status().Progress[target]
@@ -70,7 +72,8 @@
 	return true
 }
 
-// transferTarget returns the first desired voter that has a vote already, apart from this one; 0 for none.
+// transferTarget returns the first desired voter, other than this one, that is already a voter. It returns 0 if there
+// is none.
 func (v *Voter) transferTarget() uint64 {
 	for _, id := range v.desiredVoters {
 		if id != v.config.ID && slices.Contains(v.membership.Voters, id) {
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -7,11 +7,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// leaderTransferContext is how the engine marks a vote request that the present leader itself asked for.
+// leaderTransferContext is the context that the Raft library sets in vote requests of a leadership transfer, which the
+// current leader itself started.
 const leaderTransferContext = "CampaignTransfer"
 
-// Step takes an encoded message that the transport received from the given voter. Messages that can't be decoded, name
-// another sender or receiver, or are of a kind that doesn't travel between voters are dropped.
+// Step handles an encoded message that the transport received from the given voter. It drops messages that cannot be
+// decoded, that name another sender or receiver, or whose type is not sent between voters.
 func (v *Voter) Step(from uint64, data []byte) {
 	if v.failure != nil {
 		return
@@ -32,18 +33,19 @@
 	default:
 		return
 	}
-	_ = v.raftNode.Step(message) // an error says that the engine had no use for the message
+	_ = v.raftNode.Step(message) // an error only means that the library ignored the message
 }
 
-// noteLeader notes that the leader of a term was heard of, unless the term is over.
+// noteLeader records that a message arrived from the leader of a term. Leaders of past terms are ignored.
 func (v *Voter) noteLeader(term uint64) {
 	if term >= v.Term() {
 		v.leaderHeardAt = v.now
 	}
 }
 
-// ignoresElection reports whether a vote request is dropped: a follower that still hears of its leader elects no other,
-// unless the leader itself hands over. A candidate that is cut off one way could otherwise depose a healthy leader.
+// ignoresElection reports whether a vote request must be dropped. A voter that has recently received messages from its
+// leader votes for no other one, unless the leader transfers its leadership. Otherwise a candidate whose link to the
+// leader works in only one direction could depose a healthy leader.
 func (v *Voter) ignoresElection(request *raftpb.Message) bool {
 	if v.isRaftLeader() || v.raftNode.BasicStatus().Lead == raft.None {
 		return false
@@ -51,8 +53,8 @@
 	return v.now-v.leaderHeardAt < v.config.ElectionTimeout && string(request.Context) != leaderTransferContext
 }
 
-// Propose asks the voters to append data to the log. It returns false where this voter doesn't lead or too much is
-// uncommitted. True promises nothing: the proposal may still be lost with the leadership.
+// Propose proposes to append data to the log. It returns false if this voter is not the leader or if there are too many
+// uncommitted proposals. An accepted proposal may still be lost if this voter loses its leadership.
 func (v *Voter) Propose(data []byte) (accepted bool) {
 	if !v.IsLeader() {
 		return false
@@ -61,8 +63,8 @@
 	return v.raftNode.Propose(data) == nil
 }
 
-// ReadIndex asks a majority whether this voter still leads. The token comes back in Ready.ConfirmedReads once it has
-// confirmed that, which may be never. It returns false where this voter doesn't lead.
+// ReadIndex asks the voters to confirm that this voter is still the leader. The token appears in Ready.ConfirmedReads
+// once a majority has confirmed it, which may never happen. ReadIndex returns false if this voter is not the leader.
 func (v *Voter) ReadIndex() (token uint64, asked bool) {
 	if !v.IsLeader() {
 		return 0, false
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -8,11 +8,11 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// readTokenSize is the length of a token in a read request's context.
+// readTokenSize is the length of an encoded token in the context of a read request, in bytes.
 const readTokenSize = 8
 
-// Ready returns what the host has to do since the last call; more is false where there is nothing, or the voter has
-// failed (see Err). The host makes State durable and sends Messages before it calls again.
+// Ready returns what the host must do since the last call. If more is false, there is nothing to do or the voter has
+// failed (see Err). The host must make State durable and send Messages before it calls Ready again.
 func (v *Voter) Ready() (ready Ready, more bool) {
 	if v.failure != nil || !v.raftNode.HasReady() {
 		return ready, false
@@ -24,9 +24,9 @@
 		v.failure = err
 		return ready, false
 	}
-	_ = v.storage.Append(update.Entries) // a MemoryStorage panics on a gap and returns no error
+	_ = v.storage.Append(update.Entries) // a MemoryStorage panics on a gap and never returns an error
 	if !raft.IsEmptyHardState(update.HardState) {
-		_ = v.storage.SetHardState(update.HardState) // it returns no error
+		_ = v.storage.SetHardState(update.HardState) // it never returns an error
 	}
 	v.collectMessages(update.Messages, &ready)
 	v.applyEntries(update.CommittedEntries, &ready)
@@ -35,7 +35,8 @@
 	return ready, true
 }
 
-// applySnapshot takes a snapshot that a leader sent in place of entries it no longer has. An empty one is none.
+// applySnapshot applies a snapshot that a leader sent instead of entries that it has already compacted. It does nothing
+// if the snapshot is empty.
 func (v *Voter) applySnapshot(snapshot *raftpb.Snapshot, ready *Ready) error {
 	if raft.IsEmptySnap(*snapshot) {
 		return nil
@@ -46,7 +47,7 @@
 	v.noteSnapshot(snapshot)
 	ready.Snapshot = snapshot.Data
 	if ready.Snapshot == nil {
-		ready.Snapshot = []byte{} // nil would say that there is none
+		ready.Snapshot = []byte{} // nil would mean that there is no snapshot
 	}
 	return nil
 }
@@ -63,7 +64,7 @@
 	}
 }
 
-// applyEntries applies committed changes of membership here, and passes the host's own proposals on.
+// applyEntries applies committed membership changes to this voter and adds the host's proposals to ready.
 func (v *Voter) applyEntries(entries []Entry, ready *Ready) {
 	for i := range entries {
 		entry := &entries[i]
@@ -81,7 +82,7 @@
 				v.applyMembershipChange(change)
 			}
 		default:
-			if len(entry.Data) > 0 { // a new leader begins its term with an empty entry
+			if len(entry.Data) > 0 { // a new leader starts its term with an empty entry
 				ready.Committed = append(ready.Committed, entry.Data)
 			}
 		}
@@ -93,7 +94,8 @@
 	v.membershipChanged = true
 }
 
-// confirmReads takes answers of a majority to read requests, the host's own and those of checkQuorum.
+// confirmReads handles read requests that a majority has confirmed: those of the host, whose tokens it adds to ready,
+// and those of checkQuorum.
 func (v *Voter) confirmReads(reads []raft.ReadState, ready *Ready) {
 	for _, read := range reads {
 		v.quorumHeardAt = v.now
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -8,8 +8,10 @@
 	"thistlequay/internal/schedule"
 )
 
-// Whatever fails, all voters agree on one order, a leader whose read index was confirmed did lead when it asked, and a
-// voter without its memory never harms what was agreed on.
+// TestVotersAgreeOnOneLogUnderFaults checks that, whatever faults occur, all voters apply the same entries in the same
+// order, that a read index is confirmed only for a voter that was still the leader when it requested the index, and
+// that a voter that has lost its state does not change committed entries. When the faults end, entries are committed
+// again.
 func TestVotersAgreeOnOneLogUnderFaults(t *testing.T) {
 	seeds := schedule.Scale(20, 2000)
 	var committed, terms, confirmations, healed int
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -14,68 +14,69 @@
 	"thistlequay/timeunit"
 )
 
-// Limits of the engine.
+// Parameters of the Raft library.
 const (
-	// noElectionTick is a number of ticks that never pass. The engine must not start elections: its timeouts come from
-	// a random source that can't be seeded, so Tick starts them instead.
+	// noElectionTick is an election timeout, in ticks, that is never reached. The library must not start elections
+	// itself, because it draws its timeouts from a random source that cannot be seeded. Voter.Tick starts them instead.
 	noElectionTick = 1 << 30
-	// maxAppendBytes bounds one append message, so that it fits into one frame of the transport.
+	// maxAppendBytes is the maximum size of the entries in one append message, so that the message fits into one frame
+	// of the transport.
 	maxAppendBytes = 48 << 10
-	// maxInflightAppends bounds the append messages to one voter that are not yet acknowledged.
+	// maxInflightAppends is the maximum number of unacknowledged append messages to one voter.
 	maxInflightAppends = 16
-	// maxUncommittedBytes bounds the proposals that are not yet committed; beyond it Propose refuses.
+	// maxUncommittedBytes is the maximum size of all uncommitted proposals; Propose rejects proposals beyond it.
 	maxUncommittedBytes = 256 << 10
 )
 
-// A log begins with a snapshot at this index and term, which names its first voters.
+// Index and term of the snapshot that a new log starts with. The snapshot names the first voters.
 const (
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// ErrInconsistentLog reports that the stored state or a received message contradicts the log: this voter has no memory
-// that it can go on with.
-var ErrInconsistentLog = errors.New("the log contradicts itself")
+// ErrInconsistentLog means that the stored state or a received message contradicts the log. The voter cannot continue
+// with its state.
+var ErrInconsistentLog = errors.New("inconsistent replicated log")
 
-// Voter is one voter of the replicated log. Its methods must be called by one goroutine at a time.
+// Voter is one voter of the replicated log. It is not safe for concurrent use.
 type Voter struct {
 	config   Config
 	raftNode *raft.RawNode
-	storage  *raft.MemoryStorage // a copy of what the host has made durable
-	random   *rand.Rand          // seeded by tests
-	failure  error               // why the voter no longer takes part; nil while it does
+	storage  *raft.MemoryStorage // copy of the state that the host makes durable
+	random   *rand.Rand          // source of the election timeouts; tests seed it
+	failure  error               // why the voter has stopped taking part; nil while it takes part
 
 	now             timeunit.Milliseconds
-	tickedAt        timeunit.Milliseconds // when the engine last ticked
-	leaderHeardAt   timeunit.Milliseconds // when a message of a leader last came
+	tickedAt        timeunit.Milliseconds // when the Raft library was last ticked
+	leaderHeardAt   timeunit.Milliseconds // when a message from a leader last arrived
 	campaignedAt    timeunit.Milliseconds // when this voter last started an election
-	electionTimeout timeunit.Milliseconds // drawn anew for each election
-	quorumHeardAt   timeunit.Milliseconds // when a majority last confirmed this leader, or it was no leader yet
+	electionTimeout timeunit.Milliseconds // drawn again for each election
+	quorumHeardAt   timeunit.Milliseconds // when a majority last confirmed this leader, or this voter last did not lead
 
-	readToken    uint64 // of the last ReadIndex
-	appliedIndex uint64 // of the newest entry that Ready returned as committed
-	appliedTerm  uint64 // of the same entry
+	readToken    uint64 // token of the last ReadIndex call
+	appliedIndex uint64 // index of the newest committed entry or snapshot that Ready returned
+	appliedTerm  uint64 // term of the same entry or snapshot
 
 	membership raftpb.ConfState
-	// membershipChanged says that the stored snapshot names other voters than membership: a new voter could not start
-	// from it.
+	// membershipChanged reports whether the stored snapshot names other voters than membership does, so that a new
+	// voter could not start from it.
 	membershipChanged    bool
-	desiredVoters        []uint64              // sorted; empty for no wish
-	membershipProposedAt timeunit.Milliseconds // when a change of voters was last proposed
+	desiredVoters        []uint64              // sorted; empty if the voters are to stay as they are
+	membershipProposedAt timeunit.Milliseconds // when a membership change was last proposed
 	pendingSnapshots     []pendingSnapshot
 }
 
-// pendingSnapshot is a snapshot on its way to another voter.
+// pendingSnapshot is a snapshot that was sent to another voter and may not have arrived yet.
 type pendingSnapshot struct {
 	to     uint64
 	sentAt timeunit.Milliseconds
 }
 
-// New starts a voter at the given time. With saved state it goes on where that was stored. Without, firstVoters names
-// the voters of a new log, this one among them; a voter that joins an existing log later is given none. The random
-// source draws election timeouts. The host must make InitialState durable before it does anything else.
+// New starts a voter at the given time. If saved is not nil, the voter resumes from that state. Otherwise firstVoters
+// names the voters of a new log, including this one; it is empty for a voter that joins an existing log. The election
+// timeouts are drawn from random. The host must make InitialState durable before it does anything else.
 //
-// It returns ErrInconsistentLog where the saved state contradicts itself.
+// The error is ErrInconsistentLog if the Raft library finds a contradiction in the saved state.
 func New(config Config, saved *PersistentState, firstVoters []uint64, random *rand.Rand,
 	now timeunit.Milliseconds) (v *Voter, err error) {
 	v = &Voter{config: config, storage: raft.NewMemoryStorage(), random: random, now: now, leaderHeardAt: now}
@@ -99,7 +100,7 @@
 	return v, err
 }
 
-// restore puts saved state into an empty storage.
+// restore writes saved state to an empty storage.
 func restore(storage *raft.MemoryStorage, saved *PersistentState) error {
 	if !raft.IsEmptySnap(saved.Snapshot) {
 		if err := storage.ApplySnapshot(saved.Snapshot); err != nil {
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// bootstrap puts the beginning of a new log with the given voters into an empty storage. It is the same for all of
-// them.
+// bootstrap initializes an empty storage with a new log that has the given voters. All of these voters start with the
+// same state.
 func bootstrap(storage *raft.MemoryStorage, voters []uint64) error {
 	metadata := raftpb.SnapshotMetadata{
 		Index:     firstIndex,
@@ -124,14 +125,15 @@
 		ConfState: raftpb.ConfState{Voters: sortedIDs(voters)},
 	}
 	if err := storage.ApplySnapshot(raftpb.Snapshot{Data: []byte{}, Metadata: metadata}); err != nil {
-		return fmt.Errorf("begin a log: %w", err)
+		return fmt.Errorf("write the first snapshot: %w", err)
 	}
 	if err := storage.SetHardState(raftpb.HardState{Term: firstTerm, Commit: firstIndex}); err != nil {
-		return fmt.Errorf("begin a log: %w", err)
+		return fmt.Errorf("write the first hard state: %w", err)
 	}
 	return nil
 }
 
+// engineConfig returns the configuration of the Raft library.
 func (v *Voter) engineConfig() *raft.Config {
 	return &raft.Config{
 		ID:                        v.config.ID,
@@ -150,8 +152,9 @@
 	}
 }
 
-// recoverPanic is to be deferred around each call of the engine, which panics where it finds a contradiction. That must
-// end this voter alone, not the process. It sets err, where that is given.
+// recoverPanic turns a panic into a failure of this voter, and stores the failure in *err if err is not nil. It must be
+// deferred around each call of the Raft library that changes state: the library panics if it finds a contradiction,
+// which must stop only this voter, not the process.
 func (v *Voter) recoverPanic(err *error) {
 	if r := recover(); r != nil {
 		v.failure = fmt.Errorf("%w: %v", ErrInconsistentLog, r)
@@ -161,31 +164,32 @@
 	}
 }
 
-// noteSnapshot takes the applied position and the voters from a snapshot.
+// noteSnapshot sets the applied index, the applied term and the membership to those of a snapshot.
 func (v *Voter) noteSnapshot(snapshot *raftpb.Snapshot) {
 	v.membership = snapshot.Metadata.ConfState
 	v.appliedIndex = snapshot.Metadata.Index
 	v.appliedTerm = snapshot.Metadata.Term
 }
 
-// Err returns why the voter no longer takes part, an ErrInconsistentLog, or nil while it does.
+// Err returns an ErrInconsistentLog once the voter has stopped taking part, and nil before.
 func (v *Voter) Err() error { return v.failure }
 
-// InitialState returns what a newly started voter must make durable before anything else.
+// InitialState returns the state that the host must make durable before anything else when a voter has been started.
 func (v *Voter) InitialState() PersistentState {
-	hard, _, _ := v.storage.InitialState() // a MemoryStorage returns no error here
+	hard, _, _ := v.storage.InitialState() // a MemoryStorage never returns an error here
 	snapshot, _ := v.storage.Snapshot()    // nor here
 	return PersistentState{HardState: hard, Snapshot: snapshot}
 }
 
-// Voters returns the ids of the voters by the newest applied change of membership.
+// Voters returns the IDs of the voters after the newest applied membership change.
 func (v *Voter) Voters() []uint64 { return slices.Clone(v.membership.Voters) }
 
 // Term returns the current term.
 func (v *Voter) Term() uint64 { return v.raftNode.BasicStatus().Term }
 
-// IsLeader reports whether this voter leads and has applied everything committed before its term. The host may act on
-// it for others only as far as a read index was confirmed after they asked.
+// IsLeader reports whether this voter is the leader and has applied an entry of its own term, and with it everything
+// committed in earlier terms. Before the host acts as leader on a request from others, a read index that was requested
+// after that request must be confirmed.
 func (v *Voter) IsLeader() bool {
 	if v.failure != nil {
 		return false
@@ -194,8 +198,8 @@
 	return status.RaftState == raft.StateLeader && v.appliedTerm == status.Term
 }
 
-// Leader returns the id of the leader as far as this voter knows, 0 where it knows none or has not heard of it for
-// long.
+// Leader returns the ID of the leader as far as this voter knows. It is 0 if the voter knows no leader or has not
+// received a message from one for two election timeouts.
 func (v *Voter) Leader() uint64 {
 	if v.failure != nil {
 		return raft.None
@@ -207,10 +211,10 @@
 	return status.Lead
 }
 
-// isRaftLeader reports whether the engine leads, be it that entries of earlier terms are not applied yet.
+// isRaftLeader reports whether this voter is the Raft leader, even if entries of earlier terms are not applied yet.
 func (v *Voter) isRaftLeader() bool { return v.raftNode.BasicStatus().RaftState == raft.StateLeader }
 
-// isVoter reports whether an id has a vote, also by the outgoing half of a joint configuration.
+// isVoter reports whether an ID has a vote, including by the outgoing half of a joint configuration.
 func (v *Voter) isVoter(id uint64) bool {
 	return slices.Contains(v.membership.Voters, id) || slices.Contains(v.membership.VotersOutgoing, id)
 }
--- a/internal/quota/service/file_storage.go
+++ b/internal/quota/service/file_storage.go
@@ -20,30 +20,31 @@
 )
 
 const (
-	databaseFile = "keeper.db" // the name on disk since the first version
+	databaseFile = "keeper.db" // unchanged since the first version, so that existing files are found
 	lockTimeout  = 200 * time.Millisecond
 )
 
-// Layout of the head of a page of bbolt 1.5 that says which state is the newest: two such pages take turns.
+// Layout of the meta pages of bbolt 1.5, which refer to the root of the database. A transaction writes one of the two
+// pages in turn; the newer one is in force.
 const (
 	metaPages          = 2
-	metaOffset         = 16 // of the fields, behind the head that every page has
-	metaChecksumOffset = 56 // from metaOffset: the bytes before it are summed up (FNV-1a, 64 bits)
+	metaOffset         = 16 // of the meta fields, after the header that every page has
+	metaChecksumOffset = 56 // relative to metaOffset: 64-bit FNV-1a checksum of the bytes before it
 	metaChecksumLength = 8
 )
 
-// errUnreadable means that the file is not complete or a record in it is corrupt.
-var errUnreadable = errors.New("the coordinator's stored state cannot be read")
+// errUnreadable means that the file is incomplete or that a record in it is corrupt.
+var errUnreadable = errors.New("stored coordinator state is incomplete or corrupt")
 
-// FileStorage is a Storage in one file of go.etcd.io/bbolt, whose transactions are written completely or not at all. It
-// never reports a state as saved that is not, and never goes on with a file that cannot be read.
+// FileStorage is a Storage in one go.etcd.io/bbolt file, whose transactions are written completely or not at all. It
+// never reports a state as saved before it is durable, and never continues with a file that cannot be read.
 type FileStorage struct {
 	path string
-	db   *bolt.DB // nil after a corrupt file could not be replaced
+	db   *bolt.DB // nil if a corrupt file could not be replaced
 }
 
-// OpenFileStorage opens the storage in a directory, which is created if needed. The error is ErrLocked if another
-// process uses it. A file that is no database is set aside.
+// OpenFileStorage opens the storage in a directory, which it creates if needed. The error is ErrLocked if another
+// process uses the storage. A file that is not a valid database is set aside.
 func OpenFileStorage(directory string) (*FileStorage, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, err
@@ -62,13 +63,13 @@
 		return ErrLocked
 	}
 	if _, isPathError := errors.AsType[*fs.PathError](err); isPathError {
-		return err // the file may be sound: it cannot be reached
+		return err // the file cannot be accessed, but may be valid
 	}
 	return f.replaceCorrupt(err)
 }
 
-// openDatabase opens a bbolt file. The library panics or faults on some corrupt pages, which lie in mapped memory; both
-// become errors.
+// openDatabase opens a bbolt file. On some corrupt pages, which are in mapped memory, the library panics or causes a
+// memory fault; openDatabase turns both into errors.
 func openDatabase(path string) (db *bolt.DB, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -80,11 +81,11 @@
 	return bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType})
 }
 
-// replaceCorrupt renames the file, which keeps it for inspection, and begins an empty one. Cause is part of the error
-// if the file cannot be renamed; it may be nil.
+// replaceCorrupt renames the file, so that it can be inspected, and creates an empty one. If the file cannot be
+// renamed, the error includes cause, which may be nil.
 func (f *FileStorage) replaceCorrupt(cause error) error {
 	if f.db != nil {
-		_ = f.db.Close() // the file is abandoned, whatever else is wrong with it
+		_ = f.db.Close() // the file is no longer used, so a failed close does not matter
 		f.db = nil
 	}
 	aside := fmt.Sprintf("%s.lost-%d", f.path, time.Now().UnixNano())
@@ -109,7 +110,7 @@
 
 // Load implements Storage.
 func (f *FileStorage) Load() (identity coordinator.Identity, saved *consensus.PersistentState, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a torn file faults where it is mapped
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a mapped file that is truncated causes memory faults
 	defer func() {
 		if cause := recover(); cause != nil || errors.Is(err, errUnreadable) {
 			identity = coordinator.Identity{}
@@ -132,7 +133,7 @@
 func (f *FileStorage) Begin(identity coordinator.Identity, state consensus.PersistentState) error {
 	encoded, err := cbor.Marshal(identity)
 	if err != nil {
-		return fmt.Errorf("encode the coordinator's identity: %w", err)
+		return fmt.Errorf("encode coordinator identity: %w", err)
 	}
 	return f.update(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{stateBucket, entryBucket} {
@@ -157,12 +158,12 @@
 	})
 }
 
-// update runs a transaction. What makes the library panic or fault becomes an error.
+// update runs a read-write transaction. It turns panics and memory faults of the library into errors.
 func (f *FileStorage) update(do func(*bolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("update the coordinator's stored state: %v", cause)
+			err = fmt.Errorf("update stored coordinator state: %v", cause)
 		}
 	}()
 	if f.db == nil {
@@ -171,9 +172,10 @@
 	return f.db.Update(do)
 }
 
-// isComplete reports whether the file has its full length and both pages that say which state is the newest are
-// intact. Without one of them the other may lead to a state before a vote. Whether a crash tore the page or the disk
-// lost it cannot be known, so the state counts as lost.
+// isComplete reports whether the file has its full length and both meta pages are intact. If one of them is corrupt,
+// the other one may refer to a state from before the last vote, which would allow a second vote in the same term. A
+// write that a crash interrupted cannot be told apart from later corruption on the disk, so the state counts as lost in
+// both cases.
 func (f *FileStorage) isComplete(tx *bolt.Tx) bool {
 	info, err := os.Stat(f.path)
 	return err == nil && info.Size() >= tx.Size() && f.metaPagesIntact(tx)
@@ -184,14 +186,14 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	for page := range int64(metaPages) {
 		meta := make([]byte, metaChecksumOffset+metaChecksumLength)
 		if _, err := file.ReadAt(meta, page*int64(tx.DB().Info().PageSize)+metaOffset); err != nil {
 			return false
 		}
 		sum := fnv.New64a()
-		_, _ = sum.Write(meta[:metaChecksumOffset]) // a hash never fails to take bytes
+		_, _ = sum.Write(meta[:metaChecksumOffset]) // Write of a hash never returns an error
 		if sum.Sum64() != binary.NativeEndian.Uint64(meta[metaChecksumOffset:]) {
 			return false
 		}
--- a/internal/quota/service/file_storage_test.go
+++ b/internal/quota/service/file_storage_test.go
@@ -14,7 +14,7 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-// entriesOf returns the entries from one index to another, all of one term.
+// entriesOf returns entries of one term with the indexes from..to, both included.
 func entriesOf(from, to uint64, term uint64) (entries []consensus.Entry) {
 	for index := from; index <= to; index++ {
 		data := []byte{byte(index), byte(term)}
@@ -23,12 +23,12 @@
 	return entries
 }
 
-// snapshotOf returns a snapshot of a state.
+// snapshotOf returns a snapshot of a state at an index and term.
 func snapshotOf(state []byte, index, term uint64) raftpb.Snapshot {
 	return raftpb.Snapshot{Data: state, Metadata: raftpb.SnapshotMetadata{Index: index, Term: term}}
 }
 
-// openStorage opens a storage, which is closed when the test ends, if not before.
+// openStorage opens a storage and closes it at the end of the test, which may have closed it before.
 func openStorage(t *testing.T, directory string) *FileStorage {
 	t.Helper()
 	storage, err := OpenFileStorage(directory)
@@ -37,7 +37,7 @@
 	return storage
 }
 
-// load returns what a storage that was begun holds.
+// load returns the state in a storage, which must not be empty.
 func load(t *testing.T, storage *FileStorage) (coordinator.Identity, *consensus.PersistentState) {
 	t.Helper()
 	identity, saved, err := storage.Load()
@@ -46,15 +46,15 @@
 	return identity, saved
 }
 
-// TestFileStorageFindsSavedState checks that what was saved is found again: entries that replaced others, a log that
-// was compacted, the state of another voter in its place.
+// TestFileStorageFindsSavedState checks that a storage returns the saved state: after entries replaced others, after a
+// compaction, and after the state of another voter replaced it. It also checks that a storage in use is locked.
 func TestFileStorageFindsSavedState(t *testing.T) {
 	require := require.New(t)
 	directory := t.TempDir()
 	storage := openStorage(t, directory)
 	_, saved, err := storage.Load()
 	require.NoError(err)
-	require.Nil(saved, "a new storage has a state")
+	require.Nil(saved, "a new storage must be empty")
 	identity := coordinator.Identity{LogID: 3, VoterID: 5}
 	first := consensus.PersistentState{
 		HardState: raftpb.HardState{Term: 1, Commit: 1},
@@ -62,7 +62,7 @@
 	}
 	require.NoError(storage.Begin(identity, first))
 	require.NoError(storage.Save(consensus.PersistentState{Entries: entriesOf(2, 9, 1)}))
-	require.NoError(storage.Save(consensus.PersistentState{ // 7 to 9 were never committed
+	require.NoError(storage.Save(consensus.PersistentState{ // entries 7 to 9 were never committed
 		HardState: raftpb.HardState{Term: 2, Vote: 7, Commit: 4},
 		Entries:   entriesOf(5, 6, 2),
 	}))
@@ -88,8 +88,8 @@
 	require.Empty(saved.Entries)
 }
 
-// TestFileStorageSetsCorruptFileAside checks that a file which is truncated or corrupt anywhere is either read as it
-// was or set aside: it never stops the program, and never gives a state that was not saved.
+// TestFileStorageSetsCorruptFileAside checks that a file that is truncated or has a page of zeros is either read
+// completely or set aside. It must neither stop the program nor yield a state that was not saved.
 func TestFileStorageSetsCorruptFileAside(t *testing.T) {
 	intactDirectory := t.TempDir()
 	storage := openStorage(t, intactDirectory)
--- a/internal/quota/service/golden_test.go
+++ b/internal/quota/service/golden_test.go
@@ -23,8 +23,9 @@
 
 var goldenID = membership.ID{Name: "n0001", Incarnation: 0x1122334455667788}
 
-// TestGoldenMessages compares every message among coordinators and servers, and every name and number made of an
-// identity, with what was recorded. A message is the same when it is decoded and encoded again.
+// TestGoldenMessages compares the encoding of every message between coordinators and servers, and the names and voter
+// IDs that are derived from a member's identity, with a golden file. Each message must keep its encoding when it is
+// decoded and encoded again.
 func TestGoldenMessages(t *testing.T) {
 	codec := golden.Codec{Marshal: cbor.Marshal, Unmarshal: messageDecoder.Unmarshal}
 	var out bytes.Buffer
@@ -68,7 +69,7 @@
 	golden.Check(t, "messages.txt", out.Bytes())
 }
 
-// dumpRecords writes all records of a storage: bucket, key and value.
+// dumpRecords writes a title and all records of a storage, one per line with bucket, key and value.
 func dumpRecords(t *testing.T, storage *FileStorage, title string, out *bytes.Buffer) {
 	t.Helper()
 	fmt.Fprintf(out, "# %s\n", title)
@@ -82,8 +83,8 @@
 	}))
 }
 
-// TestGoldenDisk compares the records of a coordinator's storage after each step with what was recorded. What is read
-// from it and written to another has the same.
+// TestGoldenDisk compares the records of a coordinator's storage after each step with a golden file. A state that is
+// loaded and written to an empty storage must have the same records there.
 func TestGoldenDisk(t *testing.T) {
 	require := require.New(t)
 	storage := openStorage(t, t.TempDir())
@@ -131,15 +132,15 @@
 	golden.Check(t, "disk.txt", out.Bytes())
 }
 
-// TestGoldenStatus compares the JSON in which operators see quotas with what was recorded. It is the same when it is
-// decoded and encoded again.
+// TestGoldenStatus compares the JSON of the quota status with a golden file. It must stay the same when it is decoded
+// and encoded again.
 func TestGoldenStatus(t *testing.T) {
 	require := require.New(t)
 	node, err := gossip.Start(gossip.Config{
 		Membership:    membership.DefaultConfig(goldenID),
 		ListenAddress: "127.0.0.1:0",
 		ClusterName:   "golden",
-		Now:           func() time.Time { return time.Unix(1, 0) }, // a clock that stands still
+		Now:           func() time.Time { return time.Unix(1, 0) }, // a stopped clock
 	})
 	require.NoError(err)
 	t.Cleanup(node.Close)
@@ -172,7 +173,7 @@
 		{Server: HolderName(service.leader), LeaseVersion: 2, Amount: 4000, LimitIndex: 0},
 		{Server: HolderName(goldenID), LeaseVersion: 1, Amount: 1500, LimitIndex: 1},
 	}}, 1)
-	go func() { (<-service.tasks)() }() // in the place of the service's goroutine
+	go func() { (<-service.tasks)() }() // runs the task of Status instead of the service's goroutine
 	status, err := service.Status([]LocalLease{{Usable: 3500, ExpiresAt: 4001}})
 	require.NoError(err)
 	marshalIndented := func(value any) ([]byte, error) { return json.MarshalIndent(value, "", " ") }
--- a/internal/quota/service/messages.go
+++ b/internal/quota/service/messages.go
@@ -10,38 +10,39 @@
 	"thistlequay/internal/strictcbor"
 )
 
-// Kinds of envelopes between the services of a cluster. They are on the wire and must keep their values.
+// Kinds of the envelopes that the services of a cluster exchange. Their values are part of the wire format and must not
+// change.
 const (
 	kindRaft     = gossip.FirstEnvelopeKind     // a raftMessage between two coordinators
 	kindRequest  = gossip.FirstEnvelopeKind + 1 // a leaseRequest to a coordinator
-	kindResponse = gossip.FirstEnvelopeKind + 2 // a leaseResponse to the server that asked
+	kindResponse = gossip.FirstEnvelopeKind + 2 // a leaseResponse to the server that sent the request
 )
 
-// raftMessage carries a message of the coordinators' log.
+// raftMessage carries a message between two voters of the coordinators' log.
 type raftMessage struct {
 	LogID   uint64 `cbor:"1,keyasint"`
-	From    uint64 `cbor:"2,keyasint"` // voter number of the sender
-	Payload []byte `cbor:"3,keyasint"` // as the consensus package encodes it
+	From    uint64 `cbor:"2,keyasint"` // voter ID of the sender
+	Payload []byte `cbor:"3,keyasint"` // encoded by package consensus
 }
 
-// leaseRequest carries what a server requests. RequestID is always 0; the field stays for the bytes on the wire.
+// leaseRequest carries a server's quota request. RequestID is always 0; it remains because the wire format contains it.
 type leaseRequest struct {
 	RequestID uint64        `cbor:"1,keyasint"`
 	Request   quota.Request `cbor:"2,keyasint"`
 }
 
-// leaseResponse carries what a server is granted, or else which coordinator to ask.
+// leaseResponse carries the leases that a server is granted, or else the coordinator to ask instead.
 type leaseResponse struct {
 	Response quota.Response `cbor:"2,keyasint"`
-	Granted  bool           `cbor:"3,keyasint"`           // Response counts
-	Leader   *membership.ID `cbor:"4,keyasint,omitempty"` // nil if it is not known
+	Granted  bool           `cbor:"3,keyasint"`           // whether Response is valid
+	Leader   *membership.ID `cbor:"4,keyasint,omitempty"` // nil if the leader is unknown
 }
 
-// messageDecoder decodes messages, within bounds that no valid one exceeds.
+// messageDecoder decodes messages. No valid message exceeds its bounds.
 var messageDecoder = strictcbor.NewDecoder(strictcbor.Bounds{MaxArrayElements: 1024, MaxMapPairs: 4096})
 
-// Handlers returns the functions that take the service's envelopes, for gossip.Config. They hand over to the service's
-// goroutine and do not block.
+// Handlers returns the handlers of the service's envelopes, by kind, for gossip.Config. They pass the envelopes to the
+// service's goroutine and do not block.
 func (s *Service) Handlers() map[byte]func(from membership.ID, payload []byte) {
 	onGoroutine := func(handle func(membership.ID, []byte)) func(membership.ID, []byte) {
 		return func(from membership.ID, payload []byte) { s.enqueue(func() { handle(from, payload) }) }
@@ -53,8 +54,8 @@
 	}
 }
 
-// handleRaftMessage hands a message to the coordinator. It drops one whose sender is not the voter that it names, which
-// also holds for a voter that is not in the view yet: the log repeats its messages.
+// handleRaftMessage passes a message to the coordinator. It drops a message whose sender is not known as the voter that
+// the message names. A voter that is not in the view yet is also dropped, which is safe because Raft repeats messages.
 func (s *Service) handleRaftMessage(from membership.ID, payload []byte) {
 	var message raftMessage
 	if messageDecoder.Unmarshal(payload, &message) != nil {
@@ -67,7 +68,7 @@
 	s.coordinator.Step(message.From, message.LogID, message.Payload)
 }
 
-// sendRaftMessage sends a message of the log to the voter that it is for, if that is alive.
+// sendRaftMessage sends a message to the voter that it is addressed to, if that voter is alive.
 func (s *Service) sendRaftMessage(message consensus.Message) {
 	member, isKnown := s.membersByVoter[message.To]
 	if !isKnown {
--- a/internal/quota/service/records.go
+++ b/internal/quota/service/records.go
@@ -12,14 +12,15 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-// Names on disk, which must not change. Entries have their index as key, 8 bytes in big-endian order.
+// Bucket names and keys. They are part of the file format and must not change. The key of an entry is its index, 8
+// bytes in big-endian order.
 var (
 	stateBucket  = []byte("state")
 	entryBucket  = []byte("entries")
 	identityKey  = []byte("identity") // a coordinator.Identity as CBOR
 	hardStateKey = []byte("hard")     // a raftpb.HardState
 	snapshotKey  = []byte("snapshot") // a raftpb.Snapshot
-	lastIndexKey = []byte("last")     // the index of the newest entry, so that none can be missing unnoticed
+	lastIndexKey = []byte("last")     // the index of the newest entry, to detect missing entries
 )
 
 const (
@@ -27,13 +28,12 @@
 	indexLength    = 8
 )
 
-// addChecksum puts a checksum in front of a record. The library itself has checksums only for the pages that say which
-// state is the newest.
+// addChecksum returns a record with a checksum in front of it. bbolt itself has checksums only for its meta pages.
 func addChecksum(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, xxh3.Hash(data)), data...)
 }
 
-// verifyChecksum returns the record behind its checksum, nil if that does not fit.
+// verifyChecksum returns the record after its checksum, or nil if the checksum does not match.
 func verifyChecksum(value []byte) []byte {
 	if len(value) < checksumLength || binary.BigEndian.Uint64(value) != xxh3.Hash(value[checksumLength:]) {
 		return nil
@@ -43,8 +43,8 @@
 
 func encodeIndex(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// readRecords returns all that is stored. Saved is nil if nothing is; the error is errUnreadable if any record is
-// corrupt or missing.
+// readRecords returns the stored identity and state. Without a stored identity, saved is nil. The error is
+// errUnreadable if a record is corrupt or an entry is missing.
 func readRecords(tx *bolt.Tx) (identity coordinator.Identity, saved *consensus.PersistentState, err error) {
 	records := tx.Bucket(stateBucket)
 	if records == nil || records.Get(identityKey) == nil {
@@ -81,7 +81,7 @@
 	return identity, saved, nil
 }
 
-// readRecord returns a record of the state, nil if it is not there.
+// readRecord returns the record under a key, or nil if there is none.
 func readRecord(bucket *bolt.Bucket, key []byte) ([]byte, error) {
 	value := bucket.Get(key)
 	if value == nil {
@@ -94,8 +94,8 @@
 	return data, nil
 }
 
-// readEntries returns the entries from an index on, which must follow each other. Older ones are passed over: the
-// snapshot has taken their place.
+// readEntries returns the entries from an index on, which must be consecutive. It skips older entries, because the
+// snapshot has replaced them.
 func readEntries(bucket *bolt.Bucket, from uint64) ([]consensus.Entry, error) {
 	if bucket == nil {
 		return nil, errUnreadable
@@ -120,6 +120,7 @@
 	return entries, err
 }
 
+// decodeEntry verifies and decodes an entry, whose index must be its key.
 func decodeEntry(key, value []byte) (entry consensus.Entry, err error) {
 	data := verifyChecksum(value)
 	if len(key) != indexLength || data == nil || entry.Unmarshal(data) != nil {
@@ -131,8 +132,8 @@
 	return entry, nil
 }
 
-// putState writes what is set in a state. Entries replace all that were stored from the first of them on; a snapshot
-// takes the place of the entries up to its index.
+// putState writes the parts of a state that are set. Entries replace all stored entries from the index of the first one
+// on; a snapshot replaces the entries up to its index.
 func putState(tx *bolt.Tx, state *consensus.PersistentState) error {
 	records := tx.Bucket(stateBucket)
 	entries := tx.Bucket(entryBucket)
@@ -151,7 +152,7 @@
 		return err
 	}
 	if n := len(state.Entries); n > 0 {
-		// What was stored behind them was never committed.
+		// Stored entries after the new ones were never committed.
 		if err := deleteEntriesAfter(entries, state.Entries[n-1].Index); err != nil {
 			return err
 		}
@@ -165,7 +166,7 @@
 	return deleteEntriesUpTo(entries, state.Snapshot.Metadata.Index)
 }
 
-// putRecord writes a record behind its checksum.
+// putRecord writes a record with its checksum in front.
 func putRecord(bucket *bolt.Bucket, key []byte, record interface{ Marshal() ([]byte, error) }) error {
 	data, err := record.Marshal()
 	if err != nil {
@@ -174,7 +175,8 @@
 	return bucket.Put(key, addChecksum(data))
 }
 
-// putLastIndex writes the index of the newest entry. Entries may make it smaller, a snapshot alone only greater.
+// putLastIndex writes the index of the newest entry. New entries may decrease it, because they replace stored ones; a
+// snapshot without entries may only increase it.
 func putLastIndex(records *bolt.Bucket, state *consensus.PersistentState) error {
 	last := state.Snapshot.Metadata.Index
 	hasEntries := len(state.Entries) > 0
@@ -203,7 +205,7 @@
 	return nil
 }
 
-// deleteEntriesUpTo deletes all entries up to and with an index.
+// deleteEntriesUpTo deletes all entries up to and including an index.
 func deleteEntriesUpTo(entries *bolt.Bucket, index uint64) error {
 	cursor := entries.Cursor()
 	for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) <= index; key, _ = cursor.First() {
--- a/internal/quota/service/requests.go
+++ b/internal/quota/service/requests.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// maxRequesters bounds the requests that the coordinator has not replied to. When there are more, the service
-	// forgets whom the replies are for; the servers ask again.
+	// maxRequesters is the maximum number of requests without a reply whose requesters the service remembers. If there
+	// are more, the service forgets all of them, and the servers repeat their requests.
 	maxRequesters = 8192
-	// maxUnanswered is how many requests in a row a coordinator may leave unanswered before another one is asked.
+	// maxUnanswered is the number of consecutive requests that a coordinator may leave unanswered before the service
+	// switches to another one.
 	maxUnanswered = 2
 )
 
-// Request sends a request of this server to the coordinator that leads, as far as is known. It does not wait:
-// Config.OnResponse receives what is granted.
+// Request sends a request from this server to the coordinator that is believed to be the leader. It does not wait for
+// the response; Config.OnResponse receives the leases that are granted.
 func (s *Service) Request(request quota.Request) {
 	s.enqueue(func() {
 		request.ConfigDigest = s.config.ConfigDigest
@@ -41,8 +42,9 @@
 	})
 }
 
-// chooseLeader decides which coordinator requests go to: this server, if it leads; otherwise the same as before, unless
-// that one is no longer alive, does not answer, or is this server, which then has lost the leadership.
+// chooseLeader selects the coordinator that requests are sent to. If this server is the leader, it is this server.
+// Otherwise the previous choice remains, unless that coordinator is no longer alive or does not answer, or is this
+// server, which has then lost its leadership.
 func (s *Service) chooseLeader() {
 	if s.coordinator.IsLeader() {
 		s.leader = s.localID
@@ -54,7 +56,8 @@
 	}
 }
 
-// selectNextCoordinator has requests go to the leader that the log knows of, or else to the next coordinator in order.
+// selectNextCoordinator directs requests to the leader that this server's voter knows of. If that is unknown, is this
+// server or was already the choice, it selects the next coordinator in order.
 func (s *Service) selectNextCoordinator() {
 	s.unanswered = 0
 	member, isKnown := s.membersByVoter[s.coordinator.Leader()]
@@ -68,7 +71,7 @@
 	}
 }
 
-// coordinators returns the members that may lead, in an order that does not change.
+// coordinators returns the members that may become leader, in a stable order.
 func (s *Service) coordinators() []membership.ID {
 	if len(s.config.Coordinators) == 0 {
 		return slices.Clone(s.clusterVoters[:min(len(s.clusterVoters), coordinator.MaxVoters)])
@@ -83,7 +86,7 @@
 	return named
 }
 
-// handleRequest takes another server's request. A request for anybody but its sender is dropped.
+// handleRequest handles a request from another server. It drops a request for any lease holder other than its sender.
 func (s *Service) handleRequest(from membership.ID, payload []byte) {
 	var message leaseRequest
 	if messageDecoder.Unmarshal(payload, &message) != nil || len(message.Request.Limits) == 0 {
@@ -97,7 +100,7 @@
 	s.admitRequest(from, message.Request)
 }
 
-// admitRequest hands a request to the coordinator and keeps in mind whom the reply is for.
+// admitRequest passes a request to the coordinator and remembers which server to reply to.
 func (s *Service) admitRequest(from membership.ID, request quota.Request) {
 	if len(s.requesters) >= maxRequesters {
 		clear(s.requesters)
@@ -107,7 +110,8 @@
 	s.coordinator.EnqueueRequest(s.lastRequestID, request)
 }
 
-// sendReply sends the coordinator's reply to the server that asked, or takes it up if that is this server.
+// sendReply sends the coordinator's reply to the server that made the request. If that is this server, it applies the
+// reply directly.
 func (s *Service) sendReply(reply coordinator.Reply) {
 	requester, isKnown := s.requesters[reply.RequestID]
 	if !isKnown {
@@ -128,7 +132,7 @@
 	}
 }
 
-// handleResponse takes a coordinator's response to this server.
+// handleResponse handles a response that a coordinator sent to this server.
 func (s *Service) handleResponse(from membership.ID, payload []byte) {
 	var response leaseResponse
 	if messageDecoder.Unmarshal(payload, &response) == nil {
@@ -136,14 +140,14 @@
 	}
 }
 
-// recordResponse takes up a response, also a late one of a coordinator that was asked before: leases count whoever
-// brings them, because a response says when it was requested.
+// recordResponse applies a response, including a late one from a coordinator that was asked earlier. A lease is valid
+// whichever coordinator sends it, because the response contains the time of the request.
 func (s *Service) recordResponse(from membership.ID, response leaseResponse) {
 	switch {
 	case response.Granted:
 		s.setAnswered(from)
 		s.config.OnResponse(response.Response)
-	case response.Leader != nil && *response.Leader == from: // it leads, and cannot grant anything yet
+	case response.Leader != nil && *response.Leader == from: // it is the leader, but cannot grant leases yet
 		s.setAnswered(from)
 	case response.Leader != nil:
 		s.leader = *response.Leader
@@ -152,7 +156,7 @@
 	}
 }
 
-// setAnswered notes that a coordinator leads and has answered the last request.
+// setAnswered records that a coordinator is the leader and has answered the last request.
 func (s *Service) setAnswered(leader membership.ID) {
 	s.leader = leader
 	s.unanswered = 0
--- a/internal/quota/service/status.go
+++ b/internal/quota/service/status.go
@@ -11,51 +11,52 @@
 // statusTimeout is how long Status waits for the service's goroutine.
 const statusTimeout = time.Second
 
-// unknownVoter stands for a voter that is not alive or not known by name.
+// unknownVoter is shown for a voter that is not alive or whose name is unknown.
 const unknownVoter = "?"
 
-// StatusPath is where a server answers the verb shares, at its status address.
+// StatusPath is the path, at a server's status address, that the shares command reads the Status from.
 const StatusPath = "/shares"
 
 // ErrNoAnswer means that the service's goroutine is busy or has ended.
-var ErrNoAnswer = errors.New("the quota service does not answer")
+var ErrNoAnswer = errors.New("quota service does not respond")
 
-// Status is what one server knows of the quotas, for operators. Its JSON keys are part of the program's interface.
+// Status is one server's view of the quotas, for operators. Its JSON keys are part of the program's interface and must
+// not change.
 type Status struct {
 	Name               string        `json:"name"`
-	Voter              uint64        `json:"voter"` // 0 if this server is no coordinator
+	Voter              uint64        `json:"voter"` // 0 if this server is not a voter of the coordinators' log
 	IsLeader           bool          `json:"leads"`
-	Leader             string        `json:"leader"` // as far as is known
-	HasQuorum          bool          `json:"whole"`  // the server is in the majority: a coordinator may grant leases
+	Leader             string        `json:"leader"` // as far as this server knows
+	HasQuorum          bool          `json:"whole"`  // in the majority, so that its coordinator may grant leases
 	Voters             []string      `json:"voters"`
 	Opened             bool          `json:"opened"`        // all leases of any earlier log have expired
 	AppliedCommands    int           `json:"entries"`       // since the start
 	DiscardedStates    int           `json:"memories_lost"` // since the start
-	MismatchedRequests int           `json:"strange_terms"` // of servers with other settings
+	MismatchedRequests int           `json:"strange_terms"` // requests of servers with other settings
 	Limits             []LimitStatus `json:"limits"`
 }
 
-// LimitStatus is one limit in a Status, amounts in units of the limit.
+// LimitStatus is the status of one limit. Amounts are in units of the limit.
 type LimitStatus struct {
 	Name          string                `json:"name"`
-	Total         float64               `json:"whole"` // in force
+	Total         float64               `json:"whole"` // the total in force
 	Target        float64               `json:"target"`
-	Guaranteed    float64               `json:"floors"` // the part of Total that is kept as guaranteed minimums
+	Guaranteed    float64               `json:"floors"` // part of Total that is reserved for guaranteed minimums
 	Outstanding   float64               `json:"granted"`
 	LeaseDuration timeunit.Milliseconds `json:"length_ms"`
 	UsableHere    float64               `json:"usable_here"`
-	ExpiresInMs   timeunit.Milliseconds `json:"ends_ms"` // of the lease here; 0 if only the minimum is usable
+	ExpiresInMs   timeunit.Milliseconds `json:"ends_ms"` // until this lease ends; 0 if only the minimum is usable
 	Servers       []quota.StatusRow     `json:"servers"`
 }
 
-// LocalLease is what the event loop knows of one limit on this server.
+// LocalLease is this server's lease of one limit, as reported by the event loop.
 type LocalLease struct {
 	Usable    quota.Amount
-	ExpiresAt timeunit.Milliseconds // by Service.Now
+	ExpiresAt timeunit.Milliseconds // on the clock of Service.Now
 }
 
-// Status returns how things stand. Leases are those of this server, in the order of the limits. The error is
-// ErrNoAnswer if the service's goroutine does not answer within a second.
+// Status returns the current status. Leases are those of this server, in the order of the limits. The error is
+// ErrNoAnswer if the service's goroutine does not respond within a second.
 func (s *Service) Status(leases []LocalLease) (Status, error) {
 	answer := make(chan Status, 1)
 	s.enqueue(func() { answer <- s.currentStatus(leases) })
@@ -68,7 +69,7 @@
 	return Status{}, ErrNoAnswer
 }
 
-// currentStatus makes the status. It must run on the service's goroutine.
+// currentStatus builds the status. It must run on the service's goroutine.
 func (s *Service) currentStatus(leases []LocalLease) Status {
 	now := s.Now()
 	limits := s.coordinator.Limits()
@@ -78,7 +79,7 @@
 		IsLeader:           s.coordinator.IsLeader(),
 		Leader:             s.leader.Name,
 		HasQuorum:          s.coordinator.InMajority(),
-		Voters:             []string{}, // in JSON an empty list, not null
+		Voters:             []string{}, // encoded in JSON as an empty list, not as null
 		Opened:             limits.Opened(),
 		AppliedCommands:    s.coordinator.AppliedCommands,
 		DiscardedStates:    s.coordinator.DiscardedStates,
@@ -103,7 +104,7 @@
 	return status
 }
 
-// limitStatus returns what the coordinator knows of a limit.
+// limitStatus returns the coordinator's view of a limit, without its name and without this server's lease.
 func limitStatus(allocator *quota.Allocator, now timeunit.Milliseconds) LimitStatus {
 	config := allocator.Config()
 	return LimitStatus{
@@ -116,4 +117,5 @@
 	}
 }
 
+// units converts an amount to units of its limit.
 func units(amount quota.Amount) float64 { return float64(amount) / float64(quota.Unit) }
--- a/internal/quota/service/view.go
+++ b/internal/quota/service/view.go
@@ -6,8 +6,8 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-// refreshView reads the cluster view and tells the coordinator who is alive and who votes. If the gossip does not
-// answer, what was read before stays in force.
+// refreshView reads the cluster view and informs the coordinator which members are alive and which are voters. If the
+// gossip does not answer, the previous view remains in use.
 func (s *Service) refreshView() {
 	view, alive, ok := s.readView()
 	if !ok {
@@ -34,8 +34,8 @@
 	s.rejoinIfStateLost()
 }
 
-// readView copies what is needed out of the cluster view, without the candidates. On the way it tells the cluster's
-// agreement whether the log has lost its leaders for good, so that the next configuration begins a new one.
+// readView copies the required parts of the cluster view, without the candidates. It also passes on to the cluster's
+// agreement whether the log has lost its leader, so that the next cluster configuration then starts a new log.
 func (s *Service) readView() (view coordinator.ClusterView, alive []membership.Member, ok bool) {
 	view.MajorityUntil = -1
 	leaderLost := s.coordinator.LeaderLost()
@@ -60,8 +60,9 @@
 	return view, alive, err == nil
 }
 
-// candidateOf returns a member as the coordinator knows it. Named coordinators say themselves which number they vote
-// under; without them the number follows from the identity and the log, which is that of the cluster's genesis.
+// candidateOf returns a member as a candidate for the coordinator. Named coordinators announce their own voter and log
+// IDs. If no coordinators are named, the log ID is the genesis epoch, and the voter ID is derived from it and the
+// member's identity.
 func (s *Service) candidateOf(member *membership.Member, genesisEpoch uint64) coordinator.Candidate {
 	candidate := coordinator.Candidate{Name: member.Name, VoterID: member.QuotaVoter, LogID: member.QuotaLog}
 	if len(s.config.Coordinators) == 0 {
--- a/internal/quota/service/voter.go
+++ b/internal/quota/service/voter.go
@@ -12,22 +12,21 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-// rejoinDelay is how long a coordinator whose storage failed waits before it joins the log as a new voter.
+// rejoinDelay is how long a coordinator waits after a storage failure before it joins the log as a new voter.
 const rejoinDelay = 10 * time.Second
 
-// HolderName returns the name under which leases are granted to one incarnation of a server.
+// HolderName returns the name of the lease holder of one incarnation of a server.
 func HolderName(id membership.ID) string {
 	return fmt.Sprintf("%s.%016x", id.Name, id.Incarnation)
 }
 
-// voterNumber returns the number under which an incarnation of a server votes in a log. It is never 0, which stands for
-// no voter.
+// voterNumber returns the voter ID of one incarnation of a server in a log. It is never 0, which means no voter.
 func voterNumber(id membership.ID, log uint64) uint64 {
 	identity := binary.BigEndian.AppendUint64([]byte(id.Name), id.Incarnation)
 	return xxh3.Hash(binary.BigEndian.AppendUint64(identity, log)) | 1
 }
 
-// newVoterNumber returns a number that this server has never voted under.
+// newVoterNumber returns a voter ID that this server has never used.
 func (s *Service) newVoterNumber() uint64 {
 	return voterNumber(s.localID, uint64(time.Now().UnixNano()))
 }
@@ -38,15 +37,15 @@
 }
 
 // restoreState starts the coordinator with the state in the storage. A named coordinator whose storage is empty or
-// corrupt joins as a new voter, because its old number may have voted for what it no longer knows. Only if the settings
-// say that the log has never existed, it begins the first log.
+// corrupt joins as a new voter, because under its old voter ID it may have cast votes that it no longer knows of. It
+// starts the first log only if the settings state that there has never been one.
 func (s *Service) restoreState() error {
 	if s.config.Storage == nil || !s.isNamedCoordinator() {
 		return nil
 	}
 	identity, saved, err := s.config.Storage.Load()
 	if err != nil {
-		return fmt.Errorf("load the coordinator's state: %w", err)
+		return fmt.Errorf("load coordinator state: %w", err)
 	}
 	if saved != nil {
 		if err := s.coordinator.Resume(identity, *saved); err == nil {
@@ -54,7 +53,7 @@
 			return nil
 		}
 		if err := s.config.Storage.SetAside(); err != nil {
-			return fmt.Errorf("set the coordinator's state aside: %w", err)
+			return fmt.Errorf("set coordinator state aside: %w", err)
 		}
 	}
 	if s.config.BootstrapLog && saved == nil {
@@ -65,8 +64,8 @@
 	return s.coordinator.Start(voter, nil)
 }
 
-// bootstrapLog begins the first log of the named coordinators. All of them know each other's first numbers, which are
-// made of the names alone.
+// bootstrapLog starts the first log of the named coordinators. Their first voter IDs are derived from their names
+// alone, so that each of them knows the IDs of the others.
 func (s *Service) bootstrapLog() error {
 	var voters []uint64
 	for _, name := range s.config.Coordinators {
@@ -77,14 +76,15 @@
 	return s.coordinator.Start(voter, voters)
 }
 
-// discardState gives up the coordinator's state after the storage refused it with cause.
+// discardState discards the coordinator's state after the storage failed to save it with the error cause.
 func (s *Service) discardState(cause error) {
 	s.config.Log("coordinator_state_lost", "reason", cause.Error())
 	s.coordinator.DiscardState()
 	s.nextRejoin = time.Now().Add(rejoinDelay)
 }
 
-// rejoinIfStateLost lets a named coordinator that gave up its state join the log as a new voter.
+// rejoinIfStateLost makes a named coordinator that discarded its state join the log as a new voter, once rejoinDelay
+// has passed.
 func (s *Service) rejoinIfStateLost() {
 	isVoter := s.coordinator.Identity().VoterID != 0
 	if isVoter || s.config.Storage == nil || !s.isNamedCoordinator() || !time.Now().After(s.nextRejoin) {
@@ -92,11 +92,11 @@
 	}
 	s.nextRejoin = time.Now().Add(rejoinDelay)
 	if s.config.Storage.SetAside() == nil {
-		_ = s.coordinator.Start(s.newVoterNumber(), nil) // without success it is tried again after rejoinDelay
+		_ = s.coordinator.Start(s.newVoterNumber(), nil) // if this fails, it is tried again after rejoinDelay
 	}
 }
 
-// processReady makes the coordinator's new state durable and only then sends the messages and replies that rest on it.
+// processReady makes the coordinator's new state durable before it sends the messages and replies that depend on it.
 func (s *Service) processReady() {
 	for {
 		ready, more := s.coordinator.Ready()
@@ -117,7 +117,7 @@
 	s.logLeadership()
 }
 
-// persist saves what is new in the coordinator's state. It returns after the state is durable.
+// persist saves the changes of the coordinator's state. They are durable when it returns.
 func (s *Service) persist(ready *coordinator.Ready) error {
 	if s.config.Storage == nil {
 		return nil
@@ -131,7 +131,8 @@
 	return s.config.Storage.Save(ready.State)
 }
 
-// logLeadership writes an event when the coordinator has become leader, is no longer, or may grant leases from now on.
+// logLeadership logs an event if the coordinator has gained or lost the leadership, or if its limits have been opened
+// or closed, since the last event.
 func (s *Service) logLeadership() {
 	isLeader := s.coordinator.IsLeader()
 	isOpened := s.coordinator.Limits().Opened()
