--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -15,13 +15,13 @@
 
 // Parameters of a schedule. Times are in milliseconds of virtual time.
 const (
-	stepLength   = 20
-	maxDelay     = 120  // maximum delay of a message
-	maxPause     = 6000 // maximum pause of a voter
-	minFaultGap  = 200  // time between two faults
-	maxFaultGap  = 4200
-	calmAtTheEnd = 15000
-	faults       = 10
+	stepInterval     = 20
+	maxMessageDelay  = 120  // maximum delay of a message
+	maxPause         = 6000 // maximum pause of a voter
+	minFaultInterval = 200  // time between two faults
+	maxFaultInterval = 4200
+	faultFreePeriod  = 15000
+	faultCount       = 10
 )
 
 // cluster is a set of voters in virtual time. Messages are lost, delayed and duplicated, links are cut in one or both
@@ -32,9 +32,9 @@
 	t                  *testing.T
 	members            []*member
 	lastID             uint64
-	log                [][]byte                         // committed entries; the first voter to apply one adds it
+	committed          [][]byte                         // committed entries; the first voter to apply one adds it
 	leaderSince        map[uint64]timeunit.Milliseconds // by term: when its leader was first seen to lead
-	readAskedAt        map[readRequest]timeunit.Milliseconds
+	readRequestedAt    map[readRequest]timeunit.Milliseconds
 	lastProposal       uint64
 	confirmations      int
 	falseConfirmations int             // confirmations counted as false by checkConfirmation
@@ -63,11 +63,11 @@
 
 func newCluster(t *testing.T, seed int64, size int) *cluster {
 	c := &cluster{
-		Network:     schedule.NewNetwork[envelope](schedule.NewSimulation(seed, 0), maxDelay),
-		t:           t,
-		leaderSince: map[uint64]timeunit.Milliseconds{},
-		readAskedAt: map[readRequest]timeunit.Milliseconds{},
-		lastID:      uint64(size),
+		Network:         schedule.NewNetwork[envelope](schedule.NewSimulation(seed, 0), maxMessageDelay),
+		t:               t,
+		leaderSince:     map[uint64]timeunit.Milliseconds{},
+		readRequestedAt: map[readRequest]timeunit.Milliseconds{},
+		lastID:          uint64(size),
 	}
 	var ids []uint64
 	for i := range size {
@@ -123,8 +123,8 @@
 	}
 }
 
-// deliverReady processes the output of one voter as a host must.
-func (c *cluster) deliverReady(sender int) {
+// processReady processes the output of one voter as a host must.
+func (c *cluster) processReady(sender int) {
 	m := c.members[sender]
 	for {
 		ready, more := m.voter.Ready()
@@ -132,7 +132,7 @@
 		if !more {
 			return
 		}
-		c.record(m, ready)
+		c.recordReady(m, ready)
 		m.persist(ready.State)
 		for _, message := range ready.Messages {
 			if receiver := c.indexOf(message.To); receiver >= 0 {
@@ -143,7 +143,7 @@
 			m.applySnapshot(ready.Snapshot)
 		}
 		for _, data := range ready.Committed {
-			c.apply(m, data)
+			c.applyEntry(m, data)
 		}
 		for _, token := range ready.ConfirmedReads {
 			c.checkConfirmation(m, token)
@@ -151,29 +151,29 @@
 		if m.voter.NeedsCompaction() {
 			state, err := m.voter.Compact(binary.BigEndian.AppendUint64(nil, uint64(m.applied)))
 			require.NoError(c.t, err)
-			c.record(m, Ready{State: state})
+			c.recordReady(m, Ready{State: state})
 			m.persist(state)
 		}
 	}
 }
 
-// apply applies a committed entry and checks that all voters have the same entry at this position.
-func (c *cluster) apply(m *member, data []byte) {
-	if m.applied == len(c.log) {
-		c.log = append(c.log, data)
+// applyEntry applies a committed entry and checks that all voters have the same entry at this position.
+func (c *cluster) applyEntry(m *member, data []byte) {
+	if m.applied == len(c.committed) {
+		c.committed = append(c.committed, data)
 	}
-	require.Equal(c.t, c.log[m.applied], data, "voters disagree on a committed entry")
+	require.Equal(c.t, c.committed[m.applied], data, "voters disagree on a committed entry")
 	m.applied++
 }
 
 // checkConfirmation checks a confirmed read. The confirmation is false if a leader of a later term already existed when
 // the read index was requested.
 func (c *cluster) checkConfirmation(m *member, token uint64) {
-	askedAt, asked := c.readAskedAt[readRequest{m.Incarnation, token}]
-	require.True(c.t, asked)
+	requestedAt, isKnown := c.readRequestedAt[readRequest{m.Incarnation, token}]
+	require.True(c.t, isKnown)
 	c.confirmations++
 	for term, since := range c.leaderSince {
-		if term > m.voter.Term() && since <= askedAt {
+		if term > m.voter.Term() && since <= requestedAt {
 			c.falseConfirmations++
 		}
 	}
@@ -181,27 +181,27 @@
 
 // advance advances the time by one step: it delivers the messages that are due, then ticks every running voter.
 func (c *cluster) advance() {
-	c.Now += stepLength
+	c.Now += stepInterval
 	c.Deliver(func(receiver int, e envelope) {
 		c.members[receiver].voter.Step(e.from, e.data)
-		c.deliverReady(receiver)
+		c.processReady(receiver)
 	})
 	for i, m := range c.members {
 		if !m.IsRunning(c.Now) {
 			continue
 		}
 		m.voter.Tick(c.Now)
-		c.deliverReady(i)
+		c.processReady(i)
 		if m.voter.IsLeader() {
-			c.lead(m)
-			c.deliverReady(i)
+			c.driveLeader(m)
+			c.processReady(i)
 		}
 	}
 }
 
-// lead acts as the host of a leader: it makes a proposal in one of three steps on average, requests a read index, and
-// asks for all members as voters.
-func (c *cluster) lead(m *member) {
+// driveLeader acts as the host of a leader: it makes a proposal in one of three steps on average, requests a read
+// index, and asks for all members as voters.
+func (c *cluster) driveLeader(m *member) {
 	if _, known := c.leaderSince[m.voter.Term()]; !known {
 		c.leaderSince[m.voter.Term()] = c.Now
 	}
@@ -209,8 +209,8 @@
 		c.lastProposal++
 		m.voter.Propose(binary.BigEndian.AppendUint64(nil, c.lastProposal))
 	}
-	if token, asked := m.voter.ReadIndex(); asked {
-		c.readAskedAt[readRequest{m.Incarnation, token}] = c.Now
+	if token, requested := m.voter.ReadIndex(); requested {
+		c.readRequestedAt[readRequest{m.Incarnation, token}] = c.Now
 	}
 	var ids []uint64
 	for _, other := range c.members {
@@ -272,16 +272,16 @@
 	}
 }
 
-// run plays one schedule of faults followed by a period without faults. It reports whether entries were committed in
-// that period.
-func (c *cluster) run() (healed bool) {
-	for range faults {
+// runSchedule plays one schedule of faults followed by a period without faults. It reports whether entries were
+// committed in that period.
+func (c *cluster) runSchedule() (healed bool) {
+	for range faultCount {
 		c.injectFault()
-		c.RunFor(c.DrawSpan(minFaultGap, maxFaultGap), c.advance)
+		c.RunFor(c.DrawSpan(minFaultInterval, maxFaultInterval), c.advance)
 	}
 	c.Heal()
 	c.restartStopped()
-	before := len(c.log)
-	c.RunFor(calmAtTheEnd, c.advance)
-	return len(c.log) > before
+	before := len(c.committed)
+	c.RunFor(faultFreePeriod, c.advance)
+	return len(c.committed) > before
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -32,8 +32,8 @@
 		return
 	}
 	defer v.recoverPanic(nil)
-	if v.now-v.tickedAt >= v.config.HeartbeatInterval {
-		v.tickedAt = v.now
+	if v.now-v.lastTickAt >= v.config.HeartbeatInterval {
+		v.lastTickAt = v.now
 		v.raftNode.Tick()
 		v.checkQuorum()
 		v.proposeMembershipChange()
@@ -45,11 +45,11 @@
 // campaignIfLeaderless starts an election if, for the election timeout, no message from a leader has arrived and this
 // voter has not started an election.
 func (v *Voter) campaignIfLeaderless() {
-	quietSince := max(v.leaderHeardAt, v.campaignedAt)
-	if v.isRaftLeader() || v.now-quietSince <= v.electionTimeout || !v.isVoter(v.config.ID) {
+	lastActivityAt := max(v.leaderContactAt, v.lastCampaignAt)
+	if v.isRaftLeader() || v.now-lastActivityAt <= v.electionTimeout || !v.isVoter(v.config.ID) {
 		return
 	}
-	v.campaignedAt = v.now
+	v.lastCampaignAt = v.now
 	v.drawElectionTimeout()
 	_ = v.raftNode.Campaign() // if the library cannot start an election now, the next timeout tries again
 }
@@ -58,14 +58,14 @@
 // library's own quorum check needs election ticks, which this package does not use.
 func (v *Voter) checkQuorum() {
 	if !v.isRaftLeader() {
-		v.quorumHeardAt = v.now
+		v.quorumConfirmedAt = v.now
 		return
 	}
-	quiet := v.now - v.quorumHeardAt
+	sinceConfirmation := v.now - v.quorumConfirmedAt
 	switch {
-	case quiet > quorumTimeoutFactor*v.config.ElectionTimeout:
+	case sinceConfirmation > quorumTimeoutFactor*v.config.ElectionTimeout:
 		v.stepDown()
-	case v.IsLeader() && quiet > v.config.ElectionTimeout/2:
+	case v.IsLeader() && sinceConfirmation > v.config.ElectionTimeout/2:
 		v.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, quorumCheckToken))
 	}
 }
@@ -81,7 +81,7 @@
 			Term: v.Term() + 1,
 		})
 	}
-	v.leaderHeardAt = v.now - v.config.ElectionTimeout // there is no leader now: start an election soon
+	v.leaderContactAt = v.now - v.config.ElectionTimeout // there is no leader now: start an election soon
 }
 
 // expireSnapshots reports each snapshot as failed that was sent an election timeout ago, so that the Raft library sends
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -24,9 +24,9 @@
 	defer v.recoverPanic(nil)
 	switch message.Type {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		v.noteLeader(message.Term)
+		v.recordLeaderContact(message.Term)
 	case raftpb.MsgPreVote, raftpb.MsgVote:
-		if v.ignoresElection(&message) {
+		if v.ignoresVoteRequest(&message) {
 			return
 		}
 	case raftpb.MsgAppResp, raftpb.MsgVoteResp, raftpb.MsgPreVoteResp, raftpb.MsgHeartbeatResp, raftpb.MsgTimeoutNow:
@@ -36,21 +36,21 @@
 	_ = v.raftNode.Step(message) // an error only means that the library ignored the message
 }
 
-// noteLeader records that a message arrived from the leader of a term. Leaders of past terms are ignored.
-func (v *Voter) noteLeader(term uint64) {
+// recordLeaderContact records that a message arrived from the leader of a term. Leaders of past terms are ignored.
+func (v *Voter) recordLeaderContact(term uint64) {
 	if term >= v.Term() {
-		v.leaderHeardAt = v.now
+		v.leaderContactAt = v.now
 	}
 }
 
-// ignoresElection reports whether a vote request must be dropped. A voter that has recently received messages from its
-// leader votes for no other one, unless the leader transfers its leadership. Otherwise a candidate whose link to the
-// leader works in only one direction could depose a healthy leader.
-func (v *Voter) ignoresElection(request *raftpb.Message) bool {
+// ignoresVoteRequest reports whether a vote request must be dropped. A voter that has recently received messages from
+// its leader votes for no other one, unless the leader transfers its leadership. Otherwise a candidate whose link to
+// the leader works in only one direction could depose a healthy leader.
+func (v *Voter) ignoresVoteRequest(request *raftpb.Message) bool {
 	if v.isRaftLeader() || v.raftNode.BasicStatus().Lead == raft.None {
 		return false
 	}
-	return v.now-v.leaderHeardAt < v.config.ElectionTimeout && string(request.Context) != leaderTransferContext
+	return v.now-v.leaderContactAt < v.config.ElectionTimeout && string(request.Context) != leaderTransferContext
 }
 
 // Propose proposes to append data to the log. It returns false if this voter is not the leader or if there are too many
@@ -65,7 +65,7 @@
 
 // ReadIndex asks the voters to confirm that this voter is still the leader. The token appears in Ready.ConfirmedReads
 // once a majority has confirmed it, which may never happen. ReadIndex returns false if this voter is not the leader.
-func (v *Voter) ReadIndex() (token uint64, asked bool) {
+func (v *Voter) ReadIndex() (token uint64, requested bool) {
 	if !v.IsLeader() {
 		return 0, false
 	}
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -44,7 +44,7 @@
 	if err := v.storage.ApplySnapshot(*snapshot); err != nil {
 		return fmt.Errorf("%w: apply a snapshot: %w", ErrInconsistentLog, err)
 	}
-	v.noteSnapshot(snapshot)
+	v.adoptSnapshotMetadata(snapshot)
 	ready.Snapshot = snapshot.Data
 	if ready.Snapshot == nil {
 		ready.Snapshot = []byte{} // nil would mean that there is no snapshot
@@ -98,7 +98,7 @@
 // and those of checkQuorum.
 func (v *Voter) confirmReads(reads []raft.ReadState, ready *Ready) {
 	for _, read := range reads {
-		v.quorumHeardAt = v.now
+		v.quorumConfirmedAt = v.now
 		if len(read.RequestCtx) != readTokenSize {
 			continue
 		}
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -17,11 +17,11 @@
 	var committed, terms, confirmations, healed int
 	for seed := range seeds {
 		c := newCluster(t, int64(seed), clusterSize(int64(seed)))
-		if c.run() {
+		if c.runSchedule() {
 			healed++
 		}
 		require.Zero(t, c.falseConfirmations, "seed %d", seed)
-		committed += len(c.log)
+		committed += len(c.committed)
 		terms += len(c.leaderSince)
 		confirmations += c.confirmations
 	}
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -16,9 +16,10 @@
 
 // Parameters of the Raft library.
 const (
-	// noElectionTick is an election timeout, in ticks, that is never reached. The library must not start elections
-	// itself, because it draws its timeouts from a random source that cannot be seeded. Voter.Tick starts them instead.
-	noElectionTick = 1 << 30
+	// disabledElectionTick is an election timeout, in ticks, that is never reached. The library must not start
+	// elections itself, because it draws its timeouts from a random source that cannot be seeded. Voter.Tick starts
+	// them instead.
+	disabledElectionTick = 1 << 30
 	// maxAppendBytes is the maximum size of the entries in one append message, so that the message fits into one frame
 	// of the transport.
 	maxAppendBytes = 48 << 10
@@ -30,8 +31,8 @@
 
 // Index and term of the snapshot that a new log starts with. The snapshot names the first voters.
 const (
-	firstIndex = 1
-	firstTerm  = 1
+	bootstrapIndex = 1
+	bootstrapTerm  = 1
 )
 
 // ErrInconsistentLog means that the stored state or a received message contradicts the log. The voter cannot continue
@@ -46,12 +47,12 @@
 	random   *rand.Rand          // source of the election timeouts; tests seed it
 	failure  error               // why the voter has stopped taking part; nil while it takes part
 
-	now             timeunit.Milliseconds
-	tickedAt        timeunit.Milliseconds // when the Raft library was last ticked
-	leaderHeardAt   timeunit.Milliseconds // when a message from a leader last arrived
-	campaignedAt    timeunit.Milliseconds // when this voter last started an election
-	electionTimeout timeunit.Milliseconds // drawn again for each election
-	quorumHeardAt   timeunit.Milliseconds // when a majority last confirmed this leader, or this voter last did not lead
+	now               timeunit.Milliseconds
+	lastTickAt        timeunit.Milliseconds // when the Raft library was last ticked
+	leaderContactAt   timeunit.Milliseconds // when a message from a leader last arrived
+	lastCampaignAt    timeunit.Milliseconds // when this voter last started an election
+	electionTimeout   timeunit.Milliseconds // drawn again for each election
+	quorumConfirmedAt timeunit.Milliseconds // when a majority last confirmed this leader, or it last did not lead
 
 	readToken    uint64 // token of the last ReadIndex call
 	appliedIndex uint64 // index of the newest committed entry or snapshot that Ready returned
@@ -79,13 +80,13 @@
 // The error is ErrInconsistentLog if the Raft library finds a contradiction in the saved state.
 func New(config Config, saved *PersistentState, firstVoters []uint64, random *rand.Rand,
 	now timeunit.Milliseconds) (v *Voter, err error) {
-	v = &Voter{config: config, storage: raft.NewMemoryStorage(), random: random, now: now, leaderHeardAt: now}
+	v = &Voter{config: config, storage: raft.NewMemoryStorage(), random: random, now: now, leaderContactAt: now}
 	v.drawElectionTimeout()
 	switch {
 	case saved != nil:
-		err = restore(v.storage, saved)
+		err = restoreStorage(v.storage, saved)
 	case len(firstVoters) > 0:
-		err = bootstrap(v.storage, firstVoters)
+		err = bootstrapStorage(v.storage, firstVoters)
 	}
 	if err != nil {
 		return nil, err
@@ -94,14 +95,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("read the snapshot: %w", err)
 	}
-	v.noteSnapshot(&snapshot)
+	v.adoptSnapshotMetadata(&snapshot)
 	defer v.recoverPanic(&err)
-	v.raftNode, err = raft.NewRawNode(v.engineConfig())
+	v.raftNode, err = raft.NewRawNode(v.raftConfig())
 	return v, err
 }
 
-// restore writes saved state to an empty storage.
-func restore(storage *raft.MemoryStorage, saved *PersistentState) error {
+// restoreStorage writes saved state to an empty storage.
+func restoreStorage(storage *raft.MemoryStorage, saved *PersistentState) error {
 	if !raft.IsEmptySnap(saved.Snapshot) {
 		if err := storage.ApplySnapshot(saved.Snapshot); err != nil {
 			return fmt.Errorf("restore the snapshot: %w", err)
@@ -116,28 +117,28 @@
 	return nil
 }
 
-// bootstrap initializes an empty storage with a new log that has the given voters. All of these voters start with the
-// same state.
-func bootstrap(storage *raft.MemoryStorage, voters []uint64) error {
+// bootstrapStorage initializes an empty storage with a new log that has the given voters. All of these voters start
+// with the same state.
+func bootstrapStorage(storage *raft.MemoryStorage, voters []uint64) error {
 	metadata := raftpb.SnapshotMetadata{
-		Index:     firstIndex,
-		Term:      firstTerm,
+		Index:     bootstrapIndex,
+		Term:      bootstrapTerm,
 		ConfState: raftpb.ConfState{Voters: sortedIDs(voters)},
 	}
 	if err := storage.ApplySnapshot(raftpb.Snapshot{Data: []byte{}, Metadata: metadata}); err != nil {
 		return fmt.Errorf("write the first snapshot: %w", err)
 	}
-	if err := storage.SetHardState(raftpb.HardState{Term: firstTerm, Commit: firstIndex}); err != nil {
+	if err := storage.SetHardState(raftpb.HardState{Term: bootstrapTerm, Commit: bootstrapIndex}); err != nil {
 		return fmt.Errorf("write the first hard state: %w", err)
 	}
 	return nil
 }
 
-// engineConfig returns the configuration of the Raft library.
-func (v *Voter) engineConfig() *raft.Config {
+// raftConfig returns the configuration of the Raft library.
+func (v *Voter) raftConfig() *raft.Config {
 	return &raft.Config{
 		ID:                        v.config.ID,
-		ElectionTick:              noElectionTick,
+		ElectionTick:              disabledElectionTick,
 		HeartbeatTick:             1,
 		Storage:                   v.storage,
 		Applied:                   v.appliedIndex,
@@ -164,8 +165,8 @@
 	}
 }
 
-// noteSnapshot sets the applied index, the applied term and the membership to those of a snapshot.
-func (v *Voter) noteSnapshot(snapshot *raftpb.Snapshot) {
+// adoptSnapshotMetadata sets the applied index, the applied term and the membership to those of a snapshot.
+func (v *Voter) adoptSnapshotMetadata(snapshot *raftpb.Snapshot) {
 	v.membership = snapshot.Metadata.ConfState
 	v.appliedIndex = snapshot.Metadata.Index
 	v.appliedTerm = snapshot.Metadata.Term
@@ -176,9 +177,9 @@
 
 // InitialState returns the state that the host must make durable before anything else when a voter has been started.
 func (v *Voter) InitialState() PersistentState {
-	hard, _, _ := v.storage.InitialState() // a MemoryStorage never returns an error here
-	snapshot, _ := v.storage.Snapshot()    // nor here
-	return PersistentState{HardState: hard, Snapshot: snapshot}
+	hardState, _, _ := v.storage.InitialState() // a MemoryStorage never returns an error here
+	snapshot, _ := v.storage.Snapshot()         // nor here
+	return PersistentState{HardState: hardState, Snapshot: snapshot}
 }
 
 // Voters returns the IDs of the voters after the newest applied membership change.
@@ -205,7 +206,7 @@
 		return raft.None
 	}
 	status := v.raftNode.BasicStatus()
-	if status.RaftState != raft.StateLeader && v.now-v.leaderHeardAt > 2*v.config.ElectionTimeout {
+	if status.RaftState != raft.StateLeader && v.now-v.leaderContactAt > 2*v.config.ElectionTimeout {
 		return raft.None
 	}
 	return status.Lead
--- a/internal/quota/service/file_storage.go
+++ b/internal/quota/service/file_storage.go
@@ -50,10 +50,11 @@
 		return nil, err
 	}
 	f := &FileStorage{path: filepath.Join(directory, databaseFile)}
-	return f, f.open()
+	return f, f.openOrReplace()
 }
 
-func (f *FileStorage) open() error {
+// openOrReplace opens the database file and replaces it if it is not a valid database.
+func (f *FileStorage) openOrReplace() error {
 	var err error
 	f.db, err = openDatabase(f.path)
 	if err == nil {
@@ -65,7 +66,7 @@
 	if _, isPathError := errors.AsType[*fs.PathError](err); isPathError {
 		return err // the file cannot be accessed, but may be valid
 	}
-	return f.replaceCorrupt(err)
+	return f.replaceFile(err)
 }
 
 // openDatabase opens a bbolt file. On some corrupt pages, which are in mapped memory, the library panics or causes a
@@ -81,15 +82,15 @@
 	return bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType})
 }
 
-// replaceCorrupt renames the file, so that it can be inspected, and creates an empty one. If the file cannot be
+// replaceFile renames the file, so that it can be inspected, and creates an empty one. If the file cannot be
 // renamed, the error includes cause, which may be nil.
-func (f *FileStorage) replaceCorrupt(cause error) error {
+func (f *FileStorage) replaceFile(cause error) error {
 	if f.db != nil {
 		_ = f.db.Close() // the file is no longer used, so a failed close does not matter
 		f.db = nil
 	}
-	aside := fmt.Sprintf("%s.lost-%d", f.path, time.Now().UnixNano())
-	if err := os.Rename(f.path, aside); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	renamedPath := fmt.Sprintf("%s.lost-%d", f.path, time.Now().UnixNano())
+	if err := os.Rename(f.path, renamedPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return errors.Join(cause, err)
 	}
 	var err error
@@ -98,7 +99,7 @@
 }
 
 // SetAside implements Storage.
-func (f *FileStorage) SetAside() error { return f.replaceCorrupt(nil) }
+func (f *FileStorage) SetAside() error { return f.replaceFile(nil) }
 
 // Close implements Storage.
 func (f *FileStorage) Close() error {
@@ -115,11 +116,11 @@
 		if cause := recover(); cause != nil || errors.Is(err, errUnreadable) {
 			identity = coordinator.Identity{}
 			saved = nil
-			err = f.replaceCorrupt(errUnreadable)
+			err = f.replaceFile(errUnreadable)
 		}
 	}()
 	err = f.db.View(func(tx *bolt.Tx) error {
-		if !f.isComplete(tx) {
+		if !f.isIntact(tx) {
 			return errUnreadable
 		}
 		var err error
@@ -129,13 +130,13 @@
 	return identity, saved, err
 }
 
-// Begin implements Storage.
-func (f *FileStorage) Begin(identity coordinator.Identity, state consensus.PersistentState) error {
+// Reset implements Storage.
+func (f *FileStorage) Reset(identity coordinator.Identity, state consensus.PersistentState) error {
 	encoded, err := cbor.Marshal(identity)
 	if err != nil {
 		return fmt.Errorf("encode coordinator identity: %w", err)
 	}
-	return f.update(func(tx *bolt.Tx) error {
+	return f.runUpdate(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{stateBucket, entryBucket} {
 			if err := recreateBucket(tx, name); err != nil {
 				return err
@@ -150,7 +151,7 @@
 
 // Save implements Storage.
 func (f *FileStorage) Save(state consensus.PersistentState) error {
-	return f.update(func(tx *bolt.Tx) error {
+	return f.runUpdate(func(tx *bolt.Tx) error {
 		if tx.Bucket(stateBucket) == nil {
 			return errUnreadable
 		}
@@ -158,8 +159,8 @@
 	})
 }
 
-// update runs a read-write transaction. It turns panics and memory faults of the library into errors.
-func (f *FileStorage) update(do func(*bolt.Tx) error) (err error) {
+// runUpdate runs a read-write transaction. It turns panics and memory faults of the library into errors.
+func (f *FileStorage) runUpdate(transaction func(*bolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -169,19 +170,19 @@
 	if f.db == nil {
 		return errUnreadable
 	}
-	return f.db.Update(do)
+	return f.db.Update(transaction)
 }
 
-// isComplete reports whether the file has its full length and both meta pages are intact. If one of them is corrupt,
+// isIntact reports whether the file has its full length and both meta pages are intact. If one of them is corrupt,
 // the other one may refer to a state from before the last vote, which would allow a second vote in the same term. A
 // write that a crash interrupted cannot be told apart from later corruption on the disk, so the state counts as lost in
 // both cases.
-func (f *FileStorage) isComplete(tx *bolt.Tx) bool {
+func (f *FileStorage) isIntact(tx *bolt.Tx) bool {
 	info, err := os.Stat(f.path)
-	return err == nil && info.Size() >= tx.Size() && f.metaPagesIntact(tx)
+	return err == nil && info.Size() >= tx.Size() && f.hasIntactMetaPages(tx)
 }
 
-func (f *FileStorage) metaPagesIntact(tx *bolt.Tx) bool {
+func (f *FileStorage) hasIntactMetaPages(tx *bolt.Tx) bool {
 	file, err := os.Open(f.path)
 	if err != nil {
 		return false
@@ -192,9 +193,9 @@
 		if _, err := file.ReadAt(meta, page*int64(tx.DB().Info().PageSize)+metaOffset); err != nil {
 			return false
 		}
-		sum := fnv.New64a()
-		_, _ = sum.Write(meta[:metaChecksumOffset]) // Write of a hash never returns an error
-		if sum.Sum64() != binary.NativeEndian.Uint64(meta[metaChecksumOffset:]) {
+		checksum := fnv.New64a()
+		_, _ = checksum.Write(meta[:metaChecksumOffset]) // Write of a hash never returns an error
+		if checksum.Sum64() != binary.NativeEndian.Uint64(meta[metaChecksumOffset:]) {
 			return false
 		}
 	}
--- a/internal/quota/service/file_storage_test.go
+++ b/internal/quota/service/file_storage_test.go
@@ -14,8 +14,8 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-// entriesOf returns entries of one term with the indexes from..to, both included.
-func entriesOf(from, to uint64, term uint64) (entries []consensus.Entry) {
+// makeEntries returns entries of one term with the indexes from..to, both included.
+func makeEntries(from, to uint64, term uint64) (entries []consensus.Entry) {
 	for index := from; index <= to; index++ {
 		data := []byte{byte(index), byte(term)}
 		entries = append(entries, consensus.Entry{Index: index, Term: term, Data: data})
@@ -23,8 +23,8 @@
 	return entries
 }
 
-// snapshotOf returns a snapshot of a state at an index and term.
-func snapshotOf(state []byte, index, term uint64) raftpb.Snapshot {
+// makeSnapshot returns a snapshot of a state at an index and term.
+func makeSnapshot(state []byte, index, term uint64) raftpb.Snapshot {
 	return raftpb.Snapshot{Data: state, Metadata: raftpb.SnapshotMetadata{Index: index, Term: term}}
 }
 
@@ -37,8 +37,8 @@
 	return storage
 }
 
-// load returns the state in a storage, which must not be empty.
-func load(t *testing.T, storage *FileStorage) (coordinator.Identity, *consensus.PersistentState) {
+// loadState returns the state in a storage, which must not be empty.
+func loadState(t *testing.T, storage *FileStorage) (coordinator.Identity, *consensus.PersistentState) {
 	t.Helper()
 	identity, saved, err := storage.Load()
 	require.NoError(t, err)
@@ -58,32 +58,32 @@
 	identity := coordinator.Identity{LogID: 3, VoterID: 5}
 	first := consensus.PersistentState{
 		HardState: raftpb.HardState{Term: 1, Commit: 1},
-		Snapshot:  snapshotOf([]byte{}, 1, 1),
+		Snapshot:  makeSnapshot([]byte{}, 1, 1),
 	}
-	require.NoError(storage.Begin(identity, first))
-	require.NoError(storage.Save(consensus.PersistentState{Entries: entriesOf(2, 9, 1)}))
+	require.NoError(storage.Reset(identity, first))
+	require.NoError(storage.Save(consensus.PersistentState{Entries: makeEntries(2, 9, 1)}))
 	require.NoError(storage.Save(consensus.PersistentState{ // entries 7 to 9 were never committed
 		HardState: raftpb.HardState{Term: 2, Vote: 7, Commit: 4},
-		Entries:   entriesOf(5, 6, 2),
+		Entries:   makeEntries(5, 6, 2),
 	}))
 	_, err = OpenFileStorage(directory)
 	require.ErrorIs(err, ErrLocked)
 	require.NoError(storage.Close())
 
 	storage = openStorage(t, directory)
-	found, saved := load(t, storage)
+	found, saved := loadState(t, storage)
 	require.Equal(identity, found)
 	require.Equal(raftpb.HardState{Term: 2, Vote: 7, Commit: 4}, saved.HardState)
-	require.Equal(append(entriesOf(2, 4, 1), entriesOf(5, 6, 2)...), saved.Entries)
+	require.Equal(append(makeEntries(2, 4, 1), makeEntries(5, 6, 2)...), saved.Entries)
 
-	compacted := consensus.PersistentState{HardState: saved.HardState, Snapshot: snapshotOf([]byte("state"), 5, 2)}
+	compacted := consensus.PersistentState{HardState: saved.HardState, Snapshot: makeSnapshot([]byte("state"), 5, 2)}
 	require.NoError(storage.Save(compacted))
-	_, saved = load(t, storage)
-	require.Equal(entriesOf(6, 6, 2), saved.Entries)
+	_, saved = loadState(t, storage)
+	require.Equal(makeEntries(6, 6, 2), saved.Entries)
 	require.Equal("state", string(saved.Snapshot.Data))
 
-	require.NoError(storage.Begin(coordinator.Identity{LogID: 3, VoterID: 8}, consensus.PersistentState{}))
-	found, saved = load(t, storage)
+	require.NoError(storage.Reset(coordinator.Identity{LogID: 3, VoterID: 8}, consensus.PersistentState{}))
+	found, saved = loadState(t, storage)
 	require.Equal(uint64(8), found.VoterID)
 	require.Empty(saved.Entries)
 }
@@ -94,11 +94,11 @@
 	intactDirectory := t.TempDir()
 	storage := openStorage(t, intactDirectory)
 	identity := coordinator.Identity{LogID: 1, VoterID: 2}
-	require.NoError(t, storage.Begin(identity, consensus.PersistentState{
+	require.NoError(t, storage.Reset(identity, consensus.PersistentState{
 		HardState: raftpb.HardState{Term: 1, Commit: 1},
-		Snapshot:  snapshotOf(nil, 1, 1),
+		Snapshot:  makeSnapshot(nil, 1, 1),
 	}))
-	require.NoError(t, storage.Save(consensus.PersistentState{Entries: entriesOf(2, 400, 1)}))
+	require.NoError(t, storage.Save(consensus.PersistentState{Entries: makeEntries(2, 400, 1)}))
 	require.NoError(t, storage.Close())
 	intact, err := os.ReadFile(filepath.Join(intactDirectory, databaseFile))
 	require.NoError(t, err)
@@ -117,7 +117,7 @@
 			}
 			setAside++
 			other := coordinator.Identity{LogID: 1, VoterID: 3}
-			require.NoError(t, storage.Begin(other, consensus.PersistentState{}))
+			require.NoError(t, storage.Reset(other, consensus.PersistentState{}))
 		})
 	}
 	for size := 0; size < len(intact); size += 1 + len(intact)/24 {
--- a/internal/quota/service/golden_test.go
+++ b/internal/quota/service/golden_test.go
@@ -21,7 +21,7 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-var goldenID = membership.ID{Name: "n0001", Incarnation: 0x1122334455667788}
+var goldenMemberID = membership.ID{Name: "n0001", Incarnation: 0x1122334455667788}
 
 // TestGoldenMessages compares the encoding of every message between coordinators and servers, and the names and voter
 // IDs that are derived from a member's identity, with a golden file. Each message must keep its encoding when it is
@@ -33,10 +33,10 @@
 		t.Helper()
 		fmt.Fprintf(&out, "%s %d %x\n", name, kind, codec.Encode(t, content, empty))
 	}
-	raft := raftMessage{LogID: 1 << 60, From: 1<<63 + 1, Payload: []byte("what it says")}
-	add("raft", kindRaft, raft, &raftMessage{})
+	message := raftMessage{LogID: 1 << 60, From: 1<<63 + 1, Payload: []byte("what it says")}
+	add("raft", kindRaftMessage, message, &raftMessage{})
 	limit := quota.LimitRequest{
-		Server:      HolderName(goldenID),
+		Server:      HolderName(goldenMemberID),
 		RequestedAt: 12345,
 		HeldVersion: 8,
 		Desired:     1500,
@@ -49,7 +49,7 @@
 		Totals:       []quota.Amount{1000, 2500},
 		Limits:       []quota.LimitRequest{limit, {}},
 	}
-	add("question", kindRequest, leaseRequest{RequestID: 7, Request: request}, &leaseRequest{})
+	add("question", kindLeaseRequest, leaseRequest{RequestID: 7, Request: request}, &leaseRequest{})
 	lease := quota.LimitResponse{
 		RequestedAt:   12345,
 		LeaseVersion:  9,
@@ -58,13 +58,13 @@
 		LogID:         1 << 60,
 	}
 	granted := quota.Response{Limits: []quota.LimitResponse{lease, {}}}
-	add("answer granted", kindResponse, leaseResponse{Response: granted, Granted: true}, &leaseResponse{})
-	add("answer refused", kindResponse, leaseResponse{Leader: &goldenID}, &leaseResponse{})
-	add("answer of nobody", kindResponse, leaseResponse{}, &leaseResponse{})
-	fmt.Fprintf(&out, "holder %s\n", HolderName(goldenID))
-	for _, log := range []uint64{0, 1, 1 << 60} {
+	add("answer granted", kindLeaseResponse, leaseResponse{Response: granted, Granted: true}, &leaseResponse{})
+	add("answer refused", kindLeaseResponse, leaseResponse{Leader: &goldenMemberID}, &leaseResponse{})
+	add("answer of nobody", kindLeaseResponse, leaseResponse{}, &leaseResponse{})
+	fmt.Fprintf(&out, "holder %s\n", HolderName(goldenMemberID))
+	for _, logID := range []uint64{0, 1, 1 << 60} {
 		other := membership.ID{Name: "n0002"}
-		fmt.Fprintf(&out, "voter %d: %d %d\n", log, voterNumber(goldenID, log), voterNumber(other, log))
+		fmt.Fprintf(&out, "voter %d: %d %d\n", logID, voterIDFor(goldenMemberID, logID), voterIDFor(other, logID))
 	}
 	golden.Check(t, "messages.txt", out.Bytes())
 }
@@ -91,43 +91,43 @@
 	var out bytes.Buffer
 	identity := coordinator.Identity{LogID: 1<<60 + 1, VoterID: 1<<63 + 1}
 	snapshot := func(index uint64, state string) raftpb.Snapshot {
-		made := snapshotOf([]byte(state), index, 2)
-		made.Metadata.ConfState = raftpb.ConfState{Voters: []uint64{1, 2, 1<<63 + 1}}
-		return made
+		result := makeSnapshot([]byte(state), index, 2)
+		result.Metadata.ConfState = raftpb.ConfState{Voters: []uint64{1, 2, 1<<63 + 1}}
+		return result
 	}
 	hardState := func(term, vote, commit uint64) raftpb.HardState {
 		return raftpb.HardState{Term: term, Vote: vote, Commit: commit}
 	}
 	steps := []struct {
-		title string
-		begin bool
-		state consensus.PersistentState
+		title   string
+		isReset bool
+		state   consensus.PersistentState
 	}{
 		{"begin", true, consensus.PersistentState{HardState: hardState(1, 0, 1), Snapshot: snapshot(1, "first")}},
-		{"entries", false, consensus.PersistentState{Entries: entriesOf(2, 9, 1)}},
+		{"entries", false, consensus.PersistentState{Entries: makeEntries(2, 9, 1)}},
 		{"others in their place", false, consensus.PersistentState{
 			HardState: hardState(2, 7, 4),
-			Entries:   entriesOf(5, 7, 2),
+			Entries:   makeEntries(5, 7, 2),
 		}},
 		{"cut", false, consensus.PersistentState{HardState: hardState(2, 7, 6), Snapshot: snapshot(5, "later")}},
 	}
 	for _, step := range steps {
-		if step.begin {
-			require.NoError(storage.Begin(identity, step.state), step.title)
+		if step.isReset {
+			require.NoError(storage.Reset(identity, step.state), step.title)
 		} else {
 			require.NoError(storage.Save(step.state), step.title)
 		}
 		dumpRecords(t, storage, step.title, &out)
-		found, saved := load(t, storage)
+		found, saved := loadState(t, storage)
 		require.Equal(identity, found)
 		rewritten := openStorage(t, t.TempDir())
-		require.NoError(rewritten.Begin(found, *saved))
+		require.NoError(rewritten.Reset(found, *saved))
 		var before, after bytes.Buffer
 		dumpRecords(t, storage, step.title, &before)
 		dumpRecords(t, rewritten, step.title, &after)
 		require.Equal(before.String(), after.String(), step.title)
 	}
-	require.NoError(storage.Begin(coordinator.Identity{LogID: identity.LogID, VoterID: 5}, consensus.PersistentState{}))
+	require.NoError(storage.Reset(coordinator.Identity{LogID: identity.LogID, VoterID: 5}, consensus.PersistentState{}))
 	dumpRecords(t, storage, "another memory", &out)
 	golden.Check(t, "disk.txt", out.Bytes())
 }
@@ -137,7 +137,7 @@
 func TestGoldenStatus(t *testing.T) {
 	require := require.New(t)
 	node, err := gossip.Start(gossip.Config{
-		Membership:    membership.DefaultConfig(goldenID),
+		Membership:    membership.DefaultConfig(goldenMemberID),
 		ListenAddress: "127.0.0.1:0",
 		ClusterName:   "golden",
 		Now:           func() time.Time { return time.Unix(1, 0) }, // a stopped clock
@@ -150,18 +150,18 @@
 	}
 	names := []string{"n0001", "n0002"}
 	service := New(Config{
-		ServerName:   goldenID.Name,
+		ServerName:   goldenMemberID.Name,
 		LimitNames:   []string{"calls", "rate"},
 		Limits:       limits,
 		Coordinators: names,
 	})
 	service.gossip = node
-	service.localID = goldenID
+	service.localID = goldenMemberID
 	service.leader = membership.ID{Name: "n0002", Incarnation: 5}
 	config := coordinator.Config{Limits: limits, NamedCoordinators: names, LogID: 77}
 	service.coordinator = coordinator.New(config, rand.New(rand.NewSource(1)), 1)
-	voter := voterNumber(goldenID, 0)
-	other := voterNumber(membership.ID{Name: "n0002"}, 0)
+	voter := voterIDFor(goldenMemberID, 0)
+	other := voterIDFor(membership.ID{Name: "n0002"}, 0)
 	require.NoError(service.coordinator.Start(voter, []uint64{voter, other, 12345}))
 	service.coordinator.UpdateView(coordinator.ClusterView{MajorityUntil: 5000}, 1)
 	service.membersByVoter[other] = membership.Member{StateUpdate: membership.StateUpdate{ID: service.leader}}
@@ -169,9 +169,9 @@
 	service.coordinator.DiscardedStates = 4
 	service.coordinator.Limits().MismatchedRequests = 5
 	service.coordinator.Limits().Apply(quota.Command{Open: true, Revision: 2, Changes: []quota.Change{
-		{Server: HolderName(goldenID), LeaseVersion: 1, Amount: 2500},
+		{Server: HolderName(goldenMemberID), LeaseVersion: 1, Amount: 2500},
 		{Server: HolderName(service.leader), LeaseVersion: 2, Amount: 4000, LimitIndex: 0},
-		{Server: HolderName(goldenID), LeaseVersion: 1, Amount: 1500, LimitIndex: 1},
+		{Server: HolderName(goldenMemberID), LeaseVersion: 1, Amount: 1500, LimitIndex: 1},
 	}}, 1)
 	go func() { (<-service.tasks)() }() // runs the task of Status instead of the service's goroutine
 	status, err := service.Status([]LocalLease{{Usable: 3500, ExpiresAt: 4001}})
--- a/internal/quota/service/messages.go
+++ b/internal/quota/service/messages.go
@@ -13,9 +13,9 @@
 // Kinds of the envelopes that the services of a cluster exchange. Their values are part of the wire format and must not
 // change.
 const (
-	kindRaft     = gossip.FirstEnvelopeKind     // a raftMessage between two coordinators
-	kindRequest  = gossip.FirstEnvelopeKind + 1 // a leaseRequest to a coordinator
-	kindResponse = gossip.FirstEnvelopeKind + 2 // a leaseResponse to the server that sent the request
+	kindRaftMessage   = gossip.FirstEnvelopeKind     // a raftMessage between two coordinators
+	kindLeaseRequest  = gossip.FirstEnvelopeKind + 1 // a leaseRequest to a coordinator
+	kindLeaseResponse = gossip.FirstEnvelopeKind + 2 // a leaseResponse to the server that sent the request
 )
 
 // raftMessage carries a message between two voters of the coordinators' log.
@@ -44,13 +44,13 @@
 // Handlers returns the handlers of the service's envelopes, by kind, for gossip.Config. They pass the envelopes to the
 // service's goroutine and do not block.
 func (s *Service) Handlers() map[byte]func(from membership.ID, payload []byte) {
-	onGoroutine := func(handle func(membership.ID, []byte)) func(membership.ID, []byte) {
+	enqueueHandler := func(handle func(membership.ID, []byte)) func(membership.ID, []byte) {
 		return func(from membership.ID, payload []byte) { s.enqueue(func() { handle(from, payload) }) }
 	}
 	return map[byte]func(membership.ID, []byte){
-		kindRaft:     onGoroutine(s.handleRaftMessage),
-		kindRequest:  onGoroutine(s.handleRequest),
-		kindResponse: onGoroutine(s.handleResponse),
+		kindRaftMessage:   enqueueHandler(s.handleRaftMessage),
+		kindLeaseRequest:  enqueueHandler(s.handleRequest),
+		kindLeaseResponse: enqueueHandler(s.handleResponse),
 	}
 }
 
@@ -77,6 +77,6 @@
 	identity := s.coordinator.Identity()
 	payload, err := cbor.Marshal(raftMessage{LogID: identity.LogID, From: identity.VoterID, Payload: message.Data})
 	if err == nil {
-		s.gossip.Send(member.ID, member.Address, kindRaft, payload)
+		s.gossip.Send(member.ID, member.Address, kindRaftMessage, payload)
 	}
 }
--- a/internal/quota/service/records.go
+++ b/internal/quota/service/records.go
@@ -70,12 +70,12 @@
 	if err != nil {
 		return identity, nil, err
 	}
-	last, err := readRecord(records, lastIndexKey)
+	storedLastIndex, err := readRecord(records, lastIndexKey)
 	if err != nil {
 		return identity, nil, err
 	}
-	newest := snapshotIndex + uint64(len(saved.Entries))
-	if len(last) == indexLength && binary.BigEndian.Uint64(last) != newest {
+	newestIndex := snapshotIndex + uint64(len(saved.Entries))
+	if len(storedLastIndex) == indexLength && binary.BigEndian.Uint64(storedLastIndex) != newestIndex {
 		return identity, nil, errUnreadable
 	}
 	return identity, saved, nil
@@ -178,19 +178,19 @@
 // putLastIndex writes the index of the newest entry. New entries may decrease it, because they replace stored ones; a
 // snapshot without entries may only increase it.
 func putLastIndex(records *bolt.Bucket, state *consensus.PersistentState) error {
-	last := state.Snapshot.Metadata.Index
+	lastIndex := state.Snapshot.Metadata.Index
 	hasEntries := len(state.Entries) > 0
 	if hasEntries {
-		last = state.Entries[len(state.Entries)-1].Index
+		lastIndex = state.Entries[len(state.Entries)-1].Index
 	}
-	if last == 0 {
+	if lastIndex == 0 {
 		return nil
 	}
-	before := verifyChecksum(records.Get(lastIndexKey))
-	if !hasEntries && before != nil && binary.BigEndian.Uint64(before) >= last {
+	storedIndex := verifyChecksum(records.Get(lastIndexKey))
+	if !hasEntries && storedIndex != nil && binary.BigEndian.Uint64(storedIndex) >= lastIndex {
 		return nil
 	}
-	return records.Put(lastIndexKey, addChecksum(encodeIndex(last)))
+	return records.Put(lastIndexKey, addChecksum(encodeIndex(lastIndex)))
 }
 
 // deleteEntriesAfter deletes all entries with a greater index.
--- a/internal/quota/service/requests.go
+++ b/internal/quota/service/requests.go
@@ -14,9 +14,9 @@
 	// maxRequesters is the maximum number of requests without a reply whose requesters the service remembers. If there
 	// are more, the service forgets all of them, and the servers repeat their requests.
 	maxRequesters = 8192
-	// maxUnanswered is the number of consecutive requests that a coordinator may leave unanswered before the service
-	// switches to another one.
-	maxUnanswered = 2
+	// maxUnansweredRequests is the number of consecutive requests that a coordinator may leave unanswered before the
+	// service switches to another one.
+	maxUnansweredRequests = 2
 )
 
 // Request sends a request from this server to the coordinator that is believed to be the leader. It does not wait for
@@ -26,18 +26,18 @@
 		request.ConfigDigest = s.config.ConfigDigest
 		request.Revision = s.config.Revision
 		request.Totals = s.totals
-		if s.pending != nil {
-			s.unanswered++
+		if s.pendingRequest != nil {
+			s.unansweredCount++
 		}
-		s.pending = &request
+		s.pendingRequest = &request
 		s.chooseLeader()
 		if s.leader == s.localID {
-			s.admitRequest(s.localID, request)
+			s.enqueueRequest(s.localID, request)
 			return
 		}
 		payload, err := cbor.Marshal(leaseRequest{Request: request})
 		if address := s.addresses[s.leader]; err == nil && address != "" {
-			s.gossip.Send(s.leader, address, kindRequest, payload)
+			s.gossip.Send(s.leader, address, kindLeaseRequest, payload)
 		}
 	})
 }
@@ -48,10 +48,10 @@
 func (s *Service) chooseLeader() {
 	if s.coordinator.IsLeader() {
 		s.leader = s.localID
-		s.unanswered = 0
+		s.unansweredCount = 0
 		return
 	}
-	if s.addresses[s.leader] == "" || s.unanswered > maxUnanswered || s.leader == s.localID {
+	if s.addresses[s.leader] == "" || s.unansweredCount > maxUnansweredRequests || s.leader == s.localID {
 		s.selectNextCoordinator()
 	}
 }
@@ -59,7 +59,7 @@
 // selectNextCoordinator directs requests to the leader that this server's voter knows of. If that is unknown, is this
 // server or was already the choice, it selects the next coordinator in order.
 func (s *Service) selectNextCoordinator() {
-	s.unanswered = 0
+	s.unansweredCount = 0
 	member, isKnown := s.membersByVoter[s.coordinator.Leader()]
 	if isKnown && member.ID != s.leader && member.ID != s.localID {
 		s.leader = member.ID
@@ -76,14 +76,14 @@
 	if len(s.config.Coordinators) == 0 {
 		return slices.Clone(s.clusterVoters[:min(len(s.clusterVoters), coordinator.MaxVoters)])
 	}
-	var named []membership.ID
+	var namedMembers []membership.ID
 	for _, member := range s.membersByVoter {
 		if slices.Contains(s.config.Coordinators, member.Name) {
-			named = append(named, member.ID)
+			namedMembers = append(namedMembers, member.ID)
 		}
 	}
-	slices.SortFunc(named, membership.ID.Compare)
-	return named
+	slices.SortFunc(namedMembers, membership.ID.Compare)
+	return namedMembers
 }
 
 // handleRequest handles a request from another server. It drops a request for any lease holder other than its sender.
@@ -97,11 +97,11 @@
 			return
 		}
 	}
-	s.admitRequest(from, message.Request)
+	s.enqueueRequest(from, message.Request)
 }
 
-// admitRequest passes a request to the coordinator and remembers which server to reply to.
-func (s *Service) admitRequest(from membership.ID, request quota.Request) {
+// enqueueRequest passes a request to the coordinator and remembers which server to reply to.
+func (s *Service) enqueueRequest(from membership.ID, request quota.Request) {
 	if len(s.requesters) >= maxRequesters {
 		clear(s.requesters)
 	}
@@ -123,12 +123,12 @@
 		response.Leader = &member.ID
 	}
 	if requester == s.localID {
-		s.recordResponse(s.localID, response)
+		s.applyResponse(s.localID, response)
 		return
 	}
 	payload, err := cbor.Marshal(response)
 	if address := s.addresses[requester]; err == nil && address != "" {
-		s.gossip.Send(requester, address, kindResponse, payload)
+		s.gossip.Send(requester, address, kindLeaseResponse, payload)
 	}
 }
 
@@ -136,29 +136,29 @@
 func (s *Service) handleResponse(from membership.ID, payload []byte) {
 	var response leaseResponse
 	if messageDecoder.Unmarshal(payload, &response) == nil {
-		s.recordResponse(from, response)
+		s.applyResponse(from, response)
 	}
 }
 
-// recordResponse applies a response, including a late one from a coordinator that was asked earlier. A lease is valid
+// applyResponse applies a response, including a late one from a coordinator that was asked earlier. A lease is valid
 // whichever coordinator sends it, because the response contains the time of the request.
-func (s *Service) recordResponse(from membership.ID, response leaseResponse) {
+func (s *Service) applyResponse(from membership.ID, response leaseResponse) {
 	switch {
 	case response.Granted:
-		s.setAnswered(from)
+		s.recordAnswer(from)
 		s.config.OnResponse(response.Response)
 	case response.Leader != nil && *response.Leader == from: // it is the leader, but cannot grant leases yet
-		s.setAnswered(from)
+		s.recordAnswer(from)
 	case response.Leader != nil:
 		s.leader = *response.Leader
-	case s.pending != nil && from == s.leader:
-		s.unanswered++
+	case s.pendingRequest != nil && from == s.leader:
+		s.unansweredCount++
 	}
 }
 
-// setAnswered records that a coordinator is the leader and has answered the last request.
-func (s *Service) setAnswered(leader membership.ID) {
+// recordAnswer records that a coordinator is the leader and has answered the last request.
+func (s *Service) recordAnswer(leader membership.ID) {
 	s.leader = leader
-	s.unanswered = 0
-	s.pending = nil
+	s.unansweredCount = 0
+	s.pendingRequest = nil
 }
--- a/internal/quota/service/service.go
+++ b/internal/quota/service/service.go
@@ -86,15 +86,15 @@
 	// State for requests that this server's coordinator handles, and for its log events.
 	requesters    map[uint64]membership.ID // servers awaiting a reply, by the request ID given to the coordinator
 	lastRequestID uint64
-	nextRejoin    time.Time // earliest time at which a coordinator that lost its state rejoins
+	nextRejoinAt  time.Time // earliest time at which a coordinator that lost its state rejoins
 	wasLeader     bool      // as last logged
 	wasOpened     bool      // as last logged
 
 	// State for the requests of this server.
-	leader     membership.ID  // the coordinator that requests are sent to
-	unanswered int            // consecutive requests that leader has not answered
-	pending    *quota.Request // the last request; nil once it is answered
-	totals     []quota.Amount // totals of the limits as of config.Revision
+	leader          membership.ID  // the coordinator that requests are sent to
+	unansweredCount int            // consecutive requests that leader has not answered
+	pendingRequest  *quota.Request // the last request; nil once it is answered
+	totals          []quota.Amount // totals of the limits as of config.Revision
 }
 
 // New returns a service that does nothing until Start is called.
@@ -122,7 +122,7 @@
 	s.gossip = node
 	s.localID = node.LocalID()
 	config := coordinator.Config{
-		VoterID:           func(log uint64) uint64 { return voterNumber(s.localID, log) },
+		VoterID:           func(log uint64) uint64 { return voterIDFor(s.localID, log) },
 		Limits:            s.config.Limits,
 		ConfigDigest:      s.config.ConfigDigest,
 		Revision:          s.config.Revision,
--- a/internal/quota/service/status.go
+++ b/internal/quota/service/status.go
@@ -58,10 +58,10 @@
 // Status returns the current status. Leases are those of this server, in the order of the limits. The error is
 // ErrNoAnswer if the service's goroutine does not respond within a second.
 func (s *Service) Status(leases []LocalLease) (Status, error) {
-	answer := make(chan Status, 1)
-	s.enqueue(func() { answer <- s.currentStatus(leases) })
+	result := make(chan Status, 1)
+	s.enqueue(func() { result <- s.buildStatus(leases) })
 	select {
-	case status := <-answer:
+	case status := <-result:
 		return status, nil
 	case <-s.done:
 	case <-time.After(statusTimeout):
@@ -69,8 +69,8 @@
 	return Status{}, ErrNoAnswer
 }
 
-// currentStatus builds the status. It must run on the service's goroutine.
-func (s *Service) currentStatus(leases []LocalLease) Status {
+// buildStatus builds the status. It must run on the service's goroutine.
+func (s *Service) buildStatus(leases []LocalLease) Status {
 	now := s.Now()
 	limits := s.coordinator.Limits()
 	status := Status{
@@ -93,10 +93,10 @@
 		status.Voters = append(status.Voters, name)
 	}
 	for i, allocator := range limits.Allocators() {
-		limit := limitStatus(allocator, now)
+		limit := buildLimitStatus(allocator, now)
 		limit.Name = s.config.LimitNames[i]
 		if i < len(leases) {
-			limit.UsableHere = units(leases[i].Usable)
+			limit.UsableHere = toUnits(leases[i].Usable)
 			limit.ExpiresInMs = max(0, leases[i].ExpiresAt-now)
 		}
 		status.Limits = append(status.Limits, limit)
@@ -104,18 +104,18 @@
 	return status
 }
 
-// limitStatus returns the coordinator's view of a limit, without its name and without this server's lease.
-func limitStatus(allocator *quota.Allocator, now timeunit.Milliseconds) LimitStatus {
+// buildLimitStatus returns the coordinator's view of a limit, without its name and without this server's lease.
+func buildLimitStatus(allocator *quota.Allocator, now timeunit.Milliseconds) LimitStatus {
 	config := allocator.Config()
 	return LimitStatus{
-		Total:         units(config.Total),
-		Target:        units(allocator.TargetTotal()),
-		Guaranteed:    units(config.GuaranteedMinimum * quota.Amount(config.Slots)),
-		Outstanding:   units(allocator.Outstanding()),
+		Total:         toUnits(config.Total),
+		Target:        toUnits(allocator.TargetTotal()),
+		Guaranteed:    toUnits(config.GuaranteedMinimum * quota.Amount(config.Slots)),
+		Outstanding:   toUnits(allocator.Outstanding()),
 		LeaseDuration: config.LeaseDuration,
 		Servers:       allocator.StatusRows(now),
 	}
 }
 
-// units converts an amount to units of its limit.
-func units(amount quota.Amount) float64 { return float64(amount) / float64(quota.Unit) }
+// toUnits converts an amount to units of its limit.
+func toUnits(amount quota.Amount) float64 { return float64(amount) / float64(quota.Unit) }
--- a/internal/quota/service/view.go
+++ b/internal/quota/service/view.go
@@ -24,7 +24,7 @@
 		view.Members = append(view.Members, candidate)
 	}
 	for _, id := range s.clusterVoters {
-		voter := voterNumber(id, view.GenesisEpoch)
+		voter := voterIDFor(id, view.GenesisEpoch)
 		candidate := coordinator.Candidate{Name: id.Name, VoterID: voter, LogID: view.GenesisEpoch}
 		view.Voters = append(view.Voters, candidate)
 	}
@@ -66,7 +66,7 @@
 func (s *Service) candidateOf(member *membership.Member, genesisEpoch uint64) coordinator.Candidate {
 	candidate := coordinator.Candidate{Name: member.Name, VoterID: member.QuotaVoter, LogID: member.QuotaLog}
 	if len(s.config.Coordinators) == 0 {
-		candidate.VoterID = voterNumber(member.ID, genesisEpoch)
+		candidate.VoterID = voterIDFor(member.ID, genesisEpoch)
 		candidate.LogID = genesisEpoch
 	}
 	if member.ID == s.localID {
--- a/internal/quota/service/voter.go
+++ b/internal/quota/service/voter.go
@@ -20,15 +20,15 @@
 	return fmt.Sprintf("%s.%016x", id.Name, id.Incarnation)
 }
 
-// voterNumber returns the voter ID of one incarnation of a server in a log. It is never 0, which means no voter.
-func voterNumber(id membership.ID, log uint64) uint64 {
-	identity := binary.BigEndian.AppendUint64([]byte(id.Name), id.Incarnation)
-	return xxh3.Hash(binary.BigEndian.AppendUint64(identity, log)) | 1
+// voterIDFor returns the voter ID of one incarnation of a server in a log. It is never 0, which means no voter.
+func voterIDFor(id membership.ID, logID uint64) uint64 {
+	encoded := binary.BigEndian.AppendUint64([]byte(id.Name), id.Incarnation)
+	return xxh3.Hash(binary.BigEndian.AppendUint64(encoded, logID)) | 1
 }
 
-// newVoterNumber returns a voter ID that this server has never used.
-func (s *Service) newVoterNumber() uint64 {
-	return voterNumber(s.localID, uint64(time.Now().UnixNano()))
+// newVoterID returns a voter ID that this server has never used.
+func (s *Service) newVoterID() uint64 {
+	return voterIDFor(s.localID, uint64(time.Now().UnixNano()))
 }
 
 // isNamedCoordinator reports whether the settings name this server as a coordinator.
@@ -59,7 +59,7 @@
 	if s.config.BootstrapLog && saved == nil {
 		return s.bootstrapLog()
 	}
-	voter := s.newVoterNumber()
+	voter := s.newVoterID()
 	s.config.Log("coordinator_started", "voter", voter, "state", "new_voter")
 	return s.coordinator.Start(voter, nil)
 }
@@ -69,9 +69,9 @@
 func (s *Service) bootstrapLog() error {
 	var voters []uint64
 	for _, name := range s.config.Coordinators {
-		voters = append(voters, voterNumber(membership.ID{Name: name}, 0))
+		voters = append(voters, voterIDFor(membership.ID{Name: name}, 0))
 	}
-	voter := voterNumber(membership.ID{Name: s.config.ServerName}, 0)
+	voter := voterIDFor(membership.ID{Name: s.config.ServerName}, 0)
 	s.config.Log("coordinator_started", "voter", voter, "state", "first_log")
 	return s.coordinator.Start(voter, voters)
 }
@@ -80,19 +80,19 @@
 func (s *Service) discardState(cause error) {
 	s.config.Log("coordinator_state_lost", "reason", cause.Error())
 	s.coordinator.DiscardState()
-	s.nextRejoin = time.Now().Add(rejoinDelay)
+	s.nextRejoinAt = time.Now().Add(rejoinDelay)
 }
 
 // rejoinIfStateLost makes a named coordinator that discarded its state join the log as a new voter, once rejoinDelay
 // has passed.
 func (s *Service) rejoinIfStateLost() {
 	isVoter := s.coordinator.Identity().VoterID != 0
-	if isVoter || s.config.Storage == nil || !s.isNamedCoordinator() || !time.Now().After(s.nextRejoin) {
+	if isVoter || s.config.Storage == nil || !s.isNamedCoordinator() || !time.Now().After(s.nextRejoinAt) {
 		return
 	}
-	s.nextRejoin = time.Now().Add(rejoinDelay)
+	s.nextRejoinAt = time.Now().Add(rejoinDelay)
 	if s.config.Storage.SetAside() == nil {
-		_ = s.coordinator.Start(s.newVoterNumber(), nil) // if this fails, it is tried again after rejoinDelay
+		_ = s.coordinator.Start(s.newVoterID(), nil) // if this fails, it is tried again after rejoinDelay
 	}
 }
 
@@ -114,7 +114,7 @@
 			s.sendReply(reply)
 		}
 	}
-	s.logLeadership()
+	s.logLeadershipChange()
 }
 
 // persist saves the changes of the coordinator's state. They are durable when it returns.
@@ -123,7 +123,7 @@
 		return nil
 	}
 	if ready.IsNewState {
-		return s.config.Storage.Begin(s.coordinator.Identity(), ready.State)
+		return s.config.Storage.Reset(s.coordinator.Identity(), ready.State)
 	}
 	if ready.State.IsEmpty() {
 		return nil
@@ -131,9 +131,9 @@
 	return s.config.Storage.Save(ready.State)
 }
 
-// logLeadership logs an event if the coordinator has gained or lost the leadership, or if its limits have been opened
-// or closed, since the last event.
-func (s *Service) logLeadership() {
+// logLeadershipChange logs an event if the coordinator has gained or lost the leadership, or if its limits have been
+// opened or closed, since the last event.
+func (s *Service) logLeadershipChange() {
 	isLeader := s.coordinator.IsLeader()
 	isOpened := s.coordinator.Limits().Opened()
 	if isLeader == s.wasLeader && isOpened == s.wasOpened {
