--- a/internal/quota/service/voter.go
+++ b/internal/quota/service/voter.go
@@ -12,24 +12,23 @@
 	"thistlequay/internal/quota/coordinator"
 )
 
-// rejoinDelay is how long a coordinator whose storage failed waits before it joins the log as a new voter.
+// rejoinDelay is how long a coordinator waits after a storage failure before it joins the log as a new voter.
 const rejoinDelay = 10 * time.Second
 
-// HolderName returns the name under which leases are granted to one incarnation of a server.
+// HolderName returns the name of the lease holder of one incarnation of a server.
 func HolderName(id membership.ID) string {
 	return fmt.Sprintf("%s.%016x", id.Name, id.Incarnation)
 }
 
-// voterNumber returns the number under which an incarnation of a server votes in a log. It is never 0, which stands for
-// no voter.
-func voterNumber(id membership.ID, log uint64) uint64 {
-	identity := binary.BigEndian.AppendUint64([]byte(id.Name), id.Incarnation)
-	return xxh3.Hash(binary.BigEndian.AppendUint64(identity, log)) | 1
+// voterIDFor returns the voter ID of one incarnation of a server in a log. It is never 0, which means no voter.
+func voterIDFor(id membership.ID, logID uint64) uint64 {
+	encoded := binary.BigEndian.AppendUint64([]byte(id.Name), id.Incarnation)
+	return xxh3.Hash(binary.BigEndian.AppendUint64(encoded, logID)) | 1
 }
 
-// newVoterNumber returns a number that this server has never voted under.
-func (s *Service) newVoterNumber() uint64 {
-	return voterNumber(s.localID, uint64(time.Now().UnixNano()))
+// newVoterID returns a voter ID that this server has never used.
+func (s *Service) newVoterID() uint64 {
+	return voterIDFor(s.localID, uint64(time.Now().UnixNano()))
 }
 
 // isNamedCoordinator reports whether the settings name this server as a coordinator.
@@ -38,15 +37,15 @@
 }
 
 // restoreState starts the coordinator with the state in the storage. A named coordinator whose storage is empty or
-// corrupt joins as a new voter, because its old number may have voted for what it no longer knows. Only if the settings
-// say that the log has never existed, it begins the first log.
+// corrupt joins as a new voter, because under its old voter ID it may have cast votes that it no longer knows of. It
+// starts the first log only if the settings state that there has never been one.
 func (s *Service) restoreState() error {
 	if s.config.Storage == nil || !s.isNamedCoordinator() {
 		return nil
 	}
 	identity, saved, err := s.config.Storage.Load()
 	if err != nil {
-		return fmt.Errorf("load the coordinator's state: %w", err)
+		return fmt.Errorf("load coordinator state: %w", err)
 	}
 	if saved != nil {
 		if err := s.coordinator.Resume(identity, *saved); err == nil {
@@ -54,49 +53,50 @@
 			return nil
 		}
 		if err := s.config.Storage.SetAside(); err != nil {
-			return fmt.Errorf("set the coordinator's state aside: %w", err)
+			return fmt.Errorf("set coordinator state aside: %w", err)
 		}
 	}
 	if s.config.BootstrapLog && saved == nil {
 		return s.bootstrapLog()
 	}
-	voter := s.newVoterNumber()
+	voter := s.newVoterID()
 	s.config.Log("coordinator_started", "voter", voter, "state", "new_voter")
 	return s.coordinator.Start(voter, nil)
 }
 
-// bootstrapLog begins the first log of the named coordinators. All of them know each other's first numbers, which are
-// made of the names alone.
+// bootstrapLog starts the first log of the named coordinators. Their first voter IDs are derived from their names
+// alone, so that each of them knows the IDs of the others.
 func (s *Service) bootstrapLog() error {
 	var voters []uint64
 	for _, name := range s.config.Coordinators {
-		voters = append(voters, voterNumber(membership.ID{Name: name}, 0))
+		voters = append(voters, voterIDFor(membership.ID{Name: name}, 0))
 	}
-	voter := voterNumber(membership.ID{Name: s.config.ServerName}, 0)
+	voter := voterIDFor(membership.ID{Name: s.config.ServerName}, 0)
 	s.config.Log("coordinator_started", "voter", voter, "state", "first_log")
 	return s.coordinator.Start(voter, voters)
 }
 
-// discardState gives up the coordinator's state after the storage refused it with cause.
+// discardState discards the coordinator's state after the storage failed to save it with the error cause.
 func (s *Service) discardState(cause error) {
 	s.config.Log("coordinator_state_lost", "reason", cause.Error())
 	s.coordinator.DiscardState()
-	s.nextRejoin = time.Now().Add(rejoinDelay)
+	s.nextRejoinAt = time.Now().Add(rejoinDelay)
 }
 
-// rejoinIfStateLost lets a named coordinator that gave up its state join the log as a new voter.
+// rejoinIfStateLost makes a named coordinator that discarded its state join the log as a new voter, once rejoinDelay
+// has passed.
 func (s *Service) rejoinIfStateLost() {
 	isVoter := s.coordinator.Identity().VoterID != 0
-	if isVoter || s.config.Storage == nil || !s.isNamedCoordinator() || !time.Now().After(s.nextRejoin) {
+	if isVoter || s.config.Storage == nil || !s.isNamedCoordinator() || !time.Now().After(s.nextRejoinAt) {
 		return
 	}
-	s.nextRejoin = time.Now().Add(rejoinDelay)
+	s.nextRejoinAt = time.Now().Add(rejoinDelay)
 	if s.config.Storage.SetAside() == nil {
-		_ = s.coordinator.Start(s.newVoterNumber(), nil) // without success it is tried again after rejoinDelay
+		_ = s.coordinator.Start(s.newVoterID(), nil) // if this fails, it is tried again after rejoinDelay
 	}
 }
 
-// processReady makes the coordinator's new state durable and only then sends the messages and replies that rest on it.
+// processReady makes the coordinator's new state durable before it sends the messages and replies that depend on it.
 func (s *Service) processReady() {
 	for {
 		ready, more := s.coordinator.Ready()
@@ -114,16 +114,16 @@
 			s.sendReply(reply)
 		}
 	}
-	s.logLeadership()
+	s.logLeadershipChange()
 }
 
-// persist saves what is new in the coordinator's state. It returns after the state is durable.
+// persist saves the changes of the coordinator's state. They are durable when it returns.
 func (s *Service) persist(ready *coordinator.Ready) error {
 	if s.config.Storage == nil {
 		return nil
 	}
 	if ready.IsNewState {
-		return s.config.Storage.Begin(s.coordinator.Identity(), ready.State)
+		return s.config.Storage.Reset(s.coordinator.Identity(), ready.State)
 	}
 	if ready.State.IsEmpty() {
 		return nil
@@ -131,8 +131,9 @@
 	return s.config.Storage.Save(ready.State)
 }
 
-// logLeadership writes an event when the coordinator has become leader, is no longer, or may grant leases from now on.
-func (s *Service) logLeadership() {
+// logLeadershipChange logs an event if the coordinator has gained or lost the leadership, or if its limits have been
+// opened or closed, since the last event.
+func (s *Service) logLeadershipChange() {
 	isLeader := s.coordinator.IsLeader()
 	isOpened := s.coordinator.Limits().Opened()
 	if isLeader == s.wasLeader && isOpened == s.wasOpened {
