--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -8,43 +8,45 @@
 )
 
 const (
-	// maxServers bounds the servers that one limit keeps a lease for. A cluster has at most as many slots (settings).
+	// maxServers is the maximum number of servers that an allocator tracks per limit. The settings allow no cluster to
+	// have more slots.
 	maxServers = 4096
 
-	// maxPreviousLeases bounds the earlier amounts that are remembered of a server. Its lease stays as it is until it
-	// has confirmed one of the later versions.
+	// maxPreviousLeases is the maximum number of previous leases tracked per server. When a server reaches it, its
+	// lease is not changed until the server has confirmed a later version.
 	maxPreviousLeases = 4
 )
 
-// Allocator is one coordinator's copy of the state of one limit: who has which lease, and which total is in force.
+// Allocator is one coordinator's replica of the state of one limit: the lease of each server and the total in force.
 //
-// Apply brings all copies into the same state. Expiry times and demand are known to the leader alone; a new leader
-// assumes that every lease has just been renewed, which is safe because a lease that was answered for earlier ends
-// earlier.
+// Apply keeps all replicas in the same state. Only the leader knows expiry times and demand. A new leader assumes that
+// every lease was renewed at the moment of its election, which is safe because leases that the previous leader renewed
+// earlier also expire earlier.
 type Allocator struct {
 	config LimitConfig
 	logID  uint64
 	leases map[string]*lease // by server
 
-	// targetTotal is the total that was set last. effectiveTotal is the one in force: a lower total takes effect only
-	// as far as the leases that are outstanding allow.
+	// targetTotal is the most recently set total. effectiveTotal is the total in force. It follows a lower targetTotal
+	// only as far as outstanding leases allow.
 	targetTotal    Amount
 	effectiveTotal Amount
 
-	lastVersion uint64 // of any lease
+	lastVersion uint64 // highest version assigned to any lease
 	isLeader    bool
 	now         timeunit.Milliseconds
 
-	// pending holds the amounts of leases that this leader has proposed and that are not applied yet.
+	// pending holds the leased amount of each server for which this leader has proposed a change that is not applied
+	// yet.
 	pending map[string]Amount
 
-	// requestedTotal is a total to be proposed, zero for none. While totalChangePending is set, it has been proposed
-	// and is not applied yet.
+	// requestedTotal is a total that is still to be proposed, or zero if there is none. totalChangePending is set while
+	// a change of the total has been proposed but not applied.
 	requestedTotal     Amount
 	totalChangePending bool
 }
 
-// NewAllocator returns the state of a limit at the beginning of a log, when nothing is leased.
+// NewAllocator returns the state of a limit at the beginning of a log, with nothing leased.
 func NewAllocator(config LimitConfig, logID uint64) *Allocator {
 	return &Allocator{
 		config:         config,
@@ -56,21 +58,23 @@
 	}
 }
 
-// Config returns the configuration of the limit, with the total that is in force.
+// Config returns the configuration of the limit with the total in force.
 func (a *Allocator) Config() LimitConfig {
 	config := a.config
 	config.Total = a.effectiveTotal
 	return config
 }
 
-// TargetTotal returns the total that was set last.
+// TargetTotal returns the most recently set total.
 func (a *Allocator) TargetTotal() Amount { return a.targetTotal }
 
-// EffectiveTotal returns the total in force: the one that was set last, or more until earlier leases have expired.
+// EffectiveTotal returns the total in force. After a reduction, it exceeds TargetTotal until enough earlier leases have
+// ended.
 func (a *Allocator) EffectiveTotal() Amount { return a.effectiveTotal }
 
-// SetLeader makes this coordinator the leader, which proposes changes and answers requests, or a follower. A new leader
-// cannot know when the last one renewed the leases, so it counts each for its longest span from now.
+// SetLeader makes this coordinator the leader or a follower. The leader proposes changes and answers requests. A new
+// leader does not know when its predecessor last renewed the leases, so it assumes that each one expires one maximum
+// lease span from now.
 func (a *Allocator) SetLeader(isLeader bool, now timeunit.Milliseconds) {
 	a.isLeader = isLeader
 	a.now = now
@@ -85,7 +89,7 @@
 	}
 }
 
-// Apply takes a committed change. All coordinators call it with the same changes in the same order.
+// Apply applies a committed change. All coordinators must call it with the same changes in the same order.
 func (a *Allocator) Apply(change Change, now timeunit.Milliseconds) {
 	a.now = max(a.now, now)
 	switch {
@@ -98,14 +102,16 @@
 	}
 }
 
-// applyTotal sets the total, which can never be below the guaranteed minimums since those are used without a lease.
+// applyTotal sets the total. The total is never below the sum of the guaranteed minimums, as those are used without a
+// lease.
 func (a *Allocator) applyTotal(total Amount) {
 	a.targetTotal = max(total, a.config.guaranteedTotal())
 	a.totalChangePending = false
 	a.updateEffectiveTotal()
 }
 
-// applyExpiry ends the leases of a server. The leader remembers a server that still asks, for what it desires.
+// applyExpiry ends all leases of a server. The leader keeps the entry of a server that still sends requests, including
+// its demand.
 func (a *Allocator) applyExpiry(change Change) {
 	lease := a.committed(change)
 	lease.amount = 0
@@ -117,7 +123,7 @@
 	a.updateEffectiveTotal()
 }
 
-// applyLease sets the lease of a server. What it had before counts until the server says that it keeps to a later
+// applyLease sets the lease of a server. The previous amount stays outstanding until the server confirms a later
 // version.
 func (a *Allocator) applyLease(change Change) {
 	lease := a.committed(change)
@@ -129,7 +135,8 @@
 	lease.expiresAt = a.now + a.config.maxLeaseSpan()
 }
 
-// committed ends the proposal of a change and returns the lease that it is about.
+// committed removes the pending proposal for the server of a committed change and returns that server's lease, adding
+// it if needed.
 func (a *Allocator) committed(change Change) *lease {
 	delete(a.pending, change.Server)
 	a.lastVersion = max(a.lastVersion, change.LeaseVersion)
@@ -141,14 +148,14 @@
 	return l
 }
 
-// updateEffectiveTotal lets the total in force follow the target: a larger one at once, a smaller one as far as what is
-// outstanding allows.
+// updateEffectiveTotal moves the total in force towards the target: up at once, down only as far as outstanding and
+// proposed leases allow.
 func (a *Allocator) updateEffectiveTotal() {
 	inUse := a.config.guaranteedTotal() + a.reserved()
 	a.effectiveTotal = max(a.targetTotal, min(a.effectiveTotal, inUse))
 }
 
-// Outstanding returns the sum of what all servers may be using beyond their guaranteed minimums.
+// Outstanding returns the maximum amount that all servers together may be using beyond their guaranteed minimums.
 func (a *Allocator) Outstanding() (sum Amount) {
 	for _, lease := range a.leases {
 		sum += lease.outstanding()
@@ -156,8 +163,8 @@
 	return sum
 }
 
-// reserved is what is outstanding together with all that is proposed. A lease that was proposed while an earlier one
-// counted as much must still have its room when the earlier one is over.
+// reserved returns the sum over all servers of the larger of the outstanding and the proposed amount. Capacity for a
+// proposed lease thus stays reserved when a previous lease that covered as much ends.
 func (a *Allocator) reserved() Amount {
 	sum := a.Outstanding()
 	for server, amount := range a.pending {
@@ -169,12 +176,12 @@
 	return sum
 }
 
-// RequestTotal asks the leader for another total, proposed by a later NextChanges.
+// RequestTotal asks the leader to change the total. A later call of NextChanges proposes the change.
 func (a *Allocator) RequestTotal(total Amount) { a.requestedTotal = total }
 
-// renewLease records what a server asks for and, at the leader, renews the lease that it has now. The response
-// holds from when it was requested. Changes of the amount come by NextChanges, and with a later response. granted is
-// false where this is not the leader, the request is invalid, or there is no lease yet.
+// renewLease records the demand of a server and, on the leader, renews its current lease. The renewed lease is valid
+// from the time of the request. NextChanges changes the leased amount, and a later response carries the change. granted
+// is false if this coordinator is not the leader, the request is invalid, or the server has no lease yet.
 func (a *Allocator) renewLease(
 	request LimitRequest, now timeunit.Milliseconds,
 ) (response LimitResponse, granted bool) {
@@ -192,7 +199,7 @@
 	}
 	a.updateEffectiveTotal()
 	if lease.version == 0 || a.isPending(request.Server) || lease.expiresAt <= a.now {
-		return response, false // no lease yet, or it is over and is being taken back
+		return response, false // no lease yet, or it has expired and is being reclaimed
 	}
 	lease.expiresAt = max(lease.expiresAt, a.now+a.config.maxLeaseSpan())
 	return LimitResponse{
@@ -204,13 +211,13 @@
 	}, true
 }
 
-// isValid reports whether the request can be answered at all.
+// isValid reports whether the fields of the request are consistent.
 func (r *LimitRequest) isValid() bool {
 	return r.Server != "" && r.Desired >= 0 && r.Required >= 0 && r.Required <= r.Desired
 }
 
-// requestingServer finds the lease of a server, or begins to remember the server. It returns nil when there are too
-// many.
+// requestingServer returns the lease of a server and starts to track a server that is not known yet. It returns nil if
+// too many servers are tracked.
 func (a *Allocator) requestingServer(server string) *lease {
 	if lease := a.leases[server]; lease != nil {
 		return lease
@@ -223,10 +230,12 @@
 	return l
 }
 
+// isPending reports whether a change of the server's lease has been proposed but not applied.
 func (a *Allocator) isPending(server string) bool {
 	_, isPending := a.pending[server]
 	return isPending
 }
 
-// servers are the names of all servers that are known, sorted, so that decisions do not depend on the order of a map.
+// servers returns the names of all tracked servers in sorted order, so that decisions do not depend on map iteration
+// order.
 func (a *Allocator) servers() []string { return slices.Sorted(maps.Keys(a.leases)) }
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -2,9 +2,9 @@
 
 import "thistlequay/timeunit"
 
-// NextChanges returns the changes that the leader should propose next: first a new total by itself, else the leases
-// that have expired, and then the leases that differ from what their servers should have. Never more is leased than
-// is left by what is applied and what is proposed. It is to be called several times in the duration of a lease.
+// NextChanges returns the changes that the leader should propose next. A requested total is proposed on its own.
+// Otherwise the result reclaims expired leases and then adjusts leases that differ from their targets. The sum of
+// applied and proposed leases never exceeds the total. NextChanges must be called several times per lease duration.
 func (a *Allocator) NextChanges(now timeunit.Milliseconds) []Change {
 	a.now = max(a.now, now)
 	if !a.isLeader || a.totalChangePending {
@@ -17,8 +17,8 @@
 	return append(changes, a.adjustLeases()...)
 }
 
-// changeTotal proposes another total, once nothing else is proposed: a lease that was decided by the last total must
-// not be committed after the change.
+// changeTotal proposes the requested total once no other proposal is pending. A lease that was sized by the old total
+// must not be committed after the new total.
 func (a *Allocator) changeTotal() []Change {
 	if len(a.pending) > 0 {
 		return nil
@@ -29,7 +29,7 @@
 	return []Change{change}
 }
 
-// reclaimExpired takes back the leases that have expired, and forgets servers that have none and no longer ask.
+// reclaimExpired ends expired leases and stops tracking servers that have no lease and have stopped sending requests.
 func (a *Allocator) reclaimExpired() (changes []Change) {
 	for _, server := range a.servers() {
 		lease := a.leases[server]
@@ -65,8 +65,8 @@
 	return changes
 }
 
-// nextAmount is what a lease should allow next, given its target and the room for more. It is the present amount
-// where the lease should stay as it is.
+// nextAmount returns the amount that a lease should have next, given its target and the room for raising leases. It
+// returns the current amount if the lease should not change.
 func (a *Allocator) nextAmount(lease *lease, target, room Amount) Amount {
 	switch {
 	case target > lease.amount:
@@ -77,19 +77,20 @@
 	return lease.amount
 }
 
-// keepsSurplus reports whether a lease above its target stays, since the difference is small and nothing else calls
-// for it.
+// keepsSurplus reports whether a lease above its target stays unchanged because the difference is within the
+// hysteresis. A lease is always lowered if its target is zero or if a lower total is still taking effect.
 func (a *Allocator) keepsSurplus(lease *lease, target Amount) bool {
 	isSmall := float64(lease.amount-target) < a.config.Hysteresis*float64(lease.amount)
 	return isSmall && target > 0 && a.effectiveTotal == a.targetTotal
 }
 
-// raisedAmount is what a lease may be raised to.
+// raisedAmount returns the amount to which a lease may be raised now, which is at least its current amount.
 func (a *Allocator) raisedAmount(lease *lease, target, room Amount) Amount {
 	if lease.version > 0 && float64(target-lease.amount) < a.config.Hysteresis*float64(lease.amount) {
 		return lease.amount
 	}
-	// Negative room: an earlier amount that counts here may be another server's by now, as the last leader knew.
+	// The room can be negative after a change of leader: the previous leader may have known that a server no longer
+	// uses a previous lease and granted that amount to another server, while this leader still counts both.
 	if room < 0 {
 		return lease.amount
 	}
@@ -100,7 +101,8 @@
 	return max(lease.amount, target)
 }
 
-// propose gives a change the next version and remembers it until it is applied or the proposal has failed.
+// propose assigns the next lease version to a change and records the change as pending until it is applied or its
+// proposal fails.
 func (a *Allocator) propose(change Change) Change {
 	a.lastVersion++
 	change.LeaseVersion = a.lastVersion
@@ -108,7 +110,7 @@
 	return change
 }
 
-// proposalFailed takes back what NextChanges noted of a change that was never put to the other coordinators.
+// proposalFailed reverts what NextChanges recorded for a change that was never sent to the other coordinators.
 func (a *Allocator) proposalFailed(change Change) {
 	if change.Server == "" {
 		a.requestedTotal = change.Total
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -6,33 +6,33 @@
 	"thistlequay/timeunit"
 )
 
-// cluster is three allocators and some lease holders in virtual time. They have one log; leaders are elected and
-// deposed, and what they have proposed is lost; requests and responses are lost, late and duplicated; clocks run
-// apart; holders are paused while they use what they have.
+// cluster simulates three allocators and several lease holders in virtual time. The allocators share one log. The
+// simulation elects and deposes leaders (losing their proposals), drops, delays and duplicates requests and responses,
+// runs clocks at different rates, and pauses holders that have capacity in use.
 type cluster struct {
 	schedule.Network[envelope]
 	config         LimitConfig
 	allocators     []*Allocator
-	applied        []int // by allocator: how many entries of the log it has applied
+	applied        []int // number of applied log entries, by allocator
 	log            []Change
-	leader         int // an index of allocators, noLeader for none
+	leader         int // index into allocators, or noLeader
 	servers        []*server
-	effectiveTotal Amount // as the last leader had it
+	effectiveTotal Amount // as reported by the last leader
 
-	checks     int // of the sum of what is usable
-	violations int // checks that found more than the total
+	checks     int // checks of the usable sum against the total
+	violations int // checks in which the sum exceeded the total
 	usedSum    Amount
 	totalSum   Amount
 
-	history *golden.History // nil: nothing is recorded
+	history *golden.History // nil disables recording
 }
 
 const (
 	noLeader = -1
-	maxDelay = 300 // of a request or a response
+	maxDelay = 300 // of a request or a response, in ms
 )
 
-// What a record of the history is about. The numbers are part of the golden files.
+// Record types of the history. The numbers are part of the golden files.
 const (
 	eventRequest = iota + 1
 	eventResponse
@@ -46,24 +46,24 @@
 	schedule.Process
 	localClock   schedule.LocalClock
 	holder       *LeaseHolder
-	load         Amount                  // that it would have in use
-	releaseTimes []timeunit.Milliseconds // of what is in use, a unit each, by true time
+	load         Amount                  // amount that the server tries to have in use
+	releaseTimes []timeunit.Milliseconds // true time at which each unit in use is released
 }
 
 func (s *server) inUse() Amount { return Amount(len(s.releaseTimes)) * Unit }
 
-// envelope is a request or a response on its way.
+// envelope is a request or a response in transit.
 type envelope struct {
 	server    int
-	addressee *LeaseHolder // of the incarnation that asked
+	addressee *LeaseHolder // holder of the incarnation that sent the request
 	request   *LimitRequest
 	response  *LimitResponse
 }
 
-// serverClock is what a server's own clock says.
+// serverClock returns the time on a server's local clock.
 func (c *cluster) serverClock(s *server) timeunit.Milliseconds { return s.localClock.At(c.Now) }
 
-// allocatorClock is what the clock of an allocator's process says.
+// allocatorClock returns the time on the clock of an allocator's process.
 func (c *cluster) allocatorClock(i int) timeunit.Milliseconds {
 	clock := schedule.LocalClock{Rate: 1 + 0.03*float64(i-1), Offset: timeunit.Milliseconds(i) * 100_000}
 	return clock.At(c.Now)
@@ -96,7 +96,7 @@
 		c.Join(&s.Process)
 		c.startServer(i)
 	}
-	c.Join(&schedule.Process{}) // takes the requests for whoever leads when they arrive
+	c.Join(&schedule.Process{}) // receives the requests for the current leader
 	return c
 }
 
@@ -118,15 +118,15 @@
 	}
 }
 
-// applyCommitted has an allocator apply what it has not yet applied of the log.
+// applyCommitted makes an allocator apply the log entries that it has not applied yet.
 func (c *cluster) applyCommitted(i int) {
 	for ; c.applied[i] < len(c.log); c.applied[i]++ {
 		c.allocators[i].Apply(c.log[c.applied[i]], c.allocatorClock(i))
 	}
 }
 
-// send puts a message on its way, perhaps twice or not at all. What a seed plays depends on how the loss is drawn,
-// which is not as Network.Send does it.
+// send sends a message, which may be lost or duplicated. It draws losses in its own way instead of calling
+// Network.Send. The schedule of each seed depends on the order of these draws.
 func (c *cluster) send(message envelope) {
 	c.recordMessage(message)
 	to := message.server
@@ -151,7 +151,7 @@
 	}
 }
 
-// step plays 20 ms of true time, then checks the sum of what may be in use.
+// step advances true time by 20 ms and then checks the sum of what all servers may have in use.
 func (c *cluster) step() {
 	c.Now += 20
 	c.Deliver(c.receive)
@@ -172,7 +172,7 @@
 	}
 }
 
-// receive hands a request to the leader, if there is one, and a response to the incarnation that asked.
+// receive passes a request to the leader, if there is one, and a response to the incarnation that sent the request.
 func (c *cluster) receive(_ int, message envelope) {
 	s := c.servers[message.server]
 	switch {
@@ -190,7 +190,7 @@
 	}
 }
 
-// decide commits what the leader proposes. The other allocators apply it when they are elected.
+// decide commits what the leader proposes. The other allocators apply the changes when they are elected.
 func (c *cluster) decide() {
 	if c.leader == noLeader {
 		return
@@ -203,7 +203,8 @@
 	c.applyCommitted(c.leader)
 }
 
-// stepServer has a server release what has ended, use what it may, and ask. It returns what the server may have in use.
+// stepServer releases finished work of a server, acquires new work and sends a request if one is due. It returns the
+// amount that the server may have in use.
 func (c *cluster) stepServer(i int) Amount {
 	s := c.servers[i]
 	c.releaseEnded(s)
@@ -235,7 +236,8 @@
 	s.releaseTimes = stillInUse
 }
 
-// injectFault changes something at random. The numbers of the cases are part of what a seed plays.
+// injectFault injects a random fault or changes a load. The case numbers must not change, as they determine the
+// schedule of each seed.
 func (c *cluster) injectFault() {
 	i := c.Random.Intn(len(c.servers))
 	s := c.servers[i]
@@ -251,7 +253,7 @@
 		if !s.IsDown {
 			c.startServer(i)
 		}
-	case 4: // one asks for everything, the others for what they had
+	case 4: // one server demands the whole total, the others keep their load
 		s.load = c.config.Total
 	case 5:
 		s.load = 0
--- a/internal/quota/coordinator/cluster_faults_test.go
+++ b/internal/quota/coordinator/cluster_faults_test.go
@@ -7,12 +7,13 @@
 	"thistlequay/internal/quota"
 )
 
-// injectFault changes something at random. The numbers of the cases are part of what a seed plays.
+// injectFault injects a random fault or changes a load. The case numbers must not change, as they determine the
+// schedule of each seed.
 func (c *cluster) injectFault() {
 	i := c.Random.Intn(len(c.servers))
 	s := c.servers[i]
 	switch c.Random.Intn(13) {
-	case 0: // killed, perhaps started again at once
+	case 0: // kill the server and perhaps restart it at once
 		c.stopServer(i)
 		if c.Random.Intn(2) == 0 {
 			c.startServer(i, false)
@@ -29,16 +30,16 @@
 		c.LossRate = c.Random.Float64() * 0.4
 	case 7:
 		c.restartStopped()
-	case 8: // one asks for everything
+	case 8: // one server demands more than the total
 		s.load = 10 * c.limit.Total
 	case 9:
 		for _, other := range c.servers {
 			other.load = quota.Amount(c.Random.Intn(30)) * quota.Unit
 		}
-	case 10: // the total changes while it is in use, at one server first
+	case 10: // the total changes while it is in use, first in the settings of one server
 		s.revision = uint64(c.Now)
 		s.total = c.limit.Total * quota.Amount(1+c.Random.Intn(4)) / 2
-	case 11: // its disk is gone, full or slow
+	case 11: // the disk becomes healthy, full or slow, and may lose its state
 		s.disk = diskState(c.Random.Intn(3))
 		if c.Random.Intn(3) == 0 {
 			s.state = nil
@@ -49,7 +50,7 @@
 	}
 }
 
-// partitionAtRandom cuts the servers into two or three groups.
+// partitionAtRandom splits the servers into two or three groups that cannot reach each other.
 func (c *cluster) partitionAtRandom() {
 	groups := make([]int, len(c.servers))
 	for i := range groups {
@@ -58,7 +59,7 @@
 	c.Partition(groups)
 }
 
-// stopLeaders pauses or kills whoever leads.
+// stopLeaders pauses or kills each server that is a leader.
 func (c *cluster) stopLeaders() {
 	for i, s := range c.servers {
 		if s.IsDown || !s.coordinator.IsLeader() {
@@ -72,7 +73,7 @@
 	}
 }
 
-// restartStopped mends all disks and starts the servers that are down.
+// restartStopped repairs all disks and starts the servers that are down.
 func (c *cluster) restartStopped() {
 	for i, s := range c.servers {
 		s.disk = diskWorks
@@ -82,7 +83,8 @@
 	}
 }
 
-// persist writes to a disk, and reports whether it could. Without named coordinators there is none.
+// persist writes state to the server's disk and reports whether that succeeded. Without named coordinators there is no
+// disk and persist succeeds.
 func (c *cluster) persist(s *server, ready *Ready) bool {
 	if len(c.config.NamedCoordinators) == 0 || !ready.IsNewState && ready.State.IsEmpty() {
 		return true
@@ -114,7 +116,7 @@
 	return true
 }
 
-// entriesBefore counts the entries with a lower index.
+// entriesBefore returns the number of entries with an index lower than the given one.
 func entriesBefore(state *consensus.PersistentState, index uint64) int {
 	for i, entry := range state.Entries {
 		if entry.Index >= index {
--- a/internal/quota/coordinator/cluster_test.go
+++ b/internal/quota/coordinator/cluster_test.go
@@ -13,10 +13,10 @@
 	"thistlequay/timeunit"
 )
 
-// cluster is servers in virtual time, each with a coordinator and a holder of one limit. Messages, requests and
-// responses are lost, late and duplicated, links are cut, processes are paused, die and come back with or without
-// what they saved, clocks run apart. The view of the cluster is as package membership has it: one side at most is the
-// majority, and another configuration is in force only when all that went before has expired.
+// cluster simulates servers in virtual time, each with a coordinator and a holder of one limit. Messages, requests and
+// responses are lost, delayed and duplicated. Links are cut. Processes are paused, killed and restarted with or without
+// their saved state. Clocks run at different rates. The cluster view follows the rules of package membership: at most
+// one side has the majority, and a new configuration comes into force only when everything before it has expired.
 type cluster struct {
 	schedule.Network[handler]
 	config  Config
@@ -24,24 +24,24 @@
 	servers []*server
 
 	lastIncarnation uint64
-	view            ClusterView // of the majority
+	view            ClusterView // view of the majority
 	majoritySide    []int
 	viewInForceFrom timeunit.Milliseconds
-	lastMajorityAt  timeunit.Milliseconds // when any server may still have acted with a majority
+	lastMajorityAt  timeunit.Milliseconds // latest time at which any server may have been in a majority
 
-	abandonedCalls []timeunit.Milliseconds // ends of what servers had in use when they died
-	newestLeader   *Coordinator            // of this step, nil for none
-	effectiveTotal quota.Amount            // as the last leader had it
-	checks         int                     // of the sum of what is usable
-	violations     int                     // checks that found more than the total
+	abandonedCalls []timeunit.Milliseconds // end times of calls whose server was killed
+	newestLeader   *Coordinator            // leader with the highest term in this step, nil for none
+	effectiveTotal quota.Amount            // as reported by the last leader
+	checks         int                     // checks of the usable sum against the total
+	violations     int                     // checks in which the sum exceeded the total
 	usedSum        quota.Amount
 	totalSum       quota.Amount
 	leasesGranted  int
 	seenLeaders    map[uint64]bool
 	leaderChanges  int
-	leaderBusy     time.Duration // time that the leader's coordinator took
+	leaderBusy     time.Duration // real time spent in the leader's coordinator
 
-	history *golden.History // nil: nothing is recorded
+	history *golden.History // nil disables recording
 }
 
 // server is a coordinator, a lease holder, a disk, and the work that is in use.
@@ -51,19 +51,19 @@
 	coordinator  *Coordinator
 	holder       *quota.LeaseHolder
 	name         string
-	releaseTimes []timeunit.Milliseconds // of what is in use, a unit each, by true time
-	load         quota.Amount            // that it would have in use
+	releaseTimes []timeunit.Milliseconds // true time at which each unit in use is released
+	load         quota.Amount            // amount that the server tries to have in use
 	viewedAt     timeunit.Milliseconds
-	total        quota.Amount // by its settings
-	revision     uint64       // of its settings
-	leader       uint64       // the voter that it asks
+	total        quota.Amount // in the server's settings
+	revision     uint64       // revision of the server's settings
+	leader       uint64       // ID of the voter that the server sends its requests to
 
 	disk     diskState
-	identity Identity                   // on the disk
-	state    *consensus.PersistentState // on the disk, nil for none
+	identity Identity                   // stored on disk
+	state    *consensus.PersistentState // stored on disk, nil for none
 }
 
-// diskState says how a disk does its work. The numbers are part of what a seed plays.
+// diskState is the condition of a server's disk. The numbers determine the schedule of each seed.
 type diskState int
 
 const (
@@ -74,14 +74,14 @@
 
 func (s *server) inUse() quota.Amount { return quota.Amount(len(s.releaseTimes)) * quota.Unit }
 
-// handler is a message on its way, as what its receiver does with it.
+// handler is a message in transit, represented by the action that its receiver performs.
 type handler func(receiver *server)
 
 const (
 	configDigest = 7
-	maxDelay     = 80 // of a message
+	maxDelay     = 80 // of a message, in ms
 
-	// incarnationFactor keeps the incarnation apart from the log in the number of a voter.
+	// incarnationFactor separates the incarnation from the log ID in a voter ID.
 	incarnationFactor = 1000
 )
 
@@ -126,10 +126,11 @@
 	return c
 }
 
-// clock is what a server's own clock says.
+// clock returns the time on a server's local clock.
 func (c *cluster) clock(s *server) timeunit.Milliseconds { return s.localClock.At(c.Now) }
 
-// startServer starts another incarnation. The first named coordinators begin the log, later ones resume or join it.
+// startServer starts a new incarnation of a server. The first incarnations of the named coordinators start the log.
+// Later ones resume from their saved state or join the log.
 func (c *cluster) startServer(i int, isFirst bool) {
 	s := c.servers[i]
 	c.lastIncarnation++
@@ -145,7 +146,7 @@
 	if !slices.Contains(config.NamedCoordinators, s.name) {
 		return
 	}
-	switch { // a coordinator that cannot start is no voter, which is what the servers do too
+	switch { // a coordinator that fails to start is not a voter, as in production
 	case s.state != nil:
 		_ = s.coordinator.Resume(s.identity, *s.state)
 	case isFirst:
@@ -155,7 +156,7 @@
 	}
 }
 
-// stopServer kills a server. What it had in use goes on without it.
+// stopServer kills a server. The calls that it had in use continue without it.
 func (c *cluster) stopServer(i int) {
 	s := c.servers[i]
 	if s.IsDown {
@@ -166,14 +167,14 @@
 	s.releaseTimes = nil
 }
 
-// serverOf returns the index of the server with the number of a voter, -1 for none.
+// serverOf returns the index of the running server with the given voter ID, or -1 if there is none.
 func (c *cluster) serverOf(voterID uint64) int {
 	return slices.IndexFunc(c.servers, func(s *server) bool {
 		return s.coordinator.Identity().VoterID == voterID && !s.IsDown
 	})
 }
 
-// step plays 20 ms of true time, then checks the sum of what may be in use.
+// step advances true time by 20 ms and then checks the sum of what all servers may have in use.
 func (c *cluster) step() {
 	c.Now += 20
 	c.Deliver(c.handle)
@@ -201,7 +202,7 @@
 	return slices.DeleteFunc(releaseTimes, func(end timeunit.Milliseconds) bool { return end <= c.Now })
 }
 
-// handle has a server do what a message asks for.
+// handle performs the action of a message on the receiving server.
 func (c *cluster) handle(to int, message handler) {
 	s := c.servers[to]
 	c.timed(s, func() {
@@ -210,7 +211,7 @@
 	})
 }
 
-// timed runs a coordinator's work, and adds up the time that a leader takes.
+// timed runs work of a coordinator and adds its real time to leaderBusy if the coordinator is the leader.
 func (c *cluster) timed(s *server, work func()) {
 	if !s.coordinator.IsLeader() {
 		work()
@@ -221,7 +222,8 @@
 	c.leaderBusy += time.Since(begun)
 }
 
-// stepServer has a server see, tick, use what it may and ask. It returns what the server may have in use.
+// stepServer updates a server's view, ticks its coordinator, acquires work and sends a request if one is due. It
+// returns the amount that the server may have in use.
 func (c *cluster) stepServer(i int) quota.Amount {
 	s := c.servers[i]
 	s.releaseTimes = c.stillInUse(s.releaseTimes)
@@ -252,7 +254,7 @@
 	return max(s.inUse(), usable)
 }
 
-// sendRequest sends a request to the server that is taken for the leader, or else to any voter.
+// sendRequest sends a request to the presumed leader or, if none is known, to a random voter.
 func (c *cluster) sendRequest(i int, limitRequest quota.LimitRequest) {
 	s := c.servers[i]
 	request := quota.Request{
@@ -273,7 +275,7 @@
 	c.Send(i, to, func(other *server) { other.coordinator.EnqueueRequest(requestID, request) })
 }
 
-// sendReply sends a reply to the incarnation of the server that asked.
+// sendReply sends a reply to the server incarnation that sent the request.
 func (c *cluster) sendReply(from int, reply Reply) {
 	to := int(reply.RequestID >> 32)
 	incarnation := reply.RequestID & (1<<32 - 1)
@@ -289,7 +291,7 @@
 	})
 }
 
-// deliverReady makes durable and sends what a coordinator gives.
+// deliverReady persists and sends what a coordinator returns.
 func (c *cluster) deliverReady(i int) {
 	s := c.servers[i]
 	for {
@@ -317,7 +319,7 @@
 	}
 }
 
-// noteLeader notes whether a server leads, with a later term than those before it in this step.
+// noteLeader records a server that is a leader with a higher term than the leaders before it in this step.
 func (c *cluster) noteLeader(s *server) {
 	leader := s.coordinator
 	if !leader.IsLeader() || !leader.InMajority() {
--- a/internal/quota/coordinator/cluster_view_test.go
+++ b/internal/quota/coordinator/cluster_view_test.go
@@ -6,17 +6,17 @@
 	"thistlequay/timeunit"
 )
 
-// viewLease is the time after which another configuration is in force: by then all that acted under the last one has
-// ended.
+// viewLease is the time before a new configuration comes into force. By then everything that acted under the previous
+// configuration has ended.
 const viewLease timeunit.Milliseconds = 1650
 
-// canReach reports whether two servers can talk with each other, or a server with itself.
+// canReach reports whether two servers can communicate. For a single server it reports whether that server is running.
 func (c *cluster) canReach(a, b int) bool {
 	isCut := c.IsCut(a, b) || c.IsCut(b, a)
 	return !isCut && c.servers[a].IsRunning(c.Now) && c.servers[b].IsRunning(c.Now)
 }
 
-// updateView settles which side is the majority, at most one, and by which voters.
+// updateView determines which group of servers, if any, has the majority, and then reconfigures the cluster.
 func (c *cluster) updateView() {
 	alive := map[uint64]int{}
 	for i, s := range c.servers {
@@ -40,7 +40,7 @@
 	c.reconfigure(lost)
 }
 
-// sideOf are the servers that a server can reach, itself included.
+// sideOf returns the servers that a server can reach, including itself.
 func (c *cluster) sideOf(i int) (side []int) {
 	for j := range c.servers {
 		if j == i || c.canReach(i, j) {
@@ -61,15 +61,15 @@
 	return votes > len(c.view.Voters)/2
 }
 
-// reconfigure forms another configuration where voters are lost.
+// reconfigure forms a new configuration if voters are lost.
 func (c *cluster) reconfigure(lost int) {
 	isOver := 2*lost > len(c.view.Voters) && c.Now-c.lastMajorityAt > viewLease
 	switch {
-	case c.view.GenesisEpoch == 0 || isOver: // a line of its own
+	case c.view.GenesisEpoch == 0 || isOver: // a new genesis epoch
 		c.formNewLine()
-	case c.majoritySide != nil && c.leaderLost(): // another log, by a configuration that follows
+	case c.majoritySide != nil && c.leaderLost(): // a new log in a configuration that follows the current one
 		c.formCluster(c.majoritySide, c.view.GenesisEpoch+1, true)
-	case c.majoritySide != nil && lost > 0: // another configuration of the same line
+	case c.majoritySide != nil && lost > 0: // a new configuration of the same genesis epoch
 		c.formCluster(c.majoritySide, c.view.GenesisEpoch, false)
 	}
 }
@@ -88,7 +88,7 @@
 	c.majoritySide = running
 }
 
-// leaderLost reports whether the first of the voters that runs finds that its log has no leader.
+// leaderLost reports whether the first running voter on the majority side finds that its log has no leader.
 func (c *cluster) leaderLost() bool {
 	for _, voter := range c.view.Voters {
 		for _, i := range c.majoritySide {
@@ -112,7 +112,8 @@
 	c.viewInForceFrom = c.Now + viewLease
 }
 
-// viewOf is what a server sees: it is in the majority for a lease, where it is on that side and the view is in force.
+// viewOf returns a server's view of the cluster. The server is in the majority for the duration of a lease if it is on
+// the majority side and the view is in force.
 func (c *cluster) viewOf(i int) ClusterView {
 	view := c.view
 	view.MajorityUntil = -1
--- a/internal/quota/coordinator/coordinator.go
+++ b/internal/quota/coordinator/coordinator.go
@@ -1,12 +1,12 @@
-// Package coordinator lets a few servers of a cluster keep the quota leases of all: they agree on one log (package
-// internal/consensus), apply it to the state of all limits (package internal/quota), and one of them, the leader,
-// answers requests.
+// Package coordinator manages the quota leases of a cluster on a few of its servers. These voters agree on one log
+// (package internal/consensus) and apply it to the state of all limits (package internal/quota). One of them, the
+// leader, answers requests.
 //
-// A Coordinator decides which log its server takes part in, who the voters of that log should be, which requests wait
-// for the confirmation of a majority, and what is answered. It knows no socket, disk, clock or goroutine: callers
-// pass in time, messages and the view of the cluster, and carry out what Ready returns. It never answers a request
-// unless its server acted with the majority of the cluster and a majority of the voters took it for the leader after
-// the request came, and never takes part in a log under a number whose state is lost.
+// A Coordinator decides which log its server takes part in, which voters that log should have, which requests wait for
+// confirmation by a majority, and how they are answered. It uses no sockets, disks, clocks or goroutines: callers pass
+// in the time, messages and the cluster view, and carry out what Ready returns. A Coordinator answers a request only if
+// its server is in the majority of the cluster and a majority of the voters confirmed it as the leader after the
+// request arrived. It never takes part in a log under a voter ID whose persistent state was lost.
 package coordinator
 
 import (
@@ -20,45 +20,45 @@
 	"thistlequay/timeunit"
 )
 
-// MaxVoters is how many voters a log has at most where the cluster view chooses them.
+// MaxVoters is the maximum number of voters of a log whose voters are chosen from the cluster view.
 const MaxVoters = 5
 
-// leaderLostAfter is how long a log of a whole cluster may be without a leader before LeaderLost says so. Elections
-// take a few times the election timeout of package consensus, which is a second.
+// leaderLostAfter is how long a log may be without a leader, while the cluster has a majority, before LeaderLost
+// reports it. An election takes a few election timeouts of package consensus, which are one second each.
 const leaderLostAfter timeunit.Milliseconds = 10_000
 
-// Config is what a coordinator goes by.
+// Config is the configuration of a coordinator.
 type Config struct {
-	// VoterID returns the number of this incarnation of the server in a log without a disk. Another incarnation of the
-	// server has another number. It is not used where coordinators are named.
+	// VoterID returns the voter ID of this server incarnation in a log that is kept in memory. Each incarnation has its
+	// own ID. It is not used with named coordinators.
 	VoterID func(logID uint64) uint64
 
-	// Limits, ConfigDigest and Revision are those of the server's settings, see quota.NewLimitSet.
+	// Limits, ConfigDigest and Revision come from the server's settings; see quota.NewLimitSet.
 	Limits       []quota.LimitConfig
 	ConfigDigest uint32
 	Revision     uint64
 
-	// NamedCoordinators are the servers, by name, that keep a log on their disks. With none, voters of the cluster
-	// keep it in memory.
+	// NamedCoordinators lists the names of the servers that keep the log on disk. If it is empty, voters of the cluster
+	// keep the log in memory.
 	NamedCoordinators []string
 
-	// LogID is the number of the log of the named coordinators.
+	// LogID is the ID of the named coordinators' log.
 	LogID uint64
 }
 
-// Identity is the number under which a server takes part in a log. VoterID is zero where it is no voter.
+// Identity identifies a server as a voter of a log. VoterID is zero if the server is not a voter.
 type Identity struct {
 	LogID   uint64 `cbor:"1,keyasint"`
 	VoterID uint64 `cbor:"2,keyasint"`
 }
 
-// Coordinator is one server's part in keeping the quota leases, also while it is no voter. It is not safe for
-// concurrent use.
+// Coordinator is one server's part in managing the quota leases. It also exists on servers that are not voters. It is
+// not safe for concurrent use.
 type Coordinator struct {
-	// AppliedCommands counts the committed commands that were applied, from the start.
+	// AppliedCommands counts the committed commands applied since the start.
 	AppliedCommands int
 
-	// DiscardedStates counts the persistent states that had to be discarded.
+	// DiscardedStates counts the persistent states that were discarded.
 	DiscardedStates int
 
 	config Config
@@ -67,22 +67,22 @@
 	view   ClusterView
 
 	identity Identity
-	voter    *consensus.Voter // nil where this server is no voter
+	voter    *consensus.Voter // nil if this server is not a voter
 	limits   *quota.LimitSet
 
-	// isNewState says that the voter was begun without a saved state, so that the next Ready must begin one.
+	// isNewState is set if the voter started without a saved state, so the next Ready must create one.
 	isNewState bool
 
-	// discardedVoterID is the number of a state that was discarded. It is never taken again.
+	// discardedVoterID is the voter ID of a discarded state. It is never used again.
 	discardedVoterID uint64
 
-	// leaderTerm is the term that this server was elected for, zero where it does not lead.
+	// leaderTerm is the term for which this server was elected leader, or zero if it is not the leader.
 	leaderTerm uint64
 
-	// leaderSeenAt is when a leader was last known, or there was no majority that could have one.
+	// leaderSeenAt is the last time at which a leader was known or this server was not in the majority of the cluster.
 	leaderSeenAt timeunit.Milliseconds
 
-	// Requests are pending until a round of confirmation begins, and confirming until its token comes back.
+	// Requests are pending until a confirmation round starts, and confirming until the token of the round is returned.
 	pending          []pendingRequest
 	confirming       []pendingRequest
 	confirmToken     uint64
@@ -90,20 +90,20 @@
 	replies          []Reply
 }
 
-// New returns a coordinator that is no voter yet.
+// New returns a coordinator that is not a voter yet.
 func New(config Config, random *rand.Rand, now timeunit.Milliseconds) *Coordinator {
 	c := &Coordinator{config: config, random: random, now: now, identity: Identity{LogID: config.LogID}}
 	c.resetLimits()
 	return c
 }
 
-// Resume makes the server a voter with the state that was saved under an identity.
+// Resume makes the server a voter with the persistent state that was saved for an identity.
 func (c *Coordinator) Resume(identity Identity, saved consensus.PersistentState) error {
 	return c.startVoter(identity, &saved, nil)
 }
 
-// Start makes the server a voter of the log of the named coordinators, without a saved state. initialVoters are the
-// numbers of all voters where the log begins with them, this one among them, and none where this one joins the log.
+// Start makes the server a voter of the named coordinators' log without a saved state. If the log is new, initialVoters
+// lists the IDs of all its voters, including this one. If the server joins an existing log, initialVoters is empty.
 func (c *Coordinator) Start(voterID uint64, initialVoters []uint64) error {
 	return c.startNewState(Identity{LogID: c.config.LogID, VoterID: voterID}, initialVoters)
 }
@@ -131,14 +131,15 @@
 	return nil
 }
 
-// DiscardState gives the state of the voter up. The server is no voter until it starts with another state.
+// DiscardState discards the voter's persistent state. The server is not a voter until it starts with another state.
 func (c *Coordinator) DiscardState() {
 	c.discardedVoterID = c.identity.VoterID
 	c.leaveLog(c.identity.LogID)
 	c.DiscardedStates++
 }
 
-// leaveLog makes the server no voter, and forgets all that was applied. logID is the log that it may join next.
+// leaveLog ends the server's role as a voter and drops all applied state. logID is the log that the server may join
+// next.
 func (c *Coordinator) leaveLog(logID uint64) {
 	c.voter = nil
 	c.leaderTerm = 0
@@ -147,21 +148,21 @@
 	c.resetLimits()
 }
 
-// resetLimits returns to the state at the beginning of the present log.
+// resetLimits resets the limits to the state at the beginning of the current log.
 func (c *Coordinator) resetLimits() {
 	c.limits = quota.NewLimitSet(c.config.Limits, c.config.ConfigDigest, c.config.Revision, c.identity.LogID)
 }
 
-// Identity returns the log and the number under which this server takes part in it.
+// Identity returns the current log and the voter ID of this server in it.
 func (c *Coordinator) Identity() Identity { return c.identity }
 
-// Limits returns the state of all limits as far as it is known here. It may be old where this server does not lead.
+// Limits returns the state of all limits as known to this server. It may be stale if this server is not the leader.
 func (c *Coordinator) Limits() *quota.LimitSet { return c.limits }
 
 // IsLeader reports whether this server leads the log.
 func (c *Coordinator) IsLeader() bool { return c.leaderTerm > 0 }
 
-// Leader returns the number of the voter that leads as far as is known, zero for none.
+// Leader returns the voter ID of the leader as known to this server, or zero if none is known.
 func (c *Coordinator) Leader() uint64 {
 	if c.voter == nil {
 		return 0
@@ -169,7 +170,7 @@
 	return c.voter.Leader()
 }
 
-// Voters returns the numbers of the voters of the log.
+// Voters returns the IDs of the voters of the log.
 func (c *Coordinator) Voters() []uint64 {
 	if c.voter == nil {
 		return nil
@@ -177,25 +178,25 @@
 	return c.voter.Voters()
 }
 
-// InMajority reports whether the server acts with the majority of the cluster at this moment.
+// InMajority reports whether this server is currently in the majority of the cluster.
 func (c *Coordinator) InMajority() bool { return c.now < c.view.MajorityUntil }
 
-// LeaderLost reports that a log in memory has had no leader for long though the cluster has its majority: a majority
-// of the voters has died faster than others could take their places. The cluster should then begin another log with a
-// new configuration. That log leases nothing before all leases of the old one have expired.
+// LeaderLost reports whether a log in memory has had no leader for a long time although the cluster has a majority.
+// This happens when a majority of the voters fails faster than others can replace them. The cluster should then start a
+// new log with a new configuration. The new log grants no lease until all leases of the old log have expired.
 func (c *Coordinator) LeaderLost() bool {
 	return !c.hasNamedCoordinators() && c.now-c.leaderSeenAt > leaderLostAfter
 }
 
-// Step takes a message that another voter of a log sent.
+// Step processes a message from another voter of the log.
 func (c *Coordinator) Step(from, logID uint64, message []byte) {
 	if c.voter != nil && logID == c.identity.LogID {
 		c.voter.Step(from, message)
 	}
 }
 
-// Tick moves the time on: it elects, confirms and proposes what is due. It is to be called several times in a tenth
-// of a second.
+// Tick advances the time and performs due elections, confirmations and proposals. It must be called several times per
+// 100 ms.
 func (c *Coordinator) Tick(now timeunit.Milliseconds) {
 	c.now = max(c.now, now)
 	if c.Leader() != 0 || !c.InMajority() {
@@ -216,7 +217,7 @@
 	}
 }
 
-// updateLeadership finds out whether this server was elected, elected anew, or leads no longer.
+// updateLeadership detects whether this server was elected, was elected for another term, or lost the leadership.
 func (c *Coordinator) updateLeadership() {
 	term := uint64(0)
 	if c.voter.IsLeader() {
@@ -234,7 +235,7 @@
 	c.pending = nil
 }
 
-// proposeNext puts the command that is due to the voters.
+// proposeNext proposes the next command to the voters if one is due.
 func (c *Coordinator) proposeNext() {
 	command, due := c.limits.NextCommand(c.now)
 	if !due {
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -12,7 +12,7 @@
 	"thistlequay/internal/schedule"
 )
 
-// What a record of the history is about. The numbers are part of the golden files.
+// Record types of the history. The numbers are part of the golden files.
 const (
 	eventState = iota + 1
 	eventMessage
@@ -21,7 +21,7 @@
 	eventStep
 )
 
-// recordReady records all that a coordinator gives, byte for byte.
+// recordReady records everything that a coordinator returns, byte for byte.
 func (c *cluster) recordReady(i int, ready *Ready) {
 	if c.history == nil {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// recordServer records where a server stands at the end of its part of a step.
+// recordServer records the state of a server at the end of its part of a step.
 func (c *cluster) recordServer(i int, s *server, usable quota.Amount) {
 	if c.history == nil {
 		return
@@ -56,14 +56,15 @@
 		id.LogID, id.VoterID, own.Voters(), own.LeaderLost(), own.AppliedCommands, own.DiscardedStates)
 }
 
-// The whole history of seeded schedules: every saved record, every message between servers byte for byte, every
-// reply, and what each server may use and takes for true after each step.
+// TestGoldenSchedules compares the whole history of seeded schedules with a golden file: every saved record, every
+// message between servers byte for byte, every reply, and the state and usable amount of each server after each step.
 func TestGoldenSchedules(t *testing.T) {
 	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
-// The bytes of what the log carries and of the identity on the disk: decoded as a server does, and encoded again.
+// TestGoldenRecords compares the encoding of log entries, snapshots and the stored identity with a golden file. Each
+// record is decoded as a server decodes it and encoded again.
 func TestGoldenRecords(t *testing.T) {
 	codec := golden.Codec{Marshal: cbor.Marshal, Unmarshal: logDecoder.Unmarshal}
 	var recorded bytes.Buffer
--- a/internal/quota/coordinator/ready.go
+++ b/internal/quota/coordinator/ready.go
@@ -8,16 +8,15 @@
 	"thistlequay/internal/strictcbor"
 )
 
-// Ready is what the caller must do next. State, begun anew where IsNewState is set, must be durable before Messages and
-// Replies go out.
+// Ready contains what the caller must do next. The caller must make State durable before it sends Messages and Replies.
 type Ready struct {
-	IsNewState bool // State begins a new persistent state under Identity
+	IsNewState bool // State replaces any earlier persistent state and belongs to the current Identity
 	State      consensus.PersistentState
 	Messages   []consensus.Message
 	Replies    []Reply
 }
 
-// Ready returns what has come of all calls since the last Ready; more is false where there is nothing.
+// Ready returns the results of all calls since the last Ready. more is false if there are none.
 func (c *Coordinator) Ready() (ready Ready, more bool) {
 	ready.Replies = c.replies
 	c.replies = nil
@@ -48,7 +47,7 @@
 	return ready, true
 }
 
-// applyProgress applies what was committed, in the order of the log.
+// applyProgress applies the committed entries in log order.
 func (c *Coordinator) applyProgress(progress *consensus.Ready) {
 	if progress.Snapshot != nil {
 		c.restore(progress.Snapshot)
@@ -56,7 +55,7 @@
 	for _, entry := range progress.Committed {
 		var command quota.Command
 		if logDecoder.Unmarshal(entry, &command) != nil {
-			continue // the same at every coordinator
+			continue // every coordinator skips the same entry, so all replicas stay identical
 		}
 		c.limits.Apply(command, c.now)
 		c.AppliedCommands++
@@ -64,8 +63,8 @@
 	c.updateLeadership()
 }
 
-// compact lets the log begin with the present state. What was to be saved before goes with it, as the state is newer.
-// On an error the log stays as it is until the next Ready.
+// compact replaces the applied part of the log with a snapshot of the current state. The new snapshot and hard state
+// overwrite those in ready, which are older. On an error, the log is unchanged until the next Ready.
 func (c *Coordinator) compact(ready *Ready) {
 	snapshot, err := cbor.Marshal(c.limits.Snapshot())
 	if err != nil {
@@ -79,7 +78,8 @@
 	ready.State.HardState = state.HardState
 }
 
-// restore replaces the state of all limits by a snapshot. One that is empty or cannot be read is that of a new log.
+// restore replaces the state of all limits with a snapshot. An empty or unreadable snapshot resets it to the state of a
+// new log.
 func (c *Coordinator) restore(data []byte) {
 	var snapshot quota.Snapshot
 	if len(data) == 0 || logDecoder.Unmarshal(data, &snapshot) != nil {
@@ -88,5 +88,5 @@
 	c.limits.Restore(snapshot, c.now)
 }
 
-// logDecoder reads commands and snapshots, within bounds that no valid one exceeds.
+// logDecoder decodes commands and snapshots. No valid command or snapshot exceeds its bounds.
 var logDecoder = strictcbor.NewDecoder(strictcbor.Bounds{MaxArrayElements: 1 << 16})
--- a/internal/quota/coordinator/rebalance_test.go
+++ b/internal/quota/coordinator/rebalance_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/timeunit"
 )
 
-// usedFraction is the part of what could be used that is in use at this moment.
+// usedFraction returns the fraction of the usable capacity that is in use now.
 func (c *cluster) usedFraction() float64 {
 	used := quota.Amount(0)
 	wanted := quota.Amount(0)
@@ -23,7 +23,7 @@
 
 func (c *cluster) isMostlyUsed() bool { return c.usedFraction() > 0.9 }
 
-// usedPart is the part of the total that is in use over a time.
+// usedPart returns the fraction of the total that is in use on average during a run.
 func (c *cluster) usedPart(play func()) float64 {
 	c.usedSum = 0
 	c.totalSum = 0
@@ -31,14 +31,14 @@
 	return float64(c.usedSum) / float64(c.totalSum)
 }
 
-// setUnevenLoad gives the servers loads of 1, 9, 17 and 25 units where ten is the mean.
+// setUnevenLoad gives the servers loads of 1, 9, 17 and 25 units in turn. The total is ten units per server.
 func (c *cluster) setUnevenLoad(turn int) {
 	for i, s := range c.servers {
 		s.load = quota.Amount(1+(i+turn)%4*8) * quota.Unit
 	}
 }
 
-// leadingServer returns the server that leads and may grant leases, nil for none.
+// leadingServer returns the server that is the leader and may grant leases, or nil if there is none.
 func (c *cluster) leadingServer() *server {
 	for _, s := range c.servers {
 		if s.IsRunning(c.Now) && s.coordinator.IsLeader() && s.coordinator.InMajority() {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// pauseMajority pauses more than half of the voters.
+// pauseMajority pauses a majority of the voters.
 func (c *cluster) pauseMajority(until timeunit.Milliseconds) {
 	for _, voter := range c.view.Voters[:(len(c.view.Voters)+1)/2] {
 		for _, s := range c.servers {
@@ -59,7 +59,7 @@
 	}
 }
 
-// newSizedCluster is a cluster whose lease duration grows with its size, as the settings have it.
+// newSizedCluster returns a cluster whose lease duration grows with its size, as in the settings.
 func newSizedCluster(servers int) *cluster {
 	c := newCluster(int64(servers), servers, false)
 	c.limit.LeaseDuration = timeunit.Milliseconds(max(2000, 20*servers))
@@ -72,8 +72,9 @@
 	return c
 }
 
-// What leases cost and how soon they follow, in virtual time: a steady uneven load; a load that moves to other
-// servers at once; a majority of the voters paused for a minute under a load for all that there is, then back.
+// The cost of leases and their reaction time, measured in virtual time in three phases: a steady uneven load, a load
+// that shifts to other servers at once, and a majority of the voters paused for a minute while the servers demand more
+// than the total.
 func TestLeasesFollowLoad(t *testing.T) {
 	for _, servers := range schedule.Scale([]int{12, 40}, []int{12, 40, 300}) {
 		testLeasesFollowLoad(t, servers)
@@ -99,7 +100,7 @@
 	answers := perSecond(float64(c.leasesGranted - grantedBefore))
 	busy := perSecond(float64(c.leaderBusy.Microseconds()))
 
-	c.setUnevenLoad(2) // those that had little want much, and the other way round
+	c.setUnevenLoad(2) // servers with a low load get a high one and vice versa
 	movedIn := c.RunUntil(240_000, c.step, c.isMostlyUsed)
 	require.Positive(t, movedIn)
 
--- a/internal/quota/coordinator/requests.go
+++ b/internal/quota/coordinator/requests.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// maxPendingRequests bounds the requests that wait for a round of confirmation. Servers ask again.
+	// maxPendingRequests is the maximum number of requests that wait for a confirmation round. Further requests are
+	// dropped, as servers repeat their requests.
 	maxPendingRequests = 4096
 
-	// confirmTimeout is how long a round of confirmation may take before another one is begun.
+	// confirmTimeout is how long a confirmation round may take before it is abandoned and another one may start.
 	confirmTimeout timeunit.Milliseconds = 1000
 )
 
-// pendingRequest is a request that waits until a majority has confirmed that this server leads.
+// pendingRequest is a request that waits until a majority has confirmed that this server is the leader.
 type pendingRequest struct {
 	id      uint64
 	request quota.Request
 }
 
-// Reply answers the request that was handed in under RequestID.
+// Reply answers the request that was enqueued with the ID RequestID.
 type Reply struct {
 	RequestID uint64
 	Response  quota.Response
-	Granted   bool   // Response has a lease
-	Leader    uint64 // the voter to be asked, zero where none is known
+	Granted   bool   // Response contains a lease
+	Leader    uint64 // ID of the voter to send requests to, zero if unknown
 }
 
-// EnqueueRequest takes a request. Its reply comes in a Ready.
+// EnqueueRequest enqueues a request. A later Ready returns its reply.
 func (c *Coordinator) EnqueueRequest(requestID uint64, request quota.Request) {
 	switch {
 	case !c.IsLeader() || !c.InMajority():
@@ -37,7 +38,7 @@
 	}
 }
 
-// otherLeader returns the leader, if that is not this server.
+// otherLeader returns the voter ID of the leader, or zero if the leader is unknown or is this server.
 func (c *Coordinator) otherLeader() uint64 {
 	leader := c.Leader()
 	if leader == c.identity.VoterID {
@@ -46,8 +47,8 @@
 	return leader
 }
 
-// confirmPending asks a majority, in one round for all requests that wait, whether this server still leads. The
-// requests of a round that takes too long are dropped.
+// confirmPending starts one confirmation round for all pending requests, in which a majority confirms that this server
+// is still the leader. The requests of a round that takes too long are dropped.
 func (c *Coordinator) confirmPending() {
 	if len(c.confirming) > 0 && c.now-c.confirmStartedAt > confirmTimeout {
 		c.confirming = nil
@@ -65,8 +66,8 @@
 	c.confirmStartedAt = c.now
 }
 
-// answerConfirmed answers the requests whose round of confirmation has ended. Those that came after the round began
-// wait for the next one.
+// answerConfirmed answers the requests whose confirmation round has completed. Requests that arrived after the round
+// started wait for the next round.
 func (c *Coordinator) answerConfirmed(tokens []uint64) (replies []Reply) {
 	for _, token := range tokens {
 		if token != c.confirmToken || !c.IsLeader() || !c.InMajority() {
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -10,8 +10,8 @@
 	"thistlequay/internal/schedule"
 )
 
-// runSchedule plays the faults that a seed draws, mends everything and plays on. It records what happens where a
-// history is given.
+// runSchedule runs the schedule of faults that a seed determines, repairs everything and continues. It records the
+// history if one is given.
 func runSchedule(t *testing.T, seed int64, history *golden.History) *cluster {
 	t.Helper()
 	c := newCluster(seed, 3+int(seed%6), seed%2 == 1)
@@ -38,8 +38,8 @@
 	return c
 }
 
-// The sum of what is usable and in use never exceeds the total in force, at every instant of true time, whatever
-// happens to coordinators, holders and the network. When everything works again, most of the total is in use again.
+// The sum of what is usable and in use never exceeds the total in force at any instant of true time, despite faults of
+// coordinators, holders and the network. After all faults are repaired, most of the total is in use again.
 func TestUsableNeverExceedsTotalThroughFaults(t *testing.T) {
 	seeds := schedule.Scale(40, 3000)
 	checks, leaderChanges, leasesGranted, healed := 0, 0, 0, 0
--- a/internal/quota/coordinator/view.go
+++ b/internal/quota/coordinator/view.go
@@ -6,30 +6,30 @@
 	"thistlequay/timeunit"
 )
 
-// Candidate is a member of the cluster, as a possible voter.
+// Candidate is a cluster member that may become a voter.
 type Candidate struct {
 	Name    string
-	VoterID uint64 // in the log LogID, zero where it has none
+	VoterID uint64 // ID in the log LogID, zero if it is not a voter
 	LogID   uint64
 }
 
-// ClusterView is what the server knows of the cluster at one moment.
+// ClusterView is a server's view of the cluster at one moment.
 type ClusterView struct {
-	// MajorityUntil is until when the server acts with the majority of the cluster unless it hears more. It lies in
-	// the past where the server does not.
+	// MajorityUntil is the time until which the server is in the majority of the cluster unless a later view extends
+	// it. It is in the past if the server is not in the majority.
 	MajorityUntil timeunit.Milliseconds
 
-	// GenesisEpoch numbers the line of configurations without a break that the cluster's configuration belongs to,
-	// zero where there is none. IsGenesis says that it is the first of the line.
+	// GenesisEpoch identifies the unbroken sequence of configurations to which the current cluster configuration
+	// belongs, zero if there is none. IsGenesis is set if the current configuration is the first of its sequence.
 	GenesisEpoch uint64
 	IsGenesis    bool
 
-	// Voters are those of the cluster configuration, in order. Members are the servers that are alive.
+	// Voters are the voters of the cluster configuration, in order. Members are the servers that are alive.
 	Voters  []Candidate
 	Members []Candidate
 }
 
-// UpdateView takes up another view of the cluster.
+// UpdateView replaces the view of the cluster.
 func (c *Coordinator) UpdateView(view ClusterView, now timeunit.Milliseconds) {
 	c.now = max(c.now, now)
 	c.view = view
@@ -43,7 +43,7 @@
 
 func (c *Coordinator) hasNamedCoordinators() bool { return len(c.config.NamedCoordinators) > 0 }
 
-// followCluster takes part in the log of the cluster's line of configurations, where this server is one of its voters.
+// followCluster takes part in the log of the current genesis epoch if this server is one of the log's voters.
 func (c *Coordinator) followCluster() {
 	epoch := c.view.GenesisEpoch
 	if epoch == 0 {
@@ -52,18 +52,19 @@
 	voterID := c.config.VoterID(epoch)
 	voters := c.clusterVoters()
 	isVoter := slices.Contains(voters, voterID)
-	if epoch != c.identity.LogID { // another line: what was agreed on in the last one is over
+	if epoch != c.identity.LogID { // a new genesis epoch starts a new log
 		c.leaveLog(epoch)
 		if isVoter && c.view.IsGenesis {
-			_ = c.startNewState(Identity{LogID: epoch, VoterID: voterID}, voters) // on an error it stays no voter
+			_ = c.startNewState(Identity{LogID: epoch, VoterID: voterID}, voters) // on error, this server is no voter
 		}
 	}
-	if isVoter && c.voter == nil && c.discardedVoterID != voterID { // the present voters take it in
+	if isVoter && c.voter == nil && c.discardedVoterID != voterID { // the current voters add this server
 		_ = c.startNewState(Identity{LogID: epoch, VoterID: voterID}, nil)
 	}
 }
 
-// clusterVoters are the numbers of those of the cluster's voters that keep the log: an odd number of the first ones.
+// clusterVoters returns the voter IDs of the cluster voters that keep the log: an odd number of them, from the start of
+// the list, at most MaxVoters.
 func (c *Coordinator) clusterVoters() []uint64 {
 	count := largestOddUpTo(min(len(c.view.Voters), MaxVoters))
 	var ids []uint64
@@ -73,10 +74,10 @@
 	return ids
 }
 
-// largestOddUpTo returns zero where there is no odd number.
+// largestOddUpTo returns the largest odd number that is at most n, or zero if there is none.
 func largestOddUpTo(n int) int { return max(0, n-(n+1)%2) }
 
-// desiredVoters are the voters that the log should have, none where nothing should change.
+// desiredVoters returns the voters that the log should have, or none if the voters should not change.
 func (c *Coordinator) desiredVoters() []uint64 {
 	if !c.hasNamedCoordinators() {
 		return c.clusterVoters()
@@ -84,8 +85,8 @@
 	return c.desiredNamedVoters()
 }
 
-// desiredNamedVoters are the voters of named coordinators. One that is not alive keeps its place until it comes back,
-// as itself or, with its state lost, under another number.
+// desiredNamedVoters returns the voter IDs of the named coordinators. A coordinator that is not alive keeps its place
+// until it returns, with the same voter ID or, if its state was lost, with a new one.
 func (c *Coordinator) desiredNamedVoters() []uint64 {
 	var ids []uint64
 	missing := 0
@@ -105,7 +106,7 @@
 			missing--
 		}
 	}
-	if missing > 0 { // the number of a voter is not known yet, so nothing is changed
+	if missing > 0 { // the ID of a coordinator is not known yet, so the voters do not change
 		return nil
 	}
 	return ids
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -6,26 +6,26 @@
 	"thistlequay/timeunit"
 )
 
-// requiredDecay is the divisor of what the required amount falls by from one request to the next, so that leases do
-// not swing with each burst.
+// requiredDecay is the divisor that sets how fast the required amount decays: it falls by at most a third per request,
+// so that leases do not oscillate with each burst.
 const requiredDecay = 3
 
-// demandMeter measures what a server uses of a limit between two requests, and estimates from that what it should ask
-// for.
+// demandMeter measures a server's usage of a limit between two requests and estimates the demand to report in the next
+// request.
 type demandMeter struct {
 	inUse     Amount
-	waiting   Amount // for room
+	waiting   Amount // for capacity
 	peakInUse Amount // since the last request
-	ranShort  bool   // something was rejected since the last request
+	ranShort  bool   // an acquisition or a token was rejected since the last request
 
-	usageIntegral int64 // of inUse and waiting over the time since the last request
+	usageIntegral int64 // integral of inUse plus waiting over the time since the last request
 	updatedAt     timeunit.Milliseconds
 	periodStart   timeunit.Milliseconds
 
 	smoothedRequired Amount
 }
 
-// accumulate adds what was in use and waiting until now. It must be called before either changes.
+// accumulate adds the usage up to now to the integral. It must be called before inUse or waiting changes.
 func (m *demandMeter) accumulate(now timeunit.Milliseconds) {
 	if now > m.updatedAt {
 		m.usageIntegral += int64(m.inUse+m.waiting) * int64(now-m.updatedAt)
@@ -38,11 +38,11 @@
 	m.peakInUse = max(m.peakInUse, inUse)
 }
 
-// demandMean is the mean of what was in use in a period, in units, and as the amount that is required by it.
+// demandMean is the mean usage of a limit over one measurement period.
 type demandMean struct {
-	units    float64
-	required Amount
-	most     Amount // that is asked for: how much more it could use the server cannot know, so it is twice what it used
+	units    float64 // in units, not thousandths
+	required Amount  // the mean as an amount, at most the value of most
+	most     Amount  // upper bound of the demand: twice the usage, as a server cannot know how much more it could use
 }
 
 func (m *demandMeter) mean(now timeunit.Milliseconds) demandMean {
@@ -51,9 +51,9 @@
 	return demandMean{units: units, required: min(most, Amount(units*float64(Unit))), most: most}
 }
 
-// estimate gives what the server surely needs and what it would like to have, its guaranteed minimum included. Beyond
-// the mean the root of it is desired, for the bursts that chance makes; after something was rejected all that may be
-// asked for.
+// estimate returns the required amount, which the server is certain to use, and the desired amount. Both include the
+// guaranteed minimum. The desired amount exceeds the mean by its square root to cover random bursts. If an acquisition
+// or a token was rejected in the period, the desired amount is the largest demand that may be reported.
 func (m *demandMeter) estimate(mean demandMean) (required, desired Amount) {
 	required = mean.required
 	desired = required + Amount(math.Sqrt(mean.units)*float64(Unit))
@@ -65,7 +65,7 @@
 	return m.smoothedRequired, max(m.smoothedRequired, desired)
 }
 
-// startPeriod begins the measurement for the next request.
+// startPeriod starts the measurement period for the next request.
 func (m *demandMeter) startPeriod(now timeunit.Milliseconds) {
 	m.usageIntegral = 0
 	m.periodStart = now
--- a/internal/quota/division.go
+++ b/internal/quota/division.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// targetAmounts divides what can be leased by max-min fairness (progressive filling) among the servers that ask:
-// first by what they require, then what is left of it by what they desire.
+// targetAmounts divides the leasable amount among the servers by max-min fairness (progressive filling). It first
+// covers required amounts and then divides the rest by desired amounts.
 func (a *Allocator) targetAmounts() map[string]Amount {
 	targets := make(map[string]Amount, len(a.leases))
 	available := max(0, a.targetTotal-a.config.guaranteedTotal())
@@ -15,8 +15,8 @@
 	return targets
 }
 
-// divide raises the targets towards a demand as far as the available amount goes, and returns what is left. The servers
-// that lack least come first, so that what they do not take goes to the others.
+// divide raises the targets towards the given demand as far as the available amount allows and returns the remaining
+// amount. It serves the servers with the smallest unmet demand first, so that what they do not need goes to the others.
 func (a *Allocator) divide(available Amount, demand func(*lease) Amount, targets map[string]Amount) Amount {
 	missing := func(server string) Amount { return max(0, demand(a.leases[server])-targets[server]) }
 	servers := a.servers()
@@ -30,14 +30,14 @@
 	return available
 }
 
-// desiredAmount is what a server asks for, and at least the initial amount: it cannot know what it could use before
-// it has some.
+// desiredAmount returns the amount that a server desires, but at least the initial amount: a server cannot know its
+// demand before it has some capacity.
 func (a *Allocator) desiredAmount(lease *lease) Amount {
 	return a.config.roundUp(max(lease.desired, a.config.InitialAmount))
 }
 
-// requiredAmount is what a server would surely use, and at least the initial amount. A server that has had a lease and
-// requires nothing gets nothing here; one without a lease cannot know yet.
+// requiredAmount returns the amount that a server requires, but at least the initial amount. It is zero for a server
+// that has had a lease and requires nothing. A server without a lease cannot know its demand yet.
 func (a *Allocator) requiredAmount(lease *lease) Amount {
 	if lease.required == 0 && lease.version > 0 {
 		return 0
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -12,20 +12,22 @@
 	"thistlequay/internal/schedule"
 )
 
-// The whole history of seeded schedules: every request, response and change, and what each holder may use after each
-// step.
+// TestGoldenSchedules compares the whole history of seeded schedules with a golden file: every request, response and
+// change, and what each holder may use after each step.
 func TestGoldenSchedules(t *testing.T) {
 	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 200, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
-// The same for limit sets: every message, command and snapshot byte for byte, and operators' status rows.
+// TestGoldenLimitSets does the same for limit sets: every message, command and snapshot byte for byte, and the status
+// rows.
 func TestGoldenLimitSets(t *testing.T) {
 	file := schedule.GoldenFile{Name: "books.txt", Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, runLimitSets)
 }
 
-// The bytes of every message and stored record, each key with a value and without.
+// TestGoldenRecords compares the encoding of every message and stored record with a golden file, each with its keys set
+// and with its keys empty.
 func TestGoldenRecords(t *testing.T) {
 	change := Change{
 		Server: "a.0000000000000001", LeaseVersion: 5, Amount: 7000, Total: 400_000, Expired: true, LimitIndex: 1,
@@ -43,7 +45,7 @@
 	snapshot := Snapshot{Opened: true, Revision: 2, Limits: []LimitSnapshot{limitSnapshot, {}}}
 	var recorded bytes.Buffer
 	for _, record := range []struct {
-		name           string // as in the golden file
+		name           string // part of the golden file
 		value, decoded any
 	}{
 		{"entry", change, &Change{}},
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -6,24 +6,25 @@
 	"thistlequay/timeunit"
 )
 
-// lease is what the allocator knows of one server: its lease, and all earlier amounts that it may still use.
+// lease is the allocator's record of one server: its current lease, previous leases that it may still use, and its
+// demand.
 type lease struct {
-	version       uint64 // zero until the first lease
+	version       uint64 // zero if the server has no lease
 	amount        Amount
 	previous      []previousLease
-	expiresAt     timeunit.Milliseconds // by the leader's clock; nothing of the lease is in use afterwards
-	desired       Amount                // by the last request
-	required      Amount                // by the last request
+	expiresAt     timeunit.Milliseconds // on the leader's clock; no work under the lease continues afterwards
+	desired       Amount                // in the last request
+	required      Amount                // in the last request
 	lastRequestAt timeunit.Milliseconds
 }
 
-// previousLease is an earlier lease whose holder has not confirmed yet that it keeps to a later one.
+// previousLease is an earlier lease whose holder has not yet confirmed a later version.
 type previousLease struct {
 	version uint64
 	amount  Amount
 }
 
-// outstanding is the most that the server may be using beyond its guaranteed minimum.
+// outstanding returns the maximum amount that the server may be using beyond its guaranteed minimum.
 func (l *lease) outstanding() Amount {
 	most := l.amount
 	for _, earlier := range l.previous {
@@ -32,15 +33,15 @@
 	return most
 }
 
-// recordRequest takes up what the server desires and which lease it keeps to. Nothing is desired beyond the limit's
-// total.
+// recordRequest records the demand reported in a request, capped at the total of the limit.
 func (l *lease) recordRequest(request LimitRequest, total Amount, now timeunit.Milliseconds) {
 	l.desired = min(request.Desired, total)
 	l.required = min(request.Required, total)
 	l.lastRequestAt = now
 }
 
-// confirmHeld forgets the previous leases that no longer count once all that the server uses is covered by a version.
+// confirmHeld drops the previous leases that the server no longer uses, given that all of its usage is covered by the
+// lease with the given version.
 func (l *lease) confirmHeld(version uint64) {
 	l.previous = slices.DeleteFunc(l.previous, func(earlier previousLease) bool {
 		return earlier.version < version || version == l.version
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -2,43 +2,44 @@
 
 import "thistlequay/timeunit"
 
-// requestsPerLease is how often a lease is requested in its duration, so that some requests or responses may be lost.
+// requestsPerLease is the number of requests sent per lease duration, so that the loss of a few requests or responses
+// does not let the lease expire.
 const requestsPerLease = 4
 
-// LeaseHolder is one server's side of one limit: what it may use at this moment, and what it asks for. Its methods
-// take the time by the server's clock and allocate nothing.
+// LeaseHolder tracks one server's lease on one limit: what the server may use now and what it requests next. Its
+// methods take the time on the server's clock and allocate no memory.
 //
-// Whether a lease is in force is worked out anew at each use, so that a process that was stopped finds its lease
-// expired before it uses it. The holder never uses more than its guaranteed minimum without a lease, nor says that it
-// keeps to a lease while it has more in use.
+// Each use checks anew whether the lease is in force, so a process that was paused sees that its lease has expired
+// before it uses it. Without a lease in force, the holder never uses more than its guaranteed minimum. It does not
+// confirm a lease while it has more in use than the lease allows.
 type LeaseHolder struct {
 	config     LimitConfig
 	serverName string
 
-	// hasSlot says that the server has a guaranteed minimum, usable from minimumFrom on.
+	// hasSlot reports whether the server has a guaranteed minimum, which it may use from minimumFrom on.
 	hasSlot     bool
 	minimumFrom timeunit.Milliseconds
 
-	// The lease. logID is the log that version belongs to.
+	// The fields of the current lease. logID identifies the log that version belongs to.
 	logID     uint64
 	version   uint64
 	amount    Amount
 	expiresAt timeunit.Milliseconds
 
 	demand        demandMeter
-	bucket        tokenBucket // of a limit of units per second
+	bucket        tokenBucket // used if config.IsRate is set
 	nextRequestAt timeunit.Milliseconds
 }
 
-// NewLeaseHolder returns a holder without a lease. Where it has a slot it may use its guaranteed minimum from the
-// given time on: until then, work that an earlier incarnation of the server began may still go on.
+// NewLeaseHolder returns a holder without a lease. If hasSlot is set, the server may use its guaranteed minimum from
+// minimumFrom on. Before that time, work of an earlier incarnation of the server may still be running.
 func NewLeaseHolder(
 	serverName string, config LimitConfig, hasSlot bool, minimumFrom timeunit.Milliseconds,
 ) *LeaseHolder {
 	return &LeaseHolder{config: config, serverName: serverName, hasSlot: hasSlot, minimumFrom: minimumFrom}
 }
 
-// Usable returns what the server may have in use now, in all.
+// Usable returns the total amount that the server may have in use now, including its guaranteed minimum.
 func (h *LeaseHolder) Usable(now timeunit.Milliseconds) Amount {
 	usable := Amount(0)
 	if now >= h.minimumFrom {
@@ -57,14 +58,14 @@
 	return h.config.GuaranteedMinimum
 }
 
-// LeaseDuration returns the duration of a lease.
+// LeaseDuration returns the configured duration of a lease.
 func (h *LeaseHolder) LeaseDuration() timeunit.Milliseconds { return h.config.LeaseDuration }
 
-// ExpiresAt returns when Usable falls back to the guaranteed minimum unless the lease is renewed. It lies in the past
-// where there is no lease.
+// ExpiresAt returns the time at which Usable falls back to the guaranteed minimum unless the lease is renewed. It is in
+// the past if there is no lease.
 func (h *LeaseHolder) ExpiresAt() timeunit.Milliseconds { return h.expiresAt }
 
-// TakeToken takes one unit of a limit of units per second, and reports whether there was one.
+// TakeToken takes one unit of a rate limit and reports whether one was available.
 func (h *LeaseHolder) TakeToken(now timeunit.Milliseconds) bool {
 	if !h.bucket.take(h.Usable(now), now) {
 		h.demand.ranShort = true
@@ -73,14 +74,15 @@
 	return true
 }
 
-// ReportUsage tells what is in use and what waits to be, for callers that count it themselves.
+// ReportUsage sets the amounts in use and waiting. It is for callers that count usage themselves.
 func (h *LeaseHolder) ReportUsage(inUse, waiting Amount, now timeunit.Milliseconds) {
 	h.demand.accumulate(now)
 	h.demand.setInUse(inUse)
 	h.demand.waiting = waiting
 }
 
-// TryAcquire takes an amount into use, and reports whether there was room. What is rejected is asked for.
+// TryAcquire adds an amount to the usage and reports whether capacity was available. A rejection raises the demand
+// reported in the next request.
 func (h *LeaseHolder) TryAcquire(amount Amount, now timeunit.Milliseconds) bool {
 	h.demand.accumulate(now)
 	inUse := h.demand.inUse + amount
@@ -92,10 +94,10 @@
 	return true
 }
 
-// Release gives an amount back.
+// Release subtracts an amount from the usage.
 func (h *LeaseHolder) Release(amount Amount) { h.demand.inUse = max(0, h.demand.inUse-amount) }
 
-// NextRequest returns the request to be sent now, if one is due.
+// NextRequest returns the request to send now. due is false if no request is due yet.
 func (h *LeaseHolder) NextRequest(now timeunit.Milliseconds) (request LimitRequest, due bool) {
 	if now < h.nextRequestAt {
 		return request, false
@@ -123,10 +125,12 @@
 	return request, true
 }
 
-// HandleResponse takes up a lease. It holds from when it was requested, less what clocks may run apart. A response
-// with a later version replaces the lease, a smaller amount at once; one with the same version renews it.
+// HandleResponse applies a lease response. The lease is valid from the time of its request for the lease duration, less
+// the maximum clock drift. A response with a later version replaces the lease, and a smaller amount takes effect at
+// once. A response with the same version renews the lease.
 func (h *LeaseHolder) HandleResponse(response LimitResponse, now timeunit.Milliseconds) {
-	// A later log leases nothing before all leases of the last log have expired.
+	// A new log grants no lease until all leases of earlier logs have expired, so the holder switches to a later log
+	// only after its own lease has expired.
 	if response.LogID > h.logID && now >= h.expiresAt {
 		h.logID = response.LogID
 		h.version = 0
@@ -145,7 +149,7 @@
 	h.expiresAt = max(h.expiresAt, expiresAt)
 }
 
-// accepts reports whether a response is of the present log, not out of date, and of the same configuration.
+// accepts reports whether a response belongs to the current log, is not stale, and matches the configuration.
 func (h *LeaseHolder) accepts(response LimitResponse, now timeunit.Milliseconds) bool {
 	isCurrent := response.LogID == h.logID && response.LeaseVersion >= h.version
 	isPossible := response.RequestedAt <= now && response.Amount >= 0
--- a/internal/quota/limit_set.go
+++ b/internal/quota/limit_set.go
@@ -2,24 +2,24 @@
 
 import "thistlequay/timeunit"
 
-// decisionInterval bounds the rate of log entries: at least so much time lies between two commands of a leader.
+// decisionInterval is the minimum time between two commands of a leader. It bounds the rate of log entries.
 const decisionInterval timeunit.Milliseconds = 250
 
-// LimitSet is one coordinator's copy of the state of all limits. Apply brings the copies of all coordinators into the
-// same state; the leader alone answers requests and proposes commands.
+// LimitSet is one coordinator's replica of the state of all limits. Apply keeps the replicas of all coordinators in the
+// same state. Only the leader answers requests and proposes commands.
 //
-// A log begins closed: nothing is leased until the leader knows that all leases of any earlier log have expired.
+// A new log starts closed: no lease is granted until the leader knows that all leases of earlier logs have expired.
 type LimitSet struct {
-	// MismatchedRequests counts the requests of servers with another configuration.
+	// MismatchedRequests counts requests from servers with a different configuration.
 	MismatchedRequests int
 
 	configDigest    uint32
 	allocators      []*Allocator
-	initialRevision uint64 // of this coordinator's own settings, for the first command of a log
+	initialRevision uint64 // revision of this coordinator's settings, used by the first command of a log
 
 	opened           bool
-	revision         uint64 // of the settings that the totals are from
-	proposedRevision uint64 // of totals that are requested or proposed and not applied yet, zero for none
+	revision         uint64 // revision of the settings that the totals come from
+	proposedRevision uint64 // revision of totals requested or proposed but not applied, zero for none
 
 	isLeader       bool
 	leaderSince    timeunit.Milliseconds
@@ -27,7 +27,7 @@
 	nextDecisionAt timeunit.Milliseconds
 }
 
-// NewLimitSet returns the state of all limits at the beginning of the log with the given number.
+// NewLimitSet returns the state of all limits at the beginning of the log with the given ID.
 func NewLimitSet(limits []LimitConfig, configDigest uint32, revision, logID uint64) *LimitSet {
 	s := &LimitSet{configDigest: configDigest, initialRevision: revision}
 	for _, config := range limits {
@@ -36,16 +36,16 @@
 	return s
 }
 
-// Allocators returns those of the limits, in the order of the limits.
+// Allocators returns the allocators in the order of the limits.
 func (s *LimitSet) Allocators() []*Allocator { return s.allocators }
 
-// Opened reports whether leases may be given out in this log.
+// Opened reports whether leases may be granted in this log.
 func (s *LimitSet) Opened() bool { return s.opened }
 
-// Revision returns the revision of the settings that the totals are from.
+// Revision returns the revision of the settings that the totals come from.
 func (s *LimitSet) Revision() uint64 { return s.revision }
 
-// SetLeader makes this coordinator the leader, or a follower.
+// SetLeader makes this coordinator the leader or a follower.
 func (s *LimitSet) SetLeader(isLeader bool, now timeunit.Milliseconds) {
 	s.isLeader = isLeader
 	s.leaderSince = now
@@ -57,7 +57,7 @@
 	}
 }
 
-// Apply takes a committed command. All coordinators call it with the same commands in the same order.
+// Apply applies a committed command. All coordinators must call it with the same commands in the same order.
 func (s *LimitSet) Apply(command Command, now timeunit.Milliseconds) {
 	if command.Open {
 		s.opened = true
@@ -74,8 +74,9 @@
 	}
 }
 
-// HandleRequest answers a server's request at the leader; granted is false where nothing is leased to it. Whoever
-// sends the response must have been confirmed as the leader by a majority after the request came.
+// HandleRequest answers a server's request on the leader. granted is false if no lease is granted for any limit. The
+// caller must not send the response unless a majority confirmed this coordinator as the leader after the request
+// arrived.
 func (s *LimitSet) HandleRequest(request Request, now timeunit.Milliseconds) (response Response, granted bool) {
 	isComplete := len(request.Limits) == len(s.allocators) && len(request.Totals) == len(s.allocators)
 	if !s.isLeader || !isComplete {
@@ -97,7 +98,7 @@
 	return response, granted
 }
 
-// takeUpTotals requests the totals of a server's settings where their revision is later than all that are known.
+// takeUpTotals requests the totals from a server's settings if their revision is later than every known one.
 func (s *LimitSet) takeUpTotals(request Request) {
 	if !s.opened || request.Revision <= max(s.revision, s.proposedRevision) {
 		return
@@ -108,8 +109,8 @@
 	}
 }
 
-// NextCommand returns the command that the leader should propose now, if one is due. If it is not put to the other
-// coordinators, ProposalFailed must follow.
+// NextCommand returns the command that the leader should propose now. due is false if there is none. If the command is
+// not sent to the other coordinators, the caller must call ProposalFailed.
 func (s *LimitSet) NextCommand(now timeunit.Milliseconds) (command Command, due bool) {
 	if !s.isLeader || now < s.nextDecisionAt {
 		return command, false
@@ -121,7 +122,8 @@
 	return s.changeCommand(now)
 }
 
-// openCommand opens the log, under this coordinator's settings, once every lease of any earlier log must have expired.
+// openCommand returns the command that opens the log with this coordinator's settings. It is due once every lease of
+// earlier logs must have expired.
 func (s *LimitSet) openCommand(now timeunit.Milliseconds) (command Command, due bool) {
 	if s.openProposed || now-s.leaderSince <= s.maxLeaseSpan() {
 		return command, false
@@ -135,7 +137,7 @@
 	return command, true
 }
 
-// changeCommand collects the changes of all limits.
+// changeCommand returns a command with the changes of all limits.
 func (s *LimitSet) changeCommand(now timeunit.Milliseconds) (command Command, due bool) {
 	changesTotal := false
 	for i, allocator := range s.allocators {
@@ -151,7 +153,7 @@
 	return command, len(command.Changes) > 0
 }
 
-// maxLeaseSpan is the longest span of a lease of any limit.
+// maxLeaseSpan returns the longest lease span of all limits.
 func (s *LimitSet) maxLeaseSpan() (longest timeunit.Milliseconds) {
 	for _, allocator := range s.allocators {
 		longest = max(longest, allocator.config.maxLeaseSpan())
@@ -159,8 +161,8 @@
 	return longest
 }
 
-// ProposalFailed takes back what NextCommand noted, as its last command was not put to the other coordinators. Commands
-// that were put to them may still be committed.
+// ProposalFailed reverts what NextCommand recorded for its last command. It must be called only if that command was not
+// sent to the other coordinators, as a command that was sent may still be committed.
 func (s *LimitSet) ProposalFailed(command Command) {
 	if command.Open {
 		s.openProposed = false
--- a/internal/quota/limit_set_test.go
+++ b/internal/quota/limit_set_test.go
@@ -18,8 +18,9 @@
 	testDigest  = 7
 )
 
-// limitSets is three limit sets over one log, for a limit of calls in flight and one of calls per second, and servers
-// that ask whichever of them leads. All that is sent, committed, stored and reported is recorded.
+// limitSets simulates three limit sets that share one log and servers that send requests to the current leader. It has
+// a limit on calls in flight and a limit on calls per second. Everything sent, committed, stored or reported is
+// recorded.
 type limitSets struct {
 	random   *rand.Rand
 	history  *golden.History
@@ -27,11 +28,11 @@
 	calls    LimitConfig
 	rate     LimitConfig
 	sets     []*LimitSet
-	applied  [3]int // by set: how many commands of the log it has applied
+	applied  [3]int // number of applied commands, by limit set
 	log      []Command
 	leader   int
 	holders  [testServers][2]*LeaseHolder
-	revision uint64 // of the servers' settings
+	revision uint64 // revision of the servers' settings
 	totals   []Amount
 }
 
@@ -60,19 +61,19 @@
 	return l
 }
 
-// clock is what the clock of a set's process says.
+// clock returns the time on the clock of a limit set's process.
 func (l *limitSets) clock(set int) timeunit.Milliseconds {
 	return l.now + timeunit.Milliseconds(set)*5000
 }
 
-// applyCommitted has a set apply what it has not yet applied of the log.
+// applyCommitted makes a limit set apply the log entries that it has not applied yet.
 func (l *limitSets) applyCommitted(set int) {
 	for ; l.applied[set] < len(l.log); l.applied[set]++ {
 		l.sets[set].Apply(l.log[l.applied[set]], l.clock(set))
 	}
 }
 
-// runLimitSets plays half a minute of what a seed draws.
+// runLimitSets runs the 30-second schedule of a seed.
 func runLimitSets(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	l := newLimitSets(seed, history)
@@ -91,7 +92,7 @@
 func (l *limitSets) injectFault(t *testing.T) {
 	t.Helper()
 	switch l.random.Intn(100) {
-	case 0: // another one leads
+	case 0: // another limit set becomes the leader
 		l.sets[l.leader].SetLeader(false, l.clock(l.leader))
 		l.leader = l.random.Intn(len(l.sets))
 		l.applyCommitted(l.leader)
@@ -101,7 +102,7 @@
 		calls := l.calls.Total * Amount(1+l.random.Intn(4)) / 2
 		rate := l.rate.Total * Amount(1+l.random.Intn(4)) / 2
 		l.totals = []Amount{calls, rate}
-	case 2, 3: // one set goes on with the leader's snapshot
+	case 2, 3: // one limit set restores the leader's snapshot
 		l.restoreFromLeader(t, l.random.Intn(len(l.sets)))
 	}
 }
@@ -116,7 +117,7 @@
 	l.history.Add(set, string(data), string(codec.Encode(t, l.sets[set].Snapshot(), &Snapshot{})))
 }
 
-// use has a server use what it may, or report what it uses.
+// use acquires or releases capacity of a server, or reports its usage.
 func (l *limitSets) use(calls, rate *LeaseHolder) {
 	switch l.random.Intn(4) {
 	case 0:
@@ -135,8 +136,8 @@
 		int64(calls.LeaseDuration()))
 }
 
-// request sends what a server asks for, if that is due. Some servers have another configuration, some responses are
-// lost.
+// request sends a server's request if one is due. Some requests have a different configuration digest, and some
+// responses are lost.
 func (l *limitSets) request(t *testing.T, holders [2]*LeaseHolder) {
 	t.Helper()
 	request := Request{ConfigDigest: testDigest, Revision: l.revision, Totals: l.totals}
@@ -164,7 +165,7 @@
 	}
 }
 
-// decide commits what the leader proposes, or has the proposal fail.
+// decide commits what the leader proposes, or makes the proposal fail.
 func (l *limitSets) decide(t *testing.T) {
 	t.Helper()
 	leader := l.sets[l.leader]
@@ -192,5 +193,5 @@
 	}
 }
 
-// codec is the encoding of messages and stored records.
+// codec encodes messages and stored records.
 var codec = golden.Codec{Marshal: cbor.Marshal, Unmarshal: cbor.Unmarshal}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -2,97 +2,99 @@
 
 import "thistlequay/timeunit"
 
-// The types of this file travel between servers and are stored on disk as CBOR maps with the integer keys of their
+// The types in this file are sent between servers and stored on disk as CBOR maps with the integer keys of their struct
 // tags. The keys must not change.
 
-// Change is one step of a Command: it sets the lease of a server, ends it, or sets the total of a limit.
+// Change is one step of a Command. It sets or ends the lease of a server, or sets the total of a limit.
 type Change struct {
-	// Server names the incarnation of the server whose lease changes. An empty name makes this a change of Total.
+	// Server names the server incarnation whose lease changes. If it is empty, the change sets Total.
 	Server string `cbor:"1,keyasint,omitempty"`
 
-	// LeaseVersion is the number of the new lease. It grows with every lease of the same limit and log.
+	// LeaseVersion is the version of the new lease. Versions increase with every lease of the same limit and log.
 	LeaseVersion uint64 `cbor:"2,keyasint,omitempty"`
 
-	// Amount is what the new lease allows beyond the guaranteed minimum.
+	// Amount is the amount that the new lease allows beyond the guaranteed minimum.
 	Amount Amount `cbor:"3,keyasint,omitempty"`
 
-	// Total is the new total of the limit, in a change without a server.
+	// Total is the new total of the limit. It is used only if Server is empty.
 	Total Amount `cbor:"4,keyasint,omitempty"`
 
-	// Expired says that the lease is over on every clock, so that from now on others may have what it allowed.
+	// Expired states that the lease has expired on every clock, so that its amount may be leased to other servers.
 	Expired bool `cbor:"5,keyasint,omitempty"`
 
-	// LimitIndex is the position of the limit in the LimitSet.
+	// LimitIndex is the index of the limit in the LimitSet.
 	LimitIndex int `cbor:"6,keyasint,omitempty"`
 }
 
-// Command is one entry of the log that all coordinators apply.
+// Command is one entry of the replicated log that all coordinators apply.
 type Command struct {
-	// Open allows leases in this log. It says that all leases of any earlier log have expired.
+	// Open permits leases in this log. It states that all leases of earlier logs have expired.
 	Open bool `cbor:"1,keyasint,omitempty"`
 
-	// Revision is the revision of the settings that the totals are from. Zero means that they stay as they are.
+	// Revision is the revision of the settings that the totals come from. Zero means that the totals do not change.
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
 
-	// Changes are applied in their order.
+	// Changes are applied in order.
 	Changes []Change `cbor:"3,keyasint,omitempty"`
 }
 
-// Request is what one incarnation of a server asks the leader for: one LimitRequest per limit, in the order of the
+// Request is sent by one server incarnation to the leader. It contains one LimitRequest per limit, in the order of the
 // limits.
 type Request struct {
-	// ConfigDigest covers all of the configuration except the totals. A server with another configuration gets nothing.
+	// ConfigDigest covers the whole configuration except the totals. The leader grants nothing to a server with a
+	// different digest.
 	ConfigDigest uint32 `cbor:"1,keyasint"`
 
 	// Revision is the revision of the server's settings.
 	Revision uint64 `cbor:"2,keyasint"`
 
-	// Totals are those of the server's settings, one per limit. They are taken up when Revision is new to the leader.
+	// Totals are the totals in the server's settings, one per limit. The leader adopts them if Revision is new to it.
 	Totals []Amount `cbor:"3,keyasint"`
 
 	Limits []LimitRequest `cbor:"4,keyasint"`
 }
 
-// LimitRequest is the part of a Request that is about one limit. A server sends requestsPerLease of them in the
-// duration of a lease.
+// LimitRequest is the part of a Request that concerns one limit. A server sends requestsPerLease of them per lease
+// duration.
 type LimitRequest struct {
-	// Server names the incarnation of the server.
+	// Server names the server incarnation.
 	Server string `cbor:"1,keyasint"`
 
-	// RequestedAt is the time by the server's clock. The response repeats it.
+	// RequestedAt is the time of the request on the server's clock. The response repeats it.
 	RequestedAt timeunit.Milliseconds `cbor:"2,keyasint"`
 
-	// HeldVersion is the version of the lease that covers all that the server uses, zero if its use exceeds the lease.
+	// HeldVersion is the version of the lease that covers the server's entire usage. It is zero if the usage exceeds
+	// the lease.
 	HeldVersion uint64 `cbor:"3,keyasint"`
 
-	// Desired is what the server would like to have beyond its guaranteed minimum.
+	// Desired is the amount that the server requests beyond its guaranteed minimum.
 	Desired Amount `cbor:"4,keyasint"`
 
-	// Required is the part of Desired that the server would surely use. The rest is room for bursts, leased only
-	// where no other server requires it.
+	// Required is the part of Desired that the server is certain to use. The rest is headroom for bursts and is leased
+	// only if no other server requires it.
 	Required Amount `cbor:"6,keyasint"`
 
-	// LogID is the log that HeldVersion belongs to.
+	// LogID identifies the log that HeldVersion belongs to.
 	LogID uint64 `cbor:"5,keyasint"`
 }
 
-// Response answers a Request: one LimitResponse per limit, in the order of the limits.
+// Response answers a Request. It contains one LimitResponse per limit, in the order of the limits.
 type Response struct {
 	Limits []LimitResponse `cbor:"1,keyasint"`
 }
 
-// LimitResponse is the part of a Response that is about one limit. With a LeaseVersion of zero nothing is leased.
+// LimitResponse is the part of a Response that concerns one limit. If LeaseVersion is zero, no lease is granted.
 type LimitResponse struct {
 	RequestedAt   timeunit.Milliseconds `cbor:"1,keyasint"`
 	LeaseVersion  uint64                `cbor:"2,keyasint"`
 	Amount        Amount                `cbor:"3,keyasint"`
 	LeaseDuration timeunit.Milliseconds `cbor:"4,keyasint"`
 
-	// LogID is the log that LeaseVersion belongs to. Versions of two logs must not be compared.
+	// LogID identifies the log that LeaseVersion belongs to. Versions of different logs must not be compared.
 	LogID uint64 `cbor:"5,keyasint"`
 }
 
-// Snapshot is the state of a LimitSet after a number of commands. It takes the place of those commands in the log.
+// Snapshot is the state of a LimitSet after some number of commands. It replaces those commands in the log.
 type Snapshot struct {
 	Opened   bool            `cbor:"1,keyasint"`
 	Revision uint64          `cbor:"2,keyasint"`
@@ -105,6 +107,6 @@
 	TargetTotal    Amount `cbor:"2,keyasint"`
 	EffectiveTotal Amount `cbor:"3,keyasint"`
 
-	// Leases are sorted by server. Those of one server are in the order in which they were made, the newest one last.
+	// Leases are sorted by server. The leases of one server are ordered from oldest to newest.
 	Leases []Change `cbor:"4,keyasint"`
 }
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -9,7 +9,7 @@
 	"thistlequay/internal/schedule"
 )
 
-// runSchedule plays the faults that a seed draws, and records what happens where a history is given.
+// runSchedule runs the schedule of faults that a seed determines. It records the history if one is given.
 func runSchedule(t *testing.T, seed int64, history *golden.History) *cluster {
 	t.Helper()
 	c := newCluster(seed, 3+int(seed%10))
@@ -20,14 +20,14 @@
 		c.RunFor(c.DrawSpan(100, 4100), c.step)
 		require.Zero(t, c.violations, "seed %d", seed)
 	}
-	c.elect(0) // a lower total comes into force once the earlier leases have expired
+	c.elect(0) // a lower total takes effect once the earlier leases have expired
 	c.RunFor(8000, c.step)
 	require.Equal(t, c.allocators[0].targetTotal, c.allocators[0].EffectiveTotal(), "seed %d", seed)
 	require.Zero(t, c.violations, "seed %d", seed)
 	return c
 }
 
-// The sum of what is usable or in use never exceeds the total in force, at every instant of true time.
+// The sum of what is usable or in use never exceeds the total in force at any instant of true time.
 func TestUsableNeverExceedsTotal(t *testing.T) {
 	seeds := schedule.Scale(250, 5000)
 	checks := 0
@@ -37,7 +37,8 @@
 	t.Logf("measured shares-schedules seeds=%d looks=%d over=0", seeds, checks)
 }
 
-// Under a steady load, however uneven, what one server does not use goes to another, and most of the total is in use.
+// Under a steady load, even or uneven, capacity that one server does not use goes to another, and most of the total is
+// in use.
 func TestUnusedCapacityGoesToOthers(t *testing.T) {
 	for _, day := range []struct {
 		name string
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -2,7 +2,7 @@
 
 import "thistlequay/timeunit"
 
-// Snapshot returns the state after all commands that were applied.
+// Snapshot returns the state after all applied commands.
 func (s *LimitSet) Snapshot() Snapshot {
 	snapshot := Snapshot{Opened: s.opened, Revision: s.revision}
 	for _, allocator := range s.allocators {
@@ -11,6 +11,7 @@
 	return snapshot
 }
 
+// snapshot returns the replicated state of the allocator.
 func (a *Allocator) snapshot() LimitSnapshot {
 	snapshot := LimitSnapshot{LastVersion: a.lastVersion, TargetTotal: a.targetTotal, EffectiveTotal: a.effectiveTotal}
 	for _, server := range a.servers() {
@@ -27,7 +28,7 @@
 	return snapshot
 }
 
-// Restore replaces the state by a snapshot. A limit that the snapshot does not have begins anew.
+// Restore replaces the state with a snapshot. A limit that is not in the snapshot is reset to its initial state.
 func (s *LimitSet) Restore(snapshot Snapshot, now timeunit.Milliseconds) {
 	s.opened = snapshot.Opened
 	s.revision = snapshot.Revision
@@ -42,7 +43,7 @@
 	}
 }
 
-// restore gives a new allocator the state of a snapshot.
+// restore loads a snapshot into a new allocator.
 func (a *Allocator) restore(snapshot LimitSnapshot, now timeunit.Milliseconds) {
 	a.lastVersion = snapshot.LastVersion
 	a.targetTotal = snapshot.TargetTotal
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -7,25 +7,25 @@
 	"thistlequay/timeunit"
 )
 
-// StatusRow tells operators what one server has of one limit. Amounts are in thousandths of a unit.
+// StatusRow reports the state of one server's lease on one limit to operators. Amounts are in thousandths of a unit.
 type StatusRow struct {
 	Server string `json:"server"`
 	Amount Amount `json:"amount"`
 
-	// Outstanding is the amount that counts: earlier amounts included that the server may still use.
+	// Outstanding is the amount counted against the total. It includes previous leases that the server may still use.
 	Outstanding Amount `json:"counts"`
 
-	// Desired is what the server asked for last.
+	// Desired is the amount that the server desired in its last request.
 	Desired Amount `json:"wants"`
 
-	// RemainingMS is the time until the lease is over, as far as this coordinator knows; only the leader knows it well.
+	// RemainingMS is the time until the lease expires, as known to this coordinator. It is accurate only on the leader.
 	RemainingMS timeunit.Milliseconds `json:"left_ms"`
 
-	// SinceRequestMS is the time since the last request.
+	// SinceRequestMS is the time since the server's last request.
 	SinceRequestMS timeunit.Milliseconds `json:"heard_ms"`
 }
 
-// StatusRows returns the leases of the limit, the largest first.
+// StatusRows returns one row per server, sorted by descending outstanding amount.
 func (a *Allocator) StatusRows(now timeunit.Milliseconds) (rows []StatusRow) {
 	for server, lease := range a.leases {
 		rows = append(rows, StatusRow{
--- a/internal/quota/token_bucket.go
+++ b/internal/quota/token_bucket.go
@@ -2,17 +2,17 @@
 
 import "thistlequay/timeunit"
 
-// burstDivisor is the part of a second whose unused units a token bucket keeps.
+// burstDivisor sets the capacity of a token bucket: the bucket holds the tokens of 1/burstDivisor of a second.
 const burstDivisor = 10
 
-// tokenBucket limits units per second. Unused units are kept for a tenth of a second, and one unit at least.
+// tokenBucket limits units per second. It holds unused tokens of up to a tenth of a second, but at least one unit.
 type tokenBucket struct {
 	tokens     int64 // in thousandths of an Amount
 	refilledAt timeunit.Milliseconds
-	taken      Amount // since the last request
+	taken      Amount // since the last call of meanRate
 }
 
-// take refills the bucket at a rate, then takes one unit and reports whether there was one.
+// take refills the bucket at the given rate, takes one unit if available, and reports whether it did.
 func (b *tokenBucket) take(rate Amount, now timeunit.Milliseconds) bool {
 	const unit = int64(Unit) * int64(timeunit.MillisecondsPerSecond)
 	refill := int64(rate) * int64(max(0, now-b.refilledAt))
@@ -27,7 +27,7 @@
 	return true
 }
 
-// meanRate gives what was taken per second since the last request, and begins to count anew.
+// meanRate returns the mean number of units taken per second over the given interval and resets the count.
 func (b *tokenBucket) meanRate(interval timeunit.Milliseconds) demandMean {
 	perSecond := b.taken * Amount(timeunit.MillisecondsPerSecond) / Amount(interval)
 	b.taken = 0
--- a/internal/quota/validate.go
+++ b/internal/quota/validate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ConfigError tells which field of a LimitConfig makes a limit impossible to keep.
+// ConfigError reports the field that makes a LimitConfig invalid.
 type ConfigError struct {
 	Field  string
 	Reason string
@@ -10,8 +10,8 @@
 
 func (e *ConfigError) Error() string { return fmt.Sprintf("limit: %s %s", e.Field, e.Reason) }
 
-// Validate checks that the limit can be kept, for one that the minimums of all slots fit into the total. It returns a
-// *ConfigError for the first field that is wrong, nil if none is.
+// Validate checks that the limit can be enforced, for example that the guaranteed minimums of all slots fit into the
+// total. It returns a *ConfigError for the first invalid field, or nil.
 func (c *LimitConfig) Validate() error {
 	for _, check := range []struct {
 		isValid bool
--- a/internal/quota/validate_test.go
+++ b/internal/quota/validate_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A limit is refused for the field that makes it impossible to keep, at the bound of what is allowed.
+// Validate reports the field that makes a limit invalid, tested at the boundary of the allowed range.
 func TestValidateNamesTheField(t *testing.T) {
 	valid := LimitConfig{
 		Total: 10, GuaranteedMinimum: 2, Slots: 5, LeaseDuration: 1, ClockDrift: 0.49, Hysteresis: 0.99,
