--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -113,7 +113,7 @@
 // applyExpiry ends all leases of a server. The leader keeps the entry of a server that still sends requests, including
 // its demand.
 func (a *Allocator) applyExpiry(change Change) {
-	lease := a.committed(change)
+	lease := a.completeProposal(change)
 	lease.amount = 0
 	lease.previous = nil
 	lease.version = 0
@@ -126,7 +126,7 @@
 // applyLease sets the lease of a server. The previous amount stays outstanding until the server confirms a later
 // version.
 func (a *Allocator) applyLease(change Change) {
-	lease := a.committed(change)
+	lease := a.completeProposal(change)
 	if lease.amount > 0 {
 		lease.previous = append(lease.previous, previousLease{version: lease.version, amount: lease.amount})
 	}
@@ -135,9 +135,9 @@
 	lease.expiresAt = a.now + a.config.maxLeaseSpan()
 }
 
-// committed removes the pending proposal for the server of a committed change and returns that server's lease, adding
-// it if needed.
-func (a *Allocator) committed(change Change) *lease {
+// completeProposal removes the pending proposal for the server of a committed change and returns that server's lease,
+// adding it if needed.
+func (a *Allocator) completeProposal(change Change) *lease {
 	delete(a.pending, change.Server)
 	a.lastVersion = max(a.lastVersion, change.LeaseVersion)
 	l := a.leases[change.Server]
@@ -151,7 +151,7 @@
 // updateEffectiveTotal moves the total in force towards the target: up at once, down only as far as outstanding and
 // proposed leases allow.
 func (a *Allocator) updateEffectiveTotal() {
-	inUse := a.config.guaranteedTotal() + a.reserved()
+	inUse := a.config.guaranteedTotal() + a.reservedAmount()
 	a.effectiveTotal = max(a.targetTotal, min(a.effectiveTotal, inUse))
 }
 
@@ -163,9 +163,9 @@
 	return sum
 }
 
-// reserved returns the sum over all servers of the larger of the outstanding and the proposed amount. Capacity for a
-// proposed lease thus stays reserved when a previous lease that covered as much ends.
-func (a *Allocator) reserved() Amount {
+// reservedAmount returns the sum over all servers of the larger of the outstanding and the proposed amount. Capacity
+// for a proposed lease thus stays reserved when a previous lease that covered as much ends.
+func (a *Allocator) reservedAmount() Amount {
 	sum := a.Outstanding()
 	for server, amount := range a.pending {
 		sum += amount
@@ -189,7 +189,7 @@
 	if !a.isLeader || !request.isValid() {
 		return response, false
 	}
-	lease := a.requestingServer(request.Server)
+	lease := a.findOrAddLease(request.Server)
 	if lease == nil {
 		return response, false
 	}
@@ -216,9 +216,9 @@
 	return r.Server != "" && r.Desired >= 0 && r.Required >= 0 && r.Required <= r.Desired
 }
 
-// requestingServer returns the lease of a server and starts to track a server that is not known yet. It returns nil if
+// findOrAddLease returns the lease of a server and starts to track a server that is not known yet. It returns nil if
 // too many servers are tracked.
-func (a *Allocator) requestingServer(server string) *lease {
+func (a *Allocator) findOrAddLease(server string) *lease {
 	if lease := a.leases[server]; lease != nil {
 		return lease
 	}
@@ -236,6 +236,6 @@
 	return isPending
 }
 
-// servers returns the names of all tracked servers in sorted order, so that decisions do not depend on map iteration
-// order.
-func (a *Allocator) servers() []string { return slices.Sorted(maps.Keys(a.leases)) }
+// serverNames returns the names of all tracked servers in sorted order, so that decisions do not depend on map
+// iteration order.
+func (a *Allocator) serverNames() []string { return slices.Sorted(maps.Keys(a.leases)) }
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -11,15 +11,15 @@
 		return nil
 	}
 	if a.requestedTotal > 0 {
-		return a.changeTotal()
+		return a.proposeTotal()
 	}
 	changes := a.reclaimExpired()
 	return append(changes, a.adjustLeases()...)
 }
 
-// changeTotal proposes the requested total once no other proposal is pending. A lease that was sized by the old total
+// proposeTotal proposes the requested total once no other proposal is pending. A lease that was sized by the old total
 // must not be committed after the new total.
-func (a *Allocator) changeTotal() []Change {
+func (a *Allocator) proposeTotal() []Change {
 	if len(a.pending) > 0 {
 		return nil
 	}
@@ -31,7 +31,7 @@
 
 // reclaimExpired ends expired leases and stops tracking servers that have no lease and have stopped sending requests.
 func (a *Allocator) reclaimExpired() (changes []Change) {
-	for _, server := range a.servers() {
+	for _, server := range a.serverNames() {
 		lease := a.leases[server]
 		switch {
 		case a.isPending(server):
@@ -47,30 +47,30 @@
 // adjustLeases moves leases towards their target amounts.
 func (a *Allocator) adjustLeases() (changes []Change) {
 	targets := a.targetAmounts()
-	room := min(a.targetTotal, a.effectiveTotal) - a.config.guaranteedTotal() - a.reserved()
-	for _, server := range a.servers() {
+	available := min(a.targetTotal, a.effectiveTotal) - a.config.guaranteedTotal() - a.reservedAmount()
+	for _, server := range a.serverNames() {
 		lease := a.leases[server]
 		if a.isPending(server) || len(lease.previous) >= maxPreviousLeases {
 			continue
 		}
-		amount := a.nextAmount(lease, targets[server], room)
+		amount := a.nextAmount(lease, targets[server], available)
 		if amount == lease.amount {
 			continue
 		}
 		if amount > lease.amount {
-			room -= max(0, amount-lease.outstanding())
+			available -= max(0, amount-lease.outstanding())
 		}
 		changes = append(changes, a.propose(Change{Server: server, Amount: amount}))
 	}
 	return changes
 }
 
-// nextAmount returns the amount that a lease should have next, given its target and the room for raising leases. It
-// returns the current amount if the lease should not change.
-func (a *Allocator) nextAmount(lease *lease, target, room Amount) Amount {
+// nextAmount returns the amount that a lease should have next, given its target and the amount available for raising
+// leases. It returns the current amount if the lease should not change.
+func (a *Allocator) nextAmount(lease *lease, target, available Amount) Amount {
 	switch {
 	case target > lease.amount:
-		return a.raisedAmount(lease, target, room)
+		return a.raisedAmount(lease, target, available)
 	case target < lease.amount && !a.keepsSurplus(lease, target):
 		return target
 	}
@@ -80,23 +80,23 @@
 // keepsSurplus reports whether a lease above its target stays unchanged because the difference is within the
 // hysteresis. A lease is always lowered if its target is zero or if a lower total is still taking effect.
 func (a *Allocator) keepsSurplus(lease *lease, target Amount) bool {
-	isSmall := float64(lease.amount-target) < a.config.Hysteresis*float64(lease.amount)
-	return isSmall && target > 0 && a.effectiveTotal == a.targetTotal
+	isWithinHysteresis := float64(lease.amount-target) < a.config.Hysteresis*float64(lease.amount)
+	return isWithinHysteresis && target > 0 && a.effectiveTotal == a.targetTotal
 }
 
 // raisedAmount returns the amount to which a lease may be raised now, which is at least its current amount.
-func (a *Allocator) raisedAmount(lease *lease, target, room Amount) Amount {
+func (a *Allocator) raisedAmount(lease *lease, target, available Amount) Amount {
 	if lease.version > 0 && float64(target-lease.amount) < a.config.Hysteresis*float64(lease.amount) {
 		return lease.amount
 	}
-	// The room can be negative after a change of leader: the previous leader may have known that a server no longer
-	// uses a previous lease and granted that amount to another server, while this leader still counts both.
-	if room < 0 {
+	// The available amount can be negative after a change of leader: the previous leader may have known that a server
+	// no longer uses a previous lease and granted that amount to another server, while this leader still counts both.
+	if available < 0 {
 		return lease.amount
 	}
-	additional := target - lease.outstanding()
-	if additional > room {
-		target = a.config.roundDown(target - (additional - room))
+	increase := target - lease.outstanding()
+	if increase > available {
+		target = a.config.roundDown(target - (increase - available))
 	}
 	return max(lease.amount, target)
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -155,7 +155,7 @@
 func (c *cluster) step() {
 	c.Now += 20
 	c.Deliver(c.receive)
-	c.decide()
+	c.commitProposals()
 	sum := Amount(0)
 	for i := range c.servers {
 		sum += c.stepServer(i)
@@ -190,8 +190,8 @@
 	}
 }
 
-// decide commits what the leader proposes. The other allocators apply the changes when they are elected.
-func (c *cluster) decide() {
+// commitProposals commits what the leader proposes. The other allocators apply the changes when they are elected.
+func (c *cluster) commitProposals() {
 	if c.leader == noLeader {
 		return
 	}
--- a/internal/quota/coordinator/cluster_faults_test.go
+++ b/internal/quota/coordinator/cluster_faults_test.go
@@ -76,7 +76,7 @@
 // restartStopped repairs all disks and starts the servers that are down.
 func (c *cluster) restartStopped() {
 	for i, s := range c.servers {
-		s.disk = diskWorks
+		s.disk = diskHealthy
 		if s.IsDown {
 			c.startServer(i, false)
 		}
@@ -94,7 +94,7 @@
 		return false
 	case diskSlow:
 		s.PausedUntil = c.Now + c.DrawSpan(0, 700)
-	case diskWorks:
+	case diskHealthy:
 	}
 	state := &ready.State
 	if ready.IsNewState {
--- a/internal/quota/coordinator/cluster_test.go
+++ b/internal/quota/coordinator/cluster_test.go
@@ -25,7 +25,7 @@
 
 	lastIncarnation uint64
 	view            ClusterView // view of the majority
-	majoritySide    []int
+	majorityServers []int
 	viewInForceFrom timeunit.Milliseconds
 	lastMajorityAt  timeunit.Milliseconds // latest time at which any server may have been in a majority
 
@@ -39,7 +39,7 @@
 	leasesGranted  int
 	seenLeaders    map[uint64]bool
 	leaderChanges  int
-	leaderBusy     time.Duration // real time spent in the leader's coordinator
+	leaderBusyTime time.Duration // real time spent in the leader's coordinator
 
 	history *golden.History // nil disables recording
 }
@@ -47,16 +47,16 @@
 // server is a coordinator, a lease holder, a disk, and the work that is in use.
 type server struct {
 	schedule.Process
-	localClock   schedule.LocalClock
-	coordinator  *Coordinator
-	holder       *quota.LeaseHolder
-	name         string
-	releaseTimes []timeunit.Milliseconds // true time at which each unit in use is released
-	load         quota.Amount            // amount that the server tries to have in use
-	viewedAt     timeunit.Milliseconds
-	total        quota.Amount // in the server's settings
-	revision     uint64       // revision of the server's settings
-	leader       uint64       // ID of the voter that the server sends its requests to
+	localClock    schedule.LocalClock
+	coordinator   *Coordinator
+	holder        *quota.LeaseHolder
+	name          string
+	releaseTimes  []timeunit.Milliseconds // true time at which each unit in use is released
+	load          quota.Amount            // amount that the server tries to have in use
+	viewUpdatedAt timeunit.Milliseconds
+	total         quota.Amount // in the server's settings
+	revision      uint64       // revision of the server's settings
+	leader        uint64       // ID of the voter that the server sends its requests to
 
 	disk     diskState
 	identity Identity                   // stored on disk
@@ -67,7 +67,7 @@
 type diskState int
 
 const (
-	diskWorks diskState = iota
+	diskHealthy diskState = iota
 	diskFull
 	diskSlow
 )
@@ -167,8 +167,8 @@
 	s.releaseTimes = nil
 }
 
-// serverOf returns the index of the running server with the given voter ID, or -1 if there is none.
-func (c *cluster) serverOf(voterID uint64) int {
+// indexOfVoter returns the index of the running server with the given voter ID, or -1 if there is none.
+func (c *cluster) indexOfVoter(voterID uint64) int {
 	return slices.IndexFunc(c.servers, func(s *server) bool {
 		return s.coordinator.Identity().VoterID == voterID && !s.IsDown
 	})
@@ -205,21 +205,22 @@
 // handle performs the action of a message on the receiving server.
 func (c *cluster) handle(to int, message handler) {
 	s := c.servers[to]
-	c.timed(s, func() {
+	c.measureLeaderTime(s, func() {
 		message(s)
 		c.deliverReady(to)
 	})
 }
 
-// timed runs work of a coordinator and adds its real time to leaderBusy if the coordinator is the leader.
-func (c *cluster) timed(s *server, work func()) {
+// measureLeaderTime runs work of a coordinator and adds its real time to leaderBusyTime if the coordinator is the
+// leader.
+func (c *cluster) measureLeaderTime(s *server, work func()) {
 	if !s.coordinator.IsLeader() {
 		work()
 		return
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	work()
-	c.leaderBusy += time.Since(begun)
+	c.leaderBusyTime += time.Since(startedAt)
 }
 
 // stepServer updates a server's view, ticks its coordinator, acquires work and sends a request if one is due. It
@@ -231,12 +232,12 @@
 		return max(s.inUse(), c.limit.GuaranteedMinimum)
 	}
 	now := c.clock(s)
-	if now-s.viewedAt >= 200 || now < s.viewedAt {
-		s.viewedAt = now
+	if now-s.viewUpdatedAt >= 200 || now < s.viewUpdatedAt {
+		s.viewUpdatedAt = now
 		s.coordinator.UpdateView(c.viewOf(i), now)
 	}
 	inUse := s.inUse()
-	c.timed(s, func() {
+	c.measureLeaderTime(s, func() {
 		s.coordinator.Tick(now)
 		c.deliverReady(i)
 	})
@@ -250,7 +251,7 @@
 	c.usedSum += s.inUse()
 	usable := s.holder.Usable(now)
 	c.recordServer(i, s, usable)
-	c.noteLeader(s)
+	c.recordLeader(s)
 	return max(s.inUse(), usable)
 }
 
@@ -263,9 +264,9 @@
 		Totals:       []quota.Amount{s.total},
 		Limits:       []quota.LimitRequest{limitRequest},
 	}
-	to := c.serverOf(s.leader)
+	to := c.indexOfVoter(s.leader)
 	if s.leader == 0 || to < 0 {
-		to = c.serverOf(c.view.Voters[c.Random.Intn(len(c.view.Voters))].VoterID)
+		to = c.indexOfVoter(c.view.Voters[c.Random.Intn(len(c.view.Voters))].VoterID)
 		if to < 0 {
 			to = c.Random.Intn(len(c.servers))
 		}
@@ -307,7 +308,7 @@
 		}
 		sender := s.coordinator.Identity()
 		for _, message := range ready.Messages {
-			if to := c.serverOf(message.To); to >= 0 {
+			if to := c.indexOfVoter(message.To); to >= 0 {
 				c.Send(i, to, func(other *server) {
 					other.coordinator.Step(sender.VoterID, sender.LogID, message.Data)
 				})
@@ -319,8 +320,8 @@
 	}
 }
 
-// noteLeader records a server that is a leader with a higher term than the leaders before it in this step.
-func (c *cluster) noteLeader(s *server) {
+// recordLeader records a server that is a leader with a higher term than the leaders before it in this step.
+func (c *cluster) recordLeader(s *server) {
 	leader := s.coordinator
 	if !leader.IsLeader() || !leader.InMajority() {
 		return
--- a/internal/quota/coordinator/cluster_view_test.go
+++ b/internal/quota/coordinator/cluster_view_test.go
@@ -6,9 +6,9 @@
 	"thistlequay/timeunit"
 )
 
-// viewLease is the time before a new configuration comes into force. By then everything that acted under the previous
-// configuration has ended.
-const viewLease timeunit.Milliseconds = 1650
+// reconfigurationDelay is the time before a new configuration comes into force. By then everything that acted under the
+// previous configuration has ended.
+const reconfigurationDelay timeunit.Milliseconds = 1650
 
 // canReach reports whether two servers can communicate. For a single server it reports whether that server is running.
 func (c *cluster) canReach(a, b int) bool {
@@ -24,37 +24,37 @@
 			alive[s.Incarnation] = i
 		}
 	}
-	c.majoritySide = nil
-	lost := 0
+	c.majorityServers = nil
+	lostVoters := 0
 	for _, voter := range c.view.Voters {
 		i, isAlive := alive[incarnationOf(voter.VoterID)]
 		if !isAlive {
-			lost++
+			lostVoters++
 			continue
 		}
-		side := c.sideOf(i)
-		if c.majoritySide == nil && c.hasMajority(side, alive) {
-			c.majoritySide = side
+		reachable := c.reachableFrom(i)
+		if c.majorityServers == nil && c.hasMajority(reachable, alive) {
+			c.majorityServers = reachable
 		}
 	}
-	c.reconfigure(lost)
+	c.reconfigure(lostVoters)
 }
 
-// sideOf returns the servers that a server can reach, including itself.
-func (c *cluster) sideOf(i int) (side []int) {
+// reachableFrom returns the servers that a server can reach, including itself.
+func (c *cluster) reachableFrom(i int) (reachable []int) {
 	for j := range c.servers {
 		if j == i || c.canReach(i, j) {
-			side = append(side, j)
+			reachable = append(reachable, j)
 		}
 	}
-	return side
+	return reachable
 }
 
-func (c *cluster) hasMajority(side []int, alive map[uint64]int) bool {
+func (c *cluster) hasMajority(servers []int, alive map[uint64]int) bool {
 	votes := 0
 	for _, voter := range c.view.Voters {
 		i, isAlive := alive[incarnationOf(voter.VoterID)]
-		if isAlive && slices.Contains(side, i) && c.servers[i].PausedUntil <= c.Now {
+		if isAlive && slices.Contains(servers, i) && c.servers[i].PausedUntil <= c.Now {
 			votes++
 		}
 	}
@@ -62,19 +62,19 @@
 }
 
 // reconfigure forms a new configuration if voters are lost.
-func (c *cluster) reconfigure(lost int) {
-	isOver := 2*lost > len(c.view.Voters) && c.Now-c.lastMajorityAt > viewLease
+func (c *cluster) reconfigure(lostVoters int) {
+	isMajorityLost := 2*lostVoters > len(c.view.Voters) && c.Now-c.lastMajorityAt > reconfigurationDelay
 	switch {
-	case c.view.GenesisEpoch == 0 || isOver: // a new genesis epoch
-		c.formNewLine()
-	case c.majoritySide != nil && c.leaderLost(): // a new log in a configuration that follows the current one
-		c.formCluster(c.majoritySide, c.view.GenesisEpoch+1, true)
-	case c.majoritySide != nil && lost > 0: // a new configuration of the same genesis epoch
-		c.formCluster(c.majoritySide, c.view.GenesisEpoch, false)
+	case c.view.GenesisEpoch == 0 || isMajorityLost: // a new genesis epoch
+		c.formGenesisConfiguration()
+	case c.majorityServers != nil && c.leaderLost(): // a new log in a configuration that follows the current one
+		c.formConfiguration(c.majorityServers, c.view.GenesisEpoch+1, true)
+	case c.majorityServers != nil && lostVoters > 0: // a new configuration of the same genesis epoch
+		c.formConfiguration(c.majorityServers, c.view.GenesisEpoch, false)
 	}
 }
 
-func (c *cluster) formNewLine() {
+func (c *cluster) formGenesisConfiguration() {
 	var running []int
 	for i := range c.servers {
 		if c.canReach(i, i) {
@@ -84,14 +84,14 @@
 	if len(running) <= len(c.servers)/2 {
 		return
 	}
-	c.formCluster(running, c.view.GenesisEpoch+1, true)
-	c.majoritySide = running
+	c.formConfiguration(running, c.view.GenesisEpoch+1, true)
+	c.majorityServers = running
 }
 
 // leaderLost reports whether the first running voter on the majority side finds that its log has no leader.
 func (c *cluster) leaderLost() bool {
 	for _, voter := range c.view.Voters {
-		for _, i := range c.majoritySide {
+		for _, i := range c.majorityServers {
 			s := c.servers[i]
 			if s.Incarnation == incarnationOf(voter.VoterID) && s.IsRunning(c.Now) {
 				return s.coordinator.LeaderLost()
@@ -101,7 +101,7 @@
 	return false
 }
 
-func (c *cluster) formCluster(members []int, epoch uint64, isGenesis bool) {
+func (c *cluster) formConfiguration(members []int, epoch uint64, isGenesis bool) {
 	c.view = ClusterView{GenesisEpoch: epoch, IsGenesis: isGenesis}
 	for _, i := range members {
 		s := c.servers[i]
@@ -109,7 +109,7 @@
 		c.view.Voters = append(c.view.Voters, voter)
 	}
 	c.view.Voters = c.view.Voters[:largestOddUpTo(min(len(c.view.Voters), 5))]
-	c.viewInForceFrom = c.Now + viewLease
+	c.viewInForceFrom = c.Now + reconfigurationDelay
 }
 
 // viewOf returns a server's view of the cluster. The server is in the majority for the duration of a lease if it is on
@@ -117,7 +117,7 @@
 func (c *cluster) viewOf(i int) ClusterView {
 	view := c.view
 	view.MajorityUntil = -1
-	if slices.Contains(c.majoritySide, i) && c.Now >= c.viewInForceFrom {
+	if slices.Contains(c.majorityServers, i) && c.Now >= c.viewInForceFrom {
 		view.MajorityUntil = c.clock(c.servers[i]) + 1200
 		c.lastMajorityAt = c.Now + 1500
 	}
--- a/internal/quota/coordinator/coordinator.go
+++ b/internal/quota/coordinator/coordinator.go
@@ -23,9 +23,9 @@
 // MaxVoters is the maximum number of voters of a log whose voters are chosen from the cluster view.
 const MaxVoters = 5
 
-// leaderLostAfter is how long a log may be without a leader, while the cluster has a majority, before LeaderLost
+// leaderLostTimeout is how long a log may be without a leader, while the cluster has a majority, before LeaderLost
 // reports it. An election takes a few election timeouts of package consensus, which are one second each.
-const leaderLostAfter timeunit.Milliseconds = 10_000
+const leaderLostTimeout timeunit.Milliseconds = 10_000
 
 // Config is the configuration of a coordinator.
 type Config struct {
@@ -185,7 +185,7 @@
 // This happens when a majority of the voters fails faster than others can replace them. The cluster should then start a
 // new log with a new configuration. The new log grants no lease until all leases of the old log have expired.
 func (c *Coordinator) LeaderLost() bool {
-	return !c.hasNamedCoordinators() && c.now-c.leaderSeenAt > leaderLostAfter
+	return !c.hasNamedCoordinators() && c.now-c.leaderSeenAt > leaderLostTimeout
 }
 
 // Step processes a message from another voter of the log.
--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -26,11 +26,11 @@
 	if c.history == nil {
 		return
 	}
-	hard := ready.State.HardState
+	hardState := ready.State.HardState
 	snapshot := ready.State.Snapshot
-	at := snapshot.Metadata
-	c.history.Add(eventState, i, ready.IsNewState, hard.Term, hard.Vote, hard.Commit,
-		at.Index, at.Term, at.ConfState.Voters, string(snapshot.Data))
+	metadata := snapshot.Metadata
+	c.history.Add(eventState, i, ready.IsNewState, hardState.Term, hardState.Vote, hardState.Commit,
+		metadata.Index, metadata.Term, metadata.ConfState.Voters, string(snapshot.Data))
 	for _, entry := range ready.State.Entries {
 		c.history.Add(eventState, entry.Index, entry.Term, int(entry.Type), string(entry.Data))
 	}
@@ -50,10 +50,12 @@
 	if c.history == nil {
 		return
 	}
-	own := s.coordinator
-	id := own.Identity()
-	c.history.Add(eventServer, i, usable, len(s.releaseTimes), own.IsLeader(), own.InMajority(), own.Leader(),
-		id.LogID, id.VoterID, own.Voters(), own.LeaderLost(), own.AppliedCommands, own.DiscardedStates)
+	coordinator := s.coordinator
+	identity := coordinator.Identity()
+	c.history.Add(eventServer, i, usable, len(s.releaseTimes),
+		coordinator.IsLeader(), coordinator.InMajority(), coordinator.Leader(),
+		identity.LogID, identity.VoterID, coordinator.Voters(), coordinator.LeaderLost(),
+		coordinator.AppliedCommands, coordinator.DiscardedStates)
 }
 
 // TestGoldenSchedules compares the whole history of seeded schedules with a golden file: every saved record, every
--- a/internal/quota/coordinator/rebalance_test.go
+++ b/internal/quota/coordinator/rebalance_test.go
@@ -10,8 +10,8 @@
 	"thistlequay/timeunit"
 )
 
-// usedFraction returns the fraction of the usable capacity that is in use now.
-func (c *cluster) usedFraction() float64 {
+// currentUtilization returns the fraction of the usable capacity that is in use now.
+func (c *cluster) currentUtilization() float64 {
 	used := quota.Amount(0)
 	wanted := quota.Amount(0)
 	for _, s := range c.servers {
@@ -21,20 +21,20 @@
 	return float64(used) / float64(min(wanted, c.limit.Total))
 }
 
-func (c *cluster) isMostlyUsed() bool { return c.usedFraction() > 0.9 }
+func (c *cluster) isMostlyUsed() bool { return c.currentUtilization() > 0.9 }
 
-// usedPart returns the fraction of the total that is in use on average during a run.
-func (c *cluster) usedPart(play func()) float64 {
+// meanUtilization returns the fraction of the total that is in use on average during a run.
+func (c *cluster) meanUtilization(run func()) float64 {
 	c.usedSum = 0
 	c.totalSum = 0
-	play()
+	run()
 	return float64(c.usedSum) / float64(c.totalSum)
 }
 
 // setUnevenLoad gives the servers loads of 1, 9, 17 and 25 units in turn. The total is ten units per server.
-func (c *cluster) setUnevenLoad(turn int) {
+func (c *cluster) setUnevenLoad(offset int) {
 	for i, s := range c.servers {
-		s.load = quota.Amount(1+(i+turn)%4*8) * quota.Unit
+		s.load = quota.Amount(1+(i+offset)%4*8) * quota.Unit
 	}
 }
 
@@ -87,22 +87,22 @@
 	perSecond := func(count float64) float64 { return count / float64(span) * 1000 }
 	c := newSizedCluster(servers)
 	c.setUnevenLoad(0)
-	settledIn := c.RunUntil(240_000, c.step, c.isMostlyUsed)
-	require.Positive(t, settledIn, "%d servers", servers)
+	settleTime := c.RunUntil(240_000, c.step, c.isMostlyUsed)
+	require.Positive(t, settleTime, "%d servers", servers)
 	c.RunFor(10_000, c.step)
 	leader := c.leadingServer()
 	require.NotNil(t, leader)
 	commandsBefore := leader.coordinator.AppliedCommands
 	grantedBefore := c.leasesGranted
-	c.leaderBusy = 0
-	used := c.usedPart(func() { c.RunFor(span, c.step) })
-	entries := perSecond(float64(leader.coordinator.AppliedCommands - commandsBefore))
-	answers := perSecond(float64(c.leasesGranted - grantedBefore))
-	busy := perSecond(float64(c.leaderBusy.Microseconds()))
+	c.leaderBusyTime = 0
+	utilization := c.meanUtilization(func() { c.RunFor(span, c.step) })
+	entriesPerSecond := perSecond(float64(leader.coordinator.AppliedCommands - commandsBefore))
+	responsesPerSecond := perSecond(float64(c.leasesGranted - grantedBefore))
+	leaderMicrosPerSecond := perSecond(float64(c.leaderBusyTime.Microseconds()))
 
 	c.setUnevenLoad(2) // servers with a low load get a high one and vice versa
-	movedIn := c.RunUntil(240_000, c.step, c.isMostlyUsed)
-	require.Positive(t, movedIn)
+	rebalanceTime := c.RunUntil(240_000, c.step, c.isMostlyUsed)
+	require.Positive(t, rebalanceTime)
 
 	for _, s := range c.servers {
 		s.load = 10 * c.limit.Total
@@ -110,21 +110,22 @@
 	pausedUntil := c.Now + 60_000
 	c.pauseMajority(pausedUntil)
 	c.RunFor(3*c.limit.LeaseDuration, c.step)
-	usedWithoutLeases := c.usedPart(func() {
+	utilizationWithoutLeases := c.meanUtilization(func() {
 		for c.Now < pausedUntil-100 {
 			c.step()
 		}
 	})
-	backIn := c.RunUntil(60_000, c.step, c.isMostlyUsed)
-	require.Positive(t, backIn)
+	recoveryTime := c.RunUntil(60_000, c.step, c.isMostlyUsed)
+	require.Positive(t, recoveryTime)
 
-	guaranteed := float64(c.limit.GuaranteedMinimum*quota.Amount(c.limit.Slots)) / float64(c.limit.Total)
+	guaranteedFraction := float64(c.limit.GuaranteedMinimum*quota.Amount(c.limit.Slots)) / float64(c.limit.Total)
 	t.Logf("measured keepers servers=%d length_ms=%d over=%d used_of_whole=%.3f floor_loss=%.3f settle_ms=%d "+
 		"rebalance_ms=%d entries_a_second=%.2f answers_a_second=%.0f leader_us_a_second=%.0f "+
 		"floors_alone=%.3f back_ms=%d",
-		servers, c.limit.LeaseDuration, c.violations, used, guaranteed, settledIn,
-		movedIn, entries, answers, busy, usedWithoutLeases, backIn)
+		servers, c.limit.LeaseDuration, c.violations, utilization, guaranteedFraction, settleTime,
+		rebalanceTime, entriesPerSecond, responsesPerSecond, leaderMicrosPerSecond,
+		utilizationWithoutLeases, recoveryTime)
 	require.Zero(t, c.violations)
-	require.Greater(t, used, 0.85)
-	require.Less(t, entries, 5.0)
+	require.Greater(t, utilization, 0.85)
+	require.Less(t, entriesPerSecond, 5.0)
 }
--- a/internal/quota/coordinator/requests.go
+++ b/internal/quota/coordinator/requests.go
@@ -73,10 +73,10 @@
 		if token != c.confirmToken || !c.IsLeader() || !c.InMajority() {
 			continue
 		}
-		for _, waiting := range c.confirming {
-			response, granted := c.limits.HandleRequest(waiting.request, c.now)
+		for _, pending := range c.confirming {
+			response, granted := c.limits.HandleRequest(pending.request, c.now)
 			replies = append(replies, Reply{
-				RequestID: waiting.id,
+				RequestID: pending.id,
 				Response:  response,
 				Granted:   granted,
 				Leader:    c.identity.VoterID,
--- a/internal/quota/coordinator/schedule_test.go
+++ b/internal/quota/coordinator/schedule_test.go
@@ -42,18 +42,18 @@
 // coordinators, holders and the network. After all faults are repaired, most of the total is in use again.
 func TestUsableNeverExceedsTotalThroughFaults(t *testing.T) {
 	seeds := schedule.Scale(40, 3000)
-	checks, leaderChanges, leasesGranted, healed := 0, 0, 0, 0
+	checks, leaderChanges, leasesGranted, recovered := 0, 0, 0, 0
 	for seed := range seeds {
 		c := runSchedule(t, int64(seed), nil)
 		if 10*c.usedSum > 7*c.totalSum {
-			healed++
+			recovered++
 		}
 		checks += c.checks
 		leaderChanges += c.leaderChanges
 		leasesGranted += c.leasesGranted
 	}
 	t.Logf("measured keepers-schedules seeds=%d looks=%d over=0 leaders=%d granted=%d healed=%d",
-		seeds, checks, leaderChanges, leasesGranted, healed)
+		seeds, checks, leaderChanges, leasesGranted, recovered)
 	require.Greater(t, leaderChanges, seeds)
-	require.Greater(t, 10*healed, 8*seeds)
+	require.Greater(t, 10*recovered, 8*seeds)
 }
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -6,17 +6,17 @@
 	"thistlequay/timeunit"
 )
 
-// requiredDecay is the divisor that sets how fast the required amount decays: it falls by at most a third per request,
-// so that leases do not oscillate with each burst.
-const requiredDecay = 3
+// requiredDecayDivisor is the divisor that sets how fast the required amount decays: it falls by at most a third per
+// request, so that leases do not oscillate with each burst.
+const requiredDecayDivisor = 3
 
 // demandMeter measures a server's usage of a limit between two requests and estimates the demand to report in the next
 // request.
 type demandMeter struct {
-	inUse     Amount
-	waiting   Amount // for capacity
-	peakInUse Amount // since the last request
-	ranShort  bool   // an acquisition or a token was rejected since the last request
+	inUse       Amount
+	waiting     Amount // for capacity
+	peakInUse   Amount // since the last request
+	wasRejected bool   // an acquisition or a token was rejected since the last request
 
 	usageIntegral int64 // integral of inUse plus waiting over the time since the last request
 	updatedAt     timeunit.Milliseconds
@@ -40,15 +40,15 @@
 
 // demandMean is the mean usage of a limit over one measurement period.
 type demandMean struct {
-	units    float64 // in units, not thousandths
-	required Amount  // the mean as an amount, at most the value of most
-	most     Amount  // upper bound of the demand: twice the usage, as a server cannot know how much more it could use
+	units      float64 // the mean in units
+	required   Amount  // the mean as an amount
+	maxDesired Amount  // upper bound: twice the usage, as a server cannot know how much more it could use
 }
 
 func (m *demandMeter) mean(now timeunit.Milliseconds) demandMean {
 	units := float64(m.usageIntegral) / float64(max(1, now-m.periodStart)) / float64(Unit)
-	most := 2 * max(m.peakInUse, Unit)
-	return demandMean{units: units, required: min(most, Amount(units*float64(Unit))), most: most}
+	maxDesired := 2 * max(m.peakInUse, Unit)
+	return demandMean{units: units, required: min(maxDesired, Amount(units*float64(Unit))), maxDesired: maxDesired}
 }
 
 // estimate returns the required amount, which the server is certain to use, and the desired amount. Both include the
@@ -57,11 +57,11 @@
 func (m *demandMeter) estimate(mean demandMean) (required, desired Amount) {
 	required = mean.required
 	desired = required + Amount(math.Sqrt(mean.units)*float64(Unit))
-	if m.ranShort {
+	if m.wasRejected {
 		required = max(required, m.peakInUse+Unit)
-		desired = mean.most
+		desired = mean.maxDesired
 	}
-	m.smoothedRequired = max(required, m.smoothedRequired-m.smoothedRequired/requiredDecay)
+	m.smoothedRequired = max(required, m.smoothedRequired-m.smoothedRequired/requiredDecayDivisor)
 	return m.smoothedRequired, max(m.smoothedRequired, desired)
 }
 
@@ -70,5 +70,5 @@
 	m.usageIntegral = 0
 	m.periodStart = now
 	m.peakInUse = m.inUse
-	m.ranShort = false
+	m.wasRejected = false
 }
--- a/internal/quota/division.go
+++ b/internal/quota/division.go
@@ -18,14 +18,14 @@
 // divide raises the targets towards the given demand as far as the available amount allows and returns the remaining
 // amount. It serves the servers with the smallest unmet demand first, so that what they do not need goes to the others.
 func (a *Allocator) divide(available Amount, demand func(*lease) Amount, targets map[string]Amount) Amount {
-	missing := func(server string) Amount { return max(0, demand(a.leases[server])-targets[server]) }
-	servers := a.servers()
-	slices.SortStableFunc(servers, func(one, other string) int { return cmp.Compare(missing(one), missing(other)) })
+	shortfall := func(server string) Amount { return max(0, demand(a.leases[server])-targets[server]) }
+	servers := a.serverNames()
+	slices.SortStableFunc(servers, func(one, other string) int { return cmp.Compare(shortfall(one), shortfall(other)) })
 	for i, server := range servers {
-		equalPart := available / Amount(len(servers)-i)
-		part := a.config.roundDown(min(missing(server), equalPart))
-		targets[server] += part
-		available -= part
+		equalShare := available / Amount(len(servers)-i)
+		increment := a.config.roundDown(min(shortfall(server), equalShare))
+		targets[server] += increment
+		available -= increment
 	}
 	return available
 }
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -23,7 +23,7 @@
 // rows.
 func TestGoldenLimitSets(t *testing.T) {
 	file := schedule.GoldenFile{Name: "books.txt", Seeds: 100, SeedsPerLine: 10}
-	file.Check(t, runLimitSets)
+	file.Check(t, runLimitSetSchedule)
 }
 
 // TestGoldenRecords compares the encoding of every message and stored record with a golden file, each with its keys set
--- a/internal/quota/lease.go
+++ b/internal/quota/lease.go
@@ -26,11 +26,11 @@
 
 // outstanding returns the maximum amount that the server may be using beyond its guaranteed minimum.
 func (l *lease) outstanding() Amount {
-	most := l.amount
+	largest := l.amount
 	for _, earlier := range l.previous {
-		most = max(most, earlier.amount)
+		largest = max(largest, earlier.amount)
 	}
-	return most
+	return largest
 }
 
 // recordRequest records the demand reported in a request, capped at the total of the limit.
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -16,9 +16,9 @@
 	config     LimitConfig
 	serverName string
 
-	// hasSlot reports whether the server has a guaranteed minimum, which it may use from minimumFrom on.
-	hasSlot     bool
-	minimumFrom timeunit.Milliseconds
+	// hasSlot reports whether the server has a guaranteed minimum, which it may use from minimumUsableFrom on.
+	hasSlot           bool
+	minimumUsableFrom timeunit.Milliseconds
 
 	// The fields of the current lease. logID identifies the log that version belongs to.
 	logID     uint64
@@ -32,17 +32,17 @@
 }
 
 // NewLeaseHolder returns a holder without a lease. If hasSlot is set, the server may use its guaranteed minimum from
-// minimumFrom on. Before that time, work of an earlier incarnation of the server may still be running.
+// minimumUsableFrom on. Before that time, work of an earlier incarnation of the server may still be running.
 func NewLeaseHolder(
-	serverName string, config LimitConfig, hasSlot bool, minimumFrom timeunit.Milliseconds,
+	serverName string, config LimitConfig, hasSlot bool, minimumUsableFrom timeunit.Milliseconds,
 ) *LeaseHolder {
-	return &LeaseHolder{config: config, serverName: serverName, hasSlot: hasSlot, minimumFrom: minimumFrom}
+	return &LeaseHolder{config: config, serverName: serverName, hasSlot: hasSlot, minimumUsableFrom: minimumUsableFrom}
 }
 
 // Usable returns the total amount that the server may have in use now, including its guaranteed minimum.
 func (h *LeaseHolder) Usable(now timeunit.Milliseconds) Amount {
 	usable := Amount(0)
-	if now >= h.minimumFrom {
+	if now >= h.minimumUsableFrom {
 		usable = h.guaranteedMinimum()
 	}
 	if now < h.expiresAt {
@@ -68,7 +68,7 @@
 // TakeToken takes one unit of a rate limit and reports whether one was available.
 func (h *LeaseHolder) TakeToken(now timeunit.Milliseconds) bool {
 	if !h.bucket.take(h.Usable(now), now) {
-		h.demand.ranShort = true
+		h.demand.wasRejected = true
 		return false
 	}
 	return true
@@ -87,7 +87,7 @@
 	h.demand.accumulate(now)
 	inUse := h.demand.inUse + amount
 	if inUse > h.Usable(now) {
-		h.demand.ranShort = true
+		h.demand.wasRejected = true
 		return false
 	}
 	h.demand.setInUse(inUse)
@@ -139,8 +139,8 @@
 	if !h.accepts(response, now) {
 		return
 	}
-	shortest := timeunit.Milliseconds(float64(h.config.LeaseDuration) * (1 - h.config.ClockDrift))
-	expiresAt := response.RequestedAt + shortest
+	minDuration := timeunit.Milliseconds(float64(h.config.LeaseDuration) * (1 - h.config.ClockDrift))
+	expiresAt := response.RequestedAt + minDuration
 	if response.LeaseVersion > h.version {
 		h.version = response.LeaseVersion
 		h.amount = response.Amount
@@ -152,6 +152,6 @@
 // accepts reports whether a response belongs to the current log, is not stale, and matches the configuration.
 func (h *LeaseHolder) accepts(response LimitResponse, now timeunit.Milliseconds) bool {
 	isCurrent := response.LogID == h.logID && response.LeaseVersion >= h.version
-	isPossible := response.RequestedAt <= now && response.Amount >= 0
-	return isCurrent && isPossible && response.LeaseDuration == h.config.LeaseDuration
+	isPlausible := response.RequestedAt <= now && response.Amount >= 0
+	return isCurrent && isPlausible && response.LeaseDuration == h.config.LeaseDuration
 }
--- a/internal/quota/lease_holder_test.go
+++ b/internal/quota/lease_holder_test.go
@@ -15,7 +15,7 @@
 		Total: 1000 * Unit, GuaranteedMinimum: 5 * Unit, Slots: 10, LeaseDuration: 2000, ClockDrift: 0.1, IsRate: true,
 	}
 	h := NewLeaseHolder("a", config, true, 0)
-	taken := func(from, to timeunit.Milliseconds) (n int) {
+	takeTokens := func(from, to timeunit.Milliseconds) (n int) {
 		for now := from; now < to; now++ {
 			for h.TakeToken(now) {
 				n++
@@ -23,13 +23,13 @@
 		}
 		return n
 	}
-	require.InDelta(t, 10, taken(1, 2001), 1, "only the guaranteed minimum")
+	require.InDelta(t, 10, takeTokens(1, 2001), 1, "only the guaranteed minimum")
 	h.HandleResponse(LimitResponse{RequestedAt: 2000, LeaseVersion: 1, Amount: 95 * Unit, LeaseDuration: 2000}, 2001)
-	require.InDelta(t, 150, taken(2001, 3501), 11, "minimum plus lease, with a burst of 100 ms")
+	require.InDelta(t, 150, takeTokens(2001, 3501), 11, "minimum plus lease, with a burst of 100 ms")
 	request, due := h.NextRequest(3501)
 	require.True(t, due)
 	require.Greater(t, request.Desired, request.Required, "rejected tokens raise desired above required")
-	require.InDelta(t, 10, taken(4000, 6000), 11, "only the guaranteed minimum after the lease has expired")
+	require.InDelta(t, 10, takeTokens(4000, 6000), 11, "only the guaranteed minimum after the lease has expired")
 }
 
 // A lease expires on the holder's own clock. A new incarnation may not use its guaranteed minimum until the work of the
--- a/internal/quota/limit_set.go
+++ b/internal/quota/limit_set.go
@@ -2,8 +2,8 @@
 
 import "thistlequay/timeunit"
 
-// decisionInterval is the minimum time between two commands of a leader. It bounds the rate of log entries.
-const decisionInterval timeunit.Milliseconds = 250
+// minCommandInterval is the minimum time between two commands of a leader. It bounds the rate of log entries.
+const minCommandInterval timeunit.Milliseconds = 250
 
 // LimitSet is one coordinator's replica of the state of all limits. Apply keeps the replicas of all coordinators in the
 // same state. Only the leader answers requests and proposes commands.
@@ -21,10 +21,10 @@
 	revision         uint64 // revision of the settings that the totals come from
 	proposedRevision uint64 // revision of totals requested or proposed but not applied, zero for none
 
-	isLeader       bool
-	leaderSince    timeunit.Milliseconds
-	openProposed   bool
-	nextDecisionAt timeunit.Milliseconds
+	isLeader            bool
+	leadershipChangedAt timeunit.Milliseconds
+	openProposed        bool
+	nextCommandAt       timeunit.Milliseconds
 }
 
 // NewLimitSet returns the state of all limits at the beginning of the log with the given ID.
@@ -48,10 +48,10 @@
 // SetLeader makes this coordinator the leader or a follower.
 func (s *LimitSet) SetLeader(isLeader bool, now timeunit.Milliseconds) {
 	s.isLeader = isLeader
-	s.leaderSince = now
+	s.leadershipChangedAt = now
 	s.openProposed = false
 	s.proposedRevision = 0
-	s.nextDecisionAt = now
+	s.nextCommandAt = now
 	for _, allocator := range s.allocators {
 		allocator.SetLeader(isLeader, now)
 	}
@@ -86,7 +86,7 @@
 		s.MismatchedRequests++
 		return response, false
 	}
-	s.takeUpTotals(request)
+	s.requestTotals(request)
 	response.Limits = make([]LimitResponse, len(s.allocators))
 	for i, allocator := range s.allocators {
 		limitResponse, isLeased := allocator.renewLease(request.Limits[i], now)
@@ -98,8 +98,8 @@
 	return response, granted
 }
 
-// takeUpTotals requests the totals from a server's settings if their revision is later than every known one.
-func (s *LimitSet) takeUpTotals(request Request) {
+// requestTotals requests the totals from a server's settings if their revision is later than every known one.
+func (s *LimitSet) requestTotals(request Request) {
 	if !s.opened || request.Revision <= max(s.revision, s.proposedRevision) {
 		return
 	}
@@ -112,10 +112,10 @@
 // NextCommand returns the command that the leader should propose now. due is false if there is none. If the command is
 // not sent to the other coordinators, the caller must call ProposalFailed.
 func (s *LimitSet) NextCommand(now timeunit.Milliseconds) (command Command, due bool) {
-	if !s.isLeader || now < s.nextDecisionAt {
+	if !s.isLeader || now < s.nextCommandAt {
 		return command, false
 	}
-	s.nextDecisionAt = now + decisionInterval
+	s.nextCommandAt = now + minCommandInterval
 	if !s.opened {
 		return s.openCommand(now)
 	}
@@ -125,7 +125,7 @@
 // openCommand returns the command that opens the log with this coordinator's settings. It is due once every lease of
 // earlier logs must have expired.
 func (s *LimitSet) openCommand(now timeunit.Milliseconds) (command Command, due bool) {
-	if s.openProposed || now-s.leaderSince <= s.maxLeaseSpan() {
+	if s.openProposed || now-s.leadershipChangedAt <= s.maxLeaseSpan() {
 		return command, false
 	}
 	s.openProposed = true
--- a/internal/quota/limit_set_test.go
+++ b/internal/quota/limit_set_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	testServers = 6
-	testDigest  = 7
+	testServerCount = 6
+	testDigest      = 7
 )
 
-// limitSets simulates three limit sets that share one log and servers that send requests to the current leader. It has
-// a limit on calls in flight and a limit on calls per second. Everything sent, committed, stored or reported is
+// limitSetCluster simulates three limit sets that share one log and servers that send requests to the current leader.
+// It has a limit on calls in flight and a limit on calls per second. Everything sent, committed, stored or reported is
 // recorded.
-type limitSets struct {
+type limitSetCluster struct {
 	random   *rand.Rand
 	history  *golden.History
 	now      timeunit.Milliseconds // true time
@@ -31,21 +31,21 @@
 	applied  [3]int // number of applied commands, by limit set
 	log      []Command
 	leader   int
-	holders  [testServers][2]*LeaseHolder
+	holders  [testServerCount][2]*LeaseHolder
 	revision uint64 // revision of the servers' settings
 	totals   []Amount
 }
 
-func newLimitSets(seed int64, history *golden.History) *limitSets {
-	l := &limitSets{
+func newLimitSetCluster(seed int64, history *golden.History) *limitSetCluster {
+	l := &limitSetCluster{
 		random:  rand.New(rand.NewSource(seed)),
 		history: history,
 		calls: LimitConfig{
-			Total: 40 * Unit, GuaranteedMinimum: Unit, Slots: testServers, LeaseDuration: 2000, GracePeriod: 500,
+			Total: 40 * Unit, GuaranteedMinimum: Unit, Slots: testServerCount, LeaseDuration: 2000, GracePeriod: 500,
 			ClockDrift: 0.1, InitialAmount: Unit, Hysteresis: 0.1, Granularity: Unit,
 		},
 		rate: LimitConfig{
-			Total: 300 * Unit, GuaranteedMinimum: 5 * Unit, Slots: testServers, LeaseDuration: 2000,
+			Total: 300 * Unit, GuaranteedMinimum: 5 * Unit, Slots: testServerCount, LeaseDuration: 2000,
 			ClockDrift: 0.1, InitialAmount: 12 * Unit, Hysteresis: 0.1, IsRate: true,
 		},
 		revision: 1,
@@ -62,34 +62,34 @@
 }
 
 // clock returns the time on the clock of a limit set's process.
-func (l *limitSets) clock(set int) timeunit.Milliseconds {
+func (l *limitSetCluster) clock(set int) timeunit.Milliseconds {
 	return l.now + timeunit.Milliseconds(set)*5000
 }
 
 // applyCommitted makes a limit set apply the log entries that it has not applied yet.
-func (l *limitSets) applyCommitted(set int) {
+func (l *limitSetCluster) applyCommitted(set int) {
 	for ; l.applied[set] < len(l.log); l.applied[set]++ {
 		l.sets[set].Apply(l.log[l.applied[set]], l.clock(set))
 	}
 }
 
-// runLimitSets runs the 30-second schedule of a seed.
-func runLimitSets(t *testing.T, seed int64, history *golden.History) {
+// runLimitSetSchedule runs the 30-second schedule of a seed.
+func runLimitSetSchedule(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
-	l := newLimitSets(seed, history)
+	l := newLimitSetCluster(seed, history)
 	l.sets[0].SetLeader(true, 0)
 	for ; l.now < 30_000; l.now += 50 {
 		l.injectFault(t)
 		for _, holders := range l.holders {
-			l.use(holders[0], holders[1])
-			l.request(t, holders)
+			l.useLimits(holders[0], holders[1])
+			l.sendRequest(t, holders)
 		}
-		l.decide(t)
+		l.commitProposals(t)
 		l.recordState(t)
 	}
 }
 
-func (l *limitSets) injectFault(t *testing.T) {
+func (l *limitSetCluster) injectFault(t *testing.T) {
 	t.Helper()
 	switch l.random.Intn(100) {
 	case 0: // another limit set becomes the leader
@@ -107,7 +107,7 @@
 	}
 }
 
-func (l *limitSets) restoreFromLeader(t *testing.T, set int) {
+func (l *limitSetCluster) restoreFromLeader(t *testing.T, set int) {
 	t.Helper()
 	data := codec.Encode(t, l.sets[l.leader].Snapshot(), &Snapshot{})
 	var snapshot Snapshot
@@ -117,8 +117,8 @@
 	l.history.Add(set, string(data), string(codec.Encode(t, l.sets[set].Snapshot(), &Snapshot{})))
 }
 
-// use acquires or releases capacity of a server, or reports its usage.
-func (l *limitSets) use(calls, rate *LeaseHolder) {
+// useLimits acquires or releases capacity of a server, or reports its usage.
+func (l *limitSetCluster) useLimits(calls, rate *LeaseHolder) {
 	switch l.random.Intn(4) {
 	case 0:
 		l.history.Add(calls.TryAcquire(Unit, l.now))
@@ -136,9 +136,9 @@
 		int64(calls.LeaseDuration()))
 }
 
-// request sends a server's request if one is due. Some requests have a different configuration digest, and some
+// sendRequest sends a server's request if one is due. Some requests have a different configuration digest, and some
 // responses are lost.
-func (l *limitSets) request(t *testing.T, holders [2]*LeaseHolder) {
+func (l *limitSetCluster) sendRequest(t *testing.T, holders [2]*LeaseHolder) {
 	t.Helper()
 	request := Request{ConfigDigest: testDigest, Revision: l.revision, Totals: l.totals}
 	for _, holder := range holders {
@@ -165,8 +165,8 @@
 	}
 }
 
-// decide commits what the leader proposes, or makes the proposal fail.
-func (l *limitSets) decide(t *testing.T) {
+// commitProposals commits what the leader proposes, or makes the proposal fail.
+func (l *limitSetCluster) commitProposals(t *testing.T) {
 	t.Helper()
 	leader := l.sets[l.leader]
 	command, due := leader.NextCommand(l.clock(l.leader))
@@ -182,7 +182,7 @@
 	l.applyCommitted(l.leader)
 }
 
-func (l *limitSets) recordState(t *testing.T) {
+func (l *limitSetCluster) recordState(t *testing.T) {
 	t.Helper()
 	leader := l.sets[l.leader]
 	l.history.Add(int64(l.now), l.leader, leader.Opened(), leader.Revision(), leader.MismatchedRequests)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -65,8 +65,8 @@
 // maxLeaseSpan returns the longest time, on the leader's clock, that work under a lease may continue after the leader
 // answered the request for that lease. It is the lease duration on the slowest clock plus the grace period.
 func (c *LimitConfig) maxLeaseSpan() timeunit.Milliseconds {
-	byAnyClock := timeunit.Milliseconds(float64(c.LeaseDuration) * (1 + c.ClockDrift))
-	return byAnyClock + c.GracePeriod + 1
+	maxDuration := timeunit.Milliseconds(float64(c.LeaseDuration) * (1 + c.ClockDrift))
+	return maxDuration + c.GracePeriod + 1
 }
 
 // roundDown returns the largest leasable amount that is at most the given amount.
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -40,7 +40,7 @@
 // Under a steady load, even or uneven, capacity that one server does not use goes to another, and most of the total is
 // in use.
 func TestUnusedCapacityGoesToOthers(t *testing.T) {
-	for _, day := range []struct {
+	for _, pattern := range []struct {
 		name string
 		load func(i int) Amount
 	}{
@@ -50,22 +50,22 @@
 	} {
 		c := newCluster(1, 8)
 		c.elect(0)
-		asked := Amount(0)
+		totalLoad := Amount(0)
 		for i, s := range c.servers {
-			s.load = day.load(i)
-			asked += s.load
+			s.load = pattern.load(i)
+			totalLoad += s.load
 		}
 		c.RunFor(10_000, c.step)
 		c.usedSum = 0
 		c.totalSum = 0
 		changesBefore := len(c.log)
 		c.RunFor(60_000, c.step)
-		usedPart := float64(c.usedSum) / float64(min(asked*3000, c.totalSum))
+		utilization := float64(c.usedSum) / float64(min(totalLoad*3000, c.totalSum))
 		changesPerSecond := float64(len(c.log)-changesBefore) / 60
 		t.Logf("measured shares day=%s servers=8 over=%d used_of_possible=%.3f proposals_a_second=%.2f",
-			day.name, c.violations, usedPart, changesPerSecond)
+			pattern.name, c.violations, utilization, changesPerSecond)
 		require.Zero(t, c.violations)
-		require.Greater(t, usedPart, 0.8)
+		require.Greater(t, utilization, 0.8)
 	}
 }
 
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -14,7 +14,7 @@
 // snapshot returns the replicated state of the allocator.
 func (a *Allocator) snapshot() LimitSnapshot {
 	snapshot := LimitSnapshot{LastVersion: a.lastVersion, TargetTotal: a.targetTotal, EffectiveTotal: a.effectiveTotal}
-	for _, server := range a.servers() {
+	for _, server := range a.serverNames() {
 		lease := a.leases[server]
 		for _, earlier := range lease.previous {
 			change := Change{Server: server, LeaseVersion: earlier.version, Amount: earlier.amount}
--- a/internal/quota/token_bucket.go
+++ b/internal/quota/token_bucket.go
@@ -29,7 +29,7 @@
 
 // meanRate returns the mean number of units taken per second over the given interval and resets the count.
 func (b *tokenBucket) meanRate(interval timeunit.Milliseconds) demandMean {
-	perSecond := b.taken * Amount(timeunit.MillisecondsPerSecond) / Amount(interval)
+	rate := b.taken * Amount(timeunit.MillisecondsPerSecond) / Amount(interval)
 	b.taken = 0
-	return demandMean{units: float64(perSecond) / float64(Unit), required: perSecond, most: 2 * max(perSecond, Unit)}
+	return demandMean{units: float64(rate) / float64(Unit), required: rate, maxDesired: 2 * max(rate, Unit)}
 }
--- a/internal/quota/validate_test.go
+++ b/internal/quota/validate_test.go
@@ -13,9 +13,9 @@
 		Total: 10, GuaranteedMinimum: 2, Slots: 5, LeaseDuration: 1, ClockDrift: 0.49, Hysteresis: 0.99,
 	}
 	require.NoError(t, valid.Validate())
-	for _, wrong := range []struct {
-		field  string
-		change func(*LimitConfig)
+	for _, test := range []struct {
+		field      string
+		invalidate func(*LimitConfig)
 	}{
 		{"Total", func(c *LimitConfig) { c.Total = 0 }},
 		{"Total", func(c *LimitConfig) { c.Total = 9 }},
@@ -29,9 +29,9 @@
 		{"Hysteresis", func(c *LimitConfig) { c.Hysteresis = 1 }},
 	} {
 		config := valid
-		wrong.change(&config)
+		test.invalidate(&config)
 		var configError *ConfigError
-		require.ErrorAs(t, config.Validate(), &configError, wrong.field)
-		require.Equal(t, wrong.field, configError.Field)
+		require.ErrorAs(t, config.Validate(), &configError, test.field)
+		require.Equal(t, test.field, configError.Field)
 	}
 }
