--- a/internal/quota/coordinator/golden_test.go
+++ b/internal/quota/coordinator/golden_test.go
@@ -12,7 +12,7 @@
 	"thistlequay/internal/schedule"
 )
 
-// What a record of the history is about. The numbers are part of the golden files.
+// Record types of the history. The numbers are part of the golden files.
 const (
 	eventState = iota + 1
 	eventMessage
@@ -21,16 +21,16 @@
 	eventStep
 )
 
-// recordReady records all that a coordinator gives, byte for byte.
+// recordReady records everything that a coordinator returns, byte for byte.
 func (c *cluster) recordReady(i int, ready *Ready) {
 	if c.history == nil {
 		return
 	}
-	hard := ready.State.HardState
+	hardState := ready.State.HardState
 	snapshot := ready.State.Snapshot
-	at := snapshot.Metadata
-	c.history.Add(eventState, i, ready.IsNewState, hard.Term, hard.Vote, hard.Commit,
-		at.Index, at.Term, at.ConfState.Voters, string(snapshot.Data))
+	metadata := snapshot.Metadata
+	c.history.Add(eventState, i, ready.IsNewState, hardState.Term, hardState.Vote, hardState.Commit,
+		metadata.Index, metadata.Term, metadata.ConfState.Voters, string(snapshot.Data))
 	for _, entry := range ready.State.Entries {
 		c.history.Add(eventState, entry.Index, entry.Term, int(entry.Type), string(entry.Data))
 	}
@@ -45,25 +45,28 @@
 	}
 }
 
-// recordServer records where a server stands at the end of its part of a step.
+// recordServer records the state of a server at the end of its part of a step.
 func (c *cluster) recordServer(i int, s *server, usable quota.Amount) {
 	if c.history == nil {
 		return
 	}
-	own := s.coordinator
-	id := own.Identity()
-	c.history.Add(eventServer, i, usable, len(s.releaseTimes), own.IsLeader(), own.InMajority(), own.Leader(),
-		id.LogID, id.VoterID, own.Voters(), own.LeaderLost(), own.AppliedCommands, own.DiscardedStates)
+	coordinator := s.coordinator
+	identity := coordinator.Identity()
+	c.history.Add(eventServer, i, usable, len(s.releaseTimes),
+		coordinator.IsLeader(), coordinator.InMajority(), coordinator.Leader(),
+		identity.LogID, identity.VoterID, coordinator.Voters(), coordinator.LeaderLost(),
+		coordinator.AppliedCommands, coordinator.DiscardedStates)
 }
 
-// The whole history of seeded schedules: every saved record, every message between servers byte for byte, every
-// reply, and what each server may use and takes for true after each step.
+// TestGoldenSchedules compares the whole history of seeded schedules with a golden file: every saved record, every
+// message between servers byte for byte, every reply, and the state and usable amount of each server after each step.
 func TestGoldenSchedules(t *testing.T) {
 	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) { runSchedule(t, seed, history) })
 }
 
-// The bytes of what the log carries and of the identity on the disk: decoded as a server does, and encoded again.
+// TestGoldenRecords compares the encoding of log entries, snapshots and the stored identity with a golden file. Each
+// record is decoded as a server decodes it and encoded again.
 func TestGoldenRecords(t *testing.T) {
 	codec := golden.Codec{Marshal: cbor.Marshal, Unmarshal: logDecoder.Unmarshal}
 	var recorded bytes.Buffer
