--- a/internal/membership/acceptor.go
+++ b/internal/membership/acceptor.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// acceptor is what an elector has promised and accepted for the configuration that follows the current one (the
-// acceptor of Paxos). It begins anew with each configuration that is learned.
+// acceptor is the Paxos acceptor state of this server: what it has promised and accepted for the configuration that
+// follows the current one. It is reset when a configuration is learned.
 type acceptor struct {
-	promised       Ballot         // nothing under a lower ballot will be accepted
-	acceptedBallot Ballot         // under which accepted was accepted
-	accepted       *Configuration // nil: nothing yet
+	promised       Ballot         // proposals under a lower ballot are rejected
+	acceptedBallot Ballot         // ballot under which accepted was accepted
+	accepted       *Configuration // nil if nothing has been accepted
 }
 
-// promise promises to accept nothing under a lower ballot; it returns false when a higher one was promised before.
+// promise records a promise to accept nothing under a lower ballot. It returns false if a higher ballot has already
+// been promised.
 func (p *acceptor) promise(ballot Ballot) bool {
 	if ballot.compare(p.promised) < 0 {
 		return false
@@ -19,7 +20,7 @@
 	return true
 }
 
-// accept accepts a configuration under a ballot; it returns false when a higher ballot was promised.
+// accept accepts a configuration under a ballot. It returns false if a higher ballot has been promised.
 func (p *acceptor) accept(ballot Ballot, configuration Configuration) bool {
 	if !p.promise(ballot) {
 		return false
@@ -50,9 +51,9 @@
 	}
 }
 
-// electorate returns the electors, who vote on the next configuration, and how many of them it takes. A first
-// configuration takes all founders: each may have belonged to an earlier one that it has forgotten, and only together
-// do they know that there is none.
+// electorate returns the servers that vote on the next configuration and the number of votes that it needs. While
+// bootstrapping, these are the founders, and all of them must vote: each may have belonged to an earlier configuration
+// that it has forgotten, so only all of them together can tell that none exists.
 func (a *Agreement) electorate() (electors []ID, quorum int) {
 	if !a.isForming() {
 		for _, voter := range a.configuration.Voters {
@@ -73,8 +74,8 @@
 	return slices.Contains(electors, id)
 }
 
-// isForming says that there is no configuration to follow: none was heard of, or every voter of the last one is gone
-// for good.
+// isForming reports whether there is no configuration to follow: none is known, two of the same epoch conflict, or
+// every voter of the current one has terminated.
 func (a *Agreement) isForming() bool {
 	if a.configuration.Epoch == 0 || a.conflicting {
 		return true
@@ -87,8 +88,9 @@
 	return true
 }
 
-// isGoneForGood says that the incarnation of a voter is over: the view says so, or another incarnation has been alive
-// on its address for longer than a flapping member is taken for alive.
+// isGoneForGood reports whether the incarnation of a voter has ended. This is the case if the view has marked it
+// terminated, or if another incarnation has been alive at its address for longer than FlapHold, during which a flapping
+// member may still count as alive.
 func (a *Agreement) isGoneForGood(voter Voter) bool {
 	if member := a.view.Member(voter.ID); member != nil && member.terminated {
 		return true
@@ -102,8 +104,8 @@
 		a.view.now-owner.FirstSeen > a.config.FlapHold
 }
 
-// mayVote says whether this server may vote on the next configuration now. A draining server still may: otherwise
-// half of the voters could not be replaced at once.
+// mayVote reports whether this server may vote on the next configuration now. A draining server may still vote;
+// otherwise half of the voters could not be replaced at once.
 func (a *Agreement) mayVote() bool {
 	if a.isForming() {
 		return a.view.now >= a.votesFrom && slices.Contains(a.config.Founders, a.config.Self.Name)
--- a/internal/membership/agreement.go
+++ b/internal/membership/agreement.go
@@ -8,25 +8,25 @@
 
 // Agreement is one server's part in agreeing on the cluster's configuration.
 //
-// A configuration is followed by at most one other, which a majority of its voters chooses by single-decree Paxos
-// (Lamport, "Paxos Made Simple", 2001). An elector that has accepted the next configuration grants no more leases in
-// the current one, and the next one comes into force only when every lease granted before has expired on every clock.
-// So two configurations are never in force at once.
+// Each configuration has at most one successor, which a majority of its voters chooses by single-decree Paxos (Lamport,
+// "Paxos Made Simple", 2001). An acceptor that has accepted the next configuration grants no more leases in the current
+// one, and the next configuration comes into force only when every lease granted before has expired on every clock. Two
+// configurations are therefore never in force at once.
 //
-// Voters are incarnations, and nothing is kept on disk: a process that restarts is a new incarnation without a vote,
-// so nobody votes twice for having forgotten its first vote.
+// Voters are incarnations, and nothing is stored on disk: a process that restarts is a new incarnation without a vote,
+// so no voter can vote twice because it forgot its first vote.
 //
-// Agreement is not safe for concurrent use. It shares the goroutine of its View.
+// Agreement is not safe for concurrent use. It must be used from the goroutine of its View.
 type Agreement struct {
 	view          *View
 	config        Config
-	configuration Configuration         // the one that was learned last
+	configuration Configuration         // the latest learned configuration
 	learnedAt     timeunit.Milliseconds // when configuration was learned
-	leavingThen   int                   // how many of the members it counts were leaving already when it was learned
+	leavingThen   int                   // members counted in configuration that were already leaving at learnedAt
 	inForceFrom   timeunit.Milliseconds // when configuration comes into force
-	conflicting   bool                  // a different configuration of the same epoch was heard of
-	votesFrom     timeunit.Milliseconds // from when on this incarnation may vote on a first configuration
-	highestEpoch  uint64                // that was heard of
+	conflicting   bool                  // a different configuration of the same epoch has been received
+	votesFrom     timeunit.Milliseconds // when this incarnation may first vote while bootstrapping
+	highestEpoch  uint64                // highest epoch seen in any message or configuration
 
 	acceptor acceptor
 	proposer proposer
@@ -36,14 +36,14 @@
 	statusSince timeunit.Milliseconds
 	outbox      []Message
 
-	// ConfigurationChanges is the number of configurations that were learned.
+	// ConfigurationChanges is the number of configurations learned.
 	ConfigurationChanges int
-	// StartNewGenesis makes the next configuration that this server proposes start a genesis epoch of its own: what the
-	// members kept in memory on behalf of the epochs before is lost. A learned configuration clears it.
+	// StartNewGenesis makes the next configuration that this server proposes start a new genesis epoch. Whatever the
+	// members kept in memory on behalf of earlier epochs is then lost. Learning a configuration clears the flag.
 	StartNewGenesis bool
 }
 
-// NewAgreement returns an agreement without a configuration. It waits before it votes on a first one until every
+// NewAgreement returns an Agreement without a configuration. It does not vote on a first configuration until every
 // lease that an earlier incarnation of this server may have granted has expired.
 func NewAgreement(view *View) *Agreement {
 	config := view.config
@@ -58,18 +58,17 @@
 	}
 }
 
-// Configuration returns the one that was learned last; its epoch is 0 before the first.
+// Configuration returns the latest learned configuration. Its epoch is 0 if none has been learned.
 func (a *Agreement) Configuration() Configuration { return a.configuration }
 
-// TakeMessages returns the messages that are to be sent and forgets them. The host need not send them reliably or in
-// order.
+// TakeMessages returns the messages to send and removes them from the outbox. The host may lose or reorder them.
 func (a *Agreement) TakeMessages() []Message {
 	messages := a.outbox
 	a.outbox = nil
 	return messages
 }
 
-// send addresses a message. One to this server itself is handled at once.
+// send addresses a message and adds it to the outbox. A message to this server itself is handled immediately.
 func (a *Agreement) send(to ID, message Message) {
 	message.From = a.config.Self
 	message.To = to
@@ -81,7 +80,7 @@
 	a.outbox = append(a.outbox, message)
 }
 
-// Step handles a message from another member, or from this one.
+// Step handles a message from another member or from this one.
 func (a *Agreement) Step(message Message) {
 	a.highestEpoch = max(a.highestEpoch, message.Epoch)
 	if message.Kind == MessageCommitted {
@@ -108,30 +107,31 @@
 	}
 }
 
-// handleOtherEpoch has the two servers share the later configuration: a sender that is behind gets it, and a sender
-// that is ahead is asked for it, by a request that it will find to be behind.
+// handleOtherEpoch brings the server that is behind up to date. A sender that is behind receives the current
+// configuration. A sender that is ahead receives a lease request, which has an outdated epoch and is therefore answered
+// with the newer configuration.
 func (a *Agreement) handleOtherEpoch(message Message) {
 	switch {
 	case message.Epoch < a.configuration.Epoch:
 		configuration := a.configuration
 		a.send(message.From, Message{Kind: MessageCommitted, Configuration: &configuration})
-	case message.Kind != MessageLeaseRequest: // a request answered by a request would go on without end
+	case message.Kind != MessageLeaseRequest: // answering a request with a request would never end
 		a.send(message.From, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
 	}
 }
 
-// handleCommitted learns the configuration that was chosen for an epoch.
+// handleCommitted learns the configuration chosen for an epoch.
 func (a *Agreement) handleCommitted(message Message) {
 	if message.Configuration.Validate() == nil {
 		a.learn(*message.Configuration)
 	}
 }
 
-// learn takes up a chosen configuration if it is later than the current one. It comes into force when all leases in
-// the one before have expired, by the slowest clock.
+// learn adopts a chosen configuration if it is newer than the current one. It comes into force when all leases in the
+// previous configuration have expired, even by the slowest clock.
 func (a *Agreement) learn(next Configuration) {
 	if next.Epoch == a.configuration.Epoch && next.Epoch > 0 && !next.equal(&a.configuration) {
-		// Two first configurations, agreed on by incarnations that did not know of each other: neither is acted on, and
+		// Two first configurations were chosen by incarnations that did not know of each other. Neither is used, and
 		// the founders agree on a third.
 		a.conflicting = true
 		return
@@ -155,7 +155,7 @@
 	a.ConfigurationChanges++
 }
 
-// Tick requests lease grants and proposes another configuration where either is due. The host calls it a few times a
+// Tick requests lease grants and proposes a new configuration when either is due. The host calls it a few times per
 // second.
 func (a *Agreement) Tick() {
 	a.requestLease()
@@ -167,7 +167,7 @@
 	}
 }
 
-// askMemberAhead asks one of the members that act on a later configuration for it.
+// askMemberAhead requests the configuration from one of the members that act on a newer one.
 func (a *Agreement) askMemberAhead() {
 	for _, member := range a.view.members {
 		if member.Epoch > a.configuration.Epoch && member.isAlive() && member != a.view.self {
@@ -177,5 +177,5 @@
 	}
 }
 
-// StatusSince returns when the quorum status changed last, as of the last Tick.
+// StatusSince returns when the quorum status last changed, as of the last Tick.
 func (a *Agreement) StatusSince() timeunit.Milliseconds { return a.statusSince }
--- a/internal/membership/agreement_test.go
+++ b/internal/membership/agreement_test.go
@@ -9,8 +9,8 @@
 	"thistlequay/internal/schedule"
 )
 
-// Two configurations are never in force at once, whatever happens to the network and the processes; and once the
-// network is well again, one is.
+// Two configurations must never be in force at once, whatever happens to the network and the processes. After the
+// network heals, one must be in force again in most of the schedules.
 func TestTwoConfigurationsAreNeverInForceAtOnce(t *testing.T) {
 	seeds := schedule.Scale(100, 5000)
 	splitBrains, majorities, observations, healed, changes := 0, 0, 0, 0, 0
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// newFullView returns the view of a server that knows n others, and the updates that it knows them by.
+// newFullView returns the view and agreement of a server that knows n other members, and the updates that it received
+// about them.
 func newFullView(n int) (*View, *Agreement, []StateUpdate) {
 	v := NewView(DefaultConfig(ID{"me", 1}), 0)
 	var updates []StateUpdate
@@ -35,7 +36,7 @@
 	}
 }
 
-// BenchmarkTick measures what is done five times a second.
+// BenchmarkTick measures the work that a server does five times per second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{12, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -10,22 +10,22 @@
 
 const second = timeunit.MillisecondsPerSecond
 
-// cluster simulates servers and the network between them in virtual time: state updates and messages are lost,
-// delayed, doubled and reordered, links are cut in one direction, processes are killed, stopped and started again
-// with nothing kept, and clocks run apart. A failure is detected by silence, as the gossip library would.
+// cluster simulates servers and the network between them in virtual time. State updates and messages are lost, delayed,
+// duplicated and reordered; links are cut in one direction; processes are killed, paused and restarted without any
+// saved state; clocks drift apart. Nodes detect failures by silence, as the gossip library does.
 type cluster struct {
 	schedule.Network[packet]
 	nodes        []*node
-	incarnations uint64 // started so far
+	incarnations uint64 // number started so far
 
-	observations int // of a running node
-	majorities   int // of those, in the majority
-	splitBrains  int // of those, by another configuration than one seen before at the same moment
+	observations int // of running nodes
+	majorities   int // observations of a node in the majority
+	splitBrains  int // majority observations whose configuration differs from the first one seen at the same time
 
-	history *golden.History // of all that leaves the nodes; nil when none is kept
+	history *golden.History // everything that leaves the nodes; nil if it is not recorded
 }
 
-// packet is a state update or a message; the other is nil.
+// packet is a state update or a message; the other field is nil.
 type packet struct {
 	update  *StateUpdate
 	message *Message
@@ -71,7 +71,7 @@
 	return c
 }
 
-// start begins a new incarnation of a node, whose clock may have been set back since the one before.
+// start starts a new incarnation of a node. Its clock may have been set back since the previous one.
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	c.incarnations++
@@ -129,7 +129,7 @@
 	n.view.ProbeSucceeded(id, 10)
 }
 
-// runNode plays what a node does in one step.
+// runNode runs one simulation step of a node.
 func (c *cluster) runNode(i int, n *node) {
 	n.view.Advance(c.clock(n), advanceInterval)
 	state := StateServing
@@ -186,7 +186,7 @@
 	n.agreement.Tick()
 }
 
-// observe counts the nodes that are in the majority at one moment by different configurations.
+// observe counts the running nodes, those in the majority, and those in the majority by different configurations.
 func (c *cluster) observe() {
 	var first *Configuration
 	for _, n := range c.nodes {
@@ -208,7 +208,7 @@
 	}
 }
 
-// injectFault does one harm to the cluster, or repairs one.
+// injectFault injects one random fault into the cluster, or repairs one.
 func (c *cluster) injectFault() {
 	i := c.Random.Intn(len(c.nodes))
 	n := c.nodes[i]
@@ -239,7 +239,7 @@
 	}
 }
 
-// partitionAtRandom cuts the nodes into groups.
+// partitionAtRandom partitions the nodes into random groups.
 func (c *cluster) partitionAtRandom(groups int) {
 	groupOf := make([]int, len(c.nodes))
 	for k := range groupOf {
@@ -248,7 +248,7 @@
 	c.Partition(groupOf)
 }
 
-// runFaultSchedule injects faults one after the other, then lets the cluster heal.
+// runFaultSchedule injects one random fault after another, then lets the cluster heal.
 func (c *cluster) runFaultSchedule() {
 	c.RunFor(10*second, c.runStep)
 	for range 12 {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,40 +2,42 @@
 
 import "thistlequay/timeunit"
 
-// Config says how a View and its Agreement behave. DefaultConfig gives values for every field that has no meaningful
-// zero.
+// Config holds the parameters of a View and its Agreement. DefaultConfig sets every field that has no meaningful zero
+// value.
 type Config struct {
-	// Self is this incarnation of this server.
+	// Self identifies this incarnation of this server.
 	Self ID
-	// Zone is the failure domain of this server; voters are spread over zones. May be empty.
+	// Zone is the failure domain of this server. Voters are spread across zones. It may be empty.
 	Zone string
-	// Founders are the server names that must all agree on the first configuration. Without any there never is one.
+	// Founders are the names of the servers that must all agree on the first configuration. If it is empty, no
+	// configuration is ever formed.
 	Founders []string
-	// InitialSize is how many servers the cluster is meant to have at first; more than half form the first
-	// configuration.
+	// InitialSize is the number of servers that the cluster is initially meant to have. The first configuration needs
+	// more than half of them.
 	InitialSize int
-	// LeaseDuration is the shortest time for which a voter's lease grant holds.
+	// LeaseDuration is the minimum duration of a voter's lease grant.
 	LeaseDuration timeunit.Milliseconds
-	// MaxClockDrift is how much faster one server's clock may run than another's, as a fraction.
+	// MaxClockDrift is the largest fraction by which one server's clock may run faster than another's.
 	MaxClockDrift float64
-	// StabilityWindow is how long a view must have stood before a new configuration is proposed for it, and before a
-	// member that came or went changes the effective size.
+	// StabilityWindow is how long a new configuration must have been needed before it is proposed, and how long a
+	// member that joined or left must have been in its new state before it changes the effective size.
 	StabilityWindow timeunit.Milliseconds
-	// MaxMembers bounds the members that are kept; state updates of further ones are rejected.
+	// MaxMembers limits the number of members that are kept. State updates of further members are rejected.
 	MaxMembers int
-	// Retention is how long members that failed or left stay in the view.
+	// Retention is how long members that failed or left remain in the view.
 	Retention timeunit.Milliseconds
-	// MaxVoters bounds the voters of a configuration.
+	// MaxVoters limits the number of voters in a configuration.
 	MaxVoters int
-	// FlapThreshold is the number of state changes within FlapWindow from which on a member is flapping.
+	// FlapThreshold is the number of state changes within FlapWindow at which a member counts as flapping.
 	FlapThreshold int
-	// FlapWindow is the time within which those changes happen.
+	// FlapWindow is the period in which FlapThreshold state changes must occur.
 	FlapWindow timeunit.Milliseconds
-	// FlapHold is how long after its last change a flapping member counts as it did before.
+	// FlapHold is how long after its last state change a flapping member counts as it did before.
 	FlapHold timeunit.Milliseconds
 }
 
-// DefaultConfig returns the configuration for a cluster in one place; docs/membership/design.md has the reasons.
+// DefaultConfig returns the Config for a cluster at one location; docs/membership/design.md gives the reasons for the
+// values.
 func DefaultConfig(self ID) Config {
 	return Config{
 		Self:            self,
--- a/internal/membership/configuration.go
+++ b/internal/membership/configuration.go
@@ -8,41 +8,42 @@
 	"thistlequay/timeunit"
 )
 
-// Voter is an incarnation that votes, with its address: another incarnation there proves that this one is over.
+// Voter is an incarnation that votes, with its address. Another incarnation at that address proves that this one has
+// ended.
 type Voter struct {
 	ID
 	Address string `cbor:"3,keyasint"`
 }
 
-// Configuration is what the members agree on, one for each epoch.
+// Configuration is the cluster configuration on which the members agree. There is one for each epoch.
 type Configuration struct {
-	Epoch         uint64                `cbor:"1,keyasint"` // 0: none yet
+	Epoch         uint64                `cbor:"1,keyasint"` // 0 if there is none yet
 	Voters        []Voter               `cbor:"2,keyasint"`
-	MemberCount   int                   `cbor:"3,keyasint"` // members that were alive when it was proposed
-	LeaseDuration timeunit.Milliseconds `cbor:"4,keyasint"` // how long a lease grant holds in it
-	// GenesisEpoch is the epoch of the configuration that this one descends from without a break.
+	MemberCount   int                   `cbor:"3,keyasint"` // members alive and not draining when it was proposed
+	LeaseDuration timeunit.Milliseconds `cbor:"4,keyasint"` // duration of a lease grant
+	// GenesisEpoch is the epoch of the first configuration in the unbroken sequence that leads to this one.
 	GenesisEpoch uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Bounds on a configuration that another server sends.
+// Limits on a configuration received from another server.
 const (
 	maxVoters        = 15
 	maxLeaseDuration = 60 * timeunit.MillisecondsPerSecond
 )
 
-// ErrInvalidConfiguration is wrapped by every error of Configuration.Validate.
+// ErrInvalidConfiguration is wrapped by every error that Configuration.Validate returns.
 var ErrInvalidConfiguration = errors.New("invalid cluster configuration")
 
-// The reasons are made once: a hostile peer that sends invalid configurations should not cost allocations.
+// These errors are created once, so that a hostile peer that sends invalid configurations causes no allocations.
 var (
-	errConfigurationAbsent = fmt.Errorf("%w: there is none", ErrInvalidConfiguration)
+	errConfigurationAbsent = fmt.Errorf("%w: it is missing", ErrInvalidConfiguration)
 	errConfigurationEpoch  = fmt.Errorf("%w: the epoch is 0", ErrInvalidConfiguration)
-	errConfigurationVoters = fmt.Errorf("%w: it must have 1 to %d voters", ErrInvalidConfiguration, maxVoters)
-	errConfigurationCount  = fmt.Errorf("%w: it counts fewer members than voters", ErrInvalidConfiguration)
+	errConfigurationVoters = fmt.Errorf("%w: the number of voters must be 1 to %d", ErrInvalidConfiguration, maxVoters)
+	errConfigurationCount  = fmt.Errorf("%w: it has more voters than members", ErrInvalidConfiguration)
 	errConfigurationLease  = fmt.Errorf("%w: the lease must last 1 to %d ms", ErrInvalidConfiguration, maxLeaseDuration)
 )
 
-// Validate says why a configuration from another server must be passed over; the error wraps ErrInvalidConfiguration.
+// Validate returns an error that wraps ErrInvalidConfiguration if a configuration from another server must be ignored.
 // A nil configuration is invalid.
 func (c *Configuration) Validate() error {
 	switch {
@@ -69,5 +70,5 @@
 		c.GenesisEpoch == other.GenesisEpoch && slices.Equal(c.Voters, other.Voters)
 }
 
-// quorum returns how many voters are a majority.
+// quorum returns the number of voters that form a majority.
 func (c *Configuration) quorum() int { return len(c.Voters)/2 + 1 }
--- a/internal/membership/effective_size.go
+++ b/internal/membership/effective_size.go
@@ -1,12 +1,13 @@
 package membership
 
-// EffectiveSize returns how many servers this server reckons with when it works out its part of anything shared: at
-// least one.
+// EffectiveSize returns the number of servers, at least 1, by which this server computes its share of anything that the
+// cluster shares.
 func (v *View) EffectiveSize() int { return v.effectiveSize }
 
-// updateEffectiveSize has the effective size follow the members that serve, damped: a member that comes or goes
-// counts so after StabilityWindow, and a flapping one counts as it did before it began to flap. Without the majority
-// the size never falls below what was agreed on: members that this server cannot see still use their parts.
+// updateEffectiveSize makes the effective size follow the number of serving members. Changes are damped: a member that
+// joins or leaves changes the count only after StabilityWindow, and a flapping member counts as it did before it began
+// to flap. Outside the majority the size does not shrink and is at least the configured size, because members that this
+// server cannot see still use their shares.
 func (v *View) updateEffectiveSize(status QuorumStatus) {
 	count := 0
 	for _, member := range v.members {
@@ -26,7 +27,7 @@
 	v.effectiveSize = max(1, minimum, count)
 }
 
-// serves says whether a member takes part in the work; a suspected one goes on as it was.
+// serves reports whether a member takes part in the work. A suspected member keeps the status it had.
 func (v *View) serves(member *Member) bool {
 	switch member.State {
 	case StateServing, StateWarmingUp:
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -6,27 +6,28 @@
 	"thistlequay/timeunit"
 )
 
-// The failure detector: who is suspected, who has failed, and which fault the evidence points to. It never holds a
-// member for failed on the word of this server alone, nor on anything heard while this server itself stood still.
+// The failure detector determines which members are suspected, which have failed, and which fault the evidence points
+// to. It never considers a member failed on this server's evidence alone, nor on evidence gathered while this server
+// itself was paused.
 
-// loopLagThreshold is the lag of its event loop, in milliseconds, from which on a member is shown as overloaded.
+// loopLagThreshold is the event loop lag, in milliseconds, at which a member is shown as overloaded (CauseLoopLag).
 const loopLagThreshold = 500
 
-// roundTripWeight is the inverse weight of a new sample in Member.RoundTrip.
+// roundTripWeight is the inverse of the weight of a new sample in Member.RoundTrip.
 const roundTripWeight = 4
 
-// DialResult is what came of a connection attempt to a member that does not answer.
+// DialResult is the outcome of a connection attempt to a member that does not answer probes.
 type DialResult int
 
-// The results of a connection attempt.
+// The outcomes of a connection attempt.
 const (
-	DialRefused  DialResult = iota // nobody listens there
+	DialRefused  DialResult = iota // no process listens at the address
 	DialAccepted                   // the connection was accepted
-	DialTimedOut                   // there was no answer at all
+	DialTimedOut                   // there was no response
 )
 
-// ProbeSucceeded reports that a member answered this server's own probe after roundTrip. This clears a suspicion, but
-// not a failure: the answer may have been on its way since before it, so a failed member comes back only by refuting.
+// ProbeSucceeded reports that a member answered this server's own probe after roundTrip. The answer clears a suspicion
+// but not a failure: it may have been sent before the failure, so a failed member recovers only by refuting.
 func (v *View) ProbeSucceeded(id ID, roundTrip timeunit.Milliseconds) {
 	member := v.members[id]
 	if member == nil || member.terminated {
@@ -45,8 +46,9 @@
 	}
 }
 
-// RecordProbeFailure reports that a member did not answer this server's own probe and its retries. Alone that proves
-// nothing against the member; its cause then tells what the updates of the others say about reaching it.
+// RecordProbeFailure reports that a member did not answer this server's own probe and its retries. That alone is no
+// proof of a failure, so only the cause changes: it reflects what the updates of other members say about reaching this
+// one.
 func (v *View) RecordProbeFailure(id ID) {
 	member := v.members[id]
 	if member == nil || member == v.self || !member.isAlive() || member.Cause == CauseNameConflict ||
@@ -65,7 +67,8 @@
 	}
 }
 
-// countReachability returns how many other members are alive, and how many of those report that they cannot reach m.
+// countReachability returns the number of other members that are alive, and how many of those report that they cannot
+// reach member.
 func (v *View) countReachability(member *Member) (others, cannotReach int) {
 	for _, other := range v.members {
 		if other == v.self || other == member || !other.isAlive() {
@@ -79,8 +82,8 @@
 	return others, cannotReach
 }
 
-// RecordSuspicion records that this server, and at least one other if there are others, got no answer from a member. It
-// has until RecordFailure to refute.
+// RecordSuspicion reports that this server and, if there are other members, at least one of them got no answer from a
+// member. The member can refute the suspicion until RecordFailure is called.
 func (v *View) RecordSuspicion(id ID) {
 	member := v.members[id]
 	if member == nil || member == v.self || !member.isAlive() || member.Cause == CauseNameConflict {
@@ -93,7 +96,7 @@
 	v.resolveName(member.Name)
 }
 
-// RecordFailure reports that a member did not refute in time. One that was draining has left.
+// RecordFailure reports that a member did not refute the suspicion in time. A member that was draining counts as left.
 func (v *View) RecordFailure(id ID) {
 	member := v.members[id]
 	switch {
@@ -108,8 +111,8 @@
 	v.resolveName(member.Name)
 }
 
-// Refuted reports that a member refuted its suspicion or failure. Whether that was a false positive its own update
-// tells: a process that stood still reports its pause.
+// Refuted reports that a member refuted its suspicion or failure. The member's own update shows whether that was a
+// false positive: a process that was paused reports its pause.
 func (v *View) Refuted(id ID) {
 	if member := v.members[id]; member != nil && !member.terminated {
 		v.refuted(member)
@@ -132,7 +135,7 @@
 	v.resolveName(member.Name)
 }
 
-// causeWhileAlive returns what a member that answers shows of itself.
+// causeWhileAlive returns the cause to record for a member that answers.
 func (m *Member) causeWhileAlive() Cause {
 	switch {
 	case m.Cause == CauseUnreachableFromHere || m.Cause == CauseUnreachableFromSome:
@@ -143,8 +146,8 @@
 	return CauseNone
 }
 
-// DialFinished reports what came of a connection attempt to a member that does not answer. It tells a crashed process
-// from a stopped one, and both from a network that carries nothing.
+// DialFinished reports the outcome of a connection attempt to a member that does not answer probes. The outcome
+// distinguishes a crashed process from a stopped one, and both from a network that delivers nothing.
 func (v *View) DialFinished(id ID, result DialResult) {
 	member := v.members[id]
 	if member == nil || member.State != StateSuspected && member.State != StateFailed {
@@ -162,7 +165,7 @@
 	}
 }
 
-// RecordLeave reports that a member announced that it leaves now.
+// RecordLeave reports that a member announced that it is leaving now.
 func (v *View) RecordLeave(id ID) {
 	member := v.members[id]
 	if member == nil || member == v.self || member.terminated {
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// With nobody else to compare with, a failed probe does not show that only this server cannot reach the member.
+// Without other members to compare with, a failed probe does not show that only this server cannot reach the member.
 func TestFailedProbeOfTheOnlyOtherMemberMeansUnreachable(t *testing.T) {
 	v := NewView(DefaultConfig(ID{"n0", 1}), 0)
 	other := ID{"n1", 1}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -19,13 +19,13 @@
 	"thistlequay/timeunit"
 )
 
-// The golden files were recorded before the package was renamed and split (issue 37). Their histories hold only bytes
-// as they go over the wire and numbers, so that no renaming moves them.
+// The golden files were recorded before the package was renamed and split (issue 37). Their histories contain only
+// wire-format bytes and numbers, so renaming identifiers does not change them.
 
-// goldenSteps is the number of random calls per seed of TestGoldenRandomCalls.
+// goldenSteps is the number of random calls per seed in TestGoldenRandomCalls.
 const goldenSteps = 400
 
-// wire returns the CBOR encoding of a message in hexadecimal digits.
+// wire returns the CBOR encoding of a message in hexadecimal.
 func wire(message any) string {
 	text, err := cbor.Marshal(message)
 	if err != nil {
@@ -41,8 +41,9 @@
 	return 0
 }
 
-// tickInOrder is Tick without its one random choice: of several members that know a later configuration it asks
-// whichever it meets first in a map. Any of them will do, so the question is addressed to the first by order instead.
+// tickInOrder calls Tick without the effect of its one random choice: if several members report a newer configuration,
+// Tick asks whichever comes first in the iteration over a map. Any of them will do, so the request is redirected to the
+// first one by ID.
 func tickInOrder(v *View, a *Agreement) {
 	before := len(a.outbox)
 	epoch := a.configuration.Epoch
@@ -65,7 +66,7 @@
 	}
 }
 
-// addState adds everything that callers can see of a view and its agreement.
+// addState adds everything that callers can observe of a view and its agreement.
 func addState(h *golden.History, v *View, a *Agreement) {
 	for _, e := range v.Events() {
 		h.Add(wire(e.ID), int(e.From), int(e.To), int(e.Cause))
@@ -74,7 +75,7 @@
 		int64(a.MajorityUntil()), int64(a.StatusSince()), a.ConfigurationChanges, wire(a.Configuration()))
 }
 
-// addMembers adds what is concluded of each member.
+// addMembers adds the conclusions about each member, and the counts.
 func addMembers(h *golden.History, v *View) {
 	for _, m := range v.Members() {
 		owner, isOwned := v.NameOwner(m.Name)
@@ -85,7 +86,7 @@
 	h.Add(c.Invalid, c.Stale, c.Forged, c.UnknownSender, c.NoCapacity, c.FalsePositives, c.NameConflicts)
 }
 
-// checkSeeds compares one line a seed with a golden file.
+// checkSeeds compares the history of each seed with its line in a golden file.
 func checkSeeds(t *testing.T, name string, play func(t *testing.T, seed int64, h *golden.History)) {
 	schedule.GoldenFile{Name: name, Seeds: 100, SeedsPerLine: 1, Label: "seed=%[1]d"}.Check(t, play)
 }
@@ -134,7 +135,7 @@
 	histories.Check(t, "scenarios.txt")
 }
 
-// Random calls reach what the schedules do not: probes, dials, unusable updates, a full view, messages at the wrong
+// Random calls cover what the schedules do not: probes, dials, invalid updates, a full view and messages at the wrong
 // time.
 func TestGoldenRandomCalls(t *testing.T) {
 	checkSeeds(t, "calls.txt", func(_ *testing.T, seed int64, h *golden.History) {
@@ -150,7 +151,7 @@
 	})
 }
 
-// caller makes random calls of one view and its agreement, sensible or not.
+// caller makes random calls, valid or not, on one view and its agreement.
 type caller struct {
 	random    *rand.Rand
 	view      *View
@@ -168,7 +169,7 @@
 	return &caller{random: random, view: v, agreement: NewAgreement(v)}
 }
 
-// call makes one call and returns what it returned.
+// call makes one random call and returns its result, or 0 if it has none.
 func (c *caller) call() (result any) {
 	switch c.random.Intn(16) {
 	case 0, 1, 2, 3:
@@ -206,7 +207,8 @@
 	return 0
 }
 
-// pause lets up to 2.5 s pass at once, or the clock go back a little.
+// pause advances the clock by up to 2.5 s at once, or moves it back by up to 50 ms. One call in ten also requests a new
+// genesis epoch.
 func (c *caller) pause() int64 {
 	if c.random.Intn(10) == 0 {
 		c.agreement.StartNewGenesis = true
@@ -314,7 +316,7 @@
 	return m
 }
 
-// sampleMessages returns at least one value of everything that is sent.
+// sampleMessages returns at least one value of every type that is sent.
 func sampleMessages() []any {
 	id := ID{"n0", 1}
 	other := ID{"n1", 1 << 60}
@@ -364,8 +366,8 @@
 	return messages
 }
 
-// Every message decodes and encodes again to the same bytes. The last lines are the keys and texts that operators'
-// tools read, the permissions and the defaults.
+// Every message must decode and encode again to the same bytes. The last lines of the golden file are the keys and
+// texts that operators' tools read, the permissions and the default parameters.
 func TestGoldenMessages(t *testing.T) {
 	var lines strings.Builder
 	for i, message := range sampleMessages() {
--- a/internal/membership/interleaving_test.go
+++ b/internal/membership/interleaving_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// electors are three voters of one configuration and the messages on their way between them. Its steps are chosen by
-// number, so that a list of numbers is one interleaving.
+// electors simulates three voters of one configuration and the messages in flight between them. Each step is selected
+// by number, so a list of numbers describes one interleaving.
 type electors struct {
 	agreements    [3]*Agreement
 	inFlight      []Message
-	proposalsLeft [3]int // that each may still start
+	proposalsLeft [3]int // proposals that each voter may still start
 	chosen        []Configuration
 }
 
@@ -36,8 +36,8 @@
 	return e
 }
 
-// step does the choice-th thing that can be done now: starting a proposal, or delivering one message. A message that
-// is never delivered is lost. It returns false when there is no such choice.
+// step performs one of the actions possible now, selected by choice: starting a proposal or delivering one message. A
+// message that is never delivered is lost. It returns false if there is no such action.
 func (e *electors) step(choice int) bool {
 	for i, left := range e.proposalsLeft {
 		if left == 0 {
@@ -72,11 +72,11 @@
 	e.collect()
 }
 
-// collect takes up the messages that were sent and the configurations that were chosen.
+// collect gathers the messages that were sent and the configurations that were chosen.
 func (e *electors) collect() {
 	for _, a := range e.agreements {
 		for _, message := range a.TakeMessages() {
-			if message.Kind >= MessagePrepare { // leases are no part of the choice
+			if message.Kind >= MessagePrepare { // lease messages do not affect the choice
 				e.inFlight = append(e.inFlight, message)
 			}
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-// state describes all that the future depends on.
+// state returns a description of everything that the future depends on.
 func (e *electors) state() string {
 	var b strings.Builder
 	for _, a := range e.agreements {
@@ -110,8 +110,8 @@
 	return b.String()
 }
 
-// In every order in which three proposals of two voters can meet, each message delivered at any moment or never, at
-// most one configuration follows. The search is breadth first and ends at a number of states.
+// At most one configuration may be chosen in any order in which three proposals by two voters can interleave, with each
+// message delivered at any time or never. The search is breadth-first and stops after maxStates states.
 func TestEveryInterleavingChoosesAtMostOneConfiguration(t *testing.T) {
 	const maxStates = 40_000
 	seen := map[string]bool{}
--- a/internal/membership/large_cluster_test.go
+++ b/internal/membership/large_cluster_test.go
@@ -13,35 +13,36 @@
 
 const (
 	fullMembers        = 40  // members of a large cluster that have a view and an agreement
-	updateBytes        = 260 // of a sealed state update, in the mean of real ones
+	updateBytes        = 260 // mean size in bytes of real sealed state updates
 	largeClusterTick   = 200
-	largeClusterProbe  = 500 // between two probes of a member, as memberlist does
+	largeClusterProbe  = 500 // between two probes by a member, as in memberlist
 	messageDelay       = 20
 	convergenceTimeout = 300 * second
 	detectionTimeout   = 60 * second
 )
 
-// largeCluster simulates large clusters without the gossip library: fullMembers have a view and an agreement, the
-// others only publish updates and crash. The carrier is modelled by what memberlist documents: a probe each half a
-// second in turn, a suspicion that lasts 4 x log10(members) probes, gossip by powers of four each 200 ms, and state
-// updates as package gossip paces them.
+// largeCluster simulates large clusters without the gossip library: fullMembers have a view and an agreement; the
+// others only publish updates and crash. The gossip layer is modelled on the documented behaviour of memberlist: each
+// member probes another one every 500 ms in turn, a suspicion lasts 4 x log10(members) probe intervals, and gossip
+// reaches four times as many members every 200 ms. State updates are sent at the rate at which package gossip sends
+// them.
 type largeCluster struct {
 	schedule.Network[delivery]
 	size        int
 	views       []*View
 	agreements  []*Agreement
 	updateEvery timeunit.Milliseconds
-	nextUpdate  []timeunit.Milliseconds // of each member
+	nextUpdate  []timeunit.Milliseconds // time of the next update of each member
 	sequences   []uint64
-	spread      timeunit.Milliseconds // within which an update reaches everybody
+	spread      timeunit.Milliseconds // time within which an update reaches all members
 
-	crashed  int                     // -1: nobody
-	failedAt []timeunit.Milliseconds // when the carrier tells each full member of the crash
+	crashed  int                     // index of the crashed member, -1 if none
+	failedAt []timeunit.Milliseconds // when the gossip layer reports the crash to each full member
 
 	updatesHeard int
 }
 
-// delivery is a message or, without one, a state update.
+// delivery is a message or, if that is nil, a state update.
 type delivery struct {
 	update  StateUpdate
 	message *Message
@@ -101,7 +102,7 @@
 	}
 }
 
-// publish sends a member's state update to all full members.
+// publish sends a member's state update to all other full members.
 func (c *largeCluster) publish(i int) {
 	c.sequences[i]++
 	update := StateUpdate{
@@ -137,7 +138,7 @@
 	}
 }
 
-// hasConverged says whether all full members know everybody and act on a configuration.
+// hasConverged reports whether all full members know every member and are in the majority.
 func (c *largeCluster) hasConverged() bool {
 	for i, v := range c.views {
 		if c.agreements[i].QuorumStatus() != Majority || v.AliveCount() != c.size {
@@ -147,7 +148,7 @@
 	return true
 }
 
-// crash ends a member and works out when the carrier tells each full member.
+// crash stops a member and computes when the gossip layer reports that to each full member.
 func (c *largeCluster) crash(i int) {
 	c.crashed = i
 	probed := c.Now + timeunit.Milliseconds(c.Random.ExpFloat64()*largeClusterProbe)
@@ -157,7 +158,8 @@
 	}
 }
 
-// runUntilDetected returns after what time each full member held the crashed one for failed, in that order.
+// runUntilDetected returns how long after the crash each full member considered the crashed member failed, in ascending
+// order.
 func (c *largeCluster) runUntilDetected() (detected []timeunit.Milliseconds) {
 	crashedAt := c.Now
 	knows := make([]bool, fullMembers)
@@ -178,7 +180,7 @@
 	for _, size := range schedule.Scale([]int{300}, []int{300, 1000, 3000}) {
 		c := newLargeCluster(size)
 		converged := c.RunUntil(convergenceTimeout, c.runStep, c.hasConverged)
-		require.True(t, c.hasConverged(), "%d members never agreed", size)
+		require.True(t, c.hasConverged(), "%d members did not converge", size)
 
 		c.updatesHeard = 0
 		window := max(30*second, 2*c.updateEvery)
@@ -197,7 +199,7 @@
 		t.Logf("measured large-cluster members=%d converge_ms=%d detect_p50_ms=%d detect_p99_ms=%d false_positives=%d "+
 			"updates_a_second=%.1f bytes_a_second=%.0f", size, converged, detected[fullMembers/2],
 			detected[fullMembers-1], falsePositives, updatesPerSecond, bytesPerSecond)
-		require.Less(t, bytesPerSecond, 40.0*updateBytes) // the same however large the cluster
+		require.Less(t, bytesPerSecond, 40.0*updateBytes) // the bound does not depend on the cluster size
 		require.Zero(t, falsePositives)
 	}
 }
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	drainTime   timeunit.Milliseconds = 4500        // in which a leaver is seen as draining: stop_ms of the users' days
-	reformTime  timeunit.Milliseconds = 10 * second // in which those that stay must have agreed on themselves
-	maxLeaveGap timeunit.Milliseconds = 500         // between the first and the last that drains
+	drainTime   timeunit.Milliseconds = 4500        // how long leavers drain: stop_ms of simulated user days
+	reformTime  timeunit.Milliseconds = 10 * second // within which the remaining nodes must have agreed
+	maxLeaveGap timeunit.Milliseconds = 500         // between the first and the last node that drains
 )
 
-// newRepeatableCluster is newCluster with a history, which has each seed play alike: without it a member that is
-// ahead is asked in the random order of a map.
+// newRepeatableCluster returns a cluster with a history, which makes each seed reproducible: without a history, the
+// member that is asked for a newer configuration depends on the random iteration order of a map.
 func newRepeatableCluster(seed int64, servers int) *cluster {
 	c := newCluster(seed, servers)
 	c.history = golden.NewHistory()
 	return c
 }
 
-// leave ends a draining node's process. Its last message reaches every node that is not cut off.
+// leave ends a draining node's process. Its last message reaches every running node.
 func (c *cluster) leave(i int) {
 	id := c.nodes[i].view.config.Self
 	c.nodes[i].IsDown = true
@@ -37,7 +37,7 @@
 	}
 }
 
-// drainTogether has some nodes drain within maxLeaveGap and leave.
+// drainTogether makes some nodes begin to drain within maxLeaveGap of each other, and then leave.
 func (c *cluster) drainTogether(leavers []int) {
 	for _, i := range leavers {
 		c.nodes[i].isDraining = true
@@ -50,7 +50,8 @@
 	}
 }
 
-// requireMajority fails the test unless every node that runs is in the majority of a configuration of just these.
+// requireMajority fails the test unless every running node is in the majority, by a configuration that counts just the
+// running nodes.
 func (c *cluster) requireMajority(t *testing.T, seed int64) {
 	t.Helper()
 	running := 0
@@ -68,14 +69,14 @@
 	}
 }
 
-// What happened: when four of eight servers left together the four that stayed kept to their guaranteed minimum for
-// good. Why: the next configuration had to have more than half of the members of the last one, though those who were
-// missing had said that they leave. What showed it: event=quorum_status epoch=4 servers=4 status=part in the second in
-// which the others left, and nothing after it (3 of 4 runs of TestQuotaIsNeverExceededAsClusterChanges passed, as
-// servers that drain one after the other are replaced one after the other).
+// When four of eight servers left together, the remaining four stayed at their guaranteed minimum permanently. The next
+// configuration needed more than half of the members of the previous one, although the missing members had announced
+// that they were leaving. The log had event=quorum_status epoch=4 servers=4 status=part in the second in which the
+// others left, and nothing after it. TestQuotaIsNeverExceededAsClusterChanges passed in 3 of 4 runs, as servers that
+// drain one after the other are replaced one after the other.
 //
-// Here half of a cluster of 2 to 9 servers, or more as long as the voters that stay are a majority of the voters, drain
-// together; those that stay are the majority soon after, and never are two.
+// In this test half of a cluster of 3 to 9 servers (rounded down) drains together. The remaining servers must be the
+// majority soon afterwards, and there must never be two majorities.
 func TestThoseThatStayAreTheMajorityAfterHalfHaveLeft(t *testing.T) {
 	for seed := range int64(schedule.Scale(60, 3000)) {
 		size := 2 + int(seed)%8
@@ -90,9 +91,9 @@
 	}
 }
 
-// A fleet of nine loses four by their word and one by a crash at the same time: the four that stay are a majority of
-// the five that did not say that they leave. The drain takes longer than a crash takes to be suspected: otherwise five
-// of seven voters can be gone before anybody may propose in the place of the one that crashed.
+// A cluster of nine loses four servers that announce their leave and one that crashes at the same time. The remaining
+// four are a majority of the five that did not announce a leave. Draining takes longer than suspecting the crashed
+// server; otherwise five of seven voters could be gone before any server may propose to replace the crashed one.
 func TestLeaversAndOneCrashLeaveAMajority(t *testing.T) {
 	for seed := range int64(schedule.Scale(40, 2000)) {
 		c := newRepeatableCluster(seed, 9)
@@ -107,7 +108,8 @@
 	}
 }
 
-// Leaves in bulk among all other faults: never two majorities, whatever was heard of the leaves and by whom.
+// When many servers leave at once amid all other faults, there must never be two majorities, whichever nodes learned of
+// the leaves.
 func TestLeavesInBulkNeverMakeTwoMajorities(t *testing.T) {
 	majorities := 0
 	for seed := range int64(schedule.Scale(100, 5000)) {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -2,42 +2,43 @@
 
 import "thistlequay/timeunit"
 
-// Member is one incarnation of a server as this server sees it. Moments are by this server's clock.
+// Member is one incarnation of a server as this server sees it. Times are readings of this server's clock.
 type Member struct {
-	StateUpdate                       // its newest
-	State       State                 // concluded here; what it reported is StateUpdate.State
+	StateUpdate                       // the latest one received
+	State       State                 // concluded by this server; StateUpdate.State is what the member reported
 	Cause       Cause                 // the evidence for State
 	Since       timeunit.Milliseconds // when State was entered
-	FirstSeen   timeunit.Milliseconds // when the first update of it came
-	LastUpdate  timeunit.Milliseconds // when its newest update was published
+	FirstSeen   timeunit.Milliseconds // when its first update was received
+	LastUpdate  timeunit.Milliseconds // when its latest update was published
 	LastReply   timeunit.Milliseconds // when it last answered this server's own probe
-	RoundTrip   timeunit.Milliseconds // moving average over such answers
+	RoundTrip   timeunit.Milliseconds // moving average over the answered probes
 
-	transitions []timeunit.Milliseconds // its latest state changes, at most Config.FlapThreshold
-	leavingFrom timeunit.Milliseconds   // when it first said that it leaves, or notLeaving
-	terminated  bool                    // its process is over for good: no later update brings it back
-	counted     bool                    // it counts in the effective size
+	transitions []timeunit.Milliseconds // times of its latest state changes, at most Config.FlapThreshold
+	leavingFrom timeunit.Milliseconds   // when it first announced that it is leaving, or notLeaving
+	terminated  bool                    // its process has ended: no later update brings it back
+	counted     bool                    // whether it counts in the effective size
 }
 
-// notLeaving is the moment at which a member says that it leaves when it has not: after every clock.
+// notLeaving is the value of Member.leavingFrom for a member that has not announced that it is leaving. It is later
+// than every clock reading.
 const notLeaving timeunit.Milliseconds = 1 << 60
 
-// hasAnnouncedLeave says that the incarnation itself said that it leaves: it drains, or drained or left before its end.
+// hasAnnouncedLeave reports whether the incarnation itself announced that it is leaving: it is draining, or it drained
+// or left before it ended.
 func (m *Member) hasAnnouncedLeave() bool { return m.leavingFrom != notLeaving }
 
-// Age returns how old the newest update of the member is.
+// Age returns the age of the member's latest update.
 func (m *Member) Age(now timeunit.Milliseconds) timeunit.Milliseconds {
 	return max(0, now-m.LastUpdate)
 }
 
-// isAlive says whether the incarnation answers: nothing was held against it since, or only its name belongs to
-// another.
+// isAlive reports whether the incarnation counts as running: it is neither suspected nor failed nor gone, or it merely
+// lost its name to another incarnation.
 func (m *Member) isAlive() bool {
 	return m.State < StateSuspected || m.Cause == CauseNameConflict
 }
 
-// recordTransition remembers when the state changed; no more changes are kept than it takes to tell a flapping
-// member.
+// recordTransition records the time of a state change. It keeps only as many changes as it takes to detect flapping.
 func (m *Member) recordTransition(now timeunit.Milliseconds, threshold int) {
 	m.transitions = append(m.transitions, now)
 	if excess := len(m.transitions) - threshold; excess > 0 {
@@ -45,7 +46,7 @@
 	}
 }
 
-// isFlapping says that the state changed too often of late for its changes to mean anything.
+// isFlapping reports whether the state has changed so often recently that the changes carry no information.
 func (m *Member) isFlapping(now timeunit.Milliseconds, config *Config) bool {
 	if len(m.transitions) < config.FlapThreshold {
 		return false
--- a/internal/membership/name_owner.go
+++ b/internal/membership/name_owner.go
@@ -1,14 +1,14 @@
 package membership
 
-// NameOwner returns the incarnation that owns a name, and false when nobody does.
+// NameOwner returns the incarnation that owns a name. It returns false if no incarnation owns it.
 func (v *View) NameOwner(name string) (ID, bool) {
 	id, found := v.nameOwners[name]
 	return id, found
 }
 
-// resolveName settles which incarnation owns a name, in the same way on all servers that know the same: the earliest
-// one that is alive and was not superseded. So a second process that was started under the name by mistake takes
-// nothing from the first.
+// resolveName determines which incarnation owns a name: the earliest one that is alive and has not been superseded. All
+// servers with the same information come to the same result. A second process that is started under the name by mistake
+// therefore does not take it over.
 func (v *View) resolveName(name string) {
 	var candidates []*Member
 	for _, member := range v.byName[name] {
@@ -24,7 +24,7 @@
 	for _, member := range candidates {
 		switch {
 		case member.terminated:
-		case member == owner && member.Cause == CauseNameConflict: // the owner before it is over
+		case member == owner && member.Cause == CauseNameConflict: // the previous owner has ended
 			v.transition(member, member.StateUpdate.State, CauseNone)
 		case member == owner:
 		case member.isAlive() && member.Cause != CauseNameConflict:
@@ -34,8 +34,8 @@
 	}
 }
 
-// chooseOwner terminates the candidates that another one supersedes and returns the first of the rest that is alive;
-// when none is, the first.
+// chooseOwner terminates the candidates that another candidate supersedes. It returns the first of the rest that is
+// alive or, if none is alive, the first of the rest.
 func (v *View) chooseOwner(candidates []*Member) (owner *Member) {
 	for _, member := range candidates {
 		switch {
@@ -58,9 +58,9 @@
 	return false
 }
 
-// supersedes says that one incarnation started after another on the same address. Two processes never listen on one
-// address, so the earlier one is over. The incarnation numbers do not tell the order, since a machine's clock may
-// have been set back; when the two were first heard of does, unless that was at nearly the same time.
+// supersedes reports whether later started after earlier on the same address. Two processes never listen on one
+// address, so the earlier one has ended. Incarnation numbers do not give the order, because a machine's clock may have
+// been set back. The times at which the two were first seen do, unless they are nearly the same.
 func (v *View) supersedes(later, earlier *Member) bool {
 	return later.Address == earlier.Address && later.Address != "" &&
 		later.FirstSeen-earlier.FirstSeen > v.config.StabilityWindow
--- a/internal/membership/proposer.go
+++ b/internal/membership/proposer.go
@@ -6,26 +6,27 @@
 	"thistlequay/timeunit"
 )
 
-// proposer is the state of this server's own proposal for the next configuration (the proposer of Paxos).
+// proposer is the Paxos proposer state of this server: its own proposal for the next configuration.
 type proposer struct {
-	ballot          Ballot         // of the proposal under way; round 0: there is none
-	proposal        *Configuration // what electors are asked to accept
-	highestAccepted Ballot         // the highest ballot under which a promise said that proposal was accepted before
-	promises        []ID           // electors that promised
+	ballot          Ballot         // ballot of the current proposal; round 0 if there is none
+	proposal        *Configuration // configuration that the acceptors are asked to accept
+	highestAccepted Ballot         // highest ballot under which a promise reported an accepted configuration
+	promises        []ID           // acceptors that have promised
 	isAccepting     bool           // phase 2: a quorum has promised
-	acceptances     []ID           // electors that accepted
+	acceptances     []ID           // acceptors that have accepted
 
-	round             uint64                // of the last own proposal, over all epochs
-	retryAfter        timeunit.Milliseconds // no other proposal before then
-	changeWantedSince timeunit.Milliseconds // since when the view calls for another configuration, or notWanted
+	round             uint64                // round of this server's last proposal in any epoch
+	retryAfter        timeunit.Milliseconds // no new proposal before this time
+	changeWantedSince timeunit.Milliseconds // since when the view has required a new configuration, or notWanted
 }
 
-// notWanted is the moment since when another configuration is wanted when none is: after every clock.
+// notWanted is the value of proposer.changeWantedSince while no new configuration is required. It is later than every
+// clock reading.
 const notWanted timeunit.Milliseconds = 1 << 60
 
 func newProposer() proposer { return proposer{changeWantedSince: notWanted} }
 
-// reset ends the proposal under way, as another configuration was learned.
+// reset ends the current proposal after a configuration has been learned.
 func (p *proposer) reset() {
 	p.begin(Ballot{}, nil)
 	p.changeWantedSince = notWanted
@@ -40,8 +41,8 @@
 	p.acceptances = nil
 }
 
-// addPromise counts a promise. If the elector has accepted a configuration under a higher ballot than any seen so
-// far, that one is proposed instead of the own: it may have been chosen already.
+// addPromise counts a promise. If the acceptor has accepted a configuration under a higher ballot than any seen so far,
+// that configuration replaces the server's own proposal, because it may already have been chosen.
 func (p *proposer) addPromise(message Message) {
 	p.promises = append(p.promises, message.From)
 	if message.Configuration.Validate() == nil && message.AcceptedBallot.compare(p.highestAccepted) > 0 {
@@ -50,18 +51,18 @@
 	}
 }
 
-// expectsPromise says whether a promise is the elector's first in phase 1 of the proposal under way.
+// expectsPromise reports whether a promise is the acceptor's first in phase 1 of the current proposal.
 func (p *proposer) expectsPromise(message Message) bool {
 	return message.Ballot == p.ballot && p.ballot.Round > 0 && !p.isAccepting && !slices.Contains(p.promises,
 		message.From)
 }
 
-// expectsAcceptance says whether an acceptance is the elector's first in phase 2 of the proposal under way.
+// expectsAcceptance reports whether an acceptance is the acceptor's first in phase 2 of the current proposal.
 func (p *proposer) expectsAcceptance(message Message) bool {
 	return message.Ballot == p.ballot && p.isAccepting && !slices.Contains(p.acceptances, message.From)
 }
 
-// startProposal asks the electors for a promise, under a ballot above all that this server has seen.
+// startProposal asks the acceptors for promises. The ballot is higher than all that this server has used or promised.
 func (a *Agreement) startProposal(next Configuration) {
 	a.proposer.round = max(a.proposer.round, a.acceptor.promised.Round) + 1
 	a.proposer.begin(Ballot{a.proposer.round, a.config.Self}, &next)
@@ -91,7 +92,7 @@
 	}
 }
 
-// handleAccepted learns the proposal when a quorum has accepted it, and tells the electors and the new voters.
+// handleAccepted learns the proposal when a quorum has accepted it, and sends it to the acceptors and the new voters.
 func (a *Agreement) handleAccepted(message Message) {
 	if !a.proposer.expectsAcceptance(message) || !a.isElector(message.From) {
 		return
--- a/internal/membership/proposer_test.go
+++ b/internal/membership/proposer_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The configuration accepted under the highest ballot may have been chosen already, in whichever order promises come.
+// The configuration accepted under the highest ballot may already have been chosen, so the proposer must adopt it in
+// whatever order the promises arrive.
 func TestProposerTakesUpTheConfigurationOfTheHighestBallot(t *testing.T) {
 	accepted := func(epoch uint64) *Configuration {
 		voters := []Voter{{ID: ID{"n0", 1}}}
--- a/internal/membership/quorum_lease.go
+++ b/internal/membership/quorum_lease.go
@@ -6,14 +6,14 @@
 	"thistlequay/timeunit"
 )
 
-// leaseRequestsPerLease is how often grants are requested within one lease duration, so that two lost messages in a
-// row do not cost the lease.
+// leaseRequestsPerLease is the number of times that grants are requested within one lease duration. With 3, the loss of
+// two consecutive messages does not lose the lease.
 const leaseRequestsPerLease = 3
 
-// quorumLease collects the grants by which this server may count itself to the majority: while a majority of the
-// voters grants it, no other configuration is in force.
+// quorumLease holds the grants that allow this server to consider itself part of the majority. While a majority of the
+// voters grants the lease, no other configuration is in force.
 type quorumLease struct {
-	grantedUntil map[ID]timeunit.Milliseconds // by voter, by this server's clock
+	grantedUntil map[ID]timeunit.Milliseconds // expiry of each voter's grant, by this server's clock
 	nextRequest  timeunit.Milliseconds
 }
 
@@ -21,14 +21,14 @@
 	return quorumLease{grantedUntil: map[ID]timeunit.Milliseconds{}}
 }
 
-// reset forgets the grants of another configuration; new ones are requested at once.
+// reset discards the grants of the previous configuration. New ones are requested on the next tick.
 func (l *quorumLease) reset() {
 	clear(l.grantedUntil)
 	l.nextRequest = 0
 }
 
-// heldUntil returns until when a majority of the voters grants the lease, or the distant past when too few have
-// granted it at all.
+// heldUntil returns the time until which a majority of the voters grants the lease, or neverHappened if too few have
+// granted it.
 func (l *quorumLease) heldUntil(configuration *Configuration) timeunit.Milliseconds {
 	ends := make([]timeunit.Milliseconds, 0, maxVoters)
 	for _, voter := range configuration.Voters {
@@ -44,7 +44,7 @@
 	return ends[len(ends)-quorum]
 }
 
-// requestLease asks all voters for a grant when that is due.
+// requestLease requests a grant from every voter when the next request is due.
 func (a *Agreement) requestLease() {
 	now := a.view.now
 	if now < a.lease.nextRequest {
@@ -60,8 +60,8 @@
 	}
 }
 
-// handleLeaseRequest grants a lease as a voter, unless it has accepted the next configuration, drains, or does not
-// know which of two configurations is right.
+// handleLeaseRequest grants a lease if this server is a voter, unless it has accepted the next configuration, is
+// draining, or knows of a conflicting configuration of the same epoch.
 func (a *Agreement) handleLeaseRequest(message Message) {
 	if a.configuration.Epoch == 0 || !a.configuration.hasVoter(a.config.Self) || a.conflicting {
 		return
@@ -72,8 +72,8 @@
 	a.send(message.From, Message{Kind: MessageLeaseGrant, RequestedAt: message.RequestedAt})
 }
 
-// handleLeaseGrant records a grant. It counts from when it was requested, by this server's own clock, less what the
-// clocks may differ by. A moment of the request that is yet to come was made up.
+// handleLeaseGrant records a grant. The grant runs from the time of the request by this server's own clock, and is
+// shortened by the maximum clock drift. A request time in the future is forged, and the grant is ignored.
 func (a *Agreement) handleLeaseGrant(message Message) {
 	if !a.configuration.hasVoter(message.From) || message.RequestedAt > a.view.now {
 		return
@@ -82,8 +82,8 @@
 	a.lease.grantedUntil[message.From] = max(a.lease.grantedUntil[message.From], message.RequestedAt+duration)
 }
 
-// QuorumStatus returns what this server may act as now. It is worked out anew at each call, so that a server that
-// stood still finds its lease expired before it acts.
+// QuorumStatus returns the current quorum status of this server. It is computed at each call, so that a server that was
+// paused finds its lease expired before it acts.
 func (a *Agreement) QuorumStatus() QuorumStatus {
 	if a.view.now < a.MajorityUntil() && a.view.now >= a.inForceFrom {
 		return Majority
@@ -96,8 +96,8 @@
 	return Isolated
 }
 
-// MajorityUntil returns when this server ceases to belong to the majority unless it hears from the voters again.
-// Where it does not belong to it, that is in the distant past.
+// MajorityUntil returns when this server stops belonging to the majority unless it receives further lease grants. The
+// time is in the distant past if the server has no valid configuration, sees too few members or holds too few grants.
 func (a *Agreement) MajorityUntil() timeunit.Milliseconds {
 	if a.configuration.Epoch == 0 || a.conflicting {
 		return neverHappened
@@ -108,10 +108,11 @@
 	return a.lease.heldUntil(&a.configuration)
 }
 
-// hearsMostMembers says whether more than half of the members of the configuration are alive, or, where some have left
-// or drain, more than half of the others. Leavers leave both counts: who said that it leaves is not cut off, and
-// counting it as missing would leave half of a cluster without a majority for good. That no two majorities are in
-// force does not rest on these counts but on the voters' leases.
+// hearsMostMembers reports whether more than half of the members of the configuration are alive or, if some are
+// leaving, whether more than half of the others are. Leaving members are removed from both counts: a member that
+// announced its leave is not cut off, and counting it as missing would leave half of a cluster permanently without a
+// majority. Safety does not depend on these counts; the leases of the voters ensure that no two majorities are in
+// force.
 func (a *Agreement) hearsMostMembers() bool {
 	if 2*a.view.AliveCount() > a.configuration.MemberCount {
 		return true
--- a/internal/membership/quorum_status.go
+++ b/internal/membership/quorum_status.go
@@ -1,46 +1,46 @@
 package membership
 
-// QuorumStatus says how much of the cluster a server may speak for.
+// QuorumStatus describes how much of the cluster a server may act for.
 type QuorumStatus int
 
-// The quorum statuses. Two parts of a cluster that are cut off from each other are never both in the majority.
+// The quorum statuses. Two sides of a network partition are never both in the majority.
 const (
-	Isolated QuorumStatus = iota // it hears nobody
-	Minority                     // it hears some, but less than a majority, or it cannot tell
-	Majority                     // it holds the quorum lease and hears more than half of the configured members
+	Isolated QuorumStatus = iota // the server sees no other member alive
+	Minority                     // it sees others, but either no majority or no proof of one
+	Majority                     // it holds the quorum lease and sees more than half of the configured members alive
 )
 
-// QuorumStatusNames are the names that operators see in the log and in the status page, by number.
+// QuorumStatusNames are the names shown to operators in the log and on the status page, indexed by QuorumStatus.
 var QuorumStatusNames = []string{"alone", "part", "whole"}
 
-// String returns the name that operators see.
+// String returns the name shown to operators.
 func (s QuorumStatus) String() string { return QuorumStatusNames[s] }
 
-// Operation is something that servers do together and that must be safe in every quorum status.
+// Operation is a kind of joint operation of the servers that must be safe in every quorum status.
 type Operation int
 
 // The operations.
 const (
-	SizeOperation        Operation = iota // the number of servers that each reckons with
-	QuotaOperation                        // quotas: parts of a limit of the whole cluster
-	ExclusiveOperation                    // turns at what must not happen on two servers at once
-	EntitlementOperation                  // tenants' parts over the cluster
-	RolloutOperation                      // steps of a rolling change
+	SizeOperation        Operation = iota // determining the number of servers in the cluster
+	QuotaOperation                        // distributing quotas, which are shares of a cluster-wide limit
+	ExclusiveOperation                    // taking turns at work that must not happen on two servers at once
+	EntitlementOperation                  // dividing tenants' entitlements across the cluster
+	RolloutOperation                      // advancing the steps of a rolling change
 )
 
-// Permission says how much of an operation is allowed.
+// Permission is the extent to which an operation is allowed.
 type Permission int
 
 // The permissions, from the least to the most.
 const (
-	NotPermitted      Permission = iota // the server does only what is safe alone
-	GuaranteedMinimum                   // what is reserved for every member, and what it holds until that expires
-	ConfiguredMinimum                   // no fewer servers than were agreed on
-	Unrestricted                        // as the whole cluster
+	NotPermitted      Permission = iota // only what is safe on a server alone
+	GuaranteedMinimum                   // what is reserved for each member, and what the server holds until it expires
+	ConfiguredMinimum                   // the number of servers does not fall below the configured one
+	Unrestricted                        // no restriction, as in the whole cluster
 )
 
-// permissions has a row for each operation: for Isolated, Minority, Majority. docs/membership/design.md has the
-// reasons.
+// permissions lists, for each operation, the permission in the statuses Isolated, Minority and Majority, in this order.
+// docs/membership/design.md gives the reasons.
 var permissions = map[Operation][3]Permission{
 	SizeOperation:        {ConfiguredMinimum, ConfiguredMinimum, Unrestricted},
 	QuotaOperation:       {GuaranteedMinimum, GuaranteedMinimum, Unrestricted},
@@ -49,5 +49,5 @@
 	RolloutOperation:     {NotPermitted, NotPermitted, Unrestricted},
 }
 
-// Permits returns how much of an operation a server with this status may do.
+// Permits returns the extent to which a server with this status may perform an operation.
 func (s QuorumStatus) Permits(operation Operation) Permission { return permissions[operation][s] }
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -13,7 +13,7 @@
 	"thistlequay/timeunit"
 )
 
-// Scenarios are text files; testdata/README.md explains their notation.
+// TestScenarios plays the scenario files; testdata/README.md explains their notation.
 func TestScenarios(t *testing.T) {
 	for _, file := range scenario.Files(t) {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -32,13 +32,13 @@
 	}
 }
 
-// player plays the lines of one scenario.
+// player executes the lines of one scenario.
 type player struct {
 	*require.Assertions
 	view      *View
 	agreement *Agreement
-	sequences map[ID]uint64 // the last sequence number of each member
-	where     string        // file, line and text, for failures
+	sequences map[ID]uint64 // last sequence number of each member
+	where     string        // file, line and text, for failure messages
 }
 
 func (p *player) play(verb string, args []string) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// check plays the lines that say what must hold.
+// check executes the lines that state what must hold.
 func (p *player) check(verb string, args []string) {
 	switch verb {
 	case "is":
@@ -204,7 +204,7 @@
 	return results[text]
 }
 
-// options reads the words of a line that are key=value.
+// options parses the words of a line that have the form key=value.
 func (p *player) options(words []string) map[string]string {
 	options := map[string]string{}
 	for _, word := range words {
--- a/internal/membership/succession.go
+++ b/internal/membership/succession.go
@@ -7,26 +7,27 @@
 	"thistlequay/timeunit"
 )
 
-// When another configuration is proposed, by whom, and which.
+// This file decides when a new configuration is proposed, by which server, and what it contains.
 
-// urgency says what calls for another configuration; the greater, the more pressing.
+// urgency is how urgently a new configuration is needed, by the reason for it. A greater value is more urgent.
 type urgency int
 
 const (
 	noChange      urgency = iota
-	countDrifted          // it counts other members than are alive, or a new genesis is wanted
-	votersMissing         // there is none, a voter is not alive, or there are too few voters
-	immediate             // a voter drains and must be replaced before it leaves, or a proposal was accepted already
+	countDrifted          // the member count is outdated, or a new genesis epoch is requested
+	votersMissing         // there is no configuration, a voter is not alive, or there are too few voters
+	immediate             // a draining voter must be replaced before it leaves, or a proposal was already accepted
 )
 
-// countDriftFraction: a configuration whose member count is off by more than one in so many is replaced.
+// countDriftFraction sets the tolerated drift of the member count: a configuration is replaced when its count is off by
+// more than one member in countDriftFraction.
 const countDriftFraction = 10
 
-// leasePerMember lengthens the lease with the size of the cluster, so that the rate of lease requests to a voter
-// stays the same.
+// leasePerMember is the lease duration for each member of the cluster. The lease grows with the cluster so that the
+// rate of lease requests to a voter stays constant.
 const leasePerMember timeunit.Milliseconds = 5
 
-// proposeIfNeeded proposes another configuration when the view calls for one and it is this server's turn.
+// proposeIfNeeded proposes a new configuration when the view requires one and it is this server's turn.
 func (a *Agreement) proposeIfNeeded() {
 	if !a.mayVote() {
 		a.proposer.changeWantedSince = notWanted
@@ -54,8 +55,8 @@
 	a.startProposal(next)
 }
 
-// proposerRank returns this server's place, from 0, among the electors that are alive and not draining, ordered by
-// ID. It returns false when this server is none of them or no quorum of the electors is alive.
+// proposerRank returns this server's rank, starting at 0, among the acceptors that are alive and not draining, ordered
+// by ID. It returns false if this server is not one of them or if no quorum of the acceptors is alive.
 func (a *Agreement) proposerRank() (rank int, mayPropose bool) {
 	electors, quorum := a.electorate()
 	var candidates []ID
@@ -75,9 +76,9 @@
 	return rank, aliveCount >= quorum && rank >= 0
 }
 
-// isProposalDue says whether the proposer of a rank should propose now. The first waits until the view has stood for
-// StabilityWindow, unless the matter is immediate; each further one gives those before it more time, and a mere drift
-// of the count is left to the first.
+// isProposalDue reports whether the proposer with the given rank should propose now. The first proposer waits until a
+// change has been needed for StabilityWindow, unless the change is immediate. Each further proposer waits longer, to
+// give those before it time, and leaves a mere drift of the member count to the first.
 func (a *Agreement) isProposalDue(pressing urgency, rank int) bool {
 	now := a.view.now
 	waited := now - a.proposer.changeWantedSince
@@ -93,8 +94,9 @@
 	return pressing != countDrifted && waited >= a.config.StabilityWindow*timeunit.Milliseconds(2+rank)
 }
 
-// requiredCount returns the number of members of which the next configuration must have more than half: those of the
-// current one less those that said since that they leave, or at first the intended size of the cluster.
+// requiredCount returns the member count of which the next configuration must have more than half: the members of the
+// current configuration except those that have since announced that they are leaving, or InitialSize while
+// bootstrapping.
 func (a *Agreement) requiredCount() int {
 	if a.isForming() {
 		return a.config.InitialSize
@@ -102,8 +104,8 @@
 	return a.configuration.MemberCount - a.countLeavers()
 }
 
-// countLeavers returns how many members of the current configuration said that they leave. Members that came after it
-// was learned were not counted in it.
+// countLeavers returns the number of members of the current configuration that have announced that they are leaving.
+// Members first seen after it was learned are not part of its member count and are ignored.
 func (a *Agreement) countLeavers() int {
 	count := a.leavingThen
 	for _, member := range a.view.members {
@@ -114,9 +116,10 @@
 	return count
 }
 
-// countLeavingIn returns how many members that a configuration counts are leaving already. Those that drained when it
-// was proposed are not counted in it, those that began after that are, as when many drain within a second; a
-// configuration does not say which. It counts at most all that stay, so what it counts beyond them drains.
+// countLeavingIn returns the number of members counted in a configuration that are already leaving. Members that were
+// draining when it was proposed are not counted in it, but members that began to drain afterwards are, for example when
+// many drain within a second. The configuration does not list them, so their number is inferred: it counts at most all
+// members that stay, so any excess over those must be draining.
 func (a *Agreement) countLeavingIn(next Configuration) int {
 	alive := a.view.Alive()
 	staying := a.countStaying(alive)
@@ -124,7 +127,7 @@
 	return min(max(0, next.MemberCount-staying), draining)
 }
 
-// changeUrgency says how pressing another configuration is.
+// changeUrgency returns how urgently a new configuration is needed.
 func (a *Agreement) changeUrgency(alive []ID) urgency {
 	if a.acceptor.accepted != nil {
 		return immediate
@@ -158,8 +161,8 @@
 	return noChange
 }
 
-// largestOdd returns the largest odd number up to n: an even number of voters tolerates no more failures than one
-// less.
+// largestOdd returns the largest odd number not greater than n. An even number of voters tolerates no more failures
+// than the odd number below it.
 func largestOdd(n int) int { return n - (n+1)%2 }
 
 // countStaying returns how many of the members are not draining.
@@ -190,8 +193,9 @@
 	return next
 }
 
-// chooseVoters returns count members: the current voters first, then always one of the zone that has the fewest, so
-// that the loss of a zone takes as few voters as possible; in a zone the incarnation that started first.
+// chooseVoters returns up to count members. It takes the current voters first, then repeatedly a member of the zone
+// with the fewest voters, so that the loss of a zone costs as few voters as possible. Within a zone, the incarnation
+// that started first is preferred.
 func (a *Agreement) chooseVoters(alive []ID, count int) (chosen []*Member) {
 	var rest []*Member
 	perZone := map[string]int{}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -13,28 +13,29 @@
 	now        timeunit.Milliseconds
 	self       *Member
 	members    map[ID]*Member
-	byName     map[string][]*Member // the incarnations of a name, by number
+	byName     map[string][]*Member // incarnations of each name, ordered by number
 	nameOwners map[string]ID
-	resumedAt  timeunit.Milliseconds // when this server last resumed after a pause of its own
+	resumedAt  timeunit.Milliseconds // when this server last resumed after being paused
 
 	effectiveSize  int
-	configuredSize int // members of the configuration that was learned last
+	configuredSize int // member count of the latest learned configuration
 
-	// Counts are the rejected messages and wrong suspicions since the start; the host adds what it rejects itself.
+	// Counts are the rejected messages and false suspicions since the start. The host adds the messages it rejects
+	// itself.
 	Counts Counts
 	events []Event
 }
 
-// Counts are numbers of rejected messages and wrong conclusions since the start. The JSON keys are part of the status
-// page.
+// Counts are the numbers of rejected messages and wrong conclusions since the start. The JSON keys are part of the
+// status page.
 type Counts struct {
 	Invalid        int `json:"Insane"`      // updates that Validate rejected
-	Stale          int `json:"Old"`         // updates that were not newer than what is known
+	Stale          int `json:"Old"`         // updates that were not newer than the known one
 	Forged         int `json:"Foreign"`     // messages whose seal is not that of the claimed sender
-	UnknownSender  int `json:"Unknown"`     // messages of members that were not heard of
+	UnknownSender  int `json:"Unknown"`     // messages from members that are not known
 	NoCapacity     int `json:"Full"`        // updates of new members beyond Config.MaxMembers
-	FalsePositives int `json:"FalseAlarms"` // members held for failed that were running all the time
-	NameConflicts  int `json:"NameTaken"`   // incarnations that found their name owned by another
+	FalsePositives int `json:"FalseAlarms"` // members considered failed that were running all the time
+	NameConflicts  int `json:"NameTaken"`   // incarnations whose name was owned by another one
 }
 
 // Event is one change of a member's state, for the log.
@@ -45,7 +46,8 @@
 	Cause Cause
 }
 
-// NewView returns a view that holds only the server itself. now is the host's clock, which must be monotonic.
+// NewView returns a View that contains only the server itself. now is the time by the host's clock, which must be
+// monotonic.
 func NewView(config Config, now timeunit.Milliseconds) *View {
 	v := &View{
 		config:        config,
@@ -68,16 +70,16 @@
 	return v
 }
 
-// neverHappened is the moment of an event that did not happen yet: before every clock.
+// neverHappened is the time of an event that has not happened. It is earlier than every clock reading.
 const neverHappened timeunit.Milliseconds = -1 << 60
 
-// pauseThreshold is the number of intervals between two calls of Advance from which on this process must have stood
-// still.
+// pauseThreshold is the number of intervals between two calls of Advance above which this process must have been
+// paused.
 const pauseThreshold = 4
 
-// Advance moves the clock of the view on to now; interval is the usual time between two calls. When the gap shows
-// that this process stood still, its length is returned, else 0; for the next StabilityWindow the view then concludes
-// nothing against others (recentlyPaused).
+// Advance moves the view's clock forward to now; interval is the usual time between two calls. If the gap since the
+// last call shows that this process was paused, its length is returned, otherwise 0. For the next StabilityWindow the
+// view then draws no conclusions against other members (recentlyPaused).
 func (v *View) Advance(now, interval timeunit.Milliseconds) (paused timeunit.Milliseconds) {
 	if gap := now - v.now; gap > pauseThreshold*interval {
 		paused = gap
@@ -88,11 +90,12 @@
 	return paused
 }
 
-// recentlyPaused says that this process stood still and has not yet had the time to hear the others again.
+// recentlyPaused reports whether this process was paused and has not yet had time to hear from the other members again.
 func (v *View) recentlyPaused() bool { return v.now-v.resumedAt < v.config.StabilityWindow }
 
-// UpdateSelf makes update, completed with what the view knows itself and the next sequence number, the state of this
-// server and returns it as it is to be published. An invalid one changes nothing; the last one is returned again.
+// UpdateSelf sets this server's state to update, to which it adds the fields that the view maintains and the next
+// sequence number, and returns the update to publish. If the result is invalid, the state does not change and the
+// previous update is returned.
 func (v *View) UpdateSelf(update StateUpdate) StateUpdate {
 	update.ID = v.config.Self
 	update.Zone = v.config.Zone
@@ -114,7 +117,8 @@
 	return update
 }
 
-// unreachableNames returns the names that this server cannot reach although others may.
+// unreachableNames returns the names of members that this server cannot reach although others may, at most
+// MaxUnreachable.
 func (v *View) unreachableNames() (names []string) {
 	for _, member := range v.Members() {
 		isUnreachable := member.Cause == CauseUnreachableFromHere || member.State == StateSuspected
@@ -125,8 +129,8 @@
 	return names
 }
 
-// ApplyUpdate takes a state update that came from the member itself or was passed on by another. It returns whether
-// the update was news; if not, Counts says why.
+// ApplyUpdate applies a state update that came from the member itself or was passed on by another. It reports whether
+// the update was new. If it was not, Counts records why, except for an update about this server itself.
 func (v *View) ApplyUpdate(update StateUpdate) bool {
 	if update.Validate() != nil {
 		v.Counts.Invalid++
@@ -134,7 +138,7 @@
 	}
 	update.sanitize()
 	if update.ID == v.config.Self {
-		return false // only the server itself says how it is
+		return false // only the server itself reports its state
 	}
 	member := v.members[update.ID]
 	if member == nil {
@@ -148,7 +152,7 @@
 	return true
 }
 
-// addFrom adds the member that an update is the first of. It returns false when there is no capacity for it.
+// addFrom adds the member described by its first update. It returns false if there is no capacity for it.
 func (v *View) addFrom(update *StateUpdate) bool {
 	if len(v.members) >= v.config.MaxMembers && !v.evictOldest() {
 		v.Counts.NoCapacity++
@@ -172,16 +176,16 @@
 	return true
 }
 
-// applyNewer replaces a member's update by a newer one and concludes its state.
+// applyNewer replaces a member's update with a newer one and derives the member's state.
 func (v *View) applyNewer(member *Member, update *StateUpdate) {
 	hasPausedAnew := update.PausedMs > 0 && update.PausedMs != member.PausedMs
 	member.StateUpdate = *update
 	member.LastUpdate = max(member.LastUpdate, v.now-timeunit.Milliseconds(update.AgeMs))
 	switch {
 	case member.terminated || member.Cause == CauseNameConflict:
-		// What is over does not come back, and who has no name waits for it.
+		// A terminated member does not come back, and a member in a name conflict waits until it owns the name.
 	case member.State == StateFailed || member.State == StateSuspected:
-		// The update may be older than the suspicion: only an answer or a refutation clears it.
+		// The update may predate the suspicion: only a probe answer or a refutation clears it.
 		if hasPausedAnew {
 			member.Cause = CausePaused
 		}
@@ -193,7 +197,7 @@
 	v.resolveName(update.Name)
 }
 
-// Members returns all incarnations that are kept, ordered by ID.
+// Members returns all known incarnations, ordered by ID.
 func (v *View) Members() []*Member {
 	list := make([]*Member, 0, len(v.members))
 	for _, member := range v.members {
@@ -203,23 +207,23 @@
 	return list
 }
 
-// Member returns one incarnation, or nil when it is not known.
+// Member returns an incarnation, or nil if it is not known.
 func (v *View) Member(id ID) *Member { return v.members[id] }
 
-// Self returns this server.
+// Self returns the member for this server.
 func (v *View) Self() *Member { return v.self }
 
-// Now returns the latest time that Advance was called with.
+// Now returns the latest time passed to Advance.
 func (v *View) Now() timeunit.Milliseconds { return v.now }
 
-// Events returns the changes of state since the last call.
+// Events returns the state changes since the last call.
 func (v *View) Events() []Event {
 	events := v.events
 	v.events = nil
 	return events
 }
 
-// Alive returns the members that are alive and own their names, this server included, ordered by ID.
+// Alive returns the IDs of the members that are alive and own their names, including this server, in order.
 func (v *View) Alive() (ids []ID) {
 	for _, member := range v.Members() {
 		if member.State < StateSuspected {
@@ -229,7 +233,7 @@
 	return ids
 }
 
-// AliveCount returns the number of members that Alive would return.
+// AliveCount returns the number of members that Alive returns.
 func (v *View) AliveCount() (count int) {
 	for _, member := range v.members {
 		if member.State < StateSuspected {
@@ -239,8 +243,8 @@
 	return count
 }
 
-// Tick does what follows from time alone: members that left or failed long ago are removed, and the effective size
-// follows the view. The host calls it a few times a second.
+// Tick applies the changes that depend on time alone: it removes members that failed or left more than Retention ago
+// and updates the effective size. The host calls it a few times per second.
 func (v *View) Tick(status QuorumStatus) {
 	for _, member := range v.members {
 		isOver := member.State >= StateFailed && member.Cause != CauseNameConflict
@@ -251,7 +255,7 @@
 	v.updateEffectiveSize(status)
 }
 
-// evictOldest makes room for a new member by removing the one that failed or left first. It returns false when there
+// evictOldest frees capacity for a new member by removing the one that failed or left first. It returns false if there
 // is none.
 func (v *View) evictOldest() bool {
 	var oldest *Member
@@ -286,7 +290,7 @@
 	}
 }
 
-// transition sets a member's state and cause. A change of the state is an event and counts towards flapping.
+// transition sets a member's state and cause. A change of the state emits an event and counts towards flapping.
 func (v *View) transition(member *Member, state State, cause Cause) {
 	isLeaving := state == StateDraining || state == StateLeft && cause == CauseLeft
 	if isLeaving {
