--- a/internal/membership/acceptor.go
+++ b/internal/membership/acceptor.go
@@ -51,48 +51,48 @@
 	}
 }
 
-// electorate returns the servers that vote on the next configuration and the number of votes that it needs. While
+// acceptors returns the servers that vote on the next configuration and the number of votes that it needs. While
 // bootstrapping, these are the founders, and all of them must vote: each may have belonged to an earlier configuration
 // that it has forgotten, so only all of them together can tell that none exists.
-func (a *Agreement) electorate() (electors []ID, quorum int) {
-	if !a.isForming() {
+func (a *Agreement) acceptors() (acceptors []ID, quorum int) {
+	if !a.isBootstrapping() {
 		for _, voter := range a.configuration.Voters {
-			electors = append(electors, voter.ID)
+			acceptors = append(acceptors, voter.ID)
 		}
-		return electors, a.configuration.quorum()
+		return acceptors, a.configuration.quorum()
 	}
 	for _, name := range a.config.Founders {
 		if id, found := a.view.NameOwner(name); found {
-			electors = append(electors, id)
+			acceptors = append(acceptors, id)
 		}
 	}
-	return electors, max(1, len(a.config.Founders))
+	return acceptors, max(1, len(a.config.Founders))
 }
 
-func (a *Agreement) isElector(id ID) bool {
-	electors, _ := a.electorate()
-	return slices.Contains(electors, id)
+func (a *Agreement) isAcceptor(id ID) bool {
+	acceptors, _ := a.acceptors()
+	return slices.Contains(acceptors, id)
 }
 
-// isForming reports whether there is no configuration to follow: none is known, two of the same epoch conflict, or
-// every voter of the current one has terminated.
-func (a *Agreement) isForming() bool {
-	if a.configuration.Epoch == 0 || a.conflicting {
+// isBootstrapping reports whether there is no configuration to follow: none is known, two of the same epoch conflict,
+// or every voter of the current one has terminated.
+func (a *Agreement) isBootstrapping() bool {
+	if a.configuration.Epoch == 0 || a.isConflicting {
 		return true
 	}
 	for _, voter := range a.configuration.Voters {
-		if !a.isGoneForGood(voter) {
+		if !a.hasTerminated(voter) {
 			return false
 		}
 	}
 	return true
 }
 
-// isGoneForGood reports whether the incarnation of a voter has ended. This is the case if the view has marked it
+// hasTerminated reports whether the incarnation of a voter has ended. This is the case if the view has marked it
 // terminated, or if another incarnation has been alive at its address for longer than FlapHold, during which a flapping
 // member may still count as alive.
-func (a *Agreement) isGoneForGood(voter Voter) bool {
-	if member := a.view.Member(voter.ID); member != nil && member.terminated {
+func (a *Agreement) hasTerminated(voter Voter) bool {
+	if member := a.view.Member(voter.ID); member != nil && member.isTerminated {
 		return true
 	}
 	ownerID, found := a.view.NameOwner(voter.Name)
@@ -107,8 +107,8 @@
 // mayVote reports whether this server may vote on the next configuration now. A draining server may still vote;
 // otherwise half of the voters could not be replaced at once.
 func (a *Agreement) mayVote() bool {
-	if a.isForming() {
-		return a.view.now >= a.votesFrom && slices.Contains(a.config.Founders, a.config.Self.Name)
+	if a.isBootstrapping() {
+		return a.view.now >= a.bootstrapVotesFrom && slices.Contains(a.config.Founders, a.config.Self.Name)
 	}
 	return a.configuration.hasVoter(a.config.Self)
 }
--- a/internal/membership/agreement.go
+++ b/internal/membership/agreement.go
@@ -18,15 +18,15 @@
 //
 // Agreement is not safe for concurrent use. It must be used from the goroutine of its View.
 type Agreement struct {
-	view          *View
-	config        Config
-	configuration Configuration         // the latest learned configuration
-	learnedAt     timeunit.Milliseconds // when configuration was learned
-	leavingThen   int                   // members counted in configuration that were already leaving at learnedAt
-	inForceFrom   timeunit.Milliseconds // when configuration comes into force
-	conflicting   bool                  // a different configuration of the same epoch has been received
-	votesFrom     timeunit.Milliseconds // when this incarnation may first vote while bootstrapping
-	highestEpoch  uint64                // highest epoch seen in any message or configuration
+	view               *View
+	config             Config
+	configuration      Configuration         // the latest learned configuration
+	learnedAt          timeunit.Milliseconds // when configuration was learned
+	leavingWhenLearned int                   // members counted in configuration that were already leaving at learnedAt
+	inForceFrom        timeunit.Milliseconds // when configuration comes into force
+	isConflicting      bool                  // a different configuration of the same epoch has been received
+	bootstrapVotesFrom timeunit.Milliseconds // when this incarnation may first vote while bootstrapping
+	highestEpoch       uint64                // highest epoch seen in any message or configuration
 
 	acceptor acceptor
 	proposer proposer
@@ -48,13 +48,13 @@
 func NewAgreement(view *View) *Agreement {
 	config := view.config
 	return &Agreement{
-		view:        view,
-		config:      config,
-		votesFrom:   view.now + 2*config.LeaseDuration + config.StabilityWindow,
-		proposer:    newProposer(),
-		lease:       newQuorumLease(),
-		lastStatus:  Isolated,
-		statusSince: view.now,
+		view:               view,
+		config:             config,
+		bootstrapVotesFrom: view.now + 2*config.LeaseDuration + config.StabilityWindow,
+		proposer:           newProposer(),
+		lease:              newQuorumLease(),
+		lastStatus:         Isolated,
+		statusSince:        view.now,
 	}
 }
 
@@ -88,7 +88,7 @@
 		return
 	}
 	if message.Epoch != a.configuration.Epoch {
-		a.handleOtherEpoch(message)
+		a.handleEpochMismatch(message)
 		return
 	}
 	switch message.Kind {
@@ -107,10 +107,10 @@
 	}
 }
 
-// handleOtherEpoch brings the server that is behind up to date. A sender that is behind receives the current
+// handleEpochMismatch brings the server that is behind up to date. A sender that is behind receives the current
 // configuration. A sender that is ahead receives a lease request, which has an outdated epoch and is therefore answered
 // with the newer configuration.
-func (a *Agreement) handleOtherEpoch(message Message) {
+func (a *Agreement) handleEpochMismatch(message Message) {
 	switch {
 	case message.Epoch < a.configuration.Epoch:
 		configuration := a.configuration
@@ -133,19 +133,19 @@
 	if next.Epoch == a.configuration.Epoch && next.Epoch > 0 && !next.equal(&a.configuration) {
 		// Two first configurations were chosen by incarnations that did not know of each other. Neither is used, and
 		// the founders agree on a third.
-		a.conflicting = true
+		a.isConflicting = true
 		return
 	}
 	if next.Epoch <= a.configuration.Epoch {
 		return
 	}
 	longestLease := max(a.configuration.LeaseDuration, next.LeaseDuration, a.config.LeaseDuration)
-	wait := math.Ceil(float64(longestLease) * (1 + a.config.MaxClockDrift))
+	waitMs := math.Ceil(float64(longestLease) * (1 + a.config.MaxClockDrift))
 	a.configuration = next
-	a.conflicting = false
+	a.isConflicting = false
 	a.learnedAt = a.view.now
-	a.leavingThen = a.countLeavingIn(next)
-	a.inForceFrom = a.view.now + timeunit.Milliseconds(wait)
+	a.leavingWhenLearned = a.countLeavingWhenLearned(next)
+	a.inForceFrom = a.view.now + timeunit.Milliseconds(waitMs)
 	a.view.configuredSize = next.MemberCount
 	a.highestEpoch = max(a.highestEpoch, next.Epoch)
 	a.acceptor = acceptor{}
@@ -159,7 +159,7 @@
 // second.
 func (a *Agreement) Tick() {
 	a.requestLease()
-	a.askMemberAhead()
+	a.requestNewerConfiguration()
 	a.proposeIfNeeded()
 	if status := a.QuorumStatus(); status != a.lastStatus {
 		a.lastStatus = status
@@ -167,8 +167,8 @@
 	}
 }
 
-// askMemberAhead requests the configuration from one of the members that act on a newer one.
-func (a *Agreement) askMemberAhead() {
+// requestNewerConfiguration requests the configuration from one of the members that act on a newer one.
+func (a *Agreement) requestNewerConfiguration() {
 	for _, member := range a.view.members {
 		if member.Epoch > a.configuration.Epoch && member.isAlive() && member != a.view.self {
 			a.send(member.ID, Message{Kind: MessageLeaseRequest, RequestedAt: a.view.now})
--- a/internal/membership/agreement_test.go
+++ b/internal/membership/agreement_test.go
@@ -13,15 +13,15 @@
 // network heals, one must be in force again in most of the schedules.
 func TestTwoConfigurationsAreNeverInForceAtOnce(t *testing.T) {
 	seeds := schedule.Scale(100, 5000)
-	splitBrains, majorities, observations, healed, changes := 0, 0, 0, 0, 0
+	splitBrains, majorities, observations, healedCount, changes := 0, 0, 0, 0, 0
 	for seed := range seeds {
 		c := newCluster(int64(seed), 3+seed%7)
 		c.runFaultSchedule()
-		hasHealed := slices.ContainsFunc(c.nodes, func(n *node) bool {
+		hasMajority := slices.ContainsFunc(c.nodes, func(n *node) bool {
 			return !n.IsDown && n.agreement.QuorumStatus() == Majority
 		})
-		if hasHealed {
-			healed++
+		if hasMajority {
+			healedCount++
 		}
 		for _, n := range c.nodes {
 			changes += n.agreement.ConfigurationChanges
@@ -32,6 +32,6 @@
 		require.Zero(t, c.splitBrains, "seed %d", seed)
 	}
 	t.Logf("measured agreement schedules=%d observations=%d majority=%d split_brain=%d changes=%d healed=%d",
-		seeds, observations, majorities, splitBrains, changes, healed)
-	require.Greater(t, healed, seeds/2)
+		seeds, observations, majorities, splitBrains, changes, healedCount)
+	require.Greater(t, healedCount, seeds/2)
 }
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -40,9 +40,9 @@
 	view       *View
 	agreement  *Agreement
 
-	isDraining    bool
-	lastHeard     map[ID]timeunit.Milliseconds
-	heldForFailed map[ID]bool
+	isDraining     bool
+	lastHeard      map[ID]timeunit.Milliseconds
+	reportedFailed map[ID]bool
 }
 
 const (
@@ -50,11 +50,11 @@
 	advanceInterval                       = 2 * simulationStep
 	suspectAfter                          = 3 * second
 	failAfter                             = 5 * second
-	maxDelay                              = 250 // of a packet
+	maxPacketDelay                        = 250 // of a packet
 )
 
 func newCluster(seed int64, servers int) *cluster {
-	c := &cluster{Network: schedule.NewNetwork[packet](schedule.NewSimulation(seed, second), maxDelay)}
+	c := &cluster{Network: schedule.NewNetwork[packet](schedule.NewSimulation(seed, second), maxPacketDelay)}
 	for i := range servers {
 		n := &node{
 			localClock: c.NewLocalClock(0.04, 100000),
@@ -66,13 +66,13 @@
 		c.Join(&n.Process)
 	}
 	for i := range c.nodes {
-		c.start(i)
+		c.startNode(i)
 	}
 	return c
 }
 
-// start starts a new incarnation of a node. Its clock may have been set back since the previous one.
-func (c *cluster) start(i int) {
+// startNode starts a new incarnation of a node. Its clock may have been set back since the previous one.
+func (c *cluster) startNode(i int) {
 	n := c.nodes[i]
 	c.incarnations++
 	config := DefaultConfig(ID{n.name, uint64(c.Random.Intn(1000)+1)<<32 | c.incarnations})
@@ -86,7 +86,7 @@
 	n.view = NewView(config, c.clock(n))
 	n.agreement = NewAgreement(n.view)
 	n.lastHeard = map[ID]timeunit.Milliseconds{}
-	n.heldForFailed = map[ID]bool{}
+	n.reportedFailed = map[ID]bool{}
 	n.view.UpdateSelf(StateUpdate{Address: n.address, State: StateServing})
 }
 
@@ -122,8 +122,8 @@
 	id := p.update.ID
 	n.view.ApplyUpdate(*p.update)
 	n.lastHeard[id] = n.view.now
-	if n.heldForFailed[id] {
-		delete(n.heldForFailed, id)
+	if n.reportedFailed[id] {
+		delete(n.reportedFailed, id)
 		n.view.Refuted(id)
 	}
 	n.view.ProbeSucceeded(id, 10)
@@ -146,16 +146,16 @@
 			c.Send(i, j, packet{update: &update})
 		}
 	}
-	n.detectSilence()
+	n.detectFailures()
 	c.tickAgreement(n)
 	n.view.Tick(n.agreement.QuorumStatus())
 	if c.history != nil {
-		c.history.Add(i, wire(update))
+		c.history.Add(i, cborHex(update))
 		addState(c.history, n.view, n.agreement)
 	}
 	for _, message := range n.agreement.TakeMessages() {
 		if c.history != nil {
-			c.history.Add(wire(message))
+			c.history.Add(cborHex(message))
 		}
 		if j, found := c.indexOf(message.To); found {
 			c.Send(i, j, packet{message: &message})
@@ -163,7 +163,7 @@
 	}
 }
 
-func (n *node) detectSilence() {
+func (n *node) detectFailures() {
 	for _, m := range n.view.Members() {
 		heard, known := n.lastHeard[m.ID]
 		silence := n.view.now - heard
@@ -173,14 +173,14 @@
 			n.view.RecordSuspicion(m.ID)
 		case m.State == StateSuspected && silence > failAfter:
 			n.view.RecordFailure(m.ID)
-			n.heldForFailed[m.ID] = true
+			n.reportedFailed[m.ID] = true
 		}
 	}
 }
 
 func (c *cluster) tickAgreement(n *node) {
 	if c.history != nil {
-		tickInOrder(n.view, n.agreement)
+		tickDeterministically(n.view, n.agreement)
 		return
 	}
 	n.agreement.Tick()
@@ -216,7 +216,7 @@
 	case 0:
 		n.IsDown = true
 		if c.Random.Intn(2) == 0 {
-			c.start(i)
+			c.startNode(i)
 		}
 	case 1:
 		n.PausedUntil = c.Now + c.DrawSpan(0, 8*second)
@@ -231,7 +231,7 @@
 	case 7:
 		for k, other := range c.nodes {
 			if other.IsDown {
-				c.start(k)
+				c.startNode(k)
 			}
 		}
 	case 8:
--- a/internal/membership/configuration.go
+++ b/internal/membership/configuration.go
@@ -36,10 +36,10 @@
 
 // These errors are created once, so that a hostile peer that sends invalid configurations causes no allocations.
 var (
-	errConfigurationAbsent = fmt.Errorf("%w: it is missing", ErrInvalidConfiguration)
+	errConfigurationNil    = fmt.Errorf("%w: it is missing", ErrInvalidConfiguration)
 	errConfigurationEpoch  = fmt.Errorf("%w: the epoch is 0", ErrInvalidConfiguration)
 	errConfigurationVoters = fmt.Errorf("%w: the number of voters must be 1 to %d", ErrInvalidConfiguration, maxVoters)
-	errConfigurationCount  = fmt.Errorf("%w: it has more voters than members", ErrInvalidConfiguration)
+	errConfigurationSize   = fmt.Errorf("%w: it has more voters than members", ErrInvalidConfiguration)
 	errConfigurationLease  = fmt.Errorf("%w: the lease must last 1 to %d ms", ErrInvalidConfiguration, maxLeaseDuration)
 )
 
@@ -48,13 +48,13 @@
 func (c *Configuration) Validate() error {
 	switch {
 	case c == nil:
-		return errConfigurationAbsent
+		return errConfigurationNil
 	case c.Epoch == 0:
 		return errConfigurationEpoch
 	case len(c.Voters) == 0 || len(c.Voters) > maxVoters:
 		return errConfigurationVoters
 	case c.MemberCount < len(c.Voters):
-		return errConfigurationCount
+		return errConfigurationSize
 	case c.LeaseDuration <= 0 || c.LeaseDuration > maxLeaseDuration:
 		return errConfigurationLease
 	}
--- a/internal/membership/effective_size.go
+++ b/internal/membership/effective_size.go
@@ -11,12 +11,12 @@
 func (v *View) updateEffectiveSize(status QuorumStatus) {
 	count := 0
 	for _, member := range v.members {
-		serves := v.serves(member)
-		if serves != member.counted && v.now-member.Since >= v.config.StabilityWindow && !member.isFlapping(v.now,
+		isServing := v.isServing(member)
+		if isServing != member.isCounted && v.now-member.Since >= v.config.StabilityWindow && !member.isFlapping(v.now,
 			&v.config) {
-			member.counted = serves
+			member.isCounted = isServing
 		}
-		if member.counted {
+		if member.isCounted {
 			count++
 		}
 	}
@@ -27,13 +27,13 @@
 	v.effectiveSize = max(1, minimum, count)
 }
 
-// serves reports whether a member takes part in the work. A suspected member keeps the status it had.
-func (v *View) serves(member *Member) bool {
+// isServing reports whether a member takes part in the work. A suspected member keeps the status it had.
+func (v *View) isServing(member *Member) bool {
 	switch member.State {
 	case StateServing, StateWarmingUp:
 		return true
 	case StateSuspected:
-		return member.counted || member == v.self
+		return member.isCounted || member == v.self
 	}
 	return member == v.self
 }
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -10,11 +10,11 @@
 // to. It never considers a member failed on this server's evidence alone, nor on evidence gathered while this server
 // itself was paused.
 
-// loopLagThreshold is the event loop lag, in milliseconds, at which a member is shown as overloaded (CauseLoopLag).
-const loopLagThreshold = 500
+// loopLagThresholdMs is the event loop lag, in milliseconds, at which a member is shown as overloaded (CauseLoopLag).
+const loopLagThresholdMs = 500
 
-// roundTripWeight is the inverse of the weight of a new sample in Member.RoundTrip.
-const roundTripWeight = 4
+// roundTripInverseWeight is the inverse of the weight of a new sample in Member.RoundTrip.
+const roundTripInverseWeight = 4
 
 // DialResult is the outcome of a connection attempt to a member that does not answer probes.
 type DialResult int
@@ -30,19 +30,19 @@
 // but not a failure: it may have been sent before the failure, so a failed member recovers only by refuting.
 func (v *View) ProbeSucceeded(id ID, roundTrip timeunit.Milliseconds) {
 	member := v.members[id]
-	if member == nil || member.terminated {
+	if member == nil || member.isTerminated {
 		return
 	}
 	if member.RoundTrip == 0 {
 		member.RoundTrip = roundTrip
 	}
-	member.RoundTrip += (roundTrip - member.RoundTrip) / roundTripWeight
+	member.RoundTrip += (roundTrip - member.RoundTrip) / roundTripInverseWeight
 	member.LastReply = v.now
 	if member.Cause == CauseUnreachableFromHere || member.Cause == CauseUnreachableFromSome {
 		member.Cause = CauseNone
 	}
 	if member.State == StateSuspected {
-		v.refuted(member)
+		v.applyRefutation(member)
 	}
 }
 
@@ -55,12 +55,12 @@
 		v.recentlyPaused() {
 		return
 	}
-	others, cannotReach := v.countReachability(member)
+	otherCount, unreachableCount := v.countReachability(member)
 	switch {
 	case member.State == StateDraining:
-	case cannotReach == 0 && others > 0:
+	case unreachableCount == 0 && otherCount > 0:
 		member.Cause = CauseUnreachableFromHere
-	case cannotReach > 0 && cannotReach < others:
+	case unreachableCount > 0 && unreachableCount < otherCount:
 		member.Cause = CauseUnreachableFromSome
 	default:
 		member.Cause = CauseUnreachable
@@ -69,17 +69,17 @@
 
 // countReachability returns the number of other members that are alive, and how many of those report that they cannot
 // reach member.
-func (v *View) countReachability(member *Member) (others, cannotReach int) {
+func (v *View) countReachability(member *Member) (otherCount, unreachableCount int) {
 	for _, other := range v.members {
 		if other == v.self || other == member || !other.isAlive() {
 			continue
 		}
-		others++
+		otherCount++
 		if slices.Contains(other.Unreachable, member.Name) {
-			cannotReach++
+			unreachableCount++
 		}
 	}
-	return others, cannotReach
+	return otherCount, unreachableCount
 }
 
 // RecordSuspicion reports that this server and, if there are other members, at least one of them got no answer from a
@@ -103,7 +103,7 @@
 	case member == nil || member == v.self || member.State == StateLeft && member.Cause != CauseNameConflict:
 		return
 	case member.StateUpdate.State == StateDraining:
-		member.terminated = true
+		member.isTerminated = true
 		v.transition(member, StateLeft, CauseLeft)
 	default:
 		v.transition(member, StateFailed, member.Cause)
@@ -114,12 +114,12 @@
 // Refuted reports that a member refuted its suspicion or failure. The member's own update shows whether that was a
 // false positive: a process that was paused reports its pause.
 func (v *View) Refuted(id ID) {
-	if member := v.members[id]; member != nil && !member.terminated {
-		v.refuted(member)
+	if member := v.members[id]; member != nil && !member.isTerminated {
+		v.applyRefutation(member)
 	}
 }
 
-func (v *View) refuted(member *Member) {
+func (v *View) applyRefutation(member *Member) {
 	if member.State != StateSuspected && member.State != StateFailed {
 		return
 	}
@@ -140,7 +140,7 @@
 	switch {
 	case m.Cause == CauseUnreachableFromHere || m.Cause == CauseUnreachableFromSome:
 		return m.Cause
-	case m.LoopLagMs >= loopLagThreshold:
+	case m.LoopLagMs >= loopLagThresholdMs:
 		return CauseLoopLag
 	}
 	return CauseNone
@@ -168,10 +168,10 @@
 // RecordLeave reports that a member announced that it is leaving now.
 func (v *View) RecordLeave(id ID) {
 	member := v.members[id]
-	if member == nil || member == v.self || member.terminated {
+	if member == nil || member == v.self || member.isTerminated {
 		return
 	}
-	member.terminated = true
+	member.isTerminated = true
 	v.transition(member, StateLeft, CauseLeft)
 	v.resolveName(member.Name)
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -22,29 +22,29 @@
 // The golden files were recorded before the package was renamed and split (issue 37). Their histories contain only
 // wire-format bytes and numbers, so renaming identifiers does not change them.
 
-// goldenSteps is the number of random calls per seed in TestGoldenRandomCalls.
-const goldenSteps = 400
+// randomCallsPerSeed is the number of random calls per seed in TestGoldenRandomCalls.
+const randomCallsPerSeed = 400
 
-// wire returns the CBOR encoding of a message in hexadecimal.
-func wire(message any) string {
-	text, err := cbor.Marshal(message)
+// cborHex returns the CBOR encoding of a message in hexadecimal.
+func cborHex(message any) string {
+	encoded, err := cbor.Marshal(message)
 	if err != nil {
 		panic(err)
 	}
-	return hex.EncodeToString(text)
+	return hex.EncodeToString(encoded)
 }
 
-func flag(is bool) int {
-	if is {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// tickInOrder calls Tick without the effect of its one random choice: if several members report a newer configuration,
-// Tick asks whichever comes first in the iteration over a map. Any of them will do, so the request is redirected to the
-// first one by ID.
-func tickInOrder(v *View, a *Agreement) {
+// tickDeterministically calls Tick without the effect of its one random choice: if several members report a newer
+// configuration, Tick asks whichever comes first in the iteration over a map. Any of them will do, so the request is
+// redirected to the first one by ID.
+func tickDeterministically(v *View, a *Agreement) {
 	before := len(a.outbox)
 	epoch := a.configuration.Epoch
 	a.Tick()
@@ -69,30 +69,31 @@
 // addState adds everything that callers can observe of a view and its agreement.
 func addState(h *golden.History, v *View, a *Agreement) {
 	for _, e := range v.Events() {
-		h.Add(wire(e.ID), int(e.From), int(e.To), int(e.Cause))
+		h.Add(cborHex(e.ID), int(e.From), int(e.To), int(e.Cause))
 	}
 	h.Add(int64(v.Now()), v.EffectiveSize(), v.AliveCount(), len(v.Alive()), int(a.QuorumStatus()),
-		int64(a.MajorityUntil()), int64(a.StatusSince()), a.ConfigurationChanges, wire(a.Configuration()))
+		int64(a.MajorityUntil()), int64(a.StatusSince()), a.ConfigurationChanges, cborHex(a.Configuration()))
 }
 
 // addMembers adds the conclusions about each member, and the counts.
 func addMembers(h *golden.History, v *View) {
 	for _, m := range v.Members() {
 		owner, isOwned := v.NameOwner(m.Name)
-		h.Add(wire(m.StateUpdate), int(m.State), int(m.Cause), int64(m.Since), int64(m.FirstSeen), int64(m.LastUpdate),
-			int64(m.LastReply), int64(m.RoundTrip), int64(m.Age(v.Now())), owner.Incarnation, flag(isOwned))
+		h.Add(cborHex(m.StateUpdate), int(m.State), int(m.Cause), int64(m.Since), int64(m.FirstSeen),
+			int64(m.LastUpdate), int64(m.LastReply), int64(m.RoundTrip), int64(m.Age(v.Now())), owner.Incarnation,
+			boolToInt(isOwned))
 	}
 	c := v.Counts
 	h.Add(c.Invalid, c.Stale, c.Forged, c.UnknownSender, c.NoCapacity, c.FalsePositives, c.NameConflicts)
 }
 
-// checkSeeds compares the history of each seed with its line in a golden file.
-func checkSeeds(t *testing.T, name string, play func(t *testing.T, seed int64, h *golden.History)) {
+// checkGoldenSeeds compares the history of each seed with its line in a golden file.
+func checkGoldenSeeds(t *testing.T, name string, play func(t *testing.T, seed int64, h *golden.History)) {
 	schedule.GoldenFile{Name: name, Seeds: 100, SeedsPerLine: 1, Label: "seed=%[1]d"}.Check(t, play)
 }
 
 func TestGoldenSchedules(t *testing.T) {
-	checkSeeds(t, "schedules.txt", func(_ *testing.T, seed int64, h *golden.History) {
+	checkGoldenSeeds(t, "schedules.txt", func(_ *testing.T, seed int64, h *golden.History) {
 		c := newCluster(seed, 3+int(seed)%7)
 		c.history = h
 		c.runFaultSchedule()
@@ -100,17 +101,17 @@
 }
 
 func TestGoldenInterleavings(t *testing.T) {
-	checkSeeds(t, "interleavings.txt", func(_ *testing.T, seed int64, h *golden.History) {
+	checkGoldenSeeds(t, "interleavings.txt", func(_ *testing.T, seed int64, h *golden.History) {
 		random := rand.New(rand.NewSource(seed))
-		e := newElectors()
+		s := newPaxosSimulation()
 		for range 60 {
-			if !e.step(random.Intn(3 + len(e.inFlight))) {
+			if !s.step(random.Intn(3 + len(s.inFlight))) {
 				continue
 			}
-			for _, message := range e.inFlight {
-				h.Add(wire(message))
+			for _, message := range s.inFlight {
+				h.Add(cborHex(message))
 			}
-			for _, a := range e.agreements {
+			for _, a := range s.agreements {
 				addState(h, a.view, a)
 			}
 		}
@@ -127,7 +128,7 @@
 			addState(h, p.view, p.agreement)
 			addMembers(h, p.view)
 			for _, message := range p.agreement.TakeMessages() {
-				h.Add(wire(message))
+				h.Add(cborHex(message))
 			}
 		})
 		histories.Add(filepath.Base(file), h)
@@ -138,67 +139,67 @@
 // Random calls cover what the schedules do not: probes, dials, invalid updates, a full view and messages at the wrong
 // time.
 func TestGoldenRandomCalls(t *testing.T) {
-	checkSeeds(t, "calls.txt", func(_ *testing.T, seed int64, h *golden.History) {
-		c := newCaller(seed)
-		for range goldenSteps {
+	checkGoldenSeeds(t, "calls.txt", func(_ *testing.T, seed int64, h *golden.History) {
+		c := newRandomCaller(seed)
+		for range randomCallsPerSeed {
 			h.Add(c.call())
 			addState(h, c.view, c.agreement)
 			addMembers(h, c.view)
 			for _, message := range c.agreement.TakeMessages() {
-				h.Add(wire(message))
+				h.Add(cborHex(message))
 			}
 		}
 	})
 }
 
-// caller makes random calls, valid or not, on one view and its agreement.
-type caller struct {
+// randomCaller makes random calls, valid or not, on one view and its agreement.
+type randomCaller struct {
 	random    *rand.Rand
 	view      *View
 	agreement *Agreement
 	now       timeunit.Milliseconds
 }
 
-func newCaller(seed int64) *caller {
+func newRandomCaller(seed int64) *randomCaller {
 	random := rand.New(rand.NewSource(seed))
 	config := DefaultConfig(ID{"n0", 3})
 	config.InitialSize = 1 + random.Intn(6)
 	config.MaxMembers = 4 + random.Intn(12)
 	config.Founders = []string{"n0", "n1", "n2"}[:1+2*random.Intn(2)]
 	v := NewView(config, 0)
-	return &caller{random: random, view: v, agreement: NewAgreement(v)}
+	return &randomCaller{random: random, view: v, agreement: NewAgreement(v)}
 }
 
 // call makes one random call and returns its result, or 0 if it has none.
-func (c *caller) call() (result any) {
+func (c *randomCaller) call() (result any) {
 	switch c.random.Intn(16) {
 	case 0, 1, 2, 3:
-		return flag(c.view.ApplyUpdate(c.update()))
+		return boolToInt(c.view.ApplyUpdate(c.randomUpdate()))
 	case 4:
-		c.view.ProbeSucceeded(c.id(), timeunit.Milliseconds(c.random.Intn(90)))
+		c.view.ProbeSucceeded(c.randomID(), timeunit.Milliseconds(c.random.Intn(90)))
 	case 5:
-		c.view.RecordProbeFailure(c.id())
+		c.view.RecordProbeFailure(c.randomID())
 	case 6:
-		c.view.RecordSuspicion(c.id())
+		c.view.RecordSuspicion(c.randomID())
 	case 7:
-		c.view.RecordFailure(c.id())
+		c.view.RecordFailure(c.randomID())
 	case 8:
-		c.view.Refuted(c.id())
+		c.view.Refuted(c.randomID())
 	case 9:
-		c.view.DialFinished(c.id(), DialResult(c.random.Intn(3)))
+		c.view.DialFinished(c.randomID(), DialResult(c.random.Intn(3)))
 	case 10:
 		if c.random.Intn(4) == 0 {
-			c.view.RecordLeave(c.id())
+			c.view.RecordLeave(c.randomID())
 		}
 	case 11:
-		return wire(c.view.UpdateSelf(StateUpdate{
+		return cborHex(c.view.UpdateSelf(StateUpdate{
 			Address:          "a0",
 			State:            State(c.random.Intn(4)),
 			ConcurrencyLimit: float64(c.random.Intn(3) - 1),
 			Epoch:            c.agreement.configuration.Epoch,
 		}))
 	case 12, 13:
-		c.agreement.Step(c.message())
+		c.agreement.Step(c.randomMessage())
 	case 14:
 		return c.pause()
 	case 15:
@@ -209,7 +210,7 @@
 
 // pause advances the clock by up to 2.5 s at once, or moves it back by up to 50 ms. One call in ten also requests a new
 // genesis epoch.
-func (c *caller) pause() int64 {
+func (c *randomCaller) pause() int64 {
 	if c.random.Intn(10) == 0 {
 		c.agreement.StartNewGenesis = true
 	}
@@ -217,23 +218,23 @@
 	return int64(c.view.Advance(c.now, 200))
 }
 
-func (c *caller) tick() {
+func (c *randomCaller) tick() {
 	for range 1 + c.random.Intn(12) {
 		c.now += 200
 		c.view.Advance(c.now, 200)
-		tickInOrder(c.view, c.agreement)
+		tickDeterministically(c.view, c.agreement)
 		c.view.Tick(c.agreement.QuorumStatus())
 	}
 }
 
-func (c *caller) id() ID {
+func (c *randomCaller) randomID() ID {
 	return ID{fmt.Sprint("n", c.random.Intn(6)), uint64(c.random.Intn(4))}
 }
 
-func (c *caller) update() StateUpdate {
+func (c *randomCaller) randomUpdate() StateUpdate {
 	update := StateUpdate{
-		ID:               c.id(),
-		Sequence:         uint64(c.random.Intn(goldenSteps)),
+		ID:               c.randomID(),
+		Sequence:         uint64(c.random.Intn(randomCallsPerSeed)),
 		Address:          fmt.Sprint("a", c.random.Intn(8)),
 		Zone:             fmt.Sprint("z", c.random.Intn(3)),
 		State:            State(c.random.Intn(5)),
@@ -277,9 +278,9 @@
 	return update
 }
 
-func (c *caller) ballot() Ballot { return Ballot{uint64(c.random.Intn(4)), c.id()} }
+func (c *randomCaller) randomBallot() Ballot { return Ballot{uint64(c.random.Intn(4)), c.randomID()} }
 
-func (c *caller) configuration() *Configuration {
+func (c *randomCaller) randomConfiguration() *Configuration {
 	if c.random.Intn(4) == 0 {
 		return nil
 	}
@@ -296,10 +297,10 @@
 	return configuration
 }
 
-func (c *caller) message() Message {
+func (c *randomCaller) randomMessage() Message {
 	m := Message{
 		Kind:        MessageKind(c.random.Intn(9)),
-		From:        c.id(),
+		From:        c.randomID(),
 		To:          c.view.config.Self,
 		Epoch:       c.agreement.configuration.Epoch,
 		RequestedAt: c.now - timeunit.Milliseconds(c.random.Intn(400)-100),
@@ -307,9 +308,9 @@
 	if c.random.Intn(5) == 0 {
 		m.Epoch = uint64(c.random.Intn(4))
 	}
-	m.Ballot = c.ballot()
-	m.AcceptedBallot = c.ballot()
-	m.Configuration = c.configuration()
+	m.Ballot = c.randomBallot()
+	m.AcceptedBallot = c.randomBallot()
+	m.Configuration = c.randomConfiguration()
 	if c.random.Intn(2) == 0 {
 		m.Ballot = c.agreement.proposer.ballot
 	}
@@ -371,12 +372,12 @@
 func TestGoldenMessages(t *testing.T) {
 	var lines strings.Builder
 	for i, message := range sampleMessages() {
-		text, err := cbor.Marshal(message)
+		encoded, err := cbor.Marshal(message)
 		require.NoError(t, err)
 		decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-		require.NoError(t, cbor.Unmarshal(text, decoded))
-		require.Equal(t, hex.EncodeToString(text), wire(decoded))
-		fmt.Fprintf(&lines, "%d %x\n", i, text)
+		require.NoError(t, cbor.Unmarshal(encoded, decoded))
+		require.Equal(t, hex.EncodeToString(encoded), cborHex(decoded))
+		fmt.Fprintf(&lines, "%d %x\n", i, encoded)
 	}
 	counts, err := json.Marshal(Counts{1, 2, 3, 4, 5, 6, 7})
 	require.NoError(t, err)
--- a/internal/membership/large_cluster_test.go
+++ b/internal/membership/large_cluster_test.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	fullMembers        = 40  // members of a large cluster that have a view and an agreement
-	updateBytes        = 260 // mean size in bytes of real sealed state updates
-	largeClusterTick   = 200
-	largeClusterProbe  = 500 // between two probes by a member, as in memberlist
+	fullMemberCount    = 40  // members of a large cluster that have a view and an agreement
+	meanUpdateBytes    = 260 // mean size in bytes of real sealed state updates
+	tickInterval       = 200
+	probeInterval      = 500 // between two probes by a member, as in memberlist
 	messageDelay       = 20
 	convergenceTimeout = 300 * second
 	detectionTimeout   = 60 * second
 )
 
-// largeCluster simulates large clusters without the gossip library: fullMembers have a view and an agreement; the
-// others only publish updates and crash. The gossip layer is modelled on the documented behaviour of memberlist: each
-// member probes another one every 500 ms in turn, a suspicion lasts 4 x log10(members) probe intervals, and gossip
-// reaches four times as many members every 200 ms. State updates are sent at the rate at which package gossip sends
-// them.
+// largeCluster simulates large clusters without the gossip library: fullMemberCount members have a view and an
+// agreement; the others only publish updates and crash. The gossip layer is modelled on the documented behaviour of
+// memberlist: each member probes another one every 500 ms in turn, a suspicion lasts 4 x log10(members) probe
+// intervals, and gossip reaches four times as many members every 200 ms. State updates are sent at the rate at which
+// package gossip sends them.
 type largeCluster struct {
 	schedule.Network[delivery]
-	size        int
-	views       []*View
-	agreements  []*Agreement
-	updateEvery timeunit.Milliseconds
-	nextUpdate  []timeunit.Milliseconds // time of the next update of each member
-	sequences   []uint64
-	spread      timeunit.Milliseconds // time within which an update reaches all members
+	size           int
+	views          []*View
+	agreements     []*Agreement
+	updateInterval timeunit.Milliseconds
+	nextUpdateAt   []timeunit.Milliseconds // time of the next update of each member
+	sequences      []uint64
+	spreadTime     timeunit.Milliseconds // time within which an update reaches all members
 
-	crashed  int                     // index of the crashed member, -1 if none
-	failedAt []timeunit.Milliseconds // when the gossip layer reports the crash to each full member
+	crashedIndex    int                     // index of the crashed member, -1 if none
+	crashReportedAt []timeunit.Milliseconds // when the gossip layer reports the crash to each full member
 
 	updatesHeard int
 }
@@ -49,18 +49,18 @@
 }
 
 func newLargeCluster(size int) *largeCluster {
-	spread := timeunit.Milliseconds(largeClusterTick * math.Ceil(math.Log(float64(size))/math.Log(4)))
+	spreadTime := timeunit.Milliseconds(tickInterval * math.Ceil(math.Log(float64(size))/math.Log(4)))
 	c := &largeCluster{
-		Network:     schedule.NewNetwork[delivery](schedule.NewSimulation(int64(size), second), spread),
-		size:        size,
-		updateEvery: max(second, 33*timeunit.Milliseconds(size)),
-		nextUpdate:  make([]timeunit.Milliseconds, size),
-		sequences:   make([]uint64, size),
-		spread:      spread,
-		crashed:     -1,
-		failedAt:    make([]timeunit.Milliseconds, fullMembers),
+		Network:         schedule.NewNetwork[delivery](schedule.NewSimulation(int64(size), second), spreadTime),
+		size:            size,
+		updateInterval:  max(second, 33*timeunit.Milliseconds(size)),
+		nextUpdateAt:    make([]timeunit.Milliseconds, size),
+		sequences:       make([]uint64, size),
+		spreadTime:      spreadTime,
+		crashedIndex:    -1,
+		crashReportedAt: make([]timeunit.Milliseconds, fullMemberCount),
 	}
-	for i := range fullMembers {
+	for i := range fullMemberCount {
 		config := DefaultConfig(c.id(i))
 		config.InitialSize = size
 		config.Zone = c.zone(i)
@@ -69,8 +69,8 @@
 		c.agreements = append(c.agreements, NewAgreement(c.views[i]))
 		c.Join(&schedule.Process{})
 	}
-	for i := range c.nextUpdate {
-		c.nextUpdate[i] = c.Now + c.DrawSpan(0, 2*second)
+	for i := range c.nextUpdateAt {
+		c.nextUpdateAt[i] = c.Now + c.DrawSpan(0, 2*second)
 	}
 	return c
 }
@@ -79,23 +79,23 @@
 func (c *largeCluster) zone(i int) string { return fmt.Sprint("z", i%3) }
 
 func (c *largeCluster) runStep() {
-	c.Now += largeClusterTick
-	for i := range c.nextUpdate {
-		if c.nextUpdate[i] <= c.Now && i != c.crashed {
-			c.nextUpdate[i] = c.Now + c.updateEvery
+	c.Now += tickInterval
+	for i := range c.nextUpdateAt {
+		if c.nextUpdateAt[i] <= c.Now && i != c.crashedIndex {
+			c.nextUpdateAt[i] = c.Now + c.updateInterval
 			c.publish(i)
 		}
 	}
 	c.Deliver(c.receive)
 	for i, v := range c.views {
-		v.Advance(c.Now, largeClusterTick)
+		v.Advance(c.Now, tickInterval)
 		c.agreements[i].Tick()
-		if c.failedAt[i] > 0 && c.Now >= c.failedAt[i] {
-			v.RecordFailure(c.id(c.crashed))
+		if c.crashReportedAt[i] > 0 && c.Now >= c.crashReportedAt[i] {
+			v.RecordFailure(c.id(c.crashedIndex))
 		}
 		v.Tick(c.agreements[i].QuorumStatus())
 		for _, message := range c.agreements[i].TakeMessages() {
-			if to := int(message.To.Incarnation) - 1; to < fullMembers {
+			if to := int(message.To.Incarnation) - 1; to < fullMemberCount {
 				c.SendAfter(messageDelay, to, delivery{message: &message})
 			}
 		}
@@ -113,7 +113,7 @@
 		State:            StateServing,
 		ConcurrencyLimit: 8,
 	}
-	if i < fullMembers {
+	if i < fullMemberCount {
 		update = c.views[i].UpdateSelf(StateUpdate{
 			Address:          update.Address,
 			State:            StateServing,
@@ -123,14 +123,14 @@
 	}
 	for to := range c.views {
 		if to != i {
-			delay := timeunit.Milliseconds(c.Random.Int63n(int64(c.spread)))
+			delay := timeunit.Milliseconds(c.Random.Int63n(int64(c.spreadTime)))
 			c.SendAfter(delay, to, delivery{update: update})
 		}
 	}
 }
 
 func (c *largeCluster) receive(to int, d delivery) {
-	c.views[to].Advance(c.Now, largeClusterTick)
+	c.views[to].Advance(c.Now, tickInterval)
 	if d.message != nil {
 		c.agreements[to].Step(*d.message)
 	} else if c.views[to].ApplyUpdate(d.update) {
@@ -150,11 +150,11 @@
 
 // crash stops a member and computes when the gossip layer reports that to each full member.
 func (c *largeCluster) crash(i int) {
-	c.crashed = i
-	probed := c.Now + timeunit.Milliseconds(c.Random.ExpFloat64()*largeClusterProbe)
-	suspicion := timeunit.Milliseconds(4 * max(1, math.Log10(float64(c.size))) * largeClusterProbe)
-	for k := range c.failedAt {
-		c.failedAt[k] = probed + suspicion + timeunit.Milliseconds(c.Random.Int63n(int64(c.spread)))
+	c.crashedIndex = i
+	probedAt := c.Now + timeunit.Milliseconds(c.Random.ExpFloat64()*probeInterval)
+	suspicionTime := timeunit.Milliseconds(4 * max(1, math.Log10(float64(c.size))) * probeInterval)
+	for k := range c.crashReportedAt {
+		c.crashReportedAt[k] = probedAt + suspicionTime + timeunit.Milliseconds(c.Random.Int63n(int64(c.spreadTime)))
 	}
 }
 
@@ -162,13 +162,13 @@
 // order.
 func (c *largeCluster) runUntilDetected() (detected []timeunit.Milliseconds) {
 	crashedAt := c.Now
-	knows := make([]bool, fullMembers)
-	for c.Now-crashedAt < detectionTimeout && len(detected) < fullMembers {
+	hasDetected := make([]bool, fullMemberCount)
+	for c.Now-crashedAt < detectionTimeout && len(detected) < fullMemberCount {
 		c.runStep()
 		for i, v := range c.views {
-			m := v.Member(c.id(c.crashed))
-			if !knows[i] && (m == nil || m.State >= StateFailed) {
-				knows[i] = true
+			m := v.Member(c.id(c.crashedIndex))
+			if !hasDetected[i] && (m == nil || m.State >= StateFailed) {
+				hasDetected[i] = true
 				detected = append(detected, c.Now-crashedAt)
 			}
 		}
@@ -183,23 +183,23 @@
 		require.True(t, c.hasConverged(), "%d members did not converge", size)
 
 		c.updatesHeard = 0
-		window := max(30*second, 2*c.updateEvery)
+		window := max(30*second, 2*c.updateInterval)
 		c.RunFor(window, c.runStep)
-		updatesPerSecond := float64(c.updatesHeard) / float64(window/second) / fullMembers
-		bytesPerSecond := updatesPerSecond * updateBytes
+		updatesPerSecond := float64(c.updatesHeard) / float64(window/second) / fullMemberCount
+		bytesPerSecond := updatesPerSecond * meanUpdateBytes
 
 		c.crash(size - 1)
 		detected := c.runUntilDetected()
-		require.Len(t, detected, fullMembers)
+		require.Len(t, detected, fullMemberCount)
 		falsePositives := 0
 		for _, v := range c.views {
 			falsePositives += v.Counts.FalsePositives
 			require.Equal(t, size-1, v.AliveCount())
 		}
 		t.Logf("measured large-cluster members=%d converge_ms=%d detect_p50_ms=%d detect_p99_ms=%d false_positives=%d "+
-			"updates_a_second=%.1f bytes_a_second=%.0f", size, converged, detected[fullMembers/2],
-			detected[fullMembers-1], falsePositives, updatesPerSecond, bytesPerSecond)
-		require.Less(t, bytesPerSecond, 40.0*updateBytes) // the bound does not depend on the cluster size
+			"updates_a_second=%.1f bytes_a_second=%.0f", size, converged, detected[fullMemberCount/2],
+			detected[fullMemberCount-1], falsePositives, updatesPerSecond, bytesPerSecond)
+		require.Less(t, bytesPerSecond, 40.0*meanUpdateBytes) // the bound does not depend on the cluster size
 		require.Zero(t, falsePositives)
 	}
 }
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	drainTime   timeunit.Milliseconds = 4500        // how long leavers drain: stop_ms of simulated user days
-	reformTime  timeunit.Milliseconds = 10 * second // within which the remaining nodes must have agreed
-	maxLeaveGap timeunit.Milliseconds = 500         // between the first and the last node that drains
+	drainDuration          timeunit.Milliseconds = 4500        // how long leavers drain: stop_ms of simulated user days
+	reconfigurationTimeout timeunit.Milliseconds = 10 * second // within which the remaining nodes must have agreed
+	maxLeaveGap            timeunit.Milliseconds = 500         // between the first and the last node that drains
 )
 
-// newRepeatableCluster returns a cluster with a history, which makes each seed reproducible: without a history, the
+// newReproducibleCluster returns a cluster with a history, which makes each seed reproducible: without a history, the
 // member that is asked for a newer configuration depends on the random iteration order of a map.
-func newRepeatableCluster(seed int64, servers int) *cluster {
+func newReproducibleCluster(seed int64, servers int) *cluster {
 	c := newCluster(seed, servers)
 	c.history = golden.NewHistory()
 	return c
@@ -43,7 +43,7 @@
 		c.nodes[i].isDraining = true
 		c.RunFor(c.DrawSpan(0, maxLeaveGap/timeunit.Milliseconds(len(leavers))), c.runStep)
 	}
-	c.RunFor(drainTime, c.runStep)
+	c.RunFor(drainDuration, c.runStep)
 	for _, i := range leavers {
 		c.leave(i)
 		c.RunFor(c.DrawSpan(0, maxLeaveGap/timeunit.Milliseconds(len(leavers))), c.runStep)
@@ -80,12 +80,12 @@
 func TestThoseThatStayAreTheMajorityAfterHalfHaveLeft(t *testing.T) {
 	for seed := range int64(schedule.Scale(60, 3000)) {
 		size := 2 + int(seed)%8
-		c := newRepeatableCluster(seed, max(3, size))
+		c := newReproducibleCluster(seed, max(3, size))
 		c.RunFor(15*second, c.runStep)
 		c.requireMajority(t, seed)
 		order := c.Random.Perm(len(c.nodes))
 		c.drainTogether(order[:len(c.nodes)/2])
-		c.RunFor(reformTime, c.runStep)
+		c.RunFor(reconfigurationTimeout, c.runStep)
 		c.requireMajority(t, seed)
 		require.Zero(t, c.splitBrains, "seed %d", seed)
 	}
@@ -96,13 +96,13 @@
 // server; otherwise five of seven voters could be gone before any server may propose to replace the crashed one.
 func TestLeaversAndOneCrashLeaveAMajority(t *testing.T) {
 	for seed := range int64(schedule.Scale(40, 2000)) {
-		c := newRepeatableCluster(seed, 9)
+		c := newReproducibleCluster(seed, 9)
 		c.RunFor(15*second, c.runStep)
 		c.requireMajority(t, seed)
 		order := c.Random.Perm(9)
 		c.nodes[order[8]].IsDown = true
 		c.drainTogether(order[:4])
-		c.RunFor(reformTime, c.runStep)
+		c.RunFor(reconfigurationTimeout, c.runStep)
 		c.requireMajority(t, seed)
 		require.Zero(t, c.splitBrains, "seed %d", seed)
 	}
@@ -113,7 +113,7 @@
 func TestLeavesInBulkNeverMakeTwoMajorities(t *testing.T) {
 	majorities := 0
 	for seed := range int64(schedule.Scale(100, 5000)) {
-		c := newRepeatableCluster(seed, 3+int(seed)%7)
+		c := newReproducibleCluster(seed, 3+int(seed)%7)
 		c.RunFor(10*second, c.runStep)
 		for range 8 {
 			c.injectFault()
@@ -122,7 +122,7 @@
 			leavers := slices.DeleteFunc(order[:len(order)/2], func(i int) bool { return c.nodes[i].IsDown })
 			c.drainTogether(leavers)
 			for _, i := range leavers {
-				c.start(i)
+				c.startNode(i)
 			}
 		}
 		majorities += c.majorities
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -13,19 +13,19 @@
 	LastReply   timeunit.Milliseconds // when it last answered this server's own probe
 	RoundTrip   timeunit.Milliseconds // moving average over the answered probes
 
-	transitions []timeunit.Milliseconds // times of its latest state changes, at most Config.FlapThreshold
-	leavingFrom timeunit.Milliseconds   // when it first announced that it is leaving, or notLeaving
-	terminated  bool                    // its process has ended: no later update brings it back
-	counted     bool                    // whether it counts in the effective size
+	transitionTimes []timeunit.Milliseconds // times of its latest state changes, at most Config.FlapThreshold
+	leavingSince    timeunit.Milliseconds   // when it first announced that it is leaving, or notLeaving
+	isTerminated    bool                    // its process has ended: no later update brings it back
+	isCounted       bool                    // whether it counts in the effective size
 }
 
-// notLeaving is the value of Member.leavingFrom for a member that has not announced that it is leaving. It is later
+// notLeaving is the value of Member.leavingSince for a member that has not announced that it is leaving. It is later
 // than every clock reading.
 const notLeaving timeunit.Milliseconds = 1 << 60
 
 // hasAnnouncedLeave reports whether the incarnation itself announced that it is leaving: it is draining, or it drained
 // or left before it ended.
-func (m *Member) hasAnnouncedLeave() bool { return m.leavingFrom != notLeaving }
+func (m *Member) hasAnnouncedLeave() bool { return m.leavingSince != notLeaving }
 
 // Age returns the age of the member's latest update.
 func (m *Member) Age(now timeunit.Milliseconds) timeunit.Milliseconds {
@@ -40,19 +40,19 @@
 
 // recordTransition records the time of a state change. It keeps only as many changes as it takes to detect flapping.
 func (m *Member) recordTransition(now timeunit.Milliseconds, threshold int) {
-	m.transitions = append(m.transitions, now)
-	if excess := len(m.transitions) - threshold; excess > 0 {
-		m.transitions = m.transitions[excess:]
+	m.transitionTimes = append(m.transitionTimes, now)
+	if excess := len(m.transitionTimes) - threshold; excess > 0 {
+		m.transitionTimes = m.transitionTimes[excess:]
 	}
 }
 
 // isFlapping reports whether the state has changed so often recently that the changes carry no information.
 func (m *Member) isFlapping(now timeunit.Milliseconds, config *Config) bool {
-	if len(m.transitions) < config.FlapThreshold {
+	if len(m.transitionTimes) < config.FlapThreshold {
 		return false
 	}
-	first := m.transitions[0]
-	last := m.transitions[len(m.transitions)-1]
+	first := m.transitionTimes[0]
+	last := m.transitionTimes[len(m.transitionTimes)-1]
 	if now-first > config.FlapWindow+config.FlapHold {
 		return false
 	}
--- a/internal/membership/name_owner.go
+++ b/internal/membership/name_owner.go
@@ -12,7 +12,7 @@
 func (v *View) resolveName(name string) {
 	var candidates []*Member
 	for _, member := range v.byName[name] {
-		if !member.terminated {
+		if !member.isTerminated {
 			candidates = append(candidates, member)
 		}
 	}
@@ -23,7 +23,7 @@
 	v.nameOwners[name] = owner.ID
 	for _, member := range candidates {
 		switch {
-		case member.terminated:
+		case member.isTerminated:
 		case member == owner && member.Cause == CauseNameConflict: // the previous owner has ended
 			v.transition(member, member.StateUpdate.State, CauseNone)
 		case member == owner:
@@ -40,7 +40,7 @@
 	for _, member := range candidates {
 		switch {
 		case v.isSuperseded(member, candidates):
-			member.terminated = true
+			member.isTerminated = true
 			v.transition(member, StateLeft, CauseReplaced)
 		case owner == nil, !owner.isAlive() && member.isAlive():
 			owner = member
--- a/internal/membership/proposer.go
+++ b/internal/membership/proposer.go
@@ -17,19 +17,19 @@
 
 	round             uint64                // round of this server's last proposal in any epoch
 	retryAfter        timeunit.Milliseconds // no new proposal before this time
-	changeWantedSince timeunit.Milliseconds // since when the view has required a new configuration, or notWanted
+	changeNeededSince timeunit.Milliseconds // since when the view has required a new configuration, or changeNotNeeded
 }
 
-// notWanted is the value of proposer.changeWantedSince while no new configuration is required. It is later than every
-// clock reading.
-const notWanted timeunit.Milliseconds = 1 << 60
+// changeNotNeeded is the value of proposer.changeNeededSince while no new configuration is required. It is later than
+// every clock reading.
+const changeNotNeeded timeunit.Milliseconds = 1 << 60
 
-func newProposer() proposer { return proposer{changeWantedSince: notWanted} }
+func newProposer() proposer { return proposer{changeNeededSince: changeNotNeeded} }
 
 // reset ends the current proposal after a configuration has been learned.
 func (p *proposer) reset() {
 	p.begin(Ballot{}, nil)
-	p.changeWantedSince = notWanted
+	p.changeNeededSince = changeNotNeeded
 }
 
 func (p *proposer) begin(ballot Ballot, proposal *Configuration) {
@@ -66,25 +66,25 @@
 func (a *Agreement) startProposal(next Configuration) {
 	a.proposer.round = max(a.proposer.round, a.acceptor.promised.Round) + 1
 	a.proposer.begin(Ballot{a.proposer.round, a.config.Self}, &next)
-	electors, _ := a.electorate()
-	for _, elector := range electors {
-		a.send(elector, Message{Kind: MessagePrepare, Ballot: a.proposer.ballot})
+	acceptors, _ := a.acceptors()
+	for _, id := range acceptors {
+		a.send(id, Message{Kind: MessagePrepare, Ballot: a.proposer.ballot})
 	}
 }
 
 // handlePromise starts phase 2 when a quorum has promised.
 func (a *Agreement) handlePromise(message Message) {
-	if !a.proposer.expectsPromise(message) || !a.isElector(message.From) {
+	if !a.proposer.expectsPromise(message) || !a.isAcceptor(message.From) {
 		return
 	}
 	a.proposer.addPromise(message)
-	electors, quorum := a.electorate()
+	acceptors, quorum := a.acceptors()
 	if len(a.proposer.promises) < quorum {
 		return
 	}
 	a.proposer.isAccepting = true
-	for _, elector := range electors {
-		a.send(elector, Message{
+	for _, id := range acceptors {
+		a.send(id, Message{
 			Kind:          MessageAccept,
 			Ballot:        a.proposer.ballot,
 			Configuration: a.proposer.proposal,
@@ -94,11 +94,11 @@
 
 // handleAccepted learns the proposal when a quorum has accepted it, and sends it to the acceptors and the new voters.
 func (a *Agreement) handleAccepted(message Message) {
-	if !a.proposer.expectsAcceptance(message) || !a.isElector(message.From) {
+	if !a.proposer.expectsAcceptance(message) || !a.isAcceptor(message.From) {
 		return
 	}
 	a.proposer.acceptances = append(a.proposer.acceptances, message.From)
-	recipients, quorum := a.electorate()
+	recipients, quorum := a.acceptors()
 	if len(a.proposer.acceptances) < quorum {
 		return
 	}
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -22,13 +22,13 @@
 	}
 }
 
-// playScenario plays a scenario file and calls done after each line.
-func playScenario(t *testing.T, file string, done func(*player)) {
+// playScenario plays a scenario file and calls afterLine after each line.
+func playScenario(t *testing.T, file string, afterLine func(*player)) {
 	p := &player{Assertions: require.New(t), sequences: map[ID]uint64{}}
 	for _, step := range scenario.Steps(t, file) {
-		p.where = step.Where
+		p.position = step.Where
 		p.play(step.Words[0], step.Words[1:])
-		done(p)
+		afterLine(p)
 	}
 }
 
@@ -38,37 +38,37 @@
 	view      *View
 	agreement *Agreement
 	sequences map[ID]uint64 // last sequence number of each member
-	where     string        // file, line and text, for failure messages
+	position  string        // file, line and text, for failure messages
 }
 
 func (p *player) play(verb string, args []string) {
 	switch verb {
 	case "self":
-		p.start(p.id(args[0]), p.options(args[1:]))
+		p.start(p.parseID(args[0]), p.parseOptions(args[1:]))
 	case "at":
-		p.tickAt(timeunit.Milliseconds(p.number(args[0])))
+		p.tickAt(timeunit.Milliseconds(p.parseNumber(args[0])))
 	case "pass":
-		for end := p.view.now + timeunit.Milliseconds(p.number(args[0])); p.view.now < end; {
+		for end := p.view.now + timeunit.Milliseconds(p.parseNumber(args[0])); p.view.now < end; {
 			p.tickAt(p.view.now + 200)
 		}
 	case "update":
-		p.view.ApplyUpdate(p.update(args))
+		p.view.ApplyUpdate(p.parseUpdate(args))
 	case "probe-succeeded":
-		p.view.ProbeSucceeded(p.id(args[0]), 10)
+		p.view.ProbeSucceeded(p.parseID(args[0]), 10)
 	case "probe-failed":
-		p.view.RecordProbeFailure(p.id(args[0]))
+		p.view.RecordProbeFailure(p.parseID(args[0]))
 	case "suspected":
-		p.view.RecordSuspicion(p.id(args[0]))
+		p.view.RecordSuspicion(p.parseID(args[0]))
 	case "failed":
-		p.view.RecordFailure(p.id(args[0]))
+		p.view.RecordFailure(p.parseID(args[0]))
 	case "refuted":
-		p.view.Refuted(p.id(args[0]))
+		p.view.Refuted(p.parseID(args[0]))
 	case "left":
-		p.view.RecordLeave(p.id(args[0]))
+		p.view.RecordLeave(p.parseID(args[0]))
 	case "dial":
-		p.view.DialFinished(p.id(args[0]), p.dialResult(args[1]))
+		p.view.DialFinished(p.parseID(args[0]), p.parseDialResult(args[1]))
 	case "committed":
-		p.commit(p.number(args[0]), args[1:])
+		p.commit(p.parseNumber(args[0]), args[1:])
 	case "granted":
 		p.grant(args)
 	default:
@@ -79,7 +79,7 @@
 func (p *player) start(self ID, options map[string]string) {
 	config := DefaultConfig(self)
 	if text := options["servers"]; text != "" {
-		config.InitialSize = int(p.number(text))
+		config.InitialSize = int(p.parseNumber(text))
 	}
 	config.Founders = strings.Split(options["founders"], ",")
 	p.view = NewView(config, 0)
@@ -93,28 +93,28 @@
 	p.view.Tick(p.agreement.QuorumStatus())
 }
 
-func (p *player) update(args []string) StateUpdate {
-	id := p.id(args[0])
-	options := p.options(args[2:])
+func (p *player) parseUpdate(args []string) StateUpdate {
+	id := p.parseID(args[0])
+	options := p.parseOptions(args[2:])
 	p.sequences[id]++
 	update := StateUpdate{
 		ID:       id,
 		Sequence: p.sequences[id],
 		Address:  "a-" + id.Name,
-		State:    p.state(args[1]),
+		State:    p.parseState(args[1]),
 		Zone:     options["zone"],
 	}
 	numbers := map[string]*int64{"paused": &update.PausedMs, "lag": &update.LoopLagMs, "age": &update.AgeMs}
 	for key, field := range numbers {
 		if options[key] != "" {
-			*field = p.number(options[key])
+			*field = p.parseNumber(options[key])
 		}
 	}
 	if options["address"] != "" {
 		update.Address = options["address"]
 	}
 	if options["sequence"] != "" {
-		update.Sequence = uint64(p.number(options["sequence"]))
+		update.Sequence = uint64(p.parseNumber(options["sequence"]))
 	}
 	if options["unreachable"] != "" {
 		update.Unreachable = strings.Split(options["unreachable"], ",")
@@ -125,7 +125,7 @@
 func (p *player) commit(epoch int64, voters []string) {
 	c := Configuration{Epoch: uint64(epoch), LeaseDuration: 1500, MemberCount: len(voters)}
 	for _, text := range voters {
-		id := p.id(text)
+		id := p.parseID(text)
 		c.Voters = append(c.Voters, Voter{id, "a-" + id.Name})
 	}
 	p.agreement.Step(Message{Kind: MessageCommitted, Epoch: c.Epoch, Configuration: &c})
@@ -135,7 +135,7 @@
 	for _, text := range voters {
 		p.agreement.Step(Message{
 			Kind:        MessageLeaseGrant,
-			From:        p.id(text),
+			From:        p.parseID(text),
 			Epoch:       p.agreement.configuration.Epoch,
 			RequestedAt: p.view.now,
 		})
@@ -146,19 +146,19 @@
 func (p *player) check(verb string, args []string) {
 	switch verb {
 	case "is":
-		m := p.view.Member(p.id(args[0]))
-		p.NotNil(m, p.where)
-		p.Equal(strings.Join(args[1:], " "), strings.TrimSpace(m.State.String()+" "+m.Cause.String()), p.where)
+		m := p.view.Member(p.parseID(args[0]))
+		p.NotNil(m, p.position)
+		p.Equal(strings.Join(args[1:], " "), strings.TrimSpace(m.State.String()+" "+m.Cause.String()), p.position)
 	case "unknown":
-		p.Nil(p.view.Member(p.id(args[0])), p.where)
+		p.Nil(p.view.Member(p.parseID(args[0])), p.position)
 	case "owner":
 		id, known := p.view.NameOwner(args[0])
-		p.True(known, p.where)
-		p.Equal(args[1], fmt.Sprint(id.Name, ".", id.Incarnation), p.where)
+		p.True(known, p.position)
+		p.Equal(args[1], fmt.Sprint(id.Name, ".", id.Incarnation), p.position)
 	case "size":
-		p.Equal(p.number(args[0]), int64(p.view.EffectiveSize()), p.where)
+		p.Equal(p.parseNumber(args[0]), int64(p.view.EffectiveSize()), p.position)
 	case "status":
-		p.Equal(args[0], p.agreement.QuorumStatus().String(), p.where)
+		p.Equal(args[0], p.agreement.QuorumStatus().String(), p.position)
 	case "counts":
 		c := p.view.Counts
 		counts := map[string]int{
@@ -167,45 +167,45 @@
 			"false-positives": c.FalsePositives,
 			"name-conflicts":  c.NameConflicts,
 		}
-		for key, value := range p.options(args) {
-			p.Contains(counts, key, p.where)
-			p.Equal(p.number(value), int64(counts[key]), p.where)
+		for key, value := range p.parseOptions(args) {
+			p.Contains(counts, key, p.position)
+			p.Equal(p.parseNumber(value), int64(counts[key]), p.position)
 		}
 	default:
-		p.FailNow(p.where)
+		p.FailNow(p.position)
 	}
 }
 
-func (p *player) number(text string) int64 {
+func (p *player) parseNumber(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
-	p.NoError(err, p.where)
+	p.NoError(err, p.position)
 	return n
 }
 
-func (p *player) id(text string) ID {
+func (p *player) parseID(text string) ID {
 	name, incarnation, found := strings.Cut(text, ".")
-	p.True(found, p.where)
-	return ID{name, uint64(p.number(incarnation))}
+	p.True(found, p.position)
+	return ID{name, uint64(p.parseNumber(incarnation))}
 }
 
-func (p *player) state(text string) State {
+func (p *player) parseState(text string) State {
 	for i, name := range StateNames {
 		if name == text {
 			return State(i)
 		}
 	}
-	p.FailNow(p.where)
+	p.FailNow(p.position)
 	return 0
 }
 
-func (p *player) dialResult(text string) DialResult {
+func (p *player) parseDialResult(text string) DialResult {
 	results := map[string]DialResult{"refused": DialRefused, "accepted": DialAccepted, "timed-out": DialTimedOut}
-	p.Contains(results, text, p.where)
+	p.Contains(results, text, p.position)
 	return results[text]
 }
 
-// options parses the words of a line that have the form key=value.
-func (p *player) options(words []string) map[string]string {
+// parseOptions parses the words of a line that have the form key=value.
+func (p *player) parseOptions(words []string) map[string]string {
 	options := map[string]string{}
 	for _, word := range words {
 		key, value, _ := strings.Cut(word, "=")
--- a/internal/membership/state_update.go
+++ b/internal/membership/state_update.go
@@ -85,17 +85,17 @@
 
 // sanitize replaces implausible metrics by 0, truncates lists that are too long and removes implausible usage entries.
 func (u *StateUpdate) sanitize() {
-	u.ConcurrencyLimit = plausibleMetric(u.ConcurrencyLimit)
-	u.Load = plausibleMetric(u.Load)
-	u.AvailableCapacity = plausibleMetric(u.AvailableCapacity)
-	u.IndexLatencyMs = plausibleMetric(u.IndexLatencyMs)
+	u.ConcurrencyLimit = sanitizeMetric(u.ConcurrencyLimit)
+	u.Load = sanitizeMetric(u.Load)
+	u.AvailableCapacity = sanitizeMetric(u.AvailableCapacity)
+	u.IndexLatencyMs = sanitizeMetric(u.IndexLatencyMs)
 	u.PausedMs = max(0, u.PausedMs)
 	u.LoopLagMs = max(0, u.LoopLagMs)
 	u.Unreachable = u.Unreachable[:min(len(u.Unreachable), MaxUnreachable)]
 	u.Usage = slices.DeleteFunc(u.Usage[:min(len(u.Usage), MaxUsageEntries)], TenantUsage.isImplausible)
 }
 
-func plausibleMetric(value float64) float64 {
+func sanitizeMetric(value float64) float64 {
 	if math.IsNaN(value) || value < 0 || value > maxMetric {
 		return 0
 	}
--- a/internal/membership/succession.go
+++ b/internal/membership/succession.go
@@ -13,42 +13,42 @@
 type urgency int
 
 const (
-	noChange      urgency = iota
-	countDrifted          // the member count is outdated, or a new genesis epoch is requested
-	votersMissing         // there is no configuration, a voter is not alive, or there are too few voters
-	immediate             // a draining voter must be replaced before it leaves, or a proposal was already accepted
+	urgencyNone        urgency = iota
+	urgencyMemberCount         // the member count is outdated, or a new genesis epoch is requested
+	urgencyVoters              // there is no configuration, a voter is not alive, or there are too few voters
+	urgencyImmediate           // a draining voter must be replaced before it leaves, or a proposal was already accepted
 )
 
-// countDriftFraction sets the tolerated drift of the member count: a configuration is replaced when its count is off by
-// more than one member in countDriftFraction.
-const countDriftFraction = 10
+// memberCountDriftDivisor sets the tolerated drift of the member count: a configuration is replaced when its count is
+// off by more than one member in memberCountDriftDivisor.
+const memberCountDriftDivisor = 10
 
-// leasePerMember is the lease duration for each member of the cluster. The lease grows with the cluster so that the
-// rate of lease requests to a voter stays constant.
-const leasePerMember timeunit.Milliseconds = 5
+// leaseDurationPerMember is the lease duration for each member of the cluster. The lease grows with the cluster so that
+// the rate of lease requests to a voter stays constant.
+const leaseDurationPerMember timeunit.Milliseconds = 5
 
 // proposeIfNeeded proposes a new configuration when the view requires one and it is this server's turn.
 func (a *Agreement) proposeIfNeeded() {
 	if !a.mayVote() {
-		a.proposer.changeWantedSince = notWanted
+		a.proposer.changeNeededSince = changeNotNeeded
 		return
 	}
 	now := a.view.now
 	alive := a.view.Alive()
-	pressing := a.changeUrgency(alive)
-	if pressing == noChange {
-		a.proposer.changeWantedSince = notWanted
+	level := a.changeUrgency(alive)
+	if level == urgencyNone {
+		a.proposer.changeNeededSince = changeNotNeeded
 		return
 	}
-	if a.proposer.changeWantedSince == notWanted {
-		a.proposer.changeWantedSince = now
+	if a.proposer.changeNeededSince == changeNotNeeded {
+		a.proposer.changeNeededSince = now
 	}
 	rank, mayPropose := a.proposerRank()
-	if !mayPropose || !a.isProposalDue(pressing, rank) {
+	if !mayPropose || !a.isProposalDue(level, rank) {
 		return
 	}
 	next := a.nextConfiguration(alive)
-	if next.MemberCount <= a.requiredCount()/2 {
+	if next.MemberCount <= a.majorityBaseCount()/2 {
 		return
 	}
 	a.proposer.retryAfter = now + a.config.StabilityWindow/2*timeunit.Milliseconds(1+rank)
@@ -58,10 +58,10 @@
 // proposerRank returns this server's rank, starting at 0, among the acceptors that are alive and not draining, ordered
 // by ID. It returns false if this server is not one of them or if no quorum of the acceptors is alive.
 func (a *Agreement) proposerRank() (rank int, mayPropose bool) {
-	electors, quorum := a.electorate()
+	acceptors, quorum := a.acceptors()
 	var candidates []ID
 	aliveCount := 0
-	for _, id := range electors {
+	for _, id := range acceptors {
 		member := a.view.Member(id)
 		if member == nil || !member.isAlive() {
 			continue
@@ -79,26 +79,26 @@
 // isProposalDue reports whether the proposer with the given rank should propose now. The first proposer waits until a
 // change has been needed for StabilityWindow, unless the change is immediate. Each further proposer waits longer, to
 // give those before it time, and leaves a mere drift of the member count to the first.
-func (a *Agreement) isProposalDue(pressing urgency, rank int) bool {
+func (a *Agreement) isProposalDue(level urgency, rank int) bool {
 	now := a.view.now
-	waited := now - a.proposer.changeWantedSince
+	waited := now - a.proposer.changeNeededSince
 	if now < a.proposer.retryAfter {
 		return false
 	}
-	if pressing < immediate && waited < a.config.StabilityWindow {
+	if level < urgencyImmediate && waited < a.config.StabilityWindow {
 		return false
 	}
 	if rank == 0 {
 		return true
 	}
-	return pressing != countDrifted && waited >= a.config.StabilityWindow*timeunit.Milliseconds(2+rank)
+	return level != urgencyMemberCount && waited >= a.config.StabilityWindow*timeunit.Milliseconds(2+rank)
 }
 
-// requiredCount returns the member count of which the next configuration must have more than half: the members of the
-// current configuration except those that have since announced that they are leaving, or InitialSize while
+// majorityBaseCount returns the member count of which the next configuration must have more than half: the members of
+// the current configuration except those that have since announced that they are leaving, or InitialSize while
 // bootstrapping.
-func (a *Agreement) requiredCount() int {
-	if a.isForming() {
+func (a *Agreement) majorityBaseCount() int {
+	if a.isBootstrapping() {
 		return a.config.InitialSize
 	}
 	return a.configuration.MemberCount - a.countLeavers()
@@ -107,42 +107,42 @@
 // countLeavers returns the number of members of the current configuration that have announced that they are leaving.
 // Members first seen after it was learned are not part of its member count and are ignored.
 func (a *Agreement) countLeavers() int {
-	count := a.leavingThen
+	count := a.leavingWhenLearned
 	for _, member := range a.view.members {
-		if member.FirstSeen <= a.learnedAt && member.leavingFrom > a.learnedAt && member.hasAnnouncedLeave() {
+		if member.FirstSeen <= a.learnedAt && member.leavingSince > a.learnedAt && member.hasAnnouncedLeave() {
 			count++
 		}
 	}
 	return count
 }
 
-// countLeavingIn returns the number of members counted in a configuration that are already leaving. Members that were
-// draining when it was proposed are not counted in it, but members that began to drain afterwards are, for example when
-// many drain within a second. The configuration does not list them, so their number is inferred: it counts at most all
-// members that stay, so any excess over those must be draining.
-func (a *Agreement) countLeavingIn(next Configuration) int {
+// countLeavingWhenLearned returns the number of members counted in a configuration that are already leaving. Members
+// that were draining when it was proposed are not counted in it, but members that began to drain afterwards are, for
+// example when many drain within a second. The configuration does not list them, so their number is inferred: it counts
+// at most all members that stay, so any excess over those must be draining.
+func (a *Agreement) countLeavingWhenLearned(next Configuration) int {
 	alive := a.view.Alive()
-	staying := a.countStaying(alive)
-	draining := len(alive) - staying
-	return min(max(0, next.MemberCount-staying), draining)
+	stayingCount := a.countStaying(alive)
+	drainingCount := len(alive) - stayingCount
+	return min(max(0, next.MemberCount-stayingCount), drainingCount)
 }
 
 // changeUrgency returns how urgently a new configuration is needed.
 func (a *Agreement) changeUrgency(alive []ID) urgency {
 	if a.acceptor.accepted != nil {
-		return immediate
+		return urgencyImmediate
 	}
-	if a.configuration.Epoch == 0 || a.conflicting {
-		return votersMissing
+	if a.configuration.Epoch == 0 || a.isConflicting {
+		return urgencyVoters
 	}
-	staying := a.countStaying(alive)
-	result := noChange
-	drift := staying - a.configuration.MemberCount
-	if a.StartNewGenesis || max(drift, -drift) > a.configuration.MemberCount/countDriftFraction {
-		result = countDrifted
+	stayingCount := a.countStaying(alive)
+	result := urgencyNone
+	drift := stayingCount - a.configuration.MemberCount
+	if a.StartNewGenesis || max(drift, -drift) > a.configuration.MemberCount/memberCountDriftDivisor {
+		result = urgencyMemberCount
 	}
-	if len(a.configuration.Voters) < largestOdd(min(staying, a.config.MaxVoters)) {
-		result = votersMissing
+	if len(a.configuration.Voters) < largestOdd(min(stayingCount, a.config.MaxVoters)) {
+		result = urgencyVoters
 	}
 	for _, voter := range a.configuration.Voters {
 		result = max(result, a.voterUrgency(voter))
@@ -154,11 +154,11 @@
 	member := a.view.Member(voter.ID)
 	switch {
 	case member == nil || !member.isAlive():
-		return votersMissing
+		return urgencyVoters
 	case member.State == StateDraining:
-		return immediate
+		return urgencyImmediate
 	}
-	return noChange
+	return urgencyNone
 }
 
 // largestOdd returns the largest odd number not greater than n. An even number of voters tolerates no more failures
@@ -182,10 +182,10 @@
 		MemberCount:  a.countStaying(alive),
 		GenesisEpoch: a.configuration.GenesisEpoch,
 	}
-	if a.isForming() || a.StartNewGenesis {
+	if a.isBootstrapping() || a.StartNewGenesis {
 		next.GenesisEpoch = next.Epoch
 	}
-	next.LeaseDuration = max(a.config.LeaseDuration, timeunit.Milliseconds(next.MemberCount)*leasePerMember)
+	next.LeaseDuration = max(a.config.LeaseDuration, timeunit.Milliseconds(next.MemberCount)*leaseDurationPerMember)
 	for _, member := range a.chooseVoters(alive, largestOdd(min(next.MemberCount, a.config.MaxVoters))) {
 		next.Voters = append(next.Voters, Voter{member.ID, member.Address})
 	}
@@ -197,7 +197,7 @@
 // with the fewest voters, so that the loss of a zone costs as few voters as possible. Within a zone, the incarnation
 // that started first is preferred.
 func (a *Agreement) chooseVoters(alive []ID, count int) (chosen []*Member) {
-	var rest []*Member
+	var candidates []*Member
 	perZone := map[string]int{}
 	for _, id := range alive {
 		member := a.view.Member(id)
@@ -207,16 +207,16 @@
 			chosen = append(chosen, member)
 			perZone[member.Zone]++
 		default:
-			rest = append(rest, member)
+			candidates = append(candidates, member)
 		}
 	}
-	for len(chosen) < count && len(rest) > 0 {
-		member := slices.MinFunc(rest, func(x, y *Member) int {
+	for len(chosen) < count && len(candidates) > 0 {
+		member := slices.MinFunc(candidates, func(x, y *Member) int {
 			return cmp.Or(cmp.Compare(perZone[x.Zone], perZone[y.Zone]), cmp.Compare(x.Incarnation, y.Incarnation))
 		})
 		chosen = append(chosen, member)
 		perZone[member.Zone]++
-		rest = slices.DeleteFunc(rest, func(other *Member) bool { return other == member })
+		candidates = slices.DeleteFunc(candidates, func(other *Member) bool { return other == member })
 	}
 	return chosen
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -55,33 +55,33 @@
 		members:       map[ID]*Member{},
 		byName:        map[string][]*Member{},
 		nameOwners:    map[string]ID{},
-		resumedAt:     neverHappened,
+		resumedAt:     distantPast,
 		effectiveSize: max(1, config.InitialSize),
 	}
 	v.self = &Member{
-		StateUpdate: StateUpdate{ID: config.Self, Zone: config.Zone},
-		FirstSeen:   now,
-		LastUpdate:  now,
-		Since:       now,
-		leavingFrom: notLeaving,
+		StateUpdate:  StateUpdate{ID: config.Self, Zone: config.Zone},
+		FirstSeen:    now,
+		LastUpdate:   now,
+		Since:        now,
+		leavingSince: notLeaving,
 	}
 	v.add(v.self)
 	v.nameOwners[config.Self.Name] = config.Self
 	return v
 }
 
-// neverHappened is the time of an event that has not happened. It is earlier than every clock reading.
-const neverHappened timeunit.Milliseconds = -1 << 60
+// distantPast is the time of an event that has not happened. It is earlier than every clock reading.
+const distantPast timeunit.Milliseconds = -1 << 60
 
-// pauseThreshold is the number of intervals between two calls of Advance above which this process must have been
-// paused.
-const pauseThreshold = 4
+// pauseThresholdIntervals is the number of intervals between two calls of Advance above which this process must have
+// been paused.
+const pauseThresholdIntervals = 4
 
 // Advance moves the view's clock forward to now; interval is the usual time between two calls. If the gap since the
 // last call shows that this process was paused, its length is returned, otherwise 0. For the next StabilityWindow the
 // view then draws no conclusions against other members (recentlyPaused).
 func (v *View) Advance(now, interval timeunit.Milliseconds) (paused timeunit.Milliseconds) {
-	if gap := now - v.now; gap > pauseThreshold*interval {
+	if gap := now - v.now; gap > pauseThresholdIntervals*interval {
 		paused = gap
 		v.resumedAt = now
 		v.self.PausedMs = int64(gap)
@@ -142,33 +142,33 @@
 	}
 	member := v.members[update.ID]
 	if member == nil {
-		return v.addFrom(&update)
+		return v.addFromUpdate(&update)
 	}
 	if update.Sequence <= member.Sequence {
 		v.Counts.Stale++
 		return false
 	}
-	v.applyNewer(member, &update)
+	v.applyNewerUpdate(member, &update)
 	return true
 }
 
-// addFrom adds the member described by its first update. It returns false if there is no capacity for it.
-func (v *View) addFrom(update *StateUpdate) bool {
+// addFromUpdate adds the member described by its first update. It returns false if there is no capacity for it.
+func (v *View) addFromUpdate(update *StateUpdate) bool {
 	if len(v.members) >= v.config.MaxMembers && !v.evictOldest() {
 		v.Counts.NoCapacity++
 		return false
 	}
 	member := &Member{
-		StateUpdate: *update,
-		FirstSeen:   v.now,
-		LastUpdate:  v.now - timeunit.Milliseconds(update.AgeMs),
-		Since:       v.now,
-		LastReply:   neverHappened,
-		State:       update.State,
-		leavingFrom: notLeaving,
+		StateUpdate:  *update,
+		FirstSeen:    v.now,
+		LastUpdate:   v.now - timeunit.Milliseconds(update.AgeMs),
+		Since:        v.now,
+		LastReply:    distantPast,
+		State:        update.State,
+		leavingSince: notLeaving,
 	}
 	if update.State == StateDraining {
-		member.leavingFrom = v.now
+		member.leavingSince = v.now
 	}
 	v.add(member)
 	v.events = append(v.events, Event{update.ID, StateLeft, update.State, CauseNone})
@@ -176,17 +176,17 @@
 	return true
 }
 
-// applyNewer replaces a member's update with a newer one and derives the member's state.
-func (v *View) applyNewer(member *Member, update *StateUpdate) {
-	hasPausedAnew := update.PausedMs > 0 && update.PausedMs != member.PausedMs
+// applyNewerUpdate replaces a member's update with a newer one and derives the member's state.
+func (v *View) applyNewerUpdate(member *Member, update *StateUpdate) {
+	hasNewPause := update.PausedMs > 0 && update.PausedMs != member.PausedMs
 	member.StateUpdate = *update
 	member.LastUpdate = max(member.LastUpdate, v.now-timeunit.Milliseconds(update.AgeMs))
 	switch {
-	case member.terminated || member.Cause == CauseNameConflict:
+	case member.isTerminated || member.Cause == CauseNameConflict:
 		// A terminated member does not come back, and a member in a name conflict waits until it owns the name.
 	case member.State == StateFailed || member.State == StateSuspected:
 		// The update may predate the suspicion: only a probe answer or a refutation clears it.
-		if hasPausedAnew {
+		if hasNewPause {
 			member.Cause = CausePaused
 		}
 	case update.State == StateDraining:
@@ -199,12 +199,12 @@
 
 // Members returns all known incarnations, ordered by ID.
 func (v *View) Members() []*Member {
-	list := make([]*Member, 0, len(v.members))
+	members := make([]*Member, 0, len(v.members))
 	for _, member := range v.members {
-		list = append(list, member)
+		members = append(members, member)
 	}
-	slices.SortFunc(list, func(a, b *Member) int { return a.Compare(b.ID) })
-	return list
+	slices.SortFunc(members, func(a, b *Member) int { return a.Compare(b.ID) })
+	return members
 }
 
 // Member returns an incarnation, or nil if it is not known.
@@ -247,8 +247,8 @@
 // and updates the effective size. The host calls it a few times per second.
 func (v *View) Tick(status QuorumStatus) {
 	for _, member := range v.members {
-		isOver := member.State >= StateFailed && member.Cause != CauseNameConflict
-		if member != v.self && isOver && v.now-member.Since > v.config.Retention {
+		hasEnded := member.State >= StateFailed && member.Cause != CauseNameConflict
+		if member != v.self && hasEnded && v.now-member.Since > v.config.Retention {
 			v.remove(member)
 		}
 	}
@@ -280,9 +280,9 @@
 
 func (v *View) remove(member *Member) {
 	delete(v.members, member.ID)
-	rest := slices.DeleteFunc(v.byName[member.Name], func(other *Member) bool { return other == member })
-	v.byName[member.Name] = rest
-	if len(rest) == 0 {
+	remaining := slices.DeleteFunc(v.byName[member.Name], func(other *Member) bool { return other == member })
+	v.byName[member.Name] = remaining
+	if len(remaining) == 0 {
 		delete(v.byName, member.Name)
 	}
 	if v.nameOwners[member.Name] == member.ID {
@@ -294,7 +294,7 @@
 func (v *View) transition(member *Member, state State, cause Cause) {
 	isLeaving := state == StateDraining || state == StateLeft && cause == CauseLeft
 	if isLeaving {
-		member.leavingFrom = min(member.leavingFrom, v.now)
+		member.leavingSince = min(member.leavingSince, v.now)
 	}
 	if member.State == state {
 		member.Cause = cause
