--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -10,22 +10,22 @@
 
 const second = timeunit.MillisecondsPerSecond
 
-// cluster simulates servers and the network between them in virtual time: state updates and messages are lost,
-// delayed, doubled and reordered, links are cut in one direction, processes are killed, stopped and started again
-// with nothing kept, and clocks run apart. A failure is detected by silence, as the gossip library would.
+// cluster simulates servers and the network between them in virtual time. State updates and messages are lost, delayed,
+// duplicated and reordered; links are cut in one direction; processes are killed, paused and restarted without any
+// saved state; clocks drift apart. Nodes detect failures by silence, as the gossip library does.
 type cluster struct {
 	schedule.Network[packet]
 	nodes        []*node
-	incarnations uint64 // started so far
+	incarnations uint64 // number started so far
 
-	observations int // of a running node
-	majorities   int // of those, in the majority
-	splitBrains  int // of those, by another configuration than one seen before at the same moment
+	observations int // of running nodes
+	majorities   int // observations of a node in the majority
+	splitBrains  int // majority observations whose configuration differs from the first one seen at the same time
 
-	history *golden.History // of all that leaves the nodes; nil when none is kept
+	history *golden.History // everything that leaves the nodes; nil if it is not recorded
 }
 
-// packet is a state update or a message; the other is nil.
+// packet is a state update or a message; the other field is nil.
 type packet struct {
 	update  *StateUpdate
 	message *Message
@@ -40,9 +40,9 @@
 	view       *View
 	agreement  *Agreement
 
-	isDraining    bool
-	lastHeard     map[ID]timeunit.Milliseconds
-	heldForFailed map[ID]bool
+	isDraining     bool
+	lastHeard      map[ID]timeunit.Milliseconds
+	reportedFailed map[ID]bool
 }
 
 const (
@@ -50,11 +50,11 @@
 	advanceInterval                       = 2 * simulationStep
 	suspectAfter                          = 3 * second
 	failAfter                             = 5 * second
-	maxDelay                              = 250 // of a packet
+	maxPacketDelay                        = 250 // of a packet
 )
 
 func newCluster(seed int64, servers int) *cluster {
-	c := &cluster{Network: schedule.NewNetwork[packet](schedule.NewSimulation(seed, second), maxDelay)}
+	c := &cluster{Network: schedule.NewNetwork[packet](schedule.NewSimulation(seed, second), maxPacketDelay)}
 	for i := range servers {
 		n := &node{
 			localClock: c.NewLocalClock(0.04, 100000),
@@ -66,13 +66,13 @@
 		c.Join(&n.Process)
 	}
 	for i := range c.nodes {
-		c.start(i)
+		c.startNode(i)
 	}
 	return c
 }
 
-// start begins a new incarnation of a node, whose clock may have been set back since the one before.
-func (c *cluster) start(i int) {
+// startNode starts a new incarnation of a node. Its clock may have been set back since the previous one.
+func (c *cluster) startNode(i int) {
 	n := c.nodes[i]
 	c.incarnations++
 	config := DefaultConfig(ID{n.name, uint64(c.Random.Intn(1000)+1)<<32 | c.incarnations})
@@ -86,7 +86,7 @@
 	n.view = NewView(config, c.clock(n))
 	n.agreement = NewAgreement(n.view)
 	n.lastHeard = map[ID]timeunit.Milliseconds{}
-	n.heldForFailed = map[ID]bool{}
+	n.reportedFailed = map[ID]bool{}
 	n.view.UpdateSelf(StateUpdate{Address: n.address, State: StateServing})
 }
 
@@ -122,14 +122,14 @@
 	id := p.update.ID
 	n.view.ApplyUpdate(*p.update)
 	n.lastHeard[id] = n.view.now
-	if n.heldForFailed[id] {
-		delete(n.heldForFailed, id)
+	if n.reportedFailed[id] {
+		delete(n.reportedFailed, id)
 		n.view.Refuted(id)
 	}
 	n.view.ProbeSucceeded(id, 10)
 }
 
-// runNode plays what a node does in one step.
+// runNode runs one simulation step of a node.
 func (c *cluster) runNode(i int, n *node) {
 	n.view.Advance(c.clock(n), advanceInterval)
 	state := StateServing
@@ -146,16 +146,16 @@
 			c.Send(i, j, packet{update: &update})
 		}
 	}
-	n.detectSilence()
+	n.detectFailures()
 	c.tickAgreement(n)
 	n.view.Tick(n.agreement.QuorumStatus())
 	if c.history != nil {
-		c.history.Add(i, wire(update))
+		c.history.Add(i, cborHex(update))
 		addState(c.history, n.view, n.agreement)
 	}
 	for _, message := range n.agreement.TakeMessages() {
 		if c.history != nil {
-			c.history.Add(wire(message))
+			c.history.Add(cborHex(message))
 		}
 		if j, found := c.indexOf(message.To); found {
 			c.Send(i, j, packet{message: &message})
@@ -163,7 +163,7 @@
 	}
 }
 
-func (n *node) detectSilence() {
+func (n *node) detectFailures() {
 	for _, m := range n.view.Members() {
 		heard, known := n.lastHeard[m.ID]
 		silence := n.view.now - heard
@@ -173,20 +173,20 @@
 			n.view.RecordSuspicion(m.ID)
 		case m.State == StateSuspected && silence > failAfter:
 			n.view.RecordFailure(m.ID)
-			n.heldForFailed[m.ID] = true
+			n.reportedFailed[m.ID] = true
 		}
 	}
 }
 
 func (c *cluster) tickAgreement(n *node) {
 	if c.history != nil {
-		tickInOrder(n.view, n.agreement)
+		tickDeterministically(n.view, n.agreement)
 		return
 	}
 	n.agreement.Tick()
 }
 
-// observe counts the nodes that are in the majority at one moment by different configurations.
+// observe counts the running nodes, those in the majority, and those in the majority by different configurations.
 func (c *cluster) observe() {
 	var first *Configuration
 	for _, n := range c.nodes {
@@ -208,7 +208,7 @@
 	}
 }
 
-// injectFault does one harm to the cluster, or repairs one.
+// injectFault injects one random fault into the cluster, or repairs one.
 func (c *cluster) injectFault() {
 	i := c.Random.Intn(len(c.nodes))
 	n := c.nodes[i]
@@ -216,7 +216,7 @@
 	case 0:
 		n.IsDown = true
 		if c.Random.Intn(2) == 0 {
-			c.start(i)
+			c.startNode(i)
 		}
 	case 1:
 		n.PausedUntil = c.Now + c.DrawSpan(0, 8*second)
@@ -231,7 +231,7 @@
 	case 7:
 		for k, other := range c.nodes {
 			if other.IsDown {
-				c.start(k)
+				c.startNode(k)
 			}
 		}
 	case 8:
@@ -239,7 +239,7 @@
 	}
 }
 
-// partitionAtRandom cuts the nodes into groups.
+// partitionAtRandom partitions the nodes into random groups.
 func (c *cluster) partitionAtRandom(groups int) {
 	groupOf := make([]int, len(c.nodes))
 	for k := range groupOf {
@@ -248,7 +248,7 @@
 	c.Partition(groupOf)
 }
 
-// runFaultSchedule injects faults one after the other, then lets the cluster heal.
+// runFaultSchedule injects one random fault after another, then lets the cluster heal.
 func (c *cluster) runFaultSchedule() {
 	c.RunFor(10*second, c.runStep)
 	for range 12 {
