--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -7,7 +7,7 @@
 	"thistlequay/timeunit"
 )
 
-// busyHost is a host that remembers the requests that run and those that call, and does nothing else.
+// busyHost is a host that keeps the requests that run and those that wait for a call, and ignores everything else.
 type busyHost struct {
 	silentHost
 	started []*Request
@@ -23,7 +23,7 @@
 func (*busyHost) ReportLoad(float64)                 {}
 func (*busyHost) SetTimer(timeunit.Ticks)            {}
 
-// BenchmarkBatch measures a batch of one arrival, one start, one call and one end, with so many requests queued.
+// BenchmarkBatch measures a batch with one arrival, one start, one call and one end, for several queue lengths.
 func BenchmarkBatch(b *testing.B) {
 	config := Config{Cores: 8, MemoryKB: 1e12, RunMemoryFactor: 2, OverloadThreshold: 8, EntryKB: 1, BatchInterval: 10,
 		Routers: 4, SharedDependency: true, DownstreamLimit: 100, DownstreamWindow: 50_000,
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -2,8 +2,8 @@
 
 import "thistlequay/timeunit"
 
-// startCalls makes the downstream calls that requests need, within this server's part of what the dependency
-// survives. The others go on waiting, in the same order.
+// startCalls makes the downstream calls that requests need, within this server's part of the calls that the dependency
+// can sustain. The other requests keep waiting in the same order.
 func (s *Server) startCalls() {
 	waiting := s.downstream.waiting[:0]
 	for _, request := range s.downstream.waiting {
@@ -21,7 +21,7 @@
 	s.downstream.waiting = waiting
 }
 
-// startCall makes the call of the request if the dependency may be called now.
+// startCall makes the downstream call of the request and reports whether the dependency may be called now.
 func (s *Server) startCall(request *Request) bool {
 	downstream := &s.downstream
 	isIdempotent := request.category.Idempotency == Idempotent
@@ -31,7 +31,8 @@
 	}
 	until := min(request.valuableUntil(), allowedUntil)
 	if isIdempotent && downstream.quickTimes.total >= minSamples {
-		// Its reply may be lost and would keep a call in flight for long. It can be called again.
+		// A lost reply would keep the call in flight until the deadline. An idempotent call is given up before and made
+		// again.
 		lostAfter := lostCallFactor * max(downstream.recentTime,
 			float64(downstream.quickTimes.quantile(lostCallQuantile)))
 		until = min(until, s.now+timeunit.Ticks(lostAfter))
@@ -42,8 +43,8 @@
 	return true
 }
 
-// continueWithoutCall has the run go on to a degraded answer where that has a value, and aborts the request
-// elsewhere.
+// continueWithoutCall continues the run towards a degraded answer if that has a value and the cores have room.
+// Otherwise it aborts the request.
 func (s *Server) continueWithoutCall(request *Request) {
 	if request.category.DegradedValue == 0 || request.isDone() || s.coresAreFull() {
 		s.abort(request)
@@ -54,8 +55,8 @@
 	s.host.SkipCall(request)
 }
 
-// onlyDegradedIsInTime says that an answer with the call would miss the soft deadline, with so many calls to
-// wait for, and that a degraded answer is worth more than a late one.
+// onlyDegradedIsInTime reports whether an answer with the call would miss the soft deadline, with callsAhead calls to
+// wait for, while a degraded answer is worth more than a late one and the cores have room for it.
 func (s *Server) onlyDegradedIsInTime(request *Request, callsAhead int) bool {
 	downstream := &s.downstream
 	takes := downstream.recentTime*(1+float64(callsAhead)/max(1, downstream.limit)) +
--- a/admission/category.go
+++ b/admission/category.go
@@ -2,12 +2,12 @@
 
 import "thistlequay/timeunit"
 
-// categoryState is a Category with what was measured of its requests.
+// categoryState holds a Category and the measured run times of its requests.
 type categoryState struct {
 	Category
 	index         int
-	runTimes      histogram // of all runs, aborted ones too, up to their abort
-	quietRunTimes histogram // of successful runs that began and ended while the cores were quiet
+	runTimes      histogram // of all runs; an aborted run counts with the time up to its abort
+	quietRunTimes histogram // of successful runs during whose start and end the cores were quiet
 }
 
 func newCategoryState(category Category, index int) *categoryState {
@@ -19,14 +19,13 @@
 	}
 }
 
-// typicalRunTime is the median run time in ticks, and at least one bin.
+// typicalRunTime returns the median run time in ticks, and at least the width of one histogram bin.
 func (c *categoryState) typicalRunTime() float64 {
 	return float64(max(c.runTimes.binWidth, c.runTimes.quantile(0.5)))
 }
 
-// valueAt is the priority of a request of this category that would start now with so much time to its soft
-// deadline: the weight of its answer, by the share of recent runs that would be in time, for the time that
-// such runs take.
+// valueAt returns the priority of a request of this category that would start now with timeLeft to its soft deadline:
+// the weight of its answer, scaled by the fraction of recent runs that would be in time, per tick of typical run time.
 func (c *categoryState) valueAt(timeLeft timeunit.Ticks) float64 {
 	fits := c.runTimes.fractionBelow(timeLeft)
 	return c.Weight * (fits + (1-fits)*c.LateValue) / c.typicalRunTime()
--- a/admission/config.go
+++ b/admission/config.go
@@ -7,138 +7,139 @@
 	"thistlequay/timeunit"
 )
 
-// Idempotency says what a second run of a request would do.
+// Idempotency states what a second run of a request would do.
 type Idempotency int
 
 // The zero value is Idempotent.
 const (
-	Idempotent    Idempotency = iota // may run any number of times
-	Keyed                            // has an idempotency key: one run a server and deduplication window
+	Idempotent    Idempotency = iota // can run any number of times
+	Keyed                            // has an idempotency key: at most one run per server and deduplication window
 	NonIdempotent                    // must never run twice
 )
 
-// LoadReportMode says what routers make of the value that is reported to them with each answer.
+// LoadReportMode states how routers interpret the load report, a value that is sent to them with each answer.
 type LoadReportMode int
 
 // The zero value is ReportNothing.
 const (
-	ReportNothing     LoadReportMode = iota // no value is passed on to routers
-	ReportRank                              // routers send nothing that ranks below the value
-	ReportLimit                             // each router has at most so many requests in flight here
-	ReportProbability                       // the probability with which a router does not pass this server over
+	ReportNothing     LoadReportMode = iota // no value is sent to routers
+	ReportRank                              // routers send no requests that rank below the value
+	ReportLimit                             // the value limits the requests of each router in flight here
+	ReportProbability                       // the value is the probability of selecting this server
 )
 
 // Category describes one kind of request.
 type Category struct {
-	// Weight is the value of an answer within the soft deadline. Only ratios between categories count.
+	// Weight is the value of an answer within the soft deadline. Only the ratios between categories matter.
 	Weight float64
 
-	// LateValue is the share of Weight, from 0 to 1, that an answer still has between SoftDeadline and Deadline.
+	// LateValue is the fraction of Weight, from 0 to 1, that an answer between SoftDeadline and Deadline has.
 	LateValue float64
 
-	// DegradedValue is the share of Weight, from 0 to 1, that an answer has which was made without its
-	// downstream call. 0 means that there is no such answer.
+	// DegradedValue is the fraction of Weight, from 0 to 1, that an answer made without the downstream call has. 0
+	// means that the category has no degraded answers.
 	DegradedValue float64
 
-	// SoftDeadline is the latency objective, from when the client's request reached the machine.
+	// SoftDeadline is the latency objective, counted from when the request reached the machine.
 	SoftDeadline timeunit.Ticks
 
-	// Deadline is how long a client waits at most, from when its request reached the machine.
+	// Deadline is the longest time that a client waits, counted from when its request reached the machine.
 	Deadline timeunit.Ticks
 
-	// DeduplicationWindow is how long after its arrival a Keyed request may be repeated.
+	// DeduplicationWindow is the time after its arrival during which a Keyed request may be repeated.
 	DeduplicationWindow timeunit.Ticks
 
-	// Idempotency says what a second run would do.
+	// Idempotency states what a second run of a request would do.
 	Idempotency Idempotency
 }
 
-// Config is what a Server is given when it starts. Fields left at zero mean what they say unless noted
+// Config holds the settings with which a Server starts. Zero is an ordinary value of each field unless its comment says
 // otherwise.
 type Config struct {
-	// Categories lists the kinds of requests; Arrival.Category is an index of it. At least one is needed.
+	// Categories lists the kinds of requests; Arrival.Category is an index into it. At least one is required.
 	Categories []Category
 
-	// Routers is the number of routers that send to this server; less than 1 counts as 1.
+	// Routers is the number of routers that send to this server; values below 1 count as 1.
 	Routers int
 
-	// RetriesMarked says that routers mark retries (Arrival.IsRetry), so that what is not marked is none.
+	// RetriesMarked reports whether routers mark retries (Arrival.IsRetry), so that an unmarked request is not one.
 	RetriesMarked bool
 
-	// Servers is the size of the fleet when this server starts; less than 1 counts as 1.
+	// Servers is the size of the fleet when this server starts; values below 1 count as 1.
 	Servers int
 
-	// Cores is the number of CPU cores. It is also where the concurrency limit starts, and its floor.
+	// Cores is the number of CPU cores. It is also the initial and the smallest concurrency limit.
 	Cores int
 
-	// MemoryKB is the memory, in kilobytes, that queued requests, runs and idempotency entries must fit into.
+	// MemoryKB is the memory, in kilobytes, available to queued requests, runs and idempotency entries.
 	MemoryKB float64
 
 	// RunMemoryFactor is the memory of a running request as a multiple of that of a queued one.
 	RunMemoryFactor float64
 
-	// EntryKB is the memory of an idempotency entry, in kilobytes.
+	// EntryKB is the memory of one idempotency entry, in kilobytes.
 	EntryKB float64
 
-	// MaxEntries bounds the number of idempotency entries; 0 means that MemoryKB alone bounds them.
+	// MaxEntries limits the number of idempotency entries; 0 means that only MemoryKB limits it.
 	MaxEntries int
 
-	// BatchInterval is the least time between two batches. Answers are given two of them before a deadline.
+	// BatchInterval is the shortest time between two batches. Requests are answered two intervals before their
+	// deadline.
 	BatchInterval timeunit.Ticks
 
-	// DrainGrace is how long after the notice of a stop arriving requests are still run.
+	// DrainGrace is the time after the notice of a stop during which arriving requests still run.
 	DrainGrace timeunit.Ticks
 
-	// ResultTTL is how long the result of a cacheable request may answer others; 0 means never.
+	// ResultTTL is how long the result of a cacheable request is shared with other requests; 0 disables sharing.
 	ResultTTL timeunit.Ticks
 
-	// StartsCold says that the server begins slowly (ColdSpeed) and reaches its full speed after WarmUpTime.
+	// StartsCold reports whether the server starts at ColdSpeed and reaches its full speed after WarmUpTime.
 	StartsCold bool
 
-	// ColdSpeed is the share of its speed, from 0 to 1, that a cold server begins with.
+	// ColdSpeed is the initial speed of a cold server as a fraction of its full speed, from 0 to 1.
 	ColdSpeed float64
 
-	// WarmUpTime is the time from the start of a cold server to its full speed.
+	// WarmUpTime is the time that a cold server takes from its start to its full speed.
 	WarmUpTime timeunit.Ticks
 
-	// OverloadThreshold is the number of runnable requests for each core that a warm server survives.
+	// OverloadThreshold is the number of runnable requests per core that a warm server can sustain.
 	OverloadThreshold float64
 
-	// SharedDependency says that all servers of the fleet call one dependency, so that DownstreamLimit counts.
+	// SharedDependency reports whether all servers call one downstream dependency, so that DownstreamLimit applies.
 	SharedDependency bool
 
-	// DownstreamLimit is this server's part of the calls in flight that the shared dependency survives, as a
-	// mean over DownstreamWindow.
+	// DownstreamLimit is this server's part of the calls in flight that the shared dependency can sustain, as a mean
+	// over DownstreamWindow.
 	DownstreamLimit float64
 
-	// DownstreamWindow is the time over which DownstreamLimit is meant.
+	// DownstreamWindow is the time over which the mean that DownstreamLimit limits is taken.
 	DownstreamWindow timeunit.Ticks
 
-	// TurnOffset, from 0 to 1 and different on each server, says when this server has its turns at the shared
-	// dependency.
+	// TurnOffset, from 0 to 1 and different on each server, shifts the turns in which this server may make one more
+	// call to the shared dependency than its limit rounded down.
 	TurnOffset float64
 
 	// AbandonedCallTime is how long an abandoned call still counts as in flight at the dependency.
 	AbandonedCallTime timeunit.Ticks
 
-	// LoadReportMode is what routers make of the load report.
+	// LoadReportMode states how routers interpret the load report.
 	LoadReportMode LoadReportMode
 
-	// MaxRetryAfter is the longest Retry-After that routers heed; 0 means that none is passed on.
+	// MaxRetryAfter is the longest Retry-After that routers obey; 0 means that none is sent.
 	MaxRetryAfter timeunit.Ticks
 
-	// MaxIdleTime is how long routers keep idle connections; 0 means that it is not known.
+	// MaxIdleTime is how long routers keep idle connections; 0 means that the time is not known.
 	MaxIdleTime timeunit.Ticks
 
-	// CanStopRuns says that running work can be stopped. Its progress is lost.
+	// CanStopRuns reports whether a run can be stopped. The progress of a stopped run is lost.
 	CanStopRuns bool
 
-	// WarmStart is what an earlier incarnation learnt, as far as it still holds; nil means nothing.
+	// WarmStart is the warm-start state of an earlier incarnation, as far as it is still valid; nil means none.
 	WarmStart *WarmStartState
 }
 
-// StoredForm returns the settings as text, without WarmStart. Stored warm-start records carry a hash of this
-// text and are ignored once it differs, so it keeps the names and the order of its first version.
+// StoredForm returns the settings as text, without WarmStart. Stored warm-start records carry a hash of this text and
+// are ignored when it differs, so the names and their order must stay those of its first version.
 func (c *Config) StoredForm() string {
 	var text strings.Builder
 	text.WriteString("{Categories:[")
--- a/admission/cores.go
+++ b/admission/cores.go
@@ -6,29 +6,29 @@
 	"thistlequay/timeunit"
 )
 
-// Ratios of our own, found on simulated days (docs/design.md), and margins to limits that the settings tell.
+// Ratios found by simulating whole days (docs/design.md), and safety margins to configured limits.
 const (
-	idleUtilization = 0.9       // below this utilization the cores read idle
-	reliefThreshold = 1.5       // with more runnable requests for each core the limit gives way
-	overloadMargin  = 0.9       // part of the survivable number of runnable requests that may be reached
-	unreadFraction  = 1.0 / 6.0 // part of the shortest soft deadline that may pass unread before runs give way
+	idleUtilization = 0.9       // core utilization below which the cores count as idle
+	reliefThreshold = 1.5       // runnable requests per core above which the concurrency limit is lowered
+	overloadMargin  = 0.9       // part of the sustainable number of runnable requests that is used
+	unreadFraction  = 1.0 / 6.0 // part of the shortest soft deadline that requests may stay unread
 )
 
-// coreLoad watches what wants the cores. It moves the limit in the two cases where the gauges say all that an
-// experiment would, and holds the hard limit of runnable requests that the server survives.
+// coreLoad tracks the demand for the cores. It changes the concurrency limit in the two cases where the gauges alone
+// show what an experiment would find, and enforces the hard limit on runnable requests that the server can sustain.
 type coreLoad struct {
 	cores             float64
 	runnable          float64 // running mean of Gauges.RunnableRequests
 	reliefAt          timeunit.Ticks
-	runsAtCalls       int     // requests in flight that stand at a downstream call, made or not: off the cores
-	overloadThreshold float64 // runnable requests for each core that a warm server survives
+	runsAtCalls       int     // requests in flight that wait for a downstream call, started or not, and use no core
+	overloadThreshold float64 // runnable requests per core that a warm server can sustain
 }
 
-// isQuiet says that no more requests want the cores than there are.
+// isQuiet reports whether there are no more runnable requests than cores.
 func (c *coreLoad) isQuiet() bool { return c.runnable <= c.cores }
 
-// growIntoIdleCores raises the limit at once while the cores read idle, the limit is full and requests wait:
-// experiments are slow, and idle cores say all.
+// growIntoIdleCores raises the concurrency limit by up to the number of idle cores while requests wait. The caller
+// checks that the limit is reached. Experiments are slow, and idle cores already show that the limit is too low.
 func (c *coreLoad) growIntoIdleCores(limiter *limiter, gauges Gauges, waiting int) {
 	idle := c.cores - gauges.RunnableRequests
 	if waiting > 0 && idle >= 1 && gauges.CoreUtilization < idleUtilization {
@@ -36,10 +36,10 @@
 	}
 }
 
-// relieve lowers the limit by the excess of runnable requests, once a round trip and never below the cores.
-// What exceeds the cores adds nothing to throughput. This guards against load that piles up faster than
-// experiments see it (slow cores, bursts of reading). It does harm where the gauge counts requests that do
-// not compete for the cores.
+// relieve lowers the limit by the excess of runnable requests, at most once per round trip and never below the number
+// of cores. Requests in excess of the cores add nothing to throughput. This protects against load that grows faster
+// than experiments can detect (slow cores, bursts of reading). It reduces throughput where the gauge counts requests
+// that do not compete for the cores.
 func (c *coreLoad) relieve(limiter *limiter, now timeunit.Ticks) {
 	over := c.runnable - reliefThreshold*c.cores
 	if over > 0 && now >= c.reliefAt {
@@ -48,23 +48,25 @@
 	}
 }
 
-// limitAt is the hard limit of runnable requests at this speed, from 0 to 1 of a warm server's
-// (slowStart.speed).
+// limitAt returns the hard limit of runnable requests at the given speed (slowStart.speed), from 0 to 1 as a fraction
+// of the speed of a warm server.
 func (c *coreLoad) limitAt(speed float64) float64 {
 	return c.cores * (1 + (c.overloadThreshold-1)*speed) * overloadMargin
 }
 
-// readingDelay watches how long requests lie unread. Reading takes cores too, and runs can starve it.
+// readingDelay tracks how long requests stay unread. Reading needs the cores too, and runs can starve it.
 type readingDelay struct {
 	mean         float64 // running mean of Arrival.UnreadTime, in ticks
 	softDeadline float64 // the shortest of all categories, in ticks
 }
 
+// isLong reports whether requests stay unread for a large part of the soft deadline.
 func (d *readingDelay) isLong() bool { return d.mean > d.softDeadline*unreadFraction }
 
-// concurrencyLimit is the limiter's limit, or half the cores and the requests at calls while a large part of
-// the soft deadline passes unread: the only case below the limiter's floor. This guards against retries that
-// arrive faster than they can be read. It does harm where reading does not wait for the cores.
+// concurrencyLimit returns the limit of the limiter. While requests stay unread for a large part of the soft deadline,
+// it returns at most half the cores plus the requests that wait for calls, which is the only case below the floor of
+// the limiter. This protects against retries that arrive faster than they can be read. It reduces throughput where
+// reading does not wait for the cores.
 func (s *Server) concurrencyLimit() int {
 	limit := int(s.limiter.limit)
 	if s.reading.isLong() {
@@ -73,19 +75,19 @@
 	return limit
 }
 
-// overloadLimit is the hard limit of runnable requests now.
+// overloadLimit returns the current hard limit of runnable requests.
 func (s *Server) overloadLimit() float64 { return s.cores.limitAt(s.slowStart.speed(s.now)) }
 
-// coresAreFull says that no more may come onto the cores. Requests that wait for the disk, those whose calls
-// are in flight and those that wait for a result to share can all become runnable at once, so they count.
+// coresAreFull reports whether no more requests may become runnable. Requests that wait for the disk, for a call in
+// flight or for a result to share can all become runnable at once, so they count.
 func (s *Server) coresAreFull() bool {
 	limit := s.overloadLimit()
 	runnable := float64(s.limiter.inFlight - s.cores.runsAtCalls + s.downstream.inFlight)
 	return runnable+min(float64(s.entries.sharing), limit/2) >= limit-1
 }
 
-// OnTimer takes the gauges that were read when the timer that the server asked for (Host.SetTimer) was due.
-// Stale readings move nothing: the limit would grow again by cores that read idle some time ago.
+// OnTimer processes the gauges that were read when the timer that the server requested (Host.SetTimer) fired. Stale
+// readings are ignored: the limit would grow again for cores that were idle some time ago.
 func (s *Server) OnTimer(gauges Gauges) {
 	s.timers.next = noDeadline
 	if gauges.IsStale {
--- a/admission/dependency_test.go
+++ b/admission/dependency_test.go
@@ -13,20 +13,20 @@
 	"thistlequay/timeunit"
 )
 
-// dependency is a downstream dependency that many servers share, in virtual time; it counts its calls in flight.
+// dependency simulates a downstream dependency shared by many servers in virtual time, and counts its calls in flight.
 type dependency struct {
 	now         timeunit.Ticks
 	random      *rand.Rand
 	isDown      bool
-	minTime     timeunit.Ticks // of a call
-	maxTime     timeunit.Ticks
+	minTime     timeunit.Ticks // shortest time of a call
+	maxTime     timeunit.Ticks // longest time of a call
 	inFlight    int
 	maxInFlight int
 	servers     []*callingServer
-	history     *golden.History // of what servers command their hosts; nil for none
+	history     *golden.History // records the commands of all servers; nil to record nothing
 }
 
-// callingServer is one server of them. It always has more calls to make than it may.
+// callingServer is one of the servers that share the dependency. It always needs more calls than it is allowed.
 type callingServer struct {
 	silentHost
 	dependency *dependency
@@ -40,7 +40,7 @@
 	startedAt   timeunit.Ticks
 	endsAt      timeunit.Ticks
 	succeeds    bool
-	abandonedAt timeunit.Ticks // the dependency works on for abandonedTime; 0 while it is not abandoned
+	abandonedAt timeunit.Ticks // the dependency works on for abandonedTime; 0 unless abandoned
 }
 
 const abandonedTime = timeunit.Ticks(1000)
@@ -55,7 +55,7 @@
 		call.endsAt = max(until, shared.now+1)
 		call.succeeds = false
 	}
-	if shared.isDown { // its connection is refused
+	if shared.isDown { // the connection is refused
 		call.endsAt = shared.now
 	} else {
 		shared.inFlight++
@@ -74,7 +74,7 @@
 	return &dependency{now: 1 << 44, random: rand.New(rand.NewSource(seed)), minTime: 200, maxTime: 40_000}
 }
 
-// addServers adds so many servers that are configured for a fleet of this size.
+// addServers adds count servers that are configured for a fleet of fleetSize servers.
 func (d *dependency) addServers(count, fleetSize int, limit float64) {
 	for range count {
 		caller := &callingServer{dependency: d}
@@ -90,7 +90,7 @@
 	}
 }
 
-// playTo plays on in steps.
+// playTo runs the simulation in steps of 25 ms until end.
 func (d *dependency) playTo(end timeunit.Ticks) {
 	for ; d.now < end; d.now += 250 {
 		for _, caller := range d.servers {
@@ -99,7 +99,7 @@
 	}
 }
 
-// step plays one batch of one server.
+// step runs one batch of one server.
 func (c *callingServer) step() {
 	now := c.dependency.now
 	c.server.Advance(now)
@@ -141,9 +141,9 @@
 	return false
 }
 
-// play has the dependency be cold, down, up again and slow while the fleet may grow to twice its size, and then warm.
-// It returns the largest number of calls in flight while the dependency was not warm; d.maxInFlight is
-// that while it was.
+// play simulates a dependency that is cold, down, up again and slow while the fleet may grow to twice its size, and
+// then warm. It returns the largest number of calls in flight while the dependency was not warm; afterwards
+// d.maxInFlight is the largest number while it was warm.
 func (d *dependency) play(servers int, survives float64, fleetGrows bool) (maxInFlight int) {
 	start := d.now
 	limit := survives / float64(servers) // limits are set for the fleet at its largest
@@ -164,14 +164,14 @@
 	d.playTo(start + 120_000)
 	maxInFlight = d.maxInFlight
 	d.maxInFlight = 0
-	d.minTime = 100 // it is warm: quick under any load
+	d.minTime = 100 // warm: quick under any load
 	d.maxTime = 600
 	d.playTo(start + 150_000)
 	return maxInFlight
 }
 
-// All servers start at once, the dependency is cold, down, up again and slow, and the fleet grows to twice its size.
-// The calls in flight of the whole fleet stay within N and an allowance for chance.
+// All servers start at once; the dependency is cold, down, up again and slow; the fleet grows to twice its size. The
+// calls in flight of the whole fleet must not exceed N calls plus an allowance for random variation.
 func TestMeasuredCallsOfFleetStayWithinLimit(t *testing.T) {
 	for _, servers := range []int{1, 8, 20, 30} {
 		for _, survives := range []float64{3, 10, 40, 6 * float64(servers)} {
@@ -182,7 +182,7 @@
 	}
 }
 
-// requireCallsWithinLimit plays many seeds for a dependency that survives so many calls at once.
+// requireCallsWithinLimit runs many seeds against a dependency that survives the given number of calls at once.
 func requireCallsWithinLimit(t *testing.T, servers int, survives float64) {
 	t.Helper()
 	seeds := schedule.Scale(16, 600)
--- a/admission/downstream.go
+++ b/admission/downstream.go
@@ -7,31 +7,31 @@
 	"thistlequay/timeunit"
 )
 
-// Ratios of our own.
+// Ratios of the downstream limit and of call times.
 const (
 	downstreamMargin  = 0.9  // part of the downstream limit that is used
-	slowCallFactor    = 4    // calls are slow that take so many times what quick ones take
-	quickCallQuantile = 0.25 // quantile of quick call times that slowCallFactor counts of
-	lostCallFactor    = 8    // a call is lost that takes so many times what nearly all of late take
-	lostCallQuantile  = 0.9  // quantile of quick call times that lostCallFactor counts of
+	slowCallFactor    = 4    // calls are slow when their mean time is this multiple of a quick call's time
+	quickCallQuantile = 0.25 // quantile of quick call times to which slowCallFactor applies
+	lostCallFactor    = 8    // a call counts as lost when it takes this multiple of the time of nearly all recent calls
+	lostCallQuantile  = 0.9  // quantile of quick call times to which lostCallFactor applies
 )
 
-// downstream holds the calls to the dependency within this server's part of what that survives, and measures
-// how long calls take. The mean number in flight stays within the limit; abandoned calls count while
+// downstream limits the calls to the dependency to this server's part of what the dependency can sustain, and measures
+// how long calls take. It keeps the mean number of calls in flight within the limit. Abandoned calls count as long as
 // the dependency still works on them.
 type downstream struct {
-	isShared      bool    // all servers call one dependency; elsewhere nothing is limited
-	limit         float64 // of the mean number of calls in flight
-	window        float64 // of that mean, in ticks
-	credit        float64 // calls times ticks that the mean leaves: what was not used piles up, calls use it
-	updatedAt     timeunit.Ticks
+	isShared      bool           // all servers call one dependency; otherwise calls are not limited
+	limit         float64        // largest allowed mean number of calls in flight
+	window        float64        // time over which the mean is taken, in ticks
+	credit        float64        // unused part of the limit, in calls times ticks; spent by calls
+	updatedAt     timeunit.Ticks // when credit was last updated
 	inFlight      int
-	abandonedTime timeunit.Ticks   // an abandoned call counts for so long
-	abandoned     []timeunit.Ticks // when abandoned calls no longer count, in order
-	waiting       []*Request       // whose calls are not made yet
+	abandonedTime timeunit.Ticks   // how long an abandoned call counts as in flight
+	abandoned     []timeunit.Ticks // when each abandoned call stops counting, in ascending order
+	waiting       []*Request       // requests whose calls are not started yet
 
-	quickTimes histogram // times of calls while they were not slow
-	recentTime float64   // running mean of the time of a call, in ticks
+	quickTimes histogram // times of calls, measured while calls were not slow
+	recentTime float64   // running mean of call times, in ticks
 	turns      turns
 }
 
@@ -47,12 +47,12 @@
 	}
 }
 
-// isSlow says that calls take much longer of late than quick ones do.
+// isSlow reports whether recent calls take much longer than quick ones.
 func (d *downstream) isSlow() bool {
 	return d.recentTime > slowCallFactor*float64(d.quickTimes.quantile(quickCallQuantile))
 }
 
-// measure takes the time of a call that ended. A jam does not teach what is quick.
+// measure records the time of a call that ended. While calls are slow their times are left out of quickTimes.
 func (d *downstream) measure(took timeunit.Ticks) {
 	if d.quickTimes.total < minSamples || !d.isSlow() {
 		d.quickTimes.add(took)
@@ -60,8 +60,8 @@
 	smooth(&d.recentTime, float64(took), smoothing)
 }
 
-// allowedUntil is until when another call may be in flight; now or earlier means not at all. withEffects says
-// that the call must not be abandoned. It brings the credit up to date.
+// allowedUntil updates the credit and returns the time until which another call may be in flight; now or earlier means
+// that no call may be made. withEffects states that the call must not be abandoned.
 func (d *downstream) allowedUntil(now timeunit.Ticks, withEffects bool) timeunit.Ticks {
 	d.abandoned = d.abandoned[len(d.abandoned)-d.countAbandoned(now):]
 	inFlight := float64(d.inFlight + len(d.abandoned))
@@ -73,43 +73,43 @@
 	case d.credit <= 0 || inFlight >= math.Ceil(d.limit):
 		return now
 	}
-	// The last call of a limit that is no whole number.
+	// The limit is not an integer, and only its fractional part is left.
 	return d.turns.until(now, d, withEffects)
 }
 
-// countAbandoned is the number of abandoned calls that still count.
+// countAbandoned returns the number of abandoned calls that still count as in flight.
 func (d *downstream) countAbandoned(now timeunit.Ticks) int {
 	ended, _ := slices.BinarySearch(d.abandoned, now+1)
 	return len(d.abandoned) - ended
 }
 
-// finish takes a call out of those in flight. An abandoned one still counts for a while.
+// finish removes a call from those in flight. An abandoned call still counts for abandonedTime.
 func (d *downstream) finish(now timeunit.Ticks, abandoned bool) {
-	d.allowedUntil(now, false) // for the credit: up to now the call was in flight
+	d.allowedUntil(now, false) // updates the credit: the call was in flight up to now
 	d.inFlight--
 	if abandoned {
 		d.abandoned = append(d.abandoned, now+d.abandonedTime)
 	}
 }
 
-// endCall books a call that ended with this outcome after this time.
+// endCall processes the end of a call with its outcome and the time that it took.
 func (d *downstream) endCall(now timeunit.Ticks, outcome Outcome, took timeunit.Ticks) {
 	d.finish(now, outcome == Indeterminate)
 	if outcome != Indeterminate || float64(took) > d.recentTime {
-		d.measure(took) // else it would have taken longer: by how much nobody knows
+		d.measure(took) // an abandoned call that took less is left out: its full time is unknown
 	}
 	d.turns.gainConfidence(outcome == Succeeded)
 }
 
-// SetDownstreamLimit sets how many calls this server may have in flight in the mean, where the dependency is
-// shared.
+// SetDownstreamLimit sets the limit of the mean number of calls that this server may have in flight. It has no effect
+// unless the dependency is shared.
 func (s *Server) SetDownstreamLimit(limit float64) { s.downstream.limit = limit }
 
-// DownstreamCalls is the number of calls that the dependency works on, abandoned ones included, and
-// the number of requests that wait to call it.
+// DownstreamCalls returns the number of calls that the dependency works on, abandoned ones included, and the number of
+// requests that wait to call it.
 //
-// A server that makes no calls any more must not go on counting those that it abandoned: its quota would stay leased
-// for calls that ended long ago.
+// Abandoned calls stop counting with time even if the server makes no further calls. Otherwise its quota would stay
+// leased for calls that ended long ago.
 func (s *Server) DownstreamCalls() (inFlight, waiting int) {
 	return s.downstream.inFlight + s.downstream.countAbandoned(s.now), len(s.downstream.waiting)
 }
--- a/admission/downstream_test.go
+++ b/admission/downstream_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server's part of the downstream limit follows the size of the fleet, and is the same again for the same size.
+// Guards against a downstream limit that drifts when the fleet changes size: a server's part follows the size of the
+// fleet and returns to the same value for the same size.
 func TestDownstreamLimitFollowsFleetSize(t *testing.T) {
 	server := New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 1000, Deadline: 2000}}, Cores: 2, Servers: 8,
 		SharedDependency: true, DownstreamLimit: 2, DownstreamWindow: 50000}, silentHost{}, 0)
@@ -14,7 +15,7 @@
 	require.InDelta(t, 2*downstreamMargin, first, 1e-9)
 	server.SetFleetSize(6)
 	require.InDelta(t, first*8/6, server.Stats().DownstreamLimit, 1e-9)
-	server.SetFleetSize(0) // a fleet has one server at least: this one
+	server.SetFleetSize(0) // a fleet has at least one server: this one
 	require.InDelta(t, first*8, server.Stats().DownstreamLimit, 1e-9)
 	for i := range 1000 {
 		server.SetFleetSize(1 + i%300)
@@ -24,11 +25,10 @@
 	require.InDelta(t, fleetWideServers/8.0, server.feedback.fleetWideShare, 1e-9)
 }
 
-// What happened: one server got the whole load, and its lease stayed at a third of the total for as long as the
-// others were idle (TestQuotaIsNeverExceededAsClusterChanges failed at "large lease at one server" in 1 of 16 runs).
-// Why: calls that were abandoned counted until the next call was made or ended, for good where none was, and the idle
-// servers had their leases renewed for them. What showed it: abandoned_calls=4 in three event=state lines of an idle
-// server, 20 s apart, where an abandoned call counts for 0.2 s.
+// Guards against abandoned calls that count until the next call starts or ends, and forever on a server that makes no
+// further calls. The leases of such idle servers were renewed, so a server with the whole load kept a third of the
+// total (TestQuotaIsNeverExceededAsClusterChanges failed at "large lease at one server" in 1 of 16 runs). An idle
+// server logged abandoned_calls=4 in three event=state lines 20 s apart, although an abandoned call counts for 0.2 s.
 func TestAbandonedCallsOfAnIdleServerCeaseToCount(t *testing.T) {
 	const abandonedTime = 200
 	server := New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 1000, Deadline: 2000}}, Cores: 2, Servers: 1,
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -7,26 +7,26 @@
 	"thistlequay/timeunit"
 )
 
-// drainState is the graceful shutdown of the server.
+// drainState holds the progress of the graceful shutdown of the server.
 type drainState struct {
 	draining bool
-	grace    timeunit.Ticks // from the notice on, in which arriving requests are still run
+	grace    timeunit.Ticks // time after the notice during which arriving requests still run
 	graceEnd timeunit.Ticks // valid while draining
-	stopAt   timeunit.Ticks // all is answered before; noDeadline until the notice
+	stopAt   timeunit.Ticks // every request is answered before this time; noDeadline before the notice
 }
 
-// hasEndedFor says that a request which arrived at this time came too late to be run.
+// hasEndedFor reports whether a request that arrived at arrivedAt came after the grace period and must not run.
 func (d *drainState) hasEndedFor(arrivedAt timeunit.Ticks) bool {
 	return d.draining && arrivedAt >= d.graceEnd
 }
 
-// Drain is the notice that the process will be stopped after this time. Requests that arrive within the grace
-// (Config.DrainGrace) still run, later ones are rejected, and all get their answers before the stop. Routers
-// are notified through health checks and load reports. A second notice does nothing.
+// Drain starts the graceful shutdown; the process will be stopped after stopIn. Requests that arrive within the grace
+// period (Config.DrainGrace) still run, later ones are rejected, and all are answered before the stop. Routers are
+// notified through health checks and load reports. Further calls have no effect.
 func (s *Server) Drain(stopIn timeunit.Ticks) { s.DrainSince(0, stopIn) }
 
-// DrainSince is Drain for a notice that was given age ago, as when it came before the server could be made. The grace
-// counts from then.
+// DrainSince is like Drain for a notice that was given age ago, for example before the Server was created. The grace
+// period counts from the notice.
 func (s *Server) DrainSince(age, stopIn timeunit.Ticks) {
 	d := &s.drain
 	if d.draining {
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,8 +7,8 @@
 	"thistlequay/timeunit"
 )
 
-// printer is a Host that prints the server's commands. It embeds the interface in place of the methods that the example
-// never calls; a real host has them all.
+// printer is a Host that prints the commands of the server. It embeds the interface in place of the methods that this
+// example never calls; a real host implements all methods.
 type printer struct{ admission.Host }
 
 func (printer) Run(r *admission.Request)     { fmt.Println("run", r.ID) }
@@ -23,8 +23,8 @@
 func (printer) CloseIdleConnections(timeunit.Ticks) {}
 func (printer) SetTimer(timeunit.Ticks)             {}
 
-// One core runs one request at a time. A second one is queued, runs after the first and is aborted when the drain
-// ends. A third was unread for too long to be in time and is rejected at once.
+// One core runs one request at a time. A second request is queued, runs after the first one and is aborted when the
+// drain ends. A third request was unread for too long to finish in time and is rejected at once.
 func Example() {
 	const second = timeunit.TicksPerSecond
 	server := admission.New(admission.Config{
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -6,25 +6,25 @@
 	"thistlequay/timeunit"
 )
 
-// Ratios and counts of our own.
+// Ratios and counts of the feedback to routers.
 const (
-	fleetWideServers       = 2    // from so many servers' part of the fleet on, rejections speak for all servers
-	invitedFraction        = 0.25 // part of the waiting that budgets allow which routers are invited to fill
-	routersPerCoreKept     = 8    // routers for each core whose idle connections are worth keeping
-	reportSteps            = 8    // load reports are multiples of an eighth: they change seldom
+	fleetWideServers       = 2    // rejections count as fleet-wide above the load share of this many servers
+	invitedFraction        = 0.25 // part of the waiting allowed by queueing budgets that routers are invited to use
+	routersPerCoreKept     = 8    // routers per core whose idle connections are kept open
+	reportSteps            = 8    // load reports are rounded to multiples of 1/8, so that they rarely change
 	minReportedLimit       = 1.0 / reportSteps
 	rejectedShareSmoothing = smoothing / 8
 )
 
-// routerFeedback is what routers are notified of: the load report, how long to stay away, and whether a rejected
-// request may be tried on another server.
+// routerFeedback holds what routers are told: the load report, the Retry-After of rejected requests, and whether a
+// rejected request may be retried on another server.
 type routerFeedback struct {
 	mode           LoadReportMode
 	maxRetryAfter  timeunit.Ticks
-	reported       float64 // the load that was reported last, -1 for none
-	rejectedShare  float64 // share of rejections among what was decided of late
-	slowdown       float64 // running mean of run times, as multiples of quiet ones
-	fleetWideShare float64 // from this share on, rejections and retries are so on all servers
+	reported       float64 // last load report, -1 before the first
+	rejectedShare  float64 // fraction of rejections among recent decisions
+	slowdown       float64 // running mean of run times as multiples of quiet ones
+	fleetWideShare float64 // share of rejections or retries above which overload counts as fleet-wide
 }
 
 func newRouterFeedback(config *Config) routerFeedback {
@@ -37,26 +37,28 @@
 	}
 }
 
+// countStart and countRejection update the fraction of rejections.
 func (f *routerFeedback) countStart()     { smooth(&f.rejectedShare, 0, rejectedShareSmoothing) }
 func (f *routerFeedback) countRejection() { smooth(&f.rejectedShare, 1, rejectedShareSmoothing) }
 
-// measureSlowdown compares the time of a run with the usual one on quiet cores, 0 if none is known.
+// measureSlowdown compares the time of a run with the usual time on quiet cores; 0 means that none is known.
 func (f *routerFeedback) measureSlowdown(took, usual timeunit.Ticks) {
 	if usual > 0 {
 		smooth(&f.slowdown, float64(took)/float64(usual), smoothing)
 	}
 }
 
-// overloadIsFleetWide says whether other servers seem to reject requests too: many retries come, or much is
-// rejected though runs are quick. Then rejected requests should not be tried on another server. This guards
-// against retries that walk through a large fleet. It does harm where only this server is short of capacity.
+// overloadIsFleetWide reports whether other servers seem to reject requests too: many requests are retries, or many are
+// rejected though runs are quick. Rejected requests should then not be retried on another server. This protects against
+// retries that visit server after server in a large fleet. It loses requests where only this server is short of
+// capacity.
 func (s *Server) overloadIsFleetWide() bool {
 	return max(s.retries.retryShare, s.feedback.rejectedShare) > s.feedback.slowdown*s.feedback.fleetWideShare
 }
 
-// reportLoad tells routers how much more this server can take: as the rank below which they should send
-// nothing, as the probability with which to choose it, or as the number of requests that each may have in
-// flight.
+// reportLoad tells routers how much more load this server can take. Depending on the mode, the value is the rank below
+// which routers send no requests, the probability with which they select this server, or the number of requests that
+// each router may have in flight here.
 func (s *Server) reportLoad() {
 	f := &s.feedback
 	load := f.rejectedShare
@@ -77,15 +79,15 @@
 	}
 }
 
-// invitedRequests is how many requests routers are invited to have in flight here: the limit and a part of
-// what may wait for it. The longer answers take, the fewer.
+// invitedRequests returns the number of requests that routers are invited to have in flight here: the concurrency limit
+// and part of the requests that may wait for it. It falls as round trips get longer.
 func (s *Server) invitedRequests() float64 {
 	limiter := &s.limiter
 	return limiter.limit * (1 + invitedFraction*max(0, s.reading.softDeadline/limiter.roundTrip-1))
 }
 
-// idleConnectionTime is how long routers' idle connections are kept. Of hundreds of routers hardly one comes
-// back before its connection lapses, and open connections take a part of the cores; each that is closed too
+// idleConnectionTime returns how long idle connections of routers are kept. With hundreds of routers, hardly any router
+// returns before its connection expires, and open connections use a part of the cores. A connection that is closed too
 // early costs a new one.
 func idleConnectionTime(config *Config) timeunit.Ticks {
 	perCore := min(1, routersPerCoreKept*float64(config.Cores)/float64(max(1, config.Routers)))
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -13,14 +13,14 @@
 	"thistlequay/internal/schedule"
 )
 
-// Decisions in random schedules, two incarnations of a server each, are those that were recorded. Any change of a
-// decision, of an order of events or of the rounding of a figure changes a line.
+// Compares the decisions in random schedules, with two incarnations of a server each, with recorded ones. Any change of
+// a decision, of the order of events or of the rounding of a figure changes a line of the golden file.
 func TestGoldenDecisions(t *testing.T) {
 	file := schedule.GoldenFile{Name: "random-schedules.txt", Seeds: 400, SeedsPerLine: 10, Label: "seeds %d to %d"}
 	file.Check(t, playRandomSchedule)
 }
 
-// The same for the schedules of many servers that share one dependency (dependency_test.go).
+// Does the same for schedules of many servers that share one dependency (dependency_test.go).
 func TestGoldenDownstreamCalls(t *testing.T) {
 	var histories golden.Histories
 	for _, servers := range []int{1, 8, 20} {
@@ -38,7 +38,7 @@
 	histories.Check(t, "shared-dependency.txt")
 }
 
-// The text of which a hash is stored to recognize the settings.
+// Guards against a change of the settings text, whose stored hash identifies the settings.
 func TestGoldenStoredSettings(t *testing.T) {
 	var lines strings.Builder
 	for seed := range int64(20) {
@@ -49,7 +49,7 @@
 	golden.Check(t, "settings.txt", []byte(lines.String()))
 }
 
-// Warm-start state is stored under the recorded keys and read back as it was.
+// Warm-start state is stored under the recorded keys and is unchanged when it is read back.
 func TestGoldenWarmStartState(t *testing.T) {
 	state := WarmStartState{Limit: 3.5, RunTimes: [][]float64{{1, 2}, {3}},
 		QuietRunTimes: [][]float64{{4}, {5, 6}}, QuickCallTimes: []float64{7, 0.25}}
--- a/admission/histogram.go
+++ b/admission/histogram.go
@@ -2,27 +2,27 @@
 
 import "thistlequay/timeunit"
 
-// Shape of the histograms and the number of samples that they go by; ratios and counts of our own.
+// Shape of the histograms and the number of samples that they need and keep.
 const (
-	histogramBins = 24  // bins of a histogram; the last also takes what is longer
-	binsPerScale  = 16  // bins that make up its scale
-	minSamples    = 8   // fewer samples say nothing yet
-	maxSamples    = 256 // at so many samples all counts are halved, so that old ones fade
+	histogramBins = 24  // number of bins; the last one also counts longer times
+	binsPerScale  = 16  // number of bins that span the scale of a histogram
+	minSamples    = 8   // with fewer samples a histogram is not used
+	maxSamples    = 256 // at this total all counts are halved, so that old samples lose weight
 )
 
-// histogram is a coarse latency histogram with bins of equal width. Old samples fade.
+// histogram is a coarse latency histogram with bins of equal width. Old samples lose weight as new ones are added.
 type histogram struct {
 	binWidth timeunit.Ticks
 	total    float64
 	counts   [histogramBins]float64
 }
 
-// newHistogram returns an empty histogram whose bins are a sixteenth of the scale wide.
+// newHistogram returns an empty histogram whose bins are each a sixteenth of scale wide.
 func newHistogram(scale timeunit.Ticks) histogram {
 	return histogram{binWidth: max(1, scale/binsPerScale)}
 }
 
-// add takes one sample.
+// add counts one sample.
 func (h *histogram) add(t timeunit.Ticks) {
 	h.counts[max(0, min(int(t/h.binWidth), histogramBins-1))]++
 	h.total++
@@ -34,7 +34,7 @@
 	}
 }
 
-// quantile is the time below which the share q, from 0 to 1, of all samples lies; 0 while there are none.
+// quantile returns the time below which the fraction q, from 0 to 1, of all samples lies; 0 without samples.
 func (h *histogram) quantile(q float64) timeunit.Ticks {
 	left := q * h.total
 	for i, count := range &h.counts {
@@ -46,7 +46,7 @@
 	return 0
 }
 
-// fractionBelow is the share of all samples that lies below t; 1 while there are none.
+// fractionBelow returns the fraction of all samples that lies below t; 1 without samples.
 func (h *histogram) fractionBelow(t timeunit.Ticks) float64 {
 	sum := 0.0
 	for i, count := range &h.counts {
@@ -58,8 +58,8 @@
 	return sum / h.total
 }
 
-// earliestEquivalent is the earliest time with the same fractionBelow as t; -noDeadline where there is no
-// earliest.
+// earliestEquivalent returns the earliest time with the same fractionBelow as t, or -noDeadline if there is no earliest
+// one.
 func (h *histogram) earliestEquivalent(t timeunit.Ticks) timeunit.Ticks {
 	i := max(0, min(int(t/h.binWidth), histogramBins))
 	if t >= 0 && i < histogramBins && h.counts[i] > 0 {
@@ -77,8 +77,8 @@
 // snapshot returns a copy of the counts.
 func (h *histogram) snapshot() []float64 { return append([]float64(nil), h.counts[:]...) }
 
-// restore takes the counts of an earlier histogram. Counts of another shape, negative ones and those that
-// would fill the histogram are passed over.
+// restore adds the counts of an earlier histogram. It ignores counts for a different number of bins, negative counts
+// and counts that would bring the total to maxSamples.
 func (h *histogram) restore(counts []float64) {
 	if len(counts) != histogramBins {
 		return
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -7,18 +7,18 @@
 	"thistlequay/timeunit"
 )
 
-// idempotencyTable counts the idempotency entries that the host keeps: of Keyed requests, so that a repeat
-// never runs a second time within the deduplication window, and of cacheable ones, so that others can share
-// their results.
+// idempotencyTable counts the idempotency entries that the host keeps. Entries of Keyed requests prevent a second run
+// of a repeat within the deduplication window. Entries of cacheable requests allow others to share their results.
 //
-// At most one run comes of all attempts with one key. An entry is kept before its request can run, until the
-// window after its arrival has passed; it is dropped early only if the request provably never ran.
+// All attempts with one idempotency key lead to at most one run. The entry of a Keyed request is kept from before the
+// request can run until the deduplication window after its arrival has passed. It is dropped earlier only if the
+// request provably never ran.
 type idempotencyTable struct {
 	count     int
 	maxCount  int
-	sizeKB    float64        // memory of an entry
-	resultTTL timeunit.Ticks // how long the result of a cacheable request is kept, 0 for not at all
-	sharing   int            // requests that wait for the result of another or take it
+	sizeKB    float64        // memory of one entry
+	resultTTL timeunit.Ticks // how long the result of a cacheable request is kept; 0 if it is not shared
+	sharing   int            // requests that wait for or receive the result of another request
 }
 
 func newIdempotencyTable(config *Config) idempotencyTable {
@@ -29,15 +29,16 @@
 	}
 }
 
-// hasEntryRoom says that there is room for another entry.
+// hasEntryRoom reports whether there is room for another entry.
 func (s *Server) hasEntryRoom() bool {
 	return s.memory.hasRoomFor(s.entries.sizeKB) && s.entries.count < s.entries.maxCount
 }
 
-// shareOrReplace has a repeat share the result of the attempt before it and returns true; or it makes room for
-// the repeat to run itself and returns false. A later attempt shares the answer of a run that was started, or
-// takes the place of one that is queued, whose client has mostly gone. Had it arrived before that one,
-// another may have run in between.
+// shareOrReplace decides how a repeat relates to the earlier attempt. It returns true if the request shares the result
+// of the earlier attempt, and false if the request may run itself. If the earlier attempt was started, a Keyed repeat
+// shares its answer. If the earlier attempt is still queued, a Keyed repeat replaces it, since the client of the
+// earlier attempt has mostly gone. A repeat that arrived before the queued attempt shares its answer, because another
+// attempt may have run in between.
 func (s *Server) shareOrReplace(request *Request, arrival *Arrival) bool {
 	if !arrival.IsRepeat {
 		return false
@@ -61,7 +62,7 @@
 		}
 	}
 	s.timers.set(request, request.deadline)
-	if s.memory.isTight() { // no room to wait in
+	if s.memory.isTight() { // no memory to keep it waiting
 		s.abort(request)
 	} else {
 		s.host.ShareResult(request)
@@ -69,9 +70,9 @@
 	return true
 }
 
-// canShareResult says whether a cacheable request may have the result of an earlier one. This guards against
-// what many ask for at one moment (hot keys, storms of retries). It harms those that share with one that
-// fails or is rejected.
+// canShareResult reports whether a cacheable request may share the result of an earlier one. Sharing protects against
+// many requests for the same data at once (hot keys, retry storms). Its cost is that requests fail together with the
+// one whose result they share.
 func (s *Server) canShareResult(request, earlier *Request) bool {
 	if !request.cacheable || s.memory.isTight() || s.drain.hasEndedFor(request.arrivedAt) || s.coresAreFull() {
 		return false
@@ -82,7 +83,7 @@
 	return earlier == nil || earlier.state != stateSharing && !earlier.isDone()
 }
 
-// keepEntry has the host keep the request's idempotency entry up to this moment.
+// keepEntry makes the host keep the request's idempotency entry until the given time.
 func (s *Server) keepEntry(request *Request, until timeunit.Ticks) {
 	if request.entryUntil == 0 {
 		s.entries.count++
@@ -92,8 +93,8 @@
 	s.host.KeepEntry(request, request.entryUntil-s.now)
 }
 
-// dropEntry drops the entry of a request that provably never ran, or whose result is of no use. Otherwise
-// requests that cannot run would fill the table.
+// dropEntry drops the entry of a request that provably never ran, or whose result is of no use. Otherwise requests that
+// cannot run would fill the table.
 func (s *Server) dropEntry(request *Request) {
 	if request.entryUntil > s.now {
 		s.host.DropEntry(request)
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -2,51 +2,51 @@
 
 import "thistlequay/timeunit"
 
-// Constants of Algorithm 1. The paper's default of t_e is 0.25. With it the limit drifts up here: starts and
-// answers of a full limiter are nearly the same count, so almost every experiment says grow (docs/design.md).
+// Constants of Algorithm 1. The paper's default of t_e is 0.25. With that default the limit drifts up here: a limiter
+// at its limit has nearly equal numbers of starts and answers, so almost every experiment raises it (docs/design.md).
 const (
-	efficiencyThreshold     = 0.75  // t_e: least share of added starts that must come out as answers
-	dropThreshold           = 1.0   // t_d: drops for each start above which the limit shrinks, as in the paper
-	aggressiveness          = 0.001 // alpha: step of the limit for each router, as in the paper
-	initialRoundTrip        = 1000  // RTT in ticks before any was measured: 100 ms, from the design page
-	roundTripsPerExperiment = 4     // length of an experiment, of which the first round trip is not counted
+	efficiencyThreshold     = 0.75  // t_e: smallest fraction of the added starts that must be answered
+	dropThreshold           = 1.0   // t_d: drops per start above which the limit is lowered, as in the paper
+	aggressiveness          = 0.001 // alpha: step of the limit per router, as in the paper
+	initialRoundTrip        = 1000  // RTT in ticks before the first measurement: 100 ms (docs/design.md)
+	roundTripsPerExperiment = 4     // length of an experiment; the first round trip is not counted
 	roundTripSmoothing      = smoothing / 2
 )
 
-// limiter is the concurrency limiter: the paper's credit pool, whose size is found by experiment (section
-// 3.3, Algorithm 1). It bounds the requests in flight, those at a downstream call included.
+// limiter is the concurrency limiter: the paper's credit pool, whose size is found by experiment (section 3.3,
+// Algorithm 1). It limits the requests in flight, including those that wait for a downstream call.
 //
-// The paper's symbols are
+// The paper's symbols correspond to
 //
 //	C_avail           limit
-//	s                 step, which is alpha times n_c, the number of connections (here routers), and at least 1
+//	s                 step: alpha times n_c, the number of connections (here routers), and at least 1
 //	in_cur, in_last   started of the current and of the previous experiment
-//	out_cur, out_last answered of the same
-//	drop_cur          dropped of the current one: aborted requests and those whose deadline passed in the queue
+//	out_cur, out_last answered of the same experiments
+//	drop_cur          dropped of the current experiment: aborted requests, and those that timed out in the queue
 //	RTT               roundTrip
 //
-// It differs from Algorithm 1 in four points. An experiment in which the limit bound no start, or that had no
-// start, moves nothing. Counts are compared as rates, since the next experiment is shorter when the response
-// time falls. Equal starts count as a fall of nothing and shrink. And the limit never falls below its floor,
-// the cores.
+// It differs from Algorithm 1 in four points. An experiment without starts, or in which the limit delayed no start,
+// does not change the limit. Counts are compared as rates, since the next experiment is shorter when response times
+// fall. An equal number of starts is treated as a decrease by zero, so the limit shrinks. The limit never falls below
+// its floor, the number of cores.
 type limiter struct {
 	limit     float64
 	floor     float64
 	step      float64
-	roundTrip float64 // running mean time from arrival to answer, in ticks
+	roundTrip float64 // running mean of the time from arrival to answer, in ticks
 	inFlight  int     // requests that were started and whose runs have not ended
 
 	current   experiment
-	previous  experiment     // as rates
-	countFrom timeunit.Ticks // counts begin anew here, one round trip into the experiment; 0 once they have
+	previous  experiment     // counts per tick
+	countFrom timeunit.Ticks // when counting starts, one round trip into the experiment; 0 once it has started
 	endsAt    timeunit.Ticks
-	wasFull   bool // the limit bound a start in the current experiment
+	wasFull   bool // the limit delayed a start in the current experiment
 }
 
-// experiment is what one of the paper's micro-experiments counted; once it is over, counts for each tick.
+// experiment holds the counts of one of the paper's micro-experiments or, once it is over, the counts per tick.
 type experiment struct {
 	started  float64
-	answered float64 // within the soft deadline, by requests whose clients are not known to have gone
+	answered float64 // within the soft deadline, and not cancelled
 	dropped  float64
 }
 
@@ -59,10 +59,10 @@
 	}
 }
 
-// adjustLimit ends the current experiment when its time is over and moves the limit by one step, up or down.
+// adjustLimit ends the current experiment once its time is over and changes the limit by one step.
 func (l *limiter) adjustLimit(now timeunit.Ticks) {
 	if l.countFrom > 0 && now >= l.countFrom {
-		// A new limit takes one round trip to show in throughput: that is not counted.
+		// The effect of a new limit on throughput is delayed by one round trip, which is therefore not counted.
 		l.current = experiment{}
 		l.countFrom = 0
 	}
@@ -85,9 +85,9 @@
 	l.endsAt = now + timeunit.Ticks(roundTripsPerExperiment*l.roundTrip)
 }
 
-// mustShrink is the marginal test of Algorithm 1, lines 15 to 31: too many drops, or too small a part of the
-// added starts came out as answers. Where starts fell, the fall of the answers is compared with the fall of
-// the starts.
+// mustShrink is the marginal test of Algorithm 1, lines 15 to 31. It reports whether there were too many drops, or too
+// small a fraction of the added starts was answered. If starts decreased, the decrease of the answers is compared with
+// the decrease of the starts.
 func (l *limiter) mustShrink(rates experiment) bool {
 	more := rates.started - l.previous.started
 	gained := rates.answered - l.previous.answered
@@ -98,13 +98,13 @@
 	return rates.dropped > dropThreshold*rates.started || gained <= efficiencyThreshold*more
 }
 
-// start counts a request that begins to run.
+// start counts a request that starts to run.
 func (l *limiter) start() {
 	l.inFlight++
 	l.current.started++
 }
 
-// measureRoundTrip takes the time from the arrival of a request to its answer into the mean.
+// measureRoundTrip updates the mean with the time from the arrival of a request to its answer.
 func (l *limiter) measureRoundTrip(took timeunit.Ticks) {
 	smooth(&l.roundTrip, float64(took), roundTripSmoothing)
 }
--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -8,22 +8,22 @@
 	"thistlequay/timeunit"
 )
 
-// window is what one experiment counts.
+// window holds the counts of one experiment.
 type window struct {
 	started  float64
 	answered float64
 	dropped  float64
-	wasFull  bool // the limit bound a start
+	wasFull  bool // the limit delayed a start
 }
 
-// playExperiments has a limiter of 4 cores and step 2 run one experiment after the other and returns its limits.
+// playExperiments runs a limiter with 4 cores and step 2 through the experiments and returns the limit after each.
 func playExperiments(experiments []window) (limits []float64) {
 	limiter := newLimiter(4, 2000)
 	limiter.limit = 10
 	limiter.adjustLimit(0)
 	now := timeunit.Ticks(0)
 	for _, counts := range experiments {
-		limiter.current.started = 1e6 // of the first round trip: not counted
+		limiter.current.started = 1e6 // counted in the first round trip, so ignored
 		now += initialRoundTrip
 		limiter.adjustLimit(now)
 		limiter.current = experiment{started: counts.started, answered: counts.answered, dropped: counts.dropped}
@@ -48,8 +48,8 @@
 		{"grows again when throughput falls with starts", []window{answered, {80, 80, 0, true}}, []float64{12, 14}},
 		{"shrinks when throughput holds with fewer starts", []window{answered, {80, 95, 0, true}}, []float64{12, 10}},
 		{"shrinks when more is dropped than started", []window{{100, 100, 101, true}}, []float64{8}},
-		{"stays where it bound no start", []window{{100, 0, 0, false}, {0, 0, 0, true}}, []float64{10, 10}},
-		{"stays at its minimum", []window{unanswered, unanswered, unanswered, unanswered}, []float64{8, 6, 4, 4}},
+		{"does not change if it delayed no start", []window{{100, 0, 0, false}, {0, 0, 0, true}}, []float64{10, 10}},
+		{"stops at its floor", []window{unanswered, unanswered, unanswered, unanswered}, []float64{8, 6, 4, 4}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			require.Equal(t, test.limits, playExperiments(test.experiments))
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -1,35 +1,34 @@
 package admission
 
-// memoryMargin is the part of the memory up to which runs are started and idempotency entries are kept.
-// Requests are queued up to half way between that and all of it, so that there is room to queue while nothing
-// can start.
+// memoryMargin is the part of the memory that may be used to start runs and to keep idempotency entries. Requests are
+// queued until half of the rest is used too, so that there is room to queue while nothing can start.
 const memoryMargin = 0.9
 
-// memoryAccount counts the memory, in kilobytes, that the package answers for: queued requests, running ones
-// and idempotency entries. This guards against a server that dies of what it admitted.
+// memoryAccount tracks the memory, in kilobytes, of queued requests, running requests and idempotency entries. It
+// protects the server from running out of memory because of the requests that it admitted.
 type memoryAccount struct {
 	usedKB    float64
 	maxKB     float64
 	runFactor float64 // memory of a running request as a multiple of that of a queued one
 }
 
-// isTight says that there is no room to queue another request.
+// isTight reports whether there is no room to queue another request.
 func (m *memoryAccount) isTight() bool { return m.usedKB > m.maxKB*(1+memoryMargin)/2 }
 
-// runExtra is the memory that a queued request of this size takes in addition once it runs.
+// runExtra returns the memory that a queued request needs in addition once it runs.
 func (m *memoryAccount) runExtra(queuedKB float64) float64 { return queuedKB * (m.runFactor - 1) }
 
-// hasRoomFor says that so much more may be used for a run or an entry.
+// hasRoomFor reports whether moreKB can be used for a run or an entry.
 func (m *memoryAccount) hasRoomFor(moreKB float64) bool {
 	return m.usedKB+moreKB <= m.maxKB*memoryMargin
 }
 
-// ReserveMemory counts memory, in kilobytes, of requests that were read and are not enqueued yet, for
-// instance while plug-ins look at them. A negative amount gives it back.
+// ReserveMemory accounts for the memory, in kilobytes, of requests that were read and are not enqueued yet, for example
+// while plug-ins evaluate them. A negative amount releases memory.
 func (s *Server) ReserveMemory(kb float64) { s.memory.usedKB += kb }
 
-// evictForRoom rejects the queued requests furthest beyond their tenants' parts until there is room to queue
-// r, if r itself is eligible. It returns whether there is room.
+// evictForRoom rejects queued requests, those furthest beyond their tenants' fair shares first, until there is room to
+// queue request. It evicts nothing unless request is eligible, and reports whether there is room.
 func (s *Server) evictForRoom(request *Request) bool {
 	for request.eligible && s.memory.isTight() && s.queue.byStartTag.Len() > 0 {
 		last, _ := s.queue.byStartTag.Max()
--- a/admission/order.go
+++ b/admission/order.go
@@ -2,15 +2,15 @@
 
 import "thistlequay/timeunit"
 
-// almostOne is a quantile that rounding does not carry over the top.
+// almostOne caps a quantile so that rounding does not carry it beyond the last sample.
 const almostOne = 1 - 1e-9
 
-// The order of the queue: by value, which is the weight of an answer, by the share of recent runs that would
-// still be in time, for the time that runs of the category take; among equals the older first. The paper's
-// queue is first come, first served.
+// The queue is ordered by value: the weight of an answer, scaled by the fraction of recent runs that would still be in
+// time, per tick of run time of the category. Among equal values the older request goes first. The paper's queue is
+// first come, first served.
 
-// mostValuable is the eligible request to start next: one that others wait for, or else the most valuable. It
-// is nil where none waits.
+// mostValuable returns the eligible request to start next, or nil if none is queued. A request whose result others wait
+// for goes first, and the most valuable one after that.
 func (s *Server) mostValuable() *Request {
 	s.queue.advance()
 	for len(s.queue.awaited) > 0 {
@@ -26,7 +26,8 @@
 		if !found {
 			continue
 		}
-		// Within a category later soft deadlines are worth more, or as much: then the first of those is taken.
+		// Within a category, a later soft deadline gives at least as much value. Among equal values the earliest goes
+		// first.
 		from := s.now + s.categories[i].runTimes.earliestEquivalent(last.softDeadline-s.now)
 		request := s.queue.firstFrom(tree, from, anyRequest)
 		value := request.value()
@@ -38,8 +39,8 @@
 	return best
 }
 
-// queueingDelay is the delay of the queue ahead of the request: how long the oldest has waited of those that
-// would start before it.
+// queueingDelay returns the delay of the queue ahead of the request: the longest time that any request which would
+// start before it has waited.
 func (s *Server) queueingDelay(request *Request) timeunit.Ticks {
 	var delay timeunit.Ticks
 	value := request.value()
@@ -62,16 +63,16 @@
 	return delay
 }
 
-// softDeadlineAhead is the soft deadline from which on eligible requests of category c would start before r,
-// whose value this is. It returns false where none of them would.
+// softDeadlineAhead returns the earliest soft deadline with which an eligible request of the category would start
+// before request, whose value is given. It returns false if no request of the category would.
 func (s *Server) softDeadlineAhead(request *Request, value float64, category *categoryState) (timeunit.Ticks, bool) {
 	if !request.eligible {
-		return -noDeadline, true // all that is eligible goes first
+		return -noDeadline, true // every eligible request goes first
 	}
 	if category == request.category {
 		return s.now + category.runTimes.earliestEquivalent(request.softDeadline-s.now), true
 	}
-	// The share of runs that must be in time for as much value, solved from categoryState.valueAt.
+	// The fraction of runs that must be in time for the same value, solved from categoryState.valueAt.
 	fits := (value*category.typicalRunTime()/category.Weight - category.LateValue) / (1 - category.LateValue)
 	if fits > 1 {
 		return 0, false
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,22 +8,23 @@
 	"thistlequay/timeunit"
 )
 
-// treeDegree is that of the B-trees.
+// treeDegree is the degree of the B-trees.
 const treeDegree = 16
 
-// requestQueue keeps the requests that wait for a start. Eligible ones stand by category and soft deadline,
-// as within a category that alone tells their values apart; those whose start tag is ahead of virtual time,
-// which are beyond their tenant's part, stand by start tag. Every step is logarithmic in the requests that
-// wait and does not depend on the number of tenants. The queue never answers a request by itself.
+// requestQueue holds the requests that wait to start. Eligible requests are sorted by soft deadline, one tree per
+// category, because within a category only the soft deadline decides about their value. Requests whose start tag is
+// later than virtual time are beyond their tenant's fair share and are sorted by start tag. Each operation takes time
+// logarithmic in the number of queued requests and independent of the number of tenants. The queue never answers a
+// request by itself.
 type requestQueue struct {
-	arrivals     []*Request // of this batch: their budgets are not checked yet
-	awaited      []*Request // others wait for their results: those still queued are next
-	eligible     []*btree.BTreeG[*Request]
+	arrivals     []*Request                // requests of this batch, whose queueing budgets are not checked yet
+	awaited      []*Request                // requests whose results others wait for; those still queued start next
+	eligible     []*btree.BTreeG[*Request] // one tree by soft deadline per category
 	byStartTag   *btree.BTreeG[*Request]
-	virtualTime  float64 // requests with a later start tag wait until nothing else does
+	virtualTime  float64 // requests with a later start tag wait while any eligible request is queued
 	lastSequence uint64
 	length       int
-	pivot        Request // where a search begins
+	pivot        Request // search key for the trees
 }
 
 func newRequestQueue(categories int) requestQueue {
@@ -50,12 +51,13 @@
 	q.arrivals = append(q.arrivals, request)
 }
 
-// remove takes a request out, to start or to finish.
+// remove takes a request out of the queue, because it starts or ends.
 func (q *requestQueue) remove(request *Request) {
 	q.length--
 	q.treeOf(request).Delete(request)
 }
 
+// treeOf returns the tree that holds the request.
 func (q *requestQueue) treeOf(request *Request) *btree.BTreeG[*Request] {
 	if request.eligible {
 		return q.eligible[request.category.index]
@@ -63,14 +65,14 @@
 	return q.byStartTag
 }
 
-// clearArrivals ends the batch.
+// clearArrivals forgets the arrivals at the end of the batch.
 func (q *requestQueue) clearArrivals() {
 	clear(q.arrivals)
 	q.arrivals = q.arrivals[:0]
 }
 
-// advance moves virtual time on to the lowest start tag that waits, where no eligible request waits, and
-// makes the requests eligible whose start tags it has reached.
+// advance moves virtual time to the lowest queued start tag if no eligible request is queued. It then makes the
+// requests eligible whose start tags virtual time has reached.
 func (q *requestQueue) advance() {
 	next, found := q.byStartTag.Min()
 	if found && q.byStartTag.Len() == q.length {
@@ -84,7 +86,7 @@
 	}
 }
 
-// firstFrom is the first request of the tree whose soft deadline is this or later and that passes the test.
+// firstFrom returns the first request of the tree with softDeadline or a later one that passes the test, or nil.
 func (q *requestQueue) firstFrom(
 	tree *btree.BTreeG[*Request], softDeadline timeunit.Ticks, test func(*Request) bool,
 ) (first *Request) {
@@ -100,8 +102,8 @@
 
 func anyRequest(*Request) bool { return true }
 
-// hasJoined says that the request passed its budget check in an earlier batch.
+// hasJoined reports whether the request passed its queueing budget check in an earlier batch.
 func hasJoined(request *Request) bool { return request.heapIndex != notInHeap }
 
-// VirtualTime is the highest start tag that has become eligible (Arrival.StartTag).
+// VirtualTime returns the highest start tag that has become eligible (Arrival.StartTag).
 func (s *Server) VirtualTime() float64 { return s.queue.virtualTime }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/timeunit"
 )
 
-// The order by the trees is the order by a scan of the whole queue, for any run times and at any time.
+// The order of the trees equals that of a scan of the whole queue, for any run times and at any time.
 func TestQueueOrderIsThatOfFullScan(t *testing.T) {
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
@@ -23,7 +23,8 @@
 		most := slices.MaxFunc(eligible, func(a, b *Request) int { return int(1e9 * (a.value() - b.value())) })
 		require.InDelta(t, most.value(), best.value(), 1e-9, "seed %d", seed)
 		for _, request := range queued {
-			// Equal values of two categories may differ by rounding: never less than this.
+			// Rounding may change which of two equal values of different categories is greater, so the delay can only
+			// be longer.
 			delay := server.queueingDelay(request)
 			require.GreaterOrEqual(t, delay, scannedDelay(server, request, eligible), "seed %d", seed)
 		}
@@ -34,7 +35,8 @@
 	}
 }
 
-// randomQueue makes a server with random categories and run times, and a queue from which some were rejected.
+// randomQueue creates a server with random categories and run times, and a queue from which some requests were
+// rejected.
 func randomQueue(random *rand.Rand) (server *Server, queued []*Request) {
 	config := Config{Cores: 2, MemoryKB: 1e9, RunMemoryFactor: 2}
 	for range 1 + random.Intn(3) {
@@ -63,7 +65,7 @@
 	return server, queued
 }
 
-// scannedDelay is the queueing delay of a request by a scan of all eligible requests.
+// scannedDelay computes the queueing delay of a request by a scan of all eligible requests.
 func scannedDelay(server *Server, request *Request, eligible []*Request) timeunit.Ticks {
 	var delay timeunit.Ticks
 	value := request.value()
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -5,7 +5,7 @@
 	"thistlequay/timeunit"
 )
 
-// silentHost ignores what it is notified of. Hosts of tests embed it and add the methods that their servers call too.
+// silentHost ignores the calls of every server. Hosts of tests embed it and implement the other methods that they need.
 type silentHost struct{ Host }
 
 func (silentHost) CloseIdleConnections(timeunit.Ticks)   {}
@@ -13,9 +13,9 @@
 func (silentHost) Reject(*Request, timeunit.Ticks, bool) {}
 func (silentHost) Release(*Request)                      {}
 
-// recorder forwards a server's commands to another host and adds each to a history: a number that stands for the
-// method, the request's ID and all arguments. Floating-point figures are added as printed exactly, so the golden files
-// hold for machines that round each product by itself (amd64).
+// recorder forwards a server's commands to another host and records each in a history: a number for the method, the ID
+// of the request and all arguments. Floating-point values are recorded exactly, so the golden files are valid only on
+// machines that round each product separately (amd64).
 type recorder struct {
 	Host
 	history *golden.History
@@ -37,7 +37,7 @@
 	forward(rec, 12, rec.Host.CloseIdleConnections, after, int64(after))
 }
 
-// forward records a command that has one argument and passes it on.
+// forward records a command that has one argument and forwards it.
 func forward[T any](rec recorder, method int, command func(T), argument T, recorded any) {
 	rec.history.Add(method, recorded)
 	command(argument)
@@ -63,7 +63,7 @@
 	rec.Host.SetHealth(healthy, fromStore)
 }
 
-// addStats adds all figures that a server reports about itself.
+// addStats records all figures that a server reports about itself.
 func (rec recorder) addStats(s *Server) {
 	stats := s.Stats()
 	callsInFlight, waiting := s.DownstreamCalls()
@@ -73,7 +73,7 @@
 		stats.MemoryKB, s.VirtualTime(), s.IsWarmingUp(), callsInFlight, waiting)
 }
 
-// addWarmStart adds the warm-start state for the next incarnation of a server.
+// addWarmStart records the warm-start state for the next incarnation of a server.
 func (rec recorder) addWarmStart(state WarmStartState) {
 	rec.history.Add(21, state.Limit, state.QuickCallTimes)
 	for i := range state.RunTimes {
--- a/admission/request.go
+++ b/admission/request.go
@@ -2,19 +2,19 @@
 
 import "thistlequay/timeunit"
 
-// requestState is where a request stands.
+// requestState is the stage of processing that a request has reached.
 type requestState int
 
 const (
 	stateQueued        requestState = iota // not started
-	stateRunning                           // started; on a core or wanting one
-	stateWaitingToCall                     // started; needs a downstream call that is not made
+	stateRunning                           // started; on a core or waiting for one
+	stateWaitingToCall                     // started; its downstream call is not in flight yet
 	stateCalling                           // started; its downstream call is in flight
-	stateSharing                           // gets the result of the request that it repeats
-	stateFinished                          // out of all accounts but that of its idempotency entry
+	stateSharing                           // receives the result of the request that it repeats
+	stateFinished                          // no longer accounted for, except for its idempotency entry
 )
 
-// Request is the handle of one request. Its methods tell the server what became of it.
+// Request is the handle of one request. The host reports events of the request to the server with its methods.
 type Request struct {
 	// ID is Arrival.ID, the host's own identifier.
 	ID uint64
@@ -23,36 +23,35 @@
 	category *categoryState
 	state    requestState
 
-	arrivedAt    timeunit.Ticks // at the machine, not when it was read
+	arrivedAt    timeunit.Ticks // at the machine, before it was read
 	softDeadline timeunit.Ticks
-	deadline     timeunit.Ticks // by then it must be answered
+	deadline     timeunit.Ticks // it must be answered by then
 	checkAt      timeunit.Ticks // when its timer fires
-	heapIndex    int            // in the heap of timers, notInHeap outside
-	startedAt    timeunit.Ticks // of its run
-	retryCallAt  timeunit.Ticks // a failed call is not made again before
-	entryUntil   timeunit.Ticks // it owns an idempotency entry until then, 0 where it owns none
+	heapIndex    int            // index in the deadline heap, or notInHeap
+	startedAt    timeunit.Ticks // when its run started
+	retryCallAt  timeunit.Ticks // a failed call is not made again before then
+	entryUntil   timeunit.Ticks // until when it owns an idempotency entry; 0 if it owns none
 
 	queuedKB      float64
 	startTag      float64        // virtual time at which it becomes eligible
 	expectedDelay timeunit.Ticks // Arrival.ExpectedDelay
-	sequence      uint64         // in the order of arrival
+	sequence      uint64         // order of arrival
 
 	eligible     bool // virtual time has reached its start tag
-	cacheable    bool // its result may answer others for a while
-	awaited      bool // others wait for its result
-	startedQuiet bool // the cores were quiet when its run began
+	cacheable    bool // its result may be shared with other requests
+	awaited      bool // other requests wait for its result
+	startedQuiet bool // the cores were quiet when its run started
 	answered     bool
-	cancelled    bool // its client has gone
+	cancelled    bool // its client no longer waits
 }
 
-// isDone says that no answer is owed any more.
+// isDone reports whether the request needs no answer any more.
 func (r *Request) isDone() bool { return r.answered || r.cancelled }
 
-// value orders the queue: what a start now is worth, for the time that such runs take.
+// value returns the priority of the request in the queue: the value of starting it now, per tick of run time.
 func (r *Request) value() float64 { return r.category.valueAt(r.softDeadline - r.server.now) }
 
-// NeedsCall says that the run cannot go on without a downstream call. It does nothing for a request that does
-// not run.
+// NeedsCall reports that the run cannot continue without a downstream call. It has no effect unless the request runs.
 func (r *Request) NeedsCall() {
 	if r.state != stateRunning {
 		return
@@ -62,8 +61,8 @@
 	r.server.downstream.waiting = append(r.server.downstream.waiting, r)
 }
 
-// CallEnded says that the call of the request (Host.StartCall) ended, after this time. The call is made again
-// where that does no harm.
+// CallEnded reports that the downstream call of the request (Host.StartCall) ended, and how long it took. The call is
+// made again if it is safe to repeat it.
 func (r *Request) CallEnded(outcome Outcome, took timeunit.Ticks) {
 	s := r.server
 	if r.state != stateCalling {
@@ -76,14 +75,14 @@
 		s.cores.runsAtCalls--
 		r.state = stateRunning
 	case outcome == NotExecuted || r.category.Idempotency == Idempotent && !r.isDone():
-		r.retryCallAt = s.now + max(s.timers.tick, (s.now-r.startedAt)/2) // an ever longer backoff
+		r.retryCallAt = s.now + max(s.timers.tick, (s.now-r.startedAt)/2) // the backoff grows with the age of the run
 		s.downstream.waiting = append(s.downstream.waiting, r)
 	default:
 		s.continueWithoutCall(r)
 	}
 }
 
-// RunEnded says that the run of the request, or the answer that it shares, is over, after this time.
+// RunEnded reports that the run of the request, or the answer that it shares, ended, and how long it took.
 func (r *Request) RunEnded(outcome Outcome, took timeunit.Ticks) {
 	s := r.server
 	if r.state == stateFinished || r.state == stateQueued {
@@ -110,7 +109,7 @@
 	s.finish(r)
 }
 
-// Cancel says that nobody waits for the request any more.
+// Cancel reports that no client waits for the request any more.
 func (r *Request) Cancel() {
 	if r.state == stateFinished || r.cancelled {
 		return
@@ -122,7 +121,7 @@
 	r.server.stopUnwanted(r)
 }
 
-// measureRun takes the time of a successful run into what is known of its category.
+// measureRun records the time of a successful run in the histograms of its category.
 func (s *Server) measureRun(request *Request, took timeunit.Ticks) {
 	category := request.category
 	s.feedback.measureSlowdown(took, category.quietRunTimes.quantile(0.5))
@@ -132,8 +131,8 @@
 	}
 }
 
-// countAnswer books the end of a run whose request had no answer before. Only what still has its value counts
-// for the limiter: runs for clients that have gone would speak for a higher limit.
+// countAnswer processes the end of a run whose request had no answer before. The limiter counts only answers within the
+// soft deadline to clients that still wait: runs for clients that have gone would raise the limit.
 func (s *Server) countAnswer(request *Request, outcome Outcome) {
 	if outcome == Aborted || outcome == NeverStarted {
 		s.abort(request)
@@ -145,7 +144,7 @@
 	}
 }
 
-// stopUnwanted stops a run whose answer nobody waits for and that may run again.
+// stopUnwanted stops a run whose answer nobody waits for and that can safely run again.
 func (s *Server) stopUnwanted(request *Request) {
 	if request.state == stateRunning && s.canStopRuns && request.category.Idempotency == Idempotent &&
 		!request.awaited {
@@ -161,7 +160,7 @@
 	s.finish(request)
 }
 
-// abort answers a request that was started. What runs on stays in flight until its run ends.
+// abort answers a request that was started as failed. A run that continues stays in flight until it ends.
 func (s *Server) abort(request *Request) {
 	if request.isDone() {
 		return
@@ -176,7 +175,7 @@
 	}
 }
 
-// finish takes the request out of all accounts. Its idempotency entry goes only if the request never ran.
+// finish ends the accounting of the request. Its idempotency entry is dropped only if the request never ran.
 func (s *Server) finish(request *Request) {
 	s.memory.usedKB -= request.queuedKB
 	switch request.state {
@@ -192,7 +191,7 @@
 	request.state = stateFinished
 	s.host.Release(request)
 	if request.entryUntil > 0 {
-		s.timers.set(request, request.entryUntil) // then the memory of the entry is given back
+		s.timers.set(request, request.entryUntil) // when the memory of the entry is released
 	} else {
 		s.timers.stop(request)
 	}
--- a/admission/retries.go
+++ b/admission/retries.go
@@ -7,41 +7,41 @@
 	"thistlequay/timeunit"
 )
 
-// Counts and ratios of our own.
+// Counts and ratios of the retry detection.
 const (
-	similarWait         = 0.01       // waits that differ by less, as a share of the deadline, are alike
-	minRouterRequests   = minSamples // a router with fewer requests of late is taken for one like all others
-	votesToTrust        = minSamples // by so many votes the usual wait of first attempts is trusted
-	maxVotes            = maxSamples // more votes than these are not counted
-	maxRecentRequests   = maxSamples // at so many requests all counts of routers are halved
-	forgetBelow         = 1.0 / maxSamples
+	similarWait         = 0.01             // waits within this fraction of the deadline count as equal
+	minRouterRequests   = minSamples       // routers with fewer recent requests are judged by all routers
+	votesToTrust        = minSamples       // votes above which the usual wait of first attempts is trusted
+	maxVotes            = maxSamples       // upper limit of the votes
+	maxRecentRequests   = maxSamples       // at this many requests the counts of all routers are halved
+	forgetBelow         = 1.0 / maxSamples // routers with fewer recent requests are forgotten
 	retryShareSmoothing = smoothing / minSamples
 )
 
-// retryDetector finds retries among requests, by their marks or, where these are missing, by how long their
-// clients still wait. It also counts how the requests of late are spread over routers.
+// retryDetector detects retries, by their marks or, if routers do not mark retries, by how long their clients still
+// wait. It also tracks how recent requests are distributed over the routers.
 type retryDetector struct {
 	retriesMarked bool
 	routers       map[int]routerState
-	allRouters    routerState // as if all were one
-	requests      float64     // of late
-	squares       float64     // sum of the squares of each router's requests of late
-	retryShare    float64     // share of retries among the requests of late
+	allRouters    routerState // all routers counted as one
+	requests      float64     // number of recent requests
+	squares       float64     // sum of the squares of the recent requests of each router
+	retryShare    float64     // fraction of retries among recent requests
 }
 
-// routerState is what is known of the requests of one router.
+// routerState holds what is known of the recent requests of one router.
 type routerState struct {
-	requests  float64 // of late
-	usualWait float64 // how long the clients of most of its requests wait, in deadlines
-	votes     float64 // by how many requests this wait leads
+	requests  float64 // number of recent requests
+	usualWait float64 // how long the clients of most requests wait, as a multiple of the deadline
+	votes     float64 // lead of usualWait in the majority vote
 }
 
 func newRetryDetector(retriesMarked bool) retryDetector {
 	return retryDetector{retriesMarked: retriesMarked, routers: map[int]routerState{}}
 }
 
-// observe counts a request whose client waits so many deadlines from its arrival on, and says whether it is a
-// retry whose client waits only for what is left of the first attempt's time.
+// observe counts a request whose client waits for wait from its arrival, as a multiple of the deadline. It reports
+// whether the request is a retry whose client only waits for the rest of the first attempt's time.
 func (d *retryDetector) observe(arrival *Arrival, wait float64) bool {
 	router := d.routers[arrival.Router]
 	isUnusual := arrival.TimeLeft > 0 && router.isUnusual(wait)
@@ -58,7 +58,7 @@
 	return isLate
 }
 
-// count books a request with its router, whose state is this, and fades old ones.
+// count counts a request of the router with this id and state. Old requests lose weight.
 func (d *retryDetector) count(id int, router routerState) {
 	d.requests++
 	d.squares = d.squares + 2*router.requests + 1
@@ -76,12 +76,13 @@
 	maps.DeleteFunc(d.routers, func(_ int, known routerState) bool { return known.requests < forgetBelow })
 }
 
-// evenShare is the part of one of the active routers, if all were equally active: the inverse of their
-// effective number, by the requests of late.
+// evenShare returns the part of one router if all active routers were equally active: the inverse of the effective
+// number of routers, computed from recent requests.
 func (d *retryDetector) evenShare() float64 { return min(1, d.squares/max(1, d.requests*d.requests)) }
 
-// isUnusual says whether a client waits unlike those of the router's other requests of late. First attempts,
-// two in three or more, wait alike (Boyer-Moore majority vote); retries wait for what is left.
+// isUnusual updates the majority vote and reports whether the client waits differently from the clients of the router's
+// other recent requests. At least two in three requests are first attempts, which wait equally long (Boyer-Moore
+// majority vote); retries wait for the rest of that time.
 func (r *routerState) isUnusual(wait float64) bool {
 	if math.Abs(wait-r.usualWait) <= similarWait {
 		r.votes = min(r.votes+1, maxVotes)
@@ -95,7 +96,7 @@
 	return r.votes > votesToTrust
 }
 
-// noticeRetry moves the soft deadline of a retry back: it began with the first attempt.
+// noticeRetry moves the soft deadline of a retry back, because it counts from the first attempt.
 func (s *Server) noticeRetry(request *Request, arrival *Arrival) {
 	deadline := float64(request.category.Deadline)
 	wait := float64(arrival.TimeLeft+arrival.UnreadTime) / deadline
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -15,7 +15,7 @@
 	"thistlequay/timeunit"
 )
 
-// A scenario in testdata is played line by line; README.md there has the notation.
+// Runs the scenarios in testdata line by line; testdata/README.md describes the notation.
 func TestScenarios(t *testing.T) {
 	for _, file := range scenariofile.Files(t) {
 		t.Run(scenariofile.Name(file), func(t *testing.T) { playScenario(t, file) })
@@ -31,7 +31,7 @@
 	"aborted": Aborted, "never-started": NeverStarted,
 }
 
-// scenario is the host of a scenario's server: it records the server's commands.
+// scenario is the host of the server in a scenario and records the commands of the server.
 type scenario struct {
 	*require.Assertions
 	server   *Server
@@ -56,7 +56,7 @@
 	for _, step := range scenariofile.Steps(t, file) {
 		s.playLine(step.Words, step.Where)
 	}
-	s.True(s.checked, "%s ends without =>", file)
+	s.True(s.checked, "%s: no => line after the last batch", file)
 	s.history.Check(t, "scenario-"+filepath.Base(file))
 }
 
@@ -73,7 +73,7 @@
 	case "reported":
 		s.Equal(words[1], s.reported, where)
 	case "at":
-		s.True(s.checked, "no => before %s", where)
+		s.True(s.checked, "no => line for the batch before %s", where)
 		s.now = s.ticks(words[1], where)
 		if s.server == nil {
 			s.server = New(s.config, recorder{s, s.history}, s.now)
@@ -81,11 +81,11 @@
 		s.advance()
 		s.isOpen = true
 		s.checked = false
-		if len(words) > 2 { // the first event may stand on the same line
+		if len(words) > 2 { // the first event may be on the same line
 			s.playEvent(words[2:], where)
 		}
 	case "until":
-		s.True(s.checked, "no => before %s", where)
+		s.True(s.checked, "no => line for the batch before %s", where)
 		s.playTimers(s.ticks(words[1], where), s.fields(words[2:], where))
 		s.checked = false
 	default:
@@ -93,13 +93,13 @@
 	}
 }
 
-// advance opens a batch.
+// advance starts a batch.
 func (s *scenario) advance() {
 	s.history.Add(int64(s.now))
 	s.server.Advance(s.now)
 }
 
-// playTimers fires all timers that are due by then, with these gauges or, if there are none, busy cores.
+// playTimers fires all timers that are due by end, with the given gauges or, if there are none, with busy cores.
 func (s *scenario) playTimers(end timeunit.Ticks, gauges map[string]float64) {
 	if len(gauges) == 0 {
 		gauges = map[string]float64{"utilization": 1, "runnable": s.server.cores.cores}
@@ -148,7 +148,7 @@
 		s.Contains(outcomeWords, words[2], where)
 		request.RunEnded(outcomeWords[words[2]], s.ticks(words[3], where))
 	default:
-		s.Fail("unknown line", where)
+		s.Fail("unknown event", where)
 	}
 }
 
@@ -204,7 +204,7 @@
 	})
 }
 
-// enqueue enqueues requests; a1-9 names nine of them.
+// enqueue enqueues requests; the name a1-9 stands for nine requests, a1 to a9.
 func (s *scenario) enqueue(name string, words []string, where string) {
 	names := []string{name}
 	if stem, last, isRange := strings.Cut(name, "1-"); isRange {
@@ -282,7 +282,7 @@
 
 func (s *scenario) StartCall(r *Request, until timeunit.Ticks) {
 	s.note("call", r)
-	if until < r.valuableUntil() { // it is abandoned before its answer has lost its value
+	if until < r.valuableUntil() { // abandoned before the answer has lost its value
 		s.commands[len(s.commands)-1] += fmt.Sprint("<", float64(until-s.now)/10)
 	}
 }
@@ -296,7 +296,7 @@
 }
 
 func (s *scenario) CloseIdleConnections(after timeunit.Ticks) {
-	if after > 0 { // the scenario sets idle-time
+	if after > 0 { // only for scenarios that set idle-time
 		s.commands = append(s.commands, fmt.Sprint("close-idle:", int64(after/10)))
 	}
 }
--- a/admission/schedule_test.go
+++ b/admission/schedule_test.go
@@ -9,21 +9,21 @@
 	"thistlequay/timeunit"
 )
 
-// scheduled is one request of a random schedule as its host sees it.
+// scheduled is one request of a random schedule as the host sees it.
 type scheduled struct {
 	handle      *Request
 	running     bool
 	sharing     bool
-	needsCall   bool // at a call that is not made yet
+	needsCall   bool // waits for a call that is not started yet
 	calling     bool
 	answered    bool
 	stopped     bool
 	startedAt   timeunit.Ticks
-	nextAt      timeunit.Ticks // end of the run's present part, or of its call
+	nextAt      timeunit.Ticks // when the current part of the run, or its call, ends
 	callStarted timeunit.Ticks
 }
 
-// scheduleHost is a host that drives one server by random events in virtual time.
+// scheduleHost is a host that drives one server with random events in virtual time.
 type scheduleHost struct {
 	random      *rand.Rand
 	record      recorder
@@ -37,20 +37,21 @@
 	withEntries []*Request
 }
 
-// playRandomSchedule plays two incarnations of a server; the second starts with the warm-start state of the first.
+// playRandomSchedule runs two incarnations of a server; the second starts with the warm-start state of the first.
 func playRandomSchedule(_ *testing.T, seed int64, history *golden.History) {
 	s := &scheduleHost{random: rand.New(rand.NewSource(seed))}
 	s.record = recorder{s, history}
 	s.config = s.randomConfig()
 	batches := 150
-	if seed%40 == 0 { // long enough for histograms to fade
+	if seed%40 == 0 { // long enough for old samples to lose weight in histograms
 		batches = 2000
 	}
 	state := s.playIncarnation(nil, batches, -1)
 	s.playIncarnation(&state, batches, batches-50)
 }
 
-// playIncarnation plays so many batches, with a drain in one of them, and returns the server's warm-start state.
+// playIncarnation runs the given number of batches, with a drain in batch drainIn, and returns the server's warm-start
+// state.
 func (s *scheduleHost) playIncarnation(state *WarmStartState, batches, drainIn int) WarmStartState {
 	s.live = map[uint64]*scheduled{}
 	s.order = nil
@@ -66,7 +67,7 @@
 	return last
 }
 
-// playBatch plays one batch of events and dispatches.
+// playBatch runs one batch of events and dispatches it.
 func (s *scheduleHost) playBatch(batch, drainIn int) {
 	s.now += s.span(0, 1) * s.span(1, 400)
 	s.record.history.Add(31, int64(s.now))
@@ -94,7 +95,7 @@
 	s.order = slices.DeleteFunc(s.order, func(id uint64) bool { return s.live[id] == nil })
 }
 
-// reconfigure changes now and then what the server is configured with from outside.
+// reconfigure occasionally changes the settings that can change at run time.
 func (s *scheduleHost) reconfigure() {
 	if s.oneIn(40) {
 		s.server.SetFleetSize(s.pick(0, 70))
@@ -107,7 +108,7 @@
 	}
 }
 
-// randomConfig draws settings under which every protection may have to act.
+// randomConfig draws settings under which every limit may take effect.
 func (s *scheduleHost) randomConfig() Config {
 	config := Config{Routers: s.either(s.pick(1, 9), 400), RetriesMarked: s.oneIn(2), Servers: s.pick(1, 60),
 		Cores: s.pick(1, 6), MemoryKB: float64(s.either(s.pick(30, 300), 1_000_000)),
@@ -129,7 +130,7 @@
 	return config
 }
 
-// enqueue enqueues one request with random properties; it may repeat one that has an idempotency entry.
+// enqueue enqueues a request with random properties; it may repeat a request that has an idempotency entry.
 func (s *scheduleHost) enqueue() {
 	s.lastID++
 	arrival := Arrival{Category: s.random.Intn(len(s.config.Categories)), Router: s.random.Intn(5),
@@ -139,7 +140,7 @@
 		arrival.UnreadTime = s.span(0, int(category.SoftDeadline))
 	}
 	if s.oneIn(2) {
-		arrival.TimeLeft = max(1, category.Deadline-arrival.UnreadTime) // as first attempts mostly wait
+		arrival.TimeLeft = max(1, category.Deadline-arrival.UnreadTime) // the time left of most first attempts
 		if s.oneIn(6) {
 			arrival.TimeLeft = max(1, arrival.TimeLeft/s.span(1, 4))
 		}
@@ -162,7 +163,7 @@
 	current.handle = s.server.Enqueue(arrival)
 }
 
-// step plays the event of one request that is due.
+// step performs the next event of one request if it is due.
 func (s *scheduleHost) step(current *scheduled) {
 	switch {
 	case s.oneIn(150):
@@ -177,7 +178,7 @@
 	case current.stopped:
 		current.handle.RunEnded(Aborted, s.now-current.startedAt)
 	case current.nextAt > s.now:
-	case current.sharing: // it gets a result, or the host reports that there is none
+	case current.sharing: // it receives a result, or the host reports that there is none
 		current.handle.RunEnded([]Outcome{Succeeded, Failed}[s.random.Intn(2)], s.now-current.startedAt)
 	case s.oneIn(2) && !s.oneIn(3):
 		current.needsCall = true
@@ -188,7 +189,7 @@
 	}
 }
 
-// endCall ends the call of a request, successfully or not.
+// endCall ends the downstream call of a request with a random outcome.
 func (s *scheduleHost) endCall(current *scheduled) {
 	outcomes := []Outcome{Succeeded, Succeeded, Succeeded, Succeeded, Failed, NotExecuted, Indeterminate}
 	outcome := outcomes[s.random.Intn(len(outcomes))]
@@ -198,6 +199,7 @@
 	current.handle.CallEnded(outcome, s.now-current.callStarted)
 }
 
+// start marks a request as running or sharing and draws the time of its next event.
 func (s *scheduleHost) start(r *Request) {
 	current := s.of(r)
 	current.running = true
@@ -246,13 +248,17 @@
 
 func (s *scheduleHost) of(r *Request) *scheduled { return s.live[r.ID] }
 
-// pick draws a whole number from low to high, both included.
+// pick returns a random integer from low to high, both included.
 func (s *scheduleHost) pick(low, high int) int { return low + s.random.Intn(high-low+1) }
 
+// span returns a random time from low to high, both included.
 func (s *scheduleHost) span(low, high int) timeunit.Ticks { return timeunit.Ticks(s.pick(low, high)) }
 
+// oneIn returns true with a probability of one in n.
 func (s *scheduleHost) oneIn(n int) bool { return s.random.Intn(n) == 0 }
 
+// quarters returns a random multiple of 1/4 from 0 to 1.
 func (s *scheduleHost) quarters() float64 { return float64(s.pick(0, 4)) / 4 }
 
+// either returns one of two values at random.
 func (s *scheduleHost) either(a, b int) int { return []int{a, b}[s.random.Intn(2)] }
--- a/admission/server.go
+++ b/admission/server.go
@@ -2,18 +2,17 @@
 
 import "thistlequay/timeunit"
 
-// Server decides for one app server. It is not safe for concurrent use.
+// Server makes the decisions of one app server. It is not safe for concurrent use.
 type Server struct {
 	host       Host
 	now        timeunit.Ticks
 	categories []*categoryState
 
-	// The paper's mechanism: how many requests are in flight, and which of those that wait are rejected
-	// (budget.go).
+	// The paper's mechanism: how many requests are in flight, and which queued requests are rejected (budget.go).
 	limiter limiter
 	queue   requestQueue
 
-	// Guards of what the server and its dependency survive.
+	// Limits that protect the server and its downstream dependency.
 	cores      coreLoad
 	reading    readingDelay
 	slowStart  slowStart
@@ -21,7 +20,7 @@
 	entries    idempotencyTable
 	downstream downstream
 
-	// Those who send.
+	// State about the routers.
 	retries  retryDetector
 	feedback routerFeedback
 
@@ -29,11 +28,10 @@
 	timers timers
 
 	canStopRuns  bool
-	answerMargin timeunit.Ticks // answers are given so much before their deadlines: two batches
+	answerMargin timeunit.Ticks // time before its deadline by which a request is answered: two batches
 }
 
-// New makes the Server of an app server that starts now. It calls the host at once, which must be ready for
-// it.
+// New creates the Server of an app server that starts now. New calls the host, which must be ready for these calls.
 func New(config Config, host Host, now timeunit.Ticks) *Server {
 	shortest, longest := deadlineRange(config.Categories)
 	cores := float64(config.Cores)
@@ -75,11 +73,11 @@
 	return shortest, longest
 }
 
-// Advance moves the clock on; earlier times are ignored. It comes first in a batch.
+// Advance sets the current time; earlier times are ignored. It is the first call of a batch.
 func (s *Server) Advance(now timeunit.Ticks) { s.now = max(s.now, now) }
 
-// SetFleetSize sets the number of servers that the fleet has now, of which this one is one. Its part of the
-// downstream limit, and from when on rejections speak for the whole fleet, follow at once.
+// SetFleetSize sets the current number of servers in the fleet, this one included. It updates this server's part of the
+// downstream limit and the share of rejections that counts as fleet-wide overload at once.
 func (s *Server) SetFleetSize(servers int) {
 	size := float64(max(1, servers))
 	downstream := &s.downstream
@@ -88,8 +86,8 @@
 	s.feedback.fleetWideShare = fleetWideServers / size
 }
 
-// Enqueue takes a request that was read. What becomes of it is decided by Dispatch, but for repeats of other
-// requests, which may get their results at once (Host.ShareResult).
+// Enqueue adds a request that was read. Dispatch decides about it, except that a repeat of another request may get that
+// request's result at once (Host.ShareResult).
 func (s *Server) Enqueue(arrival Arrival) *Request {
 	request := s.newRequest(&arrival)
 	s.noticeRetry(request, &arrival)
@@ -123,9 +121,9 @@
 	return request
 }
 
-// Dispatch ends a batch. It fires timers, makes downstream calls, starts queued requests while the
-// concurrency limit and the guards allow it, rejects what would wait too long, and tells routers and the
-// host's timer what comes next.
+// Dispatch ends a batch. It fires timers, makes downstream calls, starts queued requests while the concurrency limit
+// and the other limits allow, rejects requests that would wait too long, updates the load report and sets the host's
+// timer.
 func (s *Server) Dispatch() {
 	s.limiter.adjustLimit(s.now)
 	s.fireTimers()
@@ -146,7 +144,8 @@
 	s.setTimer()
 }
 
-// rejectUnfit rejects at once what must not be queued, and has entries kept before their requests can run.
+// rejectUnfit rejects a request that must not be queued. Otherwise it keeps the idempotency entry that the request
+// needs before it can run.
 func (s *Server) rejectUnfit(request *Request) {
 	isKeyed := request.category.Idempotency == Keyed
 	switch {
@@ -155,17 +154,17 @@
 	case request.isHopeless():
 		s.reject(request, 0, true)
 	case s.memory.isTight() && !s.evictForRoom(request), isKeyed && !s.hasEntryRoom():
-		s.reject(request, s.timers.tick, false) // no room to queue it, or to know later that it ran
+		s.reject(request, s.timers.tick, false) // no room to queue it, or to remember that it ran
 	case request.cacheable && s.hasEntryRoom():
 		s.keepEntry(request, request.deadline)
 	case isKeyed:
-		// Until the window from the arrival of this attempt has passed: repeats are matched by their arrival.
+		// The deduplication window counts from the arrival of this attempt: repeats are matched by their arrival.
 		s.keepEntry(request, request.arrivedAt+request.category.DeduplicationWindow+s.answerMargin)
 	}
 }
 
-// startRequests starts queued requests, the most valuable first, while the concurrency limit and the guards
-// of cores and memory have room.
+// startRequests starts queued requests, the most valuable first, while the concurrency limit and the limits on cores
+// and memory allow.
 func (s *Server) startRequests() {
 	for s.queue.length > 0 {
 		if s.limiter.inFlight >= s.concurrencyLimit() {
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -2,11 +2,10 @@
 
 import "thistlequay/timeunit"
 
-// slowStart tells how much of its full speed a server has that started cold. The speed grows evenly with
-// time. It scales the overload limit (coreLoad.limitAt), which guards against a load that a cold server does
-// not survive.
+// slowStart computes the current speed of a server that started cold. The speed grows linearly with time. It scales the
+// limit of runnable requests (coreLoad.limitAt), which protects a cold server from more load than it can sustain.
 type slowStart struct {
-	coldSpeed float64 // share of its full speed at the start, 1 for a server that is warm
+	coldSpeed float64 // fraction of the full speed at the start; 1 for a warm server
 	duration  timeunit.Ticks
 	warmAt    timeunit.Ticks
 }
@@ -22,10 +21,10 @@
 	}
 }
 
-// speed is the share of its full speed that the server has now, from coldSpeed to 1.
+// speed returns the current fraction of the full speed, from coldSpeed to 1.
 func (s *slowStart) speed(now timeunit.Ticks) float64 {
 	return 1 - (1-s.coldSpeed)*float64(max(0, s.warmAt-now))/float64(max(1, s.duration))
 }
 
-// IsWarmingUp says whether the server has not reached its full speed yet.
+// IsWarmingUp reports whether the server has not reached its full speed yet.
 func (s *Server) IsWarmingUp() bool { return s.now < s.slowStart.warmAt }
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -2,17 +2,17 @@
 
 import "thistlequay/timeunit"
 
-// Stats are figures of a server for logs and tests. Nothing is decided by them.
+// Stats holds figures of a server for logs and tests. No decision depends on them.
 type Stats struct {
-	// Queued is the number of requests that wait for a start.
+	// Queued is the number of requests that wait to start.
 	Queued int
 
-	// Running is the number of requests in flight, and WaitingAtCalls that of those which stand at a downstream
-	// call, made or not.
+	// Running is the number of requests in flight. WaitingAtCalls is the number of those that wait for a downstream
+	// call, started or not.
 	Running, WaitingAtCalls int
 
-	// CallsInFlight is the number of downstream calls out, and AbandonedCalls that of abandoned ones
-	// and on which the dependency may still work.
+	// CallsInFlight is the number of downstream calls that the server waits for. AbandonedCalls is the number of
+	// abandoned calls on which the dependency may still work.
 	CallsInFlight, AbandonedCalls int
 
 	// Entries is the number of idempotency entries.
@@ -21,26 +21,26 @@
 	// Limit is the concurrency limit.
 	Limit float64
 
-	// DownstreamLimit is how many calls may be in flight in the mean, and DownstreamCredit what is left of that,
-	// in calls times ticks.
+	// DownstreamLimit is the limit of the mean number of calls in flight. DownstreamCredit is the unused part of it, in
+	// calls times ticks.
 	DownstreamLimit, DownstreamCredit float64
 
-	// RunnableRequests is the running mean of the gauge of that name.
+	// RunnableRequests is the running mean of Gauges.RunnableRequests.
 	RunnableRequests float64
 
-	// UnreadTime and RoundTrip are running means: how long requests lie unread, and from their arrival to the
-	// answer.
+	// UnreadTime and RoundTrip are running means of the time that requests stay unread and of the time from their
+	// arrival to the answer.
 	UnreadTime, RoundTrip timeunit.Ticks
 
-	// CallTime is the running mean of the time of a downstream call, and QuickCallTime the lower quartile of
-	// calls while they were not slow.
+	// CallTime is the running mean of downstream call times. QuickCallTime is the lower quartile of call times,
+	// measured while calls were not slow.
 	CallTime, QuickCallTime timeunit.Ticks
 
-	// MemoryKB is the memory that the package answers for, in kilobytes.
+	// MemoryKB is the memory of queued requests, runs and idempotency entries, in kilobytes.
 	MemoryKB float64
 }
 
-// Stats returns the present figures.
+// Stats returns the current figures.
 func (s *Server) Stats() Stats {
 	return Stats{
 		Queued:           s.queue.length,
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// noDeadline is later than all times.
+	// noDeadline is later than any time in use.
 	noDeadline = timeunit.Ticks(1 << 60)
 
-	// tickFraction is the time between two readings of the gauges, as a part of the shortest soft deadline,
-	// while requests are queued or in flight; a ratio of our own.
+	// tickFraction is the time between two readings of the gauges, as a fraction of the shortest soft deadline, while
+	// requests are queued or in flight.
 	tickFraction = 1.0 / 40
 
 	// notInHeap is the heap index of a request without a timer.
 	notInHeap = -1
 )
 
-// timers holds one timer a request at most: the end of its stay in the queue, its deadline, or the end of its
-// idempotency entry. The host knows only the earliest.
+// timers holds at most one timer per request: the end of its time in the queue, its deadline, or the end of its
+// idempotency entry. The host knows only the earliest timer.
 type timers struct {
 	heap deadlineHeap
-	tick timeunit.Ticks // time between two readings of the gauges, and between two attempts at what failed
-	next timeunit.Ticks // what was asked of the host, noDeadline for nothing
+	tick timeunit.Ticks // time between two readings of the gauges, and before a failed operation is tried again
+	next timeunit.Ticks // when the host's timer fires; noDeadline if none is set
 }
 
-// set gives the request a timer in place of any earlier one.
+// set sets the timer of the request and replaces any earlier one.
 func (t *timers) set(request *Request, at timeunit.Ticks) {
 	t.stop(request)
 	request.checkAt = at
 	heap.Push(&t.heap, request)
 }
 
-// stop takes the timer of the request away, if it has one.
+// stop removes the timer of the request, if it has one.
 func (t *timers) stop(request *Request) {
 	if request.heapIndex != notInHeap {
 		heap.Remove(&t.heap, request.heapIndex)
 	}
 }
 
-// fireTimers acts on the timers that are due: entries end, queued requests have no fair chance any more,
-// started ones have reached their deadline.
+// fireTimers fires the timers that are due: idempotency entries end, queued requests that would probably be too late
+// are rejected, and started requests that have reached their deadline are aborted.
 func (s *Server) fireTimers() {
 	for len(s.timers.heap) > 0 && s.timers.heap[0].checkAt <= s.now {
 		request := heap.Pop(&s.timers.heap).(*Request)
@@ -59,7 +59,7 @@
 	}
 }
 
-// setTimer asks the host for the next batch in time, unless an earlier one is asked for already.
+// setTimer asks the host for the next batch, unless the host's timer fires earlier already.
 func (s *Server) setTimer() {
 	next := noDeadline
 	if len(s.timers.heap) > 0 {
@@ -74,30 +74,30 @@
 	}
 }
 
-// deadlineHeap implements heap.Interface by Request.checkAt.
+// deadlineHeap implements heap.Interface, ordered by Request.checkAt.
 type deadlineHeap []*Request
 
-// Len is for package heap.
+// Len implements heap.Interface.
 func (h deadlineHeap) Len() int { return len(h) }
 
-// Less is for package heap.
+// Less implements heap.Interface.
 func (h deadlineHeap) Less(i, j int) bool { return h[i].checkAt < h[j].checkAt }
 
-// Swap is for package heap.
+// Swap implements heap.Interface.
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex = i
 	h[j].heapIndex = j
 }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (h *deadlineHeap) Push(x any) {
 	request := x.(*Request)
 	request.heapIndex = len(*h)
 	*h = append(*h, request)
 }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
 	request := (*h)[last]
--- a/admission/turns.go
+++ b/admission/turns.go
@@ -6,32 +6,32 @@
 	"thistlequay/timeunit"
 )
 
-// Constants of turns. The first two follow from what is asked of a fleet that shares a dependency which
-// survives N calls: it may double, and all servers together must stay within N + 2 root N + 2. The others are
-// ours.
+// Constants of turns. The first two follow from the requirement for a fleet that shares a dependency which can sustain
+// N calls: the fleet may double in size, and all servers together must not exceed N + 2 sqrt(N) + 2 calls.
 const (
-	maxFleetGrowth      = 2 // times the size announced that a fleet may grow to
-	allowedDeviations   = 5 // standard deviations that calls of many servers, each in its own turns, stay within
+	maxFleetGrowth      = 2 // a fleet may grow to this multiple of its announced size
+	allowedDeviations   = 5 // standard deviations within which the calls of many servers with independent turns stay
 	turnFractionStep    = 0.005
 	minTurnFraction     = 0.01
 	maxConfidence       = 8
 	confidenceToRoundUp = 4
-	confidenceGained    = 5 // by a call that succeeded, after what each call takes away
-	confidenceLost      = 4 // by any call
+	confidenceGained    = 5 // after a call that succeeded, in addition to confidenceLost
+	confidenceLost      = 4 // after any call
 )
 
-// turns decides when this server may make the last call of a limit that is no whole number. No mean knows
-// what other servers do at this moment, and all of them may begin, or come back, at once: if all rounded up
-// together the dependency, cold or just recovered, would be called by too many. So each server rounds up in
-// turns that its TurnOffset spreads: always, where few calls come of it if all do so, or while calls go well
-// and quickly. It does harm where calls outlast a turn: they are abandoned.
+// turns decides when this server may round its limit up and make one more call, if the limit is not an integer. The
+// mean number of calls does not show what other servers do at this moment, and all servers may start or recover at
+// once. If all of them rounded up together, a dependency that is cold or has just recovered would receive too many
+// calls. So each server rounds up only in its turns, which TurnOffset distributes over time. A server always rounds up
+// if few additional calls result when all servers do, or while calls are fast and succeed. The cost is that calls that
+// last longer than a turn are abandoned.
 type turns struct {
-	offset      float64 // from 0 to 1, another on each server
-	length      float64 // of a whole round while calls are quick, in ticks
+	offset      float64 // from 0 to 1, different on each server
+	length      float64 // length of a round while calls are quick, in ticks
 	fleetSize   float64
-	fraction    float64 // of a round that is this server's turn
-	fractionFor float64 // downstream limit times fleet size that fraction was worked out for
-	confidence  int     // confidenceToRoundUp or more after a success; four in a row outlast a failure
+	fraction    float64 // fraction of a round that is this server's turn
+	fractionFor float64 // downstream limit times fleet size for which fraction was computed
+	confidence  int     // one success reaches confidenceToRoundUp; four in a row outlast a failure
 }
 
 func newTurns(config *Config, shortest timeunit.Ticks) turns {
@@ -42,8 +42,8 @@
 	}
 }
 
-// until is until when the call may be in flight; now or earlier means not at all. withEffects says that it
-// must not be abandoned, so that it must fit twice.
+// until returns the time until which the call may be in flight; now or earlier means that no call may be made.
+// withEffects states that the call must not be abandoned, so that it needs twice as much time.
 func (t *turns) until(now timeunit.Ticks, downstream *downstream, withEffects bool) timeunit.Ticks {
 	if t.fractionFor != downstream.limit*t.fleetSize {
 		t.setFraction(downstream.limit)
@@ -57,9 +57,9 @@
 		length *= 2
 	}
 	if !withEffects {
-		need /= 2 // an abandoned call can be made again
+		need /= 2 // an abandoned call without side effects can be made again
 	}
-	// Time in turns: the first of each round is this server's.
+	// Count time in turns: the first turn of each round is this server's.
 	at := math.Mod(float64(now)/length*t.fraction+t.offset, 1) / t.fraction
 	left := (1-at)*length - float64(downstream.abandonedTime)
 	if left > need {
@@ -68,8 +68,8 @@
 	return now
 }
 
-// setFraction finds the largest fraction with which neither this fleet nor a grown one has too many calls in
-// flight.
+// setFraction computes the largest fraction with which neither this fleet nor one grown by maxFleetGrowth has too many
+// calls in flight.
 func (t *turns) setFraction(limit float64) {
 	t.fraction = 1
 	grown := t.fleetSize * maxFleetGrowth
@@ -79,8 +79,8 @@
 	t.fractionFor = limit * t.fleetSize
 }
 
-// exceeds says whether so many servers may have too many calls in flight, if each rounds up for this
-// fraction.
+// exceeds reports whether this number of servers may have too many calls in flight if each rounds up for the current
+// fraction of the time.
 func (t *turns) exceeds(limit, servers float64) bool {
 	survives := limit / downstreamMargin * servers
 	whole := math.Floor(limit)
@@ -88,7 +88,7 @@
 		survives+2*math.Sqrt(survives)+1
 }
 
-// gainConfidence books how a call ended.
+// gainConfidence updates the confidence when a call ends.
 func (t *turns) gainConfidence(succeeded bool) {
 	t.confidence = max(0, t.confidence-confidenceLost)
 	if succeeded {
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -1,23 +1,22 @@
 package admission
 
-// WarmStartState is what a server has found out that its next incarnation need not find out again. Its counts
-// are those of histograms, by category and bin. The JSON keys are those of stored records and stay as they
-// are.
+// WarmStartState holds what a server has learned and passes on to its next incarnation. The counts are those of
+// histograms, by category and bin. The JSON keys are those of stored records and must not change.
 type WarmStartState struct {
 	// Limit is the concurrency limit.
 	Limit float64 `json:"Pool"`
 
-	// RunTimes are the counts of run times by category.
+	// RunTimes holds the counts of run times by category.
 	RunTimes [][]float64 `json:"Runs"`
 
-	// QuietRunTimes are the counts of run times on quiet cores by category.
+	// QuietRunTimes holds the counts of run times on quiet cores by category.
 	QuietRunTimes [][]float64 `json:"Quiet"`
 
-	// QuickCallTimes are the counts of times of downstream calls while they were not slow.
+	// QuickCallTimes holds the counts of downstream call times, measured while calls were not slow.
 	QuickCallTimes []float64 `json:"Quick"`
 }
 
-// WarmStartState returns a copy of what the server has found out so far.
+// WarmStartState returns a copy of the current warm-start state.
 func (s *Server) WarmStartState() WarmStartState {
 	state := WarmStartState{
 		Limit:          s.limiter.limit,
@@ -30,8 +29,8 @@
 	return state
 }
 
-// restore takes what an earlier incarnation found out, its concurrency limit up to maxLimit. The guards of
-// memory, cores and calls hold whatever it says: they go by what this server is configured with and measures.
+// restore applies the warm-start state of an earlier incarnation, with a concurrency limit of at most maxLimit. The
+// limits on memory, cores and calls do not depend on it: they follow from the configuration and from measurements.
 func (s *Server) restore(state *WarmStartState, maxLimit float64) {
 	if state == nil {
 		return
--- a/timeunit/timeunit.go
+++ b/timeunit/timeunit.go
@@ -1,6 +1,5 @@
-// Package timeunit has the two units in which thistlequay counts time. A value is either a span or a point on a clock
-// of one process that never runs backwards; which of the two it is, its name tells. No value of this package is a
-// wall-clock time unless its name says so.
+// Package timeunit defines the two units in which thistlequay measures time. A value is either a duration or a point in
+// time on a monotonic clock of one process; its name tells which. A value is wall-clock time only if its name says so.
 package timeunit
 
 import "time"
@@ -18,23 +17,23 @@
 	MillisecondsPerSecond Milliseconds = 1_000
 )
 
-// tick is the length of one of Ticks.
+// tick is the length of one tick.
 const tick = 100 * time.Microsecond
 
-// TicksOf converts a span of time; a part of a tick is dropped.
+// TicksOf converts a duration to ticks, rounded towards zero.
 func TicksOf(span time.Duration) Ticks { return Ticks(span / tick) }
 
-// UnixTicks returns the wall-clock time in ticks since 1970, UTC; a part of a tick is dropped.
+// UnixTicks returns the wall-clock time in ticks since 1970 UTC, rounded towards zero.
 func UnixTicks(at time.Time) Ticks { return Ticks(at.UnixMicro() / tick.Microseconds()) }
 
-// Duration converts a span in ticks.
+// Duration converts ticks to a time.Duration.
 func (t Ticks) Duration() time.Duration { return time.Duration(t) * tick }
 
-// Milliseconds converts to milliseconds; a part of a millisecond is dropped.
+// Milliseconds converts ticks to milliseconds, rounded towards zero.
 func (t Ticks) Milliseconds() int64 { return int64(t / TicksPerMillisecond) }
 
-// MillisecondsOf converts a span of time; a part of a millisecond is dropped.
+// MillisecondsOf converts a duration to milliseconds, rounded towards zero.
 func MillisecondsOf(span time.Duration) Milliseconds { return Milliseconds(span.Milliseconds()) }
 
-// Duration converts a span in milliseconds.
+// Duration converts milliseconds to a time.Duration.
 func (m Milliseconds) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
