--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -7,21 +7,21 @@
 	"thistlequay/timeunit"
 )
 
-// busyHost is a host that keeps the requests that run and those that wait for a call, and ignores everything else.
-type busyHost struct {
-	silentHost
+// trackingHost is a host that keeps the requests that run and those that wait for a call, and ignores everything else.
+type trackingHost struct {
+	noopHost
 	started []*Request
 	called  []*Request
 }
 
-func (h *busyHost) Run(r *Request)                         { h.started = append(h.started, r) }
-func (h *busyHost) StartCall(r *Request, _ timeunit.Ticks) { h.called = append(h.called, r) }
+func (h *trackingHost) Run(r *Request)                         { h.started = append(h.started, r) }
+func (h *trackingHost) StartCall(r *Request, _ timeunit.Ticks) { h.called = append(h.called, r) }
 
-func (*busyHost) Abort(*Request)                     {}
-func (*busyHost) KeepEntry(*Request, timeunit.Ticks) {}
-func (*busyHost) DropEntry(*Request)                 {}
-func (*busyHost) ReportLoad(float64)                 {}
-func (*busyHost) SetTimer(timeunit.Ticks)            {}
+func (*trackingHost) Abort(*Request)                     {}
+func (*trackingHost) KeepEntry(*Request, timeunit.Ticks) {}
+func (*trackingHost) DropEntry(*Request)                 {}
+func (*trackingHost) ReportLoad(float64)                 {}
+func (*trackingHost) SetTimer(timeunit.Ticks)            {}
 
 // BenchmarkBatch measures a batch with one arrival, one start, one call and one end, for several queue lengths.
 func BenchmarkBatch(b *testing.B) {
@@ -32,7 +32,7 @@
 			{Weight: 2, SoftDeadline: 1 << 40, Deadline: 1 << 41, Idempotency: Keyed, DeduplicationWindow: 100}}}
 	for _, queued := range []int{0, 100, 10_000} {
 		b.Run(fmt.Sprintf("queued=%d", queued), func(b *testing.B) {
-			host := &busyHost{}
+			host := &trackingHost{}
 			server := New(config, host, 0)
 			now := timeunit.Ticks(0)
 			id := 0
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -7,14 +7,14 @@
 func (s *Server) startCalls() {
 	waiting := s.downstream.waiting[:0]
 	for _, request := range s.downstream.waiting {
-		if request.state != stateWaitingToCall || request.isDone() {
+		if request.state != stateWaitingToCall || request.isResolved() {
 			continue
 		}
-		if s.callIsTooLate(request) || s.onlyDegradedIsInTime(request, len(waiting)) {
+		if s.callWouldBeTooLate(request) || s.prefersDegradedAnswer(request, len(waiting)) {
 			s.continueWithoutCall(request)
 			continue
 		}
-		if request.retryCallAt > s.now || s.coresAreFull() || !s.startCall(request) {
+		if request.nextCallAt > s.now || s.coresAreFull() || !s.startCall(request) {
 			waiting = append(waiting, request)
 		}
 	}
@@ -33,9 +33,9 @@
 	if isIdempotent && downstream.quickTimes.total >= minSamples {
 		// A lost reply would keep the call in flight until the deadline. An idempotent call is given up before and made
 		// again.
-		lostAfter := lostCallFactor * max(downstream.recentTime,
+		lossTimeout := lostCallFactor * max(downstream.recentTime,
 			float64(downstream.quickTimes.quantile(lostCallQuantile)))
-		until = min(until, s.now+timeunit.Ticks(lostAfter))
+		until = min(until, s.now+timeunit.Ticks(lossTimeout))
 	}
 	request.state = stateCalling
 	downstream.inFlight++
@@ -46,21 +46,21 @@
 // continueWithoutCall continues the run towards a degraded answer if that has a value and the cores have room.
 // Otherwise it aborts the request.
 func (s *Server) continueWithoutCall(request *Request) {
-	if request.category.DegradedValue == 0 || request.isDone() || s.coresAreFull() {
+	if request.category.DegradedValue == 0 || request.isResolved() || s.coresAreFull() {
 		s.abort(request)
 		return
 	}
 	request.state = stateRunning
-	s.cores.runsAtCalls--
+	s.cores.runsAwaitingCalls--
 	s.host.SkipCall(request)
 }
 
-// onlyDegradedIsInTime reports whether an answer with the call would miss the soft deadline, with callsAhead calls to
+// prefersDegradedAnswer reports whether an answer with the call would miss the soft deadline, with callsAhead calls to
 // wait for, while a degraded answer is worth more than a late one and the cores have room for it.
-func (s *Server) onlyDegradedIsInTime(request *Request, callsAhead int) bool {
+func (s *Server) prefersDegradedAnswer(request *Request, callsAhead int) bool {
 	downstream := &s.downstream
-	takes := downstream.recentTime*(1+float64(callsAhead)/max(1, downstream.limit)) +
+	expectedTime := downstream.recentTime*(1+float64(callsAhead)/max(1, downstream.limit)) +
 		request.category.typicalRunTime()/2
-	isTooLate := float64(request.softDeadline-s.now) < takes
-	return request.category.DegradedValue > request.category.LateValue && isTooLate && !s.coresAreFull()
+	missesSoftDeadline := float64(request.softDeadline-s.now) < expectedTime
+	return request.category.DegradedValue > request.category.LateValue && missesSoftDeadline && !s.coresAreFull()
 }
--- a/admission/category.go
+++ b/admission/category.go
@@ -27,6 +27,6 @@
 // valueAt returns the priority of a request of this category that would start now with timeLeft to its soft deadline:
 // the weight of its answer, scaled by the fraction of recent runs that would be in time, per tick of typical run time.
 func (c *categoryState) valueAt(timeLeft timeunit.Ticks) float64 {
-	fits := c.runTimes.fractionBelow(timeLeft)
-	return c.Weight * (fits + (1-fits)*c.LateValue) / c.typicalRunTime()
+	fractionInTime := c.runTimes.fractionBelow(timeLeft)
+	return c.Weight * (fractionInTime + (1-fractionInTime)*c.LateValue) / c.typicalRunTime()
 }
--- a/admission/dependency_test.go
+++ b/admission/dependency_test.go
@@ -28,7 +28,7 @@
 
 // callingServer is one of the servers that share the dependency. It always needs more calls than it is allowed.
 type callingServer struct {
-	silentHost
+	noopHost
 	dependency *dependency
 	server     *Server
 	calls      []*pendingCall
@@ -49,8 +49,8 @@
 
 func (c *callingServer) StartCall(r *Request, until timeunit.Ticks) {
 	shared := c.dependency
-	takes := shared.minTime + timeunit.Ticks(shared.random.Int63n(int64(shared.maxTime-shared.minTime)+1))
-	call := &pendingCall{request: r, startedAt: shared.now, endsAt: shared.now + takes, succeeds: true}
+	callTime := shared.minTime + timeunit.Ticks(shared.random.Int63n(int64(shared.maxTime-shared.minTime)+1))
+	call := &pendingCall{request: r, startedAt: shared.now, endsAt: shared.now + callTime, succeeds: true}
 	if call.endsAt > until {
 		call.endsAt = max(until, shared.now+1)
 		call.succeeds = false
@@ -90,8 +90,8 @@
 	}
 }
 
-// playTo runs the simulation in steps of 25 ms until end.
-func (d *dependency) playTo(end timeunit.Ticks) {
+// runUntil runs the simulation in steps of 25 ms until end.
+func (d *dependency) runUntil(end timeunit.Ticks) {
 	for ; d.now < end; d.now += 250 {
 		for _, caller := range d.servers {
 			caller.step()
@@ -141,32 +141,32 @@
 	return false
 }
 
-// play simulates a dependency that is cold, down, up again and slow while the fleet may grow to twice its size, and
+// simulate simulates a dependency that is cold, down, up again and slow while the fleet may grow to twice its size, and
 // then warm. It returns the largest number of calls in flight while the dependency was not warm; afterwards
 // d.maxInFlight is the largest number while it was warm.
-func (d *dependency) play(servers int, survives float64, fleetGrows bool) (maxInFlight int) {
+func (d *dependency) simulate(servers int, sustainableCalls float64, fleetGrows bool) (maxInFlight int) {
 	start := d.now
-	limit := survives / float64(servers) // limits are set for the fleet at its largest
+	limit := sustainableCalls / float64(servers) // limits are set for the fleet at its largest
 	if fleetGrows {
 		limit /= 2
 	}
 	d.addServers(servers, servers, limit)
-	d.playTo(start + 40_000)
+	d.runUntil(start + 40_000)
 	d.isDown = true
-	d.playTo(start + 60_000)
+	d.runUntil(start + 60_000)
 	d.isDown = false
 	d.minTime = 20_000
 	d.maxTime = 90_000
-	d.playTo(start + 90_000)
+	d.runUntil(start + 90_000)
 	if fleetGrows {
 		d.addServers(servers, 2*servers, limit)
 	}
-	d.playTo(start + 120_000)
+	d.runUntil(start + 120_000)
 	maxInFlight = d.maxInFlight
 	d.maxInFlight = 0
 	d.minTime = 100 // warm: quick under any load
 	d.maxTime = 600
-	d.playTo(start + 150_000)
+	d.runUntil(start + 150_000)
 	return maxInFlight
 }
 
@@ -174,16 +174,16 @@
 // calls in flight of the whole fleet must not exceed N calls plus an allowance for random variation.
 func TestMeasuredCallsOfFleetStayWithinLimit(t *testing.T) {
 	for _, servers := range []int{1, 8, 20, 30} {
-		for _, survives := range []float64{3, 10, 40, 6 * float64(servers)} {
-			t.Run(fmt.Sprintf("%d servers, N %.0f", servers, survives), func(t *testing.T) {
-				requireCallsWithinLimit(t, servers, survives)
+		for _, sustainableCalls := range []float64{3, 10, 40, 6 * float64(servers)} {
+			t.Run(fmt.Sprintf("%d servers, N %.0f", servers, sustainableCalls), func(t *testing.T) {
+				requireCallsWithinLimit(t, servers, sustainableCalls)
 			})
 		}
 	}
 }
 
 // requireCallsWithinLimit runs many seeds against a dependency that survives the given number of calls at once.
-func requireCallsWithinLimit(t *testing.T, servers int, survives float64) {
+func requireCallsWithinLimit(t *testing.T, servers int, sustainableCalls float64) {
 	t.Helper()
 	seeds := schedule.Scale(16, 600)
 	maxInFlight := 0
@@ -191,14 +191,14 @@
 	succeeded := 0.0
 	for seed := range seeds {
 		shared := newDependency(int64(seed))
-		maxInFlight = max(maxInFlight, shared.play(servers, survives, seed%2 == 1))
+		maxInFlight = max(maxInFlight, shared.simulate(servers, sustainableCalls, seed%2 == 1))
 		maxWarm = max(maxWarm, shared.maxInFlight)
 		for _, caller := range shared.servers {
 			succeeded += caller.server.downstream.quickTimes.total
 		}
 	}
-	allowed := survives + 2*math.Sqrt(survives) + 2
+	allowed := sustainableCalls + 2*math.Sqrt(sustainableCalls) + 2
 	t.Logf("measured cold processes=%d n=%.0f most=%d allowed=%.1f most_warm=%d seeds=%d calls_succeeded=%.0f "+
-		"source=virtual", servers, survives, maxInFlight, allowed, maxWarm, seeds, succeeded/float64(seeds))
+		"source=virtual", servers, sustainableCalls, maxInFlight, allowed, maxWarm, seeds, succeeded/float64(seeds))
 	require.LessOrEqual(t, float64(maxInFlight), allowed)
 }
--- a/admission/downstream.go
+++ b/admission/downstream.go
@@ -35,15 +35,15 @@
 	turns      turns
 }
 
-func newDownstream(config *Config, now, shortest, longest timeunit.Ticks) downstream {
+func newDownstream(config *Config, now, shortestSoftDeadline, longestDeadline timeunit.Ticks) downstream {
 	return downstream{
 		isShared:      config.SharedDependency,
 		limit:         config.DownstreamLimit * downstreamMargin,
 		window:        float64(config.DownstreamWindow),
 		updatedAt:     now,
 		abandonedTime: config.AbandonedCallTime,
-		quickTimes:    newHistogram(longest / binsPerScale),
-		turns:         newTurns(config, shortest),
+		quickTimes:    newHistogram(longestDeadline / binsPerScale),
+		turns:         newTurns(config, shortestSoftDeadline),
 	}
 }
 
@@ -52,20 +52,20 @@
 	return d.recentTime > slowCallFactor*float64(d.quickTimes.quantile(quickCallQuantile))
 }
 
-// measure records the time of a call that ended. While calls are slow their times are left out of quickTimes.
-func (d *downstream) measure(took timeunit.Ticks) {
+// recordTime records the time of a call that ended. While calls are slow their times are left out of quickTimes.
+func (d *downstream) recordTime(elapsed timeunit.Ticks) {
 	if d.quickTimes.total < minSamples || !d.isSlow() {
-		d.quickTimes.add(took)
+		d.quickTimes.add(elapsed)
 	}
-	smooth(&d.recentTime, float64(took), smoothing)
+	updateMean(&d.recentTime, float64(elapsed), smoothingFactor)
 }
 
 // allowedUntil updates the credit and returns the time until which another call may be in flight; now or earlier means
-// that no call may be made. withEffects states that the call must not be abandoned.
-func (d *downstream) allowedUntil(now timeunit.Ticks, withEffects bool) timeunit.Ticks {
+// that no call may be made. hasSideEffects states that the call must not be abandoned.
+func (d *downstream) allowedUntil(now timeunit.Ticks, hasSideEffects bool) timeunit.Ticks {
 	d.abandoned = d.abandoned[len(d.abandoned)-d.countAbandoned(now):]
 	inFlight := float64(d.inFlight + len(d.abandoned))
-	d.credit = min(d.credit+(d.limit-inFlight)*float64(now-d.updatedAt), d.limit*d.window*smoothing/2)
+	d.credit = min(d.credit+(d.limit-inFlight)*float64(now-d.updatedAt), d.limit*d.window*smoothingFactor/2)
 	d.updatedAt = now
 	switch {
 	case !d.isShared || d.credit > 0 && inFlight < math.Floor(d.limit):
@@ -74,31 +74,31 @@
 		return now
 	}
 	// The limit is not an integer, and only its fractional part is left.
-	return d.turns.until(now, d, withEffects)
+	return d.turns.allowedUntil(now, d, hasSideEffects)
 }
 
 // countAbandoned returns the number of abandoned calls that still count as in flight.
 func (d *downstream) countAbandoned(now timeunit.Ticks) int {
-	ended, _ := slices.BinarySearch(d.abandoned, now+1)
-	return len(d.abandoned) - ended
+	expired, _ := slices.BinarySearch(d.abandoned, now+1)
+	return len(d.abandoned) - expired
 }
 
-// finish removes a call from those in flight. An abandoned call still counts for abandonedTime.
-func (d *downstream) finish(now timeunit.Ticks, abandoned bool) {
+// removeInFlight removes a call from those in flight. An abandoned call still counts for abandonedTime.
+func (d *downstream) removeInFlight(now timeunit.Ticks, isAbandoned bool) {
 	d.allowedUntil(now, false) // updates the credit: the call was in flight up to now
 	d.inFlight--
-	if abandoned {
+	if isAbandoned {
 		d.abandoned = append(d.abandoned, now+d.abandonedTime)
 	}
 }
 
 // endCall processes the end of a call with its outcome and the time that it took.
-func (d *downstream) endCall(now timeunit.Ticks, outcome Outcome, took timeunit.Ticks) {
-	d.finish(now, outcome == Indeterminate)
-	if outcome != Indeterminate || float64(took) > d.recentTime {
-		d.measure(took) // an abandoned call that took less is left out: its full time is unknown
+func (d *downstream) endCall(now timeunit.Ticks, outcome Outcome, elapsed timeunit.Ticks) {
+	d.removeInFlight(now, outcome == Indeterminate)
+	if outcome != Indeterminate || float64(elapsed) > d.recentTime {
+		d.recordTime(elapsed) // an abandoned call that took less is left out: its full time is unknown
 	}
-	d.turns.gainConfidence(outcome == Succeeded)
+	d.turns.updateConfidence(outcome == Succeeded)
 }
 
 // SetDownstreamLimit sets the limit of the mean number of calls that this server may have in flight. It has no effect
--- a/admission/downstream_test.go
+++ b/admission/downstream_test.go
@@ -10,7 +10,7 @@
 // fleet and returns to the same value for the same size.
 func TestDownstreamLimitFollowsFleetSize(t *testing.T) {
 	server := New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 1000, Deadline: 2000}}, Cores: 2, Servers: 8,
-		SharedDependency: true, DownstreamLimit: 2, DownstreamWindow: 50000}, silentHost{}, 0)
+		SharedDependency: true, DownstreamLimit: 2, DownstreamWindow: 50000}, noopHost{}, 0)
 	first := server.Stats().DownstreamLimit
 	require.InDelta(t, 2*downstreamMargin, first, 1e-9)
 	server.SetFleetSize(6)
@@ -33,9 +33,9 @@
 	const abandonedTime = 200
 	server := New(Config{Categories: []Category{{Weight: 1, SoftDeadline: 1000, Deadline: 2000}}, Cores: 2, Servers: 1,
 		SharedDependency: true, DownstreamLimit: 4, DownstreamWindow: 50000, AbandonedCallTime: abandonedTime},
-		silentHost{}, 0)
+		noopHost{}, 0)
 	server.downstream.inFlight = 1
-	server.downstream.finish(100, true)
+	server.downstream.removeInFlight(100, true)
 	server.Advance(100 + abandonedTime - 1)
 	inFlight, _ := server.DownstreamCalls()
 	require.Equal(t, 1, inFlight)
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -9,15 +9,15 @@
 
 // drainState holds the progress of the graceful shutdown of the server.
 type drainState struct {
-	draining bool
-	grace    timeunit.Ticks // time after the notice during which arriving requests still run
-	graceEnd timeunit.Ticks // valid while draining
-	stopAt   timeunit.Ticks // every request is answered before this time; noDeadline before the notice
+	isDraining  bool
+	gracePeriod timeunit.Ticks // time after the notice during which arriving requests still run
+	graceEndsAt timeunit.Ticks // valid while draining
+	stopAt      timeunit.Ticks // every request is answered before this time; noDeadline before the notice
 }
 
-// hasEndedFor reports whether a request that arrived at arrivedAt came after the grace period and must not run.
-func (d *drainState) hasEndedFor(arrivedAt timeunit.Ticks) bool {
-	return d.draining && arrivedAt >= d.graceEnd
+// isAfterGracePeriod reports whether a request that arrived at arrivedAt came after the grace period and must not run.
+func (d *drainState) isAfterGracePeriod(arrivedAt timeunit.Ticks) bool {
+	return d.isDraining && arrivedAt >= d.graceEndsAt
 }
 
 // Drain starts the graceful shutdown; the process will be stopped after stopIn. Requests that arrive within the grace
@@ -29,16 +29,16 @@
 // period counts from the notice.
 func (s *Server) DrainSince(age, stopIn timeunit.Ticks) {
 	d := &s.drain
-	if d.draining {
+	if d.isDraining {
 		return
 	}
-	d.draining = true
+	d.isDraining = true
 	d.stopAt = s.now + stopIn
-	d.graceEnd = s.now - age + d.grace
+	d.graceEndsAt = s.now - age + d.gracePeriod
 	for _, request := range slices.Concat(s.queue.arrivals, s.timers.heap) {
 		request.deadline = min(request.deadline, d.stopAt-s.answerMargin)
 		if request.state != stateFinished {
-			request.checkAt = min(request.checkAt, request.deadline)
+			request.timerAt = min(request.timerAt, request.deadline)
 		}
 	}
 	heap.Init(&s.timers.heap)
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -24,15 +24,15 @@
 func TestGoldenDownstreamCalls(t *testing.T) {
 	var histories golden.Histories
 	for _, servers := range []int{1, 8, 20} {
-		for _, survives := range []float64{3, 10, 40} {
+		for _, sustainableCalls := range []float64{3, 10, 40} {
 			history := golden.NewHistory()
 			for seed := range 4 {
 				shared := newDependency(int64(seed))
 				shared.history = history
-				shared.play(servers, survives, seed%2 == 1)
+				shared.simulate(servers, sustainableCalls, seed%2 == 1)
 				history.Add(shared.maxInFlight)
 			}
-			histories.Add(fmt.Sprintf("servers=%d n=%.0f", servers, survives), history)
+			histories.Add(fmt.Sprintf("servers=%d n=%.0f", servers, sustainableCalls), history)
 		}
 	}
 	histories.Check(t, "shared-dependency.txt")
@@ -42,8 +42,8 @@
 func TestGoldenStoredSettings(t *testing.T) {
 	var lines strings.Builder
 	for seed := range int64(20) {
-		drawn := &scheduleHost{random: rand.New(rand.NewSource(seed))}
-		config := drawn.randomConfig()
+		host := &scheduleHost{random: rand.New(rand.NewSource(seed))}
+		config := host.randomConfig()
 		lines.WriteString(config.StoredForm() + "\n")
 	}
 	golden.Check(t, "settings.txt", []byte(lines.String()))
--- a/admission/histogram.go
+++ b/admission/histogram.go
@@ -36,12 +36,12 @@
 
 // quantile returns the time below which the fraction q, from 0 to 1, of all samples lies; 0 without samples.
 func (h *histogram) quantile(q float64) timeunit.Ticks {
-	left := q * h.total
+	remaining := q * h.total
 	for i, count := range &h.counts {
-		if left <= count && count > 0 {
-			return timeunit.Ticks((float64(i) + left/count) * float64(h.binWidth))
+		if remaining <= count && count > 0 {
+			return timeunit.Ticks((float64(i) + remaining/count) * float64(h.binWidth))
 		}
-		left -= count
+		remaining -= count
 	}
 	return 0
 }
--- a/admission/host.go
+++ b/admission/host.go
@@ -107,8 +107,8 @@
 	// ReportLoad sets the value that is sent to routers with each answer (Config.LoadReportMode).
 	ReportLoad(value float64)
 
-	// SetHealth sets the answer to health checks. With fromStore, the host may give it without asking the server again.
-	SetHealth(healthy, fromStore bool)
+	// SetHealth sets the answer to health checks. With cacheable, the host may give it without asking the server again.
+	SetHealth(healthy, cacheable bool)
 
 	// CloseIdleConnections closes connections of routers once they have been idle for the time after.
 	CloseIdleConnections(after timeunit.Ticks)
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -14,11 +14,11 @@
 // request can run until the deduplication window after its arrival has passed. It is dropped earlier only if the
 // request provably never ran.
 type idempotencyTable struct {
-	count     int
-	maxCount  int
-	sizeKB    float64        // memory of one entry
-	resultTTL timeunit.Ticks // how long the result of a cacheable request is kept; 0 if it is not shared
-	sharing   int            // requests that wait for or receive the result of another request
+	count        int
+	maxCount     int
+	sizeKB       float64        // memory of one entry
+	resultTTL    timeunit.Ticks // how long the result of a cacheable request is kept; 0 if it is not shared
+	sharingCount int            // requests that wait for or receive the result of another request
 }
 
 func newIdempotencyTable(config *Config) idempotencyTable {
@@ -29,8 +29,8 @@
 	}
 }
 
-// hasEntryRoom reports whether there is room for another entry.
-func (s *Server) hasEntryRoom() bool {
+// hasRoomForEntry reports whether there is room for another entry.
+func (s *Server) hasRoomForEntry() bool {
 	return s.memory.hasRoomFor(s.entries.sizeKB) && s.entries.count < s.entries.maxCount
 }
 
@@ -45,24 +45,25 @@
 	}
 	earlier := arrival.RepeatOf
 	isKeyed := request.category.Idempotency == Keyed
-	takesPlace := isKeyed && earlier != nil && earlier.state == stateQueued && request.arrivedAt >= earlier.arrivedAt
-	mustShare := isKeyed && !takesPlace
+	replacesEarlier := isKeyed && earlier != nil && earlier.state == stateQueued &&
+		request.arrivedAt >= earlier.arrivedAt
+	mustShare := isKeyed && !replacesEarlier
 	if !mustShare && !s.canShareResult(request, earlier) {
-		if takesPlace {
+		if replacesEarlier {
 			s.reject(earlier, 0, false)
 		}
 		return false
 	}
 	request.state = stateSharing
-	s.entries.sharing++
+	s.entries.sharingCount++
 	if earlier != nil {
-		earlier.awaited = true
-		if request.cacheable && earlier.state == stateQueued {
+		earlier.isAwaited = true
+		if request.isCacheable && earlier.state == stateQueued {
 			s.queue.awaited = append(s.queue.awaited, earlier)
 		}
 	}
 	s.timers.set(request, request.deadline)
-	if s.memory.isTight() { // no memory to keep it waiting
+	if s.memory.isNearlyFull() { // no memory to keep it waiting
 		s.abort(request)
 	} else {
 		s.host.ShareResult(request)
@@ -74,13 +75,14 @@
 // many requests for the same data at once (hot keys, retry storms). Its cost is that requests fail together with the
 // one whose result they share.
 func (s *Server) canShareResult(request, earlier *Request) bool {
-	if !request.cacheable || s.memory.isTight() || s.drain.hasEndedFor(request.arrivedAt) || s.coresAreFull() {
+	if !request.isCacheable || s.memory.isNearlyFull() || s.drain.isAfterGracePeriod(request.arrivedAt) ||
+		s.coresAreFull() {
 		return false
 	}
-	if float64(s.entries.sharing) >= s.overloadLimit()/2 {
+	if float64(s.entries.sharingCount) >= s.overloadLimit()/2 {
 		return false
 	}
-	return earlier == nil || earlier.state != stateSharing && !earlier.isDone()
+	return earlier == nil || earlier.state != stateSharing && !earlier.isResolved()
 }
 
 // keepEntry makes the host keep the request's idempotency entry until the given time.
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -10,7 +10,7 @@
 	aggressiveness          = 0.001 // alpha: step of the limit per router, as in the paper
 	initialRoundTrip        = 1000  // RTT in ticks before the first measurement: 100 ms (docs/design.md)
 	roundTripsPerExperiment = 4     // length of an experiment; the first round trip is not counted
-	roundTripSmoothing      = smoothing / 2
+	roundTripSmoothing      = smoothingFactor / 2
 )
 
 // limiter is the concurrency limiter: the paper's credit pool, whose size is found by experiment (section 3.3,
@@ -36,11 +36,11 @@
 	roundTrip float64 // running mean of the time from arrival to answer, in ticks
 	inFlight  int     // requests that were started and whose runs have not ended
 
-	current   experiment
-	previous  experiment     // counts per tick
-	countFrom timeunit.Ticks // when counting starts, one round trip into the experiment; 0 once it has started
-	endsAt    timeunit.Ticks
-	wasFull   bool // the limit delayed a start in the current experiment
+	current          experiment
+	previous         experiment     // counts per tick
+	countingStartsAt timeunit.Ticks // when counting starts, one round trip into the experiment; 0 once it has started
+	endsAt           timeunit.Ticks
+	wasFull          bool // the limit delayed a start in the current experiment
 }
 
 // experiment holds the counts of one of the paper's micro-experiments or, once it is over, the counts per tick.
@@ -61,18 +61,18 @@
 
 // adjustLimit ends the current experiment once its time is over and changes the limit by one step.
 func (l *limiter) adjustLimit(now timeunit.Ticks) {
-	if l.countFrom > 0 && now >= l.countFrom {
+	if l.countingStartsAt > 0 && now >= l.countingStartsAt {
 		// The effect of a new limit on throughput is delayed by one round trip, which is therefore not counted.
 		l.current = experiment{}
-		l.countFrom = 0
+		l.countingStartsAt = 0
 	}
 	if now < l.endsAt {
 		return
 	}
-	span := (roundTripsPerExperiment - 1) * l.roundTrip
-	rates := experiment{l.current.started / span, l.current.answered / span, l.current.dropped / span}
+	interval := (roundTripsPerExperiment - 1) * l.roundTrip
+	rates := experiment{l.current.started / interval, l.current.answered / interval, l.current.dropped / interval}
 	if l.wasFull && rates.started > 0 {
-		if l.mustShrink(rates) {
+		if l.shouldLowerLimit(rates) {
 			l.limit = max(l.floor, l.limit-l.step)
 		} else {
 			l.limit += l.step
@@ -81,30 +81,30 @@
 	l.previous = rates
 	l.current = experiment{}
 	l.wasFull = false
-	l.countFrom = now + timeunit.Ticks(l.roundTrip)
+	l.countingStartsAt = now + timeunit.Ticks(l.roundTrip)
 	l.endsAt = now + timeunit.Ticks(roundTripsPerExperiment*l.roundTrip)
 }
 
-// mustShrink is the marginal test of Algorithm 1, lines 15 to 31. It reports whether there were too many drops, or too
-// small a fraction of the added starts was answered. If starts decreased, the decrease of the answers is compared with
-// the decrease of the starts.
-func (l *limiter) mustShrink(rates experiment) bool {
-	more := rates.started - l.previous.started
-	gained := rates.answered - l.previous.answered
-	if more <= 0 {
-		more = -more
-		gained = -gained
+// shouldLowerLimit is the marginal test of Algorithm 1, lines 15 to 31. It reports whether there were too many drops,
+// or too small a fraction of the added starts was answered. If starts decreased, the decrease of the answers is
+// compared with the decrease of the starts.
+func (l *limiter) shouldLowerLimit(rates experiment) bool {
+	addedStarts := rates.started - l.previous.started
+	addedAnswers := rates.answered - l.previous.answered
+	if addedStarts <= 0 {
+		addedStarts = -addedStarts
+		addedAnswers = -addedAnswers
 	}
-	return rates.dropped > dropThreshold*rates.started || gained <= efficiencyThreshold*more
+	return rates.dropped > dropThreshold*rates.started || addedAnswers <= efficiencyThreshold*addedStarts
 }
 
-// start counts a request that starts to run.
-func (l *limiter) start() {
+// countStart counts a request that starts to run.
+func (l *limiter) countStart() {
 	l.inFlight++
 	l.current.started++
 }
 
 // measureRoundTrip updates the mean with the time from the arrival of a request to its answer.
-func (l *limiter) measureRoundTrip(took timeunit.Ticks) {
-	smooth(&l.roundTrip, float64(took), roundTripSmoothing)
+func (l *limiter) measureRoundTrip(elapsed timeunit.Ticks) {
+	updateMean(&l.roundTrip, float64(elapsed), roundTripSmoothing)
 }
--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -8,16 +8,16 @@
 	"thistlequay/timeunit"
 )
 
-// window holds the counts of one experiment.
-type window struct {
+// experimentCounts holds the counts of one experiment.
+type experimentCounts struct {
 	started  float64
 	answered float64
 	dropped  float64
 	wasFull  bool // the limit delayed a start
 }
 
-// playExperiments runs a limiter with 4 cores and step 2 through the experiments and returns the limit after each.
-func playExperiments(experiments []window) (limits []float64) {
+// runExperiments runs a limiter with 4 cores and step 2 through the experiments and returns the limit after each.
+func runExperiments(experiments []experimentCounts) (limits []float64) {
 	limiter := newLimiter(4, 2000)
 	limiter.limit = 10
 	limiter.adjustLimit(0)
@@ -36,23 +36,29 @@
 }
 
 func TestLimiterFollowsThroughput(t *testing.T) {
-	answered := window{100, 100, 0, true}
-	unanswered := window{100, 0, 0, true}
+	answered := experimentCounts{100, 100, 0, true}
+	unanswered := experimentCounts{100, 0, 0, true}
 	for _, test := range []struct {
 		name        string
-		experiments []window
+		experiments []experimentCounts
 		limits      []float64
 	}{
-		{"grows while added starts are answered", []window{answered, {120, 116, 0, true}}, []float64{12, 14}},
-		{"shrinks when added starts are not answered", []window{answered, {120, 114, 0, true}}, []float64{12, 10}},
-		{"grows again when throughput falls with starts", []window{answered, {80, 80, 0, true}}, []float64{12, 14}},
-		{"shrinks when throughput holds with fewer starts", []window{answered, {80, 95, 0, true}}, []float64{12, 10}},
-		{"shrinks when more is dropped than started", []window{{100, 100, 101, true}}, []float64{8}},
-		{"does not change if it delayed no start", []window{{100, 0, 0, false}, {0, 0, 0, true}}, []float64{10, 10}},
-		{"stops at its floor", []window{unanswered, unanswered, unanswered, unanswered}, []float64{8, 6, 4, 4}},
+		{"grows while added starts are answered",
+			[]experimentCounts{answered, {120, 116, 0, true}}, []float64{12, 14}},
+		{"shrinks when added starts are not answered",
+			[]experimentCounts{answered, {120, 114, 0, true}}, []float64{12, 10}},
+		{"grows again when throughput falls with starts",
+			[]experimentCounts{answered, {80, 80, 0, true}}, []float64{12, 14}},
+		{"shrinks when throughput holds with fewer starts",
+			[]experimentCounts{answered, {80, 95, 0, true}}, []float64{12, 10}},
+		{"shrinks when more is dropped than started", []experimentCounts{{100, 100, 101, true}}, []float64{8}},
+		{"does not change if it delayed no start",
+			[]experimentCounts{{100, 0, 0, false}, {0, 0, 0, true}}, []float64{10, 10}},
+		{"stops at its floor",
+			[]experimentCounts{unanswered, unanswered, unanswered, unanswered}, []float64{8, 6, 4, 4}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.limits, playExperiments(test.experiments))
+			require.Equal(t, test.limits, runExperiments(test.experiments))
 		})
 	}
 }
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -12,27 +12,27 @@
 	runFactor float64 // memory of a running request as a multiple of that of a queued one
 }
 
-// isTight reports whether there is no room to queue another request.
-func (m *memoryAccount) isTight() bool { return m.usedKB > m.maxKB*(1+memoryMargin)/2 }
+// isNearlyFull reports whether there is no room to queue another request.
+func (m *memoryAccount) isNearlyFull() bool { return m.usedKB > m.maxKB*(1+memoryMargin)/2 }
 
-// runExtra returns the memory that a queued request needs in addition once it runs.
-func (m *memoryAccount) runExtra(queuedKB float64) float64 { return queuedKB * (m.runFactor - 1) }
+// extraKB returns the memory that a queued request needs in addition once it runs.
+func (m *memoryAccount) extraKB(queuedKB float64) float64 { return queuedKB * (m.runFactor - 1) }
 
-// hasRoomFor reports whether moreKB can be used for a run or an entry.
-func (m *memoryAccount) hasRoomFor(moreKB float64) bool {
-	return m.usedKB+moreKB <= m.maxKB*memoryMargin
+// hasRoomFor reports whether additionalKB can be used for a run or an entry.
+func (m *memoryAccount) hasRoomFor(additionalKB float64) bool {
+	return m.usedKB+additionalKB <= m.maxKB*memoryMargin
 }
 
 // ReserveMemory accounts for the memory, in kilobytes, of requests that were read and are not enqueued yet, for example
 // while plug-ins evaluate them. A negative amount releases memory.
 func (s *Server) ReserveMemory(kb float64) { s.memory.usedKB += kb }
 
-// evictForRoom rejects queued requests, those furthest beyond their tenants' fair shares first, until there is room to
-// queue request. It evicts nothing unless request is eligible, and reports whether there is room.
-func (s *Server) evictForRoom(request *Request) bool {
-	for request.eligible && s.memory.isTight() && s.queue.byStartTag.Len() > 0 {
-		last, _ := s.queue.byStartTag.Max()
-		s.reject(last, s.timers.tick, false)
+// evictToMakeRoom rejects queued requests, those furthest beyond their tenants' fair shares first, until there is room
+// to queue request. It evicts nothing unless request is eligible, and reports whether there is room.
+func (s *Server) evictToMakeRoom(request *Request) bool {
+	for request.isEligible && s.memory.isNearlyFull() && s.queue.byStartTag.Len() > 0 {
+		furthest, _ := s.queue.byStartTag.Max()
+		s.reject(furthest, s.timers.gaugeInterval, false)
 	}
-	return !s.memory.isTight()
+	return !s.memory.isNearlyFull()
 }
--- a/admission/order.go
+++ b/admission/order.go
@@ -9,10 +9,10 @@
 // time, per tick of run time of the category. Among equal values the older request goes first. The paper's queue is
 // first come, first served.
 
-// mostValuable returns the eligible request to start next, or nil if none is queued. A request whose result others wait
+// nextToStart returns the eligible request to start next, or nil if none is queued. A request whose result others wait
 // for goes first, and the most valuable one after that.
-func (s *Server) mostValuable() *Request {
-	s.queue.advance()
+func (s *Server) nextToStart() *Request {
+	s.queue.advanceVirtualTime()
 	for len(s.queue.awaited) > 0 {
 		if s.queue.awaited[0].state == stateQueued {
 			return s.queue.awaited[0]
@@ -21,14 +21,14 @@
 	}
 	var best *Request
 	bestValue := 0.0
-	for i, tree := range s.queue.eligible {
-		last, found := tree.Max()
+	for i, tree := range s.queue.eligibleByCategory {
+		latest, found := tree.Max()
 		if !found {
 			continue
 		}
 		// Within a category, a later soft deadline gives at least as much value. Among equal values the earliest goes
 		// first.
-		from := s.now + s.categories[i].runTimes.earliestEquivalent(last.softDeadline-s.now)
+		from := s.now + s.categories[i].runTimes.earliestEquivalent(latest.softDeadline-s.now)
 		request := s.queue.firstFrom(tree, from, anyRequest)
 		value := request.value()
 		if best == nil || value > bestValue || value == bestValue && request.sequence < best.sequence {
@@ -44,20 +44,20 @@
 func (s *Server) queueingDelay(request *Request) timeunit.Ticks {
 	var delay timeunit.Ticks
 	value := request.value()
-	for i, tree := range s.queue.eligible {
-		from, some := s.softDeadlineAhead(request, value, s.categories[i])
-		if !some {
+	for i, tree := range s.queue.eligibleByCategory {
+		from, exists := s.softDeadlineAhead(request, value, s.categories[i])
+		if !exists {
 			continue
 		}
-		if first := s.queue.firstFrom(tree, from, hasJoined); first != nil {
+		if first := s.queue.firstFrom(tree, from, passedBudgetCheck); first != nil {
 			delay = max(delay, s.now-first.arrivedAt)
 		}
 	}
-	if request.eligible {
+	if request.isEligible {
 		return delay
 	}
 	first, found := s.queue.byStartTag.Min()
-	if found && hasJoined(first) && first.startTag <= request.startTag {
+	if found && passedBudgetCheck(first) && first.startTag <= request.startTag {
 		delay = max(delay, s.now-first.arrivedAt)
 	}
 	return delay
@@ -66,19 +66,19 @@
 // softDeadlineAhead returns the earliest soft deadline with which an eligible request of the category would start
 // before request, whose value is given. It returns false if no request of the category would.
 func (s *Server) softDeadlineAhead(request *Request, value float64, category *categoryState) (timeunit.Ticks, bool) {
-	if !request.eligible {
+	if !request.isEligible {
 		return -noDeadline, true // every eligible request goes first
 	}
 	if category == request.category {
 		return s.now + category.runTimes.earliestEquivalent(request.softDeadline-s.now), true
 	}
 	// The fraction of runs that must be in time for the same value, solved from categoryState.valueAt.
-	fits := (value*category.typicalRunTime()/category.Weight - category.LateValue) / (1 - category.LateValue)
-	if fits > 1 {
+	fractionInTime := (value*category.typicalRunTime()/category.Weight - category.LateValue) / (1 - category.LateValue)
+	if fractionInTime > 1 {
 		return 0, false
 	}
-	if fits > 0 && category.runTimes.total > 0 {
-		return s.now + category.runTimes.quantile(min(fits, almostOne)), true
+	if fractionInTime > 0 && category.runTimes.total > 0 {
+		return s.now + category.runTimes.quantile(min(fractionInTime, almostOne)), true
 	}
 	return -noDeadline, true
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -17,14 +17,14 @@
 // logarithmic in the number of queued requests and independent of the number of tenants. The queue never answers a
 // request by itself.
 type requestQueue struct {
-	arrivals     []*Request                // requests of this batch, whose queueing budgets are not checked yet
-	awaited      []*Request                // requests whose results others wait for; those still queued start next
-	eligible     []*btree.BTreeG[*Request] // one tree by soft deadline per category
-	byStartTag   *btree.BTreeG[*Request]
-	virtualTime  float64 // requests with a later start tag wait while any eligible request is queued
-	lastSequence uint64
-	length       int
-	pivot        Request // search key for the trees
+	arrivals           []*Request                // requests of this batch, whose queueing budgets are not checked yet
+	awaited            []*Request                // others wait for their results; those still queued start next
+	eligibleByCategory []*btree.BTreeG[*Request] // one tree by soft deadline per category
+	byStartTag         *btree.BTreeG[*Request]
+	virtualTime        float64 // requests with a later start tag wait while any eligible request is queued
+	lastSequence       uint64
+	length             int
+	searchKey          Request // key at which a search of a tree starts
 }
 
 func newRequestQueue(categories int) requestQueue {
@@ -36,7 +36,7 @@
 	}
 	q := requestQueue{byStartTag: btree.NewG(treeDegree, byStartTag)}
 	for range categories {
-		q.eligible = append(q.eligible, btree.NewG(treeDegree, bySoftDeadline))
+		q.eligibleByCategory = append(q.eligibleByCategory, btree.NewG(treeDegree, bySoftDeadline))
 	}
 	return q
 }
@@ -46,7 +46,7 @@
 	q.lastSequence++
 	q.length++
 	request.sequence = q.lastSequence
-	request.eligible = request.startTag <= q.virtualTime
+	request.isEligible = request.startTag <= q.virtualTime
 	q.treeOf(request).ReplaceOrInsert(request)
 	q.arrivals = append(q.arrivals, request)
 }
@@ -59,8 +59,8 @@
 
 // treeOf returns the tree that holds the request.
 func (q *requestQueue) treeOf(request *Request) *btree.BTreeG[*Request] {
-	if request.eligible {
-		return q.eligible[request.category.index]
+	if request.isEligible {
+		return q.eligibleByCategory[request.category.index]
 	}
 	return q.byStartTag
 }
@@ -71,16 +71,16 @@
 	q.arrivals = q.arrivals[:0]
 }
 
-// advance moves virtual time to the lowest queued start tag if no eligible request is queued. It then makes the
-// requests eligible whose start tags virtual time has reached.
-func (q *requestQueue) advance() {
+// advanceVirtualTime moves virtual time to the lowest queued start tag if no eligible request is queued. It then makes
+// the requests eligible whose start tags virtual time has reached.
+func (q *requestQueue) advanceVirtualTime() {
 	next, found := q.byStartTag.Min()
 	if found && q.byStartTag.Len() == q.length {
 		q.virtualTime = max(q.virtualTime, next.startTag)
 	}
 	for found && next.startTag <= q.virtualTime {
 		q.byStartTag.DeleteMin()
-		next.eligible = true
+		next.isEligible = true
 		q.treeOf(next).ReplaceOrInsert(next)
 		next, found = q.byStartTag.Min()
 	}
@@ -88,11 +88,11 @@
 
 // firstFrom returns the first request of the tree with softDeadline or a later one that passes the test, or nil.
 func (q *requestQueue) firstFrom(
-	tree *btree.BTreeG[*Request], softDeadline timeunit.Ticks, test func(*Request) bool,
+	tree *btree.BTreeG[*Request], softDeadline timeunit.Ticks, matches func(*Request) bool,
 ) (first *Request) {
-	q.pivot.softDeadline = softDeadline
-	tree.AscendGreaterOrEqual(&q.pivot, func(request *Request) bool {
-		if test(request) {
+	q.searchKey.softDeadline = softDeadline
+	tree.AscendGreaterOrEqual(&q.searchKey, func(request *Request) bool {
+		if matches(request) {
 			first = request
 		}
 		return first == nil
@@ -102,8 +102,8 @@
 
 func anyRequest(*Request) bool { return true }
 
-// hasJoined reports whether the request passed its queueing budget check in an earlier batch.
-func hasJoined(request *Request) bool { return request.heapIndex != notInHeap }
+// passedBudgetCheck reports whether the request passed its queueing budget check in an earlier batch.
+func passedBudgetCheck(request *Request) bool { return request.heapIndex != notInHeap }
 
 // VirtualTime returns the highest start tag that has become eligible (Arrival.StartTag).
 func (s *Server) VirtualTime() float64 { return s.queue.virtualTime }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -16,12 +16,12 @@
 		random := rand.New(rand.NewSource(seed))
 		server, queued := randomQueue(random)
 		server.Advance(server.now + timeunit.Ticks(random.Intn(3000)))
-		best := server.mostValuable()
-		isAhead := func(r *Request) bool { return r.startTag > server.VirtualTime() }
-		eligible := slices.DeleteFunc(slices.Clone(queued), isAhead)
+		best := server.nextToStart()
+		isIneligible := func(r *Request) bool { return r.startTag > server.VirtualTime() }
+		eligible := slices.DeleteFunc(slices.Clone(queued), isIneligible)
 		require.NotEmpty(t, eligible)
-		most := slices.MaxFunc(eligible, func(a, b *Request) int { return int(1e9 * (a.value() - b.value())) })
-		require.InDelta(t, most.value(), best.value(), 1e-9, "seed %d", seed)
+		expected := slices.MaxFunc(eligible, func(a, b *Request) int { return int(1e9 * (a.value() - b.value())) })
+		require.InDelta(t, expected.value(), best.value(), 1e-9, "seed %d", seed)
 		for _, request := range queued {
 			// Rounding may change which of two equal values of different categories is greater, so the delay can only
 			// be longer.
@@ -44,7 +44,7 @@
 		config.Categories = append(config.Categories, Category{Weight: 1 + float64(random.Intn(3)),
 			SoftDeadline: softDeadline, Deadline: 2 * softDeadline, LateValue: float64(random.Intn(3)) / 4})
 	}
-	server = New(config, silentHost{}, 0)
+	server = New(config, noopHost{}, 0)
 	for _, category := range server.categories {
 		for range random.Intn(40) {
 			category.runTimes.add(timeunit.Ticks(random.Intn(int(category.SoftDeadline) * 2)))
@@ -70,8 +70,8 @@
 	var delay timeunit.Ticks
 	value := request.value()
 	for _, other := range eligible {
-		isSame := other.category == request.category && other.value() >= value
-		if !request.eligible || other.value() > value+1e-9 || isSame {
+		isAheadInCategory := other.category == request.category && other.value() >= value
+		if !request.isEligible || other.value() > value+1e-9 || isAheadInCategory {
 			delay = max(delay, server.now-other.arrivedAt)
 		}
 	}
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -5,13 +5,13 @@
 	"thistlequay/timeunit"
 )
 
-// silentHost ignores the calls of every server. Hosts of tests embed it and implement the other methods that they need.
-type silentHost struct{ Host }
+// noopHost ignores the calls of every server. Hosts of tests embed it and implement the other methods that they need.
+type noopHost struct{ Host }
 
-func (silentHost) CloseIdleConnections(timeunit.Ticks)   {}
-func (silentHost) SetHealth(bool, bool)                  {}
-func (silentHost) Reject(*Request, timeunit.Ticks, bool) {}
-func (silentHost) Release(*Request)                      {}
+func (noopHost) CloseIdleConnections(timeunit.Ticks)   {}
+func (noopHost) SetHealth(bool, bool)                  {}
+func (noopHost) Reject(*Request, timeunit.Ticks, bool) {}
+func (noopHost) Release(*Request)                      {}
 
 // recorder forwards a server's commands to another host and records each in a history: a number for the method, the ID
 // of the request and all arguments. Floating-point values are recorded exactly, so the golden files are valid only on
@@ -58,9 +58,9 @@
 	rec.Host.KeepEntry(r, lifetime)
 }
 
-func (rec recorder) SetHealth(healthy, fromStore bool) {
-	rec.history.Add(11, healthy, fromStore)
-	rec.Host.SetHealth(healthy, fromStore)
+func (rec recorder) SetHealth(healthy, cacheable bool) {
+	rec.history.Add(11, healthy, cacheable)
+	rec.Host.SetHealth(healthy, cacheable)
 }
 
 // addStats records all figures that a server reports about itself.
--- a/admission/request.go
+++ b/admission/request.go
@@ -26,10 +26,10 @@
 	arrivedAt    timeunit.Ticks // at the machine, before it was read
 	softDeadline timeunit.Ticks
 	deadline     timeunit.Ticks // it must be answered by then
-	checkAt      timeunit.Ticks // when its timer fires
+	timerAt      timeunit.Ticks // when its timer fires
 	heapIndex    int            // index in the deadline heap, or notInHeap
 	startedAt    timeunit.Ticks // when its run started
-	retryCallAt  timeunit.Ticks // a failed call is not made again before then
+	nextCallAt   timeunit.Ticks // a failed call is not made again before then
 	entryUntil   timeunit.Ticks // until when it owns an idempotency entry; 0 if it owns none
 
 	queuedKB      float64
@@ -37,16 +37,16 @@
 	expectedDelay timeunit.Ticks // Arrival.ExpectedDelay
 	sequence      uint64         // order of arrival
 
-	eligible     bool // virtual time has reached its start tag
-	cacheable    bool // its result may be shared with other requests
-	awaited      bool // other requests wait for its result
-	startedQuiet bool // the cores were quiet when its run started
-	answered     bool
-	cancelled    bool // its client no longer waits
+	isEligible          bool // virtual time has reached its start tag
+	isCacheable         bool // its result may be shared with other requests
+	isAwaited           bool // other requests wait for its result
+	startedOnQuietCores bool // the cores were quiet when its run started
+	isAnswered          bool
+	isCancelled         bool // its client no longer waits
 }
 
-// isDone reports whether the request needs no answer any more.
-func (r *Request) isDone() bool { return r.answered || r.cancelled }
+// isResolved reports whether the request needs no answer any more.
+func (r *Request) isResolved() bool { return r.isAnswered || r.isCancelled }
 
 // value returns the priority of the request in the queue: the value of starting it now, per tick of run time.
 func (r *Request) value() float64 { return r.category.valueAt(r.softDeadline - r.server.now) }
@@ -57,25 +57,26 @@
 		return
 	}
 	r.state = stateWaitingToCall
-	r.server.cores.runsAtCalls++
+	r.server.cores.runsAwaitingCalls++
 	r.server.downstream.waiting = append(r.server.downstream.waiting, r)
 }
 
 // CallEnded reports that the downstream call of the request (Host.StartCall) ended, and how long it took. The call is
 // made again if it is safe to repeat it.
-func (r *Request) CallEnded(outcome Outcome, took timeunit.Ticks) {
+func (r *Request) CallEnded(outcome Outcome, elapsed timeunit.Ticks) {
 	s := r.server
 	if r.state != stateCalling {
 		return
 	}
-	s.downstream.endCall(s.now, outcome, took)
+	s.downstream.endCall(s.now, outcome, elapsed)
 	r.state = stateWaitingToCall
 	switch {
 	case outcome == Succeeded:
-		s.cores.runsAtCalls--
+		s.cores.runsAwaitingCalls--
 		r.state = stateRunning
-	case outcome == NotExecuted || r.category.Idempotency == Idempotent && !r.isDone():
-		r.retryCallAt = s.now + max(s.timers.tick, (s.now-r.startedAt)/2) // the backoff grows with the age of the run
+	case outcome == NotExecuted || r.category.Idempotency == Idempotent && !r.isResolved():
+		// The backoff grows with the age of the run.
+		r.nextCallAt = s.now + max(s.timers.gaugeInterval, (s.now-r.startedAt)/2)
 		s.downstream.waiting = append(s.downstream.waiting, r)
 	default:
 		s.continueWithoutCall(r)
@@ -83,27 +84,27 @@
 }
 
 // RunEnded reports that the run of the request, or the answer that it shares, ended, and how long it took.
-func (r *Request) RunEnded(outcome Outcome, took timeunit.Ticks) {
+func (r *Request) RunEnded(outcome Outcome, elapsed timeunit.Ticks) {
 	s := r.server
 	if r.state == stateFinished || r.state == stateQueued {
 		return
 	}
 	if r.state == stateCalling {
-		s.downstream.finish(s.now, true)
+		s.downstream.removeInFlight(s.now, true)
 	}
 	if r.state == stateWaitingToCall || r.state == stateCalling {
-		s.cores.runsAtCalls--
+		s.cores.runsAwaitingCalls--
 	}
 	if outcome == Succeeded && r.state != stateSharing {
-		s.measureRun(r, took)
+		s.recordRunTime(r, elapsed)
 	}
-	if !r.isDone() {
+	if !r.isResolved() {
 		s.countAnswer(r, outcome)
 	}
 	switch {
-	case outcome == NeverStarted || r.cacheable && outcome != Succeeded:
+	case outcome == NeverStarted || r.isCacheable && outcome != Succeeded:
 		s.dropEntry(r)
-	case r.cacheable && r.entryUntil > 0:
+	case r.isCacheable && r.entryUntil > 0:
 		s.keepEntry(r, s.now+s.entries.resultTTL)
 	}
 	s.finish(r)
@@ -111,23 +112,23 @@
 
 // Cancel reports that no client waits for the request any more.
 func (r *Request) Cancel() {
-	if r.state == stateFinished || r.cancelled {
+	if r.state == stateFinished || r.isCancelled {
 		return
 	}
-	r.cancelled = true
+	r.isCancelled = true
 	if r.state == stateQueued || r.state == stateSharing {
 		r.server.finish(r)
 	}
-	r.server.stopUnwanted(r)
+	r.server.stopUnneededRun(r)
 }
 
-// measureRun records the time of a successful run in the histograms of its category.
-func (s *Server) measureRun(request *Request, took timeunit.Ticks) {
+// recordRunTime records the time of a successful run in the histograms of its category.
+func (s *Server) recordRunTime(request *Request, elapsed timeunit.Ticks) {
 	category := request.category
-	s.feedback.measureSlowdown(took, category.quietRunTimes.quantile(0.5))
-	category.runTimes.add(took)
-	if request.startedQuiet && s.cores.isQuiet() {
-		category.quietRunTimes.add(took)
+	s.feedback.measureSlowdown(elapsed, category.quietRunTimes.quantile(0.5))
+	category.runTimes.add(elapsed)
+	if request.startedOnQuietCores && s.cores.isQuiet() {
+		category.quietRunTimes.add(elapsed)
 	}
 }
 
@@ -144,17 +145,17 @@
 	}
 }
 
-// stopUnwanted stops a run whose answer nobody waits for and that can safely run again.
-func (s *Server) stopUnwanted(request *Request) {
+// stopUnneededRun stops a run whose answer nobody waits for and that can safely run again.
+func (s *Server) stopUnneededRun(request *Request) {
 	if request.state == stateRunning && s.canStopRuns && request.category.Idempotency == Idempotent &&
-		!request.awaited {
+		!request.isAwaited {
 		s.host.StopRun(request)
 	}
 }
 
 // reject answers a request that never ran here.
 func (s *Server) reject(request *Request, retryAfter timeunit.Ticks, finalRejection bool) {
-	request.answered = true
+	request.isAnswered = true
 	s.feedback.countRejection()
 	s.host.Reject(request, min(retryAfter, s.feedback.maxRetryAfter), finalRejection || s.overloadIsFleetWide())
 	s.finish(request)
@@ -162,10 +163,10 @@
 
 // abort answers a request that was started as failed. A run that continues stays in flight until it ends.
 func (s *Server) abort(request *Request) {
-	if request.isDone() {
+	if request.isResolved() {
 		return
 	}
-	request.answered = true
+	request.isAnswered = true
 	s.limiter.current.dropped++
 	s.host.Abort(request)
 	if request.state == stateSharing {
@@ -183,10 +184,10 @@
 		s.queue.remove(request)
 		s.dropEntry(request)
 	case stateSharing:
-		s.entries.sharing--
+		s.entries.sharingCount--
 	default:
 		s.limiter.inFlight--
-		s.memory.usedKB -= s.memory.runExtra(request.queuedKB)
+		s.memory.usedKB -= s.memory.extraKB(request.queuedKB)
 	}
 	request.state = stateFinished
 	s.host.Release(request)
--- a/admission/retries.go
+++ b/admission/retries.go
@@ -9,13 +9,13 @@
 
 // Counts and ratios of the retry detection.
 const (
-	similarWait         = 0.01             // waits within this fraction of the deadline count as equal
+	waitTolerance       = 0.01             // waits within this fraction of the deadline count as equal
 	minRouterRequests   = minSamples       // routers with fewer recent requests are judged by all routers
-	votesToTrust        = minSamples       // votes above which the usual wait of first attempts is trusted
+	minVotes            = minSamples       // votes above which the usual wait of first attempts is trusted
 	maxVotes            = maxSamples       // upper limit of the votes
 	maxRecentRequests   = maxSamples       // at this many requests the counts of all routers are halved
-	forgetBelow         = 1.0 / maxSamples // routers with fewer recent requests are forgotten
-	retryShareSmoothing = smoothing / minSamples
+	minRetainedRequests = 1.0 / maxSamples // routers with fewer recent requests are forgotten
+	retryShareSmoothing = smoothingFactor / minSamples
 )
 
 // retryDetector detects retries, by their marks or, if routers do not mark retries, by how long their clients still
@@ -44,22 +44,22 @@
 // whether the request is a retry whose client only waits for the rest of the first attempt's time.
 func (d *retryDetector) observe(arrival *Arrival, wait float64) bool {
 	router := d.routers[arrival.Router]
-	isUnusual := arrival.TimeLeft > 0 && router.isUnusual(wait)
-	isUnusualOfAll := arrival.TimeLeft > 0 && d.allRouters.isUnusual(wait)
+	isUnusual := arrival.TimeLeft > 0 && router.observeWait(wait)
+	isUnusualOverall := arrival.TimeLeft > 0 && d.allRouters.observeWait(wait)
 	if router.requests < minRouterRequests {
-		isUnusual = isUnusualOfAll
+		isUnusual = isUnusualOverall
 	}
-	d.count(arrival.Router, router)
-	isLate := isUnusual && (arrival.IsRetry || !d.retriesMarked)
-	smooth(&d.retryShare, 0, retryShareSmoothing)
-	if isLate || arrival.IsRetry {
+	d.countRequest(arrival.Router, router)
+	isShortenedRetry := isUnusual && (arrival.IsRetry || !d.retriesMarked)
+	updateMean(&d.retryShare, 0, retryShareSmoothing)
+	if isShortenedRetry || arrival.IsRetry {
 		d.retryShare += retryShareSmoothing
 	}
-	return isLate
+	return isShortenedRetry
 }
 
-// count counts a request of the router with this id and state. Old requests lose weight.
-func (d *retryDetector) count(id int, router routerState) {
+// countRequest counts a request of the router with this id and state. Old requests lose weight.
+func (d *retryDetector) countRequest(id int, router routerState) {
 	d.requests++
 	d.squares = d.squares + 2*router.requests + 1
 	router.requests++
@@ -69,22 +69,22 @@
 	}
 	d.requests /= 2
 	d.squares /= 4
-	for id, known := range d.routers {
-		known.requests /= 2
-		d.routers[id] = known
+	for id, state := range d.routers {
+		state.requests /= 2
+		d.routers[id] = state
 	}
-	maps.DeleteFunc(d.routers, func(_ int, known routerState) bool { return known.requests < forgetBelow })
+	maps.DeleteFunc(d.routers, func(_ int, state routerState) bool { return state.requests < minRetainedRequests })
 }
 
-// evenShare returns the part of one router if all active routers were equally active: the inverse of the effective
-// number of routers, computed from recent requests.
-func (d *retryDetector) evenShare() float64 { return min(1, d.squares/max(1, d.requests*d.requests)) }
+// routerShare returns the part of one router if all active routers were equally active: the inverse of the
+// effective number of routers, computed from recent requests.
+func (d *retryDetector) routerShare() float64 { return min(1, d.squares/max(1, d.requests*d.requests)) }
 
-// isUnusual updates the majority vote and reports whether the client waits differently from the clients of the router's
-// other recent requests. At least two in three requests are first attempts, which wait equally long (Boyer-Moore
-// majority vote); retries wait for the rest of that time.
-func (r *routerState) isUnusual(wait float64) bool {
-	if math.Abs(wait-r.usualWait) <= similarWait {
+// observeWait updates the majority vote and reports whether the client waits differently from the clients of the
+// router's other recent requests. At least two in three requests are first attempts, which wait equally long
+// (Boyer-Moore majority vote); retries wait for the rest of that time.
+func (r *routerState) observeWait(wait float64) bool {
+	if math.Abs(wait-r.usualWait) <= waitTolerance {
 		r.votes = min(r.votes+1, maxVotes)
 		return false
 	}
@@ -93,11 +93,11 @@
 		r.usualWait = wait
 		r.votes = 1
 	}
-	return r.votes > votesToTrust
+	return r.votes > minVotes
 }
 
-// noticeRetry moves the soft deadline of a retry back, because it counts from the first attempt.
-func (s *Server) noticeRetry(request *Request, arrival *Arrival) {
+// adjustForRetry moves the soft deadline of a retry back, because it counts from the first attempt.
+func (s *Server) adjustForRetry(request *Request, arrival *Arrival) {
 	deadline := float64(request.category.Deadline)
 	wait := float64(arrival.TimeLeft+arrival.UnreadTime) / deadline
 	if s.retries.observe(arrival, wait) {
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -22,11 +22,11 @@
 	}
 }
 
-var idempotencyWords = map[string]Idempotency{
+var idempotencyByName = map[string]Idempotency{
 	"idempotent": Idempotent, "keyed": Keyed, "non-idempotent": NonIdempotent,
 }
 
-var outcomeWords = map[string]Outcome{
+var outcomeByName = map[string]Outcome{
 	"succeeded": Succeeded, "failed": Failed, "not-executed": NotExecuted, "indeterminate": Indeterminate,
 	"aborted": Aborted, "never-started": NeverStarted,
 }
@@ -34,60 +34,60 @@
 // scenario is the host of the server in a scenario and records the commands of the server.
 type scenario struct {
 	*require.Assertions
-	server   *Server
-	now      timeunit.Ticks
-	config   Config
-	requests map[string]*Request
-	names    map[uint64]string
-	commands []string // since the last check
-	reported string
-	timers   []timeunit.Ticks
-	history  *golden.History
-	isOpen   bool // whether a batch is open
-	checked  bool // whether the commands of the last batch were checked
+	server             *Server
+	now                timeunit.Ticks
+	config             Config
+	requests           map[string]*Request
+	names              map[uint64]string
+	commands           []string // since the last check
+	lastLoad           string
+	timers             []timeunit.Ticks
+	history            *golden.History
+	isBatchOpen        bool // whether a batch is open
+	areCommandsChecked bool // whether the commands of the last batch were checked
 }
 
 func playScenario(t *testing.T, file string) {
 	t.Helper()
 	s := &scenario{Assertions: require.New(t), requests: map[string]*Request{}, names: map[uint64]string{},
-		history: golden.NewHistory(), checked: true}
+		history: golden.NewHistory(), areCommandsChecked: true}
 	s.config = Config{Routers: 1, DownstreamWindow: 50000, Cores: 2, MemoryKB: 1e6, RunMemoryFactor: 4, EntryKB: 1,
 		BatchInterval: 10, DrainGrace: 1000, OverloadThreshold: 8, MaxRetryAfter: 10000, LoadReportMode: ReportLimit}
 	for _, step := range scenariofile.Steps(t, file) {
 		s.playLine(step.Words, step.Where)
 	}
-	s.True(s.checked, "%s: no => line after the last batch", file)
+	s.True(s.areCommandsChecked, "%s: no => line after the last batch", file)
 	s.history.Check(t, "scenario-"+filepath.Base(file))
 }
 
 func (s *scenario) playLine(words []string, where string) {
 	switch words[0] {
 	case "=>": // closes the batch
-		if s.isOpen {
+		if s.isBatchOpen {
 			s.server.Dispatch()
 		}
-		s.isOpen = false
-		s.checked = true
+		s.isBatchOpen = false
+		s.areCommandsChecked = true
 		s.Equal(strings.Join(words[1:], " "), strings.Join(s.commands, " "), where)
 		s.commands = nil
 	case "reported":
-		s.Equal(words[1], s.reported, where)
+		s.Equal(words[1], s.lastLoad, where)
 	case "at":
-		s.True(s.checked, "no => line for the batch before %s", where)
+		s.True(s.areCommandsChecked, "no => line for the batch before %s", where)
 		s.now = s.ticks(words[1], where)
 		if s.server == nil {
 			s.server = New(s.config, recorder{s, s.history}, s.now)
 		}
 		s.advance()
-		s.isOpen = true
-		s.checked = false
+		s.isBatchOpen = true
+		s.areCommandsChecked = false
 		if len(words) > 2 { // the first event may be on the same line
 			s.playEvent(words[2:], where)
 		}
 	case "until":
-		s.True(s.checked, "no => line for the batch before %s", where)
+		s.True(s.areCommandsChecked, "no => line for the batch before %s", where)
 		s.playTimers(s.ticks(words[1], where), s.fields(words[2:], where))
-		s.checked = false
+		s.areCommandsChecked = false
 	default:
 		s.playEvent(words, where)
 	}
@@ -102,7 +102,7 @@
 // playTimers fires all timers that are due by end, with the given gauges or, if there are none, with busy cores.
 func (s *scenario) playTimers(end timeunit.Ticks, gauges map[string]float64) {
 	if len(gauges) == 0 {
-		gauges = map[string]float64{"utilization": 1, "runnable": s.server.cores.cores}
+		gauges = map[string]float64{"utilization": 1, "runnable": s.server.cores.coreCount}
 	}
 	for len(s.timers) > 0 && s.timers[0] <= end {
 		s.now = s.timers[0]
@@ -142,11 +142,11 @@
 	case "needs-call":
 		request.NeedsCall()
 	case "call-ended":
-		s.Contains(outcomeWords, words[2], where)
-		request.CallEnded(outcomeWords[words[2]], s.ticks(words[3], where))
+		s.Contains(outcomeByName, words[2], where)
+		request.CallEnded(outcomeByName[words[2]], s.ticks(words[3], where))
 	case "run-ended":
-		s.Contains(outcomeWords, words[2], where)
-		request.RunEnded(outcomeWords[words[2]], s.ticks(words[3], where))
+		s.Contains(outcomeByName, words[2], where)
+		request.RunEnded(outcomeByName[words[2]], s.ticks(words[3], where))
 	default:
 		s.Fail("unknown event", where)
 	}
@@ -191,7 +191,7 @@
 func ticksOf(milliseconds float64) timeunit.Ticks { return timeunit.Ticks(milliseconds * 10) }
 
 func (s *scenario) addCategory(idempotency string, words []string, where string) {
-	s.Contains(idempotencyWords, idempotency, where)
+	s.Contains(idempotencyByName, idempotency, where)
 	fields := s.fields(words, where)
 	s.config.Categories = append(s.config.Categories, Category{
 		Weight:              fields["weight"],
@@ -200,7 +200,7 @@
 		SoftDeadline:        ticksOf(fields["soft"]),
 		Deadline:            ticksOf(fields["deadline"]),
 		DeduplicationWindow: ticksOf(fields["window"]),
-		Idempotency:         idempotencyWords[idempotency],
+		Idempotency:         idempotencyByName[idempotency],
 	})
 }
 
@@ -267,21 +267,21 @@
 	return fields
 }
 
-func (s *scenario) note(command string, r *Request) {
+func (s *scenario) recordCommand(command string, r *Request) {
 	s.commands = append(s.commands, command+":"+s.names[r.ID])
 }
 
-func (s *scenario) Run(r *Request)                         { s.note("run", r) }
-func (s *scenario) ShareResult(r *Request)                 { s.note("share", r) }
-func (s *scenario) Abort(r *Request)                       { s.note("abort", r) }
-func (s *scenario) StopRun(r *Request)                     { s.note("stop", r) }
-func (s *scenario) KeepEntry(r *Request, _ timeunit.Ticks) { s.note("keep", r) }
-func (s *scenario) DropEntry(r *Request)                   { s.note("drop", r) }
-func (s *scenario) SkipCall(r *Request)                    { s.note("skip", r) }
+func (s *scenario) Run(r *Request)                         { s.recordCommand("run", r) }
+func (s *scenario) ShareResult(r *Request)                 { s.recordCommand("share", r) }
+func (s *scenario) Abort(r *Request)                       { s.recordCommand("abort", r) }
+func (s *scenario) StopRun(r *Request)                     { s.recordCommand("stop", r) }
+func (s *scenario) KeepEntry(r *Request, _ timeunit.Ticks) { s.recordCommand("keep", r) }
+func (s *scenario) DropEntry(r *Request)                   { s.recordCommand("drop", r) }
+func (s *scenario) SkipCall(r *Request)                    { s.recordCommand("skip", r) }
 func (s *scenario) Release(*Request)                       {}
 
 func (s *scenario) StartCall(r *Request, until timeunit.Ticks) {
-	s.note("call", r)
+	s.recordCommand("call", r)
 	if until < r.valuableUntil() { // abandoned before the answer has lost its value
 		s.commands[len(s.commands)-1] += fmt.Sprint("<", float64(until-s.now)/10)
 	}
@@ -289,9 +289,9 @@
 
 func (s *scenario) Reject(r *Request, _ timeunit.Ticks, finalRejection bool) {
 	if finalRejection {
-		s.note("reject-final", r)
+		s.recordCommand("reject-final", r)
 	} else {
-		s.note("reject", r)
+		s.recordCommand("reject", r)
 	}
 }
 
@@ -307,7 +307,7 @@
 	}
 }
 
-func (s *scenario) ReportLoad(value float64) { s.reported = strconv.FormatFloat(value, 'f', -1, 64) }
+func (s *scenario) ReportLoad(value float64) { s.lastLoad = strconv.FormatFloat(value, 'f', -1, 64) }
 
 func (s *scenario) SetTimer(after timeunit.Ticks) {
 	s.timers = append(s.timers, s.now+after)
--- a/admission/server.go
+++ b/admission/server.go
@@ -13,12 +13,12 @@
 	queue   requestQueue
 
 	// Limits that protect the server and its downstream dependency.
-	cores      coreLoad
-	reading    readingDelay
-	slowStart  slowStart
-	memory     memoryAccount
-	entries    idempotencyTable
-	downstream downstream
+	cores        coreLoad
+	readingDelay readingDelay
+	slowStart    slowStart
+	memory       memoryAccount
+	entries      idempotencyTable
+	downstream   downstream
 
 	// State about the routers.
 	retries  retryDetector
@@ -33,23 +33,24 @@
 
 // New creates the Server of an app server that starts now. New calls the host, which must be ready for these calls.
 func New(config Config, host Host, now timeunit.Ticks) *Server {
-	shortest, longest := deadlineRange(config.Categories)
+	shortestSoftDeadline, longestDeadline := deadlineRange(config.Categories)
 	cores := float64(config.Cores)
 	s := &Server{
 		host:         host,
 		now:          now,
 		limiter:      newLimiter(cores, float64(max(1, config.Routers))),
 		queue:        newRequestQueue(len(config.Categories)),
-		cores:        coreLoad{cores: cores, overloadThreshold: config.OverloadThreshold},
-		reading:      readingDelay{softDeadline: float64(shortest)},
+		cores:        coreLoad{coreCount: cores, overloadThreshold: config.OverloadThreshold},
+		readingDelay: readingDelay{softDeadline: float64(shortestSoftDeadline)},
 		slowStart:    newSlowStart(&config, now),
 		memory:       memoryAccount{maxKB: config.MemoryKB, runFactor: config.RunMemoryFactor},
 		entries:      newIdempotencyTable(&config),
-		downstream:   newDownstream(&config, now, shortest, longest),
+		downstream:   newDownstream(&config, now, shortestSoftDeadline, longestDeadline),
 		retries:      newRetryDetector(config.RetriesMarked),
 		feedback:     newRouterFeedback(&config),
-		drain:        drainState{grace: config.DrainGrace - 2*config.BatchInterval, stopAt: noDeadline},
-		timers:       timers{tick: max(1, timeunit.Ticks(float64(shortest)*tickFraction)), next: noDeadline},
+		drain:        drainState{gracePeriod: config.DrainGrace - 2*config.BatchInterval, stopAt: noDeadline},
+		timers: timers{gaugeInterval: max(1, timeunit.Ticks(float64(shortestSoftDeadline)*gaugeIntervalFraction)),
+			hostTimerAt: noDeadline},
 		canStopRuns:  config.CanStopRuns,
 		answerMargin: 2*config.BatchInterval + 1,
 	}
@@ -63,14 +64,14 @@
 }
 
 // deadlineRange returns the shortest soft deadline and the longest deadline of the categories.
-func deadlineRange(categories []Category) (shortest, longest timeunit.Ticks) {
-	shortest = noDeadline
-	longest = 1
+func deadlineRange(categories []Category) (shortestSoftDeadline, longestDeadline timeunit.Ticks) {
+	shortestSoftDeadline = noDeadline
+	longestDeadline = 1
 	for _, category := range categories {
-		shortest = min(shortest, category.SoftDeadline)
-		longest = max(longest, category.Deadline)
+		shortestSoftDeadline = min(shortestSoftDeadline, category.SoftDeadline)
+		longestDeadline = max(longestDeadline, category.Deadline)
 	}
-	return shortest, longest
+	return shortestSoftDeadline, longestDeadline
 }
 
 // Advance sets the current time; earlier times are ignored. It is the first call of a batch.
@@ -90,8 +91,8 @@
 // request's result at once (Host.ShareResult).
 func (s *Server) Enqueue(arrival Arrival) *Request {
 	request := s.newRequest(&arrival)
-	s.noticeRetry(request, &arrival)
-	smooth(&s.reading.mean, float64(arrival.UnreadTime), smoothing)
+	s.adjustForRetry(request, &arrival)
+	updateMean(&s.readingDelay.mean, float64(arrival.UnreadTime), smoothingFactor)
 	s.memory.usedKB += request.queuedKB
 	if !s.shareOrReplace(request, &arrival) {
 		s.queue.add(request)
@@ -110,7 +111,7 @@
 		queuedKB:      arrival.QueuedKB,
 		startTag:      arrival.StartTag,
 		expectedDelay: arrival.ExpectedDelay,
-		cacheable:     arrival.Cacheable && category.Idempotency == Idempotent && s.entries.resultTTL > 0,
+		isCacheable:   arrival.Cacheable && category.Idempotency == Idempotent && s.entries.resultTTL > 0,
 	}
 	request.softDeadline = request.arrivedAt + category.SoftDeadline
 	request.deadline = request.arrivedAt + category.Deadline
@@ -130,7 +131,7 @@
 	s.startCalls()
 	for _, request := range s.queue.arrivals {
 		if request.state == stateQueued {
-			s.rejectUnfit(request)
+			s.rejectOrKeepEntry(request)
 		}
 	}
 	s.startRequests()
@@ -144,18 +145,18 @@
 	s.setTimer()
 }
 
-// rejectUnfit rejects a request that must not be queued. Otherwise it keeps the idempotency entry that the request
-// needs before it can run.
-func (s *Server) rejectUnfit(request *Request) {
+// rejectOrKeepEntry rejects a request that must not be queued. Otherwise it keeps the idempotency entry that the
+// request needs before it can run.
+func (s *Server) rejectOrKeepEntry(request *Request) {
 	isKeyed := request.category.Idempotency == Keyed
 	switch {
-	case s.drain.hasEndedFor(request.arrivedAt):
+	case s.drain.isAfterGracePeriod(request.arrivedAt):
 		s.reject(request, noDeadline, false)
-	case request.isHopeless():
+	case request.cannotFinishInTime():
 		s.reject(request, 0, true)
-	case s.memory.isTight() && !s.evictForRoom(request), isKeyed && !s.hasEntryRoom():
-		s.reject(request, s.timers.tick, false) // no room to queue it, or to remember that it ran
-	case request.cacheable && s.hasEntryRoom():
+	case s.memory.isNearlyFull() && !s.evictToMakeRoom(request), isKeyed && !s.hasRoomForEntry():
+		s.reject(request, s.timers.gaugeInterval, false) // no room to queue it, or to remember that it ran
+	case request.isCacheable && s.hasRoomForEntry():
 		s.keepEntry(request, request.deadline)
 	case isKeyed:
 		// The deduplication window counts from the arrival of this attempt: repeats are matched by their arrival.
@@ -171,17 +172,17 @@
 			s.limiter.wasFull = true
 			return
 		}
-		best := s.mostValuable()
-		extra := s.memory.runExtra(best.queuedKB)
-		if s.coresAreFull() || !s.memory.hasRoomFor(extra) {
+		best := s.nextToStart()
+		extraKB := s.memory.extraKB(best.queuedKB)
+		if s.coresAreFull() || !s.memory.hasRoomFor(extraKB) {
 			return
 		}
 		s.queue.remove(best)
 		best.state = stateRunning
 		best.startedAt = s.now
-		best.startedQuiet = s.cores.isQuiet()
-		s.memory.usedKB += extra
-		s.limiter.start()
+		best.startedOnQuietCores = s.cores.isQuiet()
+		s.memory.usedKB += extraKB
+		s.limiter.countStart()
 		s.feedback.countStart()
 		s.timers.set(best, best.deadline)
 		s.host.Run(best)
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -3,7 +3,8 @@
 import "thistlequay/timeunit"
 
 // slowStart computes the current speed of a server that started cold. The speed grows linearly with time. It scales the
-// limit of runnable requests (coreLoad.limitAt), which protects a cold server from more load than it can sustain.
+// limit of runnable requests (coreLoad.overloadLimitAt), which protects a cold server from more load than it can
+// sustain.
 type slowStart struct {
 	coldSpeed float64 // fraction of the full speed at the start; 1 for a warm server
 	duration  timeunit.Ticks
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -45,7 +45,7 @@
 	return Stats{
 		Queued:           s.queue.length,
 		Running:          s.limiter.inFlight,
-		WaitingAtCalls:   s.cores.runsAtCalls,
+		WaitingAtCalls:   s.cores.runsAwaitingCalls,
 		CallsInFlight:    s.downstream.inFlight,
 		AbandonedCalls:   s.downstream.countAbandoned(s.now),
 		Entries:          s.entries.count,
@@ -53,7 +53,7 @@
 		DownstreamLimit:  s.downstream.limit,
 		DownstreamCredit: s.downstream.credit,
 		RunnableRequests: s.cores.runnable,
-		UnreadTime:       timeunit.Ticks(s.reading.mean),
+		UnreadTime:       timeunit.Ticks(s.readingDelay.mean),
 		RoundTrip:        timeunit.Ticks(s.limiter.roundTrip),
 		CallTime:         timeunit.Ticks(s.downstream.recentTime),
 		QuickCallTime:    s.downstream.quickTimes.quantile(quickCallQuantile),
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -10,9 +10,9 @@
 	// noDeadline is later than any time in use.
 	noDeadline = timeunit.Ticks(1 << 60)
 
-	// tickFraction is the time between two readings of the gauges, as a fraction of the shortest soft deadline, while
-	// requests are queued or in flight.
-	tickFraction = 1.0 / 40
+	// gaugeIntervalFraction is the time between two readings of the gauges, as a fraction of the shortest soft
+	// deadline, while requests are queued or in flight.
+	gaugeIntervalFraction = 1.0 / 40
 
 	// notInHeap is the heap index of a request without a timer.
 	notInHeap = -1
@@ -21,15 +21,15 @@
 // timers holds at most one timer per request: the end of its time in the queue, its deadline, or the end of its
 // idempotency entry. The host knows only the earliest timer.
 type timers struct {
-	heap deadlineHeap
-	tick timeunit.Ticks // time between two readings of the gauges, and before a failed operation is tried again
-	next timeunit.Ticks // when the host's timer fires; noDeadline if none is set
+	heap          deadlineHeap
+	gaugeInterval timeunit.Ticks // time between two readings of the gauges, and before a failed step is retried
+	hostTimerAt   timeunit.Ticks // when the host's timer fires; noDeadline if none is set
 }
 
 // set sets the timer of the request and replaces any earlier one.
 func (t *timers) set(request *Request, at timeunit.Ticks) {
 	t.stop(request)
-	request.checkAt = at
+	request.timerAt = at
 	heap.Push(&t.heap, request)
 }
 
@@ -43,7 +43,7 @@
 // fireTimers fires the timers that are due: idempotency entries end, queued requests that would probably be too late
 // are rejected, and started requests that have reached their deadline are aborted.
 func (s *Server) fireTimers() {
-	for len(s.timers.heap) > 0 && s.timers.heap[0].checkAt <= s.now {
+	for len(s.timers.heap) > 0 && s.timers.heap[0].timerAt <= s.now {
 		request := heap.Pop(&s.timers.heap).(*Request)
 		switch {
 		case request.state == stateFinished:
@@ -51,10 +51,10 @@
 			s.memory.usedKB -= s.entries.sizeKB
 		case request.state == stateQueued:
 			s.limiter.current.dropped++
-			s.reject(request, s.timers.tick, false)
-		case !request.isDone():
+			s.reject(request, s.timers.gaugeInterval, false)
+		case !request.isResolved():
 			s.abort(request)
-			s.stopUnwanted(request)
+			s.stopUnneededRun(request)
 		}
 	}
 }
@@ -63,25 +63,25 @@
 func (s *Server) setTimer() {
 	next := noDeadline
 	if len(s.timers.heap) > 0 {
-		next = max(s.now+1, s.timers.heap[0].checkAt)
+		next = max(s.now+1, s.timers.heap[0].timerAt)
 	}
 	if s.queue.length > 0 || s.limiter.inFlight > 0 {
-		next = min(next, s.now+s.timers.tick)
+		next = min(next, s.now+s.timers.gaugeInterval)
 	}
-	if next < s.timers.next {
-		s.timers.next = next
+	if next < s.timers.hostTimerAt {
+		s.timers.hostTimerAt = next
 		s.host.SetTimer(next - s.now)
 	}
 }
 
-// deadlineHeap implements heap.Interface, ordered by Request.checkAt.
+// deadlineHeap implements heap.Interface, ordered by Request.timerAt.
 type deadlineHeap []*Request
 
 // Len implements heap.Interface.
 func (h deadlineHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h deadlineHeap) Less(i, j int) bool { return h[i].checkAt < h[j].checkAt }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].timerAt < h[j].timerAt }
 
 // Swap implements heap.Interface.
 func (h deadlineHeap) Swap(i, j int) {
--- a/admission/turns.go
+++ b/admission/turns.go
@@ -26,70 +26,71 @@
 // if few additional calls result when all servers do, or while calls are fast and succeed. The cost is that calls that
 // last longer than a turn are abandoned.
 type turns struct {
-	offset      float64 // from 0 to 1, different on each server
-	length      float64 // length of a round while calls are quick, in ticks
-	fleetSize   float64
-	fraction    float64 // fraction of a round that is this server's turn
-	fractionFor float64 // downstream limit times fleet size for which fraction was computed
-	confidence  int     // one success reaches confidenceToRoundUp; four in a row outlast a failure
+	offset           float64 // from 0 to 1, different on each server
+	roundLength      float64 // length of a round while calls are quick, in ticks
+	fleetSize        float64
+	turnFraction     float64 // fraction of a round that is this server's turn
+	computedForLimit float64 // downstream limit times fleet size for which turnFraction was computed
+	confidence       int     // one success reaches confidenceToRoundUp; four in a row outlast a failure
 }
 
-func newTurns(config *Config, shortest timeunit.Ticks) turns {
+func newTurns(config *Config, shortestSoftDeadline timeunit.Ticks) turns {
 	return turns{
-		offset:    config.TurnOffset,
-		length:    max(1, float64(shortest)/2),
-		fleetSize: float64(max(1, config.Servers)),
+		offset:      config.TurnOffset,
+		roundLength: max(1, float64(shortestSoftDeadline)/2),
+		fleetSize:   float64(max(1, config.Servers)),
 	}
 }
 
-// until returns the time until which the call may be in flight; now or earlier means that no call may be made.
-// withEffects states that the call must not be abandoned, so that it needs twice as much time.
-func (t *turns) until(now timeunit.Ticks, downstream *downstream, withEffects bool) timeunit.Ticks {
-	if t.fractionFor != downstream.limit*t.fleetSize {
-		t.setFraction(downstream.limit)
+// allowedUntil returns the time until which the call may be in flight; now or earlier means that no call may be made.
+// hasSideEffects states that the call must not be abandoned, so that it needs twice as much time.
+func (t *turns) allowedUntil(now timeunit.Ticks, downstream *downstream, hasSideEffects bool) timeunit.Ticks {
+	if t.computedForLimit != downstream.limit*t.fleetSize {
+		t.computeTurnFraction(downstream.limit)
 	}
-	length := max(t.length*t.fraction, 2*float64(downstream.abandonedTime))
-	need := slowCallFactor * downstream.recentTime
-	if t.fraction == 1 || t.confidence >= confidenceToRoundUp && need <= t.length*t.fraction {
+	turnLength := max(t.roundLength*t.turnFraction, 2*float64(downstream.abandonedTime))
+	requiredTime := slowCallFactor * downstream.recentTime
+	if t.turnFraction == 1 || t.confidence >= confidenceToRoundUp && requiredTime <= t.roundLength*t.turnFraction {
 		return noDeadline
 	}
-	for length < need {
-		length *= 2
+	for turnLength < requiredTime {
+		turnLength *= 2
 	}
-	if !withEffects {
-		need /= 2 // an abandoned call without side effects can be made again
+	if !hasSideEffects {
+		requiredTime /= 2 // an abandoned call without side effects can be made again
 	}
 	// Count time in turns: the first turn of each round is this server's.
-	at := math.Mod(float64(now)/length*t.fraction+t.offset, 1) / t.fraction
-	left := (1-at)*length - float64(downstream.abandonedTime)
-	if left > need {
-		return now + timeunit.Ticks(left)
+	position := math.Mod(float64(now)/turnLength*t.turnFraction+t.offset, 1) / t.turnFraction
+	remaining := (1-position)*turnLength - float64(downstream.abandonedTime)
+	if remaining > requiredTime {
+		return now + timeunit.Ticks(remaining)
 	}
 	return now
 }
 
-// setFraction computes the largest fraction with which neither this fleet nor one grown by maxFleetGrowth has too many
-// calls in flight.
-func (t *turns) setFraction(limit float64) {
-	t.fraction = 1
-	grown := t.fleetSize * maxFleetGrowth
-	for t.fraction > minTurnFraction && (t.exceeds(limit, t.fleetSize) || t.exceeds(limit, grown)) {
-		t.fraction -= turnFractionStep
+// computeTurnFraction computes the largest fraction with which neither this fleet nor one grown by maxFleetGrowth has
+// too many calls in flight.
+func (t *turns) computeTurnFraction(limit float64) {
+	t.turnFraction = 1
+	grownFleetSize := t.fleetSize * maxFleetGrowth
+	for t.turnFraction > minTurnFraction &&
+		(t.mayExceedLimit(limit, t.fleetSize) || t.mayExceedLimit(limit, grownFleetSize)) {
+		t.turnFraction -= turnFractionStep
 	}
-	t.fractionFor = limit * t.fleetSize
+	t.computedForLimit = limit * t.fleetSize
 }
 
-// exceeds reports whether this number of servers may have too many calls in flight if each rounds up for the current
-// fraction of the time.
-func (t *turns) exceeds(limit, servers float64) bool {
-	survives := limit / downstreamMargin * servers
-	whole := math.Floor(limit)
-	return servers*(whole+t.fraction)+allowedDeviations*math.Sqrt(servers*t.fraction*(1-t.fraction)) >
-		survives+2*math.Sqrt(survives)+1
+// mayExceedLimit reports whether this number of servers may have too many calls in flight if each rounds up for the
+// current fraction of the time.
+func (t *turns) mayExceedLimit(limit, servers float64) bool {
+	sustainableCalls := limit / downstreamMargin * servers
+	wholeCalls := math.Floor(limit)
+	return servers*(wholeCalls+t.turnFraction)+allowedDeviations*math.Sqrt(servers*t.turnFraction*(1-t.turnFraction)) >
+		sustainableCalls+2*math.Sqrt(sustainableCalls)+1
 }
 
-// gainConfidence updates the confidence when a call ends.
-func (t *turns) gainConfidence(succeeded bool) {
+// updateConfidence updates the confidence when a call ends.
+func (t *turns) updateConfidence(succeeded bool) {
 	t.confidence = max(0, t.confidence-confidenceLost)
 	if succeeded {
 		t.confidence = min(maxConfidence, t.confidence+confidenceGained)
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -37,8 +37,8 @@
 	}
 	s.limiter.limit = max(s.limiter.floor, min(state.Limit, maxLimit))
 	s.downstream.quickTimes.restore(state.QuickCallTimes)
-	known := min(len(s.categories), len(state.RunTimes), len(state.QuietRunTimes))
-	for i, category := range s.categories[:known] {
+	restoredCategories := min(len(s.categories), len(state.RunTimes), len(state.QuietRunTimes))
+	for i, category := range s.categories[:restoredCategories] {
 		category.runTimes.restore(state.RunTimes[i])
 		category.quietRunTimes.restore(state.QuietRunTimes[i])
 	}
--- a/timeunit/timeunit.go
+++ b/timeunit/timeunit.go
@@ -17,17 +17,17 @@
 	MillisecondsPerSecond Milliseconds = 1_000
 )
 
-// tick is the length of one tick.
-const tick = 100 * time.Microsecond
+// tickDuration is the length of one tick.
+const tickDuration = 100 * time.Microsecond
 
 // TicksOf converts a duration to ticks, rounded towards zero.
-func TicksOf(span time.Duration) Ticks { return Ticks(span / tick) }
+func TicksOf(span time.Duration) Ticks { return Ticks(span / tickDuration) }
 
 // UnixTicks returns the wall-clock time in ticks since 1970 UTC, rounded towards zero.
-func UnixTicks(at time.Time) Ticks { return Ticks(at.UnixMicro() / tick.Microseconds()) }
+func UnixTicks(at time.Time) Ticks { return Ticks(at.UnixMicro() / tickDuration.Microseconds()) }
 
 // Duration converts ticks to a time.Duration.
-func (t Ticks) Duration() time.Duration { return time.Duration(t) * tick }
+func (t Ticks) Duration() time.Duration { return time.Duration(t) * tickDuration }
 
 // Milliseconds converts ticks to milliseconds, rounded towards zero.
 func (t Ticks) Milliseconds() int64 { return int64(t / TicksPerMillisecond) }
