--- a/admission/calls.go
+++ b/admission/calls.go
@@ -2,26 +2,26 @@
 
 import "thistlequay/timeunit"
 
-// startCalls makes the downstream calls that requests need, within this server's part of what the dependency
-// survives. The others go on waiting, in the same order.
+// startCalls makes the downstream calls that requests need, within this server's part of the calls that the dependency
+// can sustain. The other requests keep waiting in the same order.
 func (s *Server) startCalls() {
 	waiting := s.downstream.waiting[:0]
 	for _, request := range s.downstream.waiting {
-		if request.state != stateWaitingToCall || request.isDone() {
+		if request.state != stateWaitingToCall || request.isResolved() {
 			continue
 		}
-		if s.callIsTooLate(request) || s.onlyDegradedIsInTime(request, len(waiting)) {
+		if s.callWouldBeTooLate(request) || s.prefersDegradedAnswer(request, len(waiting)) {
 			s.continueWithoutCall(request)
 			continue
 		}
-		if request.retryCallAt > s.now || s.coresAreFull() || !s.startCall(request) {
+		if request.nextCallAt > s.now || s.coresAreFull() || !s.startCall(request) {
 			waiting = append(waiting, request)
 		}
 	}
 	s.downstream.waiting = waiting
 }
 
-// startCall makes the call of the request if the dependency may be called now.
+// startCall makes the downstream call of the request and reports whether the dependency may be called now.
 func (s *Server) startCall(request *Request) bool {
 	downstream := &s.downstream
 	isIdempotent := request.category.Idempotency == Idempotent
@@ -31,10 +31,11 @@
 	}
 	until := min(request.valuableUntil(), allowedUntil)
 	if isIdempotent && downstream.quickTimes.total >= minSamples {
-		// Its reply may be lost and would keep a call in flight for long. It can be called again.
-		lostAfter := lostCallFactor * max(downstream.recentTime,
+		// A lost reply would keep the call in flight until the deadline. An idempotent call is given up before and made
+		// again.
+		lossTimeout := lostCallFactor * max(downstream.recentTime,
 			float64(downstream.quickTimes.quantile(lostCallQuantile)))
-		until = min(until, s.now+timeunit.Ticks(lostAfter))
+		until = min(until, s.now+timeunit.Ticks(lossTimeout))
 	}
 	request.state = stateCalling
 	downstream.inFlight++
@@ -42,24 +43,24 @@
 	return true
 }
 
-// continueWithoutCall has the run go on to a degraded answer where that has a value, and aborts the request
-// elsewhere.
+// continueWithoutCall continues the run towards a degraded answer if that has a value and the cores have room.
+// Otherwise it aborts the request.
 func (s *Server) continueWithoutCall(request *Request) {
-	if request.category.DegradedValue == 0 || request.isDone() || s.coresAreFull() {
+	if request.category.DegradedValue == 0 || request.isResolved() || s.coresAreFull() {
 		s.abort(request)
 		return
 	}
 	request.state = stateRunning
-	s.cores.runsAtCalls--
+	s.cores.runsAwaitingCalls--
 	s.host.SkipCall(request)
 }
 
-// onlyDegradedIsInTime says that an answer with the call would miss the soft deadline, with so many calls to
-// wait for, and that a degraded answer is worth more than a late one.
-func (s *Server) onlyDegradedIsInTime(request *Request, callsAhead int) bool {
+// prefersDegradedAnswer reports whether an answer with the call would miss the soft deadline, with callsAhead calls to
+// wait for, while a degraded answer is worth more than a late one and the cores have room for it.
+func (s *Server) prefersDegradedAnswer(request *Request, callsAhead int) bool {
 	downstream := &s.downstream
-	takes := downstream.recentTime*(1+float64(callsAhead)/max(1, downstream.limit)) +
+	expectedTime := downstream.recentTime*(1+float64(callsAhead)/max(1, downstream.limit)) +
 		request.category.typicalRunTime()/2
-	isTooLate := float64(request.softDeadline-s.now) < takes
-	return request.category.DegradedValue > request.category.LateValue && isTooLate && !s.coresAreFull()
+	missesSoftDeadline := float64(request.softDeadline-s.now) < expectedTime
+	return request.category.DegradedValue > request.category.LateValue && missesSoftDeadline && !s.coresAreFull()
 }
--- a/admission/dependency_test.go
+++ b/admission/dependency_test.go
@@ -13,22 +13,22 @@
 	"thistlequay/timeunit"
 )
 
-// dependency is a downstream dependency that many servers share, in virtual time; it counts its calls in flight.
+// dependency simulates a downstream dependency shared by many servers in virtual time, and counts its calls in flight.
 type dependency struct {
 	now         timeunit.Ticks
 	random      *rand.Rand
 	isDown      bool
-	minTime     timeunit.Ticks // of a call
-	maxTime     timeunit.Ticks
+	minTime     timeunit.Ticks // shortest time of a call
+	maxTime     timeunit.Ticks // longest time of a call
 	inFlight    int
 	maxInFlight int
 	servers     []*callingServer
-	history     *golden.History // of what servers command their hosts; nil for none
+	history     *golden.History // records the commands of all servers; nil to record nothing
 }
 
-// callingServer is one server of them. It always has more calls to make than it may.
+// callingServer is one of the servers that share the dependency. It always needs more calls than it is allowed.
 type callingServer struct {
-	silentHost
+	noopHost
 	dependency *dependency
 	server     *Server
 	calls      []*pendingCall
@@ -40,7 +40,7 @@
 	startedAt   timeunit.Ticks
 	endsAt      timeunit.Ticks
 	succeeds    bool
-	abandonedAt timeunit.Ticks // the dependency works on for abandonedTime; 0 while it is not abandoned
+	abandonedAt timeunit.Ticks // the dependency works on for abandonedTime; 0 unless abandoned
 }
 
 const abandonedTime = timeunit.Ticks(1000)
@@ -49,13 +49,13 @@
 
 func (c *callingServer) StartCall(r *Request, until timeunit.Ticks) {
 	shared := c.dependency
-	takes := shared.minTime + timeunit.Ticks(shared.random.Int63n(int64(shared.maxTime-shared.minTime)+1))
-	call := &pendingCall{request: r, startedAt: shared.now, endsAt: shared.now + takes, succeeds: true}
+	callTime := shared.minTime + timeunit.Ticks(shared.random.Int63n(int64(shared.maxTime-shared.minTime)+1))
+	call := &pendingCall{request: r, startedAt: shared.now, endsAt: shared.now + callTime, succeeds: true}
 	if call.endsAt > until {
 		call.endsAt = max(until, shared.now+1)
 		call.succeeds = false
 	}
-	if shared.isDown { // its connection is refused
+	if shared.isDown { // the connection is refused
 		call.endsAt = shared.now
 	} else {
 		shared.inFlight++
@@ -74,7 +74,7 @@
 	return &dependency{now: 1 << 44, random: rand.New(rand.NewSource(seed)), minTime: 200, maxTime: 40_000}
 }
 
-// addServers adds so many servers that are configured for a fleet of this size.
+// addServers adds count servers that are configured for a fleet of fleetSize servers.
 func (d *dependency) addServers(count, fleetSize int, limit float64) {
 	for range count {
 		caller := &callingServer{dependency: d}
@@ -90,8 +90,8 @@
 	}
 }
 
-// playTo plays on in steps.
-func (d *dependency) playTo(end timeunit.Ticks) {
+// runUntil runs the simulation in steps of 25 ms until end.
+func (d *dependency) runUntil(end timeunit.Ticks) {
 	for ; d.now < end; d.now += 250 {
 		for _, caller := range d.servers {
 			caller.step()
@@ -99,7 +99,7 @@
 	}
 }
 
-// step plays one batch of one server.
+// step runs one batch of one server.
 func (c *callingServer) step() {
 	now := c.dependency.now
 	c.server.Advance(now)
@@ -141,49 +141,49 @@
 	return false
 }
 
-// play has the dependency be cold, down, up again and slow while the fleet may grow to twice its size, and then warm.
-// It returns the largest number of calls in flight while the dependency was not warm; d.maxInFlight is
-// that while it was.
-func (d *dependency) play(servers int, survives float64, fleetGrows bool) (maxInFlight int) {
+// simulate simulates a dependency that is cold, down, up again and slow while the fleet may grow to twice its size, and
+// then warm. It returns the largest number of calls in flight while the dependency was not warm; afterwards
+// d.maxInFlight is the largest number while it was warm.
+func (d *dependency) simulate(servers int, sustainableCalls float64, fleetGrows bool) (maxInFlight int) {
 	start := d.now
-	limit := survives / float64(servers) // limits are set for the fleet at its largest
+	limit := sustainableCalls / float64(servers) // limits are set for the fleet at its largest
 	if fleetGrows {
 		limit /= 2
 	}
 	d.addServers(servers, servers, limit)
-	d.playTo(start + 40_000)
+	d.runUntil(start + 40_000)
 	d.isDown = true
-	d.playTo(start + 60_000)
+	d.runUntil(start + 60_000)
 	d.isDown = false
 	d.minTime = 20_000
 	d.maxTime = 90_000
-	d.playTo(start + 90_000)
+	d.runUntil(start + 90_000)
 	if fleetGrows {
 		d.addServers(servers, 2*servers, limit)
 	}
-	d.playTo(start + 120_000)
+	d.runUntil(start + 120_000)
 	maxInFlight = d.maxInFlight
 	d.maxInFlight = 0
-	d.minTime = 100 // it is warm: quick under any load
+	d.minTime = 100 // warm: quick under any load
 	d.maxTime = 600
-	d.playTo(start + 150_000)
+	d.runUntil(start + 150_000)
 	return maxInFlight
 }
 
-// All servers start at once, the dependency is cold, down, up again and slow, and the fleet grows to twice its size.
-// The calls in flight of the whole fleet stay within N and an allowance for chance.
+// All servers start at once; the dependency is cold, down, up again and slow; the fleet grows to twice its size. The
+// calls in flight of the whole fleet must not exceed N calls plus an allowance for random variation.
 func TestMeasuredCallsOfFleetStayWithinLimit(t *testing.T) {
 	for _, servers := range []int{1, 8, 20, 30} {
-		for _, survives := range []float64{3, 10, 40, 6 * float64(servers)} {
-			t.Run(fmt.Sprintf("%d servers, N %.0f", servers, survives), func(t *testing.T) {
-				requireCallsWithinLimit(t, servers, survives)
+		for _, sustainableCalls := range []float64{3, 10, 40, 6 * float64(servers)} {
+			t.Run(fmt.Sprintf("%d servers, N %.0f", servers, sustainableCalls), func(t *testing.T) {
+				requireCallsWithinLimit(t, servers, sustainableCalls)
 			})
 		}
 	}
 }
 
-// requireCallsWithinLimit plays many seeds for a dependency that survives so many calls at once.
-func requireCallsWithinLimit(t *testing.T, servers int, survives float64) {
+// requireCallsWithinLimit runs many seeds against a dependency that survives the given number of calls at once.
+func requireCallsWithinLimit(t *testing.T, servers int, sustainableCalls float64) {
 	t.Helper()
 	seeds := schedule.Scale(16, 600)
 	maxInFlight := 0
@@ -191,14 +191,14 @@
 	succeeded := 0.0
 	for seed := range seeds {
 		shared := newDependency(int64(seed))
-		maxInFlight = max(maxInFlight, shared.play(servers, survives, seed%2 == 1))
+		maxInFlight = max(maxInFlight, shared.simulate(servers, sustainableCalls, seed%2 == 1))
 		maxWarm = max(maxWarm, shared.maxInFlight)
 		for _, caller := range shared.servers {
 			succeeded += caller.server.downstream.quickTimes.total
 		}
 	}
-	allowed := survives + 2*math.Sqrt(survives) + 2
+	allowed := sustainableCalls + 2*math.Sqrt(sustainableCalls) + 2
 	t.Logf("measured cold processes=%d n=%.0f most=%d allowed=%.1f most_warm=%d seeds=%d calls_succeeded=%.0f "+
-		"source=virtual", servers, survives, maxInFlight, allowed, maxWarm, seeds, succeeded/float64(seeds))
+		"source=virtual", servers, sustainableCalls, maxInFlight, allowed, maxWarm, seeds, succeeded/float64(seeds))
 	require.LessOrEqual(t, float64(maxInFlight), allowed)
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,22 +8,23 @@
 	"thistlequay/timeunit"
 )
 
-// treeDegree is that of the B-trees.
+// treeDegree is the degree of the B-trees.
 const treeDegree = 16
 
-// requestQueue keeps the requests that wait for a start. Eligible ones stand by category and soft deadline,
-// as within a category that alone tells their values apart; those whose start tag is ahead of virtual time,
-// which are beyond their tenant's part, stand by start tag. Every step is logarithmic in the requests that
-// wait and does not depend on the number of tenants. The queue never answers a request by itself.
+// requestQueue holds the requests that wait to start. Eligible requests are sorted by soft deadline, one tree per
+// category, because within a category only the soft deadline decides about their value. Requests whose start tag is
+// later than virtual time are beyond their tenant's fair share and are sorted by start tag. Each operation takes time
+// logarithmic in the number of queued requests and independent of the number of tenants. The queue never answers a
+// request by itself.
 type requestQueue struct {
-	arrivals     []*Request // of this batch: their budgets are not checked yet
-	awaited      []*Request // others wait for their results: those still queued are next
-	eligible     []*btree.BTreeG[*Request]
-	byStartTag   *btree.BTreeG[*Request]
-	virtualTime  float64 // requests with a later start tag wait until nothing else does
-	lastSequence uint64
-	length       int
-	pivot        Request // where a search begins
+	arrivals           []*Request                // requests of this batch, whose queueing budgets are not checked yet
+	awaited            []*Request                // others wait for their results; those still queued start next
+	eligibleByCategory []*btree.BTreeG[*Request] // one tree by soft deadline per category
+	byStartTag         *btree.BTreeG[*Request]
+	virtualTime        float64 // requests with a later start tag wait while any eligible request is queued
+	lastSequence       uint64
+	length             int
+	searchKey          Request // key at which a search of a tree starts
 }
 
 func newRequestQueue(categories int) requestQueue {
@@ -35,7 +36,7 @@
 	}
 	q := requestQueue{byStartTag: btree.NewG(treeDegree, byStartTag)}
 	for range categories {
-		q.eligible = append(q.eligible, btree.NewG(treeDegree, bySoftDeadline))
+		q.eligibleByCategory = append(q.eligibleByCategory, btree.NewG(treeDegree, bySoftDeadline))
 	}
 	return q
 }
@@ -45,52 +46,53 @@
 	q.lastSequence++
 	q.length++
 	request.sequence = q.lastSequence
-	request.eligible = request.startTag <= q.virtualTime
+	request.isEligible = request.startTag <= q.virtualTime
 	q.treeOf(request).ReplaceOrInsert(request)
 	q.arrivals = append(q.arrivals, request)
 }
 
-// remove takes a request out, to start or to finish.
+// remove takes a request out of the queue, because it starts or ends.
 func (q *requestQueue) remove(request *Request) {
 	q.length--
 	q.treeOf(request).Delete(request)
 }
 
+// treeOf returns the tree that holds the request.
 func (q *requestQueue) treeOf(request *Request) *btree.BTreeG[*Request] {
-	if request.eligible {
-		return q.eligible[request.category.index]
+	if request.isEligible {
+		return q.eligibleByCategory[request.category.index]
 	}
 	return q.byStartTag
 }
 
-// clearArrivals ends the batch.
+// clearArrivals forgets the arrivals at the end of the batch.
 func (q *requestQueue) clearArrivals() {
 	clear(q.arrivals)
 	q.arrivals = q.arrivals[:0]
 }
 
-// advance moves virtual time on to the lowest start tag that waits, where no eligible request waits, and
-// makes the requests eligible whose start tags it has reached.
-func (q *requestQueue) advance() {
+// advanceVirtualTime moves virtual time to the lowest queued start tag if no eligible request is queued. It then makes
+// the requests eligible whose start tags virtual time has reached.
+func (q *requestQueue) advanceVirtualTime() {
 	next, found := q.byStartTag.Min()
 	if found && q.byStartTag.Len() == q.length {
 		q.virtualTime = max(q.virtualTime, next.startTag)
 	}
 	for found && next.startTag <= q.virtualTime {
 		q.byStartTag.DeleteMin()
-		next.eligible = true
+		next.isEligible = true
 		q.treeOf(next).ReplaceOrInsert(next)
 		next, found = q.byStartTag.Min()
 	}
 }
 
-// firstFrom is the first request of the tree whose soft deadline is this or later and that passes the test.
+// firstFrom returns the first request of the tree with softDeadline or a later one that passes the test, or nil.
 func (q *requestQueue) firstFrom(
-	tree *btree.BTreeG[*Request], softDeadline timeunit.Ticks, test func(*Request) bool,
+	tree *btree.BTreeG[*Request], softDeadline timeunit.Ticks, matches func(*Request) bool,
 ) (first *Request) {
-	q.pivot.softDeadline = softDeadline
-	tree.AscendGreaterOrEqual(&q.pivot, func(request *Request) bool {
-		if test(request) {
+	q.searchKey.softDeadline = softDeadline
+	tree.AscendGreaterOrEqual(&q.searchKey, func(request *Request) bool {
+		if matches(request) {
 			first = request
 		}
 		return first == nil
@@ -100,8 +102,8 @@
 
 func anyRequest(*Request) bool { return true }
 
-// hasJoined says that the request passed its budget check in an earlier batch.
-func hasJoined(request *Request) bool { return request.heapIndex != notInHeap }
+// passedBudgetCheck reports whether the request passed its queueing budget check in an earlier batch.
+func passedBudgetCheck(request *Request) bool { return request.heapIndex != notInHeap }
 
-// VirtualTime is the highest start tag that has become eligible (Arrival.StartTag).
+// VirtualTime returns the highest start tag that has become eligible (Arrival.StartTag).
 func (s *Server) VirtualTime() float64 { return s.queue.virtualTime }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -10,20 +10,21 @@
 	"thistlequay/timeunit"
 )
 
-// The order by the trees is the order by a scan of the whole queue, for any run times and at any time.
+// The order of the trees equals that of a scan of the whole queue, for any run times and at any time.
 func TestQueueOrderIsThatOfFullScan(t *testing.T) {
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
 		server, queued := randomQueue(random)
 		server.Advance(server.now + timeunit.Ticks(random.Intn(3000)))
-		best := server.mostValuable()
-		isAhead := func(r *Request) bool { return r.startTag > server.VirtualTime() }
-		eligible := slices.DeleteFunc(slices.Clone(queued), isAhead)
+		best := server.nextToStart()
+		isIneligible := func(r *Request) bool { return r.startTag > server.VirtualTime() }
+		eligible := slices.DeleteFunc(slices.Clone(queued), isIneligible)
 		require.NotEmpty(t, eligible)
-		most := slices.MaxFunc(eligible, func(a, b *Request) int { return int(1e9 * (a.value() - b.value())) })
-		require.InDelta(t, most.value(), best.value(), 1e-9, "seed %d", seed)
+		expected := slices.MaxFunc(eligible, func(a, b *Request) int { return int(1e9 * (a.value() - b.value())) })
+		require.InDelta(t, expected.value(), best.value(), 1e-9, "seed %d", seed)
 		for _, request := range queued {
-			// Equal values of two categories may differ by rounding: never less than this.
+			// Rounding may change which of two equal values of different categories is greater, so the delay can only
+			// be longer.
 			delay := server.queueingDelay(request)
 			require.GreaterOrEqual(t, delay, scannedDelay(server, request, eligible), "seed %d", seed)
 		}
@@ -34,7 +35,8 @@
 	}
 }
 
-// randomQueue makes a server with random categories and run times, and a queue from which some were rejected.
+// randomQueue creates a server with random categories and run times, and a queue from which some requests were
+// rejected.
 func randomQueue(random *rand.Rand) (server *Server, queued []*Request) {
 	config := Config{Cores: 2, MemoryKB: 1e9, RunMemoryFactor: 2}
 	for range 1 + random.Intn(3) {
@@ -42,7 +44,7 @@
 		config.Categories = append(config.Categories, Category{Weight: 1 + float64(random.Intn(3)),
 			SoftDeadline: softDeadline, Deadline: 2 * softDeadline, LateValue: float64(random.Intn(3)) / 4})
 	}
-	server = New(config, silentHost{}, 0)
+	server = New(config, noopHost{}, 0)
 	for _, category := range server.categories {
 		for range random.Intn(40) {
 			category.runTimes.add(timeunit.Ticks(random.Intn(int(category.SoftDeadline) * 2)))
@@ -63,13 +65,13 @@
 	return server, queued
 }
 
-// scannedDelay is the queueing delay of a request by a scan of all eligible requests.
+// scannedDelay computes the queueing delay of a request by a scan of all eligible requests.
 func scannedDelay(server *Server, request *Request, eligible []*Request) timeunit.Ticks {
 	var delay timeunit.Ticks
 	value := request.value()
 	for _, other := range eligible {
-		isSame := other.category == request.category && other.value() >= value
-		if !request.eligible || other.value() > value+1e-9 || isSame {
+		isAheadInCategory := other.category == request.category && other.value() >= value
+		if !request.isEligible || other.value() > value+1e-9 || isAheadInCategory {
 			delay = max(delay, server.now-other.arrivedAt)
 		}
 	}
--- a/admission/server.go
+++ b/admission/server.go
@@ -2,26 +2,25 @@
 
 import "thistlequay/timeunit"
 
-// Server decides for one app server. It is not safe for concurrent use.
+// Server makes the decisions of one app server. It is not safe for concurrent use.
 type Server struct {
 	host       Host
 	now        timeunit.Ticks
 	categories []*categoryState
 
-	// The paper's mechanism: how many requests are in flight, and which of those that wait are rejected
-	// (budget.go).
+	// The paper's mechanism: how many requests are in flight, and which queued requests are rejected (budget.go).
 	limiter limiter
 	queue   requestQueue
 
-	// Guards of what the server and its dependency survive.
-	cores      coreLoad
-	reading    readingDelay
-	slowStart  slowStart
-	memory     memoryAccount
-	entries    idempotencyTable
-	downstream downstream
+	// Limits that protect the server and its downstream dependency.
+	cores        coreLoad
+	readingDelay readingDelay
+	slowStart    slowStart
+	memory       memoryAccount
+	entries      idempotencyTable
+	downstream   downstream
 
-	// Those who send.
+	// State about the routers.
 	retries  retryDetector
 	feedback routerFeedback
 
@@ -29,29 +28,29 @@
 	timers timers
 
 	canStopRuns  bool
-	answerMargin timeunit.Ticks // answers are given so much before their deadlines: two batches
+	answerMargin timeunit.Ticks // time before its deadline by which a request is answered: two batches
 }
 
-// New makes the Server of an app server that starts now. It calls the host at once, which must be ready for
-// it.
+// New creates the Server of an app server that starts now. New calls the host, which must be ready for these calls.
 func New(config Config, host Host, now timeunit.Ticks) *Server {
-	shortest, longest := deadlineRange(config.Categories)
+	shortestSoftDeadline, longestDeadline := deadlineRange(config.Categories)
 	cores := float64(config.Cores)
 	s := &Server{
 		host:         host,
 		now:          now,
 		limiter:      newLimiter(cores, float64(max(1, config.Routers))),
 		queue:        newRequestQueue(len(config.Categories)),
-		cores:        coreLoad{cores: cores, overloadThreshold: config.OverloadThreshold},
-		reading:      readingDelay{softDeadline: float64(shortest)},
+		cores:        coreLoad{coreCount: cores, overloadThreshold: config.OverloadThreshold},
+		readingDelay: readingDelay{softDeadline: float64(shortestSoftDeadline)},
 		slowStart:    newSlowStart(&config, now),
 		memory:       memoryAccount{maxKB: config.MemoryKB, runFactor: config.RunMemoryFactor},
 		entries:      newIdempotencyTable(&config),
-		downstream:   newDownstream(&config, now, shortest, longest),
+		downstream:   newDownstream(&config, now, shortestSoftDeadline, longestDeadline),
 		retries:      newRetryDetector(config.RetriesMarked),
 		feedback:     newRouterFeedback(&config),
-		drain:        drainState{grace: config.DrainGrace - 2*config.BatchInterval, stopAt: noDeadline},
-		timers:       timers{tick: max(1, timeunit.Ticks(float64(shortest)*tickFraction)), next: noDeadline},
+		drain:        drainState{gracePeriod: config.DrainGrace - 2*config.BatchInterval, stopAt: noDeadline},
+		timers: timers{gaugeInterval: max(1, timeunit.Ticks(float64(shortestSoftDeadline)*gaugeIntervalFraction)),
+			hostTimerAt: noDeadline},
 		canStopRuns:  config.CanStopRuns,
 		answerMargin: 2*config.BatchInterval + 1,
 	}
@@ -65,21 +64,21 @@
 }
 
 // deadlineRange returns the shortest soft deadline and the longest deadline of the categories.
-func deadlineRange(categories []Category) (shortest, longest timeunit.Ticks) {
-	shortest = noDeadline
-	longest = 1
+func deadlineRange(categories []Category) (shortestSoftDeadline, longestDeadline timeunit.Ticks) {
+	shortestSoftDeadline = noDeadline
+	longestDeadline = 1
 	for _, category := range categories {
-		shortest = min(shortest, category.SoftDeadline)
-		longest = max(longest, category.Deadline)
+		shortestSoftDeadline = min(shortestSoftDeadline, category.SoftDeadline)
+		longestDeadline = max(longestDeadline, category.Deadline)
 	}
-	return shortest, longest
+	return shortestSoftDeadline, longestDeadline
 }
 
-// Advance moves the clock on; earlier times are ignored. It comes first in a batch.
+// Advance sets the current time; earlier times are ignored. It is the first call of a batch.
 func (s *Server) Advance(now timeunit.Ticks) { s.now = max(s.now, now) }
 
-// SetFleetSize sets the number of servers that the fleet has now, of which this one is one. Its part of the
-// downstream limit, and from when on rejections speak for the whole fleet, follow at once.
+// SetFleetSize sets the current number of servers in the fleet, this one included. It updates this server's part of the
+// downstream limit and the share of rejections that counts as fleet-wide overload at once.
 func (s *Server) SetFleetSize(servers int) {
 	size := float64(max(1, servers))
 	downstream := &s.downstream
@@ -88,12 +87,12 @@
 	s.feedback.fleetWideShare = fleetWideServers / size
 }
 
-// Enqueue takes a request that was read. What becomes of it is decided by Dispatch, but for repeats of other
-// requests, which may get their results at once (Host.ShareResult).
+// Enqueue adds a request that was read. Dispatch decides about it, except that a repeat of another request may get that
+// request's result at once (Host.ShareResult).
 func (s *Server) Enqueue(arrival Arrival) *Request {
 	request := s.newRequest(&arrival)
-	s.noticeRetry(request, &arrival)
-	smooth(&s.reading.mean, float64(arrival.UnreadTime), smoothing)
+	s.adjustForRetry(request, &arrival)
+	updateMean(&s.readingDelay.mean, float64(arrival.UnreadTime), smoothingFactor)
 	s.memory.usedKB += request.queuedKB
 	if !s.shareOrReplace(request, &arrival) {
 		s.queue.add(request)
@@ -112,7 +111,7 @@
 		queuedKB:      arrival.QueuedKB,
 		startTag:      arrival.StartTag,
 		expectedDelay: arrival.ExpectedDelay,
-		cacheable:     arrival.Cacheable && category.Idempotency == Idempotent && s.entries.resultTTL > 0,
+		isCacheable:   arrival.Cacheable && category.Idempotency == Idempotent && s.entries.resultTTL > 0,
 	}
 	request.softDeadline = request.arrivedAt + category.SoftDeadline
 	request.deadline = request.arrivedAt + category.Deadline
@@ -123,16 +122,16 @@
 	return request
 }
 
-// Dispatch ends a batch. It fires timers, makes downstream calls, starts queued requests while the
-// concurrency limit and the guards allow it, rejects what would wait too long, and tells routers and the
-// host's timer what comes next.
+// Dispatch ends a batch. It fires timers, makes downstream calls, starts queued requests while the concurrency limit
+// and the other limits allow, rejects requests that would wait too long, updates the load report and sets the host's
+// timer.
 func (s *Server) Dispatch() {
 	s.limiter.adjustLimit(s.now)
 	s.fireTimers()
 	s.startCalls()
 	for _, request := range s.queue.arrivals {
 		if request.state == stateQueued {
-			s.rejectUnfit(request)
+			s.rejectOrKeepEntry(request)
 		}
 	}
 	s.startRequests()
@@ -146,43 +145,44 @@
 	s.setTimer()
 }
 
-// rejectUnfit rejects at once what must not be queued, and has entries kept before their requests can run.
-func (s *Server) rejectUnfit(request *Request) {
+// rejectOrKeepEntry rejects a request that must not be queued. Otherwise it keeps the idempotency entry that the
+// request needs before it can run.
+func (s *Server) rejectOrKeepEntry(request *Request) {
 	isKeyed := request.category.Idempotency == Keyed
 	switch {
-	case s.drain.hasEndedFor(request.arrivedAt):
+	case s.drain.isAfterGracePeriod(request.arrivedAt):
 		s.reject(request, noDeadline, false)
-	case request.isHopeless():
+	case request.cannotFinishInTime():
 		s.reject(request, 0, true)
-	case s.memory.isTight() && !s.evictForRoom(request), isKeyed && !s.hasEntryRoom():
-		s.reject(request, s.timers.tick, false) // no room to queue it, or to know later that it ran
-	case request.cacheable && s.hasEntryRoom():
+	case s.memory.isNearlyFull() && !s.evictToMakeRoom(request), isKeyed && !s.hasRoomForEntry():
+		s.reject(request, s.timers.gaugeInterval, false) // no room to queue it, or to remember that it ran
+	case request.isCacheable && s.hasRoomForEntry():
 		s.keepEntry(request, request.deadline)
 	case isKeyed:
-		// Until the window from the arrival of this attempt has passed: repeats are matched by their arrival.
+		// The deduplication window counts from the arrival of this attempt: repeats are matched by their arrival.
 		s.keepEntry(request, request.arrivedAt+request.category.DeduplicationWindow+s.answerMargin)
 	}
 }
 
-// startRequests starts queued requests, the most valuable first, while the concurrency limit and the guards
-// of cores and memory have room.
+// startRequests starts queued requests, the most valuable first, while the concurrency limit and the limits on cores
+// and memory allow.
 func (s *Server) startRequests() {
 	for s.queue.length > 0 {
 		if s.limiter.inFlight >= s.concurrencyLimit() {
 			s.limiter.wasFull = true
 			return
 		}
-		best := s.mostValuable()
-		extra := s.memory.runExtra(best.queuedKB)
-		if s.coresAreFull() || !s.memory.hasRoomFor(extra) {
+		best := s.nextToStart()
+		extraKB := s.memory.extraKB(best.queuedKB)
+		if s.coresAreFull() || !s.memory.hasRoomFor(extraKB) {
 			return
 		}
 		s.queue.remove(best)
 		best.state = stateRunning
 		best.startedAt = s.now
-		best.startedQuiet = s.cores.isQuiet()
-		s.memory.usedKB += extra
-		s.limiter.start()
+		best.startedOnQuietCores = s.cores.isQuiet()
+		s.memory.usedKB += extraKB
+		s.limiter.countStart()
 		s.feedback.countStart()
 		s.timers.set(best, best.deadline)
 		s.host.Run(best)
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	// noDeadline is later than all times.
+	// noDeadline is later than any time in use.
 	noDeadline = timeunit.Ticks(1 << 60)
 
-	// tickFraction is the time between two readings of the gauges, as a part of the shortest soft deadline,
-	// while requests are queued or in flight; a ratio of our own.
-	tickFraction = 1.0 / 40
+	// gaugeIntervalFraction is the time between two readings of the gauges, as a fraction of the shortest soft
+	// deadline, while requests are queued or in flight.
+	gaugeIntervalFraction = 1.0 / 40
 
 	// notInHeap is the heap index of a request without a timer.
 	notInHeap = -1
 )
 
-// timers holds one timer a request at most: the end of its stay in the queue, its deadline, or the end of its
-// idempotency entry. The host knows only the earliest.
+// timers holds at most one timer per request: the end of its time in the queue, its deadline, or the end of its
+// idempotency entry. The host knows only the earliest timer.
 type timers struct {
-	heap deadlineHeap
-	tick timeunit.Ticks // time between two readings of the gauges, and between two attempts at what failed
-	next timeunit.Ticks // what was asked of the host, noDeadline for nothing
+	heap          deadlineHeap
+	gaugeInterval timeunit.Ticks // time between two readings of the gauges, and before a failed step is retried
+	hostTimerAt   timeunit.Ticks // when the host's timer fires; noDeadline if none is set
 }
 
-// set gives the request a timer in place of any earlier one.
+// set sets the timer of the request and replaces any earlier one.
 func (t *timers) set(request *Request, at timeunit.Ticks) {
 	t.stop(request)
-	request.checkAt = at
+	request.timerAt = at
 	heap.Push(&t.heap, request)
 }
 
-// stop takes the timer of the request away, if it has one.
+// stop removes the timer of the request, if it has one.
 func (t *timers) stop(request *Request) {
 	if request.heapIndex != notInHeap {
 		heap.Remove(&t.heap, request.heapIndex)
 	}
 }
 
-// fireTimers acts on the timers that are due: entries end, queued requests have no fair chance any more,
-// started ones have reached their deadline.
+// fireTimers fires the timers that are due: idempotency entries end, queued requests that would probably be too late
+// are rejected, and started requests that have reached their deadline are aborted.
 func (s *Server) fireTimers() {
-	for len(s.timers.heap) > 0 && s.timers.heap[0].checkAt <= s.now {
+	for len(s.timers.heap) > 0 && s.timers.heap[0].timerAt <= s.now {
 		request := heap.Pop(&s.timers.heap).(*Request)
 		switch {
 		case request.state == stateFinished:
@@ -51,53 +51,53 @@
 			s.memory.usedKB -= s.entries.sizeKB
 		case request.state == stateQueued:
 			s.limiter.current.dropped++
-			s.reject(request, s.timers.tick, false)
-		case !request.isDone():
+			s.reject(request, s.timers.gaugeInterval, false)
+		case !request.isResolved():
 			s.abort(request)
-			s.stopUnwanted(request)
+			s.stopUnneededRun(request)
 		}
 	}
 }
 
-// setTimer asks the host for the next batch in time, unless an earlier one is asked for already.
+// setTimer asks the host for the next batch, unless the host's timer fires earlier already.
 func (s *Server) setTimer() {
 	next := noDeadline
 	if len(s.timers.heap) > 0 {
-		next = max(s.now+1, s.timers.heap[0].checkAt)
+		next = max(s.now+1, s.timers.heap[0].timerAt)
 	}
 	if s.queue.length > 0 || s.limiter.inFlight > 0 {
-		next = min(next, s.now+s.timers.tick)
+		next = min(next, s.now+s.timers.gaugeInterval)
 	}
-	if next < s.timers.next {
-		s.timers.next = next
+	if next < s.timers.hostTimerAt {
+		s.timers.hostTimerAt = next
 		s.host.SetTimer(next - s.now)
 	}
 }
 
-// deadlineHeap implements heap.Interface by Request.checkAt.
+// deadlineHeap implements heap.Interface, ordered by Request.timerAt.
 type deadlineHeap []*Request
 
-// Len is for package heap.
+// Len implements heap.Interface.
 func (h deadlineHeap) Len() int { return len(h) }
 
-// Less is for package heap.
-func (h deadlineHeap) Less(i, j int) bool { return h[i].checkAt < h[j].checkAt }
+// Less implements heap.Interface.
+func (h deadlineHeap) Less(i, j int) bool { return h[i].timerAt < h[j].timerAt }
 
-// Swap is for package heap.
+// Swap implements heap.Interface.
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex = i
 	h[j].heapIndex = j
 }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (h *deadlineHeap) Push(x any) {
 	request := x.(*Request)
 	request.heapIndex = len(*h)
 	*h = append(*h, request)
 }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
 	request := (*h)[last]
