--- a/internal/recovery/analysis.go
+++ b/internal/recovery/analysis.go
@@ -7,34 +7,36 @@
 	"thistlequay/timeunit"
 )
 
-// Analysis reads stored records in their order and concludes from them. The caller calls StartSegment, AddRecord and
-// AddCorruption as it finds them on the disk, and Finish once at the end.
+// Analysis reconstructs the state of earlier processes from their stored records. The caller passes segments, records
+// and corruption in the order in which they are stored, to StartSegment, AddRecord and AddCorruption, and then calls
+// Finish once.
 type Analysis struct {
-	Findings    []Finding // in the order found
-	RecordCount int
+	Findings    []Finding // in the order in which they were added
+	RecordCount int       // number of records added
 
 	config        Config
 	now           ClockReading
-	durability    Durability // of the current segment
-	outcomes      map[string]*Outcome
-	lastWritten   ClockReading // of the newest record
-	cleanShutdown bool         // the newest record is a shutdown
-	unboundedLoss bool         // records were lost, and no later record tells yet how old they are at least
-	rejectUntil   timeunit.Ticks
-	warmStart     []byte
+	durability    Durability          // of the segment that is being read
+	outcomes      map[string]*Outcome // by idempotency key
+	lastWritten   ClockReading        // when the newest record was written
+	cleanShutdown bool                // the newest record is a shutdown record
+	unboundedLoss bool                // records were lost, and no later record bounds yet when they were written
+	rejectUntil   timeunit.Ticks      // wall clock time; see RecoveredState.RejectUntil
+	warmStart     []byte              // the payload of the newest warm-start record
 }
 
-// NewAnalysis begins an analysis at the time now.
+// NewAnalysis returns an Analysis without records that treats now as the present time.
 func NewAnalysis(config Config, now ClockReading) *Analysis {
 	return &Analysis{config: config, now: now, outcomes: map[string]*Outcome{}}
 }
 
-// StartSegment says that the records of another segment follow, which was written with the given durability.
+// StartSegment begins the next segment. The records added from now on were written with the given durability.
 func (a *Analysis) StartSegment(durability Durability) { a.durability = durability }
 
-// toCurrentClock converts a wall clock time that was written at writtenAt to the present wall clock. Within one boot
-// the steps of the wall clock are known from the monotonic clock; over a reboot they are uncertain. A window that ends
-// too late is safe, one that ends too soon is not, so no time is ever moved back.
+// toCurrentClock converts a wall clock time that was stored at writtenAt to the present wall clock. Within one boot the
+// monotonic clock shows by how much the wall clock was set in between; across a reboot toCurrentClock adds the clock
+// uncertainty instead. The result is never earlier than the stored time: a deduplication window that ends too late is
+// safe, one that ends too soon lets a request run twice.
 func (a *Analysis) toCurrentClock(wall timeunit.Ticks, writtenAt ClockReading) timeunit.Ticks {
 	if writtenAt.BootID != a.now.BootID {
 		return wall + a.config.ClockUncertainty
@@ -43,14 +45,14 @@
 	return wall + max(0, stepped)
 }
 
-// AddRecord takes the next record.
+// AddRecord adds the next record of the current segment.
 func (a *Analysis) AddRecord(record Record) {
 	a.RecordCount++
 	a.lastWritten = record.WrittenAt
 	a.cleanShutdown = record.Kind == KindShutdown
 	if a.unboundedLoss {
-		// What was lost was written before this record, so its window ends no later than one that began with this
-		// record.
+		// The lost records were written before this one, so their windows end no later than the longest window that
+		// begins now, at the time of this record.
 		a.unboundedLoss = false
 		a.extendRejection(a.toCurrentClock(record.WrittenAt.Wall+a.config.MaxWindow, record.WrittenAt))
 	}
@@ -66,6 +68,7 @@
 	}
 }
 
+// addIntent adds an open attempt to the outcome of the key, unless the window of the intent has ended.
 func (a *Analysis) addIntent(record *Record) {
 	windowEnd := a.toCurrentClock(record.WindowEnd, record.WrittenAt)
 	if windowEnd <= a.now.Wall {
@@ -77,7 +80,7 @@
 		a.outcomes[record.Key] = outcome
 	}
 	if outcome.Completed {
-		// An intent follows a completion only where the window of that run had passed: the key was used again.
+		// An intent can only follow a completion if the window of the completed run had ended and the key was reused.
 		*outcome = Outcome{Key: record.Key}
 	}
 	outcome.BodyHash = record.BodyHash
@@ -85,6 +88,8 @@
 	outcome.openAttempts = append(outcome.openAttempts, record.Attempt)
 }
 
+// addCompletion stores the result of the request. It ignores a key without an outcome, such as one whose
+// window has ended.
 func (a *Analysis) addCompletion(record *Record) {
 	outcome := a.outcomes[record.Key]
 	if outcome == nil {
@@ -95,6 +100,8 @@
 	outcome.Result = record.Payload
 }
 
+// addCancellation removes the intent of the cancelled attempt, and the outcome once no attempt is left that may have
+// run.
 func (a *Analysis) addCancellation(record *Record) {
 	outcome := a.outcomes[record.Key]
 	if outcome == nil || outcome.Completed {
@@ -107,13 +114,13 @@
 	}
 }
 
-// extendRejection has keyed requests without an outcome rejected at least until the given time.
+// extendRejection makes the rejection of keyed requests without an outcome last at least until the given time.
 func (a *Analysis) extendRejection(until timeunit.Ticks) { a.rejectUntil = max(a.rejectUntil, until) }
 
-// Finish ends the analysis and returns what holds from now on.
+// Finish ends the analysis and returns the state that the new process starts with.
 func (a *Analysis) Finish() RecoveredState {
 	if a.unboundedLoss {
-		// No record follows the loss: what was lost may be as young as the end of the process before this one.
+		// No record follows the loss, so the lost records may have been written until just before the restart.
 		a.extendRejection(a.now.Wall + a.config.MaxWindow + a.restartUncertainty())
 	}
 	if a.machineMayHaveLostWrites() {
@@ -131,15 +138,15 @@
 	return state
 }
 
-// machineMayHaveLostWrites reports whether the machine crashed under writes that were only meant to survive the
-// process.
+// machineMayHaveLostWrites reports whether the machine rebooted without a clean shutdown of the process while the
+// durability covered only crashes of the process, so that acknowledged writes may not have reached the disk.
 func (a *Analysis) machineMayHaveLostWrites() bool {
 	rebooted := a.lastWritten.BootID != a.now.BootID
 	return a.RecordCount > 0 && a.durability == DurabilityProcess && rebooted && !a.cleanShutdown
 }
 
-// liveOutcomes returns the outcomes whose windows are not over. The one whose window ends last comes first: it is the
-// last to be dropped.
+// liveOutcomes returns the outcomes whose windows have not ended, sorted by window end, latest first. Finish drops
+// outcomes from the end of this list.
 func (a *Analysis) liveOutcomes() (live []Outcome) {
 	for _, outcome := range a.outcomes {
 		if outcome.WindowEnd > a.now.Wall {
@@ -152,7 +159,8 @@
 	return live
 }
 
-// restartUncertainty is by how much the wall clock may be off since the newest record.
+// restartUncertainty returns by how much the wall clock may have changed since the newest record was written, beyond
+// the time that passed: the configured uncertainty after a reboot, otherwise 0.
 func (a *Analysis) restartUncertainty() timeunit.Ticks {
 	if a.lastWritten.BootID != a.now.BootID {
 		return a.config.ClockUncertainty
--- a/internal/recovery/corruption.go
+++ b/internal/recovery/corruption.go
@@ -2,20 +2,21 @@
 
 import "strconv"
 
-// Corruption is what was found where a record should be.
+// Corruption classifies what was found in place of a valid record or segment.
 type Corruption int
 
 // Kinds of corruption.
 const (
-	CorruptionTruncated      Corruption = iota // a segment ends in the middle of a record
-	CorruptionInvalid                          // bytes that are no record
-	CorruptionMissingSegment                   // a segment that was still needed isn't there
-	CorruptionNoSegment                        // the directory is empty and should not be
+	CorruptionTruncated      Corruption = iota // the segment ends in the middle of a record
+	CorruptionInvalid                          // the bytes are not a valid record or header
+	CorruptionMissingSegment                   // a segment that is still needed does not exist
+	CorruptionNoSegment                        // the directory has no segments although it should have some
 )
 
+// corruptionTexts holds the text of each kind of corruption, as printed in logs and by commands.
 var corruptionTexts = [...]string{"ends short", "garbled", "segment missing", "no segment"}
 
-// String returns the words for logs and commands.
+// String returns the text that logs and commands print, or the number for an unknown kind.
 func (c Corruption) String() string {
 	if c < 0 || int(c) >= len(corruptionTexts) {
 		return strconv.Itoa(int(c))
@@ -23,15 +24,15 @@
 	return corruptionTexts[c]
 }
 
-// Finding is one corruption and where it was found.
+// Finding describes one corruption and its position.
 type Finding struct {
 	Corruption Corruption
-	File       string
-	Offset     int64
-	DataLoss   bool // acknowledged records may be missing
+	File       string // name of the segment; empty if there is no segment
+	Offset     int64  // in bytes from the start of the file
+	DataLoss   bool   // acknowledged records may be missing
 }
 
-// AddCorruption takes a place where no record is. No segment and no record follow it where isLast is true.
+// AddCorruption adds a finding at the current position. isLast means that no record and no segment follow it.
 func (a *Analysis) AddCorruption(corruption Corruption, file string, offset int64, isLast bool) {
 	dataLoss := !a.isCrashTrace(corruption, isLast)
 	a.Findings = append(a.Findings, Finding{Corruption: corruption, File: file, Offset: offset, DataLoss: dataLoss})
@@ -40,18 +41,20 @@
 	}
 }
 
-// isCrashTrace reports whether a corruption is what a crash leaves of writes that were never acknowledged.
+// isCrashTrace reports whether a crash during writes that were never acknowledged explains the corruption, so that no
+// acknowledged record is missing.
 func (a *Analysis) isCrashTrace(corruption Corruption, isLast bool) bool {
 	switch {
 	case !isLast:
 		return false
 	case corruption == CorruptionTruncated:
-		// The write was not acknowledged, so nothing ran because of it. For a crashed process that holds at any
-		// durability, for a crashed machine where each write was synced; otherwise Finish accounts for what a crash of
-		// the machine lost.
+		// The write was not acknowledged, so no request ran because of it. This holds for a crash of the process at
+		// any durability, and for a crash of the machine if each write was synced. For unsynced writes, Finish
+		// accounts for what a crash of the machine may have lost.
 		return true
 	case corruption == CorruptionInvalid:
-		// After a crash of the machine: blocks that were never synced, in whatever order the disk wrote them.
+		// After a crash of the machine the tail may hold blocks that were never synced, because the disk writes
+		// blocks in any order.
 		return a.durability == DurabilityMachine && a.lastWritten.BootID != a.now.BootID
 	}
 	return false
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -15,8 +15,8 @@
 	"thistlequay/timeunit"
 )
 
-// The words in a history ("fate", "promise", ...) are part of what was recorded and keep their old names.
-
+// addRecords adds records to the history. The event names in a history ("fate", "promise", ...) are part of the
+// recorded golden files, so they must not change.
 func addRecords(history *golden.History, records []Record) {
 	for _, record := range records {
 		history.Add("record", int(record.Kind), record.Attempt, record.Key, hex.EncodeToString(record.BodyHash[:]),
@@ -25,6 +25,7 @@
 	}
 }
 
+// addRecoveredState adds the result of an analysis to the history.
 func addRecoveredState(history *golden.History, state RecoveredState) {
 	history.Add("conclusion", int64(state.RejectUntil), hex.EncodeToString(state.WarmStart), state.Dropped,
 		len(state.Outcomes))
@@ -34,8 +35,8 @@
 	}
 }
 
-// analyzeSeeded has an analysis read a seeded directory: segments of both durabilities, records of few keys,
-// corruption, restarts of the machine.
+// analyzeSeeded analyzes pseudo-random segments of both durabilities, with records of a few keys, corruption and
+// reboots of the machine, and adds the records and the result to the history.
 func analyzeSeeded(history *golden.History, seed int64) {
 	random := rand.New(rand.NewSource(seed))
 	now := ClockReading{Wall: 2_000, Monotonic: 1_500, BootID: 1 + uint64(random.Intn(2))}
@@ -60,6 +61,7 @@
 	history.Add("end", seed, analysis.RecordCount)
 }
 
+// seededRecord returns a pseudo-random record of any kind.
 func seededRecord(random *rand.Rand) Record {
 	wall := timeunit.Ticks(random.Intn(2_100))
 	var record Record
@@ -76,7 +78,8 @@
 	return record
 }
 
-// useSpaceSeeded plays a seeded order of reservations, writes and expiries.
+// useSpaceSeeded applies a pseudo-random sequence of reservations, writes and expiries to a Space and adds each
+// resulting usage to the history.
 func useSpaceSeeded(history *golden.History, seed int64) {
 	random := rand.New(rand.NewSource(seed))
 	space := Space{MaxBytes: 6_000, MaxRecords: 40}
@@ -102,7 +105,8 @@
 	}
 }
 
-// TestGoldenSchedules compares what three hundred seeded directories, and seeded uses of space, come to, ten a line.
+// TestGoldenSchedules compares the results of analyses and of space accounting with the golden file, for 300 seeds with
+// ten seeds per line.
 func TestGoldenSchedules(t *testing.T) {
 	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 300, SeedsPerLine: 10}
 	file.Check(t, func(_ *testing.T, seed int64, history *golden.History) {
@@ -111,7 +115,8 @@
 	})
 }
 
-// TestGoldenWarmStart compares the stored form of a warm-start state, and what of it counts later.
+// TestGoldenWarmStart compares the stored form of a warm-start state, and its decay over eight half-lives, with the
+// golden file.
 func TestGoldenWarmStart(t *testing.T) {
 	learnt := admission.WarmStartState{
 		Limit:          10.5,
--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -10,33 +10,34 @@
 	"thistlequay/timeunit"
 )
 
-// attemptState is how far one of the two attempts of the model is.
-//
-// The model: two attempts with one key in a first process, a crash at any moment, a retry in a second process, another
-// crash and a retry in a third. Each attempt appends its intent, the intent becomes durable, it runs or is withdrawn,
-// its completion is appended. What is on the disk after a crash is any part of the log from what is durable to all that
-// was appended. Every order is visited.
+// attemptState is the progress of one of the two attempts of the model.
 type attemptState int
 
 const (
-	pending attemptState = iota
-	intended
-	durable
-	ran
-	completed
-	withdrawn // before it ran
+	pending   attemptState = iota
+	intended               // the intent record was appended
+	durable                // the intent record is durable
+	ran                    // the request ran
+	completed              // the completion record was appended
+	withdrawn              // the attempt ended without running
 )
 
+// model is one state of an exhaustive model of two attempts with the same key.
+//
+// Both attempts belong to a first process, which may crash at any moment. A second process then receives a retry, may
+// crash too, and a third process receives another retry. Each attempt appends its intent, waits until the intent is
+// durable, runs or is withdrawn, and appends its completion after a run. After a crash the disk holds any prefix of the
+// log that contains at least the durable records. The test visits every order of these steps.
 type model struct {
-	log            []Record
-	durableRecords int // so many records of the log survive a crash
+	log            []Record // all appended records
+	durableRecords int      // number of records, from the start of the log, that are sure to survive a crash
 	attempts       [2]attemptState
-	intentEnd      [2]int // length of the log with the intent of each
-	runs           int
-	answers        int
+	intentEnd      [2]int // length of the log just after the intent of each attempt was appended
+	runs           int    // how often the request ran
+	answers        int    // number of attempts that got a result
 }
 
-// appended returns the model with one more record of the key.
+// appended returns a copy of the model whose log has one more record for the key.
 func (m model) appended(record Record) model {
 	record.Key = "k"
 	record.WindowEnd = 1_000
@@ -45,13 +46,14 @@
 	return m
 }
 
-// anyStarted reports whether an attempt is known to have run in this process, so that another shares its answer.
+// anyStarted reports whether an attempt has run in this process, so that another attempt shares its result.
 func (m model) anyStarted() bool {
 	isStarted := func(state attemptState) bool { return state == ran || state == completed }
 	return isStarted(m.attempts[0]) || isStarted(m.attempts[1])
 }
 
-// explore visits everything that can follow and calls crash for each log that a crash may leave.
+// explore visits all states that are reachable from the given one and are not in seen yet. It calls crash for each
+// state and each log that a crash in that state may leave on the disk.
 func explore(from model, seen map[string]bool, crash func(crashed model, left []Record)) {
 	state := fmt.Sprint(from.attempts, from.intentEnd, from.durableRecords, from.runs, describe(from.log))
 	if seen[state] {
@@ -73,7 +75,7 @@
 	}
 }
 
-// successors returns the models that can follow when one attempt moves on.
+// successors returns the possible next states when the given attempt makes one step.
 func (m model) successors(attempt int) []model {
 	switch m.attempts[attempt] {
 	case pending:
@@ -85,7 +87,7 @@
 			isDurable.attempts[attempt] = durable
 			next = append(next, isDurable)
 		}
-		return append(next, m.afterCancellation(attempt)) // its client left, or the disk answered too late
+		return append(next, m.afterCancellation(attempt)) // its client disconnected, or the write took too long
 	case durable:
 		return []model{m.afterDurable(attempt)}
 	case ran:
@@ -102,9 +104,11 @@
 	return nil
 }
 
+// attemptOf returns the attempt number that is stored in records, which is 1 or 2.
 func attemptOf(attempt int) uint64 { return uint64(attempt + 1) }
 
-// afterPending shares the answer of an attempt that runs, or appends the intent.
+// afterPending returns the model after a pending attempt either shared the result of an attempt that ran, or appended
+// its intent.
 func (m model) afterPending(attempt int) model {
 	if m.anyStarted() {
 		m.attempts[attempt] = withdrawn
@@ -117,13 +121,15 @@
 	return m
 }
 
+// afterCancellation returns the model after an attempt withdrew its intent.
 func (m model) afterCancellation(attempt int) model {
 	m = m.appended(Record{Kind: KindCancellation, Attempt: attemptOf(attempt)})
 	m.attempts[attempt] = withdrawn
 	return m
 }
 
-// afterDurable runs, or cancels the intent and shares the answer of an attempt that ran meanwhile.
+// afterDurable returns the model after an attempt with a durable intent either ran, or cancelled its intent and shared
+// the result of an attempt that ran in the meantime.
 func (m model) afterDurable(attempt int) model {
 	if m.anyStarted() {
 		m = m.afterCancellation(attempt)
@@ -135,6 +141,7 @@
 	return m
 }
 
+// describe lists the kinds and attempts of the records in a log.
 func describe(log []Record) (text string) {
 	for _, record := range log {
 		text += fmt.Sprint(record.Kind, record.Attempt, " ")
@@ -142,7 +149,8 @@
 	return text
 }
 
-// recoverAfterCrash concludes from what is left, as a later process does, and reports whether a retry would run.
+// recoverAfterCrash analyzes the records that survived a crash, as the next process does at the given wall clock time.
+// It returns the recovered state and reports whether a retry would run.
 func recoverAfterCrash(left []Record, wall timeunit.Ticks) (runs bool, state RecoveredState) {
 	config := Config{MaxWindow: 900, ClockUncertainty: 100, MaxOutcomes: 10}
 	analysis := NewAnalysis(config, ClockReading{Wall: wall, Monotonic: wall, BootID: 1})
@@ -154,7 +162,8 @@
 	return len(state.Outcomes) == 0 && state.RejectUntil == 0, state
 }
 
-// TestNoInterleavingOfAttemptsAndCrashesRunsTwice visits every order of the model and every log that a crash may leave.
+// TestNoInterleavingOfAttemptsAndCrashesRunsTwice checks that a keyed request runs at most once, whatever the order of
+// the attempts' steps, the moment of the crash and the records that survive it. See model.
 func TestNoInterleavingOfAttemptsAndCrashesRunsTwice(t *testing.T) {
 	crashes := 0
 	retries := map[string]int{}
@@ -167,10 +176,10 @@
 		addRecoveredState(history, state)
 		history.Add("run", runs, crashed.runs, crashed.answers, crashed.durableRecords, len(crashed.log))
 		if crashed.runs > 0 {
-			require.False(t, runs, "runs twice: %v of %v", describe(left), describe(crashed.log))
+			require.False(t, runs, "a retry runs again: %v of %v survived", describe(left), describe(crashed.log))
 		}
 		switch {
-		case runs: // the retry runs in the second process; a third must not run it again
+		case runs: // the retry runs in the second process, so the third process must not run it again
 			retries["runs"]++
 			again := model{log: left, durableRecords: len(left)}.appended(Record{Kind: KindIntent, Attempt: 9})
 			runsAgain, _ := recoverAfterCrash(again.log, 30)
@@ -181,7 +190,7 @@
 		default:
 			retries["aborted"]++
 		}
-		runs, state = recoverAfterCrash(left, 2_000) // when its window is over nothing is left of it
+		runs, state = recoverAfterCrash(left, 2_000) // after the end of the window the key may be used again
 		require.True(t, runs)
 		require.Zero(t, state.RejectUntil)
 	})
--- a/internal/recovery/space.go
+++ b/internal/recovery/space.go
@@ -2,9 +2,10 @@
 
 import "thistlequay/timeunit"
 
-// Space keeps account of the space of a store: what is used, what is reserved for records still to come, and which
-// segments may be removed. It must never reserve the same byte twice, nor let go of a segment that a retry may still
-// need. It is for one goroutine at a time. The limits are set before the first Reserve.
+// Space accounts for the space of a store: the bytes that are used, the bytes that are reserved for future records, and
+// the segments that may be removed. It must never reserve the same byte twice, nor release a segment that a retry may
+// still need. A Space is not safe for concurrent use. MaxBytes and MaxRecords must be set before the first call of
+// Reserve.
 type Space struct {
 	MaxBytes   int64
 	MaxRecords int
@@ -12,19 +13,19 @@
 	usedBytes     int64
 	reservedBytes int64
 	recordCount   int
-	segments      []segmentUsage // oldest first; the last one is being written
+	segments      []segmentUsage // oldest first; records are appended to the last one
 }
 
-// segmentUsage is what one segment holds.
+// segmentUsage describes the contents of one segment.
 type segmentUsage struct {
 	id        uint64
-	bytes     int64
-	records   int
-	windowEnd timeunit.Ticks // the latest of its records
+	bytes     int64          // header included
+	records   int            // number of records
+	windowEnd timeunit.Ticks // the latest window end of its records
 }
 
-// Reserve takes space for an intent and for the completion that must follow it. It returns false where there is too
-// little; the request must then be rejected before it runs.
+// Reserve reserves space for an intent and for the completion that follows it. It returns false if there is too little
+// space; the request must then be rejected before it runs.
 func (s *Space) Reserve(intentBytes, completionBytes int64) bool {
 	wanted := intentBytes + completionBytes
 	if s.usedBytes+s.reservedBytes+wanted > s.MaxBytes || s.recordCount >= s.MaxRecords {
@@ -34,17 +35,18 @@
 	return true
 }
 
-// Release gives back reserved bytes that were not used.
+// Release releases reserved bytes that were not used.
 func (s *Space) Release(bytes int64) { s.reservedBytes -= bytes }
 
-// StartSegment adds a segment, which has the given size already.
+// StartSegment adds a segment whose present size is the given number of bytes. It becomes the current segment.
 func (s *Space) StartSegment(id uint64, bytes int64) {
 	s.segments = append(s.segments, segmentUsage{id: id, bytes: bytes})
 	s.usedBytes += bytes
 }
 
-// CommitWrite accounts for a record in the newest segment: its size, how much had been reserved for it, and until when
-// it is needed. StartSegment must have been called before.
+// CommitWrite accounts for a record that was written to the current segment. It adds the size of the record to the used
+// bytes, releases the bytes that were reserved for it, and keeps the segment until windowEnd at least. StartSegment
+// must have been called before.
 func (s *Space) CommitWrite(bytes, reserved int64, windowEnd timeunit.Ticks) {
 	newest := &s.segments[len(s.segments)-1]
 	newest.bytes += bytes
@@ -55,8 +57,8 @@
 	s.reservedBytes -= reserved
 }
 
-// CurrentSegment returns the id and the size of the segment that is being written, and the latest window end in it;
-// zeros where there is none.
+// CurrentSegment returns the id of the segment to which records are appended, its size, and the latest window end of
+// its records. It returns zeros if there is no segment.
 func (s *Space) CurrentSegment() (id uint64, bytes int64, windowEnd timeunit.Ticks) {
 	if len(s.segments) == 0 {
 		return 0, 0, 0
@@ -65,8 +67,9 @@
 	return newest.id, newest.bytes, newest.windowEnd
 }
 
-// RemoveExpired forgets the segments that no retry needs any more, and returns their ids. The newest always stays. A
-// segment goes only together with all older ones, because a gap would be taken for a loss at the next start.
+// RemoveExpired removes the segments whose windows have all ended by now from the account, and returns their ids. It
+// never removes the current segment. A segment is only removed together with all older ones, because the next start
+// would take a gap for data loss.
 func (s *Space) RemoveExpired(now timeunit.Ticks) (expired []uint64) {
 	for len(s.segments) > 1 && s.segments[0].windowEnd <= now {
 		oldest := s.segments[0]
@@ -78,7 +81,7 @@
 	return expired
 }
 
-// Usage returns the bytes used and reserved, and the number of records.
+// Usage returns the used and the reserved bytes, and the number of records.
 func (s *Space) Usage() (usedBytes, reservedBytes int64, records int) {
 	return s.usedBytes, s.reservedBytes, s.recordCount
 }
--- a/internal/recovery/warmstart.go
+++ b/internal/recovery/warmstart.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// warmStartHalfLife is ten minutes: by then what an earlier process learnt counts half.
+	// warmStartHalfLife is the age, ten minutes, at which a stored state has half its weight.
 	warmStartHalfLife = 600 * timeunit.TicksPerSecond
-	// minWarmStartWeight is the weight below which it isn't worth having.
+	// minWarmStartWeight is the weight below which a stored state is ignored.
 	minWarmStartWeight = 1.0 / 64
-	// maxBinCount is more than any bin of a histogram reaches.
+	// maxBinCount is the highest plausible count in a histogram bin; real counts stay below it.
 	maxBinCount = 256
-	// maxLimit is more than any concurrency limit reaches.
+	// maxLimit is an upper bound for plausible concurrency limits; real limits stay below it.
 	maxLimit = 1e6
-	// maxHistogramPart bounds what is restored of a histogram to half of what makes it full, so that the new process's
-	// own measurements soon outweigh it.
+	// maxHistogramPart is the largest fraction of a full histogram that is restored. It is one half, so that the new
+	// process's own measurements soon outweigh the restored ones.
 	maxHistogramPart = 0.5
 )
 
-// WarmStartState is what a process has learnt, when, and under which settings. It is stored as JSON.
+// WarmStartState holds the measurements of a process, when they were captured, and the settings that they depend on. It
+// is stored as JSON.
 type WarmStartState struct {
-	CapturedAt   timeunit.Ticks `json:"At"`       // by the wall clock of then
-	SettingsHash uint64         `json:"Settings"` // of the settings that decisions depend on
-	Cores        float64        `json:"Cores"`
+	CapturedAt   timeunit.Ticks `json:"At"`       // in the wall clock of the capturing process
+	SettingsHash uint64         `json:"Settings"` // hash of the settings that admission decisions depend on
+	Cores        float64        `json:"Cores"`    // CPU cores of the process; the least limit that Decay restores
 	admission.WarmStartState
 }
 
-// Decay returns what a new process begins with, by the present wall clock and settings: older states count less. It
-// returns nil where nothing of it counts: for no state, one that is too old, from the future, of other settings, or
-// with an impossible value.
+// Decay returns the state that a new process starts with, at the wall clock time now and under the settings with the
+// given hash. The older the state, the less weight it has. Decay returns nil if the state cannot be used: if s is nil,
+// too old, from the future, captured under other settings, or holds an impossible value.
 func (s *WarmStartState) Decay(now timeunit.Ticks, settingsHash uint64) *admission.WarmStartState {
 	if s == nil || s.SettingsHash != settingsHash || now < s.CapturedAt || !s.isPlausible() {
 		return nil
@@ -48,7 +49,8 @@
 	}
 }
 
-// isPlausible reports whether no value is one that can't be. Comparisons are written so that NaN fails them.
+// isPlausible reports whether all values are within their possible ranges. The comparisons are written so that NaN
+// fails them.
 func (s *WarmStartState) isPlausible() bool {
 	if !(s.Cores > 0) || !(s.Limit >= 0 && s.Limit < maxLimit) {
 		return false
@@ -65,6 +67,7 @@
 	return true
 }
 
+// scaledHistograms returns copies of the histograms, scaled as by scaledHistogram.
 func scaledHistograms(histograms [][]float64, weight float64) (scaled [][]float64) {
 	for _, bins := range histograms {
 		scaled = append(scaled, scaledHistogram(bins, weight))
@@ -72,6 +75,7 @@
 	return scaled
 }
 
+// scaledHistogram returns a copy of a histogram with all counts multiplied by the weight and by maxHistogramPart.
 func scaledHistogram(bins []float64, weight float64) (scaled []float64) {
 	for _, count := range bins {
 		scaled = append(scaled, count*weight*maxHistogramPart)
--- a/internal/recovery/warmstart_test.go
+++ b/internal/recovery/warmstart_test.go
@@ -9,7 +9,7 @@
 	"thistlequay/admission"
 )
 
-// freshState returns a state that counts in full at its CapturedAt.
+// freshState returns a state that has its full weight at its CapturedAt, tick 1e9.
 func freshState() *WarmStartState {
 	return &WarmStartState{CapturedAt: 1e9, SettingsHash: 7, Cores: 2, WarmStartState: admission.WarmStartState{
 		Limit:          10,
@@ -19,7 +19,8 @@
 	}}
 }
 
-// TestWarmStartStateLosesWeightWithAge checks what of a state counts when it is captured and a half-life later.
+// TestWarmStartStateLosesWeightWithAge checks what is restored from a state just after its capture and one half-life
+// later.
 func TestWarmStartStateLosesWeightWithAge(t *testing.T) {
 	require.Equal(t, &admission.WarmStartState{
 		Limit:          10,
@@ -32,20 +33,20 @@
 	require.Equal(t, 2.0, later.RunTimes[0][0])
 }
 
-// TestUnusableWarmStartStateIsIgnored checks that nothing is restored from a state that is absent, of another time or
-// configuration, or corrupt.
+// TestUnusableWarmStartStateIsIgnored checks that nothing is restored from a state that is absent, too old, from the
+// future, captured under other settings, or corrupt.
 func TestUnusableWarmStartStateIsIgnored(t *testing.T) {
-	require.Nil(t, (*WarmStartState)(nil).Decay(1e9, 7), "none")
-	require.Nil(t, freshState().Decay(1e9, 8), "other settings")
-	require.Nil(t, freshState().Decay(1e9-1, 7), "of the future")
+	require.Nil(t, (*WarmStartState)(nil).Decay(1e9, 7), "no state")
+	require.Nil(t, freshState().Decay(1e9, 8), "captured under other settings")
+	require.Nil(t, freshState().Decay(1e9-1, 7), "from the future")
 	require.Nil(t, freshState().Decay(1e9+10*warmStartHalfLife, 7), "too old")
 	for name, corrupt := range map[string]func(state *WarmStartState){
-		"limit no number":     func(state *WarmStartState) { state.Limit = math.NaN() },
-		"limit too large":     func(state *WarmStartState) { state.Limit = 1e9 },
-		"no cores":            func(state *WarmStartState) { state.Cores = 0 },
-		"negative run time":   func(state *WarmStartState) { state.RunTimes[0][0] = -1 },
-		"infinite run time":   func(state *WarmStartState) { state.QuietRunTimes[0][0] = math.Inf(1) },
-		"call time no number": func(state *WarmStartState) { state.QuickCallTimes[0] = math.NaN() },
+		"limit is NaN":      func(state *WarmStartState) { state.Limit = math.NaN() },
+		"limit too large":   func(state *WarmStartState) { state.Limit = 1e9 },
+		"zero cores":        func(state *WarmStartState) { state.Cores = 0 },
+		"negative run time": func(state *WarmStartState) { state.RunTimes[0][0] = -1 },
+		"infinite run time": func(state *WarmStartState) { state.QuietRunTimes[0][0] = math.Inf(1) },
+		"call time is NaN":  func(state *WarmStartState) { state.QuickCallTimes[0] = math.NaN() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := freshState()
--- a/internal/segmentlog/clock.go
+++ b/internal/segmentlog/clock.go
@@ -12,10 +12,10 @@
 	"thistlequay/timeunit"
 )
 
-// bootIDFile holds a random id that the kernel draws at each start.
+// bootIDFile contains a random id that the kernel generates at each boot.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// MachineClock reads the clocks of this machine. What can't be read is 0.
+// MachineClock reads the clocks of this machine. A value that cannot be read is 0.
 func MachineClock() recovery.ClockReading {
 	reading := recovery.ClockReading{Wall: timeunit.UnixTicks(time.Now())}
 	var sinceBoot unix.Timespec
--- a/internal/segmentlog/compact.go
+++ b/internal/segmentlog/compact.go
@@ -6,9 +6,10 @@
 	"thistlequay/internal/recovery"
 )
 
-// Compact writes what retries may still need into one new segment, makes that durable and removes all others. It
-// returns how many outcomes were kept and how many segments removed. While records may be missing it does nothing and
-// returns an error: the segments are the only trace of the loss. No other process may have the storage open.
+// Compact writes the outcomes that retries may still need to one new segment, makes it durable and removes all other
+// segments. It returns the number of outcomes that it kept and the number of segments that it removed. If records may
+// be missing, Compact changes nothing and returns an error, because the segments are the only evidence of the loss. No
+// other process may have the storage open.
 func Compact(storage Storage, analysis *recovery.Analysis, now recovery.ClockReading) (kept, removed int, err error) {
 	scan, err := Scan(storage, analysis, now, true, nil)
 	if err != nil {
@@ -16,7 +17,7 @@
 	}
 	if scan.RejectUntil > 0 {
 		wait := (scan.RejectUntil - now.Wall).Milliseconds()
-		return 0, 0, fmt.Errorf("records may be missing; try again in %d ms, when no repeat of them can come", wait)
+		return 0, 0, fmt.Errorf("records may be missing; retry in %d ms, when the windows of all lost records have ended", wait)
 	}
 	previous, err := storage.List()
 	if err != nil {
@@ -28,7 +29,7 @@
 		return 0, 0, err
 	}
 	if err := writeWhole(storage, file, compacted(&scan, now)); err != nil {
-		_ = storage.Remove(name) // what it holds is in the other segments too
+		_ = storage.Remove(name) // its records are still in the other segments
 		return 0, 0, err
 	}
 	for _, name := range previous {
@@ -40,7 +41,7 @@
 	return len(scan.Outcomes), removed, nil
 }
 
-// compacted returns the text of a segment with the outcomes of a scan.
+// compacted returns an encoded segment with the outcomes of a scan, ending with a shutdown record.
 func compacted(scan *ScanResult, now recovery.ClockReading) []byte {
 	header := segmentHeader{durability: recovery.DurabilityMachine, id: scan.nextID, createdAt: now}
 	data := header.encode()
@@ -64,8 +65,8 @@
 	return appendRecord(data, &recovery.Record{Kind: recovery.KindShutdown, WrittenAt: now})
 }
 
-// writeWhole writes a whole segment, makes it and its name durable and closes it. After an error the file is closed
-// too.
+// writeWhole writes a complete segment, makes it and its file name durable and closes it. The file is closed after an
+// error too.
 func writeWhole(storage Storage, file SegmentFile, data []byte) error {
 	_, err := file.Write(data)
 	if err == nil {
--- a/internal/segmentlog/crash_test.go
+++ b/internal/segmentlog/crash_test.go
@@ -11,22 +11,22 @@
 	"thistlequay/timeunit"
 )
 
-// crashRun is one process on a memory disk and what it did by which step of the disk.
+// crashRun records what one process did on a memory disk, and after which disk step each run began and was completed.
 type crashRun struct {
 	t          *testing.T
 	durability recovery.Durability
-	keys       int
+	keys       int // number of keys; see keyName
 	clock      *testClock
 	steps      []diskStep
-	begun      map[string]int // after how many steps the run of a key began
-	completed  map[string]int // and its completion was durable
-	crashes    int
-	processes  int
+	begun      map[string]int // by key: number of disk steps before the run began
+	completed  map[string]int // by key: number of disk steps before the completion was acknowledged
+	crashes    int            // number of crashes checked
+	processes  int            // number of processes started after a crash
 }
 
-// TestNoKeyRunsTwiceAfterAnyCrash crashes a process after each of its steps on the disk, with the last write torn at
-// each byte, with unsynced writes kept, dropped or reordered. Whatever is found then, no key that ran is run again, and
-// a stored result is never another one.
+// TestNoKeyRunsTwiceAfterAnyCrash checks that after any crash no key that ran is run again, and that a retry never gets
+// the result of another key. It simulates a crash after each disk step of a process, with the last write torn at each
+// byte, and with unsynced writes kept, dropped or reordered.
 func TestNoKeyRunsTwiceAfterAnyCrash(t *testing.T) {
 	keys := schedule.Scale(12, 60)
 	processes, crashes := 0, 0
@@ -40,8 +40,8 @@
 	require.Greater(t, crashes, 1000)
 }
 
-// playCrashRun has a process handle the given number of keys: of five one never runs, of the others two thirds
-// complete.
+// playCrashRun runs a process that handles the given number of keys, and records its disk steps. Every fifth key is
+// cancelled before it runs; of the other keys, about two thirds complete.
 func playCrashRun(t *testing.T, durability recovery.Durability, keys int) *crashRun {
 	t.Helper()
 	run := &crashRun{
@@ -72,7 +72,7 @@
 	return run
 }
 
-// Boots of the machine.
+// Boot ids of the machine before and after a reboot.
 const (
 	firstBoot  = 1
 	secondBoot = 2
@@ -80,15 +80,17 @@
 
 func keyName(i int) string { return fmt.Sprint("key-", i) }
 
+// keepUnsynced is a crashedDisk function with which all unsynced writes survive.
 func keepUnsynced(int) bool { return true }
 
+// dropUnsynced is a crashedDisk function with which no unsynced write survives.
 func dropUnsynced(int) bool { return false }
 
-// crashEverywhere crashes after each step, in each way that the durability has to survive.
+// crashEverywhere simulates a crash after each disk step, in each way that the durability must survive.
 func (r *crashRun) crashEverywhere() {
 	for stepCount := range len(r.steps) + 1 {
 		steps := r.steps[:stepCount]
-		r.check(stepCount, crashedDisk(steps, keepUnsynced), firstBoot) // the process is killed
+		r.check(stepCount, crashedDisk(steps, keepUnsynced), firstBoot) // the process crashes
 		if stepCount > 0 && steps[stepCount-1].operation == opWrite {
 			r.tearLastWrite(steps)
 		}
@@ -96,14 +98,14 @@
 			r.check(stepCount, crashedDisk(steps, dropUnsynced), secondBoot)
 			continue
 		}
-		for subset := range 8 { // the machine crashes: each subset of the last few unsynced writes survives
+		for subset := range 8 { // the first, the second and all later unsynced writes survive or not
 			survives := func(unsynced int) bool { return subset>>min(unsynced, 2)&1 == 1 }
 			r.check(stepCount, crashedDisk(steps, survives), secondBoot)
 		}
 	}
 }
 
-// tearLastWrite crashes in the middle of the last step, a write, at each of its bytes.
+// tearLastWrite simulates a crash in the middle of the last step, which must be a write, at each of its bytes.
 func (r *crashRun) tearLastWrite(steps []diskStep) {
 	stepsBefore := len(steps) - 1
 	write := steps[stepsBefore]
@@ -118,7 +120,8 @@
 	}
 }
 
-// check starts another process, of the given boot, on a disk as it was after so many steps.
+// check starts a process on a disk as a crash after stepCount steps left it, in the given boot of the machine, and
+// checks what it does with a retry of each key.
 func (r *crashRun) check(stepCount int, disk *memoryDisk, bootID uint64) {
 	r.t.Helper()
 	r.crashes++
@@ -126,7 +129,7 @@
 	if bootID != firstBoot {
 		clock.reading.Monotonic = 100
 	}
-	isEmpty := stepCount < 2 // the directory, before the first segment
+	isEmpty := stepCount < 2 // the first segment is not complete yet
 	session := openSession(r.t, disk, testConfig(r.durability, isEmpty, clock.now))
 	r.processes++
 	for i := range r.keys {
@@ -135,7 +138,8 @@
 	session.close()
 }
 
-// checkKey checks what a process of the given boot does with a retry of a key.
+// checkKey checks what a process does with a retry of a key, in the given boot, after a crash after stepCount steps.
+// got is the return value of retryOutcome.
 func (r *crashRun) checkKey(key, got string, stepCount int, bootID uint64) {
 	r.t.Helper()
 	if begun, ran := r.begun[key]; ran && begun <= stepCount {
@@ -152,8 +156,9 @@
 	}
 }
 
-// TestCrashWhileOpeningLosesNothing crashes a process while it opens the log: after each step, with its header torn at
-// each byte. The next process finds what was there.
+// TestCrashWhileOpeningLosesNothing checks that a crash while a process opens the log loses no outcome and is not taken
+// for data loss. It simulates a crash after each disk step of Open, with the header of the new segment torn at each
+// byte.
 func TestCrashWhileOpeningLosesNothing(t *testing.T) {
 	disk := newMemoryDisk()
 	clock := newTestClock()
@@ -179,6 +184,8 @@
 	}
 }
 
+// checkNothingLost checks that a new process on the disk still knows both keys of TestCrashWhileOpeningLosesNothing,
+// and runs a key that is new.
 func checkNothingLost(t *testing.T, disk *memoryDisk, clock *testClock) {
 	t.Helper()
 	session := restartSession(t, disk, clock.later(0, 0, firstBoot))
@@ -188,8 +195,8 @@
 	session.close()
 }
 
-// TestCorruptionRejectsUnknownKeysForAWindow checks that after corruption or loss of segments no key runs, as long as
-// one that was lost might be retried.
+// TestCorruptionRejectsUnknownKeysForAWindow checks that after corruption or loss of segments no unknown key runs until
+// the deduplication window of all keys that may have been lost has ended.
 func TestCorruptionRejectsUnknownKeysForAWindow(t *testing.T) {
 	for name, corrupt := range map[string]func(disk *memoryDisk){
 		"middle":  func(disk *memoryDisk) { disk.files[segmentName(2)][headerSize+70] ^= 1 },
@@ -211,12 +218,13 @@
 				return
 			}
 			second := restartSession(t, disk, clock.later(2*testWindow, 2*testWindow, firstBoot))
-			require.Equal(t, retryRuns, second.retryOutcome(keyName(1)), "by then no retry can come")
+			require.Equal(t, retryRuns, second.retryOutcome(keyName(1)), "rejected after all windows have ended")
 		})
 	}
 }
 
-// TestSegmentOfAnotherVersionIsRefused checks that a segment of another version is an error and no corruption.
+// TestSegmentOfAnotherVersionIsRefused checks that Open returns an error for a segment of another format version
+// instead of treating it as corruption.
 func TestSegmentOfAnotherVersionIsRefused(t *testing.T) {
 	disk, clock := diskWithSegments(t)
 	disk.files[segmentName(2)][headerVersionOffset] = 9
@@ -240,8 +248,8 @@
 	return disk, clock
 }
 
-// TestWindowSurvivesClockSteps checks that a window lasts as long as it should where the wall clock steps over a
-// restart, within one boot and over another.
+// TestWindowSurvivesClockSteps checks that a deduplication window does not end too soon if the wall clock is set
+// between two processes, within one boot and across a reboot.
 func TestWindowSurvivesClockSteps(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -253,8 +261,8 @@
 		{"40 s later", 400_000, 400_000, firstBoot, retryRuns},
 		{"set 40 s forward", 400_000, 100, firstBoot, retryAborted},
 		{"set 40 s back", -400_000, 100, firstBoot, retryAborted},
-		{"another boot, uncertain for a second more", 355_000, 100, secondBoot, retryAborted},
-		{"another boot, 40 s later", 400_000, 100, secondBoot, retryRuns},
+		{"after a reboot, within the clock uncertainty of 1 s", 355_000, 100, secondBoot, retryAborted},
+		{"after a reboot, 40 s later", 400_000, 100, secondBoot, retryRuns},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			disk := newMemoryDisk()
--- a/internal/segmentlog/directory.go
+++ b/internal/segmentlog/directory.go
@@ -11,15 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// SegmentFile is a segment that is being written.
+// SegmentFile is a segment that is open for writing.
 type SegmentFile interface {
 	io.Writer
-	// Sync makes all that was written durable. After an error nothing is known of it, whatever a later Sync returns.
+	// Sync makes all previous writes durable. After an error it is unknown which of them are durable, whatever a later
+	// Sync returns.
 	Sync() error
 	Close() error
 }
 
-// Storage is a directory of segments. Directory is the one on a disk; tests use others, which fail, forget and reorder.
+// Storage is a directory of segments. Directory stores them in a file system. Tests use implementations that return
+// errors and that lose or reorder unsynced writes.
 type Storage interface {
 	// List returns the names of all segments, sorted.
 	List() ([]string, error)
@@ -29,23 +31,24 @@
 	Create(name string) (SegmentFile, error)
 	// Remove removes a segment.
 	Remove(name string) error
-	// SyncDirectory makes names that were created and removed durable.
+	// SyncDirectory makes the creation and removal of segments durable.
 	SyncDirectory() error
 }
 
-// Directory is the Storage on a disk.
+// Directory is a Storage in a directory of the file system.
 type Directory struct {
 	path     string
-	lockFile *os.File // nil where the directory is only read
+	lockFile *os.File // nil if the directory is only read
 }
 
-// ErrLocked reports that another process has opened the directory.
+// ErrLocked is returned by OpenDirectory if another process has opened the directory.
 var ErrLocked = errors.New("another process has this store")
 
+// lockFileName is the name of the file that the process which has opened the directory holds locked.
 const lockFileName = "lock"
 
-// OpenDirectory opens a directory for this process alone, and creates it where it doesn't exist. It returns ErrLocked
-// where another process has it. The caller closes it.
+// OpenDirectory opens a directory for exclusive use by this process, and creates it if it does not exist. It returns
+// ErrLocked if another process has opened it. The caller must call Close.
 func OpenDirectory(path string) (*Directory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -55,16 +58,17 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(lockFile.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		_ = lockFile.Close() // nothing was written to it
+		_ = lockFile.Close() // nothing was written to the file
 		return nil, ErrLocked
 	}
 	return &Directory{path: path, lockFile: lockFile}, nil
 }
 
-// OpenDirectoryReadOnly opens a directory for reading, also one that another process has opened. It must not be closed.
+// OpenDirectoryReadOnly returns a Directory for reading, without locking it, so another process may have it open. Close
+// must not be called on it.
 func OpenDirectoryReadOnly(path string) *Directory { return &Directory{path: path} }
 
-// Close lets another process open the directory.
+// Close releases the lock, so that another process can open the directory.
 func (d *Directory) Close() error { return d.lockFile.Close() }
 
 // List returns the names of all segments, sorted.
@@ -85,7 +89,7 @@
 	return os.Open(filepath.Join(d.path, name))
 }
 
-// Create creates a segment that must not exist yet.
+// Create creates a segment for appending. It returns an error if the segment exists.
 func (d *Directory) Create(name string) (SegmentFile, error) {
 	return os.OpenFile(filepath.Join(d.path, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
@@ -93,12 +97,12 @@
 // Remove removes a segment.
 func (d *Directory) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
-// SyncDirectory makes names that were created and removed durable.
+// SyncDirectory makes the creation and removal of segments durable.
 func (d *Directory) SyncDirectory() error {
 	directory, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // it was only read
+	defer func() { _ = directory.Close() }() // the directory was only read
 	return directory.Sync()
 }
--- a/internal/segmentlog/format.go
+++ b/internal/segmentlog/format.go
@@ -13,8 +13,8 @@
 	"thistlequay/timeunit"
 )
 
-// A segment is a file: a header, then records. All numbers are little-endian, all times are timeunit.Ticks, each
-// checksum is the xxh3 hash of everything before it in the header or record.
+// A segment is a file that consists of a header and records. All numbers are little-endian, and all times are
+// timeunit.Ticks. Each checksum is the xxh3 hash of everything before it in the header or record.
 //
 //	header  offset  bytes   record  offset  bytes
 //	magic        0      8   magic        0      2
@@ -23,12 +23,12 @@
 //	zeros       11      5   key length   4      2
 //	id          16      8   payload len. 6      2
 //	previous                window end   8      8
-//	window end  24      8   written at  16     24   (a clock)
+//	window end  24      8   written at  16     24   (a clock reading)
 //	created at  32     24   attempt     40      8
 //	checksum    56      8   body hash   48     32   (intents only)
 //	                        key, payload, checksum (8)
 //
-// A clock is the wall clock, the monotonic clock and the boot id, 8 bytes each.
+// A clock reading consists of the wall clock, the monotonic clock and the boot id, 8 bytes each.
 const (
 	segmentMagic  = "thistleS"
 	recordMagic   = 0x5354
@@ -40,14 +40,14 @@
 	clockSize       = 8 + 8 + 8
 	checksumSize    = 8
 	headerSize      = 8 + 8 + 8 + 8 + clockSize + checksumSize
-	recordFixedSize = 2 + 1 + 1 + 2 + 2 + 8 + clockSize + 8 // up to the attempt
+	recordFixedSize = 2 + 1 + 1 + 2 + 2 + 8 + clockSize + 8 // all fields up to and including the attempt
 	bodyHashSize    = 32
 	maxKeyBytes     = 256
-	maxPayloadBytes = 8 << 10 // that a reader accepts; the writer stores half of it at most
-	maxStoredBytes  = maxPayloadBytes / 2
+	maxPayloadBytes = 8 << 10             // limit of the reader; the writer stores at most half of it
+	maxStoredBytes  = maxPayloadBytes / 2 // limit of the writer
 )
 
-// Offsets of fields in a header and in a record; see the table above.
+// Offsets of the fields in a header and in a record, in bytes. See the table above.
 const (
 	headerVersionOffset       = 8
 	headerDurabilityOffset    = 10
@@ -63,31 +63,34 @@
 	recordAttemptOffset       = 40
 )
 
-// segmentSuffix ends the name of each segment; the id in 16 hexadecimal digits stands before it.
+// segmentSuffix is the file name extension of segments. The name before it is the segment id in 16 hexadecimal digits.
 const segmentSuffix = ".seg"
 
 var (
-	errUnsupportedVersion = errors.New("is of another version than this program reads")
-	errInvalidHeader      = errors.New("has no header of a segment")
-	errTruncated          = errors.New("the data ends in a record")
-	errInvalidRecord      = errors.New("no record")
+	errUnsupportedVersion = errors.New("unsupported segment format version")
+	errInvalidHeader      = errors.New("invalid segment header")
+	errTruncated          = errors.New("truncated record")
+	errInvalidRecord      = errors.New("invalid record")
 )
 
+// segmentName returns the file name of the segment with the given id.
 func segmentName(id uint64) string { return fmt.Sprintf("%016x%s", id, segmentSuffix) }
 
+// segmentID returns the segment id in a file name. valid is false if the name does not contain one.
 func segmentID(name string) (id uint64, valid bool) {
 	id, err := strconv.ParseUint(strings.TrimSuffix(name, segmentSuffix), 16, 64)
 	return id, err == nil
 }
 
-// segmentHeader is what a segment says of itself.
+// segmentHeader holds the fields of the header of a segment.
 type segmentHeader struct {
 	durability        recovery.Durability
 	id                uint64
-	previousWindowEnd timeunit.Ticks // the latest window end in the segment before: until then that one must be there
+	previousWindowEnd timeunit.Ticks // the latest window end in the previous segment, which must exist until then
 	createdAt         recovery.ClockReading
 }
 
+// encode returns the header in the stored format.
 func (h segmentHeader) encode() []byte {
 	buffer := append(make([]byte, 0, headerSize), segmentMagic...)
 	buffer = binary.LittleEndian.AppendUint16(buffer, formatVersion)
@@ -98,13 +101,13 @@
 	return binary.LittleEndian.AppendUint64(buffer, xxh3.Hash(buffer))
 }
 
-// parseHeader reads the header at the beginning of data. It returns errInvalidHeader or errUnsupportedVersion.
+// parseHeader decodes the header at the beginning of data. An error is errInvalidHeader or wraps errUnsupportedVersion.
 func parseHeader(data []byte) (segmentHeader, error) {
 	if len(data) < headerSize || string(data[:len(segmentMagic)]) != segmentMagic {
 		return segmentHeader{}, errInvalidHeader
 	}
 	if version := binary.LittleEndian.Uint16(data[headerVersionOffset:]); version != formatVersion {
-		return segmentHeader{}, fmt.Errorf("%w: %d, not %d", errUnsupportedVersion, version, formatVersion)
+		return segmentHeader{}, fmt.Errorf("%w: got %d, want %d", errUnsupportedVersion, version, formatVersion)
 	}
 	if !checksumMatches(data[:headerSize]) {
 		return segmentHeader{}, errInvalidHeader
@@ -117,18 +120,20 @@
 	}, nil
 }
 
-// checksumMatches reports whether data ends with the checksum of what stands before it.
+// checksumMatches reports whether data ends with the checksum of the bytes before it.
 func checksumMatches(data []byte) bool {
 	end := len(data) - checksumSize
 	return binary.LittleEndian.Uint64(data[end:]) == xxh3.Hash(data[:end])
 }
 
+// appendClock appends an encoded clock reading to the buffer.
 func appendClock(buffer []byte, clock recovery.ClockReading) []byte {
 	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(clock.Wall))
 	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(clock.Monotonic))
 	return binary.LittleEndian.AppendUint64(buffer, clock.BootID)
 }
 
+// parseClock decodes the clock reading at the beginning of data.
 func parseClock(data []byte) recovery.ClockReading {
 	return recovery.ClockReading{
 		Wall:      timeunit.Ticks(binary.LittleEndian.Uint64(data)),
@@ -137,7 +142,7 @@
 	}
 }
 
-// recordSize returns the size of an encoded record with a key and a payload of the given lengths.
+// recordSize returns the size in bytes of an encoded record with a key and a payload of the given lengths.
 func recordSize(kind recovery.RecordKind, keyBytes, payloadBytes int) int64 {
 	size := recordFixedSize + keyBytes + payloadBytes + checksumSize
 	if kind == recovery.KindIntent {
@@ -146,11 +151,13 @@
 	return int64(size)
 }
 
-// reservedCompletionSize returns the space that is reserved for the completion of an intent with the given key.
+// reservedCompletionSize returns the number of bytes that are reserved for the completion of an intent with the given
+// key.
 func reservedCompletionSize(key string) int64 {
 	return recordSize(recovery.KindCompletion, len(key), maxStoredBytes)
 }
 
+// appendRecord appends an encoded record to the buffer.
 func appendRecord(buffer []byte, record *recovery.Record) []byte {
 	start := len(buffer)
 	succeeded := byte(0)
@@ -172,8 +179,9 @@
 	return binary.LittleEndian.AppendUint64(buffer, xxh3.Hash(buffer[start:]))
 }
 
-// parseRecord reads the record at the beginning of data and returns its size in bytes. The payload is a part of data,
-// not a copy. It returns errInvalidRecord, or errTruncated where data ends before the record does.
+// parseRecord decodes the record at the beginning of data and returns it and its size in bytes. The payload of the
+// record is a slice of data, not a copy. An error is errTruncated if data ends before the record does, otherwise
+// errInvalidRecord.
 func parseRecord(data []byte) (record recovery.Record, size int, err error) {
 	if len(data) >= 2 && binary.LittleEndian.Uint16(data) != recordMagic {
 		return record, 0, errInvalidRecord
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -17,6 +17,8 @@
 	"thistlequay/timeunit"
 )
 
+// goldenRecords returns two records of each kind: one with an empty payload, and one with an empty key, a payload and,
+// for an intent, a body hash.
 func goldenRecords() (records []recovery.Record) {
 	at := recovery.ClockReading{Wall: 0x0102030405, Monotonic: 0x060708, BootID: 0xf1f2f3f4f5f6f7f8}
 	for kind := recovery.KindIntent; kind <= recovery.KindWarmStart; kind++ {
@@ -37,8 +39,8 @@
 	return records
 }
 
-// TestGoldenFormat compares the bytes of a segment's header and of records of every kind, which are read and written
-// again.
+// TestGoldenFormat compares encoded segment headers, and encoded records of every kind, with the golden file. It also
+// checks that they are the same after decoding and encoding.
 func TestGoldenFormat(t *testing.T) {
 	var got bytes.Buffer
 	createdAt := recovery.ClockReading{Wall: 5, Monotonic: 6, BootID: 7}
@@ -63,7 +65,8 @@
 	golden.Check(t, "format.txt", got.Bytes())
 }
 
-// seededClock moves on by a seeded span with each look at it. Only the writer looks at it while a log is open.
+// seededClock advances by a pseudo-random duration each time it is read. Only the writer reads it while a log is open,
+// so the order of the readings is deterministic.
 type seededClock struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -79,8 +82,8 @@
 	return c.reading
 }
 
-// The words in a history ("fate", "room", ...) are part of what was recorded and keep their old names.
-
+// addScan adds the result of a scan to the history. The event names in a history ("fate", "room", ...) are part of the
+// recorded golden files, so they must not change.
 func addScan(history *golden.History, scan *ScanResult) {
 	history.Add("scanned", int64(scan.RejectUntil), hex.EncodeToString(scan.WarmStart), scan.Dropped, scan.RecordCount,
 		scan.nextID)
@@ -95,14 +98,16 @@
 	history.Add("room", used, reserved, records)
 }
 
+// addSteps adds disk steps to the history.
 func addSteps(history *golden.History, steps []diskStep) {
 	for _, step := range steps {
 		history.Add("step", step.operation, step.name, hex.EncodeToString(step.data))
 	}
 }
 
-// playProcesses has three processes write to one disk, each after another kind of harm, and adds every step on the
-// disk.
+// playProcesses runs three processes in sequence on one disk, may damage the disk after each of them, and finally
+// compacts
+// it. It adds the result of each scan and every disk step to the history.
 func playProcesses(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	random := rand.New(rand.NewSource(seed))
@@ -128,7 +133,8 @@
 	addSteps(history, disk.steps)
 }
 
-// playRequest appends the intent of a seeded request, and perhaps what became of it.
+// playRequest appends the intent of a pseudo-random request, and then a cancellation, a warm-start state, a completion
+// or nothing.
 func playRequest(s *session, random *rand.Rand) {
 	key := fmt.Sprint("key-", random.Intn(30))
 	windowEnd := 1e9 + timeunit.Ticks(random.Intn(1_000_000))
@@ -146,7 +152,8 @@
 	}
 }
 
-// harm spoils the newest or a middle segment, or has the machine start again.
+// harm truncates the newest segment, corrupts or removes a middle one, simulates a reboot of the machine, or does
+// nothing.
 func harm(disk *memoryDisk, random *rand.Rand, clock *seededClock) {
 	names, _ := disk.List()
 	newest := names[len(names)-1]
@@ -157,7 +164,7 @@
 	case 1:
 		data := slices.Clone(disk.files[middle])
 		offset := random.Intn(4096)
-		isVersion := offset == 8 || offset == 9 // another version is no harm but an error
+		isVersion := offset == 8 || offset == 9 // Open returns an error for another version
 		if offset < len(data) && !isVersion {
 			data[offset] ^= 1
 		}
@@ -170,8 +177,8 @@
 	}
 }
 
-// TestGoldenProcesses compares every write, sync and removal of a hundred seeded series of processes, and what each of
-// them found, ten a line.
+// TestGoldenProcesses compares every disk step, and the result of every scan, with the golden file, for 100 seeds with
+// ten seeds per line.
 func TestGoldenProcesses(t *testing.T) {
 	schedule.GoldenFile{Name: "lives.txt", Seeds: 100, SeedsPerLine: 10}.Check(t, playProcesses)
 }
--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -1,9 +1,9 @@
-// Package segmentlog stores the records of package recovery in segments on a disk: appended, with checksums, whole
-// segments removed once no retry needs their records.
+// Package segmentlog stores the records of package recovery on disk, in append-only segments with checksums. A segment
+// is removed as a whole once no retry needs its records.
 //
-// Scan reads the segments at a start. A Log appends; its writer goroutine is the only one that touches the disk, so
-// that the event loop never waits for it. It must never report a record as durable that is not, nor take a failed write
-// or sync for done because a later one succeeded.
+// Scan reads the segments at the start of a process. A Log appends records. Only its writer goroutine accesses the
+// disk, so that the event loop never waits for I/O. The package must never report a record as durable that is not, nor
+// treat a failed write or sync as done because a later one succeeded.
 package segmentlog
 
 import (
@@ -17,79 +17,80 @@
 
 // Config holds the parameters of a Log. All fields but AllowEmpty and OnWritten are required.
 type Config struct {
-	// Durability is what an acknowledged record survives.
+	// Durability is the kind of failure that an acknowledged record survives.
 	Durability recovery.Durability
-	// MaxBytes and MaxRecords bound what is stored, space reserved for completions included.
+	// MaxBytes limits the stored bytes, including the space that is reserved for completions. MaxRecords limits the
+	// number of stored records.
 	MaxBytes   int64
 	MaxRecords int
-	// SegmentBytes is the size from which on another segment is begun.
+	// SegmentBytes is the size at which a segment is full and the writer starts the next one.
 	SegmentBytes int64
 	// MaxWindow is the longest deduplication window of all request categories.
 	MaxWindow timeunit.Ticks
-	// ClockUncertainty is by how much the wall clock may be off after a restart of the machine.
+	// ClockUncertainty is by how much the wall clock may be wrong after a reboot of the machine.
 	ClockUncertainty timeunit.Ticks
-	// MaxOutcomes is the number of outcomes that memory has room for.
+	// MaxOutcomes is the maximum number of outcomes that are kept in memory.
 	MaxOutcomes int
-	// AllowEmpty says that an empty directory is no loss, as at the first start.
+	// AllowEmpty means that an empty directory is not treated as data loss. It is set for the first start.
 	AllowEmpty bool
-	// Now reads the clocks; MachineClock outside of tests. Open and the writer call it.
+	// Now reads the clocks. It is MachineClock except in tests. Open and the writer call it.
 	Now func() recovery.ClockReading
-	// OnWritten is notified of what became of appended records. The writer calls it, so it must be fast and hand over
-	// to the event loop.
+	// OnWritten receives the results of appended records. The writer goroutine calls it, so it must return quickly and
+	// pass the results to the event loop.
 	OnWritten func(results []WriteResult)
 }
 
-// WriteResult is what became of an appended record.
+// WriteResult is the result of writing an appended record.
 type WriteResult struct {
-	Tag uint64 // as given with the record
-	Err error  // where it is set, the record isn't durable and never will be
+	Tag uint64 // the tag that was passed with the record
+	Err error  // if not nil, the record must not be treated as durable, now or later
 }
 
 const (
-	// queueCapacity is the number of records that may wait for the writer. Intents may take half of it, so that
-	// completions find room.
+	// queueCapacity is the number of records that may wait for the writer. Intents may use only half of it, so that
+	// there is room for completions.
 	queueCapacity = 1024
-	// maxBatch is the number of records that share one write and one sync.
+	// maxBatch is the maximum number of records that share one write and one sync.
 	maxBatch = 256
 )
 
-// Backoff after a write error: the delay until another segment is tried doubles between these.
+// Limits of the backoff after a write error. The delay before the writer tries a new segment doubles with each error.
 const (
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
 )
 
-// ErrFull reports that the space or the queue is full.
+// ErrFull is returned by AppendIntent if the space of the store, or the part of the queue for intents, is exhausted.
 var ErrFull = errors.New("the store is full")
 
-// ErrUnavailable reports that the disk refused a write. The log goes on with a new segment after a backoff.
+// ErrUnavailable reports that a write to the disk failed. After a backoff the log continues with a new segment.
 var ErrUnavailable = errors.New("the store cannot be written")
 
-// Log is an open store. AppendIntent, AppendCompletion, AppendWarmStart and Close are for one goroutine, the event
-// loop.
+// Log is an open store. AppendIntent, AppendCompletion, AppendWarmStart and Close must all be called from the same
+// goroutine, the event loop.
 type Log struct {
-	ScanResult // as of Open
+	ScanResult // the state that Open found
 
 	config  Config
 	storage Storage
 	queue   chan queuedRecord
-	done    chan struct{} // closed when the writer has ended
+	done    chan struct{} // closed when the writer goroutine has ended
 
-	mutex   sync.Mutex // guards what follows, which writer and event loop share; never held during I/O
+	mutex   sync.Mutex // guards the fields below; never held during I/O
 	space   recovery.Space
-	failure error     // of the last write, where that failed
-	retryAt time.Time // while it failed: when the next intent may try a new segment
+	failure error     // the error of the last write; nil if it succeeded
+	retryAt time.Time // if failure is set: when the next intent may try a new segment
 }
 
-// queuedRecord is a record that waits for the writer. One without a kind only wakes the writer up.
+// queuedRecord is a record that waits for the writer. A record without a kind is not written and only wakes the writer.
 type queuedRecord struct {
 	record        recovery.Record
 	tag           uint64
 	reservedBytes int64
 }
 
-// Open scans the storage, concludes from what it finds and begins a segment of its own. The caller ends the log with
-// Close and waits for Done.
+// Open scans the storage, recovers the state of earlier processes and starts a new segment. The caller must call Close
+// and wait for Done to end the log.
 func Open(storage Storage, config Config) (*Log, error) {
 	now := config.Now()
 	analysis := recovery.NewAnalysis(recovery.Config{
@@ -119,8 +120,8 @@
 	return l, nil
 }
 
-// AppendIntent appends an intent record and reserves space for its completion. An error means that nothing was
-// appended: it is ErrFull, or wraps ErrUnavailable. OnWritten reports later whether the record became durable.
+// AppendIntent appends an intent record and reserves space for its completion. After an error nothing was appended; the
+// error is ErrFull or wraps ErrUnavailable. Otherwise OnWritten reports later whether the record became durable.
 func (l *Log) AppendIntent(record recovery.Record, tag uint64) error {
 	intentBytes := recordSize(recovery.KindIntent, len(record.Key), 0)
 	l.mutex.Lock()
@@ -137,7 +138,8 @@
 	return nil
 }
 
-// wakeWriter has the writer remove segments that are no longer needed. A full queue needs no waking.
+// wakeWriter makes the writer remove segments that are no longer needed. If the queue is full, the writer is active
+// anyway.
 func (l *Log) wakeWriter() {
 	select {
 	case l.queue <- queuedRecord{}:
@@ -145,8 +147,8 @@
 	}
 }
 
-// AppendCompletion appends what became of an intent: its completion, or a cancellation. The space was reserved with the
-// intent. The result of a completion that is too long is not stored, and its retry is rejected after a restart.
+// AppendCompletion appends the completion or the cancellation of an intent. The space for it was reserved with the
+// intent. A result of more than maxStoredBytes is not stored, and a retry is rejected after a restart.
 func (l *Log) AppendCompletion(record recovery.Record, tag uint64) {
 	if len(record.Payload) > maxStoredBytes {
 		record.Payload = nil
@@ -156,15 +158,16 @@
 	select {
 	case l.queue <- queuedRecord{record: record, tag: tag, reservedBytes: reserved}:
 	default:
-		// More requests ended at once than the queue ever lets in. The record is lost; a retry is rejected after a
-		// restart.
+		// More requests ended at once than the queue has room for. The record is dropped, and a retry is rejected
+		// after a restart.
 		l.mutex.Lock()
 		l.space.Release(reserved)
 		l.mutex.Unlock()
 	}
 }
 
-// AppendWarmStart appends an encoded warm-start state, unless it is too long or other records wait.
+// AppendWarmStart appends an encoded warm-start state. It drops a state that is longer than maxStoredBytes or that
+// would wait behind other records.
 func (l *Log) AppendWarmStart(state []byte) {
 	if len(state) > maxStoredBytes || len(l.queue) > 0 {
 		return
@@ -175,7 +178,8 @@
 	}
 }
 
-// Usage returns the bytes used and reserved, the number of records, and the error of the last write, where that failed.
+// Usage returns the used and the reserved bytes, the number of records, and the error of the last write, or nil if it
+// succeeded.
 func (l *Log) Usage() (usedBytes, reservedBytes int64, records int, failure error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -183,8 +187,8 @@
 	return usedBytes, reservedBytes, records, l.failure
 }
 
-// Close has the writer write all that was appended, then a shutdown record. It doesn't wait; Done is closed after that.
-// Nothing may be appended afterwards.
+// Close makes the writer write all appended records and then a shutdown record. It does not wait: the channel of Done
+// is closed when the writer has ended. Nothing may be appended after Close.
 func (l *Log) Close() { close(l.queue) }
 
 // Done returns a channel that is closed when the writer has ended.
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -12,8 +12,8 @@
 	"thistlequay/internal/recovery"
 )
 
-// TestFailedDiskRejectsIntentsUntilANewSegment checks that a write or a sync that fails rejects what waits for it, and
-// that nothing later makes it good: a new segment is begun.
+// TestFailedDiskRejectsIntentsUntilANewSegment checks that after a failed write or sync the waiting intents are
+// rejected, and that later intents are accepted only in a new segment: a later sync says nothing about the failed one.
 func TestFailedDiskRejectsIntentsUntilANewSegment(t *testing.T) {
 	for name, failing := range map[string][]diskOperation{
 		"write":  {opWrite},
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestFullLogRejectsIntentsButTakesCompletions checks that a full log rejects a request before its run, that what was
-// reserved is there for the completions, and that windows that end free space.
+// TestFullLogRejectsIntentsButTakesCompletions checks that a full log rejects a request before it runs, that
+// completions use the space that was reserved for them, and that space is freed when windows end.
 func TestFullLogRejectsIntentsButTakesCompletions(t *testing.T) {
 	disk := newMemoryDisk()
 	clock := newTestClock()
@@ -68,8 +68,8 @@
 	require.Eventually(t, func() bool { return session.intend("later") }, waitLimit, time.Millisecond)
 }
 
-// TestDirectoryIsLockedAndCompacted checks that one process at a time has a directory, and that what is still needed
-// survives its compaction.
+// TestDirectoryIsLockedAndCompacted checks that only one process at a time can open a directory, and that the outcomes
+// that are still needed survive compaction.
 func TestDirectoryIsLockedAndCompacted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	directory, err := OpenDirectory(path)
@@ -97,7 +97,8 @@
 	require.NoError(t, directory.Close())
 }
 
-// BenchmarkAppend measures an intent and its completion, each durable, on the disk of the temporary directory.
+// BenchmarkAppend measures the time to make an intent and then its completion durable, on the disk that holds the
+// temporary directory.
 func BenchmarkAppend(b *testing.B) {
 	for name, durability := range map[string]recovery.Durability{
 		"process": recovery.DurabilityProcess,
--- a/internal/segmentlog/memorydisk_test.go
+++ b/internal/segmentlog/memorydisk_test.go
@@ -13,10 +13,10 @@
 	"thistlequay/timeunit"
 )
 
-// diskOperation is a kind of step on the disk, by its name in the recorded histories.
+// diskOperation is a kind of disk step. Its values are recorded in the golden files.
 type diskOperation string
 
-// The operations.
+// Kinds of disk steps.
 const (
 	opCreate        diskOperation = "create"
 	opWrite         diskOperation = "write"
@@ -25,36 +25,37 @@
 	opSyncDirectory diskOperation = "names"
 )
 
-// diskStep is one thing that was done to the disk, in order.
+// diskStep is one operation that was applied to the disk.
 type diskStep struct {
 	operation diskOperation
 	name      string
 	data      []byte
 }
 
-// memoryDisk is a directory in memory that notes each step and fails on demand.
+// memoryDisk is a Storage in memory that records each step and returns errors on demand.
 type memoryDisk struct {
 	mutex sync.Mutex
 	steps []diskStep
 	files map[string][]byte
-	fail  func(operation diskOperation) error // nil for a disk that works
+	fail  func(operation diskOperation) error // returns the error of an operation; nil if no operation fails
 }
 
 func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
 
-// failWith has operations fail where the function returns an error.
+// failWith makes operations fail with the error that the function returns for them. A nil function lets all succeed.
 func (d *memoryDisk) failWith(fail func(operation diskOperation) error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fail = fail
 }
 
+// apply records a step and applies it to the files, unless it fails.
 func (d *memoryDisk) apply(step diskStep) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.fail != nil {
 		if err := d.fail(step.operation); err != nil {
-			if step.operation == opWrite { // a part of it may be there
+			if step.operation == opWrite { // a failed write may have written a part
 				d.files[step.name] = append(d.files[step.name], step.data[:len(step.data)/2]...)
 			}
 			return err
@@ -75,6 +76,7 @@
 	return nil
 }
 
+// count returns the number of steps so far.
 func (d *memoryDisk) count() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -106,6 +108,7 @@
 
 func (d *memoryDisk) SyncDirectory() error { return d.apply(diskStep{operation: opSyncDirectory}) }
 
+// memoryFile is a segment of a memoryDisk that is open for writing.
 type memoryFile struct {
 	disk *memoryDisk
 	name string
@@ -124,8 +127,8 @@
 
 var errDisk = errors.New("input/output error")
 
-// crashedDisk returns the disk as a crash after these steps leaves it. Of the unsynced writes, which are numbered from
-// 0, those survive that the function says.
+// crashedDisk returns the disk as a crash after the given steps leaves it. Unsynced writes are numbered from 0; the
+// function reports which of them survive.
 func crashedDisk(steps []diskStep, survives func(unsynced int) bool) *memoryDisk {
 	disk := newMemoryDisk()
 	unsynced := 0
@@ -137,8 +140,8 @@
 			data := step.data
 			if !isSynced(steps, i) {
 				if !survives(unsynced) {
-					// The file is as long as it would be, with zeros, where a later write is there; else it ends
-					// before.
+					// The lost write leaves zeros, so that the file keeps its length in case a later write
+					// survives.
 					data = make([]byte, len(step.data))
 				}
 				unsynced++
@@ -151,14 +154,14 @@
 	return disk
 }
 
-// isSynced reports whether a later step syncs the file of a write.
+// isSynced reports whether a later step syncs the file of the write at the given index.
 func isSynced(steps []diskStep, write int) bool {
 	return slices.ContainsFunc(steps[write+1:], func(later diskStep) bool {
 		return later.operation == opSync && later.name == steps[write].name
 	})
 }
 
-// testClock is a clock that moves by a tick with each look at it, and that a test moves further.
+// testClock is a clock that advances by one tick each time it is read. A test can set its wall clock forward.
 type testClock struct {
 	mutex   sync.Mutex
 	reading recovery.ClockReading
@@ -166,7 +169,7 @@
 
 func newTestClock() *testClock { return &testClock{reading: firstReading} }
 
-// later returns another clock, which has moved on, perhaps with another boot.
+// later returns a new clock that is ahead of this one by the given times and has the given boot id.
 func (c *testClock) later(wall, monotonic timeunit.Ticks, bootID uint64) *testClock {
 	reading := c.now()
 	reading.Wall += wall
@@ -183,7 +186,7 @@
 	return c.reading
 }
 
-// moveWall sets the wall clock forward.
+// moveWall sets the wall clock forward without changing the monotonic clock.
 func (c *testClock) moveWall(by timeunit.Ticks) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -9,26 +9,26 @@
 	"thistlequay/internal/recovery"
 )
 
-// maxSegmentBytes is the most that is read of one file. It is far above the largest segment size that can be
-// configured.
+// maxSegmentBytes is the number of bytes that are read from one file at most. It is far above the largest segment size
+// that can be configured.
 const maxSegmentBytes = 64 << 20
 
-// ScanResult is what lies in a directory and what follows from it.
+// ScanResult holds the state that Scan recovered from a storage and the corruption that it found.
 type ScanResult struct {
 	recovery.RecoveredState
 	Findings    []recovery.Finding
 	RecordCount int
 
 	space  recovery.Space
-	nextID uint64 // of the next segment
+	nextID uint64 // the id of the next segment to create
 }
 
-// Visitor is shown each record that Scan finds.
+// Visitor is called with each valid record that Scan reads, the name of its file and its offset in bytes.
 type Visitor func(file string, offset int64, record *recovery.Record)
 
-// Scan reads all segments in their order and has the analysis conclude. An empty directory counts as a loss unless
-// allowEmpty. Corruption is no error but a finding. A storage that can't be read is an error, as is a segment of
-// another format version. The visitor may be nil.
+// Scan reads all segments in order, adds their records to the analysis and finishes it. Unless allowEmpty is set, an
+// empty storage counts as data loss. Corruption is reported as a finding, not as an error. Scan returns an error if the
+// storage cannot be read or a segment has another format version. The visitor may be nil.
 func Scan(storage Storage, analysis *recovery.Analysis, now recovery.ClockReading, allowEmpty bool,
 	visit Visitor) (ScanResult, error) {
 	names, err := storage.List()
@@ -51,16 +51,17 @@
 	return s.result, nil
 }
 
-// scanner is the state of one Scan.
+// scanner holds the state of one call of Scan.
 type scanner struct {
 	storage    Storage
 	analysis   *recovery.Analysis
 	now        recovery.ClockReading
 	visit      Visitor
-	previousID uint64 // of the segment before; 0 for none
+	previousID uint64 // the id of the previous segment; 0 if there is none
 	result     ScanResult
 }
 
+// scanSegment reads one segment and adds its records and corruption to the analysis.
 func (s *scanner) scanSegment(name string, isLast bool) error {
 	id, valid := segmentID(name)
 	if !valid {
@@ -76,9 +77,9 @@
 	header, err := parseHeader(data)
 	switch {
 	case errors.Is(err, errUnsupportedVersion):
-		return fmt.Errorf("%s %w", name, err)
+		return fmt.Errorf("%s: %w", name, err)
 	case err != nil && isLast && len(data) < headerSize:
-		// The process crashed while it began this segment: nothing in it was acknowledged.
+		// The process crashed while it created this segment, so no record in it was acknowledged.
 		s.analysis.AddCorruption(recovery.CorruptionTruncated, name, 0, true)
 		return nil
 	case err != nil:
@@ -93,21 +94,22 @@
 	return nil
 }
 
+// read returns the contents of a segment.
 func (s *scanner) read(name string) ([]byte, error) {
 	file, err := s.storage.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	data, err := io.ReadAll(io.LimitReader(file, maxSegmentBytes))
-	_ = file.Close() // it was only read
+	_ = file.Close() // the file was only read
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return data, nil
 }
 
-// checkPrevious finds out whether segments before this one are missing: between two that are there, or before the first
-// one while its header says that they are still needed.
+// checkPrevious reports corruption if segments before this one are missing: if there is a gap between this segment and
+// the previous one, or if this is the first one and its header says that the one before it is still needed.
 func (s *scanner) checkPrevious(header *segmentHeader, id uint64) {
 	isGap := s.previousID > 0 && id != s.previousID+1
 	isNeeded := s.previousID == 0 && header.previousWindowEnd > s.now.Wall
@@ -116,15 +118,15 @@
 	}
 }
 
-// scanRecords reads the records behind a header. Where there is none, it reports corruption and goes on at the next
-// valid one.
+// scanRecords reads the records after the header of a segment. For bytes that are not a valid record it reports
+// corruption and continues with the next valid record.
 func (s *scanner) scanRecords(data []byte, name string, isLast bool) {
 	offset := min(len(data), headerSize)
 	for offset < len(data) {
 		record, size, err := parseRecord(data[offset:])
 		if err == nil {
 			s.analysis.AddRecord(record)
-			s.result.space.CommitWrite(0, 0, record.WindowEnd) // its bytes are counted with the segment
+			s.result.space.CommitWrite(0, 0, record.WindowEnd) // the size of the segment already includes its bytes
 			if s.visit != nil {
 				s.visit(name, int64(offset), &record)
 			}
--- a/internal/segmentlog/scan_test.go
+++ b/internal/segmentlog/scan_test.go
@@ -11,7 +11,8 @@
 	"thistlequay/internal/schedule"
 )
 
-// FuzzRecords checks that any bytes can be parsed and scanned, and that what is a record can be written again.
+// FuzzRecords checks that Scan accepts any bytes after a header without an error, and that a record that can be parsed
+// is encoded to the same bytes.
 func FuzzRecords(f *testing.F) {
 	f.Add(appendRecord(nil, &recovery.Record{Kind: recovery.KindIntent, Key: "k"}))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -27,7 +28,8 @@
 	})
 }
 
-// diskWithRecords returns a disk with so many records, one in a hundred of them still needed.
+// diskWithRecords returns a disk with the given number of records, half of them intents and half of them completions.
+// The windows of one in a hundred pairs have not ended yet.
 func diskWithRecords(records int, now recovery.ClockReading) *memoryDisk {
 	disk := newMemoryDisk()
 	var data []byte
@@ -42,7 +44,7 @@
 		}
 		record := recovery.Record{Kind: recovery.KindIntent, Key: fmt.Sprintf("1 %032x", i), Attempt: uint64(i)}
 		record.WrittenAt = now
-		record.WindowEnd = now.Wall - 1 // nearly all windows are over
+		record.WindowEnd = now.Wall - 1 // nearly all windows have ended
 		if i%100 == 0 {
 			record.WindowEnd = now.Wall + testWindow
 		}
@@ -55,7 +57,7 @@
 	return disk
 }
 
-// checkRecovery scans such a disk.
+// checkRecovery scans a disk of diskWithRecords and checks the number of records and outcomes.
 func checkRecovery(t testing.TB, disk *memoryDisk, records int, now recovery.ClockReading) {
 	t.Helper()
 	analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, MaxOutcomes: 100_000}, now)
@@ -66,7 +68,8 @@
 	require.Len(t, scan.Outcomes, records/200)
 }
 
-// TestScanFindsAllRecordsOfALargeLog scans ten thousand records, and a million where MEASURE=full.
+// TestScanFindsAllRecordsOfALargeLog checks that a scan finds all of 10,000 records, and of a million with
+// MEASURE=full. It logs how long the scan took.
 func TestScanFindsAllRecordsOfALargeLog(t *testing.T) {
 	now := recovery.ClockReading{Wall: 1e9, BootID: 1}
 	for _, records := range schedule.Scale([]int{10_000}, []int{10_000, 1_000_000}) {
@@ -79,7 +82,7 @@
 	}
 }
 
-// BenchmarkRecover measures the scan of a log at the start of a process.
+// BenchmarkRecover measures the scan of a log, as at the start of a process.
 func BenchmarkRecover(b *testing.B) {
 	now := recovery.ClockReading{Wall: 1e9, BootID: 1}
 	for _, records := range []int{10_000, 1_000_000} {
--- a/internal/segmentlog/session_test.go
+++ b/internal/segmentlog/session_test.go
@@ -15,20 +15,21 @@
 // testWindow is the deduplication window of the tests, 35 s.
 const testWindow = 35 * timeunit.TicksPerSecond
 
-// waitLimit is how long a test waits for something that has to happen.
+// waitLimit is how long a test waits for an event before it fails.
 const waitLimit = 20 * time.Second
 
-// firstReading is what the clocks say when the first process of a test starts.
+// firstReading is the clock reading when the first process of a test starts.
 var firstReading = recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: firstBoot}
 
-// What a process does with a retry; see retryOutcome. A result is "result " and its text.
+// Return values of retryOutcome. For a completed request it returns "result " and the stored result instead.
 const (
-	retryRuns     = "run"
-	retryAborted  = "aborted"
-	retryRejected = "rejected"
+	retryRuns     = "run"      // the process runs the retry
+	retryAborted  = "aborted"  // the request may have run, but its result is unknown
+	retryRejected = "rejected" // the key is unknown, and records may have been lost
 )
 
-// session is a server's use of a log: an intent, the run once that is durable, its completion.
+// session uses a log as a server does: it appends an intent, waits until the intent is durable and appends a
+// completion.
 type session struct {
 	*require.Assertions
 	log         *Log
@@ -38,7 +39,7 @@
 	closeOnce   sync.Once
 }
 
-// testConfig returns the parameters of most tests, without OnWritten.
+// testConfig returns the parameters that most tests use, without OnWritten.
 func testConfig(durability recovery.Durability, allowEmpty bool, now func() recovery.ClockReading) Config {
 	return Config{
 		Durability:       durability,
@@ -53,7 +54,7 @@
 	}
 }
 
-// openSession opens a log, whose OnWritten it sets. The caller closes the session.
+// openSession opens a log with an OnWritten that passes the results to nextResult. The caller closes the session.
 func openSession(t testing.TB, storage Storage, config Config) *session {
 	t.Helper()
 	s := &session{Assertions: require.New(t), now: config.Now, results: make(chan WriteResult, 4096)}
@@ -68,7 +69,7 @@
 	return s
 }
 
-// startSession opens a log where there may be none yet. It is closed when the test ends, if not before.
+// startSession opens a log in a storage that may be empty. The session is closed at the end of the test at the latest.
 func startSession(t testing.TB, storage Storage, clock *testClock, durability recovery.Durability) *session {
 	t.Helper()
 	s := openSession(t, storage, testConfig(durability, true, clock.now))
@@ -76,8 +77,8 @@
 	return s
 }
 
-// restartSession opens a log of DurabilityMachine that was there before. It is closed when the test ends, if not
-// before.
+// restartSession opens an existing log with DurabilityMachine. The session is closed at the end of the test at the
+// latest.
 func restartSession(t testing.TB, storage Storage, clock *testClock) *session {
 	t.Helper()
 	s := openSession(t, storage, testConfig(recovery.DurabilityMachine, false, clock.now))
@@ -85,21 +86,21 @@
 	return s
 }
 
-// nextResult waits for what became of an appended record.
+// nextResult waits for the result of the next appended record.
 func (s *session) nextResult() WriteResult {
 	select {
 	case result := <-s.results:
 		return result
 	case <-time.After(waitLimit):
-		s.FailNow("nothing came back from the writer")
+		s.FailNow("no result from the writer")
 		return WriteResult{}
 	}
 }
 
-// intend appends an intent whose window begins now, and reports whether it became durable.
+// intend appends an intent whose deduplication window begins now, and reports whether it became durable.
 func (s *session) intend(key string) bool { return s.intendUntil(key, s.now().Wall+testWindow) }
 
-// intendUntil appends an intent and reports whether it became durable.
+// intendUntil appends an intent with the given window end and reports whether it became durable.
 func (s *session) intendUntil(key string, windowEnd timeunit.Ticks) bool {
 	s.lastAttempt++
 	record := recovery.Record{Key: key, WindowEnd: windowEnd, Attempt: s.lastAttempt}
@@ -109,7 +110,7 @@
 	return s.nextResult().Err == nil
 }
 
-// complete appends a completion or a cancellation and waits for the writer.
+// complete appends a completion or a cancellation and waits until the writer has written it.
 func (s *session) complete(key string, kind recovery.RecordKind, attempt uint64, result string) {
 	s.log.AppendCompletion(recovery.Record{
 		Kind:      kind,
@@ -121,7 +122,7 @@
 	s.nextResult()
 }
 
-// close waits for the end of the writer. A second call has no effect.
+// close closes the log and waits until its writer has ended. A second call has no effect.
 func (s *session) close() {
 	s.closeOnce.Do(func() {
 		s.log.Close()
@@ -129,7 +130,7 @@
 	})
 }
 
-// retryOutcome returns what this process does with a retry: run it, reject it, or answer it from what is stored.
+// retryOutcome returns what the process does with a retry of a key, judging by the state that Open recovered.
 func (s *session) retryOutcome(key string) string {
 	i := slices.IndexFunc(s.log.Outcomes, func(outcome recovery.Outcome) bool { return outcome.Key == key })
 	switch {
--- a/internal/segmentlog/writer.go
+++ b/internal/segmentlog/writer.go
@@ -8,16 +8,16 @@
 	"thistlequay/internal/recovery"
 )
 
-// writer is the goroutine that writes. After Open nothing else touches the disk.
+// writer holds the state of the goroutine that writes the log. After Open only this goroutine accesses the storage.
 type writer struct {
 	*Log
 	file       SegmentFile    // the current segment
-	batch      []queuedRecord // reused
-	buffer     []byte         // the encoded batch, reused
-	retryDelay time.Duration
+	batch      []queuedRecord // reused for each batch
+	buffer     []byte         // the encoded batch; reused
+	retryDelay time.Duration  // backoff after the last write error; 0 after a success
 }
 
-// run writes what was appended until the queue is closed and empty.
+// run writes the queued records until the queue is closed and empty, and then a shutdown record.
 func (w *writer) run() {
 	defer close(w.done)
 	for first := range w.queue {
@@ -25,18 +25,18 @@
 		if len(batch) > 0 {
 			w.writeBatch(batch)
 		}
-		clear(batch) // so that no payload is kept alive
+		clear(batch) // lets the garbage collector free the payloads
 		w.removeExpired()
 	}
 	if w.file != nil {
-		// Where this fails, the next start finds no clean shutdown and rejects more than it need.
+		// If this fails, the next start finds no clean shutdown and may reject more requests than necessary.
 		_ = w.appendBatch([]queuedRecord{{record: recovery.Record{Kind: recovery.KindShutdown}}})
-		_ = w.file.Close() // what had to be durable was synced
+		_ = w.file.Close() // all records that must be durable are synced
 	}
 }
 
-// collectBatch returns the given record and those that wait behind it, without those that only wake the writer up. The
-// batch is valid until the next call.
+// collectBatch returns the given record and the records that wait in the queue, at most maxBatch, without those that
+// only wake the writer. The batch is valid until the next call.
 func (w *writer) collectBatch(first queuedRecord) []queuedRecord {
 	batch := append(w.batch[:0], first)
 	for isOpen := true; isOpen && len(batch) < maxBatch; {
@@ -53,7 +53,7 @@
 	return slices.DeleteFunc(batch, func(queued queuedRecord) bool { return queued.record.Kind == 0 })
 }
 
-// writeBatch writes a batch and reports what became of it. Where that failed, the reserved space is released.
+// writeBatch writes a batch and passes the results to OnWritten. If the write fails, it releases the reserved space.
 func (w *writer) writeBatch(batch []queuedRecord) {
 	err := w.ensureSegment()
 	if err == nil {
@@ -72,20 +72,20 @@
 	w.config.OnWritten(results)
 }
 
-// releaseBatch releases what was reserved for records that were not written.
+// releaseBatch releases the space that was reserved for records that could not be written.
 func (w *writer) releaseBatch(batch []queuedRecord) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for i := range batch {
 		queued := &batch[i]
 		w.space.Release(queued.reservedBytes)
-		if queued.record.Kind == recovery.KindIntent { // its request won't run, so no completion follows
+		if queued.record.Kind == recovery.KindIntent { // its request will not run, so no completion follows
 			w.space.Release(reservedCompletionSize(queued.record.Key))
 		}
 	}
 }
 
-// ensureSegment begins a segment where the current one is full or was abandoned after an error.
+// ensureSegment starts a new segment if the current one is full or was abandoned after an error.
 func (w *writer) ensureSegment() error {
 	w.mutex.Lock()
 	failure := w.failure
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// startSegment creates the next segment and writes its header, which is durable before any record follows. The segment
-// before is closed. After an error the one before stays the current one.
+// startSegment creates the next segment, writes its header and closes the previous segment. With DurabilityMachine the
+// header is durable before any record follows. After an error the previous segment stays the current one.
 func (w *writer) startSegment() error {
 	w.mutex.Lock()
 	_, _, previousWindowEnd := w.space.CurrentSegment()
@@ -125,12 +125,12 @@
 	}
 	data := header.encode()
 	if err := w.writeHeader(file, data); err != nil {
-		_ = file.Close()           // it holds nothing
-		_ = w.storage.Remove(name) // where it stays, a scan finds a segment without records
+		_ = file.Close()           // it holds no records
+		_ = w.storage.Remove(name) // if this fails, a scan finds a segment without records
 		return err
 	}
 	if w.file != nil {
-		_ = w.file.Close() // what had to be durable was synced
+		_ = w.file.Close() // all records that must be durable are synced
 	}
 	w.file = file
 	w.mutex.Lock()
@@ -139,6 +139,7 @@
 	return nil
 }
 
+// writeHeader writes the header of a new segment. With DurabilityMachine it makes the header and the file name durable.
 func (w *writer) writeHeader(file SegmentFile, data []byte) error {
 	if _, err := file.Write(data); err != nil {
 		return err
@@ -152,8 +153,9 @@
 	return w.storage.SyncDirectory()
 }
 
-// noteFailure gives the current segment up: whatever a later sync returns, its unsynced records are not known to be
-// durable. It returns the error that waiting and new records get.
+// noteFailure abandons the current segment after a write error and sets the time of the next try. The segment cannot be
+// used any more, because its unsynced records may not be durable even if a later sync succeeds. noteFailure returns the
+// error for the waiting and for new records, which wraps ErrUnavailable.
 func (w *writer) noteFailure(err error) error {
 	w.retryDelay = min(max(minRetryDelay, 2*w.retryDelay), maxRetryDelay)
 	failure := errors.Join(ErrUnavailable, err)
@@ -164,7 +166,7 @@
 	return failure
 }
 
-// appendBatch writes records to the current segment and makes them durable.
+// appendBatch writes records to the current segment. With DurabilityMachine it syncs them.
 func (w *writer) appendBatch(batch []queuedRecord) error {
 	now := w.config.Now()
 	w.buffer = w.buffer[:0]
@@ -190,8 +192,9 @@
 	return nil
 }
 
-// removeExpired removes segments that no retry needs. Where the space is half used and only the current segment could
-// go, it begins another so that the current one can go too.
+// removeExpired removes the segments whose windows ended longer ago than the clock uncertainty. If more than half of
+// the space is used and the windows in the current segment have ended too, it first starts a new segment, so that the
+// current one can also be removed.
 func (w *writer) removeExpired() {
 	now := w.config.Now().Wall - w.config.ClockUncertainty
 	w.mutex.Lock()
@@ -202,13 +205,13 @@
 	isExpired := bytes > headerSize && windowEnd <= now
 	if failure == nil && isExpired && usedBytes > w.config.MaxBytes/2 {
 		if err := w.startSegment(); err != nil {
-			_ = w.noteFailure(err) // the next intent gets it
+			_ = w.noteFailure(err) // the next intent gets the error
 		}
 	}
 	w.mutex.Lock()
 	expired := w.space.RemoveExpired(now)
 	w.mutex.Unlock()
 	for _, id := range expired {
-		_ = w.storage.Remove(segmentName(id)) // where it stays, it is removed after the next start
+		_ = w.storage.Remove(segmentName(id)) // if this fails, it is removed after the next start
 	}
 }
