--- a/internal/segmentlog/compact.go
+++ b/internal/segmentlog/compact.go
@@ -17,7 +17,7 @@
 	}
 	if scan.RejectUntil > 0 {
 		wait := (scan.RejectUntil - now.Wall).Milliseconds()
-		return 0, 0, fmt.Errorf("records may be missing; retry in %d ms, when the windows of all lost records have ended", wait)
+		return 0, 0, fmt.Errorf("records may be missing; retry in %d ms, when all their windows have ended", wait)
 	}
 	previous, err := storage.List()
 	if err != nil {
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -106,8 +106,7 @@
 }
 
 // playProcesses runs three processes in sequence on one disk, may damage the disk after each of them, and finally
-// compacts
-// it. It adds the result of each scan and every disk step to the history.
+// compacts it. It adds the result of each scan and every disk step to the history.
 func playProcesses(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	random := rand.New(rand.NewSource(seed))
