--- a/internal/recovery/analysis.go
+++ b/internal/recovery/analysis.go
@@ -37,12 +37,12 @@
 // monotonic clock shows by how much the wall clock was set in between; across a reboot toCurrentClock adds the clock
 // uncertainty instead. The result is never earlier than the stored time: a deduplication window that ends too late is
 // safe, one that ends too soon lets a request run twice.
-func (a *Analysis) toCurrentClock(wall timeunit.Ticks, writtenAt ClockReading) timeunit.Ticks {
+func (a *Analysis) toCurrentClock(writtenWall timeunit.Ticks, writtenAt ClockReading) timeunit.Ticks {
 	if writtenAt.BootID != a.now.BootID {
-		return wall + a.config.ClockUncertainty
+		return writtenWall + a.config.ClockUncertainty
 	}
-	stepped := (a.now.Wall - writtenAt.Wall) - (a.now.Monotonic - writtenAt.Monotonic)
-	return wall + max(0, stepped)
+	clockStep := (a.now.Wall - writtenAt.Wall) - (a.now.Monotonic - writtenAt.Monotonic)
+	return writtenWall + max(0, clockStep)
 }
 
 // AddRecord adds the next record of the current segment.
--- a/internal/recovery/corruption.go
+++ b/internal/recovery/corruption.go
@@ -34,16 +34,16 @@
 
 // AddCorruption adds a finding at the current position. isLast means that no record and no segment follow it.
 func (a *Analysis) AddCorruption(corruption Corruption, file string, offset int64, isLast bool) {
-	dataLoss := !a.isCrashTrace(corruption, isLast)
+	dataLoss := !a.isUnacknowledgedWrite(corruption, isLast)
 	a.Findings = append(a.Findings, Finding{Corruption: corruption, File: file, Offset: offset, DataLoss: dataLoss})
 	if dataLoss {
 		a.unboundedLoss = true
 	}
 }
 
-// isCrashTrace reports whether a crash during writes that were never acknowledged explains the corruption, so that no
-// acknowledged record is missing.
-func (a *Analysis) isCrashTrace(corruption Corruption, isLast bool) bool {
+// isUnacknowledgedWrite reports whether the corruption is what a crash left of writes that were never acknowledged, so
+// that no acknowledged record is missing.
+func (a *Analysis) isUnacknowledgedWrite(corruption Corruption, isLast bool) bool {
 	switch {
 	case !isLast:
 		return false
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// analyzeSeeded analyzes pseudo-random segments of both durabilities, with records of a few keys, corruption and
+// analyzeSeededRecords analyzes pseudo-random segments of both durabilities, with records of a few keys, corruption and
 // reboots of the machine, and adds the records and the result to the history.
-func analyzeSeeded(history *golden.History, seed int64) {
+func analyzeSeededRecords(history *golden.History, seed int64) {
 	random := rand.New(rand.NewSource(seed))
 	now := ClockReading{Wall: 2_000, Monotonic: 1_500, BootID: 1 + uint64(random.Intn(2))}
 	analysis := NewAnalysis(Config{MaxWindow: 900, ClockUncertainty: 100, MaxOutcomes: 1 + random.Intn(4)}, now)
@@ -78,9 +78,9 @@
 	return record
 }
 
-// useSpaceSeeded applies a pseudo-random sequence of reservations, writes and expiries to a Space and adds each
+// useSeededSpace applies a pseudo-random sequence of reservations, writes and expiries to a Space and adds each
 // resulting usage to the history.
-func useSpaceSeeded(history *golden.History, seed int64) {
+func useSeededSpace(history *golden.History, seed int64) {
 	random := rand.New(rand.NewSource(seed))
 	space := Space{MaxBytes: 6_000, MaxRecords: 40}
 	space.StartSegment(1, 72)
@@ -110,27 +110,27 @@
 func TestGoldenSchedules(t *testing.T) {
 	file := schedule.GoldenFile{Name: "schedules.txt", Seeds: 300, SeedsPerLine: 10}
 	file.Check(t, func(_ *testing.T, seed int64, history *golden.History) {
-		analyzeSeeded(history, seed)
-		useSpaceSeeded(history, seed)
+		analyzeSeededRecords(history, seed)
+		useSeededSpace(history, seed)
 	})
 }
 
 // TestGoldenWarmStart compares the stored form of a warm-start state, and its decay over eight half-lives, with the
 // golden file.
 func TestGoldenWarmStart(t *testing.T) {
-	learnt := admission.WarmStartState{
+	measurements := admission.WarmStartState{
 		Limit:          10.5,
 		RunTimes:       [][]float64{{8, 0}, {1.25}},
 		QuietRunTimes:  [][]float64{{4, 2}, {}},
 		QuickCallTimes: []float64{1, 0.5},
 	}
-	state := WarmStartState{CapturedAt: 1e9, SettingsHash: 1<<63 + 7, Cores: 2.5, WarmStartState: learnt}
-	var again WarmStartState
-	text := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}.Encode(t, state, &again)
-	require.Equal(t, learnt, again.WarmStartState)
-	got := string(text) + "\n"
+	state := WarmStartState{CapturedAt: 1e9, SettingsHash: 1<<63 + 7, Cores: 2.5, WarmStartState: measurements}
+	var decoded WarmStartState
+	encoded := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}.Encode(t, state, &decoded)
+	require.Equal(t, measurements, decoded.WarmStartState)
+	got := string(encoded) + "\n"
 	for age := timeunit.Ticks(0); age < 8*warmStartHalfLife; age += warmStartHalfLife / 2 {
-		if restored := again.Decay(again.CapturedAt+age, again.SettingsHash); restored != nil {
+		if restored := decoded.Decay(decoded.CapturedAt+age, decoded.SettingsHash); restored != nil {
 			got += fmt.Sprintln(int64(age), restored.Limit, restored.RunTimes, restored.QuietRunTimes,
 				restored.QuickCallTimes)
 		} else {
--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -14,12 +14,12 @@
 type attemptState int
 
 const (
-	pending   attemptState = iota
-	intended               // the intent record was appended
-	durable                // the intent record is durable
-	ran                    // the request ran
-	completed              // the completion record was appended
-	withdrawn              // the attempt ended without running
+	attemptPending   attemptState = iota // no record was appended yet
+	attemptIntended                      // the intent record was appended
+	attemptDurable                       // the intent record is durable
+	attemptRan                           // the request ran
+	attemptCompleted                     // the completion record was appended
+	attemptWithdrawn                     // the attempt ended without running
 )
 
 // model is one state of an exhaustive model of two attempts with the same key.
@@ -29,16 +29,16 @@
 // durable, runs or is withdrawn, and appends its completion after a run. After a crash the disk holds any prefix of the
 // log that contains at least the durable records. The test visits every order of these steps.
 type model struct {
-	log            []Record // all appended records
-	durableRecords int      // number of records, from the start of the log, that are sure to survive a crash
-	attempts       [2]attemptState
-	intentEnd      [2]int // length of the log just after the intent of each attempt was appended
-	runs           int    // how often the request ran
-	answers        int    // number of attempts that got a result
+	log               []Record // all appended records
+	durableRecords    int      // number of records, from the start of the log, that are sure to survive a crash
+	attempts          [2]attemptState
+	logLengthAtIntent [2]int // length of the log just after the intent of each attempt was appended
+	runs              int    // how often the request ran
+	results           int    // number of attempts that got a result
 }
 
-// appended returns a copy of the model whose log has one more record for the key.
-func (m model) appended(record Record) model {
+// withRecord returns a copy of the model whose log has one more record for the key.
+func (m model) withRecord(record Record) model {
 	record.Key = "k"
 	record.WindowEnd = 1_000
 	record.WrittenAt = ClockReading{Wall: 10, Monotonic: 10, BootID: 1}
@@ -46,31 +46,32 @@
 	return m
 }
 
-// anyStarted reports whether an attempt has run in this process, so that another attempt shares its result.
-func (m model) anyStarted() bool {
-	isStarted := func(state attemptState) bool { return state == ran || state == completed }
-	return isStarted(m.attempts[0]) || isStarted(m.attempts[1])
+// hasRun reports whether an attempt has run in this process, so that another attempt shares its result.
+func (m model) hasRun() bool {
+	attemptHasRun := func(state attemptState) bool { return state == attemptRan || state == attemptCompleted }
+	return attemptHasRun(m.attempts[0]) || attemptHasRun(m.attempts[1])
 }
 
-// explore visits all states that are reachable from the given one and are not in seen yet. It calls crash for each
+// exploreModel visits all states that are reachable from the given one and are not in seen yet. It calls crash for each
 // state and each log that a crash in that state may leave on the disk.
-func explore(from model, seen map[string]bool, crash func(crashed model, left []Record)) {
-	state := fmt.Sprint(from.attempts, from.intentEnd, from.durableRecords, from.runs, describe(from.log))
-	if seen[state] {
+func exploreModel(from model, seen map[string]bool, crash func(crashed model, surviving []Record)) {
+	fingerprint := fmt.Sprint(from.attempts, from.logLengthAtIntent, from.durableRecords, from.runs,
+		describeLog(from.log))
+	if seen[fingerprint] {
 		return
 	}
-	seen[state] = true
+	seen[fingerprint] = true
 	for survivors := from.durableRecords; survivors <= len(from.log); survivors++ {
 		crash(from, from.log[:survivors])
 	}
 	if from.durableRecords < len(from.log) {
 		next := from
 		next.durableRecords++
-		explore(next, seen, crash)
+		exploreModel(next, seen, crash)
 	}
 	for attempt := range from.attempts {
 		for _, next := range from.successors(attempt) {
-			explore(next, seen, crash)
+			exploreModel(next, seen, crash)
 		}
 	}
 }
@@ -78,71 +79,71 @@
 // successors returns the possible next states when the given attempt makes one step.
 func (m model) successors(attempt int) []model {
 	switch m.attempts[attempt] {
-	case pending:
+	case attemptPending:
 		return []model{m.afterPending(attempt)}
-	case intended:
+	case attemptIntended:
 		var next []model
-		if m.durableRecords >= m.intentEnd[attempt] {
-			isDurable := m
-			isDurable.attempts[attempt] = durable
-			next = append(next, isDurable)
+		if m.durableRecords >= m.logLengthAtIntent[attempt] {
+			withDurableIntent := m
+			withDurableIntent.attempts[attempt] = attemptDurable
+			next = append(next, withDurableIntent)
 		}
 		return append(next, m.afterCancellation(attempt)) // its client disconnected, or the write took too long
-	case durable:
+	case attemptDurable:
 		return []model{m.afterDurable(attempt)}
-	case ran:
-		next := m.appended(Record{
+	case attemptRan:
+		next := m.withRecord(Record{
 			Kind:      KindCompletion,
-			Attempt:   attemptOf(attempt),
+			Attempt:   attemptNumber(attempt),
 			Succeeded: true,
 			Payload:   []byte("r"),
 		})
-		next.attempts[attempt] = completed
-		next.answers++
+		next.attempts[attempt] = attemptCompleted
+		next.results++
 		return []model{next}
 	}
 	return nil
 }
 
-// attemptOf returns the attempt number that is stored in records, which is 1 or 2.
-func attemptOf(attempt int) uint64 { return uint64(attempt + 1) }
+// attemptNumber returns the attempt number that is stored in records, which is 1 or 2.
+func attemptNumber(attempt int) uint64 { return uint64(attempt + 1) }
 
 // afterPending returns the model after a pending attempt either shared the result of an attempt that ran, or appended
 // its intent.
 func (m model) afterPending(attempt int) model {
-	if m.anyStarted() {
-		m.attempts[attempt] = withdrawn
-		m.answers++
+	if m.hasRun() {
+		m.attempts[attempt] = attemptWithdrawn
+		m.results++
 		return m
 	}
-	m = m.appended(Record{Kind: KindIntent, Attempt: attemptOf(attempt)})
-	m.attempts[attempt] = intended
-	m.intentEnd[attempt] = len(m.log)
+	m = m.withRecord(Record{Kind: KindIntent, Attempt: attemptNumber(attempt)})
+	m.attempts[attempt] = attemptIntended
+	m.logLengthAtIntent[attempt] = len(m.log)
 	return m
 }
 
 // afterCancellation returns the model after an attempt withdrew its intent.
 func (m model) afterCancellation(attempt int) model {
-	m = m.appended(Record{Kind: KindCancellation, Attempt: attemptOf(attempt)})
-	m.attempts[attempt] = withdrawn
+	m = m.withRecord(Record{Kind: KindCancellation, Attempt: attemptNumber(attempt)})
+	m.attempts[attempt] = attemptWithdrawn
 	return m
 }
 
 // afterDurable returns the model after an attempt with a durable intent either ran, or cancelled its intent and shared
 // the result of an attempt that ran in the meantime.
 func (m model) afterDurable(attempt int) model {
-	if m.anyStarted() {
+	if m.hasRun() {
 		m = m.afterCancellation(attempt)
-		m.answers++
+		m.results++
 		return m
 	}
-	m.attempts[attempt] = ran
+	m.attempts[attempt] = attemptRan
 	m.runs++
 	return m
 }
 
-// describe lists the kinds and attempts of the records in a log.
-func describe(log []Record) (text string) {
+// describeLog lists the kinds and attempts of the records in a log.
+func describeLog(log []Record) (text string) {
 	for _, record := range log {
 		text += fmt.Sprint(record.Kind, record.Attempt, " ")
 	}
@@ -151,11 +152,11 @@
 
 // recoverAfterCrash analyzes the records that survived a crash, as the next process does at the given wall clock time.
 // It returns the recovered state and reports whether a retry would run.
-func recoverAfterCrash(left []Record, wall timeunit.Ticks) (runs bool, state RecoveredState) {
+func recoverAfterCrash(surviving []Record, wall timeunit.Ticks) (runs bool, state RecoveredState) {
 	config := Config{MaxWindow: 900, ClockUncertainty: 100, MaxOutcomes: 10}
 	analysis := NewAnalysis(config, ClockReading{Wall: wall, Monotonic: wall, BootID: 1})
 	analysis.StartSegment(DurabilityMachine)
-	for _, record := range left {
+	for _, record := range surviving {
 		analysis.AddRecord(record)
 	}
 	state = analysis.Finish()
@@ -168,21 +169,23 @@
 	crashes := 0
 	retries := map[string]int{}
 	history := golden.NewHistory()
-	explore(model{}, map[string]bool{}, func(crashed model, left []Record) {
+	exploreModel(model{}, map[string]bool{}, func(crashed model, surviving []Record) {
 		crashes++
 		require.LessOrEqual(t, crashed.runs, 1)
-		runs, state := recoverAfterCrash(left, 20)
-		addRecords(history, left)
+		runs, state := recoverAfterCrash(surviving, 20)
+		addRecords(history, surviving)
 		addRecoveredState(history, state)
-		history.Add("run", runs, crashed.runs, crashed.answers, crashed.durableRecords, len(crashed.log))
+		history.Add("run", runs, crashed.runs, crashed.results, crashed.durableRecords, len(crashed.log))
 		if crashed.runs > 0 {
-			require.False(t, runs, "a retry runs again: %v of %v survived", describe(left), describe(crashed.log))
+			require.False(t, runs, "a retry runs again: %v of %v survived",
+				describeLog(surviving), describeLog(crashed.log))
 		}
 		switch {
 		case runs: // the retry runs in the second process, so the third process must not run it again
 			retries["runs"]++
-			again := model{log: left, durableRecords: len(left)}.appended(Record{Kind: KindIntent, Attempt: 9})
-			runsAgain, _ := recoverAfterCrash(again.log, 30)
+			afterRetry := model{log: surviving, durableRecords: len(surviving)}.withRecord(
+				Record{Kind: KindIntent, Attempt: 9})
+			runsAgain, _ := recoverAfterCrash(afterRetry.log, 30)
 			require.False(t, runsAgain)
 		case state.Outcomes[0].Completed:
 			retries["cached"]++
@@ -190,7 +193,7 @@
 		default:
 			retries["aborted"]++
 		}
-		runs, state = recoverAfterCrash(left, 2_000) // after the end of the window the key may be used again
+		runs, state = recoverAfterCrash(surviving, 2_000) // after the end of the window the key may be used again
 		require.True(t, runs)
 		require.Zero(t, state.RejectUntil)
 	})
--- a/internal/recovery/space.go
+++ b/internal/recovery/space.go
@@ -18,20 +18,20 @@
 
 // segmentUsage describes the contents of one segment.
 type segmentUsage struct {
-	id        uint64
-	bytes     int64          // header included
-	records   int            // number of records
-	windowEnd timeunit.Ticks // the latest window end of its records
+	id              uint64
+	bytes           int64          // header included
+	records         int            // number of records
+	latestWindowEnd timeunit.Ticks // the latest window end of its records
 }
 
 // Reserve reserves space for an intent and for the completion that follows it. It returns false if there is too little
 // space; the request must then be rejected before it runs.
 func (s *Space) Reserve(intentBytes, completionBytes int64) bool {
-	wanted := intentBytes + completionBytes
-	if s.usedBytes+s.reservedBytes+wanted > s.MaxBytes || s.recordCount >= s.MaxRecords {
+	neededBytes := intentBytes + completionBytes
+	if s.usedBytes+s.reservedBytes+neededBytes > s.MaxBytes || s.recordCount >= s.MaxRecords {
 		return false
 	}
-	s.reservedBytes += wanted
+	s.reservedBytes += neededBytes
 	return true
 }
 
@@ -51,7 +51,7 @@
 	newest := &s.segments[len(s.segments)-1]
 	newest.bytes += bytes
 	newest.records++
-	newest.windowEnd = max(newest.windowEnd, windowEnd)
+	newest.latestWindowEnd = max(newest.latestWindowEnd, windowEnd)
 	s.usedBytes += bytes
 	s.recordCount++
 	s.reservedBytes -= reserved
@@ -64,14 +64,14 @@
 		return 0, 0, 0
 	}
 	newest := s.segments[len(s.segments)-1]
-	return newest.id, newest.bytes, newest.windowEnd
+	return newest.id, newest.bytes, newest.latestWindowEnd
 }
 
 // RemoveExpired removes the segments whose windows have all ended by now from the account, and returns their ids. It
 // never removes the current segment. A segment is only removed together with all older ones, because the next start
 // would take a gap for data loss.
 func (s *Space) RemoveExpired(now timeunit.Ticks) (expired []uint64) {
-	for len(s.segments) > 1 && s.segments[0].windowEnd <= now {
+	for len(s.segments) > 1 && s.segments[0].latestWindowEnd <= now {
 		oldest := s.segments[0]
 		expired = append(expired, oldest.id)
 		s.usedBytes -= oldest.bytes
--- a/internal/recovery/warmstart.go
+++ b/internal/recovery/warmstart.go
@@ -16,9 +16,9 @@
 	maxBinCount = 256
 	// maxLimit is an upper bound for plausible concurrency limits; real limits stay below it.
 	maxLimit = 1e6
-	// maxHistogramPart is the largest fraction of a full histogram that is restored. It is one half, so that the new
-	// process's own measurements soon outweigh the restored ones.
-	maxHistogramPart = 0.5
+	// maxHistogramFraction is the largest fraction of a full histogram that is restored. It is one half, so that the
+	// new process's own measurements soon outweigh the restored ones.
+	maxHistogramFraction = 0.5
 )
 
 // WarmStartState holds the measurements of a process, when they were captured, and the settings that they depend on. It
@@ -75,10 +75,10 @@
 	return scaled
 }
 
-// scaledHistogram returns a copy of a histogram with all counts multiplied by the weight and by maxHistogramPart.
+// scaledHistogram returns a copy of a histogram with all counts multiplied by the weight and by maxHistogramFraction.
 func scaledHistogram(bins []float64, weight float64) (scaled []float64) {
 	for _, count := range bins {
-		scaled = append(scaled, count*weight*maxHistogramPart)
+		scaled = append(scaled, count*weight*maxHistogramFraction)
 	}
 	return scaled
 }
--- a/internal/recovery/warmstart_test.go
+++ b/internal/recovery/warmstart_test.go
@@ -40,7 +40,7 @@
 	require.Nil(t, freshState().Decay(1e9, 8), "captured under other settings")
 	require.Nil(t, freshState().Decay(1e9-1, 7), "from the future")
 	require.Nil(t, freshState().Decay(1e9+10*warmStartHalfLife, 7), "too old")
-	for name, corrupt := range map[string]func(state *WarmStartState){
+	for name, corruptState := range map[string]func(state *WarmStartState){
 		"limit is NaN":      func(state *WarmStartState) { state.Limit = math.NaN() },
 		"limit too large":   func(state *WarmStartState) { state.Limit = 1e9 },
 		"zero cores":        func(state *WarmStartState) { state.Cores = 0 },
@@ -50,7 +50,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := freshState()
-			corrupt(state)
+			corruptState(state)
 			require.Nil(t, state.Decay(1e9, 7))
 		})
 	}
--- a/internal/segmentlog/compact.go
+++ b/internal/segmentlog/compact.go
@@ -16,8 +16,8 @@
 		return 0, 0, err
 	}
 	if scan.RejectUntil > 0 {
-		wait := (scan.RejectUntil - now.Wall).Milliseconds()
-		return 0, 0, fmt.Errorf("records may be missing; retry in %d ms, when all their windows have ended", wait)
+		waitMs := (scan.RejectUntil - now.Wall).Milliseconds()
+		return 0, 0, fmt.Errorf("records may be missing; retry in %d ms, when all their windows have ended", waitMs)
 	}
 	previous, err := storage.List()
 	if err != nil {
@@ -28,7 +28,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := writeWhole(storage, file, compacted(&scan, now)); err != nil {
+	if err := writeSegment(storage, file, encodeCompactedSegment(&scan, now)); err != nil {
 		_ = storage.Remove(name) // its records are still in the other segments
 		return 0, 0, err
 	}
@@ -41,8 +41,8 @@
 	return len(scan.Outcomes), removed, nil
 }
 
-// compacted returns an encoded segment with the outcomes of a scan, ending with a shutdown record.
-func compacted(scan *ScanResult, now recovery.ClockReading) []byte {
+// encodeCompactedSegment returns an encoded segment with the outcomes of a scan, ending with a shutdown record.
+func encodeCompactedSegment(scan *ScanResult, now recovery.ClockReading) []byte {
 	header := segmentHeader{durability: recovery.DurabilityMachine, id: scan.nextID, createdAt: now}
 	data := header.encode()
 	for i := range scan.Outcomes {
@@ -65,9 +65,9 @@
 	return appendRecord(data, &recovery.Record{Kind: recovery.KindShutdown, WrittenAt: now})
 }
 
-// writeWhole writes a complete segment, makes it and its file name durable and closes it. The file is closed after an
+// writeSegment writes a complete segment, makes it and its file name durable and closes it. The file is closed after an
 // error too.
-func writeWhole(storage Storage, file SegmentFile, data []byte) error {
+func writeSegment(storage Storage, file SegmentFile, data []byte) error {
 	_, err := file.Write(data)
 	if err == nil {
 		err = file.Sync()
--- a/internal/segmentlog/crash_test.go
+++ b/internal/segmentlog/crash_test.go
@@ -18,8 +18,8 @@
 	keys       int // number of keys; see keyName
 	clock      *testClock
 	steps      []diskStep
-	begun      map[string]int // by key: number of disk steps before the run began
-	completed  map[string]int // by key: number of disk steps before the completion was acknowledged
+	runStep    map[string]int // by key: number of disk steps before the run began
+	resultStep map[string]int // by key: number of disk steps before the completion was acknowledged
 	crashes    int            // number of crashes checked
 	processes  int            // number of processes started after a crash
 }
@@ -31,8 +31,8 @@
 	keys := schedule.Scale(12, 60)
 	processes, crashes := 0, 0
 	for _, durability := range []recovery.Durability{recovery.DurabilityProcess, recovery.DurabilityMachine} {
-		run := playCrashRun(t, durability, keys)
-		run.crashEverywhere()
+		run := recordCrashRun(t, durability, keys)
+		run.crashAfterEachStep()
 		processes += run.processes
 		crashes += run.crashes
 	}
@@ -40,17 +40,17 @@
 	require.Greater(t, crashes, 1000)
 }
 
-// playCrashRun runs a process that handles the given number of keys, and records its disk steps. Every fifth key is
+// recordCrashRun runs a process that handles the given number of keys, and records its disk steps. Every fifth key is
 // cancelled before it runs; of the other keys, about two thirds complete.
-func playCrashRun(t *testing.T, durability recovery.Durability, keys int) *crashRun {
+func recordCrashRun(t *testing.T, durability recovery.Durability, keys int) *crashRun {
 	t.Helper()
 	run := &crashRun{
 		t:          t,
 		durability: durability,
 		keys:       keys,
 		clock:      newTestClock(),
-		begun:      map[string]int{},
-		completed:  map[string]int{},
+		runStep:    map[string]int{},
+		resultStep: map[string]int{},
 	}
 	disk := newMemoryDisk()
 	session := startSession(t, disk, run.clock, durability)
@@ -61,10 +61,10 @@
 			session.complete(key, recovery.KindCancellation, session.lastAttempt, "")
 			continue
 		}
-		run.begun[key] = disk.count()
+		run.runStep[key] = disk.stepCount()
 		if i%3 != 2 {
 			session.complete(key, recovery.KindCompletion, session.lastAttempt, "of "+key)
-			run.completed[key] = disk.count()
+			run.resultStep[key] = disk.stepCount()
 		}
 	}
 	session.close()
@@ -86,21 +86,21 @@
 // dropUnsynced is a crashedDisk function with which no unsynced write survives.
 func dropUnsynced(int) bool { return false }
 
-// crashEverywhere simulates a crash after each disk step, in each way that the durability must survive.
-func (r *crashRun) crashEverywhere() {
+// crashAfterEachStep simulates a crash after each disk step, in each way that the durability must survive.
+func (r *crashRun) crashAfterEachStep() {
 	for stepCount := range len(r.steps) + 1 {
 		steps := r.steps[:stepCount]
-		r.check(stepCount, crashedDisk(steps, keepUnsynced), firstBoot) // the process crashes
+		r.checkAfterCrash(stepCount, crashedDisk(steps, keepUnsynced), firstBoot) // the process crashes
 		if stepCount > 0 && steps[stepCount-1].operation == opWrite {
 			r.tearLastWrite(steps)
 		}
 		if r.durability == recovery.DurabilityProcess {
-			r.check(stepCount, crashedDisk(steps, dropUnsynced), secondBoot)
+			r.checkAfterCrash(stepCount, crashedDisk(steps, dropUnsynced), secondBoot)
 			continue
 		}
 		for subset := range 8 { // the first, the second and all later unsynced writes survive or not
 			survives := func(unsynced int) bool { return subset>>min(unsynced, 2)&1 == 1 }
-			r.check(stepCount, crashedDisk(steps, survives), secondBoot)
+			r.checkAfterCrash(stepCount, crashedDisk(steps, survives), secondBoot)
 		}
 	}
 }
@@ -108,29 +108,29 @@
 // tearLastWrite simulates a crash in the middle of the last step, which must be a write, at each of its bytes.
 func (r *crashRun) tearLastWrite(steps []diskStep) {
 	stepsBefore := len(steps) - 1
-	write := steps[stepsBefore]
-	for torn := range len(write.data) {
+	lastWrite := steps[stepsBefore]
+	for writtenBytes := range len(lastWrite.data) {
 		disk := crashedDisk(steps, keepUnsynced)
-		data := disk.files[write.name]
-		disk.files[write.name] = data[:len(data)-len(write.data)+torn]
-		r.check(stepsBefore, disk, firstBoot)
+		data := disk.files[lastWrite.name]
+		disk.files[lastWrite.name] = data[:len(data)-len(lastWrite.data)+writtenBytes]
+		r.checkAfterCrash(stepsBefore, disk, firstBoot)
 		if r.durability == recovery.DurabilityMachine {
-			r.check(stepsBefore, disk, secondBoot)
+			r.checkAfterCrash(stepsBefore, disk, secondBoot)
 		}
 	}
 }
 
-// check starts a process on a disk as a crash after stepCount steps left it, in the given boot of the machine, and
-// checks what it does with a retry of each key.
-func (r *crashRun) check(stepCount int, disk *memoryDisk, bootID uint64) {
+// checkAfterCrash starts a process on a disk as a crash after stepCount steps left it, in the given boot of the
+// machine, and checks what it does with a retry of each key.
+func (r *crashRun) checkAfterCrash(stepCount int, disk *memoryDisk, bootID uint64) {
 	r.t.Helper()
 	r.crashes++
 	clock := r.clock.later(100, 100, bootID)
 	if bootID != firstBoot {
 		clock.reading.Monotonic = 100
 	}
-	isEmpty := stepCount < 2 // the first segment is not complete yet
-	session := openSession(r.t, disk, testConfig(r.durability, isEmpty, clock.now))
+	allowEmpty := stepCount < 2 // the first segment is not complete yet
+	session := openSession(r.t, disk, testConfig(r.durability, allowEmpty, clock.now))
 	r.processes++
 	for i := range r.keys {
 		r.checkKey(keyName(i), session.retryOutcome(keyName(i)), stepCount, bootID)
@@ -139,20 +139,20 @@
 }
 
 // checkKey checks what a process does with a retry of a key, in the given boot, after a crash after stepCount steps.
-// got is the return value of retryOutcome.
-func (r *crashRun) checkKey(key, got string, stepCount int, bootID uint64) {
+// outcome is the return value of retryOutcome.
+func (r *crashRun) checkKey(key, outcome string, stepCount int, bootID uint64) {
 	r.t.Helper()
-	if begun, ran := r.begun[key]; ran && begun <= stepCount {
-		require.NotEqual(r.t, retryRuns, got, "durability %d: %s runs twice after %d steps",
+	if runStep, ran := r.runStep[key]; ran && runStep <= stepCount {
+		require.NotEqual(r.t, retryRuns, outcome, "durability %d: %s runs twice after %d steps",
 			r.durability, key, stepCount)
 	}
-	if got != retryRuns && got != retryRejected && got != retryAborted {
-		require.Equal(r.t, "result of "+key, got)
+	if outcome != retryRuns && outcome != retryRejected && outcome != retryAborted {
+		require.Equal(r.t, "result of "+key, outcome)
 	}
-	completed, isCompleted := r.completed[key]
+	resultStep, isCompleted := r.resultStep[key]
 	survivesBoot := bootID == firstBoot || r.durability == recovery.DurabilityMachine
-	if isCompleted && completed <= stepCount && survivesBoot && got != retryRejected {
-		require.Equal(r.t, "result of "+key, got, "a durable result is lost")
+	if isCompleted && resultStep <= stepCount && survivesBoot && outcome != retryRejected {
+		require.Equal(r.t, "result of "+key, outcome, "a durable result is lost")
 	}
 }
 
@@ -167,16 +167,16 @@
 	require.True(t, first.intend("answered"))
 	first.complete("answered", recovery.KindCompletion, 2, "r")
 	first.close()
-	before := disk.count()
+	stepsBeforeOpen := disk.stepCount()
 	second := restartSession(t, disk, clock)
-	opened := disk.count()
+	stepsAfterOpen := disk.stepCount()
 	second.close()
-	for stepCount := before; stepCount <= opened; stepCount++ {
-		for torn := range headerSize + 1 {
+	for stepCount := stepsBeforeOpen; stepCount <= stepsAfterOpen; stepCount++ {
+		for missingBytes := range headerSize + 1 {
 			crashed := crashedDisk(disk.steps[:stepCount], keepUnsynced)
-			if data := crashed.files[segmentName(2)]; len(data) >= torn {
-				crashed.files[segmentName(2)] = data[:len(data)-torn]
-			} else if torn > 0 {
+			if data := crashed.files[segmentName(2)]; len(data) >= missingBytes {
+				crashed.files[segmentName(2)] = data[:len(data)-missingBytes]
+			} else if missingBytes > 0 {
 				break
 			}
 			checkNothingLost(t, crashed, clock)
@@ -198,7 +198,7 @@
 // TestCorruptionRejectsUnknownKeysForAWindow checks that after corruption or loss of segments no unknown key runs until
 // the deduplication window of all keys that may have been lost has ended.
 func TestCorruptionRejectsUnknownKeysForAWindow(t *testing.T) {
-	for name, corrupt := range map[string]func(disk *memoryDisk){
+	for name, corruptDisk := range map[string]func(disk *memoryDisk){
 		"middle":  func(disk *memoryDisk) { disk.files[segmentName(2)][headerSize+70] ^= 1 },
 		"header":  func(disk *memoryDisk) { disk.files[segmentName(2)][20] ^= 1 },
 		"missing": func(disk *memoryDisk) { delete(disk.files, segmentName(2)) },
@@ -207,7 +207,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			disk, clock := diskWithSegments(t)
-			corrupt(disk)
+			corruptDisk(disk)
 			first := restartSession(t, disk, clock.later(0, 0, firstBoot))
 			require.Equal(t, retryRejected, first.retryOutcome("unknown"))
 			for i := range segmentKeys {
--- a/internal/segmentlog/format.go
+++ b/internal/segmentlog/format.go
@@ -76,8 +76,8 @@
 // segmentName returns the file name of the segment with the given id.
 func segmentName(id uint64) string { return fmt.Sprintf("%016x%s", id, segmentSuffix) }
 
-// segmentID returns the segment id in a file name. valid is false if the name does not contain one.
-func segmentID(name string) (id uint64, valid bool) {
+// parseSegmentName returns the segment id in a file name. valid is false if the name does not contain one.
+func parseSegmentName(name string) (id uint64, valid bool) {
 	id, err := strconv.ParseUint(strings.TrimSuffix(name, segmentSuffix), 16, 64)
 	return id, err == nil
 }
@@ -211,12 +211,12 @@
 	record.WindowEnd = timeunit.Ticks(binary.LittleEndian.Uint64(data[recordWindowEndOffset:]))
 	record.WrittenAt = parseClock(data[recordWrittenOffset:])
 	record.Attempt = binary.LittleEndian.Uint64(data[recordAttemptOffset:])
-	variable := data[recordFixedSize : size-checksumSize]
+	variableFields := data[recordFixedSize : size-checksumSize]
 	if kind == recovery.KindIntent {
-		copy(record.BodyHash[:], variable)
-		variable = variable[bodyHashSize:]
+		copy(record.BodyHash[:], variableFields)
+		variableFields = variableFields[bodyHashSize:]
 	}
-	record.Key = string(variable[:keyBytes])
-	record.Payload = variable[keyBytes:]
+	record.Key = string(variableFields[:keyBytes])
+	record.Payload = variableFields[keyBytes:]
 	return record, size, nil
 }
--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -20,9 +20,10 @@
 // goldenRecords returns two records of each kind: one with an empty payload, and one with an empty key, a payload and,
 // for an intent, a body hash.
 func goldenRecords() (records []recovery.Record) {
-	at := recovery.ClockReading{Wall: 0x0102030405, Monotonic: 0x060708, BootID: 0xf1f2f3f4f5f6f7f8}
+	writtenAt := recovery.ClockReading{Wall: 0x0102030405, Monotonic: 0x060708, BootID: 0xf1f2f3f4f5f6f7f8}
 	for kind := recovery.KindIntent; kind <= recovery.KindWarmStart; kind++ {
-		record := recovery.Record{Kind: kind, Attempt: 0xa1a2a3a4, WindowEnd: at.Wall + 350_000, WrittenAt: at}
+		record := recovery.Record{Kind: kind, Attempt: 0xa1a2a3a4, WindowEnd: writtenAt.Wall + 350_000,
+			WrittenAt: writtenAt}
 		record.Key = fmt.Sprint("key ", int(kind))
 		record.Payload = []byte{}
 		records = append(records, record)
@@ -47,18 +48,18 @@
 	for _, durability := range []recovery.Durability{recovery.DurabilityProcess, recovery.DurabilityMachine} {
 		header := segmentHeader{durability: durability, id: 0x1122, previousWindowEnd: 0x3344, createdAt: createdAt}
 		data := header.encode()
-		again, err := parseHeader(data)
+		decoded, err := parseHeader(data)
 		require.NoError(t, err)
-		require.Equal(t, data, again.encode())
+		require.Equal(t, data, decoded.encode())
 		fmt.Fprintf(&got, "header %s %s\n", segmentName(header.id), hex.EncodeToString(data))
 	}
 	for _, record := range goldenRecords() {
 		data := appendRecord(nil, &record)
-		again, size, err := parseRecord(data)
+		decoded, size, err := parseRecord(data)
 		require.NoError(t, err)
 		require.Equal(t, len(data), size)
-		require.Equal(t, record, again)
-		require.Equal(t, data, appendRecord(nil, &again))
+		require.Equal(t, record, decoded)
+		require.Equal(t, data, appendRecord(nil, &decoded))
 		require.EqualValues(t, size, recordSize(record.Kind, len(record.Key), len(record.Payload)))
 		fmt.Fprintf(&got, "record %d %s\n", record.Kind, hex.EncodeToString(data))
 	}
@@ -76,9 +77,9 @@
 func (c *seededClock) now() recovery.ClockReading {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	passed := timeunit.Ticks(c.random.Intn(20_000))
-	c.reading.Wall += passed
-	c.reading.Monotonic += passed
+	elapsed := timeunit.Ticks(c.random.Intn(20_000))
+	c.reading.Wall += elapsed
+	c.reading.Monotonic += elapsed
 	return c.reading
 }
 
@@ -105,13 +106,13 @@
 	}
 }
 
-// playProcesses runs three processes in sequence on one disk, may damage the disk after each of them, and finally
+// runSeededProcesses runs three processes in sequence on one disk, may damage the disk after each of them, and finally
 // compacts it. It adds the result of each scan and every disk step to the history.
-func playProcesses(t *testing.T, seed int64, history *golden.History) {
+func runSeededProcesses(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	random := rand.New(rand.NewSource(seed))
 	disk := newMemoryDisk()
-	clock := &seededClock{random: rand.New(rand.NewSource(seed)), reading: firstReading}
+	clock := &seededClock{random: rand.New(rand.NewSource(seed)), reading: initialClockReading}
 	for process := range 3 {
 		config := testConfig(recovery.Durability(seed%2), process == 0, clock.now)
 		config.MaxOutcomes = 12
@@ -119,10 +120,10 @@
 		addScan(history, &session.log.ScanResult)
 		for i := range 20 {
 			session.lastAttempt = uint64(100*process + i)
-			playRequest(session, random)
+			appendSeededRequest(session, random)
 		}
 		session.close()
-		harm(disk, random, clock)
+		damageDisk(disk, random, clock)
 	}
 	addSteps(history, disk.steps)
 	analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12},
@@ -132,9 +133,9 @@
 	addSteps(history, disk.steps)
 }
 
-// playRequest appends the intent of a pseudo-random request, and then a cancellation, a warm-start state, a completion
-// or nothing.
-func playRequest(s *session, random *rand.Rand) {
+// appendSeededRequest appends the intent of a pseudo-random request, and then a cancellation, a warm-start state, a
+// completion or nothing.
+func appendSeededRequest(s *session, random *rand.Rand) {
 	key := fmt.Sprint("key-", random.Intn(30))
 	windowEnd := 1e9 + timeunit.Ticks(random.Intn(1_000_000))
 	record := recovery.Record{Key: key, WindowEnd: windowEnd, Attempt: s.lastAttempt}
@@ -151,9 +152,9 @@
 	}
 }
 
-// harm truncates the newest segment, corrupts or removes a middle one, simulates a reboot of the machine, or does
+// damageDisk truncates the newest segment, corrupts or removes a middle one, simulates a reboot of the machine, or does
 // nothing.
-func harm(disk *memoryDisk, random *rand.Rand, clock *seededClock) {
+func damageDisk(disk *memoryDisk, random *rand.Rand, clock *seededClock) {
 	names, _ := disk.List()
 	newest := names[len(names)-1]
 	middle := names[len(names)/2]
@@ -179,5 +180,5 @@
 // TestGoldenProcesses compares every disk step, and the result of every scan, with the golden file, for 100 seeds with
 // ten seeds per line.
 func TestGoldenProcesses(t *testing.T) {
-	schedule.GoldenFile{Name: "lives.txt", Seeds: 100, SeedsPerLine: 10}.Check(t, playProcesses)
+	schedule.GoldenFile{Name: "lives.txt", Seeds: 100, SeedsPerLine: 10}.Check(t, runSeededProcesses)
 }
--- a/internal/segmentlog/log.go
+++ b/internal/segmentlog/log.go
@@ -76,10 +76,10 @@
 	queue   chan queuedRecord
 	done    chan struct{} // closed when the writer goroutine has ended
 
-	mutex   sync.Mutex // guards the fields below; never held during I/O
-	space   recovery.Space
-	failure error     // the error of the last write; nil if it succeeded
-	retryAt time.Time // if failure is set: when the next intent may try a new segment
+	mutex    sync.Mutex // guards the fields below; never held during I/O
+	space    recovery.Space
+	writeErr error     // the error of the last write; nil if it succeeded
+	retryAt  time.Time // if writeErr is set: when the next intent may try a new segment
 }
 
 // queuedRecord is a record that waits for the writer. A record without a kind is not written and only wakes the writer.
@@ -126,8 +126,8 @@
 	intentBytes := recordSize(recovery.KindIntent, len(record.Key), 0)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.failure != nil && time.Now().Before(l.retryAt) {
-		return l.failure
+	if l.writeErr != nil && time.Now().Before(l.retryAt) {
+		return l.writeErr
 	}
 	if len(l.queue) >= queueCapacity/2 || !l.space.Reserve(intentBytes, reservedCompletionSize(record.Key)) {
 		l.wakeWriter()
@@ -180,11 +180,11 @@
 
 // Usage returns the used and the reserved bytes, the number of records, and the error of the last write, or nil if it
 // succeeded.
-func (l *Log) Usage() (usedBytes, reservedBytes int64, records int, failure error) {
+func (l *Log) Usage() (usedBytes, reservedBytes int64, records int, writeErr error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	usedBytes, reservedBytes, records = l.space.Usage()
-	return usedBytes, reservedBytes, records, l.failure
+	return usedBytes, reservedBytes, records, l.writeErr
 }
 
 // Close makes the writer write all appended records and then a shutdown record. It does not wait: the channel of Done
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -15,7 +15,7 @@
 // TestFailedDiskRejectsIntentsUntilANewSegment checks that after a failed write or sync the waiting intents are
 // rejected, and that later intents are accepted only in a new segment: a later sync says nothing about the failed one.
 func TestFailedDiskRejectsIntentsUntilANewSegment(t *testing.T) {
-	for name, failing := range map[string][]diskOperation{
+	for name, failingOperations := range map[string][]diskOperation{
 		"write":  {opWrite},
 		"sync":   {opSync},
 		"create": {opCreate, opWrite},
@@ -25,8 +25,8 @@
 			clock := newTestClock()
 			first := startSession(t, disk, clock, recovery.DurabilityMachine)
 			require.True(t, first.intend("before"))
-			disk.failWith(func(attempted diskOperation) error {
-				if slices.Contains(failing, attempted) {
+			disk.failWith(func(operation diskOperation) error {
+				if slices.Contains(failingOperations, operation) {
 					return errDisk
 				}
 				return nil
@@ -61,10 +61,10 @@
 	for i := range accepted {
 		session.complete(fmt.Sprint(i), recovery.KindCompletion, uint64(i+1), string(make([]byte, 4000)))
 	}
-	_, reserved, _, failure := session.log.Usage()
+	_, reserved, _, writeErr := session.log.Usage()
 	require.Zero(t, reserved)
-	require.NoError(t, failure)
-	clock.moveWall(2 * testWindow)
+	require.NoError(t, writeErr)
+	clock.advanceWall(2 * testWindow)
 	require.Eventually(t, func() bool { return session.intend("later") }, waitLimit, time.Millisecond)
 }
 
--- a/internal/segmentlog/memorydisk_test.go
+++ b/internal/segmentlog/memorydisk_test.go
@@ -34,10 +34,10 @@
 
 // memoryDisk is a Storage in memory that records each step and returns errors on demand.
 type memoryDisk struct {
-	mutex sync.Mutex
-	steps []diskStep
-	files map[string][]byte
-	fail  func(operation diskOperation) error // returns the error of an operation; nil if no operation fails
+	mutex          sync.Mutex
+	steps          []diskStep
+	files          map[string][]byte
+	operationError func(operation diskOperation) error // returns the error of an operation; nil if no operation fails
 }
 
 func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
@@ -46,15 +46,15 @@
 func (d *memoryDisk) failWith(fail func(operation diskOperation) error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.fail = fail
+	d.operationError = fail
 }
 
 // apply records a step and applies it to the files, unless it fails.
 func (d *memoryDisk) apply(step diskStep) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.fail != nil {
-		if err := d.fail(step.operation); err != nil {
+	if d.operationError != nil {
+		if err := d.operationError(step.operation); err != nil {
 			if step.operation == opWrite { // a failed write may have written a part
 				d.files[step.name] = append(d.files[step.name], step.data[:len(step.data)/2]...)
 			}
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// count returns the number of steps so far.
-func (d *memoryDisk) count() int {
+// stepCount returns the number of steps so far.
+func (d *memoryDisk) stepCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.steps)
@@ -131,7 +131,7 @@
 // function reports which of them survive.
 func crashedDisk(steps []diskStep, survives func(unsynced int) bool) *memoryDisk {
 	disk := newMemoryDisk()
-	unsynced := 0
+	unsyncedWrites := 0
 	for i, step := range steps {
 		switch step.operation {
 		case opCreate:
@@ -139,12 +139,12 @@
 		case opWrite:
 			data := step.data
 			if !isSynced(steps, i) {
-				if !survives(unsynced) {
+				if !survives(unsyncedWrites) {
 					// The lost write leaves zeros, so that the file keeps its length in case a later write
 					// survives.
 					data = make([]byte, len(step.data))
 				}
-				unsynced++
+				unsyncedWrites++
 			}
 			disk.files[step.name] = append(disk.files[step.name], data...)
 		case opRemove:
@@ -155,9 +155,9 @@
 }
 
 // isSynced reports whether a later step syncs the file of the write at the given index.
-func isSynced(steps []diskStep, write int) bool {
-	return slices.ContainsFunc(steps[write+1:], func(later diskStep) bool {
-		return later.operation == opSync && later.name == steps[write].name
+func isSynced(steps []diskStep, writeIndex int) bool {
+	return slices.ContainsFunc(steps[writeIndex+1:], func(later diskStep) bool {
+		return later.operation == opSync && later.name == steps[writeIndex].name
 	})
 }
 
@@ -167,7 +167,7 @@
 	reading recovery.ClockReading
 }
 
-func newTestClock() *testClock { return &testClock{reading: firstReading} }
+func newTestClock() *testClock { return &testClock{reading: initialClockReading} }
 
 // later returns a new clock that is ahead of this one by the given times and has the given boot id.
 func (c *testClock) later(wall, monotonic timeunit.Ticks, bootID uint64) *testClock {
@@ -186,8 +186,8 @@
 	return c.reading
 }
 
-// moveWall sets the wall clock forward without changing the monotonic clock.
-func (c *testClock) moveWall(by timeunit.Ticks) {
+// advanceWall sets the wall clock forward without changing the monotonic clock.
+func (c *testClock) advanceWall(by timeunit.Ticks) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.reading.Wall += by
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -63,12 +63,12 @@
 
 // scanSegment reads one segment and adds its records and corruption to the analysis.
 func (s *scanner) scanSegment(name string, isLast bool) error {
-	id, valid := segmentID(name)
+	id, valid := parseSegmentName(name)
 	if !valid {
 		s.analysis.AddCorruption(recovery.CorruptionInvalid, name, 0, false)
 		return nil
 	}
-	data, err := s.read(name)
+	data, err := s.readSegment(name)
 	if err != nil {
 		return err
 	}
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// read returns the contents of a segment.
-func (s *scanner) read(name string) ([]byte, error) {
+// readSegment returns the contents of a segment.
+func (s *scanner) readSegment(name string) ([]byte, error) {
 	file, err := s.storage.Open(name)
 	if err != nil {
 		return nil, err
@@ -112,8 +112,8 @@
 // the previous one, or if this is the first one and its header says that the one before it is still needed.
 func (s *scanner) checkPrevious(header *segmentHeader, id uint64) {
 	isGap := s.previousID > 0 && id != s.previousID+1
-	isNeeded := s.previousID == 0 && header.previousWindowEnd > s.now.Wall
-	if isGap || isNeeded {
+	isPredecessorNeeded := s.previousID == 0 && header.previousWindowEnd > s.now.Wall
+	if isGap || isPredecessorNeeded {
 		s.analysis.AddCorruption(recovery.CorruptionMissingSegment, segmentName(id-1), 0, false)
 	}
 }
@@ -133,7 +133,7 @@
 			offset += size
 			continue
 		}
-		next, found := nextRecord(data, offset+1)
+		next, found := findRecord(data, offset+1)
 		corruption := recovery.CorruptionInvalid
 		if errors.Is(err, errTruncated) && !found {
 			corruption = recovery.CorruptionTruncated
@@ -146,8 +146,8 @@
 	}
 }
 
-// nextRecord returns the offset of the first valid record at or after start.
-func nextRecord(data []byte, start int) (offset int, found bool) {
+// findRecord returns the offset of the first valid record at or after start.
+func findRecord(data []byte, start int) (offset int, found bool) {
 	magic := []byte{byte(recordMagic & 0xff), byte(recordMagic >> 8)}
 	for start <= len(data) {
 		distance := bytes.Index(data[start:], magic)
--- a/internal/segmentlog/scan_test.go
+++ b/internal/segmentlog/scan_test.go
@@ -74,10 +74,10 @@
 	now := recovery.ClockReading{Wall: 1e9, BootID: 1}
 	for _, records := range schedule.Scale([]int{10_000}, []int{10_000, 1_000_000}) {
 		disk := diskWithRecords(records, now)
-		begun := time.Now()
+		startedAt := time.Now()
 		checkRecovery(t, disk, records, now)
 		t.Logf("measured store-recovery records=%d took_ms=%.1f intent_bytes=%d result_bytes=%d", records,
-			float64(time.Since(begun).Microseconds())/1000, recordSize(recovery.KindIntent, 34, 0),
+			float64(time.Since(startedAt).Microseconds())/1000, recordSize(recovery.KindIntent, 34, 0),
 			recordSize(recovery.KindCompletion, 34, 100))
 	}
 }
--- a/internal/segmentlog/session_test.go
+++ b/internal/segmentlog/session_test.go
@@ -18,8 +18,8 @@
 // waitLimit is how long a test waits for an event before it fails.
 const waitLimit = 20 * time.Second
 
-// firstReading is the clock reading when the first process of a test starts.
-var firstReading = recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: firstBoot}
+// initialClockReading is the clock reading when the first process of a test starts.
+var initialClockReading = recovery.ClockReading{Wall: 1e9, Monotonic: 1e6, BootID: firstBoot}
 
 // Return values of retryOutcome. For a completed request it returns "result " and the stored result instead.
 const (
--- a/internal/segmentlog/writer.go
+++ b/internal/segmentlog/writer.go
@@ -39,15 +39,15 @@
 // only wake the writer. The batch is valid until the next call.
 func (w *writer) collectBatch(first queuedRecord) []queuedRecord {
 	batch := append(w.batch[:0], first)
-	for isOpen := true; isOpen && len(batch) < maxBatch; {
+	for mayHaveMore := true; mayHaveMore && len(batch) < maxBatch; {
 		select {
 		case next, received := <-w.queue:
-			isOpen = received
+			mayHaveMore = received
 			if received {
 				batch = append(batch, next)
 			}
 		default:
-			isOpen = false
+			mayHaveMore = false
 		}
 	}
 	return slices.DeleteFunc(batch, func(queued queuedRecord) bool { return queued.record.Kind == 0 })
@@ -88,17 +88,17 @@
 // ensureSegment starts a new segment if the current one is full or was abandoned after an error.
 func (w *writer) ensureSegment() error {
 	w.mutex.Lock()
-	failure := w.failure
+	writeErr := w.writeErr
 	_, bytes, _ := w.space.CurrentSegment()
 	w.mutex.Unlock()
-	if failure == nil && bytes < w.config.SegmentBytes {
+	if writeErr == nil && bytes < w.config.SegmentBytes {
 		return nil
 	}
 	if err := w.startSegment(); err != nil {
-		return w.noteFailure(err)
+		return w.abandonSegment(err)
 	}
 	w.mutex.Lock()
-	w.failure = nil
+	w.writeErr = nil
 	w.mutex.Unlock()
 	w.retryDelay = 0
 	return nil
@@ -153,17 +153,17 @@
 	return w.storage.SyncDirectory()
 }
 
-// noteFailure abandons the current segment after a write error and sets the time of the next try. The segment cannot be
-// used any more, because its unsynced records may not be durable even if a later sync succeeds. noteFailure returns the
-// error for the waiting and for new records, which wraps ErrUnavailable.
-func (w *writer) noteFailure(err error) error {
+// abandonSegment abandons the current segment after a write error and sets the time of the next try. The segment cannot
+// be used any more, because its unsynced records may not be durable even if a later sync succeeds. abandonSegment
+// returns the error for the waiting and for new records, which wraps ErrUnavailable.
+func (w *writer) abandonSegment(err error) error {
 	w.retryDelay = min(max(minRetryDelay, 2*w.retryDelay), maxRetryDelay)
-	failure := errors.Join(ErrUnavailable, err)
+	writeErr := errors.Join(ErrUnavailable, err)
 	w.mutex.Lock()
-	w.failure = failure
+	w.writeErr = writeErr
 	w.retryAt = time.Now().Add(w.retryDelay)
 	w.mutex.Unlock()
-	return failure
+	return writeErr
 }
 
 // appendBatch writes records to the current segment. With DurabilityMachine it syncs them.
@@ -175,11 +175,11 @@
 		w.buffer = appendRecord(w.buffer, &batch[i].record)
 	}
 	if _, err := w.file.Write(w.buffer); err != nil {
-		return w.noteFailure(err)
+		return w.abandonSegment(err)
 	}
 	if w.config.Durability == recovery.DurabilityMachine {
 		if err := w.file.Sync(); err != nil {
-			return w.noteFailure(err)
+			return w.abandonSegment(err)
 		}
 	}
 	w.mutex.Lock()
@@ -196,20 +196,20 @@
 // the space is used and the windows in the current segment have ended too, it first starts a new segment, so that the
 // current one can also be removed.
 func (w *writer) removeExpired() {
-	now := w.config.Now().Wall - w.config.ClockUncertainty
+	expiryCutoff := w.config.Now().Wall - w.config.ClockUncertainty
 	w.mutex.Lock()
 	_, bytes, windowEnd := w.space.CurrentSegment()
 	usedBytes, _, _ := w.space.Usage()
-	failure := w.failure
+	writeErr := w.writeErr
 	w.mutex.Unlock()
-	isExpired := bytes > headerSize && windowEnd <= now
-	if failure == nil && isExpired && usedBytes > w.config.MaxBytes/2 {
+	isExpired := bytes > headerSize && windowEnd <= expiryCutoff
+	if writeErr == nil && isExpired && usedBytes > w.config.MaxBytes/2 {
 		if err := w.startSegment(); err != nil {
-			_ = w.noteFailure(err) // the next intent gets the error
+			_ = w.abandonSegment(err) // the next intent gets the error
 		}
 	}
 	w.mutex.Lock()
-	expired := w.space.RemoveExpired(now)
+	expired := w.space.RemoveExpired(expiryCutoff)
 	w.mutex.Unlock()
 	for _, id := range expired {
 		_ = w.storage.Remove(segmentName(id)) // if this fails, it is removed after the next start
