--- a/internal/recovery/analysis.go
+++ b/internal/recovery/analysis.go
@@ -15,7 +15,7 @@
 	RecordCount int       // number of records added
 
 	config        Config
-	now           ClockReading
+	now           ClockReading        // the present time, as passed to NewAnalysis
 	durability    Durability          // of the segment that is being read
 	outcomes      map[string]*Outcome // by idempotency key
 	lastWritten   ClockReading        // when the newest record was written
@@ -51,8 +51,8 @@
 	a.lastWritten = record.WrittenAt
 	a.cleanShutdown = record.Kind == KindShutdown
 	if a.unboundedLoss {
-		// The lost records were written before this one, so their windows end no later than the longest window that
-		// begins now, at the time of this record.
+		// The lost records were written before this one, so their windows end no later than a window of the maximum
+		// length that begins with this record.
 		a.unboundedLoss = false
 		a.extendRejection(a.toCurrentClock(record.WrittenAt.Wall+a.config.MaxWindow, record.WrittenAt))
 	}
@@ -88,8 +88,8 @@
 	outcome.openAttempts = append(outcome.openAttempts, record.Attempt)
 }
 
-// addCompletion stores the result of the request. It ignores a key without an outcome, such as one whose
-// window has ended.
+// addCompletion stores the result of the request. It ignores a key without an outcome, such as one whose window has
+// ended.
 func (a *Analysis) addCompletion(record *Record) {
 	outcome := a.outcomes[record.Key]
 	if outcome == nil {
--- a/internal/recovery/space.go
+++ b/internal/recovery/space.go
@@ -7,8 +7,8 @@
 // still need. A Space is not safe for concurrent use. MaxBytes and MaxRecords must be set before the first call of
 // Reserve.
 type Space struct {
-	MaxBytes   int64
-	MaxRecords int
+	MaxBytes   int64 // limit of the used and reserved bytes
+	MaxRecords int   // limit of the number of records
 
 	usedBytes     int64
 	reservedBytes int64
@@ -67,9 +67,9 @@
 	return newest.id, newest.bytes, newest.latestWindowEnd
 }
 
-// RemoveExpired removes the segments whose windows have all ended by now from the account, and returns their ids. It
-// never removes the current segment. A segment is only removed together with all older ones, because the next start
-// would take a gap for data loss.
+// RemoveExpired stops accounting for the segments whose windows have all ended by now, and returns their ids so that
+// the caller can remove them. It never includes the current segment. A segment expires only together with all older
+// ones, because the next start would take a gap for data loss.
 func (s *Space) RemoveExpired(now timeunit.Ticks) (expired []uint64) {
 	for len(s.segments) > 1 && s.segments[0].latestWindowEnd <= now {
 		oldest := s.segments[0]
--- a/internal/segmentlog/directory.go
+++ b/internal/segmentlog/directory.go
@@ -17,6 +17,7 @@
 	// Sync makes all previous writes durable. After an error it is unknown which of them are durable, whatever a later
 	// Sync returns.
 	Sync() error
+	// Close closes the file without making writes durable.
 	Close() error
 }
 
@@ -44,7 +45,7 @@
 // ErrLocked is returned by OpenDirectory if another process has opened the directory.
 var ErrLocked = errors.New("another process has this store")
 
-// lockFileName is the name of the file that the process which has opened the directory holds locked.
+// lockFileName is the name of the file in the directory that the process with exclusive access keeps locked.
 const lockFileName = "lock"
 
 // OpenDirectory opens a directory for exclusive use by this process, and creates it if it does not exist. It returns
--- a/internal/segmentlog/memorydisk_test.go
+++ b/internal/segmentlog/memorydisk_test.go
@@ -37,7 +37,7 @@
 	mutex          sync.Mutex
 	steps          []diskStep
 	files          map[string][]byte
-	operationError func(operation diskOperation) error // returns the error of an operation; nil if no operation fails
+	operationError func(operation diskOperation) error // the function that failWith set; nil if no operation fails
 }
 
 func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
@@ -49,13 +49,13 @@
 	d.operationError = fail
 }
 
-// apply records a step and applies it to the files, unless it fails.
+// apply records a step and applies it to the files. A step that fails is not recorded.
 func (d *memoryDisk) apply(step diskStep) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.operationError != nil {
 		if err := d.operationError(step.operation); err != nil {
-			if step.operation == opWrite { // a failed write may have written a part
+			if step.operation == opWrite { // a failed write may leave a part of its data in the file
 				d.files[step.name] = append(d.files[step.name], step.data[:len(step.data)/2]...)
 			}
 			return err
--- a/internal/segmentlog/scan.go
+++ b/internal/segmentlog/scan.go
@@ -9,18 +9,18 @@
 	"thistlequay/internal/recovery"
 )
 
-// maxSegmentBytes is the number of bytes that are read from one file at most. It is far above the largest segment size
+// maxSegmentBytes is the maximum number of bytes that are read from one file. It is far above the largest segment size
 // that can be configured.
 const maxSegmentBytes = 64 << 20
 
 // ScanResult holds the state that Scan recovered from a storage and the corruption that it found.
 type ScanResult struct {
 	recovery.RecoveredState
-	Findings    []recovery.Finding
-	RecordCount int
+	Findings    []recovery.Finding // in the order in which they were found
+	RecordCount int                // number of valid records in all segments
 
-	space  recovery.Space
-	nextID uint64 // the id of the next segment to create
+	space  recovery.Space // accounts for the segments that were found
+	nextID uint64         // the id of the next segment to create
 }
 
 // Visitor is called with each valid record that Scan reads, the name of its file and its offset in bytes.
--- a/internal/segmentlog/writer.go
+++ b/internal/segmentlog/writer.go
@@ -155,7 +155,7 @@
 
 // abandonSegment abandons the current segment after a write error and sets the time of the next try. The segment cannot
 // be used any more, because its unsynced records may not be durable even if a later sync succeeds. abandonSegment
-// returns the error for the waiting and for new records, which wraps ErrUnavailable.
+// returns an error that wraps ErrUnavailable, which the waiting records and new intents get.
 func (w *writer) abandonSegment(err error) error {
 	w.retryDelay = min(max(minRetryDelay, 2*w.retryDelay), maxRetryDelay)
 	writeErr := errors.Join(ErrUnavailable, err)
