--- a/internal/segmentlog/golden_test.go
+++ b/internal/segmentlog/golden_test.go
@@ -17,10 +17,13 @@
 	"thistlequay/timeunit"
 )
 
+// goldenRecords returns two records of each kind: one with an empty payload, and one with an empty key, a payload and,
+// for an intent, a body hash.
 func goldenRecords() (records []recovery.Record) {
-	at := recovery.ClockReading{Wall: 0x0102030405, Monotonic: 0x060708, BootID: 0xf1f2f3f4f5f6f7f8}
+	writtenAt := recovery.ClockReading{Wall: 0x0102030405, Monotonic: 0x060708, BootID: 0xf1f2f3f4f5f6f7f8}
 	for kind := recovery.KindIntent; kind <= recovery.KindWarmStart; kind++ {
-		record := recovery.Record{Kind: kind, Attempt: 0xa1a2a3a4, WindowEnd: at.Wall + 350_000, WrittenAt: at}
+		record := recovery.Record{Kind: kind, Attempt: 0xa1a2a3a4, WindowEnd: writtenAt.Wall + 350_000,
+			WrittenAt: writtenAt}
 		record.Key = fmt.Sprint("key ", int(kind))
 		record.Payload = []byte{}
 		records = append(records, record)
@@ -37,33 +40,34 @@
 	return records
 }
 
-// TestGoldenFormat compares the bytes of a segment's header and of records of every kind, which are read and written
-// again.
+// TestGoldenFormat compares encoded segment headers, and encoded records of every kind, with the golden file. It also
+// checks that they are the same after decoding and encoding.
 func TestGoldenFormat(t *testing.T) {
 	var got bytes.Buffer
 	createdAt := recovery.ClockReading{Wall: 5, Monotonic: 6, BootID: 7}
 	for _, durability := range []recovery.Durability{recovery.DurabilityProcess, recovery.DurabilityMachine} {
 		header := segmentHeader{durability: durability, id: 0x1122, previousWindowEnd: 0x3344, createdAt: createdAt}
 		data := header.encode()
-		again, err := parseHeader(data)
+		decoded, err := parseHeader(data)
 		require.NoError(t, err)
-		require.Equal(t, data, again.encode())
+		require.Equal(t, data, decoded.encode())
 		fmt.Fprintf(&got, "header %s %s\n", segmentName(header.id), hex.EncodeToString(data))
 	}
 	for _, record := range goldenRecords() {
 		data := appendRecord(nil, &record)
-		again, size, err := parseRecord(data)
+		decoded, size, err := parseRecord(data)
 		require.NoError(t, err)
 		require.Equal(t, len(data), size)
-		require.Equal(t, record, again)
-		require.Equal(t, data, appendRecord(nil, &again))
+		require.Equal(t, record, decoded)
+		require.Equal(t, data, appendRecord(nil, &decoded))
 		require.EqualValues(t, size, recordSize(record.Kind, len(record.Key), len(record.Payload)))
 		fmt.Fprintf(&got, "record %d %s\n", record.Kind, hex.EncodeToString(data))
 	}
 	golden.Check(t, "format.txt", got.Bytes())
 }
 
-// seededClock moves on by a seeded span with each look at it. Only the writer looks at it while a log is open.
+// seededClock advances by a pseudo-random duration each time it is read. Only the writer reads it while a log is open,
+// so the order of the readings is deterministic.
 type seededClock struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -73,14 +77,14 @@
 func (c *seededClock) now() recovery.ClockReading {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	passed := timeunit.Ticks(c.random.Intn(20_000))
-	c.reading.Wall += passed
-	c.reading.Monotonic += passed
+	elapsed := timeunit.Ticks(c.random.Intn(20_000))
+	c.reading.Wall += elapsed
+	c.reading.Monotonic += elapsed
 	return c.reading
 }
 
-// The words in a history ("fate", "room", ...) are part of what was recorded and keep their old names.
-
+// addScan adds the result of a scan to the history. The event names in a history ("fate", "room", ...) are part of the
+// recorded golden files, so they must not change.
 func addScan(history *golden.History, scan *ScanResult) {
 	history.Add("scanned", int64(scan.RejectUntil), hex.EncodeToString(scan.WarmStart), scan.Dropped, scan.RecordCount,
 		scan.nextID)
@@ -95,19 +99,20 @@
 	history.Add("room", used, reserved, records)
 }
 
+// addSteps adds disk steps to the history.
 func addSteps(history *golden.History, steps []diskStep) {
 	for _, step := range steps {
 		history.Add("step", step.operation, step.name, hex.EncodeToString(step.data))
 	}
 }
 
-// playProcesses has three processes write to one disk, each after another kind of harm, and adds every step on the
-// disk.
-func playProcesses(t *testing.T, seed int64, history *golden.History) {
+// runSeededProcesses runs three processes in sequence on one disk, may damage the disk after each of them, and finally
+// compacts it. It adds the result of each scan and every disk step to the history.
+func runSeededProcesses(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	random := rand.New(rand.NewSource(seed))
 	disk := newMemoryDisk()
-	clock := &seededClock{random: rand.New(rand.NewSource(seed)), reading: firstReading}
+	clock := &seededClock{random: rand.New(rand.NewSource(seed)), reading: initialClockReading}
 	for process := range 3 {
 		config := testConfig(recovery.Durability(seed%2), process == 0, clock.now)
 		config.MaxOutcomes = 12
@@ -115,10 +120,10 @@
 		addScan(history, &session.log.ScanResult)
 		for i := range 20 {
 			session.lastAttempt = uint64(100*process + i)
-			playRequest(session, random)
+			appendSeededRequest(session, random)
 		}
 		session.close()
-		harm(disk, random, clock)
+		damageDisk(disk, random, clock)
 	}
 	addSteps(history, disk.steps)
 	analysis := recovery.NewAnalysis(recovery.Config{MaxWindow: testWindow, ClockUncertainty: 10_000, MaxOutcomes: 12},
@@ -128,8 +133,9 @@
 	addSteps(history, disk.steps)
 }
 
-// playRequest appends the intent of a seeded request, and perhaps what became of it.
-func playRequest(s *session, random *rand.Rand) {
+// appendSeededRequest appends the intent of a pseudo-random request, and then a cancellation, a warm-start state, a
+// completion or nothing.
+func appendSeededRequest(s *session, random *rand.Rand) {
 	key := fmt.Sprint("key-", random.Intn(30))
 	windowEnd := 1e9 + timeunit.Ticks(random.Intn(1_000_000))
 	record := recovery.Record{Key: key, WindowEnd: windowEnd, Attempt: s.lastAttempt}
@@ -146,8 +152,9 @@
 	}
 }
 
-// harm spoils the newest or a middle segment, or has the machine start again.
-func harm(disk *memoryDisk, random *rand.Rand, clock *seededClock) {
+// damageDisk truncates the newest segment, corrupts or removes a middle one, simulates a reboot of the machine, or does
+// nothing.
+func damageDisk(disk *memoryDisk, random *rand.Rand, clock *seededClock) {
 	names, _ := disk.List()
 	newest := names[len(names)-1]
 	middle := names[len(names)/2]
@@ -157,7 +164,7 @@
 	case 1:
 		data := slices.Clone(disk.files[middle])
 		offset := random.Intn(4096)
-		isVersion := offset == 8 || offset == 9 // another version is no harm but an error
+		isVersion := offset == 8 || offset == 9 // Open returns an error for another version
 		if offset < len(data) && !isVersion {
 			data[offset] ^= 1
 		}
@@ -170,8 +177,8 @@
 	}
 }
 
-// TestGoldenProcesses compares every write, sync and removal of a hundred seeded series of processes, and what each of
-// them found, ten a line.
+// TestGoldenProcesses compares every disk step, and the result of every scan, with the golden file, for 100 seeds with
+// ten seeds per line.
 func TestGoldenProcesses(t *testing.T) {
-	schedule.GoldenFile{Name: "lives.txt", Seeds: 100, SeedsPerLine: 10}.Check(t, playProcesses)
+	schedule.GoldenFile{Name: "lives.txt", Seeds: 100, SeedsPerLine: 10}.Check(t, runSeededProcesses)
 }
--- a/internal/segmentlog/log_test.go
+++ b/internal/segmentlog/log_test.go
@@ -12,10 +12,10 @@
 	"thistlequay/internal/recovery"
 )
 
-// TestFailedDiskRejectsIntentsUntilANewSegment checks that a write or a sync that fails rejects what waits for it, and
-// that nothing later makes it good: a new segment is begun.
+// TestFailedDiskRejectsIntentsUntilANewSegment checks that after a failed write or sync the waiting intents are
+// rejected, and that later intents are accepted only in a new segment: a later sync says nothing about the failed one.
 func TestFailedDiskRejectsIntentsUntilANewSegment(t *testing.T) {
-	for name, failing := range map[string][]diskOperation{
+	for name, failingOperations := range map[string][]diskOperation{
 		"write":  {opWrite},
 		"sync":   {opSync},
 		"create": {opCreate, opWrite},
@@ -25,8 +25,8 @@
 			clock := newTestClock()
 			first := startSession(t, disk, clock, recovery.DurabilityMachine)
 			require.True(t, first.intend("before"))
-			disk.failWith(func(attempted diskOperation) error {
-				if slices.Contains(failing, attempted) {
+			disk.failWith(func(operation diskOperation) error {
+				if slices.Contains(failingOperations, operation) {
 					return errDisk
 				}
 				return nil
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestFullLogRejectsIntentsButTakesCompletions checks that a full log rejects a request before its run, that what was
-// reserved is there for the completions, and that windows that end free space.
+// TestFullLogRejectsIntentsButTakesCompletions checks that a full log rejects a request before it runs, that
+// completions use the space that was reserved for them, and that space is freed when windows end.
 func TestFullLogRejectsIntentsButTakesCompletions(t *testing.T) {
 	disk := newMemoryDisk()
 	clock := newTestClock()
@@ -61,15 +61,15 @@
 	for i := range accepted {
 		session.complete(fmt.Sprint(i), recovery.KindCompletion, uint64(i+1), string(make([]byte, 4000)))
 	}
-	_, reserved, _, failure := session.log.Usage()
+	_, reserved, _, writeErr := session.log.Usage()
 	require.Zero(t, reserved)
-	require.NoError(t, failure)
-	clock.moveWall(2 * testWindow)
+	require.NoError(t, writeErr)
+	clock.advanceWall(2 * testWindow)
 	require.Eventually(t, func() bool { return session.intend("later") }, waitLimit, time.Millisecond)
 }
 
-// TestDirectoryIsLockedAndCompacted checks that one process at a time has a directory, and that what is still needed
-// survives its compaction.
+// TestDirectoryIsLockedAndCompacted checks that only one process at a time can open a directory, and that the outcomes
+// that are still needed survive compaction.
 func TestDirectoryIsLockedAndCompacted(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	directory, err := OpenDirectory(path)
@@ -97,7 +97,8 @@
 	require.NoError(t, directory.Close())
 }
 
-// BenchmarkAppend measures an intent and its completion, each durable, on the disk of the temporary directory.
+// BenchmarkAppend measures the time to make an intent and then its completion durable, on the disk that holds the
+// temporary directory.
 func BenchmarkAppend(b *testing.B) {
 	for name, durability := range map[string]recovery.Durability{
 		"process": recovery.DurabilityProcess,
