--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -16,68 +16,70 @@
 	"thistlequay/internal/membership"
 )
 
-// Intervals of memberlist, all shorter than in its configuration for local networks (1, 10, 30 and 30 seconds), so that
-// failures are known and partitions heal within seconds.
+// Intervals and timeouts that are passed to memberlist. All are shorter than in its configuration for local networks
+// (1, 10, 30 and 30 seconds), so that failures are detected and partitions heal within seconds.
 const (
-	defaultProbeInterval = 500 * time.Millisecond // a probe times out after half of that
-	streamTimeout        = 2 * time.Second
-	pushPullInterval     = 15 * time.Second // between two full exchanges of state with some member
-	gossipToDeadTime     = 10 * time.Second // how long updates still go to a member that has failed
+	defaultProbeInterval = 500 * time.Millisecond // the probe timeout is half of this
+	streamTimeout        = 2 * time.Second        // for connecting, reading and writing
+	pushPullInterval     = 15 * time.Second       // between two full state exchanges with a random member
+	gossipToDeadTime     = 10 * time.Second       // how long updates are still sent to a failed member
 )
 
 const (
-	// maxQueuedTasks bounds the messages and calls that wait for the worker, in memberlist's queue and in Node's own.
-	// More are dropped.
+	// maxQueuedTasks limits the messages and tasks that wait for the worker, both in memberlist's queue and in the
+	// Node's own. Further ones are dropped.
 	maxQueuedTasks = 1024
-	// retransmitMultiplier times the logarithm of the number of members is how many members each member passes an
-	// update on to.
+	// retransmitMultiplier times the logarithm of the number of members is the number of members to which each member
+	// passes an update on.
 	retransmitMultiplier = 1
-	// delegateProtocol is the version of the delegate's messages, which all members must speak.
+	// delegateProtocol is the version of the delegate's messages. All members must use the same version.
 	delegateProtocol = 1
 )
 
-// Config is what a Node is started with.
+// Config configures a Node.
 type Config struct {
-	// Membership configures the view of the cluster and names this server. It must be set.
+	// Membership configures the cluster view and identifies this server. It is required.
 	Membership membership.Config
-	// ListenAddress is the host and port to listen on, for packets and streams. The host must be an IP address.
+	// ListenAddress is the host and port to listen on, for both packets and streams. The host must be an IP address.
 	ListenAddress string
-	// AdvertiseAddress is where others reach this server. If it is empty, that is ListenAddress.
+	// AdvertiseAddress is the host and port at which other members reach this server. If it is empty, ListenAddress is
+	// advertised.
 	AdvertiseAddress string
-	// SeedAddresses are where other members are looked for, as long as none is known.
+	// SeedAddresses are the addresses at which the node looks for other members while it knows none.
 	SeedAddresses []string
-	// ClusterName labels every packet and stream. Those of a cluster with another name are ignored.
+	// ClusterName labels every packet and stream. Packets and streams with the label of another cluster are ignored.
 	ClusterName string
-	// Keys are the cluster's encryption keys, of 16, 24 or 32 bytes. The first encrypts, all of them decrypt. Without
-	// keys nothing is encrypted.
+	// Keys are the cluster's encryption keys, each 16, 24 or 32 bytes long. The first key encrypts, and all of them
+	// decrypt. Without keys, nothing is encrypted.
 	Keys [][]byte
-	// Transport replaces the network, in tests. If it is nil, ListenAddress is listened on.
+	// Transport replaces the network in tests. If it is nil, the node listens on ListenAddress.
 	Transport memberlist.Transport
-	// Version is that of the program, for operators.
+	// Version is the program version, which is shown to operators.
 	Version string
-	// SettingsDigest lets operators see which servers run with other settings.
+	// SettingsDigest is a digest of the settings in use. It lets operators see which servers run with different
+	// settings.
 	SettingsDigest uint32
-	// ProbeInterval is the time between two probes of memberlist's failure detector; 0 stands for half a second.
+	// ProbeInterval is the time between two probes of memberlist's failure detector. 0 means half a second.
 	ProbeInterval time.Duration
-	// Now is the clock. If it is nil, that is time.Now.
+	// Now returns the current time. If it is nil, time.Now is used.
 	Now func() time.Time
 
-	// The functions below may be nil. They are called on the worker, unless it says otherwise, and must not block.
+	// The functions below may be nil. They are called on the worker goroutine and must not block.
 
 	// OnChange is called when the effective size of the cluster or the quorum status has changed.
 	OnChange func(size int, status membership.QuorumStatus)
-	// OnMemberEvent is called for each change of a member's state, with the name of the event to log.
+	// OnMemberEvent is called for each change of a member's state. event is the name of the event to log.
 	OnMemberEvent func(event string, id membership.ID, from, to membership.State, cause membership.Cause)
 	// OnQuorumChange is called when the quorum status has changed.
 	OnQuorumChange func(status membership.QuorumStatus, size int, epoch uint64)
-	// OnUsage is called with what tenants used on another server, as it was age ago.
+	// OnUsage is called with the tenant usage that another server reported. age is the age of the report.
 	OnUsage func(of membership.ID, age time.Duration, usage []membership.TenantUsage)
-	// Handlers take the envelopes to this server by their kind, from FirstEnvelopeKind on. Envelopes of other kinds
-	// are ignored.
+	// Handlers handle the envelopes that are sent to this server, by the kind of envelope. Kinds start at
+	// FirstEnvelopeKind. Envelopes of a kind without a handler are ignored.
 	Handlers map[byte]func(from membership.ID, payload []byte)
 }
 
-// advertisedAddress is where others reach this server.
+// advertisedAddress returns the address at which other members reach this server.
 func (c *Config) advertisedAddress() string {
 	if c.AdvertiseAddress != "" {
 		return c.AdvertiseAddress
@@ -85,7 +87,7 @@
 	return c.ListenAddress
 }
 
-// probeInterval is the time between two probes of memberlist's failure detector.
+// probeInterval returns the time between two probes of memberlist's failure detector.
 func (c *Config) probeInterval() time.Duration {
 	if c.ProbeInterval > 0 {
 		return c.ProbeInterval
@@ -93,7 +95,8 @@
 	return defaultProbeInterval
 }
 
-// memberlistConfig returns the configuration of memberlist for this node. It opens the sockets.
+// memberlistConfig returns memberlist's configuration for this node. Unless Config.Transport is set, it opens the
+// listening sockets.
 func (n *Node) memberlistConfig() (*memberlist.Config, error) {
 	list := memberlist.DefaultLANConfig()
 	list.Name = nodeName(n.config.Membership.Self)
@@ -105,7 +108,7 @@
 	list.GossipToTheDeadTime = gossipToDeadTime
 	list.RequireNodeNames = false
 	list.HandoffQueueDepth = maxQueuedTasks
-	list.EnableCompression = false // updates are small, and a decompression bomb would be unpacked
+	list.EnableCompression = false // updates are small, and a decompression bomb would be expanded
 	list.LogOutput = nil
 	list.Logger = log.New(io.Discard, "", 0)
 	events := delegate{n}
@@ -125,21 +128,22 @@
 	return list, n.setTransport(list)
 }
 
-// setAddresses sets the addresses to listen on and to advertise.
+// setAddresses sets the addresses to listen on and to advertise in memberlist's configuration.
 func (n *Node) setAddresses(list *memberlist.Config) error {
 	var err error
 	list.BindAddr, list.BindPort, err = splitAddress(n.config.ListenAddress)
 	if err != nil {
-		return fmt.Errorf("address to listen on: %w", err)
+		return fmt.Errorf("parse listen address: %w", err)
 	}
 	list.AdvertiseAddr, list.AdvertisePort, err = splitAddress(n.config.advertisedAddress())
 	if err != nil {
-		return fmt.Errorf("address to advertise: %w", err)
+		return fmt.Errorf("parse advertise address: %w", err)
 	}
 	return nil
 }
 
-// setTransport sets the configured transport, or one that listens.
+// setTransport sets Config.Transport as memberlist's transport or, if that is nil, a new one that listens on the
+// network.
 func (n *Node) setTransport(list *memberlist.Config) error {
 	list.Transport = n.config.Transport
 	if list.Transport != nil {
@@ -153,7 +157,7 @@
 	return nil
 }
 
-// splitAddress splits a host and a port given as a number.
+// splitAddress splits an address into its host and its numeric port.
 func splitAddress(address string) (host string, port int, err error) {
 	host, service, err := net.SplitHostPort(address)
 	if err != nil {
@@ -163,27 +167,28 @@
 	return host, port, err
 }
 
-// errNoKeys is returned for keys that are given to a cluster without, or taken from one with keys.
+// errNoKeys is returned by RotateKeys if the cluster runs without encryption, or if no keys are given to a cluster that
+// encrypts.
 var errNoKeys = errors.New("a running cluster cannot start or stop using encryption keys")
 
-// RotateKeys replaces the encryption keys while the node runs: the first encrypts from now on, all of them decrypt. On
-// an error the keys may be partly replaced; the call can be repeated.
+// RotateKeys replaces the encryption keys while the node runs. From then on the first key encrypts, and all of them
+// decrypt. After an error the keys may be partly replaced; the call can be repeated.
 func (n *Node) RotateKeys(keys [][]byte) error {
 	if n.keyring == nil || len(keys) == 0 {
 		return errNoKeys
 	}
 	for _, key := range keys {
 		if err := n.keyring.AddKey(key); err != nil {
-			return fmt.Errorf("add an encryption key: %w", err)
+			return fmt.Errorf("add encryption key: %w", err)
 		}
 	}
 	if err := n.keyring.UseKey(keys[0]); err != nil {
-		return fmt.Errorf("use the first encryption key: %w", err)
+		return fmt.Errorf("use first encryption key: %w", err)
 	}
 	return n.removeOtherKeys(keys)
 }
 
-// removeOtherKeys removes all encryption keys but those given.
+// removeOtherKeys removes every encryption key that is not in keys.
 func (n *Node) removeOtherKeys(keys [][]byte) error {
 	for _, known := range slices.Clone(n.keyring.GetKeys()) {
 		isKept := slices.ContainsFunc(keys, func(key []byte) bool { return bytes.Equal(key, known) })
@@ -191,7 +196,7 @@
 			continue
 		}
 		if err := n.keyring.RemoveKey(known); err != nil {
-			return fmt.Errorf("remove an encryption key: %w", err)
+			return fmt.Errorf("remove encryption key: %w", err)
 		}
 	}
 	return nil
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -14,11 +14,12 @@
 	"thistlequay/timeunit"
 )
 
-// delegate is what memberlist calls, on its own goroutines: memberlist.Delegate, EventDelegate, PingDelegate and
-// AliveDelegate. It must never block, nor touch what is the worker's alone other than in a task.
+// delegate implements the callbacks that memberlist calls on its own goroutines: memberlist.Delegate, EventDelegate,
+// PingDelegate and AliveDelegate. Its methods must not block, and may access the state that belongs to the worker only
+// from an enqueued task.
 type delegate struct{ node *Node }
 
-// NodeMeta returns the metadata of this server, nil if they do not fit.
+// NodeMeta returns the encoded metadata of this server, or nil if it is longer than limit bytes.
 func (d delegate) NodeMeta(limit int) []byte {
 	encoded, err := cbor.Marshal(nodeMetadata{
 		PublicKey: d.node.privateKey.Public().(ed25519.PublicKey),
@@ -30,7 +31,7 @@
 	return encoded
 }
 
-// NotifyMsg takes a message of another member. Memberlist uses its memory again afterwards.
+// NotifyMsg handles a message from another member. It copies the message because memberlist reuses the buffer.
 func (d delegate) NotifyMsg(message []byte) { d.node.onMessage(bytes.Clone(message)) }
 
 // GetBroadcasts returns the updates to pass on in the next packet.
@@ -38,7 +39,8 @@
 	return d.node.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns what a full exchange sends: updates, each behind its length in two bytes, big-endian.
+// LocalState returns the state that a full exchange sends: a sequence of updates, each preceded by its length as a
+// big-endian 16-bit integer.
 func (d delegate) LocalState(bool) []byte {
 	updates := d.node.pushPullState.Load()
 	if updates == nil {
@@ -52,7 +54,8 @@
 	return state
 }
 
-// MergeRemoteState takes what another member's LocalState returned.
+// MergeRemoteState handles the state that another member's LocalState returned. It stops at a truncated update and
+// after maxPushPullUpdates updates.
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
 	const lengthBytes = 2
 	for taken := 0; len(state) >= lengthBytes && taken < maxPushPullUpdates; taken++ {
@@ -67,36 +70,36 @@
 	}
 }
 
-// NotifyAlive rejects what is no member of this program.
+// NotifyAlive rejects a member whose name nodeName cannot have returned, because it does not run this program.
 func (d delegate) NotifyAlive(peer *memberlist.Node) error {
 	if _, ok := parseNodeName(peer.Name); !ok {
-		return fmt.Errorf("%q names no incarnation of a server", peer.Name)
+		return fmt.Errorf("member name %q is not of the form <server>.<incarnation>", peer.Name)
 	}
 	return nil
 }
 
-// NotifyJoin is called when memberlist holds a member to be alive, for the first time or again.
+// NotifyJoin is called when memberlist considers a member alive, for the first time or again.
 func (d delegate) NotifyJoin(peer *memberlist.Node) {
-	id, _ := parseNodeName(peer.Name) // NotifyAlive has let it pass
+	id, _ := parseNodeName(peer.Name) // NotifyAlive rejects names that cannot be parsed
 	var metadata nodeMetadata
 	if strictDecoder.Unmarshal(peer.Meta, &metadata) != nil || len(metadata.PublicKey) != ed25519.PublicKeySize {
-		metadata = nodeMetadata{} // of another version: the member's first update binds its key
+		metadata = nodeMetadata{} // from another version; the member's first update binds its key
 	}
 	address := peer.Address()
 	d.node.enqueue(func() { d.node.memberJoined(id, address, metadata) })
 }
 
-// NotifyLeave is called when memberlist holds a member to have failed or left.
+// NotifyLeave is called when memberlist considers a member failed or left.
 func (d delegate) NotifyLeave(peer *memberlist.Node) {
-	id, _ := parseNodeName(peer.Name) // NotifyAlive has let it pass
+	id, _ := parseNodeName(peer.Name) // NotifyAlive rejects names that cannot be parsed
 	hasLeft := peer.State == memberlist.StateLeft
 	d.node.enqueue(func() { d.node.memberLostOrLeft(id, hasLeft) })
 }
 
-// NotifyUpdate is called when a member's metadata change, which they never do.
+// NotifyUpdate is called when a member's metadata changes, which never happens in this program.
 func (d delegate) NotifyUpdate(*memberlist.Node) {}
 
-// AckPayload returns nothing: an answer to a ping carries no data.
+// AckPayload returns nil, because the answer to a ping carries no data.
 func (d delegate) AckPayload() []byte { return nil }
 
 // NotifyPingComplete is called when a member has answered a probe of memberlist.
@@ -106,7 +109,8 @@
 	}
 }
 
-// memberJoined takes a member into the view, on the worker. Its own first update says the rest of it.
+// memberJoined adds a member to the view. It must run on the worker. The member's first update provides the remaining
+// fields.
 func (n *Node) memberJoined(id membership.ID, address string, metadata nodeMetadata) {
 	n.joined[id] = true
 	if _, isKnown := n.publicKeys[id]; !isKnown && metadata.PublicKey != nil {
@@ -118,7 +122,7 @@
 	n.view.Refuted(id)
 }
 
-// memberLostOrLeft tells the view that a member has left or failed, on the worker.
+// memberLostOrLeft reports to the view that a member has left or failed. It must run on the worker.
 func (n *Node) memberLostOrLeft(id membership.ID, hasLeft bool) {
 	delete(n.joined, id)
 	if hasLeft {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -21,7 +21,7 @@
 	"thistlequay/timeunit"
 )
 
-// goldenMember makes a member without sockets whose identity, key and clock are the same in every run.
+// goldenMember returns a node without sockets whose identity, key and clock are the same in every run.
 func goldenMember(number int, now timeunit.Milliseconds) *Node {
 	id := membership.ID{Name: fmt.Sprintf("n%04d", number), Incarnation: 0x1122334455667700 + uint64(number)}
 	n := &Node{
@@ -38,14 +38,14 @@
 	return n
 }
 
-// runTasks does on the test's goroutine what the worker would do.
+// runTasks runs the queued tasks on the test's goroutine, in place of the worker.
 func (n *Node) runTasks() {
 	for len(n.tasks) > 0 {
 		(<-n.tasks)()
 	}
 }
 
-// goldenUpdate is an update with all fields set.
+// goldenUpdate returns a state update of a node with every field set.
 func goldenUpdate(of *Node, sequence uint64) membership.StateUpdate {
 	return membership.StateUpdate{
 		ID:                of.LocalID(),
@@ -69,7 +69,7 @@
 	}
 }
 
-// encodeAgain decodes a message and its content into empty, and encodes both anew behind the same signature.
+// encodeAgain decodes a message and its content, the latter into empty, and encodes both again with the same signature.
 func encodeAgain(t *testing.T, message []byte, empty any) []byte {
 	t.Helper()
 	var signed signedMessage
@@ -81,7 +81,8 @@
 	return encodeMessage(message[0], signed)
 }
 
-// Every message among members has the recorded bytes, and is the same when it is decoded and encoded again.
+// TestGoldenMessages checks that every message between members is encoded as the recorded bytes, and that decoding and
+// encoding it again changes nothing.
 func TestGoldenMessages(t *testing.T) {
 	n := goldenMember(1, 1)
 	me, other := n.LocalID(), goldenMember(2, 1).LocalID()
@@ -135,7 +136,7 @@
 	golden.Check(t, "messages.txt", out.Bytes())
 }
 
-// goldenMetadata returns a member's metadata, which are the same when they are decoded and encoded again.
+// goldenMetadata returns a node's encoded metadata, and checks that decoding and encoding it again changes nothing.
 func goldenMetadata(t *testing.T, n *Node) []byte {
 	t.Helper()
 	encoded := delegate{n}.NodeMeta(512)
@@ -147,7 +148,7 @@
 	return encoded
 }
 
-// goldenCluster is a member that has heard the updates of three others and a configuration.
+// goldenCluster returns a node that has received the updates of three other members and a configuration.
 func goldenCluster(t *testing.T) *Node {
 	t.Helper()
 	n := goldenMember(1, 1)
@@ -177,7 +178,8 @@
 	return n
 }
 
-// What a full exchange sends has the recorded bytes; who received all of it sends the same.
+// TestGoldenFullExchange checks that a full exchange sends the recorded bytes, and that a member that has received them
+// sends the same bytes.
 func TestGoldenFullExchange(t *testing.T) {
 	n := goldenCluster(t)
 	n.buildPushPullState()
@@ -194,14 +196,15 @@
 	golden.Check(t, "full-exchange.txt", fmt.Appendf(nil, "%x\n", state))
 }
 
-// A sealed packet with a fixed nonce is understood, and one that goes out is built the same way.
+// TestGoldenSealedPacket checks that an encrypted packet with a fixed nonce is decrypted and handled, and that outgoing
+// packets are built in the same way.
 func TestGoldenSealedPacket(t *testing.T) {
 	const nonce = "golden nonce"
 	block, err := aes.NewCipher([]byte(testKey))
 	require.NoError(t, err)
 	gcm, err := cipher.NewGCM(block)
 	require.NoError(t, err)
-	head := []byte("\xf4\x04" + testCluster + "\x01") // label, version of the sealing
+	head := []byte("\xf4\x04" + testCluster + "\x01") // cluster label and encryption version
 	const userMessage = 8
 	synctest.Test(t, func(t *testing.T) {
 		network := newVirtualNetwork(1)
@@ -241,7 +244,8 @@
 	})
 }
 
-// What operators are told of the cluster has the recorded JSON, and is the same when it is decoded and encoded again.
+// TestGoldenStatus checks that a Status is encoded as the recorded JSON, and that decoding and encoding it again
+// changes nothing.
 func TestGoldenStatus(t *testing.T) {
 	n := goldenCluster(t)
 	n.view.RecordFailure(goldenMember(4, 1).LocalID())
@@ -258,7 +262,7 @@
 	n.Dropped.Store(5)
 	n.Malformed.Store(6)
 	n.SentBytes.Store(7)
-	go func() { (<-n.tasks)() }() // in the place of the worker
+	go func() { (<-n.tasks)() }() // in place of the worker
 	status, err := n.Status()
 	require.NoError(t, err)
 	encoded, err := json.MarshalIndent(status, "", " ")
--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -18,9 +18,10 @@
 	"thistlequay/internal/schedule"
 )
 
+// spoofedAddress is the source address of the packets that tests inject.
 var spoofedAddress = net.UDPAddr{IP: net.IPv4(10, 0, 0, 9), Port: 7946}
 
-// recordingTransport keeps the packets that reached one member, to be replayed to it.
+// recordingTransport records the packets that reach one member, so that a test can replay them.
 type recordingTransport struct {
 	memberlist.Transport
 	lock     sync.Mutex
@@ -30,7 +31,7 @@
 
 func (t *recordingTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// run passes packets on to the member until done is closed.
+// run records packets and delivers them to the member until done is closed.
 func (t *recordingTransport) run(from <-chan *memberlist.Packet, done <-chan struct{}) {
 	for {
 		select {
@@ -45,7 +46,7 @@
 	}
 }
 
-// replay gives all that was recorded to the member again and returns how many packets that were.
+// replay delivers all recorded packets to the member again and returns their number.
 func (t *recordingTransport) replay() int {
 	t.lock.Lock()
 	packets := slices.Clone(t.recorded)
@@ -59,16 +60,18 @@
 	return len(packets)
 }
 
-// hostileCluster is a cluster of five in which one member, the forger, sends forged messages to another, the target.
+// hostileCluster is a cluster of five nodes in which one, the forger, sends forged messages to another, the target.
 type hostileCluster struct {
 	nodes         []*Node
 	target        *Node
 	targetAddress string
 	recording     *recordingTransport // of the packets that reached the target
 	forger        *Node
-	forged        int // messages that the forger sent
+	forged        int // number of messages that the forger sent
 }
 
+// startHostileCluster starts the cluster and waits until all nodes are in the majority. The recording ends when done is
+// closed.
 func startHostileCluster(t *testing.T, done <-chan struct{}) *hostileCluster {
 	t.Helper()
 	network := newVirtualNetwork(1)
@@ -89,7 +92,7 @@
 	return cluster
 }
 
-// sendForged sends the target a message that the forger signs with a key.
+// sendForged sends the target a message from the forger that is signed with key.
 func (c *hostileCluster) sendForged(t *testing.T, key ed25519.PrivateKey, kind byte, content any) {
 	t.Helper()
 	ownKey := c.forger.privateKey
@@ -101,8 +104,8 @@
 	require.NoError(t, c.forger.memberlist.SendToAddress(to, message))
 }
 
-// sendForgedAbout sends forged messages about a victim: that it is draining, and a lease grant and a configuration in
-// its name. The last message is in the name of a member that nobody knows.
+// sendForgedAbout sends the target forged messages in the name of victim: state updates that it is draining, a lease
+// grant and a configuration. The last message is in the name of a member that does not exist.
 func (c *hostileCluster) sendForgedAbout(t *testing.T, victim membership.ID) {
 	t.Helper()
 	ownKey := c.forger.privateKey
@@ -140,8 +143,8 @@
 	})
 }
 
-// sendMalformed hands the target messages that are cut short, of 64 KiB, of noise, and of a kind that only a later
-// version knows.
+// sendMalformed passes malformed messages to the target: truncated and empty messages, one of 64 KiB, one of
+// meaningless bytes, one of a kind that only a later version knows, and a truncated full exchange.
 func (c *hostileCluster) sendMalformed() {
 	honest := c.nodes[2]
 	update := membership.StateUpdate{ID: honest.LocalID(), Sequence: 1 << 30, State: membership.StateDraining}
@@ -160,8 +163,9 @@
 	events.MergeRemoteState(append([]byte{255, 255}, valid...), false)
 }
 
-// TestMeasuredRejectionOfHostileMessages has a member with the key of the cluster forge messages, send malformed
-// ones, and replay three minutes of packets (an hour if MEASURE=full): nothing of it is accepted, all of it is counted.
+// TestMeasuredRejectionOfHostileMessages checks that the target rejects and counts what a hostile member with the
+// cluster's key sends. The member forges messages, sends malformed ones, and replays three minutes of packets (an hour
+// if MEASURE=full). None of them may be accepted.
 func TestMeasuredRejectionOfHostileMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		done := make(chan struct{})
@@ -176,8 +180,8 @@
 			if view.Member(victim).State != membership.StateServing {
 				accepted++
 			}
-			require.Equal(t, c.forged-1, view.Counts.Forged-before.Forged, "in another's name")
-			require.Positive(t, view.Counts.UnknownSender-before.UnknownSender, "in nobody's name")
+			require.Equal(t, c.forged-1, view.Counts.Forged-before.Forged, "forged in a known member's name")
+			require.Positive(t, view.Counts.UnknownSender-before.UnknownSender, "forged in an unknown member's name")
 		})
 
 		malformed := c.target.Malformed.Load()
@@ -201,8 +205,9 @@
 	})
 }
 
-// TestMemberRefutesForgedDeath checks that a death forged in memberlist's own protocol, under the cluster's key, is
-// refuted by the member it is about: nobody is held to have failed for good, and the cluster stays agreed.
+// TestMemberRefutesForgedDeath checks that a member refutes a forged message of memberlist's own protocol, under the
+// cluster's key, that declares the member dead. No node may consider the member failed permanently, and all nodes must
+// be in the majority again.
 func TestMemberRefutesForgedDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newVirtualNetwork(2)
@@ -217,7 +222,7 @@
 			"Node":        nodeName(victim.LocalID()),
 			"From":        nodeName(nodes[3].LocalID()),
 		}))
-		// Without keys a packet is what stands here; with keys whoever has one could encrypt it.
+		// Without keys, this is the complete packet. With keys, any member that has one could encrypt it.
 		packet := append([]byte("\xf4\x04"+testCluster+"\x05"), dead...)
 		network.transports[target.config.ListenAddress].packets <- &memberlist.Packet{
 			Buf:       packet,
@@ -231,13 +236,14 @@
 			})
 			return err == nil && hasFailed
 		})
-		require.GreaterOrEqual(t, failed, time.Duration(0), "the forged death did not arrive")
+		require.GreaterOrEqual(t, failed, time.Duration(0), "the forged message had no effect on the target")
 		require.Positive(t, waitUntil(20*time.Second, func() bool { return allInMajority(nodes, 5) }))
 		closeNodes(nodes)
 	})
 }
 
-// FuzzParseMessage checks that any bytes can be parsed, and that no state update gives a member a negative figure.
+// FuzzParseMessage checks that parseMessage can parse any bytes, and that no state update gives a member a negative
+// metric.
 func FuzzParseMessage(f *testing.F) {
 	_, privateKey, err := ed25519.GenerateKey(nil)
 	require.NoError(f, err)
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -1,11 +1,11 @@
-// Package gossip connects the app servers of a cluster: it finds the others, tells them how this server is, and hands
-// what it hears to package membership, which draws the conclusions. It is built on hashicorp/memberlist, which carries
-// messages, probes members and encrypts; of memberlist's own conclusions only that a member did not refute in time that
-// it failed is used.
+// Package gossip connects the app servers of a cluster. It finds the other members, publishes the state of this server
+// to them, and passes what it receives to package membership, which draws the conclusions. It is built on
+// hashicorp/memberlist, which transports and encrypts messages and probes members. Of memberlist's own conclusions,
+// only one is used: that a member did not refute its suspected failure in time.
 //
-// A Node runs one worker goroutine, which alone touches the view of the cluster. Nothing here may block the event loop
-// of the server, keep more than its bounds, or accept a message that was not sent under the cluster's name and keys and
-// signed by the member it names.
+// A Node runs one worker goroutine, which alone accesses the cluster view. The package must not block the event loop of
+// the server or exceed its memory bounds. It must accept a message only if the message was sent under the cluster's
+// name and keys and is signed by the member that it names.
 package gossip
 
 import (
@@ -23,53 +23,54 @@
 
 const (
 	tickInterval   = 200 * time.Millisecond // between two ticks of the view
-	leaveTimeout   = 500 * time.Millisecond // for memberlist's own message that this server leaves
-	inspectTimeout = time.Second
+	leaveTimeout   = 500 * time.Millisecond // for memberlist's announcement that this server leaves
+	inspectTimeout = time.Second            // how long Inspect waits for the worker
 )
 
 // ErrNoAnswer means that the worker is busy or has ended.
-var ErrNoAnswer = errors.New("the gossip does not answer")
+var ErrNoAnswer = errors.New("gossip worker does not respond")
 
-// Node is one server's part in the gossip. Its methods may be called from any goroutine.
+// Node runs one server's part of the gossip. Its methods may be called from any goroutine.
 type Node struct {
 	config     Config
 	memberlist *memberlist.Memberlist
 	keyring    *memberlist.Keyring // nil in a cluster without encryption keys
 	broadcasts *memberlist.TransmitLimitedQueue
-	started    time.Time // of config.Now
+	started    time.Time // by config.Now
 
-	tasks       chan func()   // for the worker
-	publishNow  chan struct{} // has the worker send an update without delay
-	done        chan struct{} // closed by Close
+	tasks       chan func()   // to be run by the worker
+	publishNow  chan struct{} // makes the worker publish an update without delay
+	done        chan struct{} // closed by Close and CloseWithin
 	goroutines  sync.WaitGroup
-	streamSlots chan struct{} // one for each envelope on its way on a stream
+	streamSlots chan struct{} // holds one element for each envelope being sent on a stream
 
 	localState  atomic.Pointer[LocalState]
 	coordinator atomic.Pointer[CoordinatorIdentity]
-	privateKey  ed25519.PrivateKey // of this incarnation: made at its start and never stored
-	// pushPullState is what a full exchange of memberlist sends, made anew at each tick.
+	privateKey  ed25519.PrivateKey // of this incarnation; generated at its start and never stored
+	// pushPullState holds the encoded updates that a full exchange sends. It is rebuilt at each tick.
 	pushPullState atomic.Pointer[[][]byte]
 
-	// Below is the worker's alone.
+	// Only the worker accesses the following fields, up to Dropped.
 	view          *membership.View
 	agreement     *membership.Agreement
 	publicKeys    map[membership.ID]ed25519.PublicKey
-	signedUpdates map[membership.ID]signedMessage // the newest of each member, as it was signed
-	joined        map[membership.ID]bool          // members that memberlist holds to be alive
+	signedUpdates map[membership.ID]signedMessage // the latest update of each member, as signed by it
+	joined        map[membership.ID]bool          // members that memberlist considers alive
 	nextUpdate    time.Time                       // when this server's next update is due
-	lastSize      int                             // as was reported last
-	lastStatus    membership.QuorumStatus         // as was reported last
+	lastSize      int                             // as last reported
+	lastStatus    membership.QuorumStatus         // as last reported
 
-	// Dropped counts the messages and calls that found the worker's queue or the streams full, since the start.
+	// Dropped counts the messages and tasks that were dropped since the start, because the worker's queue was full, all
+	// streams were in use, or an envelope was too long or had an invalid address.
 	Dropped atomic.Int64
-	// Malformed counts the messages that could not be decoded, since the start.
+	// Malformed counts the received messages that could not be decoded, since the start.
 	Malformed atomic.Int64
-	// SentBytes counts the bytes that were sent, since the start. It stays 0 over a Config.Transport.
+	// SentBytes counts the bytes that were sent, since the start. It stays 0 if Config.Transport is set.
 	SentBytes atomic.Int64
 }
 
-// Start listens, begins to look for the cluster and returns the running node. It fails if an address cannot be listened
-// on or a key has a wrong length.
+// Start opens the sockets, begins to look for the cluster and returns the running node. It fails if an address is
+// invalid or cannot be listened on, or if a key has an invalid length.
 func Start(config Config) (*Node, error) {
 	n, err := newNode(config)
 	if err != nil {
@@ -125,20 +126,20 @@
 	return n, err
 }
 
-// Close tells the others that this server leaves, stops the goroutines and waits for their end.
+// Close announces to the other members that this server leaves, stops the goroutines and waits until they have ended.
 func (n *Node) Close() {
 	n.leave(leaveTimeout)
 	n.goroutines.Wait()
 }
 
-// CloseWithin is Close for a process that ends within timeout: it takes no longer, and goroutines that still wait for
-// an answer of another server end with the process. Who misses the message finds the server gone by probes, and knows
-// by its state that it drained.
+// CloseWithin is like Close but returns within timeout, for a process that is about to exit. Goroutines that still wait
+// for an answer of another server end with the process. A member that misses the announcement detects by probes that
+// this server is gone, and knows from its last state update that it was draining.
 func (n *Node) CloseWithin(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	n.leave(timeout)
 	ended := make(chan struct{})
-	go func() { // ends with the goroutines or with the process
+	go func() { // ends with the other goroutines or with the process
 		n.goroutines.Wait()
 		close(ended)
 	}()
@@ -148,23 +149,24 @@
 	}
 }
 
-// leave tells the others for up to timeout and closes the sockets.
+// leave announces for up to timeout, and for at most leaveTimeout, that this server leaves. Then it closes the sockets.
 func (n *Node) leave(timeout time.Duration) {
-	timeout = min(leaveTimeout, max(timeout, time.Millisecond)) // memberlist would wait without end for 0
-	_ = n.memberlist.Leave(timeout)                             // who misses it finds out by probes
+	timeout = min(leaveTimeout, max(timeout, time.Millisecond)) // for 0, memberlist would wait forever
+	_ = n.memberlist.Leave(timeout)                             // members that miss it detect the leave by probes
 	close(n.done)
-	_ = n.memberlist.Shutdown() // it only fails to close what is closed
+	_ = n.memberlist.Shutdown() // an error only means that something was closed already
 }
 
-// LocalID returns the identity of this server.
+// LocalID returns the identity of this incarnation of the server.
 func (n *Node) LocalID() membership.ID { return n.config.Membership.Self }
 
-// Now returns the time by the clock of the view: milliseconds since the start, never 0.
+// Now returns the time on the clock of the view: the milliseconds since the start plus 1, so that it is never 0.
 func (n *Node) Now() timeunit.Milliseconds {
 	return timeunit.Milliseconds(n.config.Now().Sub(n.started).Milliseconds()) + 1
 }
 
-// memberCount returns how many members memberlist knows. Memberlist itself asks before it is created.
+// memberCount returns the number of members that memberlist knows, including this server. Memberlist already calls it
+// while it is being created; the result is then 1.
 func (n *Node) memberCount() int {
 	if n.memberlist == nil {
 		return 1
@@ -172,11 +174,12 @@
 	return n.memberlist.NumMembers()
 }
 
-// Inspect has the worker call a function with the view, which must not keep it. It waits for at most a second. After
-// ErrNoAnswer the function was not called and will not be, so that what it writes to is the caller's again.
+// Inspect has the worker call inspect with the cluster view and the agreement, and waits for at most a second. inspect
+// must not retain its arguments. If the error is ErrNoAnswer, inspect was not called and never will be, so the caller
+// may use what inspect would have written to.
 func (n *Node) Inspect(inspect func(*membership.View, *membership.Agreement)) error {
 	inspected := make(chan struct{})
-	taken := atomic.Bool{} // by the worker, which then calls, or by the end of the wait
+	taken := atomic.Bool{} // set by the worker before it calls inspect, or by the caller when it stops waiting
 	n.enqueue(func() {
 		if taken.CompareAndSwap(false, true) {
 			inspect(n.view, n.agreement)
@@ -192,11 +195,12 @@
 	if taken.CompareAndSwap(false, true) {
 		return ErrNoAnswer
 	}
-	<-inspected // the worker is calling at this moment
+	<-inspected // the worker has begun the call
 	return nil
 }
 
-// enqueue has the worker run a task. If its queue is full, the task is dropped and counted: all messages are repeated.
+// enqueue has the worker run a task. If the worker's queue is full, the task is dropped and counted. That is safe
+// because all messages are repeated.
 func (n *Node) enqueue(task func()) {
 	select {
 	case n.tasks <- task:
@@ -205,7 +209,7 @@
 	}
 }
 
-// run is the worker.
+// run is the worker goroutine. It runs tasks, publishes updates and ticks until the node is closed.
 func (n *Node) run() {
 	defer n.goroutines.Done()
 	ticker := time.NewTicker(tickInterval)
@@ -229,7 +233,8 @@
 	}
 }
 
-// tick does what is due by time alone.
+// tick does the worker's periodic work: it publishes an update if one is due, ticks the agreement and the view, and
+// refreshes the data that depend on them.
 func (n *Node) tick() {
 	now := n.config.Now()
 	if !now.Before(n.nextUpdate) {
@@ -241,12 +246,13 @@
 	n.forgetDroppedMembers()
 }
 
-// advanceClock tells the view the time. The view takes a gap of several intervals for a pause of this server.
+// advanceClock passes the current time to the view. The view interprets a gap of several intervals as a pause of this
+// server.
 func (n *Node) advanceClock() {
 	n.view.Advance(n.Now(), timeunit.MillisecondsOf(tickInterval))
 }
 
-// reportChanges tells what has changed in the view since it was called last.
+// reportChanges calls the functions of Config for everything that has changed in the view since the last call.
 func (n *Node) reportChanges() {
 	for _, event := range n.view.Events() {
 		n.reportMemberEvent(event)
@@ -263,7 +269,8 @@
 	n.lastStatus = status
 }
 
-// reportMemberEvent reports a change of a member's state. If the member does not answer, it has its address diagnosed.
+// reportMemberEvent reports a change of a member's state. If the member was suspected or has failed, it also starts a
+// diagnosis of the member's address.
 func (n *Node) reportMemberEvent(event membership.Event) {
 	if n.config.OnMemberEvent != nil {
 		n.config.OnMemberEvent("member", event.ID, event.From, event.To, event.Cause)
@@ -272,12 +279,13 @@
 		return
 	}
 	if member := n.view.Member(event.ID); member != nil {
-		// Nobody waits for its end: it takes half a second, and there is one for a member at most.
+		// Nothing waits for this goroutine: it ends within half a second (dialTimeout), and there is at most one for a
+		// member.
 		go n.diagnoseAddress(event.ID, member.Address)
 	}
 }
 
-// forgetDroppedMembers forgets the keys and updates of members that the view has dropped.
+// forgetDroppedMembers deletes the keys and updates of members that the view no longer contains.
 func (n *Node) forgetDroppedMembers() {
 	for id := range n.publicKeys {
 		if n.view.Member(id) == nil {
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -10,7 +10,8 @@
 	"thistlequay/internal/membership"
 )
 
-// A caller that has waited in vain for the worker has back what its function would have written.
+// TestInspectNeverCallsAfterItsTimeout checks that Inspect, once it has timed out, never calls its function. A late
+// call would write to variables that the caller already uses again.
 func TestInspectNeverCallsAfterItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := startNodes(t, newVirtualNetwork(1), 1)[0]
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -10,21 +10,21 @@
 	"thistlequay/timeunit"
 )
 
-// Limits of this server's own pings, which go beside memberlist's probes.
+// Parameters of this server's own pings, which supplement memberlist's probes.
 const (
-	pingInterval = time.Second            // between the pings of two members
-	pingAttempts = 3                      // lost pings after which a member counts as unreachable from here
-	dialTimeout  = 500 * time.Millisecond // of the connection that diagnoses an address
+	pingInterval = time.Second            // between pings to two members
+	pingAttempts = 3                      // unanswered pings after which a member counts as unreachable
+	dialTimeout  = 500 * time.Millisecond // for the connection attempt that diagnoses an address
 )
 
-// Backoff of the search for other members.
+// Backoff between attempts to join other members.
 const (
 	minJoinInterval = time.Second // doubled after each failed attempt
 	maxJoinInterval = 10 * time.Second
 )
 
-// pingLoop asks one member after the other whether it answers this server directly. Memberlist's probes also succeed if
-// the member answers others, and so never show that only this server cannot reach it.
+// pingLoop pings one member after the other to check that it answers this server directly. Memberlist's probes also
+// succeed if the member answers other members, so they never show that only this server cannot reach it.
 func (n *Node) pingLoop() {
 	defer n.goroutines.Done()
 	next := 0
@@ -46,7 +46,7 @@
 	}
 }
 
-// pingableMembers returns the other members that may be alive, none if the worker does not answer.
+// pingableMembers returns the other members that may be alive, or none if the worker does not respond.
 func (n *Node) pingableMembers() []membership.Member {
 	var members []membership.Member
 	err := n.Inspect(func(view *membership.View, _ *membership.Agreement) {
@@ -62,7 +62,7 @@
 	return members
 }
 
-// pingMember reports whether a member answers one of a few pings.
+// pingMember reports whether a member answers one of up to pingAttempts pings.
 func (n *Node) pingMember(member *membership.Member) bool {
 	address, err := net.ResolveUDPAddr("udp", member.Address)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return false
 }
 
-// pingFailed tells the view that a member does not answer this server, on the worker. Unless only this server cannot
-// reach it, the member is suspected.
+// pingFailed reports to the view that a member does not answer this server. It must run on the worker. The member
+// becomes suspected, unless this server is the only one that cannot reach it.
 func (n *Node) pingFailed(id membership.ID) {
 	n.view.RecordProbeFailure(id)
 	member := n.view.Member(id)
@@ -89,8 +89,8 @@
 	}
 }
 
-// diagnoseAddress finds out whether a process listens at the address of a member that does not answer, and tells the
-// view.
+// diagnoseAddress attempts to connect to the address of a member that does not answer, and reports to the view whether
+// a process listens there.
 func (n *Node) diagnoseAddress(id membership.ID, address string) {
 	result := membership.DialAccepted
 	connection, err := net.DialTimeout("tcp", address, dialTimeout)
@@ -105,12 +105,12 @@
 	n.enqueue(func() { n.view.DialFinished(id, result) })
 }
 
-// isRefused reports whether the host answered that nobody listens.
+// isRefused reports whether the host refused or reset the connection, which shows that no process listens.
 func isRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// joinLoop looks for other members at the seed addresses until it finds one, and again whenever none is left.
+// joinLoop tries to join other members at the seed addresses until it finds one, and again whenever none is left.
 func (n *Node) joinLoop() {
 	defer n.goroutines.Done()
 	interval := minJoinInterval
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -9,37 +9,37 @@
 	"thistlequay/internal/membership"
 )
 
-// Limits on how often state updates are sent and passed on.
+// Limits on how often, and how many, state updates are sent and passed on.
 const (
-	// A server sends an update every minUpdateInterval, or every updateIntervalPerMember times the number of members
-	// if that is longer. So what each member receives does not grow with the cluster.
+	// A server publishes an update every minUpdateInterval or, if that is longer, every updateIntervalPerMember times
+	// the number of members. The rate of updates that each member receives therefore does not grow with the cluster.
 	minUpdateInterval       = time.Second
 	updateIntervalPerMember = 33 * time.Millisecond
-	// leaveRebroadcasts is how many more times the update is passed on by which a member leaves, one each tick.
+	// leaveRebroadcasts is how many more times the update that announces a leave is broadcast, once per tick.
 	leaveRebroadcasts = 3
-	// maxPushPullUpdates bounds the updates in one full exchange.
+	// maxPushPullUpdates limits the number of updates in one full exchange.
 	maxPushPullUpdates = 256
 )
 
-// LocalState is what the server says of itself.
+// LocalState is the state that the server publishes about itself.
 type LocalState struct {
 	State             membership.State
 	ConcurrencyLimit  float64
-	InFlight          float64 // requests
-	AvailableCapacity float64 // requests that it could begin now
-	IndexLatencyMs    float64 // of recent calls
-	LoopLag           time.Duration
+	InFlight          float64       // requests running or queued
+	AvailableCapacity float64       // requests that it could start now
+	IndexLatencyMs    float64       // latency of recent calls to the index
+	LoopLag           time.Duration // lag of the event loop
 	Usage             []membership.TenantUsage
 }
 
-// CoordinatorIdentity is the number under which the server votes in the log of the quotas, and that of the log. The
-// first is 0 if the server is no coordinator.
+// CoordinatorIdentity identifies the server as a voter in the quota log, the log that the coordinators replicate.
+// VoterID is 0 if the server is not a coordinator.
 type CoordinatorIdentity struct {
 	VoterID uint64
-	LogID   uint64
+	LogID   uint64 // number of the quota log
 }
 
-// SetLocalState has the next update say how this server is. A change of State is sent without delay.
+// SetLocalState sets the state that the next update publishes. A change of State is published without delay.
 func (n *Node) SetLocalState(state LocalState) {
 	before := n.localState.Swap(&state)
 	if before.State != state.State {
@@ -47,7 +47,7 @@
 	}
 }
 
-// SetCoordinatorIdentity has updates say which coordinator this server is. A change is sent without delay.
+// SetCoordinatorIdentity sets the coordinator identity that updates publish. A change is published without delay.
 func (n *Node) SetCoordinatorIdentity(identity CoordinatorIdentity) {
 	before := n.coordinator.Swap(&identity)
 	if *before != identity {
@@ -55,7 +55,7 @@
 	}
 }
 
-// requestPublish has the worker publish soon. Requests that it has not seen yet become one.
+// requestPublish has the worker publish an update soon. Requests that the worker has not seen yet are merged into one.
 func (n *Node) requestPublish() {
 	select {
 	case n.publishNow <- struct{}{}:
@@ -63,7 +63,7 @@
 	}
 }
 
-// publish sends this server's own update and sets when the next one is due.
+// publish broadcasts this server's own update and sets when the next one is due.
 func (n *Node) publish(now time.Time) {
 	interval := max(minUpdateInterval, updateIntervalPerMember*time.Duration(n.memberCount()))
 	n.nextUpdate = now.Add(interval)
@@ -91,8 +91,9 @@
 	}
 }
 
-// broadcast passes an update on, with the message it came in. An update by which a member leaves is passed on a few
-// more times: few updates or none follow it, and who missed it would hold the member to have failed.
+// broadcast queues an update to be passed on, as the message that contains it. An update that announces a leave is
+// passed on a few more times: few updates or none follow it, so a member that missed it would consider the sender
+// failed.
 func (n *Node) broadcast(update membership.StateUpdate, message []byte) {
 	queue := func() {
 		n.broadcasts.QueueBroadcast(&updateBroadcast{sender: update.ID, sequence: update.Sequence, message: message})
@@ -106,8 +107,8 @@
 	}
 }
 
-// buildPushPullState makes the updates that a full exchange sends, the newest first, without those of members that have
-// failed or left.
+// buildPushPullState builds the updates that a full exchange sends, newest first. It omits members that have failed or
+// left.
 func (n *Node) buildPushPullState() {
 	members := n.view.Members()
 	slices.SortStableFunc(members, func(a, b *membership.Member) int { return int(b.LastUpdate - a.LastUpdate) })
@@ -123,7 +124,7 @@
 	n.pushPullState.Store(&messages)
 }
 
-// updateBroadcast is an update in memberlist's broadcast queue. A newer one of the same member takes its place.
+// updateBroadcast is a state update in memberlist's broadcast queue. A newer update of the same member replaces it.
 type updateBroadcast struct {
 	sender   membership.ID
 	sequence uint64
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -7,8 +7,8 @@
 	"thistlequay/internal/membership"
 )
 
-// onMessage takes a message from memberlist, which must not change it afterwards. An update that is new and comes from
-// its sender, not from a full exchange, is passed on.
+// onMessage handles a message from memberlist, which must not modify the message afterwards. It passes a new update on
+// if the update came from its sender and not from a full exchange, which shows in an age of 0.
 func (n *Node) onMessage(message []byte) {
 	if len(message) == 0 || len(message) > maxMessageBytes(message[0]) {
 		n.Malformed.Add(1)
@@ -22,7 +22,8 @@
 	})
 }
 
-// receive handles a message on the worker. If it is a state update, that is returned; isNews says that it was accepted.
+// receive handles a message. It must run on the worker. If the message is a state update, receive returns it, and
+// isNews reports whether it was accepted as new.
 func (n *Node) receive(message []byte) (update membership.StateUpdate, isNews bool) {
 	parsed, err := parseMessage(message)
 	if err != nil {
@@ -40,17 +41,17 @@
 	return update, false
 }
 
-// handleStateUpdate applies an update to the view and reports whether it was accepted as news.
+// handleStateUpdate applies an update to the view and reports whether it was accepted as new.
 func (n *Node) handleStateUpdate(signed signedMessage, update membership.StateUpdate) bool {
 	if update.ID == n.LocalID() {
 		return false
 	}
 	member := n.view.Member(update.ID)
 	if member == nil && !n.joined[update.ID] {
-		return false // updates of dead members go round for a while: who is alive memberlist says first
+		return false // memberlist must report a member alive first: updates of dead members circulate for a while
 	}
 	if member != nil && update.Sequence <= member.Sequence && member.Sequence > 0 {
-		n.view.Counts.Stale++ // most come on several ways: the cost of verifying those is spared
+		n.view.Counts.Stale++ // most updates arrive on several paths; this avoids verifying each copy
 		return false
 	}
 	if n.verify(kindStateUpdate, signed, update.ID) != nil {
@@ -68,7 +69,7 @@
 	return true
 }
 
-// handlePaxos hands a Paxos message to this server's agreement.
+// handlePaxos passes a Paxos message to this server's agreement.
 func (n *Node) handlePaxos(signed signedMessage, message membership.Message) {
 	if message.To != n.LocalID() {
 		return
@@ -80,11 +81,11 @@
 	n.agreement.Step(message)
 }
 
-// handleEnvelope hands an envelope to the subsystem that it is for.
+// handleEnvelope passes an envelope to the handler of its kind.
 func (n *Node) handleEnvelope(kind byte, encoded []byte) {
 	handle := n.config.Handlers[kind]
 	if handle == nil {
-		return // of a later version, or of a subsystem that is off here
+		return // from a later version, or for a subsystem that is disabled here
 	}
 	var signed signedMessage
 	var content envelope
@@ -102,8 +103,8 @@
 	handle(content.From, content.Payload)
 }
 
-// countRejected counts a message that verify rejected. One of an unknown sender may be sound: the update that makes the
-// sender known may still be on its way.
+// countRejected counts a message that verify rejected. A message from an unknown sender is counted apart because it may
+// be valid: the update that makes the sender known may still be on its way.
 func (n *Node) countRejected(err error) {
 	if errors.Is(err, errUnknownSender) {
 		n.view.Counts.UnknownSender++
--- a/internal/gossip/sealing.go
+++ b/internal/gossip/sealing.go
@@ -9,20 +9,20 @@
 	"thistlequay/internal/membership"
 )
 
-// Messages are signed by the incarnation that says them, so that no member can speak for another though all share the
-// cluster's encryption keys. The key of an incarnation is bound to it by its metadata or else its first update: who
-// comes later with another key is not believed.
+// Messages are signed by the incarnation that sends them, so that no member can impersonate another although all share
+// the cluster's encryption keys. The public key of an incarnation is bound to it by its metadata or, if that has none,
+// by its first update. Later messages that are signed with another key are rejected.
 
-// sign encodes content and returns it signed, and as a message.
+// sign encodes and signs content. It returns the signed content and the complete message that contains it.
 func (n *Node) sign(kind byte, content any) (signed signedMessage, message []byte) {
 	payload, err := cbor.Marshal(content)
 	if err != nil {
-		return signed, nil // cannot be: the types are this program's own
+		return signed, nil // cannot happen: all content types can be encoded
 	}
 	return n.signPayload(kind, payload)
 }
 
-// signPayload is sign for content that is encoded already.
+// signPayload is like sign, for content that is already encoded.
 func (n *Node) signPayload(kind byte, payload []byte) (signed signedMessage, message []byte) {
 	signed = signedMessage{Payload: payload, Signature: ed25519.Sign(n.privateKey, signedBytes(kind, payload))}
 	if kind == kindStateUpdate {
@@ -31,11 +31,11 @@
 	return signed, encodeMessage(kind, signed)
 }
 
-// signedBytes returns what a signature covers.
+// signedBytes returns the bytes that a signature covers: the kind and the payload.
 func signedBytes(kind byte, payload []byte) []byte { return append([]byte{kind}, payload...) }
 
-// verify returns nil if a message is signed by the member that it names. A state update may come from a member whose
-// key is not known; its own key counts then. Otherwise the error is errUnknownSender or errBadSignature.
+// verify returns nil if a message is signed by sender. A state update from a sender whose key is not known yet is
+// verified with the key that it contains. Otherwise the error is errUnknownSender or errBadSignature.
 func (n *Node) verify(kind byte, signed signedMessage, sender membership.ID) error {
 	isUpdate := kind == kindStateUpdate
 	key, isKnown := n.publicKeys[sender]
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -8,11 +8,12 @@
 	"thistlequay/internal/membership"
 )
 
-// maxStreams bounds the envelopes that are on their way on streams at once. More are dropped.
+// maxStreams limits the number of envelopes that are sent on streams at the same time. Further ones are dropped.
 const maxStreams = 4
 
-// Send sends an envelope of a kind to the member at an address, in a packet if it fits and otherwise on a stream. It
-// does not wait, and nobody says whether the envelope arrives: what is too long or finds all streams taken is dropped.
+// Send sends an envelope to the member at an address, in a packet if it fits and otherwise on a stream. It does not
+// block and does not report whether the envelope arrives. An envelope is dropped if it is too long, or if it needs a
+// stream and all streams are in use.
 func (n *Node) Send(to membership.ID, address string, kind byte, payload []byte) {
 	_, message := n.sign(kind, envelope{From: n.LocalID(), To: to, Payload: payload})
 	node, err := nodeAt(to, address)
@@ -26,18 +27,18 @@
 	}
 	select {
 	case n.streamSlots <- struct{}{}:
-		// Nobody waits for its end: memberlist gives up after streamTimeout.
+		// Nothing waits for this goroutine: memberlist gives up after streamTimeout.
 		go func() {
 			defer func() { <-n.streamSlots }()
-			_ = n.memberlist.SendReliable(node, message) // lost like a packet: senders repeat what matters
+			_ = n.memberlist.SendReliable(node, message) // may be lost like a packet; senders repeat what matters
 		}()
 	default:
 		n.Dropped.Add(1)
 	}
 }
 
-// SendRaw signs any payload as a message of any kind and sends it on a stream. It is for tests of how others take
-// messages that a sound node never sends.
+// SendRaw signs an arbitrary payload as a message of any kind and sends it on a stream. Tests use it to check how other
+// members handle messages that a correct node never sends.
 func (n *Node) SendRaw(to membership.ID, address string, kind byte, payload []byte) error {
 	_, message := n.signPayload(kind, payload)
 	node, err := nodeAt(to, address)
@@ -47,7 +48,7 @@
 	return n.memberlist.SendReliable(node, message)
 }
 
-// sendPaxosMessages sends what the agreement has to say. A message to a member without an address is lost; the
+// sendPaxosMessages sends the pending messages of the agreement. It drops a message to a member without an address; the
 // agreement repeats what matters.
 func (n *Node) sendPaxosMessages() {
 	for _, paxos := range n.agreement.TakeMessages() {
@@ -61,12 +62,13 @@
 	}
 }
 
+// sendPacket sends a message in one packet to the member at an address.
 func (n *Node) sendPacket(to membership.ID, address string, message []byte) {
 	destination := memberlist.Address{Addr: address, Name: nodeName(to)}
-	_ = n.memberlist.SendToAddress(destination, message) // lost like a packet that the network drops
+	_ = n.memberlist.SendToAddress(destination, message) // an error is treated like a packet that the network drops
 }
 
-// nodeAt returns a member at an address as memberlist knows it.
+// nodeAt returns the memberlist node for a member at an address.
 func nodeAt(id membership.ID, address string) (*memberlist.Node, error) {
 	host, port, err := splitAddress(address)
 	if err != nil {
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -5,29 +5,29 @@
 	"thistlequay/timeunit"
 )
 
-// noTime stands in a Status for the age of what never was.
+// noTime is the value in a Status of a duration that is undefined, such as the time since an event that never happened.
 const noTime = -1
 
-// Status is the cluster as one server sees it, for operators. Its JSON keys are part of the program's interface. Fields
-// in Ms are milliseconds.
+// Status is one server's view of the cluster, for operators. Its JSON keys are part of the program's interface and must
+// not change. Fields whose name ends in Ms are in milliseconds.
 type Status struct {
 	Name         string            `json:"name"`
 	Incarnation  string            `json:"life"`
 	QuorumStatus string            `json:"standing"`
-	SinceMs      int64             `json:"since_ms"` // for how long QuorumStatus has been so
-	UntilMs      int64             `json:"until_ms"` // for how long it surely stays so; -1 unless in the majority
+	SinceMs      int64             `json:"since_ms"` // how long QuorumStatus has had its value
+	UntilMs      int64             `json:"until_ms"` // how long it is certain to keep it; -1 unless in the majority
 	Epoch        uint64            `json:"epoch"`
 	Voters       []string          `json:"voters"`
-	AgreedSize   int               `json:"agreed"` // members of the cluster's last configuration
-	ExpectedSize int               `json:"size"`   // servers that limits are divided by
+	AgreedSize   int               `json:"agreed"` // number of members in the latest configuration
+	ExpectedSize int               `json:"size"`   // number of servers that limits are divided by
 	Rejected     membership.Counts `json:"counts"`
-	Dropped      int64             `json:"dropped"`
-	Malformed    int64             `json:"garbled"`
-	SentBytes    int64             `json:"sent_bytes"`
+	Dropped      int64             `json:"dropped"`    // see Node.Dropped
+	Malformed    int64             `json:"garbled"`    // see Node.Malformed
+	SentBytes    int64             `json:"sent_bytes"` // see Node.SentBytes
 	Members      []MemberStatus    `json:"members"`
 }
 
-// MemberStatus is one member in a Status.
+// MemberStatus is the status of one member, as this server sees it.
 type MemberStatus struct {
 	Name              string  `json:"name"`
 	Incarnation       string  `json:"life"`
@@ -36,9 +36,9 @@
 	Version           string  `json:"version"`
 	State             string  `json:"state"`
 	Cause             string  `json:"cause"`
-	SinceMs           int64   `json:"since_ms"`  // for how long State has been so
-	AgeMs             int64   `json:"age_ms"`    // of the member's last update
-	LastReplyMs       int64   `json:"direct_ms"` // since it last answered this server directly, -1 for never
+	SinceMs           int64   `json:"since_ms"`  // how long State has had its value
+	AgeMs             int64   `json:"age_ms"`    // age of the member's last update
+	LastReplyMs       int64   `json:"direct_ms"` // since the member last answered this server directly; -1 if never
 	RoundTripMs       int64   `json:"trip_ms"`
 	Epoch             uint64  `json:"epoch"`
 	ConcurrencyLimit  float64 `json:"pool"`
@@ -47,7 +47,7 @@
 	IndexLatencyMs    float64 `json:"index_ms"`
 }
 
-// Status returns how this server sees the cluster. The error is ErrNoAnswer.
+// Status returns this server's view of the cluster. The error is ErrNoAnswer if the worker does not respond.
 func (n *Node) Status() (Status, error) {
 	var status Status
 	err := n.Inspect(func(view *membership.View, agreement *membership.Agreement) {
@@ -61,7 +61,7 @@
 			SinceMs:      int64(now - agreement.StatusSince()),
 			UntilMs:      noTime,
 			Epoch:        configuration.Epoch,
-			Voters:       []string{}, // in JSON an empty list, not null
+			Voters:       []string{}, // encoded as an empty list, not as null
 			AgreedSize:   configuration.MemberCount,
 			ExpectedSize: view.EffectiveSize(),
 			Rejected:     view.Counts,
@@ -83,7 +83,7 @@
 	return status, err
 }
 
-// memberStatus returns what the view knows of a member.
+// memberStatus returns the status of a member at the time now.
 func memberStatus(member *membership.Member, now timeunit.Milliseconds) MemberStatus {
 	status := MemberStatus{
 		Name:              member.Name,
--- a/internal/gossip/status_http.go
+++ b/internal/gossip/status_http.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	requestTimeout = 2 * time.Second // for each part of a request to the status address, on both sides
+	requestTimeout = 2 * time.Second // for each phase of a status request, on both client and server
 	maxHeaderBytes = 4 << 10
 	maxStatusBytes = 8 << 20
 	membersPath    = "/members"
 )
 
-// ServeStatus answers HTTP requests on an address until Close, without waiting: Status under /members, and what the
-// functions in more return under their paths, all as JSON. It shows no key and changes nothing.
+// ServeStatus answers HTTP requests at an address until Close, and returns without waiting. It serves Status under
+// /members and the results of the functions in more under their paths, all as JSON. It reveals no key and changes
+// nothing.
 func (n *Node) ServeStatus(address string, more map[string]func() (any, error)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -36,16 +37,16 @@
 		IdleTimeout:       requestTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	// Close does not wait for these two: they touch nothing that it takes away, and end soon after it.
-	go func() { _ = server.Serve(listener) }() // always ends in an error: that the server was closed
+	// Close does not wait for these goroutines: they use nothing that Close releases, and end soon after it.
+	go func() { _ = server.Serve(listener) }() // always returns an error, normally http.ErrServerClosed
 	go func() {
 		<-n.done
-		_ = server.Close() // its connections need no farewell
+		_ = server.Close() // status connections need no graceful shutdown
 	}()
 	return nil
 }
 
-// serveJSON returns a handler that answers with what status returns, or with 503 if that is an error.
+// serveJSON returns a handler that responds with the result of status, or with 503 if status returns an error.
 func serveJSON(status func() (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		body, err := status()
@@ -54,27 +55,27 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(body) // fails if the client is gone
+		_ = json.NewEncoder(w).Encode(body) // fails only if the client is gone
 	}
 }
 
-// FetchStatus asks the server at a status address how it sees the cluster.
+// FetchStatus fetches the cluster status from the server at a status address.
 func FetchStatus(address string) (Status, error) {
 	var status Status
 	err := FetchJSON(address, membersPath, &status)
 	return status, err
 }
 
-// FetchJSON asks the server at a status address for what it tells under a path, and decodes it.
+// FetchJSON fetches a path from the server at a status address and decodes the JSON response.
 func FetchJSON(address, path string, into any) error {
 	client := http.Client{Timeout: requestTimeout}
 	response, err := client.Get("http://" + address + path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // nothing is lost: the body was only read
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %s", address, response.Status)
+		return fmt.Errorf("status address %s responded with %s", address, response.Status)
 	}
 	return json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(into)
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -10,15 +10,16 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// countingTransport is memberlist's transport with two differences: connections leave from the address that is listened
-// on, and what is sent is counted.
+// countingTransport is memberlist's NetTransport with two differences: outgoing connections have the listening address
+// as their source address, and sent bytes are counted.
 type countingTransport struct {
 	*memberlist.NetTransport
 	localIP   net.IP
 	sentBytes *atomic.Int64
 }
 
-// newTransport listens on an address, for packets and streams, and counts in sentBytes what is sent.
+// newTransport returns a transport that listens on an address for packets and streams, and counts the bytes that it
+// sends in sentBytes.
 func newTransport(host string, port int, sentBytes *atomic.Int64) (memberlist.Transport, error) {
 	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{host},
@@ -57,7 +58,7 @@
 	return t.DialTimeout(to.Addr, timeout)
 }
 
-// countingConn is a connection that counts what is written.
+// countingConn is a connection that counts the bytes written to it.
 type countingConn struct {
 	net.Conn
 	sentBytes *atomic.Int64
--- a/internal/gossip/virtual_network_test.go
+++ b/internal/gossip/virtual_network_test.go
@@ -23,18 +23,18 @@
 	testKey     = "0123456789abcdef"
 )
 
-// virtualNetwork carries the gossip of many members in one process, in the virtual time of a synctest bubble.
+// virtualNetwork carries the traffic of many nodes in one process, in the virtual time of a synctest bubble.
 type virtualNetwork struct {
 	lock        sync.Mutex
 	random      *rand.Rand
 	transports  map[string]*virtualTransport
-	isCut       func(from, to string) bool
-	lossRate    float64
-	withoutKeys bool // the members do not encrypt
+	isCut       func(from, to string) bool // whether traffic between two addresses is lost
+	lossRate    float64                    // fraction of packets and connection attempts that are lost
+	withoutKeys bool                       // the nodes do not encrypt
 	sentBytes   atomic.Int64
 }
 
-// virtualTransport is one member's transport on a virtualNetwork.
+// virtualTransport is one node's transport on a virtualNetwork.
 type virtualTransport struct {
 	network *virtualNetwork
 	address string
@@ -43,7 +43,7 @@
 	closed  atomic.Bool
 }
 
-var errUnreachable = errors.New("nothing comes back")
+var errUnreachable = errors.New("address unreachable")
 
 var _ io.Writer = (*countingConn)(nil)
 
@@ -51,7 +51,7 @@
 	return &virtualNetwork{random: rand.New(rand.NewSource(seed)), transports: map[string]*virtualTransport{}}
 }
 
-// newTransport returns a transport at the address that belongs to a number.
+// newTransport adds a transport to the network. Its address is derived from number.
 func (a *virtualNetwork) newTransport(number int) *virtualTransport {
 	transport := &virtualTransport{
 		network: a,
@@ -65,7 +65,7 @@
 	return transport
 }
 
-// route returns the transport at an address and how long a packet takes there, nil if it is lost.
+// route returns the transport at an address and the delay of a packet to it, or nil if the packet is lost.
 func (p *virtualTransport) route(address string) (*virtualTransport, time.Duration) {
 	network := p.network
 	network.lock.Lock()
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// testConfig configures the member with a number, counted from 0, in a cluster of a size that has three seeds.
+// testConfig returns the configuration of a node in a cluster of the given size that has three seeds. Nodes are
+// numbered from 0.
 func testConfig(number, size int, transport memberlist.Transport, address string) Config {
 	id := membership.ID{Name: fmt.Sprintf("n%04d", number), Incarnation: uint64(number + 1)}
 	config := membership.DefaultConfig(id)
@@ -143,7 +144,7 @@
 	}
 }
 
-// startNodes starts so many members that find each other by the first three.
+// startNodes starts count nodes, which find each other through the first three.
 func startNodes(t *testing.T, network *virtualNetwork, count int) (nodes []*Node) {
 	t.Helper()
 	for i := range count {
@@ -164,7 +165,7 @@
 	return nodes
 }
 
-// closeNodes closes members and lets what memberlist still waits for come to its end.
+// closeNodes closes nodes and waits until the remaining timeouts of memberlist have passed.
 func closeNodes(nodes []*Node) {
 	for _, node := range nodes {
 		node.Close()
@@ -172,7 +173,8 @@
 	time.Sleep(time.Minute)
 }
 
-// waitUntil waits in virtual time and returns how long it took, -1 if a condition did not come to hold.
+// waitUntil waits in virtual time until a condition holds and returns how long that took, or -1 if the condition did
+// not hold within timeout.
 func waitUntil(timeout time.Duration, holds func() bool) time.Duration {
 	for begin := time.Now(); time.Since(begin) < timeout; time.Sleep(250 * time.Millisecond) {
 		if holds() {
@@ -182,7 +184,7 @@
 	return -1
 }
 
-// allInMajority reports whether all nodes see themselves in the majority and so many members alive.
+// allInMajority reports whether every node is in the majority and sees the given number of members alive.
 func allInMajority(nodes []*Node, alive int) bool {
 	for _, node := range nodes {
 		agrees := false
@@ -196,7 +198,7 @@
 	return true
 }
 
-// inspectView has a function read a node's view.
+// inspectView calls inspect with the view of a node.
 func inspectView(t *testing.T, node *Node, inspect func(*membership.View)) {
 	t.Helper()
 	require.NoError(t, node.Inspect(func(view *membership.View, _ *membership.Agreement) { inspect(view) }))
--- a/internal/gossip/virtual_test.go
+++ b/internal/gossip/virtual_test.go
@@ -12,7 +12,8 @@
 	"thistlequay/internal/schedule"
 )
 
-// Memberlist and package membership as they are, in virtual time: how soon a death is known, and what the gossip costs.
+// TestMeasuredFailureDetectionInVirtualTime runs the real memberlist and package membership in virtual time. It
+// measures how soon a failure is detected and how many bytes the nodes send.
 func TestMeasuredFailureDetectionInVirtualTime(t *testing.T) {
 	for _, size := range schedule.Scale([]int{12, 40}, []int{12, 40, 100, 300}) {
 		synctest.Test(t, func(t *testing.T) { measureFailureDetection(t, size) })
@@ -23,14 +24,14 @@
 	network := newVirtualNetwork(int64(size))
 	nodes := startNodes(t, network, size)
 	converged := waitUntil(3*time.Minute, func() bool { return allInMajority(nodes, size) })
-	require.Positive(t, converged, "the members never agreed")
+	require.Positive(t, converged, "the nodes did not all reach the majority")
 	bytesBefore := network.sentBytes.Load()
 	begin := time.Now()
 	time.Sleep(20 * time.Second)
 	rate := float64(network.sentBytes.Load()-bytesBefore) / time.Since(begin).Seconds() / float64(size)
 
 	victim := nodes[size-1]
-	network.transports[victim.config.ListenAddress].closed.Store(true) // nothing of it comes through any more
+	network.transports[victim.config.ListenAddress].closed.Store(true) // cuts the victim off from all other nodes
 	others := nodes[:size-1]
 	delays := detectionDelays(others, victim)
 	falseAlarms := 0
@@ -46,7 +47,8 @@
 	closeNodes(nodes)
 }
 
-// detectionDelays returns how long each of the nodes that notice it within a minute takes to hold a victim for failed.
+// detectionDelays returns how long each node takes to consider the victim failed, without those that do not within a
+// minute.
 func detectionDelays(nodes []*Node, victim *Node) (delays []time.Duration) {
 	begin := time.Now()
 	noticed := map[*Node]bool{}
