--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -32,8 +32,8 @@
 	// retransmitMultiplier times the logarithm of the number of members is the number of members to which each member
 	// passes an update on.
 	retransmitMultiplier = 1
-	// delegateProtocol is the version of the delegate's messages. All members must use the same version.
-	delegateProtocol = 1
+	// delegateProtocolVersion is the version of the delegate's messages. All members must use the same version.
+	delegateProtocolVersion = 1
 )
 
 // Config configures a Node.
@@ -73,7 +73,7 @@
 	// OnQuorumChange is called when the quorum status has changed.
 	OnQuorumChange func(status membership.QuorumStatus, size int, epoch uint64)
 	// OnUsage is called with the tenant usage that another server reported. age is the age of the report.
-	OnUsage func(of membership.ID, age time.Duration, usage []membership.TenantUsage)
+	OnUsage func(reporter membership.ID, age time.Duration, usage []membership.TenantUsage)
 	// Handlers handle the envelopes that are sent to this server, by the kind of envelope. Kinds start at
 	// FirstEnvelopeKind. Envelopes of a kind without a handler are ignored.
 	Handlers map[byte]func(from membership.ID, payload []byte)
@@ -98,44 +98,44 @@
 // memberlistConfig returns memberlist's configuration for this node. Unless Config.Transport is set, it opens the
 // listening sockets.
 func (n *Node) memberlistConfig() (*memberlist.Config, error) {
-	list := memberlist.DefaultLANConfig()
-	list.Name = nodeName(n.config.Membership.Self)
-	list.Label = n.config.ClusterName
-	list.ProbeInterval = n.config.probeInterval()
-	list.ProbeTimeout = list.ProbeInterval / 2
-	list.TCPTimeout = streamTimeout
-	list.PushPullInterval = pushPullInterval
-	list.GossipToTheDeadTime = gossipToDeadTime
-	list.RequireNodeNames = false
-	list.HandoffQueueDepth = maxQueuedTasks
-	list.EnableCompression = false // updates are small, and a decompression bomb would be expanded
-	list.LogOutput = nil
-	list.Logger = log.New(io.Discard, "", 0)
-	events := delegate{n}
-	list.Delegate = events
-	list.Events = events
-	list.Ping = events
-	list.Alive = events
-	list.DelegateProtocolMin = delegateProtocol
-	list.DelegateProtocolMax = delegateProtocol
-	list.DelegateProtocolVersion = delegateProtocol
+	listConfig := memberlist.DefaultLANConfig()
+	listConfig.Name = nodeName(n.config.Membership.Self)
+	listConfig.Label = n.config.ClusterName
+	listConfig.ProbeInterval = n.config.probeInterval()
+	listConfig.ProbeTimeout = listConfig.ProbeInterval / 2
+	listConfig.TCPTimeout = streamTimeout
+	listConfig.PushPullInterval = pushPullInterval
+	listConfig.GossipToTheDeadTime = gossipToDeadTime
+	listConfig.RequireNodeNames = false
+	listConfig.HandoffQueueDepth = maxQueuedTasks
+	listConfig.EnableCompression = false // updates are small, and a decompression bomb would be expanded
+	listConfig.LogOutput = nil
+	listConfig.Logger = log.New(io.Discard, "", 0)
+	callbacks := delegate{n}
+	listConfig.Delegate = callbacks
+	listConfig.Events = callbacks
+	listConfig.Ping = callbacks
+	listConfig.Alive = callbacks
+	listConfig.DelegateProtocolMin = delegateProtocolVersion
+	listConfig.DelegateProtocolMax = delegateProtocolVersion
+	listConfig.DelegateProtocolVersion = delegateProtocolVersion
 	if n.keyring != nil {
-		list.Keyring = n.keyring
+		listConfig.Keyring = n.keyring
 	}
-	if err := n.setAddresses(list); err != nil {
+	if err := n.setAddresses(listConfig); err != nil {
 		return nil, err
 	}
-	return list, n.setTransport(list)
+	return listConfig, n.setTransport(listConfig)
 }
 
 // setAddresses sets the addresses to listen on and to advertise in memberlist's configuration.
-func (n *Node) setAddresses(list *memberlist.Config) error {
+func (n *Node) setAddresses(listConfig *memberlist.Config) error {
 	var err error
-	list.BindAddr, list.BindPort, err = splitAddress(n.config.ListenAddress)
+	listConfig.BindAddr, listConfig.BindPort, err = splitAddress(n.config.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("parse listen address: %w", err)
 	}
-	list.AdvertiseAddr, list.AdvertisePort, err = splitAddress(n.config.advertisedAddress())
+	listConfig.AdvertiseAddr, listConfig.AdvertisePort, err = splitAddress(n.config.advertisedAddress())
 	if err != nil {
 		return fmt.Errorf("parse advertise address: %w", err)
 	}
@@ -144,38 +144,38 @@
 
 // setTransport sets Config.Transport as memberlist's transport or, if that is nil, a new one that listens on the
 // network.
-func (n *Node) setTransport(list *memberlist.Config) error {
-	list.Transport = n.config.Transport
-	if list.Transport != nil {
+func (n *Node) setTransport(listConfig *memberlist.Config) error {
+	listConfig.Transport = n.config.Transport
+	if listConfig.Transport != nil {
 		return nil
 	}
-	transport, err := newTransport(list.BindAddr, list.BindPort, &n.SentBytes)
+	transport, err := newTransport(listConfig.BindAddr, listConfig.BindPort, &n.SentBytes)
 	if err != nil {
 		return err
 	}
-	list.Transport = transport
+	listConfig.Transport = transport
 	return nil
 }
 
 // splitAddress splits an address into its host and its numeric port.
 func splitAddress(address string) (host string, port int, err error) {
-	host, service, err := net.SplitHostPort(address)
+	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return "", 0, err
 	}
-	port, err = strconv.Atoi(service)
+	port, err = strconv.Atoi(portText)
 	return host, port, err
 }
 
-// errNoKeys is returned by RotateKeys if the cluster runs without encryption, or if no keys are given to a cluster that
-// encrypts.
-var errNoKeys = errors.New("a running cluster cannot start or stop using encryption keys")
+// errEncryptionFixed is returned by RotateKeys if the cluster runs without encryption, or if no keys are given to a
+// cluster that encrypts.
+var errEncryptionFixed = errors.New("a running cluster cannot start or stop using encryption keys")
 
 // RotateKeys replaces the encryption keys while the node runs. From then on the first key encrypts, and all of them
 // decrypt. After an error the keys may be partly replaced; the call can be repeated.
 func (n *Node) RotateKeys(keys [][]byte) error {
 	if n.keyring == nil || len(keys) == 0 {
-		return errNoKeys
+		return errEncryptionFixed
 	}
 	for _, key := range keys {
 		if err := n.keyring.AddKey(key); err != nil {
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -58,7 +58,7 @@
 // after maxPushPullUpdates updates.
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
 	const lengthBytes = 2
-	for taken := 0; len(state) >= lengthBytes && taken < maxPushPullUpdates; taken++ {
+	for count := 0; len(state) >= lengthBytes && count < maxPushPullUpdates; count++ {
 		length := int(binary.BigEndian.Uint16(state))
 		state = state[lengthBytes:]
 		if length > len(state) {
@@ -93,7 +93,7 @@
 func (d delegate) NotifyLeave(peer *memberlist.Node) {
 	id, _ := parseNodeName(peer.Name) // NotifyAlive rejects names that cannot be parsed
 	hasLeft := peer.State == memberlist.StateLeft
-	d.node.enqueue(func() { d.node.memberLostOrLeft(id, hasLeft) })
+	d.node.enqueue(func() { d.node.memberFailedOrLeft(id, hasLeft) })
 }
 
 // NotifyUpdate is called when a member's metadata changes, which never happens in this program.
@@ -122,8 +122,8 @@
 	n.view.Refuted(id)
 }
 
-// memberLostOrLeft reports to the view that a member has left or failed. It must run on the worker.
-func (n *Node) memberLostOrLeft(id membership.ID, hasLeft bool) {
+// memberFailedOrLeft reports to the view that a member has left or failed. It must run on the worker.
+func (n *Node) memberFailedOrLeft(id membership.ID, hasLeft bool) {
 	delete(n.joined, id)
 	if hasLeft {
 		n.view.RecordLeave(id)
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -46,9 +46,9 @@
 }
 
 // goldenUpdate returns a state update of a node with every field set.
-func goldenUpdate(of *Node, sequence uint64) membership.StateUpdate {
+func goldenUpdate(node *Node, sequence uint64) membership.StateUpdate {
 	return membership.StateUpdate{
-		ID:                of.LocalID(),
+		ID:                node.LocalID(),
 		Sequence:          sequence,
 		Address:           "10.0.0.1:7946",
 		Zone:              "zone-a",
@@ -69,13 +69,13 @@
 	}
 }
 
-// encodeAgain decodes a message and its content, the latter into empty, and encodes both again with the same signature.
-func encodeAgain(t *testing.T, message []byte, empty any) []byte {
+// reencode decodes a message and its content, the latter into target, and encodes both again with the same signature.
+func reencode(t *testing.T, message []byte, target any) []byte {
 	t.Helper()
 	var signed signedMessage
 	require.NoError(t, strictDecoder.Unmarshal(message[1:], &signed))
-	require.NoError(t, strictDecoder.Unmarshal(signed.Payload, empty))
-	payload, err := cbor.Marshal(reflect.ValueOf(empty).Elem().Interface())
+	require.NoError(t, strictDecoder.Unmarshal(signed.Payload, target))
+	payload, err := cbor.Marshal(reflect.ValueOf(target).Elem().Interface())
 	require.NoError(t, err)
 	signed.Payload = payload
 	return encodeMessage(message[0], signed)
@@ -85,21 +85,21 @@
 // encoding it again changes nothing.
 func TestGoldenMessages(t *testing.T) {
 	n := goldenMember(1, 1)
-	me, other := n.LocalID(), goldenMember(2, 1).LocalID()
+	self, other := n.LocalID(), goldenMember(2, 1).LocalID()
 	var out bytes.Buffer
-	add := func(name string, kind byte, content, empty any) {
+	addMessage := func(name string, kind byte, content, target any) {
 		_, message := n.sign(kind, content)
-		require.Equal(t, message, encodeAgain(t, message, empty), name)
+		require.Equal(t, message, reencode(t, message, target), name)
 		fmt.Fprintf(&out, "%s %x\n", name, message)
 	}
-	add("word full", kindStateUpdate, goldenUpdate(n, 9), &membership.StateUpdate{})
+	addMessage("word full", kindStateUpdate, goldenUpdate(n, 9), &membership.StateUpdate{})
 	for state := membership.StateJoining; state <= membership.StateDraining; state++ {
-		update := membership.StateUpdate{ID: me, Sequence: 1, State: state}
-		add(fmt.Sprint("word state ", int(state)), kindStateUpdate, update, &membership.StateUpdate{})
+		update := membership.StateUpdate{ID: self, Sequence: 1, State: state}
+		addMessage(fmt.Sprint("word state ", int(state)), kindStateUpdate, update, &membership.StateUpdate{})
 	}
 	configuration := &membership.Configuration{
 		Epoch:         4,
-		Voters:        []membership.Voter{{ID: me, Address: "10.0.0.1:7946"}, {ID: other}},
+		Voters:        []membership.Voter{{ID: self, Address: "10.0.0.1:7946"}, {ID: other}},
 		MemberCount:   2,
 		LeaseDuration: 1500,
 		GenesisEpoch:  1,
@@ -113,26 +113,26 @@
 		membership.MessageAccepted,
 		membership.MessageCommitted,
 	} {
-		message := membership.Message{Kind: kind, From: me, To: other, Epoch: 3}
-		add(fmt.Sprint("note short ", int(kind)), kindPaxos, message, &membership.Message{})
+		message := membership.Message{Kind: kind, From: self, To: other, Epoch: 3}
+		addMessage(fmt.Sprint("note short ", int(kind)), kindPaxos, message, &membership.Message{})
 		message.RequestedAt = 12345
-		message.Ballot = membership.Ballot{Round: 5, Proposer: me}
+		message.Ballot = membership.Ballot{Round: 5, Proposer: self}
 		message.AcceptedBallot = membership.Ballot{Round: 2, Proposer: other}
 		message.Configuration = configuration
-		add(fmt.Sprint("note full ", int(kind)), kindPaxos, message, &membership.Message{})
+		addMessage(fmt.Sprint("note full ", int(kind)), kindPaxos, message, &membership.Message{})
 	}
 	for kind := FirstEnvelopeKind; kind < FirstEnvelopeKind+3; kind++ {
-		content := envelope{From: me, To: other, Payload: []byte("what it says")}
-		add(fmt.Sprint("letter ", kind), kind, content, &envelope{})
+		content := envelope{From: self, To: other, Payload: []byte("what it says")}
+		addMessage(fmt.Sprint("letter ", kind), kind, content, &envelope{})
 	}
 	for _, zone := range []string{"zone-a", ""} {
 		n.config.Membership.Zone = zone
 		fmt.Fprintf(&out, "metadata %x\n", goldenMetadata(t, n))
 	}
-	fmt.Fprintf(&out, "node name %s\n", nodeName(me))
-	parsed, ok := parseNodeName(nodeName(me))
+	fmt.Fprintf(&out, "node name %s\n", nodeName(self))
+	parsed, ok := parseNodeName(nodeName(self))
 	require.True(t, ok)
-	require.Equal(t, me, parsed)
+	require.Equal(t, self, parsed)
 	golden.Check(t, "messages.txt", out.Bytes())
 }
 
@@ -142,9 +142,9 @@
 	encoded := delegate{n}.NodeMeta(512)
 	var metadata nodeMetadata
 	require.NoError(t, strictDecoder.Unmarshal(encoded, &metadata))
-	again, err := cbor.Marshal(metadata)
+	reencoded, err := cbor.Marshal(metadata)
 	require.NoError(t, err)
-	require.Equal(t, encoded, again)
+	require.Equal(t, encoded, reencoded)
 	return encoded
 }
 
@@ -158,8 +158,8 @@
 		n.joined[other.LocalID()] = true
 		signed, _ := other.sign(kindStateUpdate, goldenUpdate(other, uint64(3+i)))
 		signed.AgeMs = age
-		_, isNews := n.receive(encodeMessage(kindStateUpdate, signed))
-		require.True(t, isNews)
+		_, isNew := n.receive(encodeMessage(kindStateUpdate, signed))
+		require.True(t, isNew)
 	}
 	n.agreement.Step(membership.Message{
 		Kind:  membership.MessageCommitted,
@@ -204,41 +204,41 @@
 	require.NoError(t, err)
 	gcm, err := cipher.NewGCM(block)
 	require.NoError(t, err)
-	head := []byte("\xf4\x04" + testCluster + "\x01") // cluster label and encryption version
-	const userMessage = 8
+	header := []byte("\xf4\x04" + testCluster + "\x01") // cluster label and encryption version
+	const userMessageType = 8
 	synctest.Test(t, func(t *testing.T) {
 		network := newVirtualNetwork(1)
-		here, there := network.newTransport(1), network.newTransport(2)
+		transport, peerTransport := network.newTransport(1), network.newTransport(2)
 		sender := goldenMember(2, 1)
-		me := goldenMember(1, 1).LocalID()
+		self := goldenMember(1, 1).LocalID()
 		received := make(chan string, 1)
-		handle := func(from membership.ID, payload []byte) { received <- from.Name + " " + string(payload) }
+		handler := func(from membership.ID, payload []byte) { received <- from.Name + " " + string(payload) }
 		n, err := Start(Config{
-			Membership:    membership.DefaultConfig(me),
-			ListenAddress: here.address,
+			Membership:    membership.DefaultConfig(self),
+			ListenAddress: transport.address,
 			ClusterName:   testCluster,
 			Keys:          [][]byte{[]byte(testKey)},
-			Transport:     here,
-			Handlers:      map[byte]func(membership.ID, []byte){FirstEnvelopeKind: handle},
+			Transport:     transport,
+			Handlers:      map[byte]func(membership.ID, []byte){FirstEnvelopeKind: handler},
 		})
 		require.NoError(t, err)
 		n.enqueue(func() { n.publicKeys[sender.LocalID()] = sender.privateKey.Public().(ed25519.PublicKey) })
-		content := envelope{From: sender.LocalID(), To: me, Payload: []byte("what it says")}
+		content := envelope{From: sender.LocalID(), To: self, Payload: []byte("what it says")}
 		_, message := sender.sign(FirstEnvelopeKind, content)
-		plain := append([]byte{userMessage}, message...)
-		packet := gcm.Seal(append(bytes.Clone(head), nonce...), []byte(nonce), plain, []byte(testCluster))
-		here.packets <- &memberlist.Packet{Buf: bytes.Clone(packet), From: &spoofedAddress, Timestamp: time.Now()}
+		plaintext := append([]byte{userMessageType}, message...)
+		packet := gcm.Seal(append(bytes.Clone(header), nonce...), []byte(nonce), plaintext, []byte(testCluster))
+		transport.packets <- &memberlist.Packet{Buf: bytes.Clone(packet), From: &spoofedAddress, Timestamp: time.Now()}
 		require.Equal(t, "n0002 what it says", <-received)
 
-		n.Send(sender.LocalID(), there.address, FirstEnvelopeKind, []byte("an answer"))
-		sent := (<-there.packets).Buf
-		require.True(t, bytes.HasPrefix(sent, head))
-		sent = sent[len(head):]
-		plain, err = gcm.Open(nil, sent[:len(nonce)], sent[len(nonce):], []byte(testCluster))
+		n.Send(sender.LocalID(), peerTransport.address, FirstEnvelopeKind, []byte("an answer"))
+		sent := (<-peerTransport.packets).Buf
+		require.True(t, bytes.HasPrefix(sent, header))
+		sent = sent[len(header):]
+		plaintext, err = gcm.Open(nil, sent[:len(nonce)], sent[len(nonce):], []byte(testCluster))
 		require.NoError(t, err)
-		content = envelope{From: me, To: sender.LocalID(), Payload: []byte("an answer")}
+		content = envelope{From: self, To: sender.LocalID(), Payload: []byte("an answer")}
 		_, message = n.sign(FirstEnvelopeKind, content)
-		require.Equal(t, append([]byte{userMessage}, message...), plain)
+		require.Equal(t, append([]byte{userMessageType}, message...), plaintext)
 		closeNodes([]*Node{n})
 		golden.Check(t, "sealed-packet.txt", fmt.Appendf(nil, "%x\n", packet))
 	})
@@ -269,8 +269,8 @@
 	require.NoError(t, err)
 	var decoded Status
 	require.NoError(t, json.Unmarshal(encoded, &decoded))
-	again, err := json.MarshalIndent(decoded, "", " ")
+	reencoded, err := json.MarshalIndent(decoded, "", " ")
 	require.NoError(t, err)
-	require.Equal(t, string(encoded), string(again))
+	require.Equal(t, string(encoded), string(reencoded))
 	golden.Check(t, "status.json", encoded)
 }
--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -32,10 +32,10 @@
 func (t *recordingTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
 // run records packets and delivers them to the member until done is closed.
-func (t *recordingTransport) run(from <-chan *memberlist.Packet, done <-chan struct{}) {
+func (t *recordingTransport) run(incoming <-chan *memberlist.Packet, done <-chan struct{}) {
 	for {
 		select {
-		case packet := <-from:
+		case packet := <-incoming:
 			t.lock.Lock()
 			t.recorded = append(t.recorded, bytes.Clone(packet.Buf))
 			t.lock.Unlock()
@@ -67,7 +67,7 @@
 	targetAddress string
 	recording     *recordingTransport // of the packets that reached the target
 	forger        *Node
-	forged        int // number of messages that the forger sent
+	forgedCount   int // number of messages that the forger sent
 }
 
 // startHostileCluster starts the cluster and waits until all nodes are in the majority. The recording ends when done is
@@ -99,14 +99,14 @@
 	c.forger.privateKey = key
 	_, message := c.forger.sign(kind, content)
 	c.forger.privateKey = ownKey
-	c.forged++
+	c.forgedCount++
 	to := memberlist.Address{Addr: c.targetAddress, Name: nodeName(c.target.LocalID())}
 	require.NoError(t, c.forger.memberlist.SendToAddress(to, message))
 }
 
-// sendForgedAbout sends the target forged messages in the name of victim: state updates that it is draining, a lease
+// sendForgeries sends the target forged messages in the name of victim: state updates that it is draining, a lease
 // grant and a configuration. The last message is in the name of a member that does not exist.
-func (c *hostileCluster) sendForgedAbout(t *testing.T, victim membership.ID) {
+func (c *hostileCluster) sendForgeries(t *testing.T, victim membership.ID) {
 	t.Helper()
 	ownKey := c.forger.privateKey
 	_, otherKey, err := ed25519.GenerateKey(nil)
@@ -146,10 +146,10 @@
 // sendMalformed passes malformed messages to the target: truncated and empty messages, one of 64 KiB, one of
 // meaningless bytes, one of a kind that only a later version knows, and a truncated full exchange.
 func (c *hostileCluster) sendMalformed() {
-	honest := c.nodes[2]
-	update := membership.StateUpdate{ID: honest.LocalID(), Sequence: 1 << 30, State: membership.StateDraining}
-	_, valid := honest.sign(kindStateUpdate, update)
-	events := delegate{c.target}
+	member := c.nodes[2]
+	update := membership.StateUpdate{ID: member.LocalID(), Sequence: 1 << 30, State: membership.StateDraining}
+	_, valid := member.sign(kindStateUpdate, update)
+	callbacks := delegate{c.target}
 	for _, message := range [][]byte{
 		valid[:len(valid)/2],
 		{},
@@ -158,9 +158,9 @@
 		slices.Repeat([]byte{0x9f}, 600),
 		{200, 1, 2, 3}, // a kind of a later version
 	} {
-		events.NotifyMsg(message)
+		callbacks.NotifyMsg(message)
 	}
-	events.MergeRemoteState(append([]byte{255, 255}, valid...), false)
+	callbacks.MergeRemoteState(append([]byte{255, 255}, valid...), false)
 }
 
 // TestMeasuredRejectionOfHostileMessages checks that the target rejects and counts what a hostile member with the
@@ -169,38 +169,40 @@
 func TestMeasuredRejectionOfHostileMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		done := make(chan struct{})
-		c := startHostileCluster(t, done)
-		var before membership.Counts
-		inspectView(t, c.target, func(view *membership.View) { before = view.Counts })
-		victim := c.nodes[1].LocalID()
+		cluster := startHostileCluster(t, done)
+		var countsBefore membership.Counts
+		inspectView(t, cluster.target, func(view *membership.View) { countsBefore = view.Counts })
+		victim := cluster.nodes[1].LocalID()
 		accepted := 0
-		c.sendForgedAbout(t, victim)
+		cluster.sendForgeries(t, victim)
 		time.Sleep(2 * time.Second)
-		inspectView(t, c.target, func(view *membership.View) {
+		inspectView(t, cluster.target, func(view *membership.View) {
 			if view.Member(victim).State != membership.StateServing {
 				accepted++
 			}
-			require.Equal(t, c.forged-1, view.Counts.Forged-before.Forged, "forged in a known member's name")
-			require.Positive(t, view.Counts.UnknownSender-before.UnknownSender, "forged in an unknown member's name")
+			require.Equal(t, cluster.forgedCount-1, view.Counts.Forged-countsBefore.Forged,
+				"forged in a known member's name")
+			require.Positive(t, view.Counts.UnknownSender-countsBefore.UnknownSender,
+				"forged in an unknown member's name")
 		})
 
-		malformed := c.target.Malformed.Load()
-		c.sendMalformed()
+		malformedBefore := cluster.target.Malformed.Load()
+		cluster.sendMalformed()
 		time.Sleep(time.Second)
-		require.GreaterOrEqual(t, c.target.Malformed.Load()-malformed, int64(3))
+		require.GreaterOrEqual(t, cluster.target.Malformed.Load()-malformedBefore, int64(3))
 
 		time.Sleep(schedule.Scale(3*time.Minute, time.Hour))
-		replayed := c.recording.replay()
+		replayed := cluster.recording.replay()
 		time.Sleep(20 * time.Second)
-		if !allInMajority(c.nodes, 5) {
+		if !allInMajority(cluster.nodes, 5) {
 			accepted++
 		}
 		stale := 0
-		inspectView(t, c.target, func(view *membership.View) { stale = view.Counts.Stale })
+		inspectView(t, cluster.target, func(view *membership.View) { stale = view.Counts.Stale })
 		t.Logf("measured hostile-peers forged=%d forged_taken=%d replayed=%d stale=%d malformed=%d",
-			c.forged, accepted, replayed, stale, c.target.Malformed.Load())
+			cluster.forgedCount, accepted, replayed, stale, cluster.target.Malformed.Load())
 		require.Zero(t, accepted)
-		closeNodes(c.nodes)
+		closeNodes(cluster.nodes)
 		close(done)
 	})
 }
@@ -211,32 +213,32 @@
 func TestMemberRefutesForgedDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newVirtualNetwork(2)
-		network.withoutKeys = true
+		network.isUnencrypted = true
 		nodes := startNodes(t, network, 5)
 		require.Positive(t, waitUntil(time.Minute, func() bool { return allInMajority(nodes, 5) }))
 		victim := nodes[4]
 		target := nodes[1]
-		var dead []byte
-		require.NoError(t, codec.NewEncoderBytes(&dead, &codec.MsgpackHandle{}).Encode(map[string]any{
+		var deadMessage []byte
+		require.NoError(t, codec.NewEncoderBytes(&deadMessage, &codec.MsgpackHandle{}).Encode(map[string]any{
 			"Incarnation": 1 << 20,
 			"Node":        nodeName(victim.LocalID()),
 			"From":        nodeName(nodes[3].LocalID()),
 		}))
 		// Without keys, this is the complete packet. With keys, any member that has one could encrypt it.
-		packet := append([]byte("\xf4\x04"+testCluster+"\x05"), dead...)
+		packet := append([]byte("\xf4\x04"+testCluster+"\x05"), deadMessage...)
 		network.transports[target.config.ListenAddress].packets <- &memberlist.Packet{
 			Buf:       packet,
 			From:      &spoofedAddress,
 			Timestamp: time.Now(),
 		}
-		failed := waitUntil(5*time.Second, func() bool {
+		detectionTime := waitUntil(5*time.Second, func() bool {
 			hasFailed := false
 			err := target.Inspect(func(view *membership.View, _ *membership.Agreement) {
 				hasFailed = view.Member(victim.LocalID()).State >= membership.StateFailed
 			})
 			return err == nil && hasFailed
 		})
-		require.GreaterOrEqual(t, failed, time.Duration(0), "the forged message had no effect on the target")
+		require.GreaterOrEqual(t, detectionTime, time.Duration(0), "the forged message had no effect on the target")
 		require.Positive(t, waitUntil(20*time.Second, func() bool { return allInMajority(nodes, 5) }))
 		closeNodes(nodes)
 	})
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -24,8 +24,8 @@
 
 // Maximum lengths of a message in bytes, including its kind.
 const (
-	maxPacketMessage = 1200      // longer messages would not fit in one packet on every network
-	maxEnvelope      = 256 << 10 // envelopes that do not fit in a packet are sent on a stream
+	maxPacketMessageBytes = 1200      // longer messages would not fit in one packet on every network
+	maxEnvelopeBytes      = 256 << 10 // envelopes that do not fit in a packet are sent on a stream
 )
 
 var (
@@ -75,9 +75,9 @@
 // maxMessageBytes returns the maximum length of a message of the given kind.
 func maxMessageBytes(kind byte) int {
 	if kind >= FirstEnvelopeKind {
-		return maxEnvelope
+		return maxEnvelopeBytes
 	}
-	return maxPacketMessage
+	return maxPacketMessageBytes
 }
 
 // encodeMessage returns the encoding of a message: its kind, followed by signed in CBOR.
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -36,7 +36,7 @@
 	memberlist *memberlist.Memberlist
 	keyring    *memberlist.Keyring // nil in a cluster without encryption keys
 	broadcasts *memberlist.TransmitLimitedQueue
-	started    time.Time // by config.Now
+	startedAt  time.Time // by config.Now
 
 	tasks       chan func()   // to be run by the worker
 	publishNow  chan struct{} // makes the worker publish an update without delay
@@ -56,7 +56,7 @@
 	publicKeys    map[membership.ID]ed25519.PublicKey
 	signedUpdates map[membership.ID]signedMessage // the latest update of each member, as signed by it
 	joined        map[membership.ID]bool          // members that memberlist considers alive
-	nextUpdate    time.Time                       // when this server's next update is due
+	nextPublishAt time.Time                       // when this server's next update is due
 	lastSize      int                             // as last reported
 	lastStatus    membership.QuorumStatus         // as last reported
 
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	list, err := n.memberlistConfig()
+	listConfig, err := n.memberlistConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 		NumNodes:       func() int { return max(1, n.memberCount()) },
 		RetransmitMult: retransmitMultiplier,
 	}
-	n.memberlist, err = memberlist.Create(list)
+	n.memberlist, err = memberlist.Create(listConfig)
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 	}
 	n := &Node{
 		config:        config,
-		started:       config.Now(),
+		startedAt:     config.Now(),
 		tasks:         make(chan func(), maxQueuedTasks),
 		publishNow:    make(chan struct{}, 1),
 		done:          make(chan struct{}),
@@ -162,7 +162,7 @@
 
 // Now returns the time on the clock of the view: the milliseconds since the start plus 1, so that it is never 0.
 func (n *Node) Now() timeunit.Milliseconds {
-	return timeunit.Milliseconds(n.config.Now().Sub(n.started).Milliseconds()) + 1
+	return timeunit.Milliseconds(n.config.Now().Sub(n.startedAt).Milliseconds()) + 1
 }
 
 // memberCount returns the number of members that memberlist knows, including this server. Memberlist already calls it
@@ -179,9 +179,9 @@
 // may use what inspect would have written to.
 func (n *Node) Inspect(inspect func(*membership.View, *membership.Agreement)) error {
 	inspected := make(chan struct{})
-	taken := atomic.Bool{} // set by the worker before it calls inspect, or by the caller when it stops waiting
+	claimed := atomic.Bool{} // set by the worker before it calls inspect, or by the caller when it stops waiting
 	n.enqueue(func() {
-		if taken.CompareAndSwap(false, true) {
+		if claimed.CompareAndSwap(false, true) {
 			inspect(n.view, n.agreement)
 			close(inspected)
 		}
@@ -192,7 +192,7 @@
 	case <-n.done:
 	case <-time.After(inspectTimeout):
 	}
-	if taken.CompareAndSwap(false, true) {
+	if claimed.CompareAndSwap(false, true) {
 		return ErrNoAnswer
 	}
 	<-inspected // the worker has begun the call
@@ -237,7 +237,7 @@
 // refreshes the data that depend on them.
 func (n *Node) tick() {
 	now := n.config.Now()
-	if !now.Before(n.nextUpdate) {
+	if !now.Before(n.nextPublishAt) {
 		n.publish(now)
 	}
 	n.agreement.Tick()
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -41,16 +41,16 @@
 
 // SetLocalState sets the state that the next update publishes. A change of State is published without delay.
 func (n *Node) SetLocalState(state LocalState) {
-	before := n.localState.Swap(&state)
-	if before.State != state.State {
+	previous := n.localState.Swap(&state)
+	if previous.State != state.State {
 		n.requestPublish()
 	}
 }
 
 // SetCoordinatorIdentity sets the coordinator identity that updates publish. A change is published without delay.
 func (n *Node) SetCoordinatorIdentity(identity CoordinatorIdentity) {
-	before := n.coordinator.Swap(&identity)
-	if *before != identity {
+	previous := n.coordinator.Swap(&identity)
+	if *previous != identity {
 		n.requestPublish()
 	}
 }
@@ -66,7 +66,7 @@
 // publish broadcasts this server's own update and sets when the next one is due.
 func (n *Node) publish(now time.Time) {
 	interval := max(minUpdateInterval, updateIntervalPerMember*time.Duration(n.memberCount()))
-	n.nextUpdate = now.Add(interval)
+	n.nextPublishAt = now.Add(interval)
 	state := n.localState.Load()
 	coordinator := n.coordinator.Load()
 	update := n.view.UpdateSelf(membership.StateUpdate{
@@ -86,7 +86,7 @@
 	})
 	signed, message := n.sign(kindStateUpdate, update)
 	n.signedUpdates[update.ID] = signed
-	if len(message) <= maxPacketMessage {
+	if len(message) <= maxPacketMessageBytes {
 		n.broadcast(update, message)
 	}
 }
@@ -95,15 +95,15 @@
 // passed on a few more times: few updates or none follow it, so a member that missed it would consider the sender
 // failed.
 func (n *Node) broadcast(update membership.StateUpdate, message []byte) {
-	queue := func() {
+	enqueueBroadcast := func() {
 		n.broadcasts.QueueBroadcast(&updateBroadcast{sender: update.ID, sequence: update.Sequence, message: message})
 	}
-	queue()
+	enqueueBroadcast()
 	if update.State != membership.StateDraining {
 		return
 	}
 	for i := range leaveRebroadcasts {
-		time.AfterFunc(tickInterval*time.Duration(i+1), queue)
+		time.AfterFunc(tickInterval*time.Duration(i+1), enqueueBroadcast)
 	}
 }
 
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -15,16 +15,16 @@
 		return
 	}
 	n.enqueue(func() {
-		update, isNews := n.receive(message)
-		if isNews && update.AgeMs == 0 {
+		update, isNew := n.receive(message)
+		if isNew && update.AgeMs == 0 {
 			n.broadcast(update, message)
 		}
 	})
 }
 
 // receive handles a message. It must run on the worker. If the message is a state update, receive returns it, and
-// isNews reports whether it was accepted as new.
-func (n *Node) receive(message []byte) (update membership.StateUpdate, isNews bool) {
+// isNew reports whether it was accepted as new.
+func (n *Node) receive(message []byte) (update membership.StateUpdate, isNew bool) {
 	parsed, err := parseMessage(message)
 	if err != nil {
 		n.Malformed.Add(1)
@@ -83,8 +83,8 @@
 
 // handleEnvelope passes an envelope to the handler of its kind.
 func (n *Node) handleEnvelope(kind byte, encoded []byte) {
-	handle := n.config.Handlers[kind]
-	if handle == nil {
+	handler := n.config.Handlers[kind]
+	if handler == nil {
 		return // from a later version, or for a subsystem that is disabled here
 	}
 	var signed signedMessage
@@ -100,7 +100,7 @@
 		n.countRejected(err)
 		return
 	}
-	handle(content.From, content.Payload)
+	handler(content.From, content.Payload)
 }
 
 // countRejected counts a message that verify rejected. A message from an unknown sender is counted apart because it may
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -16,12 +16,12 @@
 // stream and all streams are in use.
 func (n *Node) Send(to membership.ID, address string, kind byte, payload []byte) {
 	_, message := n.sign(kind, envelope{From: n.LocalID(), To: to, Payload: payload})
-	node, err := nodeAt(to, address)
-	if err != nil || len(message) > maxEnvelope {
+	node, err := memberlistNode(to, address)
+	if err != nil || len(message) > maxEnvelopeBytes {
 		n.Dropped.Add(1)
 		return
 	}
-	if len(message) <= maxPacketMessage {
+	if len(message) <= maxPacketMessageBytes {
 		n.sendPacket(to, address, message)
 		return
 	}
@@ -41,7 +41,7 @@
 // members handle messages that a correct node never sends.
 func (n *Node) SendRaw(to membership.ID, address string, kind byte, payload []byte) error {
 	_, message := n.signPayload(kind, payload)
-	node, err := nodeAt(to, address)
+	node, err := memberlistNode(to, address)
 	if err != nil {
 		return err
 	}
@@ -51,13 +51,13 @@
 // sendPaxosMessages sends the pending messages of the agreement. It drops a message to a member without an address; the
 // agreement repeats what matters.
 func (n *Node) sendPaxosMessages() {
-	for _, paxos := range n.agreement.TakeMessages() {
-		member := n.view.Member(paxos.To)
+	for _, paxosMessage := range n.agreement.TakeMessages() {
+		member := n.view.Member(paxosMessage.To)
 		if member == nil || member.Address == "" {
 			continue
 		}
-		if _, message := n.sign(kindPaxos, paxos); len(message) <= maxPacketMessage {
-			n.sendPacket(paxos.To, member.Address, message)
+		if _, message := n.sign(kindPaxos, paxosMessage); len(message) <= maxPacketMessageBytes {
+			n.sendPacket(paxosMessage.To, member.Address, message)
 		}
 	}
 }
@@ -68,8 +68,8 @@
 	_ = n.memberlist.SendToAddress(destination, message) // an error is treated like a packet that the network drops
 }
 
-// nodeAt returns the memberlist node for a member at an address.
-func nodeAt(id membership.ID, address string) (*memberlist.Node, error) {
+// memberlistNode returns the memberlist node for a member at an address.
+func memberlistNode(id membership.ID, address string) (*memberlist.Node, error) {
 	host, port, err := splitAddress(address)
 	if err != nil {
 		return nil, err
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -5,8 +5,9 @@
 	"thistlequay/timeunit"
 )
 
-// noTime is the value in a Status of a duration that is undefined, such as the time since an event that never happened.
-const noTime = -1
+// undefinedMs is the value in a Status of a duration that is undefined, such as the time since an event that never
+// happened.
+const undefinedMs = -1
 
 // Status is one server's view of the cluster, for operators. Its JSON keys are part of the program's interface and must
 // not change. Fields whose name ends in Ms are in milliseconds.
@@ -59,7 +60,7 @@
 			Incarnation:  formatIncarnation(self.ID),
 			QuorumStatus: agreement.QuorumStatus().String(),
 			SinceMs:      int64(now - agreement.StatusSince()),
-			UntilMs:      noTime,
+			UntilMs:      undefinedMs,
 			Epoch:        configuration.Epoch,
 			Voters:       []string{}, // encoded as an empty list, not as null
 			AgreedSize:   configuration.MemberCount,
@@ -69,9 +70,9 @@
 			Malformed:    n.Malformed.Load(),
 			SentBytes:    n.SentBytes.Load(),
 		}
-		left := agreement.MajorityUntil() - now
-		if left > 0 && agreement.QuorumStatus() == membership.Majority {
-			status.UntilMs = int64(left)
+		remaining := agreement.MajorityUntil() - now
+		if remaining > 0 && agreement.QuorumStatus() == membership.Majority {
+			status.UntilMs = int64(remaining)
 		}
 		for _, voter := range configuration.Voters {
 			status.Voters = append(status.Voters, voter.Name)
@@ -95,7 +96,7 @@
 		Cause:             member.Cause.String(),
 		SinceMs:           int64(now - member.Since),
 		AgeMs:             int64(member.Age(now)),
-		LastReplyMs:       noTime,
+		LastReplyMs:       undefinedMs,
 		RoundTripMs:       int64(member.RoundTrip),
 		Epoch:             member.Epoch,
 		ConcurrencyLimit:  member.ConcurrencyLimit,
--- a/internal/gossip/status_http.go
+++ b/internal/gossip/status_http.go
@@ -17,16 +17,16 @@
 )
 
 // ServeStatus answers HTTP requests at an address until Close, and returns without waiting. It serves Status under
-// /members and the results of the functions in more under their paths, all as JSON. It reveals no key and changes
+// /members and the results of the functions in extraPaths under their paths, all as JSON. It reveals no key and changes
 // nothing.
-func (n *Node) ServeStatus(address string, more map[string]func() (any, error)) error {
+func (n *Node) ServeStatus(address string, extraPaths map[string]func() (any, error)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+membersPath, serveJSON(func() (any, error) { return n.Status() }))
-	for path, status := range more {
+	for path, status := range extraPaths {
 		mux.HandleFunc("GET "+path, serveJSON(status))
 	}
 	server := &http.Server{
@@ -66,8 +66,8 @@
 	return status, err
 }
 
-// FetchJSON fetches a path from the server at a status address and decodes the JSON response.
-func FetchJSON(address, path string, into any) error {
+// FetchJSON fetches a path from the server at a status address and decodes the JSON response into target.
+func FetchJSON(address, path string, target any) error {
 	client := http.Client{Timeout: requestTimeout}
 	response, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -77,5 +77,5 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("status address %s responded with %s", address, response.Status)
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(target)
 }
--- a/internal/gossip/virtual_network_test.go
+++ b/internal/gossip/virtual_network_test.go
@@ -25,13 +25,13 @@
 
 // virtualNetwork carries the traffic of many nodes in one process, in the virtual time of a synctest bubble.
 type virtualNetwork struct {
-	lock        sync.Mutex
-	random      *rand.Rand
-	transports  map[string]*virtualTransport
-	isCut       func(from, to string) bool // whether traffic between two addresses is lost
-	lossRate    float64                    // fraction of packets and connection attempts that are lost
-	withoutKeys bool                       // the nodes do not encrypt
-	sentBytes   atomic.Int64
+	lock          sync.Mutex
+	random        *rand.Rand
+	transports    map[string]*virtualTransport
+	isCut         func(from, to string) bool // whether traffic between two addresses is lost
+	lossRate      float64                    // fraction of packets and connection attempts that are lost
+	isUnencrypted bool                       // the nodes do not encrypt
+	sentBytes     atomic.Int64
 }
 
 // virtualTransport is one node's transport on a virtualNetwork.
@@ -52,47 +52,47 @@
 }
 
 // newTransport adds a transport to the network. Its address is derived from number.
-func (a *virtualNetwork) newTransport(number int) *virtualTransport {
+func (n *virtualNetwork) newTransport(number int) *virtualTransport {
 	transport := &virtualTransport{
-		network: a,
+		network: n,
 		address: fmt.Sprintf("10.%d.%d.%d:7946", number>>16, number>>8&255, number&255),
 		packets: make(chan *memberlist.Packet, 4096),
 		streams: make(chan net.Conn, 64),
 	}
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	a.transports[transport.address] = transport
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	n.transports[transport.address] = transport
 	return transport
 }
 
 // route returns the transport at an address and the delay of a packet to it, or nil if the packet is lost.
-func (p *virtualTransport) route(address string) (*virtualTransport, time.Duration) {
-	network := p.network
+func (t *virtualTransport) route(address string) (*virtualTransport, time.Duration) {
+	network := t.network
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	to := network.transports[address]
-	if to == nil || to.closed.Load() || p.closed.Load() {
+	if to == nil || to.closed.Load() || t.closed.Load() {
 		return nil, 0
 	}
-	if network.isCut != nil && network.isCut(p.address, address) || network.random.Float64() < network.lossRate {
+	if network.isCut != nil && network.isCut(t.address, address) || network.random.Float64() < network.lossRate {
 		return nil, 0
 	}
 	return to, time.Duration(200+network.random.Intn(2000)) * time.Microsecond
 }
 
-func (p *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, port, err := splitAddress(p.address)
+func (t *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	host, port, err := splitAddress(t.address)
 	return net.ParseIP(host), port, err
 }
 
-func (p *virtualTransport) WriteTo(packet []byte, address string) (time.Time, error) {
-	p.network.sentBytes.Add(int64(len(packet)))
-	to, delay := p.route(address)
+func (t *virtualTransport) WriteTo(packet []byte, address string) (time.Time, error) {
+	t.network.sentBytes.Add(int64(len(packet)))
+	to, delay := t.route(address)
 	if to == nil {
 		return time.Now(), nil
 	}
 	packet = slices.Clone(packet)
-	from, err := net.ResolveUDPAddr("udp", p.address)
+	from, err := net.ResolveUDPAddr("udp", t.address)
 	if err != nil {
 		return time.Now(), err
 	}
@@ -105,25 +105,25 @@
 	return time.Now(), nil
 }
 
-func (p *virtualTransport) DialTimeout(address string, _ time.Duration) (net.Conn, error) {
-	to, _ := p.route(address)
+func (t *virtualTransport) DialTimeout(address string, _ time.Duration) (net.Conn, error) {
+	to, _ := t.route(address)
 	if to == nil {
 		return nil, errUnreachable
 	}
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case to.streams <- there:
-		return &countingConn{Conn: here, sentBytes: &p.network.sentBytes}, nil
+	case to.streams <- remote:
+		return &countingConn{Conn: local, sentBytes: &t.network.sentBytes}, nil
 	default:
 		return nil, errUnreachable
 	}
 }
 
-func (p *virtualTransport) PacketCh() <-chan *memberlist.Packet { return p.packets }
-func (p *virtualTransport) StreamCh() <-chan net.Conn           { return p.streams }
+func (t *virtualTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
+func (t *virtualTransport) StreamCh() <-chan net.Conn           { return t.streams }
 
-func (p *virtualTransport) Shutdown() error {
-	p.closed.Store(true)
+func (t *virtualTransport) Shutdown() error {
+	t.closed.Store(true)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 		transport := network.newTransport(i + 1)
 		config := testConfig(i, count, transport, transport.address)
 		config.Membership.Zone = fmt.Sprint("z", i%3)
-		if network.withoutKeys {
+		if network.isUnencrypted {
 			config.Keys = nil
 		}
 		node, err := Start(config)
@@ -175,10 +175,10 @@
 
 // waitUntil waits in virtual time until a condition holds and returns how long that took, or -1 if the condition did
 // not hold within timeout.
-func waitUntil(timeout time.Duration, holds func() bool) time.Duration {
-	for begin := time.Now(); time.Since(begin) < timeout; time.Sleep(250 * time.Millisecond) {
-		if holds() {
-			return time.Since(begin)
+func waitUntil(timeout time.Duration, condition func() bool) time.Duration {
+	for startedAt := time.Now(); time.Since(startedAt) < timeout; time.Sleep(250 * time.Millisecond) {
+		if condition() {
+			return time.Since(startedAt)
 		}
 	}
 	return -1
--- a/internal/gossip/virtual_test.go
+++ b/internal/gossip/virtual_test.go
@@ -26,43 +26,43 @@
 	converged := waitUntil(3*time.Minute, func() bool { return allInMajority(nodes, size) })
 	require.Positive(t, converged, "the nodes did not all reach the majority")
 	bytesBefore := network.sentBytes.Load()
-	begin := time.Now()
+	startedAt := time.Now()
 	time.Sleep(20 * time.Second)
-	rate := float64(network.sentBytes.Load()-bytesBefore) / time.Since(begin).Seconds() / float64(size)
+	bytesPerSecond := float64(network.sentBytes.Load()-bytesBefore) / time.Since(startedAt).Seconds() / float64(size)
 
 	victim := nodes[size-1]
 	network.transports[victim.config.ListenAddress].closed.Store(true) // cuts the victim off from all other nodes
 	others := nodes[:size-1]
 	delays := detectionDelays(others, victim)
-	falseAlarms := 0
+	falsePositives := 0
 	for _, node := range others {
-		inspectView(t, node, func(view *membership.View) { falseAlarms += view.Counts.FalsePositives })
+		inspectView(t, node, func(view *membership.View) { falsePositives += view.Counts.FalsePositives })
 	}
 	require.Len(t, delays, len(others))
 	slices.Sort(delays)
 	t.Logf("measured peers-virtual members=%d converge_ms=%d detect_p50_ms=%d detect_p99_ms=%d false_alarms=%d "+
 		"bytes_a_second=%.0f", size, converged.Milliseconds(), delays[len(delays)/2].Milliseconds(),
-		delays[len(delays)*99/100].Milliseconds(), falseAlarms, rate)
-	require.Zero(t, falseAlarms)
+		delays[len(delays)*99/100].Milliseconds(), falsePositives, bytesPerSecond)
+	require.Zero(t, falsePositives)
 	closeNodes(nodes)
 }
 
 // detectionDelays returns how long each node takes to consider the victim failed, without those that do not within a
 // minute.
 func detectionDelays(nodes []*Node, victim *Node) (delays []time.Duration) {
-	begin := time.Now()
-	noticed := map[*Node]bool{}
+	startedAt := time.Now()
+	detected := map[*Node]bool{}
 	waitUntil(time.Minute, func() bool {
 		for _, node := range nodes {
-			if noticed[node] {
+			if detected[node] {
 				continue
 			}
 			err := node.Inspect(func(view *membership.View, _ *membership.Agreement) {
 				member := view.Member(victim.LocalID())
-				noticed[node] = member == nil || member.State >= membership.StateFailed
+				detected[node] = member == nil || member.State >= membership.StateFailed
 			})
-			if err == nil && noticed[node] {
-				delays = append(delays, time.Since(begin))
+			if err == nil && detected[node] {
+				delays = append(delays, time.Since(startedAt))
 			}
 		}
 		return len(delays) == len(nodes)
