--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// NotifyAlive rejects a member whose name nodeName cannot have returned, because it does not run this program.
+// NotifyAlive rejects a member whose name does not have the form that nodeName returns, because such a member does not
+// run this program.
 func (d delegate) NotifyAlive(peer *memberlist.Node) error {
 	if _, ok := parseNodeName(peer.Name); !ok {
 		return fmt.Errorf("member name %q is not of the form <server>.<incarnation>", peer.Name)
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// reencode decodes a message and its content, the latter into target, and encodes both again with the same signature.
+// reencode decodes a message, decodes its content into target, and encodes both again with the same signature.
 func reencode(t *testing.T, message []byte, target any) []byte {
 	t.Helper()
 	var signed signedMessage
--- a/internal/gossip/hostile_test.go
+++ b/internal/gossip/hostile_test.go
@@ -207,9 +207,9 @@
 	})
 }
 
-// TestMemberRefutesForgedDeath checks that a member refutes a forged message of memberlist's own protocol, under the
-// cluster's key, that declares the member dead. No node may consider the member failed permanently, and all nodes must
-// be in the majority again.
+// TestMemberRefutesForgedDeath checks that a member refutes a message that was forged in memberlist's own protocol,
+// under the cluster's key, and declares the member dead. No node may consider the member failed permanently, and all
+// nodes must be in the majority again.
 func TestMemberRefutesForgedDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newVirtualNetwork(2)
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -50,7 +50,7 @@
 	// pushPullState holds the encoded updates that a full exchange sends. It is rebuilt at each tick.
 	pushPullState atomic.Pointer[[][]byte]
 
-	// Only the worker accesses the following fields, up to Dropped.
+	// Only the worker accesses the fields from here to lastStatus.
 	view          *membership.View
 	agreement     *membership.Agreement
 	publicKeys    map[membership.ID]ed25519.PublicKey
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -7,8 +7,8 @@
 	"thistlequay/internal/membership"
 )
 
-// onMessage handles a message from memberlist, which must not modify the message afterwards. It passes a new update on
-// if the update came from its sender and not from a full exchange, which shows in an age of 0.
+// onMessage handles a message from memberlist, which must not modify the message afterwards. A new update is passed on
+// if its age is 0, which means that it came from its sender and not from a full exchange.
 func (n *Node) onMessage(message []byte) {
 	if len(message) == 0 || len(message) > maxMessageBytes(message[0]) {
 		n.Malformed.Add(1)
--- a/internal/gossip/virtual_test.go
+++ b/internal/gossip/virtual_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestMeasuredFailureDetectionInVirtualTime runs the real memberlist and package membership in virtual time. It
-// measures how soon a failure is detected and how many bytes the nodes send.
+// measures how soon a failure is detected and how many bytes each node sends per second.
 func TestMeasuredFailureDetectionInVirtualTime(t *testing.T) {
 	for _, size := range schedule.Scale([]int{12, 40}, []int{12, 40, 100, 300}) {
 		synctest.Test(t, func(t *testing.T) { measureFailureDetection(t, size) })
@@ -47,8 +47,8 @@
 	closeNodes(nodes)
 }
 
-// detectionDelays returns how long each node takes to consider the victim failed, without those that do not within a
-// minute.
+// detectionDelays returns how long each node takes to consider the victim failed. Nodes that take longer than a minute
+// are omitted.
 func detectionDelays(nodes []*Node, victim *Node) (delays []time.Duration) {
 	startedAt := time.Now()
 	detected := map[*Node]bool{}
