--- a/internal/gossip/virtual_network_test.go
+++ b/internal/gossip/virtual_network_test.go
@@ -23,18 +23,18 @@
 	testKey     = "0123456789abcdef"
 )
 
-// virtualNetwork carries the gossip of many members in one process, in the virtual time of a synctest bubble.
+// virtualNetwork carries the traffic of many nodes in one process, in the virtual time of a synctest bubble.
 type virtualNetwork struct {
-	lock        sync.Mutex
-	random      *rand.Rand
-	transports  map[string]*virtualTransport
-	isCut       func(from, to string) bool
-	lossRate    float64
-	withoutKeys bool // the members do not encrypt
-	sentBytes   atomic.Int64
+	lock          sync.Mutex
+	random        *rand.Rand
+	transports    map[string]*virtualTransport
+	isCut         func(from, to string) bool // whether traffic between two addresses is lost
+	lossRate      float64                    // fraction of packets and connection attempts that are lost
+	isUnencrypted bool                       // the nodes do not encrypt
+	sentBytes     atomic.Int64
 }
 
-// virtualTransport is one member's transport on a virtualNetwork.
+// virtualTransport is one node's transport on a virtualNetwork.
 type virtualTransport struct {
 	network *virtualNetwork
 	address string
@@ -43,7 +43,7 @@
 	closed  atomic.Bool
 }
 
-var errUnreachable = errors.New("nothing comes back")
+var errUnreachable = errors.New("address unreachable")
 
 var _ io.Writer = (*countingConn)(nil)
 
@@ -51,48 +51,48 @@
 	return &virtualNetwork{random: rand.New(rand.NewSource(seed)), transports: map[string]*virtualTransport{}}
 }
 
-// newTransport returns a transport at the address that belongs to a number.
-func (a *virtualNetwork) newTransport(number int) *virtualTransport {
+// newTransport adds a transport to the network. Its address is derived from number.
+func (n *virtualNetwork) newTransport(number int) *virtualTransport {
 	transport := &virtualTransport{
-		network: a,
+		network: n,
 		address: fmt.Sprintf("10.%d.%d.%d:7946", number>>16, number>>8&255, number&255),
 		packets: make(chan *memberlist.Packet, 4096),
 		streams: make(chan net.Conn, 64),
 	}
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	a.transports[transport.address] = transport
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	n.transports[transport.address] = transport
 	return transport
 }
 
-// route returns the transport at an address and how long a packet takes there, nil if it is lost.
-func (p *virtualTransport) route(address string) (*virtualTransport, time.Duration) {
-	network := p.network
+// route returns the transport at an address and the delay of a packet to it, or nil if the packet is lost.
+func (t *virtualTransport) route(address string) (*virtualTransport, time.Duration) {
+	network := t.network
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	to := network.transports[address]
-	if to == nil || to.closed.Load() || p.closed.Load() {
+	if to == nil || to.closed.Load() || t.closed.Load() {
 		return nil, 0
 	}
-	if network.isCut != nil && network.isCut(p.address, address) || network.random.Float64() < network.lossRate {
+	if network.isCut != nil && network.isCut(t.address, address) || network.random.Float64() < network.lossRate {
 		return nil, 0
 	}
 	return to, time.Duration(200+network.random.Intn(2000)) * time.Microsecond
 }
 
-func (p *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, port, err := splitAddress(p.address)
+func (t *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	host, port, err := splitAddress(t.address)
 	return net.ParseIP(host), port, err
 }
 
-func (p *virtualTransport) WriteTo(packet []byte, address string) (time.Time, error) {
-	p.network.sentBytes.Add(int64(len(packet)))
-	to, delay := p.route(address)
+func (t *virtualTransport) WriteTo(packet []byte, address string) (time.Time, error) {
+	t.network.sentBytes.Add(int64(len(packet)))
+	to, delay := t.route(address)
 	if to == nil {
 		return time.Now(), nil
 	}
 	packet = slices.Clone(packet)
-	from, err := net.ResolveUDPAddr("udp", p.address)
+	from, err := net.ResolveUDPAddr("udp", t.address)
 	if err != nil {
 		return time.Now(), err
 	}
@@ -105,29 +105,30 @@
 	return time.Now(), nil
 }
 
-func (p *virtualTransport) DialTimeout(address string, _ time.Duration) (net.Conn, error) {
-	to, _ := p.route(address)
+func (t *virtualTransport) DialTimeout(address string, _ time.Duration) (net.Conn, error) {
+	to, _ := t.route(address)
 	if to == nil {
 		return nil, errUnreachable
 	}
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case to.streams <- there:
-		return &countingConn{Conn: here, sentBytes: &p.network.sentBytes}, nil
+	case to.streams <- remote:
+		return &countingConn{Conn: local, sentBytes: &t.network.sentBytes}, nil
 	default:
 		return nil, errUnreachable
 	}
 }
 
-func (p *virtualTransport) PacketCh() <-chan *memberlist.Packet { return p.packets }
-func (p *virtualTransport) StreamCh() <-chan net.Conn           { return p.streams }
+func (t *virtualTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
+func (t *virtualTransport) StreamCh() <-chan net.Conn           { return t.streams }
 
-func (p *virtualTransport) Shutdown() error {
-	p.closed.Store(true)
+func (t *virtualTransport) Shutdown() error {
+	t.closed.Store(true)
 	return nil
 }
 
-// testConfig configures the member with a number, counted from 0, in a cluster of a size that has three seeds.
+// testConfig returns the configuration of a node in a cluster of the given size that has three seeds. Nodes are
+// numbered from 0.
 func testConfig(number, size int, transport memberlist.Transport, address string) Config {
 	id := membership.ID{Name: fmt.Sprintf("n%04d", number), Incarnation: uint64(number + 1)}
 	config := membership.DefaultConfig(id)
@@ -143,14 +144,14 @@
 	}
 }
 
-// startNodes starts so many members that find each other by the first three.
+// startNodes starts count nodes, which find each other through the first three.
 func startNodes(t *testing.T, network *virtualNetwork, count int) (nodes []*Node) {
 	t.Helper()
 	for i := range count {
 		transport := network.newTransport(i + 1)
 		config := testConfig(i, count, transport, transport.address)
 		config.Membership.Zone = fmt.Sprint("z", i%3)
-		if network.withoutKeys {
+		if network.isUnencrypted {
 			config.Keys = nil
 		}
 		node, err := Start(config)
@@ -164,7 +165,7 @@
 	return nodes
 }
 
-// closeNodes closes members and lets what memberlist still waits for come to its end.
+// closeNodes closes nodes and waits until the remaining timeouts of memberlist have passed.
 func closeNodes(nodes []*Node) {
 	for _, node := range nodes {
 		node.Close()
@@ -172,17 +173,18 @@
 	time.Sleep(time.Minute)
 }
 
-// waitUntil waits in virtual time and returns how long it took, -1 if a condition did not come to hold.
-func waitUntil(timeout time.Duration, holds func() bool) time.Duration {
-	for begin := time.Now(); time.Since(begin) < timeout; time.Sleep(250 * time.Millisecond) {
-		if holds() {
-			return time.Since(begin)
+// waitUntil waits in virtual time until a condition holds and returns how long that took, or -1 if the condition did
+// not hold within timeout.
+func waitUntil(timeout time.Duration, condition func() bool) time.Duration {
+	for startedAt := time.Now(); time.Since(startedAt) < timeout; time.Sleep(250 * time.Millisecond) {
+		if condition() {
+			return time.Since(startedAt)
 		}
 	}
 	return -1
 }
 
-// allInMajority reports whether all nodes see themselves in the majority and so many members alive.
+// allInMajority reports whether every node is in the majority and sees the given number of members alive.
 func allInMajority(nodes []*Node, alive int) bool {
 	for _, node := range nodes {
 		agrees := false
@@ -196,7 +198,7 @@
 	return true
 }
 
-// inspectView has a function read a node's view.
+// inspectView calls inspect with the view of a node.
 func inspectView(t *testing.T, node *Node, inspect func(*membership.View)) {
 	t.Helper()
 	require.NoError(t, node.Inspect(func(view *membership.View, _ *membership.Agreement) { inspect(view) }))
