--- a/internal/fastcgi/golden_test.go
+++ b/internal/fastcgi/golden_test.go
@@ -10,18 +10,18 @@
 	"thistlequay/internal/golden"
 )
 
-// recorder is a Handler that records its calls in a history: a number for each method, the ID of the request and its
-// bytes. It finishes requests immediately, but leaves some of them open (see handle).
-type recorder struct {
+// historyHandler is a Handler that records its calls in a history: a number for each method, the ID of the request and
+// its bytes. It finishes requests immediately, but leaves some of them open (see recordCall).
+type historyHandler struct {
 	*golden.History
 	parser Parser
 	sent   []byte
 	calls  int
 }
 
-// handle records a call for a request. It answers and finishes the request, except when the number of calls so far is a
-// multiple of three.
-func (r *recorder) handle(request *Request, method int, values ...any) {
+// recordCall records a call for a request. It answers and finishes the request, except when the number of calls so far
+// is a multiple of three.
+func (r *historyHandler) recordCall(request *Request, method int, values ...any) {
 	r.calls++
 	r.Add(append([]any{method, request.ID, request.KeepConnection}, values...)...)
 	if r.calls%3 != 0 {
@@ -31,34 +31,34 @@
 	}
 }
 
-func (r *recorder) HandleRequest(request *Request) {
+func (r *historyHandler) HandleRequest(request *Request) {
 	values := make([][]byte, 2)
 	isRepeated := request.Params([]string{"SCRIPT_NAME", "LONG"}, values)
 	params := fmt.Sprintf("%x %x %x", values[0], values[1], request.Param("MORE"))
-	r.handle(request, 1, params, isRepeated, fmt.Sprintf("%x", request.Body))
+	r.recordCall(request, 1, params, isRepeated, fmt.Sprintf("%x", request.Body))
 }
 
-func (r *recorder) HandleBodyTooLong(request *Request) { r.handle(request, 2) }
-func (r *recorder) HandleAbort(request *Request)       { r.handle(request, 3) }
-func (r *recorder) ReleaseBuffer(buffer []byte)        { r.Add(6, len(buffer)) }
+func (r *historyHandler) HandleBodyTooLong(request *Request) { r.recordCall(request, 2) }
+func (r *historyHandler) HandleAbort(request *Request)       { r.recordCall(request, 3) }
+func (r *historyHandler) ReleaseBuffer(buffer []byte)        { r.Add(6, len(buffer)) }
 
-func (r *recorder) Send(records []byte) {
+func (r *historyHandler) Send(records []byte) {
 	r.Add(4, fmt.Sprintf("%x", records))
 	r.sent = append(r.sent, records...)
 }
 
-func (r *recorder) HasCapacity() bool {
+func (r *historyHandler) HasCapacity() bool {
 	r.calls++
 	return r.calls%11 != 0
 }
 
-func (r *recorder) AcquireBuffer() []byte {
+func (r *historyHandler) AcquireBuffer() []byte {
 	r.Add(5)
 	return make([]byte, 0, 512)
 }
 
-// unknownRole is the content of a BEGIN_REQUEST record with a role other than Responder.
-const unknownRole = "\x00\x02\x01\x00\x00\x00\x00\x00"
+// unknownRoleContent is the content of a BEGIN_REQUEST record with a role other than Responder.
+const unknownRoleContent = "\x00\x02\x01\x00\x00\x00\x00\x00"
 
 // randomRecords returns random records as a router may send them, with an occasional invalid one.
 func randomRecords(random *rand.Rand) (data []byte) {
@@ -70,13 +70,13 @@
 	for range 40 {
 		id := uint16(1 + random.Intn(4))
 		padding := random.Intn(9)
-		add := func(kind byte, id uint16, content string, padding int) {
-			data = append(data, record(kind, id, content, padding)...)
+		add := func(recordType byte, id uint16, content string, padding int) {
+			data = append(data, encodeRecord(recordType, id, content, padding)...)
 		}
 		params := appendPair(nil, []byte("SCRIPT_NAME"), content(100))
 		params = appendPair(params, []byte("MORE"), content(9))
 		params = append(append(params, "\x04\x80\x00\x00\xc8LONG"...), make([]byte, 200)...)
-		cut := random.Intn(len(params))
+		splitAt := random.Intn(len(params))
 		switch random.Intn(30) {
 		case 0:
 			add(byte(random.Intn(256)), id, content(20), padding)
@@ -87,12 +87,12 @@
 		case 3, 4:
 			add(typeAbortRequest, id, "", padding)
 		case 5:
-			add(typeBeginRequest, id, unknownRole, padding)
+			add(typeBeginRequest, id, unknownRoleContent, padding)
 		default:
 			id += uint16(len(data))
-			data = append(data, begin(id, byte(random.Intn(2)))...)
-			add(typeParams, id, string(params[:cut]), padding)
-			add(typeParams, id, string(params[cut:]), 0)
+			data = append(data, encodeBeginRequest(id, byte(random.Intn(2)))...)
+			add(typeParams, id, string(params[:splitAt]), padding)
+			add(typeParams, id, string(params[splitAt:]), 0)
 			add(typeParams, id, "", padding)
 			add(typeStdin, id, content(600), padding)
 			add(typeStdin, id, "", padding)
@@ -105,10 +105,11 @@
 // hashes of exchanges that are generated from seeds.
 func TestGoldenRecords(t *testing.T) {
 	var lines bytes.Buffer
-	exchange := slices.Concat(request(1, "abcd"), request(2, ""), request(3, "last"),
-		record(typeGetValues, 0, "\x0f\x00FCGI_MPXS_CONNS", 1), record(77, 0, "?", 0), emptyRecord(78, 9),
-		record(typeBeginRequest, 4, unknownRole, 2), begin(5, 0), emptyRecord(typeAbortRequest, 5))
-	handler := &recorder{History: golden.NewHistory()}
+	exchange := slices.Concat(encodeRequest(1, "abcd"), encodeRequest(2, ""), encodeRequest(3, "last"),
+		encodeRecord(typeGetValues, 0, "\x0f\x00FCGI_MPXS_CONNS", 1), encodeRecord(77, 0, "?", 0),
+		encodeEmptyRecord(78, 9), encodeRecord(typeBeginRequest, 4, unknownRoleContent, 2),
+		encodeBeginRequest(5, 0), encodeEmptyRecord(typeAbortRequest, 5))
+	handler := &historyHandler{History: golden.NewHistory()}
 	err := handler.parser.Feed(exchange, handler)
 	fmt.Fprintf(&lines, "in %x\nout %x\n%s err=%v\n", exchange, handler.sent, handler, err)
 	for _, length := range []int{0, 1, 65535, 65536} {
@@ -120,15 +121,15 @@
 	for _, status := range []byte{StatusRequestComplete, StatusOverloaded, StatusUnknownRole} {
 		fmt.Fprintf(&lines, "end %x\n", AppendEndRequest(nil, 0x1234, status))
 	}
-	for first := int64(0); first < 200; first += 10 {
+	for firstSeed := int64(0); firstSeed < 200; firstSeed += 10 {
 		history := golden.NewHistory()
-		failed := 0
-		for seed := first; seed < first+10; seed++ {
+		failedCount := 0
+		for seed := firstSeed; seed < firstSeed+10; seed++ {
 			if playRandomRecords(seed, history) != nil {
-				failed++
+				failedCount++
 			}
 		}
-		fmt.Fprintf(&lines, "seeds %d to %d: %s failed=%d\n", first, first+9, history, failed)
+		fmt.Fprintf(&lines, "seeds %d to %d: %s failed=%d\n", firstSeed, firstSeed+9, history, failedCount)
 	}
 	golden.Check(t, "records.txt", lines.Bytes())
 }
@@ -137,7 +138,7 @@
 // returns the error.
 func playRandomRecords(seed int64, history *golden.History) (err error) {
 	random := rand.New(rand.NewSource(seed))
-	handler := &recorder{History: history}
+	handler := &historyHandler{History: history}
 	parser := &handler.parser
 	for data := randomRecords(random); len(data) > 0 && err == nil; {
 		length := min(len(data), 1+random.Intn(300))
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -8,13 +8,13 @@
 // errTruncated is returned for a name-value pair that is longer than the data that holds it.
 var errTruncated = errors.New("name-value pair is truncated")
 
-// longLength is the bit that marks a length of four bytes instead of one, see section 3.4 of the specification. The
+// longLengthFlag is the bit that marks a length of four bytes instead of one, see section 3.4 of the specification. The
 // other 31 bits are the length.
-const longLength = 0x80
+const longLengthFlag = 0x80
 
-// forEachPair calls each for every name-value pair in data, see section 3.4 of the specification. The names and values
-// are slices of data. It calls each for all pairs before a malformed one, then returns errTruncated.
-func forEachPair(data []byte, each func(name, value []byte)) error {
+// forEachPair calls visit for every name-value pair in data, see section 3.4 of the specification. The names and values
+// are slices of data. It calls visit for all pairs before a malformed one, then returns errTruncated.
+func forEachPair(data []byte, visit func(name, value []byte)) error {
 	for len(data) > 0 {
 		nameLength, rest, nameOK := readLength(data)
 		valueLength, rest, valueOK := readLength(rest)
@@ -22,7 +22,7 @@
 			return errTruncated
 		}
 		end := nameLength + valueLength
-		each(rest[:nameLength], rest[nameLength:end])
+		visit(rest[:nameLength], rest[nameLength:end])
 		data = rest[end:]
 	}
 	return nil
@@ -34,12 +34,12 @@
 	switch {
 	case len(data) == 0:
 		return 0, nil, false
-	case data[0] < longLength:
+	case data[0] < longLengthFlag:
 		return int(data[0]), data[1:], true
 	case len(data) < 4:
 		return 0, nil, false
 	}
-	return int(binary.BigEndian.Uint32(data) &^ (longLength << 24)), data[4:], true
+	return int(binary.BigEndian.Uint32(data) &^ (longLengthFlag << 24)), data[4:], true
 }
 
 // appendPair appends a name-value pair to dst. Name and value must each be shorter than 128 bytes.
--- a/internal/fastcgi/parser.go
+++ b/internal/fastcgi/parser.go
@@ -76,11 +76,11 @@
 	request.releaseBuffers(handler)
 }
 
-// Abandon closes all open requests because the connection was lost. It calls each for every open request before it
+// Abandon closes all open requests because the connection was lost. It calls visit for every open request before it
 // releases the buffers of that request.
-func (p *Parser) Abandon(handler Handler, each func(*Request)) {
+func (p *Parser) Abandon(handler Handler, visit func(*Request)) {
 	for _, request := range p.requests {
-		each(request)
+		visit(request)
 		request.releaseBuffers(handler)
 	}
 	p.requests = nil
@@ -98,8 +98,8 @@
 	}
 }
 
-// Feed parses the next bytes of the connection, which may be split anywhere. After an error (see ErrVersion and the
-// variables after it) the connection must be closed.
+// Feed parses the next bytes of the connection, which may be split anywhere. After an error (see ErrUnsupportedVersion
+// and the variables after it) the connection must be closed.
 func (p *Parser) Feed(data []byte, handler Handler) error {
 	for len(data) > 0 {
 		var err error
@@ -123,8 +123,8 @@
 
 // feedHeader consumes bytes of a record's header and returns the rest of data.
 func (p *Parser) feedHeader(data []byte, handler Handler) ([]byte, error) {
-	taken := copy(p.header[p.headerBytes:], data)
-	p.headerBytes += taken
+	consumed := copy(p.header[p.headerBytes:], data)
+	p.headerBytes += consumed
 	if p.headerBytes < headerSize {
 		return nil, nil
 	}
@@ -139,25 +139,25 @@
 			return nil, err
 		}
 	}
-	return data[taken:], nil
+	return data[consumed:], nil
 }
 
 // feedContent consumes bytes of a record's content and returns the rest of data.
 func (p *Parser) feedContent(data []byte, handler Handler) ([]byte, error) {
-	taken := min(p.contentLeft, len(data))
-	if taken == 0 {
+	consumed := min(p.contentLeft, len(data))
+	if consumed == 0 {
 		return data, nil
 	}
-	if err := p.takeContent(data[:taken], handler); err != nil {
+	if err := p.storeContent(data[:consumed], handler); err != nil {
 		return nil, err
 	}
-	p.contentLeft -= taken
+	p.contentLeft -= consumed
 	if p.contentLeft == 0 {
 		if err := p.endRecord(handler); err != nil {
 			return nil, err
 		}
 	}
-	return data[taken:], nil
+	return data[consumed:], nil
 }
 
 // skipPadding discards bytes of a record's padding and returns the rest of data. After the last byte of the padding,
@@ -190,14 +190,14 @@
 
 // beginRecord validates the header of a record, once the header is complete.
 func (p *Parser) beginRecord() error {
-	if p.header[0] != version {
-		return ErrVersion
+	if p.header[0] != protocolVersion {
+		return ErrUnsupportedVersion
 	}
 	isParams := p.recordType() == typeParams
 	isStdin := p.recordType() == typeStdin
 	isStream := p.requestID() != 0 && (isParams || isStdin)
-	if !isStream && p.contentLeft > maxControlContent {
-		return ErrLength
+	if !isStream && p.contentLeft > maxControlContentBytes {
+		return ErrInvalidLength
 	}
 	request := p.request()
 	if request == nil {
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// takeContent stores a part of a record's content where it belongs, or discards it.
-func (p *Parser) takeContent(data []byte, handler Handler) error {
+// storeContent stores a part of a record's content where it belongs, or discards it.
+func (p *Parser) storeContent(data []byte, handler Handler) error {
 	recordType := p.recordType()
 	if p.requestID() == 0 || recordType == typeBeginRequest || recordType == typeAbortRequest {
 		p.controlContent = append(p.controlContent, data...)
@@ -229,13 +229,13 @@
 	return nil
 }
 
-// appendParams stores a part of the stream of parameters. It returns ErrLength if they exceed their buffer.
+// appendParams stores a part of the stream of parameters. It returns ErrInvalidLength if they exceed their buffer.
 func (r *Request) appendParams(data []byte, handler Handler) error {
 	if r.params == nil {
 		r.params = handler.AcquireBuffer()
 	}
 	if len(r.params)+len(data) > cap(r.params) {
-		return ErrLength
+		return ErrInvalidLength
 	}
 	r.params = append(r.params, data...)
 	return nil
@@ -257,7 +257,7 @@
 // endRecord processes a record whose content is complete.
 func (p *Parser) endRecord(handler Handler) error {
 	if p.requestID() == 0 {
-		return p.handleManagement(handler)
+		return p.handleManagementRecord(handler)
 	}
 	request := p.request()
 	switch p.recordType() {
@@ -288,7 +288,7 @@
 func (p *Parser) openRequest(isOpen bool, handler Handler) error {
 	switch {
 	case p.contentLength() != beginRequestSize:
-		return ErrLength
+		return ErrInvalidLength
 	case isOpen:
 		return ErrDuplicateID
 	case binary.BigEndian.Uint16(p.controlContent) != roleResponder:
@@ -310,7 +310,7 @@
 // endParams validates the parameters once their stream has ended. Param and Params rely on valid parameters.
 func (r *Request) endParams() error {
 	if err := forEachPair(r.params, func(_, _ []byte) {}); err != nil {
-		return ErrLength
+		return ErrInvalidLength
 	}
 	r.state = stateBody
 	return nil
@@ -326,22 +326,22 @@
 	}
 }
 
-// handleManagement replies to a management record, which belongs to the connection and not to a request. Of the values
-// that a router may ask for, it returns only FCGI_MPXS_CONNS: the server decides for each request whether it accepts
-// it, so it has no fixed maximum of connections or requests to return.
-func (p *Parser) handleManagement(handler Handler) error {
+// handleManagementRecord replies to a management record, which belongs to the connection and not to a request. Of the
+// values that a router may ask for, it returns only FCGI_MPXS_CONNS: the server decides for each request whether it
+// accepts it, so it has no fixed maximum of connections or requests to return.
+func (p *Parser) handleManagementRecord(handler Handler) error {
 	if p.recordType() != typeGetValues {
 		handler.Send(unknownTypeRecord(p.recordType()))
 		return nil
 	}
 	var values []byte
 	err := forEachPair(p.controlContent, func(name, _ []byte) {
-		if string(name) == multiplexes {
+		if string(name) == multiplexingVariable {
 			values = appendPair(values, name, "1")
 		}
 	})
 	if err != nil {
-		return ErrLength
+		return ErrInvalidLength
 	}
 	handler.Send(append(appendHeader(nil, typeGetValuesResult, 0, len(values)), values...))
 	return nil
--- a/internal/fastcgi/protocol.go
+++ b/internal/fastcgi/protocol.go
@@ -13,8 +13,8 @@
 
 // The protocol version FCGI_VERSION_1 and the size of a record header in bytes, see section 3.3 of the specification.
 const (
-	version    = 1
-	headerSize = 8
+	protocolVersion = 1
+	headerSize      = 8
 )
 
 // Record types, see section 8 of the specification.
@@ -39,9 +39,9 @@
 	flagKeepConnection = 1
 )
 
-// multiplexes is the name of the variable by which a router asks whether concurrent requests may share a connection,
-// see section 4.1 of the specification.
-const multiplexes = "FCGI_MPXS_CONNS"
+// multiplexingVariable is the name of the variable by which a router asks whether concurrent requests may share a
+// connection, see section 4.1 of the specification.
+const multiplexingVariable = "FCGI_MPXS_CONNS"
 
 // Protocol statuses of an END_REQUEST record, see section 5.5 of the specification.
 const (
@@ -55,16 +55,16 @@
 	// MaxOpenRequests is the maximum number of open requests on one connection.
 	MaxOpenRequests = 32
 
-	// maxControlContent is the maximum content length, in bytes, of the records that the parser stores until they are
+	// maxControlContentBytes is the maximum content length of the records that the parser stores until they are
 	// complete: begin, abort and management records.
-	maxControlContent = 1024
+	maxControlContentBytes = 1024
 )
 
 // Errors of Parser.Feed. After any of them the rest of the input cannot be parsed, and the connection must be closed.
 var (
-	ErrVersion         = errors.New("unsupported FastCGI version")
-	ErrRecordOrder     = errors.New("parameter or body record out of order")
-	ErrLength          = errors.New("invalid length of a record or of parameters")
-	ErrDuplicateID     = errors.New("request ID is already in use")
-	ErrTooManyRequests = errors.New("too many open requests on one connection")
+	ErrUnsupportedVersion = errors.New("unsupported FastCGI version")
+	ErrRecordOrder        = errors.New("parameter or body record out of order")
+	ErrInvalidLength      = errors.New("invalid length of a record or of parameters")
+	ErrDuplicateID        = errors.New("request ID is already in use")
+	ErrTooManyRequests    = errors.New("too many open requests on one connection")
 )
--- a/internal/fastcgi/records.go
+++ b/internal/fastcgi/records.go
@@ -1,13 +1,13 @@
 package fastcgi
 
-// maxContent is the maximum content length of one record in bytes, because the length field has 16 bits.
-const maxContent = 0xffff
+// maxContentBytes is the maximum content length of one record, because the length field has 16 bits.
+const maxContentBytes = 0xffff
 
 // AppendStdout appends a part of a response as one or more STDOUT records. It appends nothing if data is empty, because
 // an empty record would end the stream.
 func AppendStdout(dst []byte, id uint16, data []byte) []byte {
 	for len(data) > 0 {
-		length := min(len(data), maxContent)
+		length := min(len(data), maxContentBytes)
 		dst = appendHeader(dst, typeStdout, id, length)
 		dst = append(dst, data[:length]...)
 		data = data[length:]
@@ -34,5 +34,6 @@
 // appendHeader appends the header of a record that has length bytes of content and no padding.
 func appendHeader(dst []byte, recordType byte, id uint16, length int) []byte {
 	const padding, reserved = 0, 0
-	return append(dst, version, recordType, byte(id>>8), byte(id), byte(length>>8), byte(length), padding, reserved)
+	return append(dst, protocolVersion, recordType, byte(id>>8), byte(id), byte(length>>8), byte(length),
+		padding, reserved)
 }
--- a/internal/fastcgi/request.go
+++ b/internal/fastcgi/request.go
@@ -41,14 +41,14 @@
 // Params stores the value of each named parameter at the same index of values, and leaves values unchanged at the index
 // of a parameter that the request does not have. It reports whether any of the named parameters is repeated; the last
 // value counts. The values are valid until Handler.HandleRequest returns.
-func (r *Request) Params(names []string, values [][]byte) (repeated bool) {
+func (r *Request) Params(names []string, values [][]byte) (hasRepeated bool) {
 	_ = forEachPair(r.params, func(pairName, pairValue []byte) { // cannot fail, as in Param
 		for i, name := range names {
 			if string(pairName) == name {
-				repeated = repeated || values[i] != nil
+				hasRepeated = hasRepeated || values[i] != nil
 				values[i] = pairValue
 			}
 		}
 	})
-	return repeated
+	return hasRepeated
 }
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -60,10 +60,10 @@
 	instances  map[string]*instance
 
 	// State of the batch that is being read:
-	now     timeunit.Ticks
-	current *instance   // selected by the last FOR; nil before the first one
-	touched []*instance // instances with an event in this batch, in the order of their first event
-	reply   bytes.Buffer
+	now             timeunit.Ticks
+	current         *instance   // selected by the last FOR; nil before the first one
+	activeInstances []*instance // instances with an event in this batch, in the order of their first event
+	reply           bytes.Buffer
 }
 
 // readLine reads a line and strips its line ending. It returns io.EOF only if the input ends between two lines.
@@ -124,14 +124,14 @@
 	}
 	s.now = mark.ticks(keyTime, deployment.RoundDown)
 	s.current = nil
-	s.touched = s.touched[:0]
+	s.activeInstances = s.activeInstances[:0]
 	return mark.err
 }
 
 // endBatch makes each server that had an event dispatch requests, and collects the reply lines of these servers.
 func (s *session) endBatch() {
-	for _, instance := range s.touched {
-		instance.touched = false
+	for _, instance := range s.activeInstances {
+		instance.hasEvent = false
 		if instance.server != nil {
 			instance.server.Dispatch()
 		}
@@ -180,17 +180,17 @@
 	if current == nil {
 		return fmt.Errorf("%s before the first FOR", event.kind)
 	}
-	apply, known := eventHandlers[event.kind]
-	if !known {
+	apply, isKnown := eventHandlers[event.kind]
+	if !isKnown {
 		log.Printf("line %d: ignoring event of unknown kind %q", s.lineNumber, event.kind)
 		return nil
 	}
 	if current.server == nil && event.kind != eventCreate {
 		return fmt.Errorf("%s for server %q, which was never created or was killed", event.kind, current.name)
 	}
-	if !current.touched {
-		current.touched = true
-		s.touched = append(s.touched, current)
+	if !current.hasEvent {
+		current.hasEvent = true
+		s.activeInstances = append(s.activeInstances, current)
 	}
 	current.now = s.now
 	if current.server != nil {
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -33,9 +33,9 @@
 	return output
 }
 
-// conversation is the input of a session with arrivals, ended runs, an unknown event, and a server that is killed and
+// basicSession is the input of a session with arrivals, ended runs, an unknown event, and a server that is killed and
 // created again.
-const conversation = createBatch + `MARK T=11.05
+const basicSession = createBatch + `MARK T=11.05
 FOR Server=server-1
 INBOUND Xid=5 Lay=0.55 HeldKb=1 Novel=x
 INBOUND Xid=6
@@ -75,12 +75,12 @@
 MARK_HEALTH Cheap=1 Want=1
 EOR
 EOR
-`, requireServed(t, conversation))
+`, requireServed(t, basicSession))
 }
 
-// cachedReads is the input of a session with marked retries, reads that share a result, and a request that is answered
-// without its downstream call.
-const cachedReads = `MARK T=10.0
+// cachedReadsSession is the input of a session with marked retries, reads that share a result, and a request that is
+// answered without its downstream call.
+const cachedReadsSession = `MARK T=10.0
 FOR Server=server-1
 CREATE Prng=7 Env={"Categories":[{"Effect":"repeatable","HardLimit":100,"OnTime":50,"Worth":1}],` +
 	`"Clients":{"MarksRetry":true},` +
@@ -100,7 +100,7 @@
 `
 
 func TestReadsShareResultsAndSkipCalls(t *testing.T) {
-	output := requireServed(t, cachedReads)
+	output := requireServed(t, cachedReadsSession)
 	for _, line := range []string{
 		"MEMO Xid=5 HoldFor=", "EXECUTE Xid=5\n", "SHARE Xid=6\n", "INVOKE Xid=5 Until=", "OMIT Xid=5\n",
 	} {
@@ -111,8 +111,8 @@
 // batch returns a batch with one line for the server that createBatch creates.
 func batch(line string) string { return "MARK T=11\nFOR Server=server-1\n" + line + "\nEOF_BATCH\n" }
 
-// malformed lists inputs that Serve must reject, with a part of the error message.
-var malformed = []struct{ name, text, message string }{
+// malformedInputs lists inputs that Serve must reject, with a part of the error message.
+var malformedInputs = []struct{ name, text, message string }{
 	{"no MARK", "EOF_BATCH\n", `line 1: batch begins with "EOF_BATCH" instead of MARK`},
 	{"input ends within a batch", "MARK T=1\nFOR Server=server-1\n", "unexpected end of input within a batch"},
 	{"input ends within a line", "MARK T=1", "unexpected end of input within a line"},
@@ -133,7 +133,7 @@
 }
 
 func TestMalformedLinesEndTheSession(t *testing.T) {
-	for _, test := range malformed {
+	for _, test := range malformedInputs {
 		t.Run(test.name, func(t *testing.T) {
 			output, err := serve(test.text)
 			require.ErrorContains(t, err, test.message)
@@ -142,8 +142,8 @@
 	}
 }
 
-// deployments holds the settings of two deployments that differ in every setting.
-var deployments = [2]string{
+// deploymentSettings holds the settings of two deployments that differ in every setting.
+var deploymentSettings = [2]string{
 	`"Categories":[{"Name":"a","Effect":"by_key","HardLimit":900,"OnTime":300,"Worth":1,"Window":400},` +
 		`{"Name":"b","Effect":"repeatable","HardLimit":500,"OnTime":200,"LateWorth":0.5,"Worth":3}],` +
 		`"FamilyInfo":{"Cores":2,"MemoryKb":4000,"RunFactor":4,"EntryKb":9,"Halt":"drop","Say":"min_rank",` +
@@ -155,29 +155,29 @@
 		`"Rules":{"TipMultiple":9},"Period":4,"Servers":300`,
 }
 
-// schedules generates random input: a separate input for each of the two deployments, and one input that interleaves
-// the same events for both of them in one process.
-func schedules(seed int64) (alone [2]string, together string) {
+// generateSchedules generates random input: a separate input for each of the two deployments, and one input that
+// interleaves the same events for both of them in one process.
+func generateSchedules(seed int64) (separateInputs [2]string, combinedInput string) {
 	random := rand.New(rand.NewSource(seed))
-	var apart [2]strings.Builder
-	var mixed strings.Builder
+	var separate [2]strings.Builder
+	var combined strings.Builder
 	for step := range 300 {
-		fmt.Fprintf(&mixed, "MARK T=%d\n", step*7)
-		for i, settings := range deployments {
+		fmt.Fprintf(&combined, "MARK T=%d\n", step*7)
+		for i, settings := range deploymentSettings {
 			events := fmt.Sprintf("CREATE Prng=%d Env={%s}\n", seed, settings)
 			if step > 0 {
-				events = drawEvents(random, step, 2-i)
+				events = generateEvents(random, step, 2-i)
 			}
-			fmt.Fprintf(&mixed, "FOR Server=s%d\n%s", i, events)
-			fmt.Fprintf(&apart[i], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", step*7, i, events)
+			fmt.Fprintf(&combined, "FOR Server=s%d\n%s", i, events)
+			fmt.Fprintf(&separate[i], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", step*7, i, events)
 		}
-		mixed.WriteString("EOF_BATCH\n")
+		combined.WriteString("EOF_BATCH\n")
 	}
-	return [2]string{apart[0].String(), apart[1].String()}, mixed.String()
+	return [2]string{separate[0].String(), separate[1].String()}, combined.String()
 }
 
-// drawEvents generates the random events of one batch for a server with the given number of categories.
-func drawEvents(random *rand.Rand, step, categories int) string {
+// generateEvents generates the random events of one batch for a server with the given number of categories.
+func generateEvents(random *rand.Rand, step, categories int) string {
 	var events strings.Builder
 	for i := range random.Intn(3) {
 		fmt.Fprintf(&events, "INBOUND Xid=%d OriginPeer=%d Band=%d HeldKb=%d Lay=%d\n",
@@ -196,28 +196,28 @@
 // Each deployment produces the same output in a process with another deployment as it does alone. Package-level state
 // that the servers share would break this.
 func TestDeploymentsInOneProcessShareNothing(t *testing.T) {
-	var alone [2]strings.Builder
-	var together strings.Builder
+	var separateOutputs [2]strings.Builder
+	var combinedOutput strings.Builder
 	for seed := range int64(20) {
-		apart, mixed := schedules(seed)
-		alone[0].WriteString(requireServed(t, apart[0]))
-		alone[1].WriteString(requireServed(t, apart[1]))
-		together.WriteString(requireServed(t, mixed))
+		separateInputs, combinedInput := generateSchedules(seed)
+		separateOutputs[0].WriteString(requireServed(t, separateInputs[0]))
+		separateOutputs[1].WriteString(requireServed(t, separateInputs[1]))
+		combinedOutput.WriteString(requireServed(t, combinedInput))
 	}
-	var separated [2]strings.Builder
+	var splitOutputs [2]strings.Builder
 	current := 0
-	for line := range strings.Lines(together.String()) {
+	for line := range strings.Lines(combinedOutput.String()) {
 		switch line {
 		case "AS Server=s0\n", "AS Server=s1\n":
 			current = int(line[len("AS Server=s")] - '0')
 		case "EOR\n":
 			continue
 		}
-		separated[current].WriteString(line)
+		splitOutputs[current].WriteString(line)
 	}
-	for i := range deployments {
-		require.Contains(t, separated[i].String(), "EXECUTE")
-		require.Equal(t, strings.ReplaceAll(alone[i].String(), "EOR\n", ""), separated[i].String())
+	for i := range deploymentSettings {
+		require.Contains(t, splitOutputs[i].String(), "EXECUTE")
+		require.Equal(t, strings.ReplaceAll(separateOutputs[i].String(), "EOR\n", ""), splitOutputs[i].String())
 	}
 }
 
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -17,11 +17,11 @@
 // generated from seeds.
 func TestGoldenLines(t *testing.T) {
 	var texts strings.Builder
-	for _, text := range []string{conversation, cachedReads} {
+	for _, text := range []string{basicSession, cachedReadsSession} {
 		fmt.Fprintf(&texts, "%s\n%s\n", text, requireServed(t, text))
 	}
 	malformedTexts := []string{}
-	for _, test := range malformed {
+	for _, test := range malformedInputs {
 		malformedTexts = append(malformedTexts, test.text)
 	}
 	slices.Sort(malformedTexts)
@@ -33,8 +33,8 @@
 	}
 	file := schedule.GoldenFile{Name: "lines.txt", Preface: texts.String(), Seeds: 100, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
-		apart, mixed := schedules(seed)
-		for _, text := range []string{apart[0], apart[1], mixed} {
+		separateInputs, combinedInput := generateSchedules(seed)
+		for _, text := range []string{separateInputs[0], separateInputs[1], combinedInput} {
 			history.Add(requireServed(t, text))
 		}
 	})
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -31,9 +31,9 @@
 	h.endLine()
 }
 
-// writeTicks writes a key and a time, which it converts to milliseconds.
-func (h *host) writeTicks(key string, time timeunit.Ticks) {
-	milliseconds := float64(time) / float64(timeunit.TicksPerMillisecond)
+// writeTicks writes a key and a duration, which it converts to milliseconds.
+func (h *host) writeTicks(key string, duration timeunit.Ticks) {
+	milliseconds := float64(duration) / float64(timeunit.TicksPerMillisecond)
 	h.reply.WriteByte(' ')
 	h.reply.WriteString(key)
 	h.reply.WriteByte('=')
@@ -62,13 +62,13 @@
 func (h *host) Release(request *admission.Request) { delete(h.requests, request.ID) }
 
 // Reject implements admission.Host: it rejects a request. The line asks for no retry before retryAfter, unless that is
-// 0, and with noRetry for none at another server either.
-func (h *host) Reject(request *admission.Request, retryAfter timeunit.Ticks, noRetry bool) {
+// 0, and with finalRejection for none at another server either.
+func (h *host) Reject(request *admission.Request, retryAfter timeunit.Ticks, finalRejection bool) {
 	h.beginLine("TURN_AWAY", request)
 	if retryAfter > 0 {
 		h.writeTicks("NotBeforeFor", retryAfter)
 	}
-	if noRetry {
+	if finalRejection {
 		h.reply.WriteString(" NoRetry=1")
 	}
 	h.endLine()
@@ -82,10 +82,10 @@
 	h.endLine()
 }
 
-// KeepEntry implements admission.Host: it keeps the idempotency entry of a request for the time span.
-func (h *host) KeepEntry(request *admission.Request, span timeunit.Ticks) {
+// KeepEntry implements admission.Host: it keeps the idempotency entry of a request for lifetime from now.
+func (h *host) KeepEntry(request *admission.Request, lifetime timeunit.Ticks) {
 	h.beginLine("MEMO", request)
-	h.writeTicks("HoldFor", span)
+	h.writeTicks("HoldFor", lifetime)
 	h.endLine()
 }
 
@@ -94,13 +94,13 @@
 	fmt.Fprintf(&h.reply, "ANNOUNCE X=%s\n", strconv.FormatFloat(value, 'f', -1, 64))
 }
 
-// SetHealth implements admission.Host: it sets the answer to health checks. With cheap, the simulator may give the
+// SetHealth implements admission.Host: it sets the answer to health checks. With cacheable, the simulator may give the
 // answer without asking the server again.
-func (h *host) SetHealth(healthy, cheap bool) {
-	fmt.Fprintf(&h.reply, "MARK_HEALTH Cheap=%d Want=%d\n", zeroOrOne(cheap), zeroOrOne(healthy))
+func (h *host) SetHealth(healthy, cacheable bool) {
+	fmt.Fprintf(&h.reply, "MARK_HEALTH Cheap=%d Want=%d\n", boolToInt(cacheable), boolToInt(healthy))
 }
 
-func zeroOrOne(flag bool) int {
+func boolToInt(flag bool) int {
 	if flag {
 		return 1
 	}
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -20,7 +20,7 @@
 	requests map[uint64]*admission.Request // by ID, until the server releases them
 	config   *deployment.Config
 	now      timeunit.Ticks
-	touched  bool         // whether it had an event in this batch
+	hasEvent bool         // whether it had an event in this batch
 	reply    bytes.Buffer // the lines of its reply to this batch
 }
 
@@ -40,19 +40,19 @@
 // eventHandlers maps each kind of event to its handler. For all kinds except eventCreate, the server exists when the
 // handler is called.
 var eventHandlers = map[string]func(*instance, *message) error{
-	eventCreate:      (*instance).create,
-	eventKill:        (*instance).kill,
-	eventDrain:       (*instance).drain,
-	eventTimer:       (*instance).onTimer,
-	eventArrival:     (*instance).arrive,
-	eventCancel:      withRequest(cancel),
-	eventReadyToCall: withRequest(readyToCall),
-	eventCallEnded:   withRequest(callEnded),
-	eventRunEnded:    withRequest(runEnded),
+	eventCreate:      (*instance).handleCreate,
+	eventKill:        (*instance).handleKill,
+	eventDrain:       (*instance).handleDrain,
+	eventTimer:       (*instance).handleTimer,
+	eventArrival:     (*instance).handleArrival,
+	eventCancel:      withRequest(handleCancel),
+	eventReadyToCall: withRequest(handleReadyToCall),
+	eventCallEnded:   withRequest(handleCallEnded),
+	eventRunEnded:    withRequest(handleRunEnded),
 }
 
-// create creates the server with the settings in the event.
-func (i *instance) create(event *message) error {
+// handleCreate creates the server with the settings in the event.
+func (i *instance) handleCreate(event *message) error {
 	if !event.has(keySettings) {
 		return errors.New("CREATE has no Env")
 	}
@@ -72,42 +72,42 @@
 // because their fractional parts are spread evenly even for consecutive seeds. The seed is reduced first, so that the
 // product keeps an accurate fractional part.
 func turnOffset(seed uint64) float64 {
-	const exactInFloat = 1 << 20
-	return math.Mod(float64(seed%exactInFloat)*math.Phi, 1)
+	const seedModulus = 1 << 20
+	return math.Mod(float64(seed%seedModulus)*math.Phi, 1)
 }
 
-// kill discards the server, its requests and its reply to this batch.
-func (i *instance) kill(*message) error {
+// handleKill discards the server, its requests and its reply to this batch.
+func (i *instance) handleKill(*message) error {
 	i.server = nil
 	i.requests = nil
 	i.reply.Reset()
 	return nil
 }
 
-// drain starts the graceful shutdown of the server. The event carries the time until the server is stopped.
-func (i *instance) drain(event *message) error {
+// handleDrain starts the graceful shutdown of the server. The event carries the time until the server is stopped.
+func (i *instance) handleDrain(event *message) error {
 	i.server.Drain(event.ticks(keyTimeLeft, deployment.RoundDown))
 	return nil
 }
 
-// onTimer fires the timer of the server and passes it the gauge readings in the event.
-func (i *instance) onTimer(event *message) error {
-	var row []float64
+// handleTimer fires the timer of the server and passes it the gauge readings in the event.
+func (i *instance) handleTimer(event *message) error {
+	var values []float64
 	for rest := event.values[keyGauges]; rest != ""; {
-		var cell string
-		cell, rest, _ = strings.Cut(rest, ",")
-		figure, err := strconv.ParseFloat(cell, 64)
+		var text string
+		text, rest, _ = strings.Cut(rest, ",")
+		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return fmt.Errorf("gauge %q is not a number", cell)
+			return fmt.Errorf("gauge %q is not a number", text)
 		}
-		row = append(row, figure)
+		values = append(values, value)
 	}
-	i.server.OnTimer(i.config.GaugesFromRow(row))
+	i.server.OnTimer(i.config.GaugesFromRow(values))
 	return nil
 }
 
-// arrive creates a request from the event and enqueues it.
-func (i *instance) arrive(event *message) error {
+// handleArrival creates a request from the event and enqueues it.
+func (i *instance) handleArrival(event *message) error {
 	if !event.has(keyID) {
 		return errors.New("INBOUND has no Xid")
 	}
@@ -124,9 +124,9 @@
 	if event.number(keyTimeLeft) != 0 {
 		arrival.TimeLeft = max(1, arrival.TimeLeft) // 0 would mean that the time left is not known
 	}
-	if earlier := event.unsigned(keyRepeatOf); earlier != 0 {
+	if earlierID := event.unsigned(keyRepeatOf); earlierID != 0 {
 		arrival.IsRepeat = true
-		arrival.RepeatOf = i.requests[earlier]
+		arrival.RepeatOf = i.requests[earlierID]
 	}
 	if arrival.QueuedKB < 0 {
 		return errors.New("INBOUND: HeldKb is out of range")
@@ -157,20 +157,20 @@
 	}
 }
 
-// cancel reports that no client waits for the request any more.
-func cancel(request *admission.Request, _ *message) error {
+// handleCancel reports that no client waits for the request any more.
+func handleCancel(request *admission.Request, _ *message) error {
 	request.Cancel()
 	return nil
 }
 
-// readyToCall reports that the run of the request needs its downstream call.
-func readyToCall(request *admission.Request, _ *message) error {
+// handleReadyToCall reports that the run of the request needs its downstream call.
+func handleReadyToCall(request *admission.Request, _ *message) error {
 	request.NeedsCall()
 	return nil
 }
 
-// callEnded reports the outcome and the duration of the downstream call.
-func callEnded(request *admission.Request, event *message) error {
+// handleCallEnded reports the outcome and the duration of the downstream call.
+func handleCallEnded(request *admission.Request, event *message) error {
 	outcome, err := event.outcome()
 	if err != nil {
 		return err
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// runEnded reports the outcome and the duration of the run.
-func runEnded(request *admission.Request, event *message) error {
+// handleRunEnded reports the outcome and the duration of the run.
+func handleRunEnded(request *admission.Request, event *message) error {
 	outcome, err := event.outcome()
 	if err != nil {
 		return err
--- a/internal/simadapter/message.go
+++ b/internal/simadapter/message.go
@@ -61,8 +61,8 @@
 	err error
 }
 
-// usualKeys is the initial capacity of message.values. No known line has more keys.
-const usualKeys = 12
+// expectedKeyCount is the initial capacity of message.values. No known line has more keys.
+const expectedKeyCount = 12
 
 // parseMessage parses a line of the form KIND key=value key=value.
 func parseMessage(text string) (*message, error) {
@@ -70,17 +70,17 @@
 	if kind == "" {
 		return nil, errors.New("line does not begin with its kind")
 	}
-	line := &message{kind: kind, values: make(map[string]string, usualKeys)}
+	line := &message{kind: kind, values: make(map[string]string, expectedKeyCount)}
 	for rest != "" {
-		key, after, found := strings.Cut(rest, "=")
+		key, afterKey, found := strings.Cut(rest, "=")
 		if !found || key == "" || strings.Contains(key, " ") {
 			return nil, fmt.Errorf("%q is not name=value", rest)
 		}
 		if key == keySettings || key == keyText {
-			line.values[key] = after
+			line.values[key] = afterKey
 			break
 		}
-		line.values[key], rest, _ = strings.Cut(after, " ")
+		line.values[key], rest, _ = strings.Cut(afterKey, " ")
 	}
 	return line, nil
 }
@@ -88,8 +88,8 @@
 // has reports whether a key is present and its value is not empty.
 func (m *message) has(key string) bool { return m.values[key] != "" }
 
-// fail records that the value of a key is invalid.
-func (m *message) fail(key, problem string) {
+// setError records that the value of a key is invalid.
+func (m *message) setError(key, problem string) {
 	m.err = fmt.Errorf("%s: %s=%q %s", m.kind, key, m.values[key], problem)
 }
 
@@ -100,11 +100,11 @@
 	}
 	number, err := strconv.ParseFloat(m.values[key], 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		m.fail(key, "is not a number")
+		m.setError(key, "is not a number")
 		return 0
 	}
 	if math.Abs(number) > maxNumber {
-		m.fail(key, "is out of range")
+		m.setError(key, "is out of range")
 		return 0
 	}
 	return number
@@ -117,7 +117,7 @@
 	}
 	number, err := strconv.ParseUint(m.values[key], 10, 64)
 	if err != nil {
-		m.fail(key, "is not an unsigned integer")
+		m.setError(key, "is not an unsigned integer")
 	}
 	return number
 }
@@ -126,7 +126,7 @@
 func (m *message) index(key string) int {
 	number := m.unsigned(key)
 	if number >= maxIndex {
-		m.fail(key, "is out of range")
+		m.setError(key, "is out of range")
 		return 0
 	}
 	return int(number)
@@ -140,7 +140,7 @@
 	case "1":
 		return true
 	default:
-		m.fail(key, "is neither 1 nor 0")
+		m.setError(key, "is neither 1 nor 0")
 		return false
 	}
 }
@@ -152,8 +152,8 @@
 
 // outcome returns the outcome of a run or a downstream call that the Status key gives.
 func (m *message) outcome() (admission.Outcome, error) {
-	outcome, known := outcomes[m.values[keyStatus]]
-	if !known {
+	outcome, isKnown := outcomes[m.values[keyStatus]]
+	if !isKnown {
 		return 0, fmt.Errorf("%s: Status=%q is not a known outcome", m.kind, m.values[keyStatus])
 	}
 	return outcome, nil
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -34,8 +34,8 @@
 	ModifierPing    = 100 // a ping, which checks that the server responds
 )
 
-// contentLengthName is the name of the variable that holds the length of the body in bytes.
-const contentLengthName = "CONTENT_LENGTH"
+// contentLengthVariable is the name of the variable that holds the length of the body in bytes.
+const contentLengthVariable = "CONTENT_LENGTH"
 
 // StatusError is the reason why a request or a response is invalid. Its text is the HTTP status line to respond with.
 type StatusError string
@@ -45,11 +45,11 @@
 
 // Status errors of Parser.Feed, ParseResponse and AppendRequest.
 const (
-	ErrModifier            = StatusError("501 Modifier is not supported")
-	ErrBlockTooLarge       = StatusError("431 Variables too large")
-	ErrUnreadableVariables = StatusError("400 Variables that cannot be read")
-	ErrContentLength       = StatusError("400 Content-Length")
-	ErrBodyTooLong         = StatusError("413 Body too long")
+	ErrUnsupportedModifier  = StatusError("501 Modifier is not supported")
+	ErrBlockTooLarge        = StatusError("431 Variables too large")
+	ErrMalformedVariables   = StatusError("400 Variables that cannot be read")
+	ErrInvalidContentLength = StatusError("400 Content-Length")
+	ErrBodyTooLong          = StatusError("413 Body too long")
 )
 
 // errTrailingBytes is returned for bytes after the end of the request.
@@ -74,7 +74,7 @@
 }
 
 // span is a range of the block of variables: the offset of its first byte and the offset after its last.
-type span struct{ from, to int32 }
+type span struct{ start, end int32 }
 
 // parserState is the part of the request that the parser expects next.
 type parserState int
@@ -86,11 +86,11 @@
 	stateComplete
 )
 
-// Started reports whether any byte of the request has been received.
-func (p *Parser) Started() bool { return p.headerBytes > 0 }
+// HasStarted reports whether any byte of the request has been received.
+func (p *Parser) HasStarted() bool { return p.headerBytes > 0 }
 
-// Complete reports whether the request or the ping has been received in full.
-func (p *Parser) Complete() bool { return p.state == stateComplete }
+// IsComplete reports whether the request or the ping has been received in full.
+func (p *Parser) IsComplete() bool { return p.state == stateComplete }
 
 // Body returns the part of the body that has been received. It is valid until the next call of Feed.
 func (p *Parser) Body() []byte { return p.body }
@@ -119,9 +119,9 @@
 
 // feedHeader consumes bytes of the header and returns the rest of data.
 func (p *Parser) feedHeader(data []byte) ([]byte, error) {
-	taken := copy(p.header[p.headerBytes:], data)
-	p.headerBytes += taken
-	data = data[taken:]
+	consumed := copy(p.header[p.headerBytes:], data)
+	p.headerBytes += consumed
+	data = data[consumed:]
 	if p.headerBytes < headerSize {
 		return data, nil
 	}
@@ -133,7 +133,7 @@
 		p.state = stateComplete
 		return data, nil
 	case p.Modifier != ModifierRequest || modifier2 != 0:
-		return data, ErrModifier
+		return data, ErrUnsupportedModifier
 	case p.blockSize > MaxBlockBytes:
 		return data, ErrBlockTooLarge
 	}
@@ -143,19 +143,19 @@
 
 // feedVariables consumes bytes of the block of variables and returns the rest of data.
 func (p *Parser) feedVariables(data []byte) ([]byte, error) {
-	taken := min(len(data), p.blockSize-len(p.block))
-	p.block = append(p.block, data[:taken]...)
-	return data[taken:], p.endVariables()
+	consumed := min(len(data), p.blockSize-len(p.block))
+	p.block = append(p.block, data[:consumed]...)
+	return data[consumed:], p.endVariables()
 }
 
 // feedBody consumes bytes of the body and returns the rest of data.
 func (p *Parser) feedBody(data []byte) []byte {
-	taken := min(len(data), p.contentLength-len(p.body))
-	p.body = append(p.body, data[:taken]...)
+	consumed := min(len(data), p.contentLength-len(p.body))
+	p.body = append(p.body, data[:consumed]...)
 	if len(p.body) == p.contentLength {
 		p.state = stateComplete
 	}
-	return data[taken:]
+	return data[consumed:]
 }
 
 // endVariables parses the block of variables and advances to the body, once the block is complete.
@@ -166,10 +166,10 @@
 	if err := p.indexVariables(); err != nil {
 		return err
 	}
-	if text := p.Variable(contentLengthName); len(text) > 0 {
+	if text := p.Variable(contentLengthVariable); len(text) > 0 {
 		length, err := strconv.ParseUint(string(text), 10, contentLengthBits)
 		if err != nil {
-			return ErrContentLength
+			return ErrInvalidContentLength
 		}
 		p.contentLength = int(length)
 		if p.contentLength > p.MaxBodyBytes {
@@ -186,47 +186,47 @@
 // indexVariables locates the names and values in the block. Each is encoded as a length (16 bits, little-endian) and
 // that many bytes.
 func (p *Parser) indexVariables() error {
-	for at := int32(0); int(at) < len(p.block); p.variableCount++ {
-		name, ok := p.spanAt(at)
-		length := name.to - name.from
+	for offset := int32(0); int(offset) < len(p.block); p.variableCount++ {
+		name, ok := p.readSpan(offset)
+		length := name.end - name.start
 		if !ok || length == 0 || length > MaxNameBytes {
-			return ErrUnreadableVariables
+			return ErrMalformedVariables
 		}
 		if p.variableCount == MaxVariables {
 			return ErrBlockTooLarge
 		}
-		value, ok := p.spanAt(name.to)
+		value, ok := p.readSpan(name.end)
 		if !ok {
-			return ErrUnreadableVariables
+			return ErrMalformedVariables
 		}
 		p.names[p.variableCount] = name
 		p.values[p.variableCount] = value
-		at = value.to
+		offset = value.end
 	}
 	return nil
 }
 
-// spanAt decodes the length at an offset of the block and returns the span of the bytes that follow it. ok is false if
-// the block ends before them.
-func (p *Parser) spanAt(at int32) (found span, ok bool) {
+// readSpan decodes the length at an offset of the block and returns the span of the bytes that follow it. ok is false
+// if the block ends before them.
+func (p *Parser) readSpan(offset int32) (found span, ok bool) {
 	const lengthSize = 2
-	if int(at)+lengthSize > len(p.block) {
+	if int(offset)+lengthSize > len(p.block) {
 		return span{}, false
 	}
-	found.from = at + lengthSize
-	found.to = found.from + int32(binary.LittleEndian.Uint16(p.block[at:]))
-	return found, int(found.to) <= len(p.block)
+	found.start = offset + lengthSize
+	found.end = found.start + int32(binary.LittleEndian.Uint16(p.block[offset:]))
+	return found, int(found.end) <= len(p.block)
 }
 
-// textAt returns the bytes of a span of the block.
-func (p *Parser) textAt(at span) []byte { return p.block[at.from:at.to] }
+// bytesOf returns the bytes of a span of the block.
+func (p *Parser) bytesOf(s span) []byte { return p.block[s.start:s.end] }
 
 // Variable returns the value of a variable, or nil if the request does not have it. If the variable is repeated, the
 // last value counts, as it does in implementations that store the variables in a map.
 func (p *Parser) Variable(name string) []byte {
 	for i := p.variableCount - 1; i >= 0; i-- {
-		if string(p.textAt(p.names[i])) == name {
-			return p.textAt(p.values[i])
+		if string(p.bytesOf(p.names[i])) == name {
+			return p.bytesOf(p.values[i])
 		}
 	}
 	return nil
@@ -235,16 +235,16 @@
 // Variables stores the value of each named variable at the same index of values, and leaves values unchanged at the
 // index of a variable that the request does not have. It reports whether any of the named variables is repeated; the
 // last value counts.
-func (p *Parser) Variables(names []string, values [][]byte) (repeated bool) {
+func (p *Parser) Variables(names []string, values [][]byte) (hasRepeated bool) {
 	for i := range p.variableCount {
 		for k, name := range names {
-			if string(p.textAt(p.names[i])) == name {
-				repeated = repeated || values[k] != nil
-				values[k] = p.textAt(p.values[i])
+			if string(p.bytesOf(p.names[i])) == name {
+				hasRepeated = hasRepeated || values[k] != nil
+				values[k] = p.bytesOf(p.values[i])
 			}
 		}
 	}
-	return repeated
+	return hasRepeated
 }
 
 // AppendRequest appends a request to dst, for forwarding to another server and for emulators. Each of pairs is the name
--- a/internal/uwsgi/response.go
+++ b/internal/uwsgi/response.go
@@ -28,7 +28,7 @@
 	head, body, headComplete := bytes.Cut(data, []byte("\r\n\r\n"))
 	if !headComplete {
 		if closed || len(data) > maxBytes {
-			return 0, nil, false, ErrUnreadableVariables
+			return 0, nil, false, ErrMalformedVariables
 		}
 		return 0, nil, false, nil
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return 0, nil, false, err
 	}
-	complete, err = bodyComplete(len(body), length, closed, maxBytes)
+	complete, err = isBodyComplete(len(body), length, closed, maxBytes)
 	if err != nil || !complete {
 		return 0, nil, false, err
 	}
@@ -50,13 +50,13 @@
 
 // parseStatusLine returns the status code of an HTTP status line.
 func parseStatusLine(line []byte) (status int, err error) {
-	words := bytes.Fields(line)
-	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) {
-		return 0, ErrUnreadableVariables
+	fields := bytes.Fields(line)
+	if len(fields) < 2 || !bytes.HasPrefix(fields[0], []byte("HTTP/1.")) {
+		return 0, ErrMalformedVariables
 	}
-	status, err = strconv.Atoi(string(words[1]))
+	status, err = strconv.Atoi(string(fields[1]))
 	if err != nil || status < 100 || status > 599 {
-		return 0, ErrUnreadableVariables
+		return 0, ErrMalformedVariables
 	}
 	return status, nil
 }
@@ -75,27 +75,27 @@
 		}
 		parsed, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, contentLengthBits)
 		if err != nil || length != noContentLength && length != int(parsed) {
-			return 0, ErrContentLength
+			return 0, ErrInvalidContentLength
 		}
 		length = int(parsed)
 	}
 	return length, nil
 }
 
-// bodyComplete reports whether the body is complete after come bytes. length is the value of Content-Length or
-// noContentLength.
-func bodyComplete(come, length int, closed bool, maxBytes int) (bool, error) {
+// isBodyComplete reports whether the body is complete after the received bytes. length is the value of Content-Length
+// or noContentLength.
+func isBodyComplete(received, length int, closed bool, maxBytes int) (bool, error) {
 	switch {
-	case length > maxBytes || come > maxBytes:
+	case length > maxBytes || received > maxBytes:
 		return false, ErrBodyTooLong
 	case length == noContentLength:
 		return closed, nil
-	case come > length:
-		return false, ErrContentLength
-	case come == length:
+	case received > length:
+		return false, ErrInvalidContentLength
+	case received == length:
 		return true, nil
 	case closed: // the body is truncated
-		return false, ErrContentLength
+		return false, ErrInvalidContentLength
 	}
 	return false, nil
 }
