--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -122,7 +122,7 @@
 		Cacheable:  event.unsigned(keyReadKey) != 0,
 	}
 	if event.number(keyTimeLeft) != 0 {
-		arrival.TimeLeft = max(1, arrival.TimeLeft) // 0 would mean that the time left is not known
+		arrival.TimeLeft = max(1, arrival.TimeLeft) // 0, from rounding down, would mean not known
 	}
 	if earlierID := event.unsigned(keyRepeatOf); earlierID != 0 {
 		arrival.IsRepeat = true
