--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// createBatch creates the server server-1.
 const createBatch = `MARK T=10.0
 FOR Server=server-1
 CREATE Prng=7 Env={"Categories":[{"Effect":"once","HardLimit":100.0,"OnTime":50.0,"Worth":1.0}],` +
@@ -17,14 +18,14 @@
 EOF_BATCH
 `
 
-// serve returns the output of a conversation, and the error that ends it.
+// serve returns the output and the error of Serve for the input text.
 func serve(text string) (string, error) {
 	var output strings.Builder
 	err := Serve(strings.NewReader(text), &output)
 	return output.String(), err
 }
 
-// requireServed returns the output of a conversation, which must end without an error.
+// requireServed returns the output of Serve for the input text, and fails the test if Serve returns an error.
 func requireServed(t *testing.T, text string) string {
 	t.Helper()
 	output, err := serve(text)
@@ -32,7 +33,9 @@
 	return output
 }
 
-const conversation = createBatch + `MARK T=11.05
+// basicSession is the input of a session with arrivals, ended runs, an unknown event, and a server that is killed and
+// created again.
+const basicSession = createBatch + `MARK T=11.05
 FOR Server=server-1
 INBOUND Xid=5 Lay=0.55 HeldKb=1 Novel=x
 INBOUND Xid=6
@@ -72,12 +75,12 @@
 MARK_HEALTH Cheap=1 Want=1
 EOR
 EOR
-`, requireServed(t, conversation))
+`, requireServed(t, basicSession))
 }
 
-// cachedReads is a conversation with marked retries, reads that share a result, and an answer without a downstream
-// call.
-const cachedReads = `MARK T=10.0
+// cachedReadsSession is the input of a session with marked retries, reads that share a result, and a request that is
+// answered without its downstream call.
+const cachedReadsSession = `MARK T=10.0
 FOR Server=server-1
 CREATE Prng=7 Env={"Categories":[{"Effect":"repeatable","HardLimit":100,"OnTime":50,"Worth":1}],` +
 	`"Clients":{"MarksRetry":true},` +
@@ -97,7 +100,7 @@
 `
 
 func TestReadsShareResultsAndSkipCalls(t *testing.T) {
-	output := requireServed(t, cachedReads)
+	output := requireServed(t, cachedReadsSession)
 	for _, line := range []string{
 		"MEMO Xid=5 HoldFor=", "EXECUTE Xid=5\n", "SHARE Xid=6\n", "INVOKE Xid=5 Until=", "OMIT Xid=5\n",
 	} {
@@ -105,32 +108,32 @@
 	}
 }
 
-// batch is a batch with one line for the server that createBatch creates.
+// batch returns a batch with one line for the server that createBatch creates.
 func batch(line string) string { return "MARK T=11\nFOR Server=server-1\n" + line + "\nEOF_BATCH\n" }
 
-// malformed are conversations with a line that cannot be read, and a part of the error.
-var malformed = []struct{ name, text, message string }{
-	{"no MARK", "EOF_BATCH\n", "line 1: a batch opens with MARK"},
-	{"input ends within a batch", "MARK T=1\nFOR Server=server-1\n", "the input ends in the middle of a batch"},
-	{"input ends within a line", "MARK T=1", "middle of a line"},
-	{"no FOR", "MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n", "before any FOR"},
+// malformedInputs lists inputs that Serve must reject, with a part of the error message.
+var malformedInputs = []struct{ name, text, message string }{
+	{"no MARK", "EOF_BATCH\n", `line 1: batch begins with "EOF_BATCH" instead of MARK`},
+	{"input ends within a batch", "MARK T=1\nFOR Server=server-1\n", "unexpected end of input within a batch"},
+	{"input ends within a line", "MARK T=1", "unexpected end of input within a line"},
+	{"no FOR", "MARK T=1\nINBOUND Xid=1\nEOF_BATCH\n", "INBOUND before the first FOR"},
 	{"server not created", "MARK T=1\nFOR Server=a\nKILL\nEOF_BATCH", "never created"},
-	{"settings cut short", "MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n", "can't be read"},
-	{"memory below zero", strings.Replace(createBatch, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1), "out of range"},
+	{"truncated settings", "MARK T=1\nFOR Server=a\nCREATE Env={\nEOF_BATCH\n", "can't be read"},
+	{"negative memory", strings.Replace(createBatch, `"MemoryKb":1e6`, `"MemoryKb":-1`, 1), "out of range"},
 	{"soft deadline too long", strings.Replace(createBatch, `"OnTime":50.0`, `"OnTime":1e200`, 1), "out of range"},
-	{"request below zero", createBatch + batch("INBOUND Xid=-5"), "not a whole number"},
-	{"flag of two", createBatch + batch("INBOUND Xid=5 Retry=2"), "neither 1 nor 0"},
-	{"no request", createBatch + batch("ENDED"), "no Xid"},
-	{"no value", createBatch + batch("INBOUND junk"), "not name=value"},
+	{"negative request ID", createBatch + batch("INBOUND Xid=-5"), "not an unsigned integer"},
+	{"flag that is neither 0 nor 1", createBatch + batch("INBOUND Xid=5 Retry=2"), "neither 1 nor 0"},
+	{"no request ID", createBatch + batch("ENDED"), "no Xid"},
+	{"key without a value", createBatch + batch("INBOUND junk"), "not name=value"},
 	{"gauge is a letter", createBatch + batch("DEADLINE_HIT Usage=1,z"), "not a number"},
 	{"gauge is empty", createBatch + batch("DEADLINE_HIT Usage=,1"), "not a number"},
-	{"router too large", createBatch + batch("INBOUND Xid=5 OriginPeer=99999999999"), "out of range"},
+	{"router number too large", createBatch + batch("INBOUND Xid=5 OriginPeer=99999999999"), "out of range"},
 	{"time left too long", createBatch + batch("INBOUND Xid=5 TimeLeft=1e300"), "out of range"},
-	{"size below zero", createBatch + batch("INBOUND Xid=5 HeldKb=-1"), "out of range"},
+	{"negative size", createBatch + batch("INBOUND Xid=5 HeldKb=-1"), "out of range"},
 }
 
 func TestMalformedLinesEndTheSession(t *testing.T) {
-	for _, test := range malformed {
+	for _, test := range malformedInputs {
 		t.Run(test.name, func(t *testing.T) {
 			output, err := serve(test.text)
 			require.ErrorContains(t, err, test.message)
@@ -139,8 +142,8 @@
 	}
 }
 
-// deployments are the settings of two deployments that differ in every setting.
-var deployments = [2]string{
+// deploymentSettings holds the settings of two deployments that differ in every setting.
+var deploymentSettings = [2]string{
 	`"Categories":[{"Name":"a","Effect":"by_key","HardLimit":900,"OnTime":300,"Worth":1,"Window":400},` +
 		`{"Name":"b","Effect":"repeatable","HardLimit":500,"OnTime":200,"LateWorth":0.5,"Worth":3}],` +
 		`"FamilyInfo":{"Cores":2,"MemoryKb":4000,"RunFactor":4,"EntryKb":9,"Halt":"drop","Say":"min_rank",` +
@@ -152,28 +155,29 @@
 		`"Rules":{"TipMultiple":9},"Period":4,"Servers":300`,
 }
 
-// schedules draws the input of each of the two deployments alone, and of both of them in one process.
-func schedules(seed int64) (alone [2]string, together string) {
+// generateSchedules generates random input: a separate input for each of the two deployments, and one input that
+// interleaves the same events for both of them in one process.
+func generateSchedules(seed int64) (separateInputs [2]string, combinedInput string) {
 	random := rand.New(rand.NewSource(seed))
-	var apart [2]strings.Builder
-	var mixed strings.Builder
+	var separate [2]strings.Builder
+	var combined strings.Builder
 	for step := range 300 {
-		fmt.Fprintf(&mixed, "MARK T=%d\n", step*7)
-		for i, settings := range deployments {
+		fmt.Fprintf(&combined, "MARK T=%d\n", step*7)
+		for i, settings := range deploymentSettings {
 			events := fmt.Sprintf("CREATE Prng=%d Env={%s}\n", seed, settings)
 			if step > 0 {
-				events = drawEvents(random, step, 2-i)
+				events = generateEvents(random, step, 2-i)
 			}
-			fmt.Fprintf(&mixed, "FOR Server=s%d\n%s", i, events)
-			fmt.Fprintf(&apart[i], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", step*7, i, events)
+			fmt.Fprintf(&combined, "FOR Server=s%d\n%s", i, events)
+			fmt.Fprintf(&separate[i], "MARK T=%d\nFOR Server=s%d\n%sEOF_BATCH\n", step*7, i, events)
 		}
-		mixed.WriteString("EOF_BATCH\n")
+		combined.WriteString("EOF_BATCH\n")
 	}
-	return [2]string{apart[0].String(), apart[1].String()}, mixed.String()
+	return [2]string{separate[0].String(), separate[1].String()}, combined.String()
 }
 
-// drawEvents draws the events of a batch for a server with so many categories.
-func drawEvents(random *rand.Rand, step, categories int) string {
+// generateEvents generates the random events of one batch for a server with the given number of categories.
+func generateEvents(random *rand.Rand, step, categories int) string {
 	var events strings.Builder
 	for i := range random.Intn(3) {
 		fmt.Fprintf(&events, "INBOUND Xid=%d OriginPeer=%d Band=%d HeldKb=%d Lay=%d\n",
@@ -189,33 +193,35 @@
 	return events.String()
 }
 
-// The output of each deployment is that of the deployment alone, for any input of the other one in the process.
+// Each deployment produces the same output in a process with another deployment as it does alone. Package-level state
+// that the servers share would break this.
 func TestDeploymentsInOneProcessShareNothing(t *testing.T) {
-	var alone [2]strings.Builder
-	var together strings.Builder
+	var separateOutputs [2]strings.Builder
+	var combinedOutput strings.Builder
 	for seed := range int64(20) {
-		apart, mixed := schedules(seed)
-		alone[0].WriteString(requireServed(t, apart[0]))
-		alone[1].WriteString(requireServed(t, apart[1]))
-		together.WriteString(requireServed(t, mixed))
+		separateInputs, combinedInput := generateSchedules(seed)
+		separateOutputs[0].WriteString(requireServed(t, separateInputs[0]))
+		separateOutputs[1].WriteString(requireServed(t, separateInputs[1]))
+		combinedOutput.WriteString(requireServed(t, combinedInput))
 	}
-	var separated [2]strings.Builder
+	var splitOutputs [2]strings.Builder
 	current := 0
-	for line := range strings.Lines(together.String()) {
+	for line := range strings.Lines(combinedOutput.String()) {
 		switch line {
 		case "AS Server=s0\n", "AS Server=s1\n":
 			current = int(line[len("AS Server=s")] - '0')
 		case "EOR\n":
 			continue
 		}
-		separated[current].WriteString(line)
+		splitOutputs[current].WriteString(line)
 	}
-	for i := range deployments {
-		require.Contains(t, separated[i].String(), "EXECUTE")
-		require.Equal(t, strings.ReplaceAll(alone[i].String(), "EOR\n", ""), separated[i].String())
+	for i := range deploymentSettings {
+		require.Contains(t, splitOutputs[i].String(), "EXECUTE")
+		require.Equal(t, strings.ReplaceAll(separateOutputs[i].String(), "EOR\n", ""), splitOutputs[i].String())
 	}
 }
 
+// FuzzServe checks that no input makes Serve panic.
 func FuzzServe(f *testing.F) {
 	f.Add(createBatch)
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -13,15 +13,15 @@
 	"thistlequay/timeunit"
 )
 
-// instance is one simulated server.
+// instance is the state of one simulated server.
 type instance struct {
 	name     string
 	server   *admission.Server             // nil before it is created and after it is killed
-	requests map[uint64]*admission.Request // by the simulator's ids, until the server releases them
+	requests map[uint64]*admission.Request // by ID, until the server releases them
 	config   *deployment.Config
 	now      timeunit.Ticks
-	touched  bool         // it had an event in this batch
-	reply    bytes.Buffer // what it answers in this batch
+	hasEvent bool         // whether it had an event in this batch
+	reply    bytes.Buffer // the lines of its reply to this batch
 }
 
 // Kinds of events.
@@ -37,21 +37,22 @@
 	eventRunEnded    = "ENDED"
 )
 
-// eventHandlers are the methods for each kind of event. The server exists but for eventCreate.
+// eventHandlers maps each kind of event to its handler. For all kinds except eventCreate, the server exists when the
+// handler is called.
 var eventHandlers = map[string]func(*instance, *message) error{
-	eventCreate:      (*instance).create,
-	eventKill:        (*instance).kill,
-	eventDrain:       (*instance).drain,
-	eventTimer:       (*instance).onTimer,
-	eventArrival:     (*instance).arrive,
-	eventCancel:      withRequest(cancel),
-	eventReadyToCall: withRequest(readyToCall),
-	eventCallEnded:   withRequest(callEnded),
-	eventRunEnded:    withRequest(runEnded),
+	eventCreate:      (*instance).handleCreate,
+	eventKill:        (*instance).handleKill,
+	eventDrain:       (*instance).handleDrain,
+	eventTimer:       (*instance).handleTimer,
+	eventArrival:     (*instance).handleArrival,
+	eventCancel:      withRequest(handleCancel),
+	eventReadyToCall: withRequest(handleReadyToCall),
+	eventCallEnded:   withRequest(handleCallEnded),
+	eventRunEnded:    withRequest(handleRunEnded),
 }
 
-// create starts the server with the settings that the event carries.
-func (i *instance) create(event *message) error {
+// handleCreate creates the server with the settings in the event.
+func (i *instance) handleCreate(event *message) error {
 	if !event.has(keySettings) {
 		return errors.New("CREATE has no Env")
 	}
@@ -67,42 +68,46 @@
 	return nil
 }
 
-// turnOffset spreads seeds evenly from 0 to 1, also those that follow each other: multiples of the golden ratio do.
+// turnOffset maps a seed to an offset from 0 to 1 (admission.Config.TurnOffset). It uses multiples of the golden ratio,
+// because their fractional parts are spread evenly even for consecutive seeds. The seed is reduced first, so that the
+// product keeps an accurate fractional part.
 func turnOffset(seed uint64) float64 {
-	const exactInFloat = 1 << 20
-	return math.Mod(float64(seed%exactInFloat)*math.Phi, 1)
+	const seedModulus = 1 << 20
+	return math.Mod(float64(seed%seedModulus)*math.Phi, 1)
 }
 
-func (i *instance) kill(*message) error {
+// handleKill discards the server, its requests and its reply to this batch.
+func (i *instance) handleKill(*message) error {
 	i.server = nil
 	i.requests = nil
 	i.reply.Reset()
 	return nil
 }
 
-func (i *instance) drain(event *message) error {
+// handleDrain starts the graceful shutdown of the server. The event carries the time until the server is stopped.
+func (i *instance) handleDrain(event *message) error {
 	i.server.Drain(event.ticks(keyTimeLeft, deployment.RoundDown))
 	return nil
 }
 
-// onTimer takes the timer that the server set, with a gauge reading.
-func (i *instance) onTimer(event *message) error {
-	var row []float64
+// handleTimer fires the timer of the server and passes it the gauge readings in the event.
+func (i *instance) handleTimer(event *message) error {
+	var values []float64
 	for rest := event.values[keyGauges]; rest != ""; {
-		var cell string
-		cell, rest, _ = strings.Cut(rest, ",")
-		figure, err := strconv.ParseFloat(cell, 64)
+		var text string
+		text, rest, _ = strings.Cut(rest, ",")
+		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return fmt.Errorf("gauge %q is not a number", cell)
+			return fmt.Errorf("gauge %q is not a number", text)
 		}
-		row = append(row, figure)
+		values = append(values, value)
 	}
-	i.server.OnTimer(i.config.GaugesFromRow(row))
+	i.server.OnTimer(i.config.GaugesFromRow(values))
 	return nil
 }
 
-// arrive enqueues a request.
-func (i *instance) arrive(event *message) error {
+// handleArrival creates a request from the event and enqueues it.
+func (i *instance) handleArrival(event *message) error {
 	if !event.has(keyID) {
 		return errors.New("INBOUND has no Xid")
 	}
@@ -117,11 +122,11 @@
 		Cacheable:  event.unsigned(keyReadKey) != 0,
 	}
 	if event.number(keyTimeLeft) != 0 {
-		arrival.TimeLeft = max(1, arrival.TimeLeft) // told, however little; 0 would mean that it was not
+		arrival.TimeLeft = max(1, arrival.TimeLeft) // 0, from rounding down, would mean not known
 	}
-	if earlier := event.unsigned(keyRepeatOf); earlier != 0 {
+	if earlierID := event.unsigned(keyRepeatOf); earlierID != 0 {
 		arrival.IsRepeat = true
-		arrival.RepeatOf = i.requests[earlier]
+		arrival.RepeatOf = i.requests[earlierID]
 	}
 	if arrival.QueuedKB < 0 {
 		return errors.New("INBOUND: HeldKb is out of range")
@@ -133,8 +138,8 @@
 	return nil
 }
 
-// withRequest returns a handler that finds the request that an event is about. One that is not known is passed over:
-// the server has released it while the event was on its way.
+// withRequest returns an event handler that looks up the request of the event and calls apply with it. It ignores
+// events for an unknown request, because the server may have released the request while the event was under way.
 func withRequest(apply func(*admission.Request, *message) error) func(*instance, *message) error {
 	return func(instance *instance, event *message) error {
 		if !event.has(keyID) {
@@ -152,17 +157,20 @@
 	}
 }
 
-func cancel(request *admission.Request, _ *message) error {
+// handleCancel reports that no client waits for the request any more.
+func handleCancel(request *admission.Request, _ *message) error {
 	request.Cancel()
 	return nil
 }
 
-func readyToCall(request *admission.Request, _ *message) error {
+// handleReadyToCall reports that the run of the request needs its downstream call.
+func handleReadyToCall(request *admission.Request, _ *message) error {
 	request.NeedsCall()
 	return nil
 }
 
-func callEnded(request *admission.Request, event *message) error {
+// handleCallEnded reports the outcome and the duration of the downstream call.
+func handleCallEnded(request *admission.Request, event *message) error {
 	outcome, err := event.outcome()
 	if err != nil {
 		return err
@@ -171,7 +179,8 @@
 	return nil
 }
 
-func runEnded(request *admission.Request, event *message) error {
+// handleRunEnded reports the outcome and the duration of the run.
+func handleRunEnded(request *admission.Request, event *message) error {
 	outcome, err := event.outcome()
 	if err != nil {
 		return err
