--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -4,32 +4,34 @@
 
 const (
 	bufferSize      = 8 << 10
-	maxSpareBuffers = 256 // kept to be used again
+	maxSpareBuffers = 256 // free buffers that are kept for reuse
 
-	// One part in so many of the memory goes to buffers, and as much to unread output in sum.
+	// bufferMemoryDivisor sets the memory for buffers to 1/16 of the memory limit. The unread output of all routers
+	// together is limited to the same amount.
 	bufferMemoryDivisor = 16
 
-	// maxUnreadPerRouter bounds the output that one router may leave unread: more than all its open requests can be
-	// owed.
+	// maxUnreadPerRouter limits the output, in bytes, that one router may leave unread. It exceeds the size of the
+	// responses to all requests that a router can have open.
 	maxUnreadPerRouter = 192 << 10
 
-	// maxUnreadPerLink is the same bound for the few other parties, which get all that happens while they stand still.
+	// maxUnreadPerLink is the same limit for connections to processes other than routers. It is larger because they
+	// are few and everything that is sent to such a process while it is stalled accumulates.
 	maxUnreadPerLink = 4 << 20
 )
 
-// bufferPool holds buffers of one size that are used again.
+// bufferPool is a free list of buffers of bufferSize bytes.
 type bufferPool struct {
 	spare [][]byte
 	inUse int
-	limit int // buffers in use from which on no further request is begun
+	limit int // number of buffers in use at which no further request is started
 }
 
-// setLimit bounds the buffers to a small part of the memory.
+// setLimit sets the limit on buffers in use to 1/bufferMemoryDivisor of the memory, and at least to maxSpareBuffers.
 func (p *bufferPool) setLimit(memoryBytes int) {
 	p.limit = max(maxSpareBuffers, memoryBytes/bufferMemoryDivisor/bufferSize)
 }
 
-// take returns an empty buffer.
+// take returns an empty buffer from the pool, or a new one if the pool is empty.
 func (p *bufferPool) take() []byte {
 	p.inUse++
 	last := len(p.spare) - 1
@@ -41,7 +43,7 @@
 	return buffer
 }
 
-// give takes a buffer back. One that has grown is left to the garbage collector.
+// give returns a buffer to the pool. A buffer that has grown is left to the garbage collector.
 func (p *bufferPool) give(buffer []byte) {
 	p.inUse--
 	if cap(buffer) == bufferSize && len(p.spare) < maxSpareBuffers {
@@ -49,17 +51,18 @@
 	}
 }
 
-// outputBuffer is the output side of a connection: what is to be written at the end of the batch. It must never hold
-// more than a bound for a peer that does not read.
+// outputBuffer holds the output of a connection that is written at the end of the batch. The connection is closed if
+// the peer leaves more than maxUnread bytes unread, so that a peer that does not read cannot use up the memory.
 type outputBuffer struct {
 	server          *Server
-	conn            gnet.Conn // nil while there is none
-	output          []byte    // nil while there is none in this batch
+	conn            gnet.Conn // nil while not connected
+	output          []byte    // nil while the batch has no output for the connection
 	closeAfterWrite bool
-	maxUnread       int // bytes that the other side may leave unread
+	maxUnread       int // maximum number of bytes that the peer may leave unread
 }
 
-// buffer returns what to append output to. The connection is written at the end of the batch.
+// buffer returns the slice to append output to, and schedules the connection to be written at the end of the batch.
+// The caller assigns the extended slice to output.
 func (b *outputBuffer) buffer() []byte {
 	if b.output == nil {
 		b.output = b.server.buffers.take()
@@ -68,7 +71,8 @@
 	return b.output
 }
 
-// flushAndRelease ends the batch for this connection.
+// flushAndRelease writes the output at the end of the batch, returns the buffer to the pool, and closes the connection
+// if closeAfterWrite is set.
 func (b *outputBuffer) flushAndRelease() {
 	b.flush()
 	b.server.buffers.give(b.output)
@@ -78,7 +82,8 @@
 	}
 }
 
-// flush writes what there is, also before the batch ends. A write that fails closes the connection by itself.
+// flush writes the output so far; it may be called before the end of the batch. An error needs no handling here because
+// gnet closes the connection when a write fails.
 func (b *outputBuffer) flush() {
 	if b.conn != nil && len(b.output) > 0 {
 		_, err := b.conn.Write(b.output)
@@ -89,15 +94,16 @@
 	b.output = b.output[:0]
 }
 
-// closeGracefully ends the connection; closed of its handler is called within.
+// closeGracefully closes the connection gracefully if there is one. It calls the handler's closed method before it
+// returns.
 func (b *outputBuffer) closeGracefully() {
 	if b.conn != nil {
 		b.server.closeGracefully(b.conn)
 	}
 }
 
-// enforceUnreadLimit closes a connection on which too much lies unread. Where too much lies unread on all routers'
-// connections together, it closes the one with the most.
+// enforceUnreadLimit closes the connection if its peer has left more than maxUnread bytes unread. If the unread output
+// of all router connections together exceeds its limit, it closes the router connection with the most unread bytes.
 func (s *Server) enforceUnreadLimit(written *outputBuffer) {
 	unread := written.conn.OutboundBuffered()
 	if unread == 0 {
@@ -112,11 +118,11 @@
 		return
 	}
 	s.unreadClosed++
-	_ = s.loop.Close(worst.conn) // at once, not gracefully: what lies on it is what there is too much of
+	_ = s.loop.Close(worst.conn) // not gracefully: that would keep the unread output in memory
 }
 
-// unreadByRouters returns how many bytes routers have left unread in all, and the connection with the most, or the
-// fallback where no router has left any.
+// unreadByRouters returns the total number of bytes that routers have left unread and the router connection with the
+// most of them, or fallback if there is no such connection.
 func (s *Server) unreadByRouters(fallback *outputBuffer) (total int, worst *outputBuffer) {
 	most := -1
 	worst = fallback
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -10,44 +10,54 @@
 	"thistlequay/timeunit"
 )
 
-// How a connection ends. A close over unread bytes would reset it and take the last answer along, so what was written
-// goes out first, then the write side is shut, and what still comes is read and discarded within bounds.
+// Limits of a graceful close. Closing a socket that has unread input resets the connection and can discard the last
+// response. Therefore pending output is sent first, then the write side is shut down, and further input is read and
+// discarded for a limited time and amount.
 const (
-	flushTimeout      = 2 * second   // for the other side to take what was written
-	flushPollInterval = second / 200 // between looks at whether it has
-	lingerTimeout     = second / 2   // after that; ten times what the protocol lets a request cross a close
-	maxLingerBytes    = 256 << 10    // whoever sends more after the end is not crossing it
+	flushTimeout      = 2 * second   // maximum time for the peer to read the pending output
+	flushPollInterval = second / 200 // between checks whether the output has been sent
 
-	// One descriptor in so many is for connections that end, whatever the router table holds.
+	// lingerTimeout is the maximum time for which input is discarded after the write side is shut down. It is ten times
+	// as long as the protocol allows a request to cross a close.
+	lingerTimeout = second / 2
+
+	// maxLingerBytes is the maximum input that is discarded. A peer that sends more is not just sending requests that
+	// crossed the close.
+	maxLingerBytes = 256 << 10
+
+	// lingerDescriptorDivisor reserves 1/32 of the file descriptors for closing connections, however full the router
+	// table is.
 	lingerDescriptorDivisor = 32
 )
 
-// errFloodAfterEnd closes a connection at once.
-var errFloodAfterEnd = errors.New("too much came after the connection's end")
+// errFloodAfterEnd reports that a peer sent more than maxLingerBytes after the close began; the connection is then
+// closed immediately.
+var errFloodAfterEnd = errors.New("too much data received after the connection was shut down")
 
-// closingConnections are the connections that are ending. None may end under an open request, and there may never be
-// more than a bound.
+// closingConnections holds the connections that are being closed gracefully. A connection with an open request must not
+// be among them, and their number is limited; see evictClosing.
 type closingConnections struct {
-	connections list.List // of *closingConnection, the oldest first
-	reserved    int       // descriptors that are theirs alone
+	connections list.List // of *closingConnection, oldest first
+	reserved    int       // file descriptors reserved for closing connections
 }
 
-// closingConnection is a connection that ends. It takes the place of the connection's handler.
+// closingConnection is a connection that is being closed gracefully. It replaces the connection's handler.
 type closingConnection struct {
 	server    *Server
 	conn      gnet.Conn
-	deadline  timeunit.Ticks // of the present step
-	bytesLeft int            // that may still come
+	deadline  timeunit.Ticks // of the current step: flushing or lingering
+	bytesLeft int            // input that may still be discarded
 	writeShut bool
 	timer     timer
-	element   *list.Element // in closingConnections; nil once it is closed
+	element   *list.Element // in closingConnections; nil once the connection is closed
 }
 
-// closeGracefully ends a connection; its handler is notified at once that it is closed.
+// closeGracefully starts the graceful close of a connection. It calls the closed method of the connection's handler
+// immediately.
 func (s *Server) closeGracefully(conn gnet.Conn) {
 	handler, _ := conn.Context().(connectionHandler)
 	if router, isRouter := handler.(*routerConnection); isRouter {
-		router.flush() // the answers of this batch
+		router.flush() // sends the responses of this batch
 	}
 	closing := &closingConnection{server: s, conn: conn, deadline: s.now + flushTimeout, bytesLeft: maxLingerBytes}
 	conn.SetContext(closing)
@@ -60,8 +70,9 @@
 	s.evictClosing(0)
 }
 
-// evictClosing closes the oldest of the ending connections while they and the open ones leave no room for so many more.
-// Ending connections may use what the router table does not, as when all end at once, until new ones want it.
+// evictClosing closes the oldest closing connections until there is room for the given number of new connections.
+// Besides their reserved descriptors, closing connections may use those that the router table leaves free, for example
+// when all connections close at once, but only until new connections need them.
 func (s *Server) evictClosing(more int) {
 	ending := &s.closing.connections
 	limit := s.closing.reserved + s.routers.maxConnections
@@ -70,7 +81,8 @@
 	}
 }
 
-// advance takes the next step that is due.
+// advance performs the next step that is due: it shuts down the write side once all output is sent, and closes the
+// connection at the deadline. It then sets the timer for the next check.
 func (c *closingConnection) advance() {
 	if c.element == nil {
 		return
@@ -82,7 +94,7 @@
 	if !c.writeShut && c.conn.OutboundBuffered() == 0 {
 		c.writeShut = true
 		c.deadline = c.server.now + lingerTimeout
-		// It fails where the other side has closed: then the end comes by itself.
+		// Shutdown fails if the peer has closed the connection; gnet then reports the close.
 		_ = unix.Shutdown(c.conn.Fd(), unix.SHUT_WR)
 	}
 	next := c.deadline
@@ -94,7 +106,7 @@
 
 func (c *closingConnection) close() {
 	c.closed()
-	_ = c.server.loop.Close(c.conn) // it fails where the connection is closed already
+	_ = c.server.loop.Close(c.conn) // fails if the connection is already closed
 }
 
 func (c *closingConnection) opened(gnet.Conn) {}
--- a/internal/server/connection_socket_test.go
+++ b/internal/server/connection_socket_test.go
@@ -14,10 +14,10 @@
 	"thistlequay/internal/servertest"
 )
 
-// docs/races.md lists the pairs of events that can cross, with the test that forces each order of them.
+// docs/races.md lists the pairs of events that can occur in either order, and the test that forces each order.
 
-// A connection with an open request outlives its idle timeout, and is closed once the request has been answered; an
-// idle one is closed after its timeout.
+// A connection with an open request is not closed by the idle timeout until the request has been answered; an idle
+// connection is closed after the timeout.
 func TestIdleTimeoutSparesOpenRequests(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"KeepaliveMax":30000.0`, `"KeepaliveMax":100.0`)
 	busy := server.ConnectRouter()
@@ -28,8 +28,8 @@
 	busy.RequireClosed()
 }
 
-// Idle connections do not keep new ones out: the oldest is evicted for a new one, none outlives its timeout, and no
-// file descriptor is leaked.
+// Idle connections do not keep new ones out: when the table is full, the oldest idle connection is evicted for a new
+// one. All idle connections are closed in the end, and no file descriptor is leaked.
 func TestFullConnectionTableEvictsOldestIdle(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	descriptors := func() int {
@@ -53,8 +53,8 @@
 	server.Eventually(func() bool { return descriptors() <= before+1 }, servertest.EventTimeout, 5*time.Millisecond)
 }
 
-// A router that asks for FastCGI's values and never reads the responses has its connection closed before its writes
-// block for EventTimeout; another router is served.
+// The connection of a router that sends FastCGI management queries and never reads the responses is closed before its
+// writes block for EventTimeout. Another router is still served.
 func TestRouterThatDoesNotReadIsClosed(t *testing.T) {
 	server, _ := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -70,8 +70,8 @@
 	other.ExpectHealth(1, 200)
 }
 
-// A connection is evicted for a new one while a request on it is unread: the request is not run, and its router sees a
-// close, not a reset.
+// A connection is evicted for a new one while a request on it has not been read yet. The request is not run, and the
+// router sees an orderly close instead of a reset.
 func TestCloseOverUnreadBytesDoesNotReset(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	var maxConnections int
@@ -109,7 +109,7 @@
 		router.WriteBytes(request(1, "/rpc/look", "b", servertest.RequestParameters(id)))
 		interpreter.ExpectApply(id, "b")
 		interpreter.SendValue(id, "OK", result)
-		other.ExpectHealth(1, 200) // by then the program has written the response
+		other.ExpectHealth(1, 200) // once this is answered, the program has written the response above
 	}
 	served := 0
 	unread := -1
@@ -136,7 +136,8 @@
 	server.Empty(server.ReadToEnd(router.Link))
 }
 
-// A request without the flag that keeps the connection does not discard the responses of the others open on it.
+// After a request without the FastCGI keep-connection flag, the other requests open on the connection are still
+// answered before it is closed.
 func TestCloseWaitsForOtherOpenRequests(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -149,7 +150,7 @@
 	server.Empty(server.ReadToEnd(router.Link))
 }
 
-// A request behind one without the flag that keeps the connection, in the same segment, is not run.
+// A request that follows one without the keep-connection flag in the same segment is not run.
 func TestRequestBehindTheLastOneIsNotRun(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -162,7 +163,8 @@
 	interpreter.ServeOne(server.ConnectRouter(), 1, "the first to run")
 }
 
-// A request before a malformed record in the same segment is answered, and the connection ends without a reset.
+// A request that precedes a malformed record in the same segment is answered, and the connection is closed without a
+// reset.
 func TestResponseBeforeBadRecordIsSent(t *testing.T) {
 	server, _ := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -171,8 +173,8 @@
 	server.Empty(server.ReadToEnd(router.Link))
 }
 
-// The process may open fewer file descriptors than the configuration says: of more connections than that the surplus
-// is rejected, and the program goes on.
+// If the process may open fewer file descriptors than configured, the connections beyond its limit are rejected, and
+// the program continues to serve.
 func TestFewerFileDescriptorsThanConfigured(t *testing.T) {
 	server := servertest.New(t)
 	server.ReplaceConfig(`"sockets":64`, `"sockets":512`)
@@ -190,8 +192,9 @@
 	server.NotContains(server.LogText(), "engine_error")
 }
 
-// openIdleConnections opens up to count connections that send a complete health check, half of one, or nothing, and
-// then stay open, or are reset at once. It returns how many the program's listener accepted.
+// openIdleConnections tries to open count connections. In turn they send nothing, a complete health check, or a part of
+// one and stay open, or send a complete health check and are reset at once. It returns the number of connections that
+// could be opened.
 func openIdleConnections(server *servertest.Server, count int) int {
 	server.T.Helper()
 	opened := 0
@@ -203,7 +206,7 @@
 		}
 		server.T.Cleanup(func() { servertest.CloseQuietly(link) })
 		opened++
-		switch i % 4 { // the program may have closed the connection: a write that fails is as good
+		switch i % 4 { // failed writes are ignored, because the program may already have closed the connection
 		case 0: // sends nothing
 		case 1:
 			_, _ = link.Write(check)
@@ -212,7 +215,7 @@
 		case 3:
 			_, _ = link.Write(check)
 			server.NoError(link.Conn.(*net.TCPConn).SetLinger(0))
-			servertest.CloseQuietly(link) // by a reset, at once
+			servertest.CloseQuietly(link) // resets the connection because of SetLinger(0)
 		}
 	}
 	return opened
@@ -242,9 +245,9 @@
 	return served
 }
 
-// Clients that send one request or none and keep their connections use up the file descriptors while the directory is
-// down: the program's own dials, health checks and routers with requests still get theirs, and load reports resume
-// when the directory is back.
+// While the directory is down, clients that send at most one request and keep their connections open use up the file
+// descriptors. The program's own dials, health checks and routers with requests must still get descriptors, and the
+// program must register again soon after the directory is back.
 func TestMeasuredIdleConnections(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":128`)
 	directory := server.NextLink(server.Directory)
@@ -253,7 +256,7 @@
 	idle := openIdleConnections(server, 200)
 	served := serveOnNewConnections(interpreter, 5)
 
-	servertest.CloseQuietly(interpreter) // the program dials the interpreter again
+	servertest.CloseQuietly(interpreter) // the program then dials the interpreter again
 	lastNotice := interpreter.LastNotice
 	interpreter = server.NextInterpreterLink(lastNotice)
 	server.JSONEq(fmt.Sprintf(`{"type":"CONNECT","n":%d}`, lastNotice), server.ReadLine(interpreter.Link))
@@ -271,6 +274,6 @@
 	fmt.Printf("measured idle connections=%d lost=%d served=%d reregistered_ms=%d source=emulators\n",
 		idle, 15-served, served, reregistered.Milliseconds())
 	server.Equal(15, served)
-	server.Less(reregistered, 3*time.Second) // after which a registration expires; the measured time is printed above
+	server.Less(reregistered, 3*time.Second) // a registration expires after 3 s; the measured time is printed above
 	server.NotContains(server.LogText(), "engine_error")
 }
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -12,22 +12,23 @@
 
 const (
 	dialTimeout    = 1 * time.Second
-	minRedialDelay = second / 10 // before the second dial in a row; each further one waits twice as long
+	minRedialDelay = second / 10 // delay before the first redial; it doubles with each further one
 	maxRedialDelay = second
 )
 
-// outgoingConnection is a connection to another party, from its dial on. Once it is dropped nothing of it reaches its
-// handler, neither a dial that was under way to an address that is no longer used, nor the end of a link that another
-// has replaced.
+// outgoingConnection is a connection that this server dialed, from the start of the dial. Once it is dropped, its
+// handler receives no more events from it: neither the result of a dial to an address that is no longer used, nor the
+// close of a connection that has been replaced.
 type outgoingConnection struct {
 	handler connectionHandler
 	server  *Server
-	conn    gnet.Conn // nil while the dial is under way
-	failed  func()    // called on the loop when the dial failed
+	conn    gnet.Conn // nil while dialing
+	failed  func()    // called on the event loop if the dial fails
 	dropped bool
 }
 
-// dial connects to another party off the loop. It gives the connection to the handler, or calls failed, on the loop.
+// dial starts connecting to an address in a separate goroutine. The event loop then passes the connection to the
+// handler, or calls failed if the dial fails.
 func (s *Server) dial(
 	address string, timeout time.Duration, handler connectionHandler, failed func(),
 ) *outgoingConnection {
@@ -40,7 +41,8 @@
 	return outgoing
 }
 
-// connect dials and gives the connection to the loop; it blocks until the loop has it.
+// connect dials an address and registers the connection with the event loop. It blocks until that is done and must not
+// be called on the loop.
 func (s *Server) connect(address string, timeout time.Duration, outgoing *outgoingConnection) error {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -49,13 +51,13 @@
 	return s.enroll(conn, outgoing)
 }
 
-// enroll gives a connection to the loop and blocks until the loop has it. It is called off the loop.
+// enroll registers a connection with the event loop and blocks until that is done. It must not be called on the loop.
 func (s *Server) enroll(conn net.Conn, handler connectionHandler) error {
 	enrolled, err := s.loop.Enroll(gnet.NewContext(context.Background(), handler), conn)
 	if err != nil {
 		return err
 	}
-	return (<-enrolled).Err // no descriptor was left, say
+	return (<-enrolled).Err // for example if no file descriptor is left
 }
 
 func (c *outgoingConnection) dialFailed(address string, err error) {
@@ -91,7 +93,7 @@
 	}
 }
 
-// drop closes the connection and keeps the rest of it from the handler; on nil it does nothing.
+// drop closes the connection and hides all its further events from the handler. On a nil connection it does nothing.
 func (c *outgoingConnection) drop() {
 	if c == nil || c.dropped {
 		return
@@ -102,7 +104,8 @@
 	}
 }
 
-// backoff is the delay before the next dial, doubled each time up to a bound. The zero value starts at the least.
+// backoff computes the delay before the next dial. The delay doubles from minRedialDelay up to maxRedialDelay. The zero
+// value starts at minRedialDelay.
 type backoff struct{ last timeunit.Ticks }
 
 func (b *backoff) next() timeunit.Ticks {
@@ -110,8 +113,8 @@
 	return b.last
 }
 
-// jitter returns a random span between half of the given one and all of it, so that what befell many servers at once
-// is not followed by all of them at once.
+// jitter returns a random delay between half of the longest delay and all of it, so that servers that were affected by
+// the same event do not all react at the same time.
 func (s *Server) jitter(longest timeunit.Ticks) timeunit.Ticks {
 	return longest/2 + timeunit.Ticks(s.random.Int63n(int64(longest/2)+1))
 }
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -12,21 +12,24 @@
 	"thistlequay/internal/logs"
 )
 
-// selfConnectInterval is the time between attempts to connect to the own listener, and how long each may take.
+// selfConnectInterval is both the interval between attempts to connect to the server's own listener and the timeout of
+// each attempt.
 const selfConnectInterval = 50 * time.Millisecond
 
-// connectionHandler is what stands behind a connection. Its methods are called on the event loop.
+// connectionHandler handles the events of a connection. Its methods are called on the event loop.
 type connectionHandler interface {
 	opened(conn gnet.Conn)
 	receive(data []byte) error // an error closes the connection
 	closed()
 }
 
-// errConnectionDone closes a connection that has served its purpose: nothing bad came on it.
-var errConnectionDone = errors.New("done")
+// errConnectionDone is returned by a handler to close a connection that is no longer needed. It does not indicate an
+// error of the peer and is not logged.
+var errConnectionDone = errors.New("connection is no longer needed")
 
-// OnBoot connects to the own listener, as only a connection tells which loop there is, and does so until one has been
-// accepted: when many routers wait already, the first attempts may be refused.
+// OnBoot implements gnet.EventHandler. It connects to the server's own listener because gnet gives access to the event
+// loop only through a connection. It retries until a connection has been accepted: the first attempts may be refused
+// if many routers are already connecting.
 func (s *Server) OnBoot(engine gnet.Engine) gnet.Action {
 	s.engine = engine
 	go func() {
@@ -34,7 +37,7 @@
 		defer ticker.Stop()
 		for {
 			if conn, err := net.DialTimeout("tcp", s.config.Listen, selfConnectInterval); err == nil {
-				_ = conn.Close() // it has done its work
+				_ = conn.Close() // accepting it is all that OnOpen needs
 			}
 			select {
 			case <-s.loopKnown:
@@ -46,7 +49,8 @@
 	return gnet.None
 }
 
-// OnOpen gives a new connection to its handler: a connection that this server dialed has one, any other is a router's.
+// OnOpen implements gnet.EventHandler. It passes a new connection to its handler. A connection that this server dialed
+// already has a handler; any other connection is a router's.
 func (s *Server) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	if s.loop == nil {
 		s.start(conn.EventLoop())
@@ -59,7 +63,7 @@
 			conn.SetContext(handler)
 		}
 	}
-	if handler == nil { // the table is full, or the server ends
+	if handler == nil { // the router table is full, or the server has stopped
 		s.closeGracefully(conn)
 	} else {
 		handler.opened(conn)
@@ -67,7 +71,8 @@
 	return nil, gnet.None
 }
 
-// OnTraffic gives what was read to the connection's handler and closes the connection if it says so.
+// OnTraffic implements gnet.EventHandler. It passes the received data to the connection's handler and closes the
+// connection if the handler returns an error.
 func (s *Server) OnTraffic(conn gnet.Conn) gnet.Action {
 	handler, known := conn.Context().(connectionHandler)
 	data, err := conn.Next(-1)
@@ -90,7 +95,7 @@
 	return gnet.None
 }
 
-// OnClose tells the connection's handler that the connection is gone.
+// OnClose implements gnet.EventHandler. It notifies the connection's handler that the connection is closed.
 func (s *Server) OnClose(conn gnet.Conn, _ error) gnet.Action {
 	handler, known := conn.Context().(connectionHandler)
 	if known && !s.ended {
@@ -100,7 +105,7 @@
 	return gnet.None
 }
 
-// engineLog passes on gnet's warnings and errors.
+// engineLog implements gnet's logger. It logs warnings and errors as events and discards the lower levels.
 type engineLog struct{ logs.Logger }
 
 func (engineLog) Debugf(string, ...any) {}
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -8,16 +8,18 @@
 	gnetErrors "github.com/panjf2000/gnet/v2/pkg/errors"
 )
 
-// unusedTimerSpan is what the system timer is created with; the first batch sets it anew.
+// unusedTimerSpan is the delay with which the system timer is created. It never elapses, because the end of the first
+// batch resets the timer.
 const unusedTimerSpan = time.Hour
 
-// start runs once, when the loop is known.
+// start starts the server's activities on the event loop. It is called once, when the first connection has made the
+// loop known.
 func (s *Server) start(loop gnet.EventLoop) {
 	s.loop = loop
 	s.now = s.clock.now()
 	close(s.loopKnown)
 	s.systemTimer = time.AfterFunc(unusedTimerSpan, func() { s.submit(s.fireTimers) })
-	go func() { // for the rest of the process: commands may come until its end
+	go func() { // runs until the process exits, because commands may arrive until then
 		for command := range s.commands {
 			s.submit(command)
 		}
@@ -33,8 +35,8 @@
 		Int("connections", s.routers.maxConnections).Send()
 }
 
-// trySubmit has the loop run a task soon, from any goroutine. When many commands wait already the task is dropped: it
-// must be one that a later batch does all the same.
+// trySubmit queues a task to be run on the event loop. It may be called from any goroutine and never blocks: if the
+// command queue is full, the task is dropped. It is only suitable for tasks that a later batch performs anyway.
 func (s *Server) trySubmit(task func()) {
 	select {
 	case s.commands <- task:
@@ -42,7 +44,7 @@
 	}
 }
 
-// submit has the loop run a task; it may be called from any goroutine and does not wait for it.
+// submit runs a task on the event loop. It may be called from any goroutine and does not wait for the task.
 func (s *Server) submit(task func()) {
 	run := func(context.Context) error {
 		if !s.ended {
@@ -54,10 +56,11 @@
 		}
 		return nil
 	}
-	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(run)) // it fails only where the loop has ended
+	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(run)) // fails only after the loop has ended
 }
 
-// beginBatch opens a batch, or goes on with the one that is open. Every entry to the loop calls it first.
+// beginBatch starts a batch, or continues the open one, and updates the time. Every callback on the event loop calls it
+// first.
 func (s *Server) beginBatch() {
 	s.now = max(s.now, s.clock.now())
 	if s.admission != nil {
@@ -65,12 +68,13 @@
 	}
 	if !s.endBatchQueued {
 		s.endBatchQueued = true
-		// It fails only where the loop has ended.
+		// Execute fails only after the loop has ended.
 		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(s.endBatch))
 	}
 }
 
-// endBatch ends the batch: admission dispatches once, and each connection with output is written once.
+// endBatch ends the batch: admission dispatches once, and each connection with output is written once. While the loop
+// still has to read the sockets after a standstill, it does nothing.
 func (s *Server) endBatch(context.Context) error {
 	if s.ended {
 		return gnetErrors.ErrEngineShutdown
@@ -89,7 +93,7 @@
 		}
 		s.admission.Dispatch()
 	}
-	s.endBatchQueued = false // what is left to settle, or a write that closes, opens the next batch
+	s.endBatchQueued = false // from here on deferred work, or a write that closes its connection, starts the next batch
 	if s.requests.unsettled() {
 		s.beginBatch()
 	}
@@ -101,7 +105,7 @@
 	return nil
 }
 
-// writeOutput writes every connection that has output.
+// writeOutput writes the pending output of every connection.
 func (s *Server) writeOutput() {
 	writes := s.pendingWrites
 	s.pendingWrites = nil
--- a/internal/server/fixtures_test.go
+++ b/internal/server/fixtures_test.go
@@ -16,15 +16,15 @@
 	"thistlequay/timeunit"
 )
 
-// firstID is the ID of the request that runs from the start of a test.
+// firstID is the ID of the request that newRunningServer starts.
 const firstID = "00000000000000aa"
 
-// testSettings have one category, with an idempotency key, a deduplication window of 5 s and a deadline of 8 s.
+// testSettings define one keyed category with a deduplication window of 5 s and a deadline of 8 s.
 const testSettings = `{"Categories":[{"Effect":"by_key","HardLimit":8000,"Name":"a","OnTime":4000,
 "Window":5000,"Worth":1}],"FamilyInfo":{"CallShare":9,"CallsOver":5000,"Cores":2,"Downstream":"common","MemoryKb":80000,
 "Meters":["core_use","on_cores"],"RunFactor":8,"Halt":"drop"},"Servers":1,"Rules":{"TipMultiple":8}}`
 
-// discardConn is a connection that discards what is written.
+// discardConn is a connection that discards all writes.
 type discardConn struct{ gnet.Conn }
 
 func (discardConn) Write(b []byte) (int, error) { return len(b), nil }
@@ -33,13 +33,14 @@
 func (discardConn) SetContext(any)              {}
 func (discardConn) Fd() int                     { return -1 }
 
-// idleLoop is an event loop that runs nothing: the test ends the batches.
+// idleLoop is an event loop that runs no tasks. The test ends each batch itself.
 type idleLoop struct{ gnet.EventLoop }
 
 func (idleLoop) Execute(context.Context, gnet.Runnable) error { return nil }
 func (idleLoop) Close(gnet.Conn) error                        { return nil }
 
-// newRunningServer makes a server without an engine, with one request that runs. Nothing that it writes is sent.
+// newRunningServer returns a server without an engine, on which one request is running, and the connection of that
+// request's router. The server's output stays in its buffers.
 func newRunningServer(t *testing.T) (*Server, *routerConnection) {
 	t.Helper()
 	settings, err := deployment.Read([]byte(testSettings))
@@ -58,7 +59,8 @@
 	return server, router
 }
 
-// newServerWithRun is newRunningServer with all output written.
+// newServerWithRun is like newRunningServer, but the router is connected and the output to the interpreter so far is
+// discarded.
 func newServerWithRun(t *testing.T) (*Server, *routerConnection) {
 	t.Helper()
 	server, router := newRunningServer(t)
@@ -67,7 +69,8 @@
 	return server, router
 }
 
-// newServerWithCall is newRunningServer where the run waits for a call in flight on a connection.
+// newServerWithCall is like newRunningServer, but the run waits for a downstream call, which is in flight on the
+// returned connection.
 func newServerWithCall(t *testing.T) (*Server, *routerConnection, *pooledConnection) {
 	t.Helper()
 	server, router := newRunningServer(t)
@@ -76,50 +79,50 @@
 	return server, router, openCallConnection(server)
 }
 
-// openCallConnection opens the connection that the call of the first request waits for.
+// openCallConnection completes the dial of the connection for the first request's downstream call.
 func openCallConnection(server *Server) *pooledConnection {
 	connection := server.requests.byID[firstID].call.connection
 	connection.opened(discardConn{})
 	return connection
 }
 
-// connectRouter makes a router's connection that discards what is written.
+// connectRouter adds a router connection that discards all writes.
 func connectRouter(server *Server) *routerConnection {
 	router := server.routers.accept().(*routerConnection)
 	router.opened(discardConn{})
 	return router
 }
 
-// notify has the interpreter send a notice, which is one line.
+// notify passes a notice to the server as one line from the interpreter.
 func notify(t *testing.T, server *Server, format string, args ...any) {
 	t.Helper()
 	require.NoError(t, server.interpreter.receive([]byte(fmt.Sprintf(format, args...)+"\n")))
 }
 
-// feed has a router send records.
+// feed passes records to the server as input from the router.
 func feed(t *testing.T, router *routerConnection, records string) {
 	t.Helper()
 	require.NoError(t, router.parser.Feed([]byte(records), router))
 }
 
-// takeOutput returns what is to be written to a connection, and empties it.
+// takeOutput returns the pending output of a connection and clears it.
 func takeOutput(of *outputBuffer) string {
 	output := string(of.output)
 	of.output = nil
 	return output
 }
 
-// requestParams are the parameters of the request that runs.
+// requestParams holds the parameters of the request that newRunningServer starts.
 var requestParams = [][2]string{
 	{"SCRIPT_NAME", "/rpc/a"}, {"HTTP_REQUEST_ID", firstID}, {"HTTP_RECEIVED_AT", "1000000"},
 	{"HTTP_BUDGET_MS", "7000"}, {"HTTP_SENT_BY", "1"}, {"HTTP_FOOTPRINT_KB", "20"}, {"HTTP_ONCE_KEY", "k"},
 	{"REQUEST_METHOD", "POST"}, {"HTTP_PRIORITY_RANK", "0.5"},
 }
 
-// wholeRequest is that request, in records as a router sends them.
+// wholeRequest is the same request, encoded in the records that a router sends.
 var wholeRequest = requestRecords(1, requestParams, "x")
 
-// requestRecords encodes a request as a router does; keepConnection is 1 or 0.
+// requestRecords encodes a request in the records that a router sends; keepConnection is 1 or 0.
 func requestRecords(keepConnection byte, params [][2]string, body string) string {
 	record := func(kind byte, content string) string {
 		return string([]byte{1, kind, 0, 1, byte(len(content) >> 8), byte(len(content)), 0, 0}) + content
@@ -136,7 +139,7 @@
 	return begin + record(4, pairs) + record(4, "") + stdin + record(5, "")
 }
 
-// feedInPieces passes data to receive in pieces of a size, until it fails.
+// feedInPieces passes data to receive in pieces of at most size bytes, and returns the first error.
 func feedInPieces(data string, size int, receive func([]byte) error) error {
 	for piece := range slices.Chunk([]byte(data), size) {
 		if err := receive(piece); err != nil {
@@ -146,7 +149,8 @@
 	return nil
 }
 
-// submitAttempt sends another attempt of the request at a time and returns the output of the batch to the router.
+// submitAttempt sends another attempt of wholeRequest at the time now, with the given ID and Received-At. It returns
+// the output of that batch to the router.
 func submitAttempt(
 	t *testing.T, server *Server, router *routerConnection, id, receivedAt string, now timeunit.Ticks,
 ) string {
@@ -160,7 +164,7 @@
 	return string(router.output)
 }
 
-// dispatchBatch ends a batch by hand.
+// dispatchBatch performs the steps of the end of a batch that make decisions. It writes no output.
 func dispatchBatch(server *Server) {
 	server.requests.settle()
 	server.admission.Dispatch()
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -13,16 +13,16 @@
 	"thistlequay/internal/schedule"
 )
 
-// transcript is a golden file of the bytes that are received and sent, a line each. Its labels, and the names of cases
-// that are added to it, are part of the recorded file and stay as they are.
+// transcript builds a golden file with one labeled line for each piece of input or output. The labels, including the
+// names of test cases, are part of the recorded files and must not change.
 type transcript struct{ text strings.Builder }
 
 func (s *transcript) add(what, data string) { fmt.Fprintf(&s.text, "%s: %q\n", what, data) }
 
-// addOutput adds what is to be written to a connection, and empties it.
+// addOutput adds the pending output of a connection and clears it.
 func (s *transcript) addOutput(what string, of *outputBuffer) { s.add(what, takeOutput(of)) }
 
-// addResponses adds what is to be written to a router and to the interpreter.
+// addResponses adds the pending output to a router and to the interpreter.
 func (s *transcript) addResponses(point string, server *Server, router *routerConnection) {
 	s.addOutput(point+"router", &router.outputBuffer)
 	s.addOutput(point+"interpreter", &server.interpreter.outputBuffer)
@@ -38,7 +38,7 @@
 	golden.Check(t, name, []byte(s.text.String()))
 }
 
-// paramsWith returns the parameters of the usual request with some of them replaced or added.
+// paramsWith returns requestParams with some parameters replaced or added. changes alternates names and values.
 func paramsWith(changes ...string) [][2]string {
 	params := slices.Clone(requestParams)
 	for change := range slices.Chunk(changes, 2) {
@@ -53,7 +53,8 @@
 	return params
 }
 
-// withID gives the request another ID, by its last two digits, before other changes.
+// withID returns changes for paramsWith that set a request ID with the given last two digits, followed by the other
+// changes.
 func withID(lastDigits string, changes ...string) []string {
 	return append([]string{"HTTP_REQUEST_ID", "00000000000000" + lastDigits}, changes...)
 }
@@ -95,7 +96,8 @@
 	{"two faults", []string{"REQUEST_METHOD", "GET", "HTTP_REQUEST_ID", "1", "HTTP_SENT_BY", ""}, "x"},
 }
 
-// Responses to a router are as recorded, byte for byte, from the first request until the drain has ended.
+// The server's output for valid and invalid requests, from the first request until the drain has ended, matches the
+// golden file byte for byte.
 func TestGoldenRequests(t *testing.T) {
 	var recorded transcript
 	server, first := newRunningServer(t)
@@ -148,8 +150,8 @@
 	recorded.check(t, "requests.txt")
 }
 
-// The effects of each of the interpreter's notices are as recorded, byte for byte: whether it closes the link, what is
-// sent to the router, to the interpreter and to the index.
+// The effects of each notice of the interpreter match the golden file byte for byte: whether the notice closes the
+// link, and the output to the router, the interpreter and the index.
 func TestGoldenNotices(t *testing.T) {
 	var recorded transcript
 	for _, lines := range []string{
@@ -189,7 +191,7 @@
 	recorded.check(t, "notices.txt")
 }
 
-// The effects of each of the index's replies are as recorded, byte for byte.
+// The effects of each reply of the index match the golden file byte for byte.
 func TestGoldenReplies(t *testing.T) {
 	var recorded transcript
 	for _, text := range []string{
@@ -221,7 +223,7 @@
 	recorded.check(t, "replies.txt")
 }
 
-// The output after a reconnection to the interpreter is as recorded, byte for byte.
+// The output after a reconnection to the interpreter matches the golden file byte for byte.
 func TestGoldenReconnect(t *testing.T) {
 	var recorded transcript
 	server, router := newServerWithRun(t)
@@ -250,7 +252,7 @@
 	recorded.check(t, "reconnect.txt")
 }
 
-// The reports to the directory and the effects of its answers are as recorded, byte for byte.
+// The reports to the directory and the effects of its answers match the golden file byte for byte.
 func TestGoldenDirectory(t *testing.T) {
 	var recorded transcript
 	for _, text := range []string{
@@ -278,7 +280,8 @@
 	recorded.check(t, "directory.txt")
 }
 
-// The histories of seeded sequences are as recorded: all output, connection by connection, and the server's figures.
+// The histories of seeded random sequences match the golden file. A history consists of the output of each connection
+// and the server's statistics after each batch.
 func TestGoldenSequences(t *testing.T) {
 	file := schedule.GoldenFile{Name: "sequences.txt", Seeds: 300, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -10,17 +10,17 @@
 // noInterface is the index of a network interface that does not exist.
 const noInterface = math.MaxInt32
 
-// refuseNewConnections has the system refuse every new connection while those that are in the handshake, or wait to be
-// accepted, are still accepted by the event loop. Closing the listener would reset these, and gnet closes it only with
-// the loop. A listener that is bound to an interface on which nothing arrives is not found for a new connection, which
-// is then refused like one to a port where nobody listens.
+// refuseNewConnections makes the kernel refuse new connections. Connections that are in the handshake or wait to be
+// accepted are still accepted by the event loop. Closing the listener would reset them, and gnet closes the listener
+// only together with the loop. Instead, the listener is bound to a network interface that does not exist: the kernel
+// then finds no listener for a new connection and refuses it, as on a port that nobody listens on.
 //
-// Where the system does not permit it, the listener stays open until the loop ends.
+// If the kernel does not permit this, the listener stays open until the loop ends.
 func (s *Server) refuseNewConnections() {
 	descriptor, err := s.engine.Dup()
 	if err == nil {
 		err = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
-		_ = unix.Close(descriptor) // a duplicate: the listener stays
+		_ = unix.Close(descriptor) // only the duplicate; the listener stays open
 		err = os.NewSyscallError("setsockopt", err)
 	}
 	if err != nil {
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -9,66 +9,67 @@
 	"thistlequay/timeunit"
 )
 
-// request is one request, from its reading until admission has released it.
+// request is a request from a router. It exists from when it has been read until admission releases it.
 type request struct {
 	server   *Server
-	id       string // as the router gave it; the interpreter and the index know the request by it
+	id       string // assigned by the router; also identifies the request to the interpreter and the index
 	category int
 	body     []byte
 
-	// Who waits for the answer. Both are nil once it is answered or the router has gone.
+	// Recipient of the response. Both are nil once the request is answered or the router no longer waits.
 	router *routerConnection
 	stream *fastcgi.Request
 
-	// As it came. key and tenant lie in the parser's buffer until the request is admitted, or copied.
+	// Parsed fields. key and tenant point into the parser's buffer until they are copied or the request is handed to
+	// admission.
 	arrival    admission.Arrival
-	key        []byte         // for idempotency
-	tenant     []byte         // by account or address
-	receivedAt timeunit.Ticks // that it reached the router's machine
-	acceptedAt timeunit.Ticks // that it was read here
-	deadline   timeunit.Ticks // after which nobody waits for an answer
+	key        []byte         // idempotency key
+	tenant     []byte         // from the account or the address
+	receivedAt timeunit.Ticks // when the request reached the router's machine
+	acceptedAt timeunit.Ticks // when this server had read the request
+	deadline   timeunit.Ticks // when the client stops waiting for a response
 
-	// With admission.
+	// Admission.
 	handle      *admission.Request
-	slot        uint64 // in requestTable.slots
-	closed      bool   // admission has released it
+	slot        uint64 // index into requestTable.slots
+	closed      bool   // whether admission has released the request
 	reservation fairqueue.Reservation
 
 	// Idempotency.
-	entry        *idempotencyEntry // its own, or the one whose result it shares; nil for none
+	entry        *idempotencyEntry // its own, or the one whose result it shares; nil if there is none
 	sharesResult bool
 
-	// The intent record in the recovery log.
-	intentUntil timeunit.Ticks // the end of its window as it was written; zero where nothing is to be concluded
-	attempt     uint64         // its number in the log
-	intentTimer timer          // while it is being written
-	recoveryKey string         // its key in the log, once it is admitted
+	// Intent record in the recovery log.
+	intentUntil timeunit.Ticks // end of the window in the intent record; zero if no completion record is due
+	attempt     uint64         // attempt number in the log
+	intentTimer timer          // set while the intent record is being written
+	recoveryKey string         // key in the log; set once the request is handed to admission
 
 	// Plug-ins.
-	pluginTenant     string // its tenant
-	tag              string // that a plug-in gave it
+	pluginTenant     string // tenant that plug-ins see
+	tag              string // tag that a plug-in assigned
 	pluginConnection *pluginConnection
 
-	// Its run, and what the interpreter knows of it. A request is run at most once.
-	runStarted   bool // admission had it run
-	runPending   bool // the interpreter has yet to be notified
-	runSent      bool // the interpreter was notified, on some link
+	// State of the run, also as known to the interpreter. A request is run at most once.
+	runStarted   bool // admission has started the run
+	runPending   bool // the run command has yet to be sent to the interpreter
+	runSent      bool // the run command was sent, on this link or an earlier one
 	runSentAt    timeunit.Ticks
-	runConfirmed bool // the interpreter has spoken of the run
-	runInDoubt   bool // a link broke before it did: the run may never have begun
-	runDone      bool // the run's end is known
-	stopPending  bool // the interpreter has yet to be notified to stop it
-	stopSent     bool // it was notified
+	runConfirmed bool // the interpreter has sent a notice about the run
+	runInDoubt   bool // the link broke before such a notice: the run may never have started
+	runDone      bool // the run is known to have ended
+	stopPending  bool // the stop command has yet to be sent to the interpreter
+	stopSent     bool // the stop command was sent
 
-	// The call that its run waits for, and the reply to it.
+	// Downstream call that the run waits for, and the reply to it.
 	callBody     []byte
-	call         *indexCall // nil while none is out
-	pendingReply []byte     // to be passed on to the run
-	lastReply    []byte     // the last one passed on, until the run is heard of again
+	call         *indexCall // nil if no call is in flight or waiting
+	pendingReply []byte     // reply that has yet to be sent to the run
+	lastReply    []byte     // last reply that was sent, kept until the next notice about the run
 	lastReplyAt  timeunit.Ticks
 }
 
-// respond writes the answer, where somebody waits for it.
+// respond writes the response if a router still waits for it.
 func (r *request) respond(status, headers string, body []byte) {
 	if r.router == nil {
 		return
@@ -80,7 +81,8 @@
 	router.respond(stream, status, headers, body)
 }
 
-// detachRouter: no answer is owed any more.
+// detachRouter clears the recipient of the response. If it is in doubt whether the run ever started, it also schedules
+// the run to be ended, because nobody waits for it any more.
 func (r *request) detachRouter() {
 	r.router = nil
 	r.stream = nil
@@ -89,16 +91,16 @@
 	}
 }
 
-// routerGone: the router has gone, or wants no answer any more.
+// routerGone cancels the request because its router has disconnected or aborted it.
 func (r *request) routerGone() {
 	r.detachRouter()
-	if r.handle != nil { // else it is with the plug-ins or the recovery log, which end by themselves
+	if r.handle != nil { // otherwise it waits for plug-ins or the recovery log, which then find that router is nil
 		r.handle.Cancel()
 	}
 }
 
-// neverBegun is called when it is proven that nothing of its run happened, so that its idempotency entry is free for
-// another attempt. Where the run has been heard of such word proves nothing, and the entry stays.
+// neverBegun ends a run that provably never started, and frees its idempotency entry for another attempt. If the
+// interpreter has sent a notice about the run, that proof does not hold: the run ends as aborted and the entry stays.
 func (r *request) neverBegun() {
 	if r.runConfirmed {
 		r.runEnded(admission.Aborted, 0, nil)
@@ -111,15 +113,14 @@
 	r.runEnded(admission.NeverStarted, 0, nil)
 }
 
-// runEnded is called when the interpreter tells the end of its run, which took so long. A result is shown to plug-ins
-// first.
+// runEnded handles the end of the run, whose duration is took. A successful result is first passed to the plug-ins.
 func (r *request) runEnded(outcome admission.Outcome, took timeunit.Ticks, result []byte) {
 	if r.runDone || !r.runStarted || r.closed {
 		return
 	}
 	r.runDone = true
 	r.server.index.cancel(r)
-	r.reservation.Suspend(r.server.now) // off the cores, whatever is done with its result
+	r.reservation.Suspend(r.server.now) // the run no longer uses a core, even if plug-ins still evaluate its result
 	if outcome == admission.Succeeded {
 		finish := func(evaluation *chain.Evaluation) { r.finishRun(outcome, took, evaluation.Body) }
 		if r.server.plugins.evaluateResult(r, result, finish) {
@@ -129,7 +130,8 @@
 	r.finishRun(outcome, took, result)
 }
 
-// finishRun answers with the end of its run and tells admission, the idempotency table and the recovery log of it.
+// finishRun answers the request according to the outcome of its run, and reports the outcome to the idempotency table,
+// the recovery log and admission.
 func (r *request) finishRun(outcome admission.Outcome, took timeunit.Ticks, result []byte) {
 	switch outcome {
 	case admission.Succeeded:
@@ -143,8 +145,8 @@
 	r.handle.RunEnded(outcome, took)
 }
 
-// recordOutcome puts the end of its run into its idempotency entry. A result beyond the bound is not kept: repeats are
-// notified that the run failed.
+// recordOutcome stores the outcome of the run in its idempotency entry and concludes its intent in the recovery log. A
+// result longer than maxResultBytes is not stored; repeats of the request are then answered as failed.
 func (r *request) recordOutcome(outcome admission.Outcome, result []byte) {
 	entry := r.entry
 	entry.ended = true
--- a/internal/server/request_socket_test.go
+++ b/internal/server/request_socket_test.go
@@ -13,7 +13,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// A request and its downstream call pass through unchanged, whatever their bytes; a failed run is answered with 500.
+// The bodies of a request, of its downstream call and of the reply pass through unchanged, whatever bytes they contain.
+// A failed run is answered with 500.
 func TestRequestWithDownstreamCall(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -25,7 +26,7 @@
 	server.Equal([]string{"GET", id, "7"}, []string{call[0], call[1], call[3]})
 	server.Equal("a", server.ReadLine(index))
 	server.Equal("call", server.ReadLine(index))
-	server.WriteLine(index, "0000000000000bad SHED\r") // of a call that the program has not made: ignored
+	server.WriteLine(index, "0000000000000bad SHED\r") // reply to a call that the program has not made: ignored
 	server.WriteLine(index, "%s HIT 5\r\nre\r\nx\r", id)
 	command := interpreter.NextCommand()
 	server.Equal("RESOLVE "+id+" cmUNCng=", command.Type+" "+command.Job+" "+command.Data)
@@ -36,7 +37,7 @@
 	router.ExpectResponse(3, 500, "")
 }
 
-// Of two requests on one connection the second may be answered first.
+// Two requests on one connection may be answered in reverse order.
 func TestResponsesComeInAnyOrderOnOneConnection(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -46,7 +47,8 @@
 	interpreter.CompleteRun(router, 1, first, "first")
 }
 
-// A request that arrives after its category's deadline, counted from its Received-At, is rejected finally and not run.
+// A request that arrives after its category's deadline, counted from its Received-At, is not run. It is rejected with
+// the header that tells the router not to retry.
 func TestRequestPastItsDeadlineIsRejected(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -60,7 +62,7 @@
 	interpreter.StartLook(router, 2, "goes on")
 }
 
-// Before the interpreter is up health checks succeed and requests are rejected; afterwards requests are run.
+// Before the interpreter is up, health checks succeed and requests are rejected. Afterwards requests are run.
 func TestRequestBeforeInterpreterIsUpIsRejected(t *testing.T) {
 	server := servertest.New(t)
 	server.WriteFilesAndStart()
@@ -83,7 +85,8 @@
 	interpreter.ServeOne(router, 2, "next")
 }
 
-// A result that arrived while the process was paused is read before the deadline that passed meanwhile fires.
+// A result that arrives while the process is paused is read before the request's deadline, which passes during the
+// pause, takes effect.
 func TestResultReadAfterPauseBeatsDeadline(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -97,7 +100,7 @@
 	router.ExpectResponse(1, 200, "in time")
 }
 
-// The run of a request is cancelled where its client aborts it and where its connection is lost. Its slot is reused.
+// The run of a request is cancelled if its router aborts the request or disconnects. The request's slot is reused.
 func TestClientAbortCancelsRequest(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -116,8 +119,8 @@
 	interpreter.ServeOne(router, 1, "again under the same record id")
 }
 
-// Malformed records close the connection on which they came, while a record of no open request is ignored. Neither
-// changes anything for a request in flight on another connection.
+// A malformed record closes the connection on which it arrives, while a record for a request that is not open is
+// ignored. Neither affects a request in flight on another connection.
 func TestMalformedRecordsCloseOnlyTheirConnection(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	good := server.ConnectRouter()
@@ -128,7 +131,7 @@
 		closes bool
 	}{
 		{data: "GET / HTTP/1.1\r\n\r\n", closes: true},
-		// The header of a record of 64 KiB, of no open request.
+		// The header of a 64 KiB record for a request that is not open.
 		{data: string(emulator.FastCGIRecord(5, 1, "x")[:4]) + "\xff\xff\x00\x00", closes: false},
 		{data: begin + begin, closes: true},
 	} {
@@ -143,8 +146,9 @@
 	interpreter.CompleteRun(good, 1, id, "g")
 }
 
-// Every malformed request gets its status, and the connection and the other request on it go on. So do a request whose
-// key another one with another body has, and one that the interpreter does not know.
+// Every malformed request is answered with its status and affects neither the connection nor the other request on it.
+// The same holds for a request that reuses an idempotency key with another body, and for a request that the interpreter
+// does not know.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -177,19 +181,20 @@
 	expectStatus(400, "/rpc/look", "", "HTTP_ONCE_KEY", strings.Repeat("k", 65))
 
 	first := interpreter.StartBook(router, 3, "k")
-	// The same key with another body gets neither the result nor the place in the queue.
+	// A request with the same key and another body neither shares the result nor replaces the first request.
 	expectStatus(422, "/rpc/book", "another body", "HTTP_ONCE_KEY", "k")
 	interpreter.CompleteRun(router, 3, first, "its own")
 
-	unknown := interpreter.StartBook(router, 2, "strange") // the interpreter does not know it: its key is free
+	unknown := interpreter.StartBook(router, 2, "strange") // the interpreter reports it as unknown, which frees its key
 	interpreter.SendUnknownRequest(unknown)
 	router.ExpectResponse(2, 500, "")
 	interpreter.StartBook(router, 2, "strange")
 	interpreter.CompleteRun(router, 1, inFlight, "h")
 }
 
-// A request that is not complete in time is answered with 408, one that is too long with 413, and another request on
-// the connection goes on. A connection without a complete request, or with half a record, is closed.
+// A request that is not complete in time is answered with 408 and one whose body is too long with 413, while another
+// request on the same connection continues. A connection that never sends a complete request is closed, and so is one
+// that leaves a record incomplete.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	incompleteOnly := server.ConnectRouter()
@@ -207,13 +212,14 @@
 		emulator.FastCGIRecord(1, 8, "\x00\x01\x01\x00\x00\x00\x00\x00"),
 		emulator.FastCGIRecord(4, 8, ""),
 		emulator.FastCGIRecord(5, 8, strings.Repeat("x", 9000))))
-	router.ExpectResponse(8, 413, "") // before the end of the request has come
+	router.ExpectResponse(8, 413, "") // the response comes before the end of the request is sent
 	interpreter.CompleteRun(router, 1, id, "w")
-	router.WriteBytes([]byte{1, 5, 0, 7}) // half a record of no open request
+	router.WriteBytes([]byte{1, 5, 0, 7}) // half a record header for a request that is not open
 	router.RequireClosed()
 }
 
-// Requests are served whatever the number of their router is, and while the numbers of notices pass 32 bits.
+// Requests are served for router numbers up to the limit of 53 bits, and while notice numbers exceed 32 bits. Both
+// numbers grow over the life of a cluster.
 func TestCountersOfLongLivedServers(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -226,7 +232,7 @@
 	}
 }
 
-// No client waits longer than its category's deadline, however large the budget of its request is.
+// A request is answered by its category's deadline even if its budget is larger.
 func TestBudgetBeyondDeadlineIsCut(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
--- a/internal/server/requestparser.go
+++ b/internal/server/requestparser.go
@@ -10,30 +10,31 @@
 	"thistlequay/timeunit"
 )
 
-// Bounds on what a request says of itself.
+// Limits on the fields of a request.
 const (
 	maxBodyBytes    = 2 << 10
 	maxKeyBytes     = 64
 	requestIDDigits = 16
-	maxFootprintKB  = 2000 // of memory; a request must be below
-	maxRank         = 1    // of its priority; a request must be below
+	maxFootprintKB  = 2000 // exclusive limit of the memory footprint
+	maxRank         = 1    // exclusive limit of the priority rank
 
-	// maxClockSkew is how far a router's clock may be ahead.
+	// maxClockSkew is how far a router's clock may be ahead of this server's clock.
 	maxClockSkewMs = 1000
 	maxClockSkew   = maxClockSkewMs * timeunit.TicksPerMillisecond
 
-	// maxBudgetInDeadlines: a router that would wait for more deadlines than so many cannot mean it.
+	// maxBudgetInDeadlines limits a request's budget to a multiple of its category's deadline. A larger budget must be
+	// a mistake.
 	maxBudgetInDeadlines = 2
 
-	// routerNumberBits bounds a router's number. New routers come for ever, and a larger number is no whole number in
-	// the settings' JSON.
+	// routerNumberBits limits a router's number to 53 bits. The numbers keep growing as routers are added, and JSON, as
+	// used for the settings, represents integers exactly only up to that size.
 	routerNumberBits = 53
 )
 
-// pathPrefix is what the path of a request has before the name of its category.
+// pathPrefix is the part of a request's path before the name of its category.
 var pathPrefix = []byte("/rpc/")
 
-// The fields of a request, in the order of fieldNames.
+// Indexes of a request's fields in fieldNames and fieldValues.
 const (
 	fieldPath = iota
 	fieldMethod
@@ -50,17 +51,18 @@
 	fieldCount
 )
 
-// fieldNames are the fields' names in FastCGI.
+// fieldNames holds the FastCGI parameter names of the fields.
 var fieldNames = []string{
 	"SCRIPT_NAME", "REQUEST_METHOD", "CONTENT_LENGTH", "HTTP_REQUEST_ID", "HTTP_RECEIVED_AT", "HTTP_SENT_BY",
 	"HTTP_ACCOUNT", "HTTP_BUDGET_MS", "HTTP_FOOTPRINT_KB", "HTTP_PRIORITY_RANK", "HTTP_ONCE_KEY", "REMOTE_ADDR",
 }
 
-// fieldValues are a request's fields as they came, nil for one that did not. They lie in the parser's buffer.
+// fieldValues holds the unparsed values of a request's fields; the value of a missing field is nil. The values point
+// into the parser's buffer.
 type fieldValues [fieldCount][]byte
 
-// parse makes a request of the fields, or returns the statusError that tells what is wrong with the first wrong one.
-// The settings are the measure: nothing that they do not know, or that no router could mean, reaches admission.
+// parse returns the request that a stream contains, or a statusError for the first invalid field. It checks the fields
+// against the settings, so that no unknown category or tenant and no implausible value reaches admission.
 func (t *requestTable) parse(router *routerConnection, stream *fastcgi.Request) (*request, error) {
 	var fields fieldValues
 	hasDuplicate := stream.Params(fieldNames, fields[:])
@@ -84,7 +86,7 @@
 	return parsed, nil
 }
 
-// parseTarget reads what is to be run: category, method and body.
+// parseTarget checks path, method and body, and sets the category.
 func (t *requestTable) parseTarget(parsed *request, fields *fieldValues, body []byte) error {
 	name, hasPrefix := bytes.CutPrefix(fields[fieldPath], pathPrefix)
 	if !hasPrefix {
@@ -109,7 +111,7 @@
 	return nil
 }
 
-// parseIdentity reads which request it is and when it was received.
+// parseIdentity checks the request ID and sets the time at which the router received the request.
 func (t *requestTable) parseIdentity(parsed *request, fields *fieldValues) error {
 	_, err := strconv.ParseUint(parsed.id, 16, 64)
 	if err != nil || len(parsed.id) != requestIDDigits {
@@ -119,7 +121,7 @@
 		return errRequestIDInUse
 	}
 	receivedAtMs, err := strconv.ParseInt(string(fields[fieldReceivedAt]), 10, 64)
-	offset := t.server.clock.systemOffset // routers go by the system's clock
+	offset := t.server.clock.systemOffset // routers use the system clock
 	nowMs := (t.server.now + offset).Milliseconds()
 	if err != nil || receivedAtMs < 0 || receivedAtMs > nowMs+maxClockSkewMs {
 		return errReceivedAt
@@ -128,7 +130,8 @@
 	return nil
 }
 
-// parseLimits reads how long the router waits, which router it is, and what the request may take.
+// parseLimits checks the fields that limit or classify the request: budget, sender, memory footprint, priority rank,
+// account and idempotency key. It sets the deadline.
 func (t *requestTable) parseLimits(parsed *request, fields *fieldValues) error {
 	settings := t.server.config.Settings
 	category := &settings.Categories[parsed.category]
@@ -157,14 +160,14 @@
 		return errOnceKey
 	}
 	parsed.key = key
-	// No answer counts after that, whoever waits.
+	// A response after the category's deadline is of no use, however large the budget is.
 	parsed.deadline = parsed.receivedAt + min(deployment.RoundDown(budget), category.Deadline)
 	parsed.arrival.Router = int(sender)
 	parsed.arrival.QueuedKB = footprint
 	return nil
 }
 
-// parseNumber reads a figure that must lie from least up to below end.
+// parseNumber parses a number and reports whether it is valid, which means at least least and below end.
 func parseNumber(text []byte, least, end float64) (float64, bool) {
 	number, err := strconv.ParseFloat(string(text), 64)
 	return number, err == nil && number >= least && number < end
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -12,22 +12,23 @@
 	"thistlequay/internal/recovery"
 )
 
-// requestTable holds the requests in hand and the idempotency table. It implements admission.Host: it carries out what
-// admission decides, see admissionhost.go. By itself it answers only the end of a run, and what never reaches
-// admission; it must never answer twice, and never decide what is run or rejected.
+// requestTable holds the requests in progress and the idempotency table. It implements admission.Host (see
+// admissionhost.go) and carries out admission's decisions. On its own it answers only requests whose run has ended and
+// requests that never reach admission. It must not answer a request twice, nor decide which requests are run or
+// rejected.
 type requestTable struct {
 	server    *Server
-	slots     []*request // by admission.Request.ID
+	slots     []*request // indexed by admission.Request.ID
 	freeSlots []uint64
-	byID      map[string]*request // by the router's ID; the interpreter and the index know no other
+	byID      map[string]*request // by the ID from the router, which the interpreter and the index use as well
 
-	entries map[string]*idempotencyEntry // the idempotency table, see idempotency.go
+	entries map[string]*idempotencyEntry // idempotency table, see idempotency.go
 
-	dueSharers   []*request // that share a result which is there, or will not come
-	doubtfulRuns []*request // answered, and whether they run is in doubt
+	dueSharers   []*request // requests whose shared result is available or will never be
+	doubtfulRuns []*request // requests without a recipient whose run may never have started
 
-	wakeupTimer timer // admission's
-	invalid     int   // requests that could not be accepted
+	wakeupTimer timer // fires the wakeup that admission has scheduled
+	invalid     int   // number of requests answered with a statusError
 }
 
 func (t *requestTable) init(server *Server) {
@@ -37,10 +38,11 @@
 	t.wakeupTimer.fire = server.interpreter.onWakeup
 }
 
-// count returns how many requests are in hand.
+// count returns the number of requests in progress.
 func (t *requestTable) count() int { return len(t.byID) }
 
-// accept takes a complete request. One that cannot be accepted is answered with a status that says why.
+// accept handles a complete request: it parses the request and passes it to the plug-ins or on to admission. An invalid
+// request is answered with a status that states the reason.
 func (t *requestTable) accept(router *routerConnection, stream *fastcgi.Request) {
 	accepted, err := t.parse(router, stream)
 	if err != nil {
@@ -55,7 +57,7 @@
 	accepted.router = router
 	accepted.stream = stream
 	accepted.acceptedAt = t.server.now
-	accepted.body = bytes.Clone(stream.Body) // the parser's buffer is much larger
+	accepted.body = bytes.Clone(stream.Body) // a copy, because the parser's buffer is much larger
 	stream.Owner = accepted
 	t.byID[accepted.id] = accepted
 	t.server.plugins.attach(accepted)
@@ -70,11 +72,11 @@
 	}
 }
 
-// respondInvalid answers a request that cannot be accepted.
+// respondInvalid answers an invalid request with the status of reason, which must be a statusError.
 func (t *requestTable) respondInvalid(router *routerConnection, stream *fastcgi.Request, reason error) {
 	var invalid *statusError
 	if !errors.As(reason, &invalid) {
-		t.server.checkInvariant(false, "a request was refused without a status")
+		t.server.checkInvariant(false, "an invalid request has no status")
 		return
 	}
 	t.logInvalid(invalid.status)
@@ -87,16 +89,16 @@
 	}
 }
 
-// evaluate shows a request to the plug-ins. Its memory counts meanwhile.
+// evaluate passes a request to the plug-ins. Its memory is reserved with admission until they are done.
 func (t *requestTable) evaluate(shown *request) {
-	shown.key = bytes.Clone(shown.key) // the parser's buffer is used again
+	shown.key = bytes.Clone(shown.key) // the parser's buffer will be reused
 	shown.tenant = bytes.Clone(shown.tenant)
 	t.server.admission.ReserveMemory(shown.arrival.QueuedKB)
 	t.server.plugins.evaluateRequest(shown, func(evaluation *chain.Evaluation) { t.pluginsDone(shown, evaluation) })
 }
 
-// pluginsDone is called when the plug-ins are through with a request. What they rejected is answered, unless it repeats
-// what is queued or ran: that is not rejected, whatever they say.
+// pluginsDone handles the plug-ins' evaluation of a request. A rejected request is answered with the plug-in's status.
+// A repeat of a request that is queued or has run is never rejected, whatever the evaluation says.
 func (t *requestTable) pluginsDone(shown *request, evaluation *chain.Evaluation) {
 	t.server.admission.ReserveMemory(-shown.arrival.QueuedKB)
 	if shown.router == nil {
@@ -118,20 +120,20 @@
 	t.admitOnceDurable(shown, tenant)
 }
 
-// remove forgets a request that admission has released, or that will never be admission's.
+// remove removes a request that admission has released or that will never be handed to admission.
 func (t *requestTable) remove(removed *request) {
 	delete(t.byID, removed.id)
 	t.server.plugins.detach(removed)
 }
 
-// admitOnceDurable hands a request to admission, once what must be written before that has been.
+// admitOnceDurable hands a request to admission, after its intent record is durable if it needs one.
 func (t *requestTable) admitOnceDurable(accepted *request, tenant []byte) {
 	if !t.server.recovery.deferForIntent(accepted, tenant) {
 		t.handToAdmission(accepted, tenant)
 	}
 }
 
-// handToAdmission hands a request to admission, which may run, queue or reject it within this call.
+// handToAdmission hands a request to admission, which may run, queue or reject it before this method returns.
 func (t *requestTable) handToAdmission(admitted *request, tenant []byte) {
 	key := t.idempotencyKey(admitted)
 	var existing *idempotencyEntry
@@ -146,9 +148,10 @@
 	}
 	arrival := admitted.arrival
 	arrival.UnreadTime = max(0, t.server.now-admitted.receivedAt)
-	arrival.TimeLeft = max(1, admitted.deadline-t.server.now) // admission decides, however little is left
+	// Admission also decides on a request whose deadline has passed. A TimeLeft of 0 would mean that it is not known.
+	arrival.TimeLeft = max(1, admitted.deadline-t.server.now)
 	t.server.fairQueue.reserve(admitted, tenant, &arrival)
-	admitted.key = nil // the parser's buffer is used again
+	admitted.key = nil // the parser's buffer will be reused
 	admitted.tenant = nil
 	admitted.recoveryKey = key
 	t.assignSlot(admitted)
@@ -166,8 +169,8 @@
 	}
 }
 
-// respondKeyReused answers a request whose key came before with another body. It neither shares the result nor takes
-// the place of the request that the key is of.
+// respondKeyReused answers a request whose idempotency key was used before with another body. The request neither
+// shares the result of the earlier request nor replaces it.
 func (t *requestTable) respondKeyReused(refused *request) {
 	t.logInvalid(errKeyReused.status)
 	t.server.recovery.conclude(refused, recovery.KindCancellation, false, nil)
@@ -186,11 +189,11 @@
 	t.slots = append(t.slots, admitted)
 }
 
-// unsettled reports whether settle has something to do.
+// unsettled reports whether settle has work to do.
 func (t *requestTable) unsettled() bool { return len(t.dueSharers)+len(t.doubtfulRuns) > 0 }
 
-// settle answers the requests that share a result, once the run that they share is over, and ends runs that nobody
-// waits for and that may never have begun: else they would hold their place for ever.
+// settle answers requests that share a result once the shared run has ended. It also ends runs that nobody waits for
+// and that may never have started; otherwise they would count as running forever.
 func (t *requestTable) settle() {
 	for _, doubtful := range t.doubtfulRuns {
 		if !doubtful.closed && !doubtful.runConfirmed {
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -6,8 +6,8 @@
 	"thistlequay/timeunit"
 )
 
-// The status lines that a router may be answered, apart from those of requests that cannot be accepted (see
-// statusError). Routers compare them: a change is a change of the protocol.
+// Status lines of responses to routers, apart from those for invalid requests (see statusError). Routers compare them,
+// so a change to one of them is a change to the protocol.
 const (
 	statusOK              = "200 OK"
 	statusRequestTimeout  = "408 Not whole in time"
@@ -18,15 +18,15 @@
 	statusStarting        = "503 Starting"
 	statusLeaving         = "503 Leaving"
 
-	// statusRejectedByPlugin follows the number that the plug-in chose.
+	// statusRejectedByPlugin is appended to the status code that the plug-in chose.
 	statusRejectedByPlugin = " Declined by a plug-in"
 )
 
-// finalRejectionHeader tells the router that no other server would accept the request either.
+// finalRejectionHeader tells the router not to retry on another server, as no other would accept the request either.
 const finalRejectionHeader = "Final-Refusal: 1\r\n"
 
-// retryAfterHeader tells the router how long to stay away, in whole milliseconds rounded up; it is empty for not at
-// all.
+// retryAfterHeader returns the header that tells the router how long to wait before a retry, in milliseconds and
+// rounded up. It returns an empty string if retryAfter is not positive.
 func retryAfterHeader(retryAfter timeunit.Ticks) string {
 	if retryAfter <= 0 {
 		return ""
@@ -35,13 +35,13 @@
 	return "Back-Off-Ms: " + strconv.FormatInt(roundedUp.Milliseconds(), 10) + "\r\n"
 }
 
-// statusError says why a request cannot be accepted, in the status line of its answer.
+// statusError is the error for an invalid request. It holds the status line of the response.
 type statusError struct{ status string }
 
 // Error implements error.
 func (e *statusError) Error() string { return e.status }
 
-// What a request may be answered with that is not accepted, in the order in which it is looked for.
+// Errors for invalid requests, in the order in which they are checked.
 var (
 	errUnknownPath     = &statusError{"404 Unknown path"}
 	errUnknownCategory = &statusError{"404 Unknown category"}
@@ -59,6 +59,6 @@
 	errAccount         = &statusError{"400 Account"}
 	errOnceKey         = &statusError{"400 Once-Key"}
 
-	// errKeyReused: the idempotency key came before, with another body.
+	// errKeyReused means that the idempotency key was used before with another body.
 	errKeyReused = &statusError{"422 Once-Key with another body"}
 )
--- a/internal/server/routerconnection.go
+++ b/internal/server/routerconnection.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// firstRequestTimeout: a new connection that sends no complete request for so long is closed.
+	// firstRequestTimeout is the time after which a new connection that has not sent a complete request is closed.
 	firstRequestTimeout = 2 * second
 
-	// requestReadTimeout: a request that is not complete after one to two of these is answered as it is.
+	// requestReadTimeout is the interval of the check for incomplete requests. A request that is still incomplete at
+	// its second check, so after one to two intervals, is answered with statusRequestTimeout.
 	requestReadTimeout = 1 * second
 )
 
-// connectionState is where a router's connection is in its life.
+// connectionState is the state of a router connection.
 type connectionState int
 
 const (
-	connectionNew    connectionState = iota // it have not sent a complete request yet
-	connectionActive                        // it did, and carries something
-	connectionIdle                          // it did, and carries nothing
-	connectionEnding                        // it ends once no request is open on it
+	connectionNew    connectionState = iota // has not sent a complete request yet
+	connectionActive                        // has sent a complete request, and a request is open or being read
+	connectionIdle                          // has sent a complete request, and none is open or being read
+	connectionEnding                        // closes once no request is open
 	connectionClosed
 )
 
-// routerConnection is one connection from a router.
+// routerConnection handles a connection from a router.
 type routerConnection struct {
 	outputBuffer
 	parser       fastcgi.Parser
 	state        connectionState
-	stateSince   timeunit.Ticks // that it is new, or idle
-	tableElement *list.Element  // in the list of all
-	stateElement *list.Element  // in the list of new or of idle connections
+	stateSince   timeunit.Ticks // when the connection became new or idle
+	tableElement *list.Element  // in routerTable.all
+	stateElement *list.Element  // in routerTable.newConnections or idleConnections
 
 	requestTimer  timer
-	wasIncomplete bool // at the timer before this one, and no complete request has come since
+	wasIncomplete bool // a request was incomplete when requestTimer last fired, and none has been completed since
 
-	peerIP netip.Addr // the other end; read when tenants go by it
+	peerIP netip.Addr // set by peerAddress
 }
 
-// transition changes the state and keeps the lists of new and idle connections.
+// transition changes the state and updates the lists of new and idle connections.
 func (c *routerConnection) transition(to connectionState) {
 	if c.state == to || c.state == connectionClosed {
 		return
@@ -71,7 +72,8 @@
 	}
 }
 
-// updateState has the connection become idle, or end, where nothing is open on it.
+// updateState makes an active connection idle, or ending once the server is closing connections, if it carries nothing.
+// It closes an ending connection on which no request is open.
 func (c *routerConnection) updateState() {
 	switch {
 	case c.conn == nil:
@@ -86,13 +88,13 @@
 	}
 }
 
-// closeAtEndOfBatch closes the connection once what is owed has gone out.
+// closeAtEndOfBatch closes the connection after its output has been written at the end of the batch.
 func (c *routerConnection) closeAtEndOfBatch() {
-	c.buffer() // it is written, and closed, also where nothing is owed
+	c.buffer() // schedules the write, and with it the close, even if there is no output
 	c.closeAfterWrite = true
 }
 
-// peerAddress returns the other end's address.
+// peerAddress returns the peer's IP address, and caches it.
 func (c *routerConnection) peerAddress() netip.Addr {
 	address, isTCP := c.conn.RemoteAddr().(*net.TCPAddr)
 	if isTCP && !c.peerIP.IsValid() {
@@ -113,7 +115,7 @@
 }
 
 func (c *routerConnection) receive(data []byte) error {
-	if c.closeAfterWrite { // it crosses the end, which comes with this batch
+	if c.closeAfterWrite { // the data crossed the close, which happens at the end of this batch
 		return nil
 	}
 	if c.state == connectionIdle {
@@ -129,8 +131,9 @@
 	return nil
 }
 
-// onRequestTimeout answers requests that are not complete in time, and closes a connection that has nothing else open
-// and completes none: otherwise a client that sends a little at a time would keep its place and buffers for ever.
+// onRequestTimeout answers requests that are not complete in time. It closes the connection if no request is open and
+// none has been completed in time; otherwise a client that sends a few bytes at a time could occupy the connection and
+// its buffers forever.
 func (c *routerConnection) onRequestTimeout() {
 	for _, incomplete := range c.parser.IncompleteRequests() {
 		if incomplete.Overdue || c.state == connectionNew {
--- a/internal/server/routerrequests.go
+++ b/internal/server/routerrequests.go
@@ -2,9 +2,9 @@
 
 import "thistlequay/internal/fastcgi"
 
-// The methods by which a routerConnection implements fastcgi.Handler.
+// This file implements fastcgi.Handler for routerConnection.
 
-// healthPath is where health checks ask.
+// healthPath is the path of health checks.
 const healthPath = "/health"
 
 // AcquireBuffer implements fastcgi.Handler.
@@ -13,15 +13,15 @@
 // ReleaseBuffer implements fastcgi.Handler.
 func (c *routerConnection) ReleaseBuffer(buffer []byte) { c.server.buffers.give(buffer) }
 
-// Send implements fastcgi.Handler: records that the parser itself answers with.
+// Send implements fastcgi.Handler: it sends records with which the parser itself responds.
 func (c *routerConnection) Send(records []byte) { c.output = append(c.buffer(), records...) }
 
-// HasCapacity implements fastcgi.Handler: whether the parser may begin a further request.
+// HasCapacity implements fastcgi.Handler: it reports whether the parser may start another request.
 func (c *routerConnection) HasCapacity() bool { return c.server.buffers.inUse < c.server.buffers.limit }
 
-// HandleRequest implements fastcgi.Handler: a request is complete.
+// HandleRequest implements fastcgi.Handler: it handles a complete request.
 func (c *routerConnection) HandleRequest(stream *fastcgi.Request) {
-	if c.closeAfterWrite { // it came behind the one that wanted the connection closed, and is never run
+	if c.closeAfterWrite { // the request follows the one that asked for the close, and is never run
 		return
 	}
 	c.wasIncomplete = false
@@ -44,12 +44,12 @@
 	c.respond(stream, status, "", nil)
 }
 
-// HandleBodyTooLong implements fastcgi.Handler: a body is beyond what the parser holds.
+// HandleBodyTooLong implements fastcgi.Handler: it answers a request whose body exceeds the parser's limit.
 func (c *routerConnection) HandleBodyTooLong(stream *fastcgi.Request) {
 	c.respond(stream, errBodyTooLong.status, "", nil)
 }
 
-// HandleAbort implements fastcgi.Handler: the router wants no answer any more.
+// HandleAbort implements fastcgi.Handler: it cancels a request that the router has aborted and ends its stream.
 func (c *routerConnection) HandleAbort(stream *fastcgi.Request) {
 	if accepted, isAccepted := stream.Owner.(*request); isAccepted {
 		accepted.routerGone()
@@ -58,8 +58,8 @@
 	c.finishRequest(stream)
 }
 
-// respond writes the one answer to an open request: the status line, the load report, further headers, each ended by
-// CRLF, and the body.
+// respond writes the only response to an open request. It consists of the status line, the load report, the given
+// headers, each ended by CRLF, and the body.
 func (c *routerConnection) respond(stream *fastcgi.Request, status, headers string, body []byte) {
 	content := c.server.buffers.take()
 	content = append(content, "Status: "...)
@@ -79,7 +79,7 @@
 	stream.Owner = nil
 	c.parser.Finish(stream, c)
 	if !stream.KeepConnection {
-		c.transition(connectionEnding) // what else is open on it is answered first
+		c.transition(connectionEnding) // other open requests are answered first
 	}
 	c.updateState()
 }
--- a/internal/server/routertable.go
+++ b/internal/server/routertable.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// newConnectionGrace protects a new connection from eviction: its first request may be on the way.
+	// newConnectionGrace is how long a new connection is protected from eviction, as its first request may be on the
+	// way.
 	newConnectionGrace = second / 10
 
-	// newConnectionDivisor: the grace ends where connections without a request take up more than one place in so many.
+	// newConnectionDivisor suspends that protection while connections that have not sent a complete request take up
+	// more than 1/4 of the table.
 	newConnectionDivisor = 4
 )
 
-// routerTable holds the connections that routers open, and whoever else connects. It must never close one that carries
-// a complete request, nor act on what a request is about.
+// routerTable holds the connections of routers and of any other client that connects. To make room, it must not close a
+// connection with a complete request on it. It does not look into requests.
 type routerTable struct {
 	server          *Server
 	openCount       int
 	maxConnections  int
 	all             *list.List // of *routerConnection
-	newConnections  *list.List // of those that have not sent a complete request yet, the oldest first
-	idleConnections *list.List // of those that did and carry nothing, the longest idle first
+	newConnections  *list.List // connections in connectionNew, oldest first
+	idleConnections *list.List // connections in connectionIdle, longest idle first
 	idleTimeout     timeunit.Ticks
 	idleTimer       timer
 
-	admissionHealthy bool   // what admission says of the server's health
-	loadReportHeader string // of every answer; empty until admission says a value
+	admissionHealthy bool   // health that admission reported
+	loadReportHeader string // sent with every response; empty until admission reports a value
 
-	rejected   int // connections for which there was no room
-	evicted    int // connections closed to make room
-	incomplete int // connections closed as no complete request came
+	rejected   int // number of connections rejected because the table was full
+	evicted    int // number of connections closed to make room
+	incomplete int // number of connections closed because no complete request arrived in time
 }
 
 func (t *routerTable) init(server *Server) {
@@ -43,14 +45,14 @@
 	t.idleTimeout = noDeadline
 	t.admissionHealthy = true
 	server.closing.reserved = max(1, server.config.MaxSockets/lingerDescriptorDivisor)
-	// A dial to the index takes two descriptors for a moment.
+	// A dial to the index briefly uses two descriptors.
 	others := reservedDescriptors + 2*server.index.maxConnections + server.closing.reserved
 	t.maxConnections = max(1, server.config.MaxSockets-others)
 	t.idleTimer.fire = t.closeIdle
 }
 
-// accept returns the handler of a new connection, or nil where there is no room. In a full table it makes room if it
-// can: silent connections, and such as asked once and stay, must not keep routers out.
+// accept returns the handler for a new connection, or nil if there is no room. If the table is full, it tries to evict
+// a connection, so that clients that send nothing, or stay connected after one request, cannot keep routers out.
 func (t *routerTable) accept() connectionHandler {
 	if t.openCount >= t.maxConnections && !t.evict() {
 		return nil
@@ -59,7 +61,7 @@
 	return &routerConnection{outputBuffer: outputBuffer{server: t.server, maxUnread: maxUnreadPerRouter}}
 }
 
-// evict closes one connection for a new one and reports whether there was one to close.
+// evict closes one connection to make room for a new one, and reports whether it found one to close.
 func (t *routerTable) evict() bool {
 	candidate := t.evictionCandidate()
 	if candidate == nil {
@@ -75,8 +77,9 @@
 	return true
 }
 
-// evictionCandidate returns the connection whose place goes to a new one: one that never sent a complete request,
-// unless that may be on its way, else the one that is idle longest, or nil where all carry something.
+// evictionCandidate returns the connection to evict, or nil if all connections carry requests. It prefers the oldest
+// connection that has not sent a complete request, unless newConnectionGrace protects it, and otherwise returns the
+// connection that has been idle longest.
 func (t *routerTable) evictionCandidate() *routerConnection {
 	oldestNew := t.newConnections.Front()
 	longestIdle := t.idleConnections.Front()
@@ -94,7 +97,7 @@
 	return nil
 }
 
-// closeIdle closes what has been idle for too long and sets the timer for the next.
+// closeIdle closes connections that have been idle for idleTimeout, and sets the timer for the next one.
 func (t *routerTable) closeIdle() {
 	for {
 		front := t.idleConnections.Front()
@@ -110,8 +113,8 @@
 	}
 }
 
-// closeAllIdle is the first step of the end: what carries nothing, or soon carries nothing, goes while there is time to
-// end it well.
+// closeAllIdle closes all idle connections, as the first step of a shutdown in which connections close. Connections
+// that become idle later are closed by updateState. Both happen early enough for a graceful close.
 func (t *routerTable) closeAllIdle() {
 	for {
 		front := t.idleConnections.Front()
@@ -122,7 +125,8 @@
 	}
 }
 
-// closeAll is the last step: no answer is owed any more. Half a request that lies here never ran.
+// closeAll closes all connections, as the last step of a shutdown. By then all requests have been answered; a request
+// that was received only in part has never run.
 func (t *routerTable) closeAll() {
 	for element := t.all.Front(); element != nil; {
 		connection := element.Value.(*routerConnection)
@@ -131,7 +135,7 @@
 	}
 }
 
-// setLoadReport sets the value that every answer from now on tells its router.
+// setLoadReport sets the load report that is sent with every response from now on.
 func (t *routerTable) setLoadReport(value float64) {
 	t.loadReportHeader = "Server-Hint: " + strconv.FormatFloat(value, 'f', -1, 64) + "\r\n"
 }
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -20,34 +20,35 @@
 	indexReplies      = []string{"HIT 2\r\nok", "SHED", "BROKEN", "SLOW", "NOBODY"}
 )
 
-// sequence is a server that is driven by a sequence of random events, and the history of them.
+// sequence drives a server with a sequence of random events and tracks what was sent and run.
 type sequence struct {
 	*testing.T
 	server  *Server
 	routers []*routerConnection
-	observe func(values ...any) // called with all output, and with figures after each batch
+	observe func(values ...any) // called with all output, and with statistics after each batch
 
-	streams  int // opened, by all routers
-	requests int // besides the first
+	streams  int // number of FastCGI requests that the routers have opened
+	requests int // number of requests sent after the first
 	notices  int
 	attempts map[string]*attempt     // by request ID
-	lastRun  map[byte]timeunit.Ticks // when the attempt that ran last was received, by key
-	numbers  map[*outputBuffer]int   // of connections, in the order of their first output
+	lastRun  map[byte]timeunit.Ticks // Received-At of the attempt that ran last, by idempotency key
+	numbers  map[*outputBuffer]int   // connection numbers, in the order of the first output
 }
 
-// attempt is one request that was sent.
+// attempt is a request that was sent to the server.
 type attempt struct {
 	key        byte
 	receivedAt timeunit.Ticks
 	hasRun     bool
 }
 
-// playSequence plays a sequence of events that data chooses. In the end every request must have had exactly one
-// response, and no idempotency key more than one run.
+// playSequence plays the sequence of events that data encodes, two bytes for each event. At the end, every request must
+// have had exactly one response, and no idempotency key more than one run within its deduplication window.
 func playSequence(t *testing.T, data []byte) { playObserved(t, data, false, func(...any) {}) }
 
-// playObserved is playSequence with all output observed. If isRepeatable, the output is the same each time: then the
-// interpreter's link breaks or is restored only with one open request at most, as several are visited in no order.
+// playObserved is like playSequence and passes all output to observe. If isRepeatable is set, the same data always
+// produces the same output: the interpreter's link then breaks or is restored only while at most one request is open,
+// because the server visits several in map order, which is random.
 func playObserved(t *testing.T, data []byte, isRepeatable bool, observe func(...any)) {
 	t.Helper()
 	server, first := newRunningServer(t)
@@ -63,14 +64,14 @@
 		lastRun:  map[byte]timeunit.Ticks{},
 		numbers:  map[*outputBuffer]int{},
 	}
-	p.endBatch() // the first run's command is written before any notice of it
+	p.endBatch() // sends the command of the first run before any notice about it can arrive
 	for len(data) >= 2 {
 		p.event(data[0]%10, data[1], isRepeatable)
 		p.endBatch()
 		p.pass(timeunit.Ticks(data[1]) * 4)
 		data = data[2:]
 	}
-	for range 900 { // every response is due by then
+	for range 900 { // 9 s, which exceeds the deadline of every request
 		p.pass(100)
 	}
 	for _, router := range p.routers {
@@ -79,7 +80,7 @@
 	require.Zero(t, server.brokenInvariants)
 }
 
-// event plays one event; choice selects among the possible events of the kind.
+// event plays one event of the given kind; choice selects its details.
 func (p *sequence) event(kind, choice byte, isRepeatable bool) {
 	router := p.routers[choice%2]
 	chosen := p.pick(choice)
@@ -110,7 +111,7 @@
 	}
 }
 
-// pick returns an open request, the same each time, or nil.
+// pick returns the open request that choice selects, or nil if none is open. The selection is deterministic.
 func (p *sequence) pick(choice byte) *request {
 	for i := 0; i <= p.requests; i++ {
 		number := (i + int(choice)) % (p.requests + 1)
@@ -123,7 +124,7 @@
 
 func (p *sequence) hasLink() bool { return p.server.interpreter.conn != nil }
 
-// sendRequest has a router send a request with one of three keys.
+// sendRequest sends a request from a router with one of three idempotency keys.
 func (p *sequence) sendRequest(router *routerConnection, choice byte) {
 	if router.conn == nil || router.parser.OpenRequests() == fastcgi.MaxOpenRequests || p.streams > 200 {
 		return
@@ -136,14 +137,14 @@
 	records := bytes.ReplaceAll([]byte(wholeRequest), []byte(firstID), []byte(id))
 	records = bytes.Replace(records, []byte("HTTP_ONCE_KEYk"), fmt.Appendf(nil, "HTTP_ONCE_KEY%c", key), 1)
 	records = bytes.Replace(records, []byte("1000000"), fmt.Appendf(nil, "%07d", p.server.now/10), 1)
-	for at := 0; at < len(records); at += 8 + int(records[at+5]) { // each record bears the stream's number
+	for at := 0; at < len(records); at += 8 + int(records[at+5]) { // sets the FastCGI request ID of each record
 		records[at+2] = byte(p.streams >> 8)
 		records[at+3] = byte(p.streams)
 	}
 	feed(p.T, router, string(records))
 }
 
-// abort has the router of a request abort it.
+// abort sends an abort of the request from its router.
 func (p *sequence) abort(aborted *request) {
 	if aborted == nil || aborted.router == nil {
 		return
@@ -152,7 +153,7 @@
 	feed(p.T, aborted.router, string([]byte{1, 2, byte(stream >> 8), byte(stream), 0, 0, 0, 0}))
 }
 
-// endRun has the interpreter report the end of a run.
+// endRun sends the interpreter's notice that a run has ended.
 func (p *sequence) endRun(ended *request, state string) {
 	if ended == nil || !ended.runSent || !p.hasLink() {
 		return
@@ -165,7 +166,7 @@
 		p.notices, ended.id, state)
 }
 
-// indexEvent has the index reply to the call of a request, or opens or closes its connection.
+// indexEvent sends the index's reply to a request's downstream call, or opens or closes the call's connection.
 func (p *sequence) indexEvent(caller *request, choice byte) {
 	if caller == nil || caller.call == nil || caller.call.connection == nil {
 		return
@@ -193,13 +194,13 @@
 	notify(p.T, p.server, `{"type":"BANNER","state":"WARM","took":1}`)
 }
 
-// pass advances the time, as after a standstill: the steps are long.
+// pass advances the time in one step and ends the batch. Late timers fire as they do after a standstill.
 func (p *sequence) pass(span timeunit.Ticks) {
 	advanceTime(p.server, span)
 	p.endBatch()
 }
 
-// endBatch dispatches until that has no further effect, and discards all output.
+// endBatch dispatches three times, after which a dispatch has no further effect, and then discards all output.
 func (p *sequence) endBatch() {
 	server := p.server
 	for range 3 {
@@ -229,8 +230,8 @@
 	p.observe(p.numbers[of], string(of.output))
 }
 
-// takeCommands acts as the interpreter: it starts runs and answers queries for the gauges, in that order. A command to
-// run has no effect if its request runs or has run.
+// takeCommands acts as the interpreter on the commands that the server has sent: it first starts runs and then answers
+// queries for the gauges. A run command has no effect if the request is running or has run.
 func (p *sequence) takeCommands() {
 	p.observeOutput(&p.server.interpreter.outputBuffer)
 	output := takeOutput(&p.server.interpreter.outputBuffer)
