--- a/internal/server/admissionhost.go
+++ b/internal/server/admissionhost.go
@@ -12,22 +12,22 @@
 // lookup returns the request that belongs to a handle. It also stores the handle in the request, because Enqueue may
 // call the host before it has returned the handle.
 func (t *requestTable) lookup(handle *admission.Request) *request {
-	found := t.slots[handle.ID]
-	found.handle = handle
-	return found
+	req := t.slots[handle.ID]
+	req.handle = handle
+	return req
 }
 
 // Run implements admission.Host: it sends the request to the interpreter to be run.
 func (t *requestTable) Run(handle *admission.Request) {
-	started := t.lookup(handle)
-	t.server.checkInvariant(!started.runStarted && !started.sharesResult, "a request is run twice")
-	started.runStarted = true
-	started.reservation.Start(t.server.now)
-	if started.entry != nil {
-		t.server.checkInvariant(!started.entry.ran, "a request with the same idempotency key is run twice")
-		started.entry.ran = true
+	req := t.lookup(handle)
+	t.server.checkInvariant(!req.runStarted && !req.sharesResult, "a request is run twice")
+	req.runStarted = true
+	req.reservation.Start(t.server.now)
+	if req.entry != nil {
+		t.server.checkInvariant(!req.entry.ran, "two requests with the same idempotency key are run")
+		req.entry.ran = true
 	}
-	t.server.interpreter.run(started)
+	t.server.interpreter.run(req)
 }
 
 // ShareResult implements admission.Host: the request is answered with the result of the attempt that it repeats, at
@@ -47,25 +47,25 @@
 // Reject implements admission.Host: it answers the request with statusRejected and a time to stay away. During a
 // shutdown the fair scheduler does not adjust that time.
 func (t *requestTable) Reject(handle *admission.Request, retryAfter timeunit.Ticks, isFinal bool) {
-	rejected := t.lookup(handle)
-	isOpen := !rejected.runStarted && rejected.router != nil
+	req := t.lookup(handle)
+	isOpen := !req.runStarted && req.router != nil
 	t.server.checkInvariant(isOpen, "a request is rejected after it was run or answered")
 	if t.server.shutdownDeadline == noDeadline {
 		maxRetryAfter := t.server.config.Settings.MaxRetryAfter
-		retryAfter = rejected.reservation.RetryAfter(retryAfter, maxRetryAfter, t.server.now)
+		retryAfter = req.reservation.RetryAfter(retryAfter, maxRetryAfter, t.server.now)
 	}
 	headers := retryAfterHeader(retryAfter)
 	if isFinal {
 		headers += finalRejectionHeader
 	}
-	rejected.respond(statusRejected, headers, nil)
+	req.respond(statusRejected, headers, nil)
 }
 
 // Abort implements admission.Host: it answers a request whose deadline has passed. The run may still be in progress.
 func (t *requestTable) Abort(handle *admission.Request) {
-	aborted := t.lookup(handle)
-	t.server.checkInvariant(aborted.router != nil, "a request is aborted after it was answered")
-	aborted.respond(statusAborted, "", nil)
+	req := t.lookup(handle)
+	t.server.checkInvariant(req.router != nil, "a request is aborted after it was answered")
+	req.respond(statusAborted, "", nil)
 }
 
 // StopRun implements admission.Host: it tells the interpreter to stop the run.
@@ -84,15 +84,15 @@
 	t.server.index.makeCall(t.lookup(handle), deadline)
 }
 
-// KeepEntry implements admission.Host: it keeps the idempotency entry of the request for at least span from now.
-func (t *requestTable) KeepEntry(handle *admission.Request, span timeunit.Ticks) {
+// KeepEntry implements admission.Host: it keeps the idempotency entry of the request for at least lifetime from now.
+func (t *requestTable) KeepEntry(handle *admission.Request, lifetime timeunit.Ticks) {
 	owner := t.lookup(handle)
 	entry := owner.entry
 	// The deduplication window starts at Received-At, even if that is ahead of this server's clock. Admission counts
 	// the window from when the request was read, and accounts for the entry as long as it is kept.
 	category := t.server.config.Settings.Categories[owner.category]
 	entry.matchUntil = owner.receivedAt + category.DeduplicationWindow + t.windowMargin()
-	t.server.setTimer(&entry.expiryTimer, max(t.server.now+span, owner.receivedAt+retention(category)))
+	t.server.setTimer(&entry.expiryTimer, max(t.server.now+lifetime, owner.receivedAt+retention(category)))
 }
 
 // DropEntry implements admission.Host: it removes the idempotency entry of a request that did not run, if the request
@@ -108,28 +108,28 @@
 // Release implements admission.Host: it removes a request that has been answered or cancelled and whose run, if any,
 // has ended.
 func (t *requestTable) Release(handle *admission.Request) {
-	released := t.lookup(handle)
-	released.closed = true
-	released.reservation.Release(t.server.now)
-	if released.runStarted {
-		t.server.recovery.conclude(released, recovery.KindCompletion, false, nil) // the run may have had its effect
+	req := t.lookup(handle)
+	req.isReleased = true
+	req.reservation.Release(t.server.now)
+	if req.runStarted {
+		t.server.recovery.conclude(req, recovery.KindCompletion, false, nil) // the run may have had its effect
 	} else {
-		t.server.recovery.conclude(released, recovery.KindCancellation, false, nil)
+		t.server.recovery.conclude(req, recovery.KindCancellation, false, nil)
 	}
-	t.server.checkInvariant(released.router == nil, "a request is released before it was answered")
-	t.disownEntry(released)
-	t.server.index.cancel(released)
-	t.slots[released.slot] = nil
-	t.freeSlots = append(t.freeSlots, released.slot)
-	t.remove(released)
-	released.body = nil
+	t.server.checkInvariant(req.router == nil, "a request is released before it was answered")
+	t.disownEntry(req)
+	t.server.index.cancel(req)
+	t.slots[req.slot] = nil
+	t.freeSlots = append(t.freeSlots, req.slot)
+	t.remove(req)
+	req.body = nil
 }
 
 // disownEntry removes the request as the owner of its idempotency entry. The entry is deleted if its request never ran
 // or if it has expired.
-func (t *requestTable) disownEntry(released *request) {
-	entry := released.entry
-	if entry == nil || entry.owner != released {
+func (t *requestTable) disownEntry(req *request) {
+	entry := req.entry
+	if entry == nil || entry.owner != req {
 		return
 	}
 	entry.owner = nil
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -3,8 +3,8 @@
 import "github.com/panjf2000/gnet/v2"
 
 const (
-	bufferSize      = 8 << 10
-	maxSpareBuffers = 256 // free buffers that are kept for reuse
+	bufferSize     = 8 << 10
+	maxFreeBuffers = 256 // free buffers that are kept for reuse
 
 	// bufferMemoryDivisor sets the memory for buffers to 1/16 of the memory limit. The unread output of all routers
 	// together is limited to the same amount.
@@ -21,33 +21,33 @@
 
 // bufferPool is a free list of buffers of bufferSize bytes.
 type bufferPool struct {
-	spare [][]byte
+	free  [][]byte
 	inUse int
 	limit int // number of buffers in use at which no further request is started
 }
 
-// setLimit sets the limit on buffers in use to 1/bufferMemoryDivisor of the memory, and at least to maxSpareBuffers.
+// setLimit sets the limit on buffers in use to 1/bufferMemoryDivisor of the memory, and at least to maxFreeBuffers.
 func (p *bufferPool) setLimit(memoryBytes int) {
-	p.limit = max(maxSpareBuffers, memoryBytes/bufferMemoryDivisor/bufferSize)
+	p.limit = max(maxFreeBuffers, memoryBytes/bufferMemoryDivisor/bufferSize)
 }
 
-// take returns an empty buffer from the pool, or a new one if the pool is empty.
-func (p *bufferPool) take() []byte {
+// get returns an empty buffer from the pool, or a new one if the pool is empty.
+func (p *bufferPool) get() []byte {
 	p.inUse++
-	last := len(p.spare) - 1
-	if last < 0 {
+	lastIndex := len(p.free) - 1
+	if lastIndex < 0 {
 		return make([]byte, 0, bufferSize)
 	}
-	buffer := p.spare[last]
-	p.spare = p.spare[:last]
+	buffer := p.free[lastIndex]
+	p.free = p.free[:lastIndex]
 	return buffer
 }
 
-// give returns a buffer to the pool. A buffer that has grown is left to the garbage collector.
-func (p *bufferPool) give(buffer []byte) {
+// put returns a buffer to the pool. A buffer that has grown is left to the garbage collector.
+func (p *bufferPool) put(buffer []byte) {
 	p.inUse--
-	if cap(buffer) == bufferSize && len(p.spare) < maxSpareBuffers {
-		p.spare = append(p.spare, buffer[:0])
+	if cap(buffer) == bufferSize && len(p.free) < maxFreeBuffers {
+		p.free = append(p.free, buffer[:0])
 	}
 }
 
@@ -65,7 +65,7 @@
 // The caller assigns the extended slice to output.
 func (b *outputBuffer) buffer() []byte {
 	if b.output == nil {
-		b.output = b.server.buffers.take()
+		b.output = b.server.buffers.get()
 		b.server.pendingWrites = append(b.server.pendingWrites, b)
 	}
 	return b.output
@@ -75,7 +75,7 @@
 // if closeAfterWrite is set.
 func (b *outputBuffer) flushAndRelease() {
 	b.flush()
-	b.server.buffers.give(b.output)
+	b.server.buffers.put(b.output)
 	b.output = nil
 	if b.closeAfterWrite {
 		b.closeGracefully()
@@ -111,21 +111,21 @@
 		return
 	}
 	s.unreadConnections[written] = struct{}{}
-	total, worst := s.unreadByRouters(written)
+	totalUnread, toClose := s.unreadByRouters(written)
 	if unread > written.maxUnread {
-		worst = written
-	} else if total <= s.buffers.limit*bufferSize {
+		toClose = written
+	} else if totalUnread <= s.buffers.limit*bufferSize {
 		return
 	}
 	s.unreadClosed++
-	_ = s.loop.Close(worst.conn) // not gracefully: that would keep the unread output in memory
+	_ = s.loop.Close(toClose.conn) // not gracefully: that would keep the unread output in memory
 }
 
 // unreadByRouters returns the total number of bytes that routers have left unread and the router connection with the
 // most of them, or fallback if there is no such connection.
-func (s *Server) unreadByRouters(fallback *outputBuffer) (total int, worst *outputBuffer) {
-	most := -1
-	worst = fallback
+func (s *Server) unreadByRouters(fallback *outputBuffer) (total int, largest *outputBuffer) {
+	largestUnread := -1
+	largest = fallback
 	for output := range s.unreadConnections {
 		if output.conn == nil {
 			delete(s.unreadConnections, output)
@@ -136,10 +136,10 @@
 			continue
 		}
 		total += unread
-		if unread > most {
-			most = unread
-			worst = output
+		if unread > largestUnread {
+			largestUnread = unread
+			largest = output
 		}
 	}
-	return total, worst
+	return total, largest
 }
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -30,26 +30,26 @@
 	lingerDescriptorDivisor = 32
 )
 
-// errFloodAfterEnd reports that a peer sent more than maxLingerBytes after the close began; the connection is then
+// errDataAfterShutdown reports that a peer sent more than maxLingerBytes after the close began; the connection is then
 // closed immediately.
-var errFloodAfterEnd = errors.New("too much data received after the connection was shut down")
+var errDataAfterShutdown = errors.New("too much data received after the connection was shut down")
 
 // closingConnections holds the connections that are being closed gracefully. A connection with an open request must not
 // be among them, and their number is limited; see evictClosing.
 type closingConnections struct {
-	connections list.List // of *closingConnection, oldest first
-	reserved    int       // file descriptors reserved for closing connections
+	connections         list.List // of *closingConnection, oldest first
+	reservedDescriptors int       // file descriptors reserved for closing connections
 }
 
 // closingConnection is a connection that is being closed gracefully. It replaces the connection's handler.
 type closingConnection struct {
-	server    *Server
-	conn      gnet.Conn
-	deadline  timeunit.Ticks // of the current step: flushing or lingering
-	bytesLeft int            // input that may still be discarded
-	writeShut bool
-	timer     timer
-	element   *list.Element // in closingConnections; nil once the connection is closed
+	server      *Server
+	conn        gnet.Conn
+	deadline    timeunit.Ticks // of the current step: flushing or lingering
+	bytesLeft   int            // input that may still be discarded
+	isWriteShut bool
+	timer       timer
+	element     *list.Element // in closingConnections; nil once the connection is closed
 }
 
 // closeGracefully starts the graceful close of a connection. It calls the closed method of the connection's handler
@@ -73,11 +73,11 @@
 // evictClosing closes the oldest closing connections until there is room for the given number of new connections.
 // Besides their reserved descriptors, closing connections may use those that the router table leaves free, for example
 // when all connections close at once, but only until new connections need them.
-func (s *Server) evictClosing(more int) {
-	ending := &s.closing.connections
-	limit := s.closing.reserved + s.routers.maxConnections
-	for ending.Len() > 0 && ending.Len()+s.routers.openCount+more > limit {
-		ending.Front().Value.(*closingConnection).close()
+func (s *Server) evictClosing(newConnections int) {
+	closing := &s.closing.connections
+	limit := s.closing.reservedDescriptors + s.routers.maxConnections
+	for closing.Len() > 0 && closing.Len()+s.routers.openCount+newConnections > limit {
+		closing.Front().Value.(*closingConnection).close()
 	}
 }
 
@@ -91,17 +91,17 @@
 		c.close()
 		return
 	}
-	if !c.writeShut && c.conn.OutboundBuffered() == 0 {
-		c.writeShut = true
+	if !c.isWriteShut && c.conn.OutboundBuffered() == 0 {
+		c.isWriteShut = true
 		c.deadline = c.server.now + lingerTimeout
 		// Shutdown fails if the peer has closed the connection; gnet then reports the close.
 		_ = unix.Shutdown(c.conn.Fd(), unix.SHUT_WR)
 	}
-	next := c.deadline
-	if !c.writeShut {
-		next = min(next, c.server.now+flushPollInterval)
+	nextCheck := c.deadline
+	if !c.isWriteShut {
+		nextCheck = min(nextCheck, c.server.now+flushPollInterval)
 	}
-	c.server.setTimer(&c.timer, next)
+	c.server.setTimer(&c.timer, nextCheck)
 }
 
 func (c *closingConnection) close() {
@@ -114,7 +114,7 @@
 func (c *closingConnection) receive(data []byte) error {
 	c.bytesLeft -= len(data)
 	if c.bytesLeft < 0 {
-		return errFloodAfterEnd
+		return errDataAfterShutdown
 	}
 	return nil
 }
--- a/internal/server/connection_socket_test.go
+++ b/internal/server/connection_socket_test.go
@@ -39,7 +39,7 @@
 	}
 	first := server.ConnectRouter()
 	first.ExpectHealth(1, 200)
-	before := descriptors()
+	initial := descriptors()
 	var idle []*servertest.RouterLink
 	for range 50 {
 		idle = append(idle, server.ConnectRouter())
@@ -50,7 +50,7 @@
 	for _, router := range idle {
 		router.RequireClosed()
 	}
-	server.Eventually(func() bool { return descriptors() <= before+1 }, servertest.EventTimeout, 5*time.Millisecond)
+	server.Eventually(func() bool { return descriptors() <= initial+1 }, servertest.EventTimeout, 5*time.Millisecond)
 }
 
 // The connection of a router that sends FastCGI management queries and never reads the responses is closed before its
@@ -119,9 +119,9 @@
 		if served%8 != 0 {
 			continue
 		}
-		now := server.UnreadBytes(router.Link)
-		if now > unread {
-			unread = now
+		currentUnread := server.UnreadBytes(router.Link)
+		if currentUnread > unread {
+			unread = currentUnread
 			unchanged = 0
 		} else {
 			unchanged++
@@ -156,8 +156,8 @@
 	router := server.ConnectRouter()
 	last := servertest.LastRequest(1, "/health", "", nil)
 	parameters := servertest.RequestParameters(server.NewRequestID())
-	behind := emulator.FastCGIRequest(2, "/rpc/look", "crosses", parameters)
-	router.WriteBytes(append(last, behind...))
+	following := emulator.FastCGIRequest(2, "/rpc/look", "crosses", parameters)
+	router.WriteBytes(append(last, following...))
 	router.ExpectResponse(1, 200, "")
 	server.Empty(server.ReadToEnd(router.Link))
 	interpreter.ServeOne(server.ConnectRouter(), 1, "the first to run")
@@ -198,7 +198,7 @@
 func openIdleConnections(server *servertest.Server, count int) int {
 	server.T.Helper()
 	opened := 0
-	check := emulator.FastCGIRequest(1, "/health", "", nil)
+	healthCheck := emulator.FastCGIRequest(1, "/health", "", nil)
 	for i := range count {
 		link, err := emulator.Dial(server.Listen)
 		if err != nil {
@@ -209,11 +209,11 @@
 		switch i % 4 { // failed writes are ignored, because the program may already have closed the connection
 		case 0: // sends nothing
 		case 1:
-			_, _ = link.Write(check)
+			_, _ = link.Write(healthCheck)
 		case 2:
-			_, _ = link.Write(check[:30])
+			_, _ = link.Write(healthCheck[:30])
 		case 3:
-			_, _ = link.Write(check)
+			_, _ = link.Write(healthCheck)
 			server.NoError(link.Conn.(*net.TCPConn).SetLinger(0))
 			servertest.CloseQuietly(link) // resets the connection because of SetLinger(0)
 		}
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -20,19 +20,19 @@
 // handler receives no more events from it: neither the result of a dial to an address that is no longer used, nor the
 // close of a connection that has been replaced.
 type outgoingConnection struct {
-	handler connectionHandler
-	server  *Server
-	conn    gnet.Conn // nil while dialing
-	failed  func()    // called on the event loop if the dial fails
-	dropped bool
+	handler      connectionHandler
+	server       *Server
+	conn         gnet.Conn // nil while dialing
+	onDialFailed func()    // called on the event loop if the dial fails
+	isDropped    bool
 }
 
 // dial starts connecting to an address in a separate goroutine. The event loop then passes the connection to the
-// handler, or calls failed if the dial fails.
+// handler, or calls onDialFailed if the dial fails.
 func (s *Server) dial(
-	address string, timeout time.Duration, handler connectionHandler, failed func(),
+	address string, timeout time.Duration, handler connectionHandler, onDialFailed func(),
 ) *outgoingConnection {
-	outgoing := &outgoingConnection{handler: handler, server: s, failed: failed}
+	outgoing := &outgoingConnection{handler: handler, server: s, onDialFailed: onDialFailed}
 	go func() { // ends with the dial
 		if err := s.connect(address, timeout, outgoing); err != nil {
 			s.submit(func() { outgoing.dialFailed(address, err) })
@@ -61,19 +61,19 @@
 }
 
 func (c *outgoingConnection) dialFailed(address string, err error) {
-	if c.dropped {
+	if c.isDropped {
 		return
 	}
 	if countAndSample(&c.server.failedDials) {
 		c.server.log.Event("dial_failed").Str("address", address).Str("reason", err.Error()).
 			Int("count", c.server.failedDials).Send()
 	}
-	c.failed()
+	c.onDialFailed()
 }
 
 func (c *outgoingConnection) opened(conn gnet.Conn) {
 	c.conn = conn
-	if c.dropped {
+	if c.isDropped {
 		c.server.closeGracefully(conn)
 		return
 	}
@@ -81,24 +81,24 @@
 }
 
 func (c *outgoingConnection) receive(data []byte) error {
-	if c.dropped {
+	if c.isDropped {
 		return nil
 	}
 	return c.handler.receive(data)
 }
 
 func (c *outgoingConnection) closed() {
-	if !c.dropped {
+	if !c.isDropped {
 		c.handler.closed()
 	}
 }
 
 // drop closes the connection and hides all its further events from the handler. On a nil connection it does nothing.
 func (c *outgoingConnection) drop() {
-	if c == nil || c.dropped {
+	if c == nil || c.isDropped {
 		return
 	}
-	c.dropped = true
+	c.isDropped = true
 	if c.conn != nil {
 		c.server.closeGracefully(c.conn)
 	}
@@ -106,15 +106,15 @@
 
 // backoff computes the delay before the next dial. The delay doubles from minRedialDelay up to maxRedialDelay. The zero
 // value starts at minRedialDelay.
-type backoff struct{ last timeunit.Ticks }
+type backoff struct{ lastDelay timeunit.Ticks }
 
 func (b *backoff) next() timeunit.Ticks {
-	b.last = min(max(minRedialDelay, 2*b.last), maxRedialDelay)
-	return b.last
+	b.lastDelay = min(max(minRedialDelay, 2*b.lastDelay), maxRedialDelay)
+	return b.lastDelay
 }
 
-// jitter returns a random delay between half of the longest delay and all of it, so that servers that were affected by
-// the same event do not all react at the same time.
-func (s *Server) jitter(longest timeunit.Ticks) timeunit.Ticks {
-	return longest/2 + timeunit.Ticks(s.random.Int63n(int64(longest/2)+1))
+// jitter returns a random delay between half of maxDelay and all of it, so that servers that were affected by the same
+// event do not all react at the same time.
+func (s *Server) jitter(maxDelay timeunit.Ticks) timeunit.Ticks {
+	return maxDelay/2 + timeunit.Ticks(s.random.Int63n(int64(maxDelay/2)+1))
 }
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -56,8 +56,8 @@
 		s.start(conn.EventLoop())
 	}
 	s.beginBatch()
-	handler, known := conn.Context().(connectionHandler)
-	if !known && s.phase < phaseStopped {
+	handler, hasHandler := conn.Context().(connectionHandler)
+	if !hasHandler && s.phase < phaseStopped {
 		handler = s.routers.accept()
 		if handler != nil {
 			conn.SetContext(handler)
@@ -74,9 +74,9 @@
 // OnTraffic implements gnet.EventHandler. It passes the received data to the connection's handler and closes the
 // connection if the handler returns an error.
 func (s *Server) OnTraffic(conn gnet.Conn) gnet.Action {
-	handler, known := conn.Context().(connectionHandler)
+	handler, hasHandler := conn.Context().(connectionHandler)
 	data, err := conn.Next(-1)
-	if !known || err != nil {
+	if !hasHandler || err != nil {
 		return gnet.Close
 	}
 	s.beginBatch()
@@ -88,7 +88,7 @@
 		s.log.Event("bad_peer").Stringer("peer", conn.RemoteAddr()).Stringer("local", conn.LocalAddr()).
 			Str("reason", err.Error()).Int("count", s.badPeers).Send()
 	}
-	if errors.Is(err, errFloodAfterEnd) {
+	if errors.Is(err, errDataAfterShutdown) {
 		return gnet.Close
 	}
 	s.closeGracefully(conn)
@@ -97,8 +97,8 @@
 
 // OnClose implements gnet.EventHandler. It notifies the connection's handler that the connection is closed.
 func (s *Server) OnClose(conn gnet.Conn, _ error) gnet.Action {
-	handler, known := conn.Context().(connectionHandler)
-	if known && !s.ended {
+	handler, hasHandler := conn.Context().(connectionHandler)
+	if hasHandler && !s.ended {
 		s.beginBatch()
 		handler.closed()
 	}
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -8,9 +8,9 @@
 	gnetErrors "github.com/panjf2000/gnet/v2/pkg/errors"
 )
 
-// unusedTimerSpan is the delay with which the system timer is created. It never elapses, because the end of the first
+// initialTimerDelay is the delay with which the system timer is created. It never elapses, because the end of the first
 // batch resets the timer.
-const unusedTimerSpan = time.Hour
+const initialTimerDelay = time.Hour
 
 // start starts the server's activities on the event loop. It is called once, when the first connection has made the
 // loop known.
@@ -18,7 +18,7 @@
 	s.loop = loop
 	s.now = s.clock.now()
 	close(s.loopKnown)
-	s.systemTimer = time.AfterFunc(unusedTimerSpan, func() { s.submit(s.fireTimers) })
+	s.systemTimer = time.AfterFunc(initialTimerDelay, func() { s.submit(s.fireTimers) })
 	go func() { // runs until the process exits, because commands may arrive until then
 		for command := range s.commands {
 			s.submit(command)
@@ -26,8 +26,8 @@
 	}()
 	s.interpreter.dial()
 	s.directory.report()
-	for _, optional := range s.parts {
-		optional.start()
+	for _, enabledPart := range s.parts {
+		enabledPart.start()
 	}
 	s.stateTimer.fire = s.logState
 	s.setTimer(&s.stateTimer, s.now+stateLogInterval)
@@ -87,18 +87,18 @@
 	s.standstill = standstillNone
 	if s.admission != nil {
 		s.admission.Advance(s.now)
-		s.requests.settle()
-		for _, optional := range s.parts {
-			optional.beforeDispatch()
+		s.requests.processDeferredWork()
+		for _, enabledPart := range s.parts {
+			enabledPart.beforeDispatch()
 		}
 		s.admission.Dispatch()
 	}
 	s.endBatchQueued = false // from here on deferred work, or a write that closes its connection, starts the next batch
-	if s.requests.unsettled() {
+	if s.requests.hasDeferredWork() {
 		s.beginBatch()
 	}
-	for _, optional := range s.parts {
-		optional.afterDispatch()
+	for _, enabledPart := range s.parts {
+		enabledPart.afterDispatch()
 	}
 	s.writeOutput()
 	s.armSystemTimer()
--- a/internal/server/fixtures_test.go
+++ b/internal/server/fixtures_test.go
@@ -106,9 +106,9 @@
 }
 
 // takeOutput returns the pending output of a connection and clears it.
-func takeOutput(of *outputBuffer) string {
-	output := string(of.output)
-	of.output = nil
+func takeOutput(buffer *outputBuffer) string {
+	output := string(buffer.output)
+	buffer.output = nil
 	return output
 }
 
@@ -158,15 +158,15 @@
 	server.now = max(server.now, now)
 	server.admission.Advance(server.now)
 	router.output = nil
-	attempt := strings.Replace(wholeRequest, firstID, id, 1)
-	feed(t, router, strings.Replace(attempt, "1000000", receivedAt, 1))
+	records := strings.Replace(wholeRequest, firstID, id, 1)
+	feed(t, router, strings.Replace(records, "1000000", receivedAt, 1))
 	dispatchBatch(server)
 	return string(router.output)
 }
 
 // dispatchBatch performs the steps of the end of a batch that make decisions. It writes no output.
 func dispatchBatch(server *Server) {
-	server.requests.settle()
+	server.requests.processDeferredWork()
 	server.admission.Dispatch()
 }
 
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -17,20 +17,20 @@
 // names of test cases, are part of the recorded files and must not change.
 type transcript struct{ text strings.Builder }
 
-func (s *transcript) add(what, data string) { fmt.Fprintf(&s.text, "%s: %q\n", what, data) }
+func (s *transcript) add(label, data string) { fmt.Fprintf(&s.text, "%s: %q\n", label, data) }
 
 // addOutput adds the pending output of a connection and clears it.
-func (s *transcript) addOutput(what string, of *outputBuffer) { s.add(what, takeOutput(of)) }
+func (s *transcript) addOutput(label string, buffer *outputBuffer) { s.add(label, takeOutput(buffer)) }
 
 // addResponses adds the pending output to a router and to the interpreter.
-func (s *transcript) addResponses(point string, server *Server, router *routerConnection) {
-	s.addOutput(point+"router", &router.outputBuffer)
-	s.addOutput(point+"interpreter", &server.interpreter.outputBuffer)
+func (s *transcript) addResponses(labelPrefix string, server *Server, router *routerConnection) {
+	s.addOutput(labelPrefix+"router", &router.outputBuffer)
+	s.addOutput(labelPrefix+"interpreter", &server.interpreter.outputBuffer)
 }
 
 // addValues adds values separated by spaces.
-func (s *transcript) addValues(what string, values ...any) {
-	s.add(what, strings.TrimSuffix(fmt.Sprintln(values...), "\n"))
+func (s *transcript) addValues(label string, values ...any) {
+	s.add(label, strings.TrimSuffix(fmt.Sprintln(values...), "\n"))
 }
 
 func (s *transcript) check(t *testing.T, name string) {
@@ -123,10 +123,10 @@
 	require.NoError(t, aborted.parser.Feed([]byte{1, 2, 0, 1, 0, 0, 0, 0}, aborted))
 	dispatchBatch(server)
 	recorded.addOutput("aborted", &aborted.outputBuffer)
-	half := connectRouter(server)
-	require.NoError(t, half.parser.Feed([]byte(requestRecords(1, paramsWith(), "x"))[:40], half))
+	incomplete := connectRouter(server)
+	require.NoError(t, incomplete.parser.Feed([]byte(requestRecords(1, paramsWith(), "x"))[:40], incomplete))
 	passTime(server, firstRequestTimeout)
-	recorded.addValues("half a request", half.closeAfterWrite, takeOutput(&half.outputBuffer))
+	recorded.addValues("half a request", incomplete.closeAfterWrite, takeOutput(&incomplete.outputBuffer))
 	server.routers.setLoadReport(0.25)
 	exchange("with the free value", 1, healthCheck, "")
 	server.directory.opened(discardConn{})
@@ -134,17 +134,17 @@
 	server.beginShutdown()
 	recorded.addOutput("directory", &server.directory.outputBuffer)
 	exchange("leaving: health", 1, healthCheck, "")
-	late := paramsWith(withID("c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")...)
-	exchange("leaving: request", 1, late, "x")
+	lateParams := paramsWith(withID("c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")...)
+	exchange("leaving: request", 1, lateParams, "x")
 	for range 70 {
 		passTime(server, second/10)
 	}
 	recorded.addOutput("at its deadline", &first.outputBuffer)
 	recorded.addOutput("to the interpreter", &server.interpreter.outputBuffer)
-	fresh := New(server.config, server.log)
-	fresh.now = 10_000_000
-	fresh.loop = idleLoop{}
-	router := connectRouter(fresh)
+	startingServer := New(server.config, server.log)
+	startingServer.now = 10_000_000
+	startingServer.loop = idleLoop{}
+	router := connectRouter(startingServer)
 	feed(t, router, wholeRequest)
 	recorded.addOutput("starting", &router.outputBuffer)
 	recorded.check(t, "requests.txt")
@@ -289,6 +289,6 @@
 		data := make([]byte, 2*(20+random.Intn(80)))
 		random.Read(data)
 		history.Add("seed", seed)
-		playObserved(t, data, true, history.Add)
+		playSequenceObserved(t, data, true, history.Add)
 	})
 }
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -59,12 +59,12 @@
 			server.now = max(server.now, server.deadlines[0].deadline)
 			server.resumeAfterStandstill()
 		}
-		server.requests.settle()
+		server.requests.processDeferredWork()
 		require.Empty(t, router.output, "%d s", seconds)
 	}
 	require.Len(t, server.requests.entries, 1)
 	endRun(t, server, firstID)
-	server.requests.settle()
+	server.requests.processDeferredWork()
 	require.Contains(t, string(router.output), succeeded)
 	server.admission.Dispatch()
 	require.Empty(t, server.requests.entries, "the entry was kept for the run alone")
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -177,7 +177,7 @@
 	switch {
 	case waiting.runDone:
 	case waiting.runPending && waiting.router == nil && !waiting.runSent: // nobody waits for it, and it never left
-		waiting.neverBegun()
+		waiting.endUnstartedRun()
 	case waiting.runPending && !waiting.runConfirmed:
 		c.run(waiting)
 	case waiting.pendingReply != nil && waiting.router != nil:
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -196,11 +196,11 @@
 	switch {
 	case about == nil:
 	case outcome == admission.NeverStarted:
-		about.neverBegun()
+		about.endUnstartedRun()
 	default:
 		about.runConfirmed = true
 		about.runInDoubt = false
-		about.runEnded(outcome, deployment.RoundUp(taken.TookMs), taken.Data)
+		about.handleRunEnd(outcome, deployment.RoundUp(taken.TookMs), taken.Data)
 	}
 	return nil
 }
@@ -225,7 +225,7 @@
 			Int("count", c.errorCount).Send()
 	}
 	if about != nil && about.runStarted && taken.State == commandRun {
-		about.neverBegun()
+		about.endUnstartedRun()
 	}
 }
 
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// noInterface is the index of a network interface that does not exist.
-const noInterface = math.MaxInt32
+// nonexistentInterface is the index of a network interface that does not exist.
+const nonexistentInterface = math.MaxInt32
 
 // refuseNewConnections makes the kernel refuse new connections. Connections that are in the handshake or wait to be
 // accepted are still accepted by the event loop. Closing the listener would reset them, and gnet closes the listener
@@ -19,7 +19,7 @@
 func (s *Server) refuseNewConnections() {
 	descriptor, err := s.engine.Dup()
 	if err == nil {
-		err = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
+		err = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, nonexistentInterface)
 		_ = unix.Close(descriptor) // only the duplicate; the listener stays open
 		err = os.NewSyscallError("setsockopt", err)
 	}
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -32,7 +32,7 @@
 	// Admission.
 	handle      *admission.Request
 	slot        uint64 // index into requestTable.slots
-	closed      bool   // whether admission has released the request
+	isReleased  bool   // whether admission has released the request
 	reservation fairqueue.Reservation
 
 	// Idempotency.
@@ -87,52 +87,52 @@
 	r.router = nil
 	r.stream = nil
 	if r.runInDoubt {
-		r.server.requests.doubtfulRuns = append(r.server.requests.doubtfulRuns, r)
+		r.server.requests.unconfirmedRuns = append(r.server.requests.unconfirmedRuns, r)
 	}
 }
 
-// routerGone cancels the request because its router has disconnected or aborted it.
-func (r *request) routerGone() {
+// cancelByRouter cancels the request because its router has disconnected or aborted it.
+func (r *request) cancelByRouter() {
 	r.detachRouter()
 	if r.handle != nil { // otherwise it waits for plug-ins or the recovery log, which then find that router is nil
 		r.handle.Cancel()
 	}
 }
 
-// neverBegun ends a run that provably never started, and frees its idempotency entry for another attempt. If the
+// endUnstartedRun ends a run that provably never started, and frees its idempotency entry for another attempt. If the
 // interpreter has sent a notice about the run, that proof does not hold: the run ends as aborted and the entry stays.
-func (r *request) neverBegun() {
+func (r *request) endUnstartedRun() {
 	if r.runConfirmed {
-		r.runEnded(admission.Aborted, 0, nil)
+		r.handleRunEnd(admission.Aborted, 0, nil)
 		return
 	}
 	if r.entry != nil && r.entry.owner == r && !r.runDone {
 		r.entry.ran = false
 	}
 	r.reservation.UndoStart(r.server.now)
-	r.runEnded(admission.NeverStarted, 0, nil)
+	r.handleRunEnd(admission.NeverStarted, 0, nil)
 }
 
-// runEnded handles the end of the run, whose duration is took. A successful result is first passed to the plug-ins.
-func (r *request) runEnded(outcome admission.Outcome, took timeunit.Ticks, result []byte) {
-	if r.runDone || !r.runStarted || r.closed {
+// handleRunEnd handles the end of the run. A successful result is first passed to the plug-ins.
+func (r *request) handleRunEnd(outcome admission.Outcome, duration timeunit.Ticks, result []byte) {
+	if r.runDone || !r.runStarted || r.isReleased {
 		return
 	}
 	r.runDone = true
 	r.server.index.cancel(r)
 	r.reservation.Suspend(r.server.now) // the run no longer uses a core, even if plug-ins still evaluate its result
 	if outcome == admission.Succeeded {
-		finish := func(evaluation *chain.Evaluation) { r.finishRun(outcome, took, evaluation.Body) }
+		finish := func(evaluation *chain.Evaluation) { r.finishRun(outcome, duration, evaluation.Body) }
 		if r.server.plugins.evaluateResult(r, result, finish) {
 			return
 		}
 	}
-	r.finishRun(outcome, took, result)
+	r.finishRun(outcome, duration, result)
 }
 
 // finishRun answers the request according to the outcome of its run, and reports the outcome to the idempotency table,
 // the recovery log and admission.
-func (r *request) finishRun(outcome admission.Outcome, took timeunit.Ticks, result []byte) {
+func (r *request) finishRun(outcome admission.Outcome, duration timeunit.Ticks, result []byte) {
 	switch outcome {
 	case admission.Succeeded:
 		r.respond(statusOK, "", result)
@@ -142,7 +142,7 @@
 	if r.entry != nil {
 		r.recordOutcome(outcome, result)
 	}
-	r.handle.RunEnded(outcome, took)
+	r.handle.RunEnded(outcome, duration)
 }
 
 // recordOutcome stores the outcome of the run in its idempotency entry and concludes its intent in the recovery log. A
--- a/internal/server/request_socket_test.go
+++ b/internal/server/request_socket_test.go
@@ -123,8 +123,8 @@
 // ignored. Neither affects a request in flight on another connection.
 func TestMalformedRecordsCloseOnlyTheirConnection(t *testing.T) {
 	server, interpreter := servertest.Start(t)
-	good := server.ConnectRouter()
-	id := interpreter.StartLook(good, 1, "good")
+	goodRouter := server.ConnectRouter()
+	id := interpreter.StartLook(goodRouter, 1, "good")
 	begin := string(emulator.FastCGIRecord(1, 1, "\x00\x01\x01\x00\x00\x00\x00\x00"))
 	for _, test := range []struct {
 		data   string
@@ -135,15 +135,15 @@
 		{data: string(emulator.FastCGIRecord(5, 1, "x")[:4]) + "\xff\xff\x00\x00", closes: false},
 		{data: begin + begin, closes: true},
 	} {
-		bad := server.ConnectRouter()
-		bad.WriteBytes([]byte(test.data))
+		badRouter := server.ConnectRouter()
+		badRouter.WriteBytes([]byte(test.data))
 		if test.closes {
-			bad.RequireClosed()
+			badRouter.RequireClosed()
 		} else {
-			servertest.CloseQuietly(bad)
+			servertest.CloseQuietly(badRouter)
 		}
 	}
-	interpreter.CompleteRun(good, 1, id, "g")
+	interpreter.CompleteRun(goodRouter, 1, id, "g")
 }
 
 // Every malformed request is answered with its status and affects neither the connection nor the other request on it.
--- a/internal/server/requestparser.go
+++ b/internal/server/requestparser.go
@@ -66,34 +66,34 @@
 func (t *requestTable) parse(router *routerConnection, stream *fastcgi.Request) (*request, error) {
 	var fields fieldValues
 	hasDuplicate := stream.Params(fieldNames, fields[:])
-	parsed := &request{id: string(fields[fieldID])}
-	if err := t.parseTarget(parsed, &fields, stream.Body); err != nil {
+	req := &request{id: string(fields[fieldID])}
+	if err := t.parseTarget(req, &fields, stream.Body); err != nil {
 		return nil, err
 	}
 	if hasDuplicate {
 		return nil, errDuplicateField
 	}
-	if err := t.parseIdentity(parsed, &fields); err != nil {
+	if err := t.parseIdentity(req, &fields); err != nil {
 		return nil, err
 	}
-	if err := t.parseLimits(parsed, &fields); err != nil {
+	if err := t.parseLimits(req, &fields); err != nil {
 		return nil, err
 	}
-	parsed.tenant = fields[fieldAccount]
+	req.tenant = fields[fieldAccount]
 	if tenancy := t.server.config.Tenancy; tenancy != nil {
-		parsed.tenant = []byte(tenancy.Lookup(router.peerAddress(), fields[fieldRemote]))
+		req.tenant = []byte(tenancy.Lookup(router.peerAddress(), fields[fieldRemote]))
 	}
-	return parsed, nil
+	return req, nil
 }
 
 // parseTarget checks path, method and body, and sets the category.
-func (t *requestTable) parseTarget(parsed *request, fields *fieldValues, body []byte) error {
+func (t *requestTable) parseTarget(req *request, fields *fieldValues, body []byte) error {
 	name, hasPrefix := bytes.CutPrefix(fields[fieldPath], pathPrefix)
 	if !hasPrefix {
 		return errUnknownPath
 	}
-	category, known := t.server.config.Settings.CategoryIndex[string(name)]
-	if !known {
+	category, isKnown := t.server.config.Settings.CategoryIndex[string(name)]
+	if !isKnown {
 		return errUnknownCategory
 	}
 	if string(fields[fieldMethod]) != "POST" {
@@ -106,18 +106,18 @@
 	if len(length) > 0 && string(length) != strconv.Itoa(len(body)) {
 		return errContentLength
 	}
-	parsed.category = category
-	parsed.arrival.Category = category
+	req.category = category
+	req.arrival.Category = category
 	return nil
 }
 
 // parseIdentity checks the request ID and sets the time at which the router received the request.
-func (t *requestTable) parseIdentity(parsed *request, fields *fieldValues) error {
-	_, err := strconv.ParseUint(parsed.id, 16, 64)
-	if err != nil || len(parsed.id) != requestIDDigits {
+func (t *requestTable) parseIdentity(req *request, fields *fieldValues) error {
+	_, err := strconv.ParseUint(req.id, 16, 64)
+	if err != nil || len(req.id) != requestIDDigits {
 		return errRequestID
 	}
-	if t.byID[parsed.id] != nil {
+	if t.byID[req.id] != nil {
 		return errRequestIDInUse
 	}
 	receivedAtMs, err := strconv.ParseInt(string(fields[fieldReceivedAt]), 10, 64)
@@ -126,29 +126,29 @@
 	if err != nil || receivedAtMs < 0 || receivedAtMs > nowMs+maxClockSkewMs {
 		return errReceivedAt
 	}
-	parsed.receivedAt = timeunit.Ticks(receivedAtMs)*timeunit.TicksPerMillisecond - offset
+	req.receivedAt = timeunit.Ticks(receivedAtMs)*timeunit.TicksPerMillisecond - offset
 	return nil
 }
 
 // parseLimits checks the fields that limit or classify the request: budget, sender, memory footprint, priority rank,
 // account and idempotency key. It sets the deadline.
-func (t *requestTable) parseLimits(parsed *request, fields *fieldValues) error {
+func (t *requestTable) parseLimits(req *request, fields *fieldValues) error {
 	settings := t.server.config.Settings
-	category := &settings.Categories[parsed.category]
+	category := &settings.Categories[req.category]
 	maxBudget := float64(category.Deadline) / float64(timeunit.TicksPerMillisecond) * maxBudgetInDeadlines
-	budget, isNumber := parseNumber(fields[fieldBudget], 0, maxBudget)
-	if !isNumber {
+	budget, isValid := parseNumber(fields[fieldBudget], 0, maxBudget)
+	if !isValid {
 		return errBudget
 	}
 	sender, err := strconv.ParseUint(string(fields[fieldSentBy]), 10, routerNumberBits)
 	if err != nil {
 		return errSentBy
 	}
-	footprint, isNumber := parseNumber(fields[fieldFootprint], 0, maxFootprintKB)
-	if !isNumber || footprint == 0 {
+	footprint, isValid := parseNumber(fields[fieldFootprint], 0, maxFootprintKB)
+	if !isValid || footprint == 0 {
 		return errFootprint
 	}
-	if _, isNumber = parseNumber(fields[fieldRank], 0, maxRank); !isNumber {
+	if _, isValid = parseNumber(fields[fieldRank], 0, maxRank); !isValid {
 		return errPriorityRank
 	}
 	if !settings.HasTenant(fields[fieldAccount]) {
@@ -159,16 +159,16 @@
 	if isMissing || len(key) > maxKeyBytes {
 		return errOnceKey
 	}
-	parsed.key = key
+	req.key = key
 	// A response after the category's deadline is of no use, however large the budget is.
-	parsed.deadline = parsed.receivedAt + min(deployment.RoundDown(budget), category.Deadline)
-	parsed.arrival.Router = int(sender)
-	parsed.arrival.QueuedKB = footprint
+	req.deadline = req.receivedAt + min(deployment.RoundDown(budget), category.Deadline)
+	req.arrival.Router = int(sender)
+	req.arrival.QueuedKB = footprint
 	return nil
 }
 
-// parseNumber parses a number and reports whether it is valid, which means at least least and below end.
-func parseNumber(text []byte, least, end float64) (float64, bool) {
+// parseNumber parses a number and reports whether it is valid: at least minimum and below limit.
+func parseNumber(text []byte, minimum, limit float64) (float64, bool) {
 	number, err := strconv.ParseFloat(string(text), 64)
-	return number, err == nil && number >= least && number < end
+	return number, err == nil && number >= minimum && number < limit
 }
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -24,11 +24,11 @@
 
 	entries map[string]*idempotencyEntry // idempotency table, see idempotency.go
 
-	dueSharers   []*request // requests whose shared result is available or will never be
-	doubtfulRuns []*request // requests without a recipient whose run may never have started
+	dueSharers      []*request // requests whose shared result is available or will never be
+	unconfirmedRuns []*request // requests without a recipient whose run may never have started
 
-	wakeupTimer timer // fires the wakeup that admission has scheduled
-	invalid     int   // number of requests answered with a statusError
+	wakeupTimer  timer // fires the wakeup that admission has scheduled
+	invalidCount int   // number of requests answered with a statusError
 }
 
 func (t *requestTable) init(server *Server) {
@@ -44,7 +44,7 @@
 // accept handles a complete request: it parses the request and passes it to the plug-ins or on to admission. An invalid
 // request is answered with a status that states the reason.
 func (t *requestTable) accept(router *routerConnection, stream *fastcgi.Request) {
-	accepted, err := t.parse(router, stream)
+	req, err := t.parse(router, stream)
 	if err != nil {
 		t.respondInvalid(router, stream, err)
 		return
@@ -53,18 +53,18 @@
 		router.respond(stream, statusStarting, "", nil)
 		return
 	}
-	accepted.server = t.server
-	accepted.router = router
-	accepted.stream = stream
-	accepted.acceptedAt = t.server.now
-	accepted.body = bytes.Clone(stream.Body) // a copy, because the parser's buffer is much larger
-	stream.Owner = accepted
-	t.byID[accepted.id] = accepted
-	t.server.plugins.attach(accepted)
-	if t.server.plugins.appliesTo(accepted) {
-		t.evaluate(accepted)
+	req.server = t.server
+	req.router = router
+	req.stream = stream
+	req.acceptedAt = t.server.now
+	req.body = bytes.Clone(stream.Body) // a copy, because the parser's buffer is much larger
+	stream.Owner = req
+	t.byID[req.id] = req
+	t.server.plugins.attach(req)
+	if t.server.plugins.appliesTo(req) {
+		t.evaluate(req)
 	} else {
-		t.admitOnceDurable(accepted, accepted.tenant)
+		t.admitOnceDurable(req, req.tenant)
 	}
 	if stream.Body != nil {
 		router.ReleaseBuffer(stream.Body)
@@ -84,133 +84,133 @@
 }
 
 func (t *requestTable) logInvalid(status string) {
-	if countAndSample(&t.invalid) {
-		t.server.log.Event("invalid_request").Str("status", status).Int("count", t.invalid).Send()
+	if countAndSample(&t.invalidCount) {
+		t.server.log.Event("invalid_request").Str("status", status).Int("count", t.invalidCount).Send()
 	}
 }
 
 // evaluate passes a request to the plug-ins. Its memory is reserved with admission until they are done.
-func (t *requestTable) evaluate(shown *request) {
-	shown.key = bytes.Clone(shown.key) // the parser's buffer will be reused
-	shown.tenant = bytes.Clone(shown.tenant)
-	t.server.admission.ReserveMemory(shown.arrival.QueuedKB)
-	t.server.plugins.evaluateRequest(shown, func(evaluation *chain.Evaluation) { t.pluginsDone(shown, evaluation) })
+func (t *requestTable) evaluate(req *request) {
+	req.key = bytes.Clone(req.key) // the parser's buffer will be reused
+	req.tenant = bytes.Clone(req.tenant)
+	t.server.admission.ReserveMemory(req.arrival.QueuedKB)
+	t.server.plugins.evaluateRequest(req, func(evaluation *chain.Evaluation) { t.handleEvaluation(req, evaluation) })
 }
 
-// pluginsDone handles the plug-ins' evaluation of a request. A rejected request is answered with the plug-in's status.
-// A repeat of a request that is queued or has run is never rejected, whatever the evaluation says.
-func (t *requestTable) pluginsDone(shown *request, evaluation *chain.Evaluation) {
-	t.server.admission.ReserveMemory(-shown.arrival.QueuedKB)
-	if shown.router == nil {
-		t.remove(shown)
+// handleEvaluation handles the plug-ins' evaluation of a request. A rejected request is answered with the plug-in's
+// status. A repeat of a request that is queued or has run is never rejected, whatever the evaluation says.
+func (t *requestTable) handleEvaluation(req *request, evaluation *chain.Evaluation) {
+	t.server.admission.ReserveMemory(-req.arrival.QueuedKB)
+	if req.router == nil {
+		t.remove(req)
 		return
 	}
-	shown.arrival.Category = evaluation.Category
-	shown.tag = evaluation.Tag
-	tenant := shown.tenant
+	req.arrival.Category = evaluation.Category
+	req.tag = evaluation.Tag
+	tenant := req.tenant
 	if evaluation.Tag != "" {
 		tenant = []byte(evaluation.Tag)
 	}
-	existing := t.existingEntry(shown)
+	existing := t.existingEntry(req)
 	if evaluation.Rejected && existing == nil {
-		t.remove(shown)
-		shown.respond(strconv.Itoa(evaluation.Status)+statusRejectedByPlugin, "", nil)
+		t.remove(req)
+		req.respond(strconv.Itoa(evaluation.Status)+statusRejectedByPlugin, "", nil)
 		return
 	}
-	t.admitOnceDurable(shown, tenant)
+	t.admitOnceDurable(req, tenant)
 }
 
 // remove removes a request that admission has released or that will never be handed to admission.
-func (t *requestTable) remove(removed *request) {
-	delete(t.byID, removed.id)
-	t.server.plugins.detach(removed)
+func (t *requestTable) remove(req *request) {
+	delete(t.byID, req.id)
+	t.server.plugins.detach(req)
 }
 
 // admitOnceDurable hands a request to admission, after its intent record is durable if it needs one.
-func (t *requestTable) admitOnceDurable(accepted *request, tenant []byte) {
-	if !t.server.recovery.deferForIntent(accepted, tenant) {
-		t.handToAdmission(accepted, tenant)
+func (t *requestTable) admitOnceDurable(req *request, tenant []byte) {
+	if !t.server.recovery.deferForIntent(req, tenant) {
+		t.handToAdmission(req, tenant)
 	}
 }
 
 // handToAdmission hands a request to admission, which may run, queue or reject it before this method returns.
-func (t *requestTable) handToAdmission(admitted *request, tenant []byte) {
-	key := t.idempotencyKey(admitted)
+func (t *requestTable) handToAdmission(req *request, tenant []byte) {
+	key := t.idempotencyKey(req)
 	var existing *idempotencyEntry
 	var bodyHash [sha256.Size]byte
 	if key != "" {
-		bodyHash = sha256.Sum256(admitted.body)
-		existing = t.existingEntry(admitted)
+		bodyHash = sha256.Sum256(req.body)
+		existing = t.existingEntry(req)
 		if existing != nil && existing.bodyHash != bodyHash {
-			t.respondKeyReused(admitted)
+			t.respondKeyReused(req)
 			return
 		}
 	}
-	arrival := admitted.arrival
-	arrival.UnreadTime = max(0, t.server.now-admitted.receivedAt)
+	arrival := req.arrival
+	arrival.UnreadTime = max(0, t.server.now-req.receivedAt)
 	// Admission also decides on a request whose deadline has passed. A TimeLeft of 0 would mean that it is not known.
-	arrival.TimeLeft = max(1, admitted.deadline-t.server.now)
-	t.server.fairQueue.reserve(admitted, tenant, &arrival)
-	admitted.key = nil // the parser's buffer will be reused
-	admitted.tenant = nil
-	admitted.recoveryKey = key
-	t.assignSlot(admitted)
-	arrival.ID = admitted.slot
+	arrival.TimeLeft = max(1, req.deadline-t.server.now)
+	t.server.fairQueue.reserve(req, tenant, &arrival)
+	req.key = nil // the parser's buffer will be reused
+	req.tenant = nil
+	req.recoveryKey = key
+	t.assignSlot(req)
+	arrival.ID = req.slot
 	if existing != nil {
-		admitted.entry = existing
+		req.entry = existing
 		arrival.IsRepeat = true
 		if existing.owner != nil {
 			arrival.RepeatOf = existing.owner.handle
 		}
 	}
-	admitted.handle = t.server.admission.Enqueue(arrival)
-	if key != "" && !admitted.sharesResult && !admitted.closed && admitted.router != nil {
-		t.addEntry(admitted, key, bodyHash)
+	req.handle = t.server.admission.Enqueue(arrival)
+	if key != "" && !req.sharesResult && !req.isReleased && req.router != nil {
+		t.addEntry(req, key, bodyHash)
 	}
 }
 
 // respondKeyReused answers a request whose idempotency key was used before with another body. The request neither
 // shares the result of the earlier request nor replaces it.
-func (t *requestTable) respondKeyReused(refused *request) {
+func (t *requestTable) respondKeyReused(req *request) {
 	t.logInvalid(errKeyReused.status)
-	t.server.recovery.conclude(refused, recovery.KindCancellation, false, nil)
-	t.remove(refused)
-	refused.respond(errKeyReused.status, "", nil)
+	t.server.recovery.conclude(req, recovery.KindCancellation, false, nil)
+	t.remove(req)
+	req.respond(errKeyReused.status, "", nil)
 }
 
-func (t *requestTable) assignSlot(admitted *request) {
-	if last := len(t.freeSlots) - 1; last >= 0 {
-		admitted.slot = t.freeSlots[last]
-		t.freeSlots = t.freeSlots[:last]
-		t.slots[admitted.slot] = admitted
+func (t *requestTable) assignSlot(req *request) {
+	if lastIndex := len(t.freeSlots) - 1; lastIndex >= 0 {
+		req.slot = t.freeSlots[lastIndex]
+		t.freeSlots = t.freeSlots[:lastIndex]
+		t.slots[req.slot] = req
 		return
 	}
-	admitted.slot = uint64(len(t.slots))
-	t.slots = append(t.slots, admitted)
+	req.slot = uint64(len(t.slots))
+	t.slots = append(t.slots, req)
 }
 
-// unsettled reports whether settle has work to do.
-func (t *requestTable) unsettled() bool { return len(t.dueSharers)+len(t.doubtfulRuns) > 0 }
+// hasDeferredWork reports whether processDeferredWork has anything to do.
+func (t *requestTable) hasDeferredWork() bool { return len(t.dueSharers)+len(t.unconfirmedRuns) > 0 }
 
-// settle answers requests that share a result once the shared run has ended. It also ends runs that nobody waits for
-// and that may never have started; otherwise they would count as running forever.
-func (t *requestTable) settle() {
-	for _, doubtful := range t.doubtfulRuns {
-		if !doubtful.closed && !doubtful.runConfirmed {
-			doubtful.runEnded(admission.Aborted, 0, nil)
+// processDeferredWork answers requests that share a result once the shared run has ended. It also ends runs that nobody
+// waits for and that may never have started; otherwise they would count as running forever.
+func (t *requestTable) processDeferredWork() {
+	for _, req := range t.unconfirmedRuns {
+		if !req.isReleased && !req.runConfirmed {
+			req.handleRunEnd(admission.Aborted, 0, nil)
 		}
 	}
-	t.doubtfulRuns = t.doubtfulRuns[:0]
-	due := t.dueSharers
+	t.unconfirmedRuns = t.unconfirmedRuns[:0]
+	sharers := t.dueSharers
 	t.dueSharers = nil
-	for _, sharer := range due {
-		if !sharer.closed {
-			t.settleSharer(sharer)
+	for _, sharer := range sharers {
+		if !sharer.isReleased {
+			t.respondSharer(sharer)
 		}
 	}
 }
 
-func (t *requestTable) settleSharer(sharer *request) {
+func (t *requestTable) respondSharer(sharer *request) {
 	outcome := admission.Failed
 	if sharer.entry.ended && sharer.entry.succeeded {
 		outcome = admission.Succeeded
--- a/internal/server/routerconnection.go
+++ b/internal/server/routerconnection.go
@@ -37,7 +37,7 @@
 	parser       fastcgi.Parser
 	state        connectionState
 	stateSince   timeunit.Ticks // when the connection became new or idle
-	tableElement *list.Element  // in routerTable.all
+	tableElement *list.Element  // in routerTable.connections
 	stateElement *list.Element  // in routerTable.newConnections or idleConnections
 
 	requestTimer  timer
@@ -46,9 +46,9 @@
 	peerIP netip.Addr // set by peerAddress
 }
 
-// transition changes the state and updates the lists of new and idle connections.
-func (c *routerConnection) transition(to connectionState) {
-	if c.state == to || c.state == connectionClosed {
+// setState changes the state and updates the lists of new and idle connections.
+func (c *routerConnection) setState(newState connectionState) {
+	if c.state == newState || c.state == connectionClosed {
 		return
 	}
 	table := &c.server.routers
@@ -58,9 +58,9 @@
 	case connectionIdle:
 		table.idleConnections.Remove(c.stateElement)
 	}
-	c.state = to
+	c.state = newState
 	c.stateElement = nil
-	switch to {
+	switch newState {
 	case connectionIdle:
 		c.stateSince = c.server.now
 		c.stateElement = table.idleConnections.PushBack(c)
@@ -81,9 +81,9 @@
 		c.closeAtEndOfBatch()
 	case c.state == connectionActive && c.parser.Idle():
 		if c.server.phase >= phaseClosing {
-			c.transition(connectionEnding)
+			c.setState(connectionEnding)
 		} else {
-			c.transition(connectionIdle)
+			c.setState(connectionIdle)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	c.conn = conn
 	c.stateSince = c.server.now
 	table.openCount++
-	c.tableElement = table.all.PushBack(c)
+	c.tableElement = table.connections.PushBack(c)
 	c.stateElement = table.newConnections.PushBack(c)
 	c.requestTimer.fire = c.onRequestTimeout
 	c.server.setTimer(&c.requestTimer, c.stateSince+firstRequestTimeout)
@@ -119,7 +119,7 @@
 		return nil
 	}
 	if c.state == connectionIdle {
-		c.transition(connectionActive)
+		c.setState(connectionActive)
 	}
 	if err := c.parser.Feed(data, c); err != nil {
 		return err
@@ -156,14 +156,14 @@
 }
 
 func (c *routerConnection) closed() {
-	c.transition(connectionClosed)
+	c.setState(connectionClosed)
 	c.server.stopTimer(&c.requestTimer)
 	c.conn = nil
 	c.server.routers.openCount--
-	c.server.routers.all.Remove(c.tableElement)
+	c.server.routers.connections.Remove(c.tableElement)
 	c.parser.Abandon(c, func(open *fastcgi.Request) {
-		if accepted, isAccepted := open.Owner.(*request); isAccepted {
-			accepted.routerGone()
+		if req, isAccepted := open.Owner.(*request); isAccepted {
+			req.cancelByRouter()
 		}
 	})
 }
--- a/internal/server/routerrequests.go
+++ b/internal/server/routerrequests.go
@@ -8,10 +8,10 @@
 const healthPath = "/health"
 
 // AcquireBuffer implements fastcgi.Handler.
-func (c *routerConnection) AcquireBuffer() []byte { return c.server.buffers.take() }
+func (c *routerConnection) AcquireBuffer() []byte { return c.server.buffers.get() }
 
 // ReleaseBuffer implements fastcgi.Handler.
-func (c *routerConnection) ReleaseBuffer(buffer []byte) { c.server.buffers.give(buffer) }
+func (c *routerConnection) ReleaseBuffer(buffer []byte) { c.server.buffers.put(buffer) }
 
 // Send implements fastcgi.Handler: it sends records with which the parser itself responds.
 func (c *routerConnection) Send(records []byte) { c.output = append(c.buffer(), records...) }
@@ -26,7 +26,7 @@
 	}
 	c.wasIncomplete = false
 	if c.state == connectionNew {
-		c.transition(connectionActive)
+		c.setState(connectionActive)
 		c.server.stopTimer(&c.requestTimer)
 	}
 	if string(stream.Param("SCRIPT_NAME")) == healthPath {
@@ -51,8 +51,8 @@
 
 // HandleAbort implements fastcgi.Handler: it cancels a request that the router has aborted and ends its stream.
 func (c *routerConnection) HandleAbort(stream *fastcgi.Request) {
-	if accepted, isAccepted := stream.Owner.(*request); isAccepted {
-		accepted.routerGone()
+	if req, isAccepted := stream.Owner.(*request); isAccepted {
+		req.cancelByRouter()
 	}
 	c.output = fastcgi.AppendEndRequest(c.buffer(), stream.ID, fastcgi.StatusRequestComplete)
 	c.finishRequest(stream)
@@ -61,7 +61,7 @@
 // respond writes the only response to an open request. It consists of the status line, the load report, the given
 // headers, each ended by CRLF, and the body.
 func (c *routerConnection) respond(stream *fastcgi.Request, status, headers string, body []byte) {
-	content := c.server.buffers.take()
+	content := c.server.buffers.get()
 	content = append(content, "Status: "...)
 	content = append(content, status...)
 	content = append(content, "\r\n"...)
@@ -71,7 +71,7 @@
 	content = append(content, body...)
 	c.output = fastcgi.AppendStdout(c.buffer(), stream.ID, content)
 	c.output = fastcgi.AppendEndRequest(c.output, stream.ID, fastcgi.StatusRequestComplete)
-	c.server.buffers.give(content)
+	c.server.buffers.put(content)
 	c.finishRequest(stream)
 }
 
@@ -79,7 +79,7 @@
 	stream.Owner = nil
 	c.parser.Finish(stream, c)
 	if !stream.KeepConnection {
-		c.transition(connectionEnding) // other open requests are answered first
+		c.setState(connectionEnding) // other open requests are answered first
 	}
 	c.updateState()
 }
--- a/internal/server/routertable.go
+++ b/internal/server/routertable.go
@@ -23,7 +23,7 @@
 	server          *Server
 	openCount       int
 	maxConnections  int
-	all             *list.List // of *routerConnection
+	connections     *list.List // of *routerConnection
 	newConnections  *list.List // connections in connectionNew, oldest first
 	idleConnections *list.List // connections in connectionIdle, longest idle first
 	idleTimeout     timeunit.Ticks
@@ -39,15 +39,15 @@
 
 func (t *routerTable) init(server *Server) {
 	t.server = server
-	t.all = list.New()
+	t.connections = list.New()
 	t.newConnections = list.New()
 	t.idleConnections = list.New()
 	t.idleTimeout = noDeadline
 	t.admissionHealthy = true
-	server.closing.reserved = max(1, server.config.MaxSockets/lingerDescriptorDivisor)
+	server.closing.reservedDescriptors = max(1, server.config.MaxSockets/lingerDescriptorDivisor)
 	// A dial to the index briefly uses two descriptors.
-	others := reservedDescriptors + 2*server.index.maxConnections + server.closing.reserved
-	t.maxConnections = max(1, server.config.MaxSockets-others)
+	descriptorsForOthers := reservedDescriptors + 2*server.index.maxConnections + server.closing.reservedDescriptors
+	t.maxConnections = max(1, server.config.MaxSockets-descriptorsForOthers)
 	t.idleTimer.fire = t.closeIdle
 }
 
@@ -105,8 +105,8 @@
 			return
 		}
 		connection := front.Value.(*routerConnection)
-		if due := connection.stateSince + t.idleTimeout; due > t.server.now {
-			t.server.setTimer(&t.idleTimer, due)
+		if deadline := connection.stateSince + t.idleTimeout; deadline > t.server.now {
+			t.server.setTimer(&t.idleTimer, deadline)
 			return
 		}
 		connection.closeGracefully()
@@ -121,14 +121,14 @@
 		if front == nil {
 			return
 		}
-		front.Value.(*routerConnection).transition(connectionEnding)
+		front.Value.(*routerConnection).setState(connectionEnding)
 	}
 }
 
 // closeAll closes all connections, as the last step of a shutdown. By then all requests have been answered; a request
 // that was received only in part has never run.
 func (t *routerTable) closeAll() {
-	for element := t.all.Front(); element != nil; {
+	for element := t.connections.Front(); element != nil; {
 		connection := element.Value.(*routerConnection)
 		element = element.Next() // closing takes the connection off the list
 		connection.closeGracefully()
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -27,12 +27,12 @@
 	routers []*routerConnection
 	observe func(values ...any) // called with all output, and with statistics after each batch
 
-	streams  int // number of FastCGI requests that the routers have opened
-	requests int // number of requests sent after the first
-	notices  int
-	attempts map[string]*attempt     // by request ID
-	lastRun  map[byte]timeunit.Ticks // Received-At of the attempt that ran last, by idempotency key
-	numbers  map[*outputBuffer]int   // connection numbers, in the order of the first output
+	streamCount       int // number of FastCGI requests that the routers have opened
+	requestCount      int // number of requests sent after the first
+	noticeCount       int
+	attempts          map[string]*attempt     // by request ID
+	lastRun           map[byte]timeunit.Ticks // Received-At of the attempt that ran last, by idempotency key
+	connectionNumbers map[*outputBuffer]int   // connection numbers, in the order of the first output
 }
 
 // attempt is a request that was sent to the server.
@@ -44,35 +44,35 @@
 
 // playSequence plays the sequence of events that data encodes, two bytes for each event. At the end, every request must
 // have had exactly one response, and no idempotency key more than one run within its deduplication window.
-func playSequence(t *testing.T, data []byte) { playObserved(t, data, false, func(...any) {}) }
+func playSequence(t *testing.T, data []byte) { playSequenceObserved(t, data, false, func(...any) {}) }
 
-// playObserved is like playSequence and passes all output to observe. If isRepeatable is set, the same data always
-// produces the same output: the interpreter's link then breaks or is restored only while at most one request is open,
-// because the server visits several in map order, which is random.
-func playObserved(t *testing.T, data []byte, isRepeatable bool, observe func(...any)) {
+// playSequenceObserved is like playSequence and passes all output to observe. If isRepeatable is set, the same data
+// always produces the same output: the interpreter's link then breaks or is restored only while at most one request is
+// open, because the server visits several in map order, which is random.
+func playSequenceObserved(t *testing.T, data []byte, isRepeatable bool, observe func(...any)) {
 	t.Helper()
 	server, first := newRunningServer(t)
 	server.interpreter.conn = discardConn{}
 	first.conn = discardConn{}
 	p := &sequence{
-		T:        t,
-		server:   server,
-		routers:  []*routerConnection{first, connectRouter(server)},
-		observe:  observe,
-		streams:  1,
-		attempts: map[string]*attempt{firstID: {key: 'k', receivedAt: server.now}},
-		lastRun:  map[byte]timeunit.Ticks{},
-		numbers:  map[*outputBuffer]int{},
+		T:                 t,
+		server:            server,
+		routers:           []*routerConnection{first, connectRouter(server)},
+		observe:           observe,
+		streamCount:       1,
+		attempts:          map[string]*attempt{firstID: {key: 'k', receivedAt: server.now}},
+		lastRun:           map[byte]timeunit.Ticks{},
+		connectionNumbers: map[*outputBuffer]int{},
 	}
 	p.endBatch() // sends the command of the first run before any notice about it can arrive
 	for len(data) >= 2 {
-		p.event(data[0]%10, data[1], isRepeatable)
+		p.playEvent(data[0]%10, data[1], isRepeatable)
 		p.endBatch()
-		p.pass(timeunit.Ticks(data[1]) * 4)
+		p.passTime(timeunit.Ticks(data[1]) * 4)
 		data = data[2:]
 	}
 	for range 900 { // 9 s, which exceeds the deadline of every request
-		p.pass(100)
+		p.passTime(100)
 	}
 	for _, router := range p.routers {
 		require.Zero(t, router.parser.OpenRequests(), "requests without a response")
@@ -80,10 +80,10 @@
 	require.Zero(t, server.brokenInvariants)
 }
 
-// event plays one event of the given kind; choice selects its details.
-func (p *sequence) event(kind, choice byte, isRepeatable bool) {
+// playEvent plays one event of the given kind; choice selects its details.
+func (p *sequence) playEvent(kind, choice byte, isRepeatable bool) {
 	router := p.routers[choice%2]
-	chosen := p.pick(choice)
+	chosen := p.pickRequest(choice)
 	switch kind {
 	case 0, 1, 2:
 		p.sendRequest(router, choice)
@@ -93,8 +93,8 @@
 		p.endRun(chosen, runStates[choice%4])
 	case 5:
 		if chosen != nil && chosen.runSent && chosen.call == nil && p.hasLink() {
-			p.notices++
-			notify(p.T, p.server, `{"type":"AWAIT","n":%d,"job":"%s","data":"eA=="}`, p.notices, chosen.id)
+			p.noticeCount++
+			notify(p.T, p.server, `{"type":"AWAIT","n":%d,"job":"%s","data":"eA=="}`, p.noticeCount, chosen.id)
 		}
 	case 6:
 		p.indexEvent(chosen, choice)
@@ -111,10 +111,10 @@
 	}
 }
 
-// pick returns the open request that choice selects, or nil if none is open. The selection is deterministic.
-func (p *sequence) pick(choice byte) *request {
-	for i := 0; i <= p.requests; i++ {
-		number := (i + int(choice)) % (p.requests + 1)
+// pickRequest returns the open request that choice selects, or nil if none is open. The selection is deterministic.
+func (p *sequence) pickRequest(choice byte) *request {
+	for i := 0; i <= p.requestCount; i++ {
+		number := (i + int(choice)) % (p.requestCount + 1)
 		if picked := p.server.requests.byID[fmt.Sprintf("%016x", 0xaa+number)]; picked != nil {
 			return picked
 		}
@@ -126,44 +126,45 @@
 
 // sendRequest sends a request from a router with one of three idempotency keys.
 func (p *sequence) sendRequest(router *routerConnection, choice byte) {
-	if router.conn == nil || router.parser.OpenRequests() == fastcgi.MaxOpenRequests || p.streams > 200 {
+	if router.conn == nil || router.parser.OpenRequests() == fastcgi.MaxOpenRequests || p.streamCount > 200 {
 		return
 	}
-	p.requests++
-	p.streams++
-	id := fmt.Sprintf("%016x", 0xaa+p.requests)
+	p.requestCount++
+	p.streamCount++
+	id := fmt.Sprintf("%016x", 0xaa+p.requestCount)
 	key := 'k' + choice%3
 	p.attempts[id] = &attempt{key: key, receivedAt: p.server.now / 10 * 10}
 	records := bytes.ReplaceAll([]byte(wholeRequest), []byte(firstID), []byte(id))
 	records = bytes.Replace(records, []byte("HTTP_ONCE_KEYk"), fmt.Appendf(nil, "HTTP_ONCE_KEY%c", key), 1)
 	records = bytes.Replace(records, []byte("1000000"), fmt.Appendf(nil, "%07d", p.server.now/10), 1)
-	for at := 0; at < len(records); at += 8 + int(records[at+5]) { // sets the FastCGI request ID of each record
-		records[at+2] = byte(p.streams >> 8)
-		records[at+3] = byte(p.streams)
+	// Set the FastCGI request ID of each record.
+	for offset := 0; offset < len(records); offset += 8 + int(records[offset+5]) {
+		records[offset+2] = byte(p.streamCount >> 8)
+		records[offset+3] = byte(p.streamCount)
 	}
 	feed(p.T, router, string(records))
 }
 
 // abort sends an abort of the request from its router.
-func (p *sequence) abort(aborted *request) {
-	if aborted == nil || aborted.router == nil {
+func (p *sequence) abort(req *request) {
+	if req == nil || req.router == nil {
 		return
 	}
-	stream := aborted.stream.ID
-	feed(p.T, aborted.router, string([]byte{1, 2, byte(stream >> 8), byte(stream), 0, 0, 0, 0}))
+	stream := req.stream.ID
+	feed(p.T, req.router, string([]byte{1, 2, byte(stream >> 8), byte(stream), 0, 0, 0, 0}))
 }
 
 // endRun sends the interpreter's notice that a run has ended.
-func (p *sequence) endRun(ended *request, state string) {
-	if ended == nil || !ended.runSent || !p.hasLink() {
+func (p *sequence) endRun(req *request, state string) {
+	if req == nil || !req.runSent || !p.hasLink() {
 		return
 	}
-	p.notices++
-	if state == "MOOT" && !ended.runConfirmed && !ended.runDone {
-		delete(p.lastRun, p.attempts[ended.id].key) // it never ran
+	p.noticeCount++
+	if state == "MOOT" && !req.runConfirmed && !req.runDone {
+		delete(p.lastRun, p.attempts[req.id].key) // it never ran
 	}
 	notify(p.T, p.server, `{"type":"VALUE","n":%d,"job":"%s","state":"%s","took":9,"data":"eA=="}`,
-		p.notices, ended.id, state)
+		p.noticeCount, req.id, state)
 }
 
 // indexEvent sends the index's reply to a request's downstream call, or opens or closes the call's connection.
@@ -194,8 +195,8 @@
 	notify(p.T, p.server, `{"type":"BANNER","state":"WARM","took":1}`)
 }
 
-// pass advances the time in one step and ends the batch. Late timers fire as they do after a standstill.
-func (p *sequence) pass(span timeunit.Ticks) {
+// passTime advances the time in one step and ends the batch. Late timers fire as they do after a standstill.
+func (p *sequence) passTime(span timeunit.Ticks) {
 	advanceTime(p.server, span)
 	p.endBatch()
 }
@@ -220,14 +221,14 @@
 		len(server.requests.entries), stats.Queued, stats.Running, stats.WaitingAtCalls)
 }
 
-func (p *sequence) observeOutput(of *outputBuffer) {
-	if len(of.output) == 0 {
+func (p *sequence) observeOutput(buffer *outputBuffer) {
+	if len(buffer.output) == 0 {
 		return
 	}
-	if _, known := p.numbers[of]; !known {
-		p.numbers[of] = len(p.numbers)
+	if _, known := p.connectionNumbers[buffer]; !known {
+		p.connectionNumbers[buffer] = len(p.connectionNumbers)
 	}
-	p.observe(p.numbers[of], string(of.output))
+	p.observe(p.connectionNumbers[buffer], string(buffer.output))
 }
 
 // takeCommands acts as the interpreter on the commands that the server has sent: it first starts runs and then answers
@@ -253,14 +254,14 @@
 }
 
 func (p *sequence) startRun(id string) {
-	started := p.attempts[id]
-	if started.hasRun {
+	run := p.attempts[id]
+	if run.hasRun {
 		return
 	}
-	last, keyHasRun := p.lastRun[started.key]
-	require.False(p, keyHasRun && started.receivedAt < last+50_000, "a run started twice")
-	started.hasRun = true
-	p.lastRun[started.key] = started.receivedAt
+	lastReceivedAt, keyHasRun := p.lastRun[run.key]
+	require.False(p, keyHasRun && run.receivedAt < lastReceivedAt+50_000, "a run started twice")
+	run.hasRun = true
+	p.lastRun[run.key] = run.receivedAt
 }
 
 func FuzzSequences(f *testing.F) {
