--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -13,24 +13,24 @@
 	"thistlequay/internal/schedule"
 )
 
-// transcript is a golden file of the bytes that are received and sent, a line each. Its labels, and the names of cases
-// that are added to it, are part of the recorded file and stay as they are.
+// transcript builds a golden file with one labeled line for each piece of input or output. The labels, including the
+// names of test cases, are part of the recorded files and must not change.
 type transcript struct{ text strings.Builder }
 
-func (s *transcript) add(what, data string) { fmt.Fprintf(&s.text, "%s: %q\n", what, data) }
+func (s *transcript) add(label, data string) { fmt.Fprintf(&s.text, "%s: %q\n", label, data) }
 
-// addOutput adds what is to be written to a connection, and empties it.
-func (s *transcript) addOutput(what string, of *outputBuffer) { s.add(what, takeOutput(of)) }
+// addOutput adds the pending output of a connection and clears it.
+func (s *transcript) addOutput(label string, buffer *outputBuffer) { s.add(label, takeOutput(buffer)) }
 
-// addResponses adds what is to be written to a router and to the interpreter.
-func (s *transcript) addResponses(point string, server *Server, router *routerConnection) {
-	s.addOutput(point+"router", &router.outputBuffer)
-	s.addOutput(point+"interpreter", &server.interpreter.outputBuffer)
+// addResponses adds the pending output to a router and to the interpreter.
+func (s *transcript) addResponses(labelPrefix string, server *Server, router *routerConnection) {
+	s.addOutput(labelPrefix+"router", &router.outputBuffer)
+	s.addOutput(labelPrefix+"interpreter", &server.interpreter.outputBuffer)
 }
 
 // addValues adds values separated by spaces.
-func (s *transcript) addValues(what string, values ...any) {
-	s.add(what, strings.TrimSuffix(fmt.Sprintln(values...), "\n"))
+func (s *transcript) addValues(label string, values ...any) {
+	s.add(label, strings.TrimSuffix(fmt.Sprintln(values...), "\n"))
 }
 
 func (s *transcript) check(t *testing.T, name string) {
@@ -38,7 +38,7 @@
 	golden.Check(t, name, []byte(s.text.String()))
 }
 
-// paramsWith returns the parameters of the usual request with some of them replaced or added.
+// paramsWith returns requestParams with some parameters replaced or added. changes alternates names and values.
 func paramsWith(changes ...string) [][2]string {
 	params := slices.Clone(requestParams)
 	for change := range slices.Chunk(changes, 2) {
@@ -53,7 +53,8 @@
 	return params
 }
 
-// withID gives the request another ID, by its last two digits, before other changes.
+// withID returns changes for paramsWith that set a request ID with the given last two digits, followed by the other
+// changes.
 func withID(lastDigits string, changes ...string) []string {
 	return append([]string{"HTTP_REQUEST_ID", "00000000000000" + lastDigits}, changes...)
 }
@@ -95,7 +96,8 @@
 	{"two faults", []string{"REQUEST_METHOD", "GET", "HTTP_REQUEST_ID", "1", "HTTP_SENT_BY", ""}, "x"},
 }
 
-// Responses to a router are as recorded, byte for byte, from the first request until the drain has ended.
+// The server's output for valid and invalid requests, from the first request until the drain has ended, matches the
+// golden file byte for byte.
 func TestGoldenRequests(t *testing.T) {
 	var recorded transcript
 	server, first := newRunningServer(t)
@@ -121,10 +123,10 @@
 	require.NoError(t, aborted.parser.Feed([]byte{1, 2, 0, 1, 0, 0, 0, 0}, aborted))
 	dispatchBatch(server)
 	recorded.addOutput("aborted", &aborted.outputBuffer)
-	half := connectRouter(server)
-	require.NoError(t, half.parser.Feed([]byte(requestRecords(1, paramsWith(), "x"))[:40], half))
+	incomplete := connectRouter(server)
+	require.NoError(t, incomplete.parser.Feed([]byte(requestRecords(1, paramsWith(), "x"))[:40], incomplete))
 	passTime(server, firstRequestTimeout)
-	recorded.addValues("half a request", half.closeAfterWrite, takeOutput(&half.outputBuffer))
+	recorded.addValues("half a request", incomplete.closeAfterWrite, takeOutput(&incomplete.outputBuffer))
 	server.routers.setLoadReport(0.25)
 	exchange("with the free value", 1, healthCheck, "")
 	server.directory.opened(discardConn{})
@@ -132,24 +134,24 @@
 	server.beginShutdown()
 	recorded.addOutput("directory", &server.directory.outputBuffer)
 	exchange("leaving: health", 1, healthCheck, "")
-	late := paramsWith(withID("c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")...)
-	exchange("leaving: request", 1, late, "x")
+	lateParams := paramsWith(withID("c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")...)
+	exchange("leaving: request", 1, lateParams, "x")
 	for range 70 {
 		passTime(server, second/10)
 	}
 	recorded.addOutput("at its deadline", &first.outputBuffer)
 	recorded.addOutput("to the interpreter", &server.interpreter.outputBuffer)
-	fresh := New(server.config, server.log)
-	fresh.now = 10_000_000
-	fresh.loop = idleLoop{}
-	router := connectRouter(fresh)
+	startingServer := New(server.config, server.log)
+	startingServer.now = 10_000_000
+	startingServer.loop = idleLoop{}
+	router := connectRouter(startingServer)
 	feed(t, router, wholeRequest)
 	recorded.addOutput("starting", &router.outputBuffer)
 	recorded.check(t, "requests.txt")
 }
 
-// The effects of each of the interpreter's notices are as recorded, byte for byte: whether it closes the link, what is
-// sent to the router, to the interpreter and to the index.
+// The effects of each notice of the interpreter match the golden file byte for byte: whether the notice closes the
+// link, and the output to the router, the interpreter and the index.
 func TestGoldenNotices(t *testing.T) {
 	var recorded transcript
 	for _, lines := range []string{
@@ -189,7 +191,7 @@
 	recorded.check(t, "notices.txt")
 }
 
-// The effects of each of the index's replies are as recorded, byte for byte.
+// The effects of each reply of the index match the golden file byte for byte.
 func TestGoldenReplies(t *testing.T) {
 	var recorded transcript
 	for _, text := range []string{
@@ -221,7 +223,7 @@
 	recorded.check(t, "replies.txt")
 }
 
-// The output after a reconnection to the interpreter is as recorded, byte for byte.
+// The output after a reconnection to the interpreter matches the golden file byte for byte.
 func TestGoldenReconnect(t *testing.T) {
 	var recorded transcript
 	server, router := newServerWithRun(t)
@@ -250,7 +252,7 @@
 	recorded.check(t, "reconnect.txt")
 }
 
-// The reports to the directory and the effects of its answers are as recorded, byte for byte.
+// The reports to the directory and the effects of its answers match the golden file byte for byte.
 func TestGoldenDirectory(t *testing.T) {
 	var recorded transcript
 	for _, text := range []string{
@@ -278,7 +280,8 @@
 	recorded.check(t, "directory.txt")
 }
 
-// The histories of seeded sequences are as recorded: all output, connection by connection, and the server's figures.
+// The histories of seeded random sequences match the golden file. A history consists of the output of each connection
+// and the server's statistics after each batch.
 func TestGoldenSequences(t *testing.T) {
 	file := schedule.GoldenFile{Name: "sequences.txt", Seeds: 300, SeedsPerLine: 10}
 	file.Check(t, func(t *testing.T, seed int64, history *golden.History) {
@@ -286,6 +289,6 @@
 		data := make([]byte, 2*(20+random.Intn(80)))
 		random.Read(data)
 		history.Add("seed", seed)
-		playObserved(t, data, true, history.Add)
+		playSequenceObserved(t, data, true, history.Add)
 	})
 }
--- a/internal/server/requestparser.go
+++ b/internal/server/requestparser.go
@@ -10,30 +10,31 @@
 	"thistlequay/timeunit"
 )
 
-// Bounds on what a request says of itself.
+// Limits on the fields of a request.
 const (
 	maxBodyBytes    = 2 << 10
 	maxKeyBytes     = 64
 	requestIDDigits = 16
-	maxFootprintKB  = 2000 // of memory; a request must be below
-	maxRank         = 1    // of its priority; a request must be below
+	maxFootprintKB  = 2000 // exclusive limit of the memory footprint
+	maxRank         = 1    // exclusive limit of the priority rank
 
-	// maxClockSkew is how far a router's clock may be ahead.
+	// maxClockSkew is how far a router's clock may be ahead of this server's clock.
 	maxClockSkewMs = 1000
 	maxClockSkew   = maxClockSkewMs * timeunit.TicksPerMillisecond
 
-	// maxBudgetInDeadlines: a router that would wait for more deadlines than so many cannot mean it.
+	// maxBudgetInDeadlines limits a request's budget to a multiple of its category's deadline. A larger budget must be
+	// a mistake.
 	maxBudgetInDeadlines = 2
 
-	// routerNumberBits bounds a router's number. New routers come for ever, and a larger number is no whole number in
-	// the settings' JSON.
+	// routerNumberBits limits a router's number to 53 bits. The numbers keep growing as routers are added, and JSON, as
+	// used for the settings, represents integers exactly only up to that size.
 	routerNumberBits = 53
 )
 
-// pathPrefix is what the path of a request has before the name of its category.
+// pathPrefix is the part of a request's path before the name of its category.
 var pathPrefix = []byte("/rpc/")
 
-// The fields of a request, in the order of fieldNames.
+// Indexes of a request's fields in fieldNames and fieldValues.
 const (
 	fieldPath = iota
 	fieldMethod
@@ -50,48 +51,49 @@
 	fieldCount
 )
 
-// fieldNames are the fields' names in FastCGI.
+// fieldNames holds the FastCGI parameter names of the fields.
 var fieldNames = []string{
 	"SCRIPT_NAME", "REQUEST_METHOD", "CONTENT_LENGTH", "HTTP_REQUEST_ID", "HTTP_RECEIVED_AT", "HTTP_SENT_BY",
 	"HTTP_ACCOUNT", "HTTP_BUDGET_MS", "HTTP_FOOTPRINT_KB", "HTTP_PRIORITY_RANK", "HTTP_ONCE_KEY", "REMOTE_ADDR",
 }
 
-// fieldValues are a request's fields as they came, nil for one that did not. They lie in the parser's buffer.
+// fieldValues holds the unparsed values of a request's fields; the value of a missing field is nil. The values point
+// into the parser's buffer.
 type fieldValues [fieldCount][]byte
 
-// parse makes a request of the fields, or returns the statusError that tells what is wrong with the first wrong one.
-// The settings are the measure: nothing that they do not know, or that no router could mean, reaches admission.
+// parse returns the request that a stream contains, or a statusError for the first invalid field. It checks the fields
+// against the settings, so that no unknown category or tenant and no implausible value reaches admission.
 func (t *requestTable) parse(router *routerConnection, stream *fastcgi.Request) (*request, error) {
 	var fields fieldValues
 	hasDuplicate := stream.Params(fieldNames, fields[:])
-	parsed := &request{id: string(fields[fieldID])}
-	if err := t.parseTarget(parsed, &fields, stream.Body); err != nil {
+	req := &request{id: string(fields[fieldID])}
+	if err := t.parseTarget(req, &fields, stream.Body); err != nil {
 		return nil, err
 	}
 	if hasDuplicate {
 		return nil, errDuplicateField
 	}
-	if err := t.parseIdentity(parsed, &fields); err != nil {
+	if err := t.parseIdentity(req, &fields); err != nil {
 		return nil, err
 	}
-	if err := t.parseLimits(parsed, &fields); err != nil {
+	if err := t.parseLimits(req, &fields); err != nil {
 		return nil, err
 	}
-	parsed.tenant = fields[fieldAccount]
+	req.tenant = fields[fieldAccount]
 	if tenancy := t.server.config.Tenancy; tenancy != nil {
-		parsed.tenant = []byte(tenancy.Lookup(router.peerAddress(), fields[fieldRemote]))
+		req.tenant = []byte(tenancy.Lookup(router.peerAddress(), fields[fieldRemote]))
 	}
-	return parsed, nil
+	return req, nil
 }
 
-// parseTarget reads what is to be run: category, method and body.
-func (t *requestTable) parseTarget(parsed *request, fields *fieldValues, body []byte) error {
+// parseTarget checks path, method and body, and sets the category.
+func (t *requestTable) parseTarget(req *request, fields *fieldValues, body []byte) error {
 	name, hasPrefix := bytes.CutPrefix(fields[fieldPath], pathPrefix)
 	if !hasPrefix {
 		return errUnknownPath
 	}
-	category, known := t.server.config.Settings.CategoryIndex[string(name)]
-	if !known {
+	category, isKnown := t.server.config.Settings.CategoryIndex[string(name)]
+	if !isKnown {
 		return errUnknownCategory
 	}
 	if string(fields[fieldMethod]) != "POST" {
@@ -104,48 +106,49 @@
 	if len(length) > 0 && string(length) != strconv.Itoa(len(body)) {
 		return errContentLength
 	}
-	parsed.category = category
-	parsed.arrival.Category = category
+	req.category = category
+	req.arrival.Category = category
 	return nil
 }
 
-// parseIdentity reads which request it is and when it was received.
-func (t *requestTable) parseIdentity(parsed *request, fields *fieldValues) error {
-	_, err := strconv.ParseUint(parsed.id, 16, 64)
-	if err != nil || len(parsed.id) != requestIDDigits {
+// parseIdentity checks the request ID and sets the time at which the router received the request.
+func (t *requestTable) parseIdentity(req *request, fields *fieldValues) error {
+	_, err := strconv.ParseUint(req.id, 16, 64)
+	if err != nil || len(req.id) != requestIDDigits {
 		return errRequestID
 	}
-	if t.byID[parsed.id] != nil {
+	if t.byID[req.id] != nil {
 		return errRequestIDInUse
 	}
 	receivedAtMs, err := strconv.ParseInt(string(fields[fieldReceivedAt]), 10, 64)
-	offset := t.server.clock.systemOffset // routers go by the system's clock
+	offset := t.server.clock.systemOffset // routers use the system clock
 	nowMs := (t.server.now + offset).Milliseconds()
 	if err != nil || receivedAtMs < 0 || receivedAtMs > nowMs+maxClockSkewMs {
 		return errReceivedAt
 	}
-	parsed.receivedAt = timeunit.Ticks(receivedAtMs)*timeunit.TicksPerMillisecond - offset
+	req.receivedAt = timeunit.Ticks(receivedAtMs)*timeunit.TicksPerMillisecond - offset
 	return nil
 }
 
-// parseLimits reads how long the router waits, which router it is, and what the request may take.
-func (t *requestTable) parseLimits(parsed *request, fields *fieldValues) error {
+// parseLimits checks the fields that limit or classify the request: budget, sender, memory footprint, priority rank,
+// account and idempotency key. It sets the deadline.
+func (t *requestTable) parseLimits(req *request, fields *fieldValues) error {
 	settings := t.server.config.Settings
-	category := &settings.Categories[parsed.category]
+	category := &settings.Categories[req.category]
 	maxBudget := float64(category.Deadline) / float64(timeunit.TicksPerMillisecond) * maxBudgetInDeadlines
-	budget, isNumber := parseNumber(fields[fieldBudget], 0, maxBudget)
-	if !isNumber {
+	budget, isValid := parseNumber(fields[fieldBudget], 0, maxBudget)
+	if !isValid {
 		return errBudget
 	}
 	sender, err := strconv.ParseUint(string(fields[fieldSentBy]), 10, routerNumberBits)
 	if err != nil {
 		return errSentBy
 	}
-	footprint, isNumber := parseNumber(fields[fieldFootprint], 0, maxFootprintKB)
-	if !isNumber || footprint == 0 {
+	footprint, isValid := parseNumber(fields[fieldFootprint], 0, maxFootprintKB)
+	if !isValid || footprint == 0 {
 		return errFootprint
 	}
-	if _, isNumber = parseNumber(fields[fieldRank], 0, maxRank); !isNumber {
+	if _, isValid = parseNumber(fields[fieldRank], 0, maxRank); !isValid {
 		return errPriorityRank
 	}
 	if !settings.HasTenant(fields[fieldAccount]) {
@@ -156,16 +159,16 @@
 	if isMissing || len(key) > maxKeyBytes {
 		return errOnceKey
 	}
-	parsed.key = key
-	// No answer counts after that, whoever waits.
-	parsed.deadline = parsed.receivedAt + min(deployment.RoundDown(budget), category.Deadline)
-	parsed.arrival.Router = int(sender)
-	parsed.arrival.QueuedKB = footprint
+	req.key = key
+	// A response after the category's deadline is of no use, however large the budget is.
+	req.deadline = req.receivedAt + min(deployment.RoundDown(budget), category.Deadline)
+	req.arrival.Router = int(sender)
+	req.arrival.QueuedKB = footprint
 	return nil
 }
 
-// parseNumber reads a figure that must lie from least up to below end.
-func parseNumber(text []byte, least, end float64) (float64, bool) {
+// parseNumber parses a number and reports whether it is valid: at least minimum and below limit.
+func parseNumber(text []byte, minimum, limit float64) (float64, bool) {
 	number, err := strconv.ParseFloat(string(text), 64)
-	return number, err == nil && number >= least && number < end
+	return number, err == nil && number >= minimum && number < limit
 }
--- a/internal/server/routerconnection.go
+++ b/internal/server/routerconnection.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// firstRequestTimeout: a new connection that sends no complete request for so long is closed.
+	// firstRequestTimeout is the time after which a new connection that has not sent a complete request is closed.
 	firstRequestTimeout = 2 * second
 
-	// requestReadTimeout: a request that is not complete after one to two of these is answered as it is.
+	// requestReadTimeout is the interval of the check for incomplete requests. A request that is still incomplete at
+	// its second check, so after one to two intervals, is answered with statusRequestTimeout.
 	requestReadTimeout = 1 * second
 )
 
-// connectionState is where a router's connection is in its life.
+// connectionState is the state of a router connection.
 type connectionState int
 
 const (
-	connectionNew    connectionState = iota // it have not sent a complete request yet
-	connectionActive                        // it did, and carries something
-	connectionIdle                          // it did, and carries nothing
-	connectionEnding                        // it ends once no request is open on it
+	connectionNew    connectionState = iota // has not sent a complete request yet
+	connectionActive                        // has sent a complete request, and a request is open or being read
+	connectionIdle                          // has sent a complete request, and none is open or being read
+	connectionEnding                        // closes once no request is open
 	connectionClosed
 )
 
-// routerConnection is one connection from a router.
+// routerConnection handles a connection from a router.
 type routerConnection struct {
 	outputBuffer
 	parser       fastcgi.Parser
 	state        connectionState
-	stateSince   timeunit.Ticks // that it is new, or idle
-	tableElement *list.Element  // in the list of all
-	stateElement *list.Element  // in the list of new or of idle connections
+	stateSince   timeunit.Ticks // when the connection became new or idle
+	tableElement *list.Element  // in routerTable.connections
+	stateElement *list.Element  // in routerTable.newConnections or idleConnections
 
 	requestTimer  timer
-	wasIncomplete bool // at the timer before this one, and no complete request has come since
+	wasIncomplete bool // a request was incomplete when requestTimer last fired, and none has been completed since
 
-	peerIP netip.Addr // the other end; read when tenants go by it
+	peerIP netip.Addr // set by peerAddress
 }
 
-// transition changes the state and keeps the lists of new and idle connections.
-func (c *routerConnection) transition(to connectionState) {
-	if c.state == to || c.state == connectionClosed {
+// setState changes the state and updates the lists of new and idle connections.
+func (c *routerConnection) setState(newState connectionState) {
+	if c.state == newState || c.state == connectionClosed {
 		return
 	}
 	table := &c.server.routers
@@ -57,9 +58,9 @@
 	case connectionIdle:
 		table.idleConnections.Remove(c.stateElement)
 	}
-	c.state = to
+	c.state = newState
 	c.stateElement = nil
-	switch to {
+	switch newState {
 	case connectionIdle:
 		c.stateSince = c.server.now
 		c.stateElement = table.idleConnections.PushBack(c)
@@ -71,7 +72,8 @@
 	}
 }
 
-// updateState has the connection become idle, or end, where nothing is open on it.
+// updateState makes an active connection idle, or ending once the server is closing connections, if it carries nothing.
+// It closes an ending connection on which no request is open.
 func (c *routerConnection) updateState() {
 	switch {
 	case c.conn == nil:
@@ -79,20 +81,20 @@
 		c.closeAtEndOfBatch()
 	case c.state == connectionActive && c.parser.Idle():
 		if c.server.phase >= phaseClosing {
-			c.transition(connectionEnding)
+			c.setState(connectionEnding)
 		} else {
-			c.transition(connectionIdle)
+			c.setState(connectionIdle)
 		}
 	}
 }
 
-// closeAtEndOfBatch closes the connection once what is owed has gone out.
+// closeAtEndOfBatch closes the connection after its output has been written at the end of the batch.
 func (c *routerConnection) closeAtEndOfBatch() {
-	c.buffer() // it is written, and closed, also where nothing is owed
+	c.buffer() // schedules the write, and with it the close, even if there is no output
 	c.closeAfterWrite = true
 }
 
-// peerAddress returns the other end's address.
+// peerAddress returns the peer's IP address, and caches it.
 func (c *routerConnection) peerAddress() netip.Addr {
 	address, isTCP := c.conn.RemoteAddr().(*net.TCPAddr)
 	if isTCP && !c.peerIP.IsValid() {
@@ -106,18 +108,18 @@
 	c.conn = conn
 	c.stateSince = c.server.now
 	table.openCount++
-	c.tableElement = table.all.PushBack(c)
+	c.tableElement = table.connections.PushBack(c)
 	c.stateElement = table.newConnections.PushBack(c)
 	c.requestTimer.fire = c.onRequestTimeout
 	c.server.setTimer(&c.requestTimer, c.stateSince+firstRequestTimeout)
 }
 
 func (c *routerConnection) receive(data []byte) error {
-	if c.closeAfterWrite { // it crosses the end, which comes with this batch
+	if c.closeAfterWrite { // the data crossed the close, which happens at the end of this batch
 		return nil
 	}
 	if c.state == connectionIdle {
-		c.transition(connectionActive)
+		c.setState(connectionActive)
 	}
 	if err := c.parser.Feed(data, c); err != nil {
 		return err
@@ -129,8 +131,9 @@
 	return nil
 }
 
-// onRequestTimeout answers requests that are not complete in time, and closes a connection that has nothing else open
-// and completes none: otherwise a client that sends a little at a time would keep its place and buffers for ever.
+// onRequestTimeout answers requests that are not complete in time. It closes the connection if no request is open and
+// none has been completed in time; otherwise a client that sends a few bytes at a time could occupy the connection and
+// its buffers forever.
 func (c *routerConnection) onRequestTimeout() {
 	for _, incomplete := range c.parser.IncompleteRequests() {
 		if incomplete.Overdue || c.state == connectionNew {
@@ -153,14 +156,14 @@
 }
 
 func (c *routerConnection) closed() {
-	c.transition(connectionClosed)
+	c.setState(connectionClosed)
 	c.server.stopTimer(&c.requestTimer)
 	c.conn = nil
 	c.server.routers.openCount--
-	c.server.routers.all.Remove(c.tableElement)
+	c.server.routers.connections.Remove(c.tableElement)
 	c.parser.Abandon(c, func(open *fastcgi.Request) {
-		if accepted, isAccepted := open.Owner.(*request); isAccepted {
-			accepted.routerGone()
+		if req, isAccepted := open.Owner.(*request); isAccepted {
+			req.cancelByRouter()
 		}
 	})
 }
