--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -6,16 +6,17 @@
 	"thistlequay/timeunit"
 )
 
-// clockSetThreshold: a smaller difference between the two clocks comes from reading them one after the other.
+// clockSetThreshold is the largest difference between two clock readings that is ignored. The system clock and the
+// monotonic clock are read one after the other, which alone causes small differences.
 const clockSetThreshold timeunit.Ticks = 10
 
-// clock is the server's own time in ticks. It begins at the system's Unix time and goes on evenly when the system's
-// clock is set: if it followed a clock set back, every answer would be held until the clock had caught up, and one set
-// forward would end every wait.
+// clock is the server's monotonic clock, in ticks. It starts at the Unix time of the system clock and does not follow
+// later changes of the system clock. If it did, setting the system clock back would delay every response until the
+// clock had caught up, and setting it forward would end every wait at once.
 type clock struct {
-	readSystem   func() (system time.Time, elapsed time.Duration) // the system's clock, and the time since the start
+	readSystem   func() (system time.Time, elapsed time.Duration) // system clock, monotonic time since the start
 	startedAt    timeunit.Ticks
-	systemOffset timeunit.Ticks // by which the system's clock is ahead of this one
+	systemOffset timeunit.Ticks // how far the system clock is ahead of this clock
 }
 
 func newClock() clock {
@@ -29,7 +30,7 @@
 	}
 }
 
-// now returns the time and takes notice of a system clock that was set.
+// now returns the current time. It updates systemOffset if the system clock was set since the last call.
 func (c *clock) now() timeunit.Ticks {
 	system, elapsed := c.readSystem()
 	now := c.startedAt + timeunit.TicksOf(elapsed)
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -9,7 +9,7 @@
 	"thistlequay/timeunit"
 )
 
-// The system clock is set an hour back or ahead: the server's own time goes on evenly.
+// The server's clock advances evenly when the system clock is set back or forward.
 func TestClockGoesOnEvenlyWhenSystemClockIsSet(t *testing.T) {
 	clock := newClock()
 	elapsed := time.Duration(0)
@@ -26,18 +26,19 @@
 	}
 }
 
-// Times from routers are by the system clock as it is set now; the server converts them to its own time.
+// Routers send times by the current system clock. After the system clock was set, the server must convert them to its
+// own clock.
 func TestReceivedAtIsConvertedAfterSystemClockIsSet(t *testing.T) {
 	server, _ := newRunningServer(t)
 	router := connectRouter(server)
-	server.clock.systemOffset = 3_600_000 // six minutes: routers' times are so much ahead of the server's now
+	server.clock.systemOffset = 3_600_000 // six minutes by which the routers' clocks are now ahead of the server's
 	const id = "00000000000000c1"
-	require.Empty(t, submitAttempt(t, server, router, id, "1364000", 10_050_000), "a new request, in time")
+	require.Empty(t, submitAttempt(t, server, router, id, "1364000", 10_050_000), "a new request before its deadline")
 	require.NotNil(t, server.requests.byID[id])
 	require.Equal(t, timeunit.Ticks(10_040_000), server.requests.byID[id].receivedAt)
 }
 
-// After a standstill neither timers nor admission act before the sockets have been read again.
+// After a standstill, neither timers nor admission act until the sockets have been read again.
 func TestSocketsAreReadBeforeTimersFireAfterStandstill(t *testing.T) {
 	server, _ := newRunningServer(t)
 	fired := 0
--- a/internal/server/configuration_socket_test.go
+++ b/internal/server/configuration_socket_test.go
@@ -10,8 +10,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// moveEmulator starts an emulator on another address, puts that address into the configuration, and stops listening on
-// the address of the old one.
+// moveEmulator starts an emulator on a new address, replaces the old address in the configuration with the new one, and
+// closes the old listener.
 func moveEmulator(server *servertest.Server, old *emulator.Listener) *emulator.Listener {
 	server.T.Helper()
 	moved := server.NewEmulator()
@@ -20,8 +20,8 @@
 	return moved
 }
 
-// A new configuration moves the program to other addresses: no request in flight is lost, and a downstream call in
-// flight ends on the connection on which it was sent. An invalid configuration changes nothing.
+// A reload with new addresses must not lose a request in flight, and a downstream call in flight must end on the
+// connection on which it was sent. An invalid configuration must change nothing.
 func TestReloadMovesAddressesWithoutLoss(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -48,18 +48,19 @@
 	config := server.Config
 	server.Config = "{"
 	server.Reload()
-	moved.ServeOne(router, 2, "goes on")
+	moved.ServeOne(router, 2, "after an invalid configuration")
 	server.Config = config
 	server.ReplaceConfig(`"sockets":64`, `"sockets":65`)
 	server.Reload()
-	moved.ServeOne(router, 3, "goes on with what a restart would change")
+	moved.ServeOne(router, 3, "after a change that requires a restart")
 	server.Signal(syscall.SIGTERM)
 	_, log := server.WaitForExit()
 	server.Contains(log, "event=configuration_rejected reason=")
 	server.Contains(log, "requires_restart=sockets\n")
 }
 
-// startRejected starts the program with a configuration with which it must not start, and returns what it has logged.
+// startRejected starts the program with a configuration that must prevent the start, and returns the program's log. The
+// test fails unless the exit code is 1.
 func startRejected(server *servertest.Server) string {
 	server.T.Helper()
 	server.WriteFilesAndStart()
@@ -68,8 +69,8 @@
 	return log
 }
 
-// A program with an invalid configuration logs one line, with the reason, and exits with 1. One whose address is taken
-// exits with 1 and logs that.
+// With an invalid configuration the program logs a single line with the reason and exits with code 1. If its address is
+// in use, it logs that and exits with code 1.
 func TestInvalidConfigurationsPreventStart(t *testing.T) {
 	invalid := func(from, to string) func(t *testing.T) {
 		return func(t *testing.T) {
--- a/internal/server/drain_socket_test.go
+++ b/internal/server/drain_socket_test.go
@@ -15,8 +15,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// handleLines calls handle with every line that the program sends to the interpreter, until the link ends. The channel
-// is closed then.
+// handleLines calls handle for each line that the program sends to the interpreter, on another goroutine. The returned
+// channel is closed when the link has ended.
 func handleLines(interpreter *servertest.InterpreterLink, handle func(line string)) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -32,7 +32,7 @@
 	return ended
 }
 
-// appliedRequest returns the identifier of the request that a line starts; false where it starts none.
+// appliedRequest returns the ID of the request that an APPLY line starts. It returns false for any other line.
 func appliedRequest(line string) (string, bool) {
 	_, job, found := strings.Cut(line, `{"type":"APPLY","job":"`)
 	if !found {
@@ -41,15 +41,16 @@
 	return job[:16], true
 }
 
-// sendEmptyValue ends a run with an empty result. A link that the program has closed is no failure.
+// sendEmptyValue ends a run with an empty result. Write errors are ignored because the program may have closed the
+// link.
 func sendEmptyValue(interpreter *servertest.InterpreterLink, id string) {
 	interpreter.LastNotice++
 	_, _ = fmt.Fprintf(interpreter, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
 		interpreter.LastNotice, id)
 }
 
-// During a drain health checks fail, requests in flight are answered, and after the grace period no request is run.
-// What is still in flight at the shutdown deadline is answered with 500.
+// During a drain, health checks fail, requests in flight are answered, and no request that arrives after the grace
+// period is run. Requests still in flight at the shutdown deadline are answered with 500.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -64,14 +65,14 @@
 	})
 	server.Signal(syscall.SIGTERM)
 	interpreter.CompleteRun(router, 2, ends, "e")
-	linkEnded := handleLines(interpreter, func(line string) { // during the grace period runs still get their results
+	linkEnded := handleLines(interpreter, func(line string) { // runs that start in the grace period still succeed
 		id, found := appliedRequest(line)
 		if found {
 			sendEmptyValue(interpreter, id)
 		}
 	})
 	late := server.ConnectRouter()
-	server.WaitFor(func() bool { // after the grace period no request is run
+	server.WaitFor(func() bool { // wait until the grace period has ended
 		late.SendLook(1, "late")
 		_, status, _, _ := late.NextResponse()
 		return status == 503
@@ -79,12 +80,13 @@
 	router.ExpectResponse(1, 500, "") // before the shutdown deadline
 	code, log := server.WaitForExit()
 	server.Equal(0, code)
-	server.Contains(log, "event=ended name=n3 requests=1 ") // the run has not ended, but its response has been sent
+	server.Contains(log, "event=ended name=n3 requests=1 ") // the run has not ended, although its response was sent
 	router.RequireClosed()
 	<-linkEnded
 }
 
-// After a SIGTERM before the interpreter is up health checks fail, load reports say closed, and the exit code is 0.
+// If SIGTERM arrives before the interpreter is up, health checks fail, the load report to the directory is "closed",
+// and the exit code is 0.
 func TestDrainBeforeInterpreterIsUp(t *testing.T) {
 	server := servertest.New(t)
 	server.WriteFilesAndStart()
@@ -97,14 +99,14 @@
 	router := server.ConnectRouter()
 	router.ExpectHealth(1, 503)
 	expectLoadReport(server, server.NextLink(server.Directory), "closed")
-	server.WriteLine(interpreter, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
+	server.WriteLine(interpreter, `{"type":"BANNER","state":"COLD","took":1}`) // must not make the server healthy
 	router.ExpectHealth(2, 503)
 	code, _ := server.WaitForExit()
 	server.Equal(0, code)
 }
 
-// Requests in flight in a process that is paused until after the shutdown deadline are answered before their
-// connection is closed.
+// If the process is paused (SIGSTOP) beyond the shutdown deadline, requests in flight are still answered before their
+// connections are closed.
 func TestPauseOverTheStopDeadlineStillAnswers(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -120,27 +122,28 @@
 	server.Equal(0, code)
 }
 
-// The load of TestMeasuredDrainOrders: 1.36 s of the 1.5 s until the shutdown deadline; the last dials are refused.
+// The load of TestMeasuredDrainOrders takes 1.36 s of the 1.5 s until the shutdown deadline, so that the last dials are
+// refused.
 const (
-	drainInterval    = 4 * time.Millisecond // between two connections
-	drainConnections = 340
-	drainIdle        = 60                     // connections that are idle when the drain begins
-	drainFloods      = 20                     // connections on which records come without a pause
-	drainStayingIdle = 20                     // of drainIdle, at least as many stay idle until the program closes them
-	drainGrace       = 350 * time.Millisecond // 300 ms of grace period, and 50 of slack
+	drainInterval    = 4 * time.Millisecond   // between two steps of the load
+	drainConnections = 340                    // steps of the load; two thirds open a new connection
+	drainIdle        = 60                     // connections that are idle when the drain starts
+	drainFloods      = 20                     // connections on which records are sent without pause
+	drainStayingIdle = 20                     // minimum number of idle connections left to the program to close
+	drainGrace       = 350 * time.Millisecond // grace period of 300 ms plus 50 ms of tolerance
 )
 
 // drainedConnection is the outcome of one connection during a drain.
 type drainedConnection struct {
 	kind        string
-	receivedMS  int64 // Received-At of its request; 0 where the request was not sent completely
+	receivedMS  int64 // Received-At of its request; 0 if the request was not sent completely
 	id          string
 	responses   int
 	dialRefused bool
-	err         error // with which the connection ended, where that is not its regular close
+	err         error // error that ended the connection; nil if it was closed regularly
 }
 
-// readResponses counts the responses on a connection until it ends, and closes it.
+// readResponses counts the responses on a connection until the connection ends, then closes it.
 func (d *drainedConnection) readResponses(link *emulator.Link) {
 	defer servertest.CloseQuietly(link)
 	for {
@@ -156,15 +159,15 @@
 	}
 }
 
-// drainRun is the load of TestMeasuredDrainOrders.
+// drainRun generates the load of TestMeasuredDrainOrders and records its outcomes.
 type drainRun struct {
 	server      *servertest.Server
-	runs        map[string]int // of each request; read it once the interpreter's link has ended
+	runs        map[string]int // runs by request ID; read it only after the interpreter's link has ended
 	connections []*drainedConnection
-	open        sync.WaitGroup // of the goroutines that read and write connections
+	open        sync.WaitGroup // counts the goroutines that read and write connections
 }
 
-// handleCommand ends every run at once and answers requests for the gauges.
+// handleCommand ends every run at once and answers requests for the interpreter's gauges.
 func (r *drainRun) handleCommand(interpreter *servertest.InterpreterLink, line string) {
 	id, found := appliedRequest(line)
 	if found {
@@ -179,7 +182,7 @@
 	}
 }
 
-// connectIdle opens connections and has one health check answered on each.
+// connectIdle opens count connections and completes one health check on each, so that all of them are idle.
 func (r *drainRun) connectIdle(count int) []*emulator.Link {
 	var links []*emulator.Link
 	for range count {
@@ -190,7 +193,7 @@
 	return links
 }
 
-// flood writes records of no open request until the connection is closed.
+// flood writes records that belong to no open request until the connection is closed.
 func (r *drainRun) flood(link *emulator.Link) {
 	r.open.Go(func() {
 		var err error
@@ -200,13 +203,13 @@
 	})
 }
 
-// watch adds a connection to the outcomes and reads its responses.
+// watch adds a connection to r.connections and reads its responses on another goroutine.
 func (r *drainRun) watch(link *emulator.Link, connection *drainedConnection) {
 	r.connections = append(r.connections, connection)
 	r.open.Go(func() { connection.readResponses(link) })
 }
 
-// send writes a request, or the first half of one, and watches its connection.
+// send writes a request, or only its first half if complete is false, and reads the connection's responses.
 func (r *drainRun) send(link *emulator.Link, kind string, complete bool) {
 	connection := &drainedConnection{kind: kind, id: r.server.NewRequestID()}
 	parameters := servertest.RequestParameters(connection.id)
@@ -219,11 +222,11 @@
 	r.watch(link, connection)
 	_, err := link.Write(request)
 	if err != nil {
-		connection.receivedMS = 0 // the program had closed the connection before
+		connection.receivedMS = 0 // the program had already closed the connection
 	}
 }
 
-// sendOnNewConnection is send on a new connection, whose dial may be refused.
+// sendOnNewConnection calls send on a new connection, or records that the dial was refused.
 func (r *drainRun) sendOnNewConnection(kind string, complete bool) {
 	link, err := emulator.Dial(r.server.Listen)
 	if err != nil {
@@ -234,10 +237,10 @@
 	r.send(link, kind, complete)
 }
 
-// play sends the load, from a moment on, and returns the connections that are still idle.
+// play sends the load, beginning at start, and returns the connections that are still idle.
 func (r *drainRun) play(start time.Time, idle []*emulator.Link) []*emulator.Link {
 	for i := range drainConnections {
-		time.Sleep(time.Until(start.Add(time.Duration(i) * drainInterval))) // paces the load: no wait for an event
+		time.Sleep(time.Until(start.Add(time.Duration(i) * drainInterval))) // paces the load; no wait for an event
 		switch {
 		case i%3 == 0:
 			r.sendOnNewConnection("request on a new connection", true)
@@ -253,14 +256,14 @@
 
 // drainCounts counts connections by their outcome.
 type drainCounts struct {
-	lost    int // the request was run, and there was no response
-	double  int // more than one run or response
-	late    int // the request arrived after the grace period and was run
-	reset   int // neither closed regularly nor refused
-	refused int // at the dial
+	lost    int // the request was run but not answered
+	double  int // the request was run or answered more than once
+	late    int // the request arrived after the grace period but was run
+	reset   int // the connection ended with an error, such as a reset
+	refused int // the dial was refused
 }
 
-// count counts the outcomes. graceEndMS is the time, in Unix milliseconds, from which no request that arrives is run.
+// count counts the outcomes. Requests that arrive after graceEndMS, in Unix milliseconds, must not be run.
 func (r *drainRun) count(graceEndMS int64) drainCounts {
 	var counts drainCounts
 	for _, connection := range r.connections {
@@ -283,7 +286,7 @@
 	return counts
 }
 
-// shutdownTime returns when the program logged that it shuts down.
+// shutdownTime returns the time at which the program logged the shutting_down event.
 func shutdownTime(server *servertest.Server, log string) time.Time {
 	server.T.Helper()
 	before := log[:strings.Index(log, " event=shutting_down")]
@@ -294,14 +297,14 @@
 	return logged
 }
 
-// A drain with bytes arriving at every moment of it: requests on idle and on new connections, half requests, and
-// records without a pause. Every request that was read has one response, or was not run and its connection is closed
-// without a reset; none that arrived after the grace period is run.
+// Traffic arrives throughout a drain: requests on idle and on new connections, incomplete requests, and continuous
+// records. Each request must either get exactly one response, or not be run and have its connection closed without a
+// reset. No request that arrives after the grace period may be run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":256`)
 	run := &drainRun{server: server, runs: map[string]int{}}
 	linkEnded := handleLines(interpreter, func(line string) { run.handleCommand(interpreter, line) })
-	// All connections but the new ones are open before, few enough for the connection table.
+	// The idle and flooding connections are opened before the drain and fit into the connection table.
 	idle := run.connectIdle(drainIdle)
 	floods := run.connectIdle(drainFloods)
 	for _, link := range floods {
@@ -321,7 +324,7 @@
 	ended := time.Since(notified)
 	<-linkEnded
 	server.Equal(0, code, log)
-	server.Less(ended, servertest.EventTimeout/4) // 1.5 s on an idle machine; the measured time is printed below
+	server.Less(ended, servertest.EventTimeout/4) // takes 1.5 s on an idle machine; the measured time is printed below
 	counts := run.count(shutdownTime(server, log).Add(drainGrace).UnixMilli())
 	fmt.Printf("measured drain orders=%d lost=%d double=%d late=%d reset=%d refused=%d ended_ms=%d source=emulators\n",
 		len(run.connections), counts.lost, counts.double, counts.late, counts.reset, counts.refused,
--- a/internal/server/fairqueue.go
+++ b/internal/server/fairqueue.go
@@ -9,11 +9,11 @@
 	"thistlequay/internal/fairqueue"
 )
 
-// fairQueuePart has requests of several tenants share the cores fairly, where the configuration says so.
+// fairQueuePart shares the cores fairly among tenants. It is enabled if Config.FairQueue is set.
 type fairQueuePart struct {
 	partDefaults
 	server    *Server
-	scheduler *fairqueue.Scheduler // nil where queues are not fair
+	scheduler *fairqueue.Scheduler // nil if fair queueing is disabled
 }
 
 func (p *fairQueuePart) init(server *Server) {
@@ -23,7 +23,7 @@
 
 func (p *fairQueuePart) isEnabled() bool { return p.scheduler != nil }
 
-// configure makes, changes or drops the scheduler. Reservations that are open end on the scheduler that they began on.
+// configure creates, reconfigures or removes the scheduler. Open reservations stay with the scheduler that made them.
 func (p *fairQueuePart) configure() {
 	config := p.server.config.FairQueue
 	switch {
@@ -50,7 +50,7 @@
 	}
 }
 
-// reserve gives a request its place among those of other tenants.
+// reserve makes a reservation for a request and copies the reservation's start tag and expected delay to its arrival.
 func (p *fairQueuePart) reserve(admitted *request, tenant []byte, arrival *admission.Arrival) {
 	if p.scheduler == nil {
 		return
--- a/internal/server/fairqueue_socket_test.go
+++ b/internal/server/fairqueue_socket_test.go
@@ -12,7 +12,7 @@
 	"thistlequay/internal/servertest"
 )
 
-// startFairServer starts a server with fair queues for the tenants acme and beta, which have these shares.
+// startFairServer starts a server with fair queueing for the tenants acme and beta, which have the given shares.
 func startFairServer(t *testing.T, acme, beta float64) (*servertest.Server, *servertest.InterpreterLink) {
 	t.Helper()
 	server := servertest.New(t)
@@ -22,14 +22,15 @@
 	return server, server.AcceptInterpreter(0)
 }
 
-// sendLookOf sends an idempotent request of a tenant and returns its identifier.
+// sendLookOf sends an idempotent request of a tenant and returns the request's ID.
 func sendLookOf(router *servertest.RouterLink, slot uint16, tenant, body string) string {
 	router.Server.T.Helper()
 	return router.SendWith(slot, "/rpc/look", body, "HTTP_ACCOUNT", tenant)
 }
 
-// The only request of one tenant is run before the queued ones of another that came first. Then the settings change
-// under load: an invalid change has no effect, a tenant with requests in flight is removed, fair queues end.
+// The only request of one tenant is run before queued requests of another tenant that arrived earlier. The settings
+// then change under load: an invalid change has no effect, a tenant with requests in flight is removed, and finally
+// fair queueing is turned off.
 func TestFairQueueOrderAndReloadUnderLoad(t *testing.T) {
 	server, interpreter := startFairServer(t, 0.5, 0.5)
 	router := server.ConnectRouter()
@@ -40,11 +41,11 @@
 	third := sendLookOf(router, 3, "acme", "3")
 	fourth := sendLookOf(router, 4, "acme", "4")
 	beta := sendLookOf(router, 5, "beta", "b")
-	router.ExpectHealth(6, 200) // the program has read all of them
+	router.ExpectHealth(6, 200) // the program has read all requests
 	interpreter.CompleteRun(router, 1, first, "")
 	interpreter.ExpectApply(beta, "b")
 
-	// Not a tenant of the settings: nothing changes.
+	// The settings have no tenant "gone", so the change is rejected.
 	server.Service = "fair_queues:\n  tenants: [{name: gone, share: 1}]\n"
 	server.Reload()
 	interpreter.CompleteRun(router, 2, second, "")
@@ -68,8 +69,8 @@
 	server.Equal(2, strings.Count(log, "event=configuration_read"))
 }
 
-// Retries that share a run are not accounted to their tenant: after six of them the tenant's next request is still run
-// before that of the other tenant.
+// Retries that share the result of a run must not be accounted to their tenant: after six of them, the tenant's next
+// request is still run before that of the other tenant.
 func TestRetriesAreAccountedOnce(t *testing.T) {
 	server, interpreter := startFairServer(t, 0.6, 0.4)
 	router := server.ConnectRouter()
@@ -86,13 +87,13 @@
 		_, status, _, body := router.NextResponse()
 		server.Equal("200 one", fmt.Sprint(status, " ", body))
 	}
-	interpreter.ExpectApply(queuedAcme, "a2") // six retries have not put acme behind beta
+	interpreter.ExpectApply(queuedAcme, "a2") // the six retries have not put acme behind beta
 	interpreter.CompleteRun(router, 9, other, "")
 	interpreter.ExpectApply(queuedBeta, "b2")
 }
 
-// Behind a trusted proxy the tenant is that of the network of the client's address, also where the address is an IPv4
-// address in IPv6 form.
+// Behind a trusted proxy, the network of the client's address determines the tenant, even if the address is an
+// IPv4-mapped IPv6 address.
 func TestTenantComesFromClientNetworkBehindTrustedProxy(t *testing.T) {
 	server := servertest.New(t)
 	server.Service = `fair_queues:
@@ -119,7 +120,7 @@
 	interpreter.ExpectApply(otherTenant, "10.2.0.1")
 }
 
-// corruptNotices is the NoticeScript of an interpreter that corrupts some of its notices, by their number.
+// corruptNotices is a NoticeScript that corrupts a few notices, selected by their number.
 func corruptNotices(notice int) emulator.Corruption {
 	switch notice {
 	case 40:
@@ -137,7 +138,7 @@
 	}
 }
 
-// failSomeCalls is the ReplyScript of an index that fails three calls of twenty.
+// failSomeCalls is a ReplyScript that fails three of every twenty calls.
 func failSomeCalls(call int) emulator.IndexReply {
 	switch call % 20 {
 	case 5:
@@ -151,9 +152,9 @@
 	}
 }
 
-// Two tenants with equal shares send over sockets, one of them much more than its share, while the interpreter
-// corrupts some notices and the index fails some calls: every request is answered, none is run twice, and the tenant
-// within its share gets at least nine tenths of it. The load takes two seconds, with MEASURE=full 30.
+// Two tenants have equal shares, and one sends much more than its share while the interpreter corrupts some notices and
+// the index fails some calls. Every request must be answered, none may be run twice, and the tenant within its share
+// must get at least 90 % of that share. The load takes 2 s, or 30 s with MEASURE=full.
 func TestMeasuredFairQueuesOverSockets(t *testing.T) {
 	server := servertest.New(t)
 	interpreter, err := emulator.NewInterpreter(2, 3)
@@ -196,8 +197,8 @@
 	})
 }
 
-// twoTenantLoad returns the load of the tenants acme and beta, in arrivals per second, to one server. Requests take
-// coreSeconds in the mean, in seconds of a core.
+// twoTenantLoad returns a load on one server that lasts the given number of seconds. Each request takes coreSeconds of
+// one core on average; acme and beta are the arrivals per second of the two tenants.
 func twoTenantLoad(server *servertest.Server, seconds, coreSeconds, acme, beta float64) *emulator.LoadRun {
 	stream := func(tenant string, arrivals float64) *emulator.Stream {
 		return &emulator.Stream{
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -12,27 +12,27 @@
 	"thistlequay/timeunit"
 )
 
-// gossipInterval is the time between two reports of this server to the others.
+// gossipInterval is the time between two updates of the state that this server gossips.
 const gossipInterval = second
 
-// Gossip is the connection to the other servers. ClusterChanged and UsageReported may be called from any goroutine.
+// Gossip connects the event loop to the gossip node. ClusterChanged and UsageReported may be called from any goroutine.
 type Gossip struct {
-	// Node is this server among the others.
+	// Node is this server's gossip node.
 	Node *gossip.Node
 
-	lock        sync.Mutex // guards what follows
+	lock        sync.Mutex // guards the fields below
 	clusterSize int
 	onChange    func()
-	usage       map[membership.ID]tenantUsage // that was reported and not taken yet
+	usage       map[membership.ID]tenantUsage // reports that takeUsage has not returned yet
 }
 
-// tenantUsage is what another server gave its tenants.
+// tenantUsage is the core time that another server reported for its tenants.
 type tenantUsage struct {
 	reportedAt time.Time
 	tenants    []membership.TenantUsage
 }
 
-// ClusterChanged takes the number of servers that there are. It hands it over and does not wait.
+// ClusterChanged stores the number of servers in the cluster and notifies the event loop without waiting for it.
 func (g *Gossip) ClusterChanged(size int, _ membership.QuorumStatus) {
 	g.lock.Lock()
 	g.clusterSize = size
@@ -43,7 +43,7 @@
 	}
 }
 
-// UsageReported takes what another server gave its tenants, and how old that report is.
+// UsageReported stores a report of the core time that another server's tenants used. age is the age of the report.
 func (g *Gossip) UsageReported(by membership.ID, age time.Duration, tenants []membership.TenantUsage) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -53,7 +53,8 @@
 	g.usage[by] = tenantUsage{reportedAt: time.Now().Add(-age), tenants: tenants}
 }
 
-// takeUsage returns what was reported since it was last called, and the servers that did in a fixed order.
+// takeUsage returns the reports since its last call and the IDs of the reporting servers, sorted so that the order is
+// deterministic.
 func (g *Gossip) takeUsage() (servers []membership.ID, usage map[membership.ID]tenantUsage) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -66,22 +67,22 @@
 	return servers, usage
 }
 
-// subscribe has onChange called when the number of servers has changed.
+// subscribe sets the function that ClusterChanged calls.
 func (g *Gossip) subscribe(onChange func()) {
 	g.lock.Lock()
 	g.onChange = onChange
 	g.lock.Unlock()
 }
 
-// size returns the number of servers, zero where it is not known yet.
+// size returns the number of servers in the cluster, or 0 if it is not known yet.
 func (g *Gossip) size() int {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.clusterSize
 }
 
-// gossipPart tells the other servers how this one is, and admission how many servers there are. It must never wait for
-// gossip, nor know what is said there.
+// gossipPart publishes this server's state to the other servers and passes the cluster size to admission. It must never
+// wait for gossip, and it must not depend on the gossip protocol.
 type gossipPart struct {
 	partDefaults
 	server *Server
@@ -107,18 +108,19 @@
 	p.server.setTimer(&p.timer, p.server.now+gossipInterval)
 }
 
-// applyClusterSize has admission reckon with the servers that there are.
+// applyClusterSize sets the number of servers that admission assumes, if it is known.
 func (p *gossipPart) applyClusterSize() {
 	if p.server.admission == nil {
 		return
 	}
 	if size := p.server.config.Gossip.size(); size > 0 {
 		p.server.admission.SetFleetSize(size)
-		p.server.quota.admissionLimit = undeclaredLimit // where there is quota, that is what limits calls
+		// SetFleetSize has changed admission's limit on calls. If there is a quota, it must set the limit again.
+		p.server.quota.admissionLimit = undeclaredLimit
 	}
 }
 
-// publish tells the others how this server is.
+// publish updates the state that this server gossips to the others.
 func (p *gossipPart) publish() {
 	server := p.server
 	state := gossip.LocalState{
@@ -137,6 +139,7 @@
 	server.config.Gossip.Node.SetLocalState(state)
 }
 
+// memberState returns the state in which the other servers see this one.
 func (p *gossipPart) memberState() membership.State {
 	server := p.server
 	switch {
@@ -151,8 +154,9 @@
 	}
 }
 
-// exchangeUsage has the fair queue account what tenants were given by other servers, and returns what they were given
-// by this one.
+// exchangeUsage accounts the core time that tenants used on other servers in the fair scheduler, and returns the core
+// time that they used on this server, for at most membership.MaxUsageEntries tenants. It returns nil without fair
+// queueing.
 func (p *gossipPart) exchangeUsage() []membership.TenantUsage {
 	server := p.server
 	if server.fairQueue.scheduler == nil {
--- a/internal/server/invariant_debug.go
+++ b/internal/server/invariant_debug.go
@@ -2,10 +2,9 @@
 
 package server
 
-// checkInvariant stops the program when something that must hold does not: in debug builds, at once. It must never be
-// the way in which bad input is answered.
+// checkInvariant panics if an invariant is violated (debug builds). It must not be used to handle invalid input.
 func (*Server) checkInvariant(holds bool, what string) {
 	if !holds {
-		panic("invariant broken: " + what)
+		panic("invariant violated: " + what)
 	}
 }
--- a/internal/server/invariant_release.go
+++ b/internal/server/invariant_release.go
@@ -2,8 +2,8 @@
 
 package server
 
-// checkInvariant counts and logs when something that must hold does not; in release builds it never stops the program.
-// Each count that is a power of two is logged.
+// checkInvariant counts the violations of invariants and logs each count that is a power of two. In release builds, a
+// violation never stops the program.
 func (s *Server) checkInvariant(holds bool, what string) {
 	if !holds && countAndSample(&s.brokenInvariants) {
 		s.log.Event("invariant_violated").Str("what", what).Int("count", s.brokenInvariants).Send()
--- a/internal/server/lateness.go
+++ b/internal/server/lateness.go
@@ -2,35 +2,36 @@
 
 import "thistlequay/timeunit"
 
-// latenessInterval is how long a measured lateness counts at least; it counts for up to twice as long.
+// latenessInterval is the minimum time for which peakLateness remembers a lateness. The maximum is twice as long.
 const latenessInterval = 1 * second
 
-// peakLateness is the largest recent lateness: how long the event loop was kept from its timers, by a slow core or a
-// process that was stopped. The zero value has measured nothing.
+// peakLateness tracks the largest recent timer lateness, the time by which timers fired after their deadlines. Timers
+// are late if the core is overloaded or the process was stopped. The zero value is ready to use.
 type peakLateness struct {
 	intervalEnd timeunit.Ticks
-	current     timeunit.Ticks // the largest of this interval
-	previous    timeunit.Ticks // of the one before
+	current     timeunit.Ticks // maximum in the current interval
+	previous    timeunit.Ticks // maximum in the previous interval
 }
 
-// add records that a timer fired this much after its deadline.
+// add records the lateness of a timer that has fired.
 func (p *peakLateness) add(now, lateness timeunit.Ticks) {
 	p.advance(now)
 	p.current = max(p.current, lateness)
 }
 
-// peak returns the largest lateness of the last one to two intervals.
+// peak returns the largest lateness recorded in the current and the previous interval.
 func (p *peakLateness) peak(now timeunit.Ticks) timeunit.Ticks {
 	p.advance(now)
 	return max(p.current, p.previous)
 }
 
+// advance starts a new interval if the current one has ended.
 func (p *peakLateness) advance(now timeunit.Ticks) {
 	if now < p.intervalEnd {
 		return
 	}
 	p.previous = p.current
-	if now >= p.intervalEnd+latenessInterval { // nothing was measured in the last interval
+	if now >= p.intervalEnd+latenessInterval { // a whole interval has passed without a measurement
 		p.previous = 0
 	}
 	p.current = 0
--- a/internal/server/lateness_test.go
+++ b/internal/server/lateness_test.go
@@ -19,13 +19,14 @@
 	require.Zero(t, lateness.peak(start+5*latenessInterval))
 }
 
+// The shutdown notice may have been sent earlier than it was handled, by as much as timers are late.
 func TestNoticeMayHaveBeenSentBeforeWhatTheTimersShow(t *testing.T) {
 	server := &Server{config: Config{ShutdownTimeout: 4 * second}, now: 1000 * second}
 	require.Zero(t, server.measuredNoticeDelay())
 	server.lateness.add(server.now, 30)
 	require.EqualValues(t, 30, server.measuredNoticeDelay())
-	server.setTimer(&timer{}, server.now-second/2) // due, and not fired yet: the process has only just gone on
+	server.setTimer(&timer{}, server.now-second/2) // overdue but not fired: the process has just resumed
 	require.Equal(t, second/2, server.measuredNoticeDelay())
 	server.now += 10 * second
-	require.Equal(t, second, server.measuredNoticeDelay(), "no more than its part of the time to the kill")
+	require.Equal(t, second, server.measuredNoticeDelay(), "at most a quarter of the shutdown timeout")
 }
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -6,41 +6,45 @@
 	"thistlequay/timeunit"
 )
 
-// The platform counts the time to the kill from when it sends the notice, this process from when it handles it. What
-// can lie between is set aside, within a part of the whole.
+// The platform measures the time to the kill from when it sends the shutdown notice, but this process learns of the
+// notice only when it handles it. The shutdown therefore ends early by a reserve for the delay of the notice, limited
+// to a fraction of the shutdown timeout.
 const (
-	// maxUnseenNoticeDelay is how late a notice may come that nothing in the process shows: a busy platform sends it
-	// late.
+	// maxUnseenNoticeDelay is the assumed maximum delay of a notice that the process cannot measure, for example
+	// because a busy platform sends the notice late.
 	maxUnseenNoticeDelay = 3 * second / 10
 
-	// processEndTime is what the end of the process itself may take, after the last answer.
+	// processEndTime is the time reserved for the process to exit after its last response.
 	processEndTime = second / 10
 
-	// setAsideDivisor: what is set aside for a delay takes at most one part in so many of the time it is taken from.
+	// setAsideDivisor limits each reserve to 1/setAsideDivisor of the shutdown timeout.
 	setAsideDivisor = 4
 
-	// graceDivisor is the same for the grace period: requests that cross the notice still run.
+	// graceDivisor limits the part of the grace period that the delay of the notice may use up to 1/graceDivisor, so
+	// that requests sent before routers learned of the shutdown still run.
 	graceDivisor = 2
 )
 
-// phase is where the process is in its life. It only moves forward. What health checks hear and what becomes of
-// connections goes by it.
+// phase is the phase of the process's life cycle. It only moves forward. It determines the response to health checks
+// and how connections are handled.
 type phase int
 
 const (
-	phaseStarting phase = iota // the interpreter is not there yet
+	phaseStarting phase = iota // the interpreter is not up yet
 	phaseReady
-	phaseDraining // the notice to shut down has come; requests that come within the grace period are still run
-	phaseClosing  // the grace period is long over: connections end as soon as they carry nothing
-	phaseStopped  // everything that was read is answered; every connection ends
+	phaseDraining // the shutdown notice was received; requests that arrive within the grace period still run
+	phaseClosing  // well after the grace period; connections are closed as soon as they are idle
+	phaseStopped  // all requests that were read have been answered; all connections are closed
 )
 
+// advancePhase sets the phase unless the current one is later.
 func (s *Server) advancePhase(to phase) { s.phase = max(s.phase, to) }
 
-// isHealthy is what health checks and the directory hear.
+// isHealthy reports the health that health checks and the directory see.
 func (s *Server) isHealthy() bool { return s.phase < phaseDraining && s.routers.admissionHealthy }
 
-// beginShutdown tells admission how long there is, and ends the process in time.
+// beginShutdown starts the graceful shutdown: it notifies the parts, admission and the directory, and sets the timers
+// that end the process before the kill. Further calls have no effect.
 func (s *Server) beginShutdown() {
 	if s.shutdownDeadline < noDeadline {
 		return
@@ -55,7 +59,7 @@
 	s.noticedAt = s.now - late - min(maxUnseenNoticeDelay, s.config.Settings.DrainGrace/graceDivisor)
 	s.shutdownDeadline = s.now + timeLeft
 	s.advancePhase(phaseDraining)
-	for _, optional := range s.parts { // before anything is rejected for it
+	for _, optional := range s.parts { // before admission rejects requests because of the shutdown
 		optional.drain()
 	}
 	s.notifyAdmissionOfDrain()
@@ -63,9 +67,9 @@
 	s.scheduleEnd(timeLeft)
 }
 
-// measuredNoticeDelay returns how late the notice may be by what the process has measured of its own lateness: a timer
-// that is overdue at this moment, or was late just before, shows that the process stood still or was kept waiting, and
-// the notice may have waited as long.
+// measuredNoticeDelay returns how long ago the shutdown notice may have been sent, judging by the lateness of timers.
+// If a timer is overdue now or was late recently, the process was stopped or delayed, and the notice may have waited
+// for as long.
 func (s *Server) measuredNoticeDelay() timeunit.Ticks {
 	late := s.lateness.peak(s.now)
 	if len(s.deadlines) > 0 {
@@ -74,9 +78,9 @@
 	return min(late, s.config.ShutdownTimeout/setAsideDivisor)
 }
 
-// scheduleEnd sets the timers for the last two phases.
+// scheduleEnd sets the timers that start the last two phases.
 func (s *Server) scheduleEnd(timeLeft timeunit.Ticks) {
-	// What is after the grace period; half of it goes to the ends of connections.
+	// The second half of the time after the grace period is reserved for closing connections.
 	afterGrace := max(timeLeft-s.config.Settings.DrainGrace, timeLeft/4)
 	closeIdle := func() {
 		s.advancePhase(phaseClosing)
@@ -84,22 +88,23 @@
 		s.routers.closeAllIdle()
 	}
 	s.setTimer(&timer{fire: closeIdle}, s.shutdownDeadline-afterGrace/2)
-	// The batch in which the deadline comes is dispatched before anything ends: when the loop is late, that answers
-	// what is due.
+	// The server stops one batch after the shutdown deadline. If the loop is late, the batch of the deadline still
+	// answers the requests that are due.
 	stop := func() { s.stop(min(processEndTime, s.config.ShutdownTimeout/setAsideDivisor) / 2) }
 	s.setTimer(&timer{fire: func() { s.setTimer(&timer{fire: stop}, s.now+1) }}, s.shutdownDeadline)
 }
 
-// notifyAdmissionOfDrain passes the notice on, at once or when the interpreter comes up. The grace counts from the
-// notice also then: otherwise requests would be run that arrived after its end.
+// notifyAdmissionOfDrain starts the drain in admission, if a shutdown has begun and the interpreter is up. It is also
+// called when the interpreter comes up. The grace period counts from the notice even then, because otherwise requests
+// that arrived after its end would run.
 func (s *Server) notifyAdmissionOfDrain() {
 	if s.admission != nil && s.shutdownDeadline < noDeadline {
 		s.admission.DrainSince(s.now-s.noticedAt, max(0, s.shutdownDeadline-s.now))
 	}
 }
 
-// stop ends every connection. The recovery log has timeout to become durable, then half of that passes for
-// the last bytes to leave, then the loop stops.
+// stop closes all connections. The recovery log has up to timeout to become durable. The loop stops another half of
+// timeout later, so that the last bytes can be sent.
 func (s *Server) stop(timeout timeunit.Ticks) {
 	s.advancePhase(phaseStopped)
 	s.routers.closeAll()
@@ -109,8 +114,8 @@
 	s.recovery.close(timeout, func() { s.setTimer(&timer{fire: s.stopLoop}, s.now+timeout/2) })
 }
 
-// TimeToKill returns how long the end of the process may still take before the kill, once Run has returned: the whole
-// time for a shutdown where there was no notice, as no kill is to come.
+// TimeToKill returns the time that is left before the process is killed. It may be called once Run has returned.
+// Without a shutdown notice there is no kill, and it returns the whole shutdown timeout.
 func (s *Server) TimeToKill() time.Duration {
 	if s.shutdownDeadline == noDeadline {
 		return s.config.ShutdownTimeout.Duration()
@@ -118,6 +123,7 @@
 	return (s.killedAt - s.clock.now() - processEndTime).Duration()
 }
 
+// stopLoop logs the end of the server and stops the event loop.
 func (s *Server) stopLoop() {
 	s.log.Event("ended").Str("name", s.config.Name).Int("requests", s.requests.count()).
 		Int("broken_invariants", s.brokenInvariants).Int64("before_kill_ms", (s.killedAt - s.now).Milliseconds()).Send()
--- a/internal/server/part.go
+++ b/internal/server/part.go
@@ -2,36 +2,36 @@
 
 import "github.com/rs/zerolog"
 
-// part is an optional subsystem as the event loop sees it. The loop calls its methods, on its own goroutine and in the
-// order of optionalParts. A part that is off is not in Server.parts and costs a batch nothing.
+// part is the event loop's interface to an optional subsystem. The loop calls the methods of the enabled parts on its
+// own goroutine, in the order of optionalParts. Disabled parts are not in Server.parts and add no cost to a batch.
 //
-// What a part does for a single request (a fair share, plug-ins' verdicts, an intent record, leave for a call) is asked
-// of its type directly, at the point of the request's path where it belongs.
+// Work for a single request (reservations, plug-in verdicts, intent records, quota for a call) does not go through this
+// interface. The code that handles requests calls the concrete types directly.
 type part interface {
-	// isEnabled reports whether the configuration has the part on.
+	// isEnabled reports whether the configuration enables the part.
 	isEnabled() bool
 
-	// start is called once, when the loop runs.
+	// start is called once, when the event loop has started.
 	start()
 
-	// beforeDispatch is called in every batch before admission dispatches, once there is an admission server.
+	// beforeDispatch is called in each batch before admission dispatches, from when the interpreter is up.
 	beforeDispatch()
 
-	// afterDispatch is called in every batch after admission dispatched and before connections are written.
+	// afterDispatch is called in each batch after admission has dispatched and before connections are written.
 	afterDispatch()
 
-	// reconfigure takes the part's section of a new configuration into Server.config and acts on it. It is also called
-	// on parts that are off, as this may turn them on.
+	// reconfigure copies the part's section of a new configuration to Server.config and applies it. It is also called
+	// on disabled parts, because the new configuration may enable them.
 	reconfigure(next *Config)
 
-	// drain is called when a shutdown begins, before admission hears of it.
+	// drain is called when a shutdown begins, before admission is notified of it.
 	drain()
 
-	// addState adds to the line on the server's state that is logged now and then.
+	// addState adds fields to the periodic log event on the server's state.
 	addState(event *zerolog.Event)
 }
 
-// partDefaults implements the calls of part that do nothing in most parts.
+// partDefaults provides empty implementations of the methods of part that most parts do not need.
 type partDefaults struct{}
 
 func (partDefaults) start()                  {}
@@ -41,13 +41,14 @@
 func (partDefaults) drain()                  {}
 func (partDefaults) addState(*zerolog.Event) {}
 
-// optionalParts returns all optional subsystems in the order in which the loop calls them. The order matters: plug-ins
-// start before gossip, gossip says that the server drains before recovery saves what it learned, and quota starts last.
+// optionalParts returns all parts, enabled or not, in the order in which the loop calls them. The order matters:
+// plug-ins start before gossip, gossip announces a drain before recovery saves the warm-start state, and quota starts
+// last.
 func (s *Server) optionalParts() [5]part {
 	return [...]part{&s.fairQueue, &s.plugins, &s.gossip, &s.recovery, &s.quota}
 }
 
-// collectParts finds which parts are on.
+// collectParts sets s.parts to the parts that are enabled.
 func (s *Server) collectParts() {
 	s.parts = s.parts[:0]
 	for _, candidate := range s.optionalParts() {
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -14,7 +14,7 @@
 	"thistlequay/internal/servertest"
 )
 
-// pluginLoad is a load of about a second on a server whose plug-ins see the requests of acme but not those of beta.
+// pluginLoad is a load on a server whose plug-ins see the requests of the tenant acme but not those of beta.
 type pluginLoad struct {
 	server      *servertest.Server
 	interpreter *emulator.Interpreter
@@ -22,7 +22,7 @@
 	beta        *emulator.TenantStats
 }
 
-// newPluginLoad makes the server and its interpreter; the program is not started.
+// newPluginLoad creates the server and its interpreter without starting the program.
 func newPluginLoad(t *testing.T) *pluginLoad {
 	t.Helper()
 	server := servertest.New(t)
@@ -35,8 +35,8 @@
 	return &pluginLoad{server: server, interpreter: interpreter}
 }
 
-// play starts the program with these settings, plays the load and calls during, where it is not nil, meanwhile. The
-// load takes 0.8 s, with MEASURE=full 20. The test fails where a connection ends before a response.
+// play starts the program with the given settings and sends the load. If during is not nil, play calls it concurrently.
+// The load takes 0.8 s, or 20 s with MEASURE=full. The test fails if a connection ends before a response.
 func (l *pluginLoad) play(service string, during func()) {
 	l.server.T.Helper()
 	l.server.Service = service
@@ -59,8 +59,8 @@
 	l.beta = tenants[1]
 }
 
-// lateAndLost returns how many attempts were answered after their deadline, and how many requests without a response
-// there are.
+// lateAndLost returns the number of attempts that were answered after their deadline and the number of requests that
+// were not answered.
 func (l *pluginLoad) lateAndLost() (late, lost int) {
 	for _, tenant := range []*emulator.TenantStats{l.acme, l.beta} {
 		late += tenant.PastDeadline
@@ -70,7 +70,7 @@
 	return late, lost
 }
 
-// doubleRuns returns how many runs there were beyond the first of each request.
+// doubleRuns returns the number of runs beyond the first one of each request.
 func (l *pluginLoad) doubleRuns() int {
 	double := 0
 	l.interpreter.Inspect(func(inspected *emulator.Interpreter) {
@@ -81,31 +81,31 @@
 	return double
 }
 
-// pluginMemory returns the resident memory of a server's plug-in processes, in MB, and how many of them there are.
+// pluginMemory returns the total resident memory of a server's plug-in processes, in MB, and the number of processes.
 func pluginMemory(server *servertest.Server) (memoryMB float64, processes int) {
-	// ps exits with 1 where there is no such process; then there is no output.
+	// The error is ignored: ps exits with code 1 and prints nothing if there is no such process.
 	out, _ := exec.Command("ps", "--ppid", strconv.Itoa(server.Process.Process.Pid), "-o", "rss=").Output()
 	for _, field := range strings.Fields(string(out)) {
-		kb, _ := strconv.ParseFloat(field, 64) // ps writes nothing but numbers
+		kb, _ := strconv.ParseFloat(field, 64) // ps prints only numbers
 		memoryMB += kb / 1024
 		processes++
 	}
 	return memoryMB, processes
 }
 
-// peakPluginMemory returns the largest of some samples of pluginMemory during the load, in MB.
+// peakPluginMemory samples pluginMemory for 0.6 s and returns the largest sample, in MB.
 func peakPluginMemory(server *servertest.Server) float64 {
 	peakMB := 0.0
 	for range 6 {
 		memoryMB, _ := pluginMemory(server)
 		peakMB = max(peakMB, memoryMB)
-		time.Sleep(100 * time.Millisecond) // a sampling interval, no wait for an event
+		time.Sleep(100 * time.Millisecond) // sampling interval; it does not wait for an event
 	}
 	return peakMB
 }
 
-// A hostile plug-in beside a well-behaved one, under load, of each kind: no response is late, no request is lost or
-// run twice, and the requests that no plug-in sees all succeed or are rejected.
+// Under load, a hostile plug-in of each kind runs beside a well-behaved one. No response may be late, no request may be
+// lost or run twice, and all requests that no plug-in sees must succeed or be rejected.
 func TestMeasuredHostilePlugins(t *testing.T) {
 	calm := newPluginLoad(t)
 	calm.play("", nil)
@@ -117,7 +117,7 @@
 	}
 }
 
-// measureHostilePlugin is one case of TestMeasuredHostilePlugins. calm is the load without plug-ins.
+// measureHostilePlugin runs one case of TestMeasuredHostilePlugins. calm is the same load without plug-ins.
 func measureHostilePlugin(t *testing.T, kind string, calm *pluginLoad) {
 	t.Helper()
 	module, compiled := strings.CutSuffix(kind, " compiled")
@@ -151,8 +151,8 @@
 	server.Zero(load.beta.OtherStatuses + load.beta.Aborted)
 }
 
-// Forty plug-in versions in a row under load: every request is answered in time, and few processes of old
-// versions remain.
+// Forty plug-in versions are loaded one after the other under load. Every request must be answered in time, and few
+// processes of old versions may remain.
 func TestFortyPluginReloadsUnderLoadLoseNothing(t *testing.T) {
 	load := newPluginLoad(t)
 	server := load.server
--- a/internal/server/plugin_socket_test.go
+++ b/internal/server/plugin_socket_test.go
@@ -13,28 +13,28 @@
 	"thistlequay/internal/servertest"
 )
 
-// pluginSection returns the section of Server.Service with these plug-ins.
+// pluginSection returns the section of Server.Service that lists the given plug-ins.
 func pluginSection(entries ...string) string {
-	return "plugins:\n  memory_mb: 90\n  list:\n" + strings.Join(entries, "") // enough for the race detector too
+	return "plugins:\n  memory_mb: 90\n  list:\n" + strings.Join(entries, "") // enough with the race detector, too
 }
 
-// pluginEntry returns one plug-in of the section; settings are its further settings, in YAML's flow style.
+// pluginEntry returns the list entry of one plug-in. settings holds its other settings in YAML flow style.
 func pluginEntry(name, file, settings string) string {
 	return fmt.Sprintf("    - {name: %s, file: %s, %s}\n", name, file, settings)
 }
 
-// reloadPlugin has the program run one plug-in, of this module, in place of those before.
+// reloadPlugin reloads the program's settings with a single plug-in that runs the given module.
 func reloadPlugin(server *servertest.Server, name, module, settings string) {
 	server.T.Helper()
 	server.Service = pluginSection(pluginEntry(name, server.WriteModule(module), settings))
 	server.Reload()
 }
 
-// generousLimits are limits within which every verdict comes, however slow the machine is.
+// generousLimits are limits that every verdict meets even on a slow machine.
 const generousLimits = "call: 200ms, share: 0.5, core: 1"
 
-// Plug-ins with permission reject requests, rewrite results and change categories, each seen in the response. Health
-// checks and retries of a request that ran are out of their reach, and a result shorter than its replacement stays.
+// Plug-ins with the required permissions reject requests, rewrite results and change categories, which the responses
+// show. They cannot affect health checks or retries of a request that ran, and cannot replace a result by a longer one.
 func TestPluginVerdictsTakeEffect(t *testing.T) {
 	server := servertest.New(t)
 	server.Service = pluginSection(
@@ -54,7 +54,7 @@
 	router.ExpectResponse(2, 200, "short")
 	router.ExpectHealth(3, 200)
 
-	// A first attempt is rejected by the hook; it never ran, so its key is free.
+	// The hook rejects the first attempt. The attempt never ran, so its idempotency key can be used again.
 	router.SendBook(4, "k")
 	router.ExpectResponse(4, 403, "")
 	reloadPlugin(server, "short", "shortens",
@@ -63,14 +63,14 @@
 	interpreter.SendValue(id, "OK", "a long result")
 	router.ExpectResponse(5, 200, "short")
 
-	// A retry of a request that ran is not rejected, and gets the response that the first attempt got.
+	// A retry of a request that ran is not rejected and gets the same response as the first attempt.
 	reloadPlugin(server, "no", "declines", "hooks: [read], may: [decline], "+generousLimits)
 	router.SendBook(6, "k")
 	router.ExpectResponse(6, 200, "short")
 	router.SendLook(7, "declined now")
 	router.ExpectResponse(7, 403, "")
 
-	// A result that is no longer than its replacement stays.
+	// A result is not replaced by a longer one.
 	reloadPlugin(server, "short", "shortens", "hooks: [result], may: [rewrite], "+generousLimits)
 	id = interpreter.StartLook(router, 8, "")
 	interpreter.CompleteRun(router, 8, id, "r")
@@ -82,7 +82,7 @@
 	server.Zero(code)
 }
 
-// Verdicts without permission, and invalid ones, have no effect: requests are served, and the plug-in is in quarantine
+// Verdicts that are not permitted or not valid have no effect. Requests are served, and the plug-in is quarantined
 // after two faults.
 func TestPluginVerdictsWithoutPermissionAreIgnored(t *testing.T) {
 	for kind, permission := range map[string]string{
@@ -111,8 +111,8 @@
 	}
 }
 
-// A new version of a plug-in that cannot be loaded leaves the old one in place, and the log says why. Where there is
-// no old one, the program does not start.
+// If a new version of a plug-in cannot be loaded, the old version stays in use and the log gives the reason. If there
+// is no old version, the program does not start.
 func TestBadPluginVersionKeepsTheOldOne(t *testing.T) {
 	server := servertest.New(t)
 	server.Service = pluginSection(pluginEntry("one", server.WriteModule("declines"),
@@ -146,7 +146,7 @@
 	server.Contains(server.LogText(), "sample 1: does 0")
 	expectOldVersion()
 
-	// The plug-in is removed while a request is in its chain: the request ends with the plug-in that it began with.
+	// The plug-in is removed while it evaluates a request. The request is completed on the old chain.
 	reloadPlugin(server, "one", "slow-4ms", "hooks: [read, result], "+generousLimits)
 	id := router.SendLook(100, "under way")
 	server.Service = "# none\n"
@@ -162,8 +162,8 @@
 	server.Contains(log, "plug-in one is no module that can be run")
 }
 
-// While a hook runs, the client aborts, the hook reaches its deadline, the plug-in process is killed, and the drain
-// begins: each request but the aborted one is answered with its result.
+// While a hook runs, the client aborts the request, the hook times out, the plug-in process is killed, or the drain
+// begins. Every request except the aborted one must be answered with its result.
 func TestPluginHookSurvivesAbortDrainAndProcessDeath(t *testing.T) {
 	server := servertest.New(t)
 	server.Service = pluginSection(pluginEntry("loops", server.WriteModule("loops"),
@@ -176,7 +176,7 @@
 	router.ExpectResponse(1, 0, "")
 
 	id := interpreter.StartLook(router, 2, "cut") // the aborted request never reached the interpreter
-	interpreter.CompleteRun(router, 2, id, "the result as it was")
+	interpreter.CompleteRun(router, 2, id, "the unchanged result")
 
 	id = router.SendLook(3, "its process dies")
 	_, text, _ := strings.Cut(server.LogText(), " process=")
@@ -197,7 +197,7 @@
 	server.Contains(log, "event=plugin_process_exited")
 }
 
-// buildExample compiles one of the examples as its page says and returns the path of the module.
+// buildExample compiles one of the examples with the documented command and returns the path of the module.
 func buildExample(server *servertest.Server, name string) string {
 	server.T.Helper()
 	file := filepath.Join(server.T.TempDir(), name+".wasm")
@@ -208,8 +208,8 @@
 	return file
 }
 
-// Both examples work: one rejects requests without a note, the other shortens results to their first line. The first
-// goes on after a reload that changes its settings.
+// Both example plug-ins work: hallcheck rejects requests without a note, and shortanswer shortens results to their
+// first line. hallcheck still works after a reload that changes its settings.
 func TestPluginExamplesWork(t *testing.T) {
 	server := servertest.New(t)
 	hall := buildExample(server, "hallcheck")
@@ -253,8 +253,8 @@
 	server.Equal(2, strings.Count(log, "event=plugins_ready"))
 }
 
-// A plug-in that is not ready in time keeps the program from starting. The log lines of one that logs without end are
-// rate limited, and requests are served meanwhile.
+// The program does not start if a plug-in is not ready in time. If a plug-in logs without end, its log lines are rate
+// limited and requests are still served.
 func TestPluginReadinessTimeoutAndLogLimit(t *testing.T) {
 	server := servertest.New(t)
 	server.Service = "plugins:\n  memory_mb: 90\n  ready: 2s\n  list:\n" +
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -12,23 +12,24 @@
 	"thistlequay/timeunit"
 )
 
-// pluginConnection is the connection to one process of plug-ins.
+// pluginConnection is the connection to one plug-in process.
 type pluginConnection struct {
 	outputBuffer
 	part    *pluginPart
 	config  *Plugins
 	chain   *chain.Chain
 	process *plugin.Process
-	partial []byte // of a frame
+	partial []byte // received part of an incomplete frame
 
-	pendingCalls int  // that are out
-	requests     int  // that began with the process and are not over
-	isRetired    bool // another took its place
+	pendingCalls int  // calls without a verdict yet
+	requests     int  // requests that were attached to this process and have not ended
+	isRetired    bool // new requests are not attached to it any more
 	ended        bool
 	tickTimers   []*timer
 }
 
-// opened makes the process the live one, unless another configuration came meanwhile.
+// opened directs new requests to this process. If the configuration has changed in the meantime, it retires the process
+// instead.
 func (c *pluginConnection) opened(conn gnet.Conn) {
 	c.conn = conn
 	if c.part.config != c.config {
@@ -53,7 +54,7 @@
 	}
 }
 
-// startTicks calls a plug-in at its interval.
+// startTicks sets a timer that calls a plug-in's tick hook at its interval.
 func (c *pluginConnection) startTicks(ticked *chain.Plugin) {
 	ticks := &timer{}
 	ticks.fire = func() {
@@ -67,7 +68,7 @@
 	c.tickTimers = append(c.tickTimers, ticks)
 }
 
-// tick calls a plug-in about nothing, unless the chain has it wait.
+// tick calls a plug-in's tick hook, unless the chain does not allow a call now.
 func (c *pluginConnection) tick(ticked *chain.Plugin) {
 	evaluation := c.chain.BeginTick(ticked, c.server.now)
 	if evaluation == nil {
@@ -84,7 +85,8 @@
 	}
 }
 
-// closed is called when the process has ended, or is not needed any more. What it was asked about goes on without it.
+// closed is called when the process has ended or is no longer needed. Evaluations that wait for its verdict continue
+// without it.
 func (c *pluginConnection) closed() {
 	if c.ended {
 		return
@@ -94,7 +96,7 @@
 	for _, ticks := range c.tickTimers {
 		c.server.stopTimer(ticks)
 	}
-	go c.process.Stop() // it waits for the process's end
+	go c.process.Stop() // Stop blocks until the process has ended
 	for number, call := range c.part.calls {
 		if call.connection == c {
 			delete(c.part.calls, number)
@@ -108,7 +110,7 @@
 	}
 }
 
-// replace has another process started in the place of this one, which ended by itself.
+// replace schedules the start of a new process after this one has ended unexpectedly.
 func (c *pluginConnection) replace() {
 	if c.part.live == c {
 		c.part.live = nil
@@ -119,7 +121,7 @@
 	c.part.scheduleRestart()
 }
 
-// closeIfUnused ends a retired process once nothing is asked there.
+// closeIfUnused ends the process if it is retired and has no pending calls and no attached requests.
 func (c *pluginConnection) closeIfUnused() {
 	if c.isRetired && c.pendingCalls == 0 && c.requests == 0 {
 		c.closeGracefully()
@@ -127,7 +129,7 @@
 	}
 }
 
-// receive takes the complete frames.
+// receive handles the complete frames in data and keeps an incomplete frame for the next call.
 func (c *pluginConnection) receive(data []byte) error {
 	if len(c.partial) > 0 {
 		data = append(c.partial, data...)
@@ -166,7 +168,7 @@
 	}
 }
 
-// callFaults are the faults that the process tells, by how the call ended.
+// callFaults maps the outcomes of failed calls to faults.
 var callFaults = map[plugin.CallOutcome]chain.Fault{
 	plugin.CallTimedOut:   chain.FaultTimeout,
 	plugin.CallTrapped:    chain.FaultTrap,
@@ -174,7 +176,8 @@
 	plugin.CallNotStarted: chain.FaultUnavailable,
 }
 
-// onVerdict takes the end of a call. One that comes late is passed over: its request went on without it.
+// onVerdict handles the end of a call. A verdict that arrives after its call has timed out is only counted, because its
+// request has continued without it.
 func (c *pluginConnection) onVerdict(frame plugin.Frame) {
 	outcome, spent, encoded, isVerdict := frame.Verdict()
 	call := c.part.calls[frame.CallID]
@@ -196,13 +199,13 @@
 	call.applyVerdict(&parsed, took)
 }
 
-// applyVerdict gives a verdict to the chain, which checks it, and goes on.
+// applyVerdict passes a verdict to the chain, which validates it, and continues the evaluation.
 func (e *chainEvaluation) applyVerdict(parsed *abi.Verdict, took timeunit.Ticks) {
 	part := e.connection.part
 	verdict := chain.Verdict{
 		Reject:   parsed.Actions&abi.ActionReject != 0,
 		Status:   parsed.Status,
-		Category: -1, // as it is
+		Category: -1, // unchanged
 		HasTag:   parsed.Actions&abi.ActionTag != 0,
 		Tag:      parsed.Tag,
 		Replace:  parsed.Actions&abi.ActionReplace != 0,
@@ -218,7 +221,8 @@
 	e.step()
 }
 
-// categoryIndex returns a category by its name, or one beyond the last for an unknown name, which the chain refuses.
+// categoryIndex returns the index of a category. For an unknown name it returns an index past the last category, which
+// the chain rejects.
 func (p *pluginPart) categoryIndex(name string) int {
 	category, known := p.server.config.Settings.CategoryIndex[name]
 	if !known {
--- a/internal/server/pluginevaluation.go
+++ b/internal/server/pluginevaluation.go
@@ -8,25 +8,26 @@
 	"thistlequay/timeunit"
 )
 
-// verdictTransitTime is what a verdict may take from the process to the loop.
+// verdictTransitTime is the time allowed for a verdict to get from the plug-in process to the event loop.
 const verdictTransitTime timeunit.Ticks = 20
 
-// chainEvaluation is the evaluation of a chain under way: for a request, for a result, or at an interval for none.
+// chainEvaluation is an evaluation in progress: of a request, of a result, or of a tick, which belongs to no request.
 type chainEvaluation struct {
-	request    *request // nil for none
+	request    *request // nil for a tick
 	connection *pluginConnection
 	evaluation *chain.Evaluation
 	hook       chain.Hook
 	done       func(evaluation *chain.Evaluation)
 
-	// The call that is out.
+	// The pending call.
 	plugin    *chain.Plugin
 	call      uint64
 	timer     timer
 	timeLimit timeunit.Ticks
 }
 
-// attach has a request that was read end with the plug-ins that it began with.
+// attach assigns a request that was read to the current plug-in process, which then evaluates the request and its
+// result even if a new configuration takes effect in between.
 func (p *pluginPart) attach(attached *request) {
 	if p.chain == nil {
 		return
@@ -38,7 +39,7 @@
 	}
 }
 
-// detach is called when a request is over, or will never be admitted.
+// detach undoes attach. It is called when a request has ended or will never be admitted.
 func (p *pluginPart) detach(detached *request) {
 	connection := detached.pluginConnection
 	if connection == nil {
@@ -49,7 +50,7 @@
 	connection.closeIfUnused()
 }
 
-// describe makes what the chain needs to know of a request.
+// describe returns the description of a request that the chain works with.
 func (p *pluginPart) describe(described *request) chain.Request {
 	settings := p.server.config.Settings
 	deadline := min(described.deadline, p.server.shutdownDeadline)
@@ -61,7 +62,7 @@
 	}
 }
 
-// appliesTo reports whether a plug-in is to see a request that has been read.
+// appliesTo reports whether at least one plug-in evaluates a request that has been read.
 func (p *pluginPart) appliesTo(read *request) bool {
 	if p.chain == nil {
 		return false
@@ -70,10 +71,11 @@
 	return p.chain.Applies(chain.HookRead, &description)
 }
 
-// evaluateRequest shows a request to the plug-ins; done is called when they are through, at once or later.
+// evaluateRequest starts the evaluation of a request by the plug-ins. It calls done when the evaluation ends, which may
+// be before it returns.
 func (p *pluginPart) evaluateRequest(read *request, done func(evaluation *chain.Evaluation)) {
 	connection := read.pluginConnection
-	if connection == nil { // no process is there: the chain passes over all plug-ins as their policies say
+	if connection == nil { // no process is running: every call fails and the plug-ins' fallback policies apply
 		connection = &pluginConnection{part: p, chain: p.chain, ended: true}
 	}
 	started := &chainEvaluation{request: read, connection: connection, hook: chain.HookRead, done: done}
@@ -81,7 +83,9 @@
 	started.step()
 }
 
-// evaluateResult shows a result that is to be answered to the plug-ins, and reports whether one is to see it.
+// evaluateResult starts the evaluation of a result and reports whether it did. It does not if no plug-in applies, or if
+// the result is neither sent to a router nor stored in an idempotency entry. If it did, it calls done when the
+// evaluation ends, which may be before it returns.
 func (p *pluginPart) evaluateResult(ran *request, result []byte, done func(evaluation *chain.Evaluation)) bool {
 	connection := ran.pluginConnection
 	isWanted := ran.router != nil || ran.entry != nil
@@ -98,7 +102,7 @@
 	return true
 }
 
-// step calls the next plug-in, or ends the evaluation.
+// step calls the next plug-in. If there is none, it ends the evaluation.
 func (e *chainEvaluation) step() {
 	server := e.connection.part.server
 	for {
@@ -115,7 +119,7 @@
 	}
 }
 
-// send calls a plug-in and reports whether that could be done.
+// send calls a plug-in and sets the timer for its verdict. It reports false if the call could not be made.
 func (e *chainEvaluation) send(called *chain.Plugin, timeLimit timeunit.Ticks) bool {
 	connection := e.connection
 	part := connection.part
@@ -137,7 +141,7 @@
 	return true
 }
 
-// question returns what the plug-in is asked.
+// question returns the request that is sent to the plug-in.
 func (e *chainEvaluation) question() abi.Request {
 	part := e.connection.part
 	question := abi.Request{Hook: int(e.hook), UnixMS: part.server.now.Milliseconds()}
@@ -159,7 +163,7 @@
 	return question
 }
 
-// unlink: the call is out no more.
+// unlink removes the call from the pending calls and stops its timer.
 func (e *chainEvaluation) unlink() {
 	part := e.connection.part
 	delete(part.calls, e.call)
@@ -167,12 +171,13 @@
 	part.server.stopTimer(&e.timer)
 }
 
+// onTimeout is called when no verdict has arrived in time.
 func (e *chainEvaluation) onTimeout() {
 	e.unlink()
 	e.failed(chain.FaultTimeout, e.timeLimit)
 }
 
-// failed records that the call came to nothing after so long, and goes on.
+// failed records that the call ended with a fault after the time took, and continues the evaluation.
 func (e *chainEvaluation) failed(fault chain.Fault, took timeunit.Ticks) {
 	if e.evaluation.RecordFault(fault, took, e.connection.part.server.now) {
 		e.logQuarantine(fault)
@@ -180,7 +185,7 @@
 	e.step()
 }
 
-// logQuarantine logs that the plug-in is not called for a while.
+// logQuarantine logs that the plug-in is quarantined.
 func (e *chainEvaluation) logQuarantine(fault chain.Fault) {
 	server := e.connection.part.server
 	server.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", fault.String()).
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -11,53 +11,53 @@
 	"thistlequay/internal/plugin/chain"
 )
 
-// Bounds on what plug-ins may take.
+// Limits on the resources that plug-ins use.
 const (
-	maxPluginCalls      = 256     // that are out at once
-	maxRetiredProcesses = 4       // that wait for the last request that began with them
-	maxPluginCounters   = 64      // of all plug-ins
-	maxPluginStateBytes = 1 << 20 // of what all plug-ins store here for the next process
+	maxPluginCalls      = 256     // pending calls to all plug-ins
+	maxRetiredProcesses = 4       // retired processes that wait for their last requests to end
+	maxPluginCounters   = 64      // distinct counters of all plug-ins
+	maxPluginStateBytes = 1 << 20 // state that all plug-ins store for the next process
 )
 
-// Plugins is a process of plug-ins that is ready, and what they may do.
+// Plugins configures the plug-ins: the process that runs them and the policy of each.
 type Plugins struct {
-	// Process is the process.
+	// Process is the plug-in process, which is ready for calls.
 	Process *plugin.Process
 
-	// Grants are the plug-ins' policies, in the order of the chain.
+	// Grants holds the policies of the plug-ins in the order of the chain.
 	Grants []chain.Policy
 
-	// DropState names plug-ins whose stored state does not pass to this version of them.
+	// DropState is true for each plug-in whose stored state is dropped when this configuration takes effect.
 	DropState map[string]bool
 
-	// Start starts another such process with what plug-ins have stored, by plug-in and key. It may take its time: it is
-	// called off the loop.
+	// Start starts a new plug-in process with the stored state of the plug-ins, by plug-in and key. It may block
+	// because it is not called on the event loop.
 	Start func(state map[string]map[string][]byte) (*plugin.Process, error)
 }
 
-// pluginPart shows requests and results to plug-ins, which run in a process of their own. It must never wait for a
-// plug-in, act on a verdict that the chain did not accept, or keep a request longer than the chain allows.
+// pluginPart has requests and results evaluated by plug-ins, which run in a separate process. It must never block on a
+// plug-in, apply a verdict that the chain did not accept, or delay a request longer than the chain allows.
 type pluginPart struct {
 	partDefaults
 	server  *Server
-	config  *Plugins            // nil where there are none
-	chain   *chain.Chain        // of config, also while no process is there; nil where there are none
-	live    *pluginConnection   // the process that new requests begin with; nil while there is none
-	retired []*pluginConnection // that others took the place of
+	config  *Plugins            // nil if there are no plug-ins
+	chain   *chain.Chain        // kept while no process is running; nil if there are no plug-ins
+	live    *pluginConnection   // process to which new requests are attached; nil if there is none
+	retired []*pluginConnection // replaced processes that still have requests
 
-	calls         map[uint64]*chainEvaluation // that are out, by number
-	lastCall      uint64
-	frameBuffer   []byte   // in which requests are encoded
-	categoryNames []string // by category
+	calls         map[uint64]*chainEvaluation // pending calls by call ID
+	lastCall      uint64                      // ID of the last call
+	frameBuffer   []byte                      // buffer for encoding the request of a call
+	categoryNames []string                    // names of the categories, by index
 
-	state      map[string]map[string][]byte // that plug-ins store, by plug-in and key
-	stateBytes int
+	state      map[string]map[string][]byte // state that plug-ins store, by plug-in and key
+	stateBytes int                          // total size of the keys and values in state
 
-	exits        int // processes that ended by themselves
+	exits        int // number of processes that ended unexpectedly
 	restartTimer timer
 	backoff      backoff
-	counters     map[string]int64 // that plug-ins count, for the log
-	lateVerdicts int
+	counters     map[string]int64 // counters of the plug-ins, logged with the server's state
+	lateVerdicts int              // verdicts that matched no pending call
 }
 
 func (p *pluginPart) init(server *Server) {
@@ -77,7 +77,7 @@
 
 func (p *pluginPart) start() { p.adopt(p.server.config.Plugins) }
 
-// reconfigure adopts new plug-ins. The pointer is the same where nothing about them changed.
+// reconfigure applies the plug-ins of a new configuration. The pointer is unchanged if the plug-ins are.
 func (p *pluginPart) reconfigure(next *Config) {
 	if next.Plugins != p.server.config.Plugins {
 		p.server.config.Plugins = next.Plugins
@@ -85,8 +85,8 @@
 	}
 }
 
-// adopt has a process take the place of the one before, once the loop speaks with it: until then the old one is asked.
-// Evaluations under way end where they began.
+// adopt replaces the plug-ins by those of config. New requests use the old process until the connection to the new one
+// is open. Evaluations in progress are completed on the process that they started on.
 func (p *pluginPart) adopt(config *Plugins) {
 	p.config = config
 	if config == nil {
@@ -96,13 +96,14 @@
 	}
 	dropsState := func(name string) bool { return config.DropState[name] }
 	adopted := chain.New(config.Grants, p.chain, dropsState, p.server.random, p.server.now)
-	if p.live == nil { // nobody is asked meanwhile
+	if p.live == nil { // no process can be called, so the new chain applies at once
 		p.chain = adopted
 	}
 	p.connect(config, adopted)
 }
 
-// retire has no new request begin with the live process.
+// retire stops attaching new requests to the current process. If there are then too many retired processes, it ends the
+// oldest one.
 func (p *pluginPart) retire() {
 	old := p.live
 	p.live = nil
@@ -113,13 +114,13 @@
 	p.retired = slices.DeleteFunc(p.retired, func(other *pluginConnection) bool { return other.ended })
 	p.retired = append(p.retired, old)
 	old.closeIfUnused()
-	if len(p.retired) > maxRetiredProcesses { // what began with the oldest goes on without it
+	if len(p.retired) > maxRetiredProcesses { // requests attached to the oldest continue without it
 		p.retired[0].closeGracefully()
 		p.retired[0].closed()
 	}
 }
 
-// connect has the loop speak with a process.
+// connect adds the connection to a process to the event loop.
 func (p *pluginPart) connect(config *Plugins, pluginChain *chain.Chain) {
 	connection := &pluginConnection{
 		outputBuffer: outputBuffer{server: p.server, maxUnread: maxUnreadPerLink},
@@ -128,31 +129,32 @@
 		chain:        pluginChain,
 		process:      config.Process,
 	}
-	go func() { // ends once the loop has the connection
+	go func() { // ends when the loop has the connection
 		if err := p.server.enroll(connection.process.Conn, connection); err != nil {
 			p.server.submit(connection.closed)
 		}
 	}()
 }
 
-// restart starts another process off the loop.
+// restart starts a new process on another goroutine.
 func (p *pluginPart) restart() {
 	config := p.config
 	state := p.snapshot()
 	if config == nil {
 		return
 	}
-	go func() { // ends once the process is ready, or was refused
+	go func() { // ends when the process is ready or has failed to start
 		process, err := config.Start(state)
 		p.server.submit(func() { p.onRestarted(config, process, err) })
 	}()
 }
 
+// onRestarted connects to a process that was started by restart, or schedules another attempt if it failed to start.
 func (p *pluginPart) onRestarted(config *Plugins, process *plugin.Process, err error) {
-	isOutdated := p.config != config || p.live != nil // another configuration came meanwhile
+	isOutdated := p.config != config || p.live != nil // the configuration has changed in the meantime
 	switch {
 	case isOutdated && err == nil:
-		go process.Stop() // it waits for the process's end
+		go process.Stop() // Stop blocks until the process has ended
 	case isOutdated:
 	case err != nil:
 		p.server.log.Event("plugin_restart_failed").Str("reason", err.Error()).Send()
@@ -163,11 +165,13 @@
 	}
 }
 
+// scheduleRestart sets the timer for restart, with an exponential backoff.
 func (p *pluginPart) scheduleRestart() {
 	p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
 }
 
-// snapshot copies what plug-ins have stored. Values are replaced, never changed, and need no copy.
+// snapshot returns a copy of the plug-ins' state. Values are shared with the copy: they are replaced but never
+// modified.
 func (p *pluginPart) snapshot() map[string]map[string][]byte {
 	all := map[string]map[string][]byte{}
 	for name, values := range p.state {
@@ -176,8 +180,8 @@
 	return all
 }
 
-// storeState takes what a plug-in stores for the process after this one; an empty value deletes. What is beyond the
-// bound is not stored.
+// storeState stores a value of a plug-in for the next process. An empty value deletes the key. A value that would
+// exceed maxPluginStateBytes is not stored, and the previous value is deleted.
 func (p *pluginPart) storeState(name, key string, value []byte) {
 	values := p.state[name]
 	if values == nil {
@@ -195,7 +199,7 @@
 	}
 }
 
-// dropState forgets what the plug-ins stored that the configuration names.
+// dropState deletes the state of the plug-ins in config.DropState.
 func (p *pluginPart) dropState(config *Plugins) {
 	for name, isDropped := range config.DropState {
 		if !isDropped {
@@ -208,7 +212,8 @@
 	}
 }
 
-// addCounters takes what a plug-in counted since it last said so, as a JSON object. What is none is passed over.
+// addCounters adds the increments of a plug-in's counters, which text holds as a JSON object. It ignores invalid text.
+// Once there are maxPluginCounters counters, it ignores increments of new ones.
 func (p *pluginPart) addCounters(name string, text []byte) {
 	var increments map[string]int64
 	if json.Unmarshal(text, &increments) != nil {
--- a/internal/server/plugins_test.go
+++ b/internal/server/plugins_test.go
@@ -12,7 +12,8 @@
 	"thistlequay/internal/plugin/chain"
 )
 
-// newServerWithPlugin makes a server with one plug-in that may do everything, on a connection that discards output.
+// newServerWithPlugin returns a server with one plug-in that has all permissions, and the plug-in's connection, which
+// discards output.
 func newServerWithPlugin(t *testing.T) (*Server, *pluginConnection) {
 	t.Helper()
 	server, _ := newServerWithRun(t)
@@ -46,7 +47,7 @@
 	return server, connection
 }
 
-// The calls of a plug-in and the effects of its verdicts are as recorded, byte for byte, before and after a run.
+// The calls of a plug-in before and after a run, and the effects of its verdicts, match the golden file byte for byte.
 func TestGoldenPlugins(t *testing.T) {
 	var recorded transcript
 	ended := func(outcome plugin.CallOutcome, verdict abi.Verdict) []byte {
@@ -57,8 +58,8 @@
 	request := requestRecords(1, paramsWith(withID("a1", "HTTP_ONCE_KEY", "l")...), "body")
 	for _, test := range []struct {
 		name   string
-		read   []byte // verdict before the run; nil for none within the time limit
-		result []byte // verdict after it
+		read   []byte // verdict on the request; nil if the call times out
+		result []byte // verdict on the result; nil if the call times out
 	}{
 		{"nothing said", nothing, nothing},
 		{"no verdict at all", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0}, nothing},
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	maxQueuedAnswers = 16 // that wait for the loop
-	pollsPerLease    = 8  // at least
+	maxQueuedAnswers = 16 // responses that wait for the event loop
+	pollsPerLease    = 8  // minimum number of updates per lease duration
 
-	// recheckAfter: when so much time passed between a decision and its being carried out, the quota is looked at
-	// again.
+	// recheckAfter is the time between update and afterDispatch from which the quota is checked again before the calls
+	// are written.
 	recheckAfter timeunit.Milliseconds = 5
 
-	// undeclaredLimit says that admission must be notified of the limit again.
+	// undeclaredLimit is the value of admissionLimit if the limit must be set in admission again.
 	undeclaredLimit quota.Amount = -1
 
-	// The limits by their index in Quota.LeaseHolders.
-	callLimit     = 0 // calls in flight
-	callRateLimit = 1 // calls a second
+	// Indexes of the limits in Quota.LeaseHolders.
+	callLimit     = 0 // limit on downstream calls in flight
+	callRateLimit = 1 // limit on downstream calls per second
 )
 
-// Quota is this server's part of the fleet's limits: on calls in flight, and on calls a second where that is limited.
-// DeliverAnswers and LocalState may be called from any goroutine.
+// Quota manages this server's leases on the cluster-wide limits: the limit on downstream calls in flight and, if it is
+// configured, the limit on downstream calls per second. DeliverAnswers and LocalState may be called from any goroutine.
 type Quota struct {
-	// Service asks the coordinator for quota.
+	// Service sends quota requests to the coordinator.
 	Service *service.Service
 
-	// LeaseHolders hold the leases, by limit; they belong to the loop.
+	// LeaseHolders holds the lease holder of each limit. Only the event loop may use them.
 	LeaseHolders []*quota.LeaseHolder
 
 	lock       sync.Mutex
-	answers    []quota.Response // guarded by lock, as is wake
-	wake       func()
+	answers    []quota.Response // guarded by lock; not yet handled by the event loop
+	wake       func()           // guarded by lock; called after each response
 	localState atomic.Pointer[[]service.LocalLease]
 }
 
-// DeliverAnswers takes answers of the coordinator. It hands them over and does not wait; what is beyond the bound is
-// dropped, as the loop asks again.
+// DeliverAnswers queues a response of the coordinator for the event loop and does not wait. If too many responses are
+// queued, it drops the response, because the loop repeats its requests.
 func (q *Quota) DeliverAnswers(response quota.Response) {
 	q.lock.Lock()
 	if len(q.answers) < maxQueuedAnswers {
@@ -56,7 +56,8 @@
 	}
 }
 
-// LocalState returns the leases as the loop last knew them, by limit.
+// LocalState returns the lease of each limit as of the last request to the coordinator, or nil before the first
+// request.
 func (q *Quota) LocalState() []service.LocalLease {
 	state := q.localState.Load()
 	if state == nil {
@@ -65,13 +66,14 @@
 	return *state
 }
 
-// onAnswers has wake called after each answer.
+// onAnswers sets the function that DeliverAnswers calls after each response.
 func (q *Quota) onAnswers(wake func()) {
 	q.lock.Lock()
 	q.wake = wake
 	q.lock.Unlock()
 }
 
+// takeAnswers returns the queued responses and empties the queue.
 func (q *Quota) takeAnswers() []quota.Response {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -80,21 +82,21 @@
 	return answers
 }
 
-// quotaPart is the loop's side of the quota: before each decision admission is notified how many calls may be in
-// flight, and what was used is requested again. It must never make or allow a call beyond what is usable, nor wait for
+// quotaPart applies the quota on the event loop. Before each dispatch it sets admission's limit on calls in flight, and
+// it requests new leases according to usage. It must never make or allow a call beyond the usable quota, nor wait for
 // the service.
 type quotaPart struct {
 	partDefaults
 	server         *Server
-	quota          *Quota                // nil where the settings alone limit calls
-	admissionLimit quota.Amount          // that admission was notified of
-	loggedLimit    quota.Amount          // the last one in the log
-	checkedAt      timeunit.Milliseconds // when the quota was looked at last
+	quota          *Quota                // nil if only the settings limit calls
+	admissionLimit quota.Amount          // limit last set in admission
+	loggedLimit    quota.Amount          // limit last logged
+	checkedAt      timeunit.Milliseconds // time of the last update
 	pollTimer      timer
-	leaseTimer     timer                 // for the end of the lease
-	leaseEnds      timeunit.Milliseconds // that leaseTimer is set for
-	rateTimer      timer                 // for the next call that the limit of calls a second allows
-	cancelledCalls int                   // that were cancelled as the lease was over
+	leaseTimer     timer                 // fires when the lease expires
+	leaseEnds      timeunit.Milliseconds // expiry for which leaseTimer is set
+	rateTimer      timer                 // fires when the limit on calls per second may allow the next call
+	cancelledCalls int                   // calls cancelled because the lease had expired
 }
 
 func (p *quotaPart) init(server *Server) {
@@ -113,28 +115,29 @@
 	p.poll()
 }
 
-// poll looks at the quota several times in a lease, also when nothing else happens.
+// poll updates the quota at least pollsPerLease times per lease duration, even if nothing else happens.
 func (p *quotaPart) poll() {
 	p.update()
 	interval := p.quota.LeaseHolders[callLimit].LeaseDuration() / pollsPerLease
 	p.server.setTimer(&p.pollTimer, p.server.now+leaseTicks(interval))
 }
 
-// leaseTicks converts a span of the quota to one of the loop, of a millisecond at least.
+// leaseTicks converts milliseconds to ticks. The result is at least one millisecond.
 func leaseTicks(span timeunit.Milliseconds) timeunit.Ticks {
 	return timeunit.Ticks(max(1, span)) * timeunit.TicksPerMillisecond
 }
 
 func (p *quotaPart) beforeDispatch() { p.update() }
 
-// update takes up what was granted, tells admission, and asks for more where that is due.
+// update handles the coordinator's responses, cancels calls that an expired lease no longer covers, sets admission's
+// limit and sends the next request if it is due.
 func (p *quotaPart) update() {
 	now := p.quota.Service.Now()
 	p.takeAnswers(now)
 	p.checkedAt = now
 	calls := p.quota.LeaseHolders[callLimit]
 	usable := calls.Usable(now)
-	for now >= calls.ExpiresAt() && p.server.index.inFlight > wholeCalls(usable) { // the lease is over
+	for now >= calls.ExpiresAt() && p.server.index.inFlight > wholeCalls(usable) { // the lease has expired
 		if !p.server.index.cancelNewest() {
 			break
 		}
@@ -148,7 +151,7 @@
 	}
 }
 
-// takeAnswers gives the coordinator's answers to the lease holders.
+// takeAnswers passes the coordinator's responses to the lease holders.
 func (p *quotaPart) takeAnswers(now timeunit.Milliseconds) {
 	for _, response := range p.quota.takeAnswers() {
 		for limit, answer := range response.Limits {
@@ -159,7 +162,8 @@
 	}
 }
 
-// applyLimit tells admission how many calls may be in flight for so long, and the log when that has changed.
+// applyLimit sets admission's limit on calls in flight and logs a change of it. remaining is the time until the lease
+// expires, which is logged too.
 func (p *quotaPart) applyLimit(usable quota.Amount, remaining timeunit.Milliseconds) {
 	if p.server.admission == nil {
 		return
@@ -176,7 +180,7 @@
 	}
 }
 
-// request asks for all limits, where all of them are due.
+// request sends a request for all limits if a request for each of them is due, and publishes the leases for LocalState.
 func (p *quotaPart) request(now timeunit.Milliseconds) {
 	var request quota.Request
 	for _, holder := range p.quota.LeaseHolders {
@@ -195,8 +199,8 @@
 	p.quota.Service.Request(request)
 }
 
-// afterDispatch accounts the calls in flight now that admission has decided. Where the process stood still since the
-// quota was looked at, calls that are not written yet are taken back as far as the lease has ended.
+// afterDispatch reports the usage that results from the dispatch. If the process was paused since the last update, the
+// lease may have expired in the meantime; calls beyond the usable quota are then withdrawn if they are not yet written.
 func (p *quotaPart) afterDispatch() {
 	now := p.quota.Service.Now()
 	calls := p.quota.LeaseHolders[callLimit]
@@ -213,10 +217,11 @@
 	}
 }
 
+// wholeCalls returns the number of calls that an amount allows, rounded down.
 func wholeCalls(amount quota.Amount) int { return int(amount / quota.Unit) }
 
-// mayCall reports whether the limit of calls a second allows a call at this moment, and takes it. Where it does not, it
-// sets the timer for the next look.
+// mayCall takes a token of the limit on calls per second and reports whether there was one. If there was none, it sets
+// the timer that retries the waiting calls.
 func (p *quotaPart) mayCall() bool {
 	if p.quota == nil || len(p.quota.LeaseHolders) <= callRateLimit {
 		return true
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// reconfigure takes up a new configuration. What a running server can't change is logged and stays as it was.
+// reconfigure applies a new configuration. Changes that require a restart are logged and not applied.
 func (s *Server) reconfigure(next Config) {
 	s.log.Event("configuration_read").Str("name", s.config.Name).Str("interpreter", next.Interpreter).
 		Str("index", next.Index).Str("directory", next.Directory).
@@ -30,8 +30,7 @@
 	}
 }
 
-// fixedChanges returns what the new configuration would change that a running server can't, by the names of the
-// configuration file, sorted.
+// fixedChanges returns the sorted names, as in the configuration file, of the changed settings that require a restart.
 func (s *Server) fixedChanges(next *Config) []string {
 	var names []string
 	for _, setting := range []struct {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,13 +1,13 @@
-// Package server is one app server on sockets. It hosts admission.Server, which decides; this package reads requests
-// from routers, has the interpreter run them, makes their calls to the index, reports to the directory and writes the
-// answers.
+// Package server implements an app server on sockets. admission.Server decides which requests are admitted, run and
+// rejected. This package does the I/O around it: it reads requests from routers, has the interpreter run them, makes
+// their downstream calls to the index, sends reports to the directory and writes the responses.
 //
-// Everything runs on the one event loop of gnet, in batches: what comes in is read and given to admission, then
-// admission dispatches once, then each connection is written once. No code on the loop may block, take long or start a
-// goroutine for a request. Goroutines exist for dials, for waiting on the disk at the end, and for starting processes;
-// each hands its result to the loop by Server.submit.
+// Everything runs on a single gnet event loop, in batches: input is read and passed to admission, then admission
+// dispatches once, then each connection is written once. Code on the loop must not block, take long or start a
+// goroutine for a request. Other goroutines dial connections, wait for the disk during shutdown and start processes;
+// each passes its result to the loop with Server.submit.
 //
-// The optional subsystems (fair queueing, plug-ins, gossip, crash recovery, quota) are parts; see the interface part.
+// The optional subsystems (fair queueing, plug-ins, gossip, crash recovery, quota) implement the interface part.
 package server
 
 import (
@@ -28,21 +28,23 @@
 const (
 	second = timeunit.TicksPerSecond
 
-	// noDeadline is later than every time that occurs.
+	// noDeadline is later than any time that occurs.
 	noDeadline timeunit.Ticks = 1 << 60
 
-	// reservedDescriptors are kept for the loop, the listener and all connections to other parties but the index.
+	// reservedDescriptors is the number of file descriptors reserved for the event loop, the listener and the
+	// connections to the interpreter, the directory and other parties. Connections to routers and the index are not
+	// included.
 	reservedDescriptors = 32
 
-	// maxQueuedCommands bounds the commands from outside that wait for the loop.
+	// maxQueuedCommands is the maximum number of commands from other goroutines that wait for the loop.
 	maxQueuedCommands = 8
 
-	// readBufferBytes is the size of gnet's buffer for what is read from one connection.
+	// readBufferBytes is the size of gnet's read buffer.
 	readBufferBytes = 1 << 16
 )
 
-// Server is one app server. New makes it and Run runs it; Shutdown, Reconfigure and PluginState may be called from any
-// goroutine, everything else belongs to the event loop.
+// Server is one app server. New creates it and Run runs it. Shutdown, Reconfigure and PluginState may be called from
+// any goroutine; everything else belongs to the event loop.
 type Server struct {
 	gnet.BuiltinEventEngine
 
@@ -50,26 +52,27 @@
 	log    logs.Logger
 	random *rand.Rand
 
-	// The event loop. It is nil until the first connection tells which it is; loopKnown is closed then.
-	engine    gnet.Engine // valid once the loop runs
+	// The event loop. loop is set when the first connection is opened, because gnet passes the loop only with a
+	// connection. loopKnown is closed then.
+	engine    gnet.Engine // valid once the engine has booted
 	loop      gnet.EventLoop
 	loopKnown chan struct{}
-	commands  chan func() // from outside the loop
+	commands  chan func() // functions from other goroutines to run on the loop
 
-	// Time, and what is due when. One system timer serves all timers.
+	// Time and timers. A single system timer, set for the earliest deadline, serves all timers.
 	clock         clock
-	now           timeunit.Ticks // of the open batch
+	now           timeunit.Ticks // time of the current batch
 	deadlines     deadlineHeap
 	systemTimer   *time.Timer
-	armedFor      timeunit.Ticks // that systemTimer is set for, or noDeadline
+	armedFor      timeunit.Ticks // deadline for which systemTimer is set, or noDeadline
 	standstill    standstillState
 	timerLateness lagHistogram
 	lateness      peakLateness
 
-	// Output. pendingWrites are the connections with output for the end of the batch.
+	// Output. pendingWrites holds the connections that are written at the end of the batch.
 	endBatchQueued    bool
 	pendingWrites     []*outputBuffer
-	unreadConnections map[*outputBuffer]struct{} // whose other side has not read everything
+	unreadConnections map[*outputBuffer]struct{} // connections whose peer has not read all output
 	buffers           bufferPool
 
 	admission   *admission.Server // nil until the interpreter is up
@@ -80,7 +83,7 @@
 	index       indexClient
 	directory   directoryClient
 
-	// The optional subsystems. parts has those of them that are on.
+	// The optional subsystems. parts holds those that are enabled.
 	fairQueue fairQueuePart
 	plugins   pluginPart
 	gossip    gossipPart
@@ -88,22 +91,22 @@
 	quota     quotaPart
 	parts     []part
 
-	// The life of the process.
+	// The life cycle of the process.
 	phase            phase
-	noticedAt        timeunit.Ticks // when the notice to shut down was sent at the earliest; valid after it
-	killedAt         timeunit.Ticks // when the kill comes, by what was measured of the notice; valid after it
-	shutdownDeadline timeunit.Ticks // when everything must be answered; noDeadline before the notice to shut down
-	ended            bool           // the loop is to end
+	noticedAt        timeunit.Ticks // earliest time at which the notice may have been sent; valid after it
+	killedAt         timeunit.Ticks // expected time of the kill, given the notice delay; valid after the notice
+	shutdownDeadline timeunit.Ticks // when all requests must be answered; noDeadline before the shutdown notice
+	ended            bool           // the event loop must end
 
-	// What is counted for the log.
+	// Logging of the server's state, and its counters.
 	stateTimer       timer
-	badPeers         int // connections closed for what came on them
-	unreadClosed     int // connections closed for what their other side did not read
+	badPeers         int // connections closed because of invalid input
+	unreadClosed     int // connections closed because of too much unread output
 	failedDials      int
 	brokenInvariants int
 }
 
-// New makes an app server; Run starts it.
+// New returns an app server that does nothing until Run is called.
 func New(config Config, log logs.Logger) *Server {
 	server := &Server{
 		config:            config,
@@ -131,11 +134,11 @@
 	return server
 }
 
-// ErrLoopEnded is what Run returns when the event loop ended though nobody asked for it.
-var ErrLoopEnded = errors.New("the event loop ended by itself")
+// ErrLoopEnded is returned by Run if the event loop ended without a shutdown.
+var ErrLoopEnded = errors.New("event loop ended without a shutdown")
 
-// Run serves until a shutdown is complete and returns nil then. It returns an error at once if the address is in use,
-// and ErrLoopEnded if the loop ended by itself.
+// Run serves until a shutdown is complete and then returns nil. It returns an error at once if the address is in use,
+// and ErrLoopEnded if the event loop ended without a shutdown.
 func (s *Server) Run() error {
 	if err := checkAddressFree(s.config.Listen); err != nil {
 		return err
@@ -149,9 +152,10 @@
 	return err
 }
 
-// checkAddressFree returns an error if another process listens on the address: gnet, whose one loop also accepts,
-// would share it with that process by SO_REUSEPORT. It only binds: a socket that listened and closed again would reset
-// whoever connected in between.
+// checkAddressFree returns an error if another process listens on the address. Without this check, gnet would share the
+// address with that process, because it listens with SO_REUSEPORT so that its single loop can also accept connections.
+// checkAddressFree binds a socket but does not listen: closing a listening socket would reset connections made in
+// between.
 func checkAddressFree(address string) error {
 	resolved, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -161,8 +165,8 @@
 	if err != nil {
 		return os.NewSyscallError("socket", err)
 	}
-	defer func() { _ = unix.Close(descriptor) }() // never listened: there is nothing to lose
-	// Connections that an earlier process left in TIME_WAIT do not count.
+	defer func() { _ = unix.Close(descriptor) }() // the socket never listened, so a failure has no effect
+	// With SO_REUSEADDR, connections of an earlier process in TIME_WAIT do not make bind fail.
 	if err := unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return os.NewSyscallError("setsockopt", err)
 	}
@@ -171,15 +175,15 @@
 	return os.NewSyscallError("bind", unix.Bind(descriptor, socketAddress))
 }
 
-// Shutdown is the notice to shut down. A second one changes nothing.
+// Shutdown starts the graceful shutdown. Further calls have no effect.
 func (s *Server) Shutdown() { s.commands <- s.beginShutdown }
 
-// Reconfigure takes up a new configuration: the addresses of the other parties and what may change while the server
-// runs. What is in hand stays.
+// Reconfigure applies a new configuration: the addresses of the other parties and all settings that may change while
+// the server runs. Requests in flight are not affected.
 func (s *Server) Reconfigure(config Config) { s.commands <- func() { s.reconfigure(config) } }
 
-// PluginState returns what plug-ins have stored, by plug-in and key, for a process that is started outside the loop. It
-// waits for the loop.
+// PluginState returns the stored state of the plug-ins, by plug-in and key, for a new plug-in process that the caller
+// starts. It waits for the event loop.
 func (s *Server) PluginState() map[string]map[string][]byte {
 	state := make(chan map[string]map[string][]byte, 1)
 	s.commands <- func() { state <- s.plugins.snapshot() }
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -9,10 +9,10 @@
 	"thistlequay/timeunit"
 )
 
-// stateLogInterval is the time between two lines on the server's state.
+// stateLogInterval is the time between two log events on the server's state.
 const stateLogInterval = 20 * second
 
-// logState logs a line on the server's state, and sets the timer for the next.
+// logState logs the server's state, saves the warm-start state and sets the timer for the next call.
 func (s *Server) logState() {
 	event := s.log.Event("state").Int("requests", s.requests.count()).Int("connections", s.routers.openCount).
 		Int("idempotency_entries", len(s.requests.entries)).Int("downstream_calls", s.index.inFlight).
@@ -29,7 +29,8 @@
 	s.setTimer(&s.stateTimer, s.now+stateLogInterval)
 }
 
-// addAdmissionState adds admission's own figures.
+// addAdmissionState adds the statistics of admission and the index's connection pool to a log event, if the interpreter
+// is up.
 func (s *Server) addAdmissionState(event *zerolog.Event) {
 	if s.admission == nil {
 		return
@@ -47,23 +48,24 @@
 		Int("downstream_calls_waiting", len(s.index.waiting))
 }
 
-// countAndSample counts an event and reports whether it is worth a line in the log: at each power of two.
+// countAndSample increments a counter and reports whether the event should be logged, which is at each power of two.
 func countAndSample(count *int) bool {
 	*count++
 	return *count&(*count-1) == 0
 }
 
 const (
-	lagBuckets    = 20   // the last has everything from 2^18 ticks (26 s) on
-	maxLagSamples = 4096 // at which all counts are halved, so that old samples fade
+	lagBuckets    = 20   // the last bucket holds everything from 2^18 ticks (26 s) on
+	maxLagSamples = 4096 // number of samples at which all counts are halved, so that old samples lose weight
 )
 
-// lagHistogram counts short spans by powers of two.
+// lagHistogram is a histogram of short durations with a bucket per power of two.
 type lagHistogram struct {
 	total   int
 	buckets [lagBuckets]int
 }
 
+// add records a duration. A negative one counts as 0.
 func (h *lagHistogram) add(lag timeunit.Ticks) {
 	bucket := min(bits.Len64(uint64(max(0, lag))), len(h.buckets)-1)
 	h.buckets[bucket]++
@@ -78,7 +80,7 @@
 	}
 }
 
-// percentile99 returns a bound that 99 in 100 spans stayed under, a power of two; zero where there are none.
+// percentile99 returns an upper bound, a power of two, of the 99th percentile. It returns 0 for an empty histogram.
 func (h *lagHistogram) percentile99() timeunit.Ticks {
 	above := h.total / 100
 	for i := len(h.buckets) - 1; i > 0; i-- {
--- a/internal/server/timers.go
+++ b/internal/server/timers.go
@@ -6,16 +6,17 @@
 	"thistlequay/timeunit"
 )
 
-// timer calls fire on the event loop when its deadline has passed. The zero value is stopped; fire must be set first.
+// timer calls fire on the event loop once its deadline has passed. The zero value is a stopped timer; fire must be set
+// before the timer is.
 type timer struct {
 	deadline     timeunit.Ticks
-	heapPosition int // in the heap, counted from one; zero while the timer is stopped
+	heapPosition int // index in the heap plus one; 0 if the timer is stopped
 	fire         func()
 }
 
 func (t *timer) isSet() bool { return t.heapPosition > 0 }
 
-// deadlineHeap holds the timers that are set, the next to fire first. It implements heap.Interface.
+// deadlineHeap is a heap of the timers that are set, ordered by deadline. It implements heap.Interface.
 type deadlineHeap []*timer
 
 func (h deadlineHeap) Len() int           { return len(h) }
@@ -43,21 +44,21 @@
 	return removed
 }
 
-// setTimer sets a timer, or sets it anew.
+// setTimer sets a timer. If the timer is already set, its deadline is replaced.
 func (s *Server) setTimer(timer *timer, deadline timeunit.Ticks) {
 	s.stopTimer(timer)
 	timer.deadline = deadline
 	heap.Push(&s.deadlines, timer)
 }
 
-// stopTimer stops a timer; one that is not set stays so.
+// stopTimer stops a timer. It has no effect on a timer that is not set.
 func (s *Server) stopTimer(timer *timer) {
 	if timer.isSet() {
 		heap.Remove(&s.deadlines, timer.heapPosition-1)
 	}
 }
 
-// fireTimers fires every timer that is due. The system timer calls it.
+// fireTimers fires all timers that are due. It is called when the system timer fires.
 func (s *Server) fireTimers() {
 	s.armedFor = noDeadline
 	if s.awaitingSockets() {
@@ -73,7 +74,7 @@
 	}
 }
 
-// armSystemTimer sets the system timer for the next deadline.
+// armSystemTimer sets the system timer for the earliest deadline.
 func (s *Server) armSystemTimer() {
 	if s.systemTimer == nil || len(s.deadlines) == 0 || s.deadlines[0].deadline == s.armedFor {
 		return
