--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -42,7 +42,7 @@
 		BootstrapLog: section.StartFresh,
 		ClusterName:  gossipSection.FleetName,
 		Seed:         serverConfig.Seed,
-		OnResponse:   onServer.DeliverAnswers,
+		OnResponse:   onServer.DeliverResponse,
 		Log:          func(event string, keys ...any) { d.log.Event(event).Fields(keys).Send() },
 	}
 	if section.Directory != "" {
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -14,7 +14,7 @@
 // later changes of the system clock. If it did, setting the system clock back would delay every response until the
 // clock had caught up, and setting it forward would end every wait at once.
 type clock struct {
-	readSystem   func() (system time.Time, elapsed time.Duration) // system clock, monotonic time since the start
+	readClocks   func() (system time.Time, elapsed time.Duration) // system clock, monotonic time since the start
 	startedAt    timeunit.Ticks
 	systemOffset timeunit.Ticks // how far the system clock is ahead of this clock
 }
@@ -23,7 +23,7 @@
 	start := time.Now()
 	return clock{
 		startedAt: timeunit.UnixTicks(start),
-		readSystem: func() (time.Time, time.Duration) {
+		readClocks: func() (time.Time, time.Duration) {
 			now := time.Now()
 			return now, now.Sub(start)
 		},
@@ -32,7 +32,7 @@
 
 // now returns the current time. It updates systemOffset if the system clock was set since the last call.
 func (c *clock) now() timeunit.Ticks {
-	system, elapsed := c.readSystem()
+	system, elapsed := c.readClocks()
 	now := c.startedAt + timeunit.TicksOf(elapsed)
 	change := timeunit.UnixTicks(system) - now - c.systemOffset
 	if change > clockSetThreshold || change < -clockSetThreshold {
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -14,7 +14,7 @@
 	clock := newClock()
 	elapsed := time.Duration(0)
 	system := time.UnixMicro(int64(clock.startedAt) * 100)
-	clock.readSystem = func() (time.Time, time.Duration) { return system.Add(elapsed), elapsed }
+	clock.readClocks = func() (time.Time, time.Duration) { return system.Add(elapsed), elapsed }
 	before := clock.now()
 	for _, change := range []time.Duration{-time.Hour, 2 * time.Hour, -time.Millisecond * 500} {
 		elapsed += time.Second
--- a/internal/server/drain_socket_test.go
+++ b/internal/server/drain_socket_test.go
@@ -32,8 +32,8 @@
 	return ended
 }
 
-// appliedRequest returns the ID of the request that an APPLY line starts. It returns false for any other line.
-func appliedRequest(line string) (string, bool) {
+// startedRequestID returns the ID of the request that an APPLY line starts. It returns false for any other line.
+func startedRequestID(line string) (string, bool) {
 	_, job, found := strings.Cut(line, `{"type":"APPLY","job":"`)
 	if !found {
 		return "", false
@@ -54,27 +54,27 @@
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	checks := server.ConnectRouter()
+	healthChecker := server.ConnectRouter()
 	interpreter.StartLook(router, 1, "never ends")
-	ends := interpreter.StartLook(router, 2, "ends")
+	endingID := interpreter.StartLook(router, 2, "ends")
 	server.Signal(syscall.SIGTERM)
 	server.WaitFor(func() bool {
-		checks.Send(1, "/health", "", nil)
-		_, status, _, _ := checks.NextResponse()
+		healthChecker.Send(1, "/health", "", nil)
+		_, status, _, _ := healthChecker.NextResponse()
 		return status == 503
 	})
 	server.Signal(syscall.SIGTERM)
-	interpreter.CompleteRun(router, 2, ends, "e")
+	interpreter.CompleteRun(router, 2, endingID, "e")
 	linkEnded := handleLines(interpreter, func(line string) { // runs that start in the grace period still succeed
-		id, found := appliedRequest(line)
+		id, found := startedRequestID(line)
 		if found {
 			sendEmptyValue(interpreter, id)
 		}
 	})
-	late := server.ConnectRouter()
+	lateRouter := server.ConnectRouter()
 	server.WaitFor(func() bool { // wait until the grace period has ended
-		late.SendLook(1, "late")
-		_, status, _, _ := late.NextResponse()
+		lateRouter.SendLook(1, "late")
+		_, status, _, _ := lateRouter.NextResponse()
 		return status == 503
 	})
 	router.ExpectResponse(1, 500, "") // before the shutdown deadline
@@ -125,16 +125,16 @@
 // The load of TestMeasuredDrainOrders takes 1.36 s of the 1.5 s until the shutdown deadline, so that the last dials are
 // refused.
 const (
-	drainInterval    = 4 * time.Millisecond   // between two steps of the load
-	drainConnections = 340                    // steps of the load; two thirds open a new connection
-	drainIdle        = 60                     // connections that are idle when the drain starts
-	drainFloods      = 20                     // connections on which records are sent without pause
-	drainStayingIdle = 20                     // minimum number of idle connections left to the program to close
-	drainGrace       = 350 * time.Millisecond // grace period of 300 ms plus 50 ms of tolerance
+	drainInterval            = 4 * time.Millisecond   // between two steps of the load
+	drainSteps               = 340                    // steps of the load; two thirds open a new connection
+	drainIdleConnections     = 60                     // connections that are idle when the drain starts
+	drainFloodingConnections = 20                     // connections on which records are sent without pause
+	drainMinIdleConnections  = 20                     // minimum number of idle connections left to the program to close
+	drainGrace               = 350 * time.Millisecond // grace period of 300 ms plus 50 ms of tolerance
 )
 
-// drainedConnection is the outcome of one connection during a drain.
-type drainedConnection struct {
+// connectionOutcome is the outcome of one connection during a drain.
+type connectionOutcome struct {
 	kind        string
 	receivedMS  int64 // Received-At of its request; 0 if the request was not sent completely
 	id          string
@@ -144,7 +144,7 @@
 }
 
 // readResponses counts the responses on a connection until the connection ends, then closes it.
-func (d *drainedConnection) readResponses(link *emulator.Link) {
+func (d *connectionOutcome) readResponses(link *emulator.Link) {
 	defer servertest.CloseQuietly(link)
 	for {
 		_, err := link.ReadResponse()
@@ -159,19 +159,19 @@
 	}
 }
 
-// drainRun generates the load of TestMeasuredDrainOrders and records its outcomes.
-type drainRun struct {
+// drainLoad generates the load of TestMeasuredDrainOrders and records its outcomes.
+type drainLoad struct {
 	server      *servertest.Server
-	runs        map[string]int // runs by request ID; read it only after the interpreter's link has ended
-	connections []*drainedConnection
-	open        sync.WaitGroup // counts the goroutines that read and write connections
+	runsByID    map[string]int // runs by request ID; read it only after the interpreter's link has ended
+	connections []*connectionOutcome
+	goroutines  sync.WaitGroup // counts the goroutines that read and write connections
 }
 
 // handleCommand ends every run at once and answers requests for the interpreter's gauges.
-func (r *drainRun) handleCommand(interpreter *servertest.InterpreterLink, line string) {
-	id, found := appliedRequest(line)
+func (r *drainLoad) handleCommand(interpreter *servertest.InterpreterLink, line string) {
+	id, found := startedRequestID(line)
 	if found {
-		r.runs[id]++
+		r.runsByID[id]++
 		sendEmptyValue(interpreter, id)
 		return
 	}
@@ -182,8 +182,8 @@
 	}
 }
 
-// connectIdle opens count connections and completes one health check on each, so that all of them are idle.
-func (r *drainRun) connectIdle(count int) []*emulator.Link {
+// openIdleConnections opens count connections and completes one health check on each, so that all of them are idle.
+func (r *drainLoad) openIdleConnections(count int) []*emulator.Link {
 	var links []*emulator.Link
 	for range count {
 		router := r.server.ConnectRouter()
@@ -194,8 +194,8 @@
 }
 
 // flood writes records that belong to no open request until the connection is closed.
-func (r *drainRun) flood(link *emulator.Link) {
-	r.open.Go(func() {
+func (r *drainLoad) flood(link *emulator.Link) {
+	r.goroutines.Go(func() {
 		var err error
 		for err == nil {
 			_, err = link.Write(emulator.FastCGIRecord(5, 9, ""))
@@ -203,15 +203,15 @@
 	})
 }
 
-// watch adds a connection to r.connections and reads its responses on another goroutine.
-func (r *drainRun) watch(link *emulator.Link, connection *drainedConnection) {
+// addConnection adds a connection to r.connections and reads its responses on another goroutine.
+func (r *drainLoad) addConnection(link *emulator.Link, connection *connectionOutcome) {
 	r.connections = append(r.connections, connection)
-	r.open.Go(func() { connection.readResponses(link) })
+	r.goroutines.Go(func() { connection.readResponses(link) })
 }
 
 // send writes a request, or only its first half if complete is false, and reads the connection's responses.
-func (r *drainRun) send(link *emulator.Link, kind string, complete bool) {
-	connection := &drainedConnection{kind: kind, id: r.server.NewRequestID()}
+func (r *drainLoad) send(link *emulator.Link, kind string, complete bool) {
+	connection := &connectionOutcome{kind: kind, id: r.server.NewRequestID()}
 	parameters := servertest.RequestParameters(connection.id)
 	request := emulator.FastCGIRequest(2, "/rpc/look", "b", parameters)
 	if complete {
@@ -219,7 +219,7 @@
 	} else {
 		request = request[:len(request)/2]
 	}
-	r.watch(link, connection)
+	r.addConnection(link, connection)
 	_, err := link.Write(request)
 	if err != nil {
 		connection.receivedMS = 0 // the program had already closed the connection
@@ -227,26 +227,26 @@
 }
 
 // sendOnNewConnection calls send on a new connection, or records that the dial was refused.
-func (r *drainRun) sendOnNewConnection(kind string, complete bool) {
+func (r *drainLoad) sendOnNewConnection(kind string, complete bool) {
 	link, err := emulator.Dial(r.server.Listen)
 	if err != nil {
-		r.connections = append(r.connections, &drainedConnection{kind: kind, dialRefused: true})
+		r.connections = append(r.connections, &connectionOutcome{kind: kind, dialRefused: true})
 		return
 	}
 	r.server.NoError(link.SetDeadline(time.Now().Add(servertest.EventTimeout)))
 	r.send(link, kind, complete)
 }
 
-// play sends the load, beginning at start, and returns the connections that are still idle.
-func (r *drainRun) play(start time.Time, idle []*emulator.Link) []*emulator.Link {
-	for i := range drainConnections {
+// sendLoad sends the load, beginning at start, and returns the connections that are still idle.
+func (r *drainLoad) sendLoad(start time.Time, idle []*emulator.Link) []*emulator.Link {
+	for i := range drainSteps {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * drainInterval))) // paces the load; no wait for an event
 		switch {
 		case i%3 == 0:
 			r.sendOnNewConnection("request on a new connection", true)
 		case i%3 == 1:
 			r.sendOnNewConnection("half a request on a new connection", false)
-		case len(idle) > drainStayingIdle && i%6 == 5:
+		case len(idle) > drainMinIdleConnections && i%6 == 5:
 			r.send(idle[0], "request on an idle connection", true)
 			idle = idle[1:]
 		}
@@ -256,23 +256,23 @@
 
 // drainCounts counts connections by their outcome.
 type drainCounts struct {
-	lost    int // the request was run but not answered
-	double  int // the request was run or answered more than once
-	late    int // the request arrived after the grace period but was run
-	reset   int // the connection ended with an error, such as a reset
-	refused int // the dial was refused
+	lost       int // the request was run but not answered
+	duplicated int // the request was run or answered more than once
+	late       int // the request arrived after the grace period but was run
+	reset      int // the connection ended with an error, such as a reset
+	refused    int // the dial was refused
 }
 
-// count counts the outcomes. Requests that arrive after graceEndMS, in Unix milliseconds, must not be run.
-func (r *drainRun) count(graceEndMS int64) drainCounts {
+// countOutcomes counts the outcomes. Requests that arrive after graceEndMS, in Unix milliseconds, must not be run.
+func (r *drainLoad) countOutcomes(graceEndMS int64) drainCounts {
 	var counts drainCounts
 	for _, connection := range r.connections {
-		runs := r.runs[connection.id]
+		runs := r.runsByID[connection.id]
 		switch {
 		case connection.dialRefused:
 			counts.refused++
 		case connection.responses > 1 || runs > 1:
-			counts.double++
+			counts.duplicated++
 		case connection.responses == 0 && runs > 0:
 			counts.lost++
 		case runs > 0 && connection.receivedMS > graceEndMS:
@@ -302,32 +302,32 @@
 // reset. No request that arrives after the grace period may be run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":256`)
-	run := &drainRun{server: server, runs: map[string]int{}}
-	linkEnded := handleLines(interpreter, func(line string) { run.handleCommand(interpreter, line) })
+	load := &drainLoad{server: server, runsByID: map[string]int{}}
+	linkEnded := handleLines(interpreter, func(line string) { load.handleCommand(interpreter, line) })
 	// The idle and flooding connections are opened before the drain and fit into the connection table.
-	idle := run.connectIdle(drainIdle)
-	floods := run.connectIdle(drainFloods)
+	idle := load.openIdleConnections(drainIdleConnections)
+	floods := load.openIdleConnections(drainFloodingConnections)
 	for _, link := range floods {
-		run.flood(link)
+		load.flood(link)
 	}
 	server.Signal(syscall.SIGTERM)
 	notified := time.Now()
-	idle = run.play(notified, idle)
+	idle = load.sendLoad(notified, idle)
 	for _, link := range floods {
-		run.watch(link, &drainedConnection{kind: "records without a pause"})
+		load.addConnection(link, &connectionOutcome{kind: "records without a pause"})
 	}
 	for _, link := range idle {
-		run.watch(link, &drainedConnection{kind: "idle until the program closes it"})
+		load.addConnection(link, &connectionOutcome{kind: "idle until the program closes it"})
 	}
-	run.open.Wait()
+	load.goroutines.Wait()
 	code, log := server.WaitForExit()
 	ended := time.Since(notified)
 	<-linkEnded
 	server.Equal(0, code, log)
 	server.Less(ended, servertest.EventTimeout/4) // takes 1.5 s on an idle machine; the measured time is printed below
-	counts := run.count(shutdownTime(server, log).Add(drainGrace).UnixMilli())
+	counts := load.countOutcomes(shutdownTime(server, log).Add(drainGrace).UnixMilli())
 	fmt.Printf("measured drain orders=%d lost=%d double=%d late=%d reset=%d refused=%d ended_ms=%d source=emulators\n",
-		len(run.connections), counts.lost, counts.double, counts.late, counts.reset, counts.refused,
+		len(load.connections), counts.lost, counts.duplicated, counts.late, counts.reset, counts.refused,
 		ended.Milliseconds())
-	server.Zero(counts.lost + counts.double + counts.late + counts.reset)
+	server.Zero(counts.lost + counts.duplicated + counts.late + counts.reset)
 }
--- a/internal/server/fairqueue_socket_test.go
+++ b/internal/server/fairqueue_socket_test.go
@@ -22,8 +22,8 @@
 	return server, server.AcceptInterpreter(0)
 }
 
-// sendLookOf sends an idempotent request of a tenant and returns the request's ID.
-func sendLookOf(router *servertest.RouterLink, slot uint16, tenant, body string) string {
+// sendTenantLook sends an idempotent request of a tenant and returns the request's ID.
+func sendTenantLook(router *servertest.RouterLink, slot uint16, tenant, body string) string {
 	router.Server.T.Helper()
 	return router.SendWith(slot, "/rpc/look", body, "HTTP_ACCOUNT", tenant)
 }
@@ -34,13 +34,13 @@
 func TestFairQueueOrderAndReloadUnderLoad(t *testing.T) {
 	server, interpreter := startFairServer(t, 0.5, 0.5)
 	router := server.ConnectRouter()
-	first := sendLookOf(router, 1, "acme", "1")
-	second := sendLookOf(router, 2, "acme", "2")
+	first := sendTenantLook(router, 1, "acme", "1")
+	second := sendTenantLook(router, 2, "acme", "2")
 	interpreter.ExpectApply(first, "1")
 	interpreter.ExpectApply(second, "2")
-	third := sendLookOf(router, 3, "acme", "3")
-	fourth := sendLookOf(router, 4, "acme", "4")
-	beta := sendLookOf(router, 5, "beta", "b")
+	third := sendTenantLook(router, 3, "acme", "3")
+	fourth := sendTenantLook(router, 4, "acme", "4")
+	beta := sendTenantLook(router, 5, "beta", "b")
 	router.ExpectHealth(6, 200) // the program has read all requests
 	interpreter.CompleteRun(router, 1, first, "")
 	interpreter.ExpectApply(beta, "b")
@@ -78,10 +78,10 @@
 	for slot := uint16(2); slot < 8; slot++ {
 		router.SendBook(slot, "k")
 	}
-	other := sendLookOf(router, 9, "beta", "b")
+	other := sendTenantLook(router, 9, "beta", "b")
 	interpreter.ExpectApply(other, "b")
-	queuedAcme := sendLookOf(router, 10, "acme", "a2")
-	queuedBeta := sendLookOf(router, 11, "beta", "b2")
+	queuedAcme := sendTenantLook(router, 10, "acme", "a2")
+	queuedBeta := sendTenantLook(router, 11, "beta", "b2")
 	interpreter.SendValue(run, "OK", "one")
 	for range 7 {
 		_, status, _, body := router.NextResponse()
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -44,13 +44,13 @@
 }
 
 // UsageReported stores a report of the core time that another server's tenants used. age is the age of the report.
-func (g *Gossip) UsageReported(by membership.ID, age time.Duration, tenants []membership.TenantUsage) {
+func (g *Gossip) UsageReported(server membership.ID, age time.Duration, tenants []membership.TenantUsage) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if g.usage == nil {
 		g.usage = map[membership.ID]tenantUsage{}
 	}
-	g.usage[by] = tenantUsage{reportedAt: time.Now().Add(-age), tenants: tenants}
+	g.usage[server] = tenantUsage{reportedAt: time.Now().Add(-age), tenants: tenants}
 }
 
 // takeUsage returns the reports since its last call and the IDs of the reporting servers, sorted so that the order is
@@ -116,7 +116,7 @@
 	if size := p.server.config.Gossip.size(); size > 0 {
 		p.server.admission.SetFleetSize(size)
 		// SetFleetSize has changed admission's limit on calls. If there is a quota, it must set the limit again.
-		p.server.quota.admissionLimit = undeclaredLimit
+		p.server.quota.admissionLimit = unsetLimit
 	}
 }
 
--- a/internal/server/lateness.go
+++ b/internal/server/lateness.go
@@ -9,20 +9,20 @@
 // are late if the core is overloaded or the process was stopped. The zero value is ready to use.
 type peakLateness struct {
 	intervalEnd timeunit.Ticks
-	current     timeunit.Ticks // maximum in the current interval
-	previous    timeunit.Ticks // maximum in the previous interval
+	currentMax  timeunit.Ticks // maximum in the current interval
+	previousMax timeunit.Ticks // maximum in the previous interval
 }
 
 // add records the lateness of a timer that has fired.
 func (p *peakLateness) add(now, lateness timeunit.Ticks) {
 	p.advance(now)
-	p.current = max(p.current, lateness)
+	p.currentMax = max(p.currentMax, lateness)
 }
 
 // peak returns the largest lateness recorded in the current and the previous interval.
 func (p *peakLateness) peak(now timeunit.Ticks) timeunit.Ticks {
 	p.advance(now)
-	return max(p.current, p.previous)
+	return max(p.currentMax, p.previousMax)
 }
 
 // advance starts a new interval if the current one has ended.
@@ -30,10 +30,10 @@
 	if now < p.intervalEnd {
 		return
 	}
-	p.previous = p.current
+	p.previousMax = p.currentMax
 	if now >= p.intervalEnd+latenessInterval { // a whole interval has passed without a measurement
-		p.previous = 0
+		p.previousMax = 0
 	}
-	p.current = 0
+	p.currentMax = 0
 	p.intervalEnd = now + latenessInterval
 }
--- a/internal/server/lateness_test.go
+++ b/internal/server/lateness_test.go
@@ -23,7 +23,7 @@
 func TestNoticeMayHaveBeenSentBeforeWhatTheTimersShow(t *testing.T) {
 	server := &Server{config: Config{ShutdownTimeout: 4 * second}, now: 1000 * second}
 	require.Zero(t, server.measuredNoticeDelay())
-	server.lateness.add(server.now, 30)
+	server.peakLateness.add(server.now, 30)
 	require.EqualValues(t, 30, server.measuredNoticeDelay())
 	server.setTimer(&timer{}, server.now-second/2) // overdue but not fired: the process has just resumed
 	require.Equal(t, second/2, server.measuredNoticeDelay())
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -14,15 +14,15 @@
 	// because a busy platform sends the notice late.
 	maxUnseenNoticeDelay = 3 * second / 10
 
-	// processEndTime is the time reserved for the process to exit after its last response.
-	processEndTime = second / 10
+	// processExitTime is the time reserved for the process to exit after its last response.
+	processExitTime = second / 10
 
-	// setAsideDivisor limits each reserve to 1/setAsideDivisor of the shutdown timeout.
-	setAsideDivisor = 4
+	// noticeReserveDivisor limits each reserve to 1/noticeReserveDivisor of the shutdown timeout.
+	noticeReserveDivisor = 4
 
-	// graceDivisor limits the part of the grace period that the delay of the notice may use up to 1/graceDivisor, so
-	// that requests sent before routers learned of the shutdown still run.
-	graceDivisor = 2
+	// graceReserveDivisor limits the part of the grace period that the delay of the notice may use up to
+	// 1/graceReserveDivisor, so that requests sent before routers learned of the shutdown still run.
+	graceReserveDivisor = 2
 )
 
 // phase is the phase of the process's life cycle. It only moves forward. It determines the response to health checks
@@ -50,13 +50,13 @@
 		return
 	}
 	timeout := s.config.ShutdownTimeout
-	late := s.measuredNoticeDelay()
-	unseen := min(maxUnseenNoticeDelay+processEndTime, timeout/setAsideDivisor)
-	timeLeft := max(0, timeout-late-unseen)
+	noticeDelay := s.measuredNoticeDelay()
+	reserve := min(maxUnseenNoticeDelay+processExitTime, timeout/noticeReserveDivisor)
+	timeLeft := max(0, timeout-noticeDelay-reserve)
 	s.log.Event("shutting_down").Str("name", s.config.Name).Int64("within_ms", timeLeft.Milliseconds()).
-		Int("requests", s.requests.count()).Int64("notice_late_ms", late.Milliseconds()).Send()
-	s.killedAt = s.now + timeout - late
-	s.noticedAt = s.now - late - min(maxUnseenNoticeDelay, s.config.Settings.DrainGrace/graceDivisor)
+		Int("requests", s.requests.count()).Int64("notice_late_ms", noticeDelay.Milliseconds()).Send()
+	s.killAt = s.now + timeout - noticeDelay
+	s.noticeSentAt = s.now - noticeDelay - min(maxUnseenNoticeDelay, s.config.Settings.DrainGrace/graceReserveDivisor)
 	s.shutdownDeadline = s.now + timeLeft
 	s.advancePhase(phaseDraining)
 	for _, optional := range s.parts { // before admission rejects requests because of the shutdown
@@ -64,22 +64,22 @@
 	}
 	s.notifyAdmissionOfDrain()
 	s.directory.report()
-	s.scheduleEnd(timeLeft)
+	s.scheduleStop(timeLeft)
 }
 
 // measuredNoticeDelay returns how long ago the shutdown notice may have been sent, judging by the lateness of timers.
 // If a timer is overdue now or was late recently, the process was stopped or delayed, and the notice may have waited
 // for as long.
 func (s *Server) measuredNoticeDelay() timeunit.Ticks {
-	late := s.lateness.peak(s.now)
+	delay := s.peakLateness.peak(s.now)
 	if len(s.deadlines) > 0 {
-		late = max(late, s.now-s.deadlines[0].deadline)
+		delay = max(delay, s.now-s.deadlines[0].deadline)
 	}
-	return min(late, s.config.ShutdownTimeout/setAsideDivisor)
+	return min(delay, s.config.ShutdownTimeout/noticeReserveDivisor)
 }
 
-// scheduleEnd sets the timers that start the last two phases.
-func (s *Server) scheduleEnd(timeLeft timeunit.Ticks) {
+// scheduleStop sets the timers that start the last two phases.
+func (s *Server) scheduleStop(timeLeft timeunit.Ticks) {
 	// The second half of the time after the grace period is reserved for closing connections.
 	afterGrace := max(timeLeft-s.config.Settings.DrainGrace, timeLeft/4)
 	closeIdle := func() {
@@ -90,7 +90,7 @@
 	s.setTimer(&timer{fire: closeIdle}, s.shutdownDeadline-afterGrace/2)
 	// The server stops one batch after the shutdown deadline. If the loop is late, the batch of the deadline still
 	// answers the requests that are due.
-	stop := func() { s.stop(min(processEndTime, s.config.ShutdownTimeout/setAsideDivisor) / 2) }
+	stop := func() { s.stop(min(processExitTime, s.config.ShutdownTimeout/noticeReserveDivisor) / 2) }
 	s.setTimer(&timer{fire: func() { s.setTimer(&timer{fire: stop}, s.now+1) }}, s.shutdownDeadline)
 }
 
@@ -99,7 +99,7 @@
 // that arrived after its end would run.
 func (s *Server) notifyAdmissionOfDrain() {
 	if s.admission != nil && s.shutdownDeadline < noDeadline {
-		s.admission.DrainSince(s.now-s.noticedAt, max(0, s.shutdownDeadline-s.now))
+		s.admission.DrainSince(s.now-s.noticeSentAt, max(0, s.shutdownDeadline-s.now))
 	}
 }
 
@@ -120,12 +120,12 @@
 	if s.shutdownDeadline == noDeadline {
 		return s.config.ShutdownTimeout.Duration()
 	}
-	return (s.killedAt - s.clock.now() - processEndTime).Duration()
+	return (s.killAt - s.clock.now() - processExitTime).Duration()
 }
 
 // stopLoop logs the end of the server and stops the event loop.
 func (s *Server) stopLoop() {
 	s.log.Event("ended").Str("name", s.config.Name).Int("requests", s.requests.count()).
-		Int("broken_invariants", s.brokenInvariants).Int64("before_kill_ms", (s.killedAt - s.now).Milliseconds()).Send()
+		Int("broken_invariants", s.brokenInvariants).Int64("before_kill_ms", (s.killAt - s.now).Milliseconds()).Send()
 	s.ended = true
 }
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -35,9 +35,9 @@
 	return &pluginLoad{server: server, interpreter: interpreter}
 }
 
-// play starts the program with the given settings and sends the load. If during is not nil, play calls it concurrently.
+// run starts the program with the given settings and sends the load. If during is not nil, run calls it concurrently.
 // The load takes 0.8 s, or 20 s with MEASURE=full. The test fails if a connection ends before a response.
-func (l *pluginLoad) play(service string, during func()) {
+func (l *pluginLoad) run(service string, during func()) {
 	l.server.T.Helper()
 	l.server.Service = service
 	l.server.WriteFilesAndStart()
@@ -72,13 +72,13 @@
 
 // doubleRuns returns the number of runs beyond the first one of each request.
 func (l *pluginLoad) doubleRuns() int {
-	double := 0
+	duplicates := 0
 	l.interpreter.Inspect(func(inspected *emulator.Interpreter) {
 		for _, runs := range inspected.RunsByRequest {
-			double += runs - 1
+			duplicates += runs - 1
 		}
 	})
-	return double
+	return duplicates
 }
 
 // pluginMemory returns the total resident memory of a server's plug-in processes, in MB, and the number of processes.
@@ -107,18 +107,18 @@
 // Under load, a hostile plug-in of each kind runs beside a well-behaved one. No response may be late, no request may be
 // lost or run twice, and all requests that no plug-in sees must succeed or be rejected.
 func TestMeasuredHostilePlugins(t *testing.T) {
-	calm := newPluginLoad(t)
-	calm.play("", nil)
+	baseline := newPluginLoad(t)
+	baseline.run("", nil)
 	for _, kind := range []string{
 		"good", "loops", "asks-4gib", "asks-bit-by-bit", "recurses", "recurses compiled", "traps", "traps-one-in-ten",
 		"points-outside", "answers-1gib", "status-9999", "no-such-category", "logs-without-end", "slow-4ms",
 	} {
-		t.Run(kind, func(t *testing.T) { measureHostilePlugin(t, kind, calm) })
+		t.Run(kind, func(t *testing.T) { measureHostilePlugin(t, kind, baseline) })
 	}
 }
 
-// measureHostilePlugin runs one case of TestMeasuredHostilePlugins. calm is the same load without plug-ins.
-func measureHostilePlugin(t *testing.T, kind string, calm *pluginLoad) {
+// measureHostilePlugin runs one case of TestMeasuredHostilePlugins. baseline is the same load without plug-ins.
+func measureHostilePlugin(t *testing.T, kind string, baseline *pluginLoad) {
 	t.Helper()
 	module, compiled := strings.CutSuffix(kind, " compiled")
 	engine := "interpreter"
@@ -132,7 +132,7 @@
 	tagger := pluginEntry("tagger", server.WriteModule("tags"),
 		"hooks: [read], tenants: [acme], may: [tag], call: 50ms, core: 0.5")
 	peakMB := 0.0
-	load.play(pluginSection(hostile, tagger), func() { peakMB = peakPluginMemory(server) })
+	load.run(pluginSection(hostile, tagger), func() { peakMB = peakPluginMemory(server) })
 
 	late, lost := load.lateAndLost()
 	double := load.doubleRuns()
@@ -140,11 +140,11 @@
 	if server.Process.ProcessState == nil {
 		alive = 1
 	}
-	calmP99 := float64(calm.beta.ResponseTimes.ValueAtQuantile(99))
+	baselineP99 := float64(baseline.beta.ResponseTimes.ValueAtQuantile(99))
 	t.Logf("measured plugins kind=%q late_responses=%d lost=%d double=%d server_alive=%d rss_mb=%.0f "+
 		"other_p99_ratio=%.2f seen_p50_ms=%.1f seen_p99_ms=%.1f",
 		kind, late, lost, double, alive, peakMB,
-		float64(load.beta.ResponseTimes.ValueAtQuantile(99))/calmP99,
+		float64(load.beta.ResponseTimes.ValueAtQuantile(99))/baselineP99,
 		float64(load.acme.ResponseTimes.ValueAtQuantile(50))/1000,
 		float64(load.acme.ResponseTimes.ValueAtQuantile(99))/1000)
 	server.Equal([]int{0, 0, 0, 1}, []int{late, lost, double, alive})
@@ -157,7 +157,7 @@
 	load := newPluginLoad(t)
 	server := load.server
 	first := pluginSection(pluginEntry("one", server.WriteModule("good"), "hooks: [read, result]"))
-	load.play(first, func() {
+	load.run(first, func() {
 		for i := range 40 {
 			module := server.WriteModule([]string{"good", "tags"}[i%2])
 			settings := fmt.Sprintf("hooks: [read, result], may: [tag], faults_in_a_row: %d", max(i, 1))
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -15,16 +15,16 @@
 // pluginConnection is the connection to one plug-in process.
 type pluginConnection struct {
 	outputBuffer
-	part    *pluginPart
-	config  *Plugins
-	chain   *chain.Chain
-	process *plugin.Process
-	partial []byte // received part of an incomplete frame
+	part         *pluginPart
+	config       *Plugins
+	chain        *chain.Chain
+	process      *plugin.Process
+	partialFrame []byte // received part of an incomplete frame
 
 	pendingCalls int  // calls without a verdict yet
 	requests     int  // requests that were attached to this process and have not ended
 	isRetired    bool // new requests are not attached to it any more
-	ended        bool
+	isClosed     bool
 	tickTimers   []*timer
 }
 
@@ -37,35 +37,35 @@
 		c.closeIfUnused()
 		return
 	}
-	c.part.retire()
+	c.part.retireCurrent()
 	c.part.dropState(c.config)
-	c.part.live = c
+	c.part.current = c
 	c.part.chain = c.chain
 	names := make([]string, len(c.chain.Plugins))
-	for i, one := range c.chain.Plugins {
-		names[i] = one.Name
+	for i, configured := range c.chain.Plugins {
+		names[i] = configured.Name
 	}
 	c.server.log.Event("plugins_ready").Str("plugins", strings.Join(names, " ")).
 		Int64("took_ms", c.process.StartupTime.Milliseconds()).Int("process", c.process.Command.Process.Pid).Send()
-	for _, one := range c.chain.Plugins {
-		if one.Hooks[chain.HookTick] {
-			c.startTicks(one)
+	for _, configured := range c.chain.Plugins {
+		if configured.Hooks[chain.HookTick] {
+			c.startTicks(configured)
 		}
 	}
 }
 
 // startTicks sets a timer that calls a plug-in's tick hook at its interval.
 func (c *pluginConnection) startTicks(ticked *chain.Plugin) {
-	ticks := &timer{}
-	ticks.fire = func() {
-		if c.isRetired || c.ended {
+	tickTimer := &timer{}
+	tickTimer.fire = func() {
+		if c.isRetired || c.isClosed {
 			return
 		}
-		c.server.setTimer(ticks, c.server.now+ticked.TickInterval)
+		c.server.setTimer(tickTimer, c.server.now+ticked.TickInterval)
 		c.tick(ticked)
 	}
-	c.server.setTimer(ticks, c.server.now+ticked.TickInterval)
-	c.tickTimers = append(c.tickTimers, ticks)
+	c.server.setTimer(tickTimer, c.server.now+ticked.TickInterval)
+	c.tickTimers = append(c.tickTimers, tickTimer)
 }
 
 // tick calls a plug-in's tick hook, unless the chain does not allow a call now.
@@ -80,7 +80,7 @@
 		hook:       chain.HookTick,
 		done:       func(*chain.Evaluation) {},
 	}
-	if !call.send(ticked, min(ticked.CallTimeout, ticked.TickInterval)) {
+	if !call.sendCall(ticked, min(ticked.CallTimeout, ticked.TickInterval)) {
 		evaluation.RecordFault(chain.FaultUnavailable, 0, c.server.now)
 	}
 }
@@ -88,35 +88,35 @@
 // closed is called when the process has ended or is no longer needed. Evaluations that wait for its verdict continue
 // without it.
 func (c *pluginConnection) closed() {
-	if c.ended {
+	if c.isClosed {
 		return
 	}
-	c.ended = true
+	c.isClosed = true
 	c.conn = nil
-	for _, ticks := range c.tickTimers {
-		c.server.stopTimer(ticks)
+	for _, tickTimer := range c.tickTimers {
+		c.server.stopTimer(tickTimer)
 	}
 	go c.process.Stop() // Stop blocks until the process has ended
-	for number, call := range c.part.calls {
+	for callID, call := range c.part.pendingCalls {
 		if call.connection == c {
-			delete(c.part.calls, number)
+			delete(c.part.pendingCalls, callID)
 			c.pendingCalls--
 			c.server.stopTimer(&call.timer)
-			call.failed(chain.FaultProcessDied, 0)
+			call.recordFault(chain.FaultProcessDied, 0)
 		}
 	}
-	if c.part.live == c || c.part.config == c.config && !c.isRetired {
-		c.replace()
+	if c.part.current == c || c.part.config == c.config && !c.isRetired {
+		c.scheduleReplacement()
 	}
 }
 
-// replace schedules the start of a new process after this one has ended unexpectedly.
-func (c *pluginConnection) replace() {
-	if c.part.live == c {
-		c.part.live = nil
+// scheduleReplacement schedules the start of a new process after this one has ended unexpectedly.
+func (c *pluginConnection) scheduleReplacement() {
+	if c.part.current == c {
+		c.part.current = nil
 	}
-	if countAndSample(&c.part.exits) {
-		c.server.log.Event("plugin_process_exited").Int("count", c.part.exits).Send()
+	if countAndSample(&c.part.unexpectedExits) {
+		c.server.log.Event("plugin_process_exited").Int("count", c.part.unexpectedExits).Send()
 	}
 	c.part.scheduleRestart()
 }
@@ -131,16 +131,16 @@
 
 // receive handles the complete frames in data and keeps an incomplete frame for the next call.
 func (c *pluginConnection) receive(data []byte) error {
-	if len(c.partial) > 0 {
-		data = append(c.partial, data...)
+	if len(c.partialFrame) > 0 {
+		data = append(c.partialFrame, data...)
 	}
 	for {
-		frame, rest, isWhole, err := plugin.ParseFrame(data)
+		frame, rest, isComplete, err := plugin.ParseFrame(data)
 		if err != nil {
 			return err
 		}
-		if !isWhole {
-			c.partial = slices.Clone(data)
+		if !isComplete {
+			c.partialFrame = slices.Clone(data)
 			return nil
 		}
 		data = rest
@@ -155,7 +155,7 @@
 	name := c.chain.Plugins[frame.PluginIndex].Name
 	switch frame.Kind {
 	case plugin.FrameVerdict:
-		c.onVerdict(frame)
+		c.handleVerdict(frame)
 	case plugin.FrameState:
 		key, value, isEntry := frame.StateEntry()
 		if isEntry && !c.isRetired {
@@ -176,24 +176,24 @@
 	plugin.CallNotStarted: chain.FaultUnavailable,
 }
 
-// onVerdict handles the end of a call. A verdict that arrives after its call has timed out is only counted, because its
-// request has continued without it.
-func (c *pluginConnection) onVerdict(frame plugin.Frame) {
-	outcome, spent, encoded, isVerdict := frame.Verdict()
-	call := c.part.calls[frame.CallID]
-	if !isVerdict || call == nil || call.connection != c {
+// handleVerdict handles the end of a call. A verdict that arrives after its call has timed out is only counted, because
+// its request has continued without it.
+func (c *pluginConnection) handleVerdict(frame plugin.Frame) {
+	outcome, elapsed, encoded, isValid := frame.Verdict()
+	call := c.part.pendingCalls[frame.CallID]
+	if !isValid || call == nil || call.connection != c {
 		c.part.lateVerdicts++
 		return
 	}
-	call.unlink()
-	took := timeunit.TicksOf(spent) + 1
+	call.removePending()
+	took := timeunit.TicksOf(elapsed) + 1
 	if outcome != plugin.CallSucceeded {
-		call.failed(callFaults[outcome], took)
+		call.recordFault(callFaults[outcome], took)
 		return
 	}
 	parsed, err := abi.ParseVerdict(encoded)
 	if err != nil {
-		call.failed(chain.FaultMalformed, took)
+		call.recordFault(chain.FaultMalformed, took)
 		return
 	}
 	call.applyVerdict(&parsed, took)
@@ -218,14 +218,14 @@
 	if isFault && isQuarantined {
 		e.logQuarantine(fault)
 	}
-	e.step()
+	e.callNext()
 }
 
 // categoryIndex returns the index of a category. For an unknown name it returns an index past the last category, which
 // the chain rejects.
 func (p *pluginPart) categoryIndex(name string) int {
-	category, known := p.server.config.Settings.CategoryIndex[name]
-	if !known {
+	category, isKnown := p.server.config.Settings.CategoryIndex[name]
+	if !isKnown {
 		return len(p.categoryNames)
 	}
 	return category
--- a/internal/server/pluginevaluation.go
+++ b/internal/server/pluginevaluation.go
@@ -20,90 +20,90 @@
 	done       func(evaluation *chain.Evaluation)
 
 	// The pending call.
-	plugin    *chain.Plugin
-	call      uint64
-	timer     timer
-	timeLimit timeunit.Ticks
+	calledPlugin *chain.Plugin
+	callID       uint64
+	timer        timer
+	timeLimit    timeunit.Ticks
 }
 
 // attach assigns a request that was read to the current plug-in process, which then evaluates the request and its
 // result even if a new configuration takes effect in between.
-func (p *pluginPart) attach(attached *request) {
+func (p *pluginPart) attach(req *request) {
 	if p.chain == nil {
 		return
 	}
-	attached.pluginTenant = string(attached.tenant)
-	attached.pluginConnection = p.live
-	if p.live != nil {
-		p.live.requests++
+	req.pluginTenant = string(req.tenant)
+	req.pluginConnection = p.current
+	if p.current != nil {
+		p.current.requests++
 	}
 }
 
 // detach undoes attach. It is called when a request has ended or will never be admitted.
-func (p *pluginPart) detach(detached *request) {
-	connection := detached.pluginConnection
+func (p *pluginPart) detach(req *request) {
+	connection := req.pluginConnection
 	if connection == nil {
 		return
 	}
-	detached.pluginConnection = nil
+	req.pluginConnection = nil
 	connection.requests--
 	connection.closeIfUnused()
 }
 
-// describe returns the description of a request that the chain works with.
-func (p *pluginPart) describe(described *request) chain.Request {
+// chainRequest returns the description of a request that the chain works with.
+func (p *pluginPart) chainRequest(req *request) chain.Request {
 	settings := p.server.config.Settings
-	deadline := min(described.deadline, p.server.shutdownDeadline)
+	deadline := min(req.deadline, p.server.shutdownDeadline)
 	return chain.Request{
-		Category:      described.category,
-		Tenant:        described.pluginTenant,
+		Category:      req.category,
+		Tenant:        req.pluginTenant,
 		TimeLeft:      max(0, deadline-p.server.now),
-		CategoryFixed: settings.Categories[described.category].Idempotency != admission.Idempotent,
+		CategoryFixed: settings.Categories[req.category].Idempotency != admission.Idempotent,
 	}
 }
 
 // appliesTo reports whether at least one plug-in evaluates a request that has been read.
-func (p *pluginPart) appliesTo(read *request) bool {
+func (p *pluginPart) appliesTo(req *request) bool {
 	if p.chain == nil {
 		return false
 	}
-	description := p.describe(read)
+	description := p.chainRequest(req)
 	return p.chain.Applies(chain.HookRead, &description)
 }
 
 // evaluateRequest starts the evaluation of a request by the plug-ins. It calls done when the evaluation ends, which may
 // be before it returns.
-func (p *pluginPart) evaluateRequest(read *request, done func(evaluation *chain.Evaluation)) {
-	connection := read.pluginConnection
+func (p *pluginPart) evaluateRequest(req *request, done func(evaluation *chain.Evaluation)) {
+	connection := req.pluginConnection
 	if connection == nil { // no process is running: every call fails and the plug-ins' fallback policies apply
-		connection = &pluginConnection{part: p, chain: p.chain, ended: true}
+		connection = &pluginConnection{part: p, chain: p.chain, isClosed: true}
 	}
-	started := &chainEvaluation{request: read, connection: connection, hook: chain.HookRead, done: done}
-	started.evaluation = connection.chain.Begin(chain.HookRead, p.describe(read), nil, p.server.now)
-	started.step()
+	running := &chainEvaluation{request: req, connection: connection, hook: chain.HookRead, done: done}
+	running.evaluation = connection.chain.Begin(chain.HookRead, p.chainRequest(req), nil, p.server.now)
+	running.callNext()
 }
 
 // evaluateResult starts the evaluation of a result and reports whether it did. It does not if no plug-in applies, or if
 // the result is neither sent to a router nor stored in an idempotency entry. If it did, it calls done when the
 // evaluation ends, which may be before it returns.
-func (p *pluginPart) evaluateResult(ran *request, result []byte, done func(evaluation *chain.Evaluation)) bool {
-	connection := ran.pluginConnection
-	isWanted := ran.router != nil || ran.entry != nil
+func (p *pluginPart) evaluateResult(req *request, result []byte, done func(evaluation *chain.Evaluation)) bool {
+	connection := req.pluginConnection
+	isWanted := req.router != nil || req.entry != nil
 	if connection == nil || !isWanted {
 		return false
 	}
-	description := p.describe(ran)
+	description := p.chainRequest(req)
 	if !connection.chain.Applies(chain.HookResult, &description) {
 		return false
 	}
-	started := &chainEvaluation{request: ran, connection: connection, hook: chain.HookResult, done: done}
-	started.evaluation = connection.chain.Begin(chain.HookResult, description, result, p.server.now)
-	started.step()
+	running := &chainEvaluation{request: req, connection: connection, hook: chain.HookResult, done: done}
+	running.evaluation = connection.chain.Begin(chain.HookResult, description, result, p.server.now)
+	running.callNext()
 	return true
 }
 
-// step calls the next plug-in. If there is none, it ends the evaluation.
-func (e *chainEvaluation) step() {
+// callNext calls the next plug-in. If there is none, it ends the evaluation.
+func (e *chainEvaluation) callNext() {
 	server := e.connection.part.server
 	for {
 		next, timeLimit := e.evaluation.Next(server.now)
@@ -112,82 +112,82 @@
 			e.connection.closeIfUnused()
 			return
 		}
-		if e.send(next, timeLimit) {
+		if e.sendCall(next, timeLimit) {
 			return
 		}
 		e.evaluation.RecordFault(chain.FaultUnavailable, 0, server.now)
 	}
 }
 
-// send calls a plug-in and sets the timer for its verdict. It reports false if the call could not be made.
-func (e *chainEvaluation) send(called *chain.Plugin, timeLimit timeunit.Ticks) bool {
+// sendCall calls a plug-in and sets the timer for its verdict. It reports false if the call could not be made.
+func (e *chainEvaluation) sendCall(called *chain.Plugin, timeLimit timeunit.Ticks) bool {
 	connection := e.connection
 	part := connection.part
-	if connection.ended || connection.conn == nil || len(part.calls) >= maxPluginCalls {
+	if connection.isClosed || connection.conn == nil || len(part.pendingCalls) >= maxPendingPluginCalls {
 		return false
 	}
-	part.lastCall++
-	e.plugin = called
-	e.call = part.lastCall
+	part.lastCallID++
+	e.calledPlugin = called
+	e.callID = part.lastCallID
 	e.timeLimit = timeLimit
-	part.calls[e.call] = e
+	part.pendingCalls[e.callID] = e
 	connection.pendingCalls++
 	e.timer.fire = e.onTimeout
 	part.server.setTimer(&e.timer, part.server.now+timeLimit+verdictTransitTime)
-	question := e.question()
-	encoded := question.Append(part.frameBuffer[:0])
+	callRequest := e.callRequest()
+	encoded := callRequest.Append(part.requestBuffer[:0])
 	connection.output = plugin.AppendCall(
-		connection.buffer(), called.Index, int(e.hook), e.call, int64(timeLimit), encoded)
+		connection.buffer(), called.Index, int(e.hook), e.callID, int64(timeLimit), encoded)
 	return true
 }
 
-// question returns the request that is sent to the plug-in.
-func (e *chainEvaluation) question() abi.Request {
+// callRequest returns the request that is sent to the plug-in.
+func (e *chainEvaluation) callRequest() abi.Request {
 	part := e.connection.part
-	question := abi.Request{Hook: int(e.hook), UnixMS: part.server.now.Milliseconds()}
+	callRequest := abi.Request{Hook: int(e.hook), UnixMS: part.server.now.Milliseconds()}
 	if e.request == nil {
-		return question
+		return callRequest
 	}
 	description := e.evaluation.Request()
-	question.TimeLeftMS = uint32(description.TimeLeft.Milliseconds())
-	question.Category = part.categoryNames[e.request.category]
-	question.Tenant = description.Tenant
-	question.Tag = e.request.tag
+	callRequest.TimeLeftMS = uint32(description.TimeLeft.Milliseconds())
+	callRequest.Category = part.categoryNames[e.request.category]
+	callRequest.Tenant = description.Tenant
+	callRequest.Tag = e.request.tag
 	if e.evaluation.Tag != "" {
-		question.Tag = e.evaluation.Tag
+		callRequest.Tag = e.evaluation.Tag
 	}
-	question.Body = e.request.body
+	callRequest.Body = e.request.body
 	if e.hook == chain.HookResult {
-		question.Body = e.evaluation.Body
+		callRequest.Body = e.evaluation.Body
 	}
-	return question
+	return callRequest
 }
 
-// unlink removes the call from the pending calls and stops its timer.
-func (e *chainEvaluation) unlink() {
+// removePending removes the call from the pending calls and stops its timer.
+func (e *chainEvaluation) removePending() {
 	part := e.connection.part
-	delete(part.calls, e.call)
+	delete(part.pendingCalls, e.callID)
 	e.connection.pendingCalls--
 	part.server.stopTimer(&e.timer)
 }
 
 // onTimeout is called when no verdict has arrived in time.
 func (e *chainEvaluation) onTimeout() {
-	e.unlink()
-	e.failed(chain.FaultTimeout, e.timeLimit)
+	e.removePending()
+	e.recordFault(chain.FaultTimeout, e.timeLimit)
 }
 
-// failed records that the call ended with a fault after the time took, and continues the evaluation.
-func (e *chainEvaluation) failed(fault chain.Fault, took timeunit.Ticks) {
+// recordFault records a fault that ended the call after the time took, and continues the evaluation.
+func (e *chainEvaluation) recordFault(fault chain.Fault, took timeunit.Ticks) {
 	if e.evaluation.RecordFault(fault, took, e.connection.part.server.now) {
 		e.logQuarantine(fault)
 	}
-	e.step()
+	e.callNext()
 }
 
 // logQuarantine logs that the plug-in is quarantined.
 func (e *chainEvaluation) logQuarantine(fault chain.Fault) {
 	server := e.connection.part.server
-	server.log.Event("plugin_quarantined").Str("name", e.plugin.Name).Str("fault", fault.String()).
-		Int64("wait_ms", (e.plugin.QuarantineEnd() - server.now).Milliseconds()).Send()
+	server.log.Event("plugin_quarantined").Str("name", e.calledPlugin.Name).Str("fault", fault.String()).
+		Int64("wait_ms", (e.calledPlugin.QuarantineEnd() - server.now).Milliseconds()).Send()
 }
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -13,10 +13,10 @@
 
 // Limits on the resources that plug-ins use.
 const (
-	maxPluginCalls      = 256     // pending calls to all plug-ins
-	maxRetiredProcesses = 4       // retired processes that wait for their last requests to end
-	maxPluginCounters   = 64      // distinct counters of all plug-ins
-	maxPluginStateBytes = 1 << 20 // state that all plug-ins store for the next process
+	maxPendingPluginCalls = 256     // pending calls to all plug-ins
+	maxRetiredProcesses   = 4       // retired processes that wait for their last requests to end
+	maxPluginCounters     = 64      // distinct counters of all plug-ins
+	maxPluginStateBytes   = 1 << 20 // state that all plug-ins store for the next process
 )
 
 // Plugins configures the plug-ins: the process that runs them and the policy of each.
@@ -24,8 +24,8 @@
 	// Process is the plug-in process, which is ready for calls.
 	Process *plugin.Process
 
-	// Grants holds the policies of the plug-ins in the order of the chain.
-	Grants []chain.Policy
+	// Policies holds the policies of the plug-ins in the order of the chain.
+	Policies []chain.Policy
 
 	// DropState is true for each plug-in whose stored state is dropped when this configuration takes effect.
 	DropState map[string]bool
@@ -42,31 +42,31 @@
 	server  *Server
 	config  *Plugins            // nil if there are no plug-ins
 	chain   *chain.Chain        // kept while no process is running; nil if there are no plug-ins
-	live    *pluginConnection   // process to which new requests are attached; nil if there is none
+	current *pluginConnection   // process to which new requests are attached; nil if there is none
 	retired []*pluginConnection // replaced processes that still have requests
 
-	calls         map[uint64]*chainEvaluation // pending calls by call ID
-	lastCall      uint64                      // ID of the last call
-	frameBuffer   []byte                      // buffer for encoding the request of a call
+	pendingCalls  map[uint64]*chainEvaluation // pending calls by call ID
+	lastCallID    uint64                      // ID of the last call
+	requestBuffer []byte                      // buffer for encoding the request of a call
 	categoryNames []string                    // names of the categories, by index
 
 	state      map[string]map[string][]byte // state that plug-ins store, by plug-in and key
 	stateBytes int                          // total size of the keys and values in state
 
-	exits        int // number of processes that ended unexpectedly
-	restartTimer timer
-	backoff      backoff
-	counters     map[string]int64 // counters of the plug-ins, logged with the server's state
-	lateVerdicts int              // verdicts that matched no pending call
+	unexpectedExits int // number of processes that ended unexpectedly
+	restartTimer    timer
+	backoff         backoff
+	counters        map[string]int64 // counters of the plug-ins, logged with the server's state
+	lateVerdicts    int              // verdicts that matched no pending call
 }
 
 func (p *pluginPart) init(server *Server) {
 	p.server = server
-	p.calls = map[uint64]*chainEvaluation{}
+	p.pendingCalls = map[uint64]*chainEvaluation{}
 	p.state = map[string]map[string][]byte{}
 	p.counters = map[string]int64{}
 	p.restartTimer.fire = p.restart
-	p.frameBuffer = make([]byte, 0, plugin.MaxFrameSize)
+	p.requestBuffer = make([]byte, 0, plugin.MaxFrameSize)
 	p.categoryNames = make([]string, len(server.config.Settings.Categories))
 	for name, category := range server.config.Settings.CategoryIndex {
 		p.categoryNames[category] = name
@@ -75,43 +75,43 @@
 
 func (p *pluginPart) isEnabled() bool { return p.server.config.Plugins != nil }
 
-func (p *pluginPart) start() { p.adopt(p.server.config.Plugins) }
+func (p *pluginPart) start() { p.applyConfig(p.server.config.Plugins) }
 
 // reconfigure applies the plug-ins of a new configuration. The pointer is unchanged if the plug-ins are.
 func (p *pluginPart) reconfigure(next *Config) {
 	if next.Plugins != p.server.config.Plugins {
 		p.server.config.Plugins = next.Plugins
-		p.adopt(next.Plugins)
+		p.applyConfig(next.Plugins)
 	}
 }
 
-// adopt replaces the plug-ins by those of config. New requests use the old process until the connection to the new one
-// is open. Evaluations in progress are completed on the process that they started on.
-func (p *pluginPart) adopt(config *Plugins) {
+// applyConfig replaces the plug-ins by those of config. New requests use the old process until the connection to the
+// new one is open. Evaluations in progress are completed on the process that they started on.
+func (p *pluginPart) applyConfig(config *Plugins) {
 	p.config = config
 	if config == nil {
-		p.retire()
+		p.retireCurrent()
 		p.chain = nil
 		return
 	}
 	dropsState := func(name string) bool { return config.DropState[name] }
-	adopted := chain.New(config.Grants, p.chain, dropsState, p.server.random, p.server.now)
-	if p.live == nil { // no process can be called, so the new chain applies at once
-		p.chain = adopted
+	newChain := chain.New(config.Policies, p.chain, dropsState, p.server.random, p.server.now)
+	if p.current == nil { // no process can be called, so the new chain applies at once
+		p.chain = newChain
 	}
-	p.connect(config, adopted)
+	p.connect(config, newChain)
 }
 
-// retire stops attaching new requests to the current process. If there are then too many retired processes, it ends the
-// oldest one.
-func (p *pluginPart) retire() {
-	old := p.live
-	p.live = nil
+// retireCurrent stops attaching new requests to the current process. If there are then too many retired processes, it
+// ends the oldest one.
+func (p *pluginPart) retireCurrent() {
+	old := p.current
+	p.current = nil
 	if old == nil {
 		return
 	}
 	old.isRetired = true
-	p.retired = slices.DeleteFunc(p.retired, func(other *pluginConnection) bool { return other.ended })
+	p.retired = slices.DeleteFunc(p.retired, func(other *pluginConnection) bool { return other.isClosed })
 	p.retired = append(p.retired, old)
 	old.closeIfUnused()
 	if len(p.retired) > maxRetiredProcesses { // requests attached to the oldest continue without it
@@ -151,7 +151,7 @@
 
 // onRestarted connects to a process that was started by restart, or schedules another attempt if it failed to start.
 func (p *pluginPart) onRestarted(config *Plugins, process *plugin.Process, err error) {
-	isOutdated := p.config != config || p.live != nil // the configuration has changed in the meantime
+	isOutdated := p.config != config || p.current != nil // the configuration has changed in the meantime
 	switch {
 	case isOutdated && err == nil:
 		go process.Stop() // Stop blocks until the process has ended
@@ -173,11 +173,11 @@
 // snapshot returns a copy of the plug-ins' state. Values are shared with the copy: they are replaced but never
 // modified.
 func (p *pluginPart) snapshot() map[string]map[string][]byte {
-	all := map[string]map[string][]byte{}
+	copied := map[string]map[string][]byte{}
 	for name, values := range p.state {
-		all[name] = maps.Clone(values)
+		copied[name] = maps.Clone(values)
 	}
-	return all
+	return copied
 }
 
 // storeState stores a value of a plug-in for the next process. An empty value deletes the key. A value that would
@@ -188,8 +188,8 @@
 		values = map[string][]byte{}
 		p.state[name] = values
 	}
-	if before, existed := values[key]; existed {
-		p.stateBytes -= len(key) + len(before)
+	if previous, existed := values[key]; existed {
+		p.stateBytes -= len(key) + len(previous)
 		delete(values, key)
 	}
 	size := len(key) + len(value)
@@ -233,17 +233,17 @@
 	}
 	calls := 0
 	faults := 0
-	inactive := 0
-	for _, one := range p.chain.Plugins {
-		calls += one.Calls
-		for _, count := range one.Faults {
+	quarantined := 0
+	for _, evaluated := range p.chain.Plugins {
+		calls += evaluated.Calls
+		for _, count := range evaluated.Faults {
 			faults += count
 		}
-		if one.State != chain.StateActive {
-			inactive++
+		if evaluated.State != chain.StateActive {
+			quarantined++
 		}
 	}
-	event.Int("plugin_calls", calls).Int("plugin_faults", faults).Int("plugins_quarantined", inactive).
+	event.Int("plugin_calls", calls).Int("plugin_faults", faults).Int("plugins_quarantined", quarantined).
 		Int("plugin_verdicts_late", p.lateVerdicts)
 	for _, key := range slices.Sorted(maps.Keys(p.counters)) {
 		event.Int64(key, p.counters[key])
--- a/internal/server/plugins_test.go
+++ b/internal/server/plugins_test.go
@@ -36,13 +36,13 @@
 	}
 	isNew := func(string) bool { return false }
 	pluginChain := chain.New([]chain.Policy{policy}, nil, isNew, server.random, server.now)
-	ours, theirs := net.Pipe()
-	t.Cleanup(func() { _ = theirs.Close() })
-	process := &plugin.Process{Conn: ours, Command: &exec.Cmd{}}
+	serverEnd, pluginEnd := net.Pipe()
+	t.Cleanup(func() { _ = pluginEnd.Close() })
+	process := &plugin.Process{Conn: serverEnd, Command: &exec.Cmd{}}
 	connection := &pluginConnection{part: &server.plugins, config: &Plugins{}, chain: pluginChain, process: process}
 	connection.outputBuffer = outputBuffer{server: server, maxUnread: maxUnreadPerLink, conn: discardConn{}}
 	server.plugins.config = connection.config
-	server.plugins.live = connection
+	server.plugins.current = connection
 	server.plugins.chain = pluginChain
 	return server, connection
 }
@@ -50,52 +50,52 @@
 // The calls of a plug-in before and after a run, and the effects of its verdicts, match the golden file byte for byte.
 func TestGoldenPlugins(t *testing.T) {
 	var recorded transcript
-	ended := func(outcome plugin.CallOutcome, verdict abi.Verdict) []byte {
+	encodeEnd := func(outcome plugin.CallOutcome, verdict abi.Verdict) []byte {
 		return verdict.Append([]byte{byte(outcome), 100, 0, 0, 0})
 	}
-	returned := func(verdict abi.Verdict) []byte { return ended(plugin.CallSucceeded, verdict) }
-	nothing := returned(abi.Verdict{})
+	verdictOf := func(verdict abi.Verdict) []byte { return encodeEnd(plugin.CallSucceeded, verdict) }
+	noop := verdictOf(abi.Verdict{})
 	request := requestRecords(1, paramsWith(withID("a1", "HTTP_ONCE_KEY", "l")...), "body")
 	for _, test := range []struct {
 		name   string
 		read   []byte // verdict on the request; nil if the call times out
 		result []byte // verdict on the result; nil if the call times out
 	}{
-		{"nothing said", nothing, nothing},
-		{"no verdict at all", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0}, nothing},
-		{"declined", returned(abi.Verdict{Actions: abi.ActionReject, Status: 403}), nothing},
-		{"declined as busy", returned(abi.Verdict{Actions: abi.ActionReject, Status: 503}), nothing},
-		{"declined with a status that is none", returned(abi.Verdict{Actions: abi.ActionReject, Status: 200}), nothing},
-		{"tagged", returned(abi.Verdict{Actions: abi.ActionTag, Tag: "vip"}), nothing},
-		{"another category", returned(abi.Verdict{Actions: abi.ActionCategorize, Category: "a"}), nothing},
-		{"an unknown category", returned(abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), nothing},
-		{"cut", ended(plugin.CallTimedOut, abi.Verdict{}), ended(plugin.CallTrapped, abi.Verdict{})},
-		{"unreadable", ended(plugin.CallMalformed, abi.Verdict{}), ended(plugin.CallNotStarted, abi.Verdict{})},
+		{"nothing said", noop, noop},
+		{"no verdict at all", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0}, noop},
+		{"declined", verdictOf(abi.Verdict{Actions: abi.ActionReject, Status: 403}), noop},
+		{"declined as busy", verdictOf(abi.Verdict{Actions: abi.ActionReject, Status: 503}), noop},
+		{"declined with a status that is none", verdictOf(abi.Verdict{Actions: abi.ActionReject, Status: 200}), noop},
+		{"tagged", verdictOf(abi.Verdict{Actions: abi.ActionTag, Tag: "vip"}), noop},
+		{"another category", verdictOf(abi.Verdict{Actions: abi.ActionCategorize, Category: "a"}), noop},
+		{"an unknown category", verdictOf(abi.Verdict{Actions: abi.ActionCategorize, Category: "b"}), noop},
+		{"cut", encodeEnd(plugin.CallTimedOut, abi.Verdict{}), encodeEnd(plugin.CallTrapped, abi.Verdict{})},
+		{"unreadable", encodeEnd(plugin.CallMalformed, abi.Verdict{}), encodeEnd(plugin.CallNotStarted, abi.Verdict{})},
 		{"bytes that are none", []byte{byte(plugin.CallSucceeded), 1, 0, 0, 0, 9}, []byte{1}},
-		{"another result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
-		{"a longer result", nothing, returned(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
+		{"another result", noop, verdictOf(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("y")})},
+		{"a longer result", noop, verdictOf(abi.Verdict{Actions: abi.ActionReplace, Body: []byte("longer")})},
 		{"silent", nil, nil},
 	} {
 		server, connection := newServerWithPlugin(t)
 		router := connectRouter(server)
-		decide := func(point string, payload []byte) {
-			recorded.addOutput(point+": asked", &connection.outputBuffer)
+		deliverVerdict := func(hook string, payload []byte) {
+			recorded.addOutput(hook+": asked", &connection.outputBuffer)
 			if payload == nil {
 				passTime(server, 200)
 			} else {
-				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, server.plugins.lastCall, payload)
+				frame := plugin.AppendFrame(nil, plugin.FrameVerdict, 0, server.plugins.lastCallID, payload)
 				require.NoError(t, feedInPieces(string(frame), 7, connection.receive))
 			}
 			dispatchBatch(server)
-			recorded.addResponses(point+": ", server, router)
+			recorded.addResponses(hook+": ", server, router)
 		}
 		recorded.add("plug-in", test.name)
 		feed(t, router, request)
 		dispatchBatch(server)
-		decide("read", test.read)
+		deliverVerdict("read", test.read)
 		notify(t, server, `{"type":"VALUE","n":1,"job":"00000000000000a1","state":"OK","data":"eHh4"}`)
 		dispatchBatch(server)
-		decide("result", test.result)
+		deliverVerdict("result", test.result)
 		recorded.addValues("books", connection.pendingCalls, connection.requests, server.plugins.lateVerdicts,
 			server.requests.count(), connection.chain.Plugins[0].Faults)
 	}
@@ -111,8 +111,8 @@
 	counters := plugin.AppendFrame(nil, plugin.FrameCounters, 0, 0, []byte(`{"seen":3}`))
 	require.NoError(t, connection.receive(counters))
 	recorded.addValues("kept", server.plugins.snapshot(), server.plugins.stateBytes, server.plugins.counters)
-	logOfNoPlugin := plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)
-	recorded.addValues("place beyond", connection.receive(logOfNoPlugin) != nil)
+	unknownPluginLog := plugin.AppendFrame(nil, plugin.FrameLog, 1, 0, nil)
+	recorded.addValues("place beyond", connection.receive(unknownPluginLog) != nil)
 	connection.closed()
 	dispatchBatch(server)
 	recorded.addOutput("process died: interpreter", &server.interpreter.outputBuffer)
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	maxQueuedAnswers = 16 // responses that wait for the event loop
-	pollsPerLease    = 8  // minimum number of updates per lease duration
+	maxQueuedResponses = 16 // responses that wait for the event loop
+	pollsPerLease      = 8  // minimum number of updates per lease duration
 
-	// recheckAfter is the time between update and afterDispatch from which the quota is checked again before the calls
-	// are written.
-	recheckAfter timeunit.Milliseconds = 5
+	// recheckThreshold is the time between update and afterDispatch from which the quota is checked again before the
+	// calls are written.
+	recheckThreshold timeunit.Milliseconds = 5
 
-	// undeclaredLimit is the value of admissionLimit if the limit must be set in admission again.
-	undeclaredLimit quota.Amount = -1
+	// unsetLimit is the value of admissionLimit if the limit must be set in admission again.
+	unsetLimit quota.Amount = -1
 
 	// Indexes of the limits in Quota.LeaseHolders.
-	callLimit     = 0 // limit on downstream calls in flight
-	callRateLimit = 1 // limit on downstream calls per second
+	callLimitIndex     = 0 // limit on downstream calls in flight
+	callRateLimitIndex = 1 // limit on downstream calls per second
 )
 
 // Quota manages this server's leases on the cluster-wide limits: the limit on downstream calls in flight and, if it is
-// configured, the limit on downstream calls per second. DeliverAnswers and LocalState may be called from any goroutine.
+// configured, the limit on downstream calls per second. DeliverResponse and LocalState may be called from any
+// goroutine.
 type Quota struct {
 	// Service sends quota requests to the coordinator.
 	Service *service.Service
@@ -37,22 +38,22 @@
 	LeaseHolders []*quota.LeaseHolder
 
 	lock       sync.Mutex
-	answers    []quota.Response // guarded by lock; not yet handled by the event loop
-	wake       func()           // guarded by lock; called after each response
+	responses  []quota.Response // guarded by lock; not yet handled by the event loop
+	onResponse func()           // guarded by lock; called after each response
 	localState atomic.Pointer[[]service.LocalLease]
 }
 
-// DeliverAnswers queues a response of the coordinator for the event loop and does not wait. If too many responses are
+// DeliverResponse queues a response of the coordinator for the event loop and does not wait. If too many responses are
 // queued, it drops the response, because the loop repeats its requests.
-func (q *Quota) DeliverAnswers(response quota.Response) {
+func (q *Quota) DeliverResponse(response quota.Response) {
 	q.lock.Lock()
-	if len(q.answers) < maxQueuedAnswers {
-		q.answers = append(q.answers, response)
+	if len(q.responses) < maxQueuedResponses {
+		q.responses = append(q.responses, response)
 	}
-	wake := q.wake
+	onResponse := q.onResponse
 	q.lock.Unlock()
-	if wake != nil {
-		wake()
+	if onResponse != nil {
+		onResponse()
 	}
 }
 
@@ -66,20 +67,20 @@
 	return *state
 }
 
-// onAnswers sets the function that DeliverAnswers calls after each response.
-func (q *Quota) onAnswers(wake func()) {
+// subscribe sets the function that DeliverResponse calls after each response.
+func (q *Quota) subscribe(onResponse func()) {
 	q.lock.Lock()
-	q.wake = wake
+	q.onResponse = onResponse
 	q.lock.Unlock()
 }
 
-// takeAnswers returns the queued responses and empties the queue.
-func (q *Quota) takeAnswers() []quota.Response {
+// takeResponses returns the queued responses and empties the queue.
+func (q *Quota) takeResponses() []quota.Response {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	answers := q.answers
-	q.answers = nil
-	return answers
+	responses := q.responses
+	q.responses = nil
+	return responses
 }
 
 // quotaPart applies the quota on the event loop. Before each dispatch it sets admission's limit on calls in flight, and
@@ -87,22 +88,22 @@
 // the service.
 type quotaPart struct {
 	partDefaults
-	server         *Server
-	quota          *Quota                // nil if only the settings limit calls
-	admissionLimit quota.Amount          // limit last set in admission
-	loggedLimit    quota.Amount          // limit last logged
-	checkedAt      timeunit.Milliseconds // time of the last update
-	pollTimer      timer
-	leaseTimer     timer                 // fires when the lease expires
-	leaseEnds      timeunit.Milliseconds // expiry for which leaseTimer is set
-	rateTimer      timer                 // fires when the limit on calls per second may allow the next call
-	cancelledCalls int                   // calls cancelled because the lease had expired
+	server             *Server
+	quota              *Quota                // nil if only the settings limit calls
+	admissionLimit     quota.Amount          // limit last set in admission
+	loggedLimit        quota.Amount          // limit last logged
+	updatedAt          timeunit.Milliseconds // time of the last update
+	pollTimer          timer
+	leaseTimer         timer                 // fires when the lease expires
+	leaseTimerDeadline timeunit.Milliseconds // expiry for which leaseTimer is set
+	rateTimer          timer                 // fires when the limit on calls per second may allow the next call
+	cancelledCalls     int                   // calls cancelled because the lease had expired
 }
 
 func (p *quotaPart) init(server *Server) {
 	p.server = server
 	p.quota = server.config.Quota
-	p.admissionLimit = undeclaredLimit
+	p.admissionLimit = unsetLimit
 	p.pollTimer.fire = p.poll
 	p.leaseTimer.fire = p.update
 	p.rateTimer.fire = server.index.sendRateLimited
@@ -111,20 +112,20 @@
 func (p *quotaPart) isEnabled() bool { return p.quota != nil }
 
 func (p *quotaPart) start() {
-	p.quota.onAnswers(func() { p.server.trySubmit(p.update) })
+	p.quota.subscribe(func() { p.server.trySubmit(p.update) })
 	p.poll()
 }
 
 // poll updates the quota at least pollsPerLease times per lease duration, even if nothing else happens.
 func (p *quotaPart) poll() {
 	p.update()
-	interval := p.quota.LeaseHolders[callLimit].LeaseDuration() / pollsPerLease
-	p.server.setTimer(&p.pollTimer, p.server.now+leaseTicks(interval))
+	interval := p.quota.LeaseHolders[callLimitIndex].LeaseDuration() / pollsPerLease
+	p.server.setTimer(&p.pollTimer, p.server.now+ticksFromMilliseconds(interval))
 }
 
-// leaseTicks converts milliseconds to ticks. The result is at least one millisecond.
-func leaseTicks(span timeunit.Milliseconds) timeunit.Ticks {
-	return timeunit.Ticks(max(1, span)) * timeunit.TicksPerMillisecond
+// ticksFromMilliseconds converts milliseconds to ticks. The result is at least one millisecond.
+func ticksFromMilliseconds(duration timeunit.Milliseconds) timeunit.Ticks {
+	return timeunit.Ticks(max(1, duration)) * timeunit.TicksPerMillisecond
 }
 
 func (p *quotaPart) beforeDispatch() { p.update() }
@@ -133,9 +134,9 @@
 // limit and sends the next request if it is due.
 func (p *quotaPart) update() {
 	now := p.quota.Service.Now()
-	p.takeAnswers(now)
-	p.checkedAt = now
-	calls := p.quota.LeaseHolders[callLimit]
+	p.handleResponses(now)
+	p.updatedAt = now
+	calls := p.quota.LeaseHolders[callLimitIndex]
 	usable := calls.Usable(now)
 	for now >= calls.ExpiresAt() && p.server.index.inFlight > wholeCalls(usable) { // the lease has expired
 		if !p.server.index.cancelNewest() {
@@ -144,19 +145,19 @@
 		p.cancelledCalls++
 	}
 	p.applyLimit(usable, calls.ExpiresAt()-now)
-	p.request(now)
-	if ends := calls.ExpiresAt(); ends > now && ends != p.leaseEnds {
-		p.leaseEnds = ends
-		p.server.setTimer(&p.leaseTimer, p.server.now+leaseTicks(ends-now))
+	p.requestLeases(now)
+	if expiresAt := calls.ExpiresAt(); expiresAt > now && expiresAt != p.leaseTimerDeadline {
+		p.leaseTimerDeadline = expiresAt
+		p.server.setTimer(&p.leaseTimer, p.server.now+ticksFromMilliseconds(expiresAt-now))
 	}
 }
 
-// takeAnswers passes the coordinator's responses to the lease holders.
-func (p *quotaPart) takeAnswers(now timeunit.Milliseconds) {
-	for _, response := range p.quota.takeAnswers() {
-		for limit, answer := range response.Limits {
-			if limit < len(p.quota.LeaseHolders) && answer.LeaseVersion > 0 {
-				p.quota.LeaseHolders[limit].HandleResponse(answer, now)
+// handleResponses passes the coordinator's responses to the lease holders.
+func (p *quotaPart) handleResponses(now timeunit.Milliseconds) {
+	for _, response := range p.quota.takeResponses() {
+		for limit, limitResponse := range response.Limits {
+			if limit < len(p.quota.LeaseHolders) && limitResponse.LeaseVersion > 0 {
+				p.quota.LeaseHolders[limit].HandleResponse(limitResponse, now)
 			}
 		}
 	}
@@ -180,8 +181,9 @@
 	}
 }
 
-// request sends a request for all limits if a request for each of them is due, and publishes the leases for LocalState.
-func (p *quotaPart) request(now timeunit.Milliseconds) {
+// requestLeases sends a request for all limits if a request for each of them is due, and publishes the leases for
+// LocalState.
+func (p *quotaPart) requestLeases(now timeunit.Milliseconds) {
 	var request quota.Request
 	for _, holder := range p.quota.LeaseHolders {
 		if limit, isDue := holder.NextRequest(now); isDue {
@@ -203,12 +205,12 @@
 // lease may have expired in the meantime; calls beyond the usable quota are then withdrawn if they are not yet written.
 func (p *quotaPart) afterDispatch() {
 	now := p.quota.Service.Now()
-	calls := p.quota.LeaseHolders[callLimit]
+	calls := p.quota.LeaseHolders[callLimitIndex]
 	if p.server.admission != nil {
 		inFlight, waiting := p.server.admission.DownstreamCalls()
 		calls.ReportUsage(quota.Amount(inFlight)*quota.Unit, quota.Amount(waiting)*quota.Unit, now)
 	}
-	if now-p.checkedAt < recheckAfter {
+	if now-p.updatedAt < recheckThreshold {
 		return
 	}
 	usable := wholeCalls(calls.Usable(now))
@@ -223,16 +225,16 @@
 // mayCall takes a token of the limit on calls per second and reports whether there was one. If there was none, it sets
 // the timer that retries the waiting calls.
 func (p *quotaPart) mayCall() bool {
-	if p.quota == nil || len(p.quota.LeaseHolders) <= callRateLimit {
+	if p.quota == nil || len(p.quota.LeaseHolders) <= callRateLimitIndex {
 		return true
 	}
-	rate := p.quota.LeaseHolders[callRateLimit]
+	rate := p.quota.LeaseHolders[callRateLimitIndex]
 	now := p.quota.Service.Now()
 	if rate.TakeToken(now) {
 		return true
 	}
-	perCall := int64(quota.Unit) * int64(timeunit.MillisecondsPerSecond) / max(1, int64(rate.Usable(now)))
-	p.server.setTimer(&p.rateTimer, p.server.now+leaseTicks(timeunit.Milliseconds(perCall)))
+	intervalMS := int64(quota.Unit) * int64(timeunit.MillisecondsPerSecond) / max(1, int64(rate.Usable(now)))
+	p.server.setTimer(&p.rateTimer, p.server.now+ticksFromMilliseconds(timeunit.Milliseconds(intervalMS)))
 	return false
 }
 
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -9,8 +9,8 @@
 func (s *Server) reconfigure(next Config) {
 	s.log.Event("configuration_read").Str("name", s.config.Name).Str("interpreter", next.Interpreter).
 		Str("index", next.Index).Str("directory", next.Directory).
-		Str("requires_restart", strings.Join(s.fixedChanges(&next), " ")).Send()
-	before := s.config
+		Str("requires_restart", strings.Join(s.changesRequiringRestart(&next), " ")).Send()
+	previous := s.config
 	s.config.Interpreter = next.Interpreter
 	s.config.Index = next.Index
 	s.config.Directory = next.Directory
@@ -19,23 +19,24 @@
 		optional.reconfigure(&next)
 	}
 	s.collectParts()
-	if before.Interpreter != next.Interpreter {
+	if previous.Interpreter != next.Interpreter {
 		s.interpreter.reconnect()
 	}
-	if before.Index != next.Index {
+	if previous.Index != next.Index {
 		s.index.reconnect()
 	}
-	if before.Directory != next.Directory {
+	if previous.Directory != next.Directory {
 		s.directory.reconnect()
 	}
 }
 
-// fixedChanges returns the sorted names, as in the configuration file, of the changed settings that require a restart.
-func (s *Server) fixedChanges(next *Config) []string {
+// changesRequiringRestart returns the sorted names, as in the configuration file, of the changed settings that require
+// a restart.
+func (s *Server) changesRequiringRestart(next *Config) []string {
 	var names []string
 	for _, setting := range []struct {
-		name    string
-		differs bool
+		name      string
+		isChanged bool
 	}{
 		{"listen", next.Listen != s.config.Listen},
 		{"name", next.Name != s.config.Name},
@@ -45,7 +46,7 @@
 		{"stop_ms", next.ShutdownTimeout != s.config.ShutdownTimeout},
 		{"store", next.Recovery != s.config.Recovery},
 	} {
-		if setting.differs {
+		if setting.isChanged {
 			names = append(names, setting.name)
 		}
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -60,14 +60,14 @@
 	commands  chan func() // functions from other goroutines to run on the loop
 
 	// Time and timers. A single system timer, set for the earliest deadline, serves all timers.
-	clock         clock
-	now           timeunit.Ticks // time of the current batch
-	deadlines     deadlineHeap
-	systemTimer   *time.Timer
-	armedFor      timeunit.Ticks // deadline for which systemTimer is set, or noDeadline
-	standstill    standstillState
-	timerLateness lagHistogram
-	lateness      peakLateness
+	clock               clock
+	now                 timeunit.Ticks // time of the current batch
+	deadlines           deadlineHeap
+	systemTimer         *time.Timer
+	systemTimerDeadline timeunit.Ticks // deadline for which systemTimer is set, or noDeadline
+	standstill          standstillState
+	timerLateness       lagHistogram
+	peakLateness        peakLateness
 
 	// Output. pendingWrites holds the connections that are written at the end of the batch.
 	endBatchQueued    bool
@@ -93,8 +93,8 @@
 
 	// The life cycle of the process.
 	phase            phase
-	noticedAt        timeunit.Ticks // earliest time at which the notice may have been sent; valid after it
-	killedAt         timeunit.Ticks // expected time of the kill, given the notice delay; valid after the notice
+	noticeSentAt     timeunit.Ticks // earliest time at which the notice may have been sent; valid after it
+	killAt           timeunit.Ticks // expected time of the kill, given the notice delay; valid after the notice
 	shutdownDeadline timeunit.Ticks // when all requests must be answered; noDeadline before the shutdown notice
 	ended            bool           // the event loop must end
 
@@ -109,15 +109,15 @@
 // New returns an app server that does nothing until Run is called.
 func New(config Config, log logs.Logger) *Server {
 	server := &Server{
-		config:            config,
-		log:               log,
-		random:            rand.New(rand.NewSource(config.Seed)),
-		loopKnown:         make(chan struct{}),
-		commands:          make(chan func(), maxQueuedCommands),
-		clock:             newClock(),
-		armedFor:          noDeadline,
-		unreadConnections: map[*outputBuffer]struct{}{},
-		shutdownDeadline:  noDeadline,
+		config:              config,
+		log:                 log,
+		random:              rand.New(rand.NewSource(config.Seed)),
+		loopKnown:           make(chan struct{}),
+		commands:            make(chan func(), maxQueuedCommands),
+		clock:               newClock(),
+		systemTimerDeadline: noDeadline,
+		unreadConnections:   map[*outputBuffer]struct{}{},
+		shutdownDeadline:    noDeadline,
 	}
 	server.buffers.setLimit(config.MemoryBytes)
 	server.fairQueue.init(server)
--- a/internal/server/standstill.go
+++ b/internal/server/standstill.go
@@ -10,9 +10,9 @@
 type standstillState int
 
 const (
-	standstillNone           standstillState = iota
-	standstillReadingSockets                 // timers and dispatch wait until the sockets have been read once more
-	standstillSocketsRead                    // the sockets have been read; late timers may fire
+	standstillNone            standstillState = iota
+	standstillAwaitingSockets                 // timers and dispatch wait until the sockets have been read once more
+	standstillSocketsRead                     // the sockets have been read; late timers may fire
 )
 
 // awaitingSockets reports whether timers and dispatch must wait until the sockets have been read once more. It detects
@@ -21,11 +21,11 @@
 func (s *Server) awaitingSockets() bool {
 	isLate := len(s.deadlines) > 0 && s.now-s.deadlines[0].deadline > standstillThreshold
 	if s.standstill == standstillNone && isLate {
-		s.standstill = standstillReadingSockets
+		s.standstill = standstillAwaitingSockets
 		// The task is submitted from outside the loop, so the loop polls the sockets before it runs the task.
 		time.AfterFunc(0, func() { s.submit(s.resumeAfterStandstill) })
 	}
-	return s.standstill == standstillReadingSockets
+	return s.standstill == standstillAwaitingSockets
 }
 
 // resumeAfterStandstill fires the late timers after the sockets have been read.
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -82,10 +82,10 @@
 
 // percentile99 returns an upper bound, a power of two, of the 99th percentile. It returns 0 for an empty histogram.
 func (h *lagHistogram) percentile99() timeunit.Ticks {
-	above := h.total / 100
+	remaining := h.total / 100
 	for i := len(h.buckets) - 1; i > 0; i-- {
-		above -= h.buckets[i]
-		if above < 0 {
+		remaining -= h.buckets[i]
+		if remaining < 0 {
 			return 1 << i
 		}
 	}
--- a/internal/server/timers.go
+++ b/internal/server/timers.go
@@ -60,14 +60,14 @@
 
 // fireTimers fires all timers that are due. It is called when the system timer fires.
 func (s *Server) fireTimers() {
-	s.armedFor = noDeadline
+	s.systemTimerDeadline = noDeadline
 	if s.awaitingSockets() {
 		return
 	}
 	if len(s.deadlines) > 0 {
 		late := s.now - s.deadlines[0].deadline
 		s.timerLateness.add(late)
-		s.lateness.add(s.now, late)
+		s.peakLateness.add(s.now, late)
 	}
 	for len(s.deadlines) > 0 && s.deadlines[0].deadline <= s.now {
 		heap.Pop(&s.deadlines).(*timer).fire()
@@ -76,9 +76,9 @@
 
 // armSystemTimer sets the system timer for the earliest deadline.
 func (s *Server) armSystemTimer() {
-	if s.systemTimer == nil || len(s.deadlines) == 0 || s.deadlines[0].deadline == s.armedFor {
+	if s.systemTimer == nil || len(s.deadlines) == 0 || s.deadlines[0].deadline == s.systemTimerDeadline {
 		return
 	}
-	s.armedFor = s.deadlines[0].deadline
-	s.systemTimer.Reset(max(0, s.armedFor-s.clock.now()).Duration())
+	s.systemTimerDeadline = s.deadlines[0].deadline
+	s.systemTimer.Reset(max(0, s.systemTimerDeadline-s.clock.now()).Duration())
 }
