--- a/internal/server/drain_socket_test.go
+++ b/internal/server/drain_socket_test.go
@@ -15,8 +15,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// handleLines calls handle with every line that the program sends to the interpreter, until the link ends. The channel
-// is closed then.
+// handleLines calls handle for each line that the program sends to the interpreter, on another goroutine. The returned
+// channel is closed when the link has ended.
 func handleLines(interpreter *servertest.InterpreterLink, handle func(line string)) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -32,8 +32,8 @@
 	return ended
 }
 
-// appliedRequest returns the identifier of the request that a line starts; false where it starts none.
-func appliedRequest(line string) (string, bool) {
+// startedRequestID returns the ID of the request that an APPLY line starts. It returns false for any other line.
+func startedRequestID(line string) (string, bool) {
 	_, job, found := strings.Cut(line, `{"type":"APPLY","job":"`)
 	if !found {
 		return "", false
@@ -41,50 +41,52 @@
 	return job[:16], true
 }
 
-// sendEmptyValue ends a run with an empty result. A link that the program has closed is no failure.
+// sendEmptyValue ends a run with an empty result. Write errors are ignored because the program may have closed the
+// link.
 func sendEmptyValue(interpreter *servertest.InterpreterLink, id string) {
 	interpreter.LastNotice++
 	_, _ = fmt.Fprintf(interpreter, `{"type":"VALUE","n":%d,"job":"%s","state":"OK","took":1,"data":""}`+"\n",
 		interpreter.LastNotice, id)
 }
 
-// During a drain health checks fail, requests in flight are answered, and after the grace period no request is run.
-// What is still in flight at the shutdown deadline is answered with 500.
+// During a drain, health checks fail, requests in flight are answered, and no request that arrives after the grace
+// period is run. Requests still in flight at the shutdown deadline are answered with 500.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	checks := server.ConnectRouter()
+	healthChecker := server.ConnectRouter()
 	interpreter.StartLook(router, 1, "never ends")
-	ends := interpreter.StartLook(router, 2, "ends")
+	endingID := interpreter.StartLook(router, 2, "ends")
 	server.Signal(syscall.SIGTERM)
 	server.WaitFor(func() bool {
-		checks.Send(1, "/health", "", nil)
-		_, status, _, _ := checks.NextResponse()
+		healthChecker.Send(1, "/health", "", nil)
+		_, status, _, _ := healthChecker.NextResponse()
 		return status == 503
 	})
 	server.Signal(syscall.SIGTERM)
-	interpreter.CompleteRun(router, 2, ends, "e")
-	linkEnded := handleLines(interpreter, func(line string) { // during the grace period runs still get their results
-		id, found := appliedRequest(line)
+	interpreter.CompleteRun(router, 2, endingID, "e")
+	linkEnded := handleLines(interpreter, func(line string) { // runs that start in the grace period still succeed
+		id, found := startedRequestID(line)
 		if found {
 			sendEmptyValue(interpreter, id)
 		}
 	})
-	late := server.ConnectRouter()
-	server.WaitFor(func() bool { // after the grace period no request is run
-		late.SendLook(1, "late")
-		_, status, _, _ := late.NextResponse()
+	lateRouter := server.ConnectRouter()
+	server.WaitFor(func() bool { // wait until the grace period has ended
+		lateRouter.SendLook(1, "late")
+		_, status, _, _ := lateRouter.NextResponse()
 		return status == 503
 	})
 	router.ExpectResponse(1, 500, "") // before the shutdown deadline
 	code, log := server.WaitForExit()
 	server.Equal(0, code)
-	server.Contains(log, "event=ended name=n3 requests=1 ") // the run has not ended, but its response has been sent
+	server.Contains(log, "event=ended name=n3 requests=1 ") // the run has not ended, although its response was sent
 	router.RequireClosed()
 	<-linkEnded
 }
 
-// After a SIGTERM before the interpreter is up health checks fail, load reports say closed, and the exit code is 0.
+// If SIGTERM arrives before the interpreter is up, health checks fail, the load report to the directory is "closed",
+// and the exit code is 0.
 func TestDrainBeforeInterpreterIsUp(t *testing.T) {
 	server := servertest.New(t)
 	server.WriteFilesAndStart()
@@ -97,14 +99,14 @@
 	router := server.ConnectRouter()
 	router.ExpectHealth(1, 503)
 	expectLoadReport(server, server.NextLink(server.Directory), "closed")
-	server.WriteLine(interpreter, `{"type":"BANNER","state":"COLD","took":1}`) // too late to matter
+	server.WriteLine(interpreter, `{"type":"BANNER","state":"COLD","took":1}`) // must not make the server healthy
 	router.ExpectHealth(2, 503)
 	code, _ := server.WaitForExit()
 	server.Equal(0, code)
 }
 
-// Requests in flight in a process that is paused until after the shutdown deadline are answered before their
-// connection is closed.
+// If the process is paused (SIGSTOP) beyond the shutdown deadline, requests in flight are still answered before their
+// connections are closed.
 func TestPauseOverTheStopDeadlineStillAnswers(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -120,28 +122,29 @@
 	server.Equal(0, code)
 }
 
-// The load of TestMeasuredDrainOrders: 1.36 s of the 1.5 s until the shutdown deadline; the last dials are refused.
+// The load of TestMeasuredDrainOrders takes 1.36 s of the 1.5 s until the shutdown deadline, so that the last dials are
+// refused.
 const (
-	drainInterval    = 4 * time.Millisecond // between two connections
-	drainConnections = 340
-	drainIdle        = 60                     // connections that are idle when the drain begins
-	drainFloods      = 20                     // connections on which records come without a pause
-	drainStayingIdle = 20                     // of drainIdle, at least as many stay idle until the program closes them
-	drainGrace       = 350 * time.Millisecond // 300 ms of grace period, and 50 of slack
+	drainInterval            = 4 * time.Millisecond   // between two steps of the load
+	drainSteps               = 340                    // steps of the load; two thirds open a new connection
+	drainIdleConnections     = 60                     // connections that are idle when the drain starts
+	drainFloodingConnections = 20                     // connections on which records are sent without pause
+	drainMinIdleConnections  = 20                     // minimum number of idle connections left to the program to close
+	drainGrace               = 350 * time.Millisecond // grace period of 300 ms plus 50 ms of tolerance
 )
 
-// drainedConnection is the outcome of one connection during a drain.
-type drainedConnection struct {
+// connectionOutcome is the outcome of one connection during a drain.
+type connectionOutcome struct {
 	kind        string
-	receivedMS  int64 // Received-At of its request; 0 where the request was not sent completely
+	receivedMS  int64 // Received-At of its request; 0 if the request was not sent completely
 	id          string
 	responses   int
 	dialRefused bool
-	err         error // with which the connection ended, where that is not its regular close
+	err         error // error that ended the connection; nil if it was closed regularly
 }
 
-// readResponses counts the responses on a connection until it ends, and closes it.
-func (d *drainedConnection) readResponses(link *emulator.Link) {
+// readResponses counts the responses on a connection until the connection ends, then closes it.
+func (d *connectionOutcome) readResponses(link *emulator.Link) {
 	defer servertest.CloseQuietly(link)
 	for {
 		_, err := link.ReadResponse()
@@ -156,19 +159,19 @@
 	}
 }
 
-// drainRun is the load of TestMeasuredDrainOrders.
-type drainRun struct {
+// drainLoad generates the load of TestMeasuredDrainOrders and records its outcomes.
+type drainLoad struct {
 	server      *servertest.Server
-	runs        map[string]int // of each request; read it once the interpreter's link has ended
-	connections []*drainedConnection
-	open        sync.WaitGroup // of the goroutines that read and write connections
+	runsByID    map[string]int // runs by request ID; read it only after the interpreter's link has ended
+	connections []*connectionOutcome
+	goroutines  sync.WaitGroup // counts the goroutines that read and write connections
 }
 
-// handleCommand ends every run at once and answers requests for the gauges.
-func (r *drainRun) handleCommand(interpreter *servertest.InterpreterLink, line string) {
-	id, found := appliedRequest(line)
+// handleCommand ends every run at once and answers requests for the interpreter's gauges.
+func (r *drainLoad) handleCommand(interpreter *servertest.InterpreterLink, line string) {
+	id, found := startedRequestID(line)
 	if found {
-		r.runs[id]++
+		r.runsByID[id]++
 		sendEmptyValue(interpreter, id)
 		return
 	}
@@ -179,8 +182,8 @@
 	}
 }
 
-// connectIdle opens connections and has one health check answered on each.
-func (r *drainRun) connectIdle(count int) []*emulator.Link {
+// openIdleConnections opens count connections and completes one health check on each, so that all of them are idle.
+func (r *drainLoad) openIdleConnections(count int) []*emulator.Link {
 	var links []*emulator.Link
 	for range count {
 		router := r.server.ConnectRouter()
@@ -190,9 +193,9 @@
 	return links
 }
 
-// flood writes records of no open request until the connection is closed.
-func (r *drainRun) flood(link *emulator.Link) {
-	r.open.Go(func() {
+// flood writes records that belong to no open request until the connection is closed.
+func (r *drainLoad) flood(link *emulator.Link) {
+	r.goroutines.Go(func() {
 		var err error
 		for err == nil {
 			_, err = link.Write(emulator.FastCGIRecord(5, 9, ""))
@@ -200,15 +203,15 @@
 	})
 }
 
-// watch adds a connection to the outcomes and reads its responses.
-func (r *drainRun) watch(link *emulator.Link, connection *drainedConnection) {
+// addConnection adds a connection to r.connections and reads its responses on another goroutine.
+func (r *drainLoad) addConnection(link *emulator.Link, connection *connectionOutcome) {
 	r.connections = append(r.connections, connection)
-	r.open.Go(func() { connection.readResponses(link) })
+	r.goroutines.Go(func() { connection.readResponses(link) })
 }
 
-// send writes a request, or the first half of one, and watches its connection.
-func (r *drainRun) send(link *emulator.Link, kind string, complete bool) {
-	connection := &drainedConnection{kind: kind, id: r.server.NewRequestID()}
+// send writes a request, or only its first half if complete is false, and reads the connection's responses.
+func (r *drainLoad) send(link *emulator.Link, kind string, complete bool) {
+	connection := &connectionOutcome{kind: kind, id: r.server.NewRequestID()}
 	parameters := servertest.RequestParameters(connection.id)
 	request := emulator.FastCGIRequest(2, "/rpc/look", "b", parameters)
 	if complete {
@@ -216,34 +219,34 @@
 	} else {
 		request = request[:len(request)/2]
 	}
-	r.watch(link, connection)
+	r.addConnection(link, connection)
 	_, err := link.Write(request)
 	if err != nil {
-		connection.receivedMS = 0 // the program had closed the connection before
+		connection.receivedMS = 0 // the program had already closed the connection
 	}
 }
 
-// sendOnNewConnection is send on a new connection, whose dial may be refused.
-func (r *drainRun) sendOnNewConnection(kind string, complete bool) {
+// sendOnNewConnection calls send on a new connection, or records that the dial was refused.
+func (r *drainLoad) sendOnNewConnection(kind string, complete bool) {
 	link, err := emulator.Dial(r.server.Listen)
 	if err != nil {
-		r.connections = append(r.connections, &drainedConnection{kind: kind, dialRefused: true})
+		r.connections = append(r.connections, &connectionOutcome{kind: kind, dialRefused: true})
 		return
 	}
 	r.server.NoError(link.SetDeadline(time.Now().Add(servertest.EventTimeout)))
 	r.send(link, kind, complete)
 }
 
-// play sends the load, from a moment on, and returns the connections that are still idle.
-func (r *drainRun) play(start time.Time, idle []*emulator.Link) []*emulator.Link {
-	for i := range drainConnections {
-		time.Sleep(time.Until(start.Add(time.Duration(i) * drainInterval))) // paces the load: no wait for an event
+// sendLoad sends the load, beginning at start, and returns the connections that are still idle.
+func (r *drainLoad) sendLoad(start time.Time, idle []*emulator.Link) []*emulator.Link {
+	for i := range drainSteps {
+		time.Sleep(time.Until(start.Add(time.Duration(i) * drainInterval))) // paces the load; no wait for an event
 		switch {
 		case i%3 == 0:
 			r.sendOnNewConnection("request on a new connection", true)
 		case i%3 == 1:
 			r.sendOnNewConnection("half a request on a new connection", false)
-		case len(idle) > drainStayingIdle && i%6 == 5:
+		case len(idle) > drainMinIdleConnections && i%6 == 5:
 			r.send(idle[0], "request on an idle connection", true)
 			idle = idle[1:]
 		}
@@ -253,23 +256,23 @@
 
 // drainCounts counts connections by their outcome.
 type drainCounts struct {
-	lost    int // the request was run, and there was no response
-	double  int // more than one run or response
-	late    int // the request arrived after the grace period and was run
-	reset   int // neither closed regularly nor refused
-	refused int // at the dial
+	lost       int // the request was run but not answered
+	duplicated int // the request was run or answered more than once
+	late       int // the request arrived after the grace period but was run
+	reset      int // the connection ended with an error, such as a reset
+	refused    int // the dial was refused
 }
 
-// count counts the outcomes. graceEndMS is the time, in Unix milliseconds, from which no request that arrives is run.
-func (r *drainRun) count(graceEndMS int64) drainCounts {
+// countOutcomes counts the outcomes. Requests that arrive after graceEndMS, in Unix milliseconds, must not be run.
+func (r *drainLoad) countOutcomes(graceEndMS int64) drainCounts {
 	var counts drainCounts
 	for _, connection := range r.connections {
-		runs := r.runs[connection.id]
+		runs := r.runsByID[connection.id]
 		switch {
 		case connection.dialRefused:
 			counts.refused++
 		case connection.responses > 1 || runs > 1:
-			counts.double++
+			counts.duplicated++
 		case connection.responses == 0 && runs > 0:
 			counts.lost++
 		case runs > 0 && connection.receivedMS > graceEndMS:
@@ -283,7 +286,7 @@
 	return counts
 }
 
-// shutdownTime returns when the program logged that it shuts down.
+// shutdownTime returns the time at which the program logged the shutting_down event.
 func shutdownTime(server *servertest.Server, log string) time.Time {
 	server.T.Helper()
 	before := log[:strings.Index(log, " event=shutting_down")]
@@ -294,37 +297,37 @@
 	return logged
 }
 
-// A drain with bytes arriving at every moment of it: requests on idle and on new connections, half requests, and
-// records without a pause. Every request that was read has one response, or was not run and its connection is closed
-// without a reset; none that arrived after the grace period is run.
+// Traffic arrives throughout a drain: requests on idle and on new connections, incomplete requests, and continuous
+// records. Each request must either get exactly one response, or not be run and have its connection closed without a
+// reset. No request that arrives after the grace period may be run.
 func TestMeasuredDrainOrders(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":256`)
-	run := &drainRun{server: server, runs: map[string]int{}}
-	linkEnded := handleLines(interpreter, func(line string) { run.handleCommand(interpreter, line) })
-	// All connections but the new ones are open before, few enough for the connection table.
-	idle := run.connectIdle(drainIdle)
-	floods := run.connectIdle(drainFloods)
+	load := &drainLoad{server: server, runsByID: map[string]int{}}
+	linkEnded := handleLines(interpreter, func(line string) { load.handleCommand(interpreter, line) })
+	// The idle and flooding connections are opened before the drain and fit into the connection table.
+	idle := load.openIdleConnections(drainIdleConnections)
+	floods := load.openIdleConnections(drainFloodingConnections)
 	for _, link := range floods {
-		run.flood(link)
+		load.flood(link)
 	}
 	server.Signal(syscall.SIGTERM)
 	notified := time.Now()
-	idle = run.play(notified, idle)
+	idle = load.sendLoad(notified, idle)
 	for _, link := range floods {
-		run.watch(link, &drainedConnection{kind: "records without a pause"})
+		load.addConnection(link, &connectionOutcome{kind: "records without a pause"})
 	}
 	for _, link := range idle {
-		run.watch(link, &drainedConnection{kind: "idle until the program closes it"})
+		load.addConnection(link, &connectionOutcome{kind: "idle until the program closes it"})
 	}
-	run.open.Wait()
+	load.goroutines.Wait()
 	code, log := server.WaitForExit()
 	ended := time.Since(notified)
 	<-linkEnded
 	server.Equal(0, code, log)
-	server.Less(ended, servertest.EventTimeout/4) // 1.5 s on an idle machine; the measured time is printed below
-	counts := run.count(shutdownTime(server, log).Add(drainGrace).UnixMilli())
+	server.Less(ended, servertest.EventTimeout/4) // takes 1.5 s on an idle machine; the measured time is printed below
+	counts := load.countOutcomes(shutdownTime(server, log).Add(drainGrace).UnixMilli())
 	fmt.Printf("measured drain orders=%d lost=%d double=%d late=%d reset=%d refused=%d ended_ms=%d source=emulators\n",
-		len(run.connections), counts.lost, counts.double, counts.late, counts.reset, counts.refused,
+		len(load.connections), counts.lost, counts.duplicated, counts.late, counts.reset, counts.refused,
 		ended.Milliseconds())
-	server.Zero(counts.lost + counts.double + counts.late + counts.reset)
+	server.Zero(counts.lost + counts.duplicated + counts.late + counts.reset)
 }
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -12,23 +12,24 @@
 	"thistlequay/timeunit"
 )
 
-// pluginConnection is the connection to one process of plug-ins.
+// pluginConnection is the connection to one plug-in process.
 type pluginConnection struct {
 	outputBuffer
-	part    *pluginPart
-	config  *Plugins
-	chain   *chain.Chain
-	process *plugin.Process
-	partial []byte // of a frame
-
-	pendingCalls int  // that are out
-	requests     int  // that began with the process and are not over
-	isRetired    bool // another took its place
-	ended        bool
+	part         *pluginPart
+	config       *Plugins
+	chain        *chain.Chain
+	process      *plugin.Process
+	partialFrame []byte // received part of an incomplete frame
+
+	pendingCalls int  // calls without a verdict yet
+	requests     int  // requests that were attached to this process and have not ended
+	isRetired    bool // new requests are not attached to it any more
+	isClosed     bool
 	tickTimers   []*timer
 }
 
-// opened makes the process the live one, unless another configuration came meanwhile.
+// opened directs new requests to this process. If the configuration has changed in the meantime, it retires the process
+// instead.
 func (c *pluginConnection) opened(conn gnet.Conn) {
 	c.conn = conn
 	if c.part.config != c.config {
@@ -36,38 +37,38 @@
 		c.closeIfUnused()
 		return
 	}
-	c.part.retire()
+	c.part.retireCurrent()
 	c.part.dropState(c.config)
-	c.part.live = c
+	c.part.current = c
 	c.part.chain = c.chain
 	names := make([]string, len(c.chain.Plugins))
-	for i, one := range c.chain.Plugins {
-		names[i] = one.Name
+	for i, configured := range c.chain.Plugins {
+		names[i] = configured.Name
 	}
 	c.server.log.Event("plugins_ready").Str("plugins", strings.Join(names, " ")).
 		Int64("took_ms", c.process.StartupTime.Milliseconds()).Int("process", c.process.Command.Process.Pid).Send()
-	for _, one := range c.chain.Plugins {
-		if one.Hooks[chain.HookTick] {
-			c.startTicks(one)
+	for _, configured := range c.chain.Plugins {
+		if configured.Hooks[chain.HookTick] {
+			c.startTicks(configured)
 		}
 	}
 }
 
-// startTicks calls a plug-in at its interval.
+// startTicks sets a timer that calls a plug-in's tick hook at its interval.
 func (c *pluginConnection) startTicks(ticked *chain.Plugin) {
-	ticks := &timer{}
-	ticks.fire = func() {
-		if c.isRetired || c.ended {
+	tickTimer := &timer{}
+	tickTimer.fire = func() {
+		if c.isRetired || c.isClosed {
 			return
 		}
-		c.server.setTimer(ticks, c.server.now+ticked.TickInterval)
+		c.server.setTimer(tickTimer, c.server.now+ticked.TickInterval)
 		c.tick(ticked)
 	}
-	c.server.setTimer(ticks, c.server.now+ticked.TickInterval)
-	c.tickTimers = append(c.tickTimers, ticks)
+	c.server.setTimer(tickTimer, c.server.now+ticked.TickInterval)
+	c.tickTimers = append(c.tickTimers, tickTimer)
 }
 
-// tick calls a plug-in about nothing, unless the chain has it wait.
+// tick calls a plug-in's tick hook, unless the chain does not allow a call now.
 func (c *pluginConnection) tick(ticked *chain.Plugin) {
 	evaluation := c.chain.BeginTick(ticked, c.server.now)
 	if evaluation == nil {
@@ -79,47 +80,48 @@
 		hook:       chain.HookTick,
 		done:       func(*chain.Evaluation) {},
 	}
-	if !call.send(ticked, min(ticked.CallTimeout, ticked.TickInterval)) {
+	if !call.sendCall(ticked, min(ticked.CallTimeout, ticked.TickInterval)) {
 		evaluation.RecordFault(chain.FaultUnavailable, 0, c.server.now)
 	}
 }
 
-// closed is called when the process has ended, or is not needed any more. What it was asked about goes on without it.
+// closed is called when the process has ended or is no longer needed. Evaluations that wait for its verdict continue
+// without it.
 func (c *pluginConnection) closed() {
-	if c.ended {
+	if c.isClosed {
 		return
 	}
-	c.ended = true
+	c.isClosed = true
 	c.conn = nil
-	for _, ticks := range c.tickTimers {
-		c.server.stopTimer(ticks)
+	for _, tickTimer := range c.tickTimers {
+		c.server.stopTimer(tickTimer)
 	}
-	go c.process.Stop() // it waits for the process's end
-	for number, call := range c.part.calls {
+	go c.process.Stop() // Stop blocks until the process has ended
+	for callID, call := range c.part.pendingCalls {
 		if call.connection == c {
-			delete(c.part.calls, number)
+			delete(c.part.pendingCalls, callID)
 			c.pendingCalls--
 			c.server.stopTimer(&call.timer)
-			call.failed(chain.FaultProcessDied, 0)
+			call.recordFault(chain.FaultProcessDied, 0)
 		}
 	}
-	if c.part.live == c || c.part.config == c.config && !c.isRetired {
-		c.replace()
+	if c.part.current == c || c.part.config == c.config && !c.isRetired {
+		c.scheduleReplacement()
 	}
 }
 
-// replace has another process started in the place of this one, which ended by itself.
-func (c *pluginConnection) replace() {
-	if c.part.live == c {
-		c.part.live = nil
+// scheduleReplacement schedules the start of a new process after this one has ended unexpectedly.
+func (c *pluginConnection) scheduleReplacement() {
+	if c.part.current == c {
+		c.part.current = nil
 	}
-	if countAndSample(&c.part.exits) {
-		c.server.log.Event("plugin_process_exited").Int("count", c.part.exits).Send()
+	if countAndSample(&c.part.unexpectedExits) {
+		c.server.log.Event("plugin_process_exited").Int("count", c.part.unexpectedExits).Send()
 	}
 	c.part.scheduleRestart()
 }
 
-// closeIfUnused ends a retired process once nothing is asked there.
+// closeIfUnused ends the process if it is retired and has no pending calls and no attached requests.
 func (c *pluginConnection) closeIfUnused() {
 	if c.isRetired && c.pendingCalls == 0 && c.requests == 0 {
 		c.closeGracefully()
@@ -127,18 +129,18 @@
 	}
 }
 
-// receive takes the complete frames.
+// receive handles the complete frames in data and keeps an incomplete frame for the next call.
 func (c *pluginConnection) receive(data []byte) error {
-	if len(c.partial) > 0 {
-		data = append(c.partial, data...)
+	if len(c.partialFrame) > 0 {
+		data = append(c.partialFrame, data...)
 	}
 	for {
-		frame, rest, isWhole, err := plugin.ParseFrame(data)
+		frame, rest, isComplete, err := plugin.ParseFrame(data)
 		if err != nil {
 			return err
 		}
-		if !isWhole {
-			c.partial = slices.Clone(data)
+		if !isComplete {
+			c.partialFrame = slices.Clone(data)
 			return nil
 		}
 		data = rest
@@ -153,7 +155,7 @@
 	name := c.chain.Plugins[frame.PluginIndex].Name
 	switch frame.Kind {
 	case plugin.FrameVerdict:
-		c.onVerdict(frame)
+		c.handleVerdict(frame)
 	case plugin.FrameState:
 		key, value, isEntry := frame.StateEntry()
 		if isEntry && !c.isRetired {
@@ -166,7 +168,7 @@
 	}
 }
 
-// callFaults are the faults that the process tells, by how the call ended.
+// callFaults maps the outcomes of failed calls to faults.
 var callFaults = map[plugin.CallOutcome]chain.Fault{
 	plugin.CallTimedOut:   chain.FaultTimeout,
 	plugin.CallTrapped:    chain.FaultTrap,
@@ -174,35 +176,36 @@
 	plugin.CallNotStarted: chain.FaultUnavailable,
 }
 
-// onVerdict takes the end of a call. One that comes late is passed over: its request went on without it.
-func (c *pluginConnection) onVerdict(frame plugin.Frame) {
-	outcome, spent, encoded, isVerdict := frame.Verdict()
-	call := c.part.calls[frame.CallID]
-	if !isVerdict || call == nil || call.connection != c {
+// handleVerdict handles the end of a call. A verdict that arrives after its call has timed out is only counted, because
+// its request has continued without it.
+func (c *pluginConnection) handleVerdict(frame plugin.Frame) {
+	outcome, elapsed, encoded, isValid := frame.Verdict()
+	call := c.part.pendingCalls[frame.CallID]
+	if !isValid || call == nil || call.connection != c {
 		c.part.lateVerdicts++
 		return
 	}
-	call.unlink()
-	took := timeunit.TicksOf(spent) + 1
+	call.removePending()
+	took := timeunit.TicksOf(elapsed) + 1
 	if outcome != plugin.CallSucceeded {
-		call.failed(callFaults[outcome], took)
+		call.recordFault(callFaults[outcome], took)
 		return
 	}
 	parsed, err := abi.ParseVerdict(encoded)
 	if err != nil {
-		call.failed(chain.FaultMalformed, took)
+		call.recordFault(chain.FaultMalformed, took)
 		return
 	}
 	call.applyVerdict(&parsed, took)
 }
 
-// applyVerdict gives a verdict to the chain, which checks it, and goes on.
+// applyVerdict passes a verdict to the chain, which validates it, and continues the evaluation.
 func (e *chainEvaluation) applyVerdict(parsed *abi.Verdict, took timeunit.Ticks) {
 	part := e.connection.part
 	verdict := chain.Verdict{
 		Reject:   parsed.Actions&abi.ActionReject != 0,
 		Status:   parsed.Status,
-		Category: -1, // as it is
+		Category: -1, // unchanged
 		HasTag:   parsed.Actions&abi.ActionTag != 0,
 		Tag:      parsed.Tag,
 		Replace:  parsed.Actions&abi.ActionReplace != 0,
@@ -215,13 +218,14 @@
 	if isFault && isQuarantined {
 		e.logQuarantine(fault)
 	}
-	e.step()
+	e.callNext()
 }
 
-// categoryIndex returns a category by its name, or one beyond the last for an unknown name, which the chain refuses.
+// categoryIndex returns the index of a category. For an unknown name it returns an index past the last category, which
+// the chain rejects.
 func (p *pluginPart) categoryIndex(name string) int {
-	category, known := p.server.config.Settings.CategoryIndex[name]
-	if !known {
+	category, isKnown := p.server.config.Settings.CategoryIndex[name]
+	if !isKnown {
 		return len(p.categoryNames)
 	}
 	return category
