--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -11,46 +11,46 @@
 	"thistlequay/timeunit"
 )
 
-// The rhythm of reports: so often that lost ones do not take the server off the list.
+// Timing of the load reports. They are frequent enough that the directory keeps the server listed when some are lost.
 const (
-	entryLifetime        = 3 * second         // after the last report, by the directory's pages
-	reportInterval       = entryLifetime / 4  // after an answer
-	answerTimeout        = entryLifetime / 10 // a report that is not answered by then is made again, on a new link
-	maxRegistrationDelay = entryLifetime / 15 // where there is no link, the next is dialed after this at most
+	entryLifetime        = 3 * second         // after the last report, by the directory's documentation
+	reportInterval       = entryLifetime / 4  // from a response to the next report
+	answerTimeout        = entryLifetime / 10 // after which an unanswered report is sent again, on a new link
+	maxRegistrationDelay = entryLifetime / 15 // the longest wait before the next dial while there is no link
 )
 
-// Bounds on an answer.
+// Bounds on a response from the directory.
 const (
 	maxAnswerBytes     = 8 << 10
 	contentLengthBits  = 12
-	answerHeaderFields = 2 // of the status line, at least: the version and the status
+	answerHeaderFields = 2 // at least, in the status line: the version and the status code
 )
 
-// errInvalidAnswer closes the link to the directory.
-var errInvalidAnswer = errors.New("directory: invalid answer")
+// errInvalidAnswer is returned for a malformed or oversized response; it closes the link to the directory.
+var errInvalidAnswer = errors.New("directory: malformed or oversized response")
 
-// directoryState is how far the link to the directory is.
+// directoryState is the state of the link to the directory.
 type directoryState int
 
 const (
 	directoryDisconnected   directoryState = iota
 	directoryDialing                       // a dial is under way
-	directoryConnected                     // the last report, if there was one, is answered
-	directoryAwaitingAnswer                // it is not
+	directoryConnected                     // no report awaits a response
+	directoryAwaitingAnswer                // the last report awaits its response
 )
 
-// directoryClient reports the server to the directory that routers find it in. It must never delay anything else,
-// whatever the directory does.
+// directoryClient sends load reports to the directory in which routers look up servers. Whatever the directory does,
+// the client must never delay other work of the server.
 type directoryClient struct {
 	outputBuffer
 	state       directoryState
-	link        *outgoingConnection // from its dial on
-	partial     []byte              // of an answer
+	link        *outgoingConnection // from the start of its dial
+	partial     []byte              // the incomplete response read so far
 	reportTimer timer
 	backoff     backoff
 
-	missedReports     int // that were not answered
-	consecutiveMisses int // since the last answer
+	missedReports     int // reports without a response, in total
+	consecutiveMisses int // reports without a response since the last response
 }
 
 func (c *directoryClient) init(server *Server) {
@@ -58,8 +58,8 @@
 	c.reportTimer.fire = c.report
 }
 
-// report sends one report, or dials for one: the entry expires unless a report comes through now and then, whatever
-// became of the link. A link on which the last report was not answered is given up.
+// report sends one load report, or dials the directory to send one. If the last report has had no response, its link is
+// closed first, because the directory's entry expires unless reports keep arriving on some link.
 func (c *directoryClient) report() {
 	if c.server.phase >= phaseStopped {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// sendReport writes a report: whether routers may send requests.
+// sendReport writes a load report, which states whether routers may send requests.
 func (c *directoryClient) sendReport() {
 	mode := "open"
 	if !c.server.isHealthy() {
@@ -89,22 +89,24 @@
 	c.output = fmt.Appendf(c.buffer(), "PUT /dir/nodes/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
 		c.server.config.Name, c.server.config.Directory, len(body), body)
 	c.state = directoryAwaitingAnswer
-	patience := answerTimeout * timeunit.Ticks(1+c.consecutiveMisses) // a directory that stays silent is not pressed
+	patience := answerTimeout * timeunit.Ticks(1+c.consecutiveMisses) // grows, to spare an unresponsive directory
 	c.server.setTimer(&c.reportTimer, c.server.now+min(patience, reportInterval))
 }
 
+// dialFailed schedules another dial.
 func (c *directoryClient) dialFailed() {
 	c.state = directoryDisconnected
 	c.link = nil
 	c.scheduleRedial()
 }
 
-// scheduleRedial has the next dial come soon; those of many servers do not come at one moment.
+// scheduleRedial sets the timer of the next dial, with jitter so that many servers do not dial at the same moment.
 func (c *directoryClient) scheduleRedial() {
 	delay := c.server.jitter(min(c.backoff.next(), maxRegistrationDelay))
 	c.server.setTimer(&c.reportTimer, c.server.now+delay)
 }
 
+// opened sends a load report on the new link.
 func (c *directoryClient) opened(conn gnet.Conn) {
 	c.state = directoryConnected
 	c.conn = conn
@@ -112,7 +114,7 @@
 	c.report()
 }
 
-// closed has another link dialed soon.
+// closed schedules the dial of a new link after the last one has closed.
 func (c *directoryClient) closed() {
 	c.state = directoryDisconnected
 	c.conn = nil
@@ -120,7 +122,7 @@
 	c.scheduleRedial()
 }
 
-// disconnect ends the link, or the dial that is under way.
+// disconnect drops the link, or the dial under way.
 func (c *directoryClient) disconnect() {
 	c.link.drop()
 	c.state = directoryDisconnected
@@ -128,19 +130,20 @@
 	c.link = nil
 }
 
-// close ends the link, and the reports with it.
+// close drops the link and sends no further reports.
 func (c *directoryClient) close() {
 	c.disconnect()
 	c.server.stopTimer(&c.reportTimer)
 }
 
-// reconnect is called when the directory's address has changed: it hears from the server at once.
+// reconnect is called when the directory's address has changed. It reports to the new address at once.
 func (c *directoryClient) reconnect() {
 	c.disconnect()
 	c.report()
 }
 
-// receive takes the complete answers. Any status will do: the next report comes in its time.
+// receive handles the complete responses in data and keeps an incomplete one. It accepts any status code: the next
+// report is sent after the usual interval in any case.
 func (c *directoryClient) receive(data []byte) error {
 	c.partial = append(c.partial, data...)
 	for {
@@ -165,6 +168,7 @@
 	}
 }
 
+// onAnswer handles a response to the last report and schedules the next report.
 func (c *directoryClient) onAnswer() {
 	c.state = directoryConnected
 	c.consecutiveMisses = 0
@@ -172,7 +176,7 @@
 	c.server.setTimer(&c.reportTimer, c.server.now+reportInterval)
 }
 
-// parseAnswerHead reads the status line and the headers of an answer and returns the length of its body.
+// parseAnswerHead parses the status line and the headers of a response and returns the length of its body in bytes.
 func parseAnswerHead(head []byte) (bodyLength int, err error) {
 	lines := bytes.Split(head, lineEnd)
 	status := bytes.Fields(lines[0])
--- a/internal/server/directory_socket_test.go
+++ b/internal/server/directory_socket_test.go
@@ -9,10 +9,10 @@
 	"thistlequay/internal/servertest"
 )
 
-// maxReportDelay is the bound on a load report that resumes at once: below the usual interval of 750 ms.
+// maxReportDelay bounds the delay of a load report that is sent without waiting for the usual interval of 750 ms.
 const maxReportDelay = 600 * time.Millisecond
 
-// expectLoadReport fails the test unless the next load report to the directory has this mode.
+// expectLoadReport requires the next load report to the directory to have the given mode.
 func expectLoadReport(server *servertest.Server, directory *emulator.Link, mode string) {
 	server.T.Helper()
 	server.Equal("PUT /dir/nodes/n3 HTTP/1.1", server.ReadLine(directory))
@@ -25,8 +25,8 @@
 	server.Equal(want, string(body))
 }
 
-// Load reports follow each other on one connection as long as the directory answers them, and on a new one where it
-// did not. While the directory is down, requests are served.
+// Load reports are sent on one connection as long as the directory answers them, and on a new connection after a report
+// without a response. While the directory is down, requests are served.
 func TestLoadReportsToTheDirectory(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	directory := server.NextLink(server.Directory)
@@ -41,12 +41,12 @@
 	interpreter.ServeOne(router, 1, "without a directory")
 }
 
-// After the directory closes the connection behind a response, or does not answer, the next load report does not wait
-// for the usual interval. Reports resume after the directory was down, too.
+// The next load report does not wait for the usual interval if the directory closes the connection after a response, or
+// does not answer. Load reports also resume after the directory was down.
 func TestLoadReportsResumeAtOnce(t *testing.T) {
 	server, _ := servertest.Start(t)
 	directory := server.NextLink(server.Directory)
-	// The shortest delay of several counts: a busy machine may be late once.
+	// Only the shortest of several delays is checked, because a busy machine may delay single reports.
 	delayAnswered := servertest.EventTimeout
 	delayUnanswered := servertest.EventTimeout
 	for i := range 8 {
@@ -65,8 +65,8 @@
 			delayUnanswered = min(delayUnanswered, delay)
 		}
 	}
-	server.Less(delayAnswered, maxReportDelay, "after an answer")
-	server.Less(delayUnanswered, maxReportDelay, "after none")
+	server.Less(delayAnswered, maxReportDelay, "delay after a response")
+	server.Less(delayUnanswered, maxReportDelay, "delay after a report without a response")
 	server.NoError(server.Directory.Listener.Close()) // the directory goes down, and comes back below
 	servertest.CloseQuietly(directory)
 	server.WaitForLog("event=dial_failed")
--- a/internal/server/downstream_socket_test.go
+++ b/internal/server/downstream_socket_test.go
@@ -6,21 +6,22 @@
 	"thistlequay/internal/servertest"
 )
 
-// The call of a request that is not idempotent is retried while it provably never ran (SHED, NOBODY), and not once it
-// may have run (SLOW). The call of an idempotent one is retried after a malformed reply, on another connection.
+// The downstream call of a keyed request is retried as long as it provably was not executed (SHED, NOBODY), but not
+// once it may have been executed (SLOW). The call of an idempotent request is retried on another connection after a
+// malformed reply.
 func TestDownstreamCallIsRetriedOnlyWhenSafe(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
 	id := interpreter.StartBook(router, 1, "k")
 	interpreter.SendAwait(id, "q")
 	for _, reply := range []string{"SHED", "NOBODY", "SLOW"} {
-		index := server.IndexCall(id) // never a connection on which a hedged copy could come
+		index := server.IndexCall(id) // on a connection that cannot carry a late copy of an earlier reply
 		server.WriteLine(index, "%s %s\r", id, reply)
-		servertest.CloseQuietly(index) // while it is idle in the connection pool
+		servertest.CloseQuietly(index) // closed while idle in the connection pool
 	}
 	router.ExpectResponse(1, 500, "")
 
-	router.SendBook(3, "k") // shares the run, which waits for a call, and gets its outcome
+	router.SendBook(3, "k") // shares the run, which still waits for its call, and its outcome
 	interpreter.SendValue(id, "STOPPED", "")
 	router.ExpectResponse(3, 500, "")
 	router.SendBook(4, "k")
@@ -37,7 +38,8 @@
 	interpreter.CompleteRun(router, 2, idempotent, "h")
 }
 
-// While the index does not answer one call other requests are served, and the call ends with its request's deadline.
+// While the index does not answer a downstream call, other requests are served. The call ends at its request's
+// deadline.
 func TestHangingIndexDelaysNothingElse(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -45,11 +47,12 @@
 	interpreter.SendAwait(id, "q")
 	index := server.IndexCall(id)
 	interpreter.ServeOne(router, 2, "other")
-	server.RequireClosed(index) // the program abandons the call
+	server.RequireClosed(index) // the server abandons the call
 	router.ExpectResponse(1, 500, "")
 }
 
-// While the index is down a call ends with its request's deadline; once it is back the program connects to it again.
+// While the index is down, a downstream call ends at its request's deadline. Once the index is back, the server
+// connects to it again.
 func TestIndexOutageAndRecovery(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	server.NoError(server.Index.Listener.Close())
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -10,41 +10,41 @@
 
 const (
 	maxResultBytes           = 4 << 10
-	idempotencyMemoryDivisor = 3                     // one part in so many of the memory is for entries
-	idempotencyEntryBytes    = maxResultBytes + 1024 // that one entry takes at most
+	idempotencyMemoryDivisor = 3                     // one third of the memory is for entries
+	idempotencyEntryBytes    = maxResultBytes + 1024 // upper bound on the memory of one entry
 )
 
-// idempotencyEntry is what is known of the attempts of one request with an idempotency key: at most one of them runs,
-// and the others are answered with its result.
+// idempotencyEntry is the state shared by all attempts with the same idempotency key. At most one attempt runs, and the
+// others are answered with its result.
 type idempotencyEntry struct {
 	key      string
-	bodyHash [sha256.Size]byte // which tells its body from others
+	bodyHash [sha256.Size]byte // detects another body under the same key
 
-	owner     *request // the attempt that is queued or runs; nil once it is released
-	ran       bool     // an attempt was begun
-	ended     bool     // and is over
-	succeeded bool     // with this result
-	result    []byte   // as the interpreter gave it
+	owner     *request // the attempt that is queued or runs; nil after its release
+	ran       bool     // an attempt was started
+	ended     bool     // its run is over
+	succeeded bool     // its run succeeded, with this result
+	result    []byte   // as received from the interpreter
 
-	matchUntil  timeunit.Ticks // attempts that were received before this repeat it
-	expiryTimer timer          // after it no attempt that repeats it can still be unread
-	expired     bool           // it has fired, and an attempt still runs
-	sharers     []*request     // that wait for the result
+	matchUntil  timeunit.Ticks // attempts received before this time are retries
+	expiryTimer timer          // fires when no retry can be left unread
+	expired     bool           // the timer fired while an attempt was queued or ran
+	sharers     []*request     // requests that wait for the result
 }
 
-// retention returns how long an entry is kept from the Received-At of the attempt that ran: a repeat that was received
-// within the window may lie unread until its router gives up, by a clock that may be ahead.
+// retention returns how long an entry is kept, counted from the Received-At of the attempt that ran. A retry received
+// within the deduplication window may stay unread until its deadline, and its router's clock may be ahead.
 func retention(category admission.Category) timeunit.Ticks {
 	return category.DeduplicationWindow + category.Deadline + maxClockSkew
 }
 
-// windowMargin is what admission itself adds to windows, at least.
+// windowMargin returns the least time that admission adds to deduplication windows.
 func (t *requestTable) windowMargin() timeunit.Ticks {
 	return 2*t.server.config.Settings.BatchInterval + 2
 }
 
-// idempotencyKey names the attempts of one request: empty for categories without keys, and with the category in it, as
-// no result is for another category.
+// idempotencyKey returns the key of a request in the idempotency table, or "" if its category is not keyed. It includes
+// the category, because a result must not be shared with another category.
 func (t *requestTable) idempotencyKey(of *request) string {
 	if t.server.config.Settings.Categories[of.category].Idempotency != admission.Keyed {
 		return ""
@@ -52,13 +52,15 @@
 	return strconv.Itoa(of.category) + " " + string(of.key)
 }
 
-// existingEntry returns the entry that a request repeats, or nil.
+// existingEntry returns the entry of an earlier attempt of a request, or nil. It removes an entry whose window has
+// ended.
 func (t *requestTable) existingEntry(of *request) *idempotencyEntry {
 	entry := t.entries[t.idempotencyKey(of)]
 	if entry == nil {
 		return nil
 	}
-	// What has been read was received before: a router whose clock is ahead does not carry a repeat past the window.
+	// A request cannot be received after it was read, so a router whose clock is ahead must not move a retry past
+	// the window.
 	received := min(of.receivedAt, of.acceptedAt)
 	if entry.owner == nil && received >= entry.matchUntil {
 		t.removeEntry(entry)
@@ -67,7 +69,8 @@
 	return entry
 }
 
-// addEntry adds the entry of an attempt that admission has taken. One that admission had it take the place of goes.
+// addEntry adds the entry of an attempt that admission has accepted. It removes the entry of a queued attempt that the
+// new one replaces.
 func (t *requestTable) addEntry(owner *request, key string, bodyHash [sha256.Size]byte) {
 	if replaced := t.entries[key]; replaced != nil {
 		t.server.checkInvariant(!replaced.ran, "the entry of an idempotency key that ran is replaced")
@@ -84,6 +87,7 @@
 	t.entries[key] = entry
 }
 
+// removeEntry removes an entry from the table and releases the requests that wait for its result.
 func (t *requestTable) removeEntry(entry *idempotencyEntry) {
 	if t.entries[entry.key] == entry {
 		delete(t.entries, entry.key)
@@ -92,7 +96,8 @@
 	t.releaseSharers(entry)
 }
 
-// releaseSharers has the requests answered that share the entry's result: it is there, or will not come.
+// releaseSharers queues the requests that share the entry's result to be answered. It is called when the result is
+// known or when there will be none.
 func (t *requestTable) releaseSharers(entry *idempotencyEntry) {
 	t.dueSharers = append(t.dueSharers, entry.sharers...)
 	entry.sharers = nil
--- a/internal/server/idempotency_socket_test.go
+++ b/internal/server/idempotency_socket_test.go
@@ -9,7 +9,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// Each way in which an attempt of a keyed request can find another: queued, running, succeeded, failed.
+// A retry of a keyed request never causes a second run, whether the earlier attempt is queued, running, succeeded or
+// failed.
 func TestRetriesOfKeyedRequestShareOneRun(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -18,13 +19,13 @@
 
 	router.SendBook(3, "k1")
 	queued := router.SendBook(4, "k1")
-	router.ExpectResponse(3, 503, "") // the later attempt takes the place of the queued one
+	router.ExpectResponse(3, 503, "") // the later attempt replaces the queued one
 	interpreter.CompleteRun(router, 1, first, "")
 	interpreter.ExpectApply(queued, "entry k1")
 
 	router.SendBook(5, "k1")
 	router.SendBook(6, "k1")
-	router.SendAbort(5) // of the attempts that share the run one is aborted; the run goes on
+	router.SendAbort(5) // aborts one of the attempts that share the run; the run continues
 	slot, _, _, _ := router.NextResponse()
 	server.Equal(uint16(5), slot)
 	interpreter.SendValue(queued, "OK", "one run")
@@ -42,11 +43,11 @@
 	interpreter.SendValue(failed, "ERROR", "")
 	router.ExpectResponse(8, 500, "")
 	router.SendBook(9, "k2")
-	router.ExpectResponse(9, 500, "") // it ran, so it is neither run again nor rejected
+	router.ExpectResponse(9, 500, "") // the first attempt ran, so this one is neither run nor rejected
 	interpreter.StartBook(router, 10, "k3")
 }
 
-// Of two attempts that arrive together one is run; the other shares its run or is rejected.
+// Of two attempts that arrive together, one runs, and the other shares its run or is rejected.
 func TestSimultaneousRetriesRunOnce(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -64,8 +65,8 @@
 	interpreter.StartLook(router, 3, "no second run came before")
 }
 
-// Where the clocks of routers differ, a retry within the deduplication window of the first attempt gets its result:
-// the Received-At of either may be ahead.
+// A retry within the deduplication window gets the result of the first attempt even if the Received-At of either
+// attempt is ahead, because the clocks of routers differ.
 func TestRetriesFromClocksAheadShareTheResult(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
@@ -85,16 +86,16 @@
 	sendBook(2, "k", 900)
 	router.ExpectResponse(2, 200, "ran")
 
-	id = sendBook(3, "l", 900) // its window counts from its Received-At
+	id = sendBook(3, "l", 900) // its window starts at its Received-At, which is ahead
 	interpreter.ExpectApply(id, "entry l")
 	interpreter.CompleteRun(router, 3, id, "ran too")
-	// Past the window, counted from when the request was read.
+	// Wait past the end that the window would have if it started when the request was read.
 	server.WaitUntilPast(time.Now().Add(320 * time.Millisecond))
 	sendBook(4, "l", 0)
 	router.ExpectResponse(4, 200, "ran too")
 }
 
-// With a deduplication window of 0 a retry shares a run in flight; after the run the same key starts another.
+// With a deduplication window of 0, a retry during the run shares the run, and a retry after it starts another run.
 func TestZeroDeduplicationWindow(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":0.0`)
 	router := server.ConnectRouter()
@@ -108,14 +109,14 @@
 	interpreter.CompleteRun(router, 3, id, "twice")
 }
 
-// Where the link to the interpreter is lost during a run and the deduplication window ends meanwhile, a retry within
-// the window and one after it both wait for that run and get its result.
+// If the link to the interpreter is lost during a run and the deduplication window ends before the link is back, a
+// retry within the window and one after it both wait for that run and get its result.
 func TestRetriesAcrossLostLinkAndShortWindowShareOneRun(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
 	id := interpreter.StartBook(router, 1, "k")
 	started := time.Now()
-	// Once this has passed, the program does not take the APPLY for lost with the link.
+	// After this time, the server does not assume that the APPLY was lost with the link.
 	server.WaitUntilPast(started.Add(120 * time.Millisecond))
 	servertest.CloseQuietly(interpreter)
 	interpreter = server.NextInterpreterLink(0)
@@ -123,7 +124,7 @@
 	router.SendBook(2, "k")
 	server.WaitUntilPast(started.Add(400 * time.Millisecond))
 	router.SendBook(3, "k")
-	router.ExpectHealth(4, 200) // the program has read both before the link takes requests
+	router.ExpectHealth(4, 200) // the server has read both retries before the link is ready
 	server.WriteLine(interpreter.Link, servertest.BannerWarm)
 	interpreter.SendValue(id, "OK", "once")
 	responses := map[uint16]string{}
@@ -132,5 +133,5 @@
 		responses[slot] = fmt.Sprint(status, " ", body)
 	}
 	server.Equal(map[uint16]string{1: "200 once", 2: "200 once", 3: "200 once"}, responses)
-	interpreter.StartLook(router, 5, "goes on") // no other run started in between
+	interpreter.StartLook(router, 5, "goes on") // no other run was started
 }
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -11,15 +11,15 @@
 
 const succeeded = "Status: 200 OK\r\n\r\nx"
 
-// endRun has the interpreter report the end of a run.
+// endRun makes the interpreter report a successful end of a run.
 func endRun(t *testing.T, server *Server, id string) {
 	t.Helper()
 	server.interpreter.lastNotice = 0
 	notify(t, server, `{"type":"VALUE","n":1,"job":"%s","state":"OK","took":5,"data":"eA=="}`, id)
 }
 
-// A repeat is matched by the time at which it was received, however late it is read. An entry expires with its result:
-// no sweep, no growth.
+// A retry is matched by the time at which it was received, however late it is read. An expired entry is removed, so the
+// idempotency table does not grow.
 func TestRepeatIsMatchedByWhenItWasReceived(t *testing.T) {
 	server, router := newRunningServer(t)
 	endRun(t, server, firstID)
@@ -32,22 +32,22 @@
 	require.True(t, server.requests.byID[repeat].runStarted)
 }
 
-// A deduplication window starts at Received-At, even if that router's clock is ahead, and a repeat from a router whose
-// clock is ahead counts as received when it was read. Both clocks are ahead by almost one second here.
+// A deduplication window starts at Received-At, even if that router's clock is ahead. A retry from a router whose clock
+// is ahead counts as received when it was read. Both clocks are ahead by almost one second here.
 func TestDeduplicationWindowAllowsForRouterClocksAhead(t *testing.T) {
-	server, router := newRunningServer(t) // received at 1,000,000 ms, for 5,000
+	server, router := newRunningServer(t) // received at 1,000,000 ms, with a window of 5,000 ms
 	endRun(t, server, firstID)
 	require.Contains(t, submitAttempt(t, server, router, "00000000000000a1", "1005900", 10_049_900), "200 OK",
 		"ahead by 910 ms, read within the window")
 	require.Empty(t, submitAttempt(t, server, router, "00000000000000a2", "1006950", 10_060_000),
-		"read after the window: it runs, and its clock is ahead by 950 ms")
+		"read after the window, with a clock that is ahead by 950 ms: another run")
 	endRun(t, server, "00000000000000a2")
 	require.Contains(t, submitAttempt(t, server, router, "00000000000000a3", "1011900", 10_119_000), "200 OK",
 		"within 5,000 ms of 1006950")
 	require.Empty(t, submitAttempt(t, server, router, "00000000000000a4", "1011970", 10_119_700), "after the window")
 }
 
-// A run may last longer than its deduplication window: a repeat that waits for its result goes on waiting.
+// A run may last longer than its deduplication window. Retries that wait for its result then keep waiting.
 func TestRepeatWaitsForRunBeyondItsWindow(t *testing.T) {
 	server, router := newRunningServer(t)
 	server.routers.maxConnections = 100
@@ -67,5 +67,5 @@
 	server.requests.settle()
 	require.Contains(t, string(router.output), succeeded)
 	server.admission.Dispatch()
-	require.Empty(t, server.requests.entries, "the entry was kept for the run alone")
+	require.Empty(t, server.requests.entries, "the entry is removed when the run ends after the window")
 }
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -7,36 +7,38 @@
 	"thistlequay/timeunit"
 )
 
-// connectionDescriptorDivisor: one descriptor in so many may carry calls; a dial takes two for a moment.
+// connectionDescriptorDivisor is the number of descriptors per connection to the index: one descriptor in 16 may carry
+// downstream calls. A dial briefly takes two descriptors.
 const connectionDescriptorDivisor = 16
 
-// indexClient makes the calls to the index, over a pool of connections with one call at a time on each, so that what
-// spoils a connection spoils one call. It must never make a call that admission did not ask for, retry by itself, use a
-// connection on which a call went wrong, or report a call as not executed that may have been.
+// indexClient makes the downstream calls to the index over a pool of connections. Each connection carries one call at a
+// time, so that a broken connection affects only one call. The client must never make a call that admission did not ask
+// for, retry on its own, reuse a connection on which a call failed, or report a call as not executed if it may have
+// been executed.
 type indexClient struct {
 	server *Server
 
 	// The pool.
-	connections    int // dials under way included
+	connections    int // including dials under way
 	maxConnections int
-	generation     int                 // counts changes of the address: an older connection carries no new call
-	idle           []*pooledConnection // the longest idle first
+	generation     int                 // incremented when the address changes; older connections carry no new call
+	idle           []*pooledConnection // longest idle first
 	idleTimer      timer
 
 	// The calls.
-	inFlight    int                 // all calls that admission asked for and that have not ended
-	rateLimited []*indexCall        // that wait for the limit of calls a second
-	waiting     []*indexCall        // that wait for a connection
-	unwritten   []*pooledConnection // whose call is not written yet, in this batch
+	inFlight    int                 // calls that admission asked for and that have not ended
+	rateLimited []*indexCall        // calls that wait for the limit on calls per second
+	waiting     []*indexCall        // calls that wait for a connection
+	unwritten   []*pooledConnection // connections whose call is not yet written in this batch
 }
 
-// indexCall is one call, from when admission asks for it until it has ended.
+// indexCall is one downstream call, from when admission asks for it until it has ended.
 type indexCall struct {
 	request    *request
 	startedAt  timeunit.Ticks
 	deadline   timeunit.Ticks
-	timer      timer             // which gives it up
-	connection *pooledConnection // that carries it; nil while it waits
+	timer      timer             // abandons the call at its deadline
+	connection *pooledConnection // carries the call; nil while the call waits
 }
 
 func (c *indexClient) init(server *Server) {
@@ -45,10 +47,11 @@
 	c.idleTimer.fire = c.closeExpired
 }
 
-// makeCall makes the call that a run waits for. The index keeps no deadline, so the call is abandoned here.
+// makeCall makes the call that a run waits for. The index does not enforce deadlines, so a timer here abandons the call
+// at its deadline.
 func (c *indexClient) makeCall(caller *request, deadline timeunit.Ticks) {
 	isWaiting := caller.call == nil && caller.runStarted && !caller.runDone
-	c.server.checkInvariant(isWaiting, "a run makes a second call, or a call comes without a run")
+	c.server.checkInvariant(isWaiting, "a run makes a second call, or a call has no run in progress")
 	call := &indexCall{request: caller, startedAt: c.server.now, deadline: deadline}
 	call.timer.fire = func() { c.finish(call, c.detach(call)) }
 	caller.call = call
@@ -61,7 +64,7 @@
 	c.assign(call)
 }
 
-// sendRateLimited makes the calls that waited for the limit of calls a second, as far as it allows now.
+// sendRateLimited makes the calls that waited for the limit on calls per second, as many as it now allows.
 func (c *indexClient) sendRateLimited() {
 	for len(c.rateLimited) > 0 && c.server.quota.mayCall() {
 		call := c.rateLimited[0]
@@ -70,7 +73,8 @@
 	}
 }
 
-// withdrawUnwritten takes back a call that has not been written and reports whether there was one.
+// withdrawUnwritten withdraws the newest call that has not been written yet, and reports whether there was one. The
+// call ends as not executed.
 func (c *indexClient) withdrawUnwritten() bool {
 	for last := len(c.unwritten) - 1; last >= 0; last-- {
 		connection := c.unwritten[last]
@@ -88,7 +92,7 @@
 	return false
 }
 
-// cancelNewest gives up the call that was made last, for want of quota, and reports whether there was one.
+// cancelNewest abandons the most recently made call because the quota is exceeded, and reports whether there was one.
 func (c *indexClient) cancelNewest() bool {
 	var newest *indexCall
 	for _, caller := range c.server.requests.byID {
@@ -103,8 +107,8 @@
 	return true
 }
 
-// isNewerThan orders calls by when they were made; those of one moment by the request's ID, so that the order is the
-// same in every run.
+// isNewerThan reports whether the call was made after another one. Calls made at the same tick are ordered by request
+// ID, which makes the order deterministic.
 func (c *indexCall) isNewerThan(other *indexCall) bool {
 	if c.startedAt != other.startedAt {
 		return c.startedAt > other.startedAt
@@ -112,10 +116,11 @@
 	return c.request.id > other.request.id
 }
 
-// assign finds a connection for a call: the one that carried a call last, as it is the likeliest to be alive, but not
-// one on which a second copy of an earlier reply to the same run could come.
+// assign sends a call on an idle connection, or dials one, or queues the call if the pool is full. It prefers the
+// connection that became idle last, which is the most likely to be alive, and skips one whose last call was for the
+// same request: a second copy of the earlier reply could still arrive on it.
 func (c *indexClient) assign(call *indexCall) {
-	c.closeExpired() // after a standstill the timer is late
+	c.closeExpired() // the timer is late if the process was paused
 	for i := len(c.idle) - 1; i >= 0; i-- {
 		connection := c.idle[i]
 		if connection.lastRequestID != call.request.id {
@@ -131,7 +136,7 @@
 	c.dial(call)
 }
 
-// dial adds a connection to the pool, for a call.
+// dial adds a connection to the pool and dials it for a call.
 func (c *indexClient) dial(call *indexCall) {
 	connection := &pooledConnection{
 		outputBuffer: outputBuffer{server: c.server, maxUnread: maxUnreadPerLink},
@@ -146,8 +151,8 @@
 	connection.outgoing = c.server.dial(c.server.config.Index, dialTimeout, connection, failed)
 }
 
-// detach takes a call off what carries it and returns what that leaves known of the call. A connection that carries the
-// call is closed: that gives up the call, and whatever would still come on the connection.
+// detach removes a call from its connection or from the queue that it waits in, and returns what is known of the call's
+// outcome. A connection on which the call is in flight is closed, which abandons the call and any reply still to come.
 func (c *indexClient) detach(call *indexCall) admission.Outcome {
 	connection := call.connection
 	if connection == nil {
@@ -157,14 +162,14 @@
 		return admission.NotExecuted
 	}
 	connection.unlink()
-	if connection.state == pooledDialing { // the dial goes on for whichever call it may serve
+	if connection.state == pooledDialing { // the dial continues and may serve another call
 		return admission.NotExecuted
 	}
 	connection.close()
 	return admission.Indeterminate
 }
 
-// cancel forgets the call of a run that is over.
+// cancel abandons the call of a run that is over, without reporting its end to admission.
 func (c *indexClient) cancel(caller *request) {
 	if call := caller.call; call != nil {
 		c.detach(call)
@@ -172,33 +177,35 @@
 	}
 }
 
+// remove clears the state that is kept for a call.
 func (c *indexClient) remove(call *indexCall) {
 	call.request.call = nil
 	c.inFlight--
 	c.server.stopTimer(&call.timer)
 }
 
-// finish tells admission the end of a call.
+// finish removes a call and reports its outcome and duration to admission.
 func (c *indexClient) finish(call *indexCall, outcome admission.Outcome) {
 	c.remove(call)
 	call.request.handle.CallEnded(outcome, c.server.now-call.startedAt)
 }
 
-// reconnect is called when the index's address has changed. Calls that are out may end where they are; all others go to
-// the new address.
+// reconnect is called when the index's address has changed. Calls in flight may end on their connections; all other
+// calls go to the new address.
 func (c *indexClient) reconnect() {
 	c.generation++
 	c.closeIdle()
 }
 
-// closeIdle closes the connections that carry nothing.
+// closeIdle closes the idle connections.
 func (c *indexClient) closeIdle() {
 	for _, connection := range slices.Clone(c.idle) {
 		connection.close()
 	}
 }
 
-// closeExpired closes the connections that have been idle for too long and sets the timer for the next.
+// closeExpired closes the connections that have been idle for idleConnectionTimeout and sets the timer for the next
+// one.
 func (c *indexClient) closeExpired() {
 	for len(c.idle) > 0 {
 		longest := c.idle[0]
--- a/internal/server/index_test.go
+++ b/internal/server/index_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/timeunit"
 )
 
-// No input from the index makes the server panic, and its effect does not depend on how it is split.
+// No input from the index makes the server panic, and its effect does not depend on how it is split into reads.
 func FuzzReplies(f *testing.F) {
 	f.Add(firstID+" HIT 3\r\na\r\n\r\n", 1)
 	f.Add(firstID+" SHED\r\n"+firstID+" SLOW\r\n", 4)
@@ -26,8 +26,8 @@
 	})
 }
 
-// The index may have dropped a connection that was idle for long. It carries no call, even if the timer that closes it
-// is late.
+// A connection that was idle for too long carries no call, even if the timer that closes it is late: the index may have
+// dropped the connection.
 func TestExpiredIdleConnectionCarriesNoCall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/server/indexconnection.go
+++ b/internal/server/indexconnection.go
@@ -10,35 +10,35 @@
 	"thistlequay/timeunit"
 )
 
-// idleConnectionTimeout: an idle connection is closed after this. The index has been seen to forget one after twice as
-// long.
+// idleConnectionTimeout is how long a connection may be idle before it is closed. The index has been observed to drop
+// connections after twice this time.
 const idleConnectionTimeout = second / 20
 
-// pooledState is where a connection of the pool is in its life.
+// pooledState is the state of a connection in the pool.
 type pooledState int
 
 const (
-	pooledDialing pooledState = iota // with or without a call that waits for it
-	pooledBusy                       // it carries a call
-	pooledIdle                       // it carries none, and is on the list of idle ones
+	pooledDialing pooledState = iota // a call may wait for it
+	pooledBusy                       // carries a call
+	pooledIdle                       // carries no call and is in indexClient.idle
 	pooledClosed
 )
 
-// pooledConnection is one connection to the index.
+// pooledConnection is one connection to the index. It carries at most one call at a time.
 type pooledConnection struct {
 	outputBuffer
 	client     *indexClient
 	outgoing   *outgoingConnection
 	state      pooledState
 	idleSince  timeunit.Ticks
-	generation int // of indexClient at its dial
+	generation int // indexClient.generation at the start of its dial
 
 	call          *indexCall
-	lastRequestID string // of the call on it, or the one before
-	partial       []byte // of a reply
+	lastRequestID string // of the current call, or of the last one
+	partial       []byte // the incomplete reply read so far
 }
 
-// opened has it carry the call that it was dialed for, or another, or none.
+// opened sends the call that the connection was dialed for. If that call has ended, it releases the connection.
 func (p *pooledConnection) opened(conn gnet.Conn) {
 	p.conn = conn
 	if p.call != nil {
@@ -48,7 +48,8 @@
 	p.release()
 }
 
-// send writes a call: the request's ID, the milliseconds that are left, the length of the body, and the body.
+// send appends a call to the output: the request's ID, the remaining time in milliseconds, the length of the body in
+// bytes, and the body.
 func (p *pooledConnection) send(call *indexCall) {
 	p.state = pooledBusy
 	p.call = call
@@ -67,13 +68,14 @@
 	p.output = append(out, "\r\n"...)
 }
 
-// unlink parts the connection from its call.
+// unlink clears the references between the connection and its call.
 func (p *pooledConnection) unlink() {
 	p.call.connection = nil
 	p.call = nil
 }
 
-// release has it carry the next call, or become idle.
+// release sends the next waiting call on the connection, or makes the connection idle. It closes a connection to an
+// address that is no longer used.
 func (p *pooledConnection) release() {
 	if p.generation != p.client.generation {
 		p.close()
@@ -101,8 +103,8 @@
 
 func (p *pooledConnection) closed() { p.lost(admission.Indeterminate) }
 
-// lost is called when the connection is no more, or never came to be; outcome is what that leaves known of its call.
-// Its place in the pool goes to the next call that waits.
+// lost is called when the connection has closed or could not be opened. It ends the connection's call with outcome and
+// gives the connection's place in the pool to the next waiting call.
 func (p *pooledConnection) lost(outcome admission.Outcome) {
 	client := p.client
 	p.state = pooledClosed
--- a/internal/server/indexreplies.go
+++ b/internal/server/indexreplies.go
@@ -8,19 +8,19 @@
 	"thistlequay/admission"
 )
 
-// Bounds on a reply.
+// Bounds on a reply from the index.
 const (
 	maxReplyBytes     = 64 << 10
 	maxReplyLineBytes = 128
-	maxReplySizeBits  = 18 // of the size that it names
+	maxReplySizeBits  = 18 // of the body size in the reply line
 )
 
-// errInvalidReply closes a connection to the index.
-var errInvalidReply = errors.New("index: invalid reply")
+// errInvalidReply is returned for a malformed or oversized reply; it closes the connection to the index.
+var errInvalidReply = errors.New("index: malformed or oversized reply")
 
 var lineEnd = []byte("\r\n")
 
-// replyOutcomes are the kinds of replies and what they say of the call. Only the first has a body.
+// replyOutcomes maps each kind of reply to the outcome of the call. Only a HIT has a body.
 var replyOutcomes = map[string]admission.Outcome{
 	"HIT":    admission.Succeeded,
 	"SHED":   admission.NotExecuted,
@@ -29,16 +29,17 @@
 	"NOBODY": admission.NotExecuted,
 }
 
-// indexReply is one reply: a line with the request's ID, the kind and, for one with a body, its size; then the body. It
-// lies in what was read.
+// indexReply is one reply from the index. On the wire it is a line with the request's ID, the kind and, for a HIT, the
+// size of the body, followed by the body. Its slices point into the read buffer.
 type indexReply struct {
 	requestID []byte
 	outcome   admission.Outcome
 	body      []byte
-	length    int // of the whole reply, line ends included
+	length    int // of the whole reply in bytes, including line ends
 }
 
-// receive takes the complete replies. What comes after the reply to the call that is out closes the connection.
+// receive handles the complete replies in data and keeps an incomplete one. Data after the reply to the call in flight
+// closes the connection.
 func (p *pooledConnection) receive(data []byte) error {
 	if len(p.partial) > 0 {
 		p.partial = append(p.partial, data...)
@@ -61,7 +62,7 @@
 	case p.call != nil:
 		p.partial = append(p.partial[:0], data...)
 		return nil
-	case len(data) > 0: // more than its own: nothing that may come late is left to reach a later call
+	case len(data) > 0: // may be a late copy of a reply, which must not reach a later call
 		return errConnectionDone
 	}
 	p.partial = nil
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// handleReply ends the call that is out; a reply to another is passed over. A run that nobody waits for ends at its
-// call.
+// handleReply ends the call in flight and, if the call succeeded, resumes its run. It ignores a reply for another
+// request. A run whose result no router waits for is not resumed.
 func (p *pooledConnection) handleReply(reply *indexReply) {
 	call := p.call
 	caller := call.request
@@ -89,7 +90,7 @@
 	}
 }
 
-// parseReply takes the first reply off data. isWhole is false where more is to come.
+// parseReply parses the first reply in data. isWhole is false if the reply is still incomplete.
 func parseReply(data []byte) (reply indexReply, isWhole bool, err error) {
 	line, rest, hasLine := bytes.Cut(data, lineEnd)
 	if !hasLine {
@@ -116,7 +117,7 @@
 	return reply, isWhole, err
 }
 
-// parseReplyBody takes a body of the size that the line named, and its line end, off data.
+// parseReplyBody parses a body of the given size, and the line end after it, from the start of data.
 func parseReplyBody(size, data []byte) (body []byte, isWhole bool, err error) {
 	length, err := strconv.ParseUint(string(size), 10, maxReplySizeBits)
 	if err != nil || length > maxReplyBytes {
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -10,46 +10,46 @@
 	"thistlequay/timeunit"
 )
 
-// commandLossWindow: commands sent so short a time before a link broke may have been lost with it; twice what the
-// protocol says.
+// commandLossWindow is how long before the loss of a link a command may have been sent and still be lost with the link.
+// It is twice the time that the protocol specifies.
 const commandLossWindow = second / 10
 
-// linkState is how far the link to the interpreter is.
+// linkState is the state of the link to the interpreter.
 type linkState int
 
 const (
-	linkDown      linkState = iota // there is none
-	linkReplaying                  // it stands, and what the interpreter replays has not all been taken
-	linkReady                      // commands may go out
+	linkDown      linkState = iota // there is no link
+	linkReplaying                  // the link is up, and the interpreter is still replaying missed notices
+	linkReady                      // commands may be sent
 )
 
-// interpreterClient is the link to the interpreter: commands out, notices in, the gauges. It must never begin a run
-// twice, pass a body or a result on changed, or send a command after a broken link before what the interpreter replays
-// has been taken. Commands are in interpretercommands.go, notices in interpreternotices.go.
+// interpreterClient sends commands to the interpreter and receives its notices and gauges over one link. It must never
+// start a run twice, alter a body or a result, or send a command on a new link before it has handled all notices that
+// the interpreter replays. Commands are in interpretercommands.go, notices in interpreternotices.go.
 type interpreterClient struct {
 	outputBuffer
 	state       linkState
 	readySince  timeunit.Ticks
-	link        *outgoingConnection // the one that stands
-	dialing     *outgoingConnection // a dial under way; it may be beside a link that stands
+	link        *outgoingConnection // the current link
+	dialing     *outgoingConnection // the dial under way; the current link may still be up
 	redialTimer timer
 	backoff     backoff
-	linkCount   int // links that stood, for the log
+	linkCount   int // links opened so far, for the log
 
-	lastNotice   uint64 // the number of the last notice that was taken
-	replayFence  string // the tag of the question whose answer ends what is replayed; empty for none
+	lastNotice   uint64 // the number of the last notice handled
+	replayFence  string // the tag of the gauges query whose response ends the replay; empty if none
 	partialLine  []byte
-	categoryJSON [][]byte // the categories' names
-	errorCount   int      // errors that the interpreter reported
+	categoryJSON [][]byte // the JSON-encoded name of each category
+	errorCount   int      // errors reported by the interpreter
 
 	gauges        admission.Gauges
-	gaugesAt      timeunit.Ticks // when they were true
-	gaugesAskedAt timeunit.Ticks // zero while no question is out
-	gaugeAges     lagHistogram   // of the gauges that admission was given
-	lastTag       uint64         // of the questions
-	roundTrip     float64        // in ticks, smoothed
-	wakeupPending bool           // admission's wakeup waits for gauges
-	gaugeTimer    timer          // but no longer than this
+	gaugesAt      timeunit.Ticks // when the gauges were received
+	gaugesAskedAt timeunit.Ticks // when the pending query was sent; zero if none is pending
+	gaugeAges     lagHistogram   // ages of the gauges given to admission
+	lastTag       uint64         // the tag of the last query
+	roundTrip     float64        // smoothed round trip of a gauges query, in ticks
+	wakeupPending bool           // the timer of admission fired and waits for gauges
+	gaugeTimer    timer          // bounds that wait
 }
 
 func (c *interpreterClient) init(server *Server) {
@@ -59,12 +59,12 @@
 	c.categoryJSON = make([][]byte, len(server.config.Settings.Categories))
 	for name, category := range server.config.Settings.CategoryIndex {
 		encoded, err := json.Marshal(name)
-		server.checkInvariant(err == nil, "a category's name is no JSON") // a string always is
+		server.checkInvariant(err == nil, "a category's name cannot be encoded as JSON") // strings never fail
 		c.categoryJSON[category] = encoded
 	}
 }
 
-// dial begins a dial; one that is under way is dropped.
+// dial starts a dial to the interpreter and drops a dial that is under way.
 func (c *interpreterClient) dial() {
 	if c.server.phase >= phaseStopped {
 		return
@@ -77,14 +77,15 @@
 	})
 }
 
+// scheduleRedial sets the timer of the next dial, with exponential backoff and jitter.
 func (c *interpreterClient) scheduleRedial() {
 	c.server.setTimer(&c.redialTimer, c.server.now+c.server.jitter(c.backoff.next()))
 }
 
-// reconnect is called when the interpreter's address has changed. The old link is used until the new one stands.
+// reconnect is called when the interpreter's address has changed. The old link is used until the new one is up.
 func (c *interpreterClient) reconnect() { c.dial() }
 
-// opened asks the interpreter to replay the notices that were missed.
+// opened replaces the current link, if any, and asks the interpreter to replay the notices after the last handled one.
 func (c *interpreterClient) opened(conn gnet.Conn) {
 	if c.conn != nil {
 		c.link.drop()
@@ -102,12 +103,12 @@
 	c.output = append(c.output, "}\n"...)
 }
 
-// closed dials again, at once where the link stood for a while.
+// closed dials again: at once if the link was ready for at least minRedialDelay, otherwise after a backoff.
 func (c *interpreterClient) closed() {
 	stood := c.state == linkReady && c.server.now-c.readySince >= minRedialDelay
 	c.linkLost()
 	switch {
-	case c.dialing != nil: // one is being dialed already
+	case c.dialing != nil: // a new link is already being dialed
 	case stood:
 		c.backoff = backoff{}
 		c.dial()
@@ -116,8 +117,8 @@
 	}
 }
 
-// linkLost has runs go on without a link. The last commands on it may have been lost with it, so they are given again
-// once what the interpreter replays has been taken.
+// linkLost records that the link is gone; runs continue without it. The last commands may have been lost with the link,
+// so they are marked to be sent again once the next link is ready.
 func (c *interpreterClient) linkLost() {
 	if c.state == linkReady {
 		c.server.log.Event("interpreter_lost").Uint64("last_notice", c.lastNotice).
@@ -126,16 +127,16 @@
 	c.conn = nil
 	c.state = linkDown
 	if c.output != nil {
-		c.output = c.output[:0] // nothing meant for this link goes out on the next
+		c.output = c.output[:0] // output for this link must not be sent on the next one
 	}
 	for _, affected := range c.server.requests.byID {
 		c.repeatLostCommands(affected)
 	}
 }
 
-// repeatLostCommands marks the commands for a request that are to be given again. That begins no second run: an APPLY
-// does nothing where its request runs, and starts nothing where that is over. A request that is not idempotent, and
-// whose command went out long before, is left to its deadline.
+// repeatLostCommands marks the commands of a request that must be sent again. This starts no second run: the
+// interpreter ignores an APPLY for a request that runs or whose run is over. A request that is not idempotent and whose
+// APPLY was sent longer than commandLossWindow ago is left to its deadline.
 func (c *interpreterClient) repeatLostCommands(affected *request) {
 	if affected.runSent && !affected.runConfirmed {
 		category := &c.server.config.Settings.Categories[affected.category]
@@ -149,11 +150,12 @@
 	affected.stopPending = affected.stopPending || affected.stopSent
 }
 
+// mayBeLost reports whether a command sent at a time may have been lost with a link that breaks now.
 func (c *interpreterClient) mayBeLost(sentAt timeunit.Ticks) bool {
 	return c.server.now-sentAt < commandLossWindow
 }
 
-// close ends the link for good: everything is answered, and no other is dialed.
+// close drops the link for good and dials no other. It is called when all requests are answered.
 func (c *interpreterClient) close() {
 	c.dialing.drop()
 	c.link.drop()
@@ -162,7 +164,7 @@
 	c.server.stopTimer(&c.redialTimer)
 }
 
-// becomeReady lets commands go out, first those that waited for a link.
+// becomeReady makes the link ready for commands and sends the commands that waited for a link.
 func (c *interpreterClient) becomeReady() {
 	c.state = linkReady
 	c.replayFence = ""
@@ -172,11 +174,11 @@
 	}
 }
 
-// sendPending gives the commands for a request that waited for a link.
+// sendPending sends the commands of a request that waited for a link.
 func (c *interpreterClient) sendPending(waiting *request) {
 	switch {
 	case waiting.runDone:
-	case waiting.runPending && waiting.router == nil && !waiting.runSent: // nobody waits for it, and it never left
+	case waiting.runPending && waiting.router == nil && !waiting.runSent: // abandoned before its APPLY was sent
 		waiting.neverBegun()
 	case waiting.runPending && !waiting.runConfirmed:
 		c.run(waiting)
--- a/internal/server/interpreter_socket_test.go
+++ b/internal/server/interpreter_socket_test.go
@@ -6,8 +6,9 @@
 	"thistlequay/internal/servertest"
 )
 
-// After the link to the interpreter broke, the program states the last notice on its next link: a run whose result is
-// replayed is not started again, the other one is, and requests that came without a link follow.
+// After the link to the interpreter broke, the server states the last notice that it handled on the next link. It does
+// not start a run again whose result is replayed, starts the other run again, and then runs the request that arrived
+// without a link.
 func TestInterpreterLinkIsResumed(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -17,7 +18,7 @@
 	resumed := server.NextInterpreterLink(0)
 	server.Equal(`{"type":"CONNECT","n":0}`, server.ReadLine(resumed.Link))
 	brief := router.SendBrief(3)
-	router.ExpectHealth(4, 200) // the program has read request 3 before the link takes requests
+	router.ExpectHealth(4, 200) // the server has read request 3 before the link is ready
 	server.WriteLine(resumed.Link, servertest.BannerWarm)
 	resumed.CompleteRun(router, 1, look, "replayed")
 	started := []string{resumed.NextCommand().Job, resumed.NextCommand().Job}
@@ -26,9 +27,9 @@
 	resumed.CompleteRun(router, 3, brief, "w")
 }
 
-// The last commands before the link breaks may be lost, so the program sends them again on its next link: the APPLY of
-// a run and the RESOLVE of a downstream call. Where the interpreter replies MOOT the run provably did not start, and
-// its idempotency key is free again.
+// The last commands before the link breaks may be lost, so the server sends them again on its next link: the APPLY of a
+// run and the RESOLVE of a downstream call. If the interpreter replies MOOT, the run provably did not start, and its
+// idempotency key is free again.
 func TestCommandsLostWithLinkAreSentAgain(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -53,7 +54,7 @@
 	interpreter.CompleteRun(router, 3, book, "b")
 }
 
-// After a malformed line from the interpreter the program opens a new link. A request that the interpreter then does
+// After a malformed line from the interpreter, the server opens a new link. A request that the interpreter then does
 // not know is answered with 500.
 func TestMalformedInterpreterLineReopensLink(t *testing.T) {
 	server, interpreter := servertest.Start(t)
--- a/internal/server/interpreter_test.go
+++ b/internal/server/interpreter_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/timeunit"
 )
 
-// No input from the interpreter makes the server panic, and its effect does not depend on how it is split.
+// No input from the interpreter makes the server panic, and its effect does not depend on how it is split into reads.
 func FuzzNotices(f *testing.F) {
 	f.Add(`{"type":"VALUE","n":1,"job":"`+firstID+`","state":"OK","took":5,"data":"eA=="}`+"\n", 3)
 	f.Add(`{"type":"AWAIT","n":2,"job":"`+firstID+`","data":"eA=="}`+"\n\n"+
@@ -29,7 +29,7 @@
 	})
 }
 
-// Admission's timer fires with the gauges of that time, or without fresh gauges if the link is slow.
+// Admission's timer is delivered with fresh gauges, or after a bounded wait with stale ones if the link is slow.
 func TestWakeupWaitsForGaugesWithinBound(t *testing.T) {
 	server, _ := newRunningServer(t)
 	interpreter := &server.interpreter
@@ -57,7 +57,7 @@
 	require.True(t, interpreter.gauges.IsStale)
 }
 
-// A link that was up for a while is redialed at once; one that was not, with exponential backoff.
+// A link that was up for at least minRedialDelay is redialed at once, any other link with exponential backoff.
 func TestInterpreterLinkIsRedialedAtOnceIfItWasUp(t *testing.T) {
 	server, _ := newRunningServer(t)
 	interpreter := &server.interpreter
@@ -69,7 +69,7 @@
 		interpreter.closed()
 		return interpreter.dialing != nil
 	}
-	requireDelay := func(maxDelay timeunit.Ticks) { // random in its later half: many servers lose their links at once
+	requireDelay := func(maxDelay timeunit.Ticks) { // jittered between maxDelay/2 and maxDelay
 		t.Helper()
 		require.LessOrEqual(t, interpreter.redialTimer.deadline, server.now+maxDelay)
 		require.GreaterOrEqual(t, interpreter.redialTimer.deadline, server.now+maxDelay/2)
@@ -82,7 +82,8 @@
 	require.True(t, isRedialed(minRedialDelay))
 }
 
-// Settings for which the socket protocol has no message have no effect, though they have one in the simulator.
+// Settings that the socket protocol cannot express have no effect on the server, although they have one in the
+// simulator.
 func TestSocketDeploymentDropsSettingsThatProtocolCannotExpress(t *testing.T) {
 	read := func(halt string) *deployment.Config {
 		settings, err := deployment.Read([]byte(`{"Categories":[{"Effect":"repeatable","HardLimit":8000,"Name":"a",
@@ -97,6 +98,6 @@
 	require.False(t, config.RetriesMarked || config.CanStopRuns)
 	require.Zero(t, config.ResultTTL)
 	require.Zero(t, config.Categories[0].DegradedValue)
-	require.Equal(t, 0.5, paused.Categories[0].DegradedValue) // the settings themselves are not changed
+	require.Equal(t, 0.5, paused.Categories[0].DegradedValue) // the original settings are unchanged
 	require.True(t, socketDeployment(dropped).CanStopRuns)
 }
--- a/internal/server/interpretercommands.go
+++ b/internal/server/interpretercommands.go
@@ -7,13 +7,13 @@
 	"thistlequay/timeunit"
 )
 
-// How long admission's wakeup waits for gauges.
+// How long the timer of admission, once it has fired, waits for fresh gauges: the longer of the two.
 const (
-	minGaugeWait        timeunit.Ticks = 10 // at least
-	gaugeWaitRoundTrips float64        = 4  // and else for so many round trips
+	minGaugeWait        timeunit.Ticks = 10
+	gaugeWaitRoundTrips float64        = 4 // in smoothed round trips
 )
 
-// run tells the interpreter to run a request, now or once there is a link.
+// run sends the command to run a request, or marks it to be sent once a link is ready.
 func (c *interpreterClient) run(started *request) {
 	started.runPending = c.state != linkReady
 	if started.runPending {
@@ -26,7 +26,7 @@
 	c.output = appendData(command, started.body)
 }
 
-// stop tells the interpreter to stop a run, now or once there is a link.
+// stop sends the command to stop a run, or marks it to be sent once a link is ready.
 func (c *interpreterClient) stop(stopped *request) {
 	stopped.stopPending = c.state != linkReady
 	if stopped.stopPending || stopped.runDone {
@@ -36,7 +36,7 @@
 	c.output = append(c.beginCommand("BREAK", stopped), "}\n"...)
 }
 
-// resolve passes the reply to a run's call on, now or once there is a link.
+// resolve passes the reply to a run's downstream call to the interpreter, or keeps it until a link is ready.
 func (c *interpreterClient) resolve(waiting *request, reply []byte) {
 	waiting.reservation.Resume(c.server.now)
 	if c.state != linkReady {
@@ -49,7 +49,7 @@
 	c.output = appendData(c.beginCommand("RESOLVE", waiting), reply)
 }
 
-// beginCommand appends a command up to the request's ID to the output.
+// beginCommand appends the start of a command, up to and including the request's ID, to the output and returns it.
 func (c *interpreterClient) beginCommand(name string, of *request) []byte {
 	command := append(c.buffer(), `{"type":"`...)
 	command = append(command, name...)
@@ -58,15 +58,15 @@
 	return append(command, '"')
 }
 
-// appendData ends a command with data.
+// appendData appends the Base64-encoded data and the end of the command.
 func appendData(command, data []byte) []byte {
 	command = append(command, `,"data":"`...)
 	command = base64.StdEncoding.AppendEncode(command, data)
 	return append(command, "\"}\n"...)
 }
 
-// onWakeup asks for the gauges that admission is due for. What else is due is decided in this batch; only the wakeup
-// waits for them, and not for long when the link is slow.
+// onWakeup is called when the timer of admission fires. It requests fresh gauges, and only the call of admission's
+// OnTimer waits for them, for a bounded time; all other work of the batch goes on.
 func (c *interpreterClient) onWakeup() {
 	if c.state != linkReady {
 		c.deliverGauges()
@@ -81,16 +81,16 @@
 	}
 }
 
-// deliverGauges wakes admission with the gauges that there are.
+// deliverGauges calls admission's OnTimer with the latest gauges.
 func (c *interpreterClient) deliverGauges() {
 	c.wakeupPending = false
 	c.server.stopTimer(&c.gaugeTimer)
 	c.gaugeAges.add(c.server.now - c.gaugesAt)
-	c.gauges.IsStale = c.gaugesAt < c.server.now // the link is down, or the answer late
+	c.gauges.IsStale = c.gaugesAt < c.server.now // the link is down, or the response is late
 	c.server.admission.OnTimer(c.gauges)
 }
 
-// askGauges sends a question for the gauges and returns the tag that its answer will bear.
+// askGauges sends a query for the gauges and returns the tag that its response will carry.
 func (c *interpreterClient) askGauges() (tag string) {
 	c.lastTag++
 	tag = strconv.FormatUint(c.lastTag, 10)
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -14,40 +14,41 @@
 const (
 	maxLineBytes = 256 << 10
 
-	// maxNoticeSpanMs is above every span of time that a notice could mean, in milliseconds.
+	// maxNoticeSpanMs is larger than every valid duration in a notice, in milliseconds.
 	maxNoticeSpanMs = 1e12
 
-	// roundTripSmoothing: each round trip moves the smoothed one by one part in so many of the difference.
+	// roundTripSmoothing is the divisor of the exponential moving average of round trips: each new round trip moves the
+	// average by 1/8 of the difference.
 	roundTripSmoothing = 8
 )
 
-// What closes the link to the interpreter.
+// Errors in the interpreter's output. Each closes the link.
 var (
-	errLineTooLong       = errors.New("interpreter: line too long")
-	errNoNotice          = errors.New("interpreter: line is not a notice")
-	errNoticeSpan        = errors.New("interpreter: notice with an impossible duration")
+	errLineTooLong       = errors.New("interpreter: line exceeds the maximum length")
+	errNoNotice          = errors.New("interpreter: line is not a valid notice")
+	errNoticeSpan        = errors.New("interpreter: duration in notice is out of range")
 	errUnknownRunOutcome = errors.New("interpreter: unknown outcome of a run")
-	errGauges            = errors.New("interpreter: gauges are not numbers")
-	errUnknownNotice     = errors.New("interpreter: notice of unknown type")
+	errGauges            = errors.New("interpreter: gauges are not an array of numbers")
+	errUnknownNotice     = errors.New("interpreter: unknown type of notice")
 )
 
-// The kinds of notices.
+// The types of notices.
 const (
-	noticeBanner = "BANNER" // the interpreter is up, and since when
+	noticeBanner = "BANNER" // the interpreter is up, and for how long
 	noticeValue  = "VALUE"  // a run has ended
-	noticeAwait  = "AWAIT"  // a run waits for a call
-	noticeGauges = "TOPS"   // the answer to a question for the gauges
-	noticeError  = "ERROR"  // a command was not carried out
-	noticeTrace  = "TRACE"  // of no concern here
+	noticeAwait  = "AWAIT"  // a run waits for a downstream call
+	noticeGauges = "TOPS"   // the response to a gauges query
+	noticeError  = "ERROR"  // a command failed
+	noticeTrace  = "TRACE"  // ignored
 )
 
-// stateCold is what a banner says of an interpreter that has yet to warm up.
+// stateCold is the state in the banner of an interpreter that has not warmed up.
 const stateCold = "COLD"
 
-// commandRun is the command that an error may be about, by its name on the wire.
+// commandRun is the wire name of the command to run a request. An error notice names the command that failed.
 const commandRun = "APPLY"
 
-// notice is a line from the interpreter.
+// notice is one line from the interpreter. Which fields are set depends on its type.
 type notice struct {
 	Type      string          `json:"type"`
 	Number    uint64          `json:"n"`
@@ -59,7 +60,7 @@
 	Gauges    json.RawMessage `json:"gauges"`
 }
 
-// runOutcomes are the ends of runs as notices tell them.
+// runOutcomes maps the state in a notice about the end of a run to its outcome.
 var runOutcomes = map[string]admission.Outcome{
 	"OK":      admission.Succeeded,
 	"ERROR":   admission.Failed,
@@ -67,7 +68,7 @@
 	"MOOT":    admission.NeverStarted,
 }
 
-// receive takes the complete notices.
+// receive handles the complete lines in data and keeps an incomplete one.
 func (c *interpreterClient) receive(data []byte) error {
 	for len(data) > 0 {
 		line, rest, isWhole := bytes.Cut(data, []byte{'\n'})
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// handleLine takes one notice. One that was replayed though it had been taken is passed over.
+// handleLine handles one notice. It skips a replayed notice that was handled before.
 func (c *interpreterClient) handleLine(line []byte) error {
 	if len(bytes.TrimSpace(line)) == 0 {
 		return nil
@@ -109,9 +110,9 @@
 		}
 		c.lastNotice = taken.Number
 	}
-	about := c.server.requests.byID[taken.RequestID] // nil where the notice is about none, or an unknown one
+	about := c.server.requests.byID[taken.RequestID] // nil if the notice names no request, or an unknown one
 	if about != nil && taken.Number > 0 {
-		about.lastReply = nil // what a run tells after a reply proves that the reply was taken
+		about.lastReply = nil // a notice about a run after a reply proves that the reply arrived
 		about.pendingReply = nil
 	}
 	return c.handleNotice(&taken, about)
@@ -139,8 +140,8 @@
 	}
 }
 
-// onBanner starts admission the first time, as cold or warm as the interpreter says it is; up is how long it has been
-// up. After that a banner begins what the interpreter replays on a new link.
+// onBanner handles the first line on a link. The first banner starts admission, cold or warm as state says; up is how
+// long the interpreter has been up. A later banner starts the replay of notices on a new link.
 func (c *interpreterClient) onBanner(state string, up timeunit.Ticks) {
 	server := c.server
 	if server.admission != nil {
@@ -157,12 +158,12 @@
 	c.becomeReady()
 }
 
-// startAdmission makes the admission server of an interpreter that has been up for so long.
+// startAdmission creates the admission server for an interpreter that has been up for the given time.
 func (s *Server) startAdmission(isCold bool, up timeunit.Ticks) {
 	config := socketDeployment(s.config.Settings)
 	config.StartsCold = isCold
 	config.TurnOffset = s.random.Float64()
-	// Entries and results lie in this process's memory, not in the interpreter's that the settings speak of.
+	// Idempotency entries and results are held in this process's memory; the settings mean the interpreter's.
 	config.EntryKB = 0
 	maxEntries := s.config.MemoryBytes / idempotencyMemoryDivisor / idempotencyEntryBytes
 	config.MaxEntries = max(1, maxEntries-s.recovery.restoredEntries())
@@ -171,9 +172,9 @@
 	s.admission.Advance(s.now)
 }
 
-// socketDeployment returns the settings without what the protocol of sockets has no word for: retries bear no mark,
-// runs do not go on without a call, and the interpreter may read an answer after the order to stop, which pauses for
-// good what is not over.
+// socketDeployment returns the admission settings without the features that the socket protocol cannot express: it does
+// not mark retries, and a run cannot continue without its downstream call. Runs that a BREAK pauses instead of ending
+// are not stopped, because the interpreter may read a RESOLVE after the BREAK, and the run would stay paused for good.
 func socketDeployment(of *deployment.Config) admission.Config {
 	config := of.Config
 	config.RetriesMarked = false
@@ -187,7 +188,7 @@
 	return config
 }
 
-// onRunEnded takes the end of a run.
+// onRunEnded handles a notice of the end of a run.
 func (c *interpreterClient) onRunEnded(taken *notice, about *request) error {
 	outcome, known := runOutcomes[taken.State]
 	if !known {
@@ -205,7 +206,7 @@
 	return nil
 }
 
-// onCallNeeded takes notice of a run that waits for a call; admission decides when the call is made.
+// onCallNeeded handles a notice that a run waits for a downstream call. Admission decides when the call is made.
 func (c *interpreterClient) onCallNeeded(taken *notice, about *request) {
 	if about == nil || !about.runStarted || about.runDone {
 		return
@@ -217,8 +218,7 @@
 	about.handle.NeedsCall()
 }
 
-// onCommandFailed takes notice of a command that was not carried out. Where that was the one to run a request, nothing
-// of it ran.
+// onCommandFailed handles a notice that a command failed. If the command was an APPLY, the run never started.
 func (c *interpreterClient) onCommandFailed(taken *notice, about *request) {
 	if countAndSample(&c.errorCount) {
 		c.server.log.Event("interpreter_error").Str("command", taken.State).Str("request_id", taken.RequestID).
@@ -229,7 +229,7 @@
 	}
 }
 
-// onGauges takes the answer to a question for the gauges.
+// onGauges handles the response to a gauges query.
 func (c *interpreterClient) onGauges(tag string, row json.RawMessage) error {
 	var values []float64
 	if err := json.Unmarshal(row, &values); err != nil {
--- a/internal/server/kill_socket_test.go
+++ b/internal/server/kill_socket_test.go
@@ -16,11 +16,11 @@
 	"thistlequay/internal/servertest"
 )
 
-// stopTime is the stop_ms of servertest's configuration: the kill comes so long after the notice was sent.
+// stopTime is the stop_ms of servertest's configuration: the time from the shutdown notice to the kill.
 const stopTime = 1500 * time.Millisecond
 
-// killAfter kills the program at a time after its notice to shut down was sent. It returns how long before that the
-// program had exited by itself, or false where the kill ended it.
+// killAfter kills the process at killAt unless it exits by itself before. It returns how long before killAt the process
+// exited, and false if the kill ended it.
 func killAfter(server *servertest.Server, killAt time.Time) (time.Duration, bool) {
 	select {
 	case <-server.Ended():
@@ -31,15 +31,15 @@
 	}
 }
 
-// What happened: on a day of rolling restarts a server was killed at the end of its drain with a request unanswered
-// (2 of 60 days beside load). Why: the platform counts stop_ms from when it sends SIGTERM, the server counted it from
-// when its event loop handled the signal, and left 0.1 s for everything in between and for its own end. What showed
-// it: a trace of one drain, in which a handler in C saw the signal 170 ms after its time, the signal was never pending
-// before, and 1 ms passed from the handler to the event loop; event=shutting_down was logged at 8.64 s and later in
-// all broken days and up to 8.59 s in the others.
+// Guards against a kill at the end of a drain that leaves a request unanswered, which happened on 2 of 60 days of
+// rolling restarts on a loaded machine. The platform counts stop_ms from when it sends SIGTERM, but the server counted
+// it from when its event loop handled the signal and left only 0.1 s for the delay and for its own exit. In a trace of
+// one drain, a handler in C saw the signal 170 ms late, the signal was never pending before that, and the event loop
+// handled it 1 ms after the handler; event=shutting_down was logged at 8.64 s or later on all days that failed, and at
+// 8.59 s or earlier on the others.
 //
-// Here SIGSTOP and SIGCONT delay the notice. Requests that run without end and others that wait for them are all
-// answered, and the program exits with 0, before a kill that comes stop_ms after the notice was sent.
+// Here SIGSTOP and SIGCONT delay the notice. All requests, those that run without end and those that wait for them,
+// must be answered, and the server must exit with 0, before a kill that comes stop_ms after the notice was sent.
 func TestAllIsAnsweredBeforeTheKillThoughTheNoticeIsLate(t *testing.T) {
 	for _, delay := range []time.Duration{0, 50, 100, 150, 200, 250, 300} {
 		t.Run(fmt.Sprintf("%dms", delay), func(t *testing.T) {
@@ -49,6 +49,8 @@
 	}
 }
 
+// requireAnswersBeforeKill runs one drain whose notice is delayed, and requires one response per request before the
+// kill.
 func requireAnswersBeforeKill(t *testing.T, delay time.Duration) {
 	t.Helper()
 	const requests = 12 // more than the concurrency limit of an interpreter with two cores
@@ -81,14 +83,14 @@
 	for slot := uint16(1); slot <= requests; slot++ {
 		require.Equal(t, 1, answered[slot], "responses in slot %d", slot)
 	}
-	require.True(t, exited, "killed before it ended")
+	require.True(t, exited, "the process did not exit before the kill")
 	require.Zero(t, server.Process.ProcessState.ExitCode())
 	fmt.Printf("measured late notice delay_ms=%d exit_before_kill_ms=%d source=emulators\n",
 		delay.Milliseconds(), margin.Milliseconds())
 }
 
-// The grace period counts from the notice to shut down. Before, it counted from when the interpreter came up if that
-// was later, so that requests were run that had arrived after its end.
+// The grace period starts at the notice to shut down. It used to start when the interpreter came up if that was later,
+// so requests that arrived after its end were run.
 func TestGracePeriodCountsFromTheNoticeThoughTheInterpreterIsLate(t *testing.T) {
 	server := servertest.New(t)
 	server.WriteFilesAndStart()
@@ -112,7 +114,7 @@
 	<-linkEnded
 }
 
-// crowd is a crowd of clients that open connections one after the other until they are refused for good.
+// crowd is a group of clients that open connections one after the other until the server has ended.
 type crowd struct {
 	server  *servertest.Server
 	opened  atomic.Int64
@@ -121,19 +123,22 @@
 	clients sync.WaitGroup
 }
 
-const crowdClients = 48 // as many connections at a time are in the handshake or wait to be accepted
+// crowdClients is the number of clients, and so of connections at a time that are in the handshake or wait to be
+// accepted.
+const crowdClients = 48
 
+// start starts the clients. Every second one sends half a request on each of its connections.
 func (c *crowd) start() {
 	for client := range crowdClients {
 		c.clients.Go(func() {
-			for c.connect(client%2 == 0) { // until the program has ended
+			for c.connect(client%2 == 0) { // until the server has ended
 			}
 		})
 	}
 }
 
-// connect opens one connection, sends half a request or none, and reads until the program closes it. It returns false
-// once the program has ended.
+// connect opens one connection, sends half a request or none, and reads until the server closes the connection or
+// crowdStay has passed. It returns false once the server has ended.
 func (c *crowd) connect(sends bool) bool {
 	link, err := emulator.Dial(c.server.Listen)
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -165,13 +170,13 @@
 	return true
 }
 
-// crowdStay is how long a client of the crowd waits for the program to close its connection.
+// crowdStay is how long a client waits for the server to close its connection.
 const crowdStay = 20 * time.Millisecond
 
-// What happened: connections that were opened in the last instant of a drain were reset (8 of 17 runs with a crowd).
-// Why: gnet closes its listener when its loop ends, and the system resets what has been connected and not accepted by
-// then; the loop accepts one connection a turn. What showed it: a plain listener that is closed under 64 dialers resets
-// some 20 of them, and none after it has been bound to an interface that does not exist, so that new ones are refused
+// Guards against resets of connections that are opened at the very end of a drain (8 of 17 runs with many clients).
+// gnet closes its listener when its event loop ends, and the kernel then resets connections that are not accepted yet;
+// the loop accepts one connection per iteration. A plain listener that is closed under 64 dialers resets some 20 of
+// them. It resets none if it is first bound to an interface that does not exist, so that new connections are refused
 // while those in the handshake are still accepted.
 func TestNewConnectionsAreNotResetAtTheEndOfADrain(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":256`)
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -16,41 +16,42 @@
 	"thistlequay/timeunit"
 )
 
-// answerMargin is how much before its deadline a request is answered that still waits for the disk.
+// answerMargin is how long before its deadline a request that still waits for the disk is answered.
 const answerMargin = second / 50
 
-// attemptClockShift: attempts are numbered from the clock's time, shifted by so many bits, on, so that those of other
-// lives of the server have other numbers.
+// attemptClockShift is the number of bits by which the start time is shifted to get the first attempt number. This way
+// processes that use the same log one after the other number their attempts differently.
 const attemptClockShift = 20
 
-// Recovery is an open recovery log.
+// Recovery holds an open recovery log and the means to learn which writes are done.
 type Recovery struct {
-	// Store is the log.
+	// Store is the open log.
 	Store *segmentlog.Log
 
-	// OnDurable has the log's writer call a function with the writes that it is through with.
+	// OnDurable sets the function that the log's writer calls with its finished writes.
 	OnDurable func(func(done []segmentlog.WriteResult))
 }
 
-// recoveryPart writes down what requests with an idempotency key are about to do and have done, and takes up what an
-// earlier life of the server wrote. It must never let one run whose intent is not durable, nor wait for the disk.
+// recoveryPart writes intent and completion records for requests with an idempotency key, and restores the records of
+// earlier processes at startup. It must never let a request run before its intent is durable, and never block on the
+// disk.
 type recoveryPart struct {
 	partDefaults
 	server      *Server
-	log         *segmentlog.Log     // nil where nothing outlives the process
-	pending     map[uint64]*request // that wait for their intents, by attempt
+	log         *segmentlog.Log     // nil if crash recovery is disabled
+	pending     map[uint64]*request // requests that wait for their intent records, by attempt
 	lastAttempt uint64
 	isClosing   bool
-	doubtUntil  timeunit.Ticks // requests that nothing is known of are rejected until then
+	doubtUntil  timeunit.Ticks // until then, keyed requests without an entry are rejected
 
-	// Requests rejected, by reason.
+	// Counts of rejected requests, by reason.
 	rejectedFull   int // no room in the log
-	rejectedLate   int // the intent was not written in time
-	rejectedFailed int // the disk could not be written
-	rejectedDoubt  int // records may have been lost
+	rejectedLate   int // the intent was not durable in time
+	rejectedFailed int // writing to the disk failed
+	rejectedDoubt  int // the record of an earlier attempt may have been lost
 }
 
-// init takes up what the log holds of earlier lives.
+// init restores the idempotency entries of earlier processes from the log.
 func (p *recoveryPart) init(server *Server, config *Recovery) {
 	p.server = server
 	p.pending = map[uint64]*request{}
@@ -69,7 +70,7 @@
 
 func (p *recoveryPart) isEnabled() bool { return p.log != nil }
 
-// longestUnread is how long after its window a repeat may still lie unread.
+// longestUnread returns how long after the end of its deduplication window a retry may still be unread.
 func (p *recoveryPart) longestUnread() timeunit.Ticks {
 	longest := maxClockSkew
 	for _, category := range p.server.config.Settings.Categories {
@@ -78,7 +79,7 @@
 	return longest
 }
 
-// restoreEntry adds the idempotency entry of an earlier life.
+// restoreEntry adds an idempotency entry of an earlier process. It is kept until longest after its window.
 func (p *recoveryPart) restoreEntry(outcome *recovery.Outcome, longest timeunit.Ticks) {
 	entry := &idempotencyEntry{
 		key:        outcome.Key,
@@ -94,7 +95,7 @@
 	p.server.setTimer(&entry.expiryTimer, entry.matchUntil+longest)
 }
 
-// restoredEntries returns how many entries an earlier life left.
+// restoredEntries returns the number of entries restored from the log.
 func (p *recoveryPart) restoredEntries() int {
 	if p.log == nil {
 		return 0
@@ -102,8 +103,8 @@
 	return len(p.log.Outcomes)
 }
 
-// deferForIntent has the intent of a request with an idempotency key written, or rejects the request where that
-// can't be done. It returns false where no intent is needed, and the request goes on at once.
+// deferForIntent writes the intent record of a request with an idempotency key, or rejects the request if that is not
+// possible. It returns false if no intent is needed; the caller then proceeds at once.
 func (p *recoveryPart) deferForIntent(intended *request, tenant []byte) bool {
 	if p.log == nil {
 		return false
@@ -116,7 +117,7 @@
 	maxRetryAfter := p.server.config.Settings.MaxRetryAfter
 	switch {
 	case existing != nil && existing.ran:
-		return false // it repeats what ran
+		return false // a retry of a request that ran
 	case p.isClosing:
 		p.reject(intended, &p.rejectedFull, "closing", maxRetryAfter)
 		return true
@@ -144,16 +145,16 @@
 	return true
 }
 
-// windowEnd is until when attempts repeat a request, by the system's clock, which outlives the process.
+// windowEnd returns the end of a request's deduplication window by the system clock, which outlives the process.
 func (p *recoveryPart) windowEnd(intended *request) timeunit.Ticks {
 	window := p.server.config.Settings.Categories[intended.category].DeduplicationWindow
 	receivedAt := intended.receivedAt + p.server.clock.systemOffset
 	return receivedAt + window + p.server.requests.windowMargin()
 }
 
-// await keeps a request until its intent is durable. Its memory counts meanwhile.
+// await holds a request until its intent is durable. Admission accounts for the request's memory in the meantime.
 func (p *recoveryPart) await(intended *request, tenant []byte, windowEnd timeunit.Ticks) {
-	intended.tenant = bytes.Clone(tenant) // the parser's buffer is used again
+	intended.tenant = bytes.Clone(tenant) // the parser reuses its buffer
 	intended.key = bytes.Clone(intended.key)
 	intended.intentUntil = windowEnd
 	intended.attempt = p.lastAttempt
@@ -163,20 +164,21 @@
 	p.server.admission.ReserveMemory(intended.arrival.QueuedKB)
 }
 
-// answerDeadline is when a request that waits for its intent must be answered all the same.
+// answerDeadline returns the time at which a request is answered even if its intent is not durable yet.
 func (p *recoveryPart) answerDeadline(waiting *request) timeunit.Ticks {
 	deadline := min(waiting.deadline, p.server.shutdownDeadline)
 	return max(p.server.now, deadline-answerMargin)
 }
 
-// onIntentTimeout rejects a request whose intent the disk did not take in time. The intent is taken back once it is
-// there.
+// onIntentTimeout rejects a request whose intent did not become durable in time. Once the intent is durable, a
+// cancellation record is written for it.
 func (p *recoveryPart) onIntentTimeout(waiting *request) {
 	p.logRejection(&p.rejectedLate, "late")
 	waiting.respond(statusRejected, "", nil)
 }
 
-// drain has what waits for the disk answered before the shutdown ends, and saves what admission has learned.
+// drain makes sure that requests that wait for the disk are answered before the shutdown ends, and saves the warm-start
+// state.
 func (p *recoveryPart) drain() {
 	for _, waiting := range p.pending {
 		if waiting.intentTimer.isSet() {
@@ -186,7 +188,7 @@
 	p.saveWarmStart()
 }
 
-// reject answers a request that the log has no place for.
+// reject answers a request whose intent cannot be written, and counts it under the reason.
 func (p *recoveryPart) reject(rejected *request, count *int, reason string, retryAfter timeunit.Ticks) {
 	p.logRejection(count, reason)
 	p.server.requests.remove(rejected)
@@ -194,13 +196,14 @@
 	rejected.respond(statusRejected, header, nil)
 }
 
+// logRejection counts a rejection and logs a sample of them.
 func (p *recoveryPart) logRejection(count *int, reason string) {
 	if countAndSample(count) {
 		p.server.log.Event("store_rejections").Str("reason", reason).Int("count", *count).Send()
 	}
 }
 
-// onDurable is called with the writes that the log is through with.
+// onDurable handles the finished writes of the log.
 func (p *recoveryPart) onDurable(done []segmentlog.WriteResult) {
 	for _, write := range done {
 		waiting := p.pending[write.Tag]
@@ -214,11 +217,12 @@
 	}
 }
 
-// onIntentWritten admits a request whose intent is durable, if somebody still waits for it.
+// onIntentWritten hands a request to admission when its intent is durable. It drops a request that no router waits for
+// any more, and rejects one whose intent could not be written.
 func (p *recoveryPart) onIntentWritten(waiting *request, err error) {
 	isWanted := waiting.router != nil
 	if err != nil {
-		waiting.intentUntil = 0 // nothing was written
+		waiting.intentUntil = 0 // there is no record to conclude
 	}
 	switch {
 	case err != nil && isWanted:
@@ -233,13 +237,13 @@
 	}
 }
 
-// conclude writes what became of an intent, once.
+// conclude writes the completion or cancellation record of an intent, once.
 func (p *recoveryPart) conclude(concluded *request, kind recovery.RecordKind, succeeded bool, result []byte) {
 	if concluded.intentUntil == 0 || p.isClosing {
 		return
 	}
 	key := concluded.recoveryKey
-	if key == "" { // it was not admitted
+	if key == "" { // it was never admitted
 		key = p.server.requests.idempotencyKey(concluded)
 	}
 	p.log.AppendCompletion(recovery.Record{
@@ -253,7 +257,7 @@
 	concluded.intentUntil = 0
 }
 
-// close has everything written made durable, and calls done after that, or when the time is over.
+// close flushes and closes the log without blocking. It calls done when that is finished or after timeout.
 func (p *recoveryPart) close(timeout timeunit.Ticks, done func()) {
 	if p.log == nil {
 		done()
@@ -277,7 +281,8 @@
 		Int("store_rejected_late", p.rejectedLate).Bool("store_failed", err != nil)
 }
 
-// saveWarmStart writes what admission has learned. What can't be encoded is not written: the next life starts cold.
+// saveWarmStart writes the warm-start state to the log. State that cannot be encoded is not written, and the next
+// process starts cold.
 func (p *recoveryPart) saveWarmStart() {
 	if p.log == nil || p.isClosing || p.server.admission == nil {
 		return
@@ -293,7 +298,7 @@
 	}
 }
 
-// loadWarmStart returns what an earlier life had learned, weighed by its age, or nil.
+// loadWarmStart returns the warm-start state of an earlier process, decayed by its age, or nil if there is none.
 func (p *recoveryPart) loadWarmStart() *admission.WarmStartState {
 	if p.log == nil || len(p.log.WarmStart) == 0 {
 		return nil
@@ -308,7 +313,7 @@
 	return state
 }
 
-// settingsHash is a hash of what admission decides by.
+// settingsHash returns a hash of the settings that admission depends on.
 func (p *recoveryPart) settingsHash() uint64 {
 	return xxh3.HashString(p.server.config.Settings.StoredForm())
 }
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -13,7 +13,7 @@
 	"thistlequay/internal/segmentlog"
 )
 
-// blockingDisk stores nothing; its syncs block until the test sends their results.
+// blockingDisk is a disk that stores nothing and whose syncs block until the test sends their results.
 type blockingDisk struct{ syncResults chan error }
 
 func (d *blockingDisk) List() ([]string, error)                       { return nil, nil }
@@ -30,7 +30,7 @@
 	runCommand = `"APPLY","job":"` + intendedID + `"`
 )
 
-// diskTest is a server with a recovery log on a blocking disk, which has received one request with a key.
+// diskTest is a test of a server with a recovery log on a blocking disk. The server has received one keyed request.
 type diskTest struct {
 	*testing.T
 	server  *Server
@@ -46,7 +46,7 @@
 		disk:    &blockingDisk{syncResults: make(chan error, 8)},
 		written: make(chan []segmentlog.WriteResult, 8),
 	}
-	test.disk.syncResults <- nil // the header
+	test.disk.syncResults <- nil // for the header of the segment
 	log, err := segmentlog.Open(test.disk, segmentlog.Config{
 		Durability:   recovery.DurabilityMachine,
 		MaxBytes:     1 << 20,
@@ -64,17 +64,17 @@
 		log.Close()
 		<-log.Done()
 	})
-	test.server, _ = newRunningServer(t) // one request already runs, without a log
+	test.server, _ = newRunningServer(t) // one request already runs, without a recovery log
 	test.server.recovery.init(test.server, &Recovery{Store: log, OnDurable: func(func([]segmentlog.WriteResult)) {}})
 	test.router = connectRouter(test.server)
-	test.server.endBatchQueued = true // batches are ended by the test
+	test.server.endBatchQueued = true // the test ends the batches
 	another := strings.Replace(wholeRequest, firstID, intendedID, 1)
 	feed(t, test.router, strings.Replace(another, "HTTP_ONCE_KEYk", "HTTP_ONCE_KEYl", 1))
 	test.server.admission.Dispatch()
 	return test
 }
 
-// sync ends a sync of the disk and notifies the server of its result.
+// sync completes a sync of the disk with the given result and passes the finished writes to the server.
 func (d *diskTest) sync(result error) {
 	d.Helper()
 	d.disk.syncResults <- result
@@ -82,10 +82,11 @@
 	case done := <-d.written:
 		d.server.recovery.onDurable(done)
 	case <-time.After(20 * time.Second):
-		require.Fail(d, "the log reported no result")
+		require.Fail(d, "the recovery log reported no finished write")
 	}
 }
 
+// commands returns the unsent output to the interpreter.
 func (d *diskTest) commands() string { return string(d.server.interpreter.output) }
 
 func TestRequestRunsOnlyOnceIntentIsDurable(t *testing.T) {
@@ -98,7 +99,7 @@
 	require.Empty(t, test.server.recovery.pending)
 }
 
-// The disk stalls: the request is rejected in time and never run, and its intent is concluded later.
+// While the disk stalls, the request is rejected in time and never runs. A record concludes its intent later.
 func TestRequestIsRejectedInTimeWhenDiskStalls(t *testing.T) {
 	test := newDiskTest(t)
 	intended := test.server.requests.byID[intendedID]
@@ -111,7 +112,7 @@
 	test.server.admission.Dispatch()
 	require.NotContains(t, test.commands(), runCommand)
 	require.Nil(t, test.server.requests.byID[intendedID])
-	require.Zero(t, intended.intentUntil) // concluded
+	require.Zero(t, intended.intentUntil) // the intent is concluded
 }
 
 func TestRequestIsRejectedWhenIntentCannotBeWritten(t *testing.T) {
--- a/internal/server/restart_socket_test.go
+++ b/internal/server/restart_socket_test.go
@@ -11,8 +11,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// After a SIGKILL another process starts on the same address and runs a request whose key ran before: without a store
-// the key is not remembered.
+// After a SIGKILL, another process starts on the same address and runs a request whose idempotency key ran before:
+// without a store, keys are not remembered across restarts.
 func TestRestartAfterKillOnSameAddress(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
@@ -26,7 +26,7 @@
 	interpreter.CompleteRun(router, 1, id, "new life")
 }
 
-// Signals that come while the configuration is still being read are handled once the program listens: a SIGHUP does
+// Signals that arrive while the configuration is still being read are handled once the server listens: a SIGHUP does
 // not end it, and after a SIGTERM it exits with 0 by the shutdown deadline.
 func TestSignalsDuringStartupAreHandledLater(t *testing.T) {
 	server := servertest.New(t)
@@ -34,7 +34,7 @@
 	server.NoError(syscall.Mkfifo(server.Path, 0o600))
 	server.Args = []string{"--config", server.Path}
 	server.StartProcess()
-	config, err := os.OpenFile(server.Path, os.O_WRONLY, 0) // blocks until the program reads
+	config, err := os.OpenFile(server.Path, os.O_WRONLY, 0) // blocks until the server opens the file
 	server.NoError(err)
 	server.Signal(syscall.SIGHUP)
 	server.Signal(syscall.SIGTERM)
@@ -43,7 +43,7 @@
 	server.NoError(err)
 	server.NoError(config.Close())
 	server.WaitForLog("event=listening")
-	go func() { // for the reload that SIGHUP causes, where the shutdown does not come first
+	go func() { // serves the reload that SIGHUP causes, unless the shutdown comes first
 		again, err := os.OpenFile(server.Path, os.O_WRONLY, 0)
 		if err == nil {
 			_, _ = io.WriteString(again, server.Config)
@@ -57,12 +57,12 @@
 	_ = os.Remove(server.Path)
 }
 
-// A process that closed a connection itself and is killed leaves its port in TIME_WAIT. Its next incarnation listens
-// at once, answers health checks while the interpreter is not up, and serves once it is.
+// A killed process that had closed a connection itself leaves its port in TIME_WAIT. The next process listens on it at
+// once, answers health checks while the interpreter is not up, and serves requests once it is.
 func TestRestartOnPortInTimeWaitWithLateInterpreter(t *testing.T) {
 	server, interpreter := servertest.Start(t)
 	router := server.ConnectRouter()
-	router.WriteBytes(servertest.LastRequest(1, "/health", "", nil)) // the program closes the connection
+	router.WriteBytes(servertest.LastRequest(1, "/health", "", nil)) // the server closes the connection
 	router.ExpectResponse(1, 200, "")
 	server.Empty(server.ReadToEnd(router.Link))
 	servertest.CloseQuietly(router)
--- a/internal/server/store_socket_test.go
+++ b/internal/server/store_socket_test.go
@@ -25,11 +25,11 @@
 	emulator.Response
 }
 
-// attemptsPerKey is how often each key is sent, on a connection each, before the process is killed.
+// attemptsPerKey is how often each key is sent before the process is killed, each time on another connection.
 const attemptsPerKey = 3
 
-// sendKeyedAttempts sends one attempt of each key, in slots from 1 on, on each of attemptsPerKey connections. The
-// first channel has the responses; the second has an entry for each connection that has ended.
+// sendKeyedAttempts sends one attempt of each key on each of attemptsPerKey connections, in request slots from 1 on.
+// The first channel receives the responses, the second a value for each connection that has ended.
 func sendKeyedAttempts(server *servertest.Server, keys []string) (<-chan keyedResponse, <-chan struct{}) {
 	server.T.Helper()
 	responses := make(chan keyedResponse, 100)
@@ -53,8 +53,9 @@
 	return responses, ended
 }
 
-// A hundred incarnations, with MEASURE=full 500, each killed after a random number of responses while three attempts
-// per key arrive, of new and of earlier keys: no key is run twice, and all successful responses to a key are equal.
+// Starts 100 processes on one store, or 500 with MEASURE=full, and kills each after a random number of responses, while
+// three attempts each of new and of earlier keys arrive. No key must run twice, and all successful responses to a key
+// must be equal.
 func TestMeasuredNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	server := servertest.New(t)
 	config := server.Config
@@ -120,7 +121,7 @@
 	return code, out.String()
 }
 
-// flipStoredByte changes a byte in the middle of the only segment of a store.
+// flipStoredByte flips a bit in the middle of the only segment of a store.
 func flipStoredByte(server *servertest.Server, directory string) {
 	server.T.Helper()
 	segments, err := filepath.Glob(filepath.Join(directory, "*.seg"))
@@ -132,9 +133,9 @@
 	server.NoError(os.WriteFile(segments[0], text, 0o600))
 }
 
-// A retry after a restart gets the first result, and one with another body is rejected. A second server on the same
-// directory does not start. The store commands show what the directory holds, also after one byte is corrupt; then
-// keyed requests whose records may be lost are rejected.
+// A retry after a restart gets the stored result, and a retry with another body is rejected. A second server does not
+// start on the same directory. The store commands report the contents of the directory, also with a corrupt byte. After
+// the corruption, keyed requests whose records may be lost are rejected.
 func TestStoredResultsSurviveRestart(t *testing.T) {
 	server := servertest.New(t)
 	directory := filepath.Join(t.TempDir(), "store")
@@ -199,8 +200,8 @@
 	router.ExpectResponse(2, 200, "result of 1 harmless")
 }
 
-// Response times of keyed and of idempotent requests without a store and with each durability, and what a keyed
-// request pays for its intent record. No request is rejected for the store.
+// Measures the response times of keyed and of idempotent requests without a store and with each durability, and the
+// time that the intent record adds to a keyed request. The store must not cause any rejection.
 func TestMeasuredStoreLatency(t *testing.T) {
 	pairs := 150
 	if os.Getenv("MEASURE") == "full" {
@@ -213,7 +214,7 @@
 	}
 }
 
-// storeLatency has the response times of pairs of requests, one keyed and one idempotent, in microseconds.
+// storeLatency holds the response times in microseconds of pairs of requests, one keyed and one idempotent.
 type storeLatency struct {
 	durability     string
 	keyed          *hdrhistogram.Histogram
@@ -221,7 +222,7 @@
 	pairsPerSecond float64
 }
 
-// measureStoreLatency sends pairs of requests, one after the other, to a server with a store of this durability.
+// measureStoreLatency sends pairs of requests, one after the other, to a server with a store of the given durability.
 func measureStoreLatency(t *testing.T, durability string, pairs int) *storeLatency {
 	t.Helper()
 	server := servertest.New(t)
@@ -252,7 +253,7 @@
 	return latency
 }
 
-// log logs the measured line, with what the store adds to the times without one.
+// log logs the measured times and the time that the store adds to those without a store.
 func (l *storeLatency) log(t *testing.T, withoutStore *storeLatency) {
 	t.Helper()
 	keyedP50 := l.keyed.ValueAtQuantile(50)
