--- a/internal/server/admissionhost.go
+++ b/internal/server/admissionhost.go
@@ -89,7 +89,7 @@
 	// request was read, has the entry on its books for as long as it is kept.
 	category := t.server.config.Settings.Categories[owner.category]
 	entry.matchUntil = owner.receivedAt + category.DeduplicationWindow + t.windowMargin()
-	t.server.setTimer(&entry.expiryTimer, max(t.server.now+span, owner.receivedAt+retention(category)))
+	t.server.setTimer(&entry.expiryTimer, max(t.server.now+span, owner.receivedAt+entryRetention(category)))
 }
 
 // DropEntry forgets the idempotency entry of a request that did not run.
@@ -107,9 +107,9 @@
 	released.closed = true
 	released.reservation.Release(t.server.now)
 	if released.runStarted {
-		t.server.recovery.conclude(released, recovery.KindCompletion, false, nil) // it may have run
+		t.server.recovery.concludeIntent(released, recovery.KindCompletion, false, nil) // it may have run
 	} else {
-		t.server.recovery.conclude(released, recovery.KindCancellation, false, nil)
+		t.server.recovery.concludeIntent(released, recovery.KindCancellation, false, nil)
 	}
 	t.server.checkInvariant(released.router == nil, "a request is released without an answer")
 	t.disownEntry(released)
--- a/internal/server/directory.go
+++ b/internal/server/directory.go
@@ -13,30 +13,30 @@
 
 // Timing of the load reports. They are frequent enough that the directory keeps the server listed when some are lost.
 const (
-	entryLifetime        = 3 * second         // after the last report, by the directory's documentation
-	reportInterval       = entryLifetime / 4  // from a response to the next report
-	answerTimeout        = entryLifetime / 10 // after which an unanswered report is sent again, on a new link
-	maxRegistrationDelay = entryLifetime / 15 // the longest wait before the next dial while there is no link
+	entryLifetime           = 3 * second         // after the last report, by the directory's documentation
+	reportInterval          = entryLifetime / 4  // from a response to the next report
+	responseTimeout         = entryLifetime / 10 // after which an unanswered report is sent again, on a new link
+	maxDirectoryRedialDelay = entryLifetime / 15 // the longest wait before the next dial while there is no link
 )
 
 // Bounds on a response from the directory.
 const (
-	maxAnswerBytes     = 8 << 10
-	contentLengthBits  = 12
-	answerHeaderFields = 2 // at least, in the status line: the version and the status code
+	maxResponseBytes    = 8 << 10
+	contentLengthBits   = 12
+	minStatusLineFields = 2 // the version and the status code
 )
 
-// errInvalidAnswer is returned for a malformed or oversized response; it closes the link to the directory.
-var errInvalidAnswer = errors.New("directory: malformed or oversized response")
+// errInvalidResponse is returned for a malformed or oversized response; it closes the link to the directory.
+var errInvalidResponse = errors.New("directory: malformed or oversized response")
 
 // directoryState is the state of the link to the directory.
 type directoryState int
 
 const (
-	directoryDisconnected   directoryState = iota
-	directoryDialing                       // a dial is under way
-	directoryConnected                     // no report awaits a response
-	directoryAwaitingAnswer                // the last report awaits its response
+	directoryDisconnected     directoryState = iota
+	directoryDialing                         // a dial is under way
+	directoryConnected                       // no report awaits a response
+	directoryAwaitingResponse                // the last report awaits its response
 )
 
 // directoryClient sends load reports to the directory in which routers look up servers. Whatever the directory does,
@@ -64,7 +64,7 @@
 	if c.server.phase >= phaseStopped {
 		return
 	}
-	if c.state == directoryAwaitingAnswer {
+	if c.state == directoryAwaitingResponse {
 		c.missedReports++
 		c.consecutiveMisses++
 		c.closeGracefully()
@@ -72,7 +72,7 @@
 	switch c.state {
 	case directoryDisconnected:
 		c.state = directoryDialing
-		c.link = c.server.dial(c.server.config.Directory, answerTimeout.Duration(), c, c.dialFailed)
+		c.link = c.server.dial(c.server.config.Directory, responseTimeout.Duration(), c, c.dialFailed)
 	case directoryDialing:
 	default:
 		c.sendReport()
@@ -88,9 +88,9 @@
 	body := `{"mode":"` + mode + `"}`
 	c.output = fmt.Appendf(c.buffer(), "PUT /dir/nodes/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
 		c.server.config.Name, c.server.config.Directory, len(body), body)
-	c.state = directoryAwaitingAnswer
-	patience := answerTimeout * timeunit.Ticks(1+c.consecutiveMisses) // grows, to spare an unresponsive directory
-	c.server.setTimer(&c.reportTimer, c.server.now+min(patience, reportInterval))
+	c.state = directoryAwaitingResponse
+	timeout := responseTimeout * timeunit.Ticks(1+c.consecutiveMisses) // grows, to spare an unresponsive directory
+	c.server.setTimer(&c.reportTimer, c.server.now+min(timeout, reportInterval))
 }
 
 // dialFailed schedules another dial.
@@ -102,7 +102,7 @@
 
 // scheduleRedial sets the timer of the next dial, with jitter so that many servers do not dial at the same moment.
 func (c *directoryClient) scheduleRedial() {
-	delay := c.server.jitter(min(c.backoff.next(), maxRegistrationDelay))
+	delay := c.server.jitter(min(c.backoff.next(), maxDirectoryRedialDelay))
 	c.server.setTimer(&c.reportTimer, c.server.now+delay)
 }
 
@@ -147,41 +147,41 @@
 func (c *directoryClient) receive(data []byte) error {
 	c.partial = append(c.partial, data...)
 	for {
-		head, rest, hasHead := bytes.Cut(c.partial, []byte("\r\n\r\n"))
-		if !hasHead {
-			if len(c.partial) > maxAnswerBytes {
-				return errInvalidAnswer
+		header, rest, hasHeader := bytes.Cut(c.partial, []byte("\r\n\r\n"))
+		if !hasHeader {
+			if len(c.partial) > maxResponseBytes {
+				return errInvalidResponse
 			}
 			return nil
 		}
-		bodyLength, err := parseAnswerHead(head)
+		bodyLength, err := parseResponseHeader(header)
 		if err != nil {
 			return err
 		}
 		if len(rest) < bodyLength {
 			return nil
 		}
-		if c.state == directoryAwaitingAnswer {
-			c.onAnswer()
+		if c.state == directoryAwaitingResponse {
+			c.onResponse()
 		}
 		c.partial = append(c.partial[:0], rest[bodyLength:]...)
 	}
 }
 
-// onAnswer handles a response to the last report and schedules the next report.
-func (c *directoryClient) onAnswer() {
+// onResponse handles a response to the last report and schedules the next report.
+func (c *directoryClient) onResponse() {
 	c.state = directoryConnected
 	c.consecutiveMisses = 0
 	c.backoff = backoff{}
 	c.server.setTimer(&c.reportTimer, c.server.now+reportInterval)
 }
 
-// parseAnswerHead parses the status line and the headers of a response and returns the length of its body in bytes.
-func parseAnswerHead(head []byte) (bodyLength int, err error) {
-	lines := bytes.Split(head, lineEnd)
+// parseResponseHeader parses the status line and the headers of a response and returns the length of its body in bytes.
+func parseResponseHeader(header []byte) (bodyLength int, err error) {
+	lines := bytes.Split(header, crlf)
 	status := bytes.Fields(lines[0])
-	if len(status) < answerHeaderFields || !bytes.HasPrefix(status[0], []byte("HTTP/1.")) {
-		return 0, errInvalidAnswer
+	if len(status) < minStatusLineFields || !bytes.HasPrefix(status[0], []byte("HTTP/1.")) {
+		return 0, errInvalidResponse
 	}
 	for _, line := range lines[1:] {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -190,7 +190,7 @@
 		}
 		length, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, contentLengthBits)
 		if err != nil {
-			return 0, errInvalidAnswer
+			return 0, errInvalidResponse
 		}
 		bodyLength = int(length)
 	}
--- a/internal/server/directory_socket_test.go
+++ b/internal/server/directory_socket_test.go
@@ -50,16 +50,16 @@
 	delayAnswered := servertest.EventTimeout
 	delayUnanswered := servertest.EventTimeout
 	for i := range 8 {
-		answers := i%2 == 0
+		isAnswered := i%2 == 0
 		expectLoadReport(server, directory, "open")
-		if answers {
+		if isAnswered {
 			server.WriteLine(directory, "HTTP/1.1 204 No Content\r\n\r")
 			servertest.CloseQuietly(directory)
 		}
-		reported := time.Now()
+		reportedAt := time.Now()
 		directory = server.NextLink(server.Directory)
-		delay := time.Since(reported)
-		if answers {
+		delay := time.Since(reportedAt)
+		if isAnswered {
 			delayAnswered = min(delayAnswered, delay)
 		} else {
 			delayUnanswered = min(delayUnanswered, delay)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -257,8 +257,8 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 404 No\r\ncontent-length:0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
-		"FTP/1.1 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", strings.Repeat("x", maxAnswerBytes+1),
-		strings.Repeat("x", maxAnswerBytes), "HTTP/1.1 200 OK\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
+		"FTP/1.1 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", strings.Repeat("x", maxResponseBytes+1),
+		strings.Repeat("x", maxResponseBytes), "HTTP/1.1 200 OK\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
 		server, _ := newServerWithRun(t)
 		directory := &server.directory
@@ -268,7 +268,7 @@
 		recorded.addOutput("report", &directory.outputBuffer)
 		closes := directory.receive([]byte(text)) != nil
 		recorded.add("answer", text[:min(len(text), 100)])
-		isAwaiting := directory.state == directoryAwaitingAnswer
+		isAwaiting := directory.state == directoryAwaitingResponse
 		nextReportIn := int64(directory.reportTimer.deadline - server.now)
 		recorded.addValues("closes", closes, isAwaiting, nextReportIn, len(directory.partial))
 		passTime(server, reportInterval)
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -11,7 +11,7 @@
 const (
 	maxResultBytes           = 4 << 10
 	idempotencyMemoryDivisor = 3                     // one third of the memory is for entries
-	idempotencyEntryBytes    = maxResultBytes + 1024 // upper bound on the memory of one entry
+	maxIdempotencyEntryBytes = maxResultBytes + 1024 // upper bound on the memory of one entry
 )
 
 // idempotencyEntry is the state shared by all attempts with the same idempotency key. At most one attempt runs, and the
@@ -32,9 +32,9 @@
 	sharers     []*request     // requests that wait for the result
 }
 
-// retention returns how long an entry is kept, counted from the Received-At of the attempt that ran. A retry received
-// within the deduplication window may stay unread until its deadline, and its router's clock may be ahead.
-func retention(category admission.Category) timeunit.Ticks {
+// entryRetention returns how long an entry is kept, counted from the Received-At of the attempt that ran. A retry
+// received within the deduplication window may stay unread until its deadline, and its router's clock may be ahead.
+func entryRetention(category admission.Category) timeunit.Ticks {
 	return category.DeduplicationWindow + category.Deadline + maxClockSkew
 }
 
@@ -45,24 +45,24 @@
 
 // idempotencyKey returns the key of a request in the idempotency table, or "" if its category is not keyed. It includes
 // the category, because a result must not be shared with another category.
-func (t *requestTable) idempotencyKey(of *request) string {
-	if t.server.config.Settings.Categories[of.category].Idempotency != admission.Keyed {
+func (t *requestTable) idempotencyKey(req *request) string {
+	if t.server.config.Settings.Categories[req.category].Idempotency != admission.Keyed {
 		return ""
 	}
-	return strconv.Itoa(of.category) + " " + string(of.key)
+	return strconv.Itoa(req.category) + " " + string(req.key)
 }
 
 // existingEntry returns the entry of an earlier attempt of a request, or nil. It removes an entry whose window has
 // ended.
-func (t *requestTable) existingEntry(of *request) *idempotencyEntry {
-	entry := t.entries[t.idempotencyKey(of)]
+func (t *requestTable) existingEntry(req *request) *idempotencyEntry {
+	entry := t.entries[t.idempotencyKey(req)]
 	if entry == nil {
 		return nil
 	}
 	// A request cannot be received after it was read, so a router whose clock is ahead must not move a retry past
 	// the window.
-	received := min(of.receivedAt, of.acceptedAt)
-	if entry.owner == nil && received >= entry.matchUntil {
+	receivedAt := min(req.receivedAt, req.acceptedAt)
+	if entry.owner == nil && receivedAt >= entry.matchUntil {
 		t.removeEntry(entry)
 		return nil
 	}
--- a/internal/server/idempotency_socket_test.go
+++ b/internal/server/idempotency_socket_test.go
@@ -115,14 +115,14 @@
 	server, interpreter := servertest.StartWith(t, `"Window":30000.0`, `"Window":300.0`)
 	router := server.ConnectRouter()
 	id := interpreter.StartBook(router, 1, "k")
-	started := time.Now()
+	startedAt := time.Now()
 	// After this time, the server does not assume that the APPLY was lost with the link.
-	server.WaitUntilPast(started.Add(120 * time.Millisecond))
+	server.WaitUntilPast(startedAt.Add(120 * time.Millisecond))
 	servertest.CloseQuietly(interpreter)
 	interpreter = server.NextInterpreterLink(0)
 	server.Equal(`{"type":"CONNECT","n":0}`, server.ReadLine(interpreter.Link))
 	router.SendBook(2, "k")
-	server.WaitUntilPast(started.Add(400 * time.Millisecond))
+	server.WaitUntilPast(startedAt.Add(400 * time.Millisecond))
 	router.SendBook(3, "k")
 	router.ExpectHealth(4, 200) // the server has read both retries before the link is ready
 	server.WriteLine(interpreter.Link, servertest.BannerWarm)
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -9,7 +9,7 @@
 	"thistlequay/timeunit"
 )
 
-const succeeded = "Status: 200 OK\r\n\r\nx"
+const successResponse = "Status: 200 OK\r\n\r\nx"
 
 // endRun makes the interpreter report a successful end of a run.
 func endRun(t *testing.T, server *Server, id string) {
@@ -18,18 +18,18 @@
 	notify(t, server, `{"type":"VALUE","n":1,"job":"%s","state":"OK","took":5,"data":"eA=="}`, id)
 }
 
-// A retry is matched by the time at which it was received, however late it is read. An expired entry is removed, so the
-// idempotency table does not grow.
+// A retry is matched by the time at which it was received, however late it is read. An entry expires together with its
+// result and without a periodic sweep, so the idempotency table does not grow.
 func TestRepeatIsMatchedByWhenItWasReceived(t *testing.T) {
 	server, router := newRunningServer(t)
 	endRun(t, server, firstID)
-	require.Contains(t, string(router.output), succeeded)
-	const repeat = "00000000000000ab"
-	require.Contains(t, submitAttempt(t, server, router, repeat, "1004999", 10_060_000), succeeded,
+	require.Contains(t, string(router.output), successResponse)
+	const retryID = "00000000000000ab"
+	require.Contains(t, submitAttempt(t, server, router, retryID, "1004999", 10_060_000), successResponse,
 		"received within the window, read after it")
-	require.Empty(t, submitAttempt(t, server, router, repeat, "1005100", 10_060_000), "received after it: another run")
+	require.Empty(t, submitAttempt(t, server, router, retryID, "1005100", 10_060_000), "received after it: another run")
 	require.Len(t, server.requests.entries, 1)
-	require.True(t, server.requests.byID[repeat].runStarted)
+	require.True(t, server.requests.byID[retryID].runStarted)
 }
 
 // A deduplication window starts at Received-At, even if that router's clock is ahead. A retry from a router whose clock
@@ -65,7 +65,7 @@
 	require.Len(t, server.requests.entries, 1)
 	endRun(t, server, firstID)
 	server.requests.settle()
-	require.Contains(t, string(router.output), succeeded)
+	require.Contains(t, string(router.output), successResponse)
 	server.admission.Dispatch()
 	require.Empty(t, server.requests.entries, "the entry is removed when the run ends after the window")
 }
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		connection.output = connection.output[:0]
-		connection.unlink()
+		connection.detachCall()
 		c.finish(call, admission.NotExecuted)
 		connection.release()
 		return true
@@ -147,7 +147,7 @@
 	}
 	call.connection = connection
 	c.connections++
-	failed := func() { connection.lost(admission.NotExecuted) }
+	failed := func() { connection.handleLoss(admission.NotExecuted) }
 	connection.outgoing = c.server.dial(c.server.config.Index, dialTimeout, connection, failed)
 }
 
@@ -161,7 +161,7 @@
 		c.waiting = slices.DeleteFunc(c.waiting, isCall)
 		return admission.NotExecuted
 	}
-	connection.unlink()
+	connection.detachCall()
 	if connection.state == pooledDialing { // the dial continues and may serve another call
 		return admission.NotExecuted
 	}
--- a/internal/server/index_test.go
+++ b/internal/server/index_test.go
@@ -17,9 +17,9 @@
 	f.Add(firstID+" HIT 99999999999\r\n", 5)
 	f.Add(strings.Repeat("x", 200), 9)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		receive := func(size int) string {
+		receive := func(pieceSize int) string {
 			server, router, connection := newServerWithCall(t)
-			err := feedInPieces(text, size, connection.receive)
+			err := feedInPieces(text, pieceSize, connection.receive)
 			return fmt.Sprint(err, server.index.inFlight, string(router.output), string(server.interpreter.output))
 		}
 		require.Equal(t, receive(max(1, len(text))), receive(1+max(0, size)%61))
--- a/internal/server/indexconnection.go
+++ b/internal/server/indexconnection.go
@@ -68,8 +68,8 @@
 	p.output = append(out, "\r\n"...)
 }
 
-// unlink clears the references between the connection and its call.
-func (p *pooledConnection) unlink() {
+// detachCall clears the references between the connection and its call.
+func (p *pooledConnection) detachCall() {
 	p.call.connection = nil
 	p.call = nil
 }
@@ -98,21 +98,21 @@
 
 func (p *pooledConnection) close() {
 	p.outgoing.drop()
-	p.lost(admission.Indeterminate)
+	p.handleLoss(admission.Indeterminate)
 }
 
-func (p *pooledConnection) closed() { p.lost(admission.Indeterminate) }
+func (p *pooledConnection) closed() { p.handleLoss(admission.Indeterminate) }
 
-// lost is called when the connection has closed or could not be opened. It ends the connection's call with outcome and
-// gives the connection's place in the pool to the next waiting call.
-func (p *pooledConnection) lost(outcome admission.Outcome) {
+// handleLoss is called when the connection has closed or could not be opened. It ends the connection's call with
+// outcome and gives the connection's place in the pool to the next waiting call.
+func (p *pooledConnection) handleLoss(outcome admission.Outcome) {
 	client := p.client
 	p.state = pooledClosed
 	p.conn = nil
 	client.connections--
 	client.idle = slices.DeleteFunc(client.idle, func(idle *pooledConnection) bool { return idle == p })
 	if call := p.call; call != nil {
-		p.unlink()
+		p.detachCall()
 		client.finish(call, outcome)
 	}
 	if len(client.waiting) > 0 && client.connections < client.maxConnections {
--- a/internal/server/indexreplies.go
+++ b/internal/server/indexreplies.go
@@ -18,7 +18,7 @@
 // errInvalidReply is returned for a malformed or oversized reply; it closes the connection to the index.
 var errInvalidReply = errors.New("index: malformed or oversized reply")
 
-var lineEnd = []byte("\r\n")
+var crlf = []byte("\r\n")
 
 // replyOutcomes maps each kind of reply to the outcome of the call. Only a HIT has a body.
 var replyOutcomes = map[string]admission.Outcome{
@@ -46,11 +46,11 @@
 		data = p.partial
 	}
 	for len(data) > 0 && p.call != nil {
-		reply, isWhole, err := parseReply(data)
+		reply, isComplete, err := parseReply(data)
 		if err != nil {
 			return err
 		}
-		if !isWhole {
+		if !isComplete {
 			break
 		}
 		p.handleReply(&reply)
@@ -78,7 +78,7 @@
 	if string(reply.requestID) != caller.id {
 		return
 	}
-	p.unlink()
+	p.detachCall()
 	switch {
 	case reply.outcome != admission.Succeeded:
 		p.client.finish(call, reply.outcome)
@@ -90,9 +90,9 @@
 	}
 }
 
-// parseReply parses the first reply in data. isWhole is false if the reply is still incomplete.
-func parseReply(data []byte) (reply indexReply, isWhole bool, err error) {
-	line, rest, hasLine := bytes.Cut(data, lineEnd)
+// parseReply parses the first reply in data. isComplete is false if the reply is still incomplete.
+func parseReply(data []byte) (reply indexReply, isComplete bool, err error) {
+	line, rest, hasLine := bytes.Cut(data, crlf)
 	if !hasLine {
 		if len(data) > maxReplyLineBytes {
 			return reply, false, errInvalidReply
@@ -108,26 +108,26 @@
 	if !known || hasBody != (len(fields) == 3) {
 		return reply, false, errInvalidReply
 	}
-	reply = indexReply{requestID: fields[0], outcome: outcome, length: len(line) + len(lineEnd)}
+	reply = indexReply{requestID: fields[0], outcome: outcome, length: len(line) + len(crlf)}
 	if !hasBody {
 		return reply, true, nil
 	}
-	reply.body, isWhole, err = parseReplyBody(fields[2], rest)
-	reply.length += len(reply.body) + len(lineEnd)
-	return reply, isWhole, err
+	reply.body, isComplete, err = parseReplyBody(fields[2], rest)
+	reply.length += len(reply.body) + len(crlf)
+	return reply, isComplete, err
 }
 
 // parseReplyBody parses a body of the given size, and the line end after it, from the start of data.
-func parseReplyBody(size, data []byte) (body []byte, isWhole bool, err error) {
+func parseReplyBody(size, data []byte) (body []byte, isComplete bool, err error) {
 	length, err := strconv.ParseUint(string(size), 10, maxReplySizeBits)
 	if err != nil || length > maxReplyBytes {
 		return nil, false, errInvalidReply
 	}
-	if len(data) < int(length)+len(lineEnd) {
+	if len(data) < int(length)+len(crlf) {
 		return nil, false, nil
 	}
 	body = data[:length]
-	if !bytes.HasPrefix(data[length:], lineEnd) {
+	if !bytes.HasPrefix(data[length:], crlf) {
 		return nil, false, errInvalidReply
 	}
 	return body, true, nil
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -10,8 +10,8 @@
 	"thistlequay/timeunit"
 )
 
-// commandLossWindow is how long before the loss of a link a command may have been sent and still be lost with the link.
-// It is twice the time that the protocol specifies.
+// commandLossWindow is the time before the loss of a link within which sent commands may have been lost with it. It is
+// twice the time that the protocol specifies.
 const commandLossWindow = second / 10
 
 // linkState is the state of the link to the interpreter.
@@ -42,14 +42,14 @@
 	categoryJSON [][]byte // the JSON-encoded name of each category
 	errorCount   int      // errors reported by the interpreter
 
-	gauges        admission.Gauges
-	gaugesAt      timeunit.Ticks // when the gauges were received
-	gaugesAskedAt timeunit.Ticks // when the pending query was sent; zero if none is pending
-	gaugeAges     lagHistogram   // ages of the gauges given to admission
-	lastTag       uint64         // the tag of the last query
-	roundTrip     float64        // smoothed round trip of a gauges query, in ticks
-	wakeupPending bool           // the timer of admission fired and waits for gauges
-	gaugeTimer    timer          // bounds that wait
+	gauges            admission.Gauges
+	gaugesReceivedAt  timeunit.Ticks // when the gauges were received
+	gaugesRequestedAt timeunit.Ticks // when the pending query was sent; zero if none is pending
+	gaugeAges         lagHistogram   // ages of the gauges given to admission
+	lastQueryTag      uint64         // the tag of the last query
+	smoothedRoundTrip float64        // smoothed round trip of a gauges query, in ticks
+	wakeupPending     bool           // admission's timer has fired, and its delivery waits for gauges
+	gaugeTimer        timer          // bounds that wait
 }
 
 func (c *interpreterClient) init(server *Server) {
@@ -96,7 +96,7 @@
 	c.dialing = nil
 	c.conn = conn
 	c.partialLine = c.partialLine[:0]
-	c.gaugesAskedAt = 0
+	c.gaugesRequestedAt = 0
 	c.linkCount++
 	c.output = append(c.buffer(), `{"type":"CONNECT","n":`...)
 	c.output = strconv.AppendUint(c.output, c.lastNotice, 10)
@@ -105,11 +105,11 @@
 
 // closed dials again: at once if the link was ready for at least minRedialDelay, otherwise after a backoff.
 func (c *interpreterClient) closed() {
-	stood := c.state == linkReady && c.server.now-c.readySince >= minRedialDelay
+	wasStable := c.state == linkReady && c.server.now-c.readySince >= minRedialDelay
 	c.linkLost()
 	switch {
 	case c.dialing != nil: // a new link is already being dialed
-	case stood:
+	case wasStable:
 		c.backoff = backoff{}
 		c.dial()
 	default:
@@ -129,25 +129,25 @@
 	if c.output != nil {
 		c.output = c.output[:0] // output for this link must not be sent on the next one
 	}
-	for _, affected := range c.server.requests.byID {
-		c.repeatLostCommands(affected)
+	for _, req := range c.server.requests.byID {
+		c.repeatLostCommands(req)
 	}
 }
 
 // repeatLostCommands marks the commands of a request that must be sent again. This starts no second run: the
 // interpreter ignores an APPLY for a request that runs or whose run is over. A request that is not idempotent and whose
 // APPLY was sent longer than commandLossWindow ago is left to its deadline.
-func (c *interpreterClient) repeatLostCommands(affected *request) {
-	if affected.runSent && !affected.runConfirmed {
-		category := &c.server.config.Settings.Categories[affected.category]
+func (c *interpreterClient) repeatLostCommands(req *request) {
+	if req.runSent && !req.runConfirmed {
+		category := &c.server.config.Settings.Categories[req.category]
 		isIdempotent := category.Idempotency == admission.Idempotent
-		affected.runPending = isIdempotent || c.mayBeLost(affected.runSentAt)
-		affected.runInDoubt = !affected.runPending
+		req.runPending = isIdempotent || c.mayBeLost(req.runSentAt)
+		req.runInDoubt = !req.runPending
 	}
-	if affected.lastReply != nil && c.mayBeLost(affected.lastReplyAt) {
-		affected.pendingReply = affected.lastReply
+	if req.lastReply != nil && c.mayBeLost(req.lastReplyAt) {
+		req.pendingReply = req.lastReply
 	}
-	affected.stopPending = affected.stopPending || affected.stopSent
+	req.stopPending = req.stopPending || req.stopSent
 }
 
 // mayBeLost reports whether a command sent at a time may have been lost with a link that breaks now.
@@ -169,23 +169,23 @@
 	c.state = linkReady
 	c.replayFence = ""
 	c.readySince = c.server.now
-	for _, waiting := range c.server.requests.byID {
-		c.sendPending(waiting)
+	for _, req := range c.server.requests.byID {
+		c.sendPending(req)
 	}
 }
 
 // sendPending sends the commands of a request that waited for a link.
-func (c *interpreterClient) sendPending(waiting *request) {
+func (c *interpreterClient) sendPending(req *request) {
 	switch {
-	case waiting.runDone:
-	case waiting.runPending && waiting.router == nil && !waiting.runSent: // abandoned before its APPLY was sent
-		waiting.neverBegun()
-	case waiting.runPending && !waiting.runConfirmed:
-		c.run(waiting)
-	case waiting.pendingReply != nil && waiting.router != nil:
-		c.resolve(waiting, waiting.pendingReply)
+	case req.runDone:
+	case req.runPending && req.router == nil && !req.runSent: // abandoned before its APPLY was sent
+		req.neverBegun()
+	case req.runPending && !req.runConfirmed:
+		c.run(req)
+	case req.pendingReply != nil && req.router != nil:
+		c.resolve(req, req.pendingReply)
 	}
-	if waiting.stopPending {
-		c.stop(waiting)
+	if req.stopPending {
+		c.stop(req)
 	}
 }
--- a/internal/server/interpreter_test.go
+++ b/internal/server/interpreter_test.go
@@ -18,9 +18,9 @@
 	f.Add(`{"type":"ERROR","state":"APPLY","job":"`+firstID+`"}`+"\n"+`{"type":"TRACE","n":9}`+"\n", 1)
 	f.Add(`{"type":"BANNER","state":"COLD","took":-1}`+"\n", 2)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		receive := func(size int) string {
+		receive := func(pieceSize int) string {
 			server, router := newRunningServer(t)
-			err := feedInPieces(text, size, server.interpreter.receive)
+			err := feedInPieces(text, pieceSize, server.interpreter.receive)
 			interpreter := &server.interpreter
 			return fmt.Sprint(err, interpreter.lastNotice, interpreter.gauges, server.requests.count(),
 				string(router.output))
@@ -85,19 +85,19 @@
 // Settings that the socket protocol cannot express have no effect on the server, although they have one in the
 // simulator.
 func TestSocketDeploymentDropsSettingsThatProtocolCannotExpress(t *testing.T) {
-	read := func(halt string) *deployment.Config {
+	readSettings := func(halt string) *deployment.Config {
 		settings, err := deployment.Read([]byte(`{"Categories":[{"Effect":"repeatable","HardLimit":8000,"Name":"a",
 "OnTime":4000,"Worth":1}],"Clients":{"MarksRetry":true},
 "FamilyInfo":{"Cores":2,"Halt":"` + halt + `","Fresh":1000,"ClassSkipWorth":[0.5]}}`))
 		require.NoError(t, err)
 		return settings
 	}
-	paused := read("pause")
-	dropped := read("drop")
-	config := socketDeployment(paused)
+	pauseSettings := readSettings("pause")
+	dropSettings := readSettings("drop")
+	config := socketDeployment(pauseSettings)
 	require.False(t, config.RetriesMarked || config.CanStopRuns)
 	require.Zero(t, config.ResultTTL)
 	require.Zero(t, config.Categories[0].DegradedValue)
-	require.Equal(t, 0.5, paused.Categories[0].DegradedValue) // the original settings are unchanged
-	require.True(t, socketDeployment(dropped).CanStopRuns)
+	require.Equal(t, 0.5, pauseSettings.Categories[0].DegradedValue) // the original settings are unchanged
+	require.True(t, socketDeployment(dropSettings).CanStopRuns)
 }
--- a/internal/server/interpretercommands.go
+++ b/internal/server/interpretercommands.go
@@ -14,47 +14,47 @@
 )
 
 // run sends the command to run a request, or marks it to be sent once a link is ready.
-func (c *interpreterClient) run(started *request) {
-	started.runPending = c.state != linkReady
-	if started.runPending {
+func (c *interpreterClient) run(req *request) {
+	req.runPending = c.state != linkReady
+	if req.runPending {
 		return
 	}
-	started.runSent = true
-	started.runSentAt = c.server.now
-	command := append(c.beginCommand(commandRun, started), `,"kind":`...)
-	command = append(command, c.categoryJSON[started.category]...)
-	c.output = appendData(command, started.body)
+	req.runSent = true
+	req.runSentAt = c.server.now
+	command := append(c.beginCommand(commandRun, req), `,"kind":`...)
+	command = append(command, c.categoryJSON[req.category]...)
+	c.output = appendData(command, req.body)
 }
 
 // stop sends the command to stop a run, or marks it to be sent once a link is ready.
-func (c *interpreterClient) stop(stopped *request) {
-	stopped.stopPending = c.state != linkReady
-	if stopped.stopPending || stopped.runDone {
+func (c *interpreterClient) stop(req *request) {
+	req.stopPending = c.state != linkReady
+	if req.stopPending || req.runDone {
 		return
 	}
-	stopped.stopSent = true
-	c.output = append(c.beginCommand("BREAK", stopped), "}\n"...)
+	req.stopSent = true
+	c.output = append(c.beginCommand("BREAK", req), "}\n"...)
 }
 
 // resolve passes the reply to a run's downstream call to the interpreter, or keeps it until a link is ready.
-func (c *interpreterClient) resolve(waiting *request, reply []byte) {
-	waiting.reservation.Resume(c.server.now)
+func (c *interpreterClient) resolve(req *request, reply []byte) {
+	req.reservation.Resume(c.server.now)
 	if c.state != linkReady {
-		waiting.pendingReply = reply
+		req.pendingReply = reply
 		return
 	}
-	waiting.pendingReply = nil
-	waiting.lastReply = reply
-	waiting.lastReplyAt = c.server.now
-	c.output = appendData(c.beginCommand("RESOLVE", waiting), reply)
+	req.pendingReply = nil
+	req.lastReply = reply
+	req.lastReplyAt = c.server.now
+	c.output = appendData(c.beginCommand("RESOLVE", req), reply)
 }
 
 // beginCommand appends the start of a command, up to and including the request's ID, to the output and returns it.
-func (c *interpreterClient) beginCommand(name string, of *request) []byte {
+func (c *interpreterClient) beginCommand(name string, req *request) []byte {
 	command := append(c.buffer(), `{"type":"`...)
 	command = append(command, name...)
 	command = append(command, `","job":"`...)
-	command = append(command, of.id...)
+	command = append(command, req.id...)
 	return append(command, '"')
 }
 
@@ -73,11 +73,11 @@
 		return
 	}
 	c.wakeupPending = true
-	wait := max(minGaugeWait, timeunit.Ticks(gaugeWaitRoundTrips*c.roundTrip))
+	wait := max(minGaugeWait, timeunit.Ticks(gaugeWaitRoundTrips*c.smoothedRoundTrip))
 	c.server.setTimer(&c.gaugeTimer, c.server.now+wait)
-	if c.gaugesAskedAt == 0 {
-		c.gaugesAskedAt = c.server.now
-		c.askGauges()
+	if c.gaugesRequestedAt == 0 {
+		c.gaugesRequestedAt = c.server.now
+		c.requestGauges()
 	}
 }
 
@@ -85,15 +85,15 @@
 func (c *interpreterClient) deliverGauges() {
 	c.wakeupPending = false
 	c.server.stopTimer(&c.gaugeTimer)
-	c.gaugeAges.add(c.server.now - c.gaugesAt)
-	c.gauges.IsStale = c.gaugesAt < c.server.now // the link is down, or the response is late
+	c.gaugeAges.add(c.server.now - c.gaugesReceivedAt)
+	c.gauges.IsStale = c.gaugesReceivedAt < c.server.now // the link is down, or the response is late
 	c.server.admission.OnTimer(c.gauges)
 }
 
-// askGauges sends a query for the gauges and returns the tag that its response will carry.
-func (c *interpreterClient) askGauges() (tag string) {
-	c.lastTag++
-	tag = strconv.FormatUint(c.lastTag, 10)
+// requestGauges sends a query for the gauges and returns the tag that its response will carry.
+func (c *interpreterClient) requestGauges() (tag string) {
+	c.lastQueryTag++
+	tag = strconv.FormatUint(c.lastQueryTag, 10)
 	c.output = append(c.buffer(), `{"type":"TOP","ref":"`...)
 	c.output = append(c.output, tag...)
 	c.output = append(c.output, "\"}\n"...)
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -14,8 +14,8 @@
 const (
 	maxLineBytes = 256 << 10
 
-	// maxNoticeSpanMs is larger than every valid duration in a notice, in milliseconds.
-	maxNoticeSpanMs = 1e12
+	// maxNoticeDurationMs is larger than every valid duration in a notice, in milliseconds.
+	maxNoticeDurationMs = 1e12
 
 	// roundTripSmoothing is the divisor of the exponential moving average of round trips: each new round trip moves the
 	// average by 1/8 of the difference.
@@ -25,10 +25,10 @@
 // Errors in the interpreter's output. Each closes the link.
 var (
 	errLineTooLong       = errors.New("interpreter: line exceeds the maximum length")
-	errNoNotice          = errors.New("interpreter: line is not a valid notice")
-	errNoticeSpan        = errors.New("interpreter: duration in notice is out of range")
+	errMalformedNotice   = errors.New("interpreter: line is not a valid notice")
+	errNoticeDuration    = errors.New("interpreter: duration in notice is out of range")
 	errUnknownRunOutcome = errors.New("interpreter: unknown outcome of a run")
-	errGauges            = errors.New("interpreter: gauges are not an array of numbers")
+	errMalformedGauges   = errors.New("interpreter: gauges are not an array of numbers")
 	errUnknownNotice     = errors.New("interpreter: unknown type of notice")
 )
 
@@ -71,16 +71,16 @@
 // receive handles the complete lines in data and keeps an incomplete one.
 func (c *interpreterClient) receive(data []byte) error {
 	for len(data) > 0 {
-		line, rest, isWhole := bytes.Cut(data, []byte{'\n'})
+		line, rest, isComplete := bytes.Cut(data, []byte{'\n'})
 		data = rest
 		if len(c.partialLine)+len(line) > maxLineBytes {
 			return errLineTooLong
 		}
-		if !isWhole || len(c.partialLine) > 0 {
+		if !isComplete || len(c.partialLine) > 0 {
 			c.partialLine = append(c.partialLine, line...)
 			line = c.partialLine
 		}
-		if !isWhole {
+		if !isComplete {
 			return nil
 		}
 		err := c.handleLine(line)
@@ -97,41 +97,41 @@
 	if len(bytes.TrimSpace(line)) == 0 {
 		return nil
 	}
-	var taken notice
-	if err := json.Unmarshal(line, &taken); err != nil {
-		return errNoNotice
+	var received notice
+	if err := json.Unmarshal(line, &received); err != nil {
+		return errMalformedNotice
 	}
-	if !(taken.TookMs >= 0 && taken.TookMs < maxNoticeSpanMs) {
-		return errNoticeSpan
+	if !(received.TookMs >= 0 && received.TookMs < maxNoticeDurationMs) {
+		return errNoticeDuration
 	}
-	if taken.Number > 0 {
-		if taken.Number <= c.lastNotice {
+	if received.Number > 0 {
+		if received.Number <= c.lastNotice {
 			return nil
 		}
-		c.lastNotice = taken.Number
+		c.lastNotice = received.Number
 	}
-	about := c.server.requests.byID[taken.RequestID] // nil if the notice names no request, or an unknown one
-	if about != nil && taken.Number > 0 {
-		about.lastReply = nil // a notice about a run after a reply proves that the reply arrived
-		about.pendingReply = nil
+	req := c.server.requests.byID[received.RequestID] // nil if the notice names no request, or an unknown one
+	if req != nil && received.Number > 0 {
+		req.lastReply = nil // a notice about a run after a reply proves that the reply arrived
+		req.pendingReply = nil
 	}
-	return c.handleNotice(&taken, about)
+	return c.handleNotice(&received, req)
 }
 
-func (c *interpreterClient) handleNotice(taken *notice, about *request) error {
-	switch taken.Type {
+func (c *interpreterClient) handleNotice(received *notice, req *request) error {
+	switch received.Type {
 	case noticeBanner:
-		c.onBanner(taken.State, deployment.RoundUp(taken.TookMs))
+		c.onBanner(received.State, deployment.RoundUp(received.TookMs))
 		return nil
 	case noticeValue:
-		return c.onRunEnded(taken, about)
+		return c.onRunEnded(received, req)
 	case noticeAwait:
-		c.onCallNeeded(taken, about)
+		c.onCallNeeded(received, req)
 		return nil
 	case noticeGauges:
-		return c.onGauges(taken.Tag, taken.Gauges)
+		return c.onGauges(received.Tag, received.Gauges)
 	case noticeError:
-		c.onCommandFailed(taken, about)
+		c.onCommandFailed(received, req)
 		return nil
 	case noticeTrace:
 		return nil
@@ -140,92 +140,92 @@
 	}
 }
 
-// onBanner handles the first line on a link. The first banner starts admission, cold or warm as state says; up is how
-// long the interpreter has been up. A later banner starts the replay of notices on a new link.
-func (c *interpreterClient) onBanner(state string, up timeunit.Ticks) {
+// onBanner handles the first line on a link. The first banner starts admission, cold or warm as state says; uptime is
+// how long the interpreter has been up. A later banner starts the replay of notices on a new link.
+func (c *interpreterClient) onBanner(state string, uptime timeunit.Ticks) {
 	server := c.server
 	if server.admission != nil {
 		server.log.Event("interpreter_reconnected").Str("name", server.config.Name).Int("interpreter_links",
 			c.linkCount).Send()
-		c.replayFence = c.askGauges()
+		c.replayFence = c.requestGauges()
 		return
 	}
-	server.startAdmission(state == stateCold, up)
+	server.startAdmission(state == stateCold, uptime)
 	server.log.Event("interpreter_up").Str("name", server.config.Name).Str("state", state).
-		Int64("since_ms", up.Milliseconds()).Send()
+		Int64("since_ms", uptime.Milliseconds()).Send()
 	server.notifyAdmissionOfDrain()
 	server.advancePhase(phaseReady)
 	c.becomeReady()
 }
 
 // startAdmission creates the admission server for an interpreter that has been up for the given time.
-func (s *Server) startAdmission(isCold bool, up timeunit.Ticks) {
+func (s *Server) startAdmission(isCold bool, uptime timeunit.Ticks) {
 	config := socketDeployment(s.config.Settings)
 	config.StartsCold = isCold
 	config.TurnOffset = s.random.Float64()
 	// Idempotency entries and results are held in this process's memory; the settings mean the interpreter's.
 	config.EntryKB = 0
-	maxEntries := s.config.MemoryBytes / idempotencyMemoryDivisor / idempotencyEntryBytes
+	maxEntries := s.config.MemoryBytes / idempotencyMemoryDivisor / maxIdempotencyEntryBytes
 	config.MaxEntries = max(1, maxEntries-s.recovery.restoredEntries())
 	config.WarmStart = s.recovery.loadWarmStart()
-	s.admission = admission.New(config, &s.requests, s.now-up)
+	s.admission = admission.New(config, &s.requests, s.now-uptime)
 	s.admission.Advance(s.now)
 }
 
 // socketDeployment returns the admission settings without the features that the socket protocol cannot express: it does
 // not mark retries, and a run cannot continue without its downstream call. Runs that a BREAK pauses instead of ending
 // are not stopped, because the interpreter may read a RESOLVE after the BREAK, and the run would stay paused for good.
-func socketDeployment(of *deployment.Config) admission.Config {
-	config := of.Config
+func socketDeployment(settings *deployment.Config) admission.Config {
+	config := settings.Config
 	config.RetriesMarked = false
-	config.CanStopRuns = config.CanStopRuns && !of.PauseKeepsMemory
+	config.CanStopRuns = config.CanStopRuns && !settings.PauseKeepsMemory
 	config.ResultTTL = 0
 	config.Categories = slices.Clone(config.Categories)
 	for i, category := range config.Categories {
-		config.Categories[i].DeduplicationWindow = retention(category)
+		config.Categories[i].DeduplicationWindow = entryRetention(category)
 		config.Categories[i].DegradedValue = 0
 	}
 	return config
 }
 
 // onRunEnded handles a notice of the end of a run.
-func (c *interpreterClient) onRunEnded(taken *notice, about *request) error {
-	outcome, known := runOutcomes[taken.State]
+func (c *interpreterClient) onRunEnded(received *notice, req *request) error {
+	outcome, known := runOutcomes[received.State]
 	if !known {
 		return errUnknownRunOutcome
 	}
 	switch {
-	case about == nil:
+	case req == nil:
 	case outcome == admission.NeverStarted:
-		about.neverBegun()
+		req.neverBegun()
 	default:
-		about.runConfirmed = true
-		about.runInDoubt = false
-		about.runEnded(outcome, deployment.RoundUp(taken.TookMs), taken.Data)
+		req.runConfirmed = true
+		req.runInDoubt = false
+		req.runEnded(outcome, deployment.RoundUp(received.TookMs), received.Data)
 	}
 	return nil
 }
 
 // onCallNeeded handles a notice that a run waits for a downstream call. Admission decides when the call is made.
-func (c *interpreterClient) onCallNeeded(taken *notice, about *request) {
-	if about == nil || !about.runStarted || about.runDone {
+func (c *interpreterClient) onCallNeeded(received *notice, req *request) {
+	if req == nil || !req.runStarted || req.runDone {
 		return
 	}
-	about.runConfirmed = true
-	about.runInDoubt = false
-	about.callBody = taken.Data
-	about.reservation.Suspend(c.server.now)
-	about.handle.NeedsCall()
+	req.runConfirmed = true
+	req.runInDoubt = false
+	req.callBody = received.Data
+	req.reservation.Suspend(c.server.now)
+	req.handle.NeedsCall()
 }
 
 // onCommandFailed handles a notice that a command failed. If the command was an APPLY, the run never started.
-func (c *interpreterClient) onCommandFailed(taken *notice, about *request) {
+func (c *interpreterClient) onCommandFailed(received *notice, req *request) {
 	if countAndSample(&c.errorCount) {
-		c.server.log.Event("interpreter_error").Str("command", taken.State).Str("request_id", taken.RequestID).
+		c.server.log.Event("interpreter_error").Str("command", received.State).Str("request_id", received.RequestID).
 			Int("count", c.errorCount).Send()
 	}
-	if about != nil && about.runStarted && taken.State == commandRun {
-		about.neverBegun()
+	if req != nil && req.runStarted && received.State == commandRun {
+		req.neverBegun()
 	}
 }
 
@@ -233,14 +233,14 @@
 func (c *interpreterClient) onGauges(tag string, row json.RawMessage) error {
 	var values []float64
 	if err := json.Unmarshal(row, &values); err != nil {
-		return errGauges
+		return errMalformedGauges
 	}
 	now := c.server.now
 	c.gauges = c.server.config.Settings.GaugesFromRow(values)
-	c.gaugesAt = now
-	if c.gaugesAskedAt > 0 {
-		c.roundTrip += (float64(now-c.gaugesAskedAt) - c.roundTrip) / roundTripSmoothing
-		c.gaugesAskedAt = 0
+	c.gaugesReceivedAt = now
+	if c.gaugesRequestedAt > 0 {
+		c.smoothedRoundTrip += (float64(now-c.gaugesRequestedAt) - c.smoothedRoundTrip) / roundTripSmoothing
+		c.gaugesRequestedAt = 0
 	}
 	if c.wakeupPending {
 		c.deliverGauges()
--- a/internal/server/kill_socket_test.go
+++ b/internal/server/kill_socket_test.go
@@ -19,9 +19,9 @@
 // stopTime is the stop_ms of servertest's configuration: the time from the shutdown notice to the kill.
 const stopTime = 1500 * time.Millisecond
 
-// killAfter kills the process at killAt unless it exits by itself before. It returns how long before killAt the process
-// exited, and false if the kill ended it.
-func killAfter(server *servertest.Server, killAt time.Time) (time.Duration, bool) {
+// killUnlessExited kills the process at killAt unless it exits by itself before. It returns how long before killAt the
+// process exited, and false if the kill ended it.
+func killUnlessExited(server *servertest.Server, killAt time.Time) (time.Duration, bool) {
 	select {
 	case <-server.Ended():
 		return time.Until(killAt), true
@@ -68,8 +68,8 @@
 	server.Signal(syscall.SIGCONT)
 
 	answered := map[uint16]int{}
-	var reading sync.WaitGroup
-	reading.Go(func() {
+	var readers sync.WaitGroup
+	readers.Go(func() {
 		for {
 			response, err := router.ReadResponse()
 			if err != nil {
@@ -78,8 +78,8 @@
 			answered[response.Slot]++
 		}
 	})
-	margin, exited := killAfter(server, sentAt.Add(stopTime))
-	reading.Wait()
+	margin, exited := killUnlessExited(server, sentAt.Add(stopTime))
+	readers.Wait()
 	for slot := uint16(1); slot <= requests; slot++ {
 		require.Equal(t, 1, answered[slot], "responses in slot %d", slot)
 	}
@@ -114,23 +114,23 @@
 	<-linkEnded
 }
 
-// crowd is a group of clients that open connections one after the other until the server has ended.
-type crowd struct {
-	server  *servertest.Server
-	opened  atomic.Int64
-	refused atomic.Int64
-	reset   atomic.Int64
-	clients sync.WaitGroup
+// connectingClients is a group of clients that open connections one after the other until the server has ended.
+type connectingClients struct {
+	server     *servertest.Server
+	opened     atomic.Int64
+	refused    atomic.Int64
+	reset      atomic.Int64
+	goroutines sync.WaitGroup
 }
 
-// crowdClients is the number of clients, and so of connections at a time that are in the handshake or wait to be
-// accepted.
-const crowdClients = 48
+// connectingClientCount is the number of clients, and so of connections at a time that are in the handshake or wait to
+// be accepted.
+const connectingClientCount = 48
 
 // start starts the clients. Every second one sends half a request on each of its connections.
-func (c *crowd) start() {
-	for client := range crowdClients {
-		c.clients.Go(func() {
+func (c *connectingClients) start() {
+	for client := range connectingClientCount {
+		c.goroutines.Go(func() {
 			for c.connect(client%2 == 0) { // until the server has ended
 			}
 		})
@@ -138,8 +138,8 @@
 }
 
 // connect opens one connection, sends half a request or none, and reads until the server closes the connection or
-// crowdStay has passed. It returns false once the server has ended.
-func (c *crowd) connect(sends bool) bool {
+// clientReadTimeout has passed. It returns false once the server has ended.
+func (c *connectingClients) connect(sendsHalfRequest bool) bool {
 	link, err := emulator.Dial(c.server.Listen)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		c.refused.Add(1)
@@ -156,12 +156,12 @@
 	}
 	c.opened.Add(1)
 	defer servertest.CloseQuietly(link)
-	if sends {
+	if sendsHalfRequest {
 		request := emulator.FastCGIRequest(1, "/rpc/look", "b", servertest.RequestParameters("00000000000000aa"))
 		_, err = link.Write(request[:len(request)/2])
 	}
 	if err == nil {
-		_ = link.SetReadDeadline(time.Now().Add(crowdStay))
+		_ = link.SetReadDeadline(time.Now().Add(clientReadTimeout))
 		_, err = link.ReadResponse()
 	}
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
@@ -170,8 +170,8 @@
 	return true
 }
 
-// crowdStay is how long a client waits for the server to close its connection.
-const crowdStay = 20 * time.Millisecond
+// clientReadTimeout is how long a client waits for the server to close its connection.
+const clientReadTimeout = 20 * time.Millisecond
 
 // Guards against resets of connections that are opened at the very end of a drain (8 of 17 runs with many clients).
 // gnet closes its listener when its event loop ends, and the kernel then resets connections that are not accepted yet;
@@ -181,12 +181,12 @@
 func TestNewConnectionsAreNotResetAtTheEndOfADrain(t *testing.T) {
 	server, interpreter := servertest.StartWith(t, `"sockets":64`, `"sockets":256`)
 	linkEnded := handleLines(interpreter, func(string) {})
-	clients := &crowd{server: server}
+	clients := &connectingClients{server: server}
 	clients.start()
 	sentAt := time.Now()
 	server.Signal(syscall.SIGTERM)
-	_, exited := killAfter(server, sentAt.Add(stopTime))
-	clients.clients.Wait()
+	_, exited := killUnlessExited(server, sentAt.Add(stopTime))
+	clients.goroutines.Wait()
 	<-linkEnded
 	fmt.Printf("measured crowd at the end opened=%d refused=%d reset=%d source=emulators\n",
 		clients.opened.Load(), clients.refused.Load(), clients.reset.Load())
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -16,8 +16,8 @@
 	"thistlequay/timeunit"
 )
 
-// answerMargin is how long before its deadline a request that still waits for the disk is answered.
-const answerMargin = second / 50
+// responseMargin is how long before its deadline a request that still waits for the disk is answered.
+const responseMargin = second / 50
 
 // attemptClockShift is the number of bits by which the start time is shifted to get the first attempt number. This way
 // processes that use the same log one after the other number their attempts differently.
@@ -37,18 +37,18 @@
 // disk.
 type recoveryPart struct {
 	partDefaults
-	server      *Server
-	log         *segmentlog.Log     // nil if crash recovery is disabled
-	pending     map[uint64]*request // requests that wait for their intent records, by attempt
-	lastAttempt uint64
-	isClosing   bool
-	doubtUntil  timeunit.Ticks // until then, keyed requests without an entry are rejected
+	server             *Server
+	log                *segmentlog.Log     // nil if crash recovery is disabled
+	pending            map[uint64]*request // requests that wait for their intent records, by attempt
+	lastAttempt        uint64
+	isClosing          bool
+	rejectUnknownUntil timeunit.Ticks // until then, keyed requests without an entry are rejected
 
 	// Counts of rejected requests, by reason.
-	rejectedFull   int // no room in the log
-	rejectedLate   int // the intent was not durable in time
-	rejectedFailed int // writing to the disk failed
-	rejectedDoubt  int // the record of an earlier attempt may have been lost
+	rejectedFull    int // no room in the log
+	rejectedLate    int // the intent was not durable in time
+	rejectedFailed  int // writing to the disk failed
+	rejectedUnknown int // the record of an earlier attempt may have been lost
 }
 
 // init restores the idempotency entries of earlier processes from the log.
@@ -59,28 +59,28 @@
 		return
 	}
 	p.log = config.Store
-	p.doubtUntil = p.log.RejectUntil
+	p.rejectUnknownUntil = p.log.RejectUntil
 	p.lastAttempt = uint64(server.clock.now()) << attemptClockShift
 	config.OnDurable(func(done []segmentlog.WriteResult) { server.submit(func() { p.onDurable(done) }) })
-	longest := p.longestUnread()
+	maxUnreadDelay := p.maxUnreadDelay()
 	for i := range p.log.Outcomes {
-		p.restoreEntry(&p.log.Outcomes[i], longest)
+		p.restoreEntry(&p.log.Outcomes[i], maxUnreadDelay)
 	}
 }
 
 func (p *recoveryPart) isEnabled() bool { return p.log != nil }
 
-// longestUnread returns how long after the end of its deduplication window a retry may still be unread.
-func (p *recoveryPart) longestUnread() timeunit.Ticks {
-	longest := maxClockSkew
+// maxUnreadDelay returns how long after the end of its deduplication window a retry may still be unread.
+func (p *recoveryPart) maxUnreadDelay() timeunit.Ticks {
+	delay := maxClockSkew
 	for _, category := range p.server.config.Settings.Categories {
-		longest = max(longest, category.Deadline+maxClockSkew)
+		delay = max(delay, category.Deadline+maxClockSkew)
 	}
-	return longest
+	return delay
 }
 
-// restoreEntry adds an idempotency entry of an earlier process. It is kept until longest after its window.
-func (p *recoveryPart) restoreEntry(outcome *recovery.Outcome, longest timeunit.Ticks) {
+// restoreEntry adds an idempotency entry of an earlier process. It is kept until maxUnreadDelay after its window.
+func (p *recoveryPart) restoreEntry(outcome *recovery.Outcome, maxUnreadDelay timeunit.Ticks) {
 	entry := &idempotencyEntry{
 		key:        outcome.Key,
 		bodyHash:   outcome.BodyHash,
@@ -92,7 +92,7 @@
 	}
 	entry.expiryTimer.fire = func() { p.server.requests.removeEntry(entry) }
 	p.server.requests.entries[outcome.Key] = entry
-	p.server.setTimer(&entry.expiryTimer, entry.matchUntil+longest)
+	p.server.setTimer(&entry.expiryTimer, entry.matchUntil+maxUnreadDelay)
 }
 
 // restoredEntries returns the number of entries restored from the log.
@@ -105,95 +105,95 @@
 
 // deferForIntent writes the intent record of a request with an idempotency key, or rejects the request if that is not
 // possible. It returns false if no intent is needed; the caller then proceeds at once.
-func (p *recoveryPart) deferForIntent(intended *request, tenant []byte) bool {
+func (p *recoveryPart) deferForIntent(req *request, tenant []byte) bool {
 	if p.log == nil {
 		return false
 	}
-	key := p.server.requests.idempotencyKey(intended)
+	key := p.server.requests.idempotencyKey(req)
 	if key == "" {
 		return false
 	}
-	existing := p.server.requests.existingEntry(intended)
+	existing := p.server.requests.existingEntry(req)
 	maxRetryAfter := p.server.config.Settings.MaxRetryAfter
 	switch {
 	case existing != nil && existing.ran:
 		return false // a retry of a request that ran
 	case p.isClosing:
-		p.reject(intended, &p.rejectedFull, "closing", maxRetryAfter)
+		p.reject(req, &p.rejectedFull, "closing", maxRetryAfter)
 		return true
-	case existing == nil && p.doubtUntil > p.server.now:
-		p.reject(intended, &p.rejectedDoubt, "doubt", p.doubtUntil-p.server.now)
+	case existing == nil && p.rejectUnknownUntil > p.server.now:
+		p.reject(req, &p.rejectedUnknown, "doubt", p.rejectUnknownUntil-p.server.now)
 		return true
 	}
 	p.lastAttempt++
-	windowEnd := p.windowEnd(intended)
+	windowEnd := p.windowEnd(req)
 	record := recovery.Record{
 		Key:       key,
-		BodyHash:  sha256.Sum256(intended.body),
+		BodyHash:  sha256.Sum256(req.body),
 		WindowEnd: windowEnd,
 		Attempt:   p.lastAttempt,
 	}
 	err := p.log.AppendIntent(record, p.lastAttempt)
 	switch {
 	case errors.Is(err, segmentlog.ErrFull):
-		p.reject(intended, &p.rejectedFull, "full", maxRetryAfter)
+		p.reject(req, &p.rejectedFull, "full", maxRetryAfter)
 	case err != nil:
-		p.reject(intended, &p.rejectedFailed, err.Error(), maxRetryAfter)
+		p.reject(req, &p.rejectedFailed, err.Error(), maxRetryAfter)
 	default:
-		p.await(intended, tenant, windowEnd)
+		p.awaitIntent(req, tenant, windowEnd)
 	}
 	return true
 }
 
 // windowEnd returns the end of a request's deduplication window by the system clock, which outlives the process.
-func (p *recoveryPart) windowEnd(intended *request) timeunit.Ticks {
-	window := p.server.config.Settings.Categories[intended.category].DeduplicationWindow
-	receivedAt := intended.receivedAt + p.server.clock.systemOffset
+func (p *recoveryPart) windowEnd(req *request) timeunit.Ticks {
+	window := p.server.config.Settings.Categories[req.category].DeduplicationWindow
+	receivedAt := req.receivedAt + p.server.clock.systemOffset
 	return receivedAt + window + p.server.requests.windowMargin()
 }
 
-// await holds a request until its intent is durable. Admission accounts for the request's memory in the meantime.
-func (p *recoveryPart) await(intended *request, tenant []byte, windowEnd timeunit.Ticks) {
-	intended.tenant = bytes.Clone(tenant) // the parser reuses its buffer
-	intended.key = bytes.Clone(intended.key)
-	intended.intentUntil = windowEnd
-	intended.attempt = p.lastAttempt
-	p.pending[p.lastAttempt] = intended
-	intended.intentTimer.fire = func() { p.onIntentTimeout(intended) }
-	p.server.setTimer(&intended.intentTimer, p.answerDeadline(intended))
-	p.server.admission.ReserveMemory(intended.arrival.QueuedKB)
+// awaitIntent holds a request until its intent is durable. Admission accounts for the request's memory in the meantime.
+func (p *recoveryPart) awaitIntent(req *request, tenant []byte, windowEnd timeunit.Ticks) {
+	req.tenant = bytes.Clone(tenant) // the parser reuses its buffer
+	req.key = bytes.Clone(req.key)
+	req.intentUntil = windowEnd
+	req.attempt = p.lastAttempt
+	p.pending[p.lastAttempt] = req
+	req.intentTimer.fire = func() { p.onIntentTimeout(req) }
+	p.server.setTimer(&req.intentTimer, p.responseDeadline(req))
+	p.server.admission.ReserveMemory(req.arrival.QueuedKB)
 }
 
-// answerDeadline returns the time at which a request is answered even if its intent is not durable yet.
-func (p *recoveryPart) answerDeadline(waiting *request) timeunit.Ticks {
-	deadline := min(waiting.deadline, p.server.shutdownDeadline)
-	return max(p.server.now, deadline-answerMargin)
+// responseDeadline returns the time at which a request is answered even if its intent is not durable yet.
+func (p *recoveryPart) responseDeadline(req *request) timeunit.Ticks {
+	deadline := min(req.deadline, p.server.shutdownDeadline)
+	return max(p.server.now, deadline-responseMargin)
 }
 
 // onIntentTimeout rejects a request whose intent did not become durable in time. Once the intent is durable, a
 // cancellation record is written for it.
-func (p *recoveryPart) onIntentTimeout(waiting *request) {
+func (p *recoveryPart) onIntentTimeout(req *request) {
 	p.logRejection(&p.rejectedLate, "late")
-	waiting.respond(statusRejected, "", nil)
+	req.respond(statusRejected, "", nil)
 }
 
 // drain makes sure that requests that wait for the disk are answered before the shutdown ends, and saves the warm-start
 // state.
 func (p *recoveryPart) drain() {
-	for _, waiting := range p.pending {
-		if waiting.intentTimer.isSet() {
-			p.server.setTimer(&waiting.intentTimer, p.answerDeadline(waiting))
+	for _, req := range p.pending {
+		if req.intentTimer.isSet() {
+			p.server.setTimer(&req.intentTimer, p.responseDeadline(req))
 		}
 	}
 	p.saveWarmStart()
 }
 
 // reject answers a request whose intent cannot be written, and counts it under the reason.
-func (p *recoveryPart) reject(rejected *request, count *int, reason string, retryAfter timeunit.Ticks) {
+func (p *recoveryPart) reject(req *request, count *int, reason string, retryAfter timeunit.Ticks) {
 	p.logRejection(count, reason)
-	p.server.requests.remove(rejected)
+	p.server.requests.remove(req)
 	header := retryAfterHeader(min(retryAfter, p.server.config.Settings.MaxRetryAfter))
-	rejected.respond(statusRejected, header, nil)
+	req.respond(statusRejected, header, nil)
 }
 
 // logRejection counts a rejection and logs a sample of them.
@@ -206,55 +206,55 @@
 // onDurable handles the finished writes of the log.
 func (p *recoveryPart) onDurable(done []segmentlog.WriteResult) {
 	for _, write := range done {
-		waiting := p.pending[write.Tag]
-		if waiting == nil {
+		req := p.pending[write.Tag]
+		if req == nil {
 			continue
 		}
 		delete(p.pending, write.Tag)
-		p.server.stopTimer(&waiting.intentTimer)
-		p.server.admission.ReserveMemory(-waiting.arrival.QueuedKB)
-		p.onIntentWritten(waiting, write.Err)
+		p.server.stopTimer(&req.intentTimer)
+		p.server.admission.ReserveMemory(-req.arrival.QueuedKB)
+		p.onIntentWritten(req, write.Err)
 	}
 }
 
 // onIntentWritten hands a request to admission when its intent is durable. It drops a request that no router waits for
 // any more, and rejects one whose intent could not be written.
-func (p *recoveryPart) onIntentWritten(waiting *request, err error) {
-	isWanted := waiting.router != nil
+func (p *recoveryPart) onIntentWritten(req *request, err error) {
+	hasRouter := req.router != nil
 	if err != nil {
-		waiting.intentUntil = 0 // there is no record to conclude
+		req.intentUntil = 0 // there is no record to conclude
 	}
 	switch {
-	case err != nil && isWanted:
-		p.reject(waiting, &p.rejectedFailed, err.Error(), p.server.config.Settings.MaxRetryAfter)
+	case err != nil && hasRouter:
+		p.reject(req, &p.rejectedFailed, err.Error(), p.server.config.Settings.MaxRetryAfter)
 	case err != nil:
-		p.server.requests.remove(waiting)
-	case !isWanted:
-		p.conclude(waiting, recovery.KindCancellation, false, nil)
-		p.server.requests.remove(waiting)
+		p.server.requests.remove(req)
+	case !hasRouter:
+		p.concludeIntent(req, recovery.KindCancellation, false, nil)
+		p.server.requests.remove(req)
 	default:
-		p.server.requests.handToAdmission(waiting, waiting.tenant)
+		p.server.requests.handToAdmission(req, req.tenant)
 	}
 }
 
-// conclude writes the completion or cancellation record of an intent, once.
-func (p *recoveryPart) conclude(concluded *request, kind recovery.RecordKind, succeeded bool, result []byte) {
-	if concluded.intentUntil == 0 || p.isClosing {
+// concludeIntent writes the completion or cancellation record of an intent, once.
+func (p *recoveryPart) concludeIntent(req *request, kind recovery.RecordKind, succeeded bool, result []byte) {
+	if req.intentUntil == 0 || p.isClosing {
 		return
 	}
-	key := concluded.recoveryKey
+	key := req.recoveryKey
 	if key == "" { // it was never admitted
-		key = p.server.requests.idempotencyKey(concluded)
+		key = p.server.requests.idempotencyKey(req)
 	}
 	p.log.AppendCompletion(recovery.Record{
 		Kind:      kind,
 		Key:       key,
-		WindowEnd: concluded.intentUntil,
-		Attempt:   concluded.attempt,
+		WindowEnd: req.intentUntil,
+		Attempt:   req.attempt,
 		Succeeded: succeeded,
 		Payload:   result,
 	}, 0)
-	concluded.intentUntil = 0
+	req.intentUntil = 0
 }
 
 // close flushes and closes the log without blocking. It calls done when that is finished or after timeout.
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -102,9 +102,9 @@
 // While the disk stalls, the request is rejected in time and never runs. A record concludes its intent later.
 func TestRequestIsRejectedInTimeWhenDiskStalls(t *testing.T) {
 	test := newDiskTest(t)
-	intended := test.server.requests.byID[intendedID]
-	require.Equal(t, intended.deadline-answerMargin, intended.intentTimer.deadline)
-	test.server.recovery.onIntentTimeout(intended)
+	req := test.server.requests.byID[intendedID]
+	require.Equal(t, req.deadline-responseMargin, req.intentTimer.deadline)
+	test.server.recovery.onIntentTimeout(req)
 	require.Contains(t, string(test.router.output), "503 Declined")
 	for len(test.server.recovery.pending) > 0 {
 		test.sync(nil)
@@ -112,7 +112,7 @@
 	test.server.admission.Dispatch()
 	require.NotContains(t, test.commands(), runCommand)
 	require.Nil(t, test.server.requests.byID[intendedID])
-	require.Zero(t, intended.intentUntil) // the intent is concluded
+	require.Zero(t, req.intentUntil) // the intent is concluded
 }
 
 func TestRequestIsRejectedWhenIntentCannotBeWritten(t *testing.T) {
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -154,8 +154,8 @@
 	}
 	r.server.requests.releaseSharers(entry)
 	if outcome == admission.NeverStarted {
-		r.server.recovery.conclude(r, recovery.KindCancellation, false, nil)
+		r.server.recovery.concludeIntent(r, recovery.KindCancellation, false, nil)
 	} else if entry.owner == r {
-		r.server.recovery.conclude(r, recovery.KindCompletion, entry.succeeded, entry.result)
+		r.server.recovery.concludeIntent(r, recovery.KindCompletion, entry.succeeded, entry.result)
 	}
 }
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -170,7 +170,7 @@
 // the place of the request that the key is of.
 func (t *requestTable) respondKeyReused(refused *request) {
 	t.logInvalid(errKeyReused.status)
-	t.server.recovery.conclude(refused, recovery.KindCancellation, false, nil)
+	t.server.recovery.concludeIntent(refused, recovery.KindCancellation, false, nil)
 	t.remove(refused)
 	refused.respond(errKeyReused.status, "", nil)
 }
--- a/internal/server/restart_socket_test.go
+++ b/internal/server/restart_socket_test.go
@@ -38,22 +38,22 @@
 	server.NoError(err)
 	server.Signal(syscall.SIGHUP)
 	server.Signal(syscall.SIGTERM)
-	signalled := time.Now()
+	signalledAt := time.Now()
 	_, err = io.WriteString(config, server.Config)
 	server.NoError(err)
 	server.NoError(config.Close())
 	server.WaitForLog("event=listening")
 	go func() { // serves the reload that SIGHUP causes, unless the shutdown comes first
-		again, err := os.OpenFile(server.Path, os.O_WRONLY, 0)
+		reloadConfig, err := os.OpenFile(server.Path, os.O_WRONLY, 0)
 		if err == nil {
-			_, _ = io.WriteString(again, server.Config)
-			servertest.CloseQuietly(again)
+			_, _ = io.WriteString(reloadConfig, server.Config)
+			servertest.CloseQuietly(reloadConfig)
 		}
 	}()
 	code, log := server.WaitForExit()
 	server.Equal(0, code, log)
 	server.Contains(log, "event=shutting_down")
-	server.Less(time.Since(signalled), servertest.EventTimeout/4) // 1.5 s on an idle machine
+	server.Less(time.Since(signalledAt), servertest.EventTimeout/4) // 1.5 s on an idle machine
 	_ = os.Remove(server.Path)
 }
 
--- a/internal/server/store_socket_test.go
+++ b/internal/server/store_socket_test.go
@@ -104,13 +104,13 @@
 		})
 		interpreter.Close()
 	}
-	double := 0
+	doubleRuns := 0
 	for _, count := range runs {
-		double += count - 1
+		doubleRuns += count - 1
 	}
 	t.Logf("measured store-crashes incarnations=%d keys=%d runs=%d responses=%d succeeded_keys=%d double_runs=%d",
-		incarnations, keyCount, len(runs), responses, len(results), double)
-	server.Zero(double)
+		incarnations, keyCount, len(runs), responses, len(results), doubleRuns)
+	server.Zero(doubleRuns)
 	server.Greater(len(results), keyCount/8)
 }
 
@@ -127,10 +127,10 @@
 	segments, err := filepath.Glob(filepath.Join(directory, "*.seg"))
 	server.NoError(err)
 	server.Len(segments, 1)
-	text, err := os.ReadFile(segments[0])
+	content, err := os.ReadFile(segments[0])
 	server.NoError(err)
-	text[len(text)/2] ^= 1
-	server.NoError(os.WriteFile(segments[0], text, 0o600))
+	content[len(content)/2] ^= 1
+	server.NoError(os.WriteFile(segments[0], content, 0o600))
 }
 
 // A retry after a restart gets the stored result, and a retry with another body is rejected. A second server does not
@@ -237,7 +237,7 @@
 		keyed:      hdrhistogram.New(1, 60e6, 3),
 		idempotent: hdrhistogram.New(1, 60e6, 3),
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range pairs {
 		sent := time.Now()
 		router.SendTimedBook(1, fmt.Sprint("key-", i))
@@ -248,7 +248,7 @@
 		router.ExpectResponse(2, 200, "result of 1 harmless")
 		server.NoError(latency.idempotent.RecordValue(time.Since(sent).Microseconds()))
 	}
-	latency.pairsPerSecond = float64(pairs) / time.Since(began).Seconds()
+	latency.pairsPerSecond = float64(pairs) / time.Since(startedAt).Seconds()
 	require.False(t, strings.Contains(server.LogText(), "store_rejections"))
 	return latency
 }
