--- a/internal/server/admissionhost.go
+++ b/internal/server/admissionhost.go
@@ -92,7 +92,7 @@
 	// the window from when the request was read, and accounts for the entry as long as it is kept.
 	category := t.server.config.Settings.Categories[owner.category]
 	entry.matchUntil = owner.receivedAt + category.DeduplicationWindow + t.windowMargin()
-	t.server.setTimer(&entry.expiryTimer, max(t.server.now+lifetime, owner.receivedAt+retention(category)))
+	t.server.setTimer(&entry.expiryTimer, max(t.server.now+lifetime, owner.receivedAt+entryRetention(category)))
 }
 
 // DropEntry implements admission.Host: it removes the idempotency entry of a request that did not run, if the request
@@ -112,9 +112,9 @@
 	req.isReleased = true
 	req.reservation.Release(t.server.now)
 	if req.runStarted {
-		t.server.recovery.conclude(req, recovery.KindCompletion, false, nil) // the run may have had its effect
+		t.server.recovery.concludeIntent(req, recovery.KindCompletion, false, nil) // the run may have had its effect
 	} else {
-		t.server.recovery.conclude(req, recovery.KindCancellation, false, nil)
+		t.server.recovery.concludeIntent(req, recovery.KindCancellation, false, nil)
 	}
 	t.server.checkInvariant(req.router == nil, "a request is released before it was answered")
 	t.disownEntry(req)
--- a/internal/server/index_test.go
+++ b/internal/server/index_test.go
@@ -10,24 +10,24 @@
 	"thistlequay/timeunit"
 )
 
-// No input from the index makes the server panic, and its effect does not depend on how it is split.
+// No input from the index makes the server panic, and its effect does not depend on how it is split into reads.
 func FuzzReplies(f *testing.F) {
 	f.Add(firstID+" HIT 3\r\na\r\n\r\n", 1)
 	f.Add(firstID+" SHED\r\n"+firstID+" SLOW\r\n", 4)
 	f.Add(firstID+" HIT 99999999999\r\n", 5)
 	f.Add(strings.Repeat("x", 200), 9)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		receive := func(size int) string {
+		receive := func(pieceSize int) string {
 			server, router, connection := newServerWithCall(t)
-			err := feedInPieces(text, size, connection.receive)
+			err := feedInPieces(text, pieceSize, connection.receive)
 			return fmt.Sprint(err, server.index.inFlight, string(router.output), string(server.interpreter.output))
 		}
 		require.Equal(t, receive(max(1, len(text))), receive(1+max(0, size)%61))
 	})
 }
 
-// The index may have dropped a connection that was idle for long. It carries no call, even if the timer that closes it
-// is late.
+// A connection that was idle for too long carries no call, even if the timer that closes it is late: the index may have
+// dropped the connection.
 func TestExpiredIdleConnectionCarriesNoCall(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/server/interpretercommands.go
+++ b/internal/server/interpretercommands.go
@@ -7,93 +7,93 @@
 	"thistlequay/timeunit"
 )
 
-// How long admission's wakeup waits for gauges.
+// How long the timer of admission, once it has fired, waits for fresh gauges: the longer of the two.
 const (
-	minGaugeWait        timeunit.Ticks = 10 // at least
-	gaugeWaitRoundTrips float64        = 4  // and else for so many round trips
+	minGaugeWait        timeunit.Ticks = 10
+	gaugeWaitRoundTrips float64        = 4 // in smoothed round trips
 )
 
-// run tells the interpreter to run a request, now or once there is a link.
-func (c *interpreterClient) run(started *request) {
-	started.runPending = c.state != linkReady
-	if started.runPending {
+// run sends the command to run a request, or marks it to be sent once a link is ready.
+func (c *interpreterClient) run(req *request) {
+	req.runPending = c.state != linkReady
+	if req.runPending {
 		return
 	}
-	started.runSent = true
-	started.runSentAt = c.server.now
-	command := append(c.beginCommand(commandRun, started), `,"kind":`...)
-	command = append(command, c.categoryJSON[started.category]...)
-	c.output = appendData(command, started.body)
+	req.runSent = true
+	req.runSentAt = c.server.now
+	command := append(c.beginCommand(commandRun, req), `,"kind":`...)
+	command = append(command, c.categoryJSON[req.category]...)
+	c.output = appendData(command, req.body)
 }
 
-// stop tells the interpreter to stop a run, now or once there is a link.
-func (c *interpreterClient) stop(stopped *request) {
-	stopped.stopPending = c.state != linkReady
-	if stopped.stopPending || stopped.runDone {
+// stop sends the command to stop a run, or marks it to be sent once a link is ready.
+func (c *interpreterClient) stop(req *request) {
+	req.stopPending = c.state != linkReady
+	if req.stopPending || req.runDone {
 		return
 	}
-	stopped.stopSent = true
-	c.output = append(c.beginCommand("BREAK", stopped), "}\n"...)
+	req.stopSent = true
+	c.output = append(c.beginCommand("BREAK", req), "}\n"...)
 }
 
-// resolve passes the reply to a run's call on, now or once there is a link.
-func (c *interpreterClient) resolve(waiting *request, reply []byte) {
-	waiting.reservation.Resume(c.server.now)
+// resolve passes the reply to a run's downstream call to the interpreter, or keeps it until a link is ready.
+func (c *interpreterClient) resolve(req *request, reply []byte) {
+	req.reservation.Resume(c.server.now)
 	if c.state != linkReady {
-		waiting.pendingReply = reply
+		req.pendingReply = reply
 		return
 	}
-	waiting.pendingReply = nil
-	waiting.lastReply = reply
-	waiting.lastReplyAt = c.server.now
-	c.output = appendData(c.beginCommand("RESOLVE", waiting), reply)
+	req.pendingReply = nil
+	req.lastReply = reply
+	req.lastReplyAt = c.server.now
+	c.output = appendData(c.beginCommand("RESOLVE", req), reply)
 }
 
-// beginCommand appends a command up to the request's ID to the output.
-func (c *interpreterClient) beginCommand(name string, of *request) []byte {
+// beginCommand appends the start of a command, up to and including the request's ID, to the output and returns it.
+func (c *interpreterClient) beginCommand(name string, req *request) []byte {
 	command := append(c.buffer(), `{"type":"`...)
 	command = append(command, name...)
 	command = append(command, `","job":"`...)
-	command = append(command, of.id...)
+	command = append(command, req.id...)
 	return append(command, '"')
 }
 
-// appendData ends a command with data.
+// appendData appends the Base64-encoded data and the end of the command.
 func appendData(command, data []byte) []byte {
 	command = append(command, `,"data":"`...)
 	command = base64.StdEncoding.AppendEncode(command, data)
 	return append(command, "\"}\n"...)
 }
 
-// onWakeup asks for the gauges that admission is due for. What else is due is decided in this batch; only the wakeup
-// waits for them, and not for long when the link is slow.
+// onWakeup is called when the timer of admission fires. It requests fresh gauges, and only the call of admission's
+// OnTimer waits for them, for a bounded time; all other work of the batch goes on.
 func (c *interpreterClient) onWakeup() {
 	if c.state != linkReady {
 		c.deliverGauges()
 		return
 	}
 	c.wakeupPending = true
-	wait := max(minGaugeWait, timeunit.Ticks(gaugeWaitRoundTrips*c.roundTrip))
+	wait := max(minGaugeWait, timeunit.Ticks(gaugeWaitRoundTrips*c.smoothedRoundTrip))
 	c.server.setTimer(&c.gaugeTimer, c.server.now+wait)
-	if c.gaugesAskedAt == 0 {
-		c.gaugesAskedAt = c.server.now
-		c.askGauges()
+	if c.gaugesRequestedAt == 0 {
+		c.gaugesRequestedAt = c.server.now
+		c.requestGauges()
 	}
 }
 
-// deliverGauges wakes admission with the gauges that there are.
+// deliverGauges calls admission's OnTimer with the latest gauges.
 func (c *interpreterClient) deliverGauges() {
 	c.wakeupPending = false
 	c.server.stopTimer(&c.gaugeTimer)
-	c.gaugeAges.add(c.server.now - c.gaugesAt)
-	c.gauges.IsStale = c.gaugesAt < c.server.now // the link is down, or the answer late
+	c.gaugeAges.add(c.server.now - c.gaugesReceivedAt)
+	c.gauges.IsStale = c.gaugesReceivedAt < c.server.now // the link is down, or the response is late
 	c.server.admission.OnTimer(c.gauges)
 }
 
-// askGauges sends a question for the gauges and returns the tag that its answer will bear.
-func (c *interpreterClient) askGauges() (tag string) {
-	c.lastTag++
-	tag = strconv.FormatUint(c.lastTag, 10)
+// requestGauges sends a query for the gauges and returns the tag that its response will carry.
+func (c *interpreterClient) requestGauges() (tag string) {
+	c.lastQueryTag++
+	tag = strconv.FormatUint(c.lastQueryTag, 10)
 	c.output = append(c.buffer(), `{"type":"TOP","ref":"`...)
 	c.output = append(c.output, tag...)
 	c.output = append(c.output, "\"}\n"...)
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -173,7 +173,7 @@
 // shares the result of the earlier request nor replaces it.
 func (t *requestTable) respondKeyReused(req *request) {
 	t.logInvalid(errKeyReused.status)
-	t.server.recovery.conclude(req, recovery.KindCancellation, false, nil)
+	t.server.recovery.concludeIntent(req, recovery.KindCancellation, false, nil)
 	t.remove(req)
 	req.respond(errKeyReused.status, "", nil)
 }
