--- a/examples/hallcheck/main.go
+++ b/examples/hallcheck/main.go
@@ -1,7 +1,7 @@
 //go:build wasip1
 
-// Command hallcheck is an example of a plug-in: bookings from a hall must name a delivery note, and no hall may book
-// more than a few times within a second.
+// Command hallcheck is an example plug-in. It rejects bookings that name no delivery note and limits how many bookings
+// a hall makes per second.
 package main
 
 import (
@@ -11,10 +11,10 @@
 	"thistlequay/pluginsdk"
 )
 
-// maxBookingsPerSecond is the number of bookings of one hall within a second.
+// maxBookingsPerSecond is the largest number of bookings that one hall may make within a second.
 const maxBookingsPerSecond = 5
 
-// Statuses of rejected bookings.
+// Status codes of rejected bookings.
 const (
 	statusUnprocessable   = 422
 	statusTooManyRequests = 429
@@ -27,7 +27,7 @@
 
 func main() {}
 
-// checkBooking rejects a booking without a note, or beyond its hall's rate, and tags every other.
+// checkBooking rejects a booking that has no delivery note or exceeds the rate of its hall, and tags all others.
 func checkBooking(request pluginsdk.Request) pluginsdk.Verdict {
 	if !bytes.Contains(request.Body, []byte("note=")) {
 		pluginsdk.Count("without_note", 1)
@@ -36,7 +36,7 @@
 	key := bookingsKey(request.Tenant, request.UnixMS/1000)
 	bookings := 0
 	if value, found := pluginsdk.Get(key); found {
-		bookings, _ = strconv.Atoi(string(value)) // only this plug-in writes the value
+		bookings, _ = strconv.Atoi(string(value)) // the value is always a number, as only this plug-in writes it
 	}
 	if bookings >= maxBookingsPerSecond {
 		return pluginsdk.Verdict{}.Reject(statusTooManyRequests)
@@ -45,14 +45,14 @@
 	return pluginsdk.Verdict{}.Tag("checked")
 }
 
-// forgetOldSeconds removes what is stored about the second before the last one.
+// forgetOldSeconds deletes the booking counts of the second before the last one.
 func forgetOldSeconds(request pluginsdk.Request) {
 	for _, tenant := range []string{"acme", "beta"} {
 		pluginsdk.Put(bookingsKey(tenant, request.UnixMS/1000-2), nil)
 	}
 }
 
-// bookingsKey is the key under which the number of a tenant's bookings within a second is stored.
+// bookingsKey returns the key that stores the number of bookings of a tenant within the given second.
 func bookingsKey(tenant string, unixSecond int64) string {
 	return tenant + " " + strconv.FormatInt(unixSecond, 10)
 }
--- a/examples/shortanswer/main.go
+++ b/examples/shortanswer/main.go
@@ -1,6 +1,7 @@
 //go:build wasip1
 
-// Command shortanswer is an example of a plug-in: a partner's screen gets the first line of a long result.
+// Command shortanswer is an example plug-in. It shortens results to their first line, for a partner whose screen shows
+// no more.
 package main
 
 import (
@@ -15,7 +16,7 @@
 
 func main() {}
 
-// firstLine replaces a result of several lines by its first one.
+// firstLine replaces a result of several lines with its first line.
 func firstLine(request pluginsdk.Request) pluginsdk.Verdict {
 	line, _, hasMore := bytes.Cut(request.Body, []byte{'\n'})
 	if !hasMore {
--- a/internal/plugin/abi/abi.go
+++ b/internal/plugin/abi/abi.go
@@ -1,7 +1,8 @@
-// Package abi reads and writes the messages that pass between the program and a plug-in, version 1 of the plug-in ABI.
-// docs/plugin/authors.md has their layout. All numbers are little-endian; a text is its length (32 bits) and its bytes.
+// Package abi encodes and decodes the messages that the app server and a plug-in exchange, in version 1 of the plug-in
+// ABI. docs/plugin/authors.md describes their layout. All numbers are little-endian. A text is encoded as its length
+// (32 bits) followed by its bytes.
 //
-// The package does no I/O. Messages come from modules that nobody trusts: every length is checked before it is used.
+// The package does no I/O. Messages come from untrusted modules, so every length is checked before it is used.
 package abi
 
 import (
@@ -9,57 +10,57 @@
 	"errors"
 )
 
-// Version is the version of the messages, the first byte of each.
+// Version is the ABI version, which is the first byte of each message.
 const Version = 1
 
-// Hooks by their number in a request.
+// Hook numbers, as encoded in a request.
 const (
-	HookRead   = iota // a request was read
-	HookResult        // a result is to be answered
-	HookTick          // an interval is over
+	HookRead   = iota // a request has been read
+	HookResult        // a result is about to be sent to the client
+	HookTick          // the plug-in's tick interval has elapsed
 )
 
-// Actions of a verdict, one bit each.
+// Actions of a verdict, one bit each. A verdict may combine several.
 const (
 	ActionReject     = 1 << iota // reject the request with Status
-	ActionCategorize             // treat the request as one of Category
-	ActionTag                    // set Tag
-	ActionReplace                // replace the result by Body
+	ActionCategorize             // treat the request as one of the category Category
+	ActionTag                    // set the request's tag to Tag
+	ActionReplace                // replace the result with Body
 	knownActions     = ActionReject | ActionCategorize | ActionTag | ActionReplace
 )
 
-// Sizes of the numbers in front of the texts of a message.
+// Sizes in bytes of the fixed-size fields that precede the texts of a message, and of a text's length.
 const (
 	requestHeaderSize = 16
 	verdictHeaderSize = 4
 	textLengthSize    = 4
 )
 
-// ErrMalformed means that bytes are no message of this version.
-var ErrMalformed = errors.New("bytes that are no message of version 1")
+// ErrMalformed reports that data is not a valid message of this ABI version.
+var ErrMalformed = errors.New("malformed message of plug-in ABI version 1")
 
-// Request is what a plug-in is called about.
+// Request describes the request or result that a plug-in is called for.
 type Request struct {
 	Hook       int
 	TimeLeftMS uint32 // milliseconds until the request's deadline
-	UnixMS     int64  // the time, in milliseconds since 1970
+	UnixMS     int64  // current time in milliseconds since 1970
 	Category   string
 	Tenant     string
 	Tag        string // set by an earlier plug-in
-	Body       []byte // of the request, or the result at HookResult
+	Body       []byte // body of the request, or the result at HookResult
 }
 
-// Verdict is a plug-in's answer. The zero Verdict changes nothing, and so does an answer without bytes.
+// Verdict is a plug-in's response to a call. The zero Verdict changes nothing, and an empty message decodes to it.
 type Verdict struct {
-	Actions  int // bits
+	Actions  int // combination of Action bits
 	Status   int
 	Category string
 	Tag      string
 	Body     []byte
 }
 
-// Append appends the request to a buffer: version, hook, two zeros, time left (32 bits), time (64), category, tenant,
-// tag and body.
+// Append appends the encoded request to a buffer: version, hook, two zero bytes, time left (32 bits), current time (64
+// bits), category, tenant, tag and body.
 func (r *Request) Append(to []byte) []byte {
 	to = append(to, Version, byte(r.Hook), 0, 0)
 	to = binary.LittleEndian.AppendUint32(to, r.TimeLeftMS)
@@ -70,7 +71,7 @@
 	return appendText(to, r.Body)
 }
 
-// ParseRequest reads a request; the error is ErrMalformed. The body lies in data.
+// ParseRequest decodes a request. The only possible error is ErrMalformed. The returned Body shares memory with data.
 func ParseRequest(data []byte) (Request, error) {
 	in := reader{remaining: data}
 	header := in.take(requestHeaderSize)
@@ -92,7 +93,7 @@
 	return r, nil
 }
 
-// Append appends the verdict to a buffer: version, actions, status (16 bits), category, tag and body.
+// Append appends the encoded verdict to a buffer: version, actions, status (16 bits), category, tag and body.
 func (v *Verdict) Append(to []byte) []byte {
 	to = append(to, Version, byte(v.Actions))
 	to = binary.LittleEndian.AppendUint16(to, uint16(v.Status))
@@ -101,7 +102,8 @@
 	return appendText(to, v.Body)
 }
 
-// ParseVerdict reads a verdict; the error is ErrMalformed. The body lies in data.
+// ParseVerdict decodes a verdict; empty data decodes to the zero Verdict. The only possible error is ErrMalformed. The
+// returned Body shares memory with data.
 func ParseVerdict(data []byte) (Verdict, error) {
 	if len(data) == 0 {
 		return Verdict{}, nil
@@ -121,18 +123,20 @@
 	return v, nil
 }
 
+// appendText appends the length of a text and its bytes.
 func appendText[T string | []byte](to []byte, text T) []byte {
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(text)))
 	return append(to, text...)
 }
 
-// reader takes a message apart. After a part that was not there, failed is set and all further parts are nil.
+// reader decodes the fields of a message in order. The first field that does not fit into the remaining bytes sets
+// failed. The caller must check failed before it uses the fields.
 type reader struct {
 	remaining []byte
 	failed    bool
 }
 
-// take returns the next n bytes.
+// take consumes and returns the next n bytes. If fewer remain, it sets failed and returns nil.
 func (r *reader) take(n int) []byte {
 	if n < 0 || n > len(r.remaining) {
 		r.failed = true
@@ -143,7 +147,7 @@
 	return part
 }
 
-// text returns the next text.
+// text consumes and returns the next text. If it is incomplete, text sets failed and returns nil.
 func (r *reader) text() []byte {
 	header := r.take(textLengthSize)
 	if r.failed {
--- a/internal/plugin/abi/abi_test.go
+++ b/internal/plugin/abi/abi_test.go
@@ -15,7 +15,7 @@
 	Body:     []byte("z"),
 }
 
-// TestMessagesSurviveRoundTrip checks that a message that was written reads as the same.
+// TestMessagesSurviveRoundTrip checks that an encoded message decodes to the original value.
 func TestMessagesSurviveRoundTrip(t *testing.T) {
 	request := Request{
 		Hook:       HookResult,
@@ -34,7 +34,8 @@
 	require.Equal(t, testVerdict, readVerdict)
 }
 
-// TestTruncatedVerdictIsMalformed checks that no verdict can be cut short unnoticed.
+// TestTruncatedVerdictIsMalformed checks that every proper prefix of an encoded verdict, except the empty one, is
+// rejected as malformed.
 func TestTruncatedVerdictIsMalformed(t *testing.T) {
 	data := testVerdict.Append(nil)
 	for length := 1; length < len(data); length++ {
@@ -43,7 +44,8 @@
 	}
 }
 
-// FuzzParse checks that any bytes can be parsed, and that what is a message can be written again.
+// FuzzParse checks that parsing arbitrary bytes does not panic. A parsed verdict must encode to the same bytes, and a
+// parsed request must encode to a valid message.
 func FuzzParse(f *testing.F) {
 	f.Add((&Request{Category: "look"}).Append(nil))
 	f.Add((&Verdict{Actions: ActionTag, Tag: "t"}).Append(nil))
--- a/internal/plugin/abi/golden_test.go
+++ b/internal/plugin/abi/golden_test.go
@@ -9,8 +9,8 @@
 	"thistlequay/internal/golden"
 )
 
-// TestGoldenMessages compares the bytes of requests and verdicts with what was recorded. Read and written again they
-// are the same.
+// TestGoldenMessages compares encoded requests and verdicts with the golden file, and checks that decoding and encoding
+// them again yields the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	var lines []byte
 	for _, request := range goldenRequests {
@@ -40,6 +40,7 @@
 	golden.Check(t, "messages.txt", lines)
 }
 
+// goldenRequests are the requests whose encoding is recorded in the golden file.
 var goldenRequests = []Request{
 	{},
 	{
--- a/internal/plugin/chain/chain.go
+++ b/internal/plugin/chain/chain.go
@@ -1,9 +1,9 @@
-// Package chain decides about plug-ins: which ones see a request and in which order, how long each may take, which of
-// their verdicts count, and when a plug-in that misbehaves is not called any more.
+// Package chain implements the rules of chain evaluation: which plug-ins are called for a request and in which order,
+// how long each call may take, which verdicts are accepted, and when a misbehaving plug-in is quarantined.
 //
 // The package runs no plug-in, reads no clock and does no I/O: time and randomness are passed in, and the caller
-// reports what each call came to. Nothing in it is safe for concurrent use; the event loop owns it. A plug-in never
-// gets more than its Policy permits, whatever it answers.
+// reports the outcome of each call. Nothing in it is safe for concurrent use; the event loop owns it. Whatever verdict
+// a plug-in returns, it has no effect beyond what the plug-in's Policy permits.
 package chain
 
 import (
@@ -12,27 +12,27 @@
 	"thistlequay/timeunit"
 )
 
-// Chain is the plug-ins of one version of the configuration, in the order in which they are called. An evaluation ends
-// on the chain that it began on.
+// Chain holds the plug-ins of one version of the configuration, in the order in which they are called. An evaluation
+// stays with the chain on which it began, even if the configuration changes meanwhile.
 type Chain struct {
 	Plugins []*Plugin
 
-	// OpenEvaluations is the number of evaluations that have begun and not ended.
+	// OpenEvaluations is the number of evaluations that have begun but not ended.
 	OpenEvaluations int
 }
 
-// Plugin is one plug-in of a chain: what it may do, and how it has been doing.
+// Plugin is one plug-in of a chain, with its policy and its circuit breaker.
 type Plugin struct {
 	Policy
 	*CircuitBreaker
 
-	// Index is its place in Chain.Plugins.
+	// Index is the plug-in's position in Chain.Plugins.
 	Index int
 }
 
-// New returns a chain of plug-ins with the given policies. A plug-in that was in the chain before under the same name
-// keeps its circuit breaker, unless isNew says that the name now stands for another plug-in. The chain before may be
-// nil; isNew is not called then.
+// New returns a chain of plug-ins with the given policies. A plug-in whose name was in the previous chain, before,
+// keeps its circuit breaker, unless isNew reports that the name now refers to a different plug-in. If before is nil,
+// isNew is not called.
 func New(policies []Policy, before *Chain, isNew func(name string) bool, random *rand.Rand, now timeunit.Ticks) *Chain {
 	c := &Chain{}
 	for i, policy := range policies {
@@ -48,7 +48,7 @@
 	return c
 }
 
-// circuitBreaker returns the circuit breaker of the plug-in of that name, or nil.
+// circuitBreaker returns the circuit breaker of the plug-in with the given name, or nil if there is none.
 func (c *Chain) circuitBreaker(name string) *CircuitBreaker {
 	for _, plugin := range c.Plugins {
 		if plugin.Name == name {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Applies reports whether any plug-in is to be called about a request at a hook. A nil chain has none.
+// Applies reports whether any plug-in is to be called for a request at a hook. A nil chain has no plug-ins.
 func (c *Chain) Applies(hook Hook, request *Request) bool {
 	if c == nil {
 		return false
--- a/internal/plugin/chain/circuitbreaker.go
+++ b/internal/plugin/chain/circuitbreaker.go
@@ -10,65 +10,66 @@
 // State is the state of a circuit breaker.
 type State int
 
-// The states. In the words of the circuit breaker pattern they are closed, open and half-open.
+// The states. The circuit breaker pattern calls them closed, open and half-open.
 const (
-	StateActive      State = iota // called about every request that it sees
-	StateQuarantined              // not called
-	StateProbation                // called about one request at a time, until enough calls in a row succeed
+	StateActive      State = iota // the plug-in is called for every request to which it applies
+	StateQuarantined              // the plug-in is not called
+	StateProbation                // one call at a time, until enough calls in a row succeed
 )
 
-// When a circuit breaker opens and closes.
+// Parameters that control when a circuit breaker opens and closes.
 const (
-	// trialsToRecover is the number of successful calls in a row that end the probation.
+	// trialsToRecover is the number of consecutive successful calls after which probation ends.
 	trialsToRecover = 3
 
-	// quarantinesToReset is the time without quarantine, in lengths of the last one, after which the next is as short
-	// as the first.
+	// quarantinesToReset is a multiple of the last quarantine's length. After that much time without a quarantine, the
+	// next one is again as short as the first.
 	quarantinesToReset = 10
 
-	// faultRateSmoothing is the weight of the newest call in the fault rate, a running mean.
+	// faultRateSmoothing is the weight of the latest call in the fault rate, an exponential moving average.
 	faultRateSmoothing = 1.0 / 16
 
-	// minSampledCalls is the number of calls before the fault rate counts.
+	// minSampledCalls is the number of calls after which the fault rate may lead to a quarantine.
 	minSampledCalls = 32
 
-	// quarantineJitter is the part of its length by which a quarantine is prolonged at most, by chance.
+	// quarantineJitter is the largest random extension of a quarantine, as a fraction of its length.
 	quarantineJitter = 0.2
 
-	// maxTenantBreakers bounds the tenants for which faults are counted apart. The oldest record gives way.
+	// maxTenantBreakers is the largest number of tenants whose faults are counted separately. Beyond it, the oldest
+	// record is dropped.
 	maxTenantBreakers = 64
 
-	// tenantsToBlamePlugin is the number of tenants for which the plug-in is blocked at which the fault is taken to be
-	// the plug-in's own.
+	// tenantsToBlamePlugin is the number of tenants for which the plug-in is blocked that makes further faults count
+	// against the plug-in itself.
 	tenantsToBlamePlugin = 4
 )
 
-// CircuitBreaker watches one plug-in: it bounds its use of the core, counts its faults and quarantines it. A
-// quarantine ends by time alone, and no request cuts it short.
+// CircuitBreaker limits the core time of one plug-in, counts its faults, and quarantines it when they are too many or
+// too frequent. A quarantine ends only when its time has passed; no request ends it early.
 type CircuitBreaker struct {
 	State  State
-	Calls  int
-	Faults [faultCount]int // how often each fault occurred
+	Calls  int             // calls that were allowed
+	Faults [faultCount]int // number of faults of each kind
 
 	random *rand.Rand
 
 	consecutiveFaults int
-	successfulTrials  int // in a row
+	successfulTrials  int // consecutive
 	faultRate         float64
-	sampledCalls      int // that faultRate rests on, up to minSampledCalls
+	sampledCalls      int // number of calls in faultRate, up to minSampledCalls
 
-	quarantineLength timeunit.Ticks // of the last quarantine, without jitter
+	quarantineLength timeunit.Ticks // length of the last quarantine, without jitter
 	quarantineEnd    timeunit.Ticks
 	activeSince      timeunit.Ticks
 	trialInFlight    bool
 
-	coreBudget   float64 // core time in ticks that may be used at once; below 0 after a long call
-	coreBudgetAt timeunit.Ticks
+	coreBudget   float64        // core time in ticks that may be used now; negative after a long call
+	coreBudgetAt timeunit.Ticks // time of the last refill
 
 	tenants []tenantBreaker // oldest first
 }
 
-// tenantBreaker counts the faults at one tenant's requests.
+// tenantBreaker counts the faults in calls for one tenant's requests, and blocks the plug-in for that tenant.
 type tenantBreaker struct {
 	tenant            string
 	consecutiveFaults int
@@ -85,17 +86,19 @@
 	}
 }
 
-// QuarantineEnd is the end of the last quarantine.
+// QuarantineEnd returns the time at which the last quarantine ends or ended.
 func (b *CircuitBreaker) QuarantineEnd() timeunit.Ticks { return b.quarantineEnd }
 
-// refillCoreBudget lets the core budget grow with time, up to a second's worth.
+// refillCoreBudget adds the core time that the policy grants for the time since the last refill. The budget is capped
+// at what one second grants.
 func (b *CircuitBreaker) refillCoreBudget(now timeunit.Ticks, policy *Policy) {
 	refilled := b.coreBudget + float64(now-b.coreBudgetAt)*policy.CoreFraction
 	b.coreBudget = min(refilled, float64(timeunit.TicksPerSecond)*policy.CoreFraction)
 	b.coreBudgetAt = now
 }
 
-// allow reports whether the plug-in may be called now about a request of a tenant, and counts the call if so.
+// allow reports whether the plug-in may be called now for a request of a tenant. If so, it counts the call. It also
+// moves a plug-in whose quarantine has ended to probation.
 func (b *CircuitBreaker) allow(tenant string, now timeunit.Ticks, policy *Policy) bool {
 	b.refillCoreBudget(now, policy)
 	if b.coreBudget <= 0 {
@@ -112,14 +115,15 @@
 		if now < breaker.quarantineEnd {
 			return false
 		}
-		breaker.quarantineEnd = now + breaker.quarantineLength // this call is the one trial for the tenant
+		breaker.quarantineEnd = now + breaker.quarantineLength // one trial call for the tenant; the next has to wait
 	}
 	b.trialInFlight = b.State == StateProbation
 	b.Calls++
 	return true
 }
 
-// tenantBreaker returns the record of a tenant, or nil. It is valid until the next change of the records.
+// tenantBreaker returns the record of a tenant, or nil if there is none. The pointer is valid until a record is added
+// or removed.
 func (b *CircuitBreaker) tenantBreaker(tenant string) *tenantBreaker {
 	for i := range b.tenants {
 		if b.tenants[i].tenant == tenant {
@@ -129,7 +133,8 @@
 	return nil
 }
 
-// endCall charges the time that a call took, and reports whether the call was a trial.
+// endCall deducts the duration of a call from the core budget, and reports whether the call was a trial call during
+// probation.
 func (b *CircuitBreaker) endCall(took, now timeunit.Ticks, policy *Policy) (wasTrial bool) {
 	b.refillCoreBudget(now, policy)
 	b.coreBudget -= float64(took)
@@ -138,7 +143,8 @@
 	return wasTrial
 }
 
-// recordSuccess takes a call that ended with a verdict that counts.
+// recordSuccess records a call that ended with an accepted verdict. Enough successful trial calls in a row end the
+// probation.
 func (b *CircuitBreaker) recordSuccess(tenant string, took, now timeunit.Ticks, policy *Policy) {
 	wasTrial := b.endCall(took, now, policy)
 	b.consecutiveFaults = 0
@@ -157,8 +163,9 @@
 	}
 }
 
-// recordFault takes a call that ended in a fault, and reports whether the plug-in is quarantined because of it. A
-// plug-in that could not be called is not to blame. The death of the process is never put down to a tenant.
+// recordFault records a call that ended in a fault, and reports whether the plug-in is quarantined because of it.
+// FaultUnavailable is not counted, because the plug-in was not called. FaultProcessDied is never attributed to a
+// tenant. With Policy.FaultsByTenant, other faults count against the tenant first.
 func (b *CircuitBreaker) recordFault(
 	tenant string, fault Fault, took, now timeunit.Ticks, policy *Policy,
 ) (quarantined bool) {
@@ -180,14 +187,14 @@
 	return true
 }
 
-// exceedsLimits reports whether the faults of late call for a quarantine.
+// exceedsLimits reports whether the consecutive faults or the fault rate require a quarantine.
 func (b *CircuitBreaker) exceedsLimits(policy *Policy) bool {
 	return b.consecutiveFaults >= policy.MaxConsecutiveFaults ||
 		b.sampledCalls >= minSampledCalls && b.faultRate > policy.MaxFaultRate
 }
 
-// quarantine begins a quarantine, twice as long as the last one. Its end is jittered, so that the plug-ins of a fleet
-// do not come back together.
+// quarantine begins a quarantine, twice as long as the last one within the policy's bounds. Its end is jittered, so
+// that the plug-ins of a fleet do not resume at the same time.
 func (b *CircuitBreaker) quarantine(now timeunit.Ticks, policy *Policy) {
 	if b.State == StateActive && now-b.activeSince > quarantinesToReset*max(b.quarantineLength, policy.MinQuarantine) {
 		b.quarantineLength = 0
@@ -200,13 +207,15 @@
 	b.successfulTrials = 0
 }
 
-// nextQuarantine is the length of the quarantine after one of the given length, 0 if there was none.
+// nextQuarantine returns the length of the quarantine that follows one of the given length, which is 0 if there was
+// none.
 func (p *Policy) nextQuarantine(last timeunit.Ticks) timeunit.Ticks {
 	return min(max(p.MinQuarantine, 2*last), p.MaxQuarantine)
 }
 
-// blameTenant counts a fault for the tenant whose request it was, and reports whether it is the plug-in's own fault
-// because the plug-in is blocked for many tenants.
+// blameTenant counts a fault against the tenant whose request caused it, and blocks the plug-in for that tenant after
+// too many faults in a row. It reports whether the fault also counts against the plug-in itself, because the plug-in is
+// blocked for many tenants.
 func (b *CircuitBreaker) blameTenant(tenant string, now timeunit.Ticks, policy *Policy) (isPluginsOwn bool) {
 	breaker := b.tenantBreaker(tenant)
 	if breaker == nil {
@@ -230,7 +239,7 @@
 	return blocked >= tenantsToBlamePlugin
 }
 
-// forgiveTenant drops the record of a tenant.
+// forgiveTenant removes the record of a tenant, if there is one.
 func (b *CircuitBreaker) forgiveTenant(tenant string) {
 	i := slices.IndexFunc(b.tenants, func(breaker tenantBreaker) bool { return breaker.tenant == tenant })
 	if i >= 0 {
--- a/internal/plugin/chain/evaluation.go
+++ b/internal/plugin/chain/evaluation.go
@@ -2,10 +2,10 @@
 
 import "thistlequay/timeunit"
 
-// maxEvaluationTime bounds all calls about one request at one hook, 250 ms in ticks.
+// maxEvaluationTime is the longest total time of all calls for one request at one hook: 250 ms in ticks of 100 us.
 const maxEvaluationTime = 2_500
 
-// Request is what an evaluation needs to know of a request.
+// Request holds the properties of a request that an evaluation needs.
 type Request struct {
 	Category int
 	Tenant   string
@@ -13,20 +13,20 @@
 	// TimeLeft is the time until the request's deadline.
 	TimeLeft timeunit.Ticks
 
-	// CategoryFixed forbids plug-ins to change the category: the request carries an idempotency key or is not
-	// idempotent, and its category is part of its identity.
+	// CategoryFixed forbids plug-ins to change the category. It is set if the request carries an idempotency key or is
+	// not idempotent, because its category is then part of its identity.
 	CategoryFixed bool
 }
 
-// Evaluation takes one request through a chain at one hook. The caller alternates Next, which tells which plug-in to
-// call, with ApplyVerdict or RecordFault, which take what the call came to, until Next returns nil; then the exported
-// fields are the result.
+// Evaluation passes one request through a chain at one hook. The caller calls Next to learn which plug-in to call, and
+// then reports the outcome of that call with ApplyVerdict or RecordFault. It repeats this until Next returns nil; the
+// exported fields then hold the result.
 type Evaluation struct {
 	Rejected  bool
-	Status    int    // of the answer, if Rejected
-	Category  int    // that the request is to be treated as
-	Tag       string // empty for none
-	Body      []byte // the result as it is now, at HookResult
+	Status    int    // status of the response, if Rejected
+	Category  int    // category that the request is to be treated as
+	Tag       string // empty if no plug-in set one
+	Body      []byte // the current result, at HookResult
 	Rewritten bool   // whether a plug-in replaced Body
 
 	chain     *Chain // nil once the evaluation has ended
@@ -34,10 +34,11 @@
 	request   Request
 	nextIndex int
 	deadline  timeunit.Ticks
-	current   *Plugin // that is being called
+	current   *Plugin // plug-in whose call is in progress, or nil
 }
 
-// Begin begins an evaluation of a request. The body is the result at HookResult and nil otherwise.
+// Begin begins an evaluation of a request. The body is the result at HookResult, and nil at other hooks. All calls
+// together may take half of the request's remaining time, and maxEvaluationTime at most.
 func (c *Chain) Begin(hook Hook, request Request, body []byte, now timeunit.Ticks) *Evaluation {
 	c.OpenEvaluations++
 	return &Evaluation{
@@ -50,8 +51,8 @@
 	}
 }
 
-// BeginTick begins an evaluation in which one plug-in is being called about no request. It returns nil if the plug-in
-// may not be called now.
+// BeginTick begins an evaluation at HookTick, for which there is no request. The call of the given plug-in counts as
+// already in progress. BeginTick returns nil if the plug-in may not be called now.
 func (c *Chain) BeginTick(plugin *Plugin, now timeunit.Ticks) *Evaluation {
 	if !plugin.allow("", now, &plugin.Policy) {
 		return nil
@@ -60,11 +61,11 @@
 	return &Evaluation{Category: NoCategory, chain: c, hook: HookTick, nextIndex: len(c.Plugins), current: plugin}
 }
 
-// Request returns what the evaluation is about.
+// Request returns the request that is evaluated.
 func (e *Evaluation) Request() Request { return e.request }
 
-// Next returns the plug-in to call now and the longest that the call may take, or nil when the evaluation has ended.
-// The fallback policy decides for each plug-in that would see the request but may not be called.
+// Next returns the plug-in to call now and the timeout of the call, or nil if the evaluation has ended. For each
+// plug-in that applies to the request but may not be called, Next applies the fallback policy instead.
 func (e *Evaluation) Next(now timeunit.Ticks) (plugin *Plugin, timeout timeunit.Ticks) {
 	if e.chain == nil {
 		return nil, 0
@@ -89,6 +90,8 @@
 	return nil, 0
 }
 
+// applyFallback applies the fallback policy of a plug-in that gave no accepted verdict. Only a request that has not
+// been started, at HookRead, can be rejected.
 func (e *Evaluation) applyFallback(plugin *Plugin) {
 	if plugin.Fallback == FallbackReject && e.hook == HookRead {
 		e.Rejected = true
@@ -96,8 +99,8 @@
 	}
 }
 
-// RecordFault takes that the call which was under way ended without a verdict, after it took that long. It reports
-// whether the plug-in is quarantined because of it.
+// RecordFault records that the call in progress ended in a fault after the given time. It reports whether the plug-in
+// is quarantined because of it. Without a call in progress, RecordFault does nothing.
 func (e *Evaluation) RecordFault(fault Fault, took, now timeunit.Ticks) (quarantined bool) {
 	plugin := e.current
 	if plugin == nil {
@@ -108,9 +111,9 @@
 	return plugin.recordFault(e.request.Tenant, fault, took, now, &plugin.Policy)
 }
 
-// ApplyVerdict takes the verdict of the call which was under way, after it took that long. A verdict that is not
-// plausible or not permitted is a fault and has no effect, not even in part; isFault reports that, and quarantined
-// whether the plug-in is quarantined because of it.
+// ApplyVerdict applies the verdict of the call in progress, which took the given time. A verdict that is invalid or not
+// permitted has no effect, not even in part, and counts as a fault: isFault is then true, and quarantined reports
+// whether the plug-in is quarantined because of it. Without a call in progress, ApplyVerdict does nothing.
 func (e *Evaluation) ApplyVerdict(verdict Verdict, took, now timeunit.Ticks) (fault Fault, isFault, quarantined bool) {
 	plugin := e.current
 	if plugin == nil {
--- a/internal/plugin/chain/evaluation_test.go
+++ b/internal/plugin/chain/evaluation_test.go
@@ -11,17 +11,18 @@
 	"thistlequay/timeunit"
 )
 
-// allNew has New keep no circuit breaker.
+// allNew is an isNew function for New that treats every plug-in as new, so that no circuit breaker is kept.
 func allNew(string) bool { return true }
 
-// FuzzEvaluations checks that whatever verdicts come, an evaluation ends, gives nothing that no policy permits and
-// stays within its time.
+// FuzzEvaluations checks that, whatever verdicts plug-ins give, an evaluation ends, has only effects that a policy
+// permits, and stays within its time.
 func FuzzEvaluations(f *testing.F) {
 	f.Add(int64(1))
 	f.Fuzz(func(t *testing.T, seed int64) { playEvaluations(t, seed, golden.NewHistory()) })
 }
 
-// randomizer draws the parts of a schedule. The order of its draws decides what a seed stands for.
+// randomizer generates the random parts of a schedule. The order of its random draws determines the schedule that a
+// seed produces, so changing the order invalidates the golden file.
 type randomizer struct{ *rand.Rand }
 
 func (r randomizer) flip() bool { return r.Intn(2) == 0 }
@@ -71,7 +72,7 @@
 }
 
 // playEvaluations runs a hundred evaluations with random verdicts and faults through a random chain, checks each, and
-// adds all that comes of them to history.
+// adds their steps and results to history.
 func playEvaluations(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	random := randomizer{rand.New(rand.NewSource(seed))}
@@ -101,17 +102,17 @@
 			require.False(t, request.CategoryFixed)
 			require.True(t, permitted.categories[evaluation.Category], "category %d", evaluation.Category)
 		}
-		require.True(t, evaluation.Tag == "" || permitted.tag, "a tag without permission")
+		require.True(t, evaluation.Tag == "" || permitted.tag, "the tag was set without permission")
 		if evaluation.Rewritten {
 			require.Equal(t, HookResult, hook)
-			require.True(t, permitted.rewrite, "a rewritten result without permission")
+			require.True(t, permitted.rewrite, "the result was rewritten without permission")
 			require.Less(t, len(evaluation.Body), len(body))
 		}
 	}
 	require.Zero(t, chain.OpenEvaluations)
 }
 
-// permissions are what the plug-ins that were called may do, together.
+// permissions is the union of the actions that the called plug-ins may take.
 type permissions struct {
 	reject     bool
 	tag        bool
@@ -128,7 +129,8 @@
 	}
 }
 
-// playCalls ends each call of an evaluation with a random verdict or fault. It returns the time at its end.
+// playCalls runs an evaluation to its end, ending each call with a random verdict or fault. It returns the time at
+// which the evaluation ended.
 func playCalls(
 	t *testing.T, random randomizer, evaluation *Evaluation, permitted *permissions, now timeunit.Ticks,
 	history *golden.History,
@@ -157,7 +159,7 @@
 	}
 }
 
-// TestFaultStringIsItsNameInLogs checks the names by which logs tell faults apart.
+// TestFaultStringIsItsNameInLogs checks the names of the faults that operators see in logs.
 func TestFaultStringIsItsNameInLogs(t *testing.T) {
 	names := []string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
 	require.Len(t, names, faultCount)
@@ -166,7 +168,7 @@
 	}
 }
 
-// BenchmarkEvaluation measures an evaluation in which one plug-in of many is called.
+// BenchmarkEvaluation measures an evaluation in which only one of the loaded plug-ins is called.
 func BenchmarkEvaluation(b *testing.B) {
 	for _, loaded := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint("loaded=", loaded), func(b *testing.B) {
--- a/internal/plugin/chain/golden_test.go
+++ b/internal/plugin/chain/golden_test.go
@@ -8,8 +8,8 @@
 	"thistlequay/timeunit"
 )
 
-// addEvaluation adds where an evaluation stands: which plug-in is to be called, with which timeout, and the result so
-// far.
+// addEvaluation adds the state of an evaluation to history: the plug-in to call next, the timeout of the call, and the
+// result so far.
 func addEvaluation(history *golden.History, e *Evaluation, plugin *Plugin, timeout, now timeunit.Ticks) {
 	index := -1
 	if plugin != nil {
@@ -18,7 +18,8 @@
 	history.Add(now, index, timeout, e.Rejected, e.Status, e.Category, e.Tag, string(e.Body), e.Rewritten)
 }
 
-// addPlugins adds how each plug-in of a chain has been doing.
+// addPlugins adds the state, calls and faults of each plug-in of a chain to history, and the number of open
+// evaluations.
 func addPlugins(history *golden.History, c *Chain) {
 	for _, plugin := range c.Plugins {
 		history.Add(plugin.Index, int(plugin.State), plugin.Calls, plugin.Faults, plugin.QuarantineEnd())
@@ -26,7 +27,8 @@
 	history.Add(c.OpenEvaluations)
 }
 
-// TestGoldenEvaluations compares what came of a hundred seeded schedules, a line for ten seeds, with what was recorded.
+// TestGoldenEvaluations compares the histories of a hundred seeded schedules with the golden file, which has one line
+// for ten seeds.
 func TestGoldenEvaluations(t *testing.T) {
 	file := schedule.GoldenFile{Name: "walks.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds=%d..%d"}
 	file.Check(t, playEvaluations)
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -15,7 +15,7 @@
 	"thistlequay/timeunit"
 )
 
-// Words of the scenarios.
+// Names of faults and states in the scenario files.
 var (
 	scenarioFaults = [...]string{
 		FaultTimeout:      "timeout",
@@ -31,20 +31,20 @@
 // scenarioCategories is the number of categories in a scenario.
 const scenarioCategories = 3
 
-// TestScenarios plays each scenario in testdata line by line; README.md there has the notation.
+// TestScenarios runs each scenario file in testdata, line by line. testdata/README.md describes the notation.
 func TestScenarios(t *testing.T) {
 	golden.CheckScenarios(t, "scenarios.txt", playScenario)
 }
 
-// scenario is the state of a scenario that is being played.
+// scenario is the state of a running scenario.
 type scenario struct {
 	*require.Assertions
-	policies    []Policy // of the plug-ins noted for the next chain
+	policies    []Policy // policies of the plug-ins declared for the next chain
 	chain       *Chain
 	evaluations map[string]*Evaluation
 	now         timeunit.Ticks
 	history     *golden.History
-	where       string // the line that is being played
+	where       string // location of the current line, for failure messages
 }
 
 func playScenario(t *testing.T, file string, history *golden.History) {
@@ -56,19 +56,22 @@
 	}
 }
 
+// number parses a number.
 func (s *scenario) number(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	s.NoError(err, s.where)
 	return value
 }
 
+// integer parses an integer.
 func (s *scenario) integer(text string) int { return int(s.number(text)) }
 
-// ticks reads a time in milliseconds.
+// ticks parses a time in milliseconds.
 func (s *scenario) ticks(text string) timeunit.Ticks {
 	return timeunit.Ticks(s.number(text) * float64(timeunit.TicksPerMillisecond))
 }
 
+// step runs one line of a scenario.
 func (s *scenario) step(words []string) {
 	want := []string{}
 	if arrow := slices.Index(words, "=>"); arrow >= 0 {
@@ -107,7 +110,7 @@
 	case "open":
 		s.Equal(args[0], strconv.Itoa(s.chain.OpenEvaluations), s.where)
 	default:
-		s.Fail("unknown line", s.where)
+		s.Fail("unknown step", s.where)
 	}
 }
 
@@ -128,7 +131,7 @@
 	}
 }
 
-// options reads KEY or KEY=VALUE, each by the function for its key.
+// options parses arguments of the form KEY or KEY=VALUE, and passes each value to the setter for its key.
 func (s *scenario) options(args []string, setters map[string]func(value string)) {
 	for _, arg := range args {
 		key, value, _ := strings.Cut(arg, "=")
@@ -138,7 +141,7 @@
 	}
 }
 
-// policy reads NAME and what differs from the default policy.
+// policy parses NAME [OPTION...], where the options change the default policy.
 func (s *scenario) policy(args []string) Policy {
 	policy := defaultPolicy(args[0])
 	s.options(args[1:], map[string]func(value string){
@@ -164,7 +167,8 @@
 	return policy
 }
 
-// begin reads NAME [category=N tenant=T left=MS fixed-category body=TEXT] and begins the evaluation.
+// begin parses NAME [category=N tenant=T left=MS fixed-category body=TEXT], begins the evaluation and checks its first
+// step.
 func (s *scenario) begin(hook Hook, args, want []string) {
 	request := Request{Tenant: "acme", TimeLeft: 10_000}
 	body := ""
@@ -180,7 +184,7 @@
 	s.next(evaluation, want)
 }
 
-// verdict reads [reject=STATUS to=CATEGORY tag=T replace=TEXT].
+// verdict parses [reject=STATUS to=CATEGORY tag=T replace=TEXT].
 func (s *scenario) verdict(args []string) Verdict {
 	verdict := Verdict{Category: NoCategory}
 	s.options(args, map[string]func(value string){
@@ -201,6 +205,7 @@
 	return verdict
 }
 
+// plugin returns the plug-in of the current chain with the given name, or nil if there is none.
 func (s *scenario) plugin(name string) *Plugin {
 	for _, plugin := range s.chain.Plugins {
 		if plugin.Name == name {
@@ -210,7 +215,7 @@
 	return nil
 }
 
-// expect checks what the end of a call came to, and goes on with the evaluation.
+// expect checks whether the end of a call was a fault or led to a quarantine, and then continues the evaluation.
 func (s *scenario) expect(e *Evaluation, fault Fault, isFault, quarantined bool, want []string) {
 	got := []string{}
 	if isFault {
@@ -224,7 +229,8 @@
 	s.next(e, want[len(got):])
 }
 
-// next goes on with an evaluation and checks which plug-in is to be called, with which timeout, or the result.
+// next continues an evaluation. It checks the plug-in to call next and the timeout of the call, or the result at the
+// end of the evaluation.
 func (s *scenario) next(e *Evaluation, want []string) {
 	plugin, timeout := e.Next(s.now)
 	addEvaluation(s.history, e, plugin, timeout, s.now)
--- a/internal/plugin/chain/verdict.go
+++ b/internal/plugin/chain/verdict.go
@@ -1,59 +1,59 @@
 package chain
 
-// Verdict is what a plug-in answered, decoded and not yet checked against anything.
+// Verdict is the decoded response of a plug-in. It has not yet been validated.
 type Verdict struct {
 	Reject   bool
-	Status   int    // of the answer, with Reject
-	Category int    // to treat the request as; NoCategory leaves it as it is
-	Tag      string // with HasTag
+	Status   int    // status of the response, if Reject is set
+	Category int    // category to move the request to, or NoCategory
+	Tag      string // new tag, if HasTag is set
 	HasTag   bool
-	Body     []byte // the new result, with Replace
+	Body     []byte // new result, if Replace is set
 	Replace  bool
 }
 
-// NoCategory in Verdict.Category leaves a request in its category.
+// NoCategory, as the value of Verdict.Category, leaves the request in its category.
 const NoCategory = -1
 
-// Bounds that hold for every verdict, whatever the policy.
+// Bounds that apply to every verdict, whatever the policy.
 const (
-	maxTagLength = 64
+	maxTagLength = 64 // bytes
 
-	// A plug-in rejects with a client error, minRejectStatus to below endRejectStatus, or with statusUnavailable. The
-	// latter is also the status of requests rejected by a fallback policy.
+	// A plug-in may reject a request with a client error, from minRejectStatus up to but not including endRejectStatus,
+	// or with statusUnavailable. A fallback policy rejects requests with statusUnavailable too.
 	minRejectStatus   = 400
 	endRejectStatus   = 500
 	statusUnavailable = 503
 )
 
-// Fault is the reason why there is no verdict, or none that counts.
+// Fault is the reason why a call gave no verdict or why its verdict was not accepted.
 type Fault int
 
 // The faults.
 const (
-	FaultTimeout      Fault = iota // the call exceeded its time
-	FaultTrap                      // the plug-in failed by itself
-	FaultMalformed                 // the verdict can't be read, or can't be meant by any plug-in
-	FaultNotPermitted              // the verdict does what the policy does not permit
+	FaultTimeout      Fault = iota // the call exceeded its timeout
+	FaultTrap                      // the plug-in crashed or failed
+	FaultMalformed                 // the verdict cannot be decoded, or is invalid under any policy
+	FaultNotPermitted              // the policy does not permit the verdict
 	FaultProcessDied               // the plug-in process ended during the call
-	FaultUnavailable               // the plug-in could not be called: its process is absent, or its budget used up
+	FaultUnavailable               // the plug-in could not be called: it has no process, or its budget is used up
 
-	faultCount = iota // the number of faults
+	faultCount = iota // number of kinds of faults
 )
 
-// faultNames are the faults' names in logs.
+// faultNames are the names of the faults in logs.
 var faultNames = [faultCount]string{"late", "trap", "nonsense", "beyond its grant", "its process died", "absent"}
 
-// String returns the fault's name in logs.
+// String returns the name of the fault in logs.
 func (f Fault) String() string { return faultNames[f] }
 
-// validate checks a verdict on an evaluation against the rules that hold for every plug-in and against the policy. It
-// returns the fault if isFault.
+// validate checks the verdict of a call in an evaluation against the bounds for every verdict and against the policy.
+// If the verdict is not accepted, isFault is true and fault is the reason.
 func (p *Policy) validate(evaluation *Evaluation, verdict *Verdict) (fault Fault, isFault bool) {
 	switch {
 	case !verdict.isPlausible(len(p.TargetCategories)):
 		return FaultMalformed, true
 	case verdict.Replace && len(verdict.Body) >= len(evaluation.Body):
-		// A result only becomes shorter, so that no limit on the size of results needs to be checked again.
+		// A replacement must be shorter than the result, so that size limits on results need not be checked again.
 		return FaultMalformed, true
 	case !p.permits(evaluation, verdict):
 		return FaultNotPermitted, true
@@ -61,7 +61,7 @@
 	return 0, false
 }
 
-// isPlausible reports whether any plug-in may give the verdict where there are so many categories.
+// isPlausible reports whether the verdict is valid under any policy, given the number of categories.
 func (v *Verdict) isPlausible(categories int) bool {
 	if v.Reject && v.Status != statusUnavailable && (v.Status < minRejectStatus || v.Status >= endRejectStatus) {
 		return false
@@ -69,8 +69,8 @@
 	return len(v.Tag) <= maxTagLength && v.Category < categories
 }
 
-// permits reports whether the policy permits a verdict at the evaluation's hook. A request that was started is never
-// rejected; the category of an idempotency-keyed or non-idempotent request is part of its identity and stays.
+// permits reports whether the policy permits a verdict at the evaluation's hook. A request that has been started is
+// never rejected. The category of a keyed or non-idempotent request is part of its identity and never changes.
 func (p *Policy) permits(evaluation *Evaluation, verdict *Verdict) bool {
 	if verdict.Reject && (!p.MayReject || evaluation.hook != HookRead) {
 		return false
--- a/internal/plugin/frame.go
+++ b/internal/plugin/frame.go
@@ -7,52 +7,55 @@
 	"time"
 )
 
-// A frame between the app server and the plug-in process is the length of what follows (32 bits), a kind (8), the index
-// of the plug-in (16), the number of the call (64) and a payload. All numbers are little-endian.
+// The app server and the plug-in process exchange frames. A frame consists of the length of the rest (32 bits), a kind
+// (8 bits), the index of the plug-in (16 bits), the ID of the call (64 bits) and a payload. All numbers are
+// little-endian.
 const (
 	frameLengthSize = 4
-	frameHeaderSize = 1 + 2 + 8 // behind the length
+	frameHeaderSize = 1 + 2 + 8 // after the length: kind, plug-in index and call ID
 
-	// MaxFrameSize bounds every frame but the first, in bytes behind the length.
+	// MaxFrameSize is the largest size of every frame but the first, in bytes after the length.
 	MaxFrameSize = 64 << 10
 
-	// maxSpecSize bounds the first frame, which has the plug-ins' state in it.
+	// maxSpecSize is the largest size of the first frame, in bytes after the length. It is larger because the first
+	// frame contains the plug-ins' state.
 	maxSpecSize = 16 << 20
 )
 
-// Kinds of frame.
+// Frame kinds.
 const (
 	// The app server sends:
-	frameSpec = 'S' // HostSpec as JSON; the first frame
-	FrameCall = 'A' // hook (8 bits), timeout in ticks of 100 us (32), the request
+	frameSpec = 'S' // a HostSpec as JSON; the first frame
+	FrameCall = 'A' // hook (8 bits), timeout in ticks of 100 us (32 bits), request
 
 	// The plug-in process sends:
 	FrameReady    = 'Y' // all plug-ins are loaded
-	FrameRefused  = 'N' // the reason why a plug-in could not be loaded
-	FrameVerdict  = 'V' // outcome (8 bits), time taken in microseconds (32), the verdict
-	FrameLog      = 'L' // a line
-	FrameState    = 'K' // length of the key (8 bits), key, value; an empty value removes the key
-	FrameCounters = 'C' // by how much each counter moved, as JSON
+	FrameRefused  = 'N' // a plug-in could not be loaded; the payload is the reason
+	FrameVerdict  = 'V' // outcome (8 bits), duration in microseconds (32 bits), verdict
+	FrameLog      = 'L' // a log line of a plug-in
+	FrameState    = 'K' // length of the key (8 bits), key, value; an empty value deletes the key
+	FrameCounters = 'C' // the increment of each counter, as JSON
 )
 
-// CallOutcome is how a call ended, in a frame of kind FrameVerdict.
+// CallOutcome describes how a call ended. It is sent in frames of kind FrameVerdict.
 type CallOutcome byte
 
 // The outcomes.
 const (
-	CallSucceeded  CallOutcome = iota // there is a verdict, maybe an empty one
-	CallTimedOut                      // it exceeded its timeout
-	CallTrapped                       // the plug-in failed
-	CallMalformed                     // the verdict's bytes are no message
-	CallNotStarted                    // no time was left when a worker was free
+	CallSucceeded  CallOutcome = iota // the plug-in returned a verdict, which may be empty
+	CallTimedOut                      // the call exceeded its timeout
+	CallTrapped                       // the plug-in crashed or failed
+	CallMalformed                     // the plug-in's response could not be read
+	CallNotStarted                    // the queue was full, or the timeout passed before a worker was free
 )
 
-// callHeaderSize is the size of the numbers in front of the request in a call, and of the verdict in its answer.
+// callHeaderSize is the size in bytes of the fields that precede the request in a FrameCall payload, and of those that
+// precede the verdict in a FrameVerdict payload.
 const callHeaderSize = 1 + 4
 
-var errMalformedFrame = errors.New("what came is no frame")
+var errMalformedFrame = errors.New("malformed frame")
 
-// Frame is a frame as it was read.
+// Frame is a decoded frame.
 type Frame struct {
 	Kind        byte
 	PluginIndex int
@@ -60,7 +63,7 @@
 	Payload     []byte
 }
 
-// AppendFrame appends a frame to a buffer. The parts of the payload follow each other.
+// AppendFrame appends an encoded frame to a buffer. The payload is the concatenation of the given parts.
 func AppendFrame(to []byte, kind byte, pluginIndex int, callID uint64, payload ...[]byte) []byte {
 	length := frameHeaderSize
 	for _, part := range payload {
@@ -76,8 +79,8 @@
 	return to
 }
 
-// ParseFrame reads the first frame in data and returns what follows it; false for a frame that is not complete yet. The
-// payload lies in data.
+// ParseFrame decodes the first frame in data and returns the bytes after it. If the frame is still incomplete,
+// isComplete is false. The payload shares memory with data.
 func ParseFrame(data []byte) (f Frame, rest []byte, isComplete bool, err error) {
 	if len(data) < frameLengthSize {
 		return f, data, false, nil
@@ -93,7 +96,7 @@
 	return parseFrameBody(data[frameLengthSize:end]), data[end:], true, nil
 }
 
-// readFrame reads one frame of at most maxSize bytes behind the length.
+// readFrame reads one frame from a stream. Its size after the length may be at most maxSize bytes.
 func readFrame(in io.Reader, maxSize uint32) (f Frame, err error) {
 	var prefix [frameLengthSize]byte
 	if _, err := io.ReadFull(in, prefix[:]); err != nil {
@@ -110,7 +113,7 @@
 	return parseFrameBody(body), nil
 }
 
-// parseFrameBody splits what follows the length, at least frameHeaderSize bytes.
+// parseFrameBody decodes the part of a frame after the length, which must have at least frameHeaderSize bytes.
 func parseFrameBody(body []byte) Frame {
 	return Frame{
 		Kind:        body[0],
@@ -120,13 +123,13 @@
 	}
 }
 
-// AppendCall appends a frame that calls a hook of a plug-in. The timeout is in ticks of 100 us.
+// AppendCall appends an encoded frame that calls a hook of a plug-in. The timeout is in ticks of 100 us.
 func AppendCall(to []byte, pluginIndex, hook int, callID uint64, timeout int64, request []byte) []byte {
 	header := binary.LittleEndian.AppendUint32([]byte{byte(hook)}, uint32(timeout))
 	return AppendFrame(to, FrameCall, pluginIndex, callID, header, request)
 }
 
-// Verdict splits the payload of a frame of kind FrameVerdict; false if it is too short.
+// Verdict decodes the payload of a frame of kind FrameVerdict. If the payload is too short, ok is false.
 func (f *Frame) Verdict() (outcome CallOutcome, took time.Duration, verdict []byte, ok bool) {
 	if len(f.Payload) < callHeaderSize {
 		return 0, 0, nil, false
@@ -135,14 +138,14 @@
 	return CallOutcome(f.Payload[0]), took, f.Payload[callHeaderSize:], true
 }
 
-// appendStateEntry appends the payload of a frame of kind FrameState. The key has maxKeySize bytes at most.
+// appendStateEntry appends the encoded payload of a frame of kind FrameState. The key has at most maxKeySize bytes.
 func appendStateEntry(to []byte, key, value string) []byte {
 	to = append(to, byte(len(key)))
 	to = append(to, key...)
 	return append(to, value...)
 }
 
-// StateEntry splits the payload of a frame of kind FrameState; false if it is too short.
+// StateEntry decodes the payload of a frame of kind FrameState. If the payload is too short, ok is false.
 func (f *Frame) StateEntry() (key string, value []byte, ok bool) {
 	if len(f.Payload) < 1 || len(f.Payload) < 1+int(f.Payload[0]) {
 		return "", nil, false
--- a/internal/plugin/frame_test.go
+++ b/internal/plugin/frame_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzParseFrame checks that any bytes can be parsed, and that each frame takes some of them.
+// FuzzParseFrame checks that parsing arbitrary bytes does not panic, and that each parsed frame consumes some of them,
+// so that a loop over the frames ends.
 func FuzzParseFrame(f *testing.F) {
 	f.Add(AppendFrame(nil, FrameVerdict, 1, 2, []byte{0, 1, 0, 0, 0, 1}))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/plugin/golden_test.go
+++ b/internal/plugin/golden_test.go
@@ -12,8 +12,8 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// TestGoldenFrames compares the bytes between the app server and the plug-in process with what was recorded. Read and
-// written again they are the same.
+// TestGoldenFrames compares encoded frames between the app server and the plug-in process with the golden file, and
+// checks that decoding and encoding them again yields the same bytes.
 func TestGoldenFrames(t *testing.T) {
 	var lines []byte
 	for _, data := range goldenFrames(t) {
@@ -35,7 +35,7 @@
 	golden.Check(t, "frames.txt", lines)
 }
 
-// goldenFrames returns frames of every kind.
+// goldenFrames returns encoded frames of every kind.
 func goldenFrames(t *testing.T) (frames [][]byte) {
 	t.Helper()
 	m := &module{
@@ -71,7 +71,7 @@
 	return frames
 }
 
-// goldenSpec returns a specification as JSON, with every field set in one plug-in and none in another.
+// goldenSpec returns a HostSpec as JSON. One of its plug-ins has every field set, and the other has none.
 func goldenSpec(t *testing.T) []byte {
 	t.Helper()
 	actions := 5
@@ -105,9 +105,10 @@
 	return golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}.Encode(t, spec, &HostSpec{})
 }
 
-// frameCollector takes each write as a frame of its own.
+// frameCollector is an io.Writer that appends the data of each write to frames, as a separate frame.
 type frameCollector struct{ frames *[][]byte }
 
+// Write appends a copy of data to the frames.
 func (c frameCollector) Write(data []byte) (int, error) {
 	*c.frames = append(*c.frames, append([]byte(nil), data...))
 	return len(data), nil
--- a/internal/plugin/host.go
+++ b/internal/plugin/host.go
@@ -15,39 +15,40 @@
 	"time"
 )
 
-// HostVerb is the command line verb that makes the program a plug-in process.
+// HostVerb is the command line verb with which the program runs as a plug-in process.
 const HostVerb = "plugin-host"
 
-// hostDescriptor is the first of the files that a process inherits behind its standard ones.
+// hostDescriptor is the descriptor of the first file that a process inherits after its standard input, output and
+// error.
 const hostDescriptor = 3
 
-// HostDescriptor is the descriptor at which the plug-in process finds its connection to the app server.
+// HostDescriptor returns the file descriptor of the plug-in process's connection to the app server.
 func HostDescriptor() uintptr { return hostDescriptor }
 
-// HostSpec tells a plug-in process what to run. It passes as JSON.
+// HostSpec configures a plug-in process. The app server sends it to the process as JSON.
 type HostSpec struct {
 	Plugins  []ModuleConfig `json:"Plugins"`
-	Workers  int            `json:"Workers"`  // calls at once
-	MemoryMB int            `json:"MemoryMB"` // resident memory of the whole process; it ends itself beyond
+	Workers  int            `json:"Workers"`  // number of calls that run concurrently
+	MemoryMB int            `json:"MemoryMB"` // resident memory of the whole process, which exits if it exceeds this
 }
 
 const (
-	maxQueuedCalls  = 256 // that wait for a worker; a call beyond them is answered with CallNotStarted
-	hostReadBuffer  = 64 << 10
-	counterInterval = time.Second // between two frames with a plug-in's counters
-	callTimeoutUnit = 100 * time.Microsecond
-	highestHook     = 2 // of the ABI
+	maxQueuedCalls  = 256                    // calls that wait for a worker; further calls end with CallNotStarted
+	hostReadBuffer  = 64 << 10               // bytes
+	counterInterval = time.Second            // time between two reports of a plug-in's counters
+	callTimeoutUnit = 100 * time.Microsecond // unit of the timeout in a FrameCall payload
+	highestHook     = 2                      // highest hook number of the ABI
 )
 
-// host is the plug-in process. Its goroutines live as long as the process: whoever called RunHost exits when it
-// returns.
+// host is the state of the plug-in process. Its goroutines are never stopped, because the caller of RunHost exits the
+// process when RunHost returns.
 type host struct {
 	modules []*module
 	calls   chan callRequest
 	out     *frameWriter
 }
 
-// callRequest is a call that waits for a worker.
+// callRequest is a call of a plug-in's hook that waits for a worker.
 type callRequest struct {
 	pluginIndex int
 	hook        int
@@ -56,8 +57,9 @@
 	request     []byte
 }
 
-// RunHost is the plug-in process: it serves the connection at a descriptor and returns an error when that ends, which
-// it does with the app server. The caller exits then.
+// RunHost runs the plug-in process: it serves the connection to the app server at the given file descriptor. It returns
+// an error when the connection ends, which it does at the latest when the app server exits. The caller must then exit
+// the process.
 func RunHost(descriptor uintptr) error {
 	conn, err := inheritedConn(descriptor)
 	if err != nil {
@@ -86,15 +88,15 @@
 	return h.readCalls(in)
 }
 
-// inheritedConn makes a connection of an inherited descriptor.
+// inheritedConn returns the connection at an inherited file descriptor.
 func inheritedConn(descriptor uintptr) (net.Conn, error) {
 	file := os.NewFile(descriptor, "app server")
 	conn, err := net.FileConn(file)
-	_ = file.Close() // the connection has a duplicate
+	_ = file.Close() // the connection uses a duplicate of the descriptor
 	return conn, err
 }
 
-// readSpec reads the first frame.
+// readSpec reads the configuration of the process from the first frame.
 func readSpec(in io.Reader) (spec HostSpec, err error) {
 	f, err := readFrame(in, maxSpecSize)
 	if err != nil || f.Kind != frameSpec {
@@ -104,7 +106,7 @@
 	return spec, err
 }
 
-// loadModules loads all plug-ins, and tells the app server about the first that can't be loaded.
+// loadModules loads all plug-ins. If one cannot be loaded, it reports the reason to the app server and stops.
 func (h *host) loadModules(ctx context.Context, spec *HostSpec) error {
 	for i, config := range spec.Plugins {
 		emit := func(kind byte, payload []byte) { h.out.writeFrame(kind, i, 0, payload) }
@@ -114,12 +116,13 @@
 			return fmt.Errorf("load plug-in %s: %w", config.Name, err)
 		}
 		h.modules = append(h.modules, m)
-		debug.FreeOSMemory() // what compiling took
+		debug.FreeOSMemory() // returns the memory that compilation used
 	}
 	return nil
 }
 
-// readCalls queues the calls that come, and returns when the connection ends or sends something else.
+// readCalls reads calls from the connection and queues them. It returns when the connection ends or when a frame is not
+// a valid call.
 func (h *host) readCalls(in io.Reader) error {
 	for {
 		f, err := readFrame(in, MaxFrameSize)
@@ -147,7 +150,7 @@
 	}
 }
 
-// serveCall calls the plug-in and sends the outcome.
+// serveCall calls the plug-in and sends the outcome to the app server.
 func (h *host) serveCall(ctx context.Context, call callRequest) {
 	timeout := time.Until(call.deadline)
 	if timeout <= 0 {
@@ -158,7 +161,7 @@
 	h.out.writeVerdict(call, outcomeOf(err), took, verdict)
 }
 
-// outcomeOf returns the outcome of a module's call that returned an error, or nil. There is a verdict with nil only.
+// outcomeOf returns the outcome for the error that a module's call returned. A nil error means that the call succeeded.
 func outcomeOf(err error) CallOutcome {
 	switch {
 	case err == nil:
@@ -172,26 +175,26 @@
 	}
 }
 
-// reportCounters sends the counters that have moved, at intervals and for ever.
+// reportCounters sends the counters that have changed to the app server, every counterInterval. It never returns.
 func (h *host) reportCounters() {
 	for range time.Tick(counterInterval) {
 		for i, m := range h.modules {
 			if moved := m.takeCounters(); moved != nil {
-				text, _ := json.Marshal(moved) // a map of numbers always has a JSON text
+				text, _ := json.Marshal(moved) // encoding a map of integers cannot fail
 				h.out.writeFrame(FrameCounters, i, 0, text)
 			}
 		}
 	}
 }
 
-// frameWriter writes complete frames, from any goroutine.
+// frameWriter writes frames. It is safe for concurrent use and never interleaves two frames.
 type frameWriter struct {
 	mu     sync.Mutex
 	out    io.Writer
 	buffer []byte
 }
 
-// writeFrame writes a frame. The process exits if the app server is gone.
+// writeFrame writes a frame. If writing fails, the app server has exited, and so the process exits too.
 func (w *frameWriter) writeFrame(kind byte, pluginIndex int, callID uint64, payload ...[]byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,7 +204,7 @@
 	}
 }
 
-// writeVerdict answers a call.
+// writeVerdict sends the outcome of a call.
 func (w *frameWriter) writeVerdict(call callRequest, outcome CallOutcome, took time.Duration, verdict []byte) {
 	header := binary.LittleEndian.AppendUint32([]byte{byte(outcome)}, uint32(min(took.Microseconds(), 1<<31)))
 	w.writeFrame(FrameVerdict, call.pluginIndex, call.id, header, verdict)
--- a/internal/plugin/hostfunctions.go
+++ b/internal/plugin/hostfunctions.go
@@ -8,25 +8,25 @@
 	"github.com/tetratelabs/wazero/api"
 )
 
-// Bounds on what a plug-in passes to the host functions, as docs/plugin/authors.md has them. What exceeds them has no
-// effect.
+// Limits on the arguments of the host functions, as documented in docs/plugin/authors.md. A call that exceeds them has
+// no effect, except that a long log line is truncated.
 const (
 	maxKeySize         = 128     // bytes
 	maxValueSize       = 4 << 10 // bytes
 	maxKeys            = 1024
-	maxLogLineSize     = 256 // bytes; a longer line is cut
-	logLinesPerSecond  = 20  // and as many at once
+	maxLogLineSize     = 256 // bytes; a longer line is truncated
+	logLinesPerSecond  = 20  // also the burst size
 	maxCounterNameSize = 32  // bytes
 	maxCounters        = 32
 )
 
-// hostModule is the name of the module whose functions plug-ins import.
+// hostModule is the name of the WebAssembly module from which plug-ins import the host functions.
 const hostModule = "thistlequay"
 
-// hostFailure is what get and put return instead of a length or of 0.
+// hostFailure is the result of the host functions get and put on failure, instead of a length or 0.
 const hostFailure = -1
 
-// exportHostFunctions makes the host functions that a plug-in may import. Whatever a plug-in passes is checked.
+// exportHostFunctions defines the host functions that a plug-in may import. Each of them validates its arguments.
 func (m *module) exportHostFunctions(ctx context.Context) error {
 	builder := m.runtime.NewHostModuleBuilder(hostModule)
 	export := func(name string, function any) { builder.NewFunctionBuilder().WithFunc(function).Export(name) }
@@ -40,7 +40,7 @@
 	return err
 }
 
-// readText reads a text from a plug-in's memory; false if it is too long or lies outside.
+// readText reads a text from a plug-in's memory. It returns false if the text is too long or not within that memory.
 func readText(caller api.Module, pointer, length uint32, maxLength int) (string, bool) {
 	if length > uint32(maxLength) {
 		return "", false
@@ -49,22 +49,22 @@
 	return string(view), ok
 }
 
-// hostLog is the host function log(pointer, length).
+// hostLog implements the host function log(pointer, length), which logs a line.
 func (m *module) hostLog(_ context.Context, caller api.Module, pointer, length uint32) {
 	if line, ok := readText(caller, pointer, min(length, maxLogLineSize), maxLogLineSize); ok {
 		m.log(line)
 	}
 }
 
-// hostCount is the host function count(pointer, length, by).
+// hostCount implements the host function count(pointer, length, by), which adds to the named counter.
 func (m *module) hostCount(_ context.Context, caller api.Module, pointer, length uint32, by int64) {
 	if name, ok := readText(caller, pointer, length, maxCounterNameSize); ok {
 		m.addToCounter(name, by)
 	}
 }
 
-// hostGet is the host function get(key, length, buffer, capacity). It returns the length of the value, which is written
-// where there is capacity for it.
+// hostGet implements the host function get(key, length, buffer, capacity). It returns the length of the value, and
+// writes the value to the buffer only if the capacity suffices.
 func (m *module) hostGet(_ context.Context, caller api.Module, keyPointer, keyLength, buffer, capacity uint32) int32 {
 	key, ok := readText(caller, keyPointer, keyLength, maxKeySize)
 	if !ok {
@@ -82,7 +82,8 @@
 	return int32(len(value))
 }
 
-// hostPut is the host function put(key, length, value, length).
+// hostPut implements the host function put(key, length, value, length), which stores a value, or deletes the key if the
+// value is empty.
 func (m *module) hostPut(
 	_ context.Context, caller api.Module, keyPointer, keyLength, valuePointer, valueLength uint32,
 ) int32 {
@@ -94,17 +95,18 @@
 	return 0
 }
 
-// hostNow is the host function now().
+// hostNow implements the host function now(), which returns the time in milliseconds since 1970.
 func hostNow(context.Context) int64 { return time.Now().UnixMilli() }
 
-// hostRandom is the host function chance().
+// hostRandom implements the host function chance(), which returns a non-negative random number.
 func (m *module) hostRandom(context.Context) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.random.Int63()
 }
 
-// log passes a line on to the app server's log unless there were too many of late.
+// log sends a line to the app server's log, unless the plug-in exceeds logLinesPerSecond. The next line that is sent
+// states how many were suppressed.
 func (m *module) log(line string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,13 +119,13 @@
 	}
 	m.logTokens--
 	if m.suppressedLines > 0 {
-		line = fmt.Sprintf("%s (%d lines before it were not passed on)", line, m.suppressedLines)
+		line = fmt.Sprintf("%s (%d earlier lines were suppressed)", line, m.suppressedLines)
 		m.suppressedLines = 0
 	}
 	m.emit(FrameLog, []byte(line))
 }
 
-// addToCounter moves a counter, if it is known or one more is allowed.
+// addToCounter adds to a counter. A new counter is ignored if there are maxCounters already.
 func (m *module) addToCounter(name string, by int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,7 +134,8 @@
 	}
 }
 
-// takeCounters returns the counters that have moved since the last call, nil for none.
+// takeCounters returns the increments of the counters since its last call and resets them. It returns nil if no counter
+// has changed.
 func (m *module) takeCounters() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,8 +147,8 @@
 	return taken
 }
 
-// putState stores a value under a key, an empty one to remove the key, and reports the change to the app server. It
-// returns false if the state would exceed its bounds.
+// putState stores a value under a key, or deletes the key if the value is empty, and reports the change to the app
+// server. It returns false if the state would exceed MaxStateKB or maxKeys.
 func (m *module) putState(key, value string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/plugin/instance.go
+++ b/internal/plugin/instance.go
@@ -12,28 +12,30 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// Names that a module exports, as docs/plugin/authors.md has them.
+// Names of functions that a module exports, as documented in docs/plugin/authors.md.
 const (
 	exportInitialize = "_initialize"
 	exportVersion    = "tq_abi"
 	exportBuffer     = "tq_buffer"
 )
 
-// hookExports are the names of the hooks' functions, by hook number of the ABI.
+// hookExports are the names of the functions that a module exports for the hooks, indexed by the hook number of the
+// ABI.
 var hookExports = [3]string{"tq_read", "tq_result", "tq_tick"}
 
-// maxVerdictSize bounds a verdict in bytes.
+// maxVerdictSize is the largest size of an encoded verdict in bytes.
 const maxVerdictSize = 16 << 10
 
-// instance is one running copy of a module. It serves one call at a time.
+// instance is one instance of a module, with its own memory. It serves one call at a time.
 type instance struct {
 	module         api.Module
 	bufferFunction api.Function
 	hookFunctions  [3]api.Function
-	stack          []uint64 // parameters and results of calls, reused
+	stack          []uint64 // parameters and results of calls; reused to avoid allocation
 }
 
-// newInstance starts an instance and checks what it exports, within the module's StartTimeout.
+// newInstance starts an instance and checks its ABI version and exported functions, all within the module's
+// StartTimeout.
 func (m *module) newInstance(ctx context.Context) (*instance, error) {
 	limited, cancel := context.WithTimeout(ctx, m.StartTimeout)
 	defer cancel()
@@ -47,7 +49,7 @@
 	}
 	i := &instance{module: running, bufferFunction: running.ExportedFunction(exportBuffer), stack: make([]uint64, 4)}
 	if running.Memory() == nil || !hasShape(i.bufferFunction, 1, 1) {
-		return nil, errors.New("exports no memory or no tq_buffer(length) pointer")
+		return nil, errors.New("does not export both a memory and tq_buffer(length) pointer")
 	}
 	if err := checkVersion(limited, running); err != nil {
 		return nil, err
@@ -58,14 +60,14 @@
 		}
 		function := running.ExportedFunction(name)
 		if !hasShape(function, 2, 1) || function.Definition().ResultTypes()[0] != api.ValueTypeI64 {
-			return nil, fmt.Errorf("is granted a hook but exports no %s(pointer, length) i64", name)
+			return nil, fmt.Errorf("is configured for a hook but does not export %s(pointer, length) i64", name)
 		}
 		i.hookFunctions[hook] = function
 	}
 	return i, nil
 }
 
-// hasShape reports whether a function is exported and has so many parameters and results.
+// hasShape reports whether a function exists and has the given numbers of parameters and results.
 func hasShape(function api.Function, parameters, results int) bool {
 	if function == nil {
 		return false
@@ -74,28 +76,28 @@
 	return len(definition.ParamTypes()) == parameters && len(definition.ResultTypes()) == results
 }
 
-// checkVersion asks the module for the version of the ABI that it was built for.
+// checkVersion checks that the module was built for this version of the ABI.
 func checkVersion(ctx context.Context, running api.Module) error {
 	function := running.ExportedFunction(exportVersion)
 	if !hasShape(function, 0, 1) {
-		return errors.New("exports no tq_abi(), which tells its version")
+		return errors.New("does not export tq_abi(), which returns its ABI version")
 	}
 	results, err := function.Call(ctx)
 	if err != nil {
-		return fmt.Errorf("does not tell its version: %w", err)
+		return fmt.Errorf("failed to return its ABI version: %w", err)
 	}
 	if version := uint32(results[0]); version != abi.Version {
-		return fmt.Errorf("is of version %d, this program speaks %d", version, abi.Version)
+		return fmt.Errorf("is of version %d of the plug-in ABI, this program supports version %d", version, abi.Version)
 	}
 	return nil
 }
 
-// call writes a request into the instance's memory, calls a hook and returns a copy of the verdict's bytes, nil for
-// none.
+// call writes a request into the instance's memory and calls a hook. It returns a copy of the encoded verdict, or nil
+// if the verdict is empty.
 func (i *instance) call(ctx context.Context, hook int, request []byte) ([]byte, error) {
 	function := i.hookFunctions[hook]
 	if function == nil {
-		return nil, errors.New("has no such hook")
+		return nil, errors.New("does not implement the called hook")
 	}
 	i.stack[0] = uint64(len(request))
 	if err := i.bufferFunction.CallWithStack(ctx, i.stack); err != nil {
@@ -113,8 +115,8 @@
 	return i.readVerdict(i.stack[0])
 }
 
-// readVerdict copies the verdict that a hook's result stands for: its address in the upper half, its length in the
-// lower.
+// readVerdict returns a copy of the encoded verdict to which a hook's result refers. The upper 32 bits of the result
+// are the verdict's address, the lower 32 bits its length.
 func (i *instance) readVerdict(result uint64) ([]byte, error) {
 	length := uint32(result)
 	if length == 0 {
@@ -130,6 +132,7 @@
 	return append([]byte(nil), view...), nil
 }
 
+// close frees the instance.
 func (i *instance) close() {
-	_ = i.module.Close(context.Background()) // nothing is left to be done about an instance that is thrown away
+	_ = i.module.Close(context.Background()) // the instance is discarded, so an error does not matter
 }
--- a/internal/plugin/module.go
+++ b/internal/plugin/module.go
@@ -1,8 +1,8 @@
-// Package plugin runs plug-ins: WebAssembly modules in a process of their own beside the app server, so that whatever
-// one does to memory or to a core happens there.
+// Package plugin runs plug-ins, which are WebAssembly modules. They run in a separate process, so that a plug-in that
+// uses too much memory or core time does not harm the app server.
 //
-// The app server starts the process (StartProcess) and exchanges frames with it; the process (RunHost) loads the
-// modules and calls them. What a verdict may do is not decided here but in internal/plugin/chain.
+// The app server starts the plug-in process with Start and exchanges frames with it. The process, which runs RunHost,
+// loads the modules and calls them. Package internal/plugin/chain decides what effect a verdict may have.
 package plugin
 
 import (
@@ -23,74 +23,77 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// ModuleConfig is one plug-in as the service file has it. It passes to the plug-in process as JSON, under the key names
-// in the tags.
+// ModuleConfig is the configuration of one plug-in, from the service file. The app server sends it to the plug-in
+// process as JSON, with the keys in the struct tags.
 type ModuleConfig struct {
 	Name string `json:"Name"`
 	File string `json:"File"`
 
-	// SHA256 is the hash in hex that the file must have; empty for any. A loaded module has the hash of its file.
+	// SHA256 is the hash in hex that the file must have; if empty, any hash is accepted. In a loaded module it is the
+	// actual hash of the file.
 	SHA256 string `json:"SHA256"`
 
-	MemoryKB  int `json:"MemoryKB"` // linear memory of one instance, in whole pages of 64 KB
-	MaxCodeKB int `json:"CodeKB"`   // largest size of the file
+	MemoryKB  int `json:"MemoryKB"` // linear memory of one instance, in whole pages of 64 KB, at least one
+	MaxCodeKB int `json:"CodeKB"`   // largest size of the file in KB
 
-	// StartTimeout bounds the start of an instance, and the call for each sample.
+	// StartTimeout is the longest time for the start of an instance, and for the call for each sample.
 	StartTimeout time.Duration `json:"Start"`
 
-	// Compile compiles the module to machine code; otherwise it is interpreted.
+	// Compile selects compilation to machine code; otherwise the module is interpreted.
 	Compile bool `json:"Compile"`
 
-	Hooks   [3]bool  `json:"Hooks"` // at which it is called, by hook number of the ABI
+	Hooks   [3]bool  `json:"Hooks"` // hooks at which it is called, indexed by the hook number of the ABI
 	Samples []Sample `json:"Samples"`
 
-	State      map[string][]byte `json:"Keep"`   // what it stored in the process before this one
-	MaxStateKB int               `json:"KeepKB"` // largest size of its state, keys and values together
+	State      map[string][]byte `json:"Keep"`   // state that the plug-in stored in the previous process
+	MaxStateKB int               `json:"KeepKB"` // largest size of the state in KB, keys and values together
 
-	Seed int64 `json:"Seed"` // of its random numbers
+	Seed int64 `json:"Seed"` // seed of the plug-in's random numbers
 }
 
-// Sample is a request that a new version of a plug-in must answer before it sees any request of the service.
+// Sample is a test request that a new version of a plug-in must answer before it is called for any real request.
 type Sample struct {
 	Hook     int    `json:"Hook"`
 	Category string `json:"Category"`
 	Tenant   string `json:"Tenant"`
 	Body     string `json:"Body"`
 
-	// ExpectedActions are the actions that the verdict must have, as bits of the ABI; nil for any.
+	// ExpectedActions are the actions that the verdict must have, as Action bits of the ABI; nil accepts any.
 	ExpectedActions *int `json:"Does"`
 
-	// ExpectedStatus is the status that the verdict must have; 0 for any. It only counts with ExpectedActions.
+	// ExpectedStatus is the status that the verdict must have; 0 accepts any. It is only checked if ExpectedActions is
+	// set.
 	ExpectedStatus int `json:"Status"`
 }
 
-// ErrMalformedVerdict means that a plug-in's answer is no message: it lies outside its memory, or is too long.
-var ErrMalformedVerdict = errors.New("what it gave cannot be read")
+// ErrMalformedVerdict reports that a plug-in's buffer or verdict cannot be used, because it lies outside the plug-in's
+// memory or the verdict is too long.
+var ErrMalformedVerdict = errors.New("returned a verdict or buffer that is outside its memory or too long")
 
-// wasmPageSize is the unit of linear memory (WebAssembly core specification).
+// wasmPageSize is the size in bytes of a page of linear memory, from the WebAssembly core specification.
 const wasmPageSize = 64 << 10
 
-// module is one plug-in, compiled once. Its calls may run at the same time, each on an instance of its own.
+// module is one loaded plug-in, compiled once. Its calls may run concurrently, each on its own instance.
 type module struct {
 	ModuleConfig
 
 	runtime       wazero.Runtime
 	compiled      wazero.CompiledModule
 	idleInstances chan *instance
-	emit          func(kind byte, payload []byte) // sends a frame about the plug-in
+	emit          func(kind byte, payload []byte) // sends a frame for this plug-in to the app server
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	state           map[string][]byte
-	stateSize       int // of keys and values in bytes
+	stateSize       int // total size of keys and values in bytes
 	counters        map[string]int64
-	logTokens       float64 // token bucket of the log lines
-	logTokensAt     time.Time
-	suppressedLines int
+	logTokens       float64   // token bucket that limits the rate of log lines
+	logTokensAt     time.Time // time of the last refill
+	suppressedLines int       // log lines suppressed since the last one that was sent
 	random          *rand.Rand
 }
 
-// loadModule compiles a plug-in, starts one instance and tries it on its samples. Up to maxIdle instances are kept for
-// further calls. The errors read as a predicate to "plug-in NAME".
+// loadModule compiles a plug-in, starts one instance and checks it with the configured samples. Up to maxIdle idle
+// instances are kept for further calls. Error texts are worded to follow "plug-in NAME".
 func loadModule(
 	ctx context.Context, config ModuleConfig, maxIdle int, emit func(kind byte, payload []byte),
 ) (*module, error) {
@@ -128,14 +131,14 @@
 	return m, nil
 }
 
-// readCode reads the module's file, checks its size and hash, and sets the hash in the configuration.
+// readCode reads the module's file, checks its size and hash, and stores the actual hash in the configuration.
 func readCode(config *ModuleConfig) ([]byte, error) {
 	info, err := os.Stat(config.File)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > int64(config.MaxCodeKB)<<10 {
-		return nil, fmt.Errorf("%s has %d KB, %d at most", config.File, info.Size()>>10, config.MaxCodeKB)
+		return nil, fmt.Errorf("%s has %d KB, the limit is %d KB", config.File, info.Size()>>10, config.MaxCodeKB)
 	}
 	code, err := os.ReadFile(config.File)
 	if err != nil {
@@ -144,13 +147,13 @@
 	digest := sha256.Sum256(code)
 	sum := hex.EncodeToString(digest[:])
 	if config.SHA256 != "" && sum != config.SHA256 {
-		return nil, fmt.Errorf("%s has sha256 %s, the settings pin %s", config.File, sum, config.SHA256)
+		return nil, fmt.Errorf("%s has sha256 %s, the configuration requires %s", config.File, sum, config.SHA256)
 	}
 	config.SHA256 = sum
 	return code, nil
 }
 
-// compile makes the runtime with WASI and the host functions, and compiles the code for it.
+// compile creates the runtime with WASI and the host functions, and compiles the module's code for it.
 func (m *module) compile(ctx context.Context, code []byte) error {
 	config := wazero.NewRuntimeConfigInterpreter()
 	if m.Compile {
@@ -172,7 +175,7 @@
 	return nil
 }
 
-// checkSample calls the plug-in about a sample and compares the verdict with the expected one.
+// checkSample calls the plug-in for a sample and compares the verdict with the expected one.
 func (m *module) checkSample(ctx context.Context, sample *Sample) error {
 	request := abi.Request{
 		Hook:       sample.Hook,
@@ -193,17 +196,18 @@
 	isExpected := verdict.Actions == *sample.ExpectedActions &&
 		(sample.ExpectedStatus == 0 || verdict.Status == sample.ExpectedStatus)
 	if !isExpected {
-		return fmt.Errorf("does %d with status %d, expected %d with %d",
+		return fmt.Errorf("does %d with status %d, expected %d with status %d",
 			verdict.Actions, verdict.Status, *sample.ExpectedActions, sample.ExpectedStatus)
 	}
 	return nil
 }
 
-// sampleTimeLeftMS is the time that a sample says is left to it.
+// sampleTimeLeftMS is the time until the deadline that a sample request carries.
 const sampleTimeLeftMS = 1000
 
-// call has the plug-in answer a request within a time. The answer is a copy, nil for none. An instance that failed or
-// timed out is closed; the next call starts another where none is idle.
+// call calls a hook of the plug-in with an encoded request, and ends the call at the timeout. It returns a copy of the
+// encoded verdict, or nil if the verdict is empty. An instance whose call fails or times out is closed; the next call
+// starts a new instance if none is idle.
 func (m *module) call(
 	ctx context.Context, hook int, request []byte, timeout time.Duration,
 ) (answer []byte, took time.Duration, err error) {
@@ -238,7 +242,7 @@
 	}
 }
 
-// isTimeout reports whether a call ended because its time was over.
+// isTimeout reports whether an error means that a call exceeded its timeout.
 func isTimeout(err error) bool {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return true
@@ -250,9 +254,9 @@
 	return exit.ExitCode() == sys.ExitCodeDeadlineExceeded || exit.ExitCode() == sys.ExitCodeContextCanceled
 }
 
-// close frees the runtime with all instances.
+// close frees the runtime and all instances.
 func (m *module) close() {
 	if m.runtime != nil {
-		_ = m.runtime.Close(context.Background()) // nothing is left to be done about a runtime that is thrown away
+		_ = m.runtime.Close(context.Background()) // the runtime is discarded, so an error does not matter
 	}
 }
--- a/internal/plugin/module_test.go
+++ b/internal/plugin/module_test.go
@@ -13,7 +13,7 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// testConfig configures a module of one of the emulator's kinds.
+// testConfig returns a configuration for one of the emulator's plug-in modules, given its kind.
 func testConfig(t testing.TB, kind string) ModuleConfig {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), kind+".wasm")
@@ -29,7 +29,7 @@
 	}
 }
 
-// loadTestModule loads a module of one of the emulator's kinds, for as long as the test runs.
+// loadTestModule loads one of the emulator's plug-in modules, given its kind, and closes it at the end of the test.
 func loadTestModule(t testing.TB, kind string, compile bool) *module {
 	t.Helper()
 	config := testConfig(t, kind)
@@ -40,20 +40,20 @@
 	return loaded
 }
 
-// TestUnusableModuleIsRefused checks that a module which can't be used is refused when it is loaded, with the reason.
+// TestUnusableModuleIsRefused checks that loading an unusable module fails with an error that states the reason.
 func TestUnusableModuleIsRefused(t *testing.T) {
 	expectNoActions := func(config *ModuleConfig) { config.Samples = []Sample{{ExpectedActions: new(int)}} }
 	for _, test := range []struct {
 		kind   string
-		change func(config *ModuleConfig) // nil for none
+		change func(config *ModuleConfig) // nil leaves the configuration unchanged
 		reason string
 	}{
 		{"truncated", nil, "is no module that can be run"},
 		{"other-version", nil, "is of version 7"},
 		{"foreign", nil, "open_socket"},
 		{"loops-at-start", nil, "does not start"},
-		{"good", func(config *ModuleConfig) { config.SHA256 = "00" }, "the settings pin 00"},
-		{"good", func(config *ModuleConfig) { config.MaxCodeKB = 0 }, "0 at most"},
+		{"good", func(config *ModuleConfig) { config.SHA256 = "00" }, "the configuration requires 00"},
+		{"good", func(config *ModuleConfig) { config.MaxCodeKB = 0 }, "the limit is 0 KB"},
 		{"declines", expectNoActions, "sample 1: does 1 with status 403"},
 	} {
 		t.Run(test.kind+" "+test.reason, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// engines are the ways to run a module.
+// engines are the WebAssembly engines that can run a module.
 var engines = []struct {
 	name    string
 	compile bool
@@ -76,8 +76,8 @@
 	{"compiled", true},
 }
 
-// TestHostileModuleFailsOnlyItsCall checks that whatever a module does ends in one of four ways, within a bounded time,
-// and that the next call finds a working instance.
+// TestHostileModuleFailsOnlyItsCall checks that every call of a hostile module ends within a bounded time and with the
+// expected outcome, and that the calls after it find a working instance.
 func TestHostileModuleFailsOnlyItsCall(t *testing.T) {
 	request := (&abi.Request{Category: "look", Body: []byte("body")}).Append(nil)
 	outcomes := map[string]CallOutcome{
@@ -97,7 +97,7 @@
 	for _, engine := range engines {
 		for kind, want := range outcomes {
 			if engine.compile && kind == "recurses" {
-				continue // its stack grows to hundreds of MB first, which the process's memory limit is for
+				continue // its stack grows to hundreds of MB first; the memory limit of the process covers this
 			}
 			t.Run(engine.name+"/"+kind, func(t *testing.T) {
 				loaded := loadTestModule(t, kind, engine.compile)
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestStateIsBounded checks that keys and values together stay within MaxStateKB.
+// TestStateIsBounded checks that the total size of keys and values stays within MaxStateKB.
 func TestStateIsBounded(t *testing.T) {
 	loaded := loadTestModule(t, "good", false)
 	value := string(make([]byte, 600))
@@ -123,7 +123,7 @@
 	require.Equal(t, 6, loaded.stateSize)
 }
 
-// BenchmarkCall measures one call inside the plug-in process.
+// BenchmarkCall measures one call of a module, without the frames between the app server and the plug-in process.
 func BenchmarkCall(b *testing.B) {
 	request := (&abi.Request{Category: "look", Tenant: "acme", Body: make([]byte, 200)}).Append(nil)
 	for _, engine := range engines {
--- a/internal/plugin/process.go
+++ b/internal/plugin/process.go
@@ -13,17 +13,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is a plug-in process as the app server sees it. It is ready: every plug-in has been compiled, started and
-// tried.
+// Process is the app server's handle to a plug-in process that is ready: every plug-in has been compiled, started and
+// checked with its samples.
 type Process struct {
 	Spec        HostSpec
-	Conn        net.Conn // carries frames both ways
+	Conn        net.Conn // carries frames in both directions
 	Command     *exec.Cmd
 	StartupTime time.Duration
 }
 
-// Start starts a plug-in process and waits until it is ready, for timeout at most. The error names the plug-in that
-// could not be loaded and the reason. What the process writes to its standard error goes to errorOutput.
+// Start starts a plug-in process and waits until it is ready, at most for timeout. If a plug-in cannot be loaded, the
+// error contains its name and the reason. The standard error of the process goes to errorOutput.
 //
 // Start blocks and must not be called on the event loop. The caller stops the process with Stop.
 func Start(spec HostSpec, timeout time.Duration, errorOutput io.Writer) (*Process, error) {
@@ -36,12 +36,12 @@
 		return nil, err
 	}
 	p := &Process{Spec: spec, Conn: conn, Command: exec.Command(program, HostVerb)}
-	p.Command.ExtraFiles = []*os.File{inherited} // the first of them is hostDescriptor
+	p.Command.ExtraFiles = []*os.File{inherited} // the first extra file has the descriptor hostDescriptor
 	p.Command.Stderr = errorOutput
 	start := time.Now()
 	err = p.Command.Start()
-	// While this program has the other end too, it would not see the process close it.
-	_ = inherited.Close() // it was only read from here, by the process that has its own duplicate
+	// While this program also has the other end open, it would not notice that the process closes it.
+	_ = inherited.Close() // the process has its own duplicate, so an error does not matter
 	if err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
@@ -53,7 +53,7 @@
 	return p, nil
 }
 
-// connPair returns the two ends of a connection: one for this program, one for a process to inherit.
+// connPair returns the two ends of a new connection: one for this program and one for the plug-in process to inherit.
 func connPair() (conn net.Conn, inherited *os.File, err error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -62,14 +62,14 @@
 	own := os.NewFile(uintptr(pair[0]), "plug-ins")
 	inherited = os.NewFile(uintptr(pair[1]), "app server")
 	conn, err = net.FileConn(own)
-	_ = own.Close() // the connection has a duplicate
+	_ = own.Close() // the connection uses a duplicate of the descriptor
 	if err != nil {
 		return nil, nil, errors.Join(err, inherited.Close())
 	}
 	return conn, inherited, nil
 }
 
-// handshake tells the process what to run and waits until it is ready.
+// handshake sends the configuration to the process and waits until the process is ready.
 func (p *Process) handshake(timeout time.Duration) error {
 	text, err := json.Marshal(p.Spec)
 	if err != nil {
@@ -87,7 +87,7 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return fmt.Errorf("the plug-ins were not ready within %v", timeout)
 		case err != nil:
-			return fmt.Errorf("the process of the plug-ins ended while it loaded them: %w", err)
+			return fmt.Errorf("the plug-in process ended while loading the plug-ins: %w", err)
 		case f.Kind == FrameRefused && f.PluginIndex < len(p.Spec.Plugins):
 			return fmt.Errorf("plug-in %s %s", p.Spec.Plugins[f.PluginIndex].Name, f.Payload)
 		case f.Kind == FrameReady:
@@ -96,11 +96,11 @@
 	}
 }
 
-// Stop closes the connection, kills the process and waits for its end.
+// Stop closes the connection, kills the process and waits until it has ended.
 func (p *Process) Stop() {
-	_ = p.Conn.Close() // the process is killed anyway
+	_ = p.Conn.Close() // the process is killed next, so an error does not matter
 	if p.Command.Process != nil {
-		_ = p.Command.Process.Kill() // fails only if the process has ended
+		_ = p.Command.Process.Kill() // fails only if the process has already ended
 		_ = p.Command.Wait()         // a killed process always ends with an error
 	}
 }
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -7,21 +7,21 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// TrialResult is what became of the trial of one module.
+// TrialResult describes the trial run of one module.
 type TrialResult struct {
 	SHA256      string
 	StartupTime time.Duration
 	LongestCall time.Duration
-	MemoryKB    int         // of an instance after the calls
-	Verdict     abi.Verdict // of the last call
+	MemoryKB    int         // linear memory of an instance after the calls
+	Verdict     abi.Verdict // verdict of the last call
 	LogLines    []string
 }
 
-// Check loads a module in this process without calling it, for those who write plug-ins.
+// Check loads a module in this process and calls no hook. It lets plug-in authors check a module.
 func Check(config ModuleConfig) (TrialResult, error) { return Try(config, nil, 0, 0) }
 
-// Try loads a module in this process and calls it the given number of times about a request, each time for timeout at
-// most, for those who write plug-ins.
+// Try loads a module in this process and calls it the given number of times for a request, each time with the given
+// timeout. It lets plug-in authors run a module.
 func Try(
 	config ModuleConfig, request *abi.Request, calls int, timeout time.Duration,
 ) (result TrialResult, err error) {
--- a/pluginsdk/example_test.go
+++ b/pluginsdk/example_test.go
@@ -7,7 +7,7 @@
 	"thistlequay/pluginsdk"
 )
 
-// A rule rejects requests of one tenant that have no body. In a plug-in the assignment stands in an init function.
+// This example rejects requests of one tenant that have no body. A plug-in assigns OnRead in an init function.
 func Example() {
 	pluginsdk.OnRead = func(request pluginsdk.Request) pluginsdk.Verdict {
 		if request.Tenant == "hall-nord" && len(request.Body) == 0 {
--- a/pluginsdk/module.go
+++ b/pluginsdk/module.go
@@ -8,20 +8,21 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// The buffers through which messages pass. An instance serves one call at a time, so they are used again and again.
+// Buffers for the messages between the app server and the plug-in. They are reused, because an instance serves only one
+// call at a time.
 var (
 	requestBuffer []byte
 	verdictBuffer []byte
 )
 
-// addressOf is the address of a slice's bytes in the module's linear memory, which has 32 bits.
+// addressOf returns the address of a slice's bytes in the module's linear memory, whose addresses have 32 bits.
 func addressOf(bytes []byte) uint32 { return uint32(uintptr(unsafe.Pointer(unsafe.SliceData(bytes)))) }
 
 //go:wasmexport tq_abi
 func exportVersion() uint32 { return abi.Version }
 
-// exportBuffer returns where the program writes a request of the given length. The buffer has a byte more, so that it
-// has an address when the length is 0.
+// exportBuffer returns the address at which the app server writes a request of the given length. The buffer is one byte
+// longer than the request, so that it has an address even if the length is 0.
 //
 //go:wasmexport tq_buffer
 func exportBuffer(length uint32) uint32 {
@@ -33,8 +34,8 @@
 	return addressOf(requestBuffer)
 }
 
-// handle calls a function of the plug-in about the request in requestBuffer. It returns the address of the verdict in
-// the upper half of the result and its length in the lower, or 0 for no change.
+// handle calls a function of the plug-in for the request in requestBuffer. The upper 32 bits of its result are the
+// address of the encoded verdict and the lower 32 bits its length. The result is 0 if the verdict changes nothing.
 func handle(length uint32, function func(Request) Verdict) uint64 {
 	request, err := abi.ParseRequest(requestBuffer[:length])
 	if err != nil || function == nil {
