--- a/examples/hallcheck/main.go
+++ b/examples/hallcheck/main.go
@@ -22,7 +22,7 @@
 
 func init() {
 	pluginsdk.OnRead = checkBooking
-	pluginsdk.OnTick = forgetOldSeconds
+	pluginsdk.OnTick = deleteOldCounts
 }
 
 func main() {}
@@ -45,8 +45,8 @@
 	return pluginsdk.Verdict{}.Tag("checked")
 }
 
-// forgetOldSeconds deletes the booking counts of the second before the last one.
-func forgetOldSeconds(request pluginsdk.Request) {
+// deleteOldCounts deletes the booking counts of the second before the last one.
+func deleteOldCounts(request pluginsdk.Request) {
 	for _, tenant := range []string{"acme", "beta"} {
 		pluginsdk.Put(bookingsKey(tenant, request.UnixMS/1000-2), nil)
 	}
--- a/internal/plugin/abi/abi.go
+++ b/internal/plugin/abi/abi.go
@@ -61,20 +61,20 @@
 
 // Append appends the encoded request to a buffer: version, hook, two zero bytes, time left (32 bits), current time (64
 // bits), category, tenant, tag and body.
-func (r *Request) Append(to []byte) []byte {
-	to = append(to, Version, byte(r.Hook), 0, 0)
-	to = binary.LittleEndian.AppendUint32(to, r.TimeLeftMS)
-	to = binary.LittleEndian.AppendUint64(to, uint64(r.UnixMS))
-	to = appendText(to, r.Category)
-	to = appendText(to, r.Tenant)
-	to = appendText(to, r.Tag)
-	return appendText(to, r.Body)
+func (r *Request) Append(dst []byte) []byte {
+	dst = append(dst, Version, byte(r.Hook), 0, 0)
+	dst = binary.LittleEndian.AppendUint32(dst, r.TimeLeftMS)
+	dst = binary.LittleEndian.AppendUint64(dst, uint64(r.UnixMS))
+	dst = appendText(dst, r.Category)
+	dst = appendText(dst, r.Tenant)
+	dst = appendText(dst, r.Tag)
+	return appendText(dst, r.Body)
 }
 
 // ParseRequest decodes a request. The only possible error is ErrMalformed. The returned Body shares memory with data.
 func ParseRequest(data []byte) (Request, error) {
-	in := reader{remaining: data}
-	header := in.take(requestHeaderSize)
+	in := messageReader{remaining: data}
+	header := in.readBytes(requestHeaderSize)
 	if in.failed || header[0] != Version {
 		return Request{}, ErrMalformed
 	}
@@ -83,10 +83,10 @@
 		TimeLeftMS: binary.LittleEndian.Uint32(header[4:]),
 		UnixMS:     int64(binary.LittleEndian.Uint64(header[8:])),
 	}
-	r.Category = string(in.text())
-	r.Tenant = string(in.text())
-	r.Tag = string(in.text())
-	r.Body = in.text()
+	r.Category = string(in.readText())
+	r.Tenant = string(in.readText())
+	r.Tag = string(in.readText())
+	r.Body = in.readText()
 	if in.failed || len(in.remaining) > 0 {
 		return Request{}, ErrMalformed
 	}
@@ -94,12 +94,12 @@
 }
 
 // Append appends the encoded verdict to a buffer: version, actions, status (16 bits), category, tag and body.
-func (v *Verdict) Append(to []byte) []byte {
-	to = append(to, Version, byte(v.Actions))
-	to = binary.LittleEndian.AppendUint16(to, uint16(v.Status))
-	to = appendText(to, v.Category)
-	to = appendText(to, v.Tag)
-	return appendText(to, v.Body)
+func (v *Verdict) Append(dst []byte) []byte {
+	dst = append(dst, Version, byte(v.Actions))
+	dst = binary.LittleEndian.AppendUint16(dst, uint16(v.Status))
+	dst = appendText(dst, v.Category)
+	dst = appendText(dst, v.Tag)
+	return appendText(dst, v.Body)
 }
 
 // ParseVerdict decodes a verdict; empty data decodes to the zero Verdict. The only possible error is ErrMalformed. The
@@ -108,15 +108,15 @@
 	if len(data) == 0 {
 		return Verdict{}, nil
 	}
-	in := reader{remaining: data}
-	header := in.take(verdictHeaderSize)
+	in := messageReader{remaining: data}
+	header := in.readBytes(verdictHeaderSize)
 	if in.failed || header[0] != Version || header[1]&^byte(knownActions) != 0 {
 		return Verdict{}, ErrMalformed
 	}
 	v := Verdict{Actions: int(header[1]), Status: int(binary.LittleEndian.Uint16(header[2:]))}
-	v.Category = string(in.text())
-	v.Tag = string(in.text())
-	v.Body = in.text()
+	v.Category = string(in.readText())
+	v.Tag = string(in.readText())
+	v.Body = in.readText()
 	if in.failed || len(in.remaining) > 0 {
 		return Verdict{}, ErrMalformed
 	}
@@ -124,32 +124,32 @@
 }
 
 // appendText appends the length of a text and its bytes.
-func appendText[T string | []byte](to []byte, text T) []byte {
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(text)))
-	return append(to, text...)
+func appendText[T string | []byte](dst []byte, text T) []byte {
+	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(text)))
+	return append(dst, text...)
 }
 
-// reader decodes the fields of a message in order. The first field that does not fit into the remaining bytes sets
-// failed. The caller must check failed before it uses the fields.
-type reader struct {
+// messageReader decodes the fields of a message in order. The first field that does not fit into the remaining bytes
+// sets failed, after which readText returns nil. The caller must check failed before it uses the fields.
+type messageReader struct {
 	remaining []byte
 	failed    bool
 }
 
-// take consumes and returns the next n bytes. If fewer remain, it sets failed and returns nil.
-func (r *reader) take(n int) []byte {
+// readBytes consumes and returns the next n bytes. If fewer remain, it sets failed and returns nil.
+func (r *messageReader) readBytes(n int) []byte {
 	if n < 0 || n > len(r.remaining) {
 		r.failed = true
 		return nil
 	}
-	part := r.remaining[:n]
+	data := r.remaining[:n]
 	r.remaining = r.remaining[n:]
-	return part
+	return data
 }
 
-// text consumes and returns the next text. If it is incomplete, text sets failed and returns nil.
-func (r *reader) text() []byte {
-	header := r.take(textLengthSize)
+// readText consumes and returns the next text. If it is incomplete, readText sets failed and returns nil.
+func (r *messageReader) readText() []byte {
+	header := r.readBytes(textLengthSize)
 	if r.failed {
 		return nil
 	}
@@ -158,5 +158,5 @@
 		r.failed = true
 		return nil
 	}
-	return r.take(int(length))
+	return r.readBytes(int(length))
 }
--- a/internal/plugin/abi/abi_test.go
+++ b/internal/plugin/abi/abi_test.go
@@ -26,12 +26,12 @@
 		Tag:        "vip",
 		Body:       []byte("body"),
 	}
-	readRequest, err := ParseRequest(request.Append(nil))
+	parsedRequest, err := ParseRequest(request.Append(nil))
 	require.NoError(t, err)
-	require.Equal(t, request, readRequest)
-	readVerdict, err := ParseVerdict(testVerdict.Append(nil))
+	require.Equal(t, request, parsedRequest)
+	parsedVerdict, err := ParseVerdict(testVerdict.Append(nil))
 	require.NoError(t, err)
-	require.Equal(t, testVerdict, readVerdict)
+	require.Equal(t, testVerdict, parsedVerdict)
 }
 
 // TestTruncatedVerdictIsMalformed checks that every proper prefix of an encoded verdict, except the empty one, is
--- a/internal/plugin/abi/golden_test.go
+++ b/internal/plugin/abi/golden_test.go
@@ -15,9 +15,9 @@
 	var lines []byte
 	for _, request := range goldenRequests {
 		data := request.Append(nil)
-		read, err := ParseRequest(data)
+		parsed, err := ParseRequest(data)
 		require.NoError(t, err)
-		require.Equal(t, data, read.Append(nil))
+		require.Equal(t, data, parsed.Append(nil))
 		lines = fmt.Appendf(lines, "request %x\n", data)
 	}
 	for actions := range knownActions + 1 {
@@ -32,9 +32,9 @@
 			verdict.Body = []byte("short\x00")
 		}
 		data := verdict.Append(nil)
-		read, err := ParseVerdict(data)
+		parsed, err := ParseVerdict(data)
 		require.NoError(t, err)
-		require.Equal(t, data, read.Append(nil))
+		require.Equal(t, data, parsed.Append(nil))
 		lines = fmt.Appendf(lines, "verdict %x\n", data)
 	}
 	golden.Check(t, "messages.txt", lines)
--- a/internal/plugin/chain/chain.go
+++ b/internal/plugin/chain/chain.go
@@ -30,15 +30,15 @@
 	Index int
 }
 
-// New returns a chain of plug-ins with the given policies. A plug-in whose name was in the previous chain, before,
-// keeps its circuit breaker, unless isNew reports that the name now refers to a different plug-in. If before is nil,
-// isNew is not called.
-func New(policies []Policy, before *Chain, isNew func(name string) bool, random *rand.Rand, now timeunit.Ticks) *Chain {
+// New returns a chain of plug-ins with the given policies. A plug-in whose name was in the prior chain keeps its
+// circuit breaker, unless isNew reports that the name now refers to a different plug-in. If prior is nil, isNew is not
+// called.
+func New(policies []Policy, prior *Chain, isNew func(name string) bool, random *rand.Rand, now timeunit.Ticks) *Chain {
 	c := &Chain{}
 	for i, policy := range policies {
 		plugin := &Plugin{Policy: policy, Index: i}
-		if before != nil && !isNew(policy.Name) {
-			plugin.CircuitBreaker = before.circuitBreaker(policy.Name)
+		if prior != nil && !isNew(policy.Name) {
+			plugin.CircuitBreaker = prior.circuitBreaker(policy.Name)
 		}
 		if plugin.CircuitBreaker == nil {
 			plugin.CircuitBreaker = newCircuitBreaker(random, now)
--- a/internal/plugin/chain/circuitbreaker.go
+++ b/internal/plugin/chain/circuitbreaker.go
@@ -22,9 +22,9 @@
 	// trialsToRecover is the number of consecutive successful calls after which probation ends.
 	trialsToRecover = 3
 
-	// quarantinesToReset is a multiple of the last quarantine's length. After that much time without a quarantine, the
+	// lengthResetFactor is a multiple of the last quarantine's length. After that much time without a quarantine, the
 	// next one is again as short as the first.
-	quarantinesToReset = 10
+	lengthResetFactor = 10
 
 	// faultRateSmoothing is the weight of the latest call in the fault rate, an exponential moving average.
 	faultRateSmoothing = 1.0 / 16
@@ -39,9 +39,9 @@
 	// record is dropped.
 	maxTenantBreakers = 64
 
-	// tenantsToBlamePlugin is the number of tenants for which the plug-in is blocked that makes further faults count
+	// blockedTenantsThreshold is the number of tenants for which the plug-in is blocked that makes further faults count
 	// against the plug-in itself.
-	tenantsToBlamePlugin = 4
+	blockedTenantsThreshold = 4
 )
 
 // CircuitBreaker limits the core time of one plug-in, counts its faults, and quarantines it when they are too many or
@@ -61,10 +61,10 @@
 	quarantineLength timeunit.Ticks // length of the last quarantine, without jitter
 	quarantineEnd    timeunit.Ticks
 	activeSince      timeunit.Ticks
-	trialInFlight    bool
+	isTrialInFlight  bool
 
-	coreBudget   float64        // core time in ticks that may be used now; negative after a long call
-	coreBudgetAt timeunit.Ticks // time of the last refill
+	coreBudget          float64        // core time in ticks that may be used now; negative after a long call
+	coreBudgetUpdatedAt timeunit.Ticks // time of the last refill
 
 	tenants []tenantBreaker // oldest first
 }
@@ -79,10 +79,10 @@
 
 func newCircuitBreaker(random *rand.Rand, now timeunit.Ticks) *CircuitBreaker {
 	return &CircuitBreaker{
-		random:       random,
-		activeSince:  now,
-		coreBudget:   float64(timeunit.TicksPerSecond),
-		coreBudgetAt: now,
+		random:              random,
+		activeSince:         now,
+		coreBudget:          float64(timeunit.TicksPerSecond),
+		coreBudgetUpdatedAt: now,
 	}
 }
 
@@ -92,9 +92,9 @@
 // refillCoreBudget adds the core time that the policy grants for the time since the last refill. The budget is capped
 // at what one second grants.
 func (b *CircuitBreaker) refillCoreBudget(now timeunit.Ticks, policy *Policy) {
-	refilled := b.coreBudget + float64(now-b.coreBudgetAt)*policy.CoreFraction
+	refilled := b.coreBudget + float64(now-b.coreBudgetUpdatedAt)*policy.CoreFraction
 	b.coreBudget = min(refilled, float64(timeunit.TicksPerSecond)*policy.CoreFraction)
-	b.coreBudgetAt = now
+	b.coreBudgetUpdatedAt = now
 }
 
 // allow reports whether the plug-in may be called now for a request of a tenant. If so, it counts the call. It also
@@ -108,7 +108,7 @@
 		b.State = StateProbation
 		b.successfulTrials = 0
 	}
-	if b.State == StateQuarantined || b.State == StateProbation && b.trialInFlight {
+	if b.State == StateQuarantined || b.State == StateProbation && b.isTrialInFlight {
 		return false
 	}
 	if breaker := b.tenantBreaker(tenant); breaker != nil && breaker.consecutiveFaults >= policy.MaxConsecutiveFaults {
@@ -117,7 +117,7 @@
 		}
 		breaker.quarantineEnd = now + breaker.quarantineLength // one trial call for the tenant; the next has to wait
 	}
-	b.trialInFlight = b.State == StateProbation
+	b.isTrialInFlight = b.State == StateProbation
 	b.Calls++
 	return true
 }
@@ -135,22 +135,22 @@
 
 // endCall deducts the duration of a call from the core budget, and reports whether the call was a trial call during
 // probation.
-func (b *CircuitBreaker) endCall(took, now timeunit.Ticks, policy *Policy) (wasTrial bool) {
+func (b *CircuitBreaker) endCall(elapsed, now timeunit.Ticks, policy *Policy) (wasTrial bool) {
 	b.refillCoreBudget(now, policy)
-	b.coreBudget -= float64(took)
-	wasTrial = b.State == StateProbation && b.trialInFlight
-	b.trialInFlight = false
+	b.coreBudget -= float64(elapsed)
+	wasTrial = b.State == StateProbation && b.isTrialInFlight
+	b.isTrialInFlight = false
 	return wasTrial
 }
 
 // recordSuccess records a call that ended with an accepted verdict. Enough successful trial calls in a row end the
 // probation.
-func (b *CircuitBreaker) recordSuccess(tenant string, took, now timeunit.Ticks, policy *Policy) {
-	wasTrial := b.endCall(took, now, policy)
+func (b *CircuitBreaker) recordSuccess(tenant string, elapsed, now timeunit.Ticks, policy *Policy) {
+	wasTrial := b.endCall(elapsed, now, policy)
 	b.consecutiveFaults = 0
 	b.sampledCalls = min(b.sampledCalls+1, minSampledCalls)
 	b.faultRate -= b.faultRate * faultRateSmoothing
-	b.forgiveTenant(tenant)
+	b.removeTenantBreaker(tenant)
 	if !wasTrial {
 		return
 	}
@@ -167,28 +167,28 @@
 // FaultUnavailable is not counted, because the plug-in was not called. FaultProcessDied is never attributed to a
 // tenant. With Policy.FaultsByTenant, other faults count against the tenant first.
 func (b *CircuitBreaker) recordFault(
-	tenant string, fault Fault, took, now timeunit.Ticks, policy *Policy,
-) (quarantined bool) {
-	wasTrial := b.endCall(took, now, policy)
+	tenant string, fault Fault, elapsed, now timeunit.Ticks, policy *Policy,
+) (isQuarantined bool) {
+	wasTrial := b.endCall(elapsed, now, policy)
 	if fault == FaultUnavailable {
 		return false
 	}
 	b.Faults[fault]++
-	if policy.FaultsByTenant && fault != FaultProcessDied && tenant != "" && !b.blameTenant(tenant, now, policy) {
+	if policy.FaultsByTenant && fault != FaultProcessDied && tenant != "" && !b.recordTenantFault(tenant, now, policy) {
 		return false
 	}
 	b.consecutiveFaults++
 	b.sampledCalls = min(b.sampledCalls+1, minSampledCalls)
 	b.faultRate += (1 - b.faultRate) * faultRateSmoothing
-	if !wasTrial && (b.State != StateActive || !b.exceedsLimits(policy)) {
+	if !wasTrial && (b.State != StateActive || !b.exceedsFaultLimits(policy)) {
 		return false
 	}
 	b.quarantine(now, policy)
 	return true
 }
 
-// exceedsLimits reports whether the consecutive faults or the fault rate require a quarantine.
-func (b *CircuitBreaker) exceedsLimits(policy *Policy) bool {
+// exceedsFaultLimits reports whether the consecutive faults or the fault rate require a quarantine.
+func (b *CircuitBreaker) exceedsFaultLimits(policy *Policy) bool {
 	return b.consecutiveFaults >= policy.MaxConsecutiveFaults ||
 		b.sampledCalls >= minSampledCalls && b.faultRate > policy.MaxFaultRate
 }
@@ -196,10 +196,10 @@
 // quarantine begins a quarantine, twice as long as the last one within the policy's bounds. Its end is jittered, so
 // that the plug-ins of a fleet do not resume at the same time.
 func (b *CircuitBreaker) quarantine(now timeunit.Ticks, policy *Policy) {
-	if b.State == StateActive && now-b.activeSince > quarantinesToReset*max(b.quarantineLength, policy.MinQuarantine) {
+	if b.State == StateActive && now-b.activeSince > lengthResetFactor*max(b.quarantineLength, policy.MinQuarantine) {
 		b.quarantineLength = 0
 	}
-	b.quarantineLength = policy.nextQuarantine(b.quarantineLength)
+	b.quarantineLength = policy.nextQuarantineLength(b.quarantineLength)
 	jitter := timeunit.Ticks(b.random.Float64() * quarantineJitter * float64(b.quarantineLength))
 	b.quarantineEnd = now + b.quarantineLength + jitter
 	b.State = StateQuarantined
@@ -207,16 +207,16 @@
 	b.successfulTrials = 0
 }
 
-// nextQuarantine returns the length of the quarantine that follows one of the given length, which is 0 if there was
-// none.
-func (p *Policy) nextQuarantine(last timeunit.Ticks) timeunit.Ticks {
-	return min(max(p.MinQuarantine, 2*last), p.MaxQuarantine)
+// nextQuarantineLength returns the length of the quarantine that follows one of the given length, which is 0 if there
+// was none.
+func (p *Policy) nextQuarantineLength(lastLength timeunit.Ticks) timeunit.Ticks {
+	return min(max(p.MinQuarantine, 2*lastLength), p.MaxQuarantine)
 }
 
-// blameTenant counts a fault against the tenant whose request caused it, and blocks the plug-in for that tenant after
-// too many faults in a row. It reports whether the fault also counts against the plug-in itself, because the plug-in is
-// blocked for many tenants.
-func (b *CircuitBreaker) blameTenant(tenant string, now timeunit.Ticks, policy *Policy) (isPluginsOwn bool) {
+// recordTenantFault counts a fault against the tenant whose request caused it, and blocks the plug-in for that tenant
+// after too many faults in a row. It reports whether the fault also counts against the plug-in itself, because the
+// plug-in is blocked for many tenants.
+func (b *CircuitBreaker) recordTenantFault(tenant string, now timeunit.Ticks, policy *Policy) (isPluginFault bool) {
 	breaker := b.tenantBreaker(tenant)
 	if breaker == nil {
 		if len(b.tenants) >= maxTenantBreakers {
@@ -227,20 +227,20 @@
 	}
 	breaker.consecutiveFaults++
 	if breaker.consecutiveFaults >= policy.MaxConsecutiveFaults {
-		breaker.quarantineLength = policy.nextQuarantine(breaker.quarantineLength)
+		breaker.quarantineLength = policy.nextQuarantineLength(breaker.quarantineLength)
 		breaker.quarantineEnd = now + breaker.quarantineLength
 	}
-	blocked := 0
+	blockedTenants := 0
 	for i := range b.tenants {
 		if b.tenants[i].consecutiveFaults >= policy.MaxConsecutiveFaults {
-			blocked++
+			blockedTenants++
 		}
 	}
-	return blocked >= tenantsToBlamePlugin
+	return blockedTenants >= blockedTenantsThreshold
 }
 
-// forgiveTenant removes the record of a tenant, if there is one.
-func (b *CircuitBreaker) forgiveTenant(tenant string) {
+// removeTenantBreaker removes the record of a tenant, if there is one.
+func (b *CircuitBreaker) removeTenantBreaker(tenant string) {
 	i := slices.IndexFunc(b.tenants, func(breaker tenantBreaker) bool { return breaker.tenant == tenant })
 	if i >= 0 {
 		b.tenants = slices.Delete(b.tenants, i, i+1)
--- a/internal/plugin/chain/evaluation.go
+++ b/internal/plugin/chain/evaluation.go
@@ -29,12 +29,12 @@
 	Body      []byte // the current result, at HookResult
 	Rewritten bool   // whether a plug-in replaced Body
 
-	chain     *Chain // nil once the evaluation has ended
-	hook      Hook
-	request   Request
-	nextIndex int
-	deadline  timeunit.Ticks
-	current   *Plugin // plug-in whose call is in progress, or nil
+	chain         *Chain // nil once the evaluation has ended
+	hook          Hook
+	request       Request
+	nextIndex     int
+	deadline      timeunit.Ticks
+	currentPlugin *Plugin // plug-in whose call is in progress, or nil
 }
 
 // Begin begins an evaluation of a request. The body is the result at HookResult, and nil at other hooks. All calls
@@ -58,7 +58,7 @@
 		return nil
 	}
 	c.OpenEvaluations++
-	return &Evaluation{Category: NoCategory, chain: c, hook: HookTick, nextIndex: len(c.Plugins), current: plugin}
+	return &Evaluation{Category: NoCategory, chain: c, hook: HookTick, nextIndex: len(c.Plugins), currentPlugin: plugin}
 }
 
 // Request returns the request that is evaluated.
@@ -82,7 +82,7 @@
 			e.applyFallback(plugin)
 			continue
 		}
-		e.current = plugin
+		e.currentPlugin = plugin
 		return plugin, timeout
 	}
 	e.chain.OpenEvaluations--
@@ -101,43 +101,43 @@
 
 // RecordFault records that the call in progress ended in a fault after the given time. It reports whether the plug-in
 // is quarantined because of it. Without a call in progress, RecordFault does nothing.
-func (e *Evaluation) RecordFault(fault Fault, took, now timeunit.Ticks) (quarantined bool) {
-	plugin := e.current
+func (e *Evaluation) RecordFault(fault Fault, elapsed, now timeunit.Ticks) (isQuarantined bool) {
+	plugin := e.currentPlugin
 	if plugin == nil {
 		return false
 	}
-	e.current = nil
+	e.currentPlugin = nil
 	e.applyFallback(plugin)
-	return plugin.recordFault(e.request.Tenant, fault, took, now, &plugin.Policy)
+	return plugin.recordFault(e.request.Tenant, fault, elapsed, now, &plugin.Policy)
 }
 
 // ApplyVerdict applies the verdict of the call in progress, which took the given time. A verdict that is invalid or not
-// permitted has no effect, not even in part, and counts as a fault: isFault is then true, and quarantined reports
+// permitted has no effect, not even in part, and counts as a fault: isFault is then true, and isQuarantined reports
 // whether the plug-in is quarantined because of it. Without a call in progress, ApplyVerdict does nothing.
-func (e *Evaluation) ApplyVerdict(verdict Verdict, took, now timeunit.Ticks) (fault Fault, isFault, quarantined bool) {
-	plugin := e.current
+func (e *Evaluation) ApplyVerdict(v Verdict, elapsed, now timeunit.Ticks) (fault Fault, isFault, isQuarantined bool) {
+	plugin := e.currentPlugin
 	if plugin == nil {
 		return 0, false, false
 	}
-	fault, isFault = plugin.validate(e, &verdict)
+	fault, isFault = plugin.validate(e, &v)
 	if isFault {
-		return fault, true, e.RecordFault(fault, took, now)
+		return fault, true, e.RecordFault(fault, elapsed, now)
 	}
-	e.current = nil
-	if verdict.HasTag {
-		e.Tag = verdict.Tag
+	e.currentPlugin = nil
+	if v.HasTag {
+		e.Tag = v.Tag
 	}
-	if verdict.Category >= 0 {
-		e.Category = verdict.Category
+	if v.Category >= 0 {
+		e.Category = v.Category
 	}
-	if verdict.Replace {
-		e.Body = verdict.Body
+	if v.Replace {
+		e.Body = v.Body
 		e.Rewritten = true
 	}
-	if verdict.Reject {
+	if v.Reject {
 		e.Rejected = true
-		e.Status = verdict.Status
+		e.Status = v.Status
 	}
-	plugin.recordSuccess(e.request.Tenant, took, now, &plugin.Policy)
+	plugin.recordSuccess(e.request.Tenant, elapsed, now, &plugin.Policy)
 	return 0, false, false
 }
--- a/internal/plugin/chain/evaluation_test.go
+++ b/internal/plugin/chain/evaluation_test.go
@@ -11,36 +11,36 @@
 	"thistlequay/timeunit"
 )
 
-// allNew is an isNew function for New that treats every plug-in as new, so that no circuit breaker is kept.
-func allNew(string) bool { return true }
+// isAlwaysNew is an isNew function for New that treats every plug-in as new, so that no circuit breaker is kept.
+func isAlwaysNew(string) bool { return true }
 
 // FuzzEvaluations checks that, whatever verdicts plug-ins give, an evaluation ends, has only effects that a policy
 // permits, and stays within its time.
 func FuzzEvaluations(f *testing.F) {
 	f.Add(int64(1))
-	f.Fuzz(func(t *testing.T, seed int64) { playEvaluations(t, seed, golden.NewHistory()) })
+	f.Fuzz(func(t *testing.T, seed int64) { runEvaluations(t, seed, golden.NewHistory()) })
 }
 
 // randomizer generates the random parts of a schedule. The order of its random draws determines the schedule that a
 // seed produces, so changing the order invalidates the golden file.
 type randomizer struct{ *rand.Rand }
 
-func (r randomizer) flip() bool { return r.Intn(2) == 0 }
+func (r randomizer) randomBool() bool { return r.Intn(2) == 0 }
 
 func (r randomizer) policy(name string) Policy {
 	return Policy{
 		Name:                 name,
-		Hooks:                [3]bool{r.flip(), r.flip(), r.flip()},
-		Categories:           []bool{r.flip(), r.flip(), r.flip()},
-		TargetCategories:     []bool{r.flip(), r.flip(), r.flip()},
-		MayReject:            r.flip(),
-		MayTag:               r.flip(),
-		MayRewrite:           r.flip(),
+		Hooks:                [3]bool{r.randomBool(), r.randomBool(), r.randomBool()},
+		Categories:           []bool{r.randomBool(), r.randomBool(), r.randomBool()},
+		TargetCategories:     []bool{r.randomBool(), r.randomBool(), r.randomBool()},
+		MayReject:            r.randomBool(),
+		MayTag:               r.randomBool(),
+		MayRewrite:           r.randomBool(),
 		CallTimeout:          50,
 		MaxTimeFraction:      r.Float64(),
 		CoreFraction:         r.Float64(),
 		Fallback:             FallbackPolicy(r.Intn(2)),
-		FaultsByTenant:       r.flip(),
+		FaultsByTenant:       r.randomBool(),
 		MaxConsecutiveFaults: 1 + r.Intn(3),
 		MaxFaultRate:         r.Float64(),
 		MinQuarantine:        100,
@@ -53,7 +53,7 @@
 		Category:      r.Intn(3),
 		Tenant:        fmt.Sprint(r.Intn(3)),
 		TimeLeft:      timeunit.Ticks(r.Intn(5000)),
-		CategoryFixed: r.flip(),
+		CategoryFixed: r.randomBool(),
 	}
 }
 
@@ -61,26 +61,26 @@
 
 func (r randomizer) verdict() Verdict {
 	return Verdict{
-		Reject:   r.flip(),
+		Reject:   r.randomBool(),
 		Status:   r.Intn(700),
 		Category: r.Intn(6) - 2,
-		HasTag:   r.flip(),
+		HasTag:   r.randomBool(),
 		Tag:      "x",
-		Replace:  r.flip(),
+		Replace:  r.randomBool(),
 		Body:     r.body(),
 	}
 }
 
-// playEvaluations runs a hundred evaluations with random verdicts and faults through a random chain, checks each, and
+// runEvaluations runs a hundred evaluations with random verdicts and faults through a random chain, checks each, and
 // adds their steps and results to history.
-func playEvaluations(t *testing.T, seed int64, history *golden.History) {
+func runEvaluations(t *testing.T, seed int64, history *golden.History) {
 	t.Helper()
 	random := randomizer{rand.New(rand.NewSource(seed))}
 	var policies []Policy
 	for i := range 1 + random.Intn(3) {
 		policies = append(policies, random.policy(fmt.Sprint(i)))
 	}
-	chain := New(policies, nil, allNew, random.Rand, 0)
+	chain := New(policies, nil, isAlwaysNew, random.Rand, 0)
 	now := timeunit.Ticks(0)
 	for range 100 {
 		now += timeunit.Ticks(random.Intn(100))
@@ -89,7 +89,7 @@
 		body := random.body()
 		evaluation := chain.Begin(hook, request, body, now)
 		permitted := permissions{categories: make([]bool, 3)}
-		now = playCalls(t, random, evaluation, &permitted, now, history)
+		now = runCalls(t, random, evaluation, &permitted, now, history)
 		addEvaluation(history, evaluation, nil, 0, now)
 		addPlugins(history, chain)
 		if evaluation.Rejected {
@@ -129,9 +129,9 @@
 	}
 }
 
-// playCalls runs an evaluation to its end, ending each call with a random verdict or fault. It returns the time at
+// runCalls runs an evaluation to its end, ending each call with a random verdict or fault. It returns the time at
 // which the evaluation ended.
-func playCalls(
+func runCalls(
 	t *testing.T, random randomizer, evaluation *Evaluation, permitted *permissions, now timeunit.Ticks,
 	history *golden.History,
 ) timeunit.Ticks {
@@ -147,15 +147,15 @@
 		require.LessOrEqual(t, timeout, plugin.CallTimeout)
 		require.LessOrEqual(t, now+timeout, deadline+1)
 		permitted.add(&plugin.Policy)
-		took := timeunit.Ticks(random.Intn(int(timeout) + 1))
-		now += took
-		if random.flip() {
-			quarantined := evaluation.RecordFault(Fault(random.Intn(faultCount)), took, now)
-			history.Add(quarantined)
+		elapsed := timeunit.Ticks(random.Intn(int(timeout) + 1))
+		now += elapsed
+		if random.randomBool() {
+			isQuarantined := evaluation.RecordFault(Fault(random.Intn(faultCount)), elapsed, now)
+			history.Add(isQuarantined)
 			continue
 		}
-		fault, isFault, quarantined := evaluation.ApplyVerdict(random.verdict(), took, now)
-		history.Add(int(fault), isFault, quarantined)
+		fault, isFault, isQuarantined := evaluation.ApplyVerdict(random.verdict(), elapsed, now)
+		history.Add(int(fault), isFault, isQuarantined)
 	}
 }
 
@@ -170,16 +170,16 @@
 
 // BenchmarkEvaluation measures an evaluation in which only one of the loaded plug-ins is called.
 func BenchmarkEvaluation(b *testing.B) {
-	for _, loaded := range []int{1, 10, 100} {
-		b.Run(fmt.Sprint("loaded=", loaded), func(b *testing.B) {
+	for _, pluginCount := range []int{1, 10, 100} {
+		b.Run(fmt.Sprint("loaded=", pluginCount), func(b *testing.B) {
 			var policies []Policy
-			for i := range loaded {
+			for i := range pluginCount {
 				policy := defaultPolicy(fmt.Sprint(i))
 				policy.Hooks[HookRead] = true
-				policy.Categories[0] = i == loaded/2
+				policy.Categories[0] = i == pluginCount/2
 				policies = append(policies, policy)
 			}
-			chain := New(policies, nil, allNew, rand.New(rand.NewSource(1)), 0)
+			chain := New(policies, nil, isAlwaysNew, rand.New(rand.NewSource(1)), 0)
 			now := timeunit.Ticks(0)
 			request := Request{Tenant: "acme", TimeLeft: 10_000}
 			for b.Loop() {
--- a/internal/plugin/chain/golden_test.go
+++ b/internal/plugin/chain/golden_test.go
@@ -31,5 +31,5 @@
 // for ten seeds.
 func TestGoldenEvaluations(t *testing.T) {
 	file := schedule.GoldenFile{Name: "walks.txt", Seeds: 100, SeedsPerLine: 10, Label: "seeds=%d..%d"}
-	file.Check(t, playEvaluations)
+	file.Check(t, runEvaluations)
 }
--- a/internal/plugin/chain/scenario_test.go
+++ b/internal/plugin/chain/scenario_test.go
@@ -17,7 +17,7 @@
 
 // Names of faults and states in the scenario files.
 var (
-	scenarioFaults = [...]string{
+	scenarioFaultNames = [...]string{
 		FaultTimeout:      "timeout",
 		FaultTrap:         "trap",
 		FaultMalformed:    "malformed",
@@ -25,54 +25,54 @@
 		FaultProcessDied:  "process-died",
 		FaultUnavailable:  "unavailable",
 	}
-	scenarioStates = [...]string{StateActive: "active", StateQuarantined: "quarantined", StateProbation: "probation"}
+	stateNames = [...]string{StateActive: "active", StateQuarantined: "quarantined", StateProbation: "probation"}
 )
 
-// scenarioCategories is the number of categories in a scenario.
-const scenarioCategories = 3
+// scenarioCategoryCount is the number of categories in a scenario.
+const scenarioCategoryCount = 3
 
 // TestScenarios runs each scenario file in testdata, line by line. testdata/README.md describes the notation.
 func TestScenarios(t *testing.T) {
-	golden.CheckScenarios(t, "scenarios.txt", playScenario)
+	golden.CheckScenarios(t, "scenarios.txt", runScenario)
 }
 
 // scenario is the state of a running scenario.
 type scenario struct {
 	*require.Assertions
-	policies    []Policy // policies of the plug-ins declared for the next chain
-	chain       *Chain
-	evaluations map[string]*Evaluation
-	now         timeunit.Ticks
-	history     *golden.History
-	where       string // location of the current line, for failure messages
+	pendingPolicies []Policy // policies of the plug-ins declared for the next chain
+	chain           *Chain
+	evaluations     map[string]*Evaluation
+	now             timeunit.Ticks
+	history         *golden.History
+	location        string // location of the current line, for failure messages
 }
 
-func playScenario(t *testing.T, file string, history *golden.History) {
+func runScenario(t *testing.T, file string, history *golden.History) {
 	t.Helper()
 	s := &scenario{Assertions: require.New(t), evaluations: map[string]*Evaluation{}, history: history}
 	for _, step := range scenariofile.Steps(t, file) {
-		s.where = step.Where
-		s.step(step.Words)
+		s.location = step.Where
+		s.runStep(step.Words)
 	}
 }
 
-// number parses a number.
-func (s *scenario) number(text string) float64 {
+// parseNumber parses a number.
+func (s *scenario) parseNumber(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
-	s.NoError(err, s.where)
+	s.NoError(err, s.location)
 	return value
 }
 
-// integer parses an integer.
-func (s *scenario) integer(text string) int { return int(s.number(text)) }
+// parseInteger parses an integer.
+func (s *scenario) parseInteger(text string) int { return int(s.parseNumber(text)) }
 
-// ticks parses a time in milliseconds.
-func (s *scenario) ticks(text string) timeunit.Ticks {
-	return timeunit.Ticks(s.number(text) * float64(timeunit.TicksPerMillisecond))
+// parseTicks parses a time in milliseconds.
+func (s *scenario) parseTicks(text string) timeunit.Ticks {
+	return timeunit.Ticks(s.parseNumber(text) * float64(timeunit.TicksPerMillisecond))
 }
 
-// step runs one line of a scenario.
-func (s *scenario) step(words []string) {
+// runStep runs one line of a scenario.
+func (s *scenario) runStep(words []string) {
 	want := []string{}
 	if arrow := slices.Index(words, "=>"); arrow >= 0 {
 		want = words[arrow+1:]
@@ -80,37 +80,37 @@
 	}
 	switch verb, args := words[0], words[1:]; verb {
 	case "plugin":
-		s.policies = append(s.policies, s.policy(args))
+		s.pendingPolicies = append(s.pendingPolicies, s.parsePolicy(args))
 	case "chain":
 		isNew := func(name string) bool { return slices.Contains(args, name) }
-		s.chain = New(s.policies, s.chain, isNew, rand.New(rand.NewSource(1)), s.now)
-		s.policies = nil
+		s.chain = New(s.pendingPolicies, s.chain, isNew, rand.New(rand.NewSource(1)), s.now)
+		s.pendingPolicies = nil
 	case "at":
-		s.now = s.ticks(args[0])
+		s.now = s.parseTicks(args[0])
 		if len(args) > 1 {
-			s.step(slices.Concat(args[1:], []string{"=>"}, want))
+			s.runStep(slices.Concat(args[1:], []string{"=>"}, want))
 		}
 	case "read":
-		s.begin(HookRead, args, want)
+		s.beginEvaluation(HookRead, args, want)
 	case "result":
-		s.begin(HookResult, args, want)
+		s.beginEvaluation(HookResult, args, want)
 	case "verdict":
 		e := s.evaluations[args[0]]
-		fault, isFault, quarantined := e.ApplyVerdict(s.verdict(args[2:]), s.ticks(args[1]), s.now)
-		s.history.Add(s.now, int(fault), isFault, quarantined)
-		s.expect(e, fault, isFault, quarantined, want)
+		fault, isFault, isQuarantined := e.ApplyVerdict(s.parseVerdict(args[2:]), s.parseTicks(args[1]), s.now)
+		s.history.Add(s.now, int(fault), isFault, isQuarantined)
+		s.expectCallResult(e, fault, isFault, isQuarantined, want)
 	case "fault":
 		e := s.evaluations[args[0]]
-		fault := Fault(slices.Index(scenarioFaults[:], args[1]))
-		quarantined := e.RecordFault(fault, s.ticks(args[2]), s.now)
-		s.history.Add(s.now, int(fault), quarantined)
-		s.expect(e, fault, false, quarantined, want)
+		fault := Fault(slices.Index(scenarioFaultNames[:], args[1]))
+		isQuarantined := e.RecordFault(fault, s.parseTicks(args[2]), s.now)
+		s.history.Add(s.now, int(fault), isQuarantined)
+		s.expectCallResult(e, fault, false, isQuarantined, want)
 	case "state":
-		s.Equal(args[1], scenarioStates[s.plugin(args[0]).State], s.where)
+		s.Equal(args[1], stateNames[s.findPlugin(args[0]).State], s.location)
 	case "open":
-		s.Equal(args[0], strconv.Itoa(s.chain.OpenEvaluations), s.where)
+		s.Equal(args[0], strconv.Itoa(s.chain.OpenEvaluations), s.location)
 	default:
-		s.Fail("unknown step", s.where)
+		s.Fail("unknown step", s.location)
 	}
 }
 
@@ -119,7 +119,7 @@
 	return Policy{
 		Name:                 name,
 		Categories:           []bool{true, true, true},
-		TargetCategories:     make([]bool, scenarioCategories),
+		TargetCategories:     make([]bool, scenarioCategoryCount),
 		Tenants:              map[string]bool{},
 		CallTimeout:          50,
 		MaxTimeFraction:      0.5,
@@ -131,20 +131,20 @@
 	}
 }
 
-// options parses arguments of the form KEY or KEY=VALUE, and passes each value to the setter for its key.
-func (s *scenario) options(args []string, setters map[string]func(value string)) {
+// parseOptions parses arguments of the form KEY or KEY=VALUE, and passes each value to the setter for its key.
+func (s *scenario) parseOptions(args []string, setters map[string]func(value string)) {
 	for _, arg := range args {
 		key, value, _ := strings.Cut(arg, "=")
-		set, isKnown := setters[key]
-		s.True(isKnown, "unknown option %s: %s", key, s.where)
-		set(value)
+		setter, isKnown := setters[key]
+		s.True(isKnown, "unknown option %s: %s", key, s.location)
+		setter(value)
 	}
 }
 
-// policy parses NAME [OPTION...], where the options change the default policy.
-func (s *scenario) policy(args []string) Policy {
+// parsePolicy parses NAME [OPTION...], where the options change the default policy.
+func (s *scenario) parsePolicy(args []string) Policy {
 	policy := defaultPolicy(args[0])
-	s.options(args[1:], map[string]func(value string){
+	s.parseOptions(args[1:], map[string]func(value string){
 		"read":             func(string) { policy.Hooks[HookRead] = true },
 		"result":           func(string) { policy.Hooks[HookResult] = true },
 		"may-reject":       func(string) { policy.MayReject = true },
@@ -153,46 +153,46 @@
 		"faults-by-tenant": func(string) { policy.FaultsByTenant = true },
 		"fallback-reject":  func(string) { policy.Fallback = FallbackReject },
 		"category": func(value string) {
-			policy.Categories = make([]bool, scenarioCategories)
-			policy.Categories[s.integer(value)] = true
+			policy.Categories = make([]bool, scenarioCategoryCount)
+			policy.Categories[s.parseInteger(value)] = true
 		},
 		"tenant":     func(value string) { policy.Tenants[value] = true },
-		"to":         func(value string) { policy.TargetCategories[s.integer(value)] = true },
-		"timeout":    func(value string) { policy.CallTimeout = s.ticks(value) },
-		"fraction":   func(value string) { policy.MaxTimeFraction = s.number(value) },
-		"core":       func(value string) { policy.CoreFraction = s.number(value) },
-		"max-faults": func(value string) { policy.MaxConsecutiveFaults = s.integer(value) },
-		"max-rate":   func(value string) { policy.MaxFaultRate = s.number(value) },
+		"to":         func(value string) { policy.TargetCategories[s.parseInteger(value)] = true },
+		"timeout":    func(value string) { policy.CallTimeout = s.parseTicks(value) },
+		"fraction":   func(value string) { policy.MaxTimeFraction = s.parseNumber(value) },
+		"core":       func(value string) { policy.CoreFraction = s.parseNumber(value) },
+		"max-faults": func(value string) { policy.MaxConsecutiveFaults = s.parseInteger(value) },
+		"max-rate":   func(value string) { policy.MaxFaultRate = s.parseNumber(value) },
 	})
 	return policy
 }
 
-// begin parses NAME [category=N tenant=T left=MS fixed-category body=TEXT], begins the evaluation and checks its first
-// step.
-func (s *scenario) begin(hook Hook, args, want []string) {
+// beginEvaluation parses NAME [category=N tenant=T left=MS fixed-category body=TEXT], begins the evaluation and checks
+// its first step.
+func (s *scenario) beginEvaluation(hook Hook, args, want []string) {
 	request := Request{Tenant: "acme", TimeLeft: 10_000}
 	body := ""
-	s.options(args[1:], map[string]func(value string){
-		"category":       func(value string) { request.Category = s.integer(value) },
+	s.parseOptions(args[1:], map[string]func(value string){
+		"category":       func(value string) { request.Category = s.parseInteger(value) },
 		"tenant":         func(value string) { request.Tenant = value },
-		"left":           func(value string) { request.TimeLeft = s.ticks(value) },
+		"left":           func(value string) { request.TimeLeft = s.parseTicks(value) },
 		"fixed-category": func(string) { request.CategoryFixed = true },
 		"body":           func(value string) { body = value },
 	})
 	evaluation := s.chain.Begin(hook, request, []byte(body), s.now)
 	s.evaluations[args[0]] = evaluation
-	s.next(evaluation, want)
+	s.expectNext(evaluation, want)
 }
 
-// verdict parses [reject=STATUS to=CATEGORY tag=T replace=TEXT].
-func (s *scenario) verdict(args []string) Verdict {
+// parseVerdict parses [reject=STATUS to=CATEGORY tag=T replace=TEXT].
+func (s *scenario) parseVerdict(args []string) Verdict {
 	verdict := Verdict{Category: NoCategory}
-	s.options(args, map[string]func(value string){
+	s.parseOptions(args, map[string]func(value string){
 		"reject": func(value string) {
 			verdict.Reject = true
-			verdict.Status = s.integer(value)
+			verdict.Status = s.parseInteger(value)
 		},
-		"to": func(value string) { verdict.Category = s.integer(value) },
+		"to": func(value string) { verdict.Category = s.parseInteger(value) },
 		"tag": func(value string) {
 			verdict.HasTag = true
 			verdict.Tag = value
@@ -205,8 +205,8 @@
 	return verdict
 }
 
-// plugin returns the plug-in of the current chain with the given name, or nil if there is none.
-func (s *scenario) plugin(name string) *Plugin {
+// findPlugin returns the plug-in of the current chain with the given name, or nil if there is none.
+func (s *scenario) findPlugin(name string) *Plugin {
 	for _, plugin := range s.chain.Plugins {
 		if plugin.Name == name {
 			return plugin
@@ -215,34 +215,35 @@
 	return nil
 }
 
-// expect checks whether the end of a call was a fault or led to a quarantine, and then continues the evaluation.
-func (s *scenario) expect(e *Evaluation, fault Fault, isFault, quarantined bool, want []string) {
+// expectCallResult checks whether the end of a call was a fault or led to a quarantine, and then continues the
+// evaluation.
+func (s *scenario) expectCallResult(e *Evaluation, fault Fault, isFault, isQuarantined bool, want []string) {
 	got := []string{}
 	if isFault {
-		got = append(got, "fault:"+scenarioFaults[fault])
+		got = append(got, "fault:"+scenarioFaultNames[fault])
 	}
-	if quarantined {
+	if isQuarantined {
 		got = append(got, "quarantined")
 	}
-	s.GreaterOrEqual(len(want), len(got), s.where)
-	s.Equal(want[:len(got)], got, s.where)
-	s.next(e, want[len(got):])
+	s.GreaterOrEqual(len(want), len(got), s.location)
+	s.Equal(want[:len(got)], got, s.location)
+	s.expectNext(e, want[len(got):])
 }
 
-// next continues an evaluation. It checks the plug-in to call next and the timeout of the call, or the result at the
-// end of the evaluation.
-func (s *scenario) next(e *Evaluation, want []string) {
+// expectNext continues an evaluation. It checks the plug-in to call next and the timeout of the call, or the result at
+// the end of the evaluation.
+func (s *scenario) expectNext(e *Evaluation, want []string) {
 	plugin, timeout := e.Next(s.now)
 	addEvaluation(s.history, e, plugin, timeout, s.now)
 	addPlugins(s.history, s.chain)
 	if plugin != nil {
 		milliseconds := float64(timeout) / float64(timeunit.TicksPerMillisecond)
-		s.Equal(want, []string{"call:" + plugin.Name, fmt.Sprint(milliseconds)}, s.where)
+		s.Equal(want, []string{"call:" + plugin.Name, fmt.Sprint(milliseconds)}, s.location)
 		return
 	}
 	got := []string{"end"}
 	if e.Rejected {
-		s.Equal(want, append(got, fmt.Sprint("rejected:", e.Status)), s.where)
+		s.Equal(want, append(got, fmt.Sprint("rejected:", e.Status)), s.location)
 		return
 	}
 	if e.Category != e.request.Category {
@@ -254,5 +255,5 @@
 	if e.Rewritten {
 		got = append(got, "body:"+string(e.Body))
 	}
-	s.Equal(want, got, s.where)
+	s.Equal(want, got, s.location)
 }
--- a/internal/plugin/chain/verdict.go
+++ b/internal/plugin/chain/verdict.go
@@ -50,7 +50,7 @@
 // If the verdict is not accepted, isFault is true and fault is the reason.
 func (p *Policy) validate(evaluation *Evaluation, verdict *Verdict) (fault Fault, isFault bool) {
 	switch {
-	case !verdict.isPlausible(len(p.TargetCategories)):
+	case !verdict.isWellFormed(len(p.TargetCategories)):
 		return FaultMalformed, true
 	case verdict.Replace && len(verdict.Body) >= len(evaluation.Body):
 		// A replacement must be shorter than the result, so that size limits on results need not be checked again.
@@ -61,12 +61,12 @@
 	return 0, false
 }
 
-// isPlausible reports whether the verdict is valid under any policy, given the number of categories.
-func (v *Verdict) isPlausible(categories int) bool {
+// isWellFormed reports whether the verdict is valid under any policy, given the number of categories.
+func (v *Verdict) isWellFormed(categoryCount int) bool {
 	if v.Reject && v.Status != statusUnavailable && (v.Status < minRejectStatus || v.Status >= endRejectStatus) {
 		return false
 	}
-	return len(v.Tag) <= maxTagLength && v.Category < categories
+	return len(v.Tag) <= maxTagLength && v.Category < categoryCount
 }
 
 // permits reports whether the policy permits a verdict at the evaluation's hook. A request that has been started is
--- a/internal/plugin/frame.go
+++ b/internal/plugin/frame.go
@@ -29,12 +29,12 @@
 	FrameCall = 'A' // hook (8 bits), timeout in ticks of 100 us (32 bits), request
 
 	// The plug-in process sends:
-	FrameReady    = 'Y' // all plug-ins are loaded
-	FrameRefused  = 'N' // a plug-in could not be loaded; the payload is the reason
-	FrameVerdict  = 'V' // outcome (8 bits), duration in microseconds (32 bits), verdict
-	FrameLog      = 'L' // a log line of a plug-in
-	FrameState    = 'K' // length of the key (8 bits), key, value; an empty value deletes the key
-	FrameCounters = 'C' // the increment of each counter, as JSON
+	FrameReady      = 'Y' // all plug-ins are loaded
+	FrameLoadFailed = 'N' // a plug-in could not be loaded; the payload is the reason
+	FrameVerdict    = 'V' // outcome (8 bits), duration in microseconds (32 bits), verdict
+	FrameLog        = 'L' // a log line of a plug-in
+	FrameState      = 'K' // length of the key (8 bits), key, value; an empty value deletes the key
+	FrameCounters   = 'C' // the increment of each counter, as JSON
 )
 
 // CallOutcome describes how a call ended. It is sent in frames of kind FrameVerdict.
@@ -64,19 +64,19 @@
 }
 
 // AppendFrame appends an encoded frame to a buffer. The payload is the concatenation of the given parts.
-func AppendFrame(to []byte, kind byte, pluginIndex int, callID uint64, payload ...[]byte) []byte {
+func AppendFrame(dst []byte, kind byte, pluginIndex int, callID uint64, payload ...[]byte) []byte {
 	length := frameHeaderSize
 	for _, part := range payload {
 		length += len(part)
 	}
-	to = binary.LittleEndian.AppendUint32(to, uint32(length))
-	to = append(to, kind)
-	to = binary.LittleEndian.AppendUint16(to, uint16(pluginIndex))
-	to = binary.LittleEndian.AppendUint64(to, callID)
+	dst = binary.LittleEndian.AppendUint32(dst, uint32(length))
+	dst = append(dst, kind)
+	dst = binary.LittleEndian.AppendUint16(dst, uint16(pluginIndex))
+	dst = binary.LittleEndian.AppendUint64(dst, callID)
 	for _, part := range payload {
-		to = append(to, part...)
+		dst = append(dst, part...)
 	}
-	return to
+	return dst
 }
 
 // ParseFrame decodes the first frame in data and returns the bytes after it. If the frame is still incomplete,
@@ -124,25 +124,25 @@
 }
 
 // AppendCall appends an encoded frame that calls a hook of a plug-in. The timeout is in ticks of 100 us.
-func AppendCall(to []byte, pluginIndex, hook int, callID uint64, timeout int64, request []byte) []byte {
+func AppendCall(dst []byte, pluginIndex, hook int, callID uint64, timeout int64, request []byte) []byte {
 	header := binary.LittleEndian.AppendUint32([]byte{byte(hook)}, uint32(timeout))
-	return AppendFrame(to, FrameCall, pluginIndex, callID, header, request)
+	return AppendFrame(dst, FrameCall, pluginIndex, callID, header, request)
 }
 
 // Verdict decodes the payload of a frame of kind FrameVerdict. If the payload is too short, ok is false.
-func (f *Frame) Verdict() (outcome CallOutcome, took time.Duration, verdict []byte, ok bool) {
+func (f *Frame) Verdict() (outcome CallOutcome, elapsed time.Duration, verdict []byte, ok bool) {
 	if len(f.Payload) < callHeaderSize {
 		return 0, 0, nil, false
 	}
-	took = time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * time.Microsecond
-	return CallOutcome(f.Payload[0]), took, f.Payload[callHeaderSize:], true
+	elapsed = time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * time.Microsecond
+	return CallOutcome(f.Payload[0]), elapsed, f.Payload[callHeaderSize:], true
 }
 
 // appendStateEntry appends the encoded payload of a frame of kind FrameState. The key has at most maxKeySize bytes.
-func appendStateEntry(to []byte, key, value string) []byte {
-	to = append(to, byte(len(key)))
-	to = append(to, key...)
-	return append(to, value...)
+func appendStateEntry(dst []byte, key, value string) []byte {
+	dst = append(dst, byte(len(key)))
+	dst = append(dst, key...)
+	return append(dst, value...)
 }
 
 // StateEntry decodes the payload of a frame of kind FrameState. If the payload is too short, ok is false.
--- a/internal/plugin/golden_test.go
+++ b/internal/plugin/golden_test.go
@@ -28,8 +28,8 @@
 			key, value, ok := frame.StateEntry()
 			lines = fmt.Appendf(lines, "kept %q %q %v\n", key, value, ok)
 		case FrameVerdict:
-			outcome, took, verdict, ok := frame.Verdict()
-			lines = fmt.Appendf(lines, "verdict %d %d %x %v\n", outcome, took.Microseconds(), verdict, ok)
+			outcome, elapsed, verdict, ok := frame.Verdict()
+			lines = fmt.Appendf(lines, "verdict %d %d %x %v\n", outcome, elapsed.Microseconds(), verdict, ok)
 		}
 	}
 	golden.Check(t, "frames.txt", lines)
@@ -39,10 +39,10 @@
 func goldenFrames(t *testing.T) (frames [][]byte) {
 	t.Helper()
 	m := &module{
-		ModuleConfig: ModuleConfig{MaxStateKB: 1},
-		state:        map[string][]byte{},
-		logTokens:    logLinesPerSecond,
-		logTokensAt:  time.Now(),
+		ModuleConfig:       ModuleConfig{MaxStateKB: 1},
+		state:              map[string][]byte{},
+		logTokens:          logLinesPerSecond,
+		logTokensUpdatedAt: time.Now(),
 		emit: func(kind byte, payload []byte) {
 			frames = append(frames, AppendFrame(nil, kind, 3, 0, payload))
 		},
@@ -61,12 +61,12 @@
 	frames = append(frames,
 		AppendFrame(nil, frameSpec, 0, 0, goldenSpec(t)),
 		AppendFrame(nil, FrameReady, 0, 0, nil),
-		AppendFrame(nil, FrameRefused, 1, 0, []byte("why")),
+		AppendFrame(nil, FrameLoadFailed, 1, 0, []byte("why")),
 		AppendFrame(nil, FrameCounters, 2, 0, []byte(`{"n":1}`)),
 		AppendCall(nil, 513, abi.HookResult, 1<<60+1, 25, request.Append(nil)))
 	out := &frameWriter{out: frameCollector{&frames}}
 	for _, outcome := range []CallOutcome{CallSucceeded, CallTimedOut, CallTrapped, CallMalformed, CallNotStarted} {
-		out.writeVerdict(callRequest{pluginIndex: 2, id: 77}, outcome, 1234*time.Microsecond, []byte{1, 2, 3})
+		out.writeVerdict(queuedCall{pluginIndex: 2, id: 77}, outcome, 1234*time.Microsecond, []byte{1, 2, 3})
 	}
 	return frames
 }
--- a/internal/plugin/host.go
+++ b/internal/plugin/host.go
@@ -33,23 +33,23 @@
 }
 
 const (
-	maxQueuedCalls  = 256                    // calls that wait for a worker; further calls end with CallNotStarted
-	hostReadBuffer  = 64 << 10               // bytes
-	counterInterval = time.Second            // time between two reports of a plug-in's counters
-	callTimeoutUnit = 100 * time.Microsecond // unit of the timeout in a FrameCall payload
-	highestHook     = 2                      // highest hook number of the ABI
+	maxQueuedCalls     = 256                    // calls that wait for a worker; further calls end with CallNotStarted
+	hostReadBufferSize = 64 << 10               // bytes
+	counterInterval    = time.Second            // time between two reports of a plug-in's counters
+	callTimeoutUnit    = 100 * time.Microsecond // unit of the timeout in a FrameCall payload
+	maxHook            = 2                      // highest hook number of the ABI
 )
 
 // host is the state of the plug-in process. Its goroutines are never stopped, because the caller of RunHost exits the
 // process when RunHost returns.
 type host struct {
 	modules []*module
-	calls   chan callRequest
+	calls   chan queuedCall
 	out     *frameWriter
 }
 
-// callRequest is a call of a plug-in's hook that waits for a worker.
-type callRequest struct {
+// queuedCall is a call of a plug-in's hook that waits for a worker.
+type queuedCall struct {
 	pluginIndex int
 	hook        int
 	id          uint64
@@ -65,14 +65,14 @@
 	if err != nil {
 		return err
 	}
-	in := bufio.NewReaderSize(conn, hostReadBuffer)
+	in := bufio.NewReaderSize(conn, hostReadBufferSize)
 	spec, err := readSpec(in)
 	if err != nil {
 		return err
 	}
 	spec.applyLimits()
 	ctx := context.Background()
-	h := &host{calls: make(chan callRequest, maxQueuedCalls), out: &frameWriter{out: conn}}
+	h := &host{calls: make(chan queuedCall, maxQueuedCalls), out: &frameWriter{out: conn}}
 	if err := h.loadModules(ctx, &spec); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 		emit := func(kind byte, payload []byte) { h.out.writeFrame(kind, i, 0, payload) }
 		m, err := loadModule(ctx, config, spec.Workers, emit)
 		if err != nil {
-			h.out.writeFrame(FrameRefused, i, 0, []byte(err.Error()))
+			h.out.writeFrame(FrameLoadFailed, i, 0, []byte(err.Error()))
 			return fmt.Errorf("load plug-in %s: %w", config.Name, err)
 		}
 		h.modules = append(h.modules, m)
@@ -130,12 +130,12 @@
 			return err
 		}
 		isCall := f.Kind == FrameCall && f.PluginIndex < len(h.modules) &&
-			len(f.Payload) >= callHeaderSize && f.Payload[0] <= highestHook
+			len(f.Payload) >= callHeaderSize && f.Payload[0] <= maxHook
 		if !isCall {
 			return errMalformedFrame
 		}
 		timeout := time.Duration(binary.LittleEndian.Uint32(f.Payload[1:])) * callTimeoutUnit
-		call := callRequest{
+		call := queuedCall{
 			pluginIndex: f.PluginIndex,
 			hook:        int(f.Payload[0]),
 			id:          f.CallID,
@@ -151,14 +151,14 @@
 }
 
 // serveCall calls the plug-in and sends the outcome to the app server.
-func (h *host) serveCall(ctx context.Context, call callRequest) {
+func (h *host) serveCall(ctx context.Context, call queuedCall) {
 	timeout := time.Until(call.deadline)
 	if timeout <= 0 {
 		h.out.writeVerdict(call, CallNotStarted, 0, nil)
 		return
 	}
-	verdict, took, err := h.modules[call.pluginIndex].call(ctx, call.hook, call.request, timeout)
-	h.out.writeVerdict(call, outcomeOf(err), took, verdict)
+	verdict, elapsed, err := h.modules[call.pluginIndex].call(ctx, call.hook, call.request, timeout)
+	h.out.writeVerdict(call, outcomeOf(err), elapsed, verdict)
 }
 
 // outcomeOf returns the outcome for the error that a module's call returned. A nil error means that the call succeeded.
@@ -179,9 +179,9 @@
 func (h *host) reportCounters() {
 	for range time.Tick(counterInterval) {
 		for i, m := range h.modules {
-			if moved := m.takeCounters(); moved != nil {
-				text, _ := json.Marshal(moved) // encoding a map of integers cannot fail
-				h.out.writeFrame(FrameCounters, i, 0, text)
+			if increments := m.takeCounters(); increments != nil {
+				encoded, _ := json.Marshal(increments) // encoding a map of integers cannot fail
+				h.out.writeFrame(FrameCounters, i, 0, encoded)
 			}
 		}
 	}
@@ -205,7 +205,7 @@
 }
 
 // writeVerdict sends the outcome of a call.
-func (w *frameWriter) writeVerdict(call callRequest, outcome CallOutcome, took time.Duration, verdict []byte) {
-	header := binary.LittleEndian.AppendUint32([]byte{byte(outcome)}, uint32(min(took.Microseconds(), 1<<31)))
+func (w *frameWriter) writeVerdict(call queuedCall, outcome CallOutcome, elapsed time.Duration, verdict []byte) {
+	header := binary.LittleEndian.AppendUint32([]byte{byte(outcome)}, uint32(min(elapsed.Microseconds(), 1<<31)))
 	w.writeFrame(FrameVerdict, call.pluginIndex, call.id, header, verdict)
 }
--- a/internal/plugin/hostfunctions.go
+++ b/internal/plugin/hostfunctions.go
@@ -20,15 +20,15 @@
 	maxCounters        = 32
 )
 
-// hostModule is the name of the WebAssembly module from which plug-ins import the host functions.
-const hostModule = "thistlequay"
+// hostModuleName is the name of the WebAssembly module from which plug-ins import the host functions.
+const hostModuleName = "thistlequay"
 
 // hostFailure is the result of the host functions get and put on failure, instead of a length or 0.
 const hostFailure = -1
 
 // exportHostFunctions defines the host functions that a plug-in may import. Each of them validates its arguments.
 func (m *module) exportHostFunctions(ctx context.Context) error {
-	builder := m.runtime.NewHostModuleBuilder(hostModule)
+	builder := m.runtime.NewHostModuleBuilder(hostModuleName)
 	export := func(name string, function any) { builder.NewFunctionBuilder().WithFunc(function).Export(name) }
 	export("log", m.hostLog)
 	export("count", m.hostCount)
@@ -111,16 +111,16 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	m.logTokens = min(logLinesPerSecond, m.logTokens+now.Sub(m.logTokensAt).Seconds()*logLinesPerSecond)
-	m.logTokensAt = now
+	m.logTokens = min(logLinesPerSecond, m.logTokens+now.Sub(m.logTokensUpdatedAt).Seconds()*logLinesPerSecond)
+	m.logTokensUpdatedAt = now
 	if m.logTokens < 1 {
-		m.suppressedLines++
+		m.suppressedLogLines++
 		return
 	}
 	m.logTokens--
-	if m.suppressedLines > 0 {
-		line = fmt.Sprintf("%s (%d earlier lines were suppressed)", line, m.suppressedLines)
-		m.suppressedLines = 0
+	if m.suppressedLogLines > 0 {
+		line = fmt.Sprintf("%s (%d earlier lines were suppressed)", line, m.suppressedLogLines)
+		m.suppressedLogLines = 0
 	}
 	m.emit(FrameLog, []byte(line))
 }
@@ -142,9 +142,9 @@
 	if len(m.counters) == 0 {
 		return nil
 	}
-	taken := m.counters
+	increments := m.counters
 	m.counters = map[string]int64{}
-	return taken
+	return increments
 }
 
 // putState stores a value under a key, or deletes the key if the value is empty, and reports the change to the app
@@ -152,10 +152,10 @@
 func (m *module) putState(key, value string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before, exists := m.state[key]
+	previous, exists := m.state[key]
 	size := m.stateSize
 	if exists {
-		size -= len(key) + len(before)
+		size -= len(key) + len(previous)
 	}
 	if value == "" {
 		delete(m.state, key)
--- a/internal/plugin/instance.go
+++ b/internal/plugin/instance.go
@@ -37,29 +37,29 @@
 // newInstance starts an instance and checks its ABI version and exported functions, all within the module's
 // StartTimeout.
 func (m *module) newInstance(ctx context.Context) (*instance, error) {
-	limited, cancel := context.WithTimeout(ctx, m.StartTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, m.StartTimeout)
 	defer cancel()
 	config := wazero.NewModuleConfig().
 		WithName("").
 		WithStartFunctions(exportInitialize).
 		WithRandSource(rand.New(rand.NewSource(m.Seed)))
-	running, err := m.runtime.InstantiateModule(limited, m.compiled, config)
+	guest, err := m.runtime.InstantiateModule(startCtx, m.compiled, config)
 	if err != nil {
 		return nil, fmt.Errorf("does not start: %w", err)
 	}
-	i := &instance{module: running, bufferFunction: running.ExportedFunction(exportBuffer), stack: make([]uint64, 4)}
-	if running.Memory() == nil || !hasShape(i.bufferFunction, 1, 1) {
+	i := &instance{module: guest, bufferFunction: guest.ExportedFunction(exportBuffer), stack: make([]uint64, 4)}
+	if guest.Memory() == nil || !hasSignature(i.bufferFunction, 1, 1) {
 		return nil, errors.New("does not export both a memory and tq_buffer(length) pointer")
 	}
-	if err := checkVersion(limited, running); err != nil {
+	if err := checkVersion(startCtx, guest); err != nil {
 		return nil, err
 	}
 	for hook, name := range hookExports {
 		if !m.Hooks[hook] {
 			continue
 		}
-		function := running.ExportedFunction(name)
-		if !hasShape(function, 2, 1) || function.Definition().ResultTypes()[0] != api.ValueTypeI64 {
+		function := guest.ExportedFunction(name)
+		if !hasSignature(function, 2, 1) || function.Definition().ResultTypes()[0] != api.ValueTypeI64 {
 			return nil, fmt.Errorf("is configured for a hook but does not export %s(pointer, length) i64", name)
 		}
 		i.hookFunctions[hook] = function
@@ -67,8 +67,8 @@
 	return i, nil
 }
 
-// hasShape reports whether a function exists and has the given numbers of parameters and results.
-func hasShape(function api.Function, parameters, results int) bool {
+// hasSignature reports whether a function exists and has the given numbers of parameters and results.
+func hasSignature(function api.Function, parameters, results int) bool {
 	if function == nil {
 		return false
 	}
@@ -77,9 +77,9 @@
 }
 
 // checkVersion checks that the module was built for this version of the ABI.
-func checkVersion(ctx context.Context, running api.Module) error {
-	function := running.ExportedFunction(exportVersion)
-	if !hasShape(function, 0, 1) {
+func checkVersion(ctx context.Context, guest api.Module) error {
+	function := guest.ExportedFunction(exportVersion)
+	if !hasSignature(function, 0, 1) {
 		return errors.New("does not export tq_abi(), which returns its ABI version")
 	}
 	results, err := function.Call(ctx)
--- a/internal/plugin/limits.go
+++ b/internal/plugin/limits.go
@@ -26,8 +26,8 @@
 	// gcPercent makes the garbage collector run twice as often as by default, because memory is scarce.
 	gcPercent = 50
 
-	// exitBeyondMemory is the exit code of a process that exits because it exceeded its memory limit.
-	exitBeyondMemory = 3
+	// exitMemoryExceeded is the exit code of a process that exits because it exceeded its memory limit.
+	exitMemoryExceeded = 3
 )
 
 // applyLimits limits the process's memory and lowers its scheduling priority below that of the app server. A process
@@ -46,7 +46,7 @@
 		for range time.Tick(memoryCheckInterval) {
 			if residentBytes() > maxMemory {
 				fmt.Fprintln(os.Stderr, "the plug-in process exceeded its memory limit")
-				os.Exit(exitBeyondMemory)
+				os.Exit(exitMemoryExceeded)
 			}
 		}
 	}()
--- a/internal/plugin/module.go
+++ b/internal/plugin/module.go
@@ -82,14 +82,14 @@
 	idleInstances chan *instance
 	emit          func(kind byte, payload []byte) // sends a frame for this plug-in to the app server
 
-	mu              sync.Mutex // guards the fields below
-	state           map[string][]byte
-	stateSize       int // total size of keys and values in bytes
-	counters        map[string]int64
-	logTokens       float64   // token bucket that limits the rate of log lines
-	logTokensAt     time.Time // time of the last refill
-	suppressedLines int       // log lines suppressed since the last one that was sent
-	random          *rand.Rand
+	mu                 sync.Mutex // guards the fields below
+	state              map[string][]byte
+	stateSize          int // total size of keys and values in bytes
+	counters           map[string]int64
+	logTokens          float64   // token bucket that limits the rate of log lines
+	logTokensUpdatedAt time.Time // time of the last refill
+	suppressedLogLines int       // log lines suppressed since the last one that was sent
+	random             *rand.Rand
 }
 
 // loadModule compiles a plug-in, starts one instance and checks it with the configured samples. Up to maxIdle idle
@@ -102,14 +102,14 @@
 		return nil, err
 	}
 	m := &module{
-		ModuleConfig:  config,
-		state:         map[string][]byte{},
-		counters:      map[string]int64{},
-		logTokens:     logLinesPerSecond,
-		logTokensAt:   time.Now(),
-		random:        rand.New(rand.NewSource(config.Seed)),
-		emit:          emit,
-		idleInstances: make(chan *instance, maxIdle),
+		ModuleConfig:       config,
+		state:              map[string][]byte{},
+		counters:           map[string]int64{},
+		logTokens:          logLinesPerSecond,
+		logTokensUpdatedAt: time.Now(),
+		random:             rand.New(rand.NewSource(config.Seed)),
+		emit:               emit,
+		idleInstances:      make(chan *instance, maxIdle),
 	}
 	for key, value := range config.State {
 		m.state[key] = value
@@ -118,11 +118,11 @@
 	if err := m.compile(ctx, code); err != nil {
 		return nil, err
 	}
-	first, err := m.newInstance(ctx)
+	firstInstance, err := m.newInstance(ctx)
 	if err != nil {
 		return nil, err
 	}
-	m.idleInstances <- first
+	m.idleInstances <- firstInstance
 	for i, sample := range config.Samples {
 		if err := m.checkSample(ctx, &sample); err != nil {
 			return nil, fmt.Errorf("sample %d: %w", i+1, err)
@@ -145,11 +145,11 @@
 		return nil, err
 	}
 	digest := sha256.Sum256(code)
-	sum := hex.EncodeToString(digest[:])
-	if config.SHA256 != "" && sum != config.SHA256 {
-		return nil, fmt.Errorf("%s has sha256 %s, the configuration requires %s", config.File, sum, config.SHA256)
+	hexDigest := hex.EncodeToString(digest[:])
+	if config.SHA256 != "" && hexDigest != config.SHA256 {
+		return nil, fmt.Errorf("%s has sha256 %s, the configuration requires %s", config.File, hexDigest, config.SHA256)
 	}
-	config.SHA256 = sum
+	config.SHA256 = hexDigest
 	return code, nil
 }
 
@@ -185,11 +185,11 @@
 		Tenant:     sample.Tenant,
 		Body:       []byte(sample.Body),
 	}
-	answer, _, err := m.call(ctx, sample.Hook, request.Append(nil), m.StartTimeout)
+	encoded, _, err := m.call(ctx, sample.Hook, request.Append(nil), m.StartTimeout)
 	if err != nil {
 		return err
 	}
-	verdict, err := abi.ParseVerdict(answer)
+	verdict, err := abi.ParseVerdict(encoded)
 	if err != nil || sample.ExpectedActions == nil {
 		return err
 	}
@@ -210,30 +210,30 @@
 // starts a new instance if none is idle.
 func (m *module) call(
 	ctx context.Context, hook int, request []byte, timeout time.Duration,
-) (answer []byte, took time.Duration, err error) {
-	i, err := m.takeInstance(ctx)
+) (verdict []byte, elapsed time.Duration, err error) {
+	i, err := m.acquireInstance(ctx)
 	if err != nil {
 		return nil, 0, err
 	}
 	start := time.Now()
-	limited, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer, err = i.call(limited, hook, request)
-	took = time.Since(start)
+	verdict, err = i.call(callCtx, hook, request)
+	elapsed = time.Since(start)
 	if err != nil {
 		i.close()
-		return nil, took, err
+		return nil, elapsed, err
 	}
 	select {
 	case m.idleInstances <- i:
 	default:
 		i.close()
 	}
-	return answer, took, nil
+	return verdict, elapsed, nil
 }
 
-// takeInstance returns an idle instance, or a new one if none is idle.
-func (m *module) takeInstance(ctx context.Context) (*instance, error) {
+// acquireInstance returns an idle instance, or a new one if none is idle.
+func (m *module) acquireInstance(ctx context.Context) (*instance, error) {
 	select {
 	case i := <-m.idleInstances:
 		return i, nil
--- a/internal/plugin/module_test.go
+++ b/internal/plugin/module_test.go
@@ -34,10 +34,10 @@
 	t.Helper()
 	config := testConfig(t, kind)
 	config.Compile = compile
-	loaded, err := loadModule(context.Background(), config, 1, func(byte, []byte) {})
+	m, err := loadModule(context.Background(), config, 1, func(byte, []byte) {})
 	require.NoError(t, err, kind)
-	t.Cleanup(loaded.close)
-	return loaded
+	t.Cleanup(m.close)
+	return m
 }
 
 // TestUnusableModuleIsRefused checks that loading an unusable module fails with an error that states the reason.
@@ -45,7 +45,7 @@
 	expectNoActions := func(config *ModuleConfig) { config.Samples = []Sample{{ExpectedActions: new(int)}} }
 	for _, test := range []struct {
 		kind   string
-		change func(config *ModuleConfig) // nil leaves the configuration unchanged
+		modify func(config *ModuleConfig) // nil leaves the configuration unchanged
 		reason string
 	}{
 		{"truncated", nil, "is no module that can be run"},
@@ -58,8 +58,8 @@
 	} {
 		t.Run(test.kind+" "+test.reason, func(t *testing.T) {
 			config := testConfig(t, test.kind)
-			if test.change != nil {
-				test.change(&config)
+			if test.modify != nil {
+				test.modify(&config)
 			}
 			_, err := loadModule(context.Background(), config, 1, nil)
 			require.ErrorContains(t, err, test.reason)
@@ -100,11 +100,11 @@
 				continue // its stack grows to hundreds of MB first; the memory limit of the process covers this
 			}
 			t.Run(engine.name+"/"+kind, func(t *testing.T) {
-				loaded := loadTestModule(t, kind, engine.compile)
+				m := loadTestModule(t, kind, engine.compile)
 				for range 3 {
-					_, took, err := loaded.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
+					_, elapsed, err := m.call(context.Background(), abi.HookRead, request, 30*time.Millisecond)
 					require.Equal(t, want, outcomeOf(err), err)
-					require.Less(t, took, 20*time.Second)
+					require.Less(t, elapsed, 20*time.Second)
 				}
 			})
 		}
@@ -113,14 +113,14 @@
 
 // TestStateIsBounded checks that the total size of keys and values stays within MaxStateKB.
 func TestStateIsBounded(t *testing.T) {
-	loaded := loadTestModule(t, "good", false)
+	m := loadTestModule(t, "good", false)
 	value := string(make([]byte, 600))
-	require.True(t, loaded.putState("a", value))
-	require.False(t, loaded.putState("b", value))
-	require.True(t, loaded.putState("a", "short"))
-	require.True(t, loaded.putState("b", value))
-	require.True(t, loaded.putState("b", ""))
-	require.Equal(t, 6, loaded.stateSize)
+	require.True(t, m.putState("a", value))
+	require.False(t, m.putState("b", value))
+	require.True(t, m.putState("a", "short"))
+	require.True(t, m.putState("b", value))
+	require.True(t, m.putState("b", ""))
+	require.Equal(t, 6, m.stateSize)
 }
 
 // BenchmarkCall measures one call of a module, without the frames between the app server and the plug-in process.
@@ -129,10 +129,10 @@
 	for _, engine := range engines {
 		for _, kind := range []string{"good", "declines"} {
 			b.Run(engine.name+"/"+kind, func(b *testing.B) {
-				loaded := loadTestModule(b, kind, engine.compile)
+				m := loadTestModule(b, kind, engine.compile)
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, _, err := loaded.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
+					if _, _, err := m.call(context.Background(), abi.HookRead, request, time.Second); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/plugin/process.go
+++ b/internal/plugin/process.go
@@ -55,14 +55,14 @@
 
 // connPair returns the two ends of a new connection: one for this program and one for the plug-in process to inherit.
 func connPair() (conn net.Conn, inherited *os.File, err error) {
-	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	descriptors, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	own := os.NewFile(uintptr(pair[0]), "plug-ins")
-	inherited = os.NewFile(uintptr(pair[1]), "app server")
-	conn, err = net.FileConn(own)
-	_ = own.Close() // the connection uses a duplicate of the descriptor
+	localFile := os.NewFile(uintptr(descriptors[0]), "plug-ins")
+	inherited = os.NewFile(uintptr(descriptors[1]), "app server")
+	conn, err = net.FileConn(localFile)
+	_ = localFile.Close() // the connection uses a duplicate of the descriptor
 	if err != nil {
 		return nil, nil, errors.Join(err, inherited.Close())
 	}
@@ -71,14 +71,14 @@
 
 // handshake sends the configuration to the process and waits until the process is ready.
 func (p *Process) handshake(timeout time.Duration) error {
-	text, err := json.Marshal(p.Spec)
+	encodedSpec, err := json.Marshal(p.Spec)
 	if err != nil {
 		return err
 	}
 	if err := p.Conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
-	if _, err := p.Conn.Write(AppendFrame(nil, frameSpec, 0, 0, text)); err != nil {
+	if _, err := p.Conn.Write(AppendFrame(nil, frameSpec, 0, 0, encodedSpec)); err != nil {
 		return err
 	}
 	for {
@@ -88,7 +88,7 @@
 			return fmt.Errorf("the plug-ins were not ready within %v", timeout)
 		case err != nil:
 			return fmt.Errorf("the plug-in process ended while loading the plug-ins: %w", err)
-		case f.Kind == FrameRefused && f.PluginIndex < len(p.Spec.Plugins):
+		case f.Kind == FrameLoadFailed && f.PluginIndex < len(p.Spec.Plugins):
 			return fmt.Errorf("plug-in %s %s", p.Spec.Plugins[f.PluginIndex].Name, f.Payload)
 		case f.Kind == FrameReady:
 			return p.Conn.SetDeadline(time.Time{})
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -23,7 +23,7 @@
 // Try loads a module in this process and calls it the given number of times for a request, each time with the given
 // timeout. It lets plug-in authors run a module.
 func Try(
-	config ModuleConfig, request *abi.Request, calls int, timeout time.Duration,
+	config ModuleConfig, request *abi.Request, callCount int, timeout time.Duration,
 ) (result TrialResult, err error) {
 	ctx := context.Background()
 	start := time.Now()
@@ -38,17 +38,17 @@
 	defer m.close()
 	result.StartupTime = time.Since(start)
 	result.SHA256 = m.SHA256
-	for range calls {
-		answer, took, err := m.call(ctx, request.Hook, request.Append(nil), timeout)
+	for range callCount {
+		encoded, elapsed, err := m.call(ctx, request.Hook, request.Append(nil), timeout)
 		if err != nil {
 			return result, err
 		}
-		verdict, err := abi.ParseVerdict(answer)
+		verdict, err := abi.ParseVerdict(encoded)
 		if err != nil {
 			return result, err
 		}
 		result.Verdict = verdict
-		result.LongestCall = max(result.LongestCall, took)
+		result.LongestCall = max(result.LongestCall, elapsed)
 	}
 	select {
 	case i := <-m.idleInstances:
