--- a/internal/plugin/host.go
+++ b/internal/plugin/host.go
@@ -161,7 +161,8 @@
 	h.out.writeVerdict(call, outcomeOf(err), elapsed, verdict)
 }
 
-// outcomeOf returns the outcome for the error that a module's call returned. A nil error means that the call succeeded.
+// outcomeOf returns the outcome for the error that a module's call returned. A nil error means that the call succeeded;
+// only then is there a verdict.
 func outcomeOf(err error) CallOutcome {
 	switch {
 	case err == nil:
