--- a/internal/plugin/abi/golden_test.go
+++ b/internal/plugin/abi/golden_test.go
@@ -9,15 +9,15 @@
 	"thistlequay/internal/golden"
 )
 
-// TestGoldenMessages compares the bytes of requests and verdicts with what was recorded. Read and written again they
-// are the same.
+// TestGoldenMessages compares encoded requests and verdicts with the golden file, and checks that decoding and encoding
+// them again yields the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	var lines []byte
 	for _, request := range goldenRequests {
 		data := request.Append(nil)
-		read, err := ParseRequest(data)
+		parsed, err := ParseRequest(data)
 		require.NoError(t, err)
-		require.Equal(t, data, read.Append(nil))
+		require.Equal(t, data, parsed.Append(nil))
 		lines = fmt.Appendf(lines, "request %x\n", data)
 	}
 	for actions := range knownActions + 1 {
@@ -32,14 +32,15 @@
 			verdict.Body = []byte("short\x00")
 		}
 		data := verdict.Append(nil)
-		read, err := ParseVerdict(data)
+		parsed, err := ParseVerdict(data)
 		require.NoError(t, err)
-		require.Equal(t, data, read.Append(nil))
+		require.Equal(t, data, parsed.Append(nil))
 		lines = fmt.Appendf(lines, "verdict %x\n", data)
 	}
 	golden.Check(t, "messages.txt", lines)
 }
 
+// goldenRequests are the requests whose encoding is recorded in the golden file.
 var goldenRequests = []Request{
 	{},
 	{
--- a/internal/plugin/golden_test.go
+++ b/internal/plugin/golden_test.go
@@ -12,8 +12,8 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// TestGoldenFrames compares the bytes between the app server and the plug-in process with what was recorded. Read and
-// written again they are the same.
+// TestGoldenFrames compares encoded frames between the app server and the plug-in process with the golden file, and
+// checks that decoding and encoding them again yields the same bytes.
 func TestGoldenFrames(t *testing.T) {
 	var lines []byte
 	for _, data := range goldenFrames(t) {
@@ -28,21 +28,21 @@
 			key, value, ok := frame.StateEntry()
 			lines = fmt.Appendf(lines, "kept %q %q %v\n", key, value, ok)
 		case FrameVerdict:
-			outcome, took, verdict, ok := frame.Verdict()
-			lines = fmt.Appendf(lines, "verdict %d %d %x %v\n", outcome, took.Microseconds(), verdict, ok)
+			outcome, elapsed, verdict, ok := frame.Verdict()
+			lines = fmt.Appendf(lines, "verdict %d %d %x %v\n", outcome, elapsed.Microseconds(), verdict, ok)
 		}
 	}
 	golden.Check(t, "frames.txt", lines)
 }
 
-// goldenFrames returns frames of every kind.
+// goldenFrames returns encoded frames of every kind.
 func goldenFrames(t *testing.T) (frames [][]byte) {
 	t.Helper()
 	m := &module{
-		ModuleConfig: ModuleConfig{MaxStateKB: 1},
-		state:        map[string][]byte{},
-		logTokens:    logLinesPerSecond,
-		logTokensAt:  time.Now(),
+		ModuleConfig:       ModuleConfig{MaxStateKB: 1},
+		state:              map[string][]byte{},
+		logTokens:          logLinesPerSecond,
+		logTokensUpdatedAt: time.Now(),
 		emit: func(kind byte, payload []byte) {
 			frames = append(frames, AppendFrame(nil, kind, 3, 0, payload))
 		},
@@ -61,17 +61,17 @@
 	frames = append(frames,
 		AppendFrame(nil, frameSpec, 0, 0, goldenSpec(t)),
 		AppendFrame(nil, FrameReady, 0, 0, nil),
-		AppendFrame(nil, FrameRefused, 1, 0, []byte("why")),
+		AppendFrame(nil, FrameLoadFailed, 1, 0, []byte("why")),
 		AppendFrame(nil, FrameCounters, 2, 0, []byte(`{"n":1}`)),
 		AppendCall(nil, 513, abi.HookResult, 1<<60+1, 25, request.Append(nil)))
 	out := &frameWriter{out: frameCollector{&frames}}
 	for _, outcome := range []CallOutcome{CallSucceeded, CallTimedOut, CallTrapped, CallMalformed, CallNotStarted} {
-		out.writeVerdict(callRequest{pluginIndex: 2, id: 77}, outcome, 1234*time.Microsecond, []byte{1, 2, 3})
+		out.writeVerdict(queuedCall{pluginIndex: 2, id: 77}, outcome, 1234*time.Microsecond, []byte{1, 2, 3})
 	}
 	return frames
 }
 
-// goldenSpec returns a specification as JSON, with every field set in one plug-in and none in another.
+// goldenSpec returns a HostSpec as JSON. One of its plug-ins has every field set, and the other has none.
 func goldenSpec(t *testing.T) []byte {
 	t.Helper()
 	actions := 5
@@ -105,9 +105,10 @@
 	return golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}.Encode(t, spec, &HostSpec{})
 }
 
-// frameCollector takes each write as a frame of its own.
+// frameCollector is an io.Writer that appends the data of each write to frames, as a separate frame.
 type frameCollector struct{ frames *[][]byte }
 
+// Write appends a copy of data to the frames.
 func (c frameCollector) Write(data []byte) (int, error) {
 	*c.frames = append(*c.frames, append([]byte(nil), data...))
 	return len(data), nil
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -7,23 +7,23 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// TrialResult is what became of the trial of one module.
+// TrialResult describes the trial run of one module.
 type TrialResult struct {
 	SHA256      string
 	StartupTime time.Duration
 	LongestCall time.Duration
-	MemoryKB    int         // of an instance after the calls
-	Verdict     abi.Verdict // of the last call
+	MemoryKB    int         // linear memory of an instance after the calls
+	Verdict     abi.Verdict // verdict of the last call
 	LogLines    []string
 }
 
-// Check loads a module in this process without calling it, for those who write plug-ins.
+// Check loads a module in this process and calls no hook. It lets plug-in authors check a module.
 func Check(config ModuleConfig) (TrialResult, error) { return Try(config, nil, 0, 0) }
 
-// Try loads a module in this process and calls it the given number of times about a request, each time for timeout at
-// most, for those who write plug-ins.
+// Try loads a module in this process and calls it the given number of times for a request, each time with the given
+// timeout. It lets plug-in authors run a module.
 func Try(
-	config ModuleConfig, request *abi.Request, calls int, timeout time.Duration,
+	config ModuleConfig, request *abi.Request, callCount int, timeout time.Duration,
 ) (result TrialResult, err error) {
 	ctx := context.Background()
 	start := time.Now()
@@ -38,17 +38,17 @@
 	defer m.close()
 	result.StartupTime = time.Since(start)
 	result.SHA256 = m.SHA256
-	for range calls {
-		answer, took, err := m.call(ctx, request.Hook, request.Append(nil), timeout)
+	for range callCount {
+		encoded, elapsed, err := m.call(ctx, request.Hook, request.Append(nil), timeout)
 		if err != nil {
 			return result, err
 		}
-		verdict, err := abi.ParseVerdict(answer)
+		verdict, err := abi.ParseVerdict(encoded)
 		if err != nil {
 			return result, err
 		}
 		result.Verdict = verdict
-		result.LongestCall = max(result.LongestCall, took)
+		result.LongestCall = max(result.LongestCall, elapsed)
 	}
 	select {
 	case i := <-m.idleInstances:
