--- a/internal/emulator/commands.go
+++ b/internal/emulator/commands.go
@@ -2,25 +2,26 @@
 
 import "encoding/json"
 
-// Commands of the server to the interpreter. Any other command is ignored.
+// Commands that the server sends to the interpreter. Any other command is ignored.
 const (
-	commandConnect = "CONNECT"
-	commandTop     = "TOP"
-	commandApply   = "APPLY"
-	commandBreak   = "BREAK"
-	commandResolve = "RESOLVE"
+	commandConnect = "CONNECT" // makes the connection the interpreter's link to the server
+	commandTop     = "TOP"     // requests the gauges of the cores
+	commandApply   = "APPLY"   // starts a run
+	commandBreak   = "BREAK"   // stops a run
+	commandResolve = "RESOLVE" // resumes a run that waits for its call
 )
 
-// command is one line of the server.
+// command is one command of the server, a line of JSON.
 type command struct {
 	Type string `json:"type"`
-	Job  string `json:"job"`
-	Ref  string `json:"ref"`
-	N    int    `json:"n"`
-	Data []byte `json:"data"`
+	Job  string `json:"job"`  // request ID of the run
+	Ref  string `json:"ref"`  // of a TOP command, repeated in the reply
+	N    int    `json:"n"`    // of a CONNECT command, the number of notices that the server has received
+	Data []byte `json:"data"` // of an APPLY command, the request body
 }
 
-// readCommands carries out the commands of one link until it ends.
+// readCommands executes the commands that arrive on one link until the server closes the link or sends a line that
+// cannot be decoded.
 func (v *Interpreter) readCommands(link *Link) {
 	defer link.drop()
 	for {
@@ -41,7 +42,7 @@
 	}
 }
 
-// execute carries out one command.
+// execute executes one command.
 func (v *Interpreter) execute(link *Link, command *command) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -66,8 +67,8 @@
 	}
 }
 
-// connect makes this the link of the server, in place of any other, and sends the banner and the notices that the
-// server has not received.
+// connect replaces the current link to the server, if any, with the given one. It sends the banner and every notice
+// after the first received ones, which the server already has.
 func (v *Interpreter) connect(link *Link, received int) {
 	v.dropLink()
 	v.link = link
@@ -83,7 +84,7 @@
 	}
 }
 
-// linkEnded drops a link that the server closed.
+// linkEnded clears the current link if it is the one that the server closed.
 func (v *Interpreter) linkEnded(link *Link) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// dropLink closes the link where there is one.
+// dropLink closes the link to the server, if there is one.
 func (v *Interpreter) dropLink() {
 	if v.link != nil {
 		v.link.drop()
--- a/internal/emulator/cores.go
+++ b/internal/emulator/cores.go
@@ -2,36 +2,36 @@
 
 import "math"
 
-// workEpsilon is the number of core seconds below which a job counts as complete, since rounding leaves small
-// remainders.
+// workEpsilon is the remaining work, in core seconds, at or below which a job counts as complete. Rounding errors keep
+// the remaining work from reaching exactly 0.
 const workEpsilon = 1e-9
 
-// freeJobsPerCore is the number of runnable jobs a core up to which switching between them costs nothing.
+// freeJobsPerCore is the number of runnable jobs per core up to which switching between jobs costs no speed.
 const freeJobsPerCore = 2
 
-// Cores emulates processor sharing: every runnable job has an equal part of the cores, and at most one core. Times are
-// seconds since an origin that the caller chooses. The zero value with Count set is ready to use. Cores is not safe for
+// Cores emulates processor sharing: every runnable job gets an equal share of the cores, at most one core. Times are in
+// seconds since an origin that the caller chooses. A Cores value is ready to use once Count is set. It is not safe for
 // concurrent use.
 type Cores struct {
 	// Count is the number of cores.
 	Count float64
-	// Slowdown is the loss of speed by switching between jobs: speed is divided by 1 + Slowdown*excess, where excess is
-	// the number of runnable jobs beyond two per core. 0 for none.
+	// Slowdown is the cost of switching between jobs: the speed of each job is divided by 1 + Slowdown*excess, where
+	// excess is the number of runnable jobs beyond two per core. 0 means that switching costs nothing.
 	Slowdown float64
-	// CoreSeconds is the work done so far, in seconds of one core.
+	// CoreSeconds is the work done so far, in core seconds.
 	CoreSeconds float64
 
 	now  float64
 	jobs []*Job
 }
 
-// Job is a run on the cores.
+// Job is a unit of work that runs on the cores.
 type Job struct {
-	// ID is the ID given to Cores.Start.
+	// ID is the ID passed to Cores.Start.
 	ID string
-	// Remaining is the work left, in seconds of one core.
+	// Remaining is the work left, in core seconds.
 	Remaining float64
-	// StartedAt is the time of Cores.Start, in seconds.
+	// StartedAt is the time at which Cores.Start added the job, in seconds.
 	StartedAt float64
 
 	suspended bool
@@ -48,7 +48,7 @@
 	return float64(count)
 }
 
-// speedPerJob returns the part of a core that each runnable job has.
+// speedPerJob returns the speed of each runnable job in core seconds per second, or 0 if no job is runnable.
 func (c *Cores) speedPerJob() float64 {
 	runnable := c.runnable()
 	if runnable == 0 {
@@ -58,8 +58,9 @@
 	return min(1, c.Count/runnable) / (1 + c.Slowdown*excess)
 }
 
-// AdvanceTo moves the time on to now, in seconds, and does the work of that time. It must not pass NextCompletion,
-// because speeds change there. A time in the past does nothing.
+// AdvanceTo advances the time to now, in seconds, and performs the work of the time that has passed. The caller must
+// not advance beyond NextCompletion, because the speed of the remaining jobs changes at that time. A time in the past
+// has no effect.
 func (c *Cores) AdvanceTo(now float64) {
 	done := max(0, now-c.now) * c.speedPerJob()
 	for _, job := range c.jobs {
@@ -71,7 +72,7 @@
 	c.now = max(c.now, now)
 }
 
-// NextCompletion returns the time at which the next job has no work left, in seconds; infinite where none is runnable.
+// NextCompletion returns the time at which the next job completes, in seconds, or infinity if no job is runnable.
 func (c *Cores) NextCompletion() float64 {
 	earliest := math.Inf(1)
 	speed := c.speedPerJob()
@@ -83,14 +84,14 @@
 	return c.now + earliest
 }
 
-// Start adds a runnable job of so many core seconds and returns it. IDs need not be unique.
+// Start adds a runnable job with the given work, in core seconds, and returns it. IDs need not be unique.
 func (c *Cores) Start(id string, coreSeconds float64) *Job {
 	job := &Job{ID: id, Remaining: coreSeconds, StartedAt: c.now}
 	c.jobs = append(c.jobs, job)
 	return job
 }
 
-// PopCompleted removes a runnable job that has no work left and returns it; nil where there is none.
+// PopCompleted removes a runnable job that has no work left and returns it, or returns nil if there is none.
 func (c *Cores) PopCompleted() *Job {
 	for _, job := range c.jobs {
 		if !job.suspended && job.Remaining <= workEpsilon {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// Abort removes a job, whatever work it has left. It does nothing for a job that was removed before.
+// Abort removes a job regardless of the work it has left. It does nothing if the job has already been removed.
 func (c *Cores) Abort(job *Job) {
 	for i, j := range c.jobs {
 		if j == job {
@@ -111,13 +112,13 @@
 	}
 }
 
-// Suspend takes a job off the cores while it waits for a call.
+// Suspend stops the work on a job, for example while it waits for a call, until Resume.
 func (c *Cores) Suspend(job *Job) { job.suspended = true }
 
-// Resume puts a suspended job back on the cores.
+// Resume makes a suspended job runnable again.
 func (c *Cores) Resume(job *Job) { job.suspended = false }
 
-// Gauges returns the fraction of the cores that is busy, 0 to 1, and the number of runnable jobs.
+// Gauges returns the fraction of the cores that is busy, from 0 to 1, and the number of runnable jobs.
 func (c *Cores) Gauges() (utilization, runnable float64) {
 	runnable = c.runnable()
 	return min(1, runnable/c.Count), runnable
--- a/internal/emulator/directory.go
+++ b/internal/emulator/directory.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// Directory emulates the directory: it accepts every load report and answers with 204.
+// Directory emulates the directory: it answers every load report with status 204.
 type Directory struct{ *Listener }
 
 // NewDirectory starts a directory on a free loopback address. It accepts connections until Close.
@@ -22,7 +22,7 @@
 	return &Directory{listener}, nil
 }
 
-// serveReports answers the reports of one connection until it ends.
+// serveReports answers the load reports of one connection until the connection ends.
 func serveReports(link *Link) {
 	defer link.drop()
 	for {
@@ -30,7 +30,7 @@
 		if err != nil {
 			return
 		}
-		// A truncated body makes the next read fail.
+		// An error needs no handling here: after a truncated body, reading the next request fails.
 		_, _ = io.Copy(io.Discard, request.Body)
 		link.send([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 	}
--- a/internal/emulator/index.go
+++ b/internal/emulator/index.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// IndexReply is how the index answers one call.
+// IndexReply is the kind of reply that the index gives to a call.
 type IndexReply int
 
 const (
 	// ReplyHit answers with HIT and a body of four bytes.
 	ReplyHit IndexReply = iota
-	// ReplyShed answers with SHED: the index is overloaded and has not run the call.
+	// ReplyShed answers with SHED: the index is overloaded and did not run the call.
 	ReplyShed
-	// ReplyFailed answers with BROKEN: the call has failed.
+	// ReplyFailed answers with BROKEN: the call failed.
 	ReplyFailed
 	// ReplyTimedOut answers with SLOW: the call timed out and may have taken effect.
 	ReplyTimedOut
-	// ReplyUnavailable answers with NOBODY: no backend was there to run the call.
+	// ReplyUnavailable answers with NOBODY: no backend was available to run the call.
 	ReplyUnavailable
 	// ReplyNone sends nothing and leaves the connection open.
 	ReplyNone
 	// ReplyReset closes the connection without a reply.
 	ReplyReset
-	// ReplyMalformed sends bytes that are not a reply of the protocol.
+	// ReplyMalformed sends bytes that are not a valid reply.
 	ReplyMalformed
 )
 
-// statusWords are the protocol's status words of the replies that have no body.
+// statusWords maps each reply without a body to its status word in the protocol.
 var statusWords = map[IndexReply]string{
 	ReplyShed:        "SHED",
 	ReplyFailed:      "BROKEN",
@@ -39,19 +39,19 @@
 	ReplyUnavailable: "NOBODY",
 }
 
-// Index emulates the index service: it answers calls on any number of connections, one at a time on each. Its fields
-// must be set before the first call.
+// Index emulates the index service. It accepts any number of connections and answers the calls of each connection one
+// at a time. The exported fields must be set before the first call.
 type Index struct {
 	*Listener
-	// ReplyDelay is the time that a call takes while the index is not overloaded.
+	// ReplyDelay is the time that a call takes while SlowdownThreshold is not exceeded.
 	ReplyDelay time.Duration
-	// ReplyScript returns the reply to the n-th call, counted from 0 over all connections, and must be safe for
-	// concurrent use. Nil answers every call with ReplyHit.
+	// ReplyScript returns the reply to the n-th call, counted from 0 across all connections. It must be safe for
+	// concurrent use. If it is nil, every call is answered with ReplyHit.
 	ReplyScript func(n int) IndexReply
-	// MaxInFlight is the number of calls in flight beyond which more are answered with SHED; 0 for no limit.
+	// MaxInFlight is the number of calls in flight beyond which further calls are answered with SHED. 0 means no limit.
 	MaxInFlight int
-	// SlowdownThreshold is the number of calls in flight beyond which all take longer, by the square of the ratio
-	// between the two; 0 for never.
+	// SlowdownThreshold is the number of calls in flight beyond which calls take longer than ReplyDelay: the delay is
+	// multiplied by the square of (calls in flight / SlowdownThreshold). 0 means that calls never slow down.
 	SlowdownThreshold int
 
 	callCount    atomic.Int64
@@ -78,13 +78,13 @@
 // resets it to the number in flight now.
 func (x *Index) PeakInFlight() int { return int(x.peakInFlight.Swap(x.inFlight.Load())) }
 
-// serve answers the calls of one connection, one after the other, until either side closes it.
+// serve answers the calls of one connection in sequence until either side closes the connection.
 func (x *Index) serve(link *Link) {
 	defer link.drop()
 	for {
 		id, err := readCall(link)
 		if errors.Is(err, errNotACall) {
-			continue // a STOP: the server ignores the reply to the call that it cancels
+			continue // a STOP needs no handling: the server ignores the reply to a call that it has cancelled
 		}
 		if err != nil {
 			return
@@ -97,10 +97,10 @@
 	}
 }
 
-// errNotACall means that a line is not a GET.
-var errNotACall = errors.New("not a call")
+// errNotACall means that a line is not a valid GET command.
+var errNotACall = errors.New("not a GET command")
 
-// readCall reads "GET <id> <name> <length>", then the body of that length, and gives the id.
+// readCall reads the line "GET <id> <name> <length>" and a body of that length in bytes. It returns the ID.
 func readCall(link *Link) (id string, err error) {
 	text, err := link.Reader.ReadString('\n')
 	if err != nil {
@@ -114,12 +114,12 @@
 	if err != nil {
 		return "", err
 	}
-	const lineEnd = 2 // the body ends with CR LF
+	const lineEnd = 2 // bytes of the CR LF that follows the body
 	_, err = io.CopyN(io.Discard, link.Reader, int64(length)+lineEnd)
 	return words[1], err
 }
 
-// process takes the time of one call and returns the reply to it.
+// process blocks for the duration of one call and returns its reply.
 func (x *Index) process() IndexReply {
 	n := int(x.callCount.Add(1)) - 1
 	reply := ReplyHit
@@ -136,7 +136,7 @@
 	return reply
 }
 
-// raisePeak records that so many calls are in flight.
+// raisePeak raises the recorded peak to inFlight if that is higher.
 func (x *Index) raisePeak(inFlight int64) {
 	for {
 		peak := x.peakInFlight.Load()
@@ -146,7 +146,7 @@
 	}
 }
 
-// delay returns the time that a call takes with so many in flight.
+// delay returns the time that a call takes while inFlight calls, including this one, are in flight.
 func (x *Index) delay(inFlight int64) time.Duration {
 	if x.SlowdownThreshold == 0 {
 		return x.ReplyDelay
@@ -155,7 +155,7 @@
 	return time.Duration(float64(x.ReplyDelay) * overload * overload)
 }
 
-// sendReply writes the reply to the call with this ID.
+// sendReply sends the reply to the call with the given ID.
 func sendReply(link *Link, id string, reply IndexReply) {
 	switch reply {
 	case ReplyNone:
--- a/internal/emulator/interpreter.go
+++ b/internal/emulator/interpreter.go
@@ -10,51 +10,54 @@
 )
 
 const (
-	meanServiceMs   = 20     // milliseconds of a core, of a run whose body names none
+	meanServiceMs   = 20     // mean core milliseconds of a run whose body gives no service time
 	minWorkSeconds  = 0.0001 // core seconds of the shortest run
-	maxSleepSeconds = 1.0    // until the interpreter looks again whether it is closed
+	maxSleepSeconds = 1.0    // longest time between two checks for a closed interpreter
 )
 
-// Interpreter emulates the interpreter: runs on shared cores, numbered notices that are stored for later links, and one
-// link that may break while runs go on. It never starts a run twice. Fields must be set before the first request where
-// their comments do not name Inspect.
+// Interpreter emulates the interpreter. Its runs share the cores. Its notices are numbered and stored, so that they can
+// be sent again over a later link. It has at most one link to the server; runs continue when the link breaks. It never
+// starts the same run twice. Exported fields must be set before the first request, unless their comment says that
+// Inspect gives access to them.
 type Interpreter struct {
 	*Listener
-	// Cores run the jobs. They may be read and changed under Inspect only.
+	// Cores executes the runs. It may be read and changed only within Inspect.
 	Cores Cores
-	// CallProbability is the probability that a run makes a call to the index after half of its work.
+	// CallProbability is the probability that a run makes a call to the index after half its work.
 	CallProbability float64
-	// NoticeScript returns what happens to the n-th notice, counted from 1. Nil leaves all intact.
+	// NoticeScript returns the corruption of the n-th notice, counted from 1. If it is nil, all notices stay intact.
 	NoticeScript func(n int) Corruption
-	// ReportsCold has the banner say that the interpreter has just started; otherwise it has run for an hour.
+	// ReportsCold makes the banner report that the interpreter has just started. Otherwise the banner reports that it
+	// has run for an hour.
 	ReportsCold bool
-	// RunsByRequest counts runs by request ID. Read it under Inspect.
+	// RunsByRequest counts runs by request ID. It may be read only within Inspect.
 	RunsByRequest map[string]int
-	// RunsByBody counts runs by body, which is unique to a request with an idempotency key. Read it under Inspect.
+	// RunsByBody counts runs by request body, which is unique for each request with an idempotency key. It may be read
+	// only within Inspect.
 	RunsByBody map[string]int
 
-	lock      sync.Mutex // guards all that follows, and the maps and Cores above
+	lock      sync.Mutex // guards the fields below and Cores, RunsByRequest and RunsByBody
 	rand      *rand.Rand
 	startedAt time.Time
 	jobs      map[string]*run
 	link      *Link    // nil while the server is not connected
-	notices   [][]byte // all so far, the n-th at n-1
+	notices   [][]byte // all notices so far; notice n is at index n-1
 	closed    bool
 	wakeUp    chan struct{}
 }
 
-// run is one request in the interpreter.
+// run is the execution of one request in the interpreter.
 type run struct {
 	*Job
 	data               string
-	remainingAfterCall float64 // core seconds left when it makes its call, 0 for no call to come
+	remainingAfterCall float64 // core seconds of work after the call; 0 if no call is left to make
 	startedAt          time.Time
-	abandoned          bool // its request is over: it ends at its call
+	abandoned          bool // the request has ended, so the run stops instead of making its call
 }
 
-// NewInterpreter starts an interpreter on a free loopback address. The service time of a run is the number that its
-// body begins with ("40.5 ...", in milliseconds of a core) or, where there is none, a random one of 20 ms in the mean,
-// from the seed. It runs until Close.
+// NewInterpreter starts an interpreter on a free loopback address. It runs until Close. The service time of a run is
+// the number at the start of its body ("40.5 ...", in core milliseconds). If the body does not start with a number, the
+// service time is drawn from the seeded random source, exponentially distributed with a mean of 20 ms.
 func NewInterpreter(cores float64, seed int64) (*Interpreter, error) {
 	listener, err := Listen()
 	if err != nil {
@@ -79,10 +82,10 @@
 	return interpreter, nil
 }
 
-// seconds returns the time of Cores: since the start, in seconds.
+// seconds returns the time since the interpreter started, in seconds. It is the time that Cores uses.
 func (v *Interpreter) seconds() float64 { return time.Since(v.startedAt).Seconds() }
 
-// runJobs completes runs in real time until the interpreter is closed.
+// runJobs completes the runs in real time until the interpreter is closed.
 func (v *Interpreter) runJobs() {
 	for {
 		seconds, open := v.completeJobs()
@@ -98,8 +101,8 @@
 	}
 }
 
-// completeJobs ends the runs that have no work left. It returns the time until it must be called again, in seconds, and
-// whether the interpreter is open.
+// completeJobs handles all jobs that have no work left. It returns the time after which it must be called again, in
+// seconds, and whether the interpreter is still open.
 func (v *Interpreter) completeJobs() (seconds float64, open bool) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -114,7 +117,8 @@
 	return min(max(untilNext, 0), maxSleepSeconds), true
 }
 
-// jobCompleted ends a run, or has it make its call.
+// jobCompleted handles a run whose current job has no work left: the run makes its call if it has one to make, and ends
+// otherwise.
 func (v *Interpreter) jobCompleted(run *run) {
 	switch {
 	case run.remainingAfterCall == 0:
@@ -130,7 +134,7 @@
 	}
 }
 
-// finish ends a run and sends its result in a VALUE notice.
+// finish removes a run and sends a VALUE notice with its result.
 func (v *Interpreter) finish(run *run, state, result string) {
 	delete(v.jobs, run.ID)
 	took := float64(time.Since(run.startedAt).Microseconds()) / 1000
@@ -138,13 +142,13 @@
 	v.sendNotice(`"type":"VALUE","job":%q,"state":%q,"took":%.1f,"data":%q`, run.ID, state, took, data)
 }
 
-// stop ends a run before its work is done.
+// stop ends a run before its work is complete.
 func (v *Interpreter) stop(run *run) {
 	v.Cores.Abort(run.Job)
 	v.finish(run, stateStopped, "")
 }
 
-// startRun starts the run of a request; one that has been started before is left alone.
+// startRun starts the run of a request. It does nothing if the run was started before.
 func (v *Interpreter) startRun(id string, body []byte) {
 	if v.jobs[id] != nil || v.RunsByRequest[id] > 0 {
 		return
@@ -161,7 +165,8 @@
 	v.jobs[id] = r
 }
 
-// serviceMs returns the number that the body begins with, or a random one; milliseconds of a core.
+// serviceMs returns the service time of a run in core milliseconds: the number at the start of the body, or a random
+// one if there is none.
 func (v *Interpreter) serviceMs(body []byte) float64 {
 	first, _, _ := bytes.Cut(body, []byte{' '})
 	ms, err := strconv.ParseFloat(string(first), 64)
@@ -171,8 +176,9 @@
 	return ms
 }
 
-// RequestEnded tells the interpreter that a request has its response, or that nobody waits for it: its run then ends at
-// its call, as the protocol requires. It does nothing for a run that has ended.
+// RequestEnded tells the interpreter that a request has received its response or that no client waits for it any more.
+// The run of the request then stops at its call, as the protocol requires: immediately if it already waits for the
+// call, otherwise when it would make the call. RequestEnded does nothing if the run has ended.
 func (v *Interpreter) RequestEnded(id string) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -186,24 +192,24 @@
 	}
 }
 
-// BreakLink closes the link to the server, if there is one. Runs go on.
+// BreakLink closes the link to the server, if there is one. Runs continue.
 func (v *Interpreter) BreakLink() {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.dropLink()
 }
 
-// Inspect calls look with the interpreter locked. The callback must not call other methods of the interpreter that lock
-// it.
+// Inspect calls look while the interpreter is locked. The callback must not call Inspect, RequestEnded, BreakLink or
+// Close, because they lock it again.
 func (v *Interpreter) Inspect(look func(interpreter *Interpreter)) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	look(v)
 }
 
-// Close stops the interpreter and drops its runs. A second call does nothing.
+// Close stops the interpreter and discards its runs. A second call has no effect.
 func (v *Interpreter) Close() {
-	_ = v.Listener.Close() // a second close of a socket reports an error that says nothing
+	_ = v.Listener.Close() // a second close returns an error that can be ignored
 	v.BreakLink()
 	v.lock.Lock()
 	defer v.lock.Unlock()
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	acceptBacklog   = 64      // connections that are accepted before anybody takes them up
-	readBufferBytes = 8 << 10 // of each connection
+	acceptBacklog   = 64      // accepted connections that can wait in Listener.Links
+	readBufferBytes = 8 << 10 // read buffer of each connection
 )
 
-// Listener accepts connections on a loopback address and delivers them over Links. Every link received must be closed
-// by the receiver.
+// Listener accepts connections on a loopback address and delivers them on the channel Links. The receiver must close
+// every link that it receives.
 type Listener struct {
-	// Listener is the current socket. Its Close closes only the socket, so that Reopen can follow.
+	// Listener is the current socket. Its Close closes only the socket, so that Reopen can be called afterwards.
 	net.Listener
-	// Address is the address, as host:port. It stays the same after Reopen.
+	// Address is the listening address as host:port. It stays the same after Reopen.
 	Address string
-	// Links delivers the accepted connections. It is closed after Close.
+	// Links delivers the accepted connections. It is closed once the listener has been closed with Close.
 	Links chan *Link
 
 	closed atomic.Bool
 }
 
-// Link is a connection that is read by lines or by records.
+// Link is a buffered connection, from which callers read lines or records.
 type Link struct {
 	net.Conn
-	// Reader buffers what is read from the connection. Reads must go through it.
+	// Reader buffers the data read from the connection. All reads must use it.
 	Reader *bufio.Reader
 }
 
@@ -43,9 +43,9 @@
 	return l, nil
 }
 
-// accept delivers connections until the socket is closed.
+// accept delivers the connections of the current socket until that socket is closed.
 func (l *Listener) accept() {
-	socket := l.Listener // Reopen puts another in its place, with an accept of its own
+	socket := l.Listener // kept locally, because Reopen replaces the field and starts its own accept
 	for {
 		connection, err := socket.Accept()
 		if err != nil {
@@ -58,14 +58,14 @@
 	}
 }
 
-// Close closes the listener for good. To close only the socket, for a later Reopen, call Listener.Close on the embedded
+// Close closes the listener permanently. To close only the socket and call Reopen later, call Close on the embedded
 // net.Listener.
 func (l *Listener) Close() error {
 	l.closed.Store(true)
 	return l.Listener.Close()
 }
 
-// Reopen listens again on the same address after Listener.Close on the embedded net.Listener.
+// Reopen listens on the same address again after the embedded net.Listener was closed.
 func (l *Listener) Reopen() error {
 	socket, err := net.Listen("tcp", l.Address)
 	l.Listener = socket
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// NewLink wraps a connection.
+// NewLink returns a link that reads from the connection through a buffer.
 func NewLink(connection net.Conn) *Link {
 	return &Link{connection, bufio.NewReaderSize(connection, readBufferBytes)}
 }
@@ -90,16 +90,17 @@
 	return NewLink(connection), nil
 }
 
-// send writes in one call. A failed write needs no care: the peer is gone, which the reader of the link sees too.
+// send writes the data in one call. It ignores write errors: they mean that the peer has closed the connection, which
+// the goroutine that reads from the link notices as well.
 func (l *Link) send(data []byte) { _, _ = l.Write(data) }
 
-// sendf is send with a format.
+// sendf formats its arguments as fmt.Sprintf does and sends the result in one write.
 func (l *Link) sendf(format string, args ...any) { l.send(fmt.Appendf(nil, format, args...)) }
 
-// drop closes the link. A second close reports an error that says nothing.
+// drop closes the link. It ignores the error that a second close returns.
 func (l *Link) drop() { _ = l.Close() }
 
-// FreeAddress returns a loopback address, as host:port, on which nothing listens at this moment.
+// FreeAddress returns a loopback address as host:port on which nothing listened at the time of the call.
 func FreeAddress() (string, error) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -7,58 +7,59 @@
 	"math/rand"
 )
 
-// Stream is the load of one tenant, or of many tenants that send alike.
+// Stream is the load of one tenant, or of several tenants with the same sending pattern.
 type Stream struct {
-	// Tenant is the name under which TenantStats counts the requests.
+	// Tenant is the tenant name under which TenantStats counts the requests.
 	Tenant string
-	// TenantOf returns the tenant of the n-th request, counted from 0; nil for Tenant on all.
+	// TenantOf returns the tenant of the n-th request, counted from 0. If it is nil, Tenant sends all requests.
 	TenantOf func(n int) string
 	// Weight is the tenant's weight in the max-min fair allocation of the cores.
 	Weight float64
-	// ArrivalsPerSecond is the rate of the requests, a Poisson process.
+	// ArrivalsPerSecond is the rate of the requests, which arrive as a Poisson process.
 	ArrivalsPerSecond float64
-	// From is when the first request may come, in seconds since the start of the load.
+	// From is the earliest arrival time of a request, in seconds since the start of the load.
 	From float64
-	// To is when requests end, in seconds since the start of the load.
+	// To is the time from which on no new request arrives, in seconds since the start of the load.
 	To float64
-	// MeanCoreSeconds is the mean work of a request, in seconds of one core. The work is uniform from half of the mean
-	// to one and a half.
+	// MeanCoreSeconds is the mean work of a request, in core seconds. The work is uniformly distributed between 0.5 and
+	// 1.5 times the mean.
 	MeanCoreSeconds float64
-	// Category is the index of the requests' category.
+	// Category is the index of the requests' category, for example in LoadRun.Categories.
 	Category int
-	// PriorityWeight is the value of a request that is answered within its soft deadline.
+	// PriorityWeight is the value earned by a request that is answered within its soft deadline.
 	PriorityWeight float64
-	// MaxRetries is how many times a rejected request is sent again, each after the Retry-After of the rejection.
+	// MaxRetries is the maximum number of retries of a rejected request. Each is sent after the Retry-After of the
+	// rejection.
 	MaxRetries int
-	// Routers is the number of routers that the requests come by, in turn; 0 for one.
+	// Routers is the number of routers among which the requests rotate. 0 means a single router.
 	Routers int
 }
 
 // Attempt is one attempt of a request.
 type Attempt struct {
-	// At is when it is due, in seconds since the start of the load.
+	// At is the time at which the attempt is due, in seconds since the start of the load.
 	At float64
-	// Stream is the stream that the request is from.
+	// Stream is the stream to which the request belongs.
 	Stream *Stream
 	// Tenant is the tenant of the request.
 	Tenant string
-	// CoreSeconds is the work of the request, in seconds of one core.
+	// CoreSeconds is the work of the request, in core seconds.
 	CoreSeconds float64
 	// Retries is the number of attempts before this one.
 	Retries int
-	// Router is the index of the router that sends it, from 0.
+	// Router is the index of the router that sends the attempt, from 0.
 	Router int
 
-	sequence int // of the request in the load
+	sequence int // number of the request within the load, shared by all its attempts
 }
 
-// Load yields the attempts in the order of their times. It is not safe for concurrent use.
+// Load holds the attempts that are still to be sent, ordered by due time. It is not safe for concurrent use.
 type Load struct {
 	attempts attemptQueue
 	rand     *rand.Rand
 }
 
-// attemptQueue is a heap by time, then by sequence.
+// attemptQueue is a heap of attempts, ordered by due time and then by sequence number.
 type attemptQueue []*Attempt
 
 func (a attemptQueue) Len() int { return len(a) }
@@ -78,8 +79,8 @@
 	return x
 }
 
-// NewLoad returns a load with the first attempts of all requests of the streams. Their times and work are drawn from
-// the seed: the same seed and streams give the same load.
+// NewLoad returns a load with the first attempt of every request of the streams. Arrival times and work are drawn from
+// a random source with the given seed, so the same seed and streams always produce the same load.
 func NewLoad(seed int64, streams []*Stream) *Load {
 	l := &Load{rand: rand.New(rand.NewSource(seed))}
 	for _, stream := range streams {
@@ -89,7 +90,8 @@
 	return l
 }
 
-// draw adds the requests of one stream, unsorted. For each it draws the gap before it, then its work.
+// draw appends the requests of one stream to the queue without restoring the heap order. For each request it draws the
+// interarrival time, then the work.
 func (l *Load) draw(stream *Stream) {
 	at := stream.From + l.gap(stream)
 	for n := 0; at < stream.To; n++ {
@@ -106,10 +108,11 @@
 	}
 }
 
-// gap draws the time between two requests of a stream, in seconds.
+// gap draws the interarrival time between two requests of a stream, in seconds.
 func (l *Load) gap(stream *Stream) float64 { return l.rand.ExpFloat64() / stream.ArrivalsPerSecond }
 
-// Next returns when the next attempt is due, in seconds since the start of the load; infinite where none is left.
+// Next returns the time at which the next attempt is due, in seconds since the start of the load, or infinity if none
+// is left.
 func (l *Load) Next() float64 {
 	if len(l.attempts) == 0 {
 		return math.Inf(1)
@@ -117,10 +120,10 @@
 	return l.attempts[0].At
 }
 
-// Pop removes the next attempt and returns it. It panics where none is left.
+// Pop removes and returns the next attempt. It panics if none is left.
 func (l *Load) Pop() *Attempt { return heap.Pop(&l.attempts).(*Attempt) }
 
-// Retry schedules a further attempt of the request, at a time in seconds since the start of the load.
+// Retry schedules another attempt of the same request at the given time, in seconds since the start of the load.
 func (l *Load) Retry(attempt *Attempt, at float64) {
 	retry := *attempt
 	retry.At = at
--- a/internal/emulator/loadrun.go
+++ b/internal/emulator/loadrun.go
@@ -9,39 +9,40 @@
 )
 
 const (
-	slotsPerConnection = 32  // open requests on a connection before another is dialled
-	maxLoadSleep       = 1.0 // seconds until the load run looks again at what is due
-	graceDeadlines     = 2   // deadlines that open requests are waited for after the load
+	slotsPerConnection = 32  // requests in flight on a connection before another one is opened
+	maxLoadSleep       = 1.0 // longest time in seconds between two checks for due attempts
+	graceDeadlines     = 2   // wait for open requests after the end of the load, in multiples of Deadline
 )
 
-// LoadRun sends a load to one server in real time. It is an open loop: no request waits for the response to another.
-// All exported fields must be set before Run, which must be called once.
+// LoadRun sends a load to one server in real time. The load is an open loop: no request waits for the response to
+// another. All exported fields must be set before Run, which must be called at most once.
 type LoadRun struct {
 	// Address is the address on which the server listens for routers.
 	Address string
-	// Seed is the seed of the load.
+	// Seed is the random seed of the load.
 	Seed int64
-	// Seconds is the length of the load, in seconds.
+	// Seconds is the duration of the load, in seconds.
 	Seconds float64
-	// Cores is the number of cores of the interpreter. Cores times Seconds is the work to which tenants are entitled.
+	// Cores is the number of cores of the interpreter. Cores times Seconds is the total work, in core seconds, to which
+	// the tenants are entitled.
 	Cores float64
-	// Categories are the names of the categories, by Stream.Category.
+	// Categories holds the names of the categories, indexed by Stream.Category.
 	Categories []string
-	// SoftDeadline is the latency objective of all requests.
+	// SoftDeadline is the soft deadline of all requests.
 	SoftDeadline time.Duration
 	// Deadline is the deadline of all requests.
 	Deadline time.Duration
-	// Streams are the load.
+	// Streams holds the streams that make up the load.
 	Streams []*Stream
 
 	startedAt  time.Time
-	retryReady chan struct{} // has an entry when a retry may be due before what was next
+	retryReady chan struct{} // has an entry after a response, which may have added an earlier attempt
 
-	lock           sync.Mutex // guards all that follows
+	lock           sync.Mutex // guards the fields below and the state of the connections
 	load           *Load
 	statsByTenant  *StatsByTenant
 	connections    []*loadConnection
-	brokenRequests int // whose connection broke before the response
+	brokenRequests int // attempts whose connection broke before the response
 }
 
 // loadConnection is one connection to the server.
@@ -52,14 +53,14 @@
 	lastSlot uint16
 }
 
-// sentAttempt is an attempt without its response.
+// sentAttempt is an attempt that awaits its response.
 type sentAttempt struct {
 	attempt *Attempt
 	sentAt  time.Time
 }
 
-// Run sends the load and waits for the last response, at most for two deadlines after the load. It returns the
-// statistics of the tenants in the order of the streams, or an error where a connection cannot be opened or written to.
+// Run sends the load and waits for all responses, for at most two deadlines after the end of the load. It returns the
+// statistics of the tenants in the order of the streams, or an error if a connection cannot be opened or written to.
 func (s *LoadRun) Run() ([]*TenantStats, error) {
 	s.load = NewLoad(s.Seed, s.Streams)
 	s.statsByTenant = NewStatsByTenant(s.Streams)
@@ -83,7 +84,7 @@
 	return s.statsByTenant.AssignEntitlements(s.Cores * s.Seconds), nil
 }
 
-// pending reports whether attempts are to be sent or answered.
+// pending reports whether attempts are still to be sent, or responses are still to be waited for.
 func (s *LoadRun) pending() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -98,7 +99,7 @@
 	return false
 }
 
-// seconds returns the time since the load began, in seconds.
+// seconds returns the time since the start of the load, in seconds.
 func (s *LoadRun) seconds() float64 { return time.Since(s.startedAt).Seconds() }
 
 // secondsToNext returns the time until the next attempt is due, in seconds.
@@ -108,7 +109,7 @@
 	return s.load.Next() - s.seconds()
 }
 
-// sleep waits for so many seconds, or until a retry was added.
+// sleep waits for the given number of seconds, but at most for maxLoadSleep and at most until the next response.
 func (s *LoadRun) sleep(seconds float64) {
 	timer := time.NewTimer(time.Duration(min(seconds, maxLoadSleep) * float64(time.Second)))
 	defer timer.Stop()
@@ -118,7 +119,7 @@
 	}
 }
 
-// sendNext sends the attempt that is due.
+// sendNext sends the next attempt of the load.
 func (s *LoadRun) sendNext() error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -137,7 +138,7 @@
 	return err
 }
 
-// connection returns the newest connection that has a free slot, or dials another.
+// connection returns the newest connection that has a free slot, or opens a new one if all are full.
 func (s *LoadRun) connection() (*loadConnection, error) {
 	for i := len(s.connections) - 1; i >= 0; i-- {
 		if len(s.connections[i].open) < slotsPerConnection {
@@ -154,7 +155,7 @@
 	return connection, nil
 }
 
-// freeSlot returns the next slot without a request in flight. Slot 0 is reserved by FastCGI.
+// freeSlot returns the next slot without a request in flight. It never returns slot 0, which FastCGI reserves.
 func (c *loadConnection) freeSlot() uint16 {
 	c.lastSlot++
 	for c.lastSlot == 0 || c.open[c.lastSlot] != nil {
@@ -163,7 +164,7 @@
 	return c.lastSlot
 }
 
-// readResponses counts the responses of one connection until it ends.
+// readResponses records the responses of one connection until the connection ends.
 func (c *loadConnection) readResponses() {
 	for {
 		response, err := c.ReadResponse()
@@ -179,7 +180,7 @@
 	}
 }
 
-// connectionBroke counts the requests in flight on a connection as broken.
+// connectionBroke counts the attempts in flight on a connection as broken.
 func (s *LoadRun) connectionBroke(connection *loadConnection) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -187,7 +188,8 @@
 	clear(connection.open)
 }
 
-// responded counts one response, and schedules the retry that it asks for.
+// responded records one response. It schedules a retry if the response is a rejection with a Retry-After and the
+// request has retries left.
 func (s *LoadRun) responded(connection *loadConnection, response *Response) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -199,7 +201,7 @@
 	attempt := sent.attempt
 	stats := s.statsByTenant.ForAttempt(attempt)
 	took := time.Since(sent.sentAt)
-	_ = stats.ResponseTimes.RecordValue(min(took.Microseconds(), maxRecordedMicros)) // in range by the min
+	_ = stats.ResponseTimes.RecordValue(min(took.Microseconds(), maxRecordedMicros)) // min keeps it in range
 	if took > s.Deadline {
 		stats.PastDeadline++
 	}
--- a/internal/emulator/notices.go
+++ b/internal/emulator/notices.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// Corruption is what a script does to one notice on its way.
+// Corruption is the fault that a script applies to the transmission of one notice.
 type Corruption int
 
 const (
-	// Intact leaves the notice as it is.
+	// Intact sends the notice unchanged.
 	Intact Corruption = iota
-	// Duplicated sends the notice twice under one number.
+	// Duplicated sends the notice twice with the same number.
 	Duplicated
 	// PrecededByTrace sends a TRACE notice before the notice.
 	PrecededByTrace
@@ -19,18 +19,18 @@
 	LinkCutMidway
 	// SplitInTwo sends the notice in two writes.
 	SplitInTwo
-	// Withheld closes the link without sending the notice, which is sent over the next link.
+	// Withheld closes the link without sending the notice. The notice is sent over the next link.
 	Withheld
 )
 
-// States of a VALUE notice.
+// States in a VALUE notice.
 const (
 	stateOK      = "OK"
 	stateStopped = "STOPPED"
 )
 
-// sendNotice numbers a notice, stores it, and sends it with the corruption of the script where there is a link. The
-// format gives the JSON members after the number.
+// sendNotice numbers and stores a notice. If there is a link, it sends the notice with the corruption that the script
+// returns. The format gives the JSON members that follow the number.
 func (v *Interpreter) sendNotice(format string, args ...any) {
 	n := len(v.notices) + 1
 	line := fmt.Appendf(nil, `{"n":%d,`, n)
@@ -47,7 +47,7 @@
 	v.transmit(line, corruption)
 }
 
-// transmit sends one notice over the link with a corruption.
+// transmit sends one notice over the link and applies the corruption to it.
 func (v *Interpreter) transmit(line []byte, corruption Corruption) {
 	half := len(line) / 2
 	switch corruption {
--- a/internal/emulator/plugins.go
+++ b/internal/emulator/plugins.go
@@ -2,10 +2,10 @@
 
 import "thistlequay/internal/plugin/abi"
 
-// Faulty and correct plug-ins, as WebAssembly modules that are assembled here so that tests need no other tool chain.
-// Each follows docs/plugin/authors.md except for the fault of its kind.
+// This file defines correct and faulty plug-ins. Their WebAssembly modules are assembled in Go, so that tests need no
+// other toolchain. Apart from the fault that its kind names, each plug-in follows docs/plugin/authors.md.
 
-// Bodies of hooks.
+// Function bodies of hooks, or parts of them.
 var (
 	continueRequest = i64Const(0)
 	infiniteLoop    = loop([]byte{opBranch, 0})
@@ -19,12 +19,13 @@
 		[]byte{opIf, blockEmpty, opUnreachable, opEnd})
 )
 
-// recurse calls a hook from itself with its own parameters.
+// recurse returns a hook body that calls the given function with its own parameters. It recurses without end if the
+// function is the hook itself.
 func recurse(function byte) []byte {
 	return []byte{opLocalGet, 0, opLocalGet, 1, opCall, function}
 }
 
-// busyWait spins for so many milliseconds by the host's clock.
+// busyWait returns code that spins for the given number of milliseconds of the host's clock.
 func busyWait(ms int64) []byte {
 	setStart := []byte{opCall, functionNow, opLocalSet, firstLocal}
 	elapsed := []byte{opCall, functionNow, opLocalGet, firstLocal, opI64Sub}
@@ -32,21 +33,21 @@
 	return join(setStart, loop(elapsed, i64Const(ms), repeatIfLess))
 }
 
-// growMemory asks for so many pages of 64 KiB and ignores whether it has them.
+// growMemory returns code that grows the memory by the given number of 64 KiB pages and ignores the result.
 func growMemory(pages int64) []byte {
 	return join(i32Const(pages), []byte{opMemoryGrow, 0, opDrop})
 }
 
-// logRepeatedly logs the same 64 bytes without end.
+// logRepeatedly logs the same 64 bytes in an infinite loop.
 var logRepeatedly = loop(i32Const(0), i32Const(64), []byte{opCall, functionLog, opBranch, 0})
 
-// verdictSpec is a module that gives one verdict to every request and result.
+// verdictSpec returns the specification of a module whose hooks always return the given verdict.
 func verdictSpec(v abi.Verdict) moduleSpec { return moduleSpec{verdict: v.Append(nil)} }
 
-// hookSpec is a module whose read and result hooks have the same body.
+// hookSpec returns the specification of a module whose read and result hooks have the given body.
 func hookSpec(body []byte) moduleSpec { return moduleSpec{read: body, result: body} }
 
-// moduleSpecs are the modules by kind.
+// moduleSpecs maps the kind of each plug-in to the specification of its module.
 var moduleSpecs = map[string]moduleSpec{
 	"good":     {},
 	"declines": verdictSpec(abi.Verdict{Actions: abi.ActionReject, Status: 403}),
@@ -81,11 +82,11 @@
 	"foreign":       {foreignImport: true},
 }
 
-// kindTruncated is the first half of a good module.
+// kindTruncated is the kind of a plug-in that consists of the first half of a good module.
 const kindTruncated = "truncated"
 
-// PluginModule returns the WebAssembly module of a kind: a key of moduleSpecs, or "truncated". It panics for an unknown
-// kind.
+// PluginModule returns the WebAssembly module of the plug-in of the given kind, which is a key of moduleSpecs or
+// "truncated". It panics if the kind is unknown.
 func PluginModule(kind string) []byte {
 	if kind == kindTruncated {
 		complete := PluginModule("good")
@@ -93,7 +94,7 @@
 	}
 	spec, known := moduleSpecs[kind]
 	if !known {
-		panic("no plug-in of kind " + kind)
+		panic("unknown plug-in kind: " + kind)
 	}
 	return spec.module()
 }
--- a/internal/emulator/ready.go
+++ b/internal/emulator/ready.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// WaitUntilServing waits until the server at an address answers a request for an unknown path with 404: then its
-// interpreter is up.
+// WaitUntilServing waits until the server at the address answers a request for an unknown path with status 404, which
+// means that its interpreter is connected. It returns an error if that does not happen within 10 seconds.
 func WaitUntilServing(address string) error {
 	const (
 		timeout  = 10 * time.Second
@@ -18,15 +18,16 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no server came up at %s", address)
+	return fmt.Errorf("server at %s was not ready in time", address)
 }
 
+// answersUnknownPath reports whether the server at the address answers a request for an unknown path with status 404.
 func answersUnknownPath(address string) bool {
 	connection, err := Dial(address)
 	if err != nil {
 		return false
 	}
-	defer connection.Close() //nolint:errcheck // the answer has been read
+	defer connection.Close() //nolint:errcheck // the response has been read
 	if _, err := connection.Write(FastCGIRequest(1, "/rpc/none", "", nil)); err != nil {
 		return false
 	}
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// FastCGI's record types and sizes, from its specification (version 1).
+// Version, record types and header size of FastCGI, from its specification (version 1).
 const (
 	fastCGIVersion     = 1
 	recordBeginRequest = 1
@@ -21,11 +21,12 @@
 	recordStdout       = 6
 	recordHeaderBytes  = 8
 
-	// roleResponder with the flag that keeps the connection, as the body of a begin record.
+	// beginResponderKeepOpen is the body of a begin record with the responder role and the flag that keeps the
+	// connection open after the request.
 	beginResponderKeepOpen = "\x00\x01\x01\x00\x00\x00\x00\x00"
 )
 
-// FastCGIRecord returns one FastCGI record without padding. The slot is FastCGI's request ID. The content must be
+// FastCGIRecord returns one FastCGI record without padding. The slot is the request ID of FastCGI. The content must be
 // shorter than 64 KiB.
 func FastCGIRecord(kind byte, slot uint16, content string) []byte {
 	record := []byte{fastCGIVersion, kind}
@@ -35,8 +36,8 @@
 	return append(record, content...)
 }
 
-// FastCGIRequest returns the records of one complete request. Parameters come in the order of their names after the
-// path, which is SCRIPT_NAME; names and values must be shorter than 128 bytes each.
+// FastCGIRequest returns the records of one complete request. The path is sent first, as SCRIPT_NAME; the parameters
+// follow, sorted by name. Each name and each value must be shorter than 128 bytes.
 func FastCGIRequest(slot uint16, path, body string, parameters map[string]string) []byte {
 	data := FastCGIRecord(recordBeginRequest, slot, beginResponderKeepOpen)
 	data = append(data, FastCGIRecord(recordParams, slot, encodeParameters(path, parameters))...)
@@ -47,7 +48,7 @@
 	return append(data, FastCGIRecord(recordStdin, slot, "")...)
 }
 
-// encodeParameters returns the name-value pairs, the path first.
+// encodeParameters returns the encoded name-value pairs: the path first, then the parameters sorted by name.
 func encodeParameters(path string, parameters map[string]string) string {
 	var out strings.Builder
 	put := func(name, value string) {
@@ -66,8 +67,8 @@
 	return out.String()
 }
 
-// RequestParameters returns the parameters of a request that has just arrived at its router, with its ID, its tenant
-// and the time left until its deadline.
+// RequestParameters returns the parameters of a request that its router has just received. The budget is the time left
+// until the deadline of the request.
 func RequestParameters(id, tenant string, budget time.Duration) map[string]string {
 	return map[string]string{
 		"HTTP_REQUEST_ID":    id,
@@ -81,34 +82,35 @@
 	}
 }
 
-// Response is one response of the server.
+// Response is a response from the server.
 type Response struct {
-	// Slot is FastCGI's request ID.
+	// Slot is the request ID of FastCGI.
 	Slot uint16
-	// Status is the HTTP status; 0 where the response has none.
+	// Status is the HTTP status, or 0 if the response has none.
 	Status int
-	// Headers has all header lines, the status line among them, without the empty line after them.
+	// Headers holds all header lines, including the status line, without the empty line that ends them.
 	Headers string
-	// Body is the body.
+	// Body is the response body.
 	Body string
 }
 
-// RetryAfter returns the Retry-After of the response (Back-Off-Ms, in milliseconds on the wire); 0 where it has none.
+// RetryAfter returns the Retry-After of the response, or 0 if it has none. On the wire it is the header Back-Off-Ms, in
+// milliseconds.
 func (r *Response) RetryAfter() time.Duration {
 	for _, line := range strings.Split(r.Headers, "\r\n") {
 		text, found := strings.CutPrefix(line, "Back-Off-Ms: ")
 		if found {
-			ms, _ := strconv.Atoi(text) // a value that is not a number counts as none
+			ms, _ := strconv.Atoi(text) // a value that is not a number counts as 0
 			return time.Duration(ms) * time.Millisecond
 		}
 	}
 	return 0
 }
 
-// errUnexpectedRecord means that a record has a type that no response has.
-var errUnexpectedRecord = errors.New("a record that is no part of a response")
+// errUnexpectedRecord means that a record has a type that does not occur in responses.
+var errUnexpectedRecord = errors.New("unexpected FastCGI record type in a response")
 
-// ReadResponse reads the next response. Its records must not be interleaved with those of another.
+// ReadResponse reads the next response. Its records must not be interleaved with those of another response.
 func (l *Link) ReadResponse() (Response, error) {
 	var output []byte
 	for {
@@ -122,7 +124,7 @@
 		case recordEndRequest:
 			response := Response{Slot: slot}
 			response.Headers, response.Body, _ = strings.Cut(string(output), "\r\n\r\n")
-			// Without a status line the status stays 0, which no checker takes for a response.
+			// Without a status line the status stays 0, which no caller accepts as the status of a response.
 			_, _ = fmt.Sscanf(response.Headers, "Status: %d", &response.Status)
 			return response, nil
 		default:
@@ -131,7 +133,7 @@
 	}
 }
 
-// readRecord reads one FastCGI record with its padding.
+// readRecord reads one FastCGI record. The returned content includes the padding.
 func (l *Link) readRecord() (kind byte, slot uint16, content []byte, err error) {
 	var header [recordHeaderBytes]byte
 	if _, err = io.ReadFull(l.Reader, header[:]); err != nil {
--- a/internal/emulator/stats.go
+++ b/internal/emulator/stats.go
@@ -8,53 +8,54 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Response times are recorded in microseconds, up to a minute, to two digits.
+// Response times are recorded in microseconds, up to one minute, with a precision of two significant digits.
 const (
 	maxRecordedMicros = 60e6
 	recordedDigits    = 2
 )
 
-// TenantStats counts the outcomes of one tenant's requests. Counts are of requests where the comment of the field does
-// not say attempts; a request counts once however many attempts were made.
+// TenantStats counts the outcomes of one tenant's requests. Counts are numbers of requests, unless the comment of the
+// field says that they are numbers of attempts. A request counts once, no matter how many attempts it took.
 type TenantStats struct {
-	// Tenant is the name of the stream, which stands for all tenants that the stream's TenantOf gives.
+	// Tenant is Stream.Tenant. It represents all tenants that Stream.TenantOf returns.
 	Tenant string
 	// Requests is the number of requests sent.
 	Requests int
-	// OnTime is the number answered with 200 within their soft deadline.
+	// OnTime is the number of requests answered with status 200 within their soft deadline.
 	OnTime int
-	// Late is the number answered with 200 after their soft deadline.
+	// Late is the number of requests answered with status 200 after their soft deadline.
 	Late int
-	// Rejected is the number of attempts answered with 503.
+	// Rejected is the number of attempts answered with status 503.
 	Rejected int
-	// Aborted is the number answered with any other status from 500 on; in the simulation, of those that the admission
-	// server aborted.
+	// Aborted is the number of requests answered with any other status of 500 or higher. In the simulation it is the
+	// number of requests that the admission server aborted.
 	Aborted int
-	// RequestedCoreSeconds is the work of all requests, in seconds of one core.
+	// RequestedCoreSeconds is the total work of all requests, in core seconds.
 	RequestedCoreSeconds float64
-	// RequestedValue is the priority weight of all requests: the DeliveredValue if all were on time.
+	// RequestedValue is the sum of the priority weights of all requests. DeliveredValue equals it if all are on time.
 	RequestedValue float64
-	// DeliveredValue is the priority weight of the requests that were on time.
+	// DeliveredValue is the sum of the priority weights of the requests that were on time.
 	DeliveredValue float64
-	// EntitledValue is the part of RequestedValue that the tenant's max-min fair part of the cores could earn. It is 0
-	// until StatsByTenant.AssignEntitlements.
+	// EntitledValue is the part of RequestedValue that the tenant could earn with its max-min fair share of the cores.
+	// It is 0 until StatsByTenant.AssignEntitlements sets it.
 	EntitledValue float64
-	// RetriesSent is the number of attempts after the first.
+	// RetriesSent is the number of attempts other than the first attempt of each request.
 	RetriesSent int
-	// RetriesAdmitted is the number of retries that were run. Only the simulation counts them.
+	// RetriesAdmitted is the number of retries that were run. Only the simulation sets it.
 	RetriesAdmitted int
-	// PastDeadline is the number of attempts answered after their deadline. Only LoadRun counts them.
+	// PastDeadline is the number of attempts answered after their deadline. Only LoadRun sets it.
 	PastDeadline int
-	// OtherStatuses is the number of attempts answered with a status below 500 other than 200, as plug-ins give. Only
-	// LoadRun counts them.
+	// OtherStatuses is the number of attempts answered with a status below 500 other than 200, for example one set by a
+	// plug-in. Only LoadRun sets it.
 	OtherStatuses int
-	// ResponseTimes has the time from sending an attempt to its response, in microseconds. Only LoadRun records it.
+	// ResponseTimes holds the times from sending an attempt to receiving its response, in microseconds. Only LoadRun
+	// records them.
 	ResponseTimes *hdrhistogram.Histogram
 
-	weight float64 // of the tenant in AssignEntitlements
+	weight float64 // the tenant's weight in the max-min fair allocation
 }
 
-// DeliveredShare returns DeliveredValue as a fraction of EntitledValue. It returns 1 where EntitledValue is 0.
+// DeliveredShare returns DeliveredValue as a fraction of EntitledValue, or 1 if EntitledValue is 0.
 func (s *TenantStats) DeliveredShare() float64 {
 	if s.EntitledValue == 0 {
 		return 1
@@ -62,14 +63,14 @@
 	return s.DeliveredValue / s.EntitledValue
 }
 
-// String formats the counts and values for the measured lines that the tests log.
+// String formats the counts and values as the line of results that tests log.
 func (s *TenantStats) String() string {
 	const format = "tenant=%s asked=%d fulfilled=%d late=%d declined=%d broken_off=%d gain=%.1f entitled=%.1f part=%.3f"
 	return fmt.Sprintf(format, s.Tenant, s.Requests, s.OnTime, s.Late, s.Rejected, s.Aborted, s.DeliveredValue,
 		s.EntitledValue, s.DeliveredShare())
 }
 
-// StatsByTenant holds the TenantStats of all tenants of a load, in the order of its streams. It is not safe for
+// StatsByTenant holds the statistics of all tenants of a load, in the order of its streams. It is not safe for
 // concurrent use.
 type StatsByTenant struct {
 	list   []*TenantStats
@@ -77,7 +78,7 @@
 }
 
 // NewStatsByTenant returns empty statistics for each tenant of the streams. Streams with the same Tenant share one
-// TenantStats, with the weight of the first.
+// TenantStats, which has the weight of the first of them.
 func NewStatsByTenant(streams []*Stream) *StatsByTenant {
 	byTenant := &StatsByTenant{byName: map[string]*TenantStats{}}
 	for _, stream := range streams {
@@ -95,12 +96,12 @@
 	return byTenant
 }
 
-// ForAttempt returns the statistics of the tenant whose stream the attempt is from.
+// ForAttempt returns the statistics of the tenant to whose stream the attempt belongs.
 func (b *StatsByTenant) ForAttempt(attempt *Attempt) *TenantStats {
 	return b.byName[attempt.Stream.Tenant]
 }
 
-// RecordSent counts an attempt when it is sent: as a request where it is the first, else as a retry.
+// RecordSent counts an attempt that is sent: as a request if it is the first attempt, as a retry otherwise.
 func (b *StatsByTenant) RecordSent(attempt *Attempt) {
 	stats := b.ForAttempt(attempt)
 	if attempt.Retries > 0 {
@@ -112,8 +113,8 @@
 	stats.RequestedValue += attempt.Stream.PriorityWeight
 }
 
-// AssignEntitlements sets the EntitledValue of each tenant from its max-min fair allocation (see MaxMin) of the core
-// seconds that the server can do in the time of the load. It returns the statistics in the order of the streams.
+// AssignEntitlements sets the EntitledValue of each tenant from its max-min fair allocation (see MaxMin) of
+// coreSeconds, the work that the server can do during the load. It returns the statistics in the order of the streams.
 func (b *StatsByTenant) AssignEntitlements(coreSeconds float64) []*TenantStats {
 	demands := make([]float64, len(b.list))
 	weights := make([]float64, len(b.list))
@@ -130,8 +131,8 @@
 	return b.list
 }
 
-// Total returns the sum of the tenants' requests, outcomes (on time, late, rejected, aborted) and values, with "all" as
-// its Tenant. The other fields stay 0.
+// Total returns the sums of the tenants' requests, outcomes (on time, late, rejected, aborted) and values. Its Tenant
+// is "all". All other fields are 0.
 func Total(list []*TenantStats) (sum TenantStats) {
 	sum.Tenant = "all"
 	for _, a := range list {
@@ -147,9 +148,9 @@
 	return sum
 }
 
-// MaxMin returns the weighted max-min fair allocation of an amount: no allocation exceeds its demand, and what one
-// leaves is divided by weight among the others. It uses progressive filling, in the order of demand by weight. Demands
-// and weights must have the same length, and weights must be positive.
+// MaxMin returns the weighted max-min fair allocation of an amount: no allocation exceeds its demand, and the amount
+// that a satisfied demand leaves over is divided among the others by weight. It uses progressive filling, in ascending
+// order of demand divided by weight. Demands and weights must have the same length, and weights must be positive.
 func MaxMin(amount float64, demands, weights []float64) []float64 {
 	allocations := make([]float64, len(demands))
 	order := make([]int, len(demands))
--- a/internal/emulator/wasm.go
+++ b/internal/emulator/wasm.go
@@ -6,7 +6,7 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// Bytes of the WebAssembly binary format, version 1 (W3C core specification, chapter 5).
+// Byte values of the WebAssembly binary format, version 1 (W3C core specification, chapter 5).
 const (
 	typeI32      = 0x7f
 	typeI64      = 0x7e
@@ -43,18 +43,18 @@
 	opI32Add      = 0x6a
 	opI32Rem      = 0x70 // unsigned
 	opI64Sub      = 0x7d
-	blockEmpty    = 0x40 // the type of a block that leaves nothing
-	align4        = 2    // the exponent of an alignment to 4 bytes
+	blockEmpty    = 0x40 // the type of a block without a result
+	align4        = 2    // an alignment of 4 bytes, as a power of 2
 )
 
 // Addresses in a module's memory.
 const (
-	counterAddress = 0    // an i32 that lasts from call to call
-	verdictAddress = 64   // the verdict that the module gives
-	bufferAddress  = 4096 // where the host writes requests
+	counterAddress = 0    // an i32 that keeps its value between calls
+	verdictAddress = 64   // the encoded verdict that the module returns
+	bufferAddress  = 4096 // the buffer into which the host writes requests
 )
 
-// Functions of a module by their index: the imports come first.
+// Indices of the functions of a module. Imported functions come first.
 const (
 	functionLog = iota
 	functionNow
@@ -66,7 +66,7 @@
 	functionStart
 )
 
-// Signatures of a module's functions by their index in its type section.
+// Indices of the function signatures in a module's type section.
 const (
 	signatureABI    = iota // () i32
 	signatureBuffer        // (i32) i32
@@ -76,10 +76,10 @@
 	signatureNow           // () i64
 )
 
-// firstLocal is the index of the local, an i64, of a hook: its two parameters come before it.
+// firstLocal is the index of a hook's local variable, an i64. The hook's two parameters have the indices before it.
 const firstLocal = 2
 
-// unsignedLEB128 and signedLEB128 are the encodings of numbers in a module.
+// unsignedLEB128 returns the unsigned LEB128 encoding of a number, which modules use for indices and lengths.
 func unsignedLEB128(n uint32) (out []byte) {
 	for n >= 0x80 {
 		out = append(out, byte(n)|0x80)
@@ -88,6 +88,7 @@
 	return append(out, byte(n))
 }
 
+// signedLEB128 returns the signed LEB128 encoding of a number, which modules use for constants.
 func signedLEB128(n int64) (out []byte) {
 	for {
 		low := byte(n & 0x7f)
@@ -100,6 +101,7 @@
 	}
 }
 
+// join returns the concatenation of the parts.
 func join(parts ...[]byte) (out []byte) {
 	for _, part := range parts {
 		out = append(out, part...)
@@ -107,42 +109,48 @@
 	return out
 }
 
-// vector is a module's list: its length, then the items.
+// vector returns the encoding of a vector: the number of items, then the items.
 func vector(items ...[]byte) []byte {
 	return append(unsignedLEB128(uint32(len(items))), join(items...)...)
 }
 
-// sized is bytes after their length.
+// sized returns the content preceded by its length in bytes.
 func sized(content []byte) []byte { return append(unsignedLEB128(uint32(len(content))), content...) }
 
+// name returns the encoding of a name.
 func name(s string) []byte { return sized([]byte(s)) }
 
+// section returns the encoding of a section.
 func section(id byte, body []byte) []byte { return append([]byte{id}, sized(body)...) }
 
+// i32Const returns the instruction that pushes an i32 constant.
 func i32Const(n int64) []byte { return append([]byte{opI32Const}, signedLEB128(n)...) }
 
+// i64Const returns the instruction that pushes an i64 constant.
 func i64Const(n int64) []byte { return append([]byte{opI64Const}, signedLEB128(n)...) }
 
-// pointerAndLength leaves a pointer and a length as a hook returns them.
+// pointerAndLength returns the instruction that pushes the result of a hook, an i64 with the pointer in the upper 32
+// bits and the length in the lower 32 bits.
 func pointerAndLength(pointer, length uint32) []byte {
 	return i64Const(int64(uint64(pointer)<<32 | uint64(length)))
 }
 
-// loop repeats a body that ends with a branch.
+// loop returns a loop block. Its body must end with a branch if it is to repeat.
 func loop(body ...[]byte) []byte {
 	return join([]byte{opLoop, blockEmpty}, join(body...), []byte{opEnd})
 }
 
-// moduleSpec is what differs from module to module. Hooks are bodies of functions, which leave an i64.
+// moduleSpec specifies the parts in which modules differ. Hooks are function bodies that leave an i64 on the stack.
 type moduleSpec struct {
-	version            int64  // of the ABI that it says it has; 0 for the right one
-	read, result, tick []byte // nil for one that gives the verdict, or continues where there is none
-	start              []byte // body of _initialize, which leaves nothing
-	verdict            []byte // encoded
-	foreignImport      bool   // imports what the host does not offer
+	version            int64  // the ABI version that the module reports; 0 means abi.Version
+	read, result, tick []byte // hook bodies; nil means defaultHook
+	start              []byte // the body of _initialize, which leaves nothing on the stack
+	verdict            []byte // the encoded verdict that the default hooks return; nil for none
+	foreignImport      bool   // whether the module imports a function that the host does not provide
 }
 
-// defaultHook is the body of a hook that the specification leaves out.
+// defaultHook returns the body of a hook that the specification leaves out. The hook returns the verdict, or lets the
+// request continue if there is no verdict.
 func (s *moduleSpec) defaultHook() []byte {
 	if s.verdict == nil {
 		return continueRequest
@@ -150,7 +158,7 @@
 	return pointerAndLength(verdictAddress, uint32(len(s.verdict)))
 }
 
-// module puts the module together.
+// module assembles the module. It first fills in the defaults of the specification.
 func (s *moduleSpec) module() []byte {
 	if s.version == 0 {
 		s.version = abi.Version
@@ -166,7 +174,7 @@
 		section(sectionImport, s.imports()),
 		section(sectionFunction, vector([]byte{signatureABI}, []byte{signatureBuffer}, []byte{signatureHook},
 			[]byte{signatureHook}, []byte{signatureHook}, []byte{signatureStart})),
-		section(sectionMemory, []byte{1, 0, 1}), // one memory, of one page or more
+		section(sectionMemory, []byte{1, 0, 1}), // one memory of at least one page
 		section(sectionExport, exports()),
 		section(sectionCode, vector(function(i32Const(s.version)), function(i32Const(bufferAddress)), function(s.read),
 			function(s.result), function(s.tick), function(s.start))))
@@ -177,7 +185,7 @@
 	return out
 }
 
-// signatures is the type section, in the order of the signature constants.
+// signatures returns the contents of the type section, in the order of the signature constants.
 func signatures() []byte {
 	return vector(
 		[]byte{typeFunction, 0, 1, typeI32},
@@ -188,6 +196,7 @@
 		[]byte{typeFunction, 0, 1, typeI64})
 }
 
+// imports returns the contents of the import section.
 func (s *moduleSpec) imports() []byte {
 	log := "log"
 	if s.foreignImport {
@@ -199,6 +208,7 @@
 		join(host, name("now"), []byte{kindFunction, signatureNow}))
 }
 
+// exports returns the contents of the export section.
 func exports() []byte {
 	return vector(
 		join(name("memory"), []byte{kindMemory, 0}),
@@ -210,7 +220,7 @@
 		join(name("_initialize"), []byte{kindFunction, functionStart}))
 }
 
-// function is a body with one local, an i64.
+// function returns the encoding of a function with the given body and one local variable, an i64.
 func function(body []byte) []byte {
 	return sized(join([]byte{1, 1, typeI64}, body, []byte{opEnd}))
 }
--- a/internal/schedule/golden.go
+++ b/internal/schedule/golden.go
@@ -8,30 +8,30 @@
 	"thistlequay/internal/golden"
 )
 
-// defaultLabel is the label of a line for which a GoldenFile gives none.
+// defaultLabel is the label format of a GoldenFile without a Label.
 const defaultLabel = "seeds %d to %d:"
 
-// GoldenFile is a golden file of what came of seeded schedules, from seed 0 on. Each line has a label and the history
-// of one or more seeds.
+// GoldenFile is a golden file with the results of seeded schedules, starting with seed 0. Each line consists of a label
+// and the history of one or more seeds.
 type GoldenFile struct {
-	// Name is the file's name in testdata/golden.
+	// Name is the name of the file in testdata/golden.
 	Name string
 	// Seeds is the number of seeds, a multiple of SeedsPerLine.
 	Seeds int
-	// SeedsPerLine is the number of seeds whose history is one line.
+	// SeedsPerLine is the number of seeds that share one history and so one line.
 	SeedsPerLine int
-	// Label is the format of a line's label; its operands are the first and the last seed of the line. The zero value
-	// stands for "seeds %d to %d:".
+	// Label is the format of the labels. Its operands are the first and the last seed of the line. An empty Label means
+	// "seeds %d to %d:".
 	Label string
-	// Preface is the text before the first line. The zero value is none; another ends with a line feed.
+	// Preface is the text before the first line. It is empty or ends with a line feed.
 	Preface string
-	// Parallel has the lines played side by side, for schedules that take long. The others are played one by one, so
-	// that tests of other packages, which wait in real time, find free cores.
+	// Parallel runs the schedules of different lines in parallel, for schedules that take long. Without it the lines
+	// run one after another, which leaves cores free for tests of other packages that depend on real time.
 	Parallel bool
 }
 
-// Check plays all seeds, each line in a subtest named after its first seed, and compares what they added to
-// their histories with the file. It returns when all have ended.
+// Check calls play for all seeds and compares their histories with the file. Each line runs in a subtest named after
+// its first seed. Check returns when all subtests have ended.
 func (f GoldenFile) Check(t *testing.T, play func(t *testing.T, seed int64, history *golden.History)) {
 	t.Helper()
 	lines := make([]*golden.History, f.Seeds/f.SeedsPerLine)
--- a/internal/schedule/golden_test.go
+++ b/internal/schedule/golden_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/internal/schedule"
 )
 
-// A line holds the events of its seeds, in the order of the seeds, however the subtests run.
+// Each line must hold the events of its seeds in the order of the seeds, regardless of how the subtests are scheduled.
 func TestGoldenFileHoldsOneLineForSeveralSeeds(t *testing.T) {
 	t.Chdir(t.TempDir())
 	t.Setenv("RECORD_GOLDEN", "1")
--- a/internal/schedule/network.go
+++ b/internal/schedule/network.go
@@ -2,11 +2,11 @@
 
 import "thistlequay/timeunit"
 
-// duplicateOneIn is the number of messages of which one is sent twice.
+// duplicateOneIn sets the rate of duplicates: on average, one in this many messages is sent twice.
 const duplicateOneIn = 10
 
-// Network carries messages between processes in virtual time. Messages are lost, delayed, duplicated and reordered,
-// and links are cut, each direction by itself. Processes are numbered in the order in which they joined.
+// Network simulates a network between processes in virtual time. It can lose, delay, duplicate and reorder messages,
+// and cut links separately in each direction. Processes are numbered from 0 in the order in which they joined.
 type Network[Message any] struct {
 	Simulation
 	// LossRate is the probability that a message is lost.
@@ -18,10 +18,10 @@
 	inFlight  []envelope[Message]
 }
 
-// link is one direction between two processes.
+// link is one direction of the connection between two processes.
 type link struct{ from, to int }
 
-// envelope is a message on its way to one incarnation of a process.
+// envelope is a message in flight to one incarnation of a process.
 type envelope[Message any] struct {
 	deliverAt   timeunit.Milliseconds
 	to          int
@@ -29,16 +29,16 @@
 	message     Message
 }
 
-// NewNetwork returns a network that loses nothing, in which a message takes from 1 millisecond to maxDelay.
+// NewNetwork returns a network that loses no messages. A message takes between 1 millisecond and maxDelay to arrive.
 func NewNetwork[Message any](simulation Simulation, maxDelay timeunit.Milliseconds) Network[Message] {
 	return Network[Message]{Simulation: simulation, maxDelay: maxDelay, cut: map[link]bool{}}
 }
 
-// Join adds a process.
+// Join adds a process, which gets the next number.
 func (n *Network[Message]) Join(process *Process) { n.processes = append(n.processes, process) }
 
-// Send puts copies of a message on their way to the present incarnation of a process. It draws how many; then for each,
-// unless the link is cut, whether it is lost, and how long it takes.
+// Send sends a message to the current incarnation of a process. It draws the number of copies, then for each copy
+// whether it is lost and, if not, its delay. Copies on a cut link are lost without a draw.
 func (n *Network[Message]) Send(from, to int, message Message) {
 	for range n.DrawCopies() {
 		if n.cut[link{from, to}] || n.Random.Float64() < n.LossRate {
@@ -48,12 +48,12 @@
 	}
 }
 
-// DrawCopies draws how many copies of a message are sent: two of one in ten messages, one of the others.
+// DrawCopies draws the number of copies of a message to send: two with probability 1/10, otherwise one.
 func (n *Network[Message]) DrawCopies() int {
 	return 1 + n.Random.Intn(duplicateOneIn)/(duplicateOneIn-1)
 }
 
-// SendAfter puts a message on its way that arrives after a delay, whatever faults the network has. It draws nothing.
+// SendAfter sends a message that arrives after the given delay. It ignores loss and cut links and makes no draws.
 func (n *Network[Message]) SendAfter(delay timeunit.Milliseconds, to int, message Message) {
 	n.inFlight = append(n.inFlight, envelope[Message]{
 		deliverAt:   n.Now + delay,
@@ -63,9 +63,9 @@
 	})
 }
 
-// Deliver has handle take the messages that are due, in the order in which they were sent. Those to a paused process
-// wait; those to a process that is down, or to an earlier incarnation, are lost. What handle sends is in flight from
-// then on.
+// Deliver calls handle for each message that is due, in the order in which they were sent. Messages to a paused process
+// stay in flight. Messages to a process that is down, or to an earlier incarnation, are lost. A message that handle
+// sends is delivered by a later call of Deliver at the earliest.
 func (n *Network[Message]) Deliver(handle func(to int, message Message)) {
 	messages := n.inFlight
 	n.inFlight = nil
@@ -87,7 +87,8 @@
 // IsCut reports whether the link from one process to another is cut.
 func (n *Network[Message]) IsCut(from, to int) bool { return n.cut[link{from, to}] }
 
-// Partition cuts the links between processes of different groups, given by process, and mends all others.
+// Partition cuts the links between processes of different groups and restores the links within each group. The group of
+// each process is given by its index in groups.
 func (n *Network[Message]) Partition(groups []int) {
 	for from := range groups {
 		for to := range groups {
@@ -96,7 +97,7 @@
 	}
 }
 
-// Heal mends all links and ends the loss of messages.
+// Heal restores all links and sets LossRate to 0.
 func (n *Network[Message]) Heal() {
 	clear(n.cut)
 	n.LossRate = 0
--- a/internal/schedule/network_test.go
+++ b/internal/schedule/network_test.go
@@ -9,13 +9,14 @@
 	"thistlequay/internal/schedule"
 )
 
-// testNetwork is a network of three processes, and what each has received.
+// testNetwork is a network of three processes that records the messages each has received.
 type testNetwork struct {
 	schedule.Network[int]
 	processes [3]schedule.Process
 	received  [3][]int
 }
 
+// newTestNetwork returns a network at time 0 in which messages take up to 10 ms and all processes run.
 func newTestNetwork() *testNetwork {
 	n := &testNetwork{Network: schedule.NewNetwork[int](schedule.NewSimulation(1, 0), 10)}
 	for i := range n.processes {
@@ -25,7 +26,7 @@
 	return n
 }
 
-// step delivers all that was sent before.
+// step advances the time by the longest delay, 10 ms, and delivers all messages sent before.
 func (n *testNetwork) step() {
 	n.Now += 10
 	n.Deliver(func(to, message int) { n.received[to] = append(n.received[to], message) })
@@ -48,15 +49,15 @@
 		}
 	}
 	require.InEpsilon(t, sent*1.1*0.5, len(n.received[1]), 0.05)
-	require.Equal(t, 10, arrivals, "a delay from 1 to 10 ms")
-	require.False(t, slices.IsSorted(n.received[1]), "messages overtake each other")
+	require.Equal(t, 10, arrivals, "messages should arrive in each of the 10 possible milliseconds")
+	require.False(t, slices.IsSorted(n.received[1]), "messages should be reordered")
 	again := newTestNetwork()
 	again.LossRate = 0.5
 	for message := range sent {
 		again.Send(0, 1, message)
 	}
 	again.step()
-	require.ElementsMatch(t, n.received[1], again.received[1], "the same seed")
+	require.ElementsMatch(t, n.received[1], again.received[1], "the same seed should deliver the same messages")
 }
 
 func TestCutLinkLosesOneDirection(t *testing.T) {
@@ -74,7 +75,7 @@
 	n := newTestNetwork()
 	n.Cut(0, 1)
 	n.Partition([]int{0, 0, 1})
-	n.Send(0, 1, 1) // within a group, links are mended
+	n.Send(0, 1, 1) // Partition restores links within a group
 	n.Send(0, 2, 2)
 	n.Send(2, 1, 3)
 	n.step()
