--- a/internal/emulator/commands.go
+++ b/internal/emulator/commands.go
@@ -5,19 +5,19 @@
 // Commands that the server sends to the interpreter. Any other command is ignored.
 const (
 	commandConnect = "CONNECT" // makes the connection the interpreter's link to the server
-	commandTop     = "TOP"     // requests the gauges of the cores
-	commandApply   = "APPLY"   // starts a run
-	commandBreak   = "BREAK"   // stops a run
-	commandResolve = "RESOLVE" // resumes a run that waits for its call
+	commandGauges  = "TOP"     // requests the gauges of the cores
+	commandRun     = "APPLY"   // starts a run
+	commandStop    = "BREAK"   // stops a run
+	commandResume  = "RESOLVE" // resumes a run that waits for its call
 )
 
 // command is one command of the server, a line of JSON.
 type command struct {
-	Type string `json:"type"`
-	Job  string `json:"job"`  // request ID of the run
-	Ref  string `json:"ref"`  // of a TOP command, repeated in the reply
-	N    int    `json:"n"`    // of a CONNECT command, the number of notices that the server has received
-	Data []byte `json:"data"` // of an APPLY command, the request body
+	Type            string `json:"type"`
+	Job             string `json:"job"`  // request ID of the run
+	Ref             string `json:"ref"`  // of a TOP command, repeated in the reply
+	ReceivedNotices int    `json:"n"`    // of a CONNECT command, the number of notices that the server has received
+	Data            []byte `json:"data"` // of an APPLY command, the request body
 }
 
 // readCommands executes the commands that arrive on one link until the server closes the link or sends a line that
@@ -46,21 +46,21 @@
 func (v *Interpreter) execute(link *Link, command *command) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
-	v.Cores.AdvanceTo(v.seconds())
-	run := v.jobs[command.Job]
+	v.Cores.AdvanceTo(v.elapsedSeconds())
+	run := v.runs[command.Job]
 	switch command.Type {
 	case commandConnect:
-		v.connect(link, command.N)
-	case commandTop:
+		v.connect(link, command.ReceivedNotices)
+	case commandGauges:
 		utilization, runnable := v.Cores.Gauges()
 		link.sendf(`{"type":"TOPS","ref":%q,"gauges":[%.3f,%.0f]}`+"\n", command.Ref, utilization, runnable)
-	case commandApply:
+	case commandRun:
 		v.startRun(command.Job, command.Data)
-	case commandBreak:
+	case commandStop:
 		if run != nil {
 			v.stop(run)
 		}
-	case commandResolve:
+	case commandResume:
 		if run != nil {
 			v.Cores.Resume(run.Job)
 		}
--- a/internal/emulator/cores.go
+++ b/internal/emulator/cores.go
@@ -6,8 +6,8 @@
 // the remaining work from reaching exactly 0.
 const workEpsilon = 1e-9
 
-// freeJobsPerCore is the number of runnable jobs per core up to which switching between jobs costs no speed.
-const freeJobsPerCore = 2
+// jobsPerCoreWithoutSlowdown is the number of runnable jobs per core up to which switching between jobs costs no speed.
+const jobsPerCoreWithoutSlowdown = 2
 
 // Cores emulates processor sharing: every runnable job gets an equal share of the cores, at most one core. Times are in
 // seconds since an origin that the caller chooses. A Cores value is ready to use once Count is set. It is not safe for
@@ -54,7 +54,7 @@
 	if runnable == 0 {
 		return 0
 	}
-	excess := max(0, runnable-freeJobsPerCore*c.Count)
+	excess := max(0, runnable-jobsPerCoreWithoutSlowdown*c.Count)
 	return min(1, c.Count/runnable) / (1 + c.Slowdown*excess)
 }
 
@@ -62,11 +62,11 @@
 // not advance beyond NextCompletion, because the speed of the remaining jobs changes at that time. A time in the past
 // has no effect.
 func (c *Cores) AdvanceTo(now float64) {
-	done := max(0, now-c.now) * c.speedPerJob()
+	workPerJob := max(0, now-c.now) * c.speedPerJob()
 	for _, job := range c.jobs {
 		if !job.suspended {
-			job.Remaining -= done
-			c.CoreSeconds += done
+			job.Remaining -= workPerJob
+			c.CoreSeconds += workPerJob
 		}
 	}
 	c.now = max(c.now, now)
--- a/internal/emulator/index.go
+++ b/internal/emulator/index.go
@@ -68,7 +68,7 @@
 	x := &Index{Listener: listener}
 	go func() {
 		for link := range listener.Links {
-			go x.serve(link)
+			go x.serveCalls(link)
 		}
 	}()
 	return x, nil
@@ -78,8 +78,8 @@
 // resets it to the number in flight now.
 func (x *Index) PeakInFlight() int { return int(x.peakInFlight.Swap(x.inFlight.Load())) }
 
-// serve answers the calls of one connection in sequence until either side closes the connection.
-func (x *Index) serve(link *Link) {
+// serveCalls answers the calls of one connection in sequence until either side closes the connection.
+func (x *Index) serveCalls(link *Link) {
 	defer link.drop()
 	for {
 		id, err := readCall(link)
@@ -89,7 +89,7 @@
 		if err != nil {
 			return
 		}
-		reply := x.process()
+		reply := x.processCall()
 		if reply == ReplyReset {
 			return
 		}
@@ -106,21 +106,21 @@
 	if err != nil {
 		return "", err
 	}
-	words := strings.Fields(text)
-	if len(words) != 4 || words[0] != "GET" {
+	fields := strings.Fields(text)
+	if len(fields) != 4 || fields[0] != "GET" {
 		return "", errNotACall
 	}
-	length, err := strconv.Atoi(words[3])
+	length, err := strconv.Atoi(fields[3])
 	if err != nil {
 		return "", err
 	}
 	const lineEnd = 2 // bytes of the CR LF that follows the body
 	_, err = io.CopyN(io.Discard, link.Reader, int64(length)+lineEnd)
-	return words[1], err
+	return fields[1], err
 }
 
-// process blocks for the duration of one call and returns its reply.
-func (x *Index) process() IndexReply {
+// processCall blocks for the duration of one call and returns its reply.
+func (x *Index) processCall() IndexReply {
 	n := int(x.callCount.Add(1)) - 1
 	reply := ReplyHit
 	if x.ReplyScript != nil {
@@ -128,16 +128,16 @@
 	}
 	inFlight := x.inFlight.Add(1)
 	defer x.inFlight.Add(-1)
-	x.raisePeak(inFlight)
+	x.recordPeak(inFlight)
 	if x.MaxInFlight > 0 && inFlight > int64(x.MaxInFlight) {
 		return ReplyShed
 	}
-	time.Sleep(x.delay(inFlight))
+	time.Sleep(x.callDuration(inFlight))
 	return reply
 }
 
-// raisePeak raises the recorded peak to inFlight if that is higher.
-func (x *Index) raisePeak(inFlight int64) {
+// recordPeak raises the recorded peak to inFlight if that is higher.
+func (x *Index) recordPeak(inFlight int64) {
 	for {
 		peak := x.peakInFlight.Load()
 		if inFlight <= peak || x.peakInFlight.CompareAndSwap(peak, inFlight) {
@@ -146,8 +146,8 @@
 	}
 }
 
-// delay returns the time that a call takes while inFlight calls, including this one, are in flight.
-func (x *Index) delay(inFlight int64) time.Duration {
+// callDuration returns the time that a call takes while inFlight calls, including this one, are in flight.
+func (x *Index) callDuration(inFlight int64) time.Duration {
 	if x.SlowdownThreshold == 0 {
 		return x.ReplyDelay
 	}
--- a/internal/emulator/interpreter.go
+++ b/internal/emulator/interpreter.go
@@ -39,7 +39,7 @@
 	lock      sync.Mutex // guards the fields below and Cores, RunsByRequest and RunsByBody
 	rand      *rand.Rand
 	startedAt time.Time
-	jobs      map[string]*run
+	runs      map[string]*run
 	link      *Link    // nil while the server is not connected
 	notices   [][]byte // all notices so far; notice n is at index n-1
 	closed    bool
@@ -70,7 +70,7 @@
 		RunsByBody:    map[string]int{},
 		rand:          rand.New(rand.NewSource(seed)),
 		startedAt:     time.Now(),
-		jobs:          map[string]*run{},
+		runs:          map[string]*run{},
 		wakeUp:        make(chan struct{}, 1),
 	}
 	go interpreter.runJobs()
@@ -82,17 +82,17 @@
 	return interpreter, nil
 }
 
-// seconds returns the time since the interpreter started, in seconds. It is the time that Cores uses.
-func (v *Interpreter) seconds() float64 { return time.Since(v.startedAt).Seconds() }
+// elapsedSeconds returns the time since the interpreter started, in seconds. It is the time that Cores uses.
+func (v *Interpreter) elapsedSeconds() float64 { return time.Since(v.startedAt).Seconds() }
 
 // runJobs completes the runs in real time until the interpreter is closed.
 func (v *Interpreter) runJobs() {
 	for {
-		seconds, open := v.completeJobs()
-		if !open {
+		secondsToNext, isOpen := v.handleCompletedJobs()
+		if !isOpen {
 			return
 		}
-		sleep := time.NewTimer(time.Duration(seconds * float64(time.Second)))
+		sleep := time.NewTimer(time.Duration(secondsToNext * float64(time.Second)))
 		select {
 		case <-sleep.C:
 		case <-v.wakeUp:
@@ -101,25 +101,25 @@
 	}
 }
 
-// completeJobs handles all jobs that have no work left. It returns the time after which it must be called again, in
-// seconds, and whether the interpreter is still open.
-func (v *Interpreter) completeJobs() (seconds float64, open bool) {
+// handleCompletedJobs handles all jobs that have no work left. It returns the time after which it must be called again,
+// in seconds, and whether the interpreter is still open.
+func (v *Interpreter) handleCompletedJobs() (secondsToNext float64, isOpen bool) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	if v.closed {
 		return 0, false
 	}
-	v.Cores.AdvanceTo(v.seconds())
+	v.Cores.AdvanceTo(v.elapsedSeconds())
 	for job := v.Cores.PopCompleted(); job != nil; job = v.Cores.PopCompleted() {
-		v.jobCompleted(v.jobs[job.ID])
+		v.handleCompletedJob(v.runs[job.ID])
 	}
-	untilNext := v.Cores.NextCompletion() - v.seconds()
+	untilNext := v.Cores.NextCompletion() - v.elapsedSeconds()
 	return min(max(untilNext, 0), maxSleepSeconds), true
 }
 
-// jobCompleted handles a run whose current job has no work left: the run makes its call if it has one to make, and ends
-// otherwise.
-func (v *Interpreter) jobCompleted(run *run) {
+// handleCompletedJob handles a run whose current job has no work left: the run makes its call if it has one to make,
+// and ends otherwise.
+func (v *Interpreter) handleCompletedJob(run *run) {
 	switch {
 	case run.remainingAfterCall == 0:
 		v.finish(run, stateOK, "result of "+run.data)
@@ -136,10 +136,10 @@
 
 // finish removes a run and sends a VALUE notice with its result.
 func (v *Interpreter) finish(run *run, state, result string) {
-	delete(v.jobs, run.ID)
-	took := float64(time.Since(run.startedAt).Microseconds()) / 1000
+	delete(v.runs, run.ID)
+	tookMs := float64(time.Since(run.startedAt).Microseconds()) / 1000
 	data := base64.StdEncoding.EncodeToString([]byte(result))
-	v.sendNotice(`"type":"VALUE","job":%q,"state":%q,"took":%.1f,"data":%q`, run.ID, state, took, data)
+	v.sendNotice(`"type":"VALUE","job":%q,"state":%q,"took":%.1f,"data":%q`, run.ID, state, tookMs, data)
 }
 
 // stop ends a run before its work is complete.
@@ -150,7 +150,7 @@
 
 // startRun starts the run of a request. It does nothing if the run was started before.
 func (v *Interpreter) startRun(id string, body []byte) {
-	if v.jobs[id] != nil || v.RunsByRequest[id] > 0 {
+	if v.runs[id] != nil || v.RunsByRequest[id] > 0 {
 		return
 	}
 	v.RunsByRequest[id]++
@@ -162,14 +162,14 @@
 		coreSeconds /= 2
 	}
 	r.Job = v.Cores.Start(id, coreSeconds)
-	v.jobs[id] = r
+	v.runs[id] = r
 }
 
 // serviceMs returns the service time of a run in core milliseconds: the number at the start of the body, or a random
 // one if there is none.
 func (v *Interpreter) serviceMs(body []byte) float64 {
-	first, _, _ := bytes.Cut(body, []byte{' '})
-	ms, err := strconv.ParseFloat(string(first), 64)
+	number, _, _ := bytes.Cut(body, []byte{' '})
+	ms, err := strconv.ParseFloat(string(number), 64)
 	if err != nil {
 		return meanServiceMs * v.rand.ExpFloat64()
 	}
@@ -182,7 +182,7 @@
 func (v *Interpreter) RequestEnded(id string) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
-	run := v.jobs[id]
+	run := v.runs[id]
 	if run == nil {
 		return
 	}
@@ -199,12 +199,12 @@
 	v.dropLink()
 }
 
-// Inspect calls look while the interpreter is locked. The callback must not call Inspect, RequestEnded, BreakLink or
+// Inspect calls inspect while the interpreter is locked. The callback must not call Inspect, RequestEnded, BreakLink or
 // Close, because they lock it again.
-func (v *Interpreter) Inspect(look func(interpreter *Interpreter)) {
+func (v *Interpreter) Inspect(inspect func(interpreter *Interpreter)) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
-	look(v)
+	inspect(v)
 }
 
 // Close stops the interpreter and discards its runs. A second call has no effect.
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -84,16 +84,16 @@
 func NewLoad(seed int64, streams []*Stream) *Load {
 	l := &Load{rand: rand.New(rand.NewSource(seed))}
 	for _, stream := range streams {
-		l.draw(stream)
+		l.drawRequests(stream)
 	}
 	heap.Init(&l.attempts)
 	return l
 }
 
-// draw appends the requests of one stream to the queue without restoring the heap order. For each request it draws the
-// interarrival time, then the work.
-func (l *Load) draw(stream *Stream) {
-	at := stream.From + l.gap(stream)
+// drawRequests appends the requests of one stream to the queue without restoring the heap order. For each request it
+// draws the interarrival time, then the work.
+func (l *Load) drawRequests(stream *Stream) {
+	at := stream.From + l.drawGap(stream)
 	for n := 0; at < stream.To; n++ {
 		attempt := &Attempt{At: at, Stream: stream, Tenant: stream.Tenant, sequence: len(l.attempts)}
 		if stream.TenantOf != nil {
@@ -104,12 +104,12 @@
 			attempt.Router = n % stream.Routers
 		}
 		l.attempts = append(l.attempts, attempt)
-		at += l.gap(stream)
+		at += l.drawGap(stream)
 	}
 }
 
-// gap draws the interarrival time between two requests of a stream, in seconds.
-func (l *Load) gap(stream *Stream) float64 { return l.rand.ExpFloat64() / stream.ArrivalsPerSecond }
+// drawGap draws the interarrival time between two requests of a stream, in seconds.
+func (l *Load) drawGap(stream *Stream) float64 { return l.rand.ExpFloat64() / stream.ArrivalsPerSecond }
 
 // Next returns the time at which the next attempt is due, in seconds since the start of the load, or infinity if none
 // is left.
--- a/internal/emulator/loadrun.go
+++ b/internal/emulator/loadrun.go
@@ -11,7 +11,7 @@
 const (
 	slotsPerConnection = 32  // requests in flight on a connection before another one is opened
 	maxLoadSleep       = 1.0 // longest time in seconds between two checks for due attempts
-	graceDeadlines     = 2   // wait for open requests after the end of the load, in multiples of Deadline
+	maxWaitDeadlines   = 2   // wait for open requests after the end of the load, in multiples of Deadline
 )
 
 // LoadRun sends a load to one server in real time. The load is an open loop: no request waits for the response to
@@ -48,9 +48,9 @@
 // loadConnection is one connection to the server.
 type loadConnection struct {
 	*Link
-	run      *LoadRun
-	open     map[uint16]*sentAttempt // by slot
-	lastSlot uint16
+	loadRun      *LoadRun
+	sentAttempts map[uint16]*sentAttempt // by slot
+	lastSlot     uint16
 }
 
 // sentAttempt is an attempt that awaits its response.
@@ -61,96 +61,97 @@
 
 // Run sends the load and waits for all responses, for at most two deadlines after the end of the load. It returns the
 // statistics of the tenants in the order of the streams, or an error if a connection cannot be opened or written to.
-func (s *LoadRun) Run() ([]*TenantStats, error) {
-	s.load = NewLoad(s.Seed, s.Streams)
-	s.statsByTenant = NewStatsByTenant(s.Streams)
-	s.startedAt = time.Now()
-	s.retryReady = make(chan struct{}, 1)
-	for s.pending() {
-		wait := s.secondsToNext()
-		if wait > 0 {
-			s.sleep(wait)
+func (r *LoadRun) Run() ([]*TenantStats, error) {
+	r.load = NewLoad(r.Seed, r.Streams)
+	r.statsByTenant = NewStatsByTenant(r.Streams)
+	r.startedAt = time.Now()
+	r.retryReady = make(chan struct{}, 1)
+	for r.hasPendingAttempts() {
+		waitSeconds := r.secondsToNext()
+		if waitSeconds > 0 {
+			r.sleepUntilDue(waitSeconds)
 			continue
 		}
-		if err := s.sendNext(); err != nil {
+		if err := r.sendNext(); err != nil {
 			return nil, err
 		}
 	}
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for _, connection := range s.connections {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, connection := range r.connections {
 		connection.drop()
 	}
-	return s.statsByTenant.AssignEntitlements(s.Cores * s.Seconds), nil
+	return r.statsByTenant.AssignEntitlements(r.Cores * r.Seconds), nil
 }
 
-// pending reports whether attempts are still to be sent, or responses are still to be waited for.
-func (s *LoadRun) pending() bool {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if !math.IsInf(s.load.Next(), 1) {
+// hasPendingAttempts reports whether attempts are still to be sent, or responses are still to be waited for.
+func (r *LoadRun) hasPendingAttempts() bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	if !math.IsInf(r.load.Next(), 1) {
 		return true
 	}
-	for _, connection := range s.connections {
-		if len(connection.open) > 0 {
-			return s.seconds() < s.Seconds+graceDeadlines*s.Deadline.Seconds()
+	for _, connection := range r.connections {
+		if len(connection.sentAttempts) > 0 {
+			return r.elapsedSeconds() < r.Seconds+maxWaitDeadlines*r.Deadline.Seconds()
 		}
 	}
 	return false
 }
 
-// seconds returns the time since the start of the load, in seconds.
-func (s *LoadRun) seconds() float64 { return time.Since(s.startedAt).Seconds() }
+// elapsedSeconds returns the time since the start of the load, in seconds.
+func (r *LoadRun) elapsedSeconds() float64 { return time.Since(r.startedAt).Seconds() }
 
 // secondsToNext returns the time until the next attempt is due, in seconds.
-func (s *LoadRun) secondsToNext() float64 {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.load.Next() - s.seconds()
+func (r *LoadRun) secondsToNext() float64 {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.load.Next() - r.elapsedSeconds()
 }
 
-// sleep waits for the given number of seconds, but at most for maxLoadSleep and at most until the next response.
-func (s *LoadRun) sleep(seconds float64) {
+// sleepUntilDue waits for the given number of seconds, but at most for maxLoadSleep and at most until the next
+// response.
+func (r *LoadRun) sleepUntilDue(seconds float64) {
 	timer := time.NewTimer(time.Duration(min(seconds, maxLoadSleep) * float64(time.Second)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-s.retryReady:
+	case <-r.retryReady:
 	}
 }
 
 // sendNext sends the next attempt of the load.
-func (s *LoadRun) sendNext() error {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	attempt := s.load.Pop()
-	connection, err := s.connection()
+func (r *LoadRun) sendNext() error {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	attempt := r.load.Pop()
+	connection, err := r.connectionWithFreeSlot()
 	if err != nil {
 		return err
 	}
 	slot := connection.freeSlot()
-	s.statsByTenant.RecordSent(attempt)
-	connection.open[slot] = &sentAttempt{attempt, time.Now()}
+	r.statsByTenant.RecordSent(attempt)
+	connection.sentAttempts[slot] = &sentAttempt{attempt, time.Now()}
 	id := fmt.Sprintf("%08x%08x", attempt.sequence, attempt.Retries)
-	path := "/rpc/" + s.Categories[attempt.Stream.Category]
+	path := "/rpc/" + r.Categories[attempt.Stream.Category]
 	body := fmt.Sprintf("%.2f %d", attempt.CoreSeconds*1000, attempt.sequence)
-	_, err = connection.Write(FastCGIRequest(slot, path, body, RequestParameters(id, attempt.Tenant, s.Deadline)))
+	_, err = connection.Write(FastCGIRequest(slot, path, body, RequestParameters(id, attempt.Tenant, r.Deadline)))
 	return err
 }
 
-// connection returns the newest connection that has a free slot, or opens a new one if all are full.
-func (s *LoadRun) connection() (*loadConnection, error) {
-	for i := len(s.connections) - 1; i >= 0; i-- {
-		if len(s.connections[i].open) < slotsPerConnection {
-			return s.connections[i], nil
+// connectionWithFreeSlot returns the newest connection that has a free slot, or opens a new one if all are full.
+func (r *LoadRun) connectionWithFreeSlot() (*loadConnection, error) {
+	for i := len(r.connections) - 1; i >= 0; i-- {
+		if len(r.connections[i].sentAttempts) < slotsPerConnection {
+			return r.connections[i], nil
 		}
 	}
-	link, err := Dial(s.Address)
+	link, err := Dial(r.Address)
 	if err != nil {
 		return nil, err
 	}
-	connection := &loadConnection{Link: link, run: s, open: map[uint16]*sentAttempt{}}
-	s.connections = append(s.connections, connection)
+	connection := &loadConnection{Link: link, loadRun: r, sentAttempts: map[uint16]*sentAttempt{}}
+	r.connections = append(r.connections, connection)
 	go connection.readResponses()
 	return connection, nil
 }
@@ -158,7 +159,7 @@
 // freeSlot returns the next slot without a request in flight. It never returns slot 0, which FastCGI reserves.
 func (c *loadConnection) freeSlot() uint16 {
 	c.lastSlot++
-	for c.lastSlot == 0 || c.open[c.lastSlot] != nil {
+	for c.lastSlot == 0 || c.sentAttempts[c.lastSlot] != nil {
 		c.lastSlot++
 	}
 	return c.lastSlot
@@ -169,44 +170,44 @@
 	for {
 		response, err := c.ReadResponse()
 		if err != nil {
-			c.run.connectionBroke(c)
+			c.loadRun.recordBrokenConnection(c)
 			return
 		}
-		c.run.responded(c, &response)
+		c.loadRun.recordResponse(c, &response)
 		select {
-		case c.run.retryReady <- struct{}{}:
+		case c.loadRun.retryReady <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// connectionBroke counts the attempts in flight on a connection as broken.
-func (s *LoadRun) connectionBroke(connection *loadConnection) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.brokenRequests += len(connection.open)
-	clear(connection.open)
+// recordBrokenConnection counts the attempts in flight on a connection as broken.
+func (r *LoadRun) recordBrokenConnection(connection *loadConnection) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.brokenRequests += len(connection.sentAttempts)
+	clear(connection.sentAttempts)
 }
 
-// responded records one response. It schedules a retry if the response is a rejection with a Retry-After and the
+// recordResponse records one response. It schedules a retry if the response is a rejection with a Retry-After and the
 // request has retries left.
-func (s *LoadRun) responded(connection *loadConnection, response *Response) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	sent := connection.open[response.Slot]
+func (r *LoadRun) recordResponse(connection *loadConnection, response *Response) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	sent := connection.sentAttempts[response.Slot]
 	if sent == nil {
 		return
 	}
-	delete(connection.open, response.Slot)
+	delete(connection.sentAttempts, response.Slot)
 	attempt := sent.attempt
-	stats := s.statsByTenant.ForAttempt(attempt)
-	took := time.Since(sent.sentAt)
-	_ = stats.ResponseTimes.RecordValue(min(took.Microseconds(), maxRecordedMicros)) // min keeps it in range
-	if took > s.Deadline {
+	stats := r.statsByTenant.ForAttempt(attempt)
+	responseTime := time.Since(sent.sentAt)
+	_ = stats.ResponseTimes.RecordValue(min(responseTime.Microseconds(), maxRecordedMicros)) // min keeps it in range
+	if responseTime > r.Deadline {
 		stats.PastDeadline++
 	}
 	switch {
-	case response.Status == http.StatusOK && took > s.SoftDeadline:
+	case response.Status == http.StatusOK && responseTime > r.SoftDeadline:
 		stats.Late++
 	case response.Status == http.StatusOK:
 		stats.OnTime++
@@ -215,7 +216,7 @@
 		stats.Rejected++
 		retryAfter := response.RetryAfter()
 		if retryAfter > 0 && attempt.Retries < attempt.Stream.MaxRetries {
-			s.load.Retry(attempt, s.seconds()+retryAfter.Seconds())
+			r.load.Retry(attempt, r.elapsedSeconds()+retryAfter.Seconds())
 		}
 	case response.Status < http.StatusInternalServerError:
 		stats.OtherStatuses++
@@ -225,8 +226,8 @@
 }
 
 // BrokenRequests returns the number of attempts whose connection ended before their response.
-func (s *LoadRun) BrokenRequests() int {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return s.brokenRequests
+func (r *LoadRun) BrokenRequests() int {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.brokenRequests
 }
--- a/internal/emulator/plugins.go
+++ b/internal/emulator/plugins.go
@@ -8,9 +8,9 @@
 // Function bodies of hooks, or parts of them.
 var (
 	continueRequest = i64Const(0)
-	infiniteLoop    = loop([]byte{opBranch, 0})
+	infiniteLoop    = loopBlock([]byte{opBranch, 0})
 	trap            = []byte{opUnreachable}
-	trapOneInTen    = join(
+	trapOneInTen    = concat(
 		// memory[counter]++
 		i32Const(counterAddress), i32Const(counterAddress), []byte{opI32Load, align4, 0}, i32Const(1),
 		[]byte{opI32Add, opI32Store, align4, 0},
@@ -19,9 +19,9 @@
 		[]byte{opIf, blockEmpty, opUnreachable, opEnd})
 )
 
-// recurse returns a hook body that calls the given function with its own parameters. It recurses without end if the
-// function is the hook itself.
-func recurse(function byte) []byte {
+// callWithOwnParameters returns a hook body that calls the given function with its own parameters. It recurses without
+// end if the function is the hook itself.
+func callWithOwnParameters(function byte) []byte {
 	return []byte{opLocalGet, 0, opLocalGet, 1, opCall, function}
 }
 
@@ -30,16 +30,16 @@
 	setStart := []byte{opCall, functionNow, opLocalSet, firstLocal}
 	elapsed := []byte{opCall, functionNow, opLocalGet, firstLocal, opI64Sub}
 	repeatIfLess := []byte{opI64Less, opBranchIf, 0}
-	return join(setStart, loop(elapsed, i64Const(ms), repeatIfLess))
+	return concat(setStart, loopBlock(elapsed, i64Const(ms), repeatIfLess))
 }
 
 // growMemory returns code that grows the memory by the given number of 64 KiB pages and ignores the result.
 func growMemory(pages int64) []byte {
-	return join(i32Const(pages), []byte{opMemoryGrow, 0, opDrop})
+	return concat(i32Const(pages), []byte{opMemoryGrow, 0, opDrop})
 }
 
 // logRepeatedly logs the same 64 bytes in an infinite loop.
-var logRepeatedly = loop(i32Const(0), i32Const(64), []byte{opCall, functionLog, opBranch, 0})
+var logRepeatedly = loopBlock(i32Const(0), i32Const(64), []byte{opCall, functionLog, opBranch, 0})
 
 // verdictSpec returns the specification of a module whose hooks always return the given verdict.
 func verdictSpec(v abi.Verdict) moduleSpec { return moduleSpec{verdict: v.Append(nil)} }
@@ -60,35 +60,35 @@
 	"noise":            {verdict: []byte("\xff\x00 no verdict at all")},
 
 	"loops": {
-		read:   join(infiniteLoop, continueRequest),
-		result: join(infiniteLoop, continueRequest),
-		tick:   join(infiniteLoop, continueRequest),
+		read:   concat(infiniteLoop, continueRequest),
+		result: concat(infiniteLoop, continueRequest),
+		tick:   concat(infiniteLoop, continueRequest),
 	},
 	"loops-at-start":   {start: infiniteLoop},
-	"logs-without-end": {read: join(logRepeatedly, continueRequest)},
-	"slow-4ms":         hookSpec(join(busyWait(4), continueRequest)),
+	"logs-without-end": {read: concat(logRepeatedly, continueRequest)},
+	"slow-4ms":         hookSpec(concat(busyWait(4), continueRequest)),
 
-	"asks-4gib":       {read: join(growMemory(65535), continueRequest)},
-	"asks-bit-by-bit": {read: join(loop(growMemory(1), []byte{opBranch, 0}), continueRequest)},
+	"asks-4gib":       {read: concat(growMemory(65535), continueRequest)},
+	"asks-bit-by-bit": {read: concat(loopBlock(growMemory(1), []byte{opBranch, 0}), continueRequest)},
 
-	"recurses":         {read: recurse(functionRead), result: recurse(functionResult)},
-	"traps":            hookSpec(join(trap, continueRequest)),
-	"traps-one-in-ten": hookSpec(join(trapOneInTen, continueRequest)),
+	"recurses":         {read: callWithOwnParameters(functionRead), result: callWithOwnParameters(functionResult)},
+	"traps":            hookSpec(concat(trap, continueRequest)),
+	"traps-one-in-ten": hookSpec(concat(trapOneInTen, continueRequest)),
 
 	"points-outside": hookSpec(pointerAndLength(0xfffffff0, 64)),
 	"answers-1gib":   hookSpec(pointerAndLength(0, 1<<30)),
 
-	"other-version": {version: 7},
-	"foreign":       {foreignImport: true},
+	"other-version": {abiVersion: 7},
+	"foreign":       {hasUnknownImport: true},
 }
 
-// kindTruncated is the kind of a plug-in that consists of the first half of a good module.
-const kindTruncated = "truncated"
+// truncatedKind is the kind of a plug-in that consists of the first half of a good module.
+const truncatedKind = "truncated"
 
 // PluginModule returns the WebAssembly module of the plug-in of the given kind, which is a key of moduleSpecs or
 // "truncated". It panics if the kind is unknown.
 func PluginModule(kind string) []byte {
-	if kind == kindTruncated {
+	if kind == truncatedKind {
 		complete := PluginModule("good")
 		return complete[:len(complete)/2]
 	}
@@ -96,5 +96,5 @@
 	if !known {
 		panic("unknown plug-in kind: " + kind)
 	}
-	return spec.module()
+	return spec.assemble()
 }
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -28,8 +28,8 @@
 
 // FastCGIRecord returns one FastCGI record without padding. The slot is the request ID of FastCGI. The content must be
 // shorter than 64 KiB.
-func FastCGIRecord(kind byte, slot uint16, content string) []byte {
-	record := []byte{fastCGIVersion, kind}
+func FastCGIRecord(recordType byte, slot uint16, content string) []byte {
+	record := []byte{fastCGIVersion, recordType}
 	record = binary.BigEndian.AppendUint16(record, slot)
 	record = binary.BigEndian.AppendUint16(record, uint16(len(content)))
 	record = append(record, 0, 0) // no padding, one reserved byte
@@ -51,18 +51,18 @@
 // encodeParameters returns the encoded name-value pairs: the path first, then the parameters sorted by name.
 func encodeParameters(path string, parameters map[string]string) string {
 	var out strings.Builder
-	put := func(name, value string) {
+	appendPair := func(name, value string) {
 		out.Write([]byte{byte(len(name)), byte(len(value))})
 		out.WriteString(name + value)
 	}
-	put("SCRIPT_NAME", path)
+	appendPair("SCRIPT_NAME", path)
 	names := make([]string, 0, len(parameters))
 	for name := range parameters {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		put(name, parameters[name])
+		appendPair(name, parameters[name])
 	}
 	return out.String()
 }
@@ -114,11 +114,11 @@
 func (l *Link) ReadResponse() (Response, error) {
 	var output []byte
 	for {
-		kind, slot, content, err := l.readRecord()
+		recordType, slot, content, err := l.readRecord()
 		if err != nil {
 			return Response{}, err
 		}
-		switch kind {
+		switch recordType {
 		case recordStdout:
 			output = append(output, content...)
 		case recordEndRequest:
@@ -134,7 +134,7 @@
 }
 
 // readRecord reads one FastCGI record. The returned content includes the padding.
-func (l *Link) readRecord() (kind byte, slot uint16, content []byte, err error) {
+func (l *Link) readRecord() (recordType byte, slot uint16, content []byte, err error) {
 	var header [recordHeaderBytes]byte
 	if _, err = io.ReadFull(l.Reader, header[:]); err != nil {
 		return 0, 0, nil, err
--- a/internal/emulator/stats.go
+++ b/internal/emulator/stats.go
@@ -118,14 +118,14 @@
 func (b *StatsByTenant) AssignEntitlements(coreSeconds float64) []*TenantStats {
 	demands := make([]float64, len(b.list))
 	weights := make([]float64, len(b.list))
-	for i, a := range b.list {
-		demands[i] = a.RequestedCoreSeconds
-		weights[i] = a.weight
+	for i, stats := range b.list {
+		demands[i] = stats.RequestedCoreSeconds
+		weights[i] = stats.weight
 	}
-	for i, part := range MaxMin(coreSeconds, demands, weights) {
-		a := b.list[i]
-		if a.RequestedCoreSeconds > 0 {
-			a.EntitledValue = a.RequestedValue * part / a.RequestedCoreSeconds
+	for i, allocation := range MaxMin(coreSeconds, demands, weights) {
+		stats := b.list[i]
+		if stats.RequestedCoreSeconds > 0 {
+			stats.EntitledValue = stats.RequestedValue * allocation / stats.RequestedCoreSeconds
 		}
 	}
 	return b.list
@@ -135,15 +135,15 @@
 // is "all". All other fields are 0.
 func Total(list []*TenantStats) (sum TenantStats) {
 	sum.Tenant = "all"
-	for _, a := range list {
-		sum.Requests += a.Requests
-		sum.OnTime += a.OnTime
-		sum.Late += a.Late
-		sum.Rejected += a.Rejected
-		sum.Aborted += a.Aborted
-		sum.DeliveredValue += a.DeliveredValue
-		sum.EntitledValue += a.EntitledValue
-		sum.RequestedValue += a.RequestedValue
+	for _, stats := range list {
+		sum.Requests += stats.Requests
+		sum.OnTime += stats.OnTime
+		sum.Late += stats.Late
+		sum.Rejected += stats.Rejected
+		sum.Aborted += stats.Aborted
+		sum.DeliveredValue += stats.DeliveredValue
+		sum.EntitledValue += stats.EntitledValue
+		sum.RequestedValue += stats.RequestedValue
 	}
 	return sum
 }
--- a/internal/emulator/wasm.go
+++ b/internal/emulator/wasm.go
@@ -101,27 +101,27 @@
 	}
 }
 
-// join returns the concatenation of the parts.
-func join(parts ...[]byte) (out []byte) {
+// concat returns the concatenation of the parts.
+func concat(parts ...[]byte) (out []byte) {
 	for _, part := range parts {
 		out = append(out, part...)
 	}
 	return out
 }
 
-// vector returns the encoding of a vector: the number of items, then the items.
-func vector(items ...[]byte) []byte {
-	return append(unsignedLEB128(uint32(len(items))), join(items...)...)
+// encodeVector returns the encoding of a vector: the number of items, then the items.
+func encodeVector(items ...[]byte) []byte {
+	return append(unsignedLEB128(uint32(len(items))), concat(items...)...)
 }
 
-// sized returns the content preceded by its length in bytes.
-func sized(content []byte) []byte { return append(unsignedLEB128(uint32(len(content))), content...) }
+// sizePrefixed returns the data preceded by its length in bytes.
+func sizePrefixed(data []byte) []byte { return append(unsignedLEB128(uint32(len(data))), data...) }
 
-// name returns the encoding of a name.
-func name(s string) []byte { return sized([]byte(s)) }
+// encodeName returns the encoding of a name.
+func encodeName(s string) []byte { return sizePrefixed([]byte(s)) }
 
-// section returns the encoding of a section.
-func section(id byte, body []byte) []byte { return append([]byte{id}, sized(body)...) }
+// encodeSection returns the encoding of a section.
+func encodeSection(id byte, body []byte) []byte { return append([]byte{id}, sizePrefixed(body)...) }
 
 // i32Const returns the instruction that pushes an i32 constant.
 func i32Const(n int64) []byte { return append([]byte{opI32Const}, signedLEB128(n)...) }
@@ -135,18 +135,18 @@
 	return i64Const(int64(uint64(pointer)<<32 | uint64(length)))
 }
 
-// loop returns a loop block. Its body must end with a branch if it is to repeat.
-func loop(body ...[]byte) []byte {
-	return join([]byte{opLoop, blockEmpty}, join(body...), []byte{opEnd})
+// loopBlock returns a loop block. Its body must end with a branch if it is to repeat.
+func loopBlock(body ...[]byte) []byte {
+	return concat([]byte{opLoop, blockEmpty}, concat(body...), []byte{opEnd})
 }
 
 // moduleSpec specifies the parts in which modules differ. Hooks are function bodies that leave an i64 on the stack.
 type moduleSpec struct {
-	version            int64  // the ABI version that the module reports; 0 means abi.Version
+	abiVersion         int64  // the ABI version that the module reports; 0 means abi.Version
 	read, result, tick []byte // hook bodies; nil means defaultHook
 	start              []byte // the body of _initialize, which leaves nothing on the stack
 	verdict            []byte // the encoded verdict that the default hooks return; nil for none
-	foreignImport      bool   // whether the module imports a function that the host does not provide
+	hasUnknownImport   bool   // whether the module imports a function that the host does not provide
 }
 
 // defaultHook returns the body of a hook that the specification leaves out. The hook returns the verdict, or lets the
@@ -158,10 +158,10 @@
 	return pointerAndLength(verdictAddress, uint32(len(s.verdict)))
 }
 
-// module assembles the module. It first fills in the defaults of the specification.
-func (s *moduleSpec) module() []byte {
-	if s.version == 0 {
-		s.version = abi.Version
+// assemble returns the encoded module. It first fills in the defaults of the specification.
+func (s *moduleSpec) assemble() []byte {
+	if s.abiVersion == 0 {
+		s.abiVersion = abi.Version
 	}
 	for _, hook := range []*[]byte{&s.read, &s.result, &s.tick} {
 		if *hook == nil {
@@ -169,25 +169,26 @@
 		}
 	}
 	out := binary.LittleEndian.AppendUint32([]byte("\x00asm"), 1)
-	out = join(out,
-		section(sectionType, signatures()),
-		section(sectionImport, s.imports()),
-		section(sectionFunction, vector([]byte{signatureABI}, []byte{signatureBuffer}, []byte{signatureHook},
-			[]byte{signatureHook}, []byte{signatureHook}, []byte{signatureStart})),
-		section(sectionMemory, []byte{1, 0, 1}), // one memory of at least one page
-		section(sectionExport, exports()),
-		section(sectionCode, vector(function(i32Const(s.version)), function(i32Const(bufferAddress)), function(s.read),
-			function(s.result), function(s.tick), function(s.start))))
+	out = concat(out,
+		encodeSection(sectionType, typeSection()),
+		encodeSection(sectionImport, s.importSection()),
+		encodeSection(sectionFunction, encodeVector([]byte{signatureABI}, []byte{signatureBuffer},
+			[]byte{signatureHook}, []byte{signatureHook}, []byte{signatureHook}, []byte{signatureStart})),
+		encodeSection(sectionMemory, []byte{1, 0, 1}), // one memory of at least one page
+		encodeSection(sectionExport, exportSection()),
+		encodeSection(sectionCode, encodeVector(
+			encodeFunction(i32Const(s.abiVersion)), encodeFunction(i32Const(bufferAddress)), encodeFunction(s.read),
+			encodeFunction(s.result), encodeFunction(s.tick), encodeFunction(s.start))))
 	if s.verdict != nil {
-		segment := join([]byte{0}, i32Const(verdictAddress), []byte{opEnd}, sized(s.verdict))
-		out = join(out, section(sectionData, vector(segment)))
+		segment := concat([]byte{0}, i32Const(verdictAddress), []byte{opEnd}, sizePrefixed(s.verdict))
+		out = concat(out, encodeSection(sectionData, encodeVector(segment)))
 	}
 	return out
 }
 
-// signatures returns the contents of the type section, in the order of the signature constants.
-func signatures() []byte {
-	return vector(
+// typeSection returns the contents of the type section, in the order of the signature constants.
+func typeSection() []byte {
+	return encodeVector(
 		[]byte{typeFunction, 0, 1, typeI32},
 		[]byte{typeFunction, 1, typeI32, 1, typeI32},
 		[]byte{typeFunction, 2, typeI32, typeI32, 1, typeI64},
@@ -196,31 +197,31 @@
 		[]byte{typeFunction, 0, 1, typeI64})
 }
 
-// imports returns the contents of the import section.
-func (s *moduleSpec) imports() []byte {
+// importSection returns the contents of the import section.
+func (s *moduleSpec) importSection() []byte {
 	log := "log"
-	if s.foreignImport {
+	if s.hasUnknownImport {
 		log = "open_socket"
 	}
-	host := name("thistlequay")
-	return vector(
-		join(host, name(log), []byte{kindFunction, signatureLog}),
-		join(host, name("now"), []byte{kindFunction, signatureNow}))
+	host := encodeName("thistlequay")
+	return encodeVector(
+		concat(host, encodeName(log), []byte{kindFunction, signatureLog}),
+		concat(host, encodeName("now"), []byte{kindFunction, signatureNow}))
 }
 
-// exports returns the contents of the export section.
-func exports() []byte {
-	return vector(
-		join(name("memory"), []byte{kindMemory, 0}),
-		join(name("tq_abi"), []byte{kindFunction, functionABI}),
-		join(name("tq_buffer"), []byte{kindFunction, functionBuffer}),
-		join(name("tq_read"), []byte{kindFunction, functionRead}),
-		join(name("tq_result"), []byte{kindFunction, functionResult}),
-		join(name("tq_tick"), []byte{kindFunction, functionTick}),
-		join(name("_initialize"), []byte{kindFunction, functionStart}))
+// exportSection returns the contents of the export section.
+func exportSection() []byte {
+	return encodeVector(
+		concat(encodeName("memory"), []byte{kindMemory, 0}),
+		concat(encodeName("tq_abi"), []byte{kindFunction, functionABI}),
+		concat(encodeName("tq_buffer"), []byte{kindFunction, functionBuffer}),
+		concat(encodeName("tq_read"), []byte{kindFunction, functionRead}),
+		concat(encodeName("tq_result"), []byte{kindFunction, functionResult}),
+		concat(encodeName("tq_tick"), []byte{kindFunction, functionTick}),
+		concat(encodeName("_initialize"), []byte{kindFunction, functionStart}))
 }
 
-// function returns the encoding of a function with the given body and one local variable, an i64.
-func function(body []byte) []byte {
-	return sized(join([]byte{1, 1, typeI64}, body, []byte{opEnd}))
+// encodeFunction returns the encoding of a function with the given body and one local variable, an i64.
+func encodeFunction(body []byte) []byte {
+	return sizePrefixed(concat([]byte{1, 1, typeI64}, body, []byte{opEnd}))
 }
--- a/internal/schedule/golden.go
+++ b/internal/schedule/golden.go
@@ -30,9 +30,9 @@
 	Parallel bool
 }
 
-// Check calls play for all seeds and compares their histories with the file. Each line runs in a subtest named after
+// Check calls runSeed for all seeds and compares their histories with the file. Each line runs in a subtest named after
 // its first seed. Check returns when all subtests have ended.
-func (f GoldenFile) Check(t *testing.T, play func(t *testing.T, seed int64, history *golden.History)) {
+func (f GoldenFile) Check(t *testing.T, runSeed func(t *testing.T, seed int64, history *golden.History)) {
 	t.Helper()
 	lines := make([]*golden.History, f.Seeds/f.SeedsPerLine)
 	t.Run("seeds", func(t *testing.T) {
@@ -44,7 +44,7 @@
 					t.Parallel()
 				}
 				for seed := first; seed < first+f.SeedsPerLine; seed++ {
-					play(t, int64(seed), lines[i])
+					runSeed(t, int64(seed), lines[i])
 				}
 			})
 		}
--- a/internal/schedule/network.go
+++ b/internal/schedule/network.go
@@ -14,7 +14,7 @@
 
 	maxDelay  timeunit.Milliseconds
 	processes []*Process
-	cut       map[link]bool
+	cutLinks  map[link]bool
 	inFlight  []envelope[Message]
 }
 
@@ -31,7 +31,7 @@
 
 // NewNetwork returns a network that loses no messages. A message takes between 1 millisecond and maxDelay to arrive.
 func NewNetwork[Message any](simulation Simulation, maxDelay timeunit.Milliseconds) Network[Message] {
-	return Network[Message]{Simulation: simulation, maxDelay: maxDelay, cut: map[link]bool{}}
+	return Network[Message]{Simulation: simulation, maxDelay: maxDelay, cutLinks: map[link]bool{}}
 }
 
 // Join adds a process, which gets the next number.
@@ -41,7 +41,7 @@
 // whether it is lost and, if not, its delay. Copies on a cut link are lost without a draw.
 func (n *Network[Message]) Send(from, to int, message Message) {
 	for range n.DrawCopies() {
-		if n.cut[link{from, to}] || n.Random.Float64() < n.LossRate {
+		if n.cutLinks[link{from, to}] || n.Random.Float64() < n.LossRate {
 			continue
 		}
 		n.SendAfter(n.DrawSpan(1, n.maxDelay+1), to, message)
@@ -82,23 +82,23 @@
 }
 
 // Cut cuts the link from one process to another.
-func (n *Network[Message]) Cut(from, to int) { n.cut[link{from, to}] = true }
+func (n *Network[Message]) Cut(from, to int) { n.cutLinks[link{from, to}] = true }
 
 // IsCut reports whether the link from one process to another is cut.
-func (n *Network[Message]) IsCut(from, to int) bool { return n.cut[link{from, to}] }
+func (n *Network[Message]) IsCut(from, to int) bool { return n.cutLinks[link{from, to}] }
 
 // Partition cuts the links between processes of different groups and restores the links within each group. The group of
 // each process is given by its index in groups.
 func (n *Network[Message]) Partition(groups []int) {
 	for from := range groups {
 		for to := range groups {
-			n.cut[link{from, to}] = groups[from] != groups[to]
+			n.cutLinks[link{from, to}] = groups[from] != groups[to]
 		}
 	}
 }
 
 // Heal restores all links and sets LossRate to 0.
 func (n *Network[Message]) Heal() {
-	clear(n.cut)
+	clear(n.cutLinks)
 	n.LossRate = 0
 }
--- a/internal/schedule/network_test.go
+++ b/internal/schedule/network_test.go
@@ -51,13 +51,13 @@
 	require.InEpsilon(t, sent*1.1*0.5, len(n.received[1]), 0.05)
 	require.Equal(t, 10, arrivals, "messages should arrive in each of the 10 possible milliseconds")
 	require.False(t, slices.IsSorted(n.received[1]), "messages should be reordered")
-	again := newTestNetwork()
-	again.LossRate = 0.5
+	repeated := newTestNetwork()
+	repeated.LossRate = 0.5
 	for message := range sent {
-		again.Send(0, 1, message)
+		repeated.Send(0, 1, message)
 	}
-	again.step()
-	require.ElementsMatch(t, n.received[1], again.received[1], "the same seed should deliver the same messages")
+	repeated.step()
+	require.ElementsMatch(t, n.received[1], repeated.received[1], "the same seed should deliver the same messages")
 }
 
 func TestCutLinkLosesOneDirection(t *testing.T) {
@@ -108,7 +108,7 @@
 func TestRunUntilTellsHowLongItTook(t *testing.T) {
 	simulation := schedule.NewSimulation(1, 100)
 	step := func() { simulation.Now += 10 }
-	isAfter := func(moment int) func() bool { return func() bool { return int(simulation.Now) >= moment } }
+	isAfter := func(earliest int) func() bool { return func() bool { return int(simulation.Now) >= earliest } }
 	require.EqualValues(t, 30, simulation.RunUntil(50, step, isAfter(125)))
 	require.EqualValues(t, -1, simulation.RunUntil(50, step, isAfter(1000)))
 }
--- a/internal/schedule/simulation.go
+++ b/internal/schedule/simulation.go
@@ -31,9 +31,9 @@
 func (s *Simulation) RunUntil(
 	timeout timeunit.Milliseconds, step func(), condition func() bool,
 ) timeunit.Milliseconds {
-	for begun := s.Now; s.Now-begun < timeout; step() {
+	for startedAt := s.Now; s.Now-startedAt < timeout; step() {
 		if condition() {
-			return s.Now - begun
+			return s.Now - startedAt
 		}
 	}
 	return -1
