--- a/internal/emulator/index.go
+++ b/internal/emulator/index.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// IndexReply is how the index answers one call.
+// IndexReply is the kind of reply that the index gives to a call.
 type IndexReply int
 
 const (
 	// ReplyHit answers with HIT and a body of four bytes.
 	ReplyHit IndexReply = iota
-	// ReplyShed answers with SHED: the index is overloaded and has not run the call.
+	// ReplyShed answers with SHED: the index is overloaded and did not run the call.
 	ReplyShed
-	// ReplyFailed answers with BROKEN: the call has failed.
+	// ReplyFailed answers with BROKEN: the call failed.
 	ReplyFailed
 	// ReplyTimedOut answers with SLOW: the call timed out and may have taken effect.
 	ReplyTimedOut
-	// ReplyUnavailable answers with NOBODY: no backend was there to run the call.
+	// ReplyUnavailable answers with NOBODY: no backend was available to run the call.
 	ReplyUnavailable
 	// ReplyNone sends nothing and leaves the connection open.
 	ReplyNone
 	// ReplyReset closes the connection without a reply.
 	ReplyReset
-	// ReplyMalformed sends bytes that are not a reply of the protocol.
+	// ReplyMalformed sends bytes that are not a valid reply.
 	ReplyMalformed
 )
 
-// statusWords are the protocol's status words of the replies that have no body.
+// statusWords maps each reply without a body to its status word in the protocol.
 var statusWords = map[IndexReply]string{
 	ReplyShed:        "SHED",
 	ReplyFailed:      "BROKEN",
@@ -39,19 +39,19 @@
 	ReplyUnavailable: "NOBODY",
 }
 
-// Index emulates the index service: it answers calls on any number of connections, one at a time on each. Its fields
-// must be set before the first call.
+// Index emulates the index service. It accepts any number of connections and answers the calls of each connection one
+// at a time. The exported fields must be set before the first call.
 type Index struct {
 	*Listener
-	// ReplyDelay is the time that a call takes while the index is not overloaded.
+	// ReplyDelay is the time that a call takes while SlowdownThreshold is not exceeded.
 	ReplyDelay time.Duration
-	// ReplyScript returns the reply to the n-th call, counted from 0 over all connections, and must be safe for
-	// concurrent use. Nil answers every call with ReplyHit.
+	// ReplyScript returns the reply to the n-th call, counted from 0 across all connections. It must be safe for
+	// concurrent use. If it is nil, every call is answered with ReplyHit.
 	ReplyScript func(n int) IndexReply
-	// MaxInFlight is the number of calls in flight beyond which more are answered with SHED; 0 for no limit.
+	// MaxInFlight is the number of calls in flight beyond which further calls are answered with SHED. 0 means no limit.
 	MaxInFlight int
-	// SlowdownThreshold is the number of calls in flight beyond which all take longer, by the square of the ratio
-	// between the two; 0 for never.
+	// SlowdownThreshold is the number of calls in flight beyond which calls take longer than ReplyDelay: the delay is
+	// multiplied by the square of (calls in flight / SlowdownThreshold). 0 means that calls never slow down.
 	SlowdownThreshold int
 
 	callCount    atomic.Int64
@@ -68,7 +68,7 @@
 	x := &Index{Listener: listener}
 	go func() {
 		for link := range listener.Links {
-			go x.serve(link)
+			go x.serveCalls(link)
 		}
 	}()
 	return x, nil
@@ -78,18 +78,18 @@
 // resets it to the number in flight now.
 func (x *Index) PeakInFlight() int { return int(x.peakInFlight.Swap(x.inFlight.Load())) }
 
-// serve answers the calls of one connection, one after the other, until either side closes it.
-func (x *Index) serve(link *Link) {
+// serveCalls answers the calls of one connection in sequence until either side closes the connection.
+func (x *Index) serveCalls(link *Link) {
 	defer link.drop()
 	for {
 		id, err := readCall(link)
 		if errors.Is(err, errNotACall) {
-			continue // a STOP: the server ignores the reply to the call that it cancels
+			continue // a STOP needs no handling: the server ignores the reply to a call that it has cancelled
 		}
 		if err != nil {
 			return
 		}
-		reply := x.process()
+		reply := x.processCall()
 		if reply == ReplyReset {
 			return
 		}
@@ -97,30 +97,30 @@
 	}
 }
 
-// errNotACall means that a line is not a GET.
-var errNotACall = errors.New("not a call")
+// errNotACall means that a line is not a valid GET command.
+var errNotACall = errors.New("not a GET command")
 
-// readCall reads "GET <id> <name> <length>", then the body of that length, and gives the id.
+// readCall reads the line "GET <id> <name> <length>" and a body of that length in bytes. It returns the ID.
 func readCall(link *Link) (id string, err error) {
 	text, err := link.Reader.ReadString('\n')
 	if err != nil {
 		return "", err
 	}
-	words := strings.Fields(text)
-	if len(words) != 4 || words[0] != "GET" {
+	fields := strings.Fields(text)
+	if len(fields) != 4 || fields[0] != "GET" {
 		return "", errNotACall
 	}
-	length, err := strconv.Atoi(words[3])
+	length, err := strconv.Atoi(fields[3])
 	if err != nil {
 		return "", err
 	}
-	const lineEnd = 2 // the body ends with CR LF
+	const lineEnd = 2 // bytes of the CR LF that follows the body
 	_, err = io.CopyN(io.Discard, link.Reader, int64(length)+lineEnd)
-	return words[1], err
+	return fields[1], err
 }
 
-// process takes the time of one call and returns the reply to it.
-func (x *Index) process() IndexReply {
+// processCall blocks for the duration of one call and returns its reply.
+func (x *Index) processCall() IndexReply {
 	n := int(x.callCount.Add(1)) - 1
 	reply := ReplyHit
 	if x.ReplyScript != nil {
@@ -128,16 +128,16 @@
 	}
 	inFlight := x.inFlight.Add(1)
 	defer x.inFlight.Add(-1)
-	x.raisePeak(inFlight)
+	x.recordPeak(inFlight)
 	if x.MaxInFlight > 0 && inFlight > int64(x.MaxInFlight) {
 		return ReplyShed
 	}
-	time.Sleep(x.delay(inFlight))
+	time.Sleep(x.callDuration(inFlight))
 	return reply
 }
 
-// raisePeak records that so many calls are in flight.
-func (x *Index) raisePeak(inFlight int64) {
+// recordPeak raises the recorded peak to inFlight if that is higher.
+func (x *Index) recordPeak(inFlight int64) {
 	for {
 		peak := x.peakInFlight.Load()
 		if inFlight <= peak || x.peakInFlight.CompareAndSwap(peak, inFlight) {
@@ -146,8 +146,8 @@
 	}
 }
 
-// delay returns the time that a call takes with so many in flight.
-func (x *Index) delay(inFlight int64) time.Duration {
+// callDuration returns the time that a call takes while inFlight calls, including this one, are in flight.
+func (x *Index) callDuration(inFlight int64) time.Duration {
 	if x.SlowdownThreshold == 0 {
 		return x.ReplyDelay
 	}
@@ -155,7 +155,7 @@
 	return time.Duration(float64(x.ReplyDelay) * overload * overload)
 }
 
-// sendReply writes the reply to the call with this ID.
+// sendReply sends the reply to the call with the given ID.
 func sendReply(link *Link, id string, reply IndexReply) {
 	switch reply {
 	case ReplyNone:
