--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,9 @@
-// Package config reads our own settings: one YAML file with a section for each subsystem; a subsystem whose section is
-// absent is off. It converts the sections into what the subsystems take.
+// Package config reads the server's service file: a YAML file with one section for each optional subsystem. A subsystem
+// without a section is disabled. The package converts each section to the configuration type of its subsystem.
 //
-// It must never read the platform's configuration (that is internal/deployment), and never apply half a file: Read and
-// Config.ValidateAgainst tell everything that is wrong at once, with positions, and the caller keeps what it had.
+// It does not read the platform's configuration, which internal/deployment does. A file is applied as a whole or not at
+// all: Read and Config.ValidateAgainst report all errors together, with their positions, and the caller then keeps the
+// configuration that it already had.
 package config
 
 import (
@@ -17,7 +18,8 @@
 	"thistlequay/internal/diagnostics"
 )
 
-// Config is what one file sets. Its zero value is what holds without a file: all sections are nil, everything is off.
+// Config holds the sections of one service file. The zero value is the configuration without a file: all sections are
+// nil, and every subsystem is disabled.
 type Config struct {
 	FairQueues *FairQueues `yaml:"fair_queues"`
 	Plugins    *Plugins    `yaml:"plugins"`
@@ -25,15 +27,16 @@
 	Gossip     *Gossip     `yaml:"peers"`
 	Quota      *Quota      `yaml:"shares"`
 
-	path      string // of the file
+	path      string // the path of the file, for diagnostics
 	positions diagnostics.Positions
 }
 
-// maxFileBytes bounds the file, so that a wrong name can't make the program read without end.
+// maxFileBytes is the maximum size of the service file. Without a limit, a wrong path such as that of a device could
+// make the program read without end.
 const maxFileBytes = 4 << 20
 
-// Read reads and checks a file; for an empty path all is off. The error is a diagnostics.List if the file could be
-// read.
+// Read reads and validates a service file. An empty path yields the zero configuration, in which every subsystem is
+// disabled. If the file was readable but is not valid, the error is a diagnostics.List.
 func Read(path string) (*Config, error) {
 	config := &Config{path: path}
 	if path == "" {
@@ -61,9 +64,9 @@
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, err // names the file
+		return nil, err // it already contains the path
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // an error is harmless because the file was only read
 	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, err
@@ -74,19 +77,20 @@
 	return text, nil
 }
 
-// ValidateAgainst checks the sections against the platform's settings and the program's memory in bytes: they go
-// together only if both can be meant. The error is a diagnostics.List.
+// ValidateAgainst checks that the sections are consistent with the platform's settings and with the program's memory
+// limit, in bytes. The error is a diagnostics.List.
 func (c *Config) ValidateAgainst(platform *deployment.Config, memoryBytes int) error {
 	found := c.Plugins.validateAgainst(platform, memoryBytes)
 	found = append(found, c.Quota.validateAgainst(platform)...)
-	// Tags of plug-ins stand for tenants: where there may be some, any name can be one.
+	// The fair queues treat a tag that a plug-in sets as a tenant. If any plug-in may set tags, a tenant name that the
+	// platform does not know can still occur.
 	if !c.Plugins.anyMayTag() {
 		found = append(found, c.FairQueues.validateAgainst(platform)...)
 	}
 	return c.positions.Locate(found).InFile(c.path).Err()
 }
 
-// besideFile returns a path that a file names: one that is not absolute is relative to the folder of the file.
+// besideFile resolves a path that stands in a file. A relative path is relative to the directory of that file.
 func besideFile(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -94,7 +98,7 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// validateNames adds a diagnostic for each name that is empty or stands in the list before.
+// validateNames adds a diagnostic for each name that is empty or repeats an earlier name of the list.
 func validateNames(found *diagnostics.List, path string, names []string) {
 	for i, name := range names {
 		if name == "" || slices.Index(names, name) < i {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"thistlequay/internal/deployment"
 )
 
-// read reads a text as a file, which the error calls f.
+// read writes a text to a temporary file and reads it with Read. The file is called f in the error.
 func read(t testing.TB, text string) (*Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "service.yaml")
@@ -25,7 +25,7 @@
 	return config, err
 }
 
-// mustRead reads a text as a file without faults.
+// mustRead reads a text like read and fails the test if the text is not valid.
 func mustRead(t testing.TB, text string) *Config {
 	t.Helper()
 	config, err := read(t, text)
@@ -33,7 +33,7 @@
 	return config
 }
 
-// TestReadConvertsFairQueues checks the section fair_queues: absent, empty, and with values.
+// TestReadConvertsFairQueues checks the conversion of the section fair_queues if it is absent, empty or has values.
 func TestReadConvertsFairQueues(t *testing.T) {
 	config, err := Read("")
 	require.NoError(t, err)
@@ -54,15 +54,15 @@
 `).FairQueues
 	require.Equal(t, time.Second, section.Burst)
 	scheduler := section.SchedulerConfig(&deployment.Config{})
-	require.Equal(t, 2.25, scheduler.OthersWeight) // the mean of the weights
+	require.Equal(t, 2.25, scheduler.OthersWeight) // the mean of 3 and 1.5
 	require.Equal(t, 10_000, int(scheduler.Burst))
 	require.NotNil(t, section.TenantTable())
 }
 
-// badSection is the text of a file and a part of its diagnostic.
+// badSection is the text of an invalid file and a part of the expected diagnostic.
 type badSection struct{ text, diagnostic string }
 
-// badFairQueues has bad sections for fair queues and the diagnostic of each.
+// badFairQueues are invalid files for the section fair_queues.
 var badFairQueues = []badSection{
 	{"fair_queue:\n", "f:1:1: fair_queue: is not known; expected one of fair_queues"},
 	{"fair_queues:\n  book: 3\n", "f:2:3: fair_queues.book: is not known; expected one of tenants, others,"},
@@ -103,7 +103,7 @@
 		"f:3:56: fair_queues.networks[1].prefix: ::ffff:10.0.0.0/104 stands twice; expected each prefix once"},
 }
 
-// FuzzRead checks that any text can be read, and that what is read can be converted.
+// FuzzRead checks that Read does not panic on any text, and that the conversions do not panic on any valid file.
 func FuzzRead(f *testing.F) {
 	f.Add("fair_queues:\n  tenants: [{name: a, share: 1}]\n  burst: 1s\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -114,10 +114,10 @@
 	})
 }
 
-// gossipSection is a section that quotas need.
+// gossipSection is a valid section peers, which the section shares requires.
 const gossipSection = "peers: {listen: '127.0.0.1:1', fleet: f, servers: 4, key_file: k}\n"
 
-// badQuotas has bad sections for quotas and a part of the diagnostic of each.
+// badQuotas are invalid files for the section shares.
 var badQuotas = []badSection{
 	{"shares: {calls: 8, slots: 4}\n", "a section peers"},
 	{gossipSection + "shares: {calls: 3, slots: 4}\n", "3 calls for 4 slots"},
@@ -133,7 +133,7 @@
 	{gossipSection + "shares: {calls: 8, slots: 4, clock_drift: 0.5}\n", "clock_drift"},
 }
 
-// TestReadLocatesFaults checks that each fault is told with its file, line and column.
+// TestReadLocatesFaults checks that each fault is reported with its file, line and column.
 func TestReadLocatesFaults(t *testing.T) {
 	for section, faults := range map[string][]badSection{"fair queues": badFairQueues, "quota": badQuotas} {
 		for _, test := range faults {
@@ -146,8 +146,9 @@
 	}
 }
 
-// TestServersMayDifferInQuotaTotals checks the limits that a section comes to, and that servers which differ in the
-// totals alone take each other to have the same section.
+// TestServersMayDifferInQuotaTotals checks the limits that a section is converted to, and that sections that differ
+// only in totals and revision have the same digest. Servers compare digests, so different digests would keep them from
+// sharing limits while new totals are rolled out.
 func TestServersMayDifferInQuotaTotals(t *testing.T) {
 	config := mustRead(t, gossipSection+"shares: {calls: 800, slots: 400, calls_a_second: 2000}\n")
 	limits := config.Quota.Limits()
--- a/internal/config/fairqueues.go
+++ b/internal/config/fairqueues.go
@@ -13,7 +13,8 @@
 	"thistlequay/timeunit"
 )
 
-// FairQueues is the section fair_queues; docs/fairqueue/operating.md describes its keys.
+// FairQueues is the section fair_queues, which configures how requests are scheduled fairly among tenants.
+// docs/fairqueue/operating.md describes its keys.
 type FairQueues struct {
 	Tenants          []Tenant      `yaml:"tenants"`
 	OthersWeight     float64       `yaml:"others" over:"0" max:"1e6"`
@@ -29,22 +30,23 @@
 	TrustedProxies   []Prefix      `yaml:"trusted_fronts"`
 }
 
-// byAccount is the TenantSource where routers name the tenant; otherwise the client's network tells it.
+// byAccount is the value of FairQueues.TenantSource with which routers name the tenant of a request. With the other
+// value, the tenant is determined from the client's network address.
 const byAccount = "account"
 
-// Tenant is one with a weight of its own: its part of the server's work against the others'.
+// Tenant assigns a tenant its own weight, which is its share of the server's work relative to the weights of others.
 type Tenant struct {
 	Name   string  `yaml:"name" min:"1" need:"yes"`
 	Weight float64 `yaml:"share" over:"0" max:"1e6" need:"yes"`
 }
 
-// Network says whose the client addresses under a prefix are.
+// Network assigns the client addresses under a network prefix to a tenant.
 type Network struct {
 	Prefix Prefix `yaml:"prefix" need:"yes"`
 	Tenant string `yaml:"tenant" min:"1" need:"yes"`
 }
 
-// Prefix is a network prefix of either address family. It is written as a prefix or as a single address.
+// Prefix is an IPv4 or IPv6 network prefix. A file contains it in prefix notation or as a single address.
 type Prefix struct{ netip.Prefix }
 
 var (
@@ -52,8 +54,8 @@
 	errHostBitsSet = errors.New("has bits set beyond its length")
 )
 
-// UnmarshalText implements encoding.TextUnmarshaler. Bits beyond the length must not be set: such a prefix is mostly a
-// slip.
+// UnmarshalText implements encoding.TextUnmarshaler. It rejects a prefix with host bits set, because that is usually a
+// typing error.
 func (p *Prefix) UnmarshalText(text []byte) error {
 	if address, err := netip.ParseAddr(string(text)); err == nil {
 		p.Prefix = netip.PrefixFrom(address, address.BitLen())
@@ -69,7 +71,8 @@
 	return nil
 }
 
-// SetDefaults implements diagnostics.Defaulter. OthersWeight stays 0, which SchedulerConfig replaces.
+// SetDefaults implements diagnostics.Defaulter. OthersWeight stays 0; SchedulerConfig replaces it by a value that
+// depends on the weights of the named tenants.
 func (f *FairQueues) SetDefaults() {
 	*f = FairQueues{
 		NewcomerFraction: 0.25,
@@ -83,6 +86,7 @@
 	}
 }
 
+// validate checks the section on its own, without the platform's settings.
 func (f *FairQueues) validate() (found diagnostics.List) {
 	if f == nil {
 		return nil
@@ -113,7 +117,7 @@
 	return found
 }
 
-// validateAgainst checks that routers can name the tenants.
+// validateAgainst checks that the platform's settings contain each named tenant, so that routers can send its name.
 func (f *FairQueues) validateAgainst(platform *deployment.Config) (found diagnostics.List) {
 	if f == nil || f.TenantSource != byAccount {
 		return nil
@@ -127,9 +131,10 @@
 	return found
 }
 
-// SchedulerConfig returns the configuration of the fair scheduler, without the fields that the server knows; nil if the
-// section is absent. A section without tenants of its own takes the weights of the platform's settings. Tenants without
-// a weight have together the mean of the weights where nothing is said, or everything where no tenant is named.
+// SchedulerConfig returns the configuration of the fair scheduler, or nil if the section is absent. The server fills in
+// the remaining fields (Cores and SoftDeadlines). A section that names no tenants and takes tenants from routers uses
+// the weights of the platform's settings. If the key others is not set, all tenants without a weight together get the
+// mean of the weights, or the whole server if no tenant has a weight.
 func (f *FairQueues) SchedulerConfig(platform *deployment.Config) *fairqueue.Config {
 	if f == nil {
 		return nil
@@ -155,7 +160,7 @@
 	return config
 }
 
-// meanWeight returns the mean weight of the tenants, 1 where there is none.
+// meanWeight returns the mean weight of the tenants, or 1 if there are none.
 func meanWeight(tenants []fairqueue.Tenant) float64 {
 	sum := 0.0
 	for _, tenant := range tenants {
@@ -167,8 +172,8 @@
 	return sum / float64(len(tenants))
 }
 
-// TenantTable returns the table that tells the tenant of a request by the client's network; nil where the section is
-// absent or routers name the tenant.
+// TenantTable returns the table that maps client networks to tenants. It returns nil if the section is absent or if
+// routers name the tenant.
 func (f *FairQueues) TenantTable() *tenancy.Table {
 	if f == nil || f.TenantSource == byAccount {
 		return nil
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -17,10 +17,10 @@
 	"thistlequay/internal/golden"
 )
 
-// pluginPart begins a section plugins; the rest of the plug-in follows it.
+// pluginPart is the start of a section plugins. A test appends further keys of the plug-in and the closing brace.
 const pluginPart = "plugins:\n  list:\n    - {name: p, file: p.wasm, hooks: [read]"
 
-// moreBadFiles are faults of the sections that the other tests leave out, and of YAML itself.
+// moreBadFiles are invalid files with faults that the other tests do not cover, including invalid YAML.
 var moreBadFiles = []string{
 	"", "[]\n", "7\n", "a\n", "fair_queues: []\nfair_queues: []\n", "? [a]\n: b\n", "{a: b\n", "a: b: c\n", "\x00",
 	"fair_queues: {tenants: [1]}\n",
@@ -66,7 +66,7 @@
 	pluginPart + ", samples: [{hook: x, category: 1, does: [x], status: 600}, 7]}\n",
 }
 
-// goodFiles are sections that stand, but not all beside the platform's settings.
+// goodFiles are files that Read accepts. Some of them are not consistent with the platform's settings of the test.
 var goodFiles = []string{
 	"fair_queues:\n",
 	"fair_queues: {tenants: [{name: t, share: 3}, {name: stranger, share: 1.5}], burst: 1s, " +
@@ -90,13 +90,14 @@
 		"code_kb: 2, keep_kb: 5, start: 2s}\n",
 }
 
-// transcript is a folder for files, and what is recorded of them.
+// transcript records the results for files that it writes to a temporary directory.
 type transcript struct {
 	bytes.Buffer
 	testing.TB
 	folder string
 }
 
+// newTranscript returns an empty transcript, whose directory contains the module p.wasm.
 func newTranscript(t testing.TB) *transcript {
 	t.Helper()
 	script := &transcript{TB: t, folder: t.TempDir()}
@@ -105,15 +106,15 @@
 	return script
 }
 
-// println records a line of values.
+// println records values as one line.
 func (s *transcript) println(values ...any) { fmt.Fprintln(&s.Buffer, values...) }
 
-// withoutFolder returns a text with DIR for the folder, which has another name each time.
+// withoutFolder replaces the path of the directory in a text by DIR, because the path differs in each run.
 func (s *transcript) withoutFolder(text string) string {
 	return strings.ReplaceAll(text, s.folder, "DIR")
 }
 
-// read reads a text as a file and records the text and what is wrong with it.
+// read writes a text to a file, reads it with Read and records the diagnostics.
 func (s *transcript) read(text string) *Config {
 	file := filepath.Join(s.folder, "own.yaml")
 	require.NoError(s, os.WriteFile(file, []byte(text), 0o600))
@@ -122,7 +123,7 @@
 	return config
 }
 
-// addError records the lines of an error, if there is one, in the order of the alphabet: some faults come in no fixed
+// addError records the lines of an error, if there is one. It sorts them because some faults are reported in no fixed
 // order.
 func (s *transcript) addError(err error) {
 	if err == nil {
@@ -133,6 +134,7 @@
 	s.println(strings.Join(lines, "\n"))
 }
 
+// sortedTexts returns the texts of the sections in alphabetical order.
 func sortedTexts(sections []badSection) (texts []string) {
 	for _, section := range sections {
 		texts = append(texts, section.text)
@@ -141,7 +143,7 @@
 	return texts
 }
 
-// TestGoldenDiagnostics compares what is said about bad files, and about bad files of keys, with what was recorded.
+// TestGoldenDiagnostics compares the diagnostics for invalid settings files and key files with a golden file.
 func TestGoldenDiagnostics(t *testing.T) {
 	script := newTranscript(t)
 	texts := append(sortedTexts(badFairQueues), sortedTexts(badQuotas)...)
@@ -165,8 +167,8 @@
 	golden.Check(t, "diagnostics.txt", script.Bytes())
 }
 
-// TestGoldenSettings compares what good files come to with what was recorded: the figures that subsystems get, the
-// digest that servers compare, and the faults beside the platform's settings.
+// TestGoldenSettings compares the results for valid files with a golden file: the values that the subsystems get, the
+// digest that servers compare, and the inconsistencies with the platform's settings.
 func TestGoldenSettings(t *testing.T) {
 	platform, err := deployment.Read([]byte(`{"Categories":[
 {"Name":"a","Effect":"by_key","HardLimit":8000,"OnTime":4000,"Worth":1,"Window":30000},
@@ -195,6 +197,7 @@
 	golden.Check(t, "settings.txt", script.Bytes())
 }
 
+// addFairQueues records the scheduler's configuration.
 func (s *transcript) addFairQueues(section *FairQueues, platform *deployment.Config) {
 	scheduler := section.SchedulerConfig(platform)
 	s.println(scheduler.OthersWeight, scheduler.NewcomerFraction, scheduler.MaxHeavyHitters, scheduler.SharedFlows,
@@ -205,6 +208,7 @@
 	}
 }
 
+// addQuota records the digest and the limits.
 func (s *transcript) addQuota(section *Quota) {
 	directory := section.DirectoryPath(filepath.Join(s.folder, "own.yaml"))
 	s.println(section.Digest(), section.Revision, s.withoutFolder(directory), section.StartFresh,
@@ -216,12 +220,14 @@
 	}
 }
 
+// addStore records the configuration of the log.
 func (s *transcript) addStore(section *Store, platform *deployment.Config) {
 	log := section.LogConfig(platform, 64<<20)
 	s.println(int(log.Durability), log.MaxBytes, log.MaxRecords, log.SegmentBytes, int64(log.MaxWindow),
 		int64(log.ClockUncertainty), log.MaxOutcomes, log.AllowEmpty, section.DirectoryPath("/e/own.yaml"))
 }
 
+// addPlugins records the process specification and the policies of the plug-ins.
 func (s *transcript) addPlugins(section *Plugins, platform *deployment.Config) {
 	spec := section.ProcessSpec(map[string]map[string][]byte{"p": {"k": []byte("v")}, "q": {"k": []byte("w")}})
 	s.println(spec.Workers, spec.MemoryMB, section.DiscardsState(), int64(section.ReadyTimeout))
@@ -236,7 +242,7 @@
 			s.println(sample.Hook, sample.Category, sample.Tenant, sample.Body, actions, sample.ExpectedStatus)
 		}
 	}
-	for i := range section.Entries { // a category that the settings don't have is no one's
+	for i := range section.Entries { // Grants requires target categories that the platform's settings contain
 		entry := &section.Entries[i]
 		isUnknown := func(name string) bool { return name == "none" }
 		entry.TargetCategories = slices.DeleteFunc(entry.TargetCategories, isUnknown)
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -10,34 +10,36 @@
 	"thistlequay/internal/diagnostics"
 )
 
-// Gossip is the section peers, on gossip among the servers of a fleet; docs/membership/operating.md describes its keys.
+// Gossip is the section peers, which configures gossip among the servers of a fleet. docs/membership/operating.md
+// describes its keys.
 type Gossip struct {
 	Listen          string   `yaml:"listen" min:"1" need:"yes"`
-	Advertise       string   `yaml:"advertise"` // empty: as Listen
+	Advertise       string   `yaml:"advertise"` // if empty, Listen is advertised
 	SeedAddresses   []string `yaml:"first"`
 	InitialVoters   []string `yaml:"founders"`
 	FleetName       string   `yaml:"fleet" min:"1" need:"yes"`
 	ExpectedServers int      `yaml:"servers" min:"1" max:"4096" need:"yes"`
 	Zone            string   `yaml:"zone"`
 	KeyFile         string   `yaml:"key_file" min:"1" need:"yes"`
-	StatusAddress   string   `yaml:"status"` // empty: the status is not served
+	StatusAddress   string   `yaml:"status"` // if empty, the status is not served
 }
 
-// Bounds of the section.
+// Maximum lengths of the lists in the section.
 const (
 	maxSeedAddresses = 64
 	maxInitialVoters = 15
 )
 
-// Bounds of the key file.
+// Limits of the key file.
 const (
 	maxKeyFileBytes = 64 << 10
 	maxKeys         = 8
 )
 
-// SetDefaults implements diagnostics.Defaulter: all keys that may be absent are empty then.
+// SetDefaults implements diagnostics.Defaulter. All optional keys default to empty values.
 func (g *Gossip) SetDefaults() { *g = Gossip{} }
 
+// validate checks the section on its own, without reading the key file.
 func (g *Gossip) validate() (found diagnostics.List) {
 	if g == nil {
 		return nil
@@ -56,7 +58,8 @@
 		found.Add("peers.first", fmt.Sprintf("%d at most", maxSeedAddresses), "%d addresses", count)
 	}
 	voters := len(g.InitialVoters)
-	if voters > maxInitialVoters || voters%2 == 0 && voters > 0 { // an even number adds no majority
+	// An even number of voters tolerates no more failures than the odd number below it.
+	if voters > maxInitialVoters || voters%2 == 0 && voters > 0 {
 		expected := fmt.Sprintf("an odd number of names, %d at most", maxInitialVoters)
 		found.Add("peers.founders", expected, "%d names", voters)
 	}
@@ -67,7 +70,7 @@
 	return found
 }
 
-// validateAddress adds a diagnostic for what is no address of a host by number and a port.
+// validateAddress adds a diagnostic if an address is not an IP address with a port. Host names are not resolved.
 func validateAddress(found *diagnostics.List, path, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
@@ -75,14 +78,14 @@
 	}
 }
 
-// LoadKeys reads the key file, which lies beside the settings file that names it unless its path is absolute. It has a
-// key a line, in base64, of 16, 24 or 32 bytes; empty lines and those that begin with # are passed over. Messages are
-// sealed with the first key and opened with any.
+// LoadKeys reads the encryption keys from the key file. A relative path of the key file is relative to the directory of
+// the settings file. The key file contains one key of 16, 24 or 32 bytes per line, in base64; empty lines and lines
+// that begin with # are ignored. The first key encrypts messages, and all of them decrypt.
 func (g *Gossip) LoadKeys(settingsFile string) (keys [][]byte, err error) {
 	path := besideFile(settingsFile, g.KeyFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // names the file
+		return nil, err // it already contains the path
 	}
 	if len(text) > maxKeyFileBytes {
 		return nil, diagnostics.List{{File: path, Problem: "is too long", Expected: "64 KiB at most"}}
--- a/internal/config/plugins.go
+++ b/internal/config/plugins.go
@@ -14,63 +14,65 @@
 	"thistlequay/internal/diagnostics"
 )
 
-// Plugins is the section plugins; docs/plugin/operating.md describes its keys.
+// Plugins is the section plugins, which configures the plug-in process and the chain of plug-ins.
+// docs/plugin/operating.md describes its keys.
 type Plugins struct {
-	MemoryMB     int           `yaml:"memory_mb" min:"12" max:"4096"` // of the plug-in process
+	MemoryMB     int           `yaml:"memory_mb" min:"12" max:"4096"` // memory limit of the plug-in process
 	Workers      int           `yaml:"workers" min:"1" max:"16"`
 	ReadyTimeout time.Duration `yaml:"ready" min:"100ms" max:"2m"`
 	Entries      []Plugin      `yaml:"list" need:"yes"`
 }
 
-// Plugin is one plug-in: what it may do, and what it may take. Its place in the list is its place in the chain.
+// Plugin configures one plug-in: its module, its capabilities and its resource limits. Plug-ins are called in the order
+// of the list.
 type Plugin struct {
 	Name   string `yaml:"name" min:"1" need:"yes"`
 	File   string `yaml:"file" min:"1" need:"yes"`
-	SHA256 string `yaml:"sha256"` // hex; empty: of the file as it was read
+	SHA256 string `yaml:"sha256"` // hex; if empty, validate sets the hash of the current file
 	Engine string `yaml:"engine" one:"interpreter compiler"`
 
-	// Bounds of an instance.
+	// Limits of one instance of the module.
 	MemoryKB     int           `yaml:"memory_kb" min:"64" max:"1048576"`
 	CodeKB       int           `yaml:"code_kb" min:"1" max:"65536"`
 	StateKB      int           `yaml:"keep_kb" min:"0" max:"1024"`
-	KeepState    bool          `yaml:"keep"` // a new version gets the state of the one before
+	KeepState    bool          `yaml:"keep"` // a new version takes over the stored state of the previous one
 	StartTimeout time.Duration `yaml:"start" min:"1ms" max:"30s"`
 
-	// What it is asked, and what its verdict may be.
+	// The calls that the plug-in receives, and the verdicts that it may return.
 	Hooks            []string `yaml:"hooks" one:"read result tick" need:"yes"`
-	Categories       []string `yaml:"categories"` // empty: all
-	Tenants          []string `yaml:"tenants"`    // empty: all
+	Categories       []string `yaml:"categories"` // categories of the requests it sees; if empty, all
+	Tenants          []string `yaml:"tenants"`    // tenants whose requests it sees; if empty, all
 	Capabilities     []string `yaml:"may" one:"decline categorise tag rewrite"`
-	TargetCategories []string `yaml:"to"` // that it may categorise as
+	TargetCategories []string `yaml:"to"` // categories that it may move requests to
 
-	// What its calls may take.
+	// Time limits of its calls.
 	CallTimeout     time.Duration `yaml:"call" min:"100us" max:"200ms"`
-	MaxTimeFraction float64       `yaml:"share" over:"0" max:"0.5"` // of the time that a request has left
-	CoreFraction    float64       `yaml:"core" over:"0" max:"1"`    // of a core, over a second
+	MaxTimeFraction float64       `yaml:"share" over:"0" max:"0.5"` // of the request's remaining time
+	CoreFraction    float64       `yaml:"core" over:"0" max:"1"`    // fraction of one core, averaged over a second
 	TickInterval    time.Duration `yaml:"every" min:"10ms" max:"1h"`
 
-	// What happens on faults.
+	// The handling of faults.
 	FallbackPolicy       string        `yaml:"otherwise" one:"pass decline"`
 	FaultsByTenant       bool          `yaml:"faults_by_tenant"`
 	MaxConsecutiveFaults int           `yaml:"faults_in_a_row" min:"1" max:"1000"`
 	MaxFaultRate         float64       `yaml:"fault_rate" over:"0" max:"1"`
-	Quarantine           time.Duration `yaml:"quarantine" min:"10ms" max:"1h"` // the first; each next is twice as long
+	Quarantine           time.Duration `yaml:"quarantine" min:"10ms" max:"1h"` // the first one; it doubles each time
 	MaxQuarantine        time.Duration `yaml:"longest_quarantine" min:"10ms" max:"24h"`
 
 	Samples []Sample `yaml:"samples"`
 }
 
-// Sample is a request that a new version must answer as expected before it sees any other.
+// Sample is a request that a new version of a plug-in must answer as expected before it sees real requests.
 type Sample struct {
 	Hook            string   `yaml:"hook" one:"read result tick"`
 	Category        string   `yaml:"category"`
 	Tenant          string   `yaml:"tenant"`
 	Body            string   `yaml:"body"`
-	ExpectedActions []string `yaml:"does" one:"nothing decline categorise tag rewrite"` // empty: any
-	ExpectedStatus  int      `yaml:"status" min:"0" max:"599"`                          // 0: any
+	ExpectedActions []string `yaml:"does" one:"nothing decline categorise tag rewrite"` // if empty, any action passes
+	ExpectedStatus  int      `yaml:"status" min:"0" max:"599"`                          // if 0, any status passes
 }
 
-// Words of the section.
+// Values that are accepted in the section: hooks, capabilities, an engine and a fallback policy.
 const (
 	hookRead   = "read"
 	hookResult = "result"
@@ -111,8 +113,8 @@
 	}
 }
 
-// validate finds what the section itself can't mean. It makes the path of each module absolute or relative to the
-// working folder, and pins the module to the bytes that lie there now.
+// validate checks the section on its own. It also resolves the path of each module against the directory of the
+// settings file and sets the hash of each module to that of the file's current content.
 func (p *Plugins) validate(settingsFile string) (found diagnostics.List) {
 	if p == nil {
 		return nil
@@ -139,8 +141,8 @@
 	return found
 }
 
-// pinModule sets the hash of the module's file, so that a file that changes later is not run by these settings. A hash
-// that stands in the settings must be the same.
+// pinModule sets the hash of the module's file, so that a file that changes later is not run with these settings. It
+// adds a diagnostic if the settings contain a different hash.
 func (p *Plugin) pinModule(found *diagnostics.List, path string) {
 	sum, err := fileSHA256(p.File, p.CodeKB)
 	switch {
@@ -152,7 +154,8 @@
 	p.SHA256 = sum
 }
 
-// validateCapabilities checks that what the plug-in may do goes with the hooks that it is asked at.
+// validateCapabilities checks that the plug-in's capabilities are consistent with its hooks, its target categories and
+// its fallback policy.
 func (p *Plugin) validateCapabilities(found *diagnostics.List, path string) {
 	if p.may(mayReject) && !slices.Contains(p.Hooks, hookRead) {
 		found.Add(path+".may", "the hook read", "decline without it: what ran is never declined")
@@ -168,16 +171,17 @@
 	}
 }
 
+// may reports whether the plug-in has a capability.
 func (p *Plugin) may(capability string) bool { return slices.Contains(p.Capabilities, capability) }
 
-// fileSHA256 returns the hash of a file in hex. It reads no more than maxKB, so that the server's process doesn't spend
-// time on a file that is no module.
+// fileSHA256 returns the SHA-256 hash of a file in hex. It fails if the file is larger than maxKB kilobytes and reads
+// no further than that, so that the server does not spend time on a file that is not a module.
 func fileSHA256(path string, maxKB int) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return "", err // names the file
+		return "", err // it already contains the path
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // an error is harmless because the file was only read
 	maxBytes := int64(maxKB) << 10
 	sum := sha256.New()
 	size, err := io.Copy(sum, io.LimitReader(file, maxBytes+1))
@@ -187,7 +191,8 @@
 	return hex.EncodeToString(sum.Sum(nil)), err
 }
 
-// validateAgainst checks the section against the platform's settings and the program's memory.
+// validateAgainst checks that the platform's settings contain the tenants and categories that the section names, and
+// that the plug-in process gets at most half of the program's memory limit, given in bytes.
 func (p *Plugins) validateAgainst(platform *deployment.Config, memoryBytes int) (found diagnostics.List) {
 	if p == nil {
 		return nil
@@ -211,6 +216,7 @@
 	return found
 }
 
+// validateCategories adds a diagnostic for each name that is not a category of the platform's settings.
 func validateCategories(found *diagnostics.List, path string, names []string, platform *deployment.Config) {
 	for i, name := range names {
 		if _, known := platform.CategoryIndex[name]; !known {
@@ -219,7 +225,7 @@
 	}
 }
 
-// anyMayTag reports whether any plug-in may set tags, which stand for tenants in the fair queues.
+// anyMayTag reports whether any plug-in may set tags, which the fair queues treat as tenants.
 func (p *Plugins) anyMayTag() bool {
 	return p != nil && slices.ContainsFunc(p.Entries, func(entry Plugin) bool { return entry.may(mayTag) })
 }
--- a/internal/config/plugins_convert.go
+++ b/internal/config/plugins_convert.go
@@ -12,14 +12,14 @@
 	"thistlequay/timeunit"
 )
 
-// hookPoints are the places in the chain by the words of the section.
+// hookPoints maps the hook names of the section to the hooks of the chain.
 var hookPoints = map[string]chain.Hook{
 	hookRead:   chain.HookRead,
 	hookResult: chain.HookResult,
 	hookTick:   chain.HookTick,
 }
 
-// actionBits are the bits of a verdict by the words of the section.
+// actionBits maps the action names of the section to the bits of a verdict.
 var actionBits = map[string]int{
 	"nothing":     0,
 	mayReject:     abi.ActionReject,
@@ -28,8 +28,8 @@
 	mayRewrite:    abi.ActionReplace,
 }
 
-// ProcessSpec returns what the plug-in process is told when it starts. state is what plug-ins kept in the process
-// before, by the name of the plug-in; those that do not keep their state don't get it.
+// ProcessSpec returns the specification with which the plug-in process is started. state is the state that plug-ins
+// stored in the previous process, by plug-in name and key. Only plug-ins with KeepState receive theirs.
 func (p *Plugins) ProcessSpec(state map[string]map[string][]byte) plugin.HostSpec {
 	spec := plugin.HostSpec{Workers: p.Workers, MemoryMB: p.MemoryMB}
 	for i := range p.Entries {
@@ -38,6 +38,7 @@
 	return spec
 }
 
+// moduleConfig returns the part of the process specification that describes this plug-in.
 func (p *Plugin) moduleConfig(state map[string]map[string][]byte) plugin.ModuleConfig {
 	module := plugin.ModuleConfig{
 		Name:         p.Name,
@@ -62,6 +63,7 @@
 	return module
 }
 
+// convert returns the sample in the form that the plug-in process takes.
 func (s *Sample) convert() plugin.Sample {
 	sample := plugin.Sample{
 		Hook:           int(hookPoints[s.Hook]),
@@ -80,8 +82,8 @@
 	return sample
 }
 
-// Grants returns what each plug-in may do, in the order of the chain. The section must have been validated against the
-// same platform's settings.
+// Grants returns the policies of the plug-ins, in the order of the chain. The section must have been validated against
+// the same platform settings.
 func (p *Plugins) Grants(platform *deployment.Config) (policies []chain.Policy) {
 	for i := range p.Entries {
 		policies = append(policies, p.Entries[i].policy(platform))
@@ -89,6 +91,7 @@
 	return policies
 }
 
+// policy returns the policy that the chain applies to this plug-in.
 func (p *Plugin) policy(platform *deployment.Config) chain.Policy {
 	policy := chain.Policy{
 		Name:                 p.Name,
@@ -123,7 +126,7 @@
 	return policy
 }
 
-// categoryFlags returns, for each category of the platform's settings, whether it is among the names.
+// categoryFlags returns a flag for each category of the platform's settings, set if the category is among the names.
 func categoryFlags(names []string, platform *deployment.Config) []bool {
 	flags := make([]bool, len(platform.Categories))
 	for _, name := range names {
@@ -132,7 +135,8 @@
 	return flags
 }
 
-// DiscardsState returns for each plug-in, by name, whether its state and record of faults do not pass to a new version.
+// DiscardsState reports, by plug-in name, whether a new version of the plug-in starts without the stored state and the
+// fault record of the previous version.
 func (p *Plugins) DiscardsState() map[string]bool {
 	discards := map[string]bool{}
 	for _, entry := range p.Entries {
--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -12,14 +12,15 @@
 	"thistlequay/timeunit"
 )
 
-// Quota is the section shares, on limits that the servers of a fleet share; docs/quota/operating.md describes its keys.
+// Quota is the section shares, which configures the limits that the servers of a fleet share. docs/quota/operating.md
+// describes its keys.
 type Quota struct {
 	Revision                 int           `yaml:"revision" min:"1" max:"1000000000"`
 	MaxCalls                 int           `yaml:"calls" min:"1" max:"1000000" need:"yes"`
-	CallsPerSecond           int           `yaml:"calls_a_second" min:"0" max:"10000000"` // 0: not limited
+	CallsPerSecond           int           `yaml:"calls_a_second" min:"0" max:"10000000"` // 0 means no limit
 	Slots                    int           `yaml:"slots" min:"1" max:"4096" need:"yes"`
-	GuaranteedCalls          int           `yaml:"floor" min:"0" max:"1000000"`          // of each slot
-	GuaranteedCallsPerSecond int           `yaml:"floor_a_second" min:"0" max:"1000000"` // of each slot
+	GuaranteedCalls          int           `yaml:"floor" min:"0" max:"1000000"`          // per slot
+	GuaranteedCallsPerSecond int           `yaml:"floor_a_second" min:"0" max:"1000000"` // per slot
 	LongestCall              time.Duration `yaml:"longest_call" min:"1ms" max:"60s"`
 	ClockDrift               float64       `yaml:"clock_drift" min:"0" max:"0.25"`
 	Coordinators             []string      `yaml:"keepers"`
@@ -38,9 +39,10 @@
 	}
 }
 
-// LimitNames are the names of the limits that Quota.Limits returns, in its order.
+// LimitNames are the names of the limits that Quota.Limits returns, in the same order.
 var LimitNames = []string{"calls", "calls_a_second"}
 
+// validate checks the section on its own and against the section peers, without which quotas cannot work.
 func (q *Quota) validate(gossip *Gossip) (found diagnostics.List) {
 	if q == nil {
 		return nil
@@ -63,6 +65,9 @@
 	return append(found, q.validateCoordinators()...)
 }
 
+// validateCoordinators checks the coordinators and where they store their state. A log is durable only if its
+// coordinators are named and each of them keeps its state in a directory: a coordinator that forgets its votes after a
+// restart could vote twice.
 func (q *Quota) validateCoordinators() (found diagnostics.List) {
 	count := len(q.Coordinators)
 	if count != 0 && count != 3 && count != 5 {
@@ -80,7 +85,8 @@
 	return found
 }
 
-// validateAgainst checks that there is something to share: parts of what each server has for itself can't be granted.
+// validateAgainst checks that all servers call the same downstream dependency. If each server has its own dependency,
+// there is no common capacity to divide.
 func (q *Quota) validateAgainst(platform *deployment.Config) (found diagnostics.List) {
 	if q != nil && !platform.SharedDependency {
 		found.Add("shares.calls", "a dependency that all servers share",
@@ -89,21 +95,24 @@
 	return found
 }
 
-// A lease lasts longer in a larger fleet, so that the requests a second that coordinators get stay the same.
+// The lease duration grows with the number of slots, so that the coordinators receive the same number of requests per
+// second in a large fleet.
 const (
 	minLeaseDuration     = 2 * time.Second
 	leaseDurationPerSlot = 20 * time.Millisecond
 )
 
 const (
-	// hysteresis is how far a server's demand must be from its lease, as a part of it, to move anything.
+	// hysteresis is the difference between a server's demand and its lease, as a fraction of the lease, below which the
+	// lease is not changed.
 	hysteresis = 0.1
 
-	// initialRateDivisor: the first lease of a newcomer is a quarter of an even part of the rate.
+	// initialRateDivisor makes the first lease of a newly started server a quarter of the rate per slot.
 	initialRateDivisor = 4
 )
 
-// Limits returns what the section shares, in the order of LimitNames; a limit that it does not set is left out.
+// Limits returns the configuration of each limit, in the order of LimitNames. The limit on calls per second is omitted
+// if the section does not set it.
 func (q *Quota) Limits() []quota.LimitConfig {
 	lease := max(minLeaseDuration, leaseDurationPerSlot*time.Duration(q.Slots))
 	calls := quota.LimitConfig{
@@ -125,12 +134,13 @@
 	rate.Total = quota.Amount(q.CallsPerSecond) * quota.Unit
 	rate.GuaranteedMinimum = quota.Amount(q.GuaranteedCallsPerSecond) * quota.Unit
 	rate.InitialAmount = rate.Total / quota.Amount(initialRateDivisor*q.Slots)
-	rate.Granularity = 0 // any amount will do
-	rate.GracePeriod = 0 // a call counts when it begins
+	rate.Granularity = 0 // a rate may be divided into any amounts
+	rate.GracePeriod = 0 // a call counts against the rate only when it starts, so that its duration does not matter
 	return []quota.LimitConfig{calls, rate}
 }
 
-// Totals returns the totals of the limits. They may change while servers run, under a later revision.
+// Totals returns the totals of the limits, in the order of LimitNames. They can be changed while servers run, under a
+// later revision.
 func (q *Quota) Totals() (totals []quota.Amount) {
 	for _, limit := range q.Limits() {
 		totals = append(totals, limit.Total)
@@ -138,15 +148,17 @@
 	return totals
 }
 
-// Digest returns a hash of everything but totals and revision. Servers with different digests must not share with each
-// other, also with those of other versions of this program: what goes into the hash must stay as it is.
+// Digest returns a hash of all settings of the section except the totals, the revision and the storage. Servers with
+// different digests must not share limits. The input of the hash must not change, because servers of different program
+// versions compare their digests too.
 func (q *Quota) Digest() uint32 {
 	text := fmt.Sprint(q.Slots, q.GuaranteedCalls, q.GuaranteedCallsPerSecond, q.LongestCall, q.ClockDrift,
 		q.CallsPerSecond > 0, q.Coordinators)
 	return uint32(xxh3.HashString(text))
 }
 
-// DirectoryPath returns the directory, which lies beside the settings file that names it unless its path is absolute.
+// DirectoryPath returns the path of the directory for the coordinator's state. A relative path is relative to the
+// directory of the settings file.
 func (q *Quota) DirectoryPath(settingsFile string) string {
 	return besideFile(settingsFile, q.Directory)
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -9,7 +9,8 @@
 	"thistlequay/timeunit"
 )
 
-// Store is the section store, on the log that crash recovery reads; docs/recovery/operating.md describes its keys.
+// Store is the section store, which configures the log that crash recovery reads. docs/recovery/operating.md describes
+// its keys.
 type Store struct {
 	Directory        string        `yaml:"directory" min:"1" need:"yes"`
 	Durability       string        `yaml:"durability" one:"process machine"`
@@ -20,7 +21,8 @@
 	StartFresh       bool          `yaml:"fresh"`
 }
 
-// durabilityProcess is the Durability under which records outlive the process only.
+// durabilityProcess is the value of Store.Durability with which records survive a crash of the process, but not of the
+// machine.
 const durabilityProcess = "process"
 
 // SetDefaults implements diagnostics.Defaulter.
@@ -34,13 +36,14 @@
 	}
 }
 
-// Outcomes of earlier incarnations may take a part of the program's memory; each takes so many bytes at most.
+// Outcomes that are restored from earlier incarnations may occupy at most 1/restoredMemoryPart of the program's memory,
+// with an estimate of at most restoredEntryBytes for each.
 const (
 	restoredMemoryPart = 8
 	restoredEntryBytes = 5 << 10
 )
 
-// LogConfig returns what the log is opened with by a program that may use so many bytes of memory.
+// LogConfig returns the configuration of the log for a program whose memory limit is memoryBytes.
 func (s *Store) LogConfig(platform *deployment.Config, memoryBytes int) segmentlog.Config {
 	config := segmentlog.Config{
 		Durability:       recovery.DurabilityMachine,
@@ -61,7 +64,8 @@
 	return config
 }
 
-// DirectoryPath returns the directory, which lies beside the settings file that names it unless its path is absolute.
+// DirectoryPath returns the path of the log's directory. A relative path is relative to the directory of the settings
+// file.
 func (s *Store) DirectoryPath(settingsFile string) string {
 	return besideFile(settingsFile, s.Directory)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon runs one app server process: it reads the configuration, starts the subsystems that it asks for,
-// serves until a graceful shutdown has been carried out, and closes the subsystems in reverse. It takes effect on the
-// whole process (signals, limits of the Go runtime), so a process runs one daemon.
+// Package daemon runs an app server process: it reads the configuration, starts the subsystems that the configuration
+// enables, serves until a graceful shutdown is complete, and closes the subsystems in reverse order. It handles signals
+// and sets limits of the Go runtime, both of which affect the whole process, so a process runs only one daemon.
 package daemon
 
 import (
@@ -18,44 +18,47 @@
 	"thistlequay/internal/server"
 )
 
-// ErrLogged is a failure whose reasons have been logged, each in a line of its own.
+// ErrLogged is the error for a failure whose causes have already been logged, one per log line.
 var ErrLogged = errors.New("already logged")
 
-// Config says what a daemon reads and where it logs.
+// Config defines which files a daemon reads and where it logs.
 type Config struct {
-	// PlatformFile is the path of the platform's configuration, JSON.
+	// PlatformFile is the path of the platform's configuration, a JSON file.
 	PlatformFile string
-	// ServiceFile is the path of our own settings, YAML; empty for none.
+	// ServiceFile is the path of the server's own settings, a YAML file. If it is empty, all optional subsystems are
+	// disabled.
 	ServiceFile string
-	// ClockShift is added to the clock that incarnations of this server are numbered by. Tests set it to have a machine
-	// whose clock is wrong; 0 in service.
+	// ClockShift is added to the time from which the incarnation number of this server is derived. Tests set it to
+	// emulate a machine whose clock is wrong; in production it is 0.
 	ClockShift time.Duration
-	// Log gets the log lines, in LogFormat.
+	// Log receives the log lines, in the format LogFormat.
 	Log       io.Writer
 	LogFormat logs.Format
 }
 
-// daemon is the running process: the server and the owners of its subsystems.
+// daemon holds the server of this process and its subsystems.
 type daemon struct {
 	config  Config
 	log     logs.Logger
-	server  *server.Server // nil until the first configuration has been read
+	server  *server.Server // nil until the initial configuration has been read
 	plugins pluginSubsystem
 	store   storeSubsystem
 	gossip  gossipSubsystem
 	quota   quotaSubsystem
 }
 
-// Run serves until a graceful shutdown has been carried out, which SIGTERM and SIGINT start; SIGHUP has it read the
-// files again. It returns ErrLogged when the server could not start or failed.
+// Run runs the server until a graceful shutdown is complete. SIGTERM and SIGINT start the shutdown; SIGHUP reloads the
+// configuration files. Run returns ErrLogged if the server could not start or failed.
 func Run(config Config) error {
 	d := &daemon{config: config, log: logs.New(config.Log, config.LogFormat)}
 	return d.run()
 }
 
+// run implements Run.
 func (d *daemon) run() error {
-	// Signals are subscribed to first: one that arrives while the files are read must not end the process; it is
-	// carried out once there is a server. Two channels, so that many signals of one kind never crowd out the other.
+	// The signal channels are registered first, so that a signal that arrives while the files are read does not kill
+	// the process. It is handled once the server exists. Each kind of signal has its own channel, so that many signals
+	// of one kind cannot displace one of the other kind.
 	shutdown := make(chan os.Signal, 1)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(shutdown, syscall.SIGTERM, syscall.SIGINT)
@@ -79,27 +82,28 @@
 	return nil
 }
 
-// shutdownOn starts a graceful shutdown at each signal; all but the first change nothing. It ends with the process.
+// shutdownOn starts a graceful shutdown when a signal arrives. Further signals have no effect. It runs until the
+// process ends.
 func (d *daemon) shutdownOn(signals <-chan os.Signal) {
 	for range signals {
 		d.server.Shutdown()
 	}
 }
 
-// reloadOn reads the files again at each signal. Where one has a fault, the old configuration stays. It ends with the
-// process.
+// reloadOn reloads the configuration files whenever a signal arrives. If a file is not valid, the current configuration
+// stays in effect. It runs until the process ends.
 func (d *daemon) reloadOn(signals <-chan os.Signal) {
 	for range signals {
 		next, err := d.readConfiguration()
 		if err != nil {
-			_ = logDiagnostics(d.log, "configuration_rejected", err) // its result only says that it was logged
+			_ = logDiagnostics(d.log, "configuration_rejected", err) // the result is always ErrLogged
 			continue
 		}
 		d.server.Reconfigure(next)
 	}
 }
 
-// logDiagnostics logs each diagnostic of an error as a line of its own. It returns ErrLogged.
+// logDiagnostics logs each diagnostic of an error as a separate event. It returns ErrLogged.
 func logDiagnostics(log logs.Logger, event string, err error) error {
 	for _, found := range diagnostics.FromError(err) {
 		log.Event(event).Str("reason", found.Error()).Send()
@@ -107,8 +111,8 @@
 	return ErrLogged
 }
 
-// readConfiguration reads both files and starts or updates the subsystems that they ask for: all of what the files say
-// takes effect, or nothing.
+// readConfiguration reads and validates both files, starts or updates the subsystems that they enable, and returns the
+// server's configuration. If a file is not valid, nothing takes effect.
 func (d *daemon) readConfiguration() (server.Config, error) {
 	serverConfig, err := ReadPlatformConfig(d.config.PlatformFile)
 	if err != nil {
@@ -138,8 +142,9 @@
 	return serverConfig, nil
 }
 
-// configureFleet starts gossip and the quotas over it where their sections ask for them. The quota service is made
-// first, as gossip delivers to it, and started last, as it sends over gossip.
+// configureFleet starts gossip and the quota service if their sections are present, or updates the running ones. The
+// quota service is created before gossip, which delivers messages to it, and started after gossip, over which it sends
+// messages.
 func (d *daemon) configureFleet(
 	gossipSection *config.Gossip, quotaSection *config.Quota, serverConfig *server.Config,
 ) error {
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -14,30 +14,30 @@
 	"thistlequay/internal/server"
 )
 
-// gossipSubsystem owns the gossip of this process. It is started once; of a section that changes while the server runs
-// only the keys take effect.
+// gossipSubsystem owns the gossip node of this process. The node is started once. If the section changes while the
+// server runs, only new keys take effect.
 type gossipSubsystem struct {
 	node     *gossip.Node
 	onServer *server.Gossip
 }
 
-// close leaves the cluster within timeout and stops gossip, where it was started.
+// close leaves the cluster within timeout and stops the node, if it was started.
 func (g *gossipSubsystem) close(timeout time.Duration) {
 	if g.node != nil {
 		g.node.CloseWithin(timeout)
 	}
 }
 
-// messageHandlers deliver what other servers send, by the kind of message.
+// messageHandlers maps the kinds of messages from other servers to the functions that handle them.
 type messageHandlers map[byte]func(from membership.ID, text []byte)
 
-// configureGossip starts gossip where a section asks for it, or gives what runs its new keys. The handlers are those of
-// subsystems that are started with it.
+// configureGossip starts the gossip node if the section is present. If the node is already running, it only replaces
+// the keys. handlers receive the messages for subsystems that are started together with the node.
 func (d *daemon) configureGossip(
 	section *config.Gossip, serverConfig server.Config, handlers messageHandlers,
 ) (*server.Gossip, error) {
 	if section == nil {
-		return nil, nil // without a section there is no gossip, which is no error
+		return nil, nil // gossip is optional, so a missing section is not an error
 	}
 	keys, err := section.LoadKeys(d.config.ServiceFile)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return onServer, nil
 }
 
-// gossipConfig makes the configuration of gossip from its section.
+// gossipConfig returns the configuration of the gossip node, except its keys and handlers.
 func (d *daemon) gossipConfig(section *config.Gossip, serverConfig server.Config,
 	onServer *server.Gossip) gossip.Config {
 	startedAt := time.Now().Add(d.config.ClockShift)
@@ -87,6 +87,7 @@
 	}
 }
 
+// logMemberEvent logs a change of another server's state.
 func (d *daemon) logMemberEvent(
 	event string, id membership.ID, from, to membership.State, cause membership.Cause,
 ) {
@@ -94,11 +95,12 @@
 		Stringer("from", from).Stringer("to", to).Stringer("cause", cause).Send()
 }
 
+// logQuorumChange logs a change of the quorum status.
 func (d *daemon) logQuorumChange(status membership.QuorumStatus, members int, epoch uint64) {
 	d.log.Event("quorum_status").Stringer("status", status).Int("servers", members).Uint64("epoch", epoch).Send()
 }
 
-// serveStatus has the process answer the verbs members and shares at an address.
+// serveStatus serves the status at an address, where the subcommands members and shares query it.
 func (d *daemon) serveStatus(address string) error {
 	more := map[string]func() (any, error){}
 	if d.quota.service != nil {
@@ -107,12 +109,13 @@
 	return d.gossip.node.ServeStatus(address, more)
 }
 
-// digestOfFiles tells configurations apart by the bytes of their files. A file that cannot be read counts as empty.
+// digestOfFiles returns a hash of the contents of files, by which operators see which servers run with different
+// settings. A file that cannot be read counts as empty.
 func digestOfFiles(files ...string) uint32 {
 	hash := xxh3.New()
 	for _, file := range files {
 		if text, err := os.ReadFile(file); err == nil {
-			_, _ = hash.Write(text) // a hash never fails to take bytes
+			_, _ = hash.Write(text) // Write of a hash never returns an error
 		}
 	}
 	return uint32(hash.Sum64())
--- a/internal/daemon/platform_config.go
+++ b/internal/daemon/platform_config.go
@@ -18,9 +18,9 @@
 	"thistlequay/internal/server"
 )
 
-// Bounds of the platform's configuration.
+// Ranges of the numbers in the platform's configuration.
 const (
-	minSockets  = 48 // below that no router fits beside the server's own connections
+	minSockets  = 48 // with fewer, the server's own connections leave no socket for a router
 	minMemoryMB = 16
 	maxStopMS   = 1e9
 	minCores    = 1e-3
@@ -29,15 +29,16 @@
 	maxSockets  = 1 << 20
 )
 
-// softMemoryFraction of the memory limit is what Go may use before it collects ever harder.
+// softMemoryFraction is the fraction of the process's memory that is set as the soft memory limit of the Go runtime.
+// Close to this limit, the garbage collector runs more often.
 const softMemoryFraction = 0.6
 
-// platformFile is the platform's configuration, one JSON object. The names are the platform's.
+// platformFile is the platform's configuration, a JSON object. The platform defines the JSON names.
 type platformFile struct {
 	Name      string  `json:"Name"`
 	Listen    string  `json:"Listen"`
-	VM        string  `json:"VM"`     // the interpreter
-	Directory string  `json:"Lookup"` // the directory that lists servers
+	VM        string  `json:"VM"`     // the interpreter's address
+	Directory string  `json:"Lookup"` // the address of the directory, which lists the servers
 	Index     string  `json:"Index"`
 	Seed      string  `json:"Seed"`
 	StopMS    float64 `json:"stop_ms"`
@@ -49,11 +50,11 @@
 	Settings json.RawMessage
 }
 
-// ReadPlatformConfig reads the platform's configuration. Its faults are a diagnostics.List, all at once, each with its
-// position.
+// ReadPlatformConfig reads and validates the platform's configuration. If the file is not valid, the error is a
+// diagnostics.List of all faults with their positions.
 func ReadPlatformConfig(path string) (server.Config, error) {
 	if path == "" {
-		return server.Config{}, errors.New("PROXY_CONFIG names no configuration")
+		return server.Config{}, errors.New("PROXY_CONFIG does not name a configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,7 +83,7 @@
 	}, nil
 }
 
-// validate reads the deployment's settings in the file and collects every fault of the file.
+// validate converts the deployment's settings in the file and returns all faults of the file.
 func (f *platformFile) validate() (*deployment.Config, diagnostics.List) {
 	var found diagnostics.List
 	addresses := []struct{ key, address string }{
@@ -90,14 +91,14 @@
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			found.Add(a.key, "an address such as 127.0.0.1:8443", "%q is none", a.address)
+			found.Add(a.key, "an address such as 127.0.0.1:8443", "%q is not an address with a port", a.address)
 		}
 	}
 	if f.Name == "" {
 		found.Add("name", "a name", "is missing or empty")
 	}
 	checkRange := func(key string, value, least, most float64) {
-		if !(value >= least && value <= most) { // also where the value is no number
+		if !(value >= least && value <= most) { // written so that NaN is out of range
 			found.Add(key, fmt.Sprintf("from %v to %v", least, most), "%v is out of range", value)
 		}
 	}
@@ -120,8 +121,8 @@
 	return settings, found
 }
 
-// usableDescriptors returns how many descriptors the process may hold: where the system's limit is lower than the
-// configuration's it goes first, as accepting ends at the first one beyond it.
+// usableDescriptors returns the number of file descriptors that the process may open: the configured number or, if it
+// is lower, the limit of the operating system. Beyond the operating system's limit, accepting connections would fail.
 func usableDescriptors(configured int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
@@ -130,10 +131,11 @@
 	return int(limit.Cur)
 }
 
-// applyProcessLimits has the Go runtime keep to the limits of the process.
+// applyProcessLimits sets the number of threads and the soft memory limit of the Go runtime from the limits of the
+// process.
 func applyProcessLimits(serverConfig server.Config) {
 	threads := max(1, int(serverConfig.Cores))
-	if serverConfig.Recovery != nil { // a write that waits for the disk must not keep the event loop's thread
+	if serverConfig.Recovery != nil { // a write that waits for the disk must not occupy the event loop's thread
 		threads++
 	}
 	runtime.GOMAXPROCS(threads)
--- a/internal/daemon/platform_config_test.go
+++ b/internal/daemon/platform_config_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestMissingConfigurationIsAnError checks that an empty path and a path that does not exist are errors.
 func TestMissingConfigurationIsAnError(t *testing.T) {
 	_, err := ReadPlatformConfig("")
 	require.Error(t, err)
--- a/internal/daemon/plugins.go
+++ b/internal/daemon/plugins.go
@@ -9,22 +9,22 @@
 	"thistlequay/internal/server"
 )
 
-// pluginSubsystem owns the plug-ins of the running server and the section of settings that they were started by.
+// pluginSubsystem owns the plug-ins of the running server and the section with which they were started.
 type pluginSubsystem struct {
 	section *config.Plugins
 	running *server.Plugins
 }
 
-// configure starts a plug-in process where the settings or the bytes of a module differ from those running: the
-// process compiles the modules and tries them on their samples, and only then they are asked about requests. State
-// that plug-ins keep is taken over from the running server, which may be nil.
+// configure starts a new plug-in process if the section, including the hashes of the modules, differs from that of the
+// running process. The new process compiles the modules and checks them with their samples before they are called for
+// requests. The state that plug-ins stored is taken over from the running server, which is nil at startup.
 func (p *pluginSubsystem) configure(
 	section *config.Plugins, serverConfig server.Config, running *server.Server,
 ) (*server.Plugins, error) {
 	if section == nil {
 		p.section = nil
 		p.running = nil
-		return nil, nil // without a section there are no plug-ins, which is no error
+		return nil, nil // plug-ins are optional, so a missing section is not an error
 	}
 	if p.running != nil && reflect.DeepEqual(p.section, section) {
 		return p.running, nil
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -12,22 +12,22 @@
 	"thistlequay/internal/server"
 )
 
-// quotaSubsystem owns the quota service of this process. It is started once, with gossip; of a section that changes
-// while the server runs only the totals take effect, under a later revision.
+// quotaSubsystem owns the quota service of this process. The service is started once, together with gossip. If the
+// section changes while the server runs, only new totals take effect, and only under a later revision.
 type quotaSubsystem struct {
 	service  *service.Service
 	onServer *server.Quota
-	section  *config.Quota // that is in force; nil where there are no quotas
+	section  *config.Quota // the section in effect; nil if there are no quotas
 }
 
-// close stops the quota service, where it was made.
+// close stops the quota service, if it was created.
 func (q *quotaSubsystem) close() {
 	if q.service != nil {
 		q.service.Close()
 	}
 }
 
-// createQuotaService makes the quota service; it is started once gossip runs.
+// createQuotaService creates the quota service. quotaSubsystem.start starts it once gossip runs.
 func (d *daemon) createQuotaService(section *config.Quota, gossipSection *config.Gossip,
 	serverConfig server.Config) error {
 	onServer := &server.Quota{}
@@ -49,7 +49,7 @@
 		path := section.DirectoryPath(d.config.ServiceFile)
 		storage, err := service.OpenFileStorage(path)
 		if err != nil {
-			return fmt.Errorf("the coordinator's state in %s: %w", path, err)
+			return fmt.Errorf("open the coordinator's state in %s: %w", path, err)
 		}
 		serviceConfig.Storage = storage
 	}
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// start makes a lease holder for each limit and starts the service. A holder keeps to its guaranteed minimum until
-// leases of an earlier incarnation of this server are over.
+// start creates a lease holder for each limit and starts the service. A holder does not use its guaranteed minimum
+// before the grace period has passed, because work of an earlier incarnation of this server may still be running.
 func (q *quotaSubsystem) start(section *config.Quota, node *gossip.Node) error {
 	limits := section.Limits()
 	holdersFrom := node.Now() + limits[0].GracePeriod
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// updateTotals takes up the totals of a section of a later revision that is the same otherwise.
+// updateTotals applies the totals of a section that has a later revision and is otherwise equal.
 func (q *quotaSubsystem) updateTotals(section *config.Quota) {
 	if q.service == nil || section == nil {
 		return
@@ -88,16 +88,16 @@
 	}
 }
 
-// logIfUnchanged logs that a changed section does not take effect while the server runs.
+// logIfUnchanged logs an event if the section was changed in a way that does not take effect while the server runs.
 func (q *quotaSubsystem) logIfUnchanged(section *config.Quota, log logs.Logger) {
 	if q.section == nil || q.inForce(section) {
 		return
 	}
-	const reason = "while it runs only the totals change, and those under a later revision"
+	const reason = "while the server runs, only the totals can change, and only under a later revision"
 	log.Event("quota_settings_unchanged").Str("reason", reason).Send()
 }
 
-// inForce reports whether what a section says is what the service goes by.
+// inForce reports whether the settings of a section are those that the service uses.
 func (q *quotaSubsystem) inForce(section *config.Quota) bool {
 	if section == nil || section.Digest() != q.section.Digest() {
 		return false
@@ -105,7 +105,7 @@
 	return section.Revision != q.section.Revision || reflect.DeepEqual(section.Totals(), q.section.Totals())
 }
 
-// status is what the verb shares asks for.
+// status returns the status that the subcommand shares prints.
 func (q *quotaSubsystem) status() (any, error) {
 	return q.service.Status(q.onServer.LocalState())
 }
--- a/internal/daemon/revision.go
+++ b/internal/daemon/revision.go
@@ -2,7 +2,7 @@
 
 import "runtime/debug"
 
-// Revision returns the revision of the source as the build recorded it; empty where it did not.
+// Revision returns the version control revision that the build recorded, or an empty string if there is none.
 func Revision() string {
 	info, _ := debug.ReadBuildInfo()
 	for _, setting := range info.Settings {
@@ -13,7 +13,7 @@
 	return ""
 }
 
-// shortRevision is what a server tells other servers of its version.
+// shortRevision returns the revision that a server sends to other servers as its version.
 func shortRevision() string {
 	const length = 12
 	revision := Revision()
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -11,14 +11,14 @@
 	"thistlequay/timeunit"
 )
 
-// storeSubsystem owns the store that is open and the section of settings that it was opened by.
+// storeSubsystem owns the open store and the section with which it was opened.
 type storeSubsystem struct {
 	section *config.Store
 	open    *server.Recovery
 }
 
-// configureStore opens the store at the start. An open store stays: when the section has changed, the result is nil,
-// which the server logs as a setting that cannot change while it runs.
+// configureStore opens the store at startup. While the server runs, the store stays as it is: if the section has
+// changed, the result is nil, and the server then logs that this setting requires a restart.
 func (d *daemon) configureStore(section *config.Store, serverConfig server.Config) (*server.Recovery, error) {
 	isRunning := d.server != nil
 	if isRunning {
@@ -29,14 +29,14 @@
 	}
 	d.store.section = section
 	if section == nil {
-		return nil, nil // without a section nothing outlives the process, which is no error
+		return nil, nil // the store is optional, so a missing section is not an error
 	}
 	path := section.DirectoryPath(d.config.ServiceFile)
 	files, err := segmentlog.OpenDirectory(path)
 	if err != nil {
-		return nil, fmt.Errorf("the store in %s: %w", path, err)
+		return nil, fmt.Errorf("open the store in %s: %w", path, err)
 	}
-	// The server, which does not exist yet, sets who hears of finished writes.
+	// The log needs the callback for finished writes now, but the server that sets it does not exist yet.
 	var onDurable atomic.Pointer[func([]segmentlog.WriteResult)]
 	logConfig := section.LogConfig(serverConfig.Settings, serverConfig.MemoryBytes)
 	logConfig.OnWritten = func(results []segmentlog.WriteResult) {
@@ -46,7 +46,7 @@
 	}
 	opened, err := segmentlog.Open(files, logConfig)
 	if err != nil {
-		return nil, fmt.Errorf("the store in %s: %w", path, err)
+		return nil, fmt.Errorf("open the store in %s: %w", path, err)
 	}
 	d.logOpenedStore(path, opened, logConfig.Now().Wall)
 	d.store.open = &server.Recovery{
@@ -56,7 +56,7 @@
 	return d.store.open, nil
 }
 
-// logOpenedStore logs what was found in a store when it was opened.
+// logOpenedStore logs each corruption that was found when the store was opened, and a summary of its contents.
 func (d *daemon) logOpenedStore(path string, opened *segmentlog.Log, now timeunit.Ticks) {
 	for _, found := range opened.Findings {
 		d.log.Event("store_corruption").Str("file", found.File).Int64("offset", found.Offset).
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,8 +1,8 @@
-// Package deployment reads what the operators say of a deployment: the one JSON object that the simulator's first
-// message and the program's configuration share. It turns the object into the figures that decisions use and keeps
-// nothing else.
+// Package deployment reads the settings of a deployment, which operators write: one JSON object, which has the same
+// form in the simulator's first message and in the platform's configuration file. The package converts the object to
+// the values on which decisions are based and keeps nothing else.
 //
-// It must never decide anything, and never act on which deployment it reads.
+// It makes no decisions itself and treats all deployments alike.
 package deployment
 
 import (
@@ -14,29 +14,33 @@
 	"thistlequay/timeunit"
 )
 
-// Config is what one server is told of its deployment when it starts. It is not changed afterwards, but for the
-// fields of the admission.Config in it that the caller adds.
+// Config holds the settings of a deployment in the form that a server uses. It is not modified after Read, except for
+// those fields of the embedded admission.Config that the caller sets.
 type Config struct {
 	admission.Config
 
-	// CategoryIndex is each category's place in Categories, by its name.
+	// CategoryIndex maps the name of each category to its index in Categories.
 	CategoryIndex map[string]int
 
-	// PauseKeepsMemory says that a run which was stopped keeps its memory until its request is over.
+	// PauseKeepsMemory reports whether a stopped run keeps its memory until its request has ended.
 	PauseKeepsMemory bool
 
-	// TenantWeights are the tenants that have a weight in the fair queues, in the order of the settings.
+	// TenantWeights lists the tenants that have a weight in the fair queues, in the order of the settings.
 	TenantWeights []fairqueue.Tenant
 
-	tenantNames map[string]bool // all tenants; empty where the settings name none
+	tenantNames map[string]bool // all tenants; empty if the settings name none
 
-	// gaugeFields has, for each figure of a gauge reading, the field it goes into; nil for one that is not used.
+	// gaugeFields has an entry for each value of a gauge reading, which selects the field that stores the value. It is
+	// nil for a value that is not used.
 	gaugeFields []func(*admission.Gauges) *float64
 }
 
-// Read reads the object. Keys that are not known are passed over: they bear on parts that this program does not have.
-// A value that bears on a rule and is not known, and figures that can't all be meant, are errors: a diagnostics.List,
-// with paths but, where the text is JSON of the right types, without lines; diagnostics.LocateJSON adds those.
+// Read reads and validates the settings. Unknown keys are ignored, because they concern parts that this program does
+// not have. Numbers out of range, contradictory values, and unknown values of keys that accept a fixed set of values
+// are errors.
+//
+// The error is a diagnostics.List. Its diagnostics have lines only if diagnostics.DecodeJSON found them; for the
+// others, which have paths, diagnostics.LocateJSON adds the lines.
 func Read(text []byte) (*Config, error) {
 	var read settings
 	if err := diagnostics.DecodeJSON(text, &read); err != nil {
@@ -48,13 +52,13 @@
 	return read.config(), nil
 }
 
-// HasTenant reports whether the settings name a tenant; where they name none, any name is one.
+// HasTenant reports whether the settings contain a tenant. If they name no tenants at all, any name is a tenant.
 func (c *Config) HasTenant(name []byte) bool {
 	return len(c.tenantNames) == 0 || c.tenantNames[string(name)]
 }
 
-// GaugesFromRow converts a gauge reading, whose figures stand in the order that the settings gave. Figures that are
-// missing at its end are 0.
+// GaugesFromRow converts a gauge reading, whose values are in the order that the settings define. Values that are
+// missing at the end of the row count as 0.
 func (c *Config) GaugesFromRow(row []float64) (gauges admission.Gauges) {
 	count := min(len(row), len(c.gaugeFields))
 	for i, field := range c.gaugeFields[:count] {
@@ -65,16 +69,16 @@
 	return gauges
 }
 
-// roundingError is what a whole number of ticks may be off by, in ticks, after arithmetic in floating point.
+// roundingError is the maximum error, in ticks, that floating-point arithmetic causes in a whole number of ticks.
 const roundingError = 1e-6
 
-// RoundDown converts milliseconds to ticks, down: for points on a clock and time left, so that nothing is answered
-// late.
+// RoundDown converts milliseconds to ticks and rounds down. It is for points in time and remaining times, so that no
+// request is answered late.
 func RoundDown(milliseconds float64) timeunit.Ticks {
 	return timeunit.Ticks(math.Floor(milliseconds*float64(timeunit.TicksPerMillisecond) + roundingError))
 }
 
-// RoundUp converts milliseconds to ticks, up: for spans that have passed.
+// RoundUp converts milliseconds to ticks and rounds up. It is for durations that must have passed.
 func RoundUp(milliseconds float64) timeunit.Ticks {
 	return timeunit.Ticks(math.Ceil(milliseconds*float64(timeunit.TicksPerMillisecond) - roundingError))
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/internal/diagnostics"
 )
 
-// good is a deployment without faults.
+// good is a valid deployment.
 const good = `{
   "Categories": [
     {"Name": "look", "Effect": "repeatable", "OnTime": 3200, "HardLimit": 7100, "LateWorth": 0.2, "Worth": 1, "New": 1},
@@ -19,7 +19,7 @@
   "Tenants": [{"Name": "a", "Share": 0.3}, {"Name": "b"}]
 }`
 
-// readGood reads good with one text replaced by another.
+// readGood reads the deployment good, with the first occurrence of from replaced by to.
 func readGood(t *testing.T, from, to string) *Config {
 	t.Helper()
 	require.Contains(t, good, from)
@@ -28,7 +28,7 @@
 	return config
 }
 
-// TestReadConvertsSettings checks the figures and flags that subsystems get.
+// TestReadConvertsSettings checks the values that subsystems get.
 func TestReadConvertsSettings(t *testing.T) {
 	config, err := Read([]byte(good))
 	require.NoError(t, err)
@@ -44,13 +44,15 @@
 	require.False(t, config.HasTenant([]byte("c")))
 }
 
-// TestWindowOfZeroIsAccepted checks that a window of 0 can be meant: no repeat comes. An absent one is a fault.
+// TestWindowOfZeroIsAccepted checks that a deduplication window of 0 is valid: it means that requests are not repeated.
+// badSettings covers the absent window, which is a fault.
 func TestWindowOfZeroIsAccepted(t *testing.T) {
 	config := readGood(t, `"Window": 35000`, `"Window": 0`)
 	require.Zero(t, config.Categories[1].DeduplicationWindow)
 }
 
-// badSettings are good settings with one thing replaced, the text that the diagnostic points at, and the diagnostic.
+// badSettings are replacements that make the deployment good invalid. pointsAt is the text at the position of the
+// diagnostic.
 var badSettings = []struct{ from, to, pointsAt, diagnostic string }{
 	{`by_key`, `by_kye`, `"by_kye"`,
 		`Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
@@ -81,7 +83,7 @@
 		`can't be read: invalid character 'H' looking for beginning of object key string; expected JSON`},
 }
 
-// TestReadLocatesEachFault checks that an unknown value is a fault where a rule depends on it, told with its position.
+// TestReadLocatesEachFault checks that each invalid value yields one diagnostic, at the position of the value.
 func TestReadLocatesEachFault(t *testing.T) {
 	for _, test := range badSettings {
 		t.Run(test.diagnostic, func(t *testing.T) {
@@ -100,7 +102,7 @@
 	}
 }
 
-// FuzzRead checks that any text can be read, and that each fault in it has a line.
+// FuzzRead checks that Read does not panic on any text, and that each diagnostic has a line.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -12,7 +12,7 @@
 	"thistlequay/internal/golden"
 )
 
-// everyKey is a deployment that sets each key, so that a golden file shows where each value goes.
+// everyKey is a deployment that sets every key, so that the golden file shows which field stores each value.
 const everyKey = `{"Categories":[
 {"Name":"a","Effect":"by_key","HardLimit":9001.07,"LateWorth":0.21,"OnTime":3002.04,"Worth":1.5,"Window":35003.01},
 {"Name":"b","Effect":"once","HardLimit":904,"LateWorth":0.22,"OnTime":305,"Worth":2.5},
@@ -25,7 +25,7 @@
 "Tenants":[{"Name":"t","Share":0.25},{"Name":"u"}],
 "Rules":{"Cold":9019.01,"ColdFrom":0.3,"DrainGrace":320.09,"TipMultiple":8}}`
 
-// worstValues has something wrong at each place that can be wrong.
+// worstValues is a deployment with a fault at every value that is validated.
 const worstValues = `{"Categories":[
 {"Name":"a","Effect":"by_key","HardLimit":-1,"LateWorth":1e13,"OnTime":-1,"Worth":-1,"Window":-1},
 {"Name":"a","Effect":"by_key","HardLimit":5,"LateWorth":2,"OnTime":6,"Worth":1e13},
@@ -36,7 +36,7 @@
 "Limits":{"MaxRetryAfter":-1},"Period":-1,"Servers":-1,"Tenants":[{"Name":"t","Share":-1},{"Name":"t","Share":1e13}],
 "Rules":{"Cold":-1,"ColdFrom":-1,"DrainGrace":-1,"TipMultiple":-1}}`
 
-// TestGoldenDiagnostics compares what is said about bad files, and about files cut short, with what was recorded.
+// TestGoldenDiagnostics compares the diagnostics for invalid and for truncated settings with a golden file.
 func TestGoldenDiagnostics(t *testing.T) {
 	var out bytes.Buffer
 	diagnose := func(text string) {
@@ -50,7 +50,8 @@
 		`{"Categories":[{"Worth":"x"}]}`, `{"Clients":{"MarksRetry":1}}`, "{\"Rules\":\n\t{\"Cold\":[]}}", `{} {}`} {
 		diagnose(text)
 	}
-	// What is expected here names types of the program, which may change: only the place and the problem stay.
+	// For these texts, Diagnostic.Expected names Go types of the program, which may change. Only the positions, paths
+	// and problems are recorded.
 	for _, text := range []string{
 		`[]`, `7`, `{"Categories":{}}`, "{\"Categories\":\n[ []]}", `{"FamilyInfo":[]}`, `{"Rules":true}`,
 	} {
@@ -59,13 +60,13 @@
 			fmt.Fprintln(&out, diagnostic.Line, diagnostic.Column, diagnostic.Path, diagnostic.Problem)
 		}
 	}
-	for cut := 1; cut < len(good); cut += 17 { // wherever a file breaks off
+	for cut := 1; cut < len(good); cut += 17 { // truncated at many different places
 		diagnose(good[:cut])
 	}
 	golden.Check(t, "diagnostics.txt", out.Bytes())
 }
 
-// TestGoldenSettings compares the figures that subsystems get from good files with what was recorded.
+// TestGoldenSettings compares the values that subsystems get from valid settings with a golden file.
 func TestGoldenSettings(t *testing.T) {
 	otherValues := strings.NewReplacer(`"RetryAfter":true`, `"RetryAfter":false`, `"pause"`, `"drop"`,
 		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(everyKey)
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -5,30 +5,32 @@
 	"thistlequay/internal/fairqueue"
 )
 
-// settings is the object as the pages describe it, under the pages' names. Times are in milliseconds, memory is in
-// kilobytes. Keys that are not here bear on parts that this program does not have.
+// settings is the JSON object, with the names that the platform's documentation defines. Times are in milliseconds,
+// memory is in kilobytes. Keys without a field concern parts that this program does not have.
 type settings struct {
 	Categories []categorySettings `json:"Categories"`
 	Server     serverSettings     `json:"FamilyInfo"`
 	Routers    routerSettings     `json:"Clients"`
 	Limits     limitSettings      `json:"Limits"`
-	Period     float64            `json:"Period"`  // between batches, at least
-	Servers    int                `json:"Servers"` // of the fleet, at this start
+	Period     float64            `json:"Period"`  // minimum time between two batches
+	Servers    int                `json:"Servers"` // size of the fleet when this server starts
 	Tenants    []tenantSettings   `json:"Tenants"`
 	Rules      ruleSettings       `json:"Rules"`
 }
 
+// categorySettings are the settings of one category of requests.
 type categorySettings struct {
 	Name         string   `json:"Name"`
 	Idempotency  string   `json:"Effect"`
 	Deadline     float64  `json:"HardLimit"`
 	SoftDeadline float64  `json:"OnTime"`
-	LateValue    float64  `json:"LateWorth"` // of an answer after the soft deadline, as a part of Weight
+	LateValue    float64  `json:"LateWorth"` // value of an answer after the soft deadline, as a fraction of Weight
 	Weight       float64  `json:"Worth"`
-	Window       *float64 `json:"Window"` // how long a repeat may come; nil where that is not said
+	Window       *float64 `json:"Window"` // time during which a request may be repeated; nil if absent
 }
 
-// window returns how long a repeat may come. Only categories with an idempotency key have to say it.
+// window returns the time during which a request may be repeated, or 0 if it is absent. Only keyed categories must set
+// it.
 func (c *categorySettings) window() float64 {
 	if c.Window == nil {
 		return 0
@@ -36,13 +38,14 @@
 	return *c.Window
 }
 
+// serverSettings are the settings of a server and its downstream dependency.
 type serverSettings struct {
-	DownstreamLimit   float64   `json:"CallShare"` // this server's part of the calls that the dependency survives
+	DownstreamLimit   float64   `json:"CallShare"` // this server's part of the calls that the dependency can sustain
 	DownstreamWindow  float64   `json:"CallsOver"`
 	EntryKB           float64   `json:"EntryKb"`
 	MaxIdle           float64   `json:"KeepaliveMax"`
 	ResultTTL         float64   `json:"Fresh"`
-	DegradedValues    []float64 `json:"ClassSkipWorth"` // by category: of an answer without a downstream call
+	DegradedValues    []float64 `json:"ClassSkipWorth"` // by category: value of an answer without a downstream call
 	AbandonedCallTime float64   `json:"Linger"`
 	MemoryKB          float64   `json:"MemoryKb"`
 	RunMemoryFactor   float64   `json:"RunFactor"`
@@ -50,25 +53,29 @@
 	Cores             int       `json:"Cores"`
 	StartsCold        bool      `json:"Cold"`
 	Downstream        string    `json:"Downstream"`
-	Stop              string    `json:"Halt"` // what becomes of a run that is stopped
+	Stop              string    `json:"Halt"` // what happens to a run that is stopped, see stopNames
 	LoadReport        string    `json:"Say"`
-	Gauges            []string  `json:"Meters"` // names of the figures of a gauge reading, in their order
+	Gauges            []string  `json:"Meters"` // names of the values in a gauge reading, in order
 }
 
+// routerSettings describe the behavior of the routers.
 type routerSettings struct {
 	RetriesMarked bool `json:"MarksRetry"`
 }
 
+// limitSettings describe how routers handle Retry-After.
 type limitSettings struct {
 	MaxRetryAfter float64 `json:"MaxRetryAfter"`
-	RetryAfter    bool    `json:"RetryAfter"` // routers pass on when to come back
+	RetryAfter    bool    `json:"RetryAfter"` // whether routers pass on Retry-After to clients
 }
 
+// tenantSettings are the settings of one tenant.
 type tenantSettings struct {
 	Name   string  `json:"Name"`
-	Weight float64 `json:"Share"` // in the fair queues; 0 where it is not told
+	Weight float64 `json:"Share"` // in the fair queues; 0 if absent
 }
 
+// ruleSettings describe warming up, draining and overload.
 type ruleSettings struct {
 	WarmUpTime        float64 `json:"Cold"`
 	ColdSpeed         float64 `json:"ColdFrom"`
@@ -76,7 +83,7 @@
 	OverloadThreshold float64 `json:"TipMultiple"` // runnable requests per core
 }
 
-// The words of the pages, each list in the order in which diagnostics tell it.
+// Accepted values of the keys Effect, Halt, Downstream and Say, in the order in which diagnostics list them.
 var (
 	idempotencyNames = []string{"repeatable", "by_key", "once"}
 	stopNames        = []string{stopSilent, stopDrop, stopPause}
@@ -84,16 +91,16 @@
 	loadReportNames  = []string{"silent", "bias", "min_rank", "tokens"}
 )
 
-// Words that more than one place of this package knows.
+// Values that are used in more than one place of this package.
 const (
 	idempotencyByKey = "by_key"
 	downstreamCommon = "common" // all servers call the same dependency
-	stopSilent       = "silent" // a run can't be stopped
-	stopDrop         = "drop"   // its progress and memory are gone
-	stopPause        = "pause"  // its progress is gone, its memory stays until its request is over
+	stopSilent       = "silent" // a run cannot be stopped
+	stopDrop         = "drop"   // a stopped run loses its progress and frees its memory
+	stopPause        = "pause"  // a stopped run loses its progress but keeps its memory until its request has ended
 )
 
-// Words that are absent from these maps have the zero value.
+// Conversions of accepted values. A value that is absent from its map stands for the zero value of the type.
 var (
 	idempotencies = map[string]admission.Idempotency{
 		idempotencyByKey: admission.Keyed,
@@ -106,13 +113,13 @@
 	}
 )
 
-// gaugeSelectors are the figures of a gauge reading that decisions use.
+// gaugeSelectors maps the names of the gauges on which decisions are based to the fields that store their values.
 var gaugeSelectors = map[string]func(*admission.Gauges) *float64{
 	"core_use": func(gauges *admission.Gauges) *float64 { return &gauges.CoreUtilization },
 	"on_cores": func(gauges *admission.Gauges) *float64 { return &gauges.RunnableRequests },
 }
 
-// config converts settings that are valid.
+// config converts valid settings.
 func (s *settings) config() *Config {
 	config := &Config{
 		Config:           s.admission(),
@@ -137,7 +144,7 @@
 	return config
 }
 
-// admission converts all but the categories.
+// admission converts the settings that package admission uses, except the categories.
 func (s *settings) admission() admission.Config {
 	server := &s.Server
 	config := admission.Config{
@@ -161,7 +168,8 @@
 		AbandonedCallTime: RoundUp(server.AbandonedCallTime),
 		LoadReportMode:    loadReportModes[server.LoadReport],
 		MaxIdleTime:       RoundDown(server.MaxIdle),
-		// Package admission stops only runs whose answer nobody waits for any more.
+		// Package admission stops only runs whose answer no client waits for any longer, so losing their progress does
+		// no harm.
 		CanStopRuns: server.Stop == stopDrop || server.Stop == stopPause,
 	}
 	if s.Limits.RetryAfter {
@@ -170,7 +178,7 @@
 	return config
 }
 
-// category converts the category at a place.
+// category converts the category at an index.
 func (s *settings) category(place int) admission.Category {
 	read := &s.Categories[place]
 	category := admission.Category{
--- a/internal/deployment/validate.go
+++ b/internal/deployment/validate.go
@@ -8,14 +8,14 @@
 	"thistlequay/internal/diagnostics"
 )
 
-// maxFigure is more than any figure can mean: thirty years in milliseconds.
+// maxFigure is the upper limit of all numbers: as a time in milliseconds, it is about 30 years.
 const maxFigure = 1e12
 
-// validation collects what is wrong with settings.
+// validation collects the diagnostics for settings.
 type validation struct{ found diagnostics.List }
 
-// Validate returns a diagnostics.List of all figures that can't be meant and all words that are not known, sorted by
-// path; nil if there are none.
+// Validate checks all values. The error is a diagnostics.List, sorted by path, of all numbers out of range, unknown
+// names and contradictions.
 func (s *settings) Validate() error {
 	var v validation
 	if len(s.Categories) == 0 {
@@ -45,7 +45,7 @@
 	return v.found.Err()
 }
 
-// category checks one category but for its name, which must differ from the others'.
+// category checks one category, except that its name is unique.
 func (v *validation) category(path string, category *categorySettings) {
 	v.figure(path+".HardLimit", category.Deadline)
 	v.figure(path+".LateWorth", category.LateValue)
@@ -64,12 +64,13 @@
 	if category.LateValue > 1 {
 		v.found.Add(path+".LateWorth", "from 0 to 1", "%v is out of range", category.LateValue)
 	}
-	// A window of 0 can be meant: no repeat comes. Absent, it is a fault.
+	// A window of 0 is valid and means that requests are not repeated, so only an absent window is a fault.
 	if category.Idempotency == idempotencyByKey && category.Window == nil {
 		v.found.Add(path+".Window", "how long a repeat may come", "by_key without a window")
 	}
 }
 
+// server checks the settings of the server.
 func (v *validation) server(server *serverSettings) {
 	if server.Cores < 1 {
 		v.found.Add("FamilyInfo.Cores", "at least one core", "%d", server.Cores)
@@ -94,21 +95,22 @@
 	v.word("FamilyInfo.Say", server.LoadReport, loadReportNames)
 }
 
-// figure checks that a figure is in the range that any of them may have. It is written so that NaN is out of range.
+// figure checks that a number is in the range from 0 to maxFigure. The condition is written so that NaN is out of
+// range.
 func (v *validation) figure(path string, value float64) {
 	if !(value >= 0 && value <= maxFigure) {
 		v.found.Add(path, "from 0 to 1e12", "%v is out of range", value)
 	}
 }
 
-// word checks that a word is known, or absent.
+// word checks that a value is absent or one of the known values.
 func (v *validation) word(path, word string, known []string) {
 	if word != "" && !slices.Contains(known, word) {
 		v.found.Add(path, oneOf(known), "%q is not known", word)
 	}
 }
 
-// unique checks that a name stands once among those in seen, and adds it. Absent names may be many.
+// unique checks that a name is not yet in seen, and adds it. A name that is not present may occur more than once.
 func (v *validation) unique(path, name string, present bool, seen map[string]bool) {
 	if present && seen[name] {
 		v.found.Add(path, "each name once", "%q stands twice", name)
@@ -116,4 +118,5 @@
 	seen[name] = true
 }
 
+// oneOf describes a choice among words, for diagnostics.
 func oneOf(words []string) string { return "one of " + strings.Join(words, ", ") }
--- a/internal/diagnostics/diagnostic.go
+++ b/internal/diagnostics/diagnostic.go
@@ -1,8 +1,8 @@
-// Package diagnostics describes what is wrong with a file that people write: where, what was found there and what was
-// expected instead.
+// Package diagnostics describes the faults of a configuration file: the position of each fault, what was found there
+// and what was expected instead.
 //
-// It owns source positions in JSON and YAML, and the strict decoding of both into Go structures. It must never let pass
-// a key that the structure does not know, and it must never know what any key means: that is for internal/config and
+// It decodes JSON and YAML into Go structures and determines source positions in both. DecodeYAML rejects keys that the
+// structure does not have. The package does not know the meaning of any key, which is left to internal/config and
 // internal/deployment.
 package diagnostics
 
@@ -12,20 +12,21 @@
 	"strings"
 )
 
-// Diagnostic is one thing that is wrong with a file.
+// Diagnostic describes one fault of a file.
 type Diagnostic struct {
-	File string // name of the file, empty where the text came from elsewhere
+	File string // name of the file; empty if the text is not from a file
 
-	// Line and Column count from 1; both are 0 where the position is not known.
+	// Line and Column count from 1. Both are 0 if the position is not known.
 	Line   int
 	Column int
 
-	Path     string // of the value, as in settings.Categories[1].Effect; empty for the file as a whole
+	Path     string // path of the value, such as settings.Categories[1].Effect; empty for the whole file
 	Problem  string // what was found
-	Expected string // what would have been right; empty where Problem says it all
+	Expected string // what is valid; empty if Problem is sufficient
 }
 
-// Error formats the diagnostic in one line: file:line:column: path: problem; expected this or that.
+// Error formats the diagnostic as one line of the form "file:line:column: path: problem; expected something". Parts
+// that are not set are omitted.
 func (d Diagnostic) Error() string {
 	var text strings.Builder
 	if d.File != "" {
@@ -47,11 +48,11 @@
 	return text.String()
 }
 
-// List is everything that is wrong with a file, in the order of the file where that is known. A List that is not empty
-// is an error; Err converts it.
+// List holds the faults of a file. It implements error, but an empty List is not a failure: Err converts a List to an
+// error that is nil if the List is empty.
 type List []Diagnostic
 
-// Error formats the list, one diagnostic a line.
+// Error formats the list with one diagnostic per line.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, diagnostic := range l {
@@ -60,12 +61,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Add appends a diagnostic for the value at a path. The problem is formatted as by fmt.Sprintf.
+// Add appends a diagnostic for the value at a path. The problem and args are formatted as by fmt.Sprintf.
 func (l *List) Add(path, expected, problem string, args ...any) {
 	*l = append(*l, Diagnostic{Path: path, Problem: fmt.Sprintf(problem, args...), Expected: expected})
 }
 
-// Err returns the list as an error, nil if it is empty.
+// Err returns the list as an error, or nil if it is empty.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
@@ -73,7 +74,7 @@
 	return l
 }
 
-// InFile sets the file name of all diagnostics that have none, in place, and returns the list.
+// InFile sets the file name of each diagnostic that has none. It modifies the list in place and returns it.
 func (l List) InFile(file string) List {
 	for i := range l {
 		if l[i].File == "" {
@@ -83,8 +84,8 @@
 	return l
 }
 
-// FromError returns the diagnostics that an error carries. An error of another kind becomes a single diagnostic without
-// a position; nil becomes an empty list.
+// FromError returns the diagnostics that an error wraps. Any other error is converted to one diagnostic without a
+// position, and nil to an empty list.
 func FromError(err error) List {
 	if err == nil {
 		return nil
--- a/internal/diagnostics/json.go
+++ b/internal/diagnostics/json.go
@@ -9,9 +9,10 @@
 	"strings"
 )
 
-// DecodeJSON reads a JSON text into the value that into points to, by the rules of encoding/json. The error is a List
-// with positions: the text is no JSON, a value has the wrong type, or a name stands twice in one object, which
-// encoding/json would let pass. Names that the structure does not have are passed over.
+// DecodeJSON decodes a JSON text into the value that into points to, by the rules of encoding/json. Names that the
+// structure does not have are ignored. In addition to what encoding/json rejects, a name that occurs more than once in
+// an object is an error. The error is a List, with positions if the text is not JSON, a value has the wrong type or a
+// name is repeated.
 func DecodeJSON(text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var syntaxError *json.SyntaxError
@@ -27,8 +28,9 @@
 	return repeatedNames(text).Err()
 }
 
+// jsonSyntaxDiagnostic returns the diagnostic for a text that is not JSON.
 func jsonSyntaxDiagnostic(text []byte, err *json.SyntaxError) Diagnostic {
-	line, column := lineAndColumn(text, int(err.Offset)-1) // Offset counts the offending byte as read
+	line, column := lineAndColumn(text, int(err.Offset)-1) // Offset includes the invalid byte
 	return Diagnostic{
 		Line:     line,
 		Column:   column,
@@ -37,8 +39,8 @@
 	}
 }
 
-// jsonTypeDiagnostic finds the value that a type error is about: the error says where the value ends, so it is the last
-// one that begins before that.
+// jsonTypeDiagnostic returns the diagnostic for a value of the wrong type. The error contains only the offset of the
+// end of the value, so the value is the last one that starts before that offset.
 func jsonTypeDiagnostic(text []byte, err *json.UnmarshalTypeError) Diagnostic {
 	path := err.Field
 	begin := 0
@@ -58,7 +60,7 @@
 	}
 }
 
-// describeType names a Go type for people who write JSON.
+// describeType describes a Go type in the terms of JSON.
 func describeType(wanted reflect.Type) string {
 	switch wanted.Kind() {
 	case reflect.Struct, reflect.Map:
@@ -70,6 +72,7 @@
 	}
 }
 
+// repeatedNames returns a diagnostic for each name that repeats an earlier name of the same object.
 func repeatedNames(text []byte) (found List) {
 	walkJSON(text, func(at jsonValue) {
 		if at.repeated {
@@ -82,8 +85,9 @@
 	return found
 }
 
-// LocateJSON sets line and column of each diagnostic without a line, in place, to where the value at its path begins in
-// the text, and returns the list. Where a value is missing the position is that of the innermost one around it.
+// LocateJSON sets the line and column of each diagnostic that has no line to the start of the value at its path. If the
+// text does not contain the value, the position is that of the innermost existing value around it. LocateJSON modifies
+// the list in place and returns it.
 func LocateJSON(text []byte, list List) List {
 	offsets := jsonOffsets(text)
 	for i := range list {
@@ -94,7 +98,8 @@
 	return list
 }
 
-// innermostOffset returns the offset of the value at a path, else that of the innermost value around it, else 0.
+// innermostOffset returns the offset of the value at a path. If there is none, it returns the offset of the innermost
+// existing value around it, or 0.
 func innermostOffset(offsets map[string]int, path string) int {
 	for {
 		if offset, known := offsets[path]; known {
@@ -108,7 +113,8 @@
 	}
 }
 
-// jsonOffsets returns where the value at each path begins. Of values with the same path the first counts.
+// jsonOffsets maps the path of each value to the offset of its first byte. If several values have the same path, the
+// first one counts.
 func jsonOffsets(text []byte) map[string]int {
 	offsets := map[string]int{}
 	walkJSON(text, func(at jsonValue) {
@@ -119,7 +125,7 @@
 	return offsets
 }
 
-// lineAndColumn converts a byte offset into a line and a column, both counted from 1. A column is a byte.
+// lineAndColumn converts a byte offset to a line and a column, both counted from 1. Columns are counted in bytes.
 func lineAndColumn(text []byte, offset int) (line, column int) {
 	before := text[:max(0, min(offset, len(text)))]
 	line = 1 + bytes.Count(before, []byte{'\n'})
@@ -127,27 +133,29 @@
 	return line, column
 }
 
-// jsonValue is one value of a JSON text as walkJSON meets it.
+// jsonValue describes a value that walkJSON visits.
 type jsonValue struct {
 	path     string
-	offset   int  // of its first byte
-	repeated bool // its name stood in the same object before, in either case: encoding/json takes both for the same
+	offset   int  // offset of its first byte
+	repeated bool // whether its name repeats an earlier one of the object, ignoring case as encoding/json does
 }
 
-// walkJSON calls visit for each value of a JSON text, outer values before those in them. It ends without an error where
-// the text is no JSON.
+// walkJSON calls visit for each value of a JSON text, for outer values before the values in them. If the text is not
+// valid JSON, it stops at the first error and does not report it.
 func walkJSON(text []byte, visit func(jsonValue)) {
 	walker := jsonWalker{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), visit: visit}
 	walker.value("", false)
 }
 
+// jsonWalker traverses the values of a JSON text.
 type jsonWalker struct {
 	text    []byte
 	decoder *json.Decoder
 	visit   func(jsonValue)
 }
 
-// value visits the next value and those in it, and reports whether the text went on as JSON.
+// value visits the next value and the values in it. It reports whether the text was valid JSON up to the end of the
+// value.
 func (w *jsonWalker) value(path string, repeated bool) bool {
 	w.visit(jsonValue{path: path, offset: w.nextToken(), repeated: repeated})
 	token, err := w.decoder.Token()
@@ -164,7 +172,7 @@
 	}
 }
 
-// nextToken returns the offset at which the next token begins.
+// nextToken returns the offset of the first byte of the next token.
 func (w *jsonWalker) nextToken() int {
 	offset := int(w.decoder.InputOffset())
 	for offset < len(w.text) && strings.IndexByte(" \t\r\n,:", w.text[offset]) >= 0 {
@@ -173,6 +181,7 @@
 	return offset
 }
 
+// object visits the values of an object whose opening brace has been read.
 func (w *jsonWalker) object(path string) bool {
 	seen := map[string]bool{}
 	for w.decoder.More() {
@@ -190,6 +199,7 @@
 	return w.closing()
 }
 
+// list visits the entries of an array whose opening bracket has been read.
 func (w *jsonWalker) list(path string) bool {
 	for i := 0; w.decoder.More(); i++ {
 		if !w.value(fmt.Sprintf("%s[%d]", path, i), false) {
@@ -199,7 +209,7 @@
 	return w.closing()
 }
 
-// closing reads the delimiter that ends an object or a list.
+// closing reads the delimiter that ends an object or an array.
 func (w *jsonWalker) closing() bool {
 	_, err := w.decoder.Token()
 	return err == nil
--- a/internal/diagnostics/yaml.go
+++ b/internal/diagnostics/yaml.go
@@ -10,11 +10,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Positions knows where the values of a YAML document stand. The zero value is that of an empty document.
+// Positions holds the positions of the values in a YAML document. The zero value belongs to an empty document.
 type Positions struct{ root *yaml.Node }
 
-// Locate sets line and column of each diagnostic, in place, to where the value at its path stands, and returns the
-// list. Where a value is missing the position is that of the innermost one around it.
+// Locate sets the line and column of each diagnostic to the position of the value at its path. If the document does not
+// contain the value, the position is that of the innermost existing value around it. Locate modifies the list in place
+// and returns it.
 func (p Positions) Locate(list List) List {
 	for i := range list {
 		list[i].Line = 1
@@ -27,7 +28,7 @@
 	return list
 }
 
-// innermostNode returns the node at a path, else the innermost one around it.
+// innermostNode returns the node at a path or, if there is none, the innermost existing node around it.
 func innermostNode(node *yaml.Node, path string) *yaml.Node {
 	steps := strings.FieldsFunc(path, func(r rune) bool { return strings.ContainsRune(".[]", r) })
 	for _, step := range steps {
@@ -40,8 +41,8 @@
 	return node
 }
 
-// childNode returns the value under a key, or the entry at an index; nil where there is none. If a key stands twice the
-// last value counts.
+// childNode returns the value of a key in a mapping or the entry at an index in a sequence, or nil if there is none. If
+// a key occurs more than once, the last value counts.
 func childNode(node *yaml.Node, step string) (child *yaml.Node) {
 	if node == nil {
 		return nil
@@ -60,21 +61,21 @@
 	return child
 }
 
-// DecodeYAML strictly reads one YAML document into the structure that into points to, over what it already holds: each
-// key must be known and stand once, and its value must have the type of the field and lie in its range. An empty
-// document sets nothing. The error is a List with positions.
+// DecodeYAML strictly decodes one YAML document into the structure that into points to. Each key must be known and
+// occur once, and its value must have the type of the field and be in its range. Fields whose key is absent keep their
+// value, and an empty document changes nothing. The error is a List with positions.
 //
-// A field says by tags what it takes:
+// Struct tags define the keys and the valid values:
 //
-//	yaml:"name"   its key; a field without this tag is not set
-//	need:"yes"    the key must be there
-//	min, max      bounds of a number or a span of time, inclusive; min on a string: it must not be empty
-//	over, under   bounds, exclusive
-//	one:"a b c"   the strings that are accepted
+//	yaml:"name"   the key of the field; a field without this tag is not decoded
+//	need:"yes"    the key is required
+//	min, max      inclusive bounds of a number or duration; on a string, min means that it must not be empty
+//	over, under   exclusive bounds of a number or duration
+//	one:"a b c"   the accepted strings
 //
-// Spans of time (time.Duration) are written with their unit, as in 250ms. A pointer to a structure stays nil where its
-// key is absent. A type that implements Defaulter sets the values of keys that are absent; one that implements
-// encoding.TextUnmarshaler reads its value itself.
+// Values of type time.Duration must have a unit, as in 250ms. A pointer to a structure stays nil if its key is absent.
+// A type that implements Defaulter sets the values of absent keys. A type that implements encoding.TextUnmarshaler
+// decodes its value itself.
 func DecodeYAML(in io.Reader, into any) (Positions, error) {
 	decoder := yaml.NewDecoder(in)
 	var document yaml.Node
@@ -100,7 +101,8 @@
 	return Positions{root}, reader.found.Err()
 }
 
-// yamlSyntaxDiagnostic takes the line out of the text of an error of the YAML library, which has no field for it.
+// yamlSyntaxDiagnostic returns the diagnostic for a text that is not YAML. It parses the line number from the text of
+// the error, because the errors of the YAML library have no field for it.
 func yamlSyntaxDiagnostic(err error) Diagnostic {
 	diagnostic := Diagnostic{Line: 1, Column: 1, Problem: strings.TrimPrefix(err.Error(), "yaml: ")}
 	rest, found := strings.CutPrefix(diagnostic.Problem, "line ")
--- a/internal/diagnostics/yaml_reader.go
+++ b/internal/diagnostics/yaml_reader.go
@@ -9,29 +9,30 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Bounds of a document, so that a file can't make the program recurse or allocate without end.
+// Limits of a document, so that a file cannot make the program recurse or allocate without bound.
 const (
-	maxDepth       = 32      // of nested values
-	maxListEntries = 1 << 17 // in one list
+	maxDepth       = 32      // nesting depth of values
+	maxListEntries = 1 << 17 // entries of one list
 )
 
-// Defaulter is implemented by structures whose absent keys have other values than zero.
+// Defaulter is implemented by structures in which the default of some keys is not the zero value.
 type Defaulter interface {
-	SetDefaults() // sets all fields, before those are read that the document has
+	// SetDefaults sets all fields to their defaults. It is called before the keys of the document are decoded.
+	SetDefaults()
 }
 
-// slot is a place in a Go structure that one YAML value is read into.
+// slot is the destination of one YAML value: a field of a structure or an entry of a list.
 type slot struct {
 	value reflect.Value
-	path  string            // as in Diagnostic.Path
-	tag   reflect.StructTag // of the field, see DecodeYAML; entries of a list have that of the list
-	depth int
+	path  string            // path of the value, as in Diagnostic.Path
+	tag   reflect.StructTag // tag of the field, see DecodeYAML; list entries have the tag of the list
+	depth int               // nesting depth of the value
 }
 
-// yamlReader reads YAML nodes into Go values. It goes on after a fault, so that all of them are told at once.
+// yamlReader decodes YAML nodes into Go values. It continues after a fault, so that all faults are reported together.
 type yamlReader struct{ found List }
 
-// add notes a problem with a node.
+// add appends a diagnostic at the position of a node.
 func (r *yamlReader) add(node *yaml.Node, path, expected, problem string, args ...any) {
 	r.found = append(r.found, Diagnostic{
 		Line:     node.Line,
@@ -42,13 +43,13 @@
 	})
 }
 
-// readValue reads any node into its slot.
+// readValue decodes a node of any kind.
 func (r *yamlReader) readValue(node *yaml.Node, to slot) {
 	isPointer := to.value.Kind() == reflect.Pointer
 	switch {
 	case to.depth > maxDepth:
 		r.add(node, to.path, "", "is nested too deep")
-	case node.Kind == yaml.AliasNode: // small files of aliases can stand for huge values
+	case node.Kind == yaml.AliasNode: // with aliases, a small file can expand to huge values
 		r.add(node, to.path, "the value itself", "is an alias")
 	case node.Tag == "!!null" && !isPointer:
 		r.add(node, to.path, "a value", "is empty")
@@ -59,7 +60,7 @@
 	}
 }
 
-// readOptional reads a section that may be absent. A key without a value is a section in which nothing is set.
+// readOptional decodes a section that may be absent. A key without a value is a section in which no key is set.
 func (r *yamlReader) readOptional(node *yaml.Node, to slot) {
 	if node.Tag == "!!null" {
 		node = &yaml.Node{Kind: yaml.MappingNode, Line: node.Line, Column: node.Column, Tag: "!!map"}
@@ -74,7 +75,7 @@
 	r.readValue(node, to)
 }
 
-// readPresent reads a node that is neither null nor an alias into a value that is no pointer.
+// readPresent decodes a node that is neither null nor an alias into a value that is not a pointer.
 func (r *yamlReader) readPresent(node *yaml.Node, to slot) {
 	address := to.value.Addr().Interface()
 	if text, is := address.(encoding.TextUnmarshaler); is {
@@ -94,6 +95,7 @@
 	}
 }
 
+// readText decodes a scalar with the UnmarshalText method of the value.
 func (r *yamlReader) readText(node *yaml.Node, path string, into encoding.TextUnmarshaler) {
 	if node.Kind != yaml.ScalarNode {
 		r.add(node, path, "one value", "is a list or a section")
@@ -104,6 +106,7 @@
 	}
 }
 
+// readSequence decodes a list into a slice.
 func (r *yamlReader) readSequence(node *yaml.Node, to slot) {
 	if node.Kind != yaml.SequenceNode {
 		r.add(node, to.path, "a list", "is no list")
@@ -125,7 +128,7 @@
 	}
 }
 
-// readMapping reads the keys of a section into the fields of a structure.
+// readMapping decodes the keys of a section into the fields of a structure.
 func (r *yamlReader) readMapping(node *yaml.Node, to slot) {
 	if node.Kind != yaml.MappingNode {
 		r.add(node, to.path, "a section of key: value", "is none")
@@ -159,7 +162,7 @@
 	}
 }
 
-// fieldsByKey returns the fields of a structure that have a key, and the keys in the order of the fields.
+// fieldsByKey returns the fields of a structure that have a yaml tag, by key, and the keys in the order of the fields.
 func fieldsByKey(structure reflect.Type) (fields map[string]reflect.StructField, names []string) {
 	fields = map[string]reflect.StructField{}
 	for i := range structure.NumField() {
@@ -172,4 +175,5 @@
 	return fields, names
 }
 
+// joinPath appends a name to a path, which is empty at the root of the document.
 func joinPath(path, name string) string { return strings.TrimPrefix(path+"."+name, ".") }
--- a/internal/diagnostics/yaml_scalar.go
+++ b/internal/diagnostics/yaml_scalar.go
@@ -13,7 +13,7 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// readScalar reads a single value: a string, a boolean, a number or a span of time.
+// readScalar decodes a string, a boolean, a number or a duration.
 func (r *yamlReader) readScalar(node *yaml.Node, to slot) {
 	if node.Kind != yaml.ScalarNode {
 		r.add(node, to.path, "one value", "is a list or a section")
@@ -33,6 +33,7 @@
 	}
 }
 
+// readDuration decodes a duration with a unit.
 func (r *yamlReader) readDuration(node *yaml.Node, to slot) {
 	duration, err := time.ParseDuration(node.Value)
 	if err != nil {
@@ -43,6 +44,7 @@
 	r.checkRange(node, to, duration.Seconds(), durationBound)
 }
 
+// readString decodes a string. Unquoted numbers and booleans are faults, because YAML does not read them as strings.
 func (r *yamlReader) readString(node *yaml.Node, to slot) {
 	if node.Tag != "!!str" {
 		r.add(node, to.path, "text; quote it if that is meant", "%q", node.Value)
@@ -58,6 +60,7 @@
 	}
 }
 
+// readBool decodes a boolean.
 func (r *yamlReader) readBool(node *yaml.Node, to slot) {
 	if node.Tag != "!!bool" {
 		r.add(node, to.path, "true or false", "%q", node.Value)
@@ -66,6 +69,7 @@
 	to.value.SetBool(node.Value == "true")
 }
 
+// readInt decodes a decimal integer.
 func (r *yamlReader) readInt(node *yaml.Node, to slot) {
 	number, err := strconv.ParseInt(node.Value, 10, 64)
 	if node.Tag != "!!int" || err != nil {
@@ -76,6 +80,7 @@
 	r.checkRange(node, to, float64(number), numberBound)
 }
 
+// readFloat decodes a finite number.
 func (r *yamlReader) readFloat(node *yaml.Node, to slot) {
 	number, err := strconv.ParseFloat(node.Value, 64)
 	isNumber := node.Tag == "!!int" || node.Tag == "!!float"
@@ -87,7 +92,7 @@
 	r.checkRange(node, to, number, numberBound)
 }
 
-// bounds are the tags that bound a number, what they say and whether a number is within.
+// bounds lists the tags that limit a number, each with its description in diagnostics and its condition.
 var bounds = []struct {
 	tag    string
 	words  string
@@ -99,7 +104,7 @@
 	{"under", "less than ", func(number, bound float64) bool { return number < bound }},
 }
 
-// checkRange holds a number against the bounds of its field; parse reads a bound in the unit of the number.
+// checkRange checks a number against the bounds in the tags of its field. parse converts a bound to the unit of number.
 func (r *yamlReader) checkRange(node *yaml.Node, to slot, number float64, parse func(string) float64) {
 	for _, bound := range bounds {
 		text := to.tag.Get(bound.tag)
@@ -109,13 +114,15 @@
 	}
 }
 
-// durationBound parses a bound in seconds. Tags are written by us: one that can't be parsed counts as 0.
+// durationBound parses a bound and returns it in seconds. Tags are part of the program, so errors are not reported; an
+// invalid bound counts as 0.
 func durationBound(text string) float64 {
 	bound, _ := time.ParseDuration(text)
 	return bound.Seconds()
 }
 
-// numberBound parses a bound without a unit. Tags are written by us: one that can't be parsed counts as 0.
+// numberBound parses a bound without a unit. Tags are part of the program, so errors are not reported; an invalid bound
+// counts as 0.
 func numberBound(text string) float64 {
 	bound, _ := strconv.ParseFloat(text, 64)
 	return bound
