--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -90,8 +90,8 @@
 	return c.positions.Locate(found).InFile(c.path).Err()
 }
 
-// besideFile resolves a path that stands in a file. A relative path is relative to the directory of that file.
-func besideFile(file, path string) string {
+// resolvePath resolves a path that stands in a file. A relative path is relative to the directory of that file.
+func resolvePath(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -59,11 +59,11 @@
 	require.NotNil(t, section.TenantTable())
 }
 
-// badSection is the text of an invalid file and a part of the expected diagnostic.
-type badSection struct{ text, diagnostic string }
+// invalidFile is the text of an invalid file and a part of the expected diagnostic.
+type invalidFile struct{ text, diagnostic string }
 
-// badFairQueues are invalid files for the section fair_queues.
-var badFairQueues = []badSection{
+// invalidFairQueues are invalid files for the section fair_queues.
+var invalidFairQueues = []invalidFile{
 	{"fair_queue:\n", "f:1:1: fair_queue: is not known; expected one of fair_queues"},
 	{"fair_queues:\n  book: 3\n", "f:2:3: fair_queues.book: is not known; expected one of tenants, others,"},
 	{"fair_queues:\n  books: 3\n  books: 4\n", "f:3:3: fair_queues.books: stands twice; expected each key once"},
@@ -117,8 +117,8 @@
 // gossipSection is a valid section peers, which the section shares requires.
 const gossipSection = "peers: {listen: '127.0.0.1:1', fleet: f, servers: 4, key_file: k}\n"
 
-// badQuotas are invalid files for the section shares.
-var badQuotas = []badSection{
+// invalidQuotas are invalid files for the section shares.
+var invalidQuotas = []invalidFile{
 	{"shares: {calls: 8, slots: 4}\n", "a section peers"},
 	{gossipSection + "shares: {calls: 3, slots: 4}\n", "3 calls for 4 slots"},
 	{gossipSection + "shares: {calls: 8, slots: 4, floor: 3}\n", "with a floor of 3"},
@@ -135,7 +135,7 @@
 
 // TestReadLocatesFaults checks that each fault is reported with its file, line and column.
 func TestReadLocatesFaults(t *testing.T) {
-	for section, faults := range map[string][]badSection{"fair queues": badFairQueues, "quota": badQuotas} {
+	for section, faults := range map[string][]invalidFile{"fair queues": invalidFairQueues, "quota": invalidQuotas} {
 		for _, test := range faults {
 			t.Run(section+"/"+test.diagnostic, func(t *testing.T) {
 				_, err := read(t, test.text)
@@ -157,7 +157,7 @@
 		require.NoError(t, limit.Validate())
 		require.EqualValues(t, 8000, limit.LeaseDuration)
 	}
-	more := mustRead(t, gossipSection+"shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
-	require.Equal(t, config.Quota.Digest(), more.Quota.Digest())
-	require.NotEqual(t, config.Quota.Totals(), more.Quota.Totals())
+	changed := mustRead(t, gossipSection+"shares: {calls: 900, slots: 400, calls_a_second: 2500, revision: 2}\n")
+	require.Equal(t, config.Quota.Digest(), changed.Quota.Digest())
+	require.NotEqual(t, config.Quota.Totals(), changed.Quota.Totals())
 }
--- a/internal/config/fairqueues.go
+++ b/internal/config/fairqueues.go
@@ -30,9 +30,9 @@
 	TrustedProxies   []Prefix      `yaml:"trusted_fronts"`
 }
 
-// byAccount is the value of FairQueues.TenantSource with which routers name the tenant of a request. With the other
-// value, the tenant is determined from the client's network address.
-const byAccount = "account"
+// tenantSourceAccount is the value of FairQueues.TenantSource with which routers name the tenant of a request. With the
+// other value, the tenant is determined from the client's network address.
+const tenantSourceAccount = "account"
 
 // Tenant assigns a tenant its own weight, which is its share of the server's work relative to the weights of others.
 type Tenant struct {
@@ -81,7 +81,7 @@
 		Burst:            200 * time.Millisecond,
 		MinHistory:       5 * time.Second,
 		RehashInterval:   30 * time.Second,
-		TenantSource:     byAccount,
+		TenantSource:     tenantSourceAccount,
 		UnmatchedTenant:  "elsewhere",
 	}
 }
@@ -91,35 +91,35 @@
 	if f == nil {
 		return nil
 	}
-	named := map[string]bool{}
+	seenTenants := map[string]bool{}
 	for i, tenant := range f.Tenants {
-		if named[tenant.Name] {
+		if seenTenants[tenant.Name] {
 			path := fmt.Sprintf("fair_queues.tenants[%d].name", i)
 			found.Add(path, "each tenant once", "%q stands twice", tenant.Name)
 		}
-		named[tenant.Name] = true
+		seenTenants[tenant.Name] = true
 	}
-	if f.TenantSource == byAccount && len(f.Networks)+len(f.TrustedProxies) > 0 {
+	if f.TenantSource == tenantSourceAccount && len(f.Networks)+len(f.TrustedProxies) > 0 {
 		found.Add("fair_queues.networks", "by: network", "networks are told, but tenants go by account")
 	}
-	if f.TenantSource != byAccount && len(f.Networks) == 0 {
+	if f.TenantSource != tenantSourceAccount && len(f.Networks) == 0 {
 		found.Add("fair_queues.by", "at least one network", "by: network without any")
 	}
-	seen := map[netip.Prefix]bool{}
+	seenPrefixes := map[netip.Prefix]bool{}
 	for i, network := range f.Networks {
 		prefix := tenancy.Normalize(network.Prefix.Prefix)
-		if seen[prefix] {
+		if seenPrefixes[prefix] {
 			path := fmt.Sprintf("fair_queues.networks[%d].prefix", i)
 			found.Add(path, "each prefix once", "%s stands twice", network.Prefix)
 		}
-		seen[prefix] = true
+		seenPrefixes[prefix] = true
 	}
 	return found
 }
 
 // validateAgainst checks that the platform's settings contain each named tenant, so that routers can send its name.
 func (f *FairQueues) validateAgainst(platform *deployment.Config) (found diagnostics.List) {
-	if f == nil || f.TenantSource != byAccount {
+	if f == nil || f.TenantSource != tenantSourceAccount {
 		return nil
 	}
 	for i, tenant := range f.Tenants {
@@ -151,7 +151,7 @@
 	for _, tenant := range f.Tenants {
 		config.Tenants = append(config.Tenants, fairqueue.Tenant{Name: tenant.Name, Weight: tenant.Weight})
 	}
-	if len(config.Tenants) == 0 && f.TenantSource == byAccount {
+	if len(config.Tenants) == 0 && f.TenantSource == tenantSourceAccount {
 		config.Tenants = platform.TenantWeights
 	}
 	if config.OthersWeight == 0 {
@@ -175,7 +175,7 @@
 // TenantTable returns the table that maps client networks to tenants. It returns nil if the section is absent or if
 // routers name the tenant.
 func (f *FairQueues) TenantTable() *tenancy.Table {
-	if f == nil || f.TenantSource == byAccount {
+	if f == nil || f.TenantSource == tenantSourceAccount {
 		return nil
 	}
 	table := tenancy.New(f.UnmatchedTenant)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -17,11 +17,12 @@
 	"thistlequay/internal/golden"
 )
 
-// pluginPart is the start of a section plugins. A test appends further keys of the plug-in and the closing brace.
-const pluginPart = "plugins:\n  list:\n    - {name: p, file: p.wasm, hooks: [read]"
+// pluginSectionStart is the start of a section plugins. A test appends further keys of the plug-in and the closing
+// brace.
+const pluginSectionStart = "plugins:\n  list:\n    - {name: p, file: p.wasm, hooks: [read]"
 
-// moreBadFiles are invalid files with faults that the other tests do not cover, including invalid YAML.
-var moreBadFiles = []string{
+// moreInvalidFiles are invalid files with faults that the other tests do not cover, including invalid YAML.
+var moreInvalidFiles = []string{
 	"", "[]\n", "7\n", "a\n", "fair_queues: []\nfair_queues: []\n", "? [a]\n: b\n", "{a: b\n", "a: b: c\n", "\x00",
 	"fair_queues: {tenants: [1]}\n",
 	"fair_queues: {others: 0, newcomers: 0, books: 4097, groups: 0, burst: 0s, history: 1ms, reshuffle: 25h, " +
@@ -52,22 +53,24 @@
 	"plugins: {list: []}\n",
 	"plugins: {memory_mb: 11, workers: 17, ready: 1ms, list: [{}]}\n",
 	"plugins: {memory_mb: 4097, workers: 0, ready: 3m, list: 1}\n",
-	pluginPart + "}\n    - {name: p, file: none.wasm, hooks: []}\n",
-	pluginPart + ", code_kb: 1}\n",
-	pluginPart + ", sha256: ab}\n",
-	pluginPart + ", may: [rewrite]}\n", pluginPart + ", may: [categorise]}\n", pluginPart + ", to: [a]}\n",
-	pluginPart + ", otherwise: decline}\n",
-	pluginPart + ", quarantine: 2s, longest_quarantine: 1s}\n",
+	pluginSectionStart + "}\n    - {name: p, file: none.wasm, hooks: []}\n",
+	pluginSectionStart + ", code_kb: 1}\n",
+	pluginSectionStart + ", sha256: ab}\n",
+	pluginSectionStart + ", may: [rewrite]}\n",
+	pluginSectionStart + ", may: [categorise]}\n",
+	pluginSectionStart + ", to: [a]}\n",
+	pluginSectionStart + ", otherwise: decline}\n",
+	pluginSectionStart + ", quarantine: 2s, longest_quarantine: 1s}\n",
 	"plugins:\n  list:\n    - {name: p, file: p.wasm, hooks: [tick], may: [decline]}\n",
-	pluginPart + ", engine: x, memory_kb: 63, code_kb: 65537, keep_kb: -1, keep: 1, start: 31s, call: 201ms, " +
+	pluginSectionStart + ", engine: x, memory_kb: 63, code_kb: 65537, keep_kb: -1, keep: 1, start: 31s, call: 201ms, " +
 		"share: 0.6, core: 0, every: 1ms," +
 		" otherwise: x, faults_by_tenant: x, faults_in_a_row: 0, fault_rate: 0, quarantine: 1ms, " +
 		"longest_quarantine: 25h}\n",
-	pluginPart + ", samples: [{hook: x, category: 1, does: [x], status: 600}, 7]}\n",
+	pluginSectionStart + ", samples: [{hook: x, category: 1, does: [x], status: 600}, 7]}\n",
 }
 
-// goodFiles are files that Read accepts. Some of them are not consistent with the platform's settings of the test.
-var goodFiles = []string{
+// validFiles are files that Read accepts. Some of them are not consistent with the platform's settings of the test.
+var validFiles = []string{
 	"fair_queues:\n",
 	"fair_queues: {tenants: [{name: t, share: 3}, {name: stranger, share: 1.5}], burst: 1s, " +
 		"history: 1500ms, reshuffle: 3s, books: 7, groups: 8, newcomers: 0.5}\n",
@@ -94,29 +97,29 @@
 type transcript struct {
 	bytes.Buffer
 	testing.TB
-	folder string
+	directory string
 }
 
 // newTranscript returns an empty transcript, whose directory contains the module p.wasm.
 func newTranscript(t testing.TB) *transcript {
 	t.Helper()
-	script := &transcript{TB: t, folder: t.TempDir()}
+	recorded := &transcript{TB: t, directory: t.TempDir()}
 	module := bytes.Repeat([]byte("module"), 200)
-	require.NoError(t, os.WriteFile(filepath.Join(script.folder, "p.wasm"), module, 0o600))
-	return script
+	require.NoError(t, os.WriteFile(filepath.Join(recorded.directory, "p.wasm"), module, 0o600))
+	return recorded
 }
 
 // println records values as one line.
 func (s *transcript) println(values ...any) { fmt.Fprintln(&s.Buffer, values...) }
 
-// withoutFolder replaces the path of the directory in a text by DIR, because the path differs in each run.
-func (s *transcript) withoutFolder(text string) string {
-	return strings.ReplaceAll(text, s.folder, "DIR")
+// maskDirectory replaces the path of the directory in a text by DIR, because the path differs in each run.
+func (s *transcript) maskDirectory(text string) string {
+	return strings.ReplaceAll(text, s.directory, "DIR")
 }
 
 // read writes a text to a file, reads it with Read and records the diagnostics.
 func (s *transcript) read(text string) *Config {
-	file := filepath.Join(s.folder, "own.yaml")
+	file := filepath.Join(s.directory, "own.yaml")
 	require.NoError(s, os.WriteFile(file, []byte(text), 0o600))
 	config, err := Read(file)
 	s.addError(err)
@@ -129,13 +132,13 @@
 	if err == nil {
 		return
 	}
-	lines := strings.Split(s.withoutFolder(err.Error()), "\n")
+	lines := strings.Split(s.maskDirectory(err.Error()), "\n")
 	slices.Sort(lines)
 	s.println(strings.Join(lines, "\n"))
 }
 
 // sortedTexts returns the texts of the sections in alphabetical order.
-func sortedTexts(sections []badSection) (texts []string) {
+func sortedTexts(sections []invalidFile) (texts []string) {
 	for _, section := range sections {
 		texts = append(texts, section.text)
 	}
@@ -145,26 +148,26 @@
 
 // TestGoldenDiagnostics compares the diagnostics for invalid settings files and key files with a golden file.
 func TestGoldenDiagnostics(t *testing.T) {
-	script := newTranscript(t)
-	texts := append(sortedTexts(badFairQueues), sortedTexts(badQuotas)...)
-	for _, text := range append(texts, moreBadFiles...) {
-		fmt.Fprintf(&script.Buffer, "\n%q\n", text)
-		script.read(text)
+	recorded := newTranscript(t)
+	texts := append(sortedTexts(invalidFairQueues), sortedTexts(invalidQuotas)...)
+	for _, text := range append(texts, moreInvalidFiles...) {
+		fmt.Fprintf(&recorded.Buffer, "\n%q\n", text)
+		recorded.read(text)
 	}
-	_, err := Read(filepath.Join(script.folder, "none.yaml"))
-	script.addError(err)
-	script.read(strings.Repeat("#", 4<<20+1))
+	_, err := Read(filepath.Join(recorded.directory, "none.yaml"))
+	recorded.addError(err)
+	recorded.read(strings.Repeat("#", 4<<20+1))
 	key := base64.StdEncoding.EncodeToString(make([]byte, 32))
 	for _, text := range []string{"", "# none\n", "x\n", key + "\nQUJD\n\n=\n", strings.Repeat(key+"\n", 9),
 		strings.Repeat(key+"\n# more\n", 8), strings.Repeat("#", 64<<10+1)} {
-		require.NoError(t, os.WriteFile(filepath.Join(script.folder, "k"), []byte(text), 0o600))
-		keys, err := (&Gossip{KeyFile: "k"}).LoadKeys(filepath.Join(script.folder, "own.yaml"))
-		script.println(len(text), len(keys))
-		script.addError(err)
+		require.NoError(t, os.WriteFile(filepath.Join(recorded.directory, "k"), []byte(text), 0o600))
+		keys, err := (&Gossip{KeyFile: "k"}).LoadKeys(filepath.Join(recorded.directory, "own.yaml"))
+		recorded.println(len(text), len(keys))
+		recorded.addError(err)
 	}
-	_, err = (&Gossip{KeyFile: filepath.Join(script.folder, "none")}).LoadKeys("")
-	script.addError(err)
-	golden.Check(t, "diagnostics.txt", script.Bytes())
+	_, err = (&Gossip{KeyFile: filepath.Join(recorded.directory, "none")}).LoadKeys("")
+	recorded.addError(err)
+	golden.Check(t, "diagnostics.txt", recorded.Bytes())
 }
 
 // TestGoldenSettings compares the results for valid files with a golden file: the values that the subsystems get, the
@@ -175,26 +178,26 @@
 {"Name":"c","Effect":"once","HardLimit":8000,"OnTime":4000,"Worth":1}],"FamilyInfo":{"Cores":1},
 "Tenants":[{"Name":"t","Share":0.2},{"Name":"u","Share":0.4}]}`))
 	require.NoError(t, err)
-	script := newTranscript(t)
-	for _, text := range goodFiles {
-		fmt.Fprintf(&script.Buffer, "\n%q\n", text)
-		config := script.read(text)
+	recorded := newTranscript(t)
+	for _, text := range validFiles {
+		fmt.Fprintf(&recorded.Buffer, "\n%q\n", text)
+		config := recorded.read(text)
 		require.NotNil(t, config, text)
-		script.addError(config.ValidateAgainst(platform, 64<<20))
+		recorded.addError(config.ValidateAgainst(platform, 64<<20))
 		if config.FairQueues != nil {
-			script.addFairQueues(config.FairQueues, platform)
+			recorded.addFairQueues(config.FairQueues, platform)
 		}
 		if config.Quota != nil {
-			script.addQuota(config.Quota)
+			recorded.addQuota(config.Quota)
 		}
 		if config.Store != nil {
-			script.addStore(config.Store, platform)
+			recorded.addStore(config.Store, platform)
 		}
 		if config.Plugins != nil {
-			script.addPlugins(config.Plugins, platform)
+			recorded.addPlugins(config.Plugins, platform)
 		}
 	}
-	golden.Check(t, "settings.txt", script.Bytes())
+	golden.Check(t, "settings.txt", recorded.Bytes())
 }
 
 // addFairQueues records the scheduler's configuration.
@@ -210,8 +213,8 @@
 
 // addQuota records the digest and the limits.
 func (s *transcript) addQuota(section *Quota) {
-	directory := section.DirectoryPath(filepath.Join(s.folder, "own.yaml"))
-	s.println(section.Digest(), section.Revision, s.withoutFolder(directory), section.StartFresh,
+	directory := section.DirectoryPath(filepath.Join(s.directory, "own.yaml"))
+	s.println(section.Digest(), section.Revision, s.maskDirectory(directory), section.StartFresh,
 		section.Coordinators)
 	for i, limit := range section.Limits() {
 		s.println(LimitNames[i], int64(limit.Total), int64(limit.GuaranteedMinimum), limit.Slots,
@@ -232,7 +235,7 @@
 	spec := section.ProcessSpec(map[string]map[string][]byte{"p": {"k": []byte("v")}, "q": {"k": []byte("w")}})
 	s.println(spec.Workers, spec.MemoryMB, section.DiscardsState(), int64(section.ReadyTimeout))
 	for _, module := range spec.Plugins {
-		s.println(module.Name, s.withoutFolder(module.File), module.SHA256, module.MemoryKB, module.MaxCodeKB,
+		s.println(module.Name, s.maskDirectory(module.File), module.SHA256, module.MemoryKB, module.MaxCodeKB,
 			int64(module.StartTimeout), module.Compile, module.Hooks, module.State, module.MaxStateKB, module.Seed)
 		for _, sample := range module.Samples {
 			actions := -1
@@ -242,12 +245,13 @@
 			s.println(sample.Hook, sample.Category, sample.Tenant, sample.Body, actions, sample.ExpectedStatus)
 		}
 	}
-	for i := range section.Entries { // Grants requires target categories that the platform's settings contain
+	// Policies requires that the platform's settings contain all target categories.
+	for i := range section.Entries {
 		entry := &section.Entries[i]
 		isUnknown := func(name string) bool { return name == "none" }
 		entry.TargetCategories = slices.DeleteFunc(entry.TargetCategories, isUnknown)
 	}
-	for _, policy := range section.Grants(platform) {
+	for _, policy := range section.Policies(platform) {
 		s.println(policy.Name, policy.Hooks, policy.Categories, slices.Sorted(maps.Keys(policy.Tenants)),
 			policy.MayReject, policy.TargetCategories, policy.MayTag, policy.MayRewrite, int64(policy.CallTimeout),
 			policy.MaxTimeFraction, policy.CoreFraction, int64(policy.TickInterval), int(policy.Fallback),
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -82,7 +82,7 @@
 // the settings file. The key file contains one key of 16, 24 or 32 bytes per line, in base64; empty lines and lines
 // that begin with # are ignored. The first key encrypts messages, and all of them decrypt.
 func (g *Gossip) LoadKeys(settingsFile string) (keys [][]byte, err error) {
-	path := besideFile(settingsFile, g.KeyFile)
+	path := resolvePath(settingsFile, g.KeyFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err // it already contains the path
--- a/internal/config/plugins.go
+++ b/internal/config/plugins.go
@@ -78,10 +78,10 @@
 	hookResult = "result"
 	hookTick   = "tick"
 
-	mayReject     = "decline"
-	mayCategorise = "categorise"
-	mayTag        = "tag"
-	mayRewrite    = "rewrite"
+	capabilityReject     = "decline"
+	capabilityCategorize = "categorise"
+	capabilityTag        = "tag"
+	capabilityRewrite    = "rewrite"
 
 	engineCompiler = "compiler"
 	fallbackReject = "decline"
@@ -122,15 +122,15 @@
 	if len(p.Entries) == 0 {
 		found.Add("plugins.list", "at least one plug-in", "is empty")
 	}
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	for i := range p.Entries {
 		entry := &p.Entries[i]
 		path := fmt.Sprintf("plugins.list[%d]", i)
-		if named[entry.Name] {
+		if seen[entry.Name] {
 			found.Add(path+".name", "each name once", "%q stands twice", entry.Name)
 		}
-		named[entry.Name] = true
-		entry.File = besideFile(settingsFile, entry.File)
+		seen[entry.Name] = true
+		entry.File = resolvePath(settingsFile, entry.File)
 		entry.pinModule(&found, path)
 		entry.validateCapabilities(&found, path)
 		if entry.MaxQuarantine < entry.Quarantine {
@@ -157,22 +157,22 @@
 // validateCapabilities checks that the plug-in's capabilities are consistent with its hooks, its target categories and
 // its fallback policy.
 func (p *Plugin) validateCapabilities(found *diagnostics.List, path string) {
-	if p.may(mayReject) && !slices.Contains(p.Hooks, hookRead) {
+	if p.has(capabilityReject) && !slices.Contains(p.Hooks, hookRead) {
 		found.Add(path+".may", "the hook read", "decline without it: what ran is never declined")
 	}
-	if p.may(mayRewrite) && !slices.Contains(p.Hooks, hookResult) {
+	if p.has(capabilityRewrite) && !slices.Contains(p.Hooks, hookResult) {
 		found.Add(path+".may", "the hook result", "rewrite without it")
 	}
-	if p.may(mayCategorise) != (len(p.TargetCategories) > 0) {
+	if p.has(capabilityCategorize) != (len(p.TargetCategories) > 0) {
 		found.Add(path+".to", "categories in `to` if and only if it may categorise", "has %d", len(p.TargetCategories))
 	}
-	if p.FallbackPolicy == fallbackReject && !p.may(mayReject) {
+	if p.FallbackPolicy == fallbackReject && !p.has(capabilityReject) {
 		found.Add(path+".otherwise", "pass, or that it may decline", `"decline"`)
 	}
 }
 
-// may reports whether the plug-in has a capability.
-func (p *Plugin) may(capability string) bool { return slices.Contains(p.Capabilities, capability) }
+// has reports whether the plug-in has a capability.
+func (p *Plugin) has(capability string) bool { return slices.Contains(p.Capabilities, capability) }
 
 // fileSHA256 returns the SHA-256 hash of a file in hex. It fails if the file is larger than maxKB kilobytes and reads
 // no further than that, so that the server does not spend time on a file that is not a module.
@@ -197,8 +197,8 @@
 	if p == nil {
 		return nil
 	}
-	if halfMB := memoryBytes >> 21; p.MemoryMB > halfMB {
-		expected := fmt.Sprintf("at most half of the program's memory, %d", halfMB)
+	if maxMB := memoryBytes >> 21; p.MemoryMB > maxMB {
+		expected := fmt.Sprintf("at most half of the program's memory, %d", maxMB)
 		found.Add("plugins.memory_mb", expected, "%d", p.MemoryMB)
 	}
 	for i := range p.Entries {
@@ -227,5 +227,5 @@
 
 // anyMayTag reports whether any plug-in may set tags, which the fair queues treat as tenants.
 func (p *Plugins) anyMayTag() bool {
-	return p != nil && slices.ContainsFunc(p.Entries, func(entry Plugin) bool { return entry.may(mayTag) })
+	return p != nil && slices.ContainsFunc(p.Entries, func(entry Plugin) bool { return entry.has(capabilityTag) })
 }
--- a/internal/config/plugins_convert.go
+++ b/internal/config/plugins_convert.go
@@ -12,20 +12,20 @@
 	"thistlequay/timeunit"
 )
 
-// hookPoints maps the hook names of the section to the hooks of the chain.
-var hookPoints = map[string]chain.Hook{
+// hooksByName maps the hook names of the section to the hooks of the chain.
+var hooksByName = map[string]chain.Hook{
 	hookRead:   chain.HookRead,
 	hookResult: chain.HookResult,
 	hookTick:   chain.HookTick,
 }
 
-// actionBits maps the action names of the section to the bits of a verdict.
-var actionBits = map[string]int{
-	"nothing":     0,
-	mayReject:     abi.ActionReject,
-	mayCategorise: abi.ActionCategorize,
-	mayTag:        abi.ActionTag,
-	mayRewrite:    abi.ActionReplace,
+// actionsByName maps the action names of the section to the bits of a verdict.
+var actionsByName = map[string]int{
+	"nothing":            0,
+	capabilityReject:     abi.ActionReject,
+	capabilityCategorize: abi.ActionCategorize,
+	capabilityTag:        abi.ActionTag,
+	capabilityRewrite:    abi.ActionReplace,
 }
 
 // ProcessSpec returns the specification with which the plug-in process is started. state is the state that plug-ins
@@ -52,21 +52,21 @@
 		Seed:         int64(xxh3.HashString(p.Name)),
 	}
 	for _, hook := range p.Hooks {
-		module.Hooks[hookPoints[hook]] = true
+		module.Hooks[hooksByName[hook]] = true
 	}
 	if p.KeepState {
 		module.State = state[p.Name]
 	}
 	for _, sample := range p.Samples {
-		module.Samples = append(module.Samples, sample.convert())
+		module.Samples = append(module.Samples, sample.pluginSample())
 	}
 	return module
 }
 
-// convert returns the sample in the form that the plug-in process takes.
-func (s *Sample) convert() plugin.Sample {
+// pluginSample returns the sample in the form that the plug-in process takes.
+func (s *Sample) pluginSample() plugin.Sample {
 	sample := plugin.Sample{
-		Hook:           int(hookPoints[s.Hook]),
+		Hook:           int(hooksByName[s.Hook]),
 		Category:       s.Category,
 		Tenant:         s.Tenant,
 		Body:           s.Body,
@@ -74,17 +74,17 @@
 	}
 	if len(s.ExpectedActions) > 0 {
 		actions := 0
-		for _, word := range s.ExpectedActions {
-			actions |= actionBits[word]
+		for _, action := range s.ExpectedActions {
+			actions |= actionsByName[action]
 		}
 		sample.ExpectedActions = &actions
 	}
 	return sample
 }
 
-// Grants returns the policies of the plug-ins, in the order of the chain. The section must have been validated against
-// the same platform settings.
-func (p *Plugins) Grants(platform *deployment.Config) (policies []chain.Policy) {
+// Policies returns the policies of the plug-ins, in the order of the chain. The section must have been validated
+// against the same platform settings.
+func (p *Plugins) Policies(platform *deployment.Config) (policies []chain.Policy) {
 	for i := range p.Entries {
 		policies = append(policies, p.Entries[i].policy(platform))
 	}
@@ -98,9 +98,9 @@
 		Categories:           categoryFlags(p.Categories, platform),
 		TargetCategories:     categoryFlags(p.TargetCategories, platform),
 		Tenants:              map[string]bool{},
-		MayReject:            p.may(mayReject),
-		MayTag:               p.may(mayTag),
-		MayRewrite:           p.may(mayRewrite),
+		MayReject:            p.has(capabilityReject),
+		MayTag:               p.has(capabilityTag),
+		MayRewrite:           p.has(capabilityRewrite),
 		CallTimeout:          timeunit.TicksOf(p.CallTimeout),
 		MaxTimeFraction:      p.MaxTimeFraction,
 		CoreFraction:         p.CoreFraction,
@@ -118,7 +118,7 @@
 		policy.Fallback = chain.FallbackReject
 	}
 	for _, hook := range p.Hooks {
-		policy.Hooks[hookPoints[hook]] = true
+		policy.Hooks[hooksByName[hook]] = true
 	}
 	for _, name := range p.Tenants {
 		policy.Tenants[name] = true
--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -160,5 +160,5 @@
 // DirectoryPath returns the path of the directory for the coordinator's state. A relative path is relative to the
 // directory of the settings file.
 func (q *Quota) DirectoryPath(settingsFile string) string {
-	return besideFile(settingsFile, q.Directory)
+	return resolvePath(settingsFile, q.Directory)
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -36,11 +36,11 @@
 	}
 }
 
-// Outcomes that are restored from earlier incarnations may occupy at most 1/restoredMemoryPart of the program's memory,
-// with an estimate of at most restoredEntryBytes for each.
+// Outcomes that are restored from earlier incarnations may occupy at most 1/restoredMemoryDivisor of the program's
+// memory, with an estimate of at most maxRestoredEntryBytes for each.
 const (
-	restoredMemoryPart = 8
-	restoredEntryBytes = 5 << 10
+	restoredMemoryDivisor = 8
+	maxRestoredEntryBytes = 5 << 10
 )
 
 // LogConfig returns the configuration of the log for a program whose memory limit is memoryBytes.
@@ -51,7 +51,7 @@
 		MaxRecords:       s.MaxRecords,
 		SegmentBytes:     int64(s.SegmentKB) << 10,
 		ClockUncertainty: timeunit.TicksOf(s.ClockUncertainty),
-		MaxOutcomes:      max(1, memoryBytes/restoredMemoryPart/restoredEntryBytes),
+		MaxOutcomes:      max(1, memoryBytes/restoredMemoryDivisor/maxRestoredEntryBytes),
 		AllowEmpty:       s.StartFresh,
 		Now:              segmentlog.MachineClock,
 	}
@@ -67,5 +67,5 @@
 // DirectoryPath returns the path of the log's directory. A relative path is relative to the directory of the settings
 // file.
 func (s *Store) DirectoryPath(settingsFile string) string {
-	return besideFile(settingsFile, s.Directory)
+	return resolvePath(settingsFile, s.Directory)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,11 +63,11 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(shutdown, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	first, err := d.readConfiguration()
+	initial, err := d.readConfiguration()
 	if err != nil {
 		return logDiagnostics(d.log, "cannot_start", err)
 	}
-	d.server = server.New(first, d.log)
+	d.server = server.New(initial, d.log)
 	go d.shutdownOn(shutdown)
 	go d.reloadOn(reload)
 	err = d.server.Run()
@@ -105,8 +105,8 @@
 
 // logDiagnostics logs each diagnostic of an error as a separate event. It returns ErrLogged.
 func logDiagnostics(log logs.Logger, event string, err error) error {
-	for _, found := range diagnostics.FromError(err) {
-		log.Event(event).Str("reason", found.Error()).Send()
+	for _, diagnostic := range diagnostics.FromError(err) {
+		log.Event(event).Str("reason", diagnostic.Error()).Send()
 	}
 	return ErrLogged
 }
@@ -118,24 +118,24 @@
 	if err != nil {
 		return serverConfig, err
 	}
-	own, err := config.Read(d.config.ServiceFile)
+	serviceConfig, err := config.Read(d.config.ServiceFile)
 	if err != nil {
 		return serverConfig, err
 	}
-	if err := own.ValidateAgainst(serverConfig.Settings, serverConfig.MemoryBytes); err != nil {
+	if err := serviceConfig.ValidateAgainst(serverConfig.Settings, serverConfig.MemoryBytes); err != nil {
 		return serverConfig, err
 	}
-	serverConfig.FairQueue = own.FairQueues.SchedulerConfig(serverConfig.Settings)
-	serverConfig.Tenancy = own.FairQueues.TenantTable()
-	serverConfig.Plugins, err = d.plugins.configure(own.Plugins, serverConfig, d.server)
+	serverConfig.FairQueue = serviceConfig.FairQueues.SchedulerConfig(serverConfig.Settings)
+	serverConfig.Tenancy = serviceConfig.FairQueues.TenantTable()
+	serverConfig.Plugins, err = d.plugins.configure(serviceConfig.Plugins, serverConfig, d.server)
 	if err != nil {
 		return serverConfig, err
 	}
-	serverConfig.Recovery, err = d.configureStore(own.Store, serverConfig)
+	serverConfig.Recovery, err = d.configureStore(serviceConfig.Store, serverConfig)
 	if err != nil {
 		return serverConfig, err
 	}
-	if err := d.configureFleet(own.Gossip, own.Quota, &serverConfig); err != nil {
+	if err := d.configureFleet(serviceConfig.Gossip, serviceConfig.Quota, &serverConfig); err != nil {
 		return serverConfig, err
 	}
 	applyProcessLimits(serverConfig)
@@ -177,7 +177,7 @@
 	if !startsQuota {
 		d.quota.updateTotals(quotaSection)
 	}
-	d.quota.logIfUnchanged(quotaSection, d.log)
-	serverConfig.Quota = d.quota.onServer
+	d.quota.logIgnoredChange(quotaSection, d.log)
+	serverConfig.Quota = d.quota.serverQuota
 	return nil
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -17,8 +17,8 @@
 // gossipSubsystem owns the gossip node of this process. The node is started once. If the section changes while the
 // server runs, only new keys take effect.
 type gossipSubsystem struct {
-	node     *gossip.Node
-	onServer *server.Gossip
+	node         *gossip.Node
+	serverGossip *server.Gossip
 }
 
 // close leaves the cluster within timeout and stops the node, if it was started.
@@ -47,25 +47,25 @@
 		if err := d.gossip.node.RotateKeys(keys); err != nil {
 			return nil, err
 		}
-		return d.gossip.onServer, nil
+		return d.gossip.serverGossip, nil
 	}
-	onServer := &server.Gossip{}
-	gossipConfig := d.gossipConfig(section, serverConfig, onServer)
+	serverGossip := &server.Gossip{}
+	gossipConfig := d.gossipConfig(section, serverConfig, serverGossip)
 	gossipConfig.Keys = keys
 	gossipConfig.Handlers = handlers
 	node, err := gossip.Start(gossipConfig)
 	if err != nil {
 		return nil, fmt.Errorf("start gossip: %w", err)
 	}
-	onServer.Node = node
+	serverGossip.Node = node
 	d.gossip.node = node
-	d.gossip.onServer = onServer
-	return onServer, nil
+	d.gossip.serverGossip = serverGossip
+	return serverGossip, nil
 }
 
 // gossipConfig returns the configuration of the gossip node, except its keys and handlers.
 func (d *daemon) gossipConfig(section *config.Gossip, serverConfig server.Config,
-	onServer *server.Gossip) gossip.Config {
+	serverGossip *server.Gossip) gossip.Config {
 	startedAt := time.Now().Add(d.config.ClockShift)
 	self := membership.ID{Name: serverConfig.Name, Incarnation: uint64(startedAt.UnixMicro())}
 	members := membership.DefaultConfig(self)
@@ -79,9 +79,9 @@
 		SeedAddresses:    section.SeedAddresses,
 		ClusterName:      section.FleetName,
 		Version:          shortRevision(),
-		SettingsDigest:   digestOfFiles(d.config.PlatformFile, d.config.ServiceFile),
-		OnChange:         onServer.ClusterChanged,
-		OnUsage:          onServer.UsageReported,
+		SettingsDigest:   digestFiles(d.config.PlatformFile, d.config.ServiceFile),
+		OnChange:         serverGossip.ClusterChanged,
+		OnUsage:          serverGossip.UsageReported,
 		OnMemberEvent:    d.logMemberEvent,
 		OnQuorumChange:   d.logQuorumChange,
 	}
@@ -102,16 +102,16 @@
 
 // serveStatus serves the status at an address, where the subcommands members and shares query it.
 func (d *daemon) serveStatus(address string) error {
-	more := map[string]func() (any, error){}
+	extraPaths := map[string]func() (any, error){}
 	if d.quota.service != nil {
-		more[service.StatusPath] = d.quota.status
+		extraPaths[service.StatusPath] = d.quota.status
 	}
-	return d.gossip.node.ServeStatus(address, more)
+	return d.gossip.node.ServeStatus(address, extraPaths)
 }
 
-// digestOfFiles returns a hash of the contents of files, by which operators see which servers run with different
+// digestFiles returns a hash of the contents of files, by which operators see which servers run with different
 // settings. A file that cannot be read counts as empty.
-func digestOfFiles(files ...string) uint32 {
+func digestFiles(files ...string) uint32 {
 	hash := xxh3.New()
 	for _, file := range files {
 		if text, err := os.ReadFile(file); err == nil {
--- a/internal/daemon/platform_config.go
+++ b/internal/daemon/platform_config.go
@@ -97,9 +97,9 @@
 	if f.Name == "" {
 		found.Add("name", "a name", "is missing or empty")
 	}
-	checkRange := func(key string, value, least, most float64) {
-		if !(value >= least && value <= most) { // written so that NaN is out of range
-			found.Add(key, fmt.Sprintf("from %v to %v", least, most), "%v is out of range", value)
+	checkRange := func(key string, value, minimum, maximum float64) {
+		if !(value >= minimum && value <= maximum) { // written so that NaN is out of range
+			found.Add(key, fmt.Sprintf("from %v to %v", minimum, maximum), "%v is out of range", value)
 		}
 	}
 	checkRange("stop_ms", f.StopMS, 0, maxStopMS)
--- a/internal/daemon/plugins.go
+++ b/internal/daemon/plugins.go
@@ -30,7 +30,7 @@
 		return p.running, nil
 	}
 	next := &server.Plugins{
-		Grants:    section.Grants(serverConfig.Settings),
+		Grants:    section.Policies(serverConfig.Settings),
 		DropState: section.DiscardsState(),
 		Start: func(state map[string]map[string][]byte) (*plugin.Process, error) {
 			return plugin.Start(section.ProcessSpec(state), section.ReadyTimeout, os.Stderr)
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -15,9 +15,9 @@
 // quotaSubsystem owns the quota service of this process. The service is started once, together with gossip. If the
 // section changes while the server runs, only new totals take effect, and only under a later revision.
 type quotaSubsystem struct {
-	service  *service.Service
-	onServer *server.Quota
-	section  *config.Quota // the section in effect; nil if there are no quotas
+	service     *service.Service
+	serverQuota *server.Quota
+	section     *config.Quota // the section in effect; nil if there are no quotas
 }
 
 // close stops the quota service, if it was created.
@@ -30,7 +30,7 @@
 // createQuotaService creates the quota service. quotaSubsystem.start starts it once gossip runs.
 func (d *daemon) createQuotaService(section *config.Quota, gossipSection *config.Gossip,
 	serverConfig server.Config) error {
-	onServer := &server.Quota{}
+	serverQuota := &server.Quota{}
 	limits := section.Limits()
 	serviceConfig := service.Config{
 		LimitNames:   config.LimitNames[:len(limits)],
@@ -42,7 +42,7 @@
 		BootstrapLog: section.StartFresh,
 		ClusterName:  gossipSection.FleetName,
 		Seed:         serverConfig.Seed,
-		OnResponse:   onServer.DeliverAnswers,
+		OnResponse:   serverQuota.DeliverAnswers,
 		Log:          func(event string, keys ...any) { d.log.Event(event).Fields(keys).Send() },
 	}
 	if section.Directory != "" {
@@ -54,8 +54,8 @@
 		serviceConfig.Storage = storage
 	}
 	d.quota.service = service.New(serviceConfig)
-	onServer.Service = d.quota.service
-	d.quota.onServer = onServer
+	serverQuota.Service = d.quota.service
+	d.quota.serverQuota = serverQuota
 	return nil
 }
 
@@ -63,11 +63,11 @@
 // before the grace period has passed, because work of an earlier incarnation of this server may still be running.
 func (q *quotaSubsystem) start(section *config.Quota, node *gossip.Node) error {
 	limits := section.Limits()
-	holdersFrom := node.Now() + limits[0].GracePeriod
+	minimumUsableFrom := node.Now() + limits[0].GracePeriod
 	name := service.HolderName(node.LocalID())
 	for _, limit := range limits {
-		holder := quota.NewLeaseHolder(name, limit, true, holdersFrom)
-		q.onServer.LeaseHolders = append(q.onServer.LeaseHolders, holder)
+		holder := quota.NewLeaseHolder(name, limit, true, minimumUsableFrom)
+		q.serverQuota.LeaseHolders = append(q.serverQuota.LeaseHolders, holder)
 	}
 	if err := q.service.Start(node); err != nil {
 		return err
@@ -88,17 +88,17 @@
 	}
 }
 
-// logIfUnchanged logs an event if the section was changed in a way that does not take effect while the server runs.
-func (q *quotaSubsystem) logIfUnchanged(section *config.Quota, log logs.Logger) {
-	if q.section == nil || q.inForce(section) {
+// logIgnoredChange logs an event if the section was changed in a way that does not take effect while the server runs.
+func (q *quotaSubsystem) logIgnoredChange(section *config.Quota, log logs.Logger) {
+	if q.section == nil || q.isInEffect(section) {
 		return
 	}
 	const reason = "while the server runs, only the totals can change, and only under a later revision"
 	log.Event("quota_settings_unchanged").Str("reason", reason).Send()
 }
 
-// inForce reports whether the settings of a section are those that the service uses.
-func (q *quotaSubsystem) inForce(section *config.Quota) bool {
+// isInEffect reports whether the settings of a section are those that the service uses.
+func (q *quotaSubsystem) isInEffect(section *config.Quota) bool {
 	if section == nil || section.Digest() != q.section.Digest() {
 		return false
 	}
@@ -107,5 +107,5 @@
 
 // status returns the status that the subcommand shares prints.
 func (q *quotaSubsystem) status() (any, error) {
-	return q.service.Status(q.onServer.LocalState())
+	return q.service.Status(q.serverQuota.LocalState())
 }
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -13,8 +13,8 @@
 
 // storeSubsystem owns the open store and the section with which it was opened.
 type storeSubsystem struct {
-	section *config.Store
-	open    *server.Recovery
+	section  *config.Store
+	recovery *server.Recovery
 }
 
 // configureStore opens the store at startup. While the server runs, the store stays as it is: if the section has
@@ -23,7 +23,7 @@
 	isRunning := d.server != nil
 	if isRunning {
 		if reflect.DeepEqual(section, d.store.section) {
-			return d.store.open, nil
+			return d.store.recovery, nil
 		}
 		return nil, nil
 	}
@@ -49,11 +49,11 @@
 		return nil, fmt.Errorf("open the store in %s: %w", path, err)
 	}
 	d.logOpenedStore(path, opened, logConfig.Now().Wall)
-	d.store.open = &server.Recovery{
+	d.store.recovery = &server.Recovery{
 		Store:     opened,
 		OnDurable: func(deliver func([]segmentlog.WriteResult)) { onDurable.Store(&deliver) },
 	}
-	return d.store.open, nil
+	return d.store.recovery, nil
 }
 
 // logOpenedStore logs each corruption that was found when the store was opened, and a summary of its contents.
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -42,14 +42,14 @@
 // The error is a diagnostics.List. Its diagnostics have lines only if diagnostics.DecodeJSON found them; for the
 // others, which have paths, diagnostics.LocateJSON adds the lines.
 func Read(text []byte) (*Config, error) {
-	var read settings
-	if err := diagnostics.DecodeJSON(text, &read); err != nil {
+	var parsed settings
+	if err := diagnostics.DecodeJSON(text, &parsed); err != nil {
 		return nil, err
 	}
-	if err := read.Validate(); err != nil {
+	if err := parsed.Validate(); err != nil {
 		return nil, err
 	}
-	return read.config(), nil
+	return parsed.config(), nil
 }
 
 // HasTenant reports whether the settings contain a tenant. If they name no tenants at all, any name is a tenant.
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -10,8 +10,8 @@
 	"thistlequay/internal/diagnostics"
 )
 
-// good is a valid deployment.
-const good = `{
+// validSettings is a valid deployment.
+const validSettings = `{
   "Categories": [
     {"Name": "look", "Effect": "repeatable", "OnTime": 3200, "HardLimit": 7100, "LateWorth": 0.2, "Worth": 1, "New": 1},
     {"Name": "book", "Effect": "by_key", "OnTime": 3200, "HardLimit": 7100, "Worth": 3, "Window": 35000}],
@@ -19,25 +19,25 @@
   "Tenants": [{"Name": "a", "Share": 0.3}, {"Name": "b"}]
 }`
 
-// readGood reads the deployment good, with the first occurrence of from replaced by to.
-func readGood(t *testing.T, from, to string) *Config {
+// readModified reads validSettings with the first occurrence of from replaced by to.
+func readModified(t *testing.T, from, to string) *Config {
 	t.Helper()
-	require.Contains(t, good, from)
-	config, err := Read([]byte(strings.Replace(good, from, to, 1)))
+	require.Contains(t, validSettings, from)
+	config, err := Read([]byte(strings.Replace(validSettings, from, to, 1)))
 	require.NoError(t, err)
 	return config
 }
 
 // TestReadConvertsSettings checks the values that subsystems get.
 func TestReadConvertsSettings(t *testing.T) {
-	config, err := Read([]byte(good))
+	config, err := Read([]byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, admission.Keyed, config.Categories[1].Idempotency)
 	require.Equal(t, 1, config.CategoryIndex["book"])
 	require.Len(t, config.TenantWeights, 1)
 	require.True(t, config.CanStopRuns)
 	require.False(t, config.PauseKeepsMemory)
-	pausing := readGood(t, `"drop"`, `"pause"`)
+	pausing := readModified(t, `"drop"`, `"pause"`)
 	require.True(t, pausing.CanStopRuns)
 	require.True(t, pausing.PauseKeepsMemory)
 	require.True(t, config.HasTenant([]byte("b")))
@@ -45,15 +45,15 @@
 }
 
 // TestWindowOfZeroIsAccepted checks that a deduplication window of 0 is valid: it means that requests are not repeated.
-// badSettings covers the absent window, which is a fault.
+// invalidSettings covers the absent window, which is a fault.
 func TestWindowOfZeroIsAccepted(t *testing.T) {
-	config := readGood(t, `"Window": 35000`, `"Window": 0`)
+	config := readModified(t, `"Window": 35000`, `"Window": 0`)
 	require.Zero(t, config.Categories[1].DeduplicationWindow)
 }
 
-// badSettings are replacements that make the deployment good invalid. pointsAt is the text at the position of the
+// invalidSettings are replacements that make validSettings invalid. pointsAt is the text at the position of the
 // diagnostic.
-var badSettings = []struct{ from, to, pointsAt, diagnostic string }{
+var invalidSettings = []struct{ from, to, pointsAt, diagnostic string }{
 	{`by_key`, `by_kye`, `"by_kye"`,
 		`Categories[1].Effect: "by_kye" is not known; expected one of repeatable, by_key, once`},
 	{`"Effect": "by_key", `, ``, `{"Name": "book"`,
@@ -85,10 +85,10 @@
 
 // TestReadLocatesEachFault checks that each invalid value yields one diagnostic, at the position of the value.
 func TestReadLocatesEachFault(t *testing.T) {
-	for _, test := range badSettings {
+	for _, test := range invalidSettings {
 		t.Run(test.diagnostic, func(t *testing.T) {
-			require.Contains(t, good, test.from)
-			text := []byte(strings.Replace(good, test.from, test.to, 1))
+			require.Contains(t, validSettings, test.from)
+			text := []byte(strings.Replace(validSettings, test.from, test.to, 1))
 			_, err := Read(text)
 			require.Error(t, err)
 			found := diagnostics.LocateJSON(text, diagnostics.FromError(err))
@@ -104,7 +104,7 @@
 
 // FuzzRead checks that Read does not panic on any text, and that each diagnostic has a line.
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := Read(text); err != nil {
 			for _, diagnostic := range diagnostics.LocateJSON(text, diagnostics.FromError(err)) {
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -12,8 +12,8 @@
 	"thistlequay/internal/golden"
 )
 
-// everyKey is a deployment that sets every key, so that the golden file shows which field stores each value.
-const everyKey = `{"Categories":[
+// allKeys is a deployment that sets every key, so that the golden file shows which field stores each value.
+const allKeys = `{"Categories":[
 {"Name":"a","Effect":"by_key","HardLimit":9001.07,"LateWorth":0.21,"OnTime":3002.04,"Worth":1.5,"Window":35003.01},
 {"Name":"b","Effect":"once","HardLimit":904,"LateWorth":0.22,"OnTime":305,"Worth":2.5},
 {"Name":"c","Effect":"repeatable","HardLimit":806,"LateWorth":0.23,"OnTime":207,"Worth":3.5,"Window":0}],
@@ -25,8 +25,8 @@
 "Tenants":[{"Name":"t","Share":0.25},{"Name":"u"}],
 "Rules":{"Cold":9019.01,"ColdFrom":0.3,"DrainGrace":320.09,"TipMultiple":8}}`
 
-// worstValues is a deployment with a fault at every value that is validated.
-const worstValues = `{"Categories":[
+// invalidValues is a deployment with a fault at every value that is validated.
+const invalidValues = `{"Categories":[
 {"Name":"a","Effect":"by_key","HardLimit":-1,"LateWorth":1e13,"OnTime":-1,"Worth":-1,"Window":-1},
 {"Name":"a","Effect":"by_key","HardLimit":5,"LateWorth":2,"OnTime":6,"Worth":1e13},
 {"Name":"","HardLimit":5,"OnTime":1e13},{"Effect":"twice"}],
@@ -43,10 +43,10 @@
 		_, err := Read([]byte(text))
 		fmt.Fprintf(&out, "%s\n\n", diagnostics.LocateJSON([]byte(text), diagnostics.FromError(err)).Error())
 	}
-	for _, test := range badSettings {
-		diagnose(strings.Replace(good, test.from, test.to, 1))
+	for _, test := range invalidSettings {
+		diagnose(strings.Replace(validSettings, test.from, test.to, 1))
 	}
-	for _, text := range []string{worstValues, ``, `{}`, `null`, `{"Servers":1.5}`, `{"Servers":1,"servers":2}`,
+	for _, text := range []string{invalidValues, ``, `{}`, `null`, `{"Servers":1.5}`, `{"Servers":1,"servers":2}`,
 		`{"Categories":[{"Worth":"x"}]}`, `{"Clients":{"MarksRetry":1}}`, "{\"Rules\":\n\t{\"Cold\":[]}}", `{} {}`} {
 		diagnose(text)
 	}
@@ -60,8 +60,8 @@
 			fmt.Fprintln(&out, diagnostic.Line, diagnostic.Column, diagnostic.Path, diagnostic.Problem)
 		}
 	}
-	for cut := 1; cut < len(good); cut += 17 { // truncated at many different places
-		diagnose(good[:cut])
+	for cut := 1; cut < len(validSettings); cut += 17 { // truncated at many different places
+		diagnose(validSettings[:cut])
 	}
 	golden.Check(t, "diagnostics.txt", out.Bytes())
 }
@@ -69,9 +69,9 @@
 // TestGoldenSettings compares the values that subsystems get from valid settings with a golden file.
 func TestGoldenSettings(t *testing.T) {
 	otherValues := strings.NewReplacer(`"RetryAfter":true`, `"RetryAfter":false`, `"pause"`, `"drop"`,
-		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(everyKey)
+		`"bias"`, `"tokens"`, `"common"`, `"next_hop"`).Replace(allKeys)
 	var out bytes.Buffer
-	for _, text := range []string{good, everyKey, otherValues} {
+	for _, text := range []string{validSettings, allKeys, otherValues} {
 		config, err := Read([]byte(text))
 		require.NoError(t, err)
 		fmt.Fprintln(&out, config.Routers, config.RetriesMarked, config.Servers, config.Cores, config.MemoryKB,
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -102,11 +102,11 @@
 
 // Conversions of accepted values. A value that is absent from its map stands for the zero value of the type.
 var (
-	idempotencies = map[string]admission.Idempotency{
+	idempotencyByName = map[string]admission.Idempotency{
 		idempotencyByKey: admission.Keyed,
 		"once":           admission.NonIdempotent,
 	}
-	loadReportModes = map[string]admission.LoadReportMode{
+	loadReportModeByName = map[string]admission.LoadReportMode{
 		"min_rank": admission.ReportRank,
 		"tokens":   admission.ReportLimit,
 		"bias":     admission.ReportProbability,
@@ -122,14 +122,14 @@
 // config converts valid settings.
 func (s *settings) config() *Config {
 	config := &Config{
-		Config:           s.admission(),
+		Config:           s.admissionConfig(),
 		CategoryIndex:    map[string]int{},
 		PauseKeepsMemory: s.Server.Stop == stopPause,
 		tenantNames:      map[string]bool{},
 	}
 	for i := range s.Categories {
 		config.CategoryIndex[s.Categories[i].Name] = i
-		config.Categories = append(config.Categories, s.category(i))
+		config.Categories = append(config.Categories, s.admissionCategory(i))
 	}
 	for _, tenant := range s.Tenants {
 		config.tenantNames[tenant.Name] = true
@@ -144,8 +144,8 @@
 	return config
 }
 
-// admission converts the settings that package admission uses, except the categories.
-func (s *settings) admission() admission.Config {
+// admissionConfig converts the settings that package admission uses, except the categories.
+func (s *settings) admissionConfig() admission.Config {
 	server := &s.Server
 	config := admission.Config{
 		Routers:           server.Routers,
@@ -166,7 +166,7 @@
 		DownstreamLimit:   server.DownstreamLimit,
 		DownstreamWindow:  RoundDown(server.DownstreamWindow),
 		AbandonedCallTime: RoundUp(server.AbandonedCallTime),
-		LoadReportMode:    loadReportModes[server.LoadReport],
+		LoadReportMode:    loadReportModeByName[server.LoadReport],
 		MaxIdleTime:       RoundDown(server.MaxIdle),
 		// Package admission stops only runs whose answer no client waits for any longer, so losing their progress does
 		// no harm.
@@ -178,19 +178,19 @@
 	return config
 }
 
-// category converts the category at an index.
-func (s *settings) category(place int) admission.Category {
-	read := &s.Categories[place]
+// admissionCategory converts the category at an index.
+func (s *settings) admissionCategory(index int) admission.Category {
+	parsed := &s.Categories[index]
 	category := admission.Category{
-		Weight:              read.Weight,
-		LateValue:           read.LateValue,
-		SoftDeadline:        RoundDown(read.SoftDeadline),
-		Deadline:            RoundDown(read.Deadline),
-		DeduplicationWindow: RoundUp(read.window()),
-		Idempotency:         idempotencies[read.Idempotency],
+		Weight:              parsed.Weight,
+		LateValue:           parsed.LateValue,
+		SoftDeadline:        RoundDown(parsed.SoftDeadline),
+		Deadline:            RoundDown(parsed.Deadline),
+		DeduplicationWindow: RoundUp(parsed.window()),
+		Idempotency:         idempotencyByName[parsed.Idempotency],
 	}
-	if place < len(s.Server.DegradedValues) {
-		category.DegradedValue = s.Server.DegradedValues[place]
+	if index < len(s.Server.DegradedValues) {
+		category.DegradedValue = s.Server.DegradedValues[index]
 	}
 	return category
 }
--- a/internal/diagnostics/json.go
+++ b/internal/diagnostics/json.go
@@ -25,7 +25,7 @@
 	case err != nil:
 		return List{{Problem: err.Error()}}
 	}
-	return repeatedNames(text).Err()
+	return duplicateNames(text).Err()
 }
 
 // jsonSyntaxDiagnostic returns the diagnostic for a text that is not JSON.
@@ -43,14 +43,14 @@
 // end of the value, so the value is the last one that starts before that offset.
 func jsonTypeDiagnostic(text []byte, err *json.UnmarshalTypeError) Diagnostic {
 	path := err.Field
-	begin := 0
-	walkJSON(text, func(at jsonValue) {
-		if at.offset < int(err.Offset) && at.offset > begin {
-			path = at.path
-			begin = at.offset
+	start := 0
+	walkJSON(text, func(value jsonValue) {
+		if value.offset < int(err.Offset) && value.offset > start {
+			path = value.path
+			start = value.offset
 		}
 	})
-	line, column := lineAndColumn(text, begin)
+	line, column := lineAndColumn(text, start)
 	return Diagnostic{
 		Line:     line,
 		Column:   column,
@@ -61,24 +61,24 @@
 }
 
 // describeType describes a Go type in the terms of JSON.
-func describeType(wanted reflect.Type) string {
-	switch wanted.Kind() {
+func describeType(goType reflect.Type) string {
+	switch goType.Kind() {
 	case reflect.Struct, reflect.Map:
 		return "an object"
 	case reflect.Slice, reflect.Array:
 		return "a list"
 	default:
-		return "a value of type " + wanted.String()
+		return "a value of type " + goType.String()
 	}
 }
 
-// repeatedNames returns a diagnostic for each name that repeats an earlier name of the same object.
-func repeatedNames(text []byte) (found List) {
-	walkJSON(text, func(at jsonValue) {
-		if at.repeated {
-			line, column := lineAndColumn(text, at.offset)
+// duplicateNames returns a diagnostic for each name that repeats an earlier name of the same object.
+func duplicateNames(text []byte) (found List) {
+	walkJSON(text, func(value jsonValue) {
+		if value.isDuplicate {
+			line, column := lineAndColumn(text, value.offset)
 			found = append(found, Diagnostic{
-				Line: line, Column: column, Path: at.path, Problem: "stands twice", Expected: "each name once",
+				Line: line, Column: column, Path: value.path, Problem: "stands twice", Expected: "each name once",
 			})
 		}
 	})
@@ -117,9 +117,9 @@
 // first one counts.
 func jsonOffsets(text []byte) map[string]int {
 	offsets := map[string]int{}
-	walkJSON(text, func(at jsonValue) {
-		if _, known := offsets[at.path]; !known {
-			offsets[at.path] = at.offset
+	walkJSON(text, func(value jsonValue) {
+		if _, known := offsets[value.path]; !known {
+			offsets[value.path] = value.offset
 		}
 	})
 	return offsets
@@ -135,16 +135,16 @@
 
 // jsonValue describes a value that walkJSON visits.
 type jsonValue struct {
-	path     string
-	offset   int  // offset of its first byte
-	repeated bool // whether its name repeats an earlier one of the object, ignoring case as encoding/json does
+	path        string
+	offset      int  // offset of its first byte
+	isDuplicate bool // whether its name repeats an earlier one of the object, ignoring case as encoding/json does
 }
 
 // walkJSON calls visit for each value of a JSON text, for outer values before the values in them. If the text is not
 // valid JSON, it stops at the first error and does not report it.
 func walkJSON(text []byte, visit func(jsonValue)) {
 	walker := jsonWalker{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), visit: visit}
-	walker.value("", false)
+	walker.walkValue("", false)
 }
 
 // jsonWalker traverses the values of a JSON text.
@@ -154,26 +154,26 @@
 	visit   func(jsonValue)
 }
 
-// value visits the next value and the values in it. It reports whether the text was valid JSON up to the end of the
+// walkValue visits the next value and the values in it. It reports whether the text was valid JSON up to the end of the
 // value.
-func (w *jsonWalker) value(path string, repeated bool) bool {
-	w.visit(jsonValue{path: path, offset: w.nextToken(), repeated: repeated})
+func (w *jsonWalker) walkValue(path string, isDuplicate bool) bool {
+	w.visit(jsonValue{path: path, offset: w.nextTokenOffset(), isDuplicate: isDuplicate})
 	token, err := w.decoder.Token()
 	if err != nil {
 		return false
 	}
 	switch token {
 	case json.Delim('{'):
-		return w.object(path)
+		return w.walkObject(path)
 	case json.Delim('['):
-		return w.list(path)
+		return w.walkArray(path)
 	default:
 		return true
 	}
 }
 
-// nextToken returns the offset of the first byte of the next token.
-func (w *jsonWalker) nextToken() int {
+// nextTokenOffset returns the offset of the first byte of the next token.
+func (w *jsonWalker) nextTokenOffset() int {
 	offset := int(w.decoder.InputOffset())
 	for offset < len(w.text) && strings.IndexByte(" \t\r\n,:", w.text[offset]) >= 0 {
 		offset++
@@ -181,8 +181,8 @@
 	return offset
 }
 
-// object visits the values of an object whose opening brace has been read.
-func (w *jsonWalker) object(path string) bool {
+// walkObject visits the values of an object whose opening brace has been read.
+func (w *jsonWalker) walkObject(path string) bool {
 	seen := map[string]bool{}
 	for w.decoder.More() {
 		token, err := w.decoder.Token()
@@ -191,26 +191,26 @@
 		}
 		name := fmt.Sprint(token)
 		folded := strings.ToLower(name)
-		if !w.value(strings.TrimPrefix(path+"."+name, "."), seen[folded]) {
+		if !w.walkValue(strings.TrimPrefix(path+"."+name, "."), seen[folded]) {
 			return false
 		}
 		seen[folded] = true
 	}
-	return w.closing()
+	return w.readClosingDelimiter()
 }
 
-// list visits the entries of an array whose opening bracket has been read.
-func (w *jsonWalker) list(path string) bool {
+// walkArray visits the entries of an array whose opening bracket has been read.
+func (w *jsonWalker) walkArray(path string) bool {
 	for i := 0; w.decoder.More(); i++ {
-		if !w.value(fmt.Sprintf("%s[%d]", path, i), false) {
+		if !w.walkValue(fmt.Sprintf("%s[%d]", path, i), false) {
 			return false
 		}
 	}
-	return w.closing()
+	return w.readClosingDelimiter()
 }
 
-// closing reads the delimiter that ends an object or an array.
-func (w *jsonWalker) closing() bool {
+// readClosingDelimiter reads the delimiter that ends an object or an array.
+func (w *jsonWalker) readClosingDelimiter() bool {
 	_, err := w.decoder.Token()
 	return err == nil
 }
--- a/internal/diagnostics/yaml.go
+++ b/internal/diagnostics/yaml.go
@@ -86,18 +86,18 @@
 	if err != nil {
 		return Positions{}, List{yamlSyntaxDiagnostic(err)}
 	}
-	var next yaml.Node
-	if err := decoder.Decode(&next); !errors.Is(err, io.EOF) {
+	var second yaml.Node
+	if err := decoder.Decode(&second); !errors.Is(err, io.EOF) {
 		return Positions{}, List{{
-			Line:     max(1, next.Line),
-			Column:   max(1, next.Column),
+			Line:     max(1, second.Line),
+			Column:   max(1, second.Column),
 			Problem:  "a second document",
 			Expected: "one document",
 		}}
 	}
 	root := document.Content[0]
 	var reader yamlReader
-	reader.readValue(root, slot{value: reflect.ValueOf(into).Elem()})
+	reader.readValue(root, target{value: reflect.ValueOf(into).Elem()})
 	return Positions{root}, reader.found.Err()
 }
 
--- a/internal/diagnostics/yaml_reader.go
+++ b/internal/diagnostics/yaml_reader.go
@@ -21,8 +21,8 @@
 	SetDefaults()
 }
 
-// slot is the destination of one YAML value: a field of a structure or an entry of a list.
-type slot struct {
+// target is the destination of one YAML value: a field of a structure or an entry of a list.
+type target struct {
 	value reflect.Value
 	path  string            // path of the value, as in Diagnostic.Path
 	tag   reflect.StructTag // tag of the field, see DecodeYAML; list entries have the tag of the list
@@ -32,8 +32,8 @@
 // yamlReader decodes YAML nodes into Go values. It continues after a fault, so that all faults are reported together.
 type yamlReader struct{ found List }
 
-// add appends a diagnostic at the position of a node.
-func (r *yamlReader) add(node *yaml.Node, path, expected, problem string, args ...any) {
+// addDiagnostic appends a diagnostic at the position of a node.
+func (r *yamlReader) addDiagnostic(node *yaml.Node, path, expected, problem string, args ...any) {
 	r.found = append(r.found, Diagnostic{
 		Line:     node.Line,
 		Column:   node.Column,
@@ -44,15 +44,15 @@
 }
 
 // readValue decodes a node of any kind.
-func (r *yamlReader) readValue(node *yaml.Node, to slot) {
+func (r *yamlReader) readValue(node *yaml.Node, to target) {
 	isPointer := to.value.Kind() == reflect.Pointer
 	switch {
 	case to.depth > maxDepth:
-		r.add(node, to.path, "", "is nested too deep")
+		r.addDiagnostic(node, to.path, "", "is nested too deep")
 	case node.Kind == yaml.AliasNode: // with aliases, a small file can expand to huge values
-		r.add(node, to.path, "the value itself", "is an alias")
+		r.addDiagnostic(node, to.path, "the value itself", "is an alias")
 	case node.Tag == "!!null" && !isPointer:
-		r.add(node, to.path, "a value", "is empty")
+		r.addDiagnostic(node, to.path, "a value", "is empty")
 	case isPointer:
 		r.readOptional(node, to)
 	default:
@@ -61,14 +61,14 @@
 }
 
 // readOptional decodes a section that may be absent. A key without a value is a section in which no key is set.
-func (r *yamlReader) readOptional(node *yaml.Node, to slot) {
+func (r *yamlReader) readOptional(node *yaml.Node, to target) {
 	if node.Tag == "!!null" {
 		node = &yaml.Node{Kind: yaml.MappingNode, Line: node.Line, Column: node.Column, Tag: "!!map"}
 	}
 	if to.value.IsNil() {
 		to.value.Set(reflect.New(to.value.Type().Elem()))
 	}
-	if section, is := to.value.Interface().(Defaulter); is {
+	if section, ok := to.value.Interface().(Defaulter); ok {
 		section.SetDefaults()
 	}
 	to.value = to.value.Elem()
@@ -76,13 +76,13 @@
 }
 
 // readPresent decodes a node that is neither null nor an alias into a value that is not a pointer.
-func (r *yamlReader) readPresent(node *yaml.Node, to slot) {
+func (r *yamlReader) readPresent(node *yaml.Node, to target) {
 	address := to.value.Addr().Interface()
-	if text, is := address.(encoding.TextUnmarshaler); is {
+	if text, ok := address.(encoding.TextUnmarshaler); ok {
 		r.readText(node, to.path, text)
 		return
 	}
-	if section, is := address.(Defaulter); is && to.value.IsZero() {
+	if section, ok := address.(Defaulter); ok && to.value.IsZero() {
 		section.SetDefaults()
 	}
 	switch to.value.Kind() {
@@ -98,28 +98,28 @@
 // readText decodes a scalar with the UnmarshalText method of the value.
 func (r *yamlReader) readText(node *yaml.Node, path string, into encoding.TextUnmarshaler) {
 	if node.Kind != yaml.ScalarNode {
-		r.add(node, path, "one value", "is a list or a section")
+		r.addDiagnostic(node, path, "one value", "is a list or a section")
 		return
 	}
 	if err := into.UnmarshalText([]byte(node.Value)); err != nil {
-		r.add(node, path, "", "%q: %s", node.Value, err)
+		r.addDiagnostic(node, path, "", "%q: %s", node.Value, err)
 	}
 }
 
 // readSequence decodes a list into a slice.
-func (r *yamlReader) readSequence(node *yaml.Node, to slot) {
+func (r *yamlReader) readSequence(node *yaml.Node, to target) {
 	if node.Kind != yaml.SequenceNode {
-		r.add(node, to.path, "a list", "is no list")
+		r.addDiagnostic(node, to.path, "a list", "is no list")
 		return
 	}
 	count := len(node.Content)
 	if count > maxListEntries {
-		r.add(node, to.path, fmt.Sprintf("%d entries at most", maxListEntries), "has %d", count)
+		r.addDiagnostic(node, to.path, fmt.Sprintf("%d entries at most", maxListEntries), "has %d", count)
 		return
 	}
 	to.value.Set(reflect.MakeSlice(to.value.Type(), count, count))
 	for i, entry := range node.Content {
-		r.readValue(entry, slot{
+		r.readValue(entry, target{
 			value: to.value.Index(i),
 			path:  fmt.Sprintf("%s[%d]", to.path, i),
 			tag:   to.tag,
@@ -129,9 +129,9 @@
 }
 
 // readMapping decodes the keys of a section into the fields of a structure.
-func (r *yamlReader) readMapping(node *yaml.Node, to slot) {
+func (r *yamlReader) readMapping(node *yaml.Node, to target) {
 	if node.Kind != yaml.MappingNode {
-		r.add(node, to.path, "a section of key: value", "is none")
+		r.addDiagnostic(node, to.path, "a section of key: value", "is none")
 		return
 	}
 	fields, names := fieldsByKey(to.value.Type())
@@ -142,11 +142,11 @@
 		field, known := fields[key.Value]
 		switch {
 		case key.Kind != yaml.ScalarNode || !known:
-			r.add(key, path, "one of "+strings.Join(names, ", "), "is not known")
+			r.addDiagnostic(key, path, "one of "+strings.Join(names, ", "), "is not known")
 		case seen[key.Value]:
-			r.add(key, path, "each key once", "stands twice")
+			r.addDiagnostic(key, path, "each key once", "stands twice")
 		default:
-			r.readValue(node.Content[i+1], slot{
+			r.readValue(node.Content[i+1], target{
 				value: to.value.FieldByIndex(field.Index),
 				path:  path,
 				tag:   field.Tag,
@@ -157,7 +157,7 @@
 	}
 	for _, name := range names {
 		if !seen[name] && fields[name].Tag.Get("need") == "yes" {
-			r.add(node, joinPath(to.path, name), "a value", "is missing")
+			r.addDiagnostic(node, joinPath(to.path, name), "a value", "is missing")
 		}
 	}
 }
--- a/internal/diagnostics/yaml_scalar.go
+++ b/internal/diagnostics/yaml_scalar.go
@@ -14,9 +14,9 @@
 var durationType = reflect.TypeFor[time.Duration]()
 
 // readScalar decodes a string, a boolean, a number or a duration.
-func (r *yamlReader) readScalar(node *yaml.Node, to slot) {
+func (r *yamlReader) readScalar(node *yaml.Node, to target) {
 	if node.Kind != yaml.ScalarNode {
-		r.add(node, to.path, "one value", "is a list or a section")
+		r.addDiagnostic(node, to.path, "one value", "is a list or a section")
 		return
 	}
 	switch {
@@ -34,10 +34,10 @@
 }
 
 // readDuration decodes a duration with a unit.
-func (r *yamlReader) readDuration(node *yaml.Node, to slot) {
+func (r *yamlReader) readDuration(node *yaml.Node, to target) {
 	duration, err := time.ParseDuration(node.Value)
 	if err != nil {
-		r.add(node, to.path, "a time with its unit, as in 250ms or 2s", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "a time with its unit, as in 250ms or 2s", "%q", node.Value)
 		return
 	}
 	to.value.SetInt(int64(duration))
@@ -45,35 +45,35 @@
 }
 
 // readString decodes a string. Unquoted numbers and booleans are faults, because YAML does not read them as strings.
-func (r *yamlReader) readString(node *yaml.Node, to slot) {
+func (r *yamlReader) readString(node *yaml.Node, to target) {
 	if node.Tag != "!!str" {
-		r.add(node, to.path, "text; quote it if that is meant", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "text; quote it if that is meant", "%q", node.Value)
 		return
 	}
 	to.value.SetString(node.Value)
 	accepted := strings.Fields(to.tag.Get("one"))
 	if len(accepted) > 0 && !slices.Contains(accepted, node.Value) {
-		r.add(node, to.path, "one of "+strings.Join(accepted, ", "), "%q", node.Value)
+		r.addDiagnostic(node, to.path, "one of "+strings.Join(accepted, ", "), "%q", node.Value)
 	}
 	if to.tag.Get("min") != "" && node.Value == "" {
-		r.add(node, to.path, "a name", "is empty")
+		r.addDiagnostic(node, to.path, "a name", "is empty")
 	}
 }
 
 // readBool decodes a boolean.
-func (r *yamlReader) readBool(node *yaml.Node, to slot) {
+func (r *yamlReader) readBool(node *yaml.Node, to target) {
 	if node.Tag != "!!bool" {
-		r.add(node, to.path, "true or false", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "true or false", "%q", node.Value)
 		return
 	}
 	to.value.SetBool(node.Value == "true")
 }
 
 // readInt decodes a decimal integer.
-func (r *yamlReader) readInt(node *yaml.Node, to slot) {
+func (r *yamlReader) readInt(node *yaml.Node, to target) {
 	number, err := strconv.ParseInt(node.Value, 10, 64)
 	if node.Tag != "!!int" || err != nil {
-		r.add(node, to.path, "a whole number", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "a whole number", "%q", node.Value)
 		return
 	}
 	to.value.SetInt(number)
@@ -81,11 +81,11 @@
 }
 
 // readFloat decodes a finite number.
-func (r *yamlReader) readFloat(node *yaml.Node, to slot) {
+func (r *yamlReader) readFloat(node *yaml.Node, to target) {
 	number, err := strconv.ParseFloat(node.Value, 64)
 	isNumber := node.Tag == "!!int" || node.Tag == "!!float"
 	if !isNumber || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		r.add(node, to.path, "a number", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "a number", "%q", node.Value)
 		return
 	}
 	to.value.SetFloat(number)
@@ -94,9 +94,9 @@
 
 // bounds lists the tags that limit a number, each with its description in diagnostics and its condition.
 var bounds = []struct {
-	tag    string
-	words  string
-	within func(number, bound float64) bool
+	tag         string
+	description string
+	isWithin    func(number, bound float64) bool
 }{
 	{"min", "at least ", func(number, bound float64) bool { return number >= bound }},
 	{"over", "more than ", func(number, bound float64) bool { return number > bound }},
@@ -105,11 +105,11 @@
 }
 
 // checkRange checks a number against the bounds in the tags of its field. parse converts a bound to the unit of number.
-func (r *yamlReader) checkRange(node *yaml.Node, to slot, number float64, parse func(string) float64) {
+func (r *yamlReader) checkRange(node *yaml.Node, to target, number float64, parse func(string) float64) {
 	for _, bound := range bounds {
 		text := to.tag.Get(bound.tag)
-		if text != "" && !bound.within(number, parse(text)) {
-			r.add(node, to.path, bound.words+text, "%s is out of range", node.Value)
+		if text != "" && !bound.isWithin(number, parse(text)) {
+			r.addDiagnostic(node, to.path, bound.description+text, "%s is out of range", node.Value)
 		}
 	}
 }
