--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -168,8 +168,7 @@
 		AbandonedCallTime: RoundUp(server.AbandonedCallTime),
 		LoadReportMode:    loadReportModeByName[server.LoadReport],
 		MaxIdleTime:       RoundDown(server.MaxIdle),
-		// Package admission stops only runs whose answer no client waits for any longer, so losing their progress does
-		// no harm.
+		// Package admission stops only runs whose answer no client waits for any longer.
 		CanStopRuns: server.Stop == stopDrop || server.Stop == stopPause,
 	}
 	if s.Limits.RetryAfter {
