--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -14,30 +14,30 @@
 	"thistlequay/internal/server"
 )
 
-// gossipSubsystem owns the gossip of this process. It is started once; of a section that changes while the server runs
-// only the keys take effect.
+// gossipSubsystem owns the gossip node of this process. The node is started once. If the section changes while the
+// server runs, only new keys take effect.
 type gossipSubsystem struct {
-	node     *gossip.Node
-	onServer *server.Gossip
+	node         *gossip.Node
+	serverGossip *server.Gossip
 }
 
-// close leaves the cluster within timeout and stops gossip, where it was started.
+// close leaves the cluster within timeout and stops the node, if it was started.
 func (g *gossipSubsystem) close(timeout time.Duration) {
 	if g.node != nil {
 		g.node.CloseWithin(timeout)
 	}
 }
 
-// messageHandlers deliver what other servers send, by the kind of message.
+// messageHandlers maps the kinds of messages from other servers to the functions that handle them.
 type messageHandlers map[byte]func(from membership.ID, text []byte)
 
-// configureGossip starts gossip where a section asks for it, or gives what runs its new keys. The handlers are those of
-// subsystems that are started with it.
+// configureGossip starts the gossip node if the section is present. If the node is already running, it only replaces
+// the keys. handlers receive the messages for subsystems that are started together with the node.
 func (d *daemon) configureGossip(
 	section *config.Gossip, serverConfig server.Config, handlers messageHandlers,
 ) (*server.Gossip, error) {
 	if section == nil {
-		return nil, nil // without a section there is no gossip, which is no error
+		return nil, nil // gossip is optional, so a missing section is not an error
 	}
 	keys, err := section.LoadKeys(d.config.ServiceFile)
 	if err != nil {
@@ -47,25 +47,25 @@
 		if err := d.gossip.node.RotateKeys(keys); err != nil {
 			return nil, err
 		}
-		return d.gossip.onServer, nil
+		return d.gossip.serverGossip, nil
 	}
-	onServer := &server.Gossip{}
-	gossipConfig := d.gossipConfig(section, serverConfig, onServer)
+	serverGossip := &server.Gossip{}
+	gossipConfig := d.gossipConfig(section, serverConfig, serverGossip)
 	gossipConfig.Keys = keys
 	gossipConfig.Handlers = handlers
 	node, err := gossip.Start(gossipConfig)
 	if err != nil {
 		return nil, fmt.Errorf("start gossip: %w", err)
 	}
-	onServer.Node = node
+	serverGossip.Node = node
 	d.gossip.node = node
-	d.gossip.onServer = onServer
-	return onServer, nil
+	d.gossip.serverGossip = serverGossip
+	return serverGossip, nil
 }
 
-// gossipConfig makes the configuration of gossip from its section.
+// gossipConfig returns the configuration of the gossip node, except its keys and handlers.
 func (d *daemon) gossipConfig(section *config.Gossip, serverConfig server.Config,
-	onServer *server.Gossip) gossip.Config {
+	serverGossip *server.Gossip) gossip.Config {
 	startedAt := time.Now().Add(d.config.ClockShift)
 	self := membership.ID{Name: serverConfig.Name, Incarnation: uint64(startedAt.UnixMicro())}
 	members := membership.DefaultConfig(self)
@@ -79,14 +79,15 @@
 		SeedAddresses:    section.SeedAddresses,
 		ClusterName:      section.FleetName,
 		Version:          shortRevision(),
-		SettingsDigest:   digestOfFiles(d.config.PlatformFile, d.config.ServiceFile),
-		OnChange:         onServer.ClusterChanged,
-		OnUsage:          onServer.UsageReported,
+		SettingsDigest:   digestFiles(d.config.PlatformFile, d.config.ServiceFile),
+		OnChange:         serverGossip.ClusterChanged,
+		OnUsage:          serverGossip.UsageReported,
 		OnMemberEvent:    d.logMemberEvent,
 		OnQuorumChange:   d.logQuorumChange,
 	}
 }
 
+// logMemberEvent logs a change of another server's state.
 func (d *daemon) logMemberEvent(
 	event string, id membership.ID, from, to membership.State, cause membership.Cause,
 ) {
@@ -94,25 +95,27 @@
 		Stringer("from", from).Stringer("to", to).Stringer("cause", cause).Send()
 }
 
+// logQuorumChange logs a change of the quorum status.
 func (d *daemon) logQuorumChange(status membership.QuorumStatus, members int, epoch uint64) {
 	d.log.Event("quorum_status").Stringer("status", status).Int("servers", members).Uint64("epoch", epoch).Send()
 }
 
-// serveStatus has the process answer the verbs members and shares at an address.
+// serveStatus serves the status at an address, where the subcommands members and shares query it.
 func (d *daemon) serveStatus(address string) error {
-	more := map[string]func() (any, error){}
+	extraPaths := map[string]func() (any, error){}
 	if d.quota.service != nil {
-		more[service.StatusPath] = d.quota.status
+		extraPaths[service.StatusPath] = d.quota.status
 	}
-	return d.gossip.node.ServeStatus(address, more)
+	return d.gossip.node.ServeStatus(address, extraPaths)
 }
 
-// digestOfFiles tells configurations apart by the bytes of their files. A file that cannot be read counts as empty.
-func digestOfFiles(files ...string) uint32 {
+// digestFiles returns a hash of the contents of files, by which operators see which servers run with different
+// settings. A file that cannot be read counts as empty.
+func digestFiles(files ...string) uint32 {
 	hash := xxh3.New()
 	for _, file := range files {
 		if text, err := os.ReadFile(file); err == nil {
-			_, _ = hash.Write(text) // a hash never fails to take bytes
+			_, _ = hash.Write(text) // Write of a hash never returns an error
 		}
 	}
 	return uint32(hash.Sum64())
--- a/internal/diagnostics/yaml_scalar.go
+++ b/internal/diagnostics/yaml_scalar.go
@@ -13,10 +13,10 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// readScalar reads a single value: a string, a boolean, a number or a span of time.
-func (r *yamlReader) readScalar(node *yaml.Node, to slot) {
+// readScalar decodes a string, a boolean, a number or a duration.
+func (r *yamlReader) readScalar(node *yaml.Node, to target) {
 	if node.Kind != yaml.ScalarNode {
-		r.add(node, to.path, "one value", "is a list or a section")
+		r.addDiagnostic(node, to.path, "one value", "is a list or a section")
 		return
 	}
 	switch {
@@ -33,65 +33,70 @@
 	}
 }
 
-func (r *yamlReader) readDuration(node *yaml.Node, to slot) {
+// readDuration decodes a duration with a unit.
+func (r *yamlReader) readDuration(node *yaml.Node, to target) {
 	duration, err := time.ParseDuration(node.Value)
 	if err != nil {
-		r.add(node, to.path, "a time with its unit, as in 250ms or 2s", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "a time with its unit, as in 250ms or 2s", "%q", node.Value)
 		return
 	}
 	to.value.SetInt(int64(duration))
 	r.checkRange(node, to, duration.Seconds(), durationBound)
 }
 
-func (r *yamlReader) readString(node *yaml.Node, to slot) {
+// readString decodes a string. Unquoted numbers and booleans are faults, because YAML does not read them as strings.
+func (r *yamlReader) readString(node *yaml.Node, to target) {
 	if node.Tag != "!!str" {
-		r.add(node, to.path, "text; quote it if that is meant", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "text; quote it if that is meant", "%q", node.Value)
 		return
 	}
 	to.value.SetString(node.Value)
 	accepted := strings.Fields(to.tag.Get("one"))
 	if len(accepted) > 0 && !slices.Contains(accepted, node.Value) {
-		r.add(node, to.path, "one of "+strings.Join(accepted, ", "), "%q", node.Value)
+		r.addDiagnostic(node, to.path, "one of "+strings.Join(accepted, ", "), "%q", node.Value)
 	}
 	if to.tag.Get("min") != "" && node.Value == "" {
-		r.add(node, to.path, "a name", "is empty")
+		r.addDiagnostic(node, to.path, "a name", "is empty")
 	}
 }
 
-func (r *yamlReader) readBool(node *yaml.Node, to slot) {
+// readBool decodes a boolean.
+func (r *yamlReader) readBool(node *yaml.Node, to target) {
 	if node.Tag != "!!bool" {
-		r.add(node, to.path, "true or false", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "true or false", "%q", node.Value)
 		return
 	}
 	to.value.SetBool(node.Value == "true")
 }
 
-func (r *yamlReader) readInt(node *yaml.Node, to slot) {
+// readInt decodes a decimal integer.
+func (r *yamlReader) readInt(node *yaml.Node, to target) {
 	number, err := strconv.ParseInt(node.Value, 10, 64)
 	if node.Tag != "!!int" || err != nil {
-		r.add(node, to.path, "a whole number", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "a whole number", "%q", node.Value)
 		return
 	}
 	to.value.SetInt(number)
 	r.checkRange(node, to, float64(number), numberBound)
 }
 
-func (r *yamlReader) readFloat(node *yaml.Node, to slot) {
+// readFloat decodes a finite number.
+func (r *yamlReader) readFloat(node *yaml.Node, to target) {
 	number, err := strconv.ParseFloat(node.Value, 64)
 	isNumber := node.Tag == "!!int" || node.Tag == "!!float"
 	if !isNumber || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		r.add(node, to.path, "a number", "%q", node.Value)
+		r.addDiagnostic(node, to.path, "a number", "%q", node.Value)
 		return
 	}
 	to.value.SetFloat(number)
 	r.checkRange(node, to, number, numberBound)
 }
 
-// bounds are the tags that bound a number, what they say and whether a number is within.
+// bounds lists the tags that limit a number, each with its description in diagnostics and its condition.
 var bounds = []struct {
-	tag    string
-	words  string
-	within func(number, bound float64) bool
+	tag         string
+	description string
+	isWithin    func(number, bound float64) bool
 }{
 	{"min", "at least ", func(number, bound float64) bool { return number >= bound }},
 	{"over", "more than ", func(number, bound float64) bool { return number > bound }},
@@ -99,23 +104,25 @@
 	{"under", "less than ", func(number, bound float64) bool { return number < bound }},
 }
 
-// checkRange holds a number against the bounds of its field; parse reads a bound in the unit of the number.
-func (r *yamlReader) checkRange(node *yaml.Node, to slot, number float64, parse func(string) float64) {
+// checkRange checks a number against the bounds in the tags of its field. parse converts a bound to the unit of number.
+func (r *yamlReader) checkRange(node *yaml.Node, to target, number float64, parse func(string) float64) {
 	for _, bound := range bounds {
 		text := to.tag.Get(bound.tag)
-		if text != "" && !bound.within(number, parse(text)) {
-			r.add(node, to.path, bound.words+text, "%s is out of range", node.Value)
+		if text != "" && !bound.isWithin(number, parse(text)) {
+			r.addDiagnostic(node, to.path, bound.description+text, "%s is out of range", node.Value)
 		}
 	}
 }
 
-// durationBound parses a bound in seconds. Tags are written by us: one that can't be parsed counts as 0.
+// durationBound parses a bound and returns it in seconds. Tags are part of the program, so errors are not reported; an
+// invalid bound counts as 0.
 func durationBound(text string) float64 {
 	bound, _ := time.ParseDuration(text)
 	return bound.Seconds()
 }
 
-// numberBound parses a bound without a unit. Tags are written by us: one that can't be parsed counts as 0.
+// numberBound parses a bound without a unit. Tags are part of the program, so errors are not reported; an invalid bound
+// counts as 0.
 func numberBound(text string) float64 {
 	bound, _ := strconv.ParseFloat(text, 64)
 	return bound
