--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts admission servers for the simulator, on standard input and output.
+// Command adapter runs admission servers for the simulator, which it talks to over standard input and output.
 package main
 
 import (
--- a/cmd/thistlequay/main.go
+++ b/cmd/thistlequay/main.go
@@ -1,4 +1,5 @@
-// Command thistlequay is one app server and the tools around it; internal/command has its verbs and exit codes.
+// Command thistlequay runs an app server and provides tools for operating it. Package internal/command implements its
+// subcommands and defines the exit codes.
 package main
 
 import (
--- a/internal/command/chart.go
+++ b/internal/command/chart.go
@@ -13,23 +13,24 @@
 	"github.com/guptarohit/asciigraph"
 )
 
-// Size of a chart in characters.
+// Size of a chart in characters. The width is the number of samples per line.
 const (
 	chartWidth  = 100
 	chartHeight = 20
 )
 
-// quotaLine matches the line that a server logs when its quota of calls changes. The event was named share before it
-// was named quota.
+// quotaLine matches the log line that a server writes when its quota of downstream calls changes. It also accepts the
+// event name share, which older versions logged instead of quota.
 var quotaLine = regexp.MustCompile(`^(\S+) .*event=(?:quota|share) .*limit=calls .*usable=([0-9.]+)`)
 
-// quotaPoint is one change of the quota that a server may use.
+// quotaPoint is the quota that a server may use from a point in time until its next change.
 type quotaPoint struct {
 	at     time.Time
 	usable float64
 }
 
-// chartQuotas draws each log as a line of what its server could use, over the time that all logs span.
+// chartQuotas draws a chart with one line for each log: the quota that the server could use over time. The time axis
+// runs from the first to the last change in any of the logs.
 func chartQuotas(files []string, out io.Writer) error {
 	var series [][]quotaPoint
 	var first, last time.Time
@@ -49,7 +50,7 @@
 		series = append(series, points)
 	}
 	if first.IsZero() {
-		return fmt.Errorf("no line event=quota in %s", strings.Join(files, ", "))
+		return fmt.Errorf("no log line with event=quota in %s", strings.Join(files, ", "))
 	}
 	lines := make([][]float64, len(series))
 	for i, points := range series {
@@ -62,13 +63,13 @@
 	return err
 }
 
-// readQuotaPoints reads the changes of the quota from one log in text format. Other lines are skipped.
+// readQuotaPoints reads the quota changes from one log in text format. It skips all other lines.
 func readQuotaPoints(file string) ([]quotaPoint, error) {
 	in, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close() //nolint:errcheck // only read
+	defer in.Close() //nolint:errcheck // the file is only read
 	var points []quotaPoint
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		match := quotaLine.FindStringSubmatch(lines.Text())
@@ -84,7 +85,7 @@
 	return points, nil
 }
 
-// sampleQuota returns the quota at each column of the chart.
+// sampleQuota returns the quota at the time of each chart column. It is 0 before the first point.
 func sampleQuota(points []quotaPoint, first time.Time, span time.Duration) []float64 {
 	samples := make([]float64, chartWidth)
 	for column := range samples {
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -10,12 +10,13 @@
 	"thistlequay/internal/server"
 )
 
-// checkCommand is the verb check: it reads files as the server would and prints every fault.
+// checkCommand implements the check command, which reads configuration files as the server does and prints every
+// diagnostic.
 type checkCommand struct {
 	Files []string `arg:"" name:"FILE" help:"The platform's end in .json, ours in .yaml or .yml."`
 }
 
-// Run prints a line for each fault and a summary.
+// Run prints one line for each diagnostic and a summary. It returns an error if there is any diagnostic.
 func (c *checkCommand) Run(out io.Writer) error {
 	checker := fileChecker{out: out}
 	for _, file := range c.Files {
@@ -30,14 +31,15 @@
 	return nil
 }
 
-// fileChecker collects what was read without a fault, and counts faults.
+// fileChecker reads files, keeps the valid ones, and prints and counts the diagnostics of the others.
 type fileChecker struct {
 	out      io.Writer
 	faults   int
-	platform []server.Config
-	own      []*config.Config
+	platform []server.Config  // valid configurations of the platform
+	own      []*config.Config // valid service settings
 }
 
+// check reads one file. The extension of its name decides whether it is a platform configuration or service settings.
 func (f *fileChecker) check(file string) {
 	switch {
 	case strings.HasSuffix(file, ".json"):
@@ -59,7 +61,7 @@
 	}
 }
 
-// checkTogether checks each of our files against each of the platform's.
+// checkTogether validates each file of service settings against each platform configuration.
 func (f *fileChecker) checkTogether() {
 	for _, platform := range f.platform {
 		for _, own := range f.own {
@@ -68,7 +70,7 @@
 	}
 }
 
-// accept prints what is wrong and reports whether nothing is.
+// accept prints and counts the diagnostics of err. It reports whether err is nil.
 func (f *fileChecker) accept(err error) bool {
 	for _, found := range diagnostics.FromError(err) {
 		f.faults++
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,7 +1,8 @@
-// Package command is the command line of thistlequay: one app server and the tools around it, one file a verb.
+// Package command implements the command line of thistlequay, which runs an app server and provides tools for operating
+// it. Each command has a file of its own.
 //
-// Exit codes: 0 when all went well; 1 when the server could not start or failed, or a file has faults; 2 when the
-// command line is wrong. The server never runs with a configuration that it did not understand.
+// The exit code is 0 on success, 1 if the server could not start, the command failed or a file is invalid, and 2 if the
+// command line is invalid. The server never runs with a configuration that it could not parse and validate completely.
 package command
 
 import (
@@ -18,11 +19,11 @@
 
 // Exit codes of the program; 0 is success.
 const (
-	ExitFailed = 1 // the server could not start or failed, or a file has faults
-	ExitUsage  = 2 // the command line is wrong
+	ExitFailed = 1 // the server could not start, the command failed or a file is invalid
+	ExitUsage  = 2 // the command line is invalid
 )
 
-// commandLine is the grammar of the command line; the tags are read by kong.
+// commandLine defines the commands of the program. Kong derives the command line parser from the struct tags.
 type commandLine struct {
 	Serve   serveCommand   `cmd:"" default:"withargs" help:"${serveHelp}"`
 	Check   checkCommand   `cmd:"" help:"Check files, the platform's JSON and our YAML, and report each fault."`
@@ -42,8 +43,8 @@
 a graceful shutdown, SIGHUP reads the files again. Exit codes: 0 all went well, 1 it could not start, failed or found
 faults, 2 the command line is wrong.`
 
-// Main carries out the command line of this process and returns the exit code. A process that was started as a plug-in
-// host, with nothing but plugin.HostVerb, becomes one.
+// Main runs the command line of this process and returns the exit code. If plugin.HostVerb is the only argument, the
+// process serves as a plug-in host instead.
 func Main() int {
 	startedAsPluginHost := len(os.Args) == 2 && os.Args[1] == plugin.HostVerb
 	if !startedAsPluginHost {
@@ -55,7 +56,8 @@
 	return 0
 }
 
-// Run carries out one command line and returns the exit code.
+// Run parses and runs one command line and returns the exit code. The arguments do not include the program name. Output
+// goes to out and errors go to errs.
 func Run(args []string, out, errs io.Writer) int {
 	const notExited = -1
 	helpExit := notExited
@@ -68,7 +70,7 @@
 		return ExitUsage
 	}
 	parsed, err := parser.Parse(args)
-	if helpExit != notExited { // --help has been answered
+	if helpExit != notExited { // kong has printed the help text
 		return helpExit
 	}
 	if err != nil {
@@ -86,11 +88,12 @@
 	return ExitFailed
 }
 
-// errAlreadyReported is a failure whose reasons have been printed.
+// errAlreadyReported is returned by commands that have already printed the reasons for their failure.
 var errAlreadyReported = errors.New("already reported")
 
-// printf writes to a terminal or pipe; when that fails there is nobody left to tell.
+// printf writes formatted text to the output of a command. It ignores write errors, because there is no other place to
+// report them.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
-// printLine is printf for one value and a line end.
+// printLine writes a value and a newline. It ignores write errors, as printf does.
 func printLine(out io.Writer, value any) { _, _ = fmt.Fprintln(out, value) }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -13,8 +13,9 @@
 	"thistlequay/internal/servertest"
 )
 
-// Help and versions exit with 0, wrong arguments with command.ExitUsage and files that cannot be checked with
-// command.ExitFailed; each says what is expected or wrong.
+// TestCommandLineExitCodesAndMessages checks that help and version exit with 0, invalid arguments with
+// command.ExitUsage and files that cannot be checked with command.ExitFailed, and that the output says what is expected
+// or wrong.
 func TestCommandLineExitCodesAndMessages(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	for line, want := range map[string]struct {
@@ -38,8 +39,8 @@
 	}
 }
 
-// runCheck runs the command check on a configuration (c in the output) and settings of ours (s in the output), and
-// returns its exit code and output.
+// runCheck runs the check command on a platform configuration and service settings. It returns the exit code and the
+// output, in which the paths of the two files are replaced by c and s.
 func runCheck(t *testing.T, config, service string) (int, string) {
 	t.Helper()
 	configPath := filepath.Join(t.TempDir(), "c.json")
@@ -51,7 +52,8 @@
 	return code, strings.NewReplacer(configPath, "c", servicePath, "s").Replace(out.String())
 }
 
-// The command check reports every diagnostic of both files at once, each with its source position.
+// TestCheckReportsEveryDiagnosticWithItsPlace checks that the check command reports the diagnostics of all files in one
+// run, each with its source position.
 func TestCheckReportsEveryDiagnosticWithItsPlace(t *testing.T) {
 	config := servertest.New(t).Config
 	t.Run("valid files", func(t *testing.T) {
@@ -85,7 +87,7 @@
 	})
 }
 
-// With --log json the program writes its log events as JSON.
+// TestServeWritesJSONLog checks that the server writes its log events as JSON with --log json.
 func TestServeWritesJSONLog(t *testing.T) {
 	server := servertest.New(t)
 	server.Args = []string{"serve", "--log", "json"}
--- a/internal/command/deploy_file_test.go
+++ b/internal/command/deploy_file_test.go
@@ -18,7 +18,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// deployFile returns the values of deploy/balancer.toml by their keys, without quotes; of a key's values the first.
+// deployFile returns the values in deploy/balancer.toml by key, without quotes. If a key occurs more than once, its
+// first value counts.
 func deployFile(t *testing.T, root string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
@@ -48,20 +49,22 @@
 	require.True(t, slices.ContainsFunc(program.Progs, isInterpreter))
 }
 
-// requireNoChildren fails the test where a thread of the process, whose folder in /proc is given, has started another.
+// requireNoChildren fails the test if a thread of a process has child processes. The process is given by its directory
+// in /proc.
 func requireNoChildren(t *testing.T, process string) {
 	t.Helper()
 	lists, err := filepath.Glob(process + "/task/*/children")
 	require.NoError(t, err)
 	for _, list := range lists {
 		children, err := os.ReadFile(list)
-		if err == nil { // the thread may have ended
+		if err == nil { // the thread may have exited since the directory was listed
 			require.Empty(t, bytes.TrimSpace(children))
 		}
 	}
 }
 
-// requireNoFileOpenForWriting fails the test where the process, whose folder in /proc is given, has one.
+// requireNoFileOpenForWriting fails the test if a process has a file open for writing, other than /dev/null. The
+// process is given by its directory in /proc.
 func requireNoFileOpenForWriting(t *testing.T, process string) {
 	t.Helper()
 	descriptors, err := os.ReadDir(process + "/fd")
@@ -69,19 +72,20 @@
 	for _, descriptor := range descriptors {
 		path, err := os.Readlink(filepath.Join(process, "fd", descriptor.Name()))
 		if err != nil || !strings.HasPrefix(path, "/") || path == "/dev/null" {
-			continue // a socket, a pipe, an event
+			continue // closed meanwhile, not a file (a socket, a pipe or an event descriptor), or /dev/null
 		}
 		info, err := os.ReadFile(filepath.Join(process, "fdinfo", descriptor.Name()))
 		require.NoError(t, err)
 		_, flags, _ := strings.Cut(string(info), "flags:")
 		mode := strings.Fields(flags)[0]
-		// The lower two bits of the last octal digit are the access mode: 0, read only.
+		// The access mode is in the lower two bits of the last octal digit. It is 0, read only, for the digits 0 and 4.
 		require.Contains(t, "04", mode[len(mode)-1:], "%s is open for writing", path)
 	}
 }
 
-// The build command of the deploy file makes a program that is dynamically linked against the C library. Its run
-// command leaves one process, which starts no other and opens no file for writing.
+// TestDeployFileBuildsAndRunsOneReadOnlyProcess checks that the build command of the deploy file produces a program
+// that is dynamically linked against the C library, and that the run command results in a single process that has no
+// child processes and no file open for writing.
 func TestDeployFileBuildsAndRunsOneReadOnlyProcess(t *testing.T) {
 	server := servertest.New(t)
 	root, err := filepath.Abs("../..")
@@ -107,8 +111,8 @@
 	run.Env = append(os.Environ(), "PROXY_CONFIG="+server.Path, "TMPDIR="+t.TempDir())
 	server.NoError(run.Start())
 	t.Cleanup(func() {
-		_ = run.Process.Kill() // it fails where the process has ended
-		_ = run.Wait()         // the process was killed
+		_ = run.Process.Kill() // fails if the process has already exited
+		_ = run.Wait()         // the process was killed, so its exit status says nothing
 	})
 	interpreter := server.NextInterpreterLink(0)
 	server.ReadLine(interpreter.Link)
@@ -118,7 +122,7 @@
 	process := filepath.Join("/proc", strconv.Itoa(run.Process.Pid))
 	name, err := os.Readlink(process + "/exe")
 	server.NoError(err)
-	server.Equal("thistlequay", filepath.Base(name)) // the shell has replaced itself by the program
+	server.Equal("thistlequay", filepath.Base(name)) // exec has replaced the shell with the program
 	requireNoChildren(t, process)
 	requireNoFileOpenForWriting(t, process)
 }
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -23,21 +23,21 @@
 	"thistlequay/internal/servertest"
 )
 
-// Parts of the output that differ from run to run.
+// Patterns for the parts of the output that differ from run to run.
 var (
 	serverAddress   = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 	timeOrMemory    = regexp.MustCompile(`"(took_us|memory_kb)":\d+`)
 	durationForUser = regexp.MustCompile(`-?[\d.]+(h|m|s|ms|µs)([\d.]+(m|s))*\b`)
 )
 
-// wholeNumber is a number in a text for people.
+// wholeNumber matches a whole number in human-readable output.
 var wholeNumber = regexp.MustCompile(`\b\d+\b`)
 
-// commandOutputs runs commands and has their exit codes and what they print, as the golden file does.
+// commandOutputs runs commands and collects their exit codes and output in the format of the golden file.
 type commandOutputs struct {
 	bytes.Buffer
 	t         *testing.T
-	directory string // for input files
+	directory string // for the input files of commands
 }
 
 // writeFile writes an input file and returns its path.
@@ -48,14 +48,14 @@
 	return path
 }
 
-// writeModule writes the plug-in that emulator.PluginModule has under this name and returns its path.
+// writeModule writes the plug-in module of a kind that emulator.PluginModule knows, and returns its path.
 func (o *commandOutputs) writeModule(name string) string {
 	o.t.Helper()
 	return o.writeFile(name+".wasm", string(emulator.PluginModule(name)))
 }
 
-// runCommand writes down the arguments and the exit code of a command. It returns what the command printed, without
-// what differs from run to run: the directory, server addresses, times and memory.
+// runCommand runs a command and records its arguments and exit code. It returns what the command printed to standard
+// output. Placeholders replace what differs from run to run: the directory, server addresses, times and memory.
 func (o *commandOutputs) runCommand(args ...string) string {
 	o.t.Helper()
 	var out, errs bytes.Buffer
@@ -66,7 +66,8 @@
 	return timeOrMemory.ReplaceAllString(printed, `"$1":0`)
 }
 
-// runCheck writes down the diagnostics of files sorted by their text: some come in no fixed order.
+// runCheck runs the check command and records its output with the lines sorted, because the order of some diagnostics
+// is not deterministic.
 func (o *commandOutputs) runCheck(files ...string) {
 	o.t.Helper()
 	printed := o.runCommand(append([]string{"check"}, files...)...)
@@ -75,19 +76,20 @@
 	fmt.Fprintln(&o.Buffer, strings.Join(lines, "\n"))
 }
 
-// runAndWriteNumbers runs a command and writes down the whole numbers that it prints, without durations.
+// runAndWriteNumbers runs a command and records only the whole numbers in its output. Numbers in durations are omitted.
 func (o *commandOutputs) runAndWriteNumbers(args ...string) {
 	o.t.Helper()
 	text := durationForUser.ReplaceAllString(o.runCommand(args...), "")
 	fmt.Fprintln(&o.Buffer, wholeNumber.FindAllString(text, -1))
 }
 
-// goldenConfig is a valid configuration.
+// goldenConfig is a valid platform configuration.
 const goldenConfig = `{"name":"n3","listen":"127.0.0.1:8443","vm":"127.0.0.1:1","lookup":"127.0.0.1:2",` +
 	`"index":"127.0.0.1:3","seed":"8c1f30d27a5be964",
 "stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":64},"settings":` + servertest.PlatformSettings + "}"
 
-// What the status endpoints of a server answer in the golden test; every number is another.
+// Responses of the server's status endpoints in the golden test. All numbers in a response are different, so that the
+// golden file shows when fields are mixed up.
 const (
 	membersAnswer = `{"name":"n1","life":"0000000000000001","standing":"whole","since_ms":2,"until_ms":3,"epoch":4,` +
 		`"voters":["n1","n2"],"agreed":5,"size":6,
@@ -103,8 +105,8 @@
 "servers":[{"server":"s","amount":14,"counts":15,"wants":16,"left_ms":17,"heard_ms":18}]}]}`
 )
 
-// The exit code and output of every command, as far as they depend on nothing but its input, are as in the golden
-// file.
+// TestGoldenOutputs compares the exit codes and the output of the commands with a golden file. It leaves out output
+// that depends on anything but the input of the command.
 func TestGoldenOutputs(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	o := &commandOutputs{t: t, directory: t.TempDir()}
@@ -115,7 +117,8 @@
 	golden.Check(t, "outputs.txt", o.Bytes())
 }
 
-// runCheckCommands checks valid files, files of no known kind, and configurations with one to three faults.
+// runCheckCommands runs the check command on valid files, invalid service settings, a file with an unknown extension, a
+// file that does not exist, and configurations with one to five faults.
 func (o *commandOutputs) runCheckCommands() {
 	o.t.Helper()
 	config := o.writeFile("good.json", goldenConfig)
@@ -146,12 +149,13 @@
 	}
 }
 
-// runStatusCommands asks a server for its members and its shares, and for the shares without an address.
+// runStatusCommands runs the members and shares commands against a test server, and the shares command without an
+// address.
 func (o *commandOutputs) runStatusCommands() {
 	o.t.Helper()
 	answers := map[string]string{"/members": membersAnswer, "/shares": sharesAnswer}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = w.Write([]byte(answers[r.URL.Path])) // a command that does not get it fails the golden test
+		_, _ = w.Write([]byte(answers[r.URL.Path])) // if the write fails, the output differs from the golden file
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
@@ -160,7 +164,8 @@
 	o.runCommand("shares")
 }
 
-// runPluginCommands checks plug-ins and runs each hook of others.
+// runPluginCommands runs plugin check on valid and invalid modules, and plugin run on modules with each hook and with
+// an unknown hook.
 func (o *commandOutputs) runPluginCommands() {
 	o.t.Helper()
 	for _, kind := range []string{"good", "other-version", "foreign", "truncated"} {
@@ -175,8 +180,8 @@
 	}
 }
 
-// runStoreCommands has a store compacted while it is open, then inspected, verified, compacted, inspected again, and
-// verified with one byte changed; and a directory verified that does not exist.
+// runStoreCommands compacts a store while it is open, and inspects, verifies, compacts and inspects it after it is
+// closed. It then verifies the store with one byte changed, and a directory that does not exist.
 func (o *commandOutputs) runStoreCommands() {
 	o.t.Helper()
 	directory := filepath.Join(o.directory, "store")
@@ -195,12 +200,12 @@
 	o.runCommand("store", "verify", filepath.Join(o.directory, "nowhere"))
 }
 
-// deduplicationWindow is that of the records in the store, in milliseconds: long enough to be open throughout the
-// test.
+// deduplicationWindow is the deduplication window of the records in the store, in ticks. One hour is long enough that
+// it does not end during the test.
 const deduplicationWindow = 36_000_000
 
-// writeStore writes a store with the records of four keys: one without an outcome, one that succeeded, one that failed
-// and one that was cancelled. It calls whileOpen before it closes the store.
+// writeStore writes a store with the records of four idempotency keys: one without an outcome, one that succeeded, one
+// that failed and one that was cancelled. It calls whileOpen before it closes the store.
 func (o *commandOutputs) writeStore(directory string, whileOpen func()) {
 	o.t.Helper()
 	files, err := segmentlog.OpenDirectory(directory)
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -13,14 +13,14 @@
 	"thistlequay/internal/gossip"
 )
 
-// membersCommand is the verb members: it shows the cluster view of a running server and never changes anything there.
+// membersCommand implements the members command, which shows the cluster view of a running server. It only reads.
 type membersCommand struct {
 	Address string `arg:"" help:"The status address of the server, from its peers section."`
 	JSON    bool   `help:"Print JSON."`
 	Watch   bool   `help:"Keep showing it, until q."`
 }
 
-// Run prints the view once, or shows it until the user quits.
+// Run prints the cluster view once or, with --watch, displays it until the user quits.
 func (m *membersCommand) Run(out io.Writer) error {
 	if m.Watch {
 		_, err := tea.NewProgram(&liveView{address: m.Address}, tea.WithOutput(out)).Run()
@@ -44,18 +44,19 @@
 	return encoder.Encode(value)
 }
 
-// liveView is the model of the live view (bubbletea): it fetches the status each second.
+// liveView is the bubbletea model of --watch. It fetches the status again one second after each response or error.
 type liveView struct {
 	address string
-	text    string
+	text    string // the latest status or error as text; empty before the first fetch ends
 }
 
-// fetchedStatus is the message that carries one answer of the server.
+// fetchedStatus is the bubbletea message that carries the result of one fetch.
 type fetchedStatus struct {
 	status gossip.Status
 	err    error
 }
 
+// fetch requests the status from the server and returns a fetchedStatus.
 func (v *liveView) fetch() tea.Msg {
 	status, err := gossip.FetchStatus(v.address)
 	return fetchedStatus{status, err}
@@ -86,7 +87,7 @@
 // View implements tea.Model.
 func (v *liveView) View() string { return v.text + "q quits\n" }
 
-// renderMembers draws a status as text.
+// renderMembers formats a status as text: a summary line, a table of the members and a line of rejection counts.
 func renderMembers(status gossip.Status) string {
 	var b strings.Builder
 	printf(&b, "%s: %s for %s; configuration %d of %d members, voters %s; %d servers expected\n",
@@ -110,7 +111,8 @@
 	return b.String()
 }
 
-// formatSpan prints milliseconds as people read them; a negative span is one that never began.
+// formatSpan formats a number of milliseconds as a duration rounded to 100 ms. It returns "never" for a negative
+// number, which stands for an event that has not happened.
 func formatSpan(ms int64) string {
 	if ms < 0 {
 		return "never"
--- a/internal/command/plugin.go
+++ b/internal/command/plugin.go
@@ -13,13 +13,13 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// pluginCommand is the verb plugin: what an author of plug-ins needs before a server runs the module.
+// pluginCommand implements the plugin command, with which authors of plug-ins test a module before a server loads it.
 type pluginCommand struct {
 	Check pluginCheckCommand `cmd:"" help:"Compile a module, start it and ask its version, as a server would."`
 	Run   pluginRunCommand   `cmd:"" help:"Ask a module about one request and print its verdict, time and memory."`
 }
 
-// moduleLimits are the limits under which a module is run.
+// moduleLimits holds the flags for the engine, the resource limits and the hooks of the module under test.
 type moduleLimits struct {
 	Engine   string        `enum:"interpreter,compiler" default:"interpreter" help:"How it is run: ${enum}."`
 	MemoryKB int           `name:"memory-kb" default:"4096" help:"Memory of an instance."`
@@ -29,16 +29,17 @@
 	Hooks    []string      `default:"read" enum:"read,result,tick" help:"What it is to be asked: ${enum}."`
 }
 
-// maxStateKB bounds the state that a module may keep while it is tried.
+// maxStateKB is the maximum state in KB that the module under test may keep.
 const maxStateKB = 64
 
-// hookNumbers are the hooks of the plug-in interface by their names.
+// hookNumbers maps the names of hooks on the command line to their numbers in the plug-in ABI.
 var hookNumbers = map[string]int{
 	"read":   abi.HookRead,
 	"result": abi.HookResult,
 	"tick":   abi.HookTick,
 }
 
+// moduleConfig returns the configuration for loading the module in a file with these limits.
 func (l *moduleLimits) moduleConfig(file string) plugin.ModuleConfig {
 	c := plugin.ModuleConfig{
 		Name:         file,
@@ -55,13 +56,13 @@
 	return c
 }
 
-// pluginCheckCommand is the verb plugin check.
+// pluginCheckCommand implements the plugin check command.
 type pluginCheckCommand struct {
 	moduleLimits `embed:""`
 	File         string `arg:"" name:"FILE" help:"The module."`
 }
 
-// Run loads the module once.
+// Run loads the module without calling its hooks, and prints its SHA-256 hash, startup time and memory.
 func (c *pluginCheckCommand) Run(out io.Writer) error {
 	trial, err := plugin.Check(c.moduleConfig(c.File))
 	if err != nil {
@@ -72,7 +73,7 @@
 	return err
 }
 
-// pluginRunCommand is the verb plugin run.
+// pluginRunCommand implements the plugin run command.
 type pluginRunCommand struct {
 	moduleLimits `embed:""`
 	File         string `arg:"" name:"FILE" help:"The module."`
@@ -80,14 +81,15 @@
 	Times        int    `default:"1" help:"How often it is asked."`
 }
 
-// sampleRequest is the file that describes the request a module is asked about.
+// sampleRequest is the JSON content of the --request file, which describes the request that the module is called with.
 type sampleRequest struct {
 	Hook                        string `json:"hook"`
 	TimeLeftMS                  uint32 `json:"left_ms"`
 	Category, Tenant, Tag, Body string
 }
 
-// Run asks the module and prints its verdict as JSON.
+// Run calls the module with the sample request and prints the verdict of the last call as JSON, with the longest call
+// and the memory.
 func (c *pluginRunCommand) Run(out io.Writer) error {
 	request, err := c.readRequest()
 	if err != nil {
@@ -110,7 +112,7 @@
 	})
 }
 
-// readRequest reads the sample request; its hook is added to those that the module is to have.
+// readRequest reads the sample request and adds its hook to the hooks that the module must implement.
 func (c *pluginRunCommand) readRequest() (*abi.Request, error) {
 	text, err := os.ReadFile(c.Request)
 	if err != nil {
@@ -141,7 +143,8 @@
 	}, nil
 }
 
-// describeActions lists what a verdict does, by the words of the command's output.
+// describeActions returns the names of the actions in a verdict, separated by spaces, or "nothing". The names are part
+// of the command's output format.
 func describeActions(actions int) string {
 	var words []string
 	for _, action := range []struct {
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -8,7 +8,7 @@
 	"thistlequay/internal/logs"
 )
 
-// serveCommand is the verb serve: it runs one app server until a graceful shutdown has been carried out.
+// serveCommand implements the serve command, which runs one app server.
 type serveCommand struct {
 	Config     string        `env:"PROXY_CONFIG" placeholder:"FILE" help:"The platform's configuration, JSON."`
 	Service    string        `env:"THISTLEQUAY_SERVICE" placeholder:"FILE" help:"Our own settings, YAML."`
@@ -16,7 +16,7 @@
 	Log        logs.Format   `enum:"text,json" default:"text" help:"Format of log lines: ${enum}."`
 }
 
-// Run serves until a graceful shutdown has been carried out.
+// Run serves requests until a graceful shutdown has completed.
 func (s *serveCommand) Run() error {
 	return daemon.Run(daemon.Config{
 		PlatformFile: s.Config,
--- a/internal/command/shares.go
+++ b/internal/command/shares.go
@@ -12,20 +12,21 @@
 	"thistlequay/internal/quota/service"
 )
 
-// sharesCommand is the verb shares: it shows who holds the fleet's quotas and never changes anything there.
+// sharesCommand implements the shares command, which shows the quota leases of a cluster as known to a running server,
+// or charts quotas from logs. It only reads.
 type sharesCommand struct {
 	Address string   `arg:"" optional:"" help:"The status address of the server, from its peers section."`
 	JSON    bool     `help:"Print JSON."`
 	Chart   []string `placeholder:"LOG" type:"existingfile" help:"Chart quotas over time from logs in text format."`
 }
 
-// Run prints who holds what, or charts it.
+// Run prints the limits and leases that the server reports or, with --chart, a chart of the quotas in the logs.
 func (c *sharesCommand) Run(out io.Writer) error {
 	if len(c.Chart) > 0 {
 		return chartQuotas(c.Chart, out)
 	}
 	if c.Address == "" {
-		return errors.New("an address to ask, or --chart with logs")
+		return errors.New("expected the status address of a server, or --chart with log files")
 	}
 	var status service.Status
 	if err := gossip.FetchJSON(c.Address, service.StatusPath, &status); err != nil {
@@ -38,7 +39,8 @@
 	return err
 }
 
-// renderQuotas draws a status as text, with a table of the leases where the server is a coordinator.
+// renderQuotas formats a status as text. If the server is a voter, the text includes a table of the leases of each
+// limit.
 func renderQuotas(status service.Status) string {
 	var b strings.Builder
 	voters := strings.Join(status.Voters, " ")
@@ -66,6 +68,7 @@
 	return b.String()
 }
 
+// coordinatorRole describes the role of the server among the voters of the coordinators' log.
 func coordinatorRole(status service.Status) string {
 	switch {
 	case status.IsLeader:
@@ -76,7 +79,8 @@
 	return "is no keeper"
 }
 
-// coordinatorDoubt says why a coordinator grants nothing now; empty where it may grant.
+// coordinatorDoubt returns the reason why a coordinator grants no leases at present. It returns an empty string if
+// there is none.
 func coordinatorDoubt(status service.Status) string {
 	switch {
 	case !status.HasQuorum && status.IsLeader:
@@ -87,6 +91,7 @@
 	return ""
 }
 
+// renderLeases formats leases as a table.
 func renderLeases(leases []quota.StatusRow) string {
 	units := func(amount quota.Amount) float64 { return float64(amount) / float64(quota.Unit) }
 	t := table.NewWriter()
--- a/internal/command/store.go
+++ b/internal/command/store.go
@@ -10,21 +10,23 @@
 	"thistlequay/timeunit"
 )
 
-// storeCommand is the verb store: what lies in a store and what a server that starts now would conclude from it.
+// storeCommand implements the store command, which reads or compacts the idempotency records in a store. It shows the
+// state that a server started now would recover from them.
 type storeCommand struct {
 	Inspect storeInspectCommand `cmd:"" help:"List what a start now would conclude. Only reads."`
 	Verify  storeVerifyCommand  `cmd:"" help:"Find corruption; exit code 1 where records may be lost. Only reads."`
 	Compact storeCompactCommand `cmd:"" help:"Keep only what retries may still need. The server must be down."`
 }
 
-// storeArguments are those that all verbs of the store have.
+// storeArguments holds the arguments that all store commands have.
 type storeArguments struct {
 	Directory string        `arg:"" name:"DIR" help:"The directory of the store."`
 	Window    time.Duration `default:"60s" help:"The longest window of the settings."`
 	Doubt     time.Duration `default:"1m" help:"As clock_doubt in the settings."`
 }
 
-// analysis is what a server that starts now would make of the store, with room for every outcome.
+// analysis returns an empty analysis for crash recovery at the time now. Unlike a server, it does not limit the number
+// of outcomes, so that none is left out of the report.
 func (a *storeArguments) analysis(now recovery.ClockReading) *recovery.Analysis {
 	const unlimited = 1 << 30
 	return recovery.NewAnalysis(recovery.Config{
@@ -34,10 +36,11 @@
 	}, now)
 }
 
-// recordVisitor is called with the file, the offset in it and the content of each record.
+// recordVisitor is called for each record with its file and its offset in that file.
 type recordVisitor = func(file string, offset int64, record *recovery.Record)
 
-// scan reads the store, prints its corruption and a summary.
+// scan reads the store and prints each corruption that it finds and a summary. It calls visit, unless that is nil, for
+// each record.
 func (a *storeArguments) scan(
 	out io.Writer, now recovery.ClockReading, visit recordVisitor,
 ) (segmentlog.ScanResult, error) {
@@ -59,13 +62,13 @@
 	return result, nil
 }
 
-// storeInspectCommand is the verb store inspect.
+// storeInspectCommand implements the store inspect command.
 type storeInspectCommand struct {
 	storeArguments `embed:""`
 	All            bool `help:"Each record, not only what is concluded."`
 }
 
-// recordNames are how records are listed, by kind.
+// recordNames maps each kind of record to its name in the output of store inspect.
 var recordNames = map[recovery.RecordKind]string{
 	recovery.KindIntent:       "intent",
 	recovery.KindCompletion:   "result",
@@ -74,7 +77,7 @@
 	recovery.KindWarmStart:    "learnt",
 }
 
-// Run lists what a start now would conclude.
+// Run lists the outcomes that a server started now would recover and, with --all, every record.
 func (i *storeInspectCommand) Run(out io.Writer) error {
 	now := segmentlog.MachineClock()
 	result, err := i.scan(out, now, func(file string, offset int64, record *recovery.Record) {
@@ -94,7 +97,7 @@
 	return nil
 }
 
-// retryGets says what becomes of a retry of a request with a known outcome.
+// retryGets describes how the server answers a retry of a request with the given outcome.
 func retryGets(outcome recovery.Outcome) string {
 	switch {
 	case !outcome.Completed:
@@ -105,12 +108,12 @@
 	return fmt.Sprintf("gets the kept result, %d bytes", len(outcome.Result))
 }
 
-// storeVerifyCommand is the verb store verify.
+// storeVerifyCommand implements the store verify command.
 type storeVerifyCommand struct {
 	storeArguments `embed:""`
 }
 
-// Run fails where durable records may be lost.
+// Run prints the corruption in the store. It returns an error if durable records may have been lost.
 func (v *storeVerifyCommand) Run(out io.Writer) error {
 	result, err := v.scan(out, segmentlog.MachineClock(), nil)
 	if err != nil {
@@ -124,18 +127,18 @@
 	return nil
 }
 
-// storeCompactCommand is the verb store compact.
+// storeCompactCommand implements the store compact command.
 type storeCompactCommand struct {
 	storeArguments `embed:""`
 }
 
-// Run compacts the store.
+// Run compacts the store and prints how many outcomes it kept and how many segments it removed.
 func (c *storeCompactCommand) Run(out io.Writer) error {
 	files, err := segmentlog.OpenDirectory(c.Directory)
 	if err != nil {
 		return err
 	}
-	defer files.Close() //nolint:errcheck // Compact has synced what it wrote
+	defer files.Close() //nolint:errcheck // Compact has already synced the segment that it wrote
 	now := segmentlog.MachineClock()
 	kept, removed, err := segmentlog.Compact(files, c.analysis(now), now)
 	if err == nil {
--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -17,8 +17,9 @@
 	"thistlequay/internal/emulator"
 )
 
-// tryCommand is the verb try: two servers with emulators of all that they talk to, on loopback; the same load with fair
-// queues and without; a table of the results. It never reaches beyond this machine.
+// tryCommand implements the try command. It starts two servers, one with fair queues and one without, and emulators of
+// their interpreter, index and directory. It sends the same load to both servers and prints a table of the results. All
+// connections are local to this machine.
 type tryCommand struct {
 	Seconds float64 `default:"10" help:"How long requests are sent."`
 	Seed    int64   `default:"7" help:"Seed of the load."`
@@ -26,34 +27,35 @@
 	Config  string  `placeholder:"FILE" help:"Write the configurations that it uses next to this name, and keep them."`
 }
 
-// The load of the verb try and the deadlines of its requests.
+// The load of the try command, and the deadlines and the shutdown timeout of its servers.
 const (
 	tryCores        = 4.0
-	tryCoreSeconds  = 0.04 // of a request: a hundred requests a second in all
+	tryCoreSeconds  = 0.04 // mean of a request; with tryCores, the capacity is 100 requests per second
 	trySoftDeadline = 2 * time.Second
 	tryDeadline     = 5 * time.Second
 	tryStopTimeout  = 3 * time.Second
 )
 
-// trial is one server with its emulators.
+// trial holds one server process, its emulators and the results of its load.
 type trial struct {
 	hasFairQueues bool
-	directory     string
+	directory     string // for the configuration files
 	interpreter   *emulator.Interpreter
 	index         *emulator.Index
 	lookup        *emulator.Directory
 	process       *exec.Cmd
-	log           strings.Builder
+	log           strings.Builder // output of process
 	stats         []*emulator.TenantStats
 }
 
-// Run plays both trials at once, each on a server of its own, and prints the table.
+// Run runs the trials without and with fair queues concurrently and prints the results. If a trial fails, the error
+// includes the log of its server.
 func (t *tryCommand) Run(out io.Writer) error {
 	directory, err := os.MkdirTemp("", "thistlequay-try-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(directory) //nolint:errcheck // a temporary folder that stays does no harm
+	defer os.RemoveAll(directory) //nolint:errcheck // a temporary directory that is left behind does no harm
 	printf(out, "Two servers with emulators on this machine, %v seconds of the same requests from four tenants: "+
 		"fair queues off, and on.\n", t.Seconds)
 	off := &trial{directory: directory}
@@ -74,13 +76,14 @@
 	return nil
 }
 
-// streams are three tenants that ask for less than their shares and one that asks for many times its own.
+// streams returns the load: three tenants that demand less than their shares, and one that demands Greed times its
+// share.
 func (t *tryCommand) streams() []*emulator.Stream {
-	const modest = 0.7 // part of its share that a tenant asks for
+	const modest = 0.7 // demand of the first three tenants, as a fraction of their shares
 	tenants := []struct {
 		name  string
 		share float64
-		asks  float64
+		asks  float64 // demand as a multiple of share
 	}{
 		{"kirkens", 0.31, modest},
 		{"bymisjon", 0.29, modest},
@@ -101,7 +104,8 @@
 	return streams
 }
 
-// play starts the emulators and the server, sends the load and stops them.
+// play starts the emulators and the server, sends the load, collects the results and stops the server and the
+// emulators.
 func (one *trial) play(options *tryCommand) error {
 	var err error
 	one.interpreter, err = emulator.NewInterpreter(tryCores, options.Seed)
@@ -113,12 +117,12 @@
 	if err != nil {
 		return err
 	}
-	defer one.index.Close() //nolint:errcheck // a listener of this process
+	defer one.index.Close() //nolint:errcheck // the listener is closed with this process at the latest
 	one.lookup, err = emulator.NewDirectory()
 	if err != nil {
 		return err
 	}
-	defer one.lookup.Close() //nolint:errcheck // a listener of this process
+	defer one.lookup.Close() //nolint:errcheck // the listener is closed with this process at the latest
 	address, err := emulator.FreeAddress()
 	if err != nil {
 		return err
@@ -144,7 +148,7 @@
 	return err
 }
 
-// start writes the configuration and starts the server's process.
+// start writes the configuration files and starts the server process.
 func (one *trial) start(options *tryCommand, address string) error {
 	name := "plain"
 	if one.hasFairQueues {
@@ -176,7 +180,7 @@
 	return one.process.Start()
 }
 
-// platformConfig is the platform's configuration of the trial's server, as JSON.
+// platformConfig returns the platform's configuration for the server of the trial, as JSON.
 func (one *trial) platformConfig(name, address string) (string, error) {
 	type object = map[string]any
 	settings := object{
@@ -201,7 +205,7 @@
 	return string(text), err
 }
 
-// fairQueuesYAML is our own settings with fair queues by the weights of the streams.
+// fairQueuesYAML returns service settings that give each tenant a fair queue with the weight of its stream, as YAML.
 func fairQueuesYAML(streams []*emulator.Stream) string {
 	var yaml strings.Builder
 	yaml.WriteString("fair_queues:\n  tenants:\n")
@@ -211,7 +215,8 @@
 	return yaml.String()
 }
 
-// writeFile writes a configuration to the trial's folder, or where the user wants to keep it, and returns its path.
+// writeFile writes a configuration file and returns its path. The file is in the trial's temporary directory unless the
+// user gave a path prefix with --config.
 func (one *trial) writeFile(options *tryCommand, name, text string) (string, error) {
 	path := filepath.Join(one.directory, name)
 	if options.Config != "" {
@@ -220,23 +225,24 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// stop has the server shut down gracefully, and kills it if it does not in time.
+// stop shuts the server down gracefully and waits until the process has exited. It kills the process if the shutdown
+// takes longer than twice tryStopTimeout.
 func (one *trial) stop() {
 	exited := make(chan struct{})
 	go func() {
-		_ = one.process.Wait() // how it ended does not matter here
+		_ = one.process.Wait() // the exit status does not affect the results
 		close(exited)
 	}()
-	_ = one.process.Process.Signal(syscall.SIGTERM) // it fails where the process has ended already
+	_ = one.process.Process.Signal(syscall.SIGTERM) // fails if the process has already exited
 	select {
 	case <-exited:
 	case <-time.After(2 * tryStopTimeout):
-		_ = one.process.Process.Kill() // as above
+		_ = one.process.Process.Kill() // fails if the process has already exited
 		<-exited
 	}
 }
 
-// renderTrials prints what each tenant got, without and with fair queues.
+// renderTrials prints a table with the results of each tenant and their totals, without and with fair queues.
 func renderTrials(out io.Writer, off, on []*emulator.TenantStats) {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -8,10 +8,10 @@
 	"thistlequay/internal/daemon"
 )
 
-// versionCommand is the verb version.
+// versionCommand implements the version command.
 type versionCommand struct{}
 
-// Run prints the revision that the build recorded and the version of Go.
+// Run prints the version control revision that is recorded in the binary, and the Go version.
 func (versionCommand) Run(out io.Writer) error {
 	revision := daemon.Revision()
 	if revision == "" {
--- a/internal/golden/codec.go
+++ b/internal/golden/codec.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// Codec encodes and decodes messages or files whose bytes a test compares.
+// Codec holds the functions that encode and decode a message or file format under test.
 type Codec struct {
 	Marshal   func(value any) ([]byte, error)
 	Unmarshal func(data []byte, value any) error
 }
 
-// Encode returns the encoding of a value. It fails the test unless the encoding can be decoded into decoded, a pointer
-// to an empty value, which then has the same encoding.
+// Encode returns the encoding of a value. It also decodes the result into decoded, which must point to an empty value,
+// and encodes that again. It fails the test if decoding fails or the two encodings differ.
 func (c Codec) Encode(t testing.TB, value, decoded any) []byte {
 	t.Helper()
 	data, err := c.Marshal(value)
--- a/internal/golden/codec_test.go
+++ b/internal/golden/codec_test.go
@@ -11,13 +11,14 @@
 	"thistlequay/internal/golden"
 )
 
-// failingTest takes the failure of a check, with which the check ends.
+// failingTest is a testing.TB whose Fatalf panics with the message, so that a test can check how Encode fails.
 type failingTest struct{ testing.TB }
 
 func (failingTest) Helper() {}
 
 func (failingTest) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
+// TestCodecReturnsTheEncodingAndFillsDecoded checks the result and the decoded value of a successful Encode.
 func TestCodecReturnsTheEncodingAndFillsDecoded(t *testing.T) {
 	var decoded []int
 	codec := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
@@ -25,6 +26,8 @@
 	require.Equal(t, []int{1, 2}, decoded)
 }
 
+// TestCodecFailsUnlessTheEncodingIsTheSameAgain checks that Encode fails the test if encoding or decoding fails, or if
+// the decoded value has another encoding.
 func TestCodecFailsUnlessTheEncodingIsTheSameAgain(t *testing.T) {
 	errEncoding := errors.New("encoding failed")
 	fails := func([]byte, any) error { return errEncoding }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test produced with a file recorded by an earlier version of the code. A golden file
-// states what must not change; it is recorded once and never written again.
+// Package golden compares the output of a test with a golden file that an earlier version of the code recorded. A
+// golden file defines output that must not change, so it is recorded once and never overwritten.
 package golden
 
 import (
@@ -14,11 +14,11 @@
 	"thistlequay/internal/scenario"
 )
 
-// recordVariable names the environment variable that lets Check create golden files that do not exist yet.
+// recordVariable is the environment variable that lets Check create golden files that do not exist yet, if set to 1.
 const recordVariable = "RECORD_GOLDEN"
 
-// Check fails the test unless got equals the file testdata/golden/name of the package under test, byte for byte. With
-// RECORD_GOLDEN=1 a file that does not exist yet is created from got; an existing file is never overwritten.
+// Check fails the test unless got equals the file testdata/golden/name of the package under test, byte for byte. If the
+// file does not exist and RECORD_GOLDEN is 1, Check creates it from got. Check never overwrites a file.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -35,19 +35,19 @@
 	}
 }
 
+// record creates a golden file and the directory that contains it.
 func record(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatalf("create the folder of golden files: %v", err)
+		t.Fatalf("create the directory for golden files: %v", err)
 	}
 	if err := os.WriteFile(path, content, 0o644); err != nil {
 		t.Fatalf("record golden file: %v", err)
 	}
 }
 
-// History is a running hash (FNV-1a, 64 bits) of everything that was added to it, in order. The zero value is not
-// usable; NewHistory makes one. A nil History ignores what is added to it, so that a test can play the same schedule
-// with and without recording it.
+// History is a running 64-bit FNV-1a hash of a sequence of events. The zero value is not usable; call NewHistory. Add
+// does nothing on a nil History, so that a test can run the same schedule with and without recording it.
 type History struct {
 	sum interface {
 		Write(p []byte) (int, error)
@@ -59,50 +59,53 @@
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{sum: fnv.New64a()} }
 
-// Add appends one event, its values printed with %v and separated by a byte that no value contains.
+// Add appends one event. Its values are formatted with %v, and each is followed by the byte 0x1f, which must not occur
+// in a value.
 func (h *History) Add(values ...any) {
 	if h == nil {
 		return
 	}
 	h.events++
 	for _, value := range values {
-		_, _ = fmt.Fprintf(h.sum, "%v\x1f", value) // a hash never fails to take bytes
+		_, _ = fmt.Fprintf(h.sum, "%v\x1f", value) // writing to a hash never fails
 	}
 	_, _ = h.sum.Write([]byte{'\n'})
 }
 
-// String gives the number of events and their hash.
+// String returns the number of events and their hash.
 func (h *History) String() string {
 	return fmt.Sprintf("events=%d hash=%016x", h.events, h.sum.Sum64())
 }
 
-// Check compares the history, as the only line, with a golden file.
+// Check compares the history with a golden file, as the package function Check does. The history is the only line of
+// the file.
 func (h *History) Check(t testing.TB, name string) {
 	t.Helper()
 	Check(t, name, fmt.Appendln(nil, h))
 }
 
-// Histories collects the histories that stand in one golden file, a line each. The zero value is empty.
+// Histories collects histories for one golden file, one line each. The zero value is empty and ready to use.
 type Histories struct {
 	lines []byte
 }
 
-// NewHistories returns histories that follow a text in their file. The text is empty or ends with a line feed.
+// NewHistories returns an empty Histories whose golden file begins with preface. A preface that is not empty must end
+// with a newline.
 func NewHistories(preface string) Histories { return Histories{lines: []byte(preface)} }
 
-// Add appends a line: the label, a blank and the history.
+// Add appends a line with the label, a space and the history as it is at the time of the call.
 func (l *Histories) Add(label string, history *History) {
 	l.lines = fmt.Appendf(l.lines, "%s %s\n", label, history)
 }
 
-// Check compares the lines with a golden file, as the function of that name does.
+// Check compares the lines with a golden file, as the package function Check does.
 func (l *Histories) Check(t testing.TB, name string) {
 	t.Helper()
 	Check(t, name, l.lines)
 }
 
-// CheckScenarios plays each scenario of the package under test in a subtest of its name, and compares what they added
-// to their histories, a line each, with a golden file.
+// CheckScenarios calls play for each scenario of the package under test, in a subtest with the name of the scenario. It
+// then compares the histories that play recorded, one line for each scenario, with a golden file.
 func CheckScenarios(t *testing.T, name string, play func(t *testing.T, file string, history *History)) {
 	t.Helper()
 	var histories Histories
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,7 +1,7 @@
-// Package logs writes the program's log: a line for each event, as text or as JSON. The event's name stands under the
-// key event; names and keys stay the same from version to version, and docs/oncall.md lists them.
+// Package logs writes the log of the program as one line for each event, in text or JSON format. The key event holds
+// the name of the event. Names and keys are stable across versions and are listed in docs/oncall.md.
 //
-// It must never be used for each request: a line costs some microseconds of the event loop's core.
+// Do not log an event for every request: a line takes a few microseconds of the CPU core that runs the event loop.
 package logs
 
 import (
@@ -12,25 +12,27 @@
 	"github.com/rs/zerolog"
 )
 
-// Format is how lines look.
+// Format is the format of log lines.
 type Format string
 
-// The formats, as the flag --log names them.
+// Log formats; the values are those of the --log flag.
 const (
 	FormatText Format = "text" // time event=name key=value ...
-	FormatJSON Format = "json" // an object a line
+	FormatJSON Format = "json" // one object per line
 )
 
+// timestampLayout is RFC 3339 in UTC, always with six digits of microseconds.
 const timestampLayout = "2006-01-02T15:04:05.000000Z"
 
-// firstKeys come first in lines of text, so that these can be compared by eye; other keys follow by the alphabet.
+// firstKeys are the keys that come first in text lines, so that lines are easy to compare by eye. The other keys follow
+// in alphabetical order.
 var firstKeys = []string{"event", "name", "requests"}
 
-// Logger writes events. It is safe for concurrent use if its output is.
+// Logger writes log events. It is safe for concurrent use if its output is.
 type Logger struct{ writer zerolog.Logger }
 
-// New returns a logger that writes to out, which gets each line in a call of its own. Any format but FormatText is
-// FormatJSON.
+// New returns a logger that writes to out, with one call of Write for each line. It uses FormatJSON for any format
+// other than FormatText.
 func New(out io.Writer, format Format) Logger {
 	if format == FormatText {
 		out = zerolog.ConsoleWriter{
@@ -44,7 +46,7 @@
 	return Logger{zerolog.New(out)}
 }
 
-// Event begins the line of an event. The caller adds keys to it and ends it with Send.
+// Event starts a log line for an event. The caller adds the other keys and calls Send to write the line.
 func (l Logger) Event(name string) *zerolog.Event {
 	now := time.Now().UTC().Format(timestampLayout)
 	return l.writer.Log().Str(zerolog.TimestampFieldName, now).Str("event", name)
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEventIsWrittenAsTextAndJSON checks a line of each format.
+// TestEventIsWrittenAsTextAndJSON checks one log line in each format.
 func TestEventIsWrittenAsTextAndJSON(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, FormatText).Event("bad_peer").Str("reason", "two words").Int("count", 3).Send()
@@ -22,7 +22,7 @@
 	require.NotEmpty(t, line["time"])
 }
 
-// BenchmarkEvent measures a line with five fields.
+// BenchmarkEvent measures the cost of an event with five keys besides its name.
 func BenchmarkEvent(b *testing.B) {
 	for _, format := range []Format{FormatText, FormatJSON} {
 		b.Run(string(format), func(b *testing.B) {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario reads the scenarios of tests: text files in testdata, one step a line, words separated by blanks, a
-// comment from # to the end of the line. What the words mean is explained in the README.md beside the files.
+// Package scenario reads test scenarios, which are text files in testdata. Each line is a step, which consists of words
+// separated by white space. A comment extends from # to the end of the line. A README.md next to the scenarios
+// documents their steps.
 package scenario
 
 import (
@@ -10,36 +11,36 @@
 	"testing"
 )
 
-// Step is one line of a scenario that says something.
+// Step is a line of a scenario that is not empty apart from its comment.
 type Step struct {
-	// Where names the file, the line and its text, for messages.
+	// Where is the file, the line number and the text of the step, for failure messages.
 	Where string
-	// Words are the words of the line, one at least.
+	// Words holds the words of the line; there is at least one.
 	Words []string
 }
 
-// Files lists the scenarios of the package under test. It fails the test when there is none.
+// Files returns the paths of the scenarios of the package under test. It fails the test if there are none.
 func Files(t testing.TB) []string {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil {
-		t.Fatalf("list the scenarios: %v", err)
+		t.Fatalf("list scenarios: %v", err)
 	}
 	if len(files) == 0 {
-		t.Fatal("there is no scenario in testdata")
+		t.Fatal("no scenarios in testdata")
 	}
 	return files
 }
 
-// Name is what the test of a file is called.
+// Name returns the name of a scenario, which is its file name without the extension.
 func Name(file string) string { return strings.TrimSuffix(filepath.Base(file), ".txt") }
 
-// Steps reads the steps of a file, in order. It fails the test when the file cannot be read.
+// Steps reads the steps of a scenario, in order. It fails the test if the file cannot be read.
 func Steps(t testing.TB, file string) []Step {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
-		t.Fatalf("read a scenario: %v", err)
+		t.Fatalf("read scenario: %v", err)
 	}
 	var steps []Step
 	number := 0
