--- a/internal/command/plugin_test.go
+++ b/internal/command/plugin_test.go
@@ -14,8 +14,9 @@
 	"thistlequay/internal/servertest"
 )
 
-// The commands plugin check and plugin run exit with 0 where the module is sound and its hook ends, with 1 where not,
-// and with 2 on wrong arguments; their output says what the module needs or does.
+// TestPluginCommandExitCodesAndOutput checks that plugin check and plugin run exit with 0 for a valid module whose hook
+// returns in time, with 1 for any other module and with 2 for invalid arguments. It also checks that the output contains
+// the needed memory, the action or the reason of a failure, except for the module that loops.
 func TestPluginCommandExitCodesAndOutput(t *testing.T) {
 	server := servertest.New(t)
 	request := filepath.Join(t.TempDir(), "r.json")
--- a/internal/command/try_test.go
+++ b/internal/command/try_test.go
@@ -11,8 +11,8 @@
 	"thistlequay/internal/servertest"
 )
 
-// The command try plays its load over sockets and reports every tenant without fair queues and with them. The
-// configuration that it keeps is valid.
+// TestTryCommandShowsFairSharesOverSockets checks that the try command sends its load over sockets and reports the
+// results of every tenant without and with fair queues, and that the configuration files that it keeps are valid.
 func TestTryCommandShowsFairSharesOverSockets(t *testing.T) {
 	t.Setenv(servertest.RunAsProgramEnv, "1")
 	var out, errs bytes.Buffer
