--- a/internal/command/chart.go
+++ b/internal/command/chart.go
@@ -19,9 +19,9 @@
 	chartHeight = 20
 )
 
-// quotaLine matches the log line that a server writes when its quota of downstream calls changes. It also accepts the
-// event name share, which older versions logged instead of quota.
-var quotaLine = regexp.MustCompile(`^(\S+) .*event=(?:quota|share) .*limit=calls .*usable=([0-9.]+)`)
+// quotaLinePattern matches the log line that a server writes when its quota of downstream calls changes. It also
+// accepts the event name share, which older versions logged instead of quota.
+var quotaLinePattern = regexp.MustCompile(`^(\S+) .*event=(?:quota|share) .*limit=calls .*usable=([0-9.]+)`)
 
 // quotaPoint is the quota that a server may use from a point in time until its next change.
 type quotaPoint struct {
@@ -32,7 +32,7 @@
 // chartQuotas draws a chart with one line for each log: the quota that the server could use over time. The time axis
 // runs from the first to the last change in any of the logs.
 func chartQuotas(files []string, out io.Writer) error {
-	var series [][]quotaPoint
+	var pointsByFile [][]quotaPoint
 	var first, last time.Time
 	for _, file := range files {
 		points, err := readQuotaPoints(file)
@@ -47,32 +47,32 @@
 				last = point.at
 			}
 		}
-		series = append(series, points)
+		pointsByFile = append(pointsByFile, points)
 	}
 	if first.IsZero() {
 		return fmt.Errorf("no log line with event=quota in %s", strings.Join(files, ", "))
 	}
-	lines := make([][]float64, len(series))
-	for i, points := range series {
-		lines[i] = sampleQuota(points, first, last.Sub(first))
+	series := make([][]float64, len(pointsByFile))
+	for i, points := range pointsByFile {
+		series[i] = sampleQuota(points, first, last.Sub(first))
 	}
 	caption := fmt.Sprintf("calls in hand that could be used, %s to %s", first.Format(time.TimeOnly),
 		last.Format(time.TimeOnly))
-	_, err := fmt.Fprintln(out, asciigraph.PlotMany(lines, asciigraph.Height(chartHeight), asciigraph.LowerBound(0),
+	_, err := fmt.Fprintln(out, asciigraph.PlotMany(series, asciigraph.Height(chartHeight), asciigraph.LowerBound(0),
 		asciigraph.Caption(caption)))
 	return err
 }
 
 // readQuotaPoints reads the quota changes from one log in text format. It skips all other lines.
 func readQuotaPoints(file string) ([]quotaPoint, error) {
-	in, err := os.Open(file)
+	input, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close() //nolint:errcheck // the file is only read
+	defer input.Close() //nolint:errcheck // the file is only read
 	var points []quotaPoint
-	for lines := bufio.NewScanner(in); lines.Scan(); {
-		match := quotaLine.FindStringSubmatch(lines.Text())
+	for scanner := bufio.NewScanner(input); scanner.Scan(); {
+		match := quotaLinePattern.FindStringSubmatch(scanner.Text())
 		if match == nil {
 			continue
 		}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -22,9 +22,9 @@
 	for _, file := range c.Files {
 		checker.check(file)
 	}
-	checker.checkTogether()
-	if checker.faults > 0 {
-		printf(out, "%d faults in %d files\n", checker.faults, len(c.Files))
+	checker.checkCombinations()
+	if checker.faultCount > 0 {
+		printf(out, "%d faults in %d files\n", checker.faultCount, len(c.Files))
 		return errAlreadyReported
 	}
 	printf(out, "%d files, no fault\n", len(c.Files))
@@ -33,27 +33,27 @@
 
 // fileChecker reads files, keeps the valid ones, and prints and counts the diagnostics of the others.
 type fileChecker struct {
-	out      io.Writer
-	faults   int
-	platform []server.Config  // valid configurations of the platform
-	own      []*config.Config // valid service settings
+	out             io.Writer
+	faultCount      int
+	platformConfigs []server.Config  // valid configurations of the platform
+	serviceConfigs  []*config.Config // valid service settings
 }
 
 // check reads one file. The extension of its name decides whether it is a platform configuration or service settings.
 func (f *fileChecker) check(file string) {
 	switch {
 	case strings.HasSuffix(file, ".json"):
-		read, err := daemon.ReadPlatformConfig(file)
-		if f.accept(err) {
-			f.platform = append(f.platform, read)
+		parsed, err := daemon.ReadPlatformConfig(file)
+		if f.report(err) {
+			f.platformConfigs = append(f.platformConfigs, parsed)
 		}
 	case strings.HasSuffix(file, ".yaml"), strings.HasSuffix(file, ".yml"):
-		read, err := config.Read(file)
-		if f.accept(err) {
-			f.own = append(f.own, read)
+		parsed, err := config.Read(file)
+		if f.report(err) {
+			f.serviceConfigs = append(f.serviceConfigs, parsed)
 		}
 	default:
-		f.accept(diagnostics.List{{
+		f.report(diagnostics.List{{
 			File:     file,
 			Problem:  "is of no known kind",
 			Expected: "a name that ends in .json, .yaml or .yml",
@@ -61,20 +61,20 @@
 	}
 }
 
-// checkTogether validates each file of service settings against each platform configuration.
-func (f *fileChecker) checkTogether() {
-	for _, platform := range f.platform {
-		for _, own := range f.own {
-			f.accept(own.ValidateAgainst(platform.Settings, platform.MemoryBytes))
+// checkCombinations validates each file of service settings against each platform configuration.
+func (f *fileChecker) checkCombinations() {
+	for _, platformConfig := range f.platformConfigs {
+		for _, serviceConfig := range f.serviceConfigs {
+			f.report(serviceConfig.ValidateAgainst(platformConfig.Settings, platformConfig.MemoryBytes))
 		}
 	}
 }
 
-// accept prints and counts the diagnostics of err. It reports whether err is nil.
-func (f *fileChecker) accept(err error) bool {
-	for _, found := range diagnostics.FromError(err) {
-		f.faults++
-		printLine(f.out, found.Error())
+// report prints and counts the diagnostics of err. It reports whether err is nil.
+func (f *fileChecker) report(err error) bool {
+	for _, diagnostic := range diagnostics.FromError(err) {
+		f.faultCount++
+		printLine(f.out, diagnostic.Error())
 	}
 	return err == nil
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -57,33 +57,33 @@
 }
 
 // Run parses and runs one command line and returns the exit code. The arguments do not include the program name. Output
-// goes to out and errors go to errs.
-func Run(args []string, out, errs io.Writer) int {
+// goes to stdout and errors go to stderr.
+func Run(args []string, stdout, stderr io.Writer) int {
 	const notExited = -1
-	helpExit := notExited
+	helpExitCode := notExited
 	var grammar commandLine
-	parser, err := kong.New(&grammar, kong.Name("thistlequay"), kong.Description(description), kong.Writers(out, errs),
-		kong.Vars{"serveHelp": serveHelp}, kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.Exit(func(code int) { helpExit = code }))
+	parser, err := kong.New(&grammar, kong.Name("thistlequay"), kong.Description(description),
+		kong.Writers(stdout, stderr), kong.Vars{"serveHelp": serveHelp}, kong.UsageOnError(),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Exit(func(code int) { helpExitCode = code }))
 	if err != nil {
-		printLine(errs, err)
+		printLine(stderr, err)
 		return ExitUsage
 	}
 	parsed, err := parser.Parse(args)
-	if helpExit != notExited { // kong has printed the help text
-		return helpExit
+	if helpExitCode != notExited { // kong has printed the help text
+		return helpExitCode
 	}
 	if err != nil {
-		printf(errs, "thistlequay: %s\nthistlequay --help lists the commands\n", err)
+		printf(stderr, "thistlequay: %s\nthistlequay --help lists the commands\n", err)
 		return ExitUsage
 	}
-	parsed.BindTo(out, (*io.Writer)(nil))
+	parsed.BindTo(stdout, (*io.Writer)(nil))
 	err = parsed.Run()
 	if err == nil {
 		return 0
 	}
 	if !errors.Is(err, errAlreadyReported) && !errors.Is(err, daemon.ErrLogged) {
-		printf(errs, "thistlequay: %s\n", err)
+		printf(stderr, "thistlequay: %s\n", err)
 	}
 	return ExitFailed
 }
--- a/internal/command/deploy_file_test.go
+++ b/internal/command/deploy_file_test.go
@@ -18,17 +18,17 @@
 	"thistlequay/internal/servertest"
 )
 
-// deployFile returns the values in deploy/balancer.toml by key, without quotes. If a key occurs more than once, its
+// readDeployFile returns the values in deploy/balancer.toml by key, without quotes. If a key occurs more than once, its
 // first value counts.
-func deployFile(t *testing.T, root string) map[string]string {
+func readDeployFile(t *testing.T, root string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
 	require.NoError(t, err)
 	values := map[string]string{}
 	for _, line := range strings.Split(string(text), "\n") {
 		key, value, found := strings.Cut(line, " = ")
-		_, known := values[key]
-		if found && !known {
+		_, isKnown := values[key]
+		if found && !isKnown {
 			values[key] = strings.Trim(value, `"`)
 		}
 	}
@@ -51,12 +51,12 @@
 
 // requireNoChildren fails the test if a thread of a process has child processes. The process is given by its directory
 // in /proc.
-func requireNoChildren(t *testing.T, process string) {
+func requireNoChildren(t *testing.T, processDir string) {
 	t.Helper()
-	lists, err := filepath.Glob(process + "/task/*/children")
+	childrenFiles, err := filepath.Glob(processDir + "/task/*/children")
 	require.NoError(t, err)
-	for _, list := range lists {
-		children, err := os.ReadFile(list)
+	for _, childrenFile := range childrenFiles {
+		children, err := os.ReadFile(childrenFile)
 		if err == nil { // the thread may have exited since the directory was listed
 			require.Empty(t, bytes.TrimSpace(children))
 		}
@@ -65,16 +65,16 @@
 
 // requireNoFileOpenForWriting fails the test if a process has a file open for writing, other than /dev/null. The
 // process is given by its directory in /proc.
-func requireNoFileOpenForWriting(t *testing.T, process string) {
+func requireNoFileOpenForWriting(t *testing.T, processDir string) {
 	t.Helper()
-	descriptors, err := os.ReadDir(process + "/fd")
+	descriptors, err := os.ReadDir(processDir + "/fd")
 	require.NoError(t, err)
 	for _, descriptor := range descriptors {
-		path, err := os.Readlink(filepath.Join(process, "fd", descriptor.Name()))
+		path, err := os.Readlink(filepath.Join(processDir, "fd", descriptor.Name()))
 		if err != nil || !strings.HasPrefix(path, "/") || path == "/dev/null" {
 			continue // closed meanwhile, not a file (a socket, a pipe or an event descriptor), or /dev/null
 		}
-		info, err := os.ReadFile(filepath.Join(process, "fdinfo", descriptor.Name()))
+		info, err := os.ReadFile(filepath.Join(processDir, "fdinfo", descriptor.Name()))
 		require.NoError(t, err)
 		_, flags, _ := strings.Cut(string(info), "flags:")
 		mode := strings.Fields(flags)[0]
@@ -90,23 +90,23 @@
 	server := servertest.New(t)
 	root, err := filepath.Abs("../..")
 	server.NoError(err)
-	deploy := deployFile(t, root)
+	deploy := readDeployFile(t, root)
 	server.Contains(deploy, "build")
 	server.Contains(deploy, "run")
 
-	folder := t.TempDir()
-	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deploy["build"], "bin", folder+"/bin"))
+	buildDir := t.TempDir()
+	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deploy["build"], "bin", buildDir+"/bin"))
 	build.Dir = root
 	out, err := build.CombinedOutput()
 	server.NoError(err, string(out))
 	server.Contains(deploy["build"], "-linkmode=external")
-	requireLinkedAgainstLibc(t, folder+"/bin/thistlequay")
+	requireLinkedAgainstLibc(t, buildDir+"/bin/thistlequay")
 
 	server.Equal("exec bin/thistlequay", deploy["run"])
-	server.Path = filepath.Join(folder, "config.json")
+	server.Path = filepath.Join(buildDir, "config.json")
 	server.WriteFiles()
 	run := exec.Command("/bin/sh", "-c", deploy["run"])
-	run.Dir = folder
+	run.Dir = buildDir
 	run.Stderr = &clustertest.LogBuffer{}
 	run.Env = append(os.Environ(), "PROXY_CONFIG="+server.Path, "TMPDIR="+t.TempDir())
 	server.NoError(run.Start())
@@ -119,10 +119,10 @@
 	if runtime.GOOS != "linux" {
 		return
 	}
-	process := filepath.Join("/proc", strconv.Itoa(run.Process.Pid))
-	name, err := os.Readlink(process + "/exe")
+	processDir := filepath.Join("/proc", strconv.Itoa(run.Process.Pid))
+	executable, err := os.Readlink(processDir + "/exe")
 	server.NoError(err)
-	server.Equal("thistlequay", filepath.Base(name)) // exec has replaced the shell with the program
-	requireNoChildren(t, process)
-	requireNoFileOpenForWriting(t, process)
+	server.Equal("thistlequay", filepath.Base(executable)) // exec has replaced the shell with the program
+	requireNoChildren(t, processDir)
+	requireNoFileOpenForWriting(t, processDir)
 }
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -25,9 +25,9 @@
 
 // Patterns for the parts of the output that differ from run to run.
 var (
-	serverAddress   = regexp.MustCompile(`127\.0\.0\.1:\d+`)
-	timeOrMemory    = regexp.MustCompile(`"(took_us|memory_kb)":\d+`)
-	durationForUser = regexp.MustCompile(`-?[\d.]+(h|m|s|ms|µs)([\d.]+(m|s))*\b`)
+	serverAddress     = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+	timeOrMemoryField = regexp.MustCompile(`"(took_us|memory_kb)":\d+`)
+	printedDuration   = regexp.MustCompile(`-?[\d.]+(h|m|s|ms|µs)([\d.]+(m|s))*\b`)
 )
 
 // wholeNumber matches a whole number in human-readable output.
@@ -63,7 +63,7 @@
 	line := strings.ReplaceAll(strings.Join(args, " "), o.directory, "DIR")
 	fmt.Fprintf(&o.Buffer, "\n%s: code %d\n", serverAddress.ReplaceAllString(line, "ADDRESS"), code)
 	printed := strings.ReplaceAll(out.String(), o.directory, "DIR")
-	return timeOrMemory.ReplaceAllString(printed, `"$1":0`)
+	return timeOrMemoryField.ReplaceAllString(printed, `"$1":0`)
 }
 
 // runCheck runs the check command and records its output with the lines sorted, because the order of some diagnostics
@@ -76,10 +76,11 @@
 	fmt.Fprintln(&o.Buffer, strings.Join(lines, "\n"))
 }
 
-// runAndWriteNumbers runs a command and records only the whole numbers in its output. Numbers in durations are omitted.
-func (o *commandOutputs) runAndWriteNumbers(args ...string) {
+// runAndRecordNumbers runs a command and records only the whole numbers in its output. Numbers in durations are
+// omitted.
+func (o *commandOutputs) runAndRecordNumbers(args ...string) {
 	o.t.Helper()
-	text := durationForUser.ReplaceAllString(o.runCommand(args...), "")
+	text := printedDuration.ReplaceAllString(o.runCommand(args...), "")
 	fmt.Fprintln(&o.Buffer, wholeNumber.FindAllString(text, -1))
 }
 
@@ -91,14 +92,14 @@
 // Responses of the server's status endpoints in the golden test. All numbers in a response are different, so that the
 // golden file shows when fields are mixed up.
 const (
-	membersAnswer = `{"name":"n1","life":"0000000000000001","standing":"whole","since_ms":2,"until_ms":3,"epoch":4,` +
+	membersResponse = `{"name":"n1","life":"0000000000000001","standing":"whole","since_ms":2,"until_ms":3,"epoch":4,` +
 		`"voters":["n1","n2"],"agreed":5,"size":6,
 "counts":{"Insane":7,"Old":8,"Foreign":9,"Unknown":10,"Full":11,"FalseAlarms":12,"NameTaken":13},` +
 		`"dropped":14,"garbled":15,"sent_bytes":16,
 "members":[{"name":"n2","life":"0000000000000017","address":"a","zone":"z","version":"v","state":"there",` +
 		`"cause":"none","since_ms":18,"age_ms":19,
 "direct_ms":-1,"trip_ms":20,"epoch":21,"pool":22.5,"load":23.5,"free":24.5,"index_ms":25.5}]}`
-	sharesAnswer = `{"name":"n1","voter":2,"leads":true,"leader":"n3","whole":true,"voters":["n1"],"opened":true,` +
+	sharesResponse = `{"name":"n1","voter":2,"leads":true,"leader":"n3","whole":true,"voters":["n1"],"opened":true,` +
 		`"entries":4,"memories_lost":5,
 "strange_terms":6,"limits":[{"name":"calls","whole":7.5,"target":8.5,"floors":9.5,"granted":10.5,` +
 		`"length_ms":11,"usable_here":12.5,"ends_ms":13,
@@ -153,9 +154,9 @@
 // address.
 func (o *commandOutputs) runStatusCommands() {
 	o.t.Helper()
-	answers := map[string]string{"/members": membersAnswer, "/shares": sharesAnswer}
+	responses := map[string]string{"/members": membersResponse, "/shares": sharesResponse}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = w.Write([]byte(answers[r.URL.Path])) // if the write fails, the output differs from the golden file
+		_, _ = w.Write([]byte(responses[r.URL.Path])) // if the write fails, the output differs from the golden file
 	}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
@@ -186,16 +187,16 @@
 	o.t.Helper()
 	directory := filepath.Join(o.directory, "store")
 	o.writeStore(directory, func() { o.runCommand("store", "compact", directory) })
-	o.runAndWriteNumbers("store", "inspect", "--all", "--window", "60s", "--doubt", time.Minute.String(), directory)
-	o.runAndWriteNumbers("store", "verify", directory)
-	o.runAndWriteNumbers("store", "compact", directory)
-	o.runAndWriteNumbers("store", "inspect", directory)
+	o.runAndRecordNumbers("store", "inspect", "--all", "--window", "60s", "--doubt", time.Minute.String(), directory)
+	o.runAndRecordNumbers("store", "verify", directory)
+	o.runAndRecordNumbers("store", "compact", directory)
+	o.runAndRecordNumbers("store", "inspect", directory)
 	segments, err := filepath.Glob(filepath.Join(directory, "*.seg"))
 	require.NoError(o.t, err)
-	text, err := os.ReadFile(segments[0])
+	segment, err := os.ReadFile(segments[0])
 	require.NoError(o.t, err)
-	text[len(text)/2] ^= 1
-	require.NoError(o.t, os.WriteFile(segments[0], text, 0o600))
+	segment[len(segment)/2] ^= 1
+	require.NoError(o.t, os.WriteFile(segments[0], segment, 0o600))
 	o.runCommand("store", "verify", directory)
 	o.runCommand("store", "verify", filepath.Join(o.directory, "nowhere"))
 }
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -91,16 +91,16 @@
 func renderMembers(status gossip.Status) string {
 	var b strings.Builder
 	printf(&b, "%s: %s for %s; configuration %d of %d members, voters %s; %d servers expected\n",
-		status.Name, status.QuorumStatus, formatSpan(status.SinceMs), status.Epoch, status.AgreedSize,
+		status.Name, status.QuorumStatus, formatMilliseconds(status.SinceMs), status.Epoch, status.AgreedSize,
 		strings.Join(status.Voters, " "), status.ExpectedSize)
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"name", "incarnation", "zone", "state", "for", "cause", "last update", "last reply",
 		"round trip ms", "limit", "in flight", "capacity", "index ms", "version"})
 	for _, m := range status.Members {
-		t.AppendRow(table.Row{m.Name, m.Incarnation[8:], m.Zone, m.State, formatSpan(m.SinceMs), m.Cause,
-			formatSpan(m.AgeMs), formatSpan(m.LastReplyMs), m.RoundTripMs, m.ConcurrencyLimit, m.InFlight,
-			m.AvailableCapacity, m.IndexLatencyMs, m.Version})
+		t.AppendRow(table.Row{m.Name, m.Incarnation[8:], m.Zone, m.State, formatMilliseconds(m.SinceMs), m.Cause,
+			formatMilliseconds(m.AgeMs), formatMilliseconds(m.LastReplyMs), m.RoundTripMs, m.ConcurrencyLimit,
+			m.InFlight, m.AvailableCapacity, m.IndexLatencyMs, m.Version})
 	}
 	b.WriteString(t.Render())
 	rejected := status.Rejected
@@ -111,9 +111,9 @@
 	return b.String()
 }
 
-// formatSpan formats a number of milliseconds as a duration rounded to 100 ms. It returns "never" for a negative
-// number, which stands for an event that has not happened.
-func formatSpan(ms int64) string {
+// formatMilliseconds formats a number of milliseconds as a duration rounded to 100 ms. It returns "never" for a
+// negative number, which stands for an event that has not happened.
+func formatMilliseconds(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
--- a/internal/command/plugin.go
+++ b/internal/command/plugin.go
@@ -41,7 +41,7 @@
 
 // moduleConfig returns the configuration for loading the module in a file with these limits.
 func (l *moduleLimits) moduleConfig(file string) plugin.ModuleConfig {
-	c := plugin.ModuleConfig{
+	config := plugin.ModuleConfig{
 		Name:         file,
 		File:         file,
 		MemoryKB:     l.MemoryKB,
@@ -51,9 +51,9 @@
 		Compile:      l.Engine == "compiler",
 	}
 	for _, hook := range l.Hooks {
-		c.Hooks[hookNumbers[hook]] = true
+		config.Hooks[hookNumbers[hook]] = true
 	}
-	return c
+	return config
 }
 
 // pluginCheckCommand implements the plugin check command.
@@ -64,12 +64,12 @@
 
 // Run loads the module without calling its hooks, and prints its SHA-256 hash, startup time and memory.
 func (c *pluginCheckCommand) Run(out io.Writer) error {
-	trial, err := plugin.Check(c.moduleConfig(c.File))
+	result, err := plugin.Check(c.moduleConfig(c.File))
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%s: sha256 %s, ready after %v, %d KB of memory an instance\n",
-		c.File, trial.SHA256, trial.StartupTime.Round(time.Microsecond), trial.MemoryKB)
+		c.File, result.SHA256, result.StartupTime.Round(time.Microsecond), result.MemoryKB)
 	return err
 }
 
@@ -95,20 +95,20 @@
 	if err != nil {
 		return err
 	}
-	trial, err := plugin.Try(c.moduleConfig(c.File), request, c.Times, c.Call)
+	result, err := plugin.Try(c.moduleConfig(c.File), request, c.Times, c.Call)
 	if err != nil {
 		return err
 	}
-	verdict := trial.Verdict
+	verdict := result.Verdict
 	return json.NewEncoder(out).Encode(map[string]any{
 		"does":      describeActions(verdict.Actions),
 		"status":    verdict.Status,
 		"category":  verdict.Category,
 		"tag":       verdict.Tag,
 		"body":      string(verdict.Body),
-		"took_us":   trial.LongestCall.Microseconds(),
-		"memory_kb": trial.MemoryKB,
-		"says":      trial.LogLines,
+		"took_us":   result.LongestCall.Microseconds(),
+		"memory_kb": result.MemoryKB,
+		"says":      result.LogLines,
 	})
 }
 
--- a/internal/command/shares.go
+++ b/internal/command/shares.go
@@ -45,18 +45,18 @@
 	var b strings.Builder
 	voters := strings.Join(status.Voters, " ")
 	printf(&b, "%s %s; asked is %s; keepers %s%s\n",
-		status.Name, coordinatorRole(status), status.Leader, voters, coordinatorDoubt(status))
+		status.Name, coordinatorRole(status), status.Leader, voters, noGrantReason(status))
 	for _, limit := range status.Limits {
-		lease := "on its floor"
+		leaseText := "on its floor"
 		if limit.ExpiresInMs > 0 {
-			lease = "for " + formatSpan(int64(limit.ExpiresInMs))
+			leaseText = "for " + formatMilliseconds(int64(limit.ExpiresInMs))
 		}
 		printf(&b, "%s: whole %v", limit.Name, limit.Total)
 		if limit.Target != limit.Total {
 			printf(&b, " on its way to %v", limit.Target)
 		}
 		printf(&b, ", floors %v, granted %v; here %v %s\n",
-			limit.Guaranteed, limit.Outstanding, limit.UsableHere, lease)
+			limit.Guaranteed, limit.Outstanding, limit.UsableHere, leaseText)
 		if status.Voter != 0 {
 			b.WriteString(renderLeases(limit.Servers) + "\n")
 		}
@@ -79,9 +79,9 @@
 	return "is no keeper"
 }
 
-// coordinatorDoubt returns the reason why a coordinator grants no leases at present. It returns an empty string if
+// noGrantReason returns the reason why a coordinator grants no leases at present. It returns an empty string if
 // there is none.
-func coordinatorDoubt(status service.Status) string {
+func noGrantReason(status service.Status) string {
 	switch {
 	case !status.HasQuorum && status.IsLeader:
 		return "; it is not with the whole and grants nothing"
@@ -93,13 +93,13 @@
 
 // renderLeases formats leases as a table.
 func renderLeases(leases []quota.StatusRow) string {
-	units := func(amount quota.Amount) float64 { return float64(amount) / float64(quota.Unit) }
+	toUnits := func(amount quota.Amount) float64 { return float64(amount) / float64(quota.Unit) }
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"server", "granted", "counts", "wants", "counts for", "asked"})
 	for _, lease := range leases {
-		t.AppendRow(table.Row{lease.Server, units(lease.Amount), units(lease.Outstanding), units(lease.Desired),
-			formatSpan(int64(lease.RemainingMS)), formatSpan(int64(lease.SinceRequestMS)) + " ago"})
+		t.AppendRow(table.Row{lease.Server, toUnits(lease.Amount), toUnits(lease.Outstanding), toUnits(lease.Desired),
+			formatMilliseconds(int64(lease.RemainingMS)), formatMilliseconds(int64(lease.SinceRequestMS)) + " ago"})
 	}
 	return t.Render()
 }
--- a/internal/command/store.go
+++ b/internal/command/store.go
@@ -25,9 +25,9 @@
 	Doubt     time.Duration `default:"1m" help:"As clock_doubt in the settings."`
 }
 
-// analysis returns an empty analysis for crash recovery at the time now. Unlike a server, it does not limit the number
-// of outcomes, so that none is left out of the report.
-func (a *storeArguments) analysis(now recovery.ClockReading) *recovery.Analysis {
+// newAnalysis returns an empty analysis for crash recovery at the time now. Unlike a server, it does not limit the
+// number of outcomes, so that none is left out of the report.
+func (a *storeArguments) newAnalysis(now recovery.ClockReading) *recovery.Analysis {
 	const unlimited = 1 << 30
 	return recovery.NewAnalysis(recovery.Config{
 		MaxWindow:        timeunit.TicksOf(a.Window),
@@ -45,13 +45,13 @@
 	out io.Writer, now recovery.ClockReading, visit recordVisitor,
 ) (segmentlog.ScanResult, error) {
 	files := segmentlog.OpenDirectoryReadOnly(a.Directory)
-	result, err := segmentlog.Scan(files, a.analysis(now), now, false, visit)
+	result, err := segmentlog.Scan(files, a.newAnalysis(now), now, false, visit)
 	if err != nil {
 		return result, err
 	}
-	for _, found := range result.Findings {
-		printf(out, "%s offset %d: %s, lost=%v\n", found.File, found.Offset, found.Corruption.String(),
-			found.DataLoss)
+	for _, finding := range result.Findings {
+		printf(out, "%s offset %d: %s, lost=%v\n", finding.File, finding.Offset, finding.Corruption.String(),
+			finding.DataLoss)
 	}
 	rejectsFor := time.Duration(0)
 	if result.RejectUntil > 0 {
@@ -91,14 +91,14 @@
 		return err
 	}
 	for _, outcome := range result.Outcomes {
-		printf(out, "key %q: a repeat %s, for %v\n", outcome.Key, retryGets(outcome),
+		printf(out, "key %q: a repeat %s, for %v\n", outcome.Key, describeRetry(outcome),
 			(outcome.WindowEnd - now.Wall).Duration())
 	}
 	return nil
 }
 
-// retryGets describes how the server answers a retry of a request with the given outcome.
-func retryGets(outcome recovery.Outcome) string {
+// describeRetry describes how the server answers a retry of a request with the given outcome.
+func describeRetry(outcome recovery.Outcome) string {
 	switch {
 	case !outcome.Completed:
 		return "is aborted: it may have run"
@@ -119,8 +119,8 @@
 	if err != nil {
 		return err
 	}
-	for _, found := range result.Findings {
-		if found.DataLoss {
+	for _, finding := range result.Findings {
+		if finding.DataLoss {
 			return errAlreadyReported
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	defer files.Close() //nolint:errcheck // Compact has already synced the segment that it wrote
 	now := segmentlog.MachineClock()
-	kept, removed, err := segmentlog.Compact(files, c.analysis(now), now)
+	kept, removed, err := segmentlog.Compact(files, c.newAnalysis(now), now)
 	if err == nil {
 		printf(out, "%d stamps kept, %d segments gone\n", kept, removed)
 	}
--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -39,10 +39,10 @@
 // trial holds one server process, its emulators and the results of its load.
 type trial struct {
 	hasFairQueues bool
-	directory     string // for the configuration files
+	configDir     string // for the configuration files
 	interpreter   *emulator.Interpreter
 	index         *emulator.Index
-	lookup        *emulator.Directory
+	directory     *emulator.Directory
 	process       *exec.Cmd
 	log           strings.Builder // output of process
 	stats         []*emulator.TenantStats
@@ -51,23 +51,23 @@
 // Run runs the trials without and with fair queues concurrently and prints the results. If a trial fails, the error
 // includes the log of its server.
 func (t *tryCommand) Run(out io.Writer) error {
-	directory, err := os.MkdirTemp("", "thistlequay-try-")
+	tempDir, err := os.MkdirTemp("", "thistlequay-try-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(directory) //nolint:errcheck // a temporary directory that is left behind does no harm
+	defer os.RemoveAll(tempDir) //nolint:errcheck // a temporary directory that is left behind does no harm
 	printf(out, "Two servers with emulators on this machine, %v seconds of the same requests from four tenants: "+
 		"fair queues off, and on.\n", t.Seconds)
-	off := &trial{directory: directory}
-	on := &trial{directory: directory, hasFairQueues: true}
+	off := &trial{configDir: tempDir}
+	on := &trial{configDir: tempDir, hasFairQueues: true}
 	trials := []*trial{off, on}
-	failed := make([]error, len(trials))
-	var running sync.WaitGroup
-	for i, one := range trials {
-		running.Go(func() { failed[i] = one.play(t) })
+	errs := make([]error, len(trials))
+	var waitGroup sync.WaitGroup
+	for i, current := range trials {
+		waitGroup.Go(func() { errs[i] = current.run(t) })
 	}
-	running.Wait()
-	for i, err := range failed {
+	waitGroup.Wait()
+	for i, err := range errs {
 		if err != nil {
 			return fmt.Errorf("%w\n%s", err, trials[i].log.String())
 		}
@@ -79,15 +79,15 @@
 // streams returns the load: three tenants that demand less than their shares, and one that demands Greed times its
 // share.
 func (t *tryCommand) streams() []*emulator.Stream {
-	const modest = 0.7 // demand of the first three tenants, as a fraction of their shares
+	const modestDemand = 0.7 // demand of the first three tenants, as a fraction of their shares
 	tenants := []struct {
-		name  string
-		share float64
-		asks  float64 // demand as a multiple of share
+		name   string
+		share  float64
+		demand float64 // as a multiple of share
 	}{
-		{"kirkens", 0.31, modest},
-		{"bymisjon", 0.29, modest},
-		{"fjordhjelpa", 0.23, modest},
+		{"kirkens", 0.31, modestDemand},
+		{"bymisjon", 0.29, modestDemand},
+		{"fjordhjelpa", 0.23, modestDemand},
 		{"ungdomslaget", 0.17, t.Greed},
 	}
 	var streams []*emulator.Stream
@@ -95,7 +95,7 @@
 		streams = append(streams, &emulator.Stream{
 			Tenant:            tenant.name,
 			Weight:            tenant.share,
-			ArrivalsPerSecond: tenant.asks * tenant.share * tryCores / tryCoreSeconds,
+			ArrivalsPerSecond: tenant.demand * tenant.share * tryCores / tryCoreSeconds,
 			To:                t.Seconds,
 			MeanCoreSeconds:   tryCoreSeconds,
 			PriorityWeight:    1,
@@ -104,33 +104,33 @@
 	return streams
 }
 
-// play starts the emulators and the server, sends the load, collects the results and stops the server and the
+// run starts the emulators and the server, sends the load, collects the results and stops the server and the
 // emulators.
-func (one *trial) play(options *tryCommand) error {
+func (t *trial) run(options *tryCommand) error {
 	var err error
-	one.interpreter, err = emulator.NewInterpreter(tryCores, options.Seed)
+	t.interpreter, err = emulator.NewInterpreter(tryCores, options.Seed)
 	if err != nil {
 		return err
 	}
-	defer one.interpreter.Close()
-	one.index, err = emulator.NewIndex()
+	defer t.interpreter.Close()
+	t.index, err = emulator.NewIndex()
 	if err != nil {
 		return err
 	}
-	defer one.index.Close() //nolint:errcheck // the listener is closed with this process at the latest
-	one.lookup, err = emulator.NewDirectory()
+	defer t.index.Close() //nolint:errcheck // the listener is closed with this process at the latest
+	t.directory, err = emulator.NewDirectory()
 	if err != nil {
 		return err
 	}
-	defer one.lookup.Close() //nolint:errcheck // the listener is closed with this process at the latest
+	defer t.directory.Close() //nolint:errcheck // the listener is closed with this process at the latest
 	address, err := emulator.FreeAddress()
 	if err != nil {
 		return err
 	}
-	if err := one.start(options, address); err != nil {
+	if err := t.startServer(options, address); err != nil {
 		return err
 	}
-	defer one.stop()
+	defer t.stopServer()
 	if err := emulator.WaitUntilServing(address); err != nil {
 		return err
 	}
@@ -144,27 +144,27 @@
 		Deadline:     tryDeadline,
 		Streams:      options.streams(),
 	}
-	one.stats, err = load.Run()
+	t.stats, err = load.Run()
 	return err
 }
 
-// start writes the configuration files and starts the server process.
-func (one *trial) start(options *tryCommand, address string) error {
+// startServer writes the configuration files and starts the server process.
+func (t *trial) startServer(options *tryCommand, address string) error {
 	name := "plain"
-	if one.hasFairQueues {
+	if t.hasFairQueues {
 		name = "fair"
 	}
-	platform, err := one.platformConfig(name, address)
+	platform, err := t.platformConfig(name, address)
 	if err != nil {
 		return err
 	}
-	path, err := one.writeFile(options, name+".json", platform)
+	path, err := t.writeFile(options, name+".json", platform)
 	if err != nil {
 		return err
 	}
 	args := []string{"serve", "--config=" + path}
-	if one.hasFairQueues {
-		path, err := one.writeFile(options, name+".yaml", fairQueuesYAML(options.streams()))
+	if t.hasFairQueues {
+		path, err := t.writeFile(options, name+".yaml", fairQueuesYAML(options.streams()))
 		if err != nil {
 			return err
 		}
@@ -174,14 +174,14 @@
 	if err != nil {
 		return err
 	}
-	one.process = exec.Command(program, args...)
-	one.process.Stdout = &one.log
-	one.process.Stderr = &one.log
-	return one.process.Start()
+	t.process = exec.Command(program, args...)
+	t.process.Stdout = &t.log
+	t.process.Stderr = &t.log
+	return t.process.Start()
 }
 
 // platformConfig returns the platform's configuration for the server of the trial, as JSON.
-func (one *trial) platformConfig(name, address string) (string, error) {
+func (t *trial) platformConfig(name, address string) (string, error) {
 	type object = map[string]any
 	settings := object{
 		"Categories": []any{object{
@@ -198,8 +198,8 @@
 		"Rules":   object{"DrainGrace": 2000, "TipMultiple": 8},
 	}
 	text, err := json.MarshalIndent(object{
-		"name": name, "listen": address, "vm": one.interpreter.Address, "index": one.index.Address,
-		"lookup": one.lookup.Address, "seed": "0000000000000007", "stop_ms": tryStopTimeout.Milliseconds(),
+		"name": name, "listen": address, "vm": t.interpreter.Address, "index": t.index.Address,
+		"lookup": t.directory.Address, "seed": "0000000000000007", "stop_ms": tryStopTimeout.Milliseconds(),
 		"limits": object{"cores": 1, "memory_mb": 64, "sockets": 1024}, "settings": settings,
 	}, "", "  ")
 	return string(text), err
@@ -217,27 +217,27 @@
 
 // writeFile writes a configuration file and returns its path. The file is in the trial's temporary directory unless the
 // user gave a path prefix with --config.
-func (one *trial) writeFile(options *tryCommand, name, text string) (string, error) {
-	path := filepath.Join(one.directory, name)
+func (t *trial) writeFile(options *tryCommand, name, text string) (string, error) {
+	path := filepath.Join(t.configDir, name)
 	if options.Config != "" {
 		path = options.Config + "." + name
 	}
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// stop shuts the server down gracefully and waits until the process has exited. It kills the process if the shutdown
-// takes longer than twice tryStopTimeout.
-func (one *trial) stop() {
+// stopServer shuts the server down gracefully and waits until the process has exited. It kills the process if the
+// shutdown takes longer than twice tryStopTimeout.
+func (t *trial) stopServer() {
 	exited := make(chan struct{})
 	go func() {
-		_ = one.process.Wait() // the exit status does not affect the results
+		_ = t.process.Wait() // the exit status does not affect the results
 		close(exited)
 	}()
-	_ = one.process.Process.Signal(syscall.SIGTERM) // fails if the process has already exited
+	_ = t.process.Process.Signal(syscall.SIGTERM) // fails if the process has already exited
 	select {
 	case <-exited:
 	case <-time.After(2 * tryStopTimeout):
-		_ = one.process.Process.Kill() // fails if the process has already exited
+		_ = t.process.Process.Kill() // fails if the process has already exited
 		<-exited
 	}
 }
--- a/internal/golden/codec.go
+++ b/internal/golden/codec.go
@@ -22,12 +22,12 @@
 	if err := c.Unmarshal(data, decoded); err != nil {
 		t.Fatalf("decode %T: %v", decoded, err)
 	}
-	again, err := c.Marshal(decoded)
+	reencoded, err := c.Marshal(decoded)
 	if err != nil {
 		t.Fatalf("encode %T again: %v", decoded, err)
 	}
-	if !bytes.Equal(data, again) {
-		t.Fatalf("%T was encoded as\n%x\nand after decoding as\n%x", value, data, again)
+	if !bytes.Equal(data, reencoded) {
+		t.Fatalf("%T was encoded as\n%x\nand after decoding as\n%x", value, data, reencoded)
 	}
 	return data
 }
--- a/internal/golden/codec_test.go
+++ b/internal/golden/codec_test.go
@@ -11,12 +11,12 @@
 	"thistlequay/internal/golden"
 )
 
-// failingTest is a testing.TB whose Fatalf panics with the message, so that a test can check how Encode fails.
-type failingTest struct{ testing.TB }
+// panickingTB is a testing.TB whose Fatalf panics with the message, so that a test can check how Encode fails.
+type panickingTB struct{ testing.TB }
 
-func (failingTest) Helper() {}
+func (panickingTB) Helper() {}
 
-func (failingTest) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+func (panickingTB) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
 // TestCodecReturnsTheEncodingAndFillsDecoded checks the result and the decoded value of a successful Encode.
 func TestCodecReturnsTheEncodingAndFillsDecoded(t *testing.T) {
@@ -30,16 +30,16 @@
 // the decoded value has another encoding.
 func TestCodecFailsUnlessTheEncodingIsTheSameAgain(t *testing.T) {
 	errEncoding := errors.New("encoding failed")
-	fails := func([]byte, any) error { return errEncoding }
-	loses := func([]byte, any) error { return nil }
+	failDecode := func([]byte, any) error { return errEncoding }
+	ignoreData := func([]byte, any) error { return nil }
 	for message, codec := range map[string]golden.Codec{
 		"encode []int: encoding failed": {
 			Marshal:   func(any) ([]byte, error) { return nil, errEncoding },
 			Unmarshal: json.Unmarshal,
 		},
-		"decode *[]int: encoding failed":                                {Marshal: json.Marshal, Unmarshal: fails},
-		"[]int was encoded as\n5b312c325d\nand after decoding as\n5b5d": {Marshal: json.Marshal, Unmarshal: loses},
+		"decode *[]int: encoding failed":                                {Marshal: json.Marshal, Unmarshal: failDecode},
+		"[]int was encoded as\n5b312c325d\nand after decoding as\n5b5d": {Marshal: json.Marshal, Unmarshal: ignoreData},
 	} {
-		require.PanicsWithValue(t, message, func() { codec.Encode(failingTest{t}, []int{1, 2}, &[]int{}) })
+		require.PanicsWithValue(t, message, func() { codec.Encode(panickingTB{t}, []int{1, 2}, &[]int{}) })
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -14,8 +14,8 @@
 	"thistlequay/internal/scenario"
 )
 
-// recordVariable is the environment variable that lets Check create golden files that do not exist yet, if set to 1.
-const recordVariable = "RECORD_GOLDEN"
+// recordEnvVariable is the environment variable that lets Check create golden files that do not exist yet, if set to 1.
+const recordEnvVariable = "RECORD_GOLDEN"
 
 // Check fails the test unless got equals the file testdata/golden/name of the package under test, byte for byte. If the
 // file does not exist and RECORD_GOLDEN is 1, Check creates it from got. Check never overwrites a file.
@@ -23,8 +23,8 @@
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && os.Getenv(recordVariable) == "1" {
-		record(t, path, got)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(recordEnvVariable) == "1" {
+		recordFile(t, path, got)
 		return
 	}
 	if err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// record creates a golden file and the directory that contains it.
-func record(t testing.TB, path string, content []byte) {
+// recordFile creates a golden file and the directory that contains it.
+func recordFile(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatalf("create the directory for golden files: %v", err)
@@ -49,15 +49,15 @@
 // History is a running 64-bit FNV-1a hash of a sequence of events. The zero value is not usable; call NewHistory. Add
 // does nothing on a nil History, so that a test can run the same schedule with and without recording it.
 type History struct {
-	sum interface {
+	hash interface {
 		Write(p []byte) (int, error)
 		Sum64() uint64
 	}
-	events int
+	eventCount int
 }
 
 // NewHistory returns an empty history.
-func NewHistory() *History { return &History{sum: fnv.New64a()} }
+func NewHistory() *History { return &History{hash: fnv.New64a()} }
 
 // Add appends one event. Its values are formatted with %v, and each is followed by the byte 0x1f, which must not occur
 // in a value.
@@ -65,16 +65,16 @@
 	if h == nil {
 		return
 	}
-	h.events++
+	h.eventCount++
 	for _, value := range values {
-		_, _ = fmt.Fprintf(h.sum, "%v\x1f", value) // writing to a hash never fails
+		_, _ = fmt.Fprintf(h.hash, "%v\x1f", value) // writing to a hash never fails
 	}
-	_, _ = h.sum.Write([]byte{'\n'})
+	_, _ = h.hash.Write([]byte{'\n'})
 }
 
 // String returns the number of events and their hash.
 func (h *History) String() string {
-	return fmt.Sprintf("events=%d hash=%016x", h.events, h.sum.Sum64())
+	return fmt.Sprintf("events=%d hash=%016x", h.eventCount, h.hash.Sum64())
 }
 
 // Check compares the history with a golden file, as the package function Check does. The history is the only line of
@@ -94,14 +94,14 @@
 func NewHistories(preface string) Histories { return Histories{lines: []byte(preface)} }
 
 // Add appends a line with the label, a space and the history as it is at the time of the call.
-func (l *Histories) Add(label string, history *History) {
-	l.lines = fmt.Appendf(l.lines, "%s %s\n", label, history)
+func (h *Histories) Add(label string, history *History) {
+	h.lines = fmt.Appendf(h.lines, "%s %s\n", label, history)
 }
 
 // Check compares the lines with a golden file, as the package function Check does.
-func (l *Histories) Check(t testing.TB, name string) {
+func (h *Histories) Check(t testing.TB, name string) {
 	t.Helper()
-	Check(t, name, l.lines)
+	Check(t, name, h.lines)
 }
 
 // CheckScenarios calls play for each scenario of the package under test, in a subtest with the name of the scenario. It
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -43,15 +43,15 @@
 		t.Fatalf("read scenario: %v", err)
 	}
 	var steps []Step
-	number := 0
+	lineNumber := 0
 	for line := range strings.Lines(string(text)) {
-		number++
+		lineNumber++
 		content, _, _ := strings.Cut(line, "#")
 		words := strings.Fields(content)
 		if len(words) == 0 {
 			continue
 		}
-		where := fmt.Sprintf("%s:%d %s", file, number, strings.TrimSpace(content))
+		where := fmt.Sprintf("%s:%d %s", file, lineNumber, strings.TrimSpace(content))
 		steps = append(steps, Step{Where: where, Words: words})
 	}
 	return steps
