--- a/internal/command/plugin_test.go
+++ b/internal/command/plugin_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestPluginCommandExitCodesAndOutput checks that plugin check and plugin run exit with 0 for a valid module whose hook
-// returns in time, with 1 for any other module and with 2 for invalid arguments. It also checks that the output contains
-// the needed memory, the action or the reason of a failure, except for the module that loops.
+// returns in time, with 1 for any other module and with 2 for invalid arguments. It also checks that the output
+// contains the needed memory, the action or the reason of a failure, except for the module that loops.
 func TestPluginCommandExitCodesAndOutput(t *testing.T) {
 	server := servertest.New(t)
 	request := filepath.Join(t.TempDir(), "r.json")
