--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,7 +1,8 @@
-// Package command is the command line of thistlequay: one app server and the tools around it, one file a verb.
+// Package command implements the command line of thistlequay, which runs an app server and provides tools for operating
+// it. Each command has a file of its own.
 //
-// Exit codes: 0 when all went well; 1 when the server could not start or failed, or a file has faults; 2 when the
-// command line is wrong. The server never runs with a configuration that it did not understand.
+// The exit code is 0 on success, 1 if the server could not start, the command failed or a file is invalid, and 2 if the
+// command line is invalid. The server never runs with a configuration that it could not parse and validate completely.
 package command
 
 import (
@@ -18,11 +19,11 @@
 
 // Exit codes of the program; 0 is success.
 const (
-	ExitFailed = 1 // the server could not start or failed, or a file has faults
-	ExitUsage  = 2 // the command line is wrong
+	ExitFailed = 1 // the server could not start, the command failed or a file is invalid
+	ExitUsage  = 2 // the command line is invalid
 )
 
-// commandLine is the grammar of the command line; the tags are read by kong.
+// commandLine defines the commands of the program. Kong derives the command line parser from the struct tags.
 type commandLine struct {
 	Serve   serveCommand   `cmd:"" default:"withargs" help:"${serveHelp}"`
 	Check   checkCommand   `cmd:"" help:"Check files, the platform's JSON and our YAML, and report each fault."`
@@ -42,8 +43,8 @@
 a graceful shutdown, SIGHUP reads the files again. Exit codes: 0 all went well, 1 it could not start, failed or found
 faults, 2 the command line is wrong.`
 
-// Main carries out the command line of this process and returns the exit code. A process that was started as a plug-in
-// host, with nothing but plugin.HostVerb, becomes one.
+// Main runs the command line of this process and returns the exit code. If plugin.HostVerb is the only argument, the
+// process serves as a plug-in host instead.
 func Main() int {
 	startedAsPluginHost := len(os.Args) == 2 && os.Args[1] == plugin.HostVerb
 	if !startedAsPluginHost {
@@ -55,42 +56,44 @@
 	return 0
 }
 
-// Run carries out one command line and returns the exit code.
-func Run(args []string, out, errs io.Writer) int {
+// Run parses and runs one command line and returns the exit code. The arguments do not include the program name. Output
+// goes to stdout and errors go to stderr.
+func Run(args []string, stdout, stderr io.Writer) int {
 	const notExited = -1
-	helpExit := notExited
+	helpExitCode := notExited
 	var grammar commandLine
-	parser, err := kong.New(&grammar, kong.Name("thistlequay"), kong.Description(description), kong.Writers(out, errs),
-		kong.Vars{"serveHelp": serveHelp}, kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.Exit(func(code int) { helpExit = code }))
+	parser, err := kong.New(&grammar, kong.Name("thistlequay"), kong.Description(description),
+		kong.Writers(stdout, stderr), kong.Vars{"serveHelp": serveHelp}, kong.UsageOnError(),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Exit(func(code int) { helpExitCode = code }))
 	if err != nil {
-		printLine(errs, err)
+		printLine(stderr, err)
 		return ExitUsage
 	}
 	parsed, err := parser.Parse(args)
-	if helpExit != notExited { // --help has been answered
-		return helpExit
+	if helpExitCode != notExited { // kong has printed the help text
+		return helpExitCode
 	}
 	if err != nil {
-		printf(errs, "thistlequay: %s\nthistlequay --help lists the commands\n", err)
+		printf(stderr, "thistlequay: %s\nthistlequay --help lists the commands\n", err)
 		return ExitUsage
 	}
-	parsed.BindTo(out, (*io.Writer)(nil))
+	parsed.BindTo(stdout, (*io.Writer)(nil))
 	err = parsed.Run()
 	if err == nil {
 		return 0
 	}
 	if !errors.Is(err, errAlreadyReported) && !errors.Is(err, daemon.ErrLogged) {
-		printf(errs, "thistlequay: %s\n", err)
+		printf(stderr, "thistlequay: %s\n", err)
 	}
 	return ExitFailed
 }
 
-// errAlreadyReported is a failure whose reasons have been printed.
+// errAlreadyReported is returned by commands that have already printed the reasons for their failure.
 var errAlreadyReported = errors.New("already reported")
 
-// printf writes to a terminal or pipe; when that fails there is nobody left to tell.
+// printf writes formatted text to the output of a command. It ignores write errors, because there is no other place to
+// report them.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
-// printLine is printf for one value and a line end.
+// printLine writes a value and a newline. It ignores write errors, as printf does.
 func printLine(out io.Writer, value any) { _, _ = fmt.Fprintln(out, value) }
--- a/internal/command/plugin.go
+++ b/internal/command/plugin.go
@@ -13,13 +13,13 @@
 	"thistlequay/internal/plugin/abi"
 )
 
-// pluginCommand is the verb plugin: what an author of plug-ins needs before a server runs the module.
+// pluginCommand implements the plugin command, with which authors of plug-ins test a module before a server loads it.
 type pluginCommand struct {
 	Check pluginCheckCommand `cmd:"" help:"Compile a module, start it and ask its version, as a server would."`
 	Run   pluginRunCommand   `cmd:"" help:"Ask a module about one request and print its verdict, time and memory."`
 }
 
-// moduleLimits are the limits under which a module is run.
+// moduleLimits holds the flags for the engine, the resource limits and the hooks of the module under test.
 type moduleLimits struct {
 	Engine   string        `enum:"interpreter,compiler" default:"interpreter" help:"How it is run: ${enum}."`
 	MemoryKB int           `name:"memory-kb" default:"4096" help:"Memory of an instance."`
@@ -29,18 +29,19 @@
 	Hooks    []string      `default:"read" enum:"read,result,tick" help:"What it is to be asked: ${enum}."`
 }
 
-// maxStateKB bounds the state that a module may keep while it is tried.
+// maxStateKB is the maximum state in KB that the module under test may keep.
 const maxStateKB = 64
 
-// hookNumbers are the hooks of the plug-in interface by their names.
+// hookNumbers maps the names of hooks on the command line to their numbers in the plug-in ABI.
 var hookNumbers = map[string]int{
 	"read":   abi.HookRead,
 	"result": abi.HookResult,
 	"tick":   abi.HookTick,
 }
 
+// moduleConfig returns the configuration for loading the module in a file with these limits.
 func (l *moduleLimits) moduleConfig(file string) plugin.ModuleConfig {
-	c := plugin.ModuleConfig{
+	config := plugin.ModuleConfig{
 		Name:         file,
 		File:         file,
 		MemoryKB:     l.MemoryKB,
@@ -50,29 +51,29 @@
 		Compile:      l.Engine == "compiler",
 	}
 	for _, hook := range l.Hooks {
-		c.Hooks[hookNumbers[hook]] = true
+		config.Hooks[hookNumbers[hook]] = true
 	}
-	return c
+	return config
 }
 
-// pluginCheckCommand is the verb plugin check.
+// pluginCheckCommand implements the plugin check command.
 type pluginCheckCommand struct {
 	moduleLimits `embed:""`
 	File         string `arg:"" name:"FILE" help:"The module."`
 }
 
-// Run loads the module once.
+// Run loads the module without calling its hooks, and prints its SHA-256 hash, startup time and memory.
 func (c *pluginCheckCommand) Run(out io.Writer) error {
-	trial, err := plugin.Check(c.moduleConfig(c.File))
+	result, err := plugin.Check(c.moduleConfig(c.File))
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%s: sha256 %s, ready after %v, %d KB of memory an instance\n",
-		c.File, trial.SHA256, trial.StartupTime.Round(time.Microsecond), trial.MemoryKB)
+		c.File, result.SHA256, result.StartupTime.Round(time.Microsecond), result.MemoryKB)
 	return err
 }
 
-// pluginRunCommand is the verb plugin run.
+// pluginRunCommand implements the plugin run command.
 type pluginRunCommand struct {
 	moduleLimits `embed:""`
 	File         string `arg:"" name:"FILE" help:"The module."`
@@ -80,37 +81,38 @@
 	Times        int    `default:"1" help:"How often it is asked."`
 }
 
-// sampleRequest is the file that describes the request a module is asked about.
+// sampleRequest is the JSON content of the --request file, which describes the request that the module is called with.
 type sampleRequest struct {
 	Hook                        string `json:"hook"`
 	TimeLeftMS                  uint32 `json:"left_ms"`
 	Category, Tenant, Tag, Body string
 }
 
-// Run asks the module and prints its verdict as JSON.
+// Run calls the module with the sample request and prints the verdict of the last call as JSON, with the longest call
+// and the memory.
 func (c *pluginRunCommand) Run(out io.Writer) error {
 	request, err := c.readRequest()
 	if err != nil {
 		return err
 	}
-	trial, err := plugin.Try(c.moduleConfig(c.File), request, c.Times, c.Call)
+	result, err := plugin.Try(c.moduleConfig(c.File), request, c.Times, c.Call)
 	if err != nil {
 		return err
 	}
-	verdict := trial.Verdict
+	verdict := result.Verdict
 	return json.NewEncoder(out).Encode(map[string]any{
 		"does":      describeActions(verdict.Actions),
 		"status":    verdict.Status,
 		"category":  verdict.Category,
 		"tag":       verdict.Tag,
 		"body":      string(verdict.Body),
-		"took_us":   trial.LongestCall.Microseconds(),
-		"memory_kb": trial.MemoryKB,
-		"says":      trial.LogLines,
+		"took_us":   result.LongestCall.Microseconds(),
+		"memory_kb": result.MemoryKB,
+		"says":      result.LogLines,
 	})
 }
 
-// readRequest reads the sample request; its hook is added to those that the module is to have.
+// readRequest reads the sample request and adds its hook to the hooks that the module must implement.
 func (c *pluginRunCommand) readRequest() (*abi.Request, error) {
 	text, err := os.ReadFile(c.Request)
 	if err != nil {
@@ -141,7 +143,8 @@
 	}, nil
 }
 
-// describeActions lists what a verdict does, by the words of the command's output.
+// describeActions returns the names of the actions in a verdict, separated by spaces, or "nothing". The names are part
+// of the command's output format.
 func describeActions(actions int) string {
 	var words []string
 	for _, action := range []struct {
