--- a/internal/clustertest/attempt.go
+++ b/internal/clustertest/attempt.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// deadlineSlack is how long after the deadline a response may come on sockets, by the rules of the users' pages.
+	// deadlineSlack is how long after its deadline a response may still arrive over a socket. The users' documentation
+	// allows this much.
 	deadlineSlack = 50 * time.Millisecond
-	// giveUpAfter is how long after the deadline a router gives up waiting for a response.
+	// giveUpAfter is how long a router waits for a response after the deadline.
 	giveUpAfter = 2 * time.Second
-	// maxOpenRequests is the number of requests in flight on one connection of a router.
+	// maxOpenRequests is the largest number of requests in flight on one connection of a router.
 	maxOpenRequests = 24
-	// defaultTenant is the tenant of traffic that names none.
+	// defaultTenant is the tenant of traffic whose Traffic.Tenant is empty.
 	defaultTenant = "acme"
 	// noStatus is the status of an attempt without a response.
 	noStatus = 0
 )
 
-// errNoResponse means that the router gave up waiting for a response.
+// errNoResponse is the error of an attempt whose response did not arrive within giveUpAfter of the deadline.
 var errNoResponse = errors.New("no response")
 
-// routerConnection is the connection of one router to one server.
+// routerConnection is the connection of one router to one server, with the attempts in flight on it.
 type routerConnection struct {
 	*emulator.Link
 
-	lock     sync.Mutex // guards all that follows, and writes
+	lock     sync.Mutex // guards the fields below and writes to the link
 	lastSlot uint16
-	open     map[uint16]chan attemptResult // by slot
-	dead     bool                          // closed by the test, or by the server while nothing was open
+	open     map[uint16]chan attemptResult // attempts in flight, by slot
+	dead     bool                          // closed by the test, or by the server while no request was open
 }
 
-// attemptResult is the response to an attempt, or why there is none.
+// attemptResult holds the response to an attempt, or the error that explains why there is none.
 type attemptResult struct {
 	emulator.Response
 	err error
 }
 
-// attempt sends one attempt and waits for its response. It returns the status, or noStatus.
+// attempt sends one attempt to a server, waits for its response and updates the counts. It returns the status of the
+// response, or noStatus if there is none.
 func (r *Routers) attempt(q request, server *Server, left time.Duration) int {
 	connection := r.connection(q.router, server)
 	if connection == nil {
@@ -82,7 +84,7 @@
 	return noStatus
 }
 
-// encoder returns a function that encodes an attempt for a slot.
+// encoder returns a function that encodes one attempt as a FastCGI request on a given slot.
 func (r *Routers) encoder(q request, id string, left time.Duration) func(slot uint16) []byte {
 	parameters := emulator.RequestParameters(id, cmp.Or(r.Tenant, defaultTenant), left)
 	parameters["HTTP_SENT_BY"] = fmt.Sprint(q.router)
@@ -98,8 +100,8 @@
 	}
 }
 
-// connection returns a router's connection to a server with a free slot. It dials where there is none, and returns nil
-// where that fails.
+// connection returns a connection from a router to a server that has a free slot. It dials a new one if the current
+// connection has none, and returns nil if dialing fails.
 func (r *Routers) connection(router int, server *Server) *routerConnection {
 	r.lock.Lock()
 	connection := r.connections[router][server]
@@ -119,22 +121,24 @@
 	return connection
 }
 
+// hasFreeSlot reports whether another attempt can be sent on the connection.
 func (c *routerConnection) hasFreeSlot() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return !c.dead && len(c.open) < maxOpenRequests
 }
 
+// isDead reports whether the test closed the connection, or the server closed it while no request was open.
 func (c *routerConnection) isDead() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.dead
 }
 
-// drop closes the connection. It ignores the error, which only means that it was closed before.
+// drop closes the connection. It ignores the error, which only means that the connection was already closed.
 func (c *routerConnection) drop() { _ = c.Close() }
 
-// kill closes the connection for the test, so that requests in flight on it do not count as unanswered.
+// kill closes the connection as an injected fault, so that requests in flight on it do not count as unanswered.
 func (c *routerConnection) kill() {
 	c.lock.Lock()
 	c.dead = true
@@ -142,7 +146,7 @@
 	c.drop()
 }
 
-// send writes a request on the next free slot. The channel delivers its response, or the error that ended the
+// send writes a request on the next free slot. The returned channel delivers the response, or the error that ended the
 // connection.
 func (c *routerConnection) send(encode func(slot uint16) []byte) (<-chan attemptResult, error) {
 	response := make(chan attemptResult, 1)
@@ -157,7 +161,7 @@
 	return response, err
 }
 
-// readResponses delivers responses until the connection ends.
+// readResponses reads responses and delivers them to their attempts until the connection ends.
 func (c *routerConnection) readResponses() {
 	for {
 		response, err := c.ReadResponse()
@@ -169,7 +173,7 @@
 	}
 }
 
-// responded delivers one response to the attempt on its slot.
+// responded delivers a response to the attempt that waits on its slot, and frees the slot.
 func (c *routerConnection) responded(response emulator.Response) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/clustertest/cluster_scenarios_test.go
+++ b/internal/clustertest/cluster_scenarios_test.go
@@ -10,18 +10,18 @@
 	"thistlequay/internal/servertest"
 )
 
-// clusterScenario is a fault of a cluster under load.
+// clusterScenario is a fault that is injected into a cluster under load.
 type clusterScenario struct {
 	name string
-	// minOnTime is the fraction of the requests that must be served on time.
+	// minOnTime is the fraction of requests; more than that must be served on time.
 	minOnTime float64
-	// prepare is called before the servers are started; nil for nothing to do.
+	// prepare changes the cluster before the servers are started; nil means no change.
 	prepare func(cluster *testCluster)
-	// injectFault adds the fault to traffic of some duration; nil for none.
+	// injectFault adds a fault to the traffic, at times that depend on its duration; nil means none.
 	injectFault func(cluster *testCluster, traffic *clustertest.Traffic)
 }
 
-// clusterScenarios are scenarios of the simulations with hundreds of servers.
+// clusterScenarios holds scenarios that the simulations also run, there with hundreds of servers.
 var clusterScenarios = []clusterScenario{
 	{name: "cold-together", minOnTime: 0.4, prepare: reportColdInterpreters},
 	{name: "routers-reconnect", minOnTime: 0.8, injectFault: dropRouterConnections},
@@ -32,8 +32,9 @@
 	{name: "half-leave", minOnTime: 0.5, injectFault: drainHalf},
 }
 
-// TestMeasuredClusterScenarios plays each scenario on a few real processes: every attempt that a server reads has one
-// response before its deadline, and no idempotency key runs twice on a server. It reports the worst second.
+// TestMeasuredClusterScenarios runs each scenario on a few real processes. Every attempt that a server reads must get
+// one response by its deadline, with the slack allowed on sockets, and no idempotency key may run twice on a server.
+// The test logs the lowest fraction of requests on time in any second.
 func TestMeasuredClusterScenarios(t *testing.T) {
 	servers := 8
 	duration := 4 * time.Second
@@ -49,7 +50,7 @@
 	}
 }
 
-// run plays the scenario on a cluster that is not started.
+// run starts the servers of the cluster, runs the scenario on them and checks the outcome.
 func (s clusterScenario) run(cluster *testCluster, duration time.Duration) {
 	cluster.t.Helper()
 	if s.prepare != nil {
@@ -86,7 +87,7 @@
 	cluster.requireNoCrash()
 }
 
-// requireNoCrash checks that each server whose process has ended was drained or killed by the test.
+// requireNoCrash checks that each process that has ended was drained, which gives exit code 0, or killed by the test.
 func (c *testCluster) requireNoCrash() {
 	c.t.Helper()
 	const exitCodeKilled = -1
@@ -99,7 +100,7 @@
 	}
 }
 
-// reportColdInterpreters makes all interpreters report that they are cold.
+// reportColdInterpreters makes all interpreters report at connection that they have just started.
 func reportColdInterpreters(cluster *testCluster) {
 	for _, server := range cluster.Servers {
 		server.Interpreter.ReportsCold = true
@@ -113,7 +114,7 @@
 	}
 }
 
-// limitIndex makes the index slower and lets it run four calls at once, fewer than the requests make.
+// limitIndex makes the index slow and limits it to four concurrent calls, fewer than the requests need.
 func limitIndex(cluster *testCluster) {
 	cluster.Index.ReplyDelay = 40 * time.Millisecond
 	cluster.Index.MaxInFlight = 4
@@ -122,22 +123,22 @@
 	}
 }
 
-// dropRouterConnections closes the connections of seven in ten routers at once.
+// dropRouterConnections closes the connections of 70% of the routers at once, halfway through the traffic.
 func dropRouterConnections(_ *testCluster, traffic *clustertest.Traffic) {
 	traffic.Actions[traffic.Duration/2] = func(routers *clustertest.Routers) { routers.DropConnections(0.7) }
 }
 
-// interruptDirectory takes the directory away for half of the time.
+// interruptDirectory makes the directory unreachable for the middle half of the traffic.
 func interruptDirectory(cluster *testCluster, traffic *clustertest.Traffic) {
 	traffic.Actions[traffic.Duration/4] = func(*clustertest.Routers) {
 		servertest.CloseQuietly(cluster.Directory.Listener.Listener)
 	}
 	traffic.Actions[traffic.Duration*3/4] = func(*clustertest.Routers) {
-		_ = cluster.Directory.Reopen() // the traffic does not need it
+		_ = cluster.Directory.Reopen() // the traffic does not need the directory, so an error does not matter
 	}
 }
 
-// killServerBeforeListChanges kills a server that stays in the endpoint list for two more seconds.
+// killServerBeforeListChanges kills a server, which stays in the endpoint list for another two seconds.
 func killServerBeforeListChanges(cluster *testCluster, traffic *clustertest.Traffic) {
 	killed := cluster.Servers[0]
 	killAt := traffic.Duration / 2
@@ -150,13 +151,13 @@
 	}
 }
 
-// drainHalf shuts half of the servers down gracefully. They stay in the endpoint list for one more second.
+// drainHalf starts a graceful shutdown of half of the servers. They stay in the endpoint list for another second.
 func drainHalf(cluster *testCluster, traffic *clustertest.Traffic) {
 	half := len(cluster.Servers) / 2
 	drainAt := traffic.Duration / 2
 	traffic.Actions[drainAt] = func(*clustertest.Routers) {
 		for _, server := range cluster.Servers[:half] {
-			_ = server.Signal(syscall.SIGTERM) // the exit code is checked at the end
+			_ = server.Signal(syscall.SIGTERM) // requireNoCrash checks the exit code at the end
 		}
 	}
 	traffic.EndpointsAt = func(at time.Duration) []*clustertest.Server {
--- a/internal/clustertest/fairqueue_test.go
+++ b/internal/clustertest/fairqueue_test.go
@@ -12,15 +12,16 @@
 	"thistlequay/internal/servertest"
 )
 
-// tenantCase is one setting of the tenants' shares.
+// tenantCase is one setting of the tenants' shares, with the outcome that it entitles acme to.
 type tenantCase struct {
-	acmeShare float64 // of the cluster, by the settings; beta has the rest
-	entitled  float64 // the fraction that acme's servers, a third of the cluster, can give it
+	acmeShare float64 // fraction of the cluster in the settings; beta has the rest
+	entitled  float64 // acmeShare, but at most the third of the cluster that acme sends to
 }
 
-// TestMeasuredTenantsOverTheCluster measures the tenants' shares over the cluster: acme sends to one server of three
-// (to four of twelve where MEASURE=full), beta to all, and both send more than the cores can do. Each gets its share of
-// the cluster as far as its servers have that much.
+// TestMeasuredTenantsOverTheCluster measures how the capacity of the whole cluster is divided between two tenants. The
+// tenant acme sends to one server of three (four of twelve with MEASURE=full), beta to all of them, and both send more
+// than the cores can process. Each tenant must get its share of the cluster, as far as the servers that it sends to
+// have that much capacity.
 func TestMeasuredTenantsOverTheCluster(t *testing.T) {
 	servers := 3
 	duration := 12 * time.Second
@@ -33,7 +34,7 @@
 		gossipModes = []bool{false, true}
 	}
 	for _, test := range cases {
-		fractions := map[bool]float64{} // by whether the servers gossip
+		fractions := map[bool]float64{} // keyed by whether the servers gossip
 		for _, gossip := range gossipModes {
 			fractions[gossip] = acmeFraction(t, test.acmeShare, servers, gossip, duration)
 		}
@@ -43,7 +44,8 @@
 	}
 }
 
-// acmeFraction returns the fraction of the requests on time that are acme's, once the first third of the time is over.
+// acmeFraction sends the traffic of both tenants and returns acme's fraction of the requests on time. It ignores the
+// first third of the duration.
 func acmeFraction(t *testing.T, acmeShare float64, servers int, gossip bool, duration time.Duration) float64 {
 	t.Helper()
 	cluster := newTestCluster(t, clustertest.Config{
@@ -77,10 +79,10 @@
 	return acme / (acme + beta)
 }
 
-// servedOnTime sends one tenant's traffic to the servers, and returns the number of its requests on time after the
-// first third of the duration.
+// servedOnTime sends one tenant's traffic to the servers and returns the number of requests that were served on time
+// after the first third of the duration.
 func (c *testCluster) servedOnTime(tenant string, servers []*clustertest.Server, duration time.Duration) float64 {
-	const ratePerServer = 75.0 // requests per second; the cores of a server can do 50
+	const ratePerServer = 75.0 // requests per second; the cores of a server can process 50
 	traffic := platformTraffic()
 	traffic.Tenant = tenant
 	traffic.RouterCount = 6
@@ -91,8 +93,8 @@
 	traffic.EndpointsAt = constantEndpoints(servers)
 	stats := c.RunTraffic(traffic)
 
-	// By the second of the response: by that of the request, queued requests would move the figure for some seconds
-	// either way.
+	// Requests are counted by the second of the response. Counted by the second of the request, queued requests would
+	// shift the result by some seconds at both ends.
 	seconds := int(duration / time.Second)
 	served := 0
 	for _, onTime := range stats.OnTimeBySecond[seconds/3 : seconds] {
--- a/internal/clustertest/gossip_hostile_test.go
+++ b/internal/clustertest/gossip_hostile_test.go
@@ -15,13 +15,14 @@
 	"thistlequay/internal/membership"
 )
 
-// clusterName is the cluster name of all servers that Configure gives no other.
+// clusterName is the cluster name of every server for which Server.Configure sets no other.
 const clusterName = "rig"
 
-// gossipKey returns a gossip key of the cluster's settings that is made from a text of 16 bytes.
+// gossipKey returns the gossip key, in base64, that consists of a text of 16 bytes.
 func gossipKey(text string) string { return base64.StdEncoding.EncodeToString([]byte(text)) }
 
-// startClusterOfFour starts four servers. A fifth one is made but not started, for what does not belong to the cluster.
+// startClusterOfFour starts four servers, the members. It also creates a fifth server without starting it, with which a
+// test runs a process that does not belong to the cluster.
 func startClusterOfFour(t *testing.T, seed int64) (cluster *testCluster, home []*clustertest.Server,
 	stranger *clustertest.Server) {
 	t.Helper()
@@ -36,10 +37,10 @@
 	return cluster, home, cluster.Servers[4]
 }
 
-// TestForeignGossipMembersAreRejected starts processes that do not belong: with the name of another cluster, with an
-// old or a wrong key, under a name that is taken and with a clock a minute ahead. Then the network duplicates and
-// truncates messages. No stranger is accepted, and no member fails because of one. Keys are changed while the servers
-// gossip.
+// TestForeignGossipMembersAreRejected starts processes that do not belong to the cluster: with another cluster name,
+// with a wrong or outdated key, and under the name of a member with a clock that is a minute ahead. Then the network
+// loses, duplicates and truncates messages, and the gossip keys are replaced while the servers run. No foreign process
+// may be accepted as a member, and no member may fail because of one.
 func TestForeignGossipMembersAreRejected(t *testing.T) {
 	t.Parallel()
 	cluster, home, stranger := startClusterOfFour(t, 2)
@@ -50,7 +51,7 @@
 	for _, foreign := range []struct{ what, name, clusterName, key string }{
 		{what: "another cluster", name: "x1", clusterName: "other", key: oldKey},
 		{what: "a wrong key", name: "x2", clusterName: clusterName, key: gossipKey("a key of nowhere")},
-		{what: "a key of later", name: "x3", clusterName: clusterName, key: newKey},
+		{what: "a key that the members do not have yet", name: "x3", clusterName: clusterName, key: newKey},
 	} {
 		stranger.Configure(foreign.name, foreign.clusterName, foreign.key)
 		cluster.requireStrangerIsolated(foreign.what, stranger)
@@ -58,8 +59,8 @@
 	cluster.requireNameStaysWithFirst(stranger, home)
 	cluster.requireNoStrangerAfterLoss(home)
 
-	// Keys change while the servers gossip: both are accepted before any member sends with the new one, and the old one
-	// is removed after that.
+	// Replace the key in three steps while the servers gossip. All members accept both keys before any member sends
+	// with the new one, and the old key is removed last.
 	for _, keys := range []string{oldKey + "\n" + newKey, newKey + "\n" + oldKey, newKey} {
 		for _, server := range home {
 			cluster.NoError(server.ReloadWithKeys(keys))
@@ -74,7 +75,8 @@
 	cluster.requireMembersCommand(home[0])
 }
 
-// requireStrangerIsolated starts a server as it is configured. It finds no other member, and is killed.
+// requireStrangerIsolated starts a server that does not belong to the cluster, checks that it finds no other member,
+// and kills it.
 func (c *testCluster) requireStrangerIsolated(what string, stranger *clustertest.Server) {
 	c.t.Helper()
 	c.NoError(stranger.Start())
@@ -82,8 +84,8 @@
 	c.NoError(stranger.Kill())
 }
 
-// requireNameStaysWithFirst starts a second process under the name of a member, with its clock a minute ahead: the
-// member keeps the name.
+// requireNameStaysWithFirst starts a second process under the name of a member, with its clock a minute ahead, and
+// checks that the member keeps the name.
 func (c *testCluster) requireNameStaysWithFirst(stranger *clustertest.Server, home []*clustertest.Server) {
 	c.t.Helper()
 	const name = "n03"
@@ -101,8 +103,9 @@
 	c.NoError(stranger.Kill())
 }
 
-// requireNoStrangerAfterLoss has the network lose, duplicate, reorder, replay and truncate messages while one server
-// crashes. The others detect the crash, all converge once the network healed, and none lists a stranger.
+// requireNoStrangerAfterLoss makes the network lose, duplicate, reorder, replay and truncate messages while one server
+// crashes. The others must detect the crash, all must converge after the network has recovered, and none may list a
+// foreign process as a member.
 func (c *testCluster) requireNoStrangerAfterLoss(home []*clustertest.Server) {
 	c.t.Helper()
 	c.SetFaultEverywhere(clustertest.Fault{
@@ -124,7 +127,8 @@
 	}
 }
 
-// requireMembersCommand runs the command "members" on a server in the majority, as text and as JSON.
+// requireMembersCommand runs the command "members" against a server in the majority and checks its text and JSON
+// output.
 func (c *testCluster) requireMembersCommand(server *clustertest.Server) {
 	c.t.Helper()
 	var output bytes.Buffer
@@ -136,9 +140,10 @@
 	c.Contains(output.String(), `"state": "serving"`)
 }
 
-// TestForgedGossipIsRejectedAndCounted has a member with the cluster's key send messages that are forged about others
-// and about their receivers, corrupted, of 64 KiB and of unknown kinds. None is accepted, all are counted, and what the
-// member says about itself is still accepted.
+// TestForgedGossipIsRejectedAndCounted makes a member with the cluster's key send messages that forge the state of
+// other members or of the receiver, and messages that are corrupted, 64 KiB long or of an unknown kind. The servers
+// must accept none of them and count rejections as forged and as malformed, but must still accept the sender's updates
+// about itself.
 func TestForgedGossipIsRejectedAndCounted(t *testing.T) {
 	t.Parallel()
 	cluster, home, unused := startClusterOfFour(t, 8)
@@ -180,11 +185,11 @@
 const (
 	// forgerName is the member name of the node that forges messages.
 	forgerName = "liar"
-	// forgedNumber is the sequence number and epoch of forged messages, beyond all that the cluster reaches.
+	// forgedNumber is the sequence number and epoch of forged messages, larger than any that the cluster reaches.
 	forgedNumber = 1 << 40
 )
 
-// startForger starts a gossip node of the test itself at the addresses of a server that is not started. It knows the
+// startForger starts a gossip node inside the test, at the addresses of a server that is not started. The node has the
 // cluster's name and key.
 func (c *testCluster) startForger(unused, seed *clustertest.Server) (*gossip.Node, membership.ID) {
 	c.t.Helper()
@@ -208,8 +213,9 @@
 	return forger, id
 }
 
-// forgedMessages returns messages to the target by kind: state updates about the victim and about the target itself, a
-// configuration that the forger alone has voted for, an envelope in another's name, and bytes that are no message.
+// forgedMessages returns messages to send to the target, by message kind: state updates about the victim and about the
+// target itself, a committed configuration whose only voter is the forger, an envelope in the victim's name, and bytes
+// that are not a valid message.
 func forgedMessages(t *testing.T, victim, target, forger membership.ID) map[byte][][]byte {
 	t.Helper()
 	const (
--- a/internal/clustertest/gossip_test.go
+++ b/internal/clustertest/gossip_test.go
@@ -14,9 +14,9 @@
 	"thistlequay/internal/gossip"
 )
 
-// TestMeasuredGossipThroughFaults injects a crash, a stopped process, one-way loss, a partitioned zone, a graceful
-// leave and restarts on real processes. The views tell them apart by their causes and converge again, and no two parts
-// claim the majority at once.
+// TestMeasuredGossipThroughFaults injects a crash, a stopped process, one-way packet loss, partitions between zones, a
+// graceful shutdown and restarts into a cluster of real processes. The cluster views must report the right cause for
+// each and converge again, and no two parts of the cluster may claim the majority at the same time.
 func TestMeasuredGossipThroughFaults(t *testing.T) {
 	t.Parallel()
 	servers := 12
@@ -61,17 +61,19 @@
 	cluster.Zero(rivals.Count())
 }
 
-// longest returns the last of durations in ascending order.
+// longest returns the last element of durations, which must be in ascending order.
 func longest(durations []time.Duration) time.Duration { return durations[len(durations)-1] }
 
-// requireCrashDetected kills a server. The others find that its process crashed; it returns how long that took them.
+// requireCrashDetected kills a server and checks that the others report a crashed process. It returns how long each of
+// them took, in ascending order.
 func (c *testCluster) requireCrashDetected(crashed *clustertest.Server, others []*clustertest.Server) []time.Duration {
 	c.t.Helper()
 	c.NoError(crashed.Kill())
 	return c.waitForView("crash detected", others, memberIs(crashed.Name, "failed", "crashed"))
 }
 
-// requireStopDetected pauses a server. The others find that its process is stopped, and that it continues later.
+// requireStopDetected pauses a server and lets it continue. The others must report it as stopped, then as serving
+// again.
 func (c *testCluster) requireStopDetected(stopped *clustertest.Server, others []*clustertest.Server) {
 	c.t.Helper()
 	c.NoError(stopped.Signal(syscall.SIGSTOP))
@@ -80,8 +82,8 @@
 	c.waitForView("stopped server continues", others, memberIs(stopped.Name, "serving"))
 }
 
-// requireAliveDespiteOneWayLoss loses all that one server sends to another. The sender reports that it cannot reach it,
-// but all servers still see it serve.
+// requireAliveDespiteOneWayLoss drops everything that one server sends to another. The sender must report that it alone
+// cannot reach the other server, and all servers must still see that one as serving.
 func (c *testCluster) requireAliveDespiteOneWayLoss(from, to *clustertest.Server, servers []*clustertest.Server) {
 	c.t.Helper()
 	sender := []*clustertest.Server{from}
@@ -94,9 +96,10 @@
 	c.waitForView("reachable again", sender, memberIs(to.Name, "serving", ""))
 }
 
-// requireZoneInMinority cuts the cluster into its three zones, none of which has the majority, then only the first zone
-// from the others, which have it. The minority keeps to the size of the cluster. It returns how long the servers took
-// to converge once the network healed.
+// requireZoneInMinority first partitions the cluster into its three zones, none of which has a majority. Then it
+// separates only the first zone from the other two, which together have the majority. The minority must still expect
+// the size of the whole cluster. It returns how long each server took to converge after the network was healed, in
+// ascending order.
 func (c *testCluster) requireZoneInMinority(servers []*clustertest.Server) []time.Duration {
 	c.t.Helper()
 	zoneOf := func(server *clustertest.Server) int { return server.Index % 3 }
@@ -112,13 +115,13 @@
 	for _, server := range zones[0] {
 		status := c.gossipStatus(server)
 		c.Equal(minority, status.QuorumStatus)
-		c.GreaterOrEqual(status.ExpectedSize, len(servers), "a minority divides limits by the whole cluster")
+		c.GreaterOrEqual(status.ExpectedSize, len(servers), "a minority must divide limits by the whole cluster")
 	}
 	c.Heal()
 	return c.waitForView("zones converge", servers, majorityOf(len(servers)))
 }
 
-// requireLeaveAnnounced shuts a server down gracefully: the others learn that it left before any probe fails.
+// requireLeaveAnnounced shuts a server down gracefully. The others must report that it left before any probe fails.
 func (c *testCluster) requireLeaveAnnounced(leaving *clustertest.Server, others []*clustertest.Server) {
 	c.t.Helper()
 	c.NoError(leaving.Signal(syscall.SIGTERM))
@@ -127,9 +130,10 @@
 	c.Equal(0, leaving.ExitCode())
 }
 
-// TestMembershipRecoversAfterAllRestart kills every server, seed members included, and starts all again at once, one of
-// them with its clock set back. Then half of them are replaced in one instant, and the seed members killed for good.
-// Each time the servers agree on a cluster configuration.
+// TestMembershipRecoversAfterAllRestart kills all servers, including the seed members, and starts them again at once,
+// one of them with its clock set back. Then it replaces half of the servers at once, and finally kills the seed members
+// without restarting them. After each step the remaining servers must be a majority again, and after all but the first
+// restart also agree on a cluster configuration.
 func TestMembershipRecoversAfterAllRestart(t *testing.T) {
 	t.Parallel()
 	cluster := startGossipCluster(t, 6, 3)
@@ -144,7 +148,7 @@
 	cluster.NoError(wrongClock.Configure("", "", "", "--clock-shift=-5m").Start())
 	cluster.waitForView("clock set back", all, agreedOn(6))
 
-	for _, server := range all[3:] { // at once: three of the five voters may be among them
+	for _, server := range all[3:] { // without waits between them: three of the five voters may be among them
 		cluster.NoError(server.Signal(syscall.SIGTERM))
 		added, err := cluster.AddServer(len(cluster.Servers))
 		cluster.NoError(err)
@@ -153,16 +157,16 @@
 	added := cluster.Servers[6:]
 	cluster.waitForView("half replaced", slices.Concat(all[:3], added), agreedOn(6))
 
-	// Every configured seed member is gone: the others stay the majority.
+	// Without any of the configured seed members, the others must remain the majority.
 	cluster.kill(all[:2])
 	cluster.waitForView("two seed members gone", added, agreedOn(4))
 	cluster.NoError(all[2].Kill())
 	cluster.waitForView("all seed members gone", added, agreedOn(3))
 }
 
-// TestMeasuredGossipOnUnsteadyNetwork partitions the network every other 200 ms, then stops one process for a second
-// again and again, then adds servers on both sides of a partition. No member stays failed, no two parts claim the
-// majority at once, and the views converge.
+// TestMeasuredGossipOnUnsteadyNetwork partitions and heals the network in turn every 200 ms, then repeatedly pauses one
+// process for a second, then adds servers on both sides of a partition. No member may stay failed, no two parts of the
+// cluster may claim the majority at the same time, and the cluster views must converge.
 func TestMeasuredGossipOnUnsteadyNetwork(t *testing.T) {
 	t.Parallel()
 	duration := 6 * time.Second
@@ -194,7 +198,8 @@
 	cluster.Zero(rivals.Count())
 }
 
-// flapPartition partitions the cluster into halves and heals it, by turns every 200 ms.
+// flapPartition switches every 200 ms between a partition of the cluster into halves and a healed network, and ends
+// with the network healed.
 func (c *testCluster) flapPartition(duration time.Duration) {
 	startedAt := time.Now()
 	isPartitioned := false
@@ -210,7 +215,7 @@
 	c.Heal()
 }
 
-// stopRepeatedly pauses a server for a second, again and again, with 300 ms between.
+// stopRepeatedly pauses a server for one second at a time, with 300 ms between the pauses, until the duration is over.
 func (c *testCluster) stopRepeatedly(server *clustertest.Server, duration time.Duration) {
 	c.t.Helper()
 	startedAt := time.Now()
@@ -222,8 +227,9 @@
 	}
 }
 
-// addServersDuringPartition adds two servers to a cluster of six during a partition: one can reach the seed members,
-// the other cannot, and is not in a majority. It returns how long all took to converge once the network healed.
+// addServersDuringPartition adds two servers to a cluster of six during a partition. One can reach the seed members and
+// joins the majority; the other cannot and must not claim one. It returns how long each server took to converge after
+// the network was healed, in ascending order.
 func (c *testCluster) addServersDuringPartition() []time.Duration {
 	c.t.Helper()
 	for index := 6; index < 8; index++ {
@@ -246,9 +252,9 @@
 	return c.waitForView("both sides converge", c.Servers, agreedOn(8))
 }
 
-// TestMeasuredGossipGain measures what the cluster view gains where the shared index is the limit and a quarter of the
-// servers are killed: each of the others takes its larger part of the index. It also measures what gossip adds to the
-// latency of a request.
+// TestMeasuredGossipGain measures the benefit of the cluster view when the shared index is the bottleneck and a quarter
+// of the servers are killed: with gossip, each remaining server raises its part of the index's capacity. It also
+// measures how much gossip adds to the latency of a request.
 func TestMeasuredGossipGain(t *testing.T) {
 	duration := 15 * time.Second
 	if isFullMeasurement() {
@@ -263,13 +269,14 @@
 	require.Greater(t, with.onTime, without.onTime)
 }
 
-// gossipGain is what one run of measureGossipGain measures.
+// gossipGain holds the results of one run of measureGossipGain.
 type gossipGain struct {
 	onTime  float64       // mean fraction of the requests on time in the last third of the run
-	latency time.Duration // median of small requests before the load
+	latency time.Duration // median for small requests before the load starts
 }
 
-// measureGossipGain kills two of eight servers under load. The index takes 16 calls at once, two per server.
+// measureGossipGain kills two of eight servers under load and measures the requests on time afterwards. The index runs
+// up to 16 calls at once, two per server.
 func measureGossipGain(t *testing.T, withGossip bool, duration time.Duration) gossipGain {
 	t.Helper()
 	index, err := emulator.NewIndex()
@@ -314,7 +321,7 @@
 	return gain
 }
 
-// mean returns the mean of the values, of which there must be one.
+// mean returns the mean of the values, or 0 if there are none.
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, value := range values {
--- a/internal/clustertest/harness_gossip_test.go
+++ b/internal/clustertest/harness_gossip_test.go
@@ -10,7 +10,7 @@
 	"thistlequay/internal/membership"
 )
 
-// The quorum statuses in a gossip.Status.
+// The values of gossip.Status.QuorumStatus.
 const (
 	isolated = "alone"
 	minority = "part"
@@ -20,15 +20,15 @@
 // rivalPollInterval is the pause between two rounds of a rivalMajorityCounter.
 const rivalPollInterval = 20 * time.Millisecond
 
-// waitForView waits until the cluster view of each of the servers is as the test wants, and returns how long that took
-// for each of them, in ascending order.
+// waitForView waits until each of the servers has had a cluster view that accepts returns true for. It returns how long
+// each server took, in ascending order. The state names the expected view in the history and in failures.
 func (c *testCluster) waitForView(state string, servers []*clustertest.Server,
 	accepts func(gossip.Status) bool) []time.Duration {
 	c.t.Helper()
 	return waitForStatus(c, state, servers, (*clustertest.Server).GossipStatus, accepts)
 }
 
-// gossipStatus returns the cluster view of a server.
+// gossipStatus fetches the cluster view of a server.
 func (c *testCluster) gossipStatus(server *clustertest.Server) gossip.Status {
 	c.t.Helper()
 	status, err := server.GossipStatus()
@@ -36,8 +36,8 @@
 	return status
 }
 
-// memberStatus returns the status row of the incarnation that holds a name: the one whose state is first in
-// membership.StateNames. It is empty where there is none.
+// memberStatus returns the status of the incarnation that holds a name: the one whose state comes first in
+// membership.StateNames. It returns the zero value if no incarnation has the name.
 func memberStatus(status gossip.Status, name string) gossip.MemberStatus {
 	var holder gossip.MemberStatus
 	for _, member := range status.Members {
@@ -56,7 +56,8 @@
 	return slices.Index(membership.StateNames, member.State)
 }
 
-// memberIs returns a test for a member's state and, if any are given, for one of these causes.
+// memberIs returns a predicate that accepts a view in which a member has the given state and, if causes are given, one
+// of these.
 func memberIs(name, state string, causes ...string) func(gossip.Status) bool {
 	return func(status gossip.Status) bool {
 		member := memberStatus(status, name)
@@ -64,17 +65,18 @@
 	}
 }
 
-// quorumStatusIs returns a test for a quorum status.
+// quorumStatusIs returns a predicate that accepts a view with the given quorum status.
 func quorumStatusIs(want string) func(gossip.Status) bool {
 	return func(status gossip.Status) bool { return status.QuorumStatus == want }
 }
 
-// isIsolated tests for a server that knows no other member.
+// isIsolated reports whether a server is isolated and knows no member but itself.
 func isIsolated(status gossip.Status) bool {
 	return status.QuorumStatus == isolated && len(status.Members) == 1
 }
 
-// majorityOf returns a test for a majority in which so many members serve.
+// majorityOf returns a predicate that accepts the view of a server in the majority with exactly memberCount serving
+// members.
 func majorityOf(memberCount int) func(gossip.Status) bool {
 	return func(status gossip.Status) bool {
 		serving := 0
@@ -87,7 +89,8 @@
 	}
 }
 
-// agreedOn returns a test for a majority whose cluster configuration has so many members, and voters that all serve.
+// agreedOn returns a predicate like majorityOf that also requires a cluster configuration with memberCount members,
+// whose voters are all serving.
 func agreedOn(memberCount int) func(gossip.Status) bool {
 	return func(status gossip.Status) bool {
 		if !majorityOf(memberCount)(status) || status.AgreedSize != memberCount {
@@ -102,23 +105,23 @@
 	}
 }
 
-// rivalMajorityCounter counts how often one server claimed the majority while the claim of another, with a different
-// configuration, had not expired.
+// rivalMajorityCounter counts how often a server claims the majority while the claim of another server, with a
+// different cluster configuration, has not expired.
 type rivalMajorityCounter struct {
 	cluster *testCluster
-	claims  map[*clustertest.Server]majorityClaim // the last one of each server; used by run only
+	claims  map[*clustertest.Server]majorityClaim // latest claim of each server; accessed only by run
 
 	lock  sync.Mutex
 	count int
 }
 
-// majorityClaim is what a server's status says of the majority that it belongs to.
+// majorityClaim is a server's claim to be in the majority, from its status.
 type majorityClaim struct {
-	epoch     uint64 // of its configuration
+	epoch     uint64 // of the cluster configuration
 	expiresAt time.Time
 }
 
-// countRivalMajorities polls all servers until the test ends.
+// countRivalMajorities starts a rivalMajorityCounter that polls all servers until the test ends.
 func (c *testCluster) countRivalMajorities() *rivalMajorityCounter {
 	counter := &rivalMajorityCounter{cluster: c, claims: map[*clustertest.Server]majorityClaim{}}
 	stop := make(chan struct{})
@@ -134,7 +137,7 @@
 	return counter
 }
 
-// run polls the servers one after the other until stop is closed.
+// run polls the current servers, one after the other, until stop is closed.
 func (r *rivalMajorityCounter) run(stop <-chan struct{}) {
 	for {
 		for _, server := range r.cluster.CurrentServers() {
@@ -149,11 +152,11 @@
 	}
 }
 
-// poll fetches the status of one server, and compares its claim with those of the others.
+// poll fetches the status of one server and compares its claim with the latest claims of the others.
 func (r *rivalMajorityCounter) poll(server *clustertest.Server) {
 	askedAt := time.Now()
 	status, err := server.GossipStatus()
-	if err != nil || status.UntilMs < 0 { // no answer, or no claim
+	if err != nil || status.UntilMs < 0 { // no response, or no claim
 		return
 	}
 	for other, rival := range r.claims {
@@ -169,7 +172,7 @@
 	}
 }
 
-// Count returns the count so far.
+// Count returns the number of conflicting claims so far.
 func (r *rivalMajorityCounter) Count() int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/clustertest/harness_quota_test.go
+++ b/internal/clustertest/harness_quota_test.go
@@ -14,26 +14,27 @@
 	"thistlequay/internal/quota/service"
 )
 
-// quotaClusterConfig describes a cluster with a quota of downstream calls in flight over all servers. Every request
-// makes a downstream call.
+// quotaClusterConfig describes a cluster in which every request makes a downstream call, and a quota limits the
+// downstream calls in flight over all servers.
 type quotaClusterConfig struct {
 	servers int
-	// slots is the number of slots of the quota. With 0 there is no quota: each server keeps to callShare.
+	// slots is the maximum number of servers with a guaranteed minimum. With 0 there is no quota, and each server is
+	// limited by callShare.
 	slots int
-	// totalCalls is the total of the quota.
+	// totalCalls is the total of the quota, in calls in flight.
 	totalCalls int
-	// callShare is the fixed limit of each server in the platform's settings.
+	// callShare is each server's fixed limit of calls in flight in the platform's settings.
 	callShare float64
 	seed      int64
-	// replyDelay is the time that the index takes for a call.
+	// replyDelay is the time that the index needs for a call.
 	replyDelay time.Duration
-	// quotaYAML returns further lines of the section "shares" of a server's own settings; nil for none.
+	// quotaYAML returns further lines for the section "shares" of a server's service settings; nil means none.
 	quotaYAML func(server *clustertest.Server) string
-	// prepare is called with the servers before they are started; nil for nothing to do.
+	// prepare changes the servers before they are started; nil means no change.
 	prepare func(servers []*clustertest.Server)
 }
 
-// startQuotaCluster starts a cluster and waits until its servers serve.
+// startQuotaCluster starts a cluster and waits until all servers accept requests.
 func startQuotaCluster(t *testing.T, config quotaClusterConfig) *testCluster {
 	t.Helper()
 	index, err := emulator.NewIndex()
@@ -67,24 +68,24 @@
 	return cluster
 }
 
-// quotaYAML returns the section "shares" of a server's own settings with a quota of calls.
+// quotaYAML returns the section "shares" of a server's service settings, with a quota of calls in flight.
 func quotaYAML(totalCalls, slots int) string {
 	return fmt.Sprintf("shares:\n  calls: %d\n  slots: %d\n", totalCalls, slots)
 }
 
-// namedCoordinatorsYAML returns the lines of the section "shares" by which the first three servers are the coordinators
-// and store their log on disk.
+// namedCoordinatorsYAML returns lines for the section "shares" that make the first three servers the coordinators,
+// which store their log on disk.
 func namedCoordinatorsYAML(server *clustertest.Server) string {
 	return fmt.Sprintf("  keepers: [n00, n01, n02]\n  directory: keeper-%s\n", server.Name)
 }
 
-// newLogYAML returns the lines of namedCoordinatorsYAML for the first start, which begins a new log.
+// newLogYAML returns the lines of namedCoordinatorsYAML for the first start, at which the coordinators begin a new log.
 func newLogYAML(server *clustertest.Server) string {
 	return namedCoordinatorsYAML(server) + "  fresh: true\n"
 }
 
-// waitForQuota waits until the quota status of each of the servers is as the test wants, and returns how long that
-// took.
+// waitForQuota waits until each of the servers has had a quota status that accepts returns true for, and returns how
+// long that took. The state names the expected status in the history and in failures.
 func (c *testCluster) waitForQuota(state string, servers []*clustertest.Server,
 	accepts func(service.Status) bool) time.Duration {
 	c.t.Helper()
@@ -93,25 +94,26 @@
 	return time.Since(startedAt)
 }
 
-// hasLease tests for a lease on more than the guaranteed minimum.
+// hasLease reports whether a server has a lease on more than its guaranteed minimum.
 func hasLease(status service.Status) bool {
 	return hasAnyLease(status) && status.Limits[0].UsableHere > 1
 }
 
-// hasAnyLease tests for a lease, be it on the guaranteed minimum only.
+// hasAnyLease reports whether a server has a lease, which may be on its guaranteed minimum only.
 func hasAnyLease(status service.Status) bool { return status.Limits[0].ExpiresInMs > 0 }
 
-// onGuaranteedMinimum tests for a server without a lease, which keeps to the guaranteed minimum.
+// onGuaranteedMinimum reports whether a server has no lease and limits itself to its guaranteed minimum.
 func onGuaranteedMinimum(status service.Status) bool {
 	return status.Limits[0].ExpiresInMs == 0 && status.Limits[0].UsableHere == 1
 }
 
-// knowsVoters tests for a voter list of this size in which every name is known.
+// knowsVoters reports whether the voter list has the given size and no unknown name.
 func knowsVoters(status service.Status, count int) bool {
 	return len(status.Voters) == count && !slices.Contains(status.Voters, "?")
 }
 
-// waitForLeader waits for the leader of the quota coordinators and returns it.
+// waitForLeader waits until one of the servers leads the quota coordinators with a quorum and grants leases, and
+// returns it.
 func (c *testCluster) waitForLeader(servers []*clustertest.Server) *clustertest.Server {
 	c.t.Helper()
 	var leader *clustertest.Server
@@ -128,20 +130,20 @@
 	return leader
 }
 
-// quotaLoad is traffic that wants more downstream calls in flight than the quota allows.
+// quotaLoad is continuous traffic that needs more downstream calls in flight than the quota allows.
 type quotaLoad struct {
 	cluster *testCluster
 	rate    float64 // requests per second
 	over    chan struct{}
 	stopped chan struct{}
 	once    sync.Once
-	stats   clustertest.TrafficStats // of all seconds so far; read once stopped is closed
+	stats   clustertest.TrafficStats // sums of all runs so far; read only after stopped is closed
 
 	lock      sync.Mutex
 	endpoints []*clustertest.Server
 }
 
-// startLoad sends traffic to the servers until stop is called, or else until the test ends.
+// startLoad starts traffic to the servers that lasts until stop is called or the test ends.
 func (c *testCluster) startLoad(rate float64, servers []*clustertest.Server) *quotaLoad {
 	c.t.Helper()
 	load := &quotaLoad{
@@ -156,7 +158,7 @@
 	return load
 }
 
-// run sends the traffic of one second after the other.
+// run sends traffic in runs of one second until stop is called.
 func (l *quotaLoad) run() {
 	defer close(l.stopped)
 	for {
@@ -179,45 +181,45 @@
 	}
 }
 
-// setEndpoints sets the servers that the routers know from now on.
+// setEndpoints replaces the routers' endpoint list.
 func (l *quotaLoad) setEndpoints(servers []*clustertest.Server) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.endpoints = slices.Clone(servers)
 }
 
-// endpointsAt returns the servers that the routers know at this moment.
+// endpointsAt returns the routers' current endpoint list.
 func (l *quotaLoad) endpointsAt(time.Duration) []*clustertest.Server {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.endpoints
 }
 
-// stop ends the load, waits for its responses and returns its counts. Further calls return the same.
+// stop ends the load, waits for its responses and returns its counts. Further calls return the same counts.
 func (l *quotaLoad) stop() clustertest.TrafficStats {
 	l.once.Do(func() { close(l.over) })
 	<-l.stopped
 	return l.stats
 }
 
-// callPeaks checks the index's own count of calls in flight, one step of a test after the other.
+// callPeaks checks, after each step of a test, the peak number of calls in flight as counted by the index.
 type callPeaks struct {
 	cluster *testCluster
-	// exceeded is the number of steps in which more calls were in flight than allowed.
+	// exceeded is the number of steps in which the peak exceeded the allowed total.
 	exceeded int
-	// max is the largest peak of all steps.
+	// max is the largest peak in any step.
 	max int
 }
 
-// check compares the peak since the last check with the total that is allowed. It goes on after a step that exceeded
-// it, so that the log shows all of them; the test requires at its end that exceeded is 0.
+// check compares the peak since the last check with the allowed total. A step that exceeded the total does not end the
+// test, so that the log shows all such steps; the test requires at its end that exceeded is 0.
 func (p *callPeaks) check(step string, totalCalls int) {
 	p.cluster.t.Helper()
 	peak := p.cluster.Index.PeakInFlight()
-	p.cluster.Record("", "%s: at most %d calls in flight", step, peak)
+	p.cluster.Record("", "%s: peak of %d calls in flight", step, peak)
 	p.max = max(p.max, peak)
 	if peak > totalCalls {
 		p.exceeded++
-		p.cluster.t.Logf("%s: %d calls in flight, the total is %d", step, peak, totalCalls)
+		p.cluster.t.Logf("%s: peak of %d calls in flight exceeds the total of %d", step, peak, totalCalls)
 	}
 }
--- a/internal/clustertest/harness_test.go
+++ b/internal/clustertest/harness_test.go
@@ -18,23 +18,25 @@
 )
 
 const (
-	// convergenceTimeout bounds the wait for a state of the whole cluster; only a failure reaches it.
+	// convergenceTimeout limits the wait for a state of the whole cluster. Only a failing test waits that long.
 	convergenceTimeout = 3 * servertest.EventTimeout
-	// statusPollInterval is the pause between two looks at the status pages.
+	// statusPollInterval is the pause between two polls of the status pages.
 	statusPollInterval = 50 * time.Millisecond
 )
 
-// testCluster is a cluster of processes with the checks that tests make on it.
+// testCluster is a cluster of server processes with assertions for a test.
 type testCluster struct {
 	*require.Assertions
 	*clustertest.Cluster
 	t *testing.T
 }
 
-// isFullMeasurement reports whether the measured tests run at full size, by the environment variable MEASURE.
+// isFullMeasurement reports whether the measuring tests run at full size, which MEASURE=full in the environment
+// requests.
 func isFullMeasurement() bool { return os.Getenv("MEASURE") == "full" }
 
-// platformSettings parses servertest.PlatformSettings after replacing texts in it, given as pairs of old and new.
+// platformSettings returns servertest.PlatformSettings, parsed after text replacements that are given as pairs of old
+// and new text.
 func platformSettings(t *testing.T, replacements ...string) map[string]any {
 	t.Helper()
 	text := strings.NewReplacer(replacements...).Replace(servertest.PlatformSettings)
@@ -43,8 +45,8 @@
 	return settings
 }
 
-// shortDeadlineSettings are settings for a number of servers with a soft deadline of 1 s, a deadline of 2 s, and a
-// fixed limit of downstream calls in flight per server.
+// shortDeadlineSettings returns platform settings for a number of servers, with a soft deadline of 1 s, a deadline of 2
+// s and a fixed limit of downstream calls in flight per server.
 func shortDeadlineSettings(t *testing.T, servers int, callShare float64) map[string]any {
 	t.Helper()
 	return platformSettings(t,
@@ -62,8 +64,8 @@
 	return cluster
 }
 
-// newTestCluster makes a cluster whose servers are not started. At the end of the test it is closed, and no log may
-// show a data race, a violated invariant or a panic.
+// newTestCluster creates a cluster whose servers are not started. At the end of the test, the cluster is closed, and
+// the test fails if a server's log shows a data race, a violated invariant or a panic.
 func newTestCluster(t *testing.T, config clustertest.Config) *testCluster {
 	t.Helper()
 	assertions := require.New(t)
@@ -83,8 +85,8 @@
 	return c
 }
 
-// closeAndCheckLogs closes the cluster and checks that no server logged a defect. If the test has failed, it prints the
-// logs.
+// closeAndCheckLogs closes the cluster and checks that no server logged a data race, a violated invariant or a panic.
+// If the test has failed, it prints all logs.
 func (c *testCluster) closeAndCheckLogs() {
 	c.t.Helper()
 	c.Close()
@@ -99,7 +101,7 @@
 	}
 }
 
-// start starts a process for each of the servers.
+// start starts a process for each of the servers, without waiting until they serve.
 func (c *testCluster) start(servers []*clustertest.Server) {
 	c.t.Helper()
 	for _, server := range servers {
@@ -107,7 +109,7 @@
 	}
 }
 
-// kill kills the servers one after the other and waits for the end of each.
+// kill kills the servers one after the other and waits for each to end.
 func (c *testCluster) kill(servers []*clustertest.Server) {
 	c.t.Helper()
 	for _, server := range servers {
@@ -115,7 +117,7 @@
 	}
 }
 
-// killAllAndRestart kills the servers all at once, and starts each again as soon as it has ended.
+// killAllAndRestart kills all of the servers at once and restarts each after it has ended.
 func (c *testCluster) killAllAndRestart(servers []*clustertest.Server) {
 	c.t.Helper()
 	c.signal(servers, syscall.SIGKILL)
@@ -133,7 +135,7 @@
 	}
 }
 
-// waitUntilServing waits until each of the servers answers and has its interpreter.
+// waitUntilServing waits until each of the servers accepts requests and is connected to its interpreter.
 func (c *testCluster) waitUntilServing(servers []*clustertest.Server) {
 	c.t.Helper()
 	for _, server := range servers {
@@ -143,8 +145,8 @@
 	}
 }
 
-// waitForStatus polls the status of each of the servers until the test has accepted one of each, and returns how long
-// that took for each of them, in ascending order.
+// waitForStatus polls the status of each of the servers until accepts has returned true once for each. It returns how
+// long each server took, in ascending order. If not all are accepted within convergenceTimeout, it fails the test.
 func waitForStatus[Status any](c *testCluster, state string, servers []*clustertest.Server,
 	fetch func(*clustertest.Server) (Status, error), accepts func(Status) bool) []time.Duration {
 	c.t.Helper()
@@ -161,31 +163,31 @@
 			return isAccepted
 		})
 		if len(waiting) == 0 {
-			c.Record("", "%s: seen by %d servers", state, len(servers))
+			c.Record("", "%s: observed on %d servers", state, len(servers))
 			return durations
 		}
 		if time.Since(startedAt) > convergenceTimeout {
 			status, err := fetch(waiting[0])
-			c.FailNow(state, "not so at %s: %+v %v\n%v", waiting[0].Name, status, err, c.History())
+			c.FailNow(state, "not reached at %s: %+v, error: %v\n%v", waiting[0].Name, status, err, c.History())
 		}
 		time.Sleep(statusPollInterval)
 	}
 }
 
-// serversExcept returns a copy of the servers without some of them.
+// serversExcept returns a copy of servers without the excluded ones.
 func serversExcept(servers []*clustertest.Server, excluded ...*clustertest.Server) []*clustertest.Server {
 	return slices.DeleteFunc(slices.Clone(servers), func(server *clustertest.Server) bool {
 		return slices.Contains(excluded, server)
 	})
 }
 
-// constantEndpoints returns an endpoint list that does not change, for the routers of a clustertest.Traffic.
+// constantEndpoints returns a function for Traffic.EndpointsAt whose endpoint list never changes.
 func constantEndpoints(servers []*clustertest.Server) func(time.Duration) []*clustertest.Server {
 	return func(time.Duration) []*clustertest.Server { return servers }
 }
 
-// platformTraffic returns traffic in two categories of servertest.PlatformSettings, with the deadlines of these
-// settings. The caller sets what else it needs.
+// platformTraffic returns traffic with the categories and deadlines of servertest.PlatformSettings. The caller sets the
+// other fields.
 func platformTraffic() clustertest.Traffic {
 	return clustertest.Traffic{
 		SoftDeadline:       4 * time.Second,
@@ -195,7 +197,7 @@
 	}
 }
 
-// shortDeadlineTraffic returns traffic like platformTraffic with the deadlines of shortDeadlineSettings.
+// shortDeadlineTraffic returns traffic like platformTraffic, but with the deadlines of shortDeadlineSettings.
 func shortDeadlineTraffic() clustertest.Traffic {
 	traffic := platformTraffic()
 	traffic.SoftDeadline = time.Second
@@ -203,7 +205,7 @@
 	return traffic
 }
 
-// anonymousMemoryKB returns the memory of a process that no file backs, in kilobytes.
+// anonymousMemoryKB returns the resident anonymous memory (RssAnon) of the server's process, in kilobytes.
 func (c *testCluster) anonymousMemoryKB(server *clustertest.Server) (memoryKB int) {
 	c.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", server.PID()))
@@ -215,7 +217,7 @@
 	return memoryKB
 }
 
-// medianLatency returns the median time to the response of a request that costs next to nothing.
+// medianLatency sends requests with 0.1 ms of work, one after the other, and returns their median response time.
 func (c *testCluster) medianLatency(server *clustertest.Server, requests int) time.Duration {
 	c.t.Helper()
 	link, err := emulator.Dial(server.RouterAddress)
--- a/internal/clustertest/mixed_versions_test.go
+++ b/internal/clustertest/mixed_versions_test.go
@@ -15,22 +15,22 @@
 	"thistlequay/internal/servertest"
 )
 
-// oldBuild returns the path of an earlier build, which the environment variable OLD names. The tests of mixed versions
-// run only where there is one:
+// oldBuild returns the absolute path of an earlier build of the program, given by the environment variable OLD. It
+// skips the test if OLD is not set. To run the tests with mixed versions:
 //
 //	OLD=/path/to/earlier/thistlequay go test -run TestMixedVersions ./internal/clustertest
 func oldBuild(t *testing.T) string {
 	t.Helper()
 	path := os.Getenv("OLD")
 	if path == "" {
-		t.Skip("OLD names no earlier build")
+		t.Skip("OLD does not give the path of an earlier build")
 	}
 	path, err := filepath.Abs(path)
 	require.NoError(t, err)
 	return path
 }
 
-// mixedCluster is a cluster under load whose servers run an earlier build or this one.
+// mixedCluster is a cluster under load in which some servers run an earlier build and the others run the current one.
 type mixedCluster struct {
 	*testCluster
 	all      []*clustertest.Server
@@ -39,7 +39,8 @@
 	restarts int
 }
 
-// restart kills a server and starts it again. The cluster agrees on one configuration and grants leases again.
+// restart kills a server, starts it again and waits until the cluster agrees on one configuration and all servers have
+// leases.
 func (m *mixedCluster) restart(server *clustertest.Server, step string) {
 	m.t.Helper()
 	m.NoError(server.Kill())
@@ -51,10 +52,10 @@
 	m.restarts++
 }
 
-// notePeak reads the peak of calls in flight since the last call.
+// notePeak updates peak with the index's peak of calls in flight since notePeak was last called.
 func (m *mixedCluster) notePeak() { m.peak = max(m.peak, m.Index.PeakInFlight()) }
 
-// swapBuild has a server run the other build from its next start on.
+// swapBuild switches a server to the other build, which takes effect at its next start.
 func (m *mixedCluster) swapBuild(server *clustertest.Server) {
 	if server.Program == "" {
 		server.Program = m.old
@@ -63,10 +64,10 @@
 	}
 }
 
-// TestMixedVersionsAgreeOnConfigurationAndQuotas runs a cluster of four, two servers of an earlier build and two of
-// this one, with gossip and quotas under load. Each server is killed and started again, first with its own build and
-// then with the other one; then the leader is. Every time the cluster agrees on one configuration and grants leases
-// again, and the index never has more calls in flight than the total.
+// TestMixedVersionsAgreeOnConfigurationAndQuotas runs a cluster of four, two servers with an earlier build and two with
+// the current one, with gossip and quotas under load. Each server is killed and restarted, first with the same build,
+// then with the other one. Finally the leader is killed and restarted. Each time, the cluster must grant leases again
+// and agree on one configuration, and the index must never have more calls in flight than the total.
 func TestMixedVersionsAgreeOnConfigurationAndQuotas(t *testing.T) {
 	old := oldBuild(t)
 	const totalCalls = 16
@@ -88,15 +89,15 @@
 	cluster.startLoad(400, all)
 	mixed := &mixedCluster{testCluster: cluster, all: all, old: old}
 	for _, server := range all {
-		mixed.restart(server, fmt.Sprintf("%s again, same build", server.Name))
+		mixed.restart(server, fmt.Sprintf("%s restarted, same build", server.Name))
 	}
 	for _, server := range all {
 		mixed.swapBuild(server)
-		mixed.restart(server, fmt.Sprintf("%s again, other build", server.Name))
+		mixed.restart(server, fmt.Sprintf("%s restarted, other build", server.Name))
 	}
 	leader := cluster.waitForLeader(all)
 	cluster.NoError(leader.Kill())
-	cluster.waitForQuota("leases after the leader's death", serversExcept(all, leader), hasLease)
+	cluster.waitForQuota("leases after the leader was killed", serversExcept(all, leader), hasLease)
 	cluster.NoError(leader.Start())
 	cluster.waitForQuota("leases after the leader's restart", all, hasLease)
 	mixed.restarts++
@@ -113,8 +114,8 @@
 	cluster.Positive(mixed.peak)
 }
 
-// TestMixedVersionsShareTheCoordinatorsDisk restarts all servers with one build and the other by turns: the log of the
-// quota coordinators on disk, written by one, is read by the other.
+// TestMixedVersionsShareTheCoordinatorsDisk repeatedly restarts all servers, each time with the other build. Each build
+// must read the log that the quota coordinators of the other one wrote to disk.
 func TestMixedVersionsShareTheCoordinatorsDisk(t *testing.T) {
 	old := oldBuild(t)
 	cluster := startQuotaCluster(t, quotaClusterConfig{
@@ -151,14 +152,14 @@
 			status, err := server.QuotaStatus()
 			cluster.NoError(err)
 			cluster.Len(status.Voters, 3)
-			cluster.Zero(status.DiscardedStates, "a voter came back without its state")
+			cluster.Zero(status.DiscardedStates, "a voter restarted without its state")
 		}
 	}
 	t.Log("measured mixed-versions coordinator-disk rounds=3 discarded_states=0")
 }
 
-// TestMixedVersionsShareAStore restarts a server with one build and the other by turns: the store written by one is
-// read by the other. A repeated request gets the first result, and nothing runs twice.
+// TestMixedVersionsShareAStore repeatedly restarts a server, each time with the other build. Each build must read the
+// store that the other one wrote: a repeated request gets the first result, and no key runs twice.
 func TestMixedVersionsShareAStore(t *testing.T) {
 	old := oldBuild(t)
 	server := servertest.New(t)
@@ -170,14 +171,14 @@
 		server.Program = program
 		interpreter := server.StartWithInterpreter(t, config)
 		router := server.ConnectRouter()
-		for n := range round + 1 { // the keys of all earlier rounds, then a new one
+		for n := range round + 1 { // the keys of all earlier rounds, then a new key
 			key := fmt.Sprint("key-", n)
 			router.SendTimedBook(uint16(n+1), key)
 			router.ExpectResponse(uint16(n+1), 200, "result of 1 entry "+key)
 		}
 		repeats += round
 		interpreter.Inspect(func(v *emulator.Interpreter) {
-			server.Len(v.RunsByBody, 1, "only the key of this round ran")
+			server.Len(v.RunsByBody, 1, "only the new key of this round must run")
 		})
 		if round > 0 {
 			server.Regexp(`event=warm_start .*(taken|used)=true`, server.LogText())
--- a/internal/clustertest/network.go
+++ b/internal/clustertest/network.go
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// Fault describes the faults of one direction between two servers. The zero value passes everything on at once.
-// Fractions are probabilities from 0 to 1.
+// Fault describes the faults injected into the traffic from one server to another. The zero value forwards everything
+// immediately. Fractions are probabilities from 0 to 1.
 type Fault struct {
-	// Cut drops all packets and stalls streams; after some 10 seconds they are closed.
+	// Cut drops all packets and stalls streams. A stream that is stalled for about 10 seconds is closed.
 	Cut bool
-	// Loss is the fraction of packets that are lost.
+	// Loss is the fraction of packets that are dropped.
 	Loss float64
-	// Duplication is the fraction of packets that arrive twice.
+	// Duplication is the fraction of packets that are delivered twice.
 	Duplication float64
-	// Truncation is the fraction of packets that lose their second half, and of a stream's chunks after whose first
-	// half the stream is closed.
+	// Truncation is the fraction of packets that lose their second half. For a stream it is the fraction of chunks of
+	// which only the first half is forwarded before the stream is closed.
 	Truncation float64
-	// Delay is added to all packets and to each chunk of a stream.
+	// Delay is added to each packet and to each chunk of a stream.
 	Delay time.Duration
-	// Jitter is the largest random delay of a packet on top of Delay. It reorders packets.
+	// Jitter is the upper bound of a random delay that is added to Delay for each packet, which reorders packets.
 	Jitter time.Duration
-	// BytesPerWrite is the size of a stream's writes, one every 10 ms; 0 for no limit.
+	// BytesPerWrite is the largest size of a write to a stream, with a pause of 10 ms between writes; 0 means no limit.
 	BytesPerWrite int
-	// ReplayAfter is the time after which each packet arrives again; 0 for never.
+	// ReplayAfter is the time after which each packet is delivered again; 0 means never.
 	ReplayAfter time.Duration
 }
 
-// direction is from one server to another, by their indexes.
+// direction identifies the traffic from one server to another, by their indexes.
 type direction struct{ from, to int }
 
-// network is the state that all relays of a cluster share: the faults, the source of the random numbers by which they
-// are injected, and the server that sends from each host.
+// network holds the state that all relays of a cluster share: the fault of each direction, the random source that
+// decides which packets a fault affects, and the server that sends from each host.
 type network struct {
-	closed chan struct{} // closed with the cluster
+	closed chan struct{} // closed by Cluster.Close
 
-	lock    sync.Mutex // guards all that follows
+	lock    sync.Mutex // guards the fields below
 	rand    *rand.Rand
 	faults  map[direction]Fault
-	senders map[string]int // index of the server that sends from a host
+	senders map[string]int // index of the server that sends from each host
 }
 
+// newNetwork returns a network without faults or senders, whose random source starts at seed.
 func newNetwork(seed int64) *network {
 	return &network{
 		closed:  make(chan struct{}),
@@ -52,30 +53,30 @@
 	}
 }
 
-// setSender sets which server sends from a host.
+// setSender registers the server that sends from a host.
 func (n *network) setSender(host string, index int) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.senders[host] = index
 }
 
-// sender returns the server that sends from an address; false where no server does.
+// sender returns the index of the server that sends from an address. It returns false if no server does.
 func (n *network) sender(address net.Addr) (index int, known bool) {
-	host, _, _ := net.SplitHostPort(address.String()) // without a host no server is found
+	host, _, _ := net.SplitHostPort(address.String()) // an address without a host matches no server
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	index, known = n.senders[host]
 	return index, known
 }
 
-// setFault sets the fault of one direction.
+// setFault sets the fault for the traffic from one server to another.
 func (n *network) setFault(from, to int, fault Fault) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	n.faults[direction{from, to}] = fault
 }
 
-// fault returns the current fault of one direction.
+// fault returns the current fault for the traffic from one server to another.
 func (n *network) fault(from, to int) Fault {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -89,8 +90,8 @@
 	return n.rand.Float64()
 }
 
-// happens draws whether an event of this probability happens. It draws no number where the probability is 0, so that a
-// fault that is off leaves the random numbers of the others as they are.
+// happens decides at random whether an event with the given probability occurs. It draws no number if the probability
+// is 0, so that a disabled fault does not change the random numbers of the others.
 func (n *network) happens(probability float64) bool {
 	return probability > 0 && n.draw() < probability
 }
--- a/internal/clustertest/quota_gain_test.go
+++ b/internal/clustertest/quota_gain_test.go
@@ -16,48 +16,48 @@
 	"thistlequay/internal/quota/service"
 )
 
-// limitMode is how the downstream calls in flight are limited.
+// limitMode is the way in which the downstream calls in flight are limited.
 type limitMode string
 
 const (
-	quotaMode   limitMode = "quota" // leases of a quota over all servers
-	fixedMode   limitMode = "fixed" // an equal part for each of the first servers, by the settings
-	noLimitMode limitMode = "none"  // by the settings too, but more than is ever reached
+	quotaMode   limitMode = "quota" // by leases on a quota over all servers
+	fixedMode   limitMode = "fixed" // by a fixed limit in the settings, an equal part for each of the initial servers
+	noLimitMode limitMode = "none"  // by a limit in the settings that is never reached
 )
 
-// In all quota scenarios the index runs this number of calls at once, each for this time. Calls beyond that make all
-// calls slower, by the square of their number.
+// In all quota scenarios, the index runs scenarioTotalCalls calls at once, which take scenarioReplyDelay each. Further
+// calls slow all calls down, by the square of their number.
 const (
 	scenarioTotalCalls = 24
 	scenarioReplyDelay = 50 * time.Millisecond
 )
 
-// quotaScenario is a load or a fault under which the modes are compared.
+// quotaScenario is a load or a fault under which the limit modes are compared.
 type quotaScenario struct {
-	// servers is the number of servers at the start, maxServers the one after all that are added.
+	// servers is the initial number of servers, and maxServers the number after the scenario has added servers.
 	servers    int
 	maxServers int
-	// loadFactor is the number of requests as a fraction of what the index can do.
+	// loadFactor is the request rate as a fraction of the index's capacity.
 	loadFactor float64
-	// quotaYAML is added to the section "shares" of the servers' own settings.
+	// quotaYAML is added to the section "shares" of the servers' service settings.
 	quotaYAML string
-	// adapt changes the traffic, which goes to the servers at the start; nil for no change.
+	// adapt changes the traffic, which otherwise goes to the initial servers; nil means no change.
 	adapt func(run *quotaScenarioRun, traffic *clustertest.Traffic)
 }
 
-// quotaScenarios has the scenarios by name.
+// quotaScenarios holds the scenarios by name.
 var quotaScenarios = map[string]quotaScenario{
 	"steady": {servers: 6, maxServers: 6, loadFactor: 0.8},
 	"uneven": {servers: 6, maxServers: 6, loadFactor: 0.8, adapt: loadUnevenly},
 	"killed": {servers: 6, maxServers: 6, loadFactor: 0.8, adapt: killTwo},
-	// With guaranteed minimums as a cluster that expects partitions would have them.
+	// The guaranteed minimum is one that suits a cluster in which partitions are expected.
 	"split": {servers: 6, maxServers: 6, loadFactor: 0.8, quotaYAML: "  floor: 3\n", adapt: partitionTwo},
-	// Three servers may use their guaranteed minimums and what is allocatable: 15 of 24.
+	// The three initial servers can use at most their guaranteed minimums and the allocatable calls, 15 of 24.
 	"growing": {servers: 3, maxServers: 12, loadFactor: 0.5, adapt: addServersUnderLoad},
 }
 
-// TestMeasuredQuotaGain measures what quotas gain where the shared index is the limit, compared with fixed parts from
-// the settings and with no limit at all. With MEASURE=full it plays all scenarios, or those that SCENARIOS names.
+// TestMeasuredQuotaGain compares quotas with fixed limits from the settings, when the shared index is the bottleneck.
+// With MEASURE=full it also compares them with no limit, and runs all scenarios or those that SCENARIOS names.
 func TestMeasuredQuotaGain(t *testing.T) {
 	duration := 10 * time.Second
 	names := []string{"uneven"}
@@ -79,7 +79,7 @@
 	}
 }
 
-// quotaScenarioRun is one run of a scenario.
+// quotaScenarioRun is one run of a scenario in one limit mode.
 type quotaScenarioRun struct {
 	*testCluster
 	quotaScenario
@@ -88,7 +88,7 @@
 	initial []*clustertest.Server // at the start
 }
 
-// startQuotaScenario starts the servers of a scenario, and waits for their leases where they have a quota.
+// startQuotaScenario starts the initial servers of a scenario. In quotaMode it waits until all of them have leases.
 func startQuotaScenario(t *testing.T, name string, mode limitMode, seed int64) *quotaScenarioRun {
 	t.Helper()
 	scenario, known := quotaScenarios[name]
@@ -124,8 +124,8 @@
 	return run
 }
 
-// onTimeFraction sends the traffic of the scenario, closes the cluster, and returns the mean fraction of the requests
-// that were on time in the second half, after the fault has begun.
+// onTimeFraction sends the traffic of the scenario, closes the cluster and returns the mean fraction of requests on
+// time in the second half of the duration, when the fault has already begun.
 func (r *quotaScenarioRun) onTimeFraction(duration time.Duration) float64 {
 	r.t.Helper()
 	capacity := scenarioTotalCalls / scenarioReplyDelay.Seconds() // calls per second
@@ -157,14 +157,14 @@
 	return onTime
 }
 
-// loadUnevenly sends two thirds of the requests to two of six servers.
+// loadUnevenly sends most of the requests to two of six servers: ten of fourteen.
 func loadUnevenly(run *quotaScenarioRun, traffic *clustertest.Traffic) {
 	first := slices.Repeat(run.initial[:1], 4)
 	second := slices.Repeat(run.initial[1:2], 4)
 	traffic.EndpointsAt = constantEndpoints(slices.Concat(run.initial, first, second))
 }
 
-// killTwo kills two servers, which leave the endpoint list at once.
+// killTwo kills two servers after a quarter of the duration and removes them from the endpoint list at the same time.
 func killTwo(run *quotaScenarioRun, traffic *clustertest.Traffic) {
 	killAt := traffic.Duration / 4
 	traffic.EndpointsAt = func(at time.Duration) []*clustertest.Server {
@@ -179,14 +179,15 @@
 	}
 }
 
-// partitionTwo cuts two servers from the others for six seconds.
+// partitionTwo separates two servers from the others for six seconds.
 func partitionTwo(run *quotaScenarioRun, traffic *clustertest.Traffic) {
 	cutAt := traffic.Duration / 4
 	traffic.Actions[cutAt] = func(*clustertest.Routers) { run.Partition(isAmongFirstTwo) }
 	traffic.Actions[cutAt+6*time.Second] = func(*clustertest.Routers) { run.Heal() }
 }
 
-// addServersUnderLoad adds servers, which the routers learn of once they are members with a lease.
+// addServersUnderLoad adds servers up to maxServers. They enter the endpoint list after all have started; in quotaMode,
+// after all have leases.
 func addServersUnderLoad(run *quotaScenarioRun, traffic *clustertest.Traffic) {
 	var lock sync.Mutex
 	endpoints := run.initial
@@ -211,7 +212,7 @@
 	}
 }
 
-// addServerWithCalls adds a server, waits until it serves, and has each of its requests make a call then.
+// addServerWithCalls adds a server, waits until it serves, and then makes each of its requests make a downstream call.
 func addServerWithCalls(cluster *testCluster, index int) error {
 	server, err := cluster.AddServer(index)
 	if err != nil {
--- a/internal/clustertest/quota_test.go
+++ b/internal/clustertest/quota_test.go
@@ -16,18 +16,17 @@
 	"thistlequay/internal/servertest"
 )
 
-// quotaFaults is a cluster under a load that wants more than its quota, with the checks of the index's count.
+// quotaFaults is a cluster under a load that exceeds its quota, with checks of the calls in flight at the index.
 type quotaFaults struct {
 	*testCluster
 	all   []*clustertest.Server
 	load  *quotaLoad
 	peaks callPeaks
-	total int // of the quota in force
+	total int // of the quota that is in force, in calls
 }
 
-// TestQuotaIsNeverExceededThroughFaults injects faults of the leader, of voters and of lease holders, and lowers the
-// total, under a load that wants more than there is. By its own count the index never has more calls in flight than the
-// total.
+// TestQuotaIsNeverExceededThroughFaults makes the leader, voters and lease holders fail and lowers the total, under a
+// load that exceeds the quota. The index must never count more calls in flight than the total.
 func TestQuotaIsNeverExceededThroughFaults(t *testing.T) {
 	t.Parallel()
 	const totalCalls = 20
@@ -49,7 +48,7 @@
 		total:       totalCalls,
 	}
 	isLoaded := func() bool { return cluster.Index.PeakInFlight() > totalCalls/2 }
-	cluster.Eventually(isLoaded, servertest.EventTimeout, 100*time.Millisecond, "the load wants too little")
+	cluster.Eventually(isLoaded, servertest.EventTimeout, 100*time.Millisecond, "the load is too small for the quota")
 
 	f.killLeader()
 	f.stopLeader()
@@ -73,14 +72,15 @@
 	f.peaks.check(step, f.total)
 }
 
-// killLeader kills the leader: another server takes over, and lease holders go on meanwhile.
+// killLeader kills the leader and restarts it. Meanwhile another server must take over as leader, and lease holders
+// must continue.
 func (f *quotaFaults) killLeader() {
 	f.t.Helper()
 	leader := f.waitForLeader(f.all)
 	others := serversExcept(f.all, leader)
 	f.load.setEndpoints(others)
 	f.NoError(leader.Kill())
-	f.waitForQuota("leases after the leader's death", others, hasLease)
+	f.waitForQuota("leases after the leader was killed", others, hasLease)
 	f.waitForLeader(others)
 	f.check("leader killed")
 	f.NoError(leader.Start())
@@ -115,12 +115,12 @@
 	}
 }
 
-// partition cuts two servers from the other three: the two keep to their guaranteed minimum, and the three take over
-// expired leases.
+// partition separates two servers from the other three. The two must limit themselves to their guaranteed minimum, and
+// the three must take over expired leases.
 func (f *quotaFaults) partition() {
 	f.t.Helper()
-	// The lease holder that was stopped counted as failed. Until the cluster has agreed on all five again, three of the
-	// others are the voters, and the partition would leave two of them in the minority.
+	// The other servers saw the stopped lease holder as failed. Until the cluster has agreed on all five servers again,
+	// three of the other four are the voters, and the partition would leave two of them in the minority.
 	f.waitForView("all five agreed on", f.all, agreedOn(5))
 	f.waitForQuota("five coordinators", f.all, func(status service.Status) bool {
 		return status.Voter != 0 && knowsVoters(status, 5)
@@ -134,7 +134,8 @@
 	f.check("healed")
 }
 
-// isAmongFirstTwo is the group of a server in a partition of the first two servers from the others.
+// isAmongFirstTwo returns the group of a server in a partition of the first two servers from the others: 1 for the
+// first two, 0 for the others.
 func isAmongFirstTwo(server *clustertest.Server) int {
 	if server.Index < 2 {
 		return 1
@@ -142,7 +143,7 @@
 	return 0
 }
 
-// lowerTotal halves the total while it is in use, at one server after the other, and raises it again.
+// lowerTotal halves the total while it is in use, on one server after the other, and then restores it.
 func (f *quotaFaults) lowerTotal() {
 	f.t.Helper()
 	full := f.total
@@ -153,9 +154,9 @@
 		return status.Limits[0].Total == float64(half)
 	})
 	f.check("total lowered")
-	time.Sleep(500 * time.Millisecond) // calls begun before the change end
+	time.Sleep(500 * time.Millisecond) // calls that began before the change end meanwhile
 	f.Index.PeakInFlight()
-	time.Sleep(2 * time.Second) // calls under the lower total
+	time.Sleep(2 * time.Second) // makes calls under the lower total
 	f.total = half
 	f.check("at half of the total")
 	f.total = full
@@ -163,7 +164,7 @@
 	f.waitForLeader(f.all)
 }
 
-// reloadQuota gives all servers new settings of the quota, one after the other.
+// reloadQuota changes the quota settings of all servers, one after the other.
 func (f *quotaFaults) reloadQuota(totalCalls int, moreYAML string) {
 	f.t.Helper()
 	f.ServiceYAML = func(*clustertest.Server) string { return quotaYAML(totalCalls, 8) + moreYAML }
@@ -172,8 +173,8 @@
 	}
 }
 
-// restartAll kills all servers at once and starts them again: no lease is granted before all earlier ones have expired.
-// It returns how long that took once they served.
+// restartAll kills all servers at once and restarts them. No lease may be granted before all earlier ones have expired.
+// It returns the time from when all servers serve until all have leases.
 func (f *quotaFaults) restartAll() time.Duration {
 	f.t.Helper()
 	f.load.setEndpoints(nil)
@@ -185,7 +186,8 @@
 	return granted
 }
 
-// requireSharesCommand runs the command "shares" on the leader, and on the log of a server as a chart.
+// requireSharesCommand runs the command "shares" against the leader, and with --chart on the log of a server, and
+// checks the output.
 func (c *testCluster) requireSharesCommand(leader, logged *clustertest.Server) {
 	c.t.Helper()
 	var output bytes.Buffer
@@ -199,18 +201,18 @@
 	c.Contains(output.String(), "calls in hand that could be used")
 }
 
-// coordinatorDisk is the folder of one coordinator's log.
+// coordinatorDisk is the directory that one coordinator stores its log in.
 type coordinatorDisk struct {
 	cluster *testCluster
 	server  *clustertest.Server
 }
 
-// path returns the path of the folder.
+// path returns the path of the directory.
 func (d coordinatorDisk) path() string {
 	return filepath.Join(d.cluster.WorkDirectory, "keeper-"+d.server.Name)
 }
 
-// truncateFirstFile cuts the first file in the middle of a page.
+// truncateFirstFile truncates the first file in the middle of a page.
 func (d coordinatorDisk) truncateFirstFile() {
 	d.cluster.t.Helper()
 	files, err := filepath.Glob(filepath.Join(d.path(), "*"))
@@ -220,13 +222,13 @@
 	d.cluster.NoError(os.WriteFile(files[0], text[:len(text)*2/5+100], 0o600))
 }
 
-// remove deletes the folder.
+// remove deletes the directory.
 func (d coordinatorDisk) remove() {
 	d.cluster.t.Helper()
 	d.cluster.NoError(os.RemoveAll(d.path()))
 }
 
-// voterID returns the number of a server as a voter among the coordinators; 0 for none.
+// voterID returns a server's voter ID among the coordinators, or 0 if it is not a voter.
 func (c *testCluster) voterID(server *clustertest.Server) uint64 {
 	c.t.Helper()
 	status, err := server.QuotaStatus()
@@ -234,9 +236,9 @@
 	return status.Voter
 }
 
-// TestCoordinatorsRecoverFromDisk kills three named coordinators one after the other, the second with a file truncated
-// and the third with its folder removed meanwhile, then all at once. Only the one with its whole log comes back as the
-// same voter, and the log goes on with what was committed.
+// TestCoordinatorsRecoverFromDisk kills and restarts three named coordinators, one after the other. While they are
+// down, a file of the second is truncated and the directory of the third removed. Only the one with an intact log may
+// restart as the same voter. Then all servers are killed at once and restarted, and the committed log must continue.
 func TestCoordinatorsRecoverFromDisk(t *testing.T) {
 	t.Parallel()
 	cluster := startQuotaCluster(t, quotaClusterConfig{
@@ -280,14 +282,14 @@
 			cluster.NotEqual(before, cluster.voterID(test.killed), test.killed.Name)
 		}
 	}
-	cluster.killAllAndRestart(all) // the persisted log goes on, and no new one is begun
+	cluster.killAllAndRestart(all) // the coordinators must continue the stored log and not begin a new one
 	cluster.waitForQuota("leases after all were killed", all, hasLease)
 	for _, server := range coordinators {
 		cluster.Contains(server.Log.String(), "state=restored")
 	}
 }
 
-// quotaChanges is a cluster that changes under a load that wants more than its quota.
+// quotaChanges is a cluster whose servers change under a load that exceeds its quota.
 type quotaChanges struct {
 	*testCluster
 	load  *quotaLoad
@@ -295,10 +297,11 @@
 	total int
 }
 
-// TestQuotaIsNeverExceededAsClusterChanges changes the cluster under a load that wants more than there is: half of it
-// is replaced within seconds, it doubles and shrinks back, one server asks for everything, and more than half of the
-// coordinators pause while all ask. The index never has more calls in flight than the total. Without a quorum all
-// servers keep to their guaranteed minimum, and after it all have leases.
+// TestQuotaIsNeverExceededAsClusterChanges changes the cluster under a load that exceeds the quota: half of the servers
+// are replaced within seconds, the cluster doubles and shrinks back, one server gets the whole load, and more than half
+// of the coordinators pause under load. The index must never have more calls in flight than the total. Without a
+// quorum, the running servers must limit themselves to their guaranteed minimum; with a quorum again, all must have
+// leases.
 func TestQuotaIsNeverExceededAsClusterChanges(t *testing.T) {
 	t.Parallel()
 	const totalCalls = 24
@@ -330,7 +333,7 @@
 	cluster.Zero(c.peaks.exceeded)
 }
 
-// addServers adds servers to the cluster and waits until they serve.
+// addServers adds the given number of servers to the cluster and waits until they serve.
 func (c *quotaChanges) addServers(count int) []*clustertest.Server {
 	c.t.Helper()
 	var added []*clustertest.Server
@@ -345,7 +348,7 @@
 	return added
 }
 
-// drain shuts the servers down gracefully, all at once.
+// drain shuts the servers down gracefully, all at once, and checks that they exit with code 0.
 func (c *quotaChanges) drain(servers []*clustertest.Server) {
 	c.t.Helper()
 	c.signal(servers, syscall.SIGTERM)
@@ -355,7 +358,7 @@
 	}
 }
 
-// replaceHalf replaces the last two of four servers, and returns the four that remain.
+// replaceHalf replaces the last two of four servers by new ones, and returns the four current servers.
 func (c *quotaChanges) replaceHalf(first []*clustertest.Server) []*clustertest.Server {
 	c.t.Helper()
 	servers := slices.Concat(first[:2], c.addServers(2))
@@ -366,7 +369,7 @@
 	return servers
 }
 
-// doubleAndShrink adds as many servers as there are, and drains these again.
+// doubleAndShrink doubles the cluster from four to eight servers, then drains the four that it added.
 func (c *quotaChanges) doubleAndShrink(servers []*clustertest.Server) {
 	c.t.Helper()
 	added := c.addServers(4)
@@ -381,7 +384,7 @@
 	c.peaks.check("shrunk", c.total)
 }
 
-// loadOneServer sends the whole load to one server: it is granted what the others leave.
+// loadOneServer sends the whole load to one server. It must be granted the calls that the others do not need.
 func (c *quotaChanges) loadOneServer(servers []*clustertest.Server) {
 	c.t.Helper()
 	c.load.setEndpoints(servers[:1])
@@ -392,7 +395,7 @@
 	c.load.setEndpoints(servers)
 }
 
-// loseQuorum pauses more than half of the coordinators and lets them continue.
+// loseQuorum pauses more than half of the coordinators and later lets them continue.
 func (c *quotaChanges) loseQuorum(servers []*clustertest.Server) {
 	c.t.Helper()
 	c.waitForView("four in the configuration", servers, agreedOn(4))
@@ -408,7 +411,7 @@
 	running := serversExcept(servers, stopped...)
 	c.load.setEndpoints(running)
 	c.waitForQuota("no quorum", running, onGuaranteedMinimum)
-	time.Sleep(3 * time.Second) // the fault goes on
+	time.Sleep(3 * time.Second) // the fault continues
 	c.waitForQuota("still no quorum", running, onGuaranteedMinimum)
 	c.peaks.check("no quorum", c.total)
 	c.signal(stopped, syscall.SIGCONT)
--- a/internal/clustertest/relay.go
+++ b/internal/clustertest/relay.go
@@ -9,29 +9,29 @@
 
 const (
 	maxPacketBytes  = 64 << 10
-	streamChunk     = 32 << 10              // bytes read from a stream at once
-	dialTimeout     = time.Second           // from the relay to its server
-	slowWritePause  = 10 * time.Millisecond // between the writes of Fault.BytesPerWrite
-	cutPollInterval = 20 * time.Millisecond // between two checks whether a cut has healed
-	cutPolls        = 500                   // checks before a stream is closed
+	streamChunk     = 32 << 10              // largest number of bytes in one read from a stream
+	dialTimeout     = time.Second           // for a connection from the relay to its server
+	slowWritePause  = 10 * time.Millisecond // between two writes under Fault.BytesPerWrite
+	cutPollInterval = 20 * time.Millisecond // between two checks of whether a cut has healed
+	cutPolls        = 500                   // checks before a stalled stream is closed
 )
 
-// relay forwards what other servers send to the gossip address of one server, over UDP and TCP, and applies the fault
-// of each direction. It does not interpret what it forwards.
+// relay forwards the UDP packets and TCP streams that other servers send to the gossip address of one server, and
+// applies the fault of each direction. It does not interpret the content.
 type relay struct {
 	network    *network
-	index      int    // of the server behind it
-	advertised string // the address that others know
+	index      int    // of the server that it forwards to
+	advertised string // the address that other servers send to
 	listen     string // the address that the server listens on
 	packets    *net.UDPConn
-	server     *net.UDPAddr // listen, resolved
+	server     *net.UDPAddr // the resolved listen address
 
-	lock    sync.Mutex   // guards all that follows
-	streams net.Listener // nil while the server is down: connections are refused then, as there is no process
+	lock    sync.Mutex   // guards the fields below
+	streams net.Listener // nil while the server has no process, so that connections are refused
 	open    map[net.Conn]struct{}
 }
 
-// newRelay makes the relay of one server. It forwards packets from now on, and streams from up on.
+// newRelay creates the relay of one server. It forwards packets immediately, but streams only after a call of up.
 func newRelay(n *network, index int, advertised, listen string) (*relay, error) {
 	outside, err := net.ResolveUDPAddr("udp", advertised)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return r, nil
 }
 
-// carryPackets forwards packets until the socket is closed.
+// carryPackets forwards packets from known senders until the socket is closed.
 func (r *relay) carryPackets() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
@@ -73,8 +73,8 @@
 	}
 }
 
-// carryPacket forwards one packet under a fault. Random numbers are drawn in the order loss, truncation, jitter,
-// duplication; that of the jitter always.
+// carryPacket forwards one packet and applies a fault to it. It draws random numbers in the order loss, truncation,
+// jitter, duplication. It draws the number for the jitter even if the fault has none.
 func (r *relay) carryPacket(packet []byte, fault Fault) {
 	if fault.Cut || r.network.happens(fault.Loss) {
 		return
@@ -82,7 +82,7 @@
 	if r.network.happens(fault.Truncation) {
 		packet = packet[:len(packet)/2]
 	}
-	send := func() { _, _ = r.packets.WriteToUDP(packet, r.server) } // UDP may lose it anyway
+	send := func() { _, _ = r.packets.WriteToUDP(packet, r.server) } // UDP may lose packets anyway
 	wait := fault.Delay + time.Duration(r.network.draw()*float64(fault.Jitter))
 	if wait > 0 {
 		time.AfterFunc(wait, send)
@@ -97,7 +97,7 @@
 	}
 }
 
-// up accepts streams from now on.
+// up starts to accept streams.
 func (r *relay) up() error {
 	listener, err := net.Listen("tcp", r.advertised)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// down refuses streams from now on, and breaks those that are open.
+// down stops accepting streams and closes those that are open.
 func (r *relay) down() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -127,17 +127,17 @@
 		r.streams = nil
 	}
 	for stream := range r.open {
-		_ = stream.Close() // the goroutines that carry it may have closed it before
+		_ = stream.Close() // the goroutine that forwards it may already have closed it
 	}
 }
 
-// close closes the sockets and streams of the relay.
+// close closes all sockets of the relay and the streams that it forwards.
 func (r *relay) close() {
 	r.down()
 	_ = r.packets.Close()
 }
 
-// carryStream forwards one stream in both directions until one of them ends.
+// carryStream forwards one stream in both directions until either direction ends.
 func (r *relay) carryStream(outside net.Conn) {
 	defer outside.Close() //nolint:errcheck // down may have closed it before
 	from, known := r.network.sender(outside.RemoteAddr())
@@ -169,8 +169,8 @@
 	r.lock.Unlock()
 }
 
-// waitWhileCut stalls a stream while its direction is cut, as a network does that loses all packets. It returns false
-// when the cut lasts for some 10 seconds (see cutPolls), or the cluster is closed.
+// waitWhileCut blocks while the direction is cut, as a stream stalls on a network that loses all packets. It returns
+// false if the cut lasts for about 10 seconds (cutPolls times cutPollInterval) or the cluster is closed.
 func (r *relay) waitWhileCut(from, to int) bool {
 	for range cutPolls {
 		if !r.network.fault(from, to).Cut {
@@ -196,7 +196,7 @@
 		fault := r.network.fault(from, to)
 		time.Sleep(fault.Delay)
 		if r.network.happens(fault.Truncation) {
-			_, _ = out.Write(buffer[:n/2]) // the stream ends here in any case
+			_, _ = out.Write(buffer[:n/2]) // the stream is closed whether or not this succeeds
 			return
 		}
 		if writeSlowly(out, buffer[:n], fault.BytesPerWrite) != nil {
@@ -205,7 +205,8 @@
 	}
 }
 
-// writeSlowly writes in pieces of so many bytes with a pause between; 0 for all at once.
+// writeSlowly writes data in pieces of pieceBytes with a pause of slowWritePause between them. With 0 it writes all
+// data at once.
 func writeSlowly(out net.Conn, data []byte, pieceBytes int) error {
 	for pieceBytes > 0 && len(data) > pieceBytes {
 		if _, err := out.Write(data[:pieceBytes]); err != nil {
--- a/internal/clustertest/restart_test.go
+++ b/internal/clustertest/restart_test.go
@@ -12,9 +12,9 @@
 	"thistlequay/internal/servertest"
 )
 
-// TestMeasuredRestart starts thirty processes at once, kills them, and starts them again on the same addresses, on the
-// cores of this machine: the directory is down, the index refuses connections, and clients connect from the start. Nine
-// in ten servers answer health checks within ten seconds, and all of them at last.
+// TestMeasuredRestart starts 30 processes at once, kills them, and starts them again on the same addresses. They share
+// the cores of one machine, the directory and the index refuse connections, and clients connect from the start. After
+// each start, 90% of the servers must answer a health check within ten seconds, and all within readinessTimeout.
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
 	const objective = 10 * time.Second
@@ -34,22 +34,22 @@
 			"source=emulators\n",
 			processes, start, onTime, durations[processes-1].Seconds(), durations[processes/2].Seconds())
 		cluster.GreaterOrEqual(onTime, processes*9/10)
-		cluster.Positive(durations[0], "a server never answered a health check")
+		cluster.Positive(durations[0], "a server did not answer a health check")
 		cluster.kill(cluster.Servers)
 	}
 }
 
 const (
-	// neverReady is the duration until a server was ready for one that was not ready within readinessTimeout.
+	// neverReady is the duration that is recorded for a server that was not ready within readinessTimeout.
 	neverReady = 0
-	// readinessTimeout is how long clients try to connect to a server.
+	// readinessTimeout is how long after a server's start clients try to connect to it.
 	readinessTimeout = 30 * time.Second
-	// incompleteClients is the number of clients per server that send a part of a request and close the connection.
+	// incompleteClients is the number of clients per server that send an incomplete request and close the connection.
 	incompleteClients = 2
 )
 
-// startAndMeasureReadiness starts all servers, with clients that connect at once, and returns how long each took until
-// it answered a health check.
+// startAndMeasureReadiness starts all servers and clients that connect immediately. It returns how long each server
+// took to answer a health check, or neverReady.
 func (c *testCluster) startAndMeasureReadiness() []time.Duration {
 	c.t.Helper()
 	startedAt := make([]time.Time, len(c.Servers))
@@ -76,8 +76,8 @@
 	return durations
 }
 
-// checkHealthUntilReady connects and sends a health check, again and again, until the server answers with 200. It
-// returns the time since the server was started, or neverReady.
+// checkHealthUntilReady repeatedly connects and sends a health check until the server answers with status 200. It
+// returns the time since the server was started, or neverReady if it could not connect within readinessTimeout.
 func (c *testCluster) checkHealthUntilReady(server *clustertest.Server, startedAt time.Time) time.Duration {
 	for {
 		link := dialUntilAccepted(server, startedAt)
@@ -86,7 +86,8 @@
 		}
 		if isHealthy(link) {
 			duration := time.Since(startedAt)
-			// It stays open: after the kill its port is in TIME_WAIT, or worse, when the server starts again.
+			// Keep the connection open until the test ends, so that the kill leaves the server's port in TIME_WAIT or a
+			// worse state when the server starts again.
 			c.t.Cleanup(func() { servertest.CloseQuietly(link) })
 			return duration
 		}
@@ -94,23 +95,24 @@
 	}
 }
 
-// sendIncompleteRequest connects, sends a part of a request, and closes the connection.
+// sendIncompleteRequest connects, sends the first partBytes bytes of a request and closes the connection.
 func sendIncompleteRequest(server *clustertest.Server, startedAt time.Time, partBytes int) {
 	link := dialUntilAccepted(server, startedAt)
 	if link == nil {
 		return
 	}
 	request := emulator.FastCGIRequest(1, "/rpc/look", "b", servertest.RequestParameters("0000000000000001"))
-	_, _ = link.Write(request[:partBytes]) // the server may be gone already; no response is expected
+	_, _ = link.Write(request[:partBytes]) // the server may already have ended; no response is expected
 	servertest.CloseQuietly(link)
 }
 
-// dialUntilAccepted connects to the server as soon as it accepts connections. It returns nil after readinessTimeout.
+// dialUntilAccepted dials the server until it accepts a connection. It returns nil if that takes longer than
+// readinessTimeout after the server's start.
 func dialUntilAccepted(server *clustertest.Server, startedAt time.Time) *emulator.Link {
 	for time.Since(startedAt) < readinessTimeout {
 		link, err := emulator.Dial(server.RouterAddress)
 		if err == nil {
-			_ = link.SetDeadline(time.Now().Add(5 * time.Second)) // a connection that failed fails at its next use
+			_ = link.SetDeadline(time.Now().Add(5 * time.Second)) // on an error, the next use fails too
 			return link
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// isHealthy sends a health check and reports whether the response is 200.
+// isHealthy sends a health check and reports whether the response has status 200.
 func isHealthy(link *emulator.Link) bool {
 	if _, err := link.Write(emulator.FastCGIRequest(1, "/health", "", nil)); err != nil {
 		return false
--- a/internal/clustertest/routers.go
+++ b/internal/clustertest/routers.go
@@ -10,34 +10,36 @@
 	"thistlequay/internal/emulator"
 )
 
-// Traffic describes the requests that routers send.
+// Traffic describes the requests that the emulated routers send.
 type Traffic struct {
 	// RouterCount is the number of routers.
 	RouterCount int
-	// RequestsPerSecond is the rate of all routers together, a Poisson process.
+	// RequestsPerSecond is the mean rate of all routers together. Requests arrive as a Poisson process.
 	RequestsPerSecond float64
-	// Duration is how long requests are sent.
+	// Duration is the time during which requests are sent.
 	Duration time.Duration
-	// MeanWorkMs is the mean work of a request, in milliseconds of a core. The work is uniform from half of the mean to
-	// one and a half.
+	// MeanWorkMs is the mean work of a request, in milliseconds of one core. The work is uniformly distributed between
+	// 0.5 and 1.5 times the mean.
 	MeanWorkMs float64
-	// SoftDeadline is the latency objective of all requests, from their arrival.
+	// SoftDeadline is the soft deadline of each request, relative to its arrival.
 	SoftDeadline time.Duration
-	// Deadline is the deadline of all requests, from their arrival. Each attempt is sent with the time that is left.
+	// Deadline is the deadline of each request, relative to its arrival. Each attempt is sent with the remaining time.
 	Deadline time.Duration
-	// IdempotentCategory is the name of the category of requests without an idempotency key.
+	// IdempotentCategory is the category of requests without an idempotency key.
 	IdempotentCategory string
-	// KeyedCategory is the name of the category of requests with an idempotency key.
+	// KeyedCategory is the category of requests with an idempotency key.
 	KeyedCategory string
 	// KeyedFraction is the fraction of the requests that have an idempotency key.
 	KeyedFraction float64
-	// MaxAttempts is the number of attempts per request, one after the other, most of them at different servers.
+	// MaxAttempts is the largest number of attempts per request. Attempts are sequential and mostly go to different
+	// servers.
 	MaxAttempts int
-	// Tenant is the tenant of all requests; empty for "acme".
+	// Tenant is the tenant of all requests; empty means "acme".
 	Tenant string
-	// EndpointsAt returns the servers that routers know at a time since the start. It must be safe for concurrent use.
+	// EndpointsAt returns the routers' endpoint list at a time since the start. It must be safe for concurrent use.
 	EndpointsAt func(at time.Duration) []*Server
-	// Actions are called at times since the start, each in a goroutine of its own. RunTraffic waits for them.
+	// Actions holds functions by the time since the start at which each is called, in its own goroutine. RunTraffic
+	// waits for them.
 	Actions map[time.Duration]func(t *Routers)
 }
 
@@ -59,43 +61,43 @@
 	Unanswered int
 	// PastDeadline is the number of attempts answered more than 50 ms after their deadline.
 	PastDeadline int
-	// DuplicateRuns is the number of runs of a body beyond the first on the same server.
+	// DuplicateRuns counts, over all servers, the runs of a request body after the first one on the same server.
 	DuplicateRuns int
-	// Unsent is the number of attempts that no server took: the connection was refused, or the test killed the server
-	// or dropped the connection meanwhile.
+	// Unsent is the number of attempts that no server received: the connection was refused, or the test killed the
+	// server or dropped the connection during the attempt.
 	Unsent int
-	// OnTimeFractionBySecond has, for each second in which requests came, the fraction of them that was on time.
+	// OnTimeFractionBySecond holds, for each second in which requests arrived, the fraction of them that was on time.
 	OnTimeFractionBySecond []float64
-	// OnTimeBySecond has the number of requests on time by the second of the response.
+	// OnTimeBySecond holds the number of requests on time, by the second of the response.
 	OnTimeBySecond []int
-	// MinOnTimeFraction is the least of OnTimeFractionBySecond; 1 for none.
+	// MinOnTimeFraction is the minimum of OnTimeFractionBySecond; 1 if that is empty.
 	MinOnTimeFraction float64
 }
 
-// Routers emulates routers that send traffic to a cluster in real time. A request that one server rejects goes to
-// another. Kill and DropConnections are for the actions of the traffic, and safe for concurrent use.
+// Routers emulates routers that send traffic to a cluster in real time and retry rejected requests, mostly on other
+// servers. Traffic.Actions may call Kill and DropConnections, which are safe for concurrent use.
 type Routers struct {
 	Traffic
 	cluster   *Cluster
 	startedAt time.Time
 	pending   sync.WaitGroup // requests and actions
 
-	lock              sync.Mutex // guards all that follows; it is taken before that of a connection
+	lock              sync.Mutex // guards the fields below; lock order: before the lock of a connection
 	rand              *rand.Rand
 	connections       []map[*Server]*routerConnection // by router
 	stats             TrafficStats
 	requestedBySecond []int
-	servedBySecond    []int            // on time, by the second of the request
-	killed            map[*Server]bool // by the test, so that requests open there count as unsent
+	servedBySecond    []int            // requests on time, by the second of their arrival
+	killed            map[*Server]bool // servers killed by the test, so that attempts in flight there count as unsent
 }
 
-// request is one request of the traffic, with the number that its idempotency key is made from.
+// request is one request of the traffic. Its number also determines its idempotency key.
 type request struct {
 	number int
 	router int
 	workMs float64
 	keyed  bool
-	second int // of the traffic in which it came
+	second int // in which it arrived, since the start of the traffic
 }
 
 // RunTraffic sends the traffic, waits for all responses and actions, and returns the counts.
@@ -115,6 +117,7 @@
 	return r.stats
 }
 
+// newRouters returns routers for the traffic, without connections.
 func newRouters(c *Cluster, traffic Traffic) *Routers {
 	seconds := int(traffic.Duration/time.Second) + 1
 	r := &Routers{
@@ -133,7 +136,7 @@
 	return r
 }
 
-// sendAll starts all requests, each at its time.
+// sendAll starts each request at its arrival time, in its own goroutine.
 func (r *Routers) sendAll() {
 	at := time.Duration(0)
 	for at < r.Duration {
@@ -148,7 +151,7 @@
 	}
 }
 
-// nextRequest draws a request and the time until the one after it.
+// nextRequest draws a random request that arrives at the given time, and the interval until the one after it.
 func (r *Routers) nextRequest(at time.Duration) (request, time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -162,7 +165,7 @@
 	return next, gap
 }
 
-// closeConnections closes all connections.
+// closeConnections closes the connections of all routers.
 func (r *Routers) closeConnections() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -173,7 +176,7 @@
 	}
 }
 
-// sumUp completes the counts once all requests are over.
+// sumUp completes the counts after all requests have ended.
 func (r *Routers) sumUp() {
 	r.stats.MinOnTimeFraction = 1
 	for second, requested := range r.requestedBySecond {
@@ -192,16 +195,16 @@
 	}
 }
 
-// Kill kills a server. Attempts that are in flight there count as Unsent, not as Unanswered.
+// Kill kills a server. Attempts in flight on it count as Unsent, not as Unanswered.
 func (r *Routers) Kill(server *Server) {
 	r.lock.Lock()
 	r.killed[server] = true
 	r.lock.Unlock()
-	_ = server.Kill() // it may have ended by itself
+	_ = server.Kill() // the process may already have ended
 }
 
-// DropConnections closes all connections of a fraction of the routers at once. Attempts in flight on them count as
-// Unsent. The routers dial again for their next attempt.
+// DropConnections closes all connections of the given fraction of the routers at once. Attempts in flight on them count
+// as Unsent. The routers dial again for their next attempts.
 func (r *Routers) DropConnections(fraction float64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -213,7 +216,8 @@
 	}
 }
 
-// sendRequest sends one request to server after server until one gives the final response.
+// sendRequest sends attempts of one request, one after the other, until a response is final, the deadline has passed or
+// MaxAttempts is reached.
 func (r *Routers) sendRequest(q request) {
 	sentAt := time.Now()
 	for n := range r.MaxAttempts {
@@ -230,21 +234,21 @@
 	}
 }
 
-// choose returns the server of the n-th attempt.
+// choose returns the server for the n-th attempt of a request.
 func (r *Routers) choose(endpoints []*Server, q request, n int) *Server {
-	const stride = 7 // from attempt to attempt
+	const stride = 7 // distance in the endpoint list between consecutive attempts
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return endpoints[(q.number+n*stride+r.rand.Intn(2))%len(endpoints)]
 }
 
-// isRejected reports whether a status says that the server rejected the request without running it.
+// isRejected reports whether a status means that the server rejected the request without running it.
 func isRejected(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// isFinal reports whether a request is not sent again after this status. One with an idempotency key is sent again
-// after a failure.
+// isFinal reports whether a request is not retried after this status. A keyed request is retried after a failure,
+// because the idempotency key makes that safe.
 func isFinal(status int, keyed bool) bool {
 	if status == http.StatusOK {
 		return true
@@ -252,7 +256,7 @@
 	return status != noStatus && !isRejected(status) && !keyed
 }
 
-// count counts the outcome of one attempt; took is the time since the request came.
+// count adds the outcome of one attempt to the counts; took is the time since the request arrived.
 func (r *Routers) count(status int, took time.Duration, q request) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -272,7 +276,7 @@
 	}
 }
 
-// requestID returns an ID that no other attempt of the cluster has.
+// requestID returns a request ID that is unique among the attempts on the cluster.
 func (r *Routers) requestID() string {
 	return fmt.Sprintf("%016x", uint64(r.cluster.Seed)<<40|r.cluster.attempts.Add(1))
 }
--- a/internal/clustertest/server.go
+++ b/internal/clustertest/server.go
@@ -19,35 +19,35 @@
 )
 
 // Server is one server of a cluster, with its interpreter and its relay. It has at most one process at a time. Start,
-// Configure and ReloadWithKeys must not run at the same time as any other method of the server.
+// Configure and ReloadWithKeys must not run concurrently with any other method of the server.
 type Server struct {
 	// Index is the index given to AddServer.
 	Index int
-	// Name is the name in the server's settings.
+	// Name is the server's name in its settings.
 	Name string
-	// Zone is the zone in the server's settings.
+	// Zone is the server's zone in its settings.
 	Zone string
-	// RouterAddress is the address that the server listens on for routers.
+	// RouterAddress is the address on which the server accepts connections from routers.
 	RouterAddress string
 	// StatusAddress is the address of the server's status page.
 	StatusAddress string
-	// Program is the path of the executable from the next Start on; empty for that of the cluster's Config.
+	// Program is the path of the executable that the next Start runs; empty means Config.Program.
 	Program string
-	// Interpreter is the server's interpreter, which outlives its processes.
+	// Interpreter emulates the server's interpreter. It keeps running while the server restarts.
 	Interpreter *emulator.Interpreter
-	// Log is the standard output and error of all processes of the server.
+	// Log collects the standard output and standard error of all processes of the server.
 	Log *LogBuffer
 
 	cluster *Cluster
 	relay   *relay // nil without gossip
 	process *exec.Cmd
-	exited  chan struct{} // closed at the end of process
-	args    []string      // added to the command line
+	exited  chan struct{} // closed when process has ended
+	args    []string      // appended to the command line
 	key     string        // gossip keys, in base64, one per line
 	fleet   string        // name of the cluster
 }
 
-// LogBuffer is an io.Writer that keeps all that is written. It is safe for concurrent use.
+// LogBuffer is an io.Writer that keeps everything written to it. It is safe for concurrent use.
 type LogBuffer struct {
 	lock sync.Mutex
 	text strings.Builder
@@ -60,16 +60,16 @@
 	return b.text.Write(data)
 }
 
-// String returns the log so far.
+// String returns everything written so far.
 func (b *LogBuffer) String() string {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.text.String()
 }
 
-// Configure sets what the server is started with from the next Start on: its name, the name of its cluster, its keys
-// (base64, one per line) and the arguments added to its command line. An empty name, fleet or key leaves that as it is;
-// the arguments replace those of an earlier call. It returns the server.
+// Configure sets the server's name, the name of its cluster, its gossip keys (base64, one per line) and further
+// command-line arguments. They take effect at the next Start. An empty name, fleet or key leaves the current value; the
+// arguments replace those of an earlier call. Configure returns the server.
 func (s *Server) Configure(name, fleet, key string, args ...string) *Server {
 	s.Name = cmp.Or(name, s.Name)
 	s.fleet = cmp.Or(fleet, s.fleet)
@@ -78,8 +78,8 @@
 	return s
 }
 
-// Start writes the server's files and starts a process, without waiting until it serves. The process has the memory of
-// an earlier one only as far as that stored it on disk.
+// Start writes the server's files and starts a process. It does not wait until the process serves. Of an earlier
+// process of the server, only the state that it stored on disk remains.
 func (s *Server) Start() error {
 	c := s.cluster
 	if err := s.writeConfig(); err != nil {
@@ -114,24 +114,24 @@
 	return nil
 }
 
-// reap waits for the end of a process, and has connections to its gossip address refused from then on.
+// reap waits for a process to end, and then makes the relay refuse connections to its gossip address.
 func (s *Server) reap(process *exec.Cmd, exited chan struct{}) {
-	_ = process.Wait() // ExitCode returns the code; being killed is no error here
+	_ = process.Wait() // ExitCode returns the code, and a killed process is not an error here
 	if s.relay != nil {
 		s.relay.down()
 	}
 	close(exited)
 }
 
-// path returns the path of one of the server's files.
+// path returns the path of the server's file with the given extension.
 func (s *Server) path(extension string) string {
 	return filepath.Join(s.cluster.WorkDirectory, fmt.Sprint(s.Name, "-", s.Index)+extension)
 }
 
-// filesMode is the mode of the servers' files: keys must not be readable by others.
+// filesMode is the permission mode of the servers' files. Gossip keys must not be readable by other users.
 const filesMode = 0o600
 
-// writeConfig writes the settings of the users' pages.
+// writeConfig writes the configuration that is documented for users (the --config file).
 func (s *Server) writeConfig() error {
 	c := s.cluster
 	stopTimeout := cmp.Or(c.StopTimeout, defaultStopTimeout)
@@ -152,7 +152,7 @@
 	return os.WriteFile(s.path(".json"), text, filesMode)
 }
 
-// writeServiceFiles writes the server's own settings and its keys.
+// writeServiceFiles writes the server's service settings (the --service file) and its gossip keys.
 func (s *Server) writeServiceFiles() error {
 	c := s.cluster
 	text := ""
@@ -168,7 +168,7 @@
 	return os.WriteFile(s.path(".yaml"), []byte(text), filesMode)
 }
 
-// gossipYAML returns the section "peers" of the server's own settings.
+// gossipYAML returns the section "peers" of the server's service settings.
 func (s *Server) gossipYAML() string {
 	c := s.cluster
 	var seeds, founders []string
@@ -191,17 +191,17 @@
 	return out.String()
 }
 
-// Waiting for a reload: how often the log is read, and the pause between.
+// The number of times that ReloadWithKeys reads the log while it waits for a reload, and the pause between two reads.
 const (
 	reloadPolls    = 1000
 	reloadInterval = 10 * time.Millisecond
 )
 
-// errNoReload means that the server did not log that it has read its files again.
-var errNoReload = errors.New("it does not read its files again")
+// errNoReload is returned if the server does not log that it has read its files again.
+var errNoReload = errors.New("server did not log a configuration reload within 10 seconds")
 
-// ReloadWithKeys writes other keys (base64, one per line), sends SIGHUP, and waits until the server has logged that it
-// read its files. It fails after 10 seconds without that line.
+// ReloadWithKeys replaces the server's gossip keys (base64, one per line), sends SIGHUP, and waits until the server
+// logs that it has read its files again. It fails if that takes more than 10 seconds.
 func (s *Server) ReloadWithKeys(keys string) error {
 	s.key = keys
 	if err := s.writeServiceFiles(); err != nil {
@@ -227,23 +227,23 @@
 	return s.process.Process.Signal(signal)
 }
 
-// Kill kills the process by SIGKILL and waits for its end. Connections to its gossip address are refused from then on.
+// Kill sends SIGKILL to the process and waits for it to end. Afterwards, connections to its gossip address are refused.
 func (s *Server) Kill() error {
 	err := s.Signal(syscall.SIGKILL)
 	<-s.exited
 	return err
 }
 
-// Exited returns a channel that is closed when the process has ended.
+// Exited returns a channel that is closed when the current process has ended.
 func (s *Server) Exited() <-chan struct{} { return s.exited }
 
-// ExitCode returns the exit code of the process, which must have ended: -1 where a signal killed it.
+// ExitCode returns the exit code of the process, or -1 if a signal killed it. The process must have ended.
 func (s *Server) ExitCode() int { return s.process.ProcessState.ExitCode() }
 
-// PID returns the process ID.
+// PID returns the ID of the server's process.
 func (s *Server) PID() int { return s.process.Process.Pid }
 
-// QuotaStatus fetches the status of the quotas from the server's status page.
+// QuotaStatus fetches the quota status from the server's status page.
 func (s *Server) QuotaStatus() (service.Status, error) {
 	var status service.Status
 	err := gossip.FetchJSON(s.StatusAddress, service.StatusPath, &status)
@@ -253,9 +253,9 @@
 // GossipStatus fetches the server's view of the cluster from its status page.
 func (s *Server) GossipStatus() (gossip.Status, error) { return gossip.FetchStatus(s.StatusAddress) }
 
-// GossipAddresses returns the gossip addresses of a server for which the test itself speaks the protocol: the one to
-// listen on, and the one at which others reach it. It opens the relay unless a process was started. The cluster must
-// have gossip.
+// GossipAddresses returns the gossip addresses of a server in whose place the test itself runs a gossip node: the
+// address to listen on, and the one that other servers send to. It starts the relay's stream listener unless a process
+// was started. Config.Gossip must be set.
 func (s *Server) GossipAddresses() (listen, advertise string, err error) {
 	if s.process == nil {
 		err = s.relay.up()
@@ -263,10 +263,10 @@
 	return s.relay.listen, s.relay.advertised, err
 }
 
-// close kills the process, where there is one, and closes the relay and the interpreter.
+// close kills the process, if one was started, and closes the relay and the interpreter.
 func (s *Server) close() {
 	if s.process != nil {
-		_ = s.process.Process.Signal(syscall.SIGKILL) // it may have ended by itself
+		_ = s.process.Process.Signal(syscall.SIGKILL) // the process may already have ended
 		<-s.exited
 	}
 	if s.relay != nil {
