--- a/internal/clustertest/attempt.go
+++ b/internal/clustertest/attempt.go
@@ -14,8 +14,8 @@
 	// deadlineSlack is how long after its deadline a response may still arrive over a socket. The users' documentation
 	// allows this much.
 	deadlineSlack = 50 * time.Millisecond
-	// giveUpAfter is how long a router waits for a response after the deadline.
-	giveUpAfter = 2 * time.Second
+	// responseWaitAfterDeadline is how long a router waits for a response after the deadline.
+	responseWaitAfterDeadline = 2 * time.Second
 	// maxOpenRequests is the largest number of requests in flight on one connection of a router.
 	maxOpenRequests = 24
 	// defaultTenant is the tenant of traffic whose Traffic.Tenant is empty.
@@ -24,7 +24,8 @@
 	noStatus = 0
 )
 
-// errNoResponse is the error of an attempt whose response did not arrive within giveUpAfter of the deadline.
+// errNoResponse is the error of an attempt whose response did not arrive within responseWaitAfterDeadline of the
+// deadline.
 var errNoResponse = errors.New("no response")
 
 // routerConnection is the connection of one router to one server, with the attempts in flight on it.
@@ -45,7 +46,7 @@
 
 // attempt sends one attempt to a server, waits for its response and updates the counts. It returns the status of the
 // response, or noStatus if there is none.
-func (r *Routers) attempt(q request, server *Server, left time.Duration) int {
+func (r *Routers) attempt(q request, server *Server, timeLeft time.Duration) int {
 	connection := r.connection(q.router, server)
 	if connection == nil {
 		r.lock.Lock()
@@ -57,22 +58,22 @@
 	r.stats.Attempts++
 	id := r.requestID()
 	r.lock.Unlock()
-	response, writeError := connection.send(r.encoder(q, id, left))
+	response, writeError := connection.send(r.attemptEncoder(q, id, timeLeft))
 	sentAt := time.Now()
 	var result attemptResult
 	select {
 	case result = <-response:
-	case <-time.After(left + giveUpAfter):
+	case <-time.After(timeLeft + responseWaitAfterDeadline):
 		result.err = errNoResponse
 	}
-	took := time.Since(sentAt)
+	elapsed := time.Since(sentAt)
 	server.Interpreter.RequestEnded(id)
 
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	switch {
 	case result.err == nil:
-		if took > left+deadlineSlack {
+		if elapsed > timeLeft+deadlineSlack {
 			r.stats.PastDeadline++
 		}
 		return result.Status
@@ -84,9 +85,9 @@
 	return noStatus
 }
 
-// encoder returns a function that encodes one attempt as a FastCGI request on a given slot.
-func (r *Routers) encoder(q request, id string, left time.Duration) func(slot uint16) []byte {
-	parameters := emulator.RequestParameters(id, cmp.Or(r.Tenant, defaultTenant), left)
+// attemptEncoder returns a function that encodes one attempt as a FastCGI request on a given slot.
+func (r *Routers) attemptEncoder(q request, id string, timeLeft time.Duration) func(slot uint16) []byte {
+	parameters := emulator.RequestParameters(id, cmp.Or(r.Tenant, defaultTenant), timeLeft)
 	parameters["HTTP_SENT_BY"] = fmt.Sprint(q.router)
 	category := r.IdempotentCategory
 	body := fmt.Sprintf("%.2f %s", q.workMs, id)
@@ -135,15 +136,15 @@
 	return c.dead
 }
 
-// drop closes the connection. It ignores the error, which only means that the connection was already closed.
-func (c *routerConnection) drop() { _ = c.Close() }
+// closeQuietly closes the connection. It ignores the error, which only means that the connection was already closed.
+func (c *routerConnection) closeQuietly() { _ = c.Close() }
 
-// kill closes the connection as an injected fault, so that requests in flight on it do not count as unanswered.
-func (c *routerConnection) kill() {
+// closeAsFault closes the connection as an injected fault, so that requests in flight on it do not count as unanswered.
+func (c *routerConnection) closeAsFault() {
 	c.lock.Lock()
 	c.dead = true
 	c.lock.Unlock()
-	c.drop()
+	c.closeQuietly()
 }
 
 // send writes a request on the next free slot. The returned channel delivers the response, or the error that ended the
@@ -166,15 +167,15 @@
 	for {
 		response, err := c.ReadResponse()
 		if err != nil {
-			c.ended(err)
+			c.failOpenRequests(err)
 			return
 		}
-		c.responded(response)
+		c.deliverResponse(response)
 	}
 }
 
-// responded delivers a response to the attempt that waits on its slot, and frees the slot.
-func (c *routerConnection) responded(response emulator.Response) {
+// deliverResponse delivers a response to the attempt that waits on its slot, and frees the slot.
+func (c *routerConnection) deliverResponse(response emulator.Response) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	waiting := c.open[response.Slot]
@@ -184,8 +185,8 @@
 	}
 }
 
-// ended fails all open requests with the error that ended the connection.
-func (c *routerConnection) ended(err error) {
+// failOpenRequests fails all open requests with the error that ended the connection.
+func (c *routerConnection) failOpenRequests(err error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.dead = c.dead || len(c.open) == 0
--- a/internal/clustertest/cluster.go
+++ b/internal/clustertest/cluster.go
@@ -18,18 +18,19 @@
 	"thistlequay/internal/emulator"
 )
 
-// FounderCount is the largest number of servers that form the first cluster configuration. The first servers of the
+// MaxFounderCount is the largest number of servers that form the first cluster configuration. The first servers of the
 // cluster are both its founders and its seed members.
-const FounderCount = 3
+const MaxFounderCount = 3
 
 // DefaultKey is the gossip key, in base64, of every server for which Server.Configure sets no other key.
 var DefaultKey = base64.StdEncoding.EncodeToString([]byte("the key of a rig"))
 
-// defaultFleet is the cluster name ("fleet" in the settings) of every server for which Server.Configure sets no other.
-const defaultFleet = "rig"
+// defaultClusterName is the cluster name ("fleet" in the settings) of every server for which Server.Configure sets no
+// other.
+const defaultClusterName = "rig"
 
-// zones is the number of zones that the servers are distributed over, by their index.
-const zones = 3
+// zoneCount is the number of zones that the servers are distributed over, by their index.
+const zoneCount = 3
 
 // Defaults for zero fields of a Config.
 const (
@@ -132,13 +133,13 @@
 // the index, which must be unique in the cluster.
 func (c *Cluster) AddServer(index int) (*Server, error) {
 	server := &Server{
-		cluster: c,
-		Index:   index,
-		Name:    serverName(index),
-		Zone:    fmt.Sprint("z", index%zones),
-		Log:     &LogBuffer{},
-		key:     DefaultKey,
-		fleet:   defaultFleet,
+		cluster:     c,
+		Index:       index,
+		Name:        serverName(index),
+		Zone:        fmt.Sprint("z", index%zoneCount),
+		Log:         &LogBuffer{},
+		keys:        DefaultKey,
+		clusterName: defaultClusterName,
 	}
 	var err error
 	server.RouterAddress, err = freeAddress(c.host(networkRouters, index))
@@ -185,9 +186,9 @@
 
 // host returns a server's address in one of the loopback networks. The address depends on the seed and the process ID,
 // so that clusters with other seeds or in other processes use other addresses.
-func (c *Cluster) host(loopback, index int) string {
-	const spread = 37 // odd, so that consecutive seeds get distinct networks
-	return fmt.Sprintf("127.%d.%d.%d", loopback, (c.Seed*spread+int64(syscall.Getpid()))&255, index+1)
+func (c *Cluster) host(loopbackNetwork, index int) string {
+	const seedFactor = 37 // odd, so that consecutive seeds get distinct networks
+	return fmt.Sprintf("127.%d.%d.%d", loopbackNetwork, (c.Seed*seedFactor+int64(syscall.Getpid()))&255, index+1)
 }
 
 // freeAddress returns an address of the host with a TCP port that nothing listens on at present.
--- a/internal/clustertest/fairqueue_test.go
+++ b/internal/clustertest/fairqueue_test.go
@@ -14,8 +14,8 @@
 
 // tenantCase is one setting of the tenants' shares, with the outcome that it entitles acme to.
 type tenantCase struct {
-	acmeShare float64 // fraction of the cluster in the settings; beta has the rest
-	entitled  float64 // acmeShare, but at most the third of the cluster that acme sends to
+	acmeShare        float64 // fraction of the cluster in the settings; beta has the rest
+	entitledFraction float64 // acmeShare, but at most the third of the cluster that acme sends to
 }
 
 // TestMeasuredTenantsOverTheCluster measures how the capacity of the whole cluster is divided between two tenants. The
@@ -25,12 +25,12 @@
 func TestMeasuredTenantsOverTheCluster(t *testing.T) {
 	servers := 3
 	duration := 12 * time.Second
-	cases := []tenantCase{{acmeShare: 0.25, entitled: 0.25}}
+	cases := []tenantCase{{acmeShare: 0.25, entitledFraction: 0.25}}
 	gossipModes := []bool{true}
 	if isFullMeasurement() {
 		servers = 12
 		duration = 30 * time.Second
-		cases = append(cases, tenantCase{acmeShare: 0.5, entitled: 1.0 / 3})
+		cases = append(cases, tenantCase{acmeShare: 0.5, entitledFraction: 1.0 / 3})
 		gossipModes = []bool{false, true}
 	}
 	for _, test := range cases {
@@ -39,8 +39,9 @@
 			fractions[gossip] = acmeFraction(t, test.acmeShare, servers, gossip, duration)
 		}
 		t.Logf("measured tenants-cluster servers=%d share=%.2f entitled=%.3f fraction_without_gossip=%.3f "+
-			"fraction_with_gossip=%.3f", servers, test.acmeShare, test.entitled, fractions[false], fractions[true])
-		require.InDelta(t, test.entitled, fractions[true], 0.03)
+			"fraction_with_gossip=%.3f", servers, test.acmeShare, test.entitledFraction, fractions[false],
+			fractions[true])
+		require.InDelta(t, test.entitledFraction, fractions[true], 0.03)
 	}
 }
 
--- a/internal/clustertest/gossip_hostile_test.go
+++ b/internal/clustertest/gossip_hostile_test.go
@@ -23,8 +23,8 @@
 
 // startClusterOfFour starts four servers, the members. It also creates a fifth server without starting it, with which a
 // test runs a process that does not belong to the cluster.
-func startClusterOfFour(t *testing.T, seed int64) (cluster *testCluster, home []*clustertest.Server,
-	stranger *clustertest.Server) {
+func startClusterOfFour(t *testing.T, seed int64) (cluster *testCluster, members []*clustertest.Server,
+	outsider *clustertest.Server) {
 	t.Helper()
 	cluster = newTestCluster(t, clustertest.Config{
 		ServerCount:           5,
@@ -32,9 +32,9 @@
 		Gossip:                true,
 		ConfiguredServerCount: 4,
 	})
-	home = cluster.Servers[:4]
-	cluster.start(home)
-	return cluster, home, cluster.Servers[4]
+	members = cluster.Servers[:4]
+	cluster.start(members)
+	return cluster, members, cluster.Servers[4]
 }
 
 // TestForeignGossipMembersAreRejected starts processes that do not belong to the cluster: with another cluster name,
@@ -43,55 +43,55 @@
 // may be accepted as a member, and no member may fail because of one.
 func TestForeignGossipMembersAreRejected(t *testing.T) {
 	t.Parallel()
-	cluster, home, stranger := startClusterOfFour(t, 2)
+	cluster, members, outsider := startClusterOfFour(t, 2)
 	oldKey := clustertest.DefaultKey
 	newKey := gossipKey("the key of later")
-	cluster.waitForView("four alive", home, majorityOf(4))
+	cluster.waitForView("four alive", members, majorityOf(4))
 
-	for _, foreign := range []struct{ what, name, clusterName, key string }{
-		{what: "another cluster", name: "x1", clusterName: "other", key: oldKey},
-		{what: "a wrong key", name: "x2", clusterName: clusterName, key: gossipKey("a key of nowhere")},
-		{what: "a key that the members do not have yet", name: "x3", clusterName: clusterName, key: newKey},
+	for _, foreign := range []struct{ description, name, clusterName, key string }{
+		{description: "another cluster", name: "x1", clusterName: "other", key: oldKey},
+		{description: "a wrong key", name: "x2", clusterName: clusterName, key: gossipKey("a key of nowhere")},
+		{description: "a key that the members do not have yet", name: "x3", clusterName: clusterName, key: newKey},
 	} {
-		stranger.Configure(foreign.name, foreign.clusterName, foreign.key)
-		cluster.requireStrangerIsolated(foreign.what, stranger)
+		outsider.Configure(foreign.name, foreign.clusterName, foreign.key)
+		cluster.requireOutsiderIsolated(foreign.description, outsider)
 	}
-	cluster.requireNameStaysWithFirst(stranger, home)
-	cluster.requireNoStrangerAfterLoss(home)
+	cluster.requireMemberKeepsName(outsider, members)
+	cluster.requireNoOutsiderAfterLoss(members)
 
 	// Replace the key in three steps while the servers gossip. All members accept both keys before any member sends
 	// with the new one, and the old key is removed last.
 	for _, keys := range []string{oldKey + "\n" + newKey, newKey + "\n" + oldKey, newKey} {
-		for _, server := range home {
+		for _, server := range members {
 			cluster.NoError(server.ReloadWithKeys(keys))
 		}
 	}
-	cluster.NoError(home[3].Kill())
-	cluster.NoError(home[3].Configure("", "", newKey).Start())
-	cluster.waitForView("restarted with the new key", home, majorityOf(4))
-	stranger.Configure("x4", clusterName, oldKey)
-	cluster.requireStrangerIsolated("the old key", stranger)
-	cluster.waitForView("first server in the majority", home[:1], agreedOn(4))
-	cluster.requireMembersCommand(home[0])
+	cluster.NoError(members[3].Kill())
+	cluster.NoError(members[3].Configure("", "", newKey).Start())
+	cluster.waitForView("restarted with the new key", members, majorityOf(4))
+	outsider.Configure("x4", clusterName, oldKey)
+	cluster.requireOutsiderIsolated("the old key", outsider)
+	cluster.waitForView("first server in the majority", members[:1], agreedOn(4))
+	cluster.requireMembersCommand(members[0])
 }
 
-// requireStrangerIsolated starts a server that does not belong to the cluster, checks that it finds no other member,
+// requireOutsiderIsolated starts a server that does not belong to the cluster, checks that it finds no other member,
 // and kills it.
-func (c *testCluster) requireStrangerIsolated(what string, stranger *clustertest.Server) {
+func (c *testCluster) requireOutsiderIsolated(description string, outsider *clustertest.Server) {
 	c.t.Helper()
-	c.NoError(stranger.Start())
-	c.waitForView(what, []*clustertest.Server{stranger}, isIsolated)
-	c.NoError(stranger.Kill())
+	c.NoError(outsider.Start())
+	c.waitForView(description, []*clustertest.Server{outsider}, isIsolated)
+	c.NoError(outsider.Kill())
 }
 
-// requireNameStaysWithFirst starts a second process under the name of a member, with its clock a minute ahead, and
-// checks that the member keeps the name.
-func (c *testCluster) requireNameStaysWithFirst(stranger *clustertest.Server, home []*clustertest.Server) {
+// requireMemberKeepsName starts a second process under the name of a member, with its clock a minute ahead, and checks
+// that the member keeps the name.
+func (c *testCluster) requireMemberKeepsName(outsider *clustertest.Server, members []*clustertest.Server) {
 	c.t.Helper()
 	const name = "n03"
-	stranger.Configure(name, clusterName, clustertest.DefaultKey, "--clock-shift=1m")
-	c.NoError(stranger.Start())
-	c.waitForView("name taken", home, func(status gossip.Status) bool {
+	outsider.Configure(name, clusterName, clustertest.DefaultKey, "--clock-shift=1m")
+	c.NoError(outsider.Start())
+	c.waitForView("name taken", members, func(status gossip.Status) bool {
 		rejected := 0
 		for _, member := range status.Members {
 			if member.Name == name && member.State == "gone" && member.Cause == "name taken" {
@@ -100,13 +100,13 @@
 		}
 		return rejected == 1 && memberStatus(status, name).State == "serving"
 	})
-	c.NoError(stranger.Kill())
+	c.NoError(outsider.Kill())
 }
 
-// requireNoStrangerAfterLoss makes the network lose, duplicate, reorder, replay and truncate messages while one server
+// requireNoOutsiderAfterLoss makes the network lose, duplicate, reorder, replay and truncate messages while one server
 // crashes. The others must detect the crash, all must converge after the network has recovered, and none may list a
 // foreign process as a member.
-func (c *testCluster) requireNoStrangerAfterLoss(home []*clustertest.Server) {
+func (c *testCluster) requireNoOutsiderAfterLoss(members []*clustertest.Server) {
 	c.t.Helper()
 	c.SetFaultEverywhere(clustertest.Fault{
 		Loss:        0.3,
@@ -115,12 +115,12 @@
 		Jitter:      50 * time.Millisecond,
 		ReplayAfter: 700 * time.Millisecond,
 	})
-	c.NoError(home[0].Kill())
-	c.waitForView("crash detected under loss", home[1:], memberIs("n00", "failed"))
+	c.NoError(members[0].Kill())
+	c.waitForView("crash detected under loss", members[1:], memberIs("n00", "failed"))
 	c.Heal()
-	c.NoError(home[0].Start())
-	c.waitForView("four alive again", home, majorityOf(4))
-	for _, server := range home {
+	c.NoError(members[0].Start())
+	c.waitForView("four alive again", members, majorityOf(4))
+	for _, server := range members {
 		for _, member := range c.gossipStatus(server).Members {
 			c.NotContains([]string{"x1", "x2", "x3"}, member.Name)
 		}
@@ -146,12 +146,12 @@
 // about itself.
 func TestForgedGossipIsRejectedAndCounted(t *testing.T) {
 	t.Parallel()
-	cluster, home, unused := startClusterOfFour(t, 8)
-	cluster.waitForView("four in the configuration", home, agreedOn(4))
-	forger, forgerID := cluster.startForger(unused, home[0])
+	cluster, members, unstarted := startClusterOfFour(t, 8)
+	cluster.waitForView("four in the configuration", members, agreedOn(4))
+	forger, forgerID := cluster.startForger(unstarted, members[0])
 	forger.SetLocalState(gossip.LocalState{State: membership.StateServing})
-	cluster.waitForView("forger alive", home, memberIs(forgerName, "serving"))
-	before := cluster.gossipStatus(home[1])
+	cluster.waitForView("forger alive", members, memberIs(forgerName, "serving"))
+	before := cluster.gossipStatus(members[1])
 	var victim, target membership.Member
 	cluster.NoError(forger.Inspect(func(view *membership.View, _ *membership.Agreement) {
 		for _, member := range view.Members() {
@@ -169,17 +169,17 @@
 			cluster.NoError(forger.SendRaw(target.ID, target.Address, kind, message))
 		}
 	}
-	cluster.waitForView("forged messages counted", home[1:2], func(status gossip.Status) bool {
+	cluster.waitForView("forged messages counted", members[1:2], func(status gossip.Status) bool {
 		return status.Rejected.Forged >= before.Rejected.Forged+1 && status.Malformed >= before.Malformed+1
 	})
-	cluster.waitForView("forged messages rejected", home, func(status gossip.Status) bool {
+	cluster.waitForView("forged messages rejected", members, func(status gossip.Status) bool {
 		return memberStatus(status, "n00").State == "serving" &&
 			memberStatus(status, "n01").State == "serving" &&
 			status.Epoch < forgedNumber &&
 			status.QuorumStatus == majority
 	})
 	forger.SetLocalState(gossip.LocalState{State: membership.StateDraining})
-	cluster.waitForView("forger's own state accepted", home, memberIs(forgerName, "leaving", "left"))
+	cluster.waitForView("forger's own state accepted", members, memberIs(forgerName, "leaving", "left"))
 }
 
 const (
@@ -191,9 +191,9 @@
 
 // startForger starts a gossip node inside the test, at the addresses of a server that is not started. The node has the
 // cluster's name and key.
-func (c *testCluster) startForger(unused, seed *clustertest.Server) (*gossip.Node, membership.ID) {
+func (c *testCluster) startForger(unstarted, seed *clustertest.Server) (*gossip.Node, membership.ID) {
 	c.t.Helper()
-	listen, advertise, err := unused.GossipAddresses()
+	listen, advertise, err := unstarted.GossipAddresses()
 	c.NoError(err)
 	key, err := base64.StdEncoding.DecodeString(clustertest.DefaultKey)
 	c.NoError(err)
--- a/internal/clustertest/gossip_test.go
+++ b/internal/clustertest/gossip_test.go
@@ -182,12 +182,12 @@
 	settled := cluster.waitForView("settled after flapping", all, agreedOn(6))
 	statusChanges := strings.Count(all[0].Log.String(), "event=quorum_status")
 
-	late := all[4]
-	cluster.stopRepeatedly(late, duration)
+	paused := all[4]
+	cluster.stopRepeatedly(paused, duration)
 	cluster.waitForView("late server alive", all, agreedOn(6))
 	failures := 0
-	for _, server := range serversExcept(all, late) {
-		failures += strings.Count(server.Log.String(), "member="+late.Name+" to=failed")
+	for _, server := range serversExcept(all, paused) {
+		failures += strings.Count(server.Log.String(), "member="+paused.Name+" to=failed")
 	}
 
 	converged := cluster.addServersDuringPartition()
--- a/internal/clustertest/harness_gossip_test.go
+++ b/internal/clustertest/harness_gossip_test.go
@@ -154,7 +154,7 @@
 
 // poll fetches the status of one server and compares its claim with the latest claims of the others.
 func (r *rivalMajorityCounter) poll(server *clustertest.Server) {
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	status, err := server.GossipStatus()
 	if err != nil || status.UntilMs < 0 { // no response, or no claim
 		return
@@ -168,7 +168,7 @@
 	}
 	r.claims[server] = majorityClaim{
 		epoch:     status.Epoch,
-		expiresAt: askedAt.Add(time.Duration(status.UntilMs) * time.Millisecond),
+		expiresAt: requestedAt.Add(time.Duration(status.UntilMs) * time.Millisecond),
 	}
 }
 
--- a/internal/clustertest/harness_quota_test.go
+++ b/internal/clustertest/harness_quota_test.go
@@ -102,8 +102,8 @@
 // hasAnyLease reports whether a server has a lease, which may be on its guaranteed minimum only.
 func hasAnyLease(status service.Status) bool { return status.Limits[0].ExpiresInMs > 0 }
 
-// onGuaranteedMinimum reports whether a server has no lease and limits itself to its guaranteed minimum.
-func onGuaranteedMinimum(status service.Status) bool {
+// isOnGuaranteedMinimum reports whether a server has no lease and limits itself to its guaranteed minimum.
+func isOnGuaranteedMinimum(status service.Status) bool {
 	return status.Limits[0].ExpiresInMs == 0 && status.Limits[0].UsableHere == 1
 }
 
@@ -132,25 +132,25 @@
 
 // quotaLoad is continuous traffic that needs more downstream calls in flight than the quota allows.
 type quotaLoad struct {
-	cluster *testCluster
-	rate    float64 // requests per second
-	over    chan struct{}
-	stopped chan struct{}
-	once    sync.Once
-	stats   clustertest.TrafficStats // sums of all runs so far; read only after stopped is closed
+	cluster           *testCluster
+	requestsPerSecond float64
+	stopRequested     chan struct{}
+	stopped           chan struct{}
+	once              sync.Once
+	stats             clustertest.TrafficStats // sums of all runs so far; read only after stopped is closed
 
 	lock      sync.Mutex
 	endpoints []*clustertest.Server
 }
 
 // startLoad starts traffic to the servers that lasts until stop is called or the test ends.
-func (c *testCluster) startLoad(rate float64, servers []*clustertest.Server) *quotaLoad {
+func (c *testCluster) startLoad(requestsPerSecond float64, servers []*clustertest.Server) *quotaLoad {
 	c.t.Helper()
 	load := &quotaLoad{
-		cluster: c,
-		rate:    rate,
-		over:    make(chan struct{}),
-		stopped: make(chan struct{}),
+		cluster:           c,
+		requestsPerSecond: requestsPerSecond,
+		stopRequested:     make(chan struct{}),
+		stopped:           make(chan struct{}),
 	}
 	load.setEndpoints(servers)
 	go load.run()
@@ -163,13 +163,13 @@
 	defer close(l.stopped)
 	for {
 		select {
-		case <-l.over:
+		case <-l.stopRequested:
 			return
 		default:
 		}
 		traffic := shortDeadlineTraffic()
 		traffic.RouterCount = 6
-		traffic.RequestsPerSecond = l.rate
+		traffic.RequestsPerSecond = l.requestsPerSecond
 		traffic.Duration = time.Second
 		traffic.MeanWorkMs = 2
 		traffic.MaxAttempts = 1
@@ -197,7 +197,7 @@
 
 // stop ends the load, waits for its responses and returns its counts. Further calls return the same counts.
 func (l *quotaLoad) stop() clustertest.TrafficStats {
-	l.once.Do(func() { close(l.over) })
+	l.once.Do(func() { close(l.stopRequested) })
 	<-l.stopped
 	return l.stats
 }
@@ -207,8 +207,8 @@
 	cluster *testCluster
 	// exceeded is the number of steps in which the peak exceeded the allowed total.
 	exceeded int
-	// max is the largest peak in any step.
-	max int
+	// maxPeak is the largest peak in any step.
+	maxPeak int
 }
 
 // check compares the peak since the last check with the allowed total. A step that exceeded the total does not end the
@@ -217,7 +217,7 @@
 	p.cluster.t.Helper()
 	peak := p.cluster.Index.PeakInFlight()
 	p.cluster.Record("", "%s: peak of %d calls in flight", step, peak)
-	p.max = max(p.max, peak)
+	p.maxPeak = max(p.maxPeak, peak)
 	if peak > totalCalls {
 		p.exceeded++
 		p.cluster.t.Logf("%s: peak of %d calls in flight exceeds the total of %d", step, peak, totalCalls)
--- a/internal/clustertest/mixed_versions_test.go
+++ b/internal/clustertest/mixed_versions_test.go
@@ -33,10 +33,10 @@
 // mixedCluster is a cluster under load in which some servers run an earlier build and the others run the current one.
 type mixedCluster struct {
 	*testCluster
-	all      []*clustertest.Server
-	old      string // path of the earlier build
-	peak     int    // largest number of calls in flight
-	restarts int
+	all        []*clustertest.Server
+	oldProgram string // path of the earlier build
+	peak       int    // largest number of calls in flight
+	restarts   int
 }
 
 // restart kills a server, starts it again and waits until the cluster agrees on one configuration and all servers have
@@ -48,17 +48,17 @@
 	m.NoError(emulator.WaitUntilServing(server.RouterAddress))
 	m.waitForView(step, m.all, agreedOn(4))
 	m.waitForQuota(step, m.all, hasLease)
-	m.notePeak()
+	m.updatePeak()
 	m.restarts++
 }
 
-// notePeak updates peak with the index's peak of calls in flight since notePeak was last called.
-func (m *mixedCluster) notePeak() { m.peak = max(m.peak, m.Index.PeakInFlight()) }
+// updatePeak updates peak with the index's peak of calls in flight since updatePeak was last called.
+func (m *mixedCluster) updatePeak() { m.peak = max(m.peak, m.Index.PeakInFlight()) }
 
-// swapBuild switches a server to the other build, which takes effect at its next start.
-func (m *mixedCluster) swapBuild(server *clustertest.Server) {
+// switchBuild switches a server to the other build, which takes effect at its next start.
+func (m *mixedCluster) switchBuild(server *clustertest.Server) {
 	if server.Program == "" {
-		server.Program = m.old
+		server.Program = m.oldProgram
 	} else {
 		server.Program = ""
 	}
@@ -87,12 +87,12 @@
 	cluster.waitForView("one configuration of both builds", all, agreedOn(4))
 	cluster.waitForQuota("leases granted", all, hasLease)
 	cluster.startLoad(400, all)
-	mixed := &mixedCluster{testCluster: cluster, all: all, old: old}
+	mixed := &mixedCluster{testCluster: cluster, all: all, oldProgram: old}
 	for _, server := range all {
 		mixed.restart(server, fmt.Sprintf("%s restarted, same build", server.Name))
 	}
 	for _, server := range all {
-		mixed.swapBuild(server)
+		mixed.switchBuild(server)
 		mixed.restart(server, fmt.Sprintf("%s restarted, other build", server.Name))
 	}
 	leader := cluster.waitForLeader(all)
@@ -101,7 +101,7 @@
 	cluster.NoError(leader.Start())
 	cluster.waitForQuota("leases after the leader's restart", all, hasLease)
 	mixed.restarts++
-	mixed.notePeak()
+	mixed.updatePeak()
 
 	epochs := map[uint64]bool{}
 	for _, server := range all {
--- a/internal/clustertest/network.go
+++ b/internal/clustertest/network.go
@@ -83,15 +83,15 @@
 	return n.faults[direction{from, to}]
 }
 
-// draw returns a random number in [0, 1).
-func (n *network) draw() float64 {
+// randomFraction returns a random number in [0, 1).
+func (n *network) randomFraction() float64 {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.rand.Float64()
 }
 
-// happens decides at random whether an event with the given probability occurs. It draws no number if the probability
+// drawBool decides at random whether an event with the given probability occurs. It draws no number if the probability
 // is 0, so that a disabled fault does not change the random numbers of the others.
-func (n *network) happens(probability float64) bool {
-	return probability > 0 && n.draw() < probability
+func (n *network) drawBool(probability float64) bool {
+	return probability > 0 && n.randomFraction() < probability
 }
--- a/internal/clustertest/quota_gain_test.go
+++ b/internal/clustertest/quota_gain_test.go
@@ -41,19 +41,19 @@
 	loadFactor float64
 	// quotaYAML is added to the section "shares" of the servers' service settings.
 	quotaYAML string
-	// adapt changes the traffic, which otherwise goes to the initial servers; nil means no change.
-	adapt func(run *quotaScenarioRun, traffic *clustertest.Traffic)
+	// adaptTraffic changes the traffic, which otherwise goes to the initial servers; nil means no change.
+	adaptTraffic func(run *quotaScenarioRun, traffic *clustertest.Traffic)
 }
 
 // quotaScenarios holds the scenarios by name.
 var quotaScenarios = map[string]quotaScenario{
 	"steady": {servers: 6, maxServers: 6, loadFactor: 0.8},
-	"uneven": {servers: 6, maxServers: 6, loadFactor: 0.8, adapt: loadUnevenly},
-	"killed": {servers: 6, maxServers: 6, loadFactor: 0.8, adapt: killTwo},
+	"uneven": {servers: 6, maxServers: 6, loadFactor: 0.8, adaptTraffic: loadUnevenly},
+	"killed": {servers: 6, maxServers: 6, loadFactor: 0.8, adaptTraffic: killTwo},
 	// The guaranteed minimum is one that suits a cluster in which partitions are expected.
-	"split": {servers: 6, maxServers: 6, loadFactor: 0.8, quotaYAML: "  floor: 3\n", adapt: partitionTwo},
+	"split": {servers: 6, maxServers: 6, loadFactor: 0.8, quotaYAML: "  floor: 3\n", adaptTraffic: partitionTwo},
 	// The three initial servers can use at most their guaranteed minimums and the allocatable calls, 15 of 24.
-	"growing": {servers: 3, maxServers: 12, loadFactor: 0.5, adapt: addServersUnderLoad},
+	"growing": {servers: 3, maxServers: 12, loadFactor: 0.5, adaptTraffic: addServersUnderLoad},
 }
 
 // TestMeasuredQuotaGain compares quotas with fixed limits from the settings, when the shared index is the bottleneck.
@@ -83,9 +83,9 @@
 type quotaScenarioRun struct {
 	*testCluster
 	quotaScenario
-	name    string
-	mode    limitMode
-	initial []*clustertest.Server // at the start
+	name           string
+	mode           limitMode
+	initialServers []*clustertest.Server // at the start
 }
 
 // startQuotaScenario starts the initial servers of a scenario. In quotaMode it waits until all of them have leases.
@@ -110,14 +110,14 @@
 	cluster := startQuotaCluster(t, config)
 	cluster.Index.SlowdownThreshold = scenarioTotalCalls
 	run := &quotaScenarioRun{
-		testCluster:   cluster,
-		quotaScenario: scenario,
-		name:          name,
-		mode:          mode,
-		initial:       slices.Clone(cluster.Servers),
+		testCluster:    cluster,
+		quotaScenario:  scenario,
+		name:           name,
+		mode:           mode,
+		initialServers: slices.Clone(cluster.Servers),
 	}
 	if mode == quotaMode {
-		cluster.waitForQuota("leases granted", run.initial, func(status service.Status) bool {
+		cluster.waitForQuota("leases granted", run.initialServers, func(status service.Status) bool {
 			return hasAnyLease(status) && status.Limits[0].UsableHere >= 1
 		})
 	}
@@ -135,10 +135,10 @@
 	traffic.Duration = duration
 	traffic.MeanWorkMs = 2
 	traffic.MaxAttempts = 2
-	traffic.EndpointsAt = constantEndpoints(r.initial)
+	traffic.EndpointsAt = constantEndpoints(r.initialServers)
 	traffic.Actions = map[time.Duration]func(*clustertest.Routers){}
-	if r.adapt != nil {
-		r.adapt(r, &traffic)
+	if r.adaptTraffic != nil {
+		r.adaptTraffic(r, &traffic)
 	}
 	stats := r.RunTraffic(traffic)
 
@@ -159,9 +159,9 @@
 
 // loadUnevenly sends most of the requests to two of six servers: ten of fourteen.
 func loadUnevenly(run *quotaScenarioRun, traffic *clustertest.Traffic) {
-	first := slices.Repeat(run.initial[:1], 4)
-	second := slices.Repeat(run.initial[1:2], 4)
-	traffic.EndpointsAt = constantEndpoints(slices.Concat(run.initial, first, second))
+	first := slices.Repeat(run.initialServers[:1], 4)
+	second := slices.Repeat(run.initialServers[1:2], 4)
+	traffic.EndpointsAt = constantEndpoints(slices.Concat(run.initialServers, first, second))
 }
 
 // killTwo kills two servers after a quarter of the duration and removes them from the endpoint list at the same time.
@@ -169,13 +169,13 @@
 	killAt := traffic.Duration / 4
 	traffic.EndpointsAt = func(at time.Duration) []*clustertest.Server {
 		if at > killAt {
-			return run.initial[2:]
+			return run.initialServers[2:]
 		}
-		return run.initial
+		return run.initialServers
 	}
 	traffic.Actions[killAt] = func(routers *clustertest.Routers) {
-		routers.Kill(run.initial[0])
-		routers.Kill(run.initial[1])
+		routers.Kill(run.initialServers[0])
+		routers.Kill(run.initialServers[1])
 	}
 }
 
@@ -190,7 +190,7 @@
 // after all have leases.
 func addServersUnderLoad(run *quotaScenarioRun, traffic *clustertest.Traffic) {
 	var lock sync.Mutex
-	endpoints := run.initial
+	endpoints := run.initialServers
 	traffic.EndpointsAt = func(time.Duration) []*clustertest.Server {
 		lock.Lock()
 		defer lock.Unlock()
--- a/internal/clustertest/quota_test.go
+++ b/internal/clustertest/quota_test.go
@@ -59,7 +59,7 @@
 
 	stats := f.load.stop()
 	t.Logf("measured quota-faults servers=5 total=%d over=%d peak=%d requests=%d on_time=%d past_deadline=%d "+
-		"granted_again_ms=%d", totalCalls, f.peaks.exceeded, f.peaks.max, stats.Requests, stats.OnTime,
+		"granted_again_ms=%d", totalCalls, f.peaks.exceeded, f.peaks.maxPeak, stats.Requests, stats.OnTime,
 		stats.PastDeadline, granted.Milliseconds())
 	cluster.Zero(f.peaks.exceeded)
 	cluster.Greater(stats.OnTime, stats.Requests/10)
@@ -126,7 +126,7 @@
 		return status.Voter != 0 && knowsVoters(status, 5)
 	})
 	f.Partition(isAmongFirstTwo)
-	f.waitForQuota("minority on its guaranteed minimum", f.all[:2], onGuaranteedMinimum)
+	f.waitForQuota("minority on its guaranteed minimum", f.all[:2], isOnGuaranteedMinimum)
 	f.waitForQuota("leases in the majority", f.all[2:], hasLease)
 	f.check("partitioned")
 	f.Heal()
@@ -188,14 +188,14 @@
 
 // requireSharesCommand runs the command "shares" against the leader, and with --chart on the log of a server, and
 // checks the output.
-func (c *testCluster) requireSharesCommand(leader, logged *clustertest.Server) {
+func (c *testCluster) requireSharesCommand(leader, loggedServer *clustertest.Server) {
 	c.t.Helper()
 	var output bytes.Buffer
 	c.Zero(command.Run([]string{"shares", leader.StatusAddress}, &output, &output), output.String())
 	c.Contains(output.String(), "leads the keepers")
 	c.Contains(output.String(), "calls: whole 20")
 	logPath := filepath.Join(c.t.TempDir(), "log")
-	c.NoError(os.WriteFile(logPath, []byte(logged.Log.String()), 0o600))
+	c.NoError(os.WriteFile(logPath, []byte(loggedServer.Log.String()), 0o600))
 	output.Reset()
 	c.Zero(command.Run([]string{"shares", "--chart", logPath}, &output, &output), output.String())
 	c.Contains(output.String(), "calls in hand that could be used")
@@ -410,9 +410,9 @@
 	c.signal(stopped, syscall.SIGSTOP)
 	running := serversExcept(servers, stopped...)
 	c.load.setEndpoints(running)
-	c.waitForQuota("no quorum", running, onGuaranteedMinimum)
+	c.waitForQuota("no quorum", running, isOnGuaranteedMinimum)
 	time.Sleep(3 * time.Second) // the fault continues
-	c.waitForQuota("still no quorum", running, onGuaranteedMinimum)
+	c.waitForQuota("still no quorum", running, isOnGuaranteedMinimum)
 	c.peaks.check("no quorum", c.total)
 	c.signal(stopped, syscall.SIGCONT)
 	c.load.setEndpoints(servers)
--- a/internal/clustertest/relay.go
+++ b/internal/clustertest/relay.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	maxPacketBytes  = 64 << 10
-	streamChunk     = 32 << 10              // largest number of bytes in one read from a stream
-	dialTimeout     = time.Second           // for a connection from the relay to its server
-	slowWritePause  = 10 * time.Millisecond // between two writes under Fault.BytesPerWrite
-	cutPollInterval = 20 * time.Millisecond // between two checks of whether a cut has healed
-	cutPolls        = 500                   // checks before a stalled stream is closed
+	maxPacketBytes   = 64 << 10
+	streamChunkBytes = 32 << 10              // largest number of bytes in one read from a stream
+	dialTimeout      = time.Second           // for a connection from the relay to its server
+	slowWritePause   = 10 * time.Millisecond // between two writes under Fault.BytesPerWrite
+	cutPollInterval  = 20 * time.Millisecond // between two checks of whether a cut has healed
+	maxCutPolls      = 500                   // checks before a stalled stream is closed
 )
 
 // relay forwards the UDP packets and TCP streams that other servers send to the gossip address of one server, and
 // applies the fault of each direction. It does not interpret the content.
 type relay struct {
-	network    *network
-	index      int    // of the server that it forwards to
-	advertised string // the address that other servers send to
-	listen     string // the address that the server listens on
-	packets    *net.UDPConn
-	server     *net.UDPAddr // the resolved listen address
+	network       *network
+	index         int    // of the server that it forwards to
+	advertised    string // the address that other servers send to
+	listen        string // the address that the server listens on
+	packets       *net.UDPConn
+	serverAddress *net.UDPAddr // the resolved listen address
 
-	lock    sync.Mutex   // guards the fields below
-	streams net.Listener // nil while the server has no process, so that connections are refused
-	open    map[net.Conn]struct{}
+	lock           sync.Mutex   // guards the fields below
+	streamListener net.Listener // nil while the server has no process, so that connections are refused
+	openStreams    map[net.Conn]struct{}
 }
 
-// newRelay creates the relay of one server. It forwards packets immediately, but streams only after a call of up.
+// newRelay creates the relay of one server. It forwards packets immediately, but streams only after a call of
+// startStreams.
 func newRelay(n *network, index int, advertised, listen string) (*relay, error) {
-	outside, err := net.ResolveUDPAddr("udp", advertised)
+	advertisedAddress, err := net.ResolveUDPAddr("udp", advertised)
 	if err != nil {
 		return nil, err
 	}
@@ -41,25 +42,25 @@
 	if err != nil {
 		return nil, err
 	}
-	packets, err := net.ListenUDP("udp", outside)
+	packets, err := net.ListenUDP("udp", advertisedAddress)
 	if err != nil {
 		return nil, err
 	}
 	r := &relay{
-		network:    n,
-		index:      index,
-		advertised: advertised,
-		listen:     listen,
-		packets:    packets,
-		server:     server,
-		open:       map[net.Conn]struct{}{},
-	}
-	go r.carryPackets()
+		network:       n,
+		index:         index,
+		advertised:    advertised,
+		listen:        listen,
+		packets:       packets,
+		serverAddress: server,
+		openStreams:   map[net.Conn]struct{}{},
+	}
+	go r.forwardPackets()
 	return r, nil
 }
 
-// carryPackets forwards packets from known senders until the socket is closed.
-func (r *relay) carryPackets() {
+// forwardPackets forwards packets from known senders until the socket is closed.
+func (r *relay) forwardPackets() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, sender, err := r.packets.ReadFromUDP(buffer)
@@ -68,43 +69,43 @@
 		}
 		from, known := r.network.sender(sender)
 		if known {
-			r.carryPacket(bytes.Clone(buffer[:n]), r.network.fault(from, r.index))
+			r.forwardPacket(bytes.Clone(buffer[:n]), r.network.fault(from, r.index))
 		}
 	}
 }
 
-// carryPacket forwards one packet and applies a fault to it. It draws random numbers in the order loss, truncation,
+// forwardPacket forwards one packet and applies a fault to it. It draws random numbers in the order loss, truncation,
 // jitter, duplication. It draws the number for the jitter even if the fault has none.
-func (r *relay) carryPacket(packet []byte, fault Fault) {
-	if fault.Cut || r.network.happens(fault.Loss) {
+func (r *relay) forwardPacket(packet []byte, fault Fault) {
+	if fault.Cut || r.network.drawBool(fault.Loss) {
 		return
 	}
-	if r.network.happens(fault.Truncation) {
+	if r.network.drawBool(fault.Truncation) {
 		packet = packet[:len(packet)/2]
 	}
-	send := func() { _, _ = r.packets.WriteToUDP(packet, r.server) } // UDP may lose packets anyway
-	wait := fault.Delay + time.Duration(r.network.draw()*float64(fault.Jitter))
-	if wait > 0 {
-		time.AfterFunc(wait, send)
+	send := func() { _, _ = r.packets.WriteToUDP(packet, r.serverAddress) } // UDP may lose packets anyway
+	delay := fault.Delay + time.Duration(r.network.randomFraction()*float64(fault.Jitter))
+	if delay > 0 {
+		time.AfterFunc(delay, send)
 	} else {
 		send()
 	}
-	if r.network.happens(fault.Duplication) {
-		time.AfterFunc(wait+time.Millisecond, send)
+	if r.network.drawBool(fault.Duplication) {
+		time.AfterFunc(delay+time.Millisecond, send)
 	}
 	if fault.ReplayAfter > 0 {
-		time.AfterFunc(wait+fault.ReplayAfter, send)
+		time.AfterFunc(delay+fault.ReplayAfter, send)
 	}
 }
 
-// up starts to accept streams.
-func (r *relay) up() error {
+// startStreams starts to accept streams.
+func (r *relay) startStreams() error {
 	listener, err := net.Listen("tcp", r.advertised)
 	if err != nil {
 		return err
 	}
 	r.lock.Lock()
-	r.streams = listener
+	r.streamListener = listener
 	r.lock.Unlock()
 	go func() {
 		for {
@@ -112,67 +113,67 @@
 			if err != nil {
 				return
 			}
-			go r.carryStream(stream)
+			go r.forwardStream(stream)
 		}
 	}()
 	return nil
 }
 
-// down stops accepting streams and closes those that are open.
-func (r *relay) down() {
+// stopStreams stops accepting streams and closes those that are open.
+func (r *relay) stopStreams() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.streams != nil {
-		_ = r.streams.Close()
-		r.streams = nil
+	if r.streamListener != nil {
+		_ = r.streamListener.Close()
+		r.streamListener = nil
 	}
-	for stream := range r.open {
+	for stream := range r.openStreams {
 		_ = stream.Close() // the goroutine that forwards it may already have closed it
 	}
 }
 
 // close closes all sockets of the relay and the streams that it forwards.
 func (r *relay) close() {
-	r.down()
+	r.stopStreams()
 	_ = r.packets.Close()
 }
 
-// carryStream forwards one stream in both directions until either direction ends.
-func (r *relay) carryStream(outside net.Conn) {
-	defer outside.Close() //nolint:errcheck // down may have closed it before
-	from, known := r.network.sender(outside.RemoteAddr())
+// forwardStream forwards one stream in both directions until either direction ends.
+func (r *relay) forwardStream(senderStream net.Conn) {
+	defer senderStream.Close() //nolint:errcheck // stopStreams may have closed it before
+	from, known := r.network.sender(senderStream.RemoteAddr())
 	if !known || !r.waitWhileCut(from, r.index) {
 		return
 	}
-	inside, err := net.DialTimeout("tcp", r.listen, dialTimeout)
+	serverStream, err := net.DialTimeout("tcp", r.listen, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer inside.Close() //nolint:errcheck // down may have closed it before
+	defer serverStream.Close() //nolint:errcheck // stopStreams may have closed it before
 	r.lock.Lock()
-	r.open[outside] = struct{}{}
-	r.open[inside] = struct{}{}
+	r.openStreams[senderStream] = struct{}{}
+	r.openStreams[serverStream] = struct{}{}
 	r.lock.Unlock()
 	ended := make(chan struct{}, 2)
 	go func() {
-		r.copy(inside, outside, from, r.index)
+		r.forwardDirection(serverStream, senderStream, from, r.index)
 		ended <- struct{}{}
 	}()
 	go func() {
-		r.copy(outside, inside, r.index, from)
+		r.forwardDirection(senderStream, serverStream, r.index, from)
 		ended <- struct{}{}
 	}()
 	<-ended
 	r.lock.Lock()
-	delete(r.open, outside)
-	delete(r.open, inside)
+	delete(r.openStreams, senderStream)
+	delete(r.openStreams, serverStream)
 	r.lock.Unlock()
 }
 
 // waitWhileCut blocks while the direction is cut, as a stream stalls on a network that loses all packets. It returns
-// false if the cut lasts for about 10 seconds (cutPolls times cutPollInterval) or the cluster is closed.
+// false if the cut lasts for about 10 seconds (maxCutPolls times cutPollInterval) or the cluster is closed.
 func (r *relay) waitWhileCut(from, to int) bool {
-	for range cutPolls {
+	for range maxCutPolls {
 		if !r.network.fault(from, to).Cut {
 			return true
 		}
@@ -185,9 +186,9 @@
 	return false
 }
 
-// copy forwards one direction of a stream until it ends or a fault closes it.
-func (r *relay) copy(out, in net.Conn, from, to int) {
-	buffer := make([]byte, streamChunk)
+// forwardDirection forwards one direction of a stream until it ends or a fault closes it.
+func (r *relay) forwardDirection(out, in net.Conn, from, to int) {
+	buffer := make([]byte, streamChunkBytes)
 	for {
 		n, err := in.Read(buffer)
 		if err != nil || !r.waitWhileCut(from, to) {
@@ -195,7 +196,7 @@
 		}
 		fault := r.network.fault(from, to)
 		time.Sleep(fault.Delay)
-		if r.network.happens(fault.Truncation) {
+		if r.network.drawBool(fault.Truncation) {
 			_, _ = out.Write(buffer[:n/2]) // the stream is closed whether or not this succeeds
 			return
 		}
--- a/internal/clustertest/routers.go
+++ b/internal/clustertest/routers.go
@@ -110,10 +110,10 @@
 			action(r)
 		})
 	}
-	r.sendAll()
+	r.sendRequests()
 	r.pending.Wait()
 	r.closeConnections()
-	r.sumUp()
+	r.finalizeStats()
 	return r.stats
 }
 
@@ -136,18 +136,18 @@
 	return r
 }
 
-// sendAll starts each request at its arrival time, in its own goroutine.
-func (r *Routers) sendAll() {
+// sendRequests starts each request at its arrival time, in its own goroutine.
+func (r *Routers) sendRequests() {
 	at := time.Duration(0)
 	for at < r.Duration {
 		time.Sleep(time.Until(r.startedAt.Add(at)))
-		next, gap := r.nextRequest(at)
+		next, interval := r.nextRequest(at)
 		r.pending.Add(1)
 		go func() {
 			defer r.pending.Done()
 			r.sendRequest(next)
 		}()
-		at += gap
+		at += interval
 	}
 }
 
@@ -155,14 +155,14 @@
 func (r *Routers) nextRequest(at time.Duration) (request, time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	gap := time.Duration(r.rand.ExpFloat64() / r.RequestsPerSecond * float64(time.Second))
+	interval := time.Duration(r.rand.ExpFloat64() / r.RequestsPerSecond * float64(time.Second))
 	next := request{number: r.stats.Requests, second: int(at / time.Second)}
 	next.router = r.rand.Intn(r.RouterCount)
 	next.workMs = r.MeanWorkMs * (0.5 + r.rand.Float64())
 	next.keyed = r.rand.Float64() < r.KeyedFraction
 	r.stats.Requests++
 	r.requestedBySecond[next.second]++
-	return next, gap
+	return next, interval
 }
 
 // closeConnections closes the connections of all routers.
@@ -171,19 +171,19 @@
 	defer r.lock.Unlock()
 	for _, byServer := range r.connections {
 		for _, connection := range byServer {
-			connection.drop()
+			connection.closeQuietly()
 		}
 	}
 }
 
-// sumUp completes the counts after all requests have ended.
-func (r *Routers) sumUp() {
+// finalizeStats completes the counts after all requests have ended.
+func (r *Routers) finalizeStats() {
 	r.stats.MinOnTimeFraction = 1
 	for second, requested := range r.requestedBySecond {
 		if requested > 0 {
-			share := float64(r.servedBySecond[second]) / float64(requested)
-			r.stats.OnTimeFractionBySecond = append(r.stats.OnTimeFractionBySecond, share)
-			r.stats.MinOnTimeFraction = min(r.stats.MinOnTimeFraction, share)
+			fraction := float64(r.servedBySecond[second]) / float64(requested)
+			r.stats.OnTimeFractionBySecond = append(r.stats.OnTimeFractionBySecond, fraction)
+			r.stats.MinOnTimeFraction = min(r.stats.MinOnTimeFraction, fraction)
 		}
 	}
 	for _, server := range r.cluster.CurrentServers() {
@@ -210,7 +210,7 @@
 	defer r.lock.Unlock()
 	for i := range int(fraction * float64(len(r.connections))) {
 		for server, connection := range r.connections[i] {
-			connection.kill()
+			connection.closeAsFault()
 			delete(r.connections[i], server)
 		}
 	}
@@ -222,20 +222,20 @@
 	sentAt := time.Now()
 	for n := range r.MaxAttempts {
 		endpoints := r.EndpointsAt(time.Since(r.startedAt))
-		left := r.Deadline - time.Since(sentAt)
-		if len(endpoints) == 0 || left <= 0 {
+		timeLeft := r.Deadline - time.Since(sentAt)
+		if len(endpoints) == 0 || timeLeft <= 0 {
 			return
 		}
-		status := r.attempt(q, r.choose(endpoints, q, n), left)
-		r.count(status, time.Since(sentAt), q)
+		status := r.attempt(q, r.chooseServer(endpoints, q, n), timeLeft)
+		r.countOutcome(status, time.Since(sentAt), q)
 		if isFinal(status, q.keyed) {
 			return
 		}
 	}
 }
 
-// choose returns the server for the n-th attempt of a request.
-func (r *Routers) choose(endpoints []*Server, q request, n int) *Server {
+// chooseServer returns the server for the n-th attempt of a request.
+func (r *Routers) chooseServer(endpoints []*Server, q request, n int) *Server {
 	const stride = 7 // distance in the endpoint list between consecutive attempts
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -256,14 +256,14 @@
 	return status != noStatus && !isRejected(status) && !keyed
 }
 
-// count adds the outcome of one attempt to the counts; took is the time since the request arrived.
-func (r *Routers) count(status int, took time.Duration, q request) {
+// countOutcome adds the outcome of one attempt to the counts; elapsed is the time since the request arrived.
+func (r *Routers) countOutcome(status int, elapsed time.Duration, q request) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	switch {
 	case status == http.StatusOK:
 		r.stats.Served++
-		if took <= r.SoftDeadline {
+		if elapsed <= r.SoftDeadline {
 			r.stats.OnTime++
 			second := int(time.Since(r.startedAt) / time.Second)
 			r.stats.OnTimeBySecond[min(second, len(r.stats.OnTimeBySecond)-1)]++
--- a/internal/clustertest/server.go
+++ b/internal/clustertest/server.go
@@ -38,13 +38,13 @@
 	// Log collects the standard output and standard error of all processes of the server.
 	Log *LogBuffer
 
-	cluster *Cluster
-	relay   *relay // nil without gossip
-	process *exec.Cmd
-	exited  chan struct{} // closed when process has ended
-	args    []string      // appended to the command line
-	key     string        // gossip keys, in base64, one per line
-	fleet   string        // name of the cluster
+	cluster     *Cluster
+	relay       *relay // nil without gossip
+	process     *exec.Cmd
+	exited      chan struct{} // closed when process has ended
+	args        []string      // appended to the command line
+	keys        string        // gossip keys, in base64, one per line
+	clusterName string        // name of the cluster
 }
 
 // LogBuffer is an io.Writer that keeps everything written to it. It is safe for concurrent use.
@@ -68,12 +68,12 @@
 }
 
 // Configure sets the server's name, the name of its cluster, its gossip keys (base64, one per line) and further
-// command-line arguments. They take effect at the next Start. An empty name, fleet or key leaves the current value; the
-// arguments replace those of an earlier call. Configure returns the server.
-func (s *Server) Configure(name, fleet, key string, args ...string) *Server {
+// command-line arguments. They take effect at the next Start. An empty name, clusterName or keys leaves the current
+// value; the arguments replace those of an earlier call. Configure returns the server.
+func (s *Server) Configure(name, clusterName, keys string, args ...string) *Server {
 	s.Name = cmp.Or(name, s.Name)
-	s.fleet = cmp.Or(fleet, s.fleet)
-	s.key = cmp.Or(key, s.key)
+	s.clusterName = cmp.Or(clusterName, s.clusterName)
+	s.keys = cmp.Or(keys, s.keys)
 	s.args = args
 	return s
 }
@@ -93,7 +93,7 @@
 		args = append(args, "--service="+s.path(".yaml"))
 	}
 	if c.Gossip {
-		if err := s.relay.up(); err != nil {
+		if err := s.relay.startStreams(); err != nil {
 			return err
 		}
 	}
@@ -118,7 +118,7 @@
 func (s *Server) reap(process *exec.Cmd, exited chan struct{}) {
 	_ = process.Wait() // ExitCode returns the code, and a killed process is not an error here
 	if s.relay != nil {
-		s.relay.down()
+		s.relay.stopStreams()
 	}
 	close(exited)
 }
@@ -128,8 +128,8 @@
 	return filepath.Join(s.cluster.WorkDirectory, fmt.Sprint(s.Name, "-", s.Index)+extension)
 }
 
-// filesMode is the permission mode of the servers' files. Gossip keys must not be readable by other users.
-const filesMode = 0o600
+// fileMode is the permission mode of the servers' files. Gossip keys must not be readable by other users.
+const fileMode = 0o600
 
 // writeConfig writes the configuration that is documented for users (the --config file).
 func (s *Server) writeConfig() error {
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(s.path(".json"), text, filesMode)
+	return os.WriteFile(s.path(".json"), text, fileMode)
 }
 
 // writeServiceFiles writes the server's service settings (the --service file) and its gossip keys.
@@ -158,43 +158,43 @@
 	text := ""
 	if c.Gossip {
 		text = s.gossipYAML()
-		if err := os.WriteFile(s.path(".keys"), []byte(s.key+"\n"), filesMode); err != nil {
+		if err := os.WriteFile(s.path(".keys"), []byte(s.keys+"\n"), fileMode); err != nil {
 			return err
 		}
 	}
 	if c.ServiceYAML != nil {
 		text += c.ServiceYAML(s)
 	}
-	return os.WriteFile(s.path(".yaml"), []byte(text), filesMode)
+	return os.WriteFile(s.path(".yaml"), []byte(text), fileMode)
 }
 
 // gossipYAML returns the section "peers" of the server's service settings.
 func (s *Server) gossipYAML() string {
 	c := s.cluster
 	var seeds, founders []string
-	for i := range min(FounderCount, c.ServerCount) {
+	for i := range min(MaxFounderCount, c.ServerCount) {
 		seeds = append(seeds, c.Servers[i].relay.advertised)
 		founders = append(founders, serverName(i))
 	}
 	var out strings.Builder
 	out.WriteString("peers:\n")
-	put := func(key string, value any) { fmt.Fprintf(&out, "  %s: %v\n", key, value) }
-	put("listen", s.relay.listen)
-	put("advertise", s.relay.advertised)
-	put("first", "["+strings.Join(seeds, ", ")+"]")
-	put("founders", "["+strings.Join(founders, ", ")+"]")
-	put("fleet", s.fleet)
-	put("servers", cmp.Or(c.ConfiguredServerCount, c.ServerCount))
-	put("zone", s.Zone)
-	put("key_file", filepath.Base(s.path(".keys")))
-	put("status", s.StatusAddress)
+	writeSetting := func(key string, value any) { fmt.Fprintf(&out, "  %s: %v\n", key, value) }
+	writeSetting("listen", s.relay.listen)
+	writeSetting("advertise", s.relay.advertised)
+	writeSetting("first", "["+strings.Join(seeds, ", ")+"]")
+	writeSetting("founders", "["+strings.Join(founders, ", ")+"]")
+	writeSetting("fleet", s.clusterName)
+	writeSetting("servers", cmp.Or(c.ConfiguredServerCount, c.ServerCount))
+	writeSetting("zone", s.Zone)
+	writeSetting("key_file", filepath.Base(s.path(".keys")))
+	writeSetting("status", s.StatusAddress)
 	return out.String()
 }
 
 // The number of times that ReloadWithKeys reads the log while it waits for a reload, and the pause between two reads.
 const (
-	reloadPolls    = 1000
-	reloadInterval = 10 * time.Millisecond
+	maxReloadPolls     = 1000
+	reloadPollInterval = 10 * time.Millisecond
 )
 
 // errNoReload is returned if the server does not log that it has read its files again.
@@ -203,20 +203,20 @@
 // ReloadWithKeys replaces the server's gossip keys (base64, one per line), sends SIGHUP, and waits until the server
 // logs that it has read its files again. It fails if that takes more than 10 seconds.
 func (s *Server) ReloadWithKeys(keys string) error {
-	s.key = keys
+	s.keys = keys
 	if err := s.writeServiceFiles(); err != nil {
 		return err
 	}
-	reloads := func() int { return strings.Count(s.Log.String(), "event=configuration_") }
-	before := reloads()
+	countReloads := func() int { return strings.Count(s.Log.String(), "event=configuration_") }
+	before := countReloads()
 	if err := s.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	for range reloadPolls {
-		if reloads() > before {
+	for range maxReloadPolls {
+		if countReloads() > before {
 			return nil
 		}
-		time.Sleep(reloadInterval)
+		time.Sleep(reloadPollInterval)
 	}
 	return errNoReload
 }
@@ -258,7 +258,7 @@
 // was started. Config.Gossip must be set.
 func (s *Server) GossipAddresses() (listen, advertise string, err error) {
 	if s.process == nil {
-		err = s.relay.up()
+		err = s.relay.startStreams()
 	}
 	return s.relay.listen, s.relay.advertised, err
 }
