--- a/internal/clustertest/harness_quota_test.go
+++ b/internal/clustertest/harness_quota_test.go
@@ -112,7 +112,7 @@
 	return len(status.Voters) == count && !slices.Contains(status.Voters, "?")
 }
 
-// waitForLeader waits until one of the servers leads the quota coordinators with a quorum and grants leases, and
+// waitForLeader waits until one of the servers leads the quota coordinators with a quorum and may grant leases, and
 // returns it.
 func (c *testCluster) waitForLeader(servers []*clustertest.Server) *clustertest.Server {
 	c.t.Helper()
--- a/internal/clustertest/harness_test.go
+++ b/internal/clustertest/harness_test.go
@@ -45,8 +45,8 @@
 	return settings
 }
 
-// shortDeadlineSettings returns platform settings for a number of servers, with a soft deadline of 1 s, a deadline of 2
-// s and a fixed limit of downstream calls in flight per server.
+// shortDeadlineSettings returns platform settings for a number of servers, with a soft deadline of one second, a
+// deadline of two seconds and a fixed limit of downstream calls in flight per server.
 func shortDeadlineSettings(t *testing.T, servers int, callShare float64) map[string]any {
 	t.Helper()
 	return platformSettings(t,
--- a/internal/clustertest/restart_test.go
+++ b/internal/clustertest/restart_test.go
@@ -14,7 +14,7 @@
 
 // TestMeasuredRestart starts 30 processes at once, kills them, and starts them again on the same addresses. They share
 // the cores of one machine, the directory and the index refuse connections, and clients connect from the start. After
-// each start, 90% of the servers must answer a health check within ten seconds, and all within readinessTimeout.
+// each start, 90% of the servers must answer a health check within ten seconds, and all must answer one in the end.
 func TestMeasuredRestart(t *testing.T) {
 	const processes = 30
 	const objective = 10 * time.Second
--- a/internal/clustertest/routers.go
+++ b/internal/clustertest/routers.go
@@ -63,8 +63,8 @@
 	PastDeadline int
 	// DuplicateRuns counts, over all servers, the runs of a request body after the first one on the same server.
 	DuplicateRuns int
-	// Unsent is the number of attempts that no server received: the connection was refused, or the test killed the
-	// server or dropped the connection during the attempt.
+	// Unsent is the number of attempts without a response for which no server is at fault: the connection was refused,
+	// or the test killed the server or dropped the connection during the attempt.
 	Unsent int
 	// OnTimeFractionBySecond holds, for each second in which requests arrived, the fraction of them that was on time.
 	OnTimeFractionBySecond []float64
