--- a/ci_test.go
+++ b/ci_test.go
@@ -1,4 +1,4 @@
-// Package thistlequay_test tests the scripts of the repository.
+// Package thistlequay_test tests the repository's CI scripts.
 package thistlequay_test
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestKnownRedListIsTheOnlyExceptionInCI runs the test script of CI on a small module: it tolerates failures of the
-// tests that KNOWN-RED.txt lists and of no others, and rejects a list that is malformed.
+// TestKnownRedListIsTheOnlyExceptionInCI runs the CI test script on a small module. The script must tolerate failures
+// of exactly the tests that KNOWN-RED.txt lists, and must reject a malformed list.
 func TestKnownRedListIsTheOnlyExceptionInCI(t *testing.T) {
 	t.Parallel()
 	module := newScriptModule(t)
@@ -30,23 +30,23 @@
 	for name, test := range map[string]struct {
 		list   string
 		passes bool
-		output string // a part of what the script prints
+		output string // expected substring of the script's output
 	}{
-		"both listed":              {bothRed, true, "as ever"},
-		"no end of line":           {alsoRed + red[:len(red)-1], true, "--- FAIL: TestRed"},
-		"nothing listed":           {"", false, "--- FAIL: TestRed"},
-		"a failure not listed":     {red, false, "--- FAIL: TestAlsoRed"},
-		"twice":                    {bothRed + bothRed, false, "listed twice"},
-		"no command":               {red + "TestAlsoRed |  | another | issue 34\n", false, malformed},
-		"nothing seen":             {red + "TestAlsoRed | seed 4 |  | issue 34\n", false, malformed},
-		"the earlier form":         {red + "TestAlsoRed | another | issue 34\n", false, malformed},
-		"no issue":                 {red + "TestAlsoRed | seed 4 | another\n", false, malformed},
-		"an issue without number":  {red + "TestAlsoRed | seed 4 | another | issue\n", false, malformed},
-		"an empty line":            {red + "\n" + alsoRed, false, malformed},
-		"a pattern":                {"Test.* | seed 4 | all of them | issue 33\n", false, malformed},
-		"a name nothing has":       {bothRed + "TestGone | seed | x | issue 34\n", false, "no test is named TestGone"},
-		"a part of a name":         {bothRed + "TestGre | seed 4 | x | issue 34\n", false, "no test is named TestGre"},
-		"one that is green by now": {bothRed + "TestGreen | seed 4 | x | issue 34\n", true, "--- PASS: TestGreen"},
+		"both listed":             {bothRed, true, "as ever"},
+		"no trailing newline":     {alsoRed + red[:len(red)-1], true, "--- FAIL: TestRed"},
+		"nothing listed":          {"", false, "--- FAIL: TestRed"},
+		"a failure not listed":    {red, false, "--- FAIL: TestAlsoRed"},
+		"duplicate entries":       {bothRed + bothRed, false, "listed twice"},
+		"no command":              {red + "TestAlsoRed |  | another | issue 34\n", false, malformed},
+		"no observation":          {red + "TestAlsoRed | seed 4 |  | issue 34\n", false, malformed},
+		"three fields":            {red + "TestAlsoRed | another | issue 34\n", false, malformed},
+		"no issue":                {red + "TestAlsoRed | seed 4 | another\n", false, malformed},
+		"an issue with no number": {red + "TestAlsoRed | seed 4 | another | issue\n", false, malformed},
+		"an empty line":           {red + "\n" + alsoRed, false, malformed},
+		"a pattern as a name":     {"Test.* | seed 4 | all of them | issue 33\n", false, malformed},
+		"an unknown test name":    {bothRed + "TestGone | seed | x | issue 34\n", false, "no test is named TestGone"},
+		"a prefix of a test name": {bothRed + "TestGre | seed 4 | x | issue 34\n", false, "no test is named TestGre"},
+		"a listed test passes":    {bothRed + "TestGreen | seed 4 | x | issue 34\n", true, "--- PASS: TestGreen"},
 	} {
 		module.write("KNOWN-RED.txt", test.list)
 		output, err := module.runScript()
@@ -59,14 +59,14 @@
 	require.NoError(t, err, "an empty list: %s", output)
 }
 
-// scriptModule is a Go module in a temporary folder, on which the test script of CI is run.
+// scriptModule is a Go module in a temporary directory on which the CI test script runs.
 type scriptModule struct {
 	t         *testing.T
 	directory string
 	script    string
 }
 
-// newScriptModule makes a module without any package.
+// newScriptModule creates a module that contains no packages yet.
 func newScriptModule(t *testing.T) *scriptModule {
 	t.Helper()
 	script, err := filepath.Abs(".ci/tests")
@@ -76,13 +76,13 @@
 	return module
 }
 
-// write writes a file of the module.
+// write creates or replaces a file at the root of the module.
 func (m *scriptModule) write(name, text string) {
 	m.t.Helper()
 	require.NoError(m.t, os.WriteFile(filepath.Join(m.directory, name), []byte(text), 0o600))
 }
 
-// runScript returns what the script prints, and an error if it fails.
+// runScript runs the script in the module. It returns the combined output, and an error if the script fails.
 func (m *scriptModule) runScript() (string, error) {
 	command := exec.Command("bash", m.script)
 	command.Dir = m.directory
--- a/internal/servertest/link.go
+++ b/internal/servertest/link.go
@@ -12,8 +12,8 @@
 	"thistlequay/internal/emulator"
 )
 
-// NextLink waits for the program's next connection to an emulator. The test fails where none comes within
-// EventTimeout; so does every read and write that takes the connection beyond that time.
+// NextLink waits for the program's next connection to an emulator. The test fails if the program opens none within
+// EventTimeout. Reads and writes on the connection fail once it has been open for EventTimeout.
 func (s *Server) NextLink(listener *emulator.Listener) *emulator.Link {
 	s.T.Helper()
 	select {
@@ -22,12 +22,13 @@
 		s.T.Cleanup(func() { CloseQuietly(link) })
 		return link
 	case <-time.After(EventTimeout):
-		s.FailNow("the program opened no connection")
+		s.FailNow("the program opened no connection within EventTimeout")
 		return nil
 	}
 }
 
-// ReadLine returns the next line from a connection, without its end. The test fails where no complete line arrives.
+// ReadLine returns the next line from a connection, without its line terminator. The test fails if no complete line
+// arrives.
 func (s *Server) ReadLine(link *emulator.Link) string {
 	s.T.Helper()
 	text, err := link.Reader.ReadString('\n')
@@ -35,24 +36,24 @@
 	return strings.TrimRight(text, "\r\n")
 }
 
-// WriteLine writes a formatted line to a connection.
+// WriteLine writes a formatted line and a newline to a connection.
 func (s *Server) WriteLine(link *emulator.Link, format string, args ...any) {
 	s.T.Helper()
 	_, err := fmt.Fprintf(link, format+"\n", args...)
 	s.NoError(err)
 }
 
-// IndexCall waits for the program's next connection to the index and returns it. The test fails unless the first thing
-// sent on it is the downstream call of this request, with a body of one line.
+// IndexCall waits for the program's next connection to the index and returns it. The test fails unless the first
+// message on the connection is the downstream call of the given request, with a one-line body.
 func (s *Server) IndexCall(id string) *emulator.Link {
 	s.T.Helper()
 	index := s.NextLink(s.Index)
 	s.Contains(s.ReadLine(index), "GET "+id)
-	s.ReadLine(index) // its body
+	s.ReadLine(index) // the body of the call
 	return index
 }
 
-// RequireClosed reads until the other side has closed the connection; a reset will do.
+// RequireClosed reads until the peer closes or resets the connection.
 func (s *Server) RequireClosed(link *emulator.Link) {
 	s.T.Helper()
 	_, err := io.Copy(io.Discard, link.Reader)
@@ -61,8 +62,8 @@
 	}
 }
 
-// ReadToEnd returns what is left up to the other side's close. The test fails where that is a reset, which would have
-// discarded bytes.
+// ReadToEnd returns all remaining bytes up to the peer's close. The test fails on a reset, because a reset can discard
+// bytes.
 func (s *Server) ReadToEnd(link *emulator.Link) []byte {
 	s.T.Helper()
 	rest, err := io.ReadAll(link.Reader)
@@ -70,7 +71,7 @@
 	return rest
 }
 
-// The columns of /proc/net/tcp, from 0, and how many of them every row has at least.
+// Column indexes in /proc/net/tcp, counted from 0; tcpColumns is the minimum number of columns in a row.
 const (
 	tcpLocal = iota + 1
 	tcpRemote
@@ -79,10 +80,10 @@
 	tcpColumns
 )
 
-// tcpTimeWait is the state of a connection whose port is kept after its close.
+// tcpTimeWait is the code of the state TIME_WAIT in /proc/net/tcp.
 const tcpTimeWait = "06"
 
-// tcpRows returns the columns of every IPv4 connection that the system knows.
+// tcpRows returns the columns of every row of /proc/net/tcp, which lists the IPv4 connections of the system.
 func (s *Server) tcpRows() [][]string {
 	s.T.Helper()
 	text, err := os.ReadFile("/proc/net/tcp")
@@ -97,12 +98,13 @@
 	return rows
 }
 
-// portSuffix is how an address with this port ends in /proc/net/tcp.
+// portSuffix returns the suffix that an address with the same port has in /proc/net/tcp.
 func portSuffix(address net.Addr) string {
 	return fmt.Sprintf(":%04X", address.(*net.TCPAddr).Port)
 }
 
-// UnreadBytes returns how many bytes the system holds, on both sides, of what was written to this connection.
+// UnreadBytes returns the number of bytes sent by the program that the kernel still holds for this connection, in the
+// program's send queue and the emulator's receive queue.
 func (s *Server) UnreadBytes(link *emulator.Link) int {
 	s.T.Helper()
 	near := portSuffix(link.LocalAddr())
@@ -121,7 +123,7 @@
 	return sum
 }
 
-// PortInTimeWait tells whether a connection closed by the program keeps the port of Listen in the state TIME_WAIT.
+// PortInTimeWait reports whether a connection that the program closed still holds the port of Listen in TIME_WAIT.
 func (s *Server) PortInTimeWait() bool {
 	s.T.Helper()
 	listen, err := net.ResolveTCPAddr("tcp", s.Listen)
--- a/internal/servertest/router_link.go
+++ b/internal/servertest/router_link.go
@@ -8,15 +8,15 @@
 	"thistlequay/internal/emulator"
 )
 
-// RouterLink is a connection to the program as routers open them. One goroutine at a time may use it.
+// RouterLink is a connection from a router to the program. It is not safe for concurrent use.
 type RouterLink struct {
-	// Server is the program on the other side; its test is ended by every failure.
+	// Server is the program at the other end. Every failure ends its test.
 	Server *Server
 	*emulator.Link
 }
 
-// ConnectRouter connects as a router, once the program listens. The test fails where it does not within EventTimeout;
-// so does every read and write that takes the connection beyond that time.
+// ConnectRouter connects to the program as a router, retrying until the program listens. The test fails if it does not
+// listen within EventTimeout. Reads and writes on the connection fail once it has been open for EventTimeout.
 func (s *Server) ConnectRouter() *RouterLink {
 	s.T.Helper()
 	var connection net.Conn
@@ -31,42 +31,42 @@
 	return &RouterLink{s, emulator.NewLink(connection)}
 }
 
-// NewRequestID returns the identifier of a new attempt.
+// NewRequestID returns a new unique request identifier.
 func (s *Server) NewRequestID() string {
 	s.requestCount++
 	return fmt.Sprintf("%016x", 0xabc0000+s.requestCount)
 }
 
-// RequestParameters returns the FastCGI parameters of a request of the tenant acme with a budget of 7 s.
+// RequestParameters returns the FastCGI parameters of a request from the tenant acme with a budget of 7 s.
 func RequestParameters(id string) map[string]string {
 	return emulator.RequestParameters(id, "acme", 7*time.Second)
 }
 
-// WriteBytes writes bytes as they are. The test fails where they cannot be written.
+// WriteBytes writes raw bytes to the connection. The test fails if the write fails.
 func (r *RouterLink) WriteBytes(data []byte) {
 	r.Server.T.Helper()
 	_, err := r.Write(data)
 	r.Server.NoError(err)
 }
 
-// Send writes a complete request.
+// Send writes a complete request in the given request slot.
 func (r *RouterLink) Send(slot uint16, path, body string, parameters map[string]string) {
 	r.Server.T.Helper()
 	r.WriteBytes(emulator.FastCGIRequest(slot, path, body, parameters))
 }
 
-// keepConnectionFlag is where the first record of a request has the flag that keeps the connection.
+// keepConnectionFlag is the offset of the byte with the FCGI_KEEP_CONN flag in the first record of a request.
 const keepConnectionFlag = 10
 
-// LastRequest is emulator.FastCGIRequest without the flag that keeps the connection: the program closes the connection
-// after the response.
+// LastRequest returns emulator.FastCGIRequest with the FCGI_KEEP_CONN flag cleared, so that the program closes the
+// connection after the response.
 func LastRequest(slot uint16, path, body string, parameters map[string]string) []byte {
 	request := emulator.FastCGIRequest(slot, path, body, parameters)
 	request[keepConnectionFlag] = 0
 	return request
 }
 
-// SendWith writes a request with a new identifier and one more parameter, and returns the identifier.
+// SendWith sends a request with one additional FastCGI parameter and returns its new identifier.
 func (r *RouterLink) SendWith(slot uint16, path, body, name, value string) string {
 	r.Server.T.Helper()
 	id := r.Server.NewRequestID()
@@ -96,20 +96,21 @@
 	return r.SendWith(slot, "/rpc/book", "entry "+key, "HTTP_ONCE_KEY", key)
 }
 
-// SendTimedBook sends a request with an idempotency key, whose body asks an emulated interpreter for 1 ms of work.
+// SendTimedBook sends a request with an idempotency key (category book) whose body requests 1 ms of work from an
+// emulated interpreter.
 func (r *RouterLink) SendTimedBook(slot uint16, key string) {
 	r.Server.T.Helper()
 	r.SendWith(slot, "/rpc/book", "1 entry "+key, "HTTP_ONCE_KEY", key)
 }
 
-// SendAbort aborts the request in this slot, as a client does that no longer waits.
+// SendAbort sends the record that aborts the request in a slot, as for a client that no longer waits.
 func (r *RouterLink) SendAbort(slot uint16) {
 	r.Server.T.Helper()
 	r.WriteBytes(emulator.FastCGIRecord(2, slot, ""))
 }
 
-// NextResponse returns the next response on the connection: its slot, status, headers and body. The test fails where
-// none that is complete arrives.
+// NextResponse returns the slot, status, headers and body of the next response on the connection. The test fails if no
+// complete response arrives.
 func (r *RouterLink) NextResponse() (slot uint16, status int, headers, body string) {
 	r.Server.T.Helper()
 	response, err := r.ReadResponse()
@@ -117,7 +118,7 @@
 	return response.Slot, response.Status, response.Headers, response.Body
 }
 
-// ExpectResponse fails the test unless the next response has this slot, status and body.
+// ExpectResponse fails the test unless the next response has the given slot, status and body.
 func (r *RouterLink) ExpectResponse(slot uint16, status int, body string) {
 	r.Server.T.Helper()
 	gotSlot, gotStatus, headers, gotBody := r.NextResponse()
@@ -126,15 +127,15 @@
 	r.Server.Equal(want, got, headers)
 }
 
-// ExpectHealth sends a health check and fails the test unless its response, the next on the connection, has this
-// status. By then the program has read whatever was written to the connection before.
+// ExpectHealth sends a health check and fails the test unless the next response on the connection is its response and
+// has the given status. Afterwards the program has read everything written to the connection before the health check.
 func (r *RouterLink) ExpectHealth(slot uint16, status int) {
 	r.Server.T.Helper()
 	r.Send(slot, "/health", "", nil)
 	r.ExpectResponse(slot, status, "")
 }
 
-// RequireClosed reads until the program has closed the connection; a reset will do.
+// RequireClosed reads until the program closes or resets the connection.
 func (r *RouterLink) RequireClosed() {
 	r.Server.T.Helper()
 	r.Server.RequireClosed(r.Link)
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -1,7 +1,7 @@
-// Package servertest starts one process of the program under test together with emulators of the interpreter, index
-// and directory that it talks to, and speaks to it over sockets as they and the routers do. The emulators send only
-// what a test has them send, so every wait is for an event, up to EventTimeout. A failure ends the test; what a
-// function of the package opened or started is closed at the end of the test.
+// Package servertest runs one process of the program under test against emulators of the interpreter, index and
+// directory, and connects to it as routers do. The emulators send only what a test tells them to, so tests wait for
+// events, for at most EventTimeout, and not for fixed times. A failed check ends the test. Connections, listeners and
+// processes that the package opens are closed at the end of the test.
 package servertest
 
 import (
@@ -24,19 +24,20 @@
 	"thistlequay/internal/emulator"
 )
 
-// EventTimeout bounds every wait for an event; only a failure reaches it.
+// EventTimeout is the longest wait for an event. Only a failing test waits that long.
 const EventTimeout = 20 * time.Second
 
-// RunAsProgramEnv names the environment variable under which the test binary runs as the program. The program is
-// linked with the tests' own flags that way, and no cached test result outlives a change of the program.
+// RunAsProgramEnv names the environment variable that makes the test binary run as the program. The program is then
+// built with the flags of the tests, and a change of the program invalidates cached test results.
 const RunAsProgramEnv = "THISTLEQUAY_AS_PROGRAM"
 
-// RaceExitEnv has a program that was built with the race detector end at once: it would sleep for a second before it
-// exits, which no program in service does and which a kill at stop_ms does not wait for.
+// RaceExitEnv is an environment entry that makes a program built with the race detector exit without delay. By default
+// the race detector sleeps for a second before the exit, which production builds do not do and which could exceed
+// stop_ms, after which the process is killed.
 const RaceExitEnv = "GORACE=atexit_sleep_ms=0"
 
-// Main is the TestMain of packages whose tests start the program. Under RunAsProgramEnv the test binary becomes the
-// program itself.
+// Main implements TestMain for packages whose tests start the program. If RunAsProgramEnv is set, the test binary runs
+// as the program.
 func Main(m *testing.M) {
 	if os.Getenv(RunAsProgramEnv) != "" {
 		os.Exit(command.Main())
@@ -44,8 +45,8 @@
 	os.Exit(m.Run())
 }
 
-// PlatformSettings are settings in the form of the users' pages, with three categories: look is idempotent, book has
-// idempotency keys, brief has a short deadline.
+// PlatformSettings are settings in the format of the user documentation. They define three categories: look is
+// idempotent, book uses idempotency keys, and brief has a short deadline.
 const PlatformSettings = `{"Categories":[
 {"Effect":"repeatable","HardLimit":8000.0,"LateWorth":0.2,"Name":"look","OnTime":4000.0,"Window":5000.0,"Worth":1.0},
 {"Effect":"by_key","HardLimit":8000.0,"LateWorth":0.2,"Name":"book","OnTime":4000.0,"Window":30000.0,"Worth":3.0},
@@ -56,38 +57,40 @@
 "Limits":{"MaxRetryAfter":1000.0,"RetryAfter":true},"Period":2.0,"Servers":3,"Tenants":[{"Name":"acme"}],
 "Rules":{"Cold":9000.0,"ColdFrom":0.3,"DrainGrace":300.0,"TipMultiple":8.0}}`
 
-// Server is one process of the program under test together with the emulated interpreter, index and directory that it
-// talks to. Fields are set before StartProcess.
+// Server is one process of the program under test with the emulated interpreter, index and directory that it connects
+// to. Its exported fields other than Process must be set before StartProcess.
 type Server struct {
 	*require.Assertions
-	// T is the test that all checks are made for.
+	// T is the test that failed checks end.
 	T *testing.T
-	// Interpreter, Index and Directory listen where the program connects to.
+	// Interpreter, Index and Directory are the listeners of the emulators that the program connects to.
 	Interpreter *emulator.Listener
 	Index       *emulator.Listener
 	Directory   *emulator.Listener
 	// Listen is the address on which the program serves routers.
 	Listen string
-	// Config is the text of the platform's configuration file, and Path is that file.
+	// Config is the text of the platform's configuration file; Path is the path of that file.
 	Config string
 	Path   string
-	// Service is the text of our own settings, which lie beside Path; none where empty.
+	// Service is the text of the service settings file, which is Path with the suffix ".yaml". If it is empty, the
+	// program gets no service settings.
 	Service string
-	// Args are the program's arguments.
+	// Args are the command line arguments of the program.
 	Args []string
-	// Wrapper is a command that becomes the program, such as a shell with a resource limit.
+	// Wrapper is a command line that executes the program, such as a shell that sets a resource limit; may be empty.
 	Wrapper []string
-	// Program is the path of another build of the program; the test binary itself where empty.
+	// Program is the path of another build of the program; if it is empty, the test binary runs as the program.
 	Program string
-	// Process is the running program.
+	// Process is the process that StartProcess started last.
 	Process *exec.Cmd
 
-	output       *clustertest.LogBuffer // what Process logs
+	output       *clustertest.LogBuffer // the log of Process
 	ended        chan struct{}          // closed once Process has exited
-	requestCount int                    // number of identifiers that NewRequestID has returned
+	requestCount int                    // number of identifiers returned by NewRequestID
 }
 
-// NewEmulator listens on a free loopback address as the interpreter, the index or the directory, until the test ends.
+// NewEmulator returns a listener on a free loopback address, for an emulated interpreter, index or directory. It is
+// closed at the end of the test.
 func (s *Server) NewEmulator() *emulator.Listener {
 	s.T.Helper()
 	listener, err := emulator.Listen()
@@ -96,7 +99,7 @@
 	return listener
 }
 
-// New starts the emulators and makes the configuration; the program is not started.
+// New starts the emulators and creates the configuration. It does not start the program.
 func New(t *testing.T) *Server {
 	t.Helper()
 	server := &Server{Assertions: require.New(t), T: t}
@@ -112,14 +115,14 @@
 	return server
 }
 
-// WriteFiles writes the platform's configuration and our own settings to their files.
+// WriteFiles writes the platform's configuration file and the service settings file.
 func (s *Server) WriteFiles() {
 	s.T.Helper()
 	s.NoError(os.WriteFile(s.Path, []byte(s.Config), 0o600))
 	s.NoError(os.WriteFile(s.Path+".yaml", []byte(s.Service), 0o600))
 }
 
-// ReplaceConfig replaces the first occurrence of a text in Config. The test fails where that changes nothing.
+// ReplaceConfig replaces the first occurrence of a text in Config. The test fails if Config does not change.
 func (s *Server) ReplaceConfig(from, to string) {
 	s.T.Helper()
 	s.Contains(s.Config, from)
@@ -128,14 +131,16 @@
 	s.NotEqual(before, s.Config, from)
 }
 
-// WriteFilesAndSignal writes the files and has the program read them again; it does not wait until it has.
+// WriteFilesAndSignal writes the files and sends SIGHUP, on which the program reloads them. It does not wait for the
+// reload.
 func (s *Server) WriteFilesAndSignal() {
 	s.T.Helper()
 	s.WriteFiles()
 	s.Signal(syscall.SIGHUP)
 }
 
-// Reload has the program read its files again and waits until it has logged the outcome.
+// Reload writes the files, makes the program reload them and waits until the program has logged the outcome. If the
+// settings are accepted and include plug-ins, it also waits until the plug-ins are ready.
 func (s *Server) Reload() {
 	s.T.Helper()
 	outcomes := s.EventCount("configuration_")
@@ -148,7 +153,7 @@
 	}
 }
 
-// WriteFilesAndStart writes the files to a new folder and starts the program with them.
+// WriteFilesAndStart writes the files to a new temporary directory and starts the program with them.
 func (s *Server) WriteFilesAndStart() {
 	s.T.Helper()
 	s.Path = filepath.Join(s.T.TempDir(), "config.json")
@@ -156,8 +161,8 @@
 	s.StartProcess()
 }
 
-// StartProcess starts the program with the files that are there. At the end of the test it is killed, and the test
-// fails where its log shows a data race or a violated invariant.
+// StartProcess starts the program with the files as last written. At the end of the test the program is killed, and the
+// test fails if the log reports a data race or a violated invariant.
 func (s *Server) StartProcess() {
 	s.T.Helper()
 	process := s.newProcess()
@@ -174,7 +179,7 @@
 		close(ended)
 	}()
 	s.T.Cleanup(func() {
-		_ = process.Process.Signal(syscall.SIGKILL) // it fails where the process has ended
+		_ = process.Process.Signal(syscall.SIGKILL) // fails if the process has exited
 		<-ended
 		if s.T.Failed() {
 			s.T.Log(log.String())
@@ -184,7 +189,8 @@
 	})
 }
 
-// newProcess returns the program with its wrapper, arguments and environment, not yet started.
+// newProcess returns the command that runs the program, with its wrapper, arguments and environment. It does not start
+// the command.
 func (s *Server) newProcess() *exec.Cmd {
 	s.T.Helper()
 	testBinary, err := os.Executable()
@@ -198,7 +204,7 @@
 	return process
 }
 
-// Signal sends a signal to the program. The test fails where the program has exited.
+// Signal sends a signal to the program. The test fails if the program has exited.
 func (s *Server) Signal(signal syscall.Signal) {
 	s.T.Helper()
 	s.NoError(s.Process.Process.Signal(signal))
@@ -211,50 +217,52 @@
 	<-s.ended
 }
 
-// CloseQuietly closes a connection, listener or file. Its error is ignored: the other side, or the test itself, may
-// have closed it before.
+// CloseQuietly closes a connection, listener or file and ignores the error, because the peer or the test may have
+// closed it already.
 func CloseQuietly(closer io.Closer) { _ = closer.Close() }
 
 // LogText returns what the program has logged so far.
 func (s *Server) LogText() string { return s.output.String() }
 
-// EventCount returns how many events the program has logged so far whose name, and the text after it, begin so.
+// EventCount returns the number of events logged so far whose name begins with event. The argument may continue with
+// the text that follows a complete name.
 func (s *Server) EventCount(event string) int { return strings.Count(s.LogText(), "event="+event) }
 
 // Ended returns a channel that is closed once the process has exited.
 func (s *Server) Ended() <-chan struct{} { return s.ended }
 
-// WaitFor waits until a condition holds. The test fails where that takes longer than EventTimeout.
+// WaitFor waits until a condition holds. The test fails if that takes longer than EventTimeout.
 func (s *Server) WaitFor(condition func() bool) {
 	s.T.Helper()
 	s.Eventually(condition, EventTimeout, time.Millisecond)
 }
 
-// WaitUntilPast waits until a moment is past, for what is to happen after a deadline of the program.
+// WaitUntilPast waits until a moment has passed, such as a deadline in the program that a test must exceed.
 func (s *Server) WaitUntilPast(moment time.Time) {
 	s.T.Helper()
 	s.WaitFor(func() bool { return time.Now().After(moment) })
 }
 
-// WaitForLog waits until the program has logged this text. The test fails where that takes longer than EventTimeout.
+// WaitForLog waits until the program has logged a text. The test fails if that takes longer than EventTimeout.
 func (s *Server) WaitForLog(text string) {
 	s.T.Helper()
 	s.WaitFor(func() bool { return strings.Contains(s.LogText(), text) })
 }
 
-// WaitForExit waits for the program's end and returns its exit code and log. The test fails where that takes longer
-// than EventTimeout.
+// WaitForExit waits until the program exits and returns its exit code and log. The test fails if that takes longer than
+// EventTimeout.
 func (s *Server) WaitForExit() (int, string) {
 	s.T.Helper()
 	select {
 	case <-s.ended:
 	case <-time.After(EventTimeout):
-		s.FailNow("the program does not end")
+		s.FailNow("the program did not exit within EventTimeout")
 	}
 	return s.Process.ProcessState.ExitCode(), s.output.String()
 }
 
-// Start starts a program and waits until it admits requests. It returns the interpreter's end of their link too.
+// Start starts the program with the default configuration and waits until it admits requests. The returned link is the
+// interpreter's end of the connection.
 func Start(t *testing.T) (*Server, *InterpreterLink) {
 	t.Helper()
 	server := New(t)
@@ -262,7 +270,7 @@
 	return server, server.AcceptInterpreter(0)
 }
 
-// StartWith is Start with one replacement in the configuration.
+// StartWith is like Start, with one replacement in the configuration.
 func StartWith(t *testing.T, from, to string) (*Server, *InterpreterLink) {
 	t.Helper()
 	server := New(t)
--- a/internal/servertest/subsystems.go
+++ b/internal/servertest/subsystems.go
@@ -10,14 +10,14 @@
 	"thistlequay/internal/emulator"
 )
 
-// StoreSection returns the section of Server.Service for a store in this directory; settings are further lines of it.
+// StoreSection returns the store section of Server.Service for a directory. settings are further lines of the section.
 func StoreSection(directory, settings string) string {
 	return fmt.Sprintf("store:\n  directory: %s\n  fresh: true\n%s", directory, settings)
 }
 
-// StartWithInterpreter starts another incarnation of the server, with an emulated interpreter of four cores of its
-// own, and waits until the program is connected to it. config is Config as New made it. The interpreter is closed at
-// the end of t.
+// StartWithInterpreter starts a new incarnation of the server with its own emulated interpreter of four cores, and
+// waits until the program has connected to the interpreter. config is Config as New created it. The interpreter is
+// closed at the end of t.
 func (s *Server) StartWithInterpreter(t *testing.T, config string) *emulator.Interpreter {
 	s.T.Helper()
 	interpreter, err := emulator.NewInterpreter(4, 1)
@@ -29,7 +29,7 @@
 	return interpreter
 }
 
-// WriteModule writes the plug-in that emulator.PluginModule has under this name to a new file and returns its path.
+// WriteModule writes the plug-in module that emulator.PluginModule returns for kind to a new file and returns the path.
 func (s *Server) WriteModule(kind string) string {
 	s.T.Helper()
 	file := filepath.Join(s.T.TempDir(), kind+".wasm")
@@ -37,7 +37,8 @@
 	return file
 }
 
-// TwoTenants returns the part of the configuration that gives acme and beta these shares, which add up to 1 at most.
+// TwoTenants returns the tenants section of the configuration for the tenants acme and beta with the given shares,
+// whose sum must not exceed 1.
 func TwoTenants(acme, beta float64) string {
 	return fmt.Sprintf(`"Tenants":[{"Name":"acme","Share":%v},{"Name":"beta","Share":%v}]`, acme, beta)
 }
--- a/internal/simulation/config_test.go
+++ b/internal/simulation/config_test.go
@@ -13,10 +13,11 @@
 	"thistlequay/timeunit"
 )
 
-// requestCoreSeconds is the mean work of a request: the four cores of newConfig do a hundred requests a second.
+// requestCoreSeconds is the mean work of a request in core seconds. The four cores of newConfig can serve a hundred
+// such requests a second.
 const requestCoreSeconds = 0.04
 
-// stream is the load of one tenant, from fifty routers, from the beginning of the run to its end.
+// stream returns the load of one tenant through fifty routers for the whole run.
 func stream(tenant string, weight, arrivalsPerSecond float64) *emulator.Stream {
 	return &emulator.Stream{
 		Tenant:            tenant,
@@ -29,11 +30,11 @@
 	}
 }
 
-// length returns the length of a run in seconds: short in CI, and that of a real peak if MEASURE asks for the full
-// measurement.
+// length returns the duration of a run in seconds: 40 in CI, or 300, as long as a load peak in production, if the
+// environment variable MEASURE requests the full measurement.
 func length() float64 { return schedule.Scale(40.0, 300.0) }
 
-// newConfig returns a server with four cores and one category.
+// newConfig returns the configuration of a server with four cores and one category, with or without fair queues.
 func newConfig(fair bool, streams ...*emulator.Stream) Config {
 	config := Config{
 		Seed:            7,
@@ -56,7 +57,8 @@
 	return config
 }
 
-// fairQueueConfig names the tenant of each stream that has one tenant and a weight.
+// fairQueueConfig returns a fair scheduler configuration with a tenant for each stream that has a single tenant and a
+// positive weight.
 func fairQueueConfig(streams []*emulator.Stream) *fairqueue.Config {
 	config := &fairqueue.Config{
 		OthersWeight:     0.1,
@@ -77,7 +79,7 @@
 	return config
 }
 
-// statsOf returns the statistics of one tenant, which the result must have.
+// statsOf returns the statistics of one tenant. The test fails if the result has none.
 func statsOf(t *testing.T, result Result, tenant string) *emulator.TenantStats {
 	t.Helper()
 	isOfTenant := func(stats *emulator.TenantStats) bool { return stats.Tenant == tenant }
@@ -86,7 +88,7 @@
 	return result.Tenants[i]
 }
 
-// requireDelivered requires a part of what each of the tenants is entitled to.
+// requireDelivered fails the test unless each tenant got at least the fraction minShare of its entitled value.
 func requireDelivered(t *testing.T, result Result, minShare float64, tenants ...string) {
 	t.Helper()
 	for _, tenant := range tenants {
@@ -94,7 +96,8 @@
 	}
 }
 
-// runConfig runs a configuration, logs its measured lines and requires a response in time to every request.
+// runConfig runs a configuration and logs the statistics of each tenant. The test fails unless every request got a
+// response by its deadline.
 func runConfig(t *testing.T, name string, config Config) Result {
 	t.Helper()
 	queues := "off"
--- a/internal/simulation/fairqueue_test.go
+++ b/internal/simulation/fairqueue_test.go
@@ -12,7 +12,8 @@
 	"thistlequay/timeunit"
 )
 
-// greedyTenant is three tenants that request less than their shares, and a fourth that requests ten times its own.
+// greedyTenant returns the load of three tenants that request less than their shares and of a fourth that requests ten
+// times its share.
 func greedyTenant() []*emulator.Stream {
 	return []*emulator.Stream{
 		stream("kirken", 0.31, 20),
@@ -22,21 +23,22 @@
 	}
 }
 
-// With fair queues the three get what they are entitled to, without them they do not, and the total value stays.
+// Fair queues must protect tenants from a fourth one that exceeds its share: with them the other three get what they
+// are entitled to, without them they do not. The total delivered value must not fall by more than 3%.
 func TestMeasuredGreedyTenantTakesNothingFromOthers(t *testing.T) {
 	off := runConfig(t, "greedy", newConfig(false, greedyTenant()...))
 	on := runConfig(t, "greedy", newConfig(true, greedyTenant()...))
 	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord")
 	for _, tenant := range []string{"kirken", "byen", "fjord"} {
 		share := statsOf(t, off, tenant).DeliveredShare()
-		require.Less(t, share, 0.95, "%s gets its share without fair queues", tenant)
+		require.Less(t, share, 0.95, "%s gets its entitled value even without fair queues", tenant)
 	}
 	before := emulator.Total(off.Tenants)
 	after := emulator.Total(on.Tenants)
 	require.GreaterOrEqual(t, after.DeliveredValue, 0.97*before.DeliveredValue)
 }
 
-// newTenants is four known tenants, and ten thousand new names a minute.
+// newTenants returns the load of four configured tenants and of ten thousand new tenant names a minute.
 func newTenants() []*emulator.Stream {
 	flood := stream("flood", 0.1, 10_000.0/60)
 	flood.Routers = 0
@@ -50,7 +52,8 @@
 	}
 }
 
-// A flood of new names takes nothing from known tenants, and none of the names becomes a heavy hitter.
+// A flood of requests, each with a new tenant name, must take nothing from the configured tenants, and none of the
+// names may become a heavy hitter.
 func TestMeasuredFloodOfNewTenantsTakesNothingFromKnownOnes(t *testing.T) {
 	flooded := newConfig(true, newTenants()...)
 	var stats []fairqueue.Stats
@@ -59,12 +62,12 @@
 	on := runConfig(t, "flood", flooded)
 	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord", "lag")
 	for _, second := range stats {
-		require.Zero(t, second.HeavyHitters, "a new name is a heavy hitter")
+		require.Zero(t, second.HeavyHitters, "a new tenant name became a heavy hitter")
 	}
 }
 
-// The thousand rejected clients of a heavy tenant get Retry-After times that spread them, and are admitted when they
-// come back.
+// A thousand rejected clients of one tenant must get Retry-After times that spread their retries, and the server must
+// admit at least 80% of the retries. Clients that return at the same time would be rejected again.
 func TestMeasuredRejectedClientsAreAdmittedWhenTheyComeBack(t *testing.T) {
 	const (
 		servedPerSecond = 100.0
@@ -76,12 +79,12 @@
 	crowd.MaxRetries = 1
 	crowd.Routers = 1000
 	crowded := newConfig(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
-	crowded.MaxRetryAfter = 60 * ticksPerSecond // a thousand need half a minute: clients must heed as much
+	crowded.MaxRetryAfter = 60 * ticksPerSecond // serving a thousand takes 30 s, which clients must honor
 	result := runConfig(t, "return-times", crowded)
 
 	stats := statsOf(t, result, "crowd")
 	maxReturns := maxIn100ms(result.AdvisedRetries, "crowd")
-	entitled := servedPerSecond - kirkenRate - byenRate // what the others leave
+	entitled := servedPerSecond - kirkenRate - byenRate // capacity that the other tenants leave
 	admittedShare := float64(stats.RetriesAdmitted) / float64(stats.RetriesSent)
 	t.Logf("measured fair-queues day=return-times "+
 		"advised=%d entitled_per_second=%.0f max_in_100ms=%d retries=%d admitted=%d admitted_share=%.3f",
@@ -92,7 +95,7 @@
 	requireDelivered(t, result, 0.95, "kirken")
 }
 
-// maxIn100ms is the largest number of a tenant's clients that were advised to come back in the same tenth of a second.
+// maxIn100ms returns the largest number of a tenant's clients that were advised to retry in the same 100 ms.
 func maxIn100ms(advised []AdvisedRetry, tenant string) (maxCount int) {
 	counts := map[int]int{}
 	for _, retry := range advised {
@@ -105,7 +108,8 @@
 	return maxCount
 }
 
-// Each hard case is a run of its own, with the minimum that its tenants get of what they are entitled to.
+// Each case is a separate run with a load that is hard to schedule fairly, such as expensive requests, random tenant
+// names or overload by every tenant. minShares are the minimum fractions of their entitled value that tenants must get.
 func TestTenantsGetWhatTheyAreEntitledTo(t *testing.T) {
 	expensive := stream("dear", 0.17, 20)
 	expensive.MeanCoreSeconds = 30 * requestCoreSeconds
@@ -153,8 +157,9 @@
 	}
 }
 
-// A server starts cold, its configuration changes under load, a tenant is removed while it has requests in flight, and
-// the server drains: every request gets its response in time, and tenants keep what they are entitled to.
+// A server starts cold, a tenant is removed from the configuration and restored while it has requests in flight, and
+// the server drains. Every request must get its response by the deadline, and tenants must keep what they are entitled
+// to.
 func TestChangesUnderLoadKeepEntitlements(t *testing.T) {
 	const (
 		removeKirkenAt  = 15
@@ -175,7 +180,7 @@
 		now := timeunit.Ticks(at * ticksPerSecond)
 		switch at {
 		case removeKirkenAt:
-			scheduler.Reconfigure(after, now) // kirken is one of the others now
+			scheduler.Reconfigure(after, now) // kirken is no longer configured and falls under OthersWeight
 		case restoreKirkenAt:
 			scheduler.Reconfigure(before, now)
 		}
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -7,40 +7,40 @@
 	"thistlequay/timeunit"
 )
 
-// host implements admission.Host: it carries out the decisions of the admission server on emulated cores.
+// host implements admission.Host. It carries out the decisions of the admission server on emulated cores.
 type host struct {
 	config        Config
 	server        *admission.Server
-	fairQueue     *fairqueue.Scheduler // nil without one
+	fairQueue     *fairqueue.Scheduler // nil if Config.FairQueue is nil
 	cores         *emulator.Cores
 	load          *emulator.Load
 	statsByTenant *emulator.StatsByTenant
-	requests      map[uint64]*request // by ID, until Release
+	requests      map[uint64]*request // by ID; removed by Release
 	requestsByJob map[*emulator.Job]*request
 	lastID        uint64
 	now           float64    // seconds
-	second        int        // the next one to call the hooks of the configuration for
-	timer         float64    // when OnTimer is due, in seconds; infinite for never
-	stopped       []*request // whose end is reported to the admission server in the next batch
+	second        int        // the next full second at which callHooks calls the hooks
+	timer         float64    // when OnTimer is due, in seconds; +Inf if no timer is set
+	stopped       []*request // stopped runs whose end the next batch reports to the admission server
 	draining      bool
 	result        Result
 }
 
-// request is one attempt until the admission server releases it.
+// request is the state of an attempt from its arrival until the admission server releases it.
 type request struct {
 	attempt      *emulator.Attempt
 	handle       *admission.Request
 	reservation  fairqueue.Reservation
-	job          *emulator.Job // nil before Run
-	softDeadline float64       // seconds; counted from the arrival, as the deadline
-	deadline     float64
+	job          *emulator.Job // the run; nil before Run
+	softDeadline float64       // seconds
+	deadline     float64       // seconds
 	answered     bool
 }
 
-// ticks returns the current time.
+// ticks returns the current time in ticks.
 func (h *host) ticks() timeunit.Ticks { return ticks(h.now) }
 
-// arrive hands an attempt to the admission server.
+// arrive enqueues an attempt at the admission server.
 func (h *host) arrive(attempt *emulator.Attempt) {
 	h.statsByTenant.RecordSent(attempt)
 	h.lastID++
@@ -70,7 +70,7 @@
 	r.handle = h.server.Enqueue(arrival)
 }
 
-// completed ends a run that has done its work. The result is dropped where the request was answered before.
+// completed ends a run whose work is complete and records its response, unless the request already had a response.
 func (h *host) completed(job *emulator.Job) {
 	request := h.requestsByJob[job]
 	delete(h.requestsByJob, job)
@@ -87,7 +87,7 @@
 	request.handle.RunEnded(admission.Succeeded, ticks(h.now-job.StartedAt))
 }
 
-// answer records that the client has its response.
+// answer records that the client got its response now.
 func (h *host) answer(request *request) {
 	request.answered = true
 	if h.now > request.deadline {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Run starts a request on the cores.
+// Run starts the run of an admitted request on the cores.
 func (h *host) Run(admitted *admission.Request) {
 	request := h.requests[admitted.ID]
 	request.reservation.Start(h.ticks())
@@ -106,7 +106,7 @@
 	h.requestsByJob[request.job] = request
 }
 
-// Reject answers a request with a Retry-After, and schedules the retry where the stream has retries left.
+// Reject records a rejection with its Retry-After, and schedules a retry if the attempt has retries left.
 func (h *host) Reject(admitted *admission.Request, retryAfter timeunit.Ticks, _ bool) {
 	request := h.requests[admitted.ID]
 	h.answer(request)
@@ -123,14 +123,14 @@
 	}
 }
 
-// Abort answers a request that failed or has reached its deadline.
+// Abort records the error response to a request that failed or reached its deadline.
 func (h *host) Abort(admitted *admission.Request) {
 	request := h.requests[admitted.ID]
 	h.answer(request)
 	h.statsByTenant.ForAttempt(request.attempt).Aborted++
 }
 
-// StopRun takes a run off the cores. Its end is reported to the admission server in the next batch.
+// StopRun removes a run from the cores. The next batch reports its end to the admission server.
 func (h *host) StopRun(admitted *admission.Request) {
 	request := h.requests[admitted.ID]
 	h.cores.Abort(request.job)
@@ -138,23 +138,23 @@
 	h.stopped = append(h.stopped, request)
 }
 
-// Release drops a request that the admission server needs no longer.
+// Release removes a request that the admission server no longer needs.
 func (h *host) Release(admitted *admission.Request) {
 	request := h.requests[admitted.ID]
 	request.reservation.Release(h.ticks())
 	delete(h.requests, admitted.ID)
 }
 
-// SetTimer has OnTimer called after a time, or earlier where an earlier call had been asked for.
+// SetTimer schedules OnTimer after a time, unless an earlier call is already scheduled.
 func (h *host) SetTimer(after timeunit.Ticks) { h.timer = min(h.timer, h.now+seconds(after)) }
 
 // ShareResult does nothing: no request has an idempotency key.
 func (h *host) ShareResult(*admission.Request) {}
 
-// SkipCall does nothing: runs make no calls.
+// SkipCall does nothing: runs make no downstream calls.
 func (h *host) SkipCall(*admission.Request) {}
 
-// StartCall does nothing: runs make no calls.
+// StartCall does nothing: runs make no downstream calls.
 func (h *host) StartCall(*admission.Request, timeunit.Ticks) {}
 
 // KeepEntry does nothing: no request has an idempotency key.
@@ -163,7 +163,7 @@
 // DropEntry does nothing: no request has an idempotency key.
 func (h *host) DropEntry(*admission.Request) {}
 
-// ReportLoad does nothing: routers send all their load to the one server.
+// ReportLoad does nothing: there is only one server that routers could select.
 func (h *host) ReportLoad(float64) {}
 
 // SetHealth does nothing: the simulation has no health checks.
--- a/internal/simulation/longrun_test.go
+++ b/internal/simulation/longrun_test.go
@@ -12,7 +12,7 @@
 	"thistlequay/timeunit"
 )
 
-// heapKB is the size of the heap in use, in kilobytes.
+// heapKB returns the size of the live heap in kilobytes, after a garbage collection.
 func heapKB() float64 {
 	runtime.GC()
 	var statistics runtime.MemStats
@@ -20,13 +20,15 @@
 	return float64(statistics.HeapAlloc) / 1024
 }
 
-// For forty-five minutes every request comes from a new router, and every third of the time has a new tenant. The share
-// served does not fall from third to third, and the memory of admission server and fair scheduler does not grow.
+// State that is kept for each router or tenant name must not leak or slow a server down. For 45 simulated minutes every
+// request comes from a new router, a new tenant name is reserved every second, and the load changes its tenant after
+// each third. The worst tenant must get at least 90% of the share of the best one, and the heap may grow by at most
+// 1 MB from the second quarter to the last.
 func TestMeasuredLongRunKeepsServingAndDoesNotGrow(t *testing.T) {
 	const (
 		length            = 2700.0 // seconds
 		quarter           = 675    // seconds
-		sampleAt          = 300    // seconds into each quarter
+		sampleAt          = 300    // seconds after the start of each quarter
 		maxGrowthKB       = 1024
 		requestsPerSecond = 90
 		minShareOfBest    = 0.9
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,7 +1,6 @@
-// Package simulation runs a load against the admission server, the fair scheduler and emulated cores in virtual time:
-// without sockets and clocks, as fast as the machine can, and with random numbers from one seed. The same Config always
-// gives the same Result. The package carries out the decisions of the admission server, as the app server does, and
-// takes none itself.
+// Package simulation runs a load against the admission server, the fair scheduler and emulated cores in virtual time.
+// It uses no sockets and no clock, and takes all random numbers from one seed, so the same Config always gives the same
+// Result. As in the app server, the admission server makes all decisions and the package only carries them out.
 package simulation
 
 import (
@@ -23,51 +22,51 @@
 // seconds converts ticks to seconds.
 func seconds(t timeunit.Ticks) float64 { return float64(t) / ticksPerSecond }
 
-// Constants of every run.
+// Parameters that are the same in every run.
 const (
 	routers         = 4
-	requestMemoryKB = 10   // of each request while it is queued
-	runMemoryFactor = 4    // memory of a run, as a multiple of that of the queued request
-	entryKB         = 1    // of an idempotency entry
-	coldSpeed       = 0.3  // of a server that has just started, as a fraction of a warm one
+	requestMemoryKB = 10   // memory of a queued request
+	runMemoryFactor = 4    // memory of a run, as a multiple of requestMemoryKB
+	entryKB         = 1    // memory of an idempotency entry
+	coldSpeed       = 0.3  // speed of a server that has just started, as a fraction of that of a warm one
 	overloadLimit   = 8    // runnable requests per core
-	settleSeconds   = 60.0 // after the end of the load: then requests without a response are counted as unanswered
+	settleSeconds   = 60.0 // time after the load before requests without a response count as unanswered
 
 	batchInterval timeunit.Ticks = 10                 // 1 ms
-	drainGrace    timeunit.Ticks = 2 * ticksPerSecond // of the admission server's configuration
-	drainTime     timeunit.Ticks = 3 * ticksPerSecond // from Config.DrainAtSeconds to the end
+	drainGrace    timeunit.Ticks = 2 * ticksPerSecond // grace period of a drain
+	drainTime     timeunit.Ticks = 3 * ticksPerSecond // from Config.DrainAtSeconds until the process would be stopped
 )
 
-// Config describes the server and the load of one run.
+// Config describes the server and the load of a run.
 type Config struct {
-	// Seed is the seed of the load and of the fair scheduler.
+	// Seed seeds the random numbers of the load and of the fair scheduler.
 	Seed int64
-	// DurationSeconds is the length of the load. Responses are waited for up to a minute longer.
+	// DurationSeconds is the duration of the load. The run waits for responses up to a minute longer.
 	DurationSeconds float64
 	// Cores is the number of cores that run requests.
 	Cores int
-	// Slowdown is the loss of speed when the cores are overloaded (see emulator.Cores).
+	// Slowdown is the loss of speed per excess runnable request (see emulator.Cores).
 	Slowdown float64
 	// MemoryKB is the memory limit of the admission server, in kilobytes.
 	MemoryKB float64
-	// Categories are the categories of requests. Streams name them by index.
+	// Categories are the categories of requests. Streams refer to them by index.
 	Categories []admission.Category
-	// Streams are the load.
+	// Streams are the request streams that make up the load.
 	Streams []*emulator.Stream
-	// MaxRetryAfter is the longest Retry-After that clients heed.
+	// MaxRetryAfter is the longest Retry-After that clients honor.
 	MaxRetryAfter timeunit.Ticks
-	// WarmUpTime is how long the server warms up; 0 for a server that starts warm.
+	// WarmUpTime is how long the server is warming up; 0 for a server that starts warm.
 	WarmUpTime timeunit.Ticks
 	// FairQueue configures the fair scheduler; nil for a server without one.
 	FairQueue *fairqueue.Config
-	// DrainAtSeconds is when the server begins to drain, in seconds from the start; 0 for never.
+	// DrainAtSeconds is when the server starts draining, in seconds from the start; 0 for never.
 	DrainAtSeconds float64
-	// UniqueRouterPerRequest has each request come by a router that was not seen before.
+	// UniqueRouterPerRequest makes each request arrive through a router that the server has not seen before.
 	UniqueRouterPerRequest bool
-	// Reconfigure is called at each full second, counted from 0, and may change the configuration of the scheduler,
-	// which is nil without FairQueue. Nil for no calls.
+	// Reconfigure is called at each full second, counted from 0, and may reconfigure the scheduler, which is nil if
+	// FairQueue is nil. A nil Reconfigure is not called.
 	Reconfigure func(atSeconds float64, scheduler *fairqueue.Scheduler)
-	// OnSecond is called at each full second, before Reconfigure. Nil for no calls.
+	// OnSecond is called at each full second, before Reconfigure. A nil OnSecond is not called.
 	OnSecond func(second int, scheduler *fairqueue.Scheduler)
 }
 
@@ -75,7 +74,7 @@
 type AdvisedRetry struct {
 	// Tenant is the tenant of the rejected request.
 	Tenant string
-	// DueSeconds is when the client is to send the request again, in seconds from the start.
+	// DueSeconds is when the client is advised to retry, in seconds from the start of the run.
 	DueSeconds float64
 	// RetryAfterSeconds is the Retry-After, in seconds from the rejection.
 	RetryAfterSeconds float64
@@ -83,11 +82,11 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	// Tenants are the statistics of the tenants, in the order of the streams.
+	// Tenants has the statistics of each tenant, in the order of the streams.
 	Tenants []*emulator.TenantStats
-	// AdvisedRetries has an entry for each rejection, in their order.
+	// AdvisedRetries has an entry for each rejection, in order of time.
 	AdvisedRetries []AdvisedRetry
-	// CoreSeconds is the work done, in seconds of one core.
+	// CoreSeconds is the work done, in core seconds.
 	CoreSeconds float64
 	// Unanswered is the number of requests without a response at the end.
 	Unanswered int
@@ -95,8 +94,7 @@
 	AnsweredPastDeadline int
 }
 
-// Run simulates the load until nothing is left to happen, or a minute after the end of the load, and returns the
-// result.
+// Run simulates the load until no event is left, or until a minute after the end of the load, and returns the result.
 func Run(config Config) Result {
 	h := newHost(config)
 	for {
@@ -142,7 +140,7 @@
 	return h
 }
 
-// nextEvent returns the time of the next event, in seconds; infinite where there is none.
+// nextEvent returns the time of the next event in seconds, or +Inf if there is none.
 func (h *host) nextEvent() float64 {
 	if len(h.stopped) > 0 {
 		return h.now
@@ -150,8 +148,8 @@
 	return min(h.cores.NextCompletion(), h.load.Next(), h.timer)
 }
 
-// batch moves the time on and reports all events of that moment to the admission server, as one iteration of the app
-// server's event loop does.
+// batch advances the time and reports all events of that moment to the admission server, like one iteration of the app
+// server's event loop.
 func (h *host) batch(at float64) {
 	h.cores.AdvanceTo(at)
 	h.now = at
@@ -176,7 +174,7 @@
 	h.server.Dispatch()
 }
 
-// callHooks calls the hooks of the configuration for each second that has begun.
+// callHooks calls OnSecond and Reconfigure for each full second that has been reached, until the end of the load.
 func (h *host) callHooks() {
 	for float64(h.second) <= h.now && h.now < h.config.DurationSeconds {
 		if h.config.OnSecond != nil {
@@ -197,7 +195,7 @@
 	h.stopped = h.stopped[:0]
 }
 
-// finish completes the result.
+// finish returns the completed result of the run.
 func (h *host) finish() Result {
 	for _, request := range h.requests {
 		if !request.answered {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -6,45 +6,49 @@
 	"time"
 )
 
-// Bounds, from the users' pages.
+// Time limits and fractions, from the user documentation.
 const (
-	// slack is by how much every time limit is longer on sockets, and within which a request may cross the close of its
-	// connection.
+	// slack is added to every time limit when it is measured on sockets. A request that was written at most this long
+	// before its connection closed may not have reached the process.
 	slack = 50 * time.Millisecond
-	// readyObjective is within how long nine in ten processes must be ready.
+	// readyObjective is the time within which readyFraction of the processes must be ready.
 	readyObjective = 10 * time.Second
 	readyFraction  = 0.9
 
-	// minRanDivisor: where less than one request in so many runs, the run shows too little.
+	// minRanDivisor sets how many requests must run: if at most one in five does, too few were observed for the other
+	// checks to mean anything.
 	minRanDivisor = 5
 )
 
-// The checks.
+// Values of Violation.Check.
 const (
 	CheckUnanswered     = "unanswered"
-	CheckDuplicate      = "two answers"
-	CheckLate           = "late answer"
+	CheckDuplicate      = "more than one response"
+	CheckLate           = "late response"
 	CheckRanTwice       = "ran twice"
 	CheckRanAfterGrace  = "ran after the grace period"
 	CheckReset          = "connection reset"
-	CheckKilled         = "killed at the end of its drain"
+	CheckKilled         = "killed at the stop timeout"
 	CheckExitCode       = "exit code"
 	CheckLog            = "log"
-	CheckReady          = "ready in time"
-	CheckNothingToCheck = "nothing was observed"
+	CheckReady          = "not ready in time"
+	CheckNothingToCheck = "too few requests ran"
 )
 
-// Violation is one thing that must not happen.
+// Violation is one violation of a rule.
 type Violation struct {
-	Check  string
+	// Check is the check that failed, one of the Check constants.
+	Check string
+	// Server is the name of the server; empty if the violation concerns all servers.
 	Server string
+	// Detail says what was observed.
 	Detail string
 }
 
-// logMarks are texts that no log may have.
+// logMarks are texts that must not occur in the log of a process.
 var logMarks = []string{"DATA RACE", "panic:", "invariant_violated", "fatal error:"}
 
-// Check returns the violations in what was observed.
+// Check returns the violations found in the observation of a run.
 func Check(o *Observation) (violations []Violation) {
 	report := func(check string, process *Process, format string, args ...any) {
 		violations = append(violations, Violation{check, process.Server, fmt.Sprintf(format, args...)})
@@ -72,36 +76,40 @@
 		}
 	}
 	if float64(ready) < readyFraction*float64(len(o.Processes)) {
-		report(CheckReady, &Process{}, "%d of %d processes", ready, len(o.Processes))
+		report(CheckReady, &Process{}, "%d of %d processes were ready in time", ready, len(o.Processes))
 	}
 	return violations
 }
 
+// reporter records a violation by a process. The format and its arguments become Violation.Detail.
 type reporter func(check string, process *Process, format string, args ...any)
 
+// checkRequest reports the violations in the responses and runs of a request.
 func (o *Observation) checkRequest(request *Request, report reporter) {
 	process := request.Process
 	if len(request.Answers) > 1 {
-		report(CheckDuplicate, process, "%s has %d", request.ID, len(request.Answers))
+		report(CheckDuplicate, process, "%s has %d responses", request.ID, len(request.Answers))
 	}
 	if request.Runs > 1 {
 		report(CheckRanTwice, process, "%s ran %d times", request.ID, request.Runs)
 	}
 	graceEnd := process.NoticeAt.Add(o.Plan.Grace + slack)
 	if !process.NoticeAt.IsZero() && request.Runs > 0 && request.ReceivedAt.After(graceEnd) {
-		report(CheckRanAfterGrace, process, "%s arrived %v after its end", request.ID, request.ReceivedAt.Sub(graceEnd))
+		report(CheckRanAfterGrace, process, "%s arrived %v after the end of the grace period", request.ID,
+			request.ReceivedAt.Sub(graceEnd))
 	}
 	due := o.dueTime(request)
 	if len(request.Answers) > 0 && request.Answers[0].After(due) {
-		report(CheckLate, process, "%s by %v", request.ID, request.Answers[0].Sub(due))
+		report(CheckLate, process, "%s is late by %v", request.ID, request.Answers[0].Sub(due))
 	}
 	if len(request.Answers) == 0 && !o.mayBeUnanswered(request) {
-		report(CheckUnanswered, process, "%s, ran %d times, written %v before the end of its connection", request.ID,
-			request.Runs, request.ClosedAt.Sub(request.WrittenAt))
+		report(CheckUnanswered, process, "%s ran %d times and was written %v before the end of its connection",
+			request.ID, request.Runs, request.ClosedAt.Sub(request.WrittenAt))
 	}
 }
 
-// dueTime is when a request must have its answer. The time in which its process was stopped does not count.
+// dueTime returns the time by which the response to a request must have been read. The time during which its process
+// was stopped with SIGSTOP does not count.
 func (o *Observation) dueTime(request *Request) time.Time {
 	process := request.Process
 	due := request.ReceivedAt.Add(request.Budget + slack + o.Lateness)
@@ -112,8 +120,8 @@
 	return due
 }
 
-// mayBeUnanswered says whether a request without an answer was lost with a process that crashed, or crossed the close
-// of its connection and never ran.
+// mayBeUnanswered reports whether a request may lack a response: because its process crashed before the response was
+// due, or because the request was written while its connection was being closed and never ran.
 func (o *Observation) mayBeUnanswered(request *Request) bool {
 	if request.Process.hasCrashedBefore(o.dueTime(request)) {
 		return true
@@ -122,27 +130,29 @@
 	return hasCrossed && request.Runs == 0
 }
 
+// hasCrashedBefore reports whether the run had killed the process without SIGTERM by a given time.
 func (p *Process) hasCrashedBefore(at time.Time) bool {
 	return !p.CrashedAt.IsZero() && !at.Before(p.CrashedAt)
 }
 
+// checkProcess reports the violations in the log and the exit of a process.
 func (o *Observation) checkProcess(process *Process, report reporter) {
 	for _, mark := range logMarks {
 		if strings.Contains(process.Log, mark) {
-			report(CheckLog, process, "%s", mark)
+			report(CheckLog, process, "the log contains %q", mark)
 		}
 	}
 	if !process.CrashedAt.IsZero() {
 		return
 	}
 	if process.Killed {
-		report(CheckKilled, process, "%v after its notice", o.Plan.StopTimeout)
+		report(CheckKilled, process, "%v after SIGTERM", o.Plan.StopTimeout)
 		return
 	}
 	if process.ExitCode != 0 {
-		report(CheckExitCode, process, "%d", process.ExitCode)
+		report(CheckExitCode, process, "exited with %d", process.ExitCode)
 	}
 	if !strings.Contains(process.Log, "broken_invariants=0") {
-		report(CheckLog, process, "no broken_invariants=0")
+		report(CheckLog, process, "the log has no broken_invariants=0")
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goodObservation is what a run without a violation leaves: one process that was drained, and one request to it.
+// goodObservation returns an observation without violations: one process that shut down gracefully, with one request.
 func goodObservation() *Observation {
 	start := time.Unix(1_764_000_000, 0)
 	process := &Process{
@@ -34,7 +34,7 @@
 	}
 }
 
-// Each check reports the one thing that is wrong, and nothing else is reported.
+// Each check must report its own violation, and no other check may report it too.
 func TestEachCheckReportsItsViolation(t *testing.T) {
 	require.Empty(t, Check(goodObservation()))
 	for check, spoil := range map[string]func(o *Observation, process *Process, request *Request){
@@ -71,7 +71,8 @@
 	}
 }
 
-// A request that ran and has no answer is lost, however close to the end of its connection it was written.
+// A request without a response is a violation if it ran, even if it was written just before its connection closed. A
+// request that never ran is none if its connection closed or its process crashed before the response was due.
 func TestRequestThatRanIsLostAlsoIfItCrossedTheClose(t *testing.T) {
 	observation := goodObservation()
 	request := observation.Requests[0]
@@ -84,14 +85,15 @@
 	observation.Requests = append(observation.Requests, ran)
 	require.Empty(t, Check(observation))
 	request.ClosedAt = time.Time{}
-	require.Len(t, Check(observation), 1, "the connection never ended")
+	require.Len(t, Check(observation), 1, "the connection stayed open")
 	request.Process.CrashedAt = request.WrittenAt
-	require.Empty(t, Check(observation), "lost with its process")
+	require.Empty(t, Check(observation), "the process crashed before the response was due")
 	request.Process.CrashedAt = request.ReceivedAt.Add(request.Budget + 2*slack)
-	require.Len(t, Check(observation), 1, "it was due before the crash")
+	require.Len(t, Check(observation), 1, "the response was due before the crash")
 }
 
-// An answer is late by no more than the pause of its process where it was open in it.
+// A pause of the process extends the time limit of a request that is open during the pause by its length, and of no
+// other request.
 func TestPauseOfTheProcessDoesNotCountAgainstIt(t *testing.T) {
 	observation := goodObservation()
 	request := observation.Requests[0]
@@ -104,5 +106,5 @@
 	require.Len(t, Check(observation), 1)
 	request.Answers[0] = request.ReceivedAt.Add(request.Budget + slack + time.Millisecond)
 	process.NoticeAt = request.Answers[0]
-	require.Len(t, Check(observation), 1, "it was due before the pause")
+	require.Len(t, Check(observation), 1, "the response was due before the pause")
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -11,16 +11,16 @@
 	"thistlequay/internal/emulator"
 )
 
-// How clients behave.
+// Parameters of the clients.
 const (
-	maxThinkTime  = 30 * time.Millisecond // between two requests of a client
-	halfPause     = 60 * time.Millisecond // between the halves of a request that is sent in two
-	redialPause   = 2 * time.Millisecond  // after a dial that was refused
-	restTime      = 400 * time.Millisecond
+	maxThinkTime  = 30 * time.Millisecond  // maximum time between two requests of a client
+	halfPause     = 60 * time.Millisecond  // between the two halves of a request that is sent in two writes
+	redialPause   = 2 * time.Millisecond   // after a failed dial, and between checks of the number of open requests
+	restTime      = 400 * time.Millisecond // longer idle time between two requests
 	minBudget     = 200 * time.Millisecond
 	maxBudget     = 1500 * time.Millisecond
 	maxWorkMs     = 30
-	maxOpen       = 8 // requests that a client has open on its connection
+	maxOpen       = 8 // maximum number of open requests of a connection
 	crowdStay     = 20 * time.Millisecond
 	tenant        = "acme"
 	crowdClients  = 24
@@ -28,8 +28,8 @@
 	keyedFraction = 0.3
 )
 
-// client keeps a connection to one server and sends on it until the server ends it, again and again until the server's
-// last process has ended.
+// client sends requests to one server. It reconnects whenever the server closes the connection, until the server's last
+// process has exited.
 type client struct {
 	run    *run
 	target *target
@@ -38,30 +38,31 @@
 	sent   int
 }
 
-// connection is one connection of a client.
+// connection is one connection of a client. Methods other than read belong to the goroutine of the client.
 type connection struct {
 	*emulator.Link
 	client  *client
 	process *Process
 
 	lock    sync.Mutex
-	open    map[uint16]*Request
-	endRead bool          // its end
-	ended   chan struct{} // closed once its end was read
+	open    map[uint16]*Request // requests without a response, by request slot
+	endRead bool                // whether read has read the end of the connection
+	ended   chan struct{}       // closed when read returns
 }
 
+// loop connects again and again until the server's last process has exited.
 func (c *client) loop() {
 	for !c.target.isOver() {
 		c.connect()
 	}
 }
 
-// connect opens a connection and sends on it until it ends.
+// connect opens a connection and sends requests on it until the server closes it.
 func (c *client) connect() {
 	process := c.target.current()
 	link, err := emulator.Dial(c.target.server.RouterAddress)
 	if err != nil {
-		c.run.recordReset(process, err, "a dial")
+		c.run.recordReset(process, err, "dial")
 		time.Sleep(redialPause)
 		return
 	}
@@ -79,9 +80,10 @@
 		}
 	}
 	<-connection.ended
-	_ = link.Close() // the program has closed its side
+	_ = link.Close() // the program has closed its end
 }
 
+// isOpen reports whether the end of the connection has not been read yet.
 func (c *connection) isOpen() bool {
 	select {
 	case <-c.ended:
@@ -91,7 +93,7 @@
 	}
 }
 
-// wait waits for a time or for the end of the connection.
+// wait waits for a duration, or until the connection ends.
 func (c *connection) wait(duration time.Duration) {
 	select {
 	case <-c.ended:
@@ -99,7 +101,8 @@
 	}
 }
 
-// sendNext sends one request, in one of several ways. It returns false once nothing can be written any more.
+// sendNext sends one request. At random, it first pauses, and it writes the request in one piece or in two halves. It
+// returns false if the connection can no longer be written to.
 func (c *connection) sendNext(slot uint16) bool {
 	random := c.client.random
 	for c.openCount() >= maxOpen && c.isOpen() {
@@ -123,8 +126,8 @@
 	return c.writeLast(slot, request, data)
 }
 
-// writeLast writes the rest of a request, from which on an answer to it is owed. Once the end of the connection has
-// been read nothing is written any more.
+// writeLast writes the rest of a request, which then must get a response. It writes nothing and returns false if the
+// end of the connection has been read.
 func (c *connection) writeLast(slot uint16, request *Request, data []byte) bool {
 	c.lock.Lock()
 	if c.endRead {
@@ -145,12 +148,14 @@
 	return true
 }
 
+// openCount returns the number of requests without a response.
 func (c *connection) openCount() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return len(c.open)
 }
 
+// newRequest returns a new random request and its FastCGI records.
 func (c *connection) newRequest(slot uint16) (*Request, []byte) {
 	client := c.client
 	random := client.random
@@ -168,14 +173,14 @@
 	return request, emulator.FastCGIRequest(slot, "/rpc/"+category, body, parameters)
 }
 
-// read reads responses until the connection ends.
+// read records responses until the connection ends.
 func (c *connection) read() {
 	defer close(c.ended)
 	for {
 		response, err := c.ReadResponse()
 		now := time.Now()
 		if err != nil {
-			c.client.run.recordReset(c.process, err, "a read")
+			c.client.run.recordReset(c.process, err, "read")
 			c.lock.Lock()
 			c.endRead = true
 			c.client.run.observation.setClosed(c.open, now)
@@ -195,24 +200,24 @@
 	}
 }
 
-// crowd opens connections one after the other until the server's last process has ended.
+// crowd opens connections one after the other, without sending requests, until the server's last process has exited.
 func (c *client) crowd() {
 	for !c.target.isOver() {
 		process := c.target.current()
 		link, err := emulator.Dial(c.target.server.RouterAddress)
 		if err != nil {
-			c.run.recordReset(process, err, "a dial of the crowd")
+			c.run.recordReset(process, err, "dial of a connect-only client")
 			time.Sleep(redialPause)
 			continue
 		}
 		_ = link.SetReadDeadline(time.Now().Add(crowdStay))
 		_, err = link.ReadResponse()
-		c.run.recordReset(process, err, "a read of the crowd")
-		_ = link.Close() // it carries nothing
+		c.run.recordReset(process, err, "read of a connect-only client")
+		_ = link.Close() // the connection carried no request
 	}
 }
 
-// isReset says whether a connection ended in a way that no client expects.
+// isReset reports whether an error is a connection reset, which clients must not see.
 func isReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/soak/observation.go
+++ b/internal/soak/observation.go
@@ -7,19 +7,22 @@
 
 // Process is what was observed of one process of the program.
 type Process struct {
+	// Server is the name of the server.
 	Server string
-	// StartedAt, ReadyAt and ExitedAt are moments of its life; ReadyAt is zero where it never answered a health check.
+	// StartedAt, ReadyAt and ExitedAt are when the process was started, was ready for requests and exited. ReadyAt is
+	// zero if the process never became ready.
 	StartedAt time.Time
 	ReadyAt   time.Time
 	ExitedAt  time.Time
-	// CrashedAt is when the run killed it without a notice; zero for not at all.
+	// CrashedAt is when the run killed the process without a SIGTERM before; zero if it did not.
 	CrashedAt time.Time
-	// NoticeAt is when SIGTERM was sent to it.
+	// NoticeAt is when SIGTERM was sent to the process.
 	NoticeAt time.Time
-	// Pause is for how long it was stopped from its notice on; such time does not count against it.
+	// Pause is how long the process was stopped with SIGSTOP, from NoticeAt on. Time limits are longer by this time.
 	Pause time.Duration
-	// Killed says that it had not ended when the kill came.
-	Killed   bool
+	// Killed reports whether the process had to be killed because it had not exited by the stop timeout.
+	Killed bool
+	// ExitCode is the exit code, and Log is all that the process logged.
 	ExitCode int
 	Log      string
 }
@@ -28,15 +31,17 @@
 type Request struct {
 	ID      string
 	Process *Process
-	// ReceivedAt is the Received-At that it carries, WrittenAt is when its last byte was written.
+	// ReceivedAt is the Received-At time that the request carries, from which Budget counts. WrittenAt is when its last
+	// part was written.
 	ReceivedAt time.Time
 	WrittenAt  time.Time
 	Budget     time.Duration
-	// Answers are when responses to it were read.
+	// Answers are the times at which responses to the request were read.
 	Answers []time.Time
-	// ClosedAt is when the end of its connection was read; zero where that outlived the run.
+	// ClosedAt is when the end of its connection was read; zero if the request had its response before, or the
+	// connection outlived the run.
 	ClosedAt time.Time
-	// Runs is how often an interpreter ran it.
+	// Runs is how many times an interpreter ran the request.
 	Runs int
 }
 
@@ -44,7 +49,7 @@
 type Reset struct {
 	Process *Process
 	At      time.Time
-	During  string
+	During  string // the operation that failed
 }
 
 // Observation is all that was observed in a run. Its methods are safe for concurrent use.
@@ -53,30 +58,35 @@
 	Processes []*Process
 	Requests  []*Request
 	Resets    []Reset
-	// Lateness is the longest time by which the run itself was late; figures that it measures are off by as much.
+	// Lateness is the largest delay of a timer in the process that conducts the run. The observed times can be wrong by
+	// as much.
 	Lateness time.Duration
 
 	lock sync.Mutex
 }
 
+// addRequest records a request that was written completely.
 func (o *Observation) addRequest(request *Request) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.Requests = append(o.Requests, request)
 }
 
+// addReset records a connection reset.
 func (o *Observation) addReset(reset Reset) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.Resets = append(o.Resets, reset)
 }
 
+// addAnswer records the time of a response to a request.
 func (o *Observation) addAnswer(request *Request, at time.Time) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	request.Answers = append(request.Answers, at)
 }
 
+// setClosed records when the connection of requests without a response ended.
 func (o *Observation) setClosed(requests map[uint16]*Request, at time.Time) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -87,7 +97,7 @@
 	}
 }
 
-// raiseLateness records by how much the run was late.
+// raiseLateness raises Lateness to the given delay if that is larger.
 func (o *Observation) raiseLateness(lateness time.Duration) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,61 +8,62 @@
 	"thistlequay/internal/emulator"
 )
 
-// Plan is one run, drawn whole from its seed.
+// Plan describes one run. Draw generates all of it from the seed.
 type Plan struct {
 	Seed int64
-	// StopTimeout is stop_ms: the time from the notice to shut down to the kill.
+	// StopTimeout is the setting stop_ms: the time from SIGTERM until the process is killed.
 	StopTimeout time.Duration
-	// Grace is the time after the notice in which arriving requests may still run.
+	// Grace is the grace period: the time after SIGTERM in which requests that arrive may still run.
 	Grace time.Duration
-	// ClientsPerServer is the number of clients that keep a connection to each server and send on it until it ends.
+	// ClientsPerServer is the number of clients that send requests to each server.
 	ClientsPerServer int
-	// HasCrowd adds clients that only open connections, one after the other.
+	// HasCrowd adds clients that only open connections, one after the other, and send no requests.
 	HasCrowd bool
-	// Gossip, FairQueues and Store say which optional subsystems are on.
+	// Gossip, FairQueues and Store enable optional subsystems.
 	Gossip     bool
 	FairQueues bool
 	Store      bool
-	// CallProbability is the probability that a run calls the index.
+	// CallProbability is the probability that the run of a request makes a downstream call to the index.
 	CallProbability float64
-	// IndexReplies are the replies of the index, one call after the other.
+	// IndexReplies are the replies of the index to successive calls, in rotation.
 	IndexReplies []emulator.IndexReply
-	// IndexDelay is the time that a call takes.
+	// IndexDelay is the delay of each reply of the index.
 	IndexDelay time.Duration
-	// DirectoryAway has the directory refuse connections.
+	// DirectoryAway makes the directory refuse connections.
 	DirectoryAway bool
-	// Servers are what happens to each server.
+	// Servers has the plan of each server.
 	Servers []ServerPlan
 }
 
-// ServerPlan is what happens to one server. Times count from the moment at which all servers serve.
+// ServerPlan describes what happens to one server. Times count from the moment at which all servers are ready.
 type ServerPlan struct {
-	// Crashes has the server killed at CrashAt without a notice, and started again at once.
+	// Crashes has the server killed at CrashAt, without a SIGTERM before, and restarted at once.
 	Crashes bool
 	CrashAt time.Duration
-	// Before are signals sent in series just before the notice.
+	// Before are signals sent just before SIGTERM, in order.
 	Before []syscall.Signal
 	// NoticeAt is when SIGTERM is sent.
 	NoticeAt time.Duration
-	// Pause is for how long the process is stopped (SIGSTOP) around the notice; 0 for not at all.
+	// Pause is how long the process is stopped (SIGSTOP) from just before SIGTERM on; 0 for no pause.
 	Pause time.Duration
-	// After are signals sent in series after the notice.
+	// After are signals sent after SIGTERM and the pause, in order.
 	After []syscall.Signal
 }
 
 const (
 	maxServers = 4
-	// crashTime is the time before which servers crash, and restartTime what a restart takes at most before a notice.
+	// crashTime is the latest time of a crash. restartTime is the earliest time of SIGTERM, which leaves a crashed
+	// server time to restart.
 	crashTime    = 500 * time.Millisecond
 	restartTime  = 1500 * time.Millisecond
-	noticeTime   = time.Second // within which the notices come
+	noticeTime   = time.Second // SIGTERM is sent at most this long after restartTime
 	maxPause     = 300         // milliseconds
-	evenFounders = 2
-	// maxSeries is the largest number of signals in series.
+	evenFounders = 2           // number of servers with which gossip is disabled
+	// maxSeries is the largest number of signals before or after SIGTERM.
 	maxSeries = 3
 )
 
-// Draw draws a plan.
+// Draw generates a random plan from a seed.
 func Draw(seed int64) Plan {
 	random := rand.New(rand.NewSource(seed))
 	isOneIn := func(n int) bool { return random.Intn(n) == 0 }
@@ -86,11 +87,11 @@
 		plan.CallProbability = random.Float64()
 	}
 	switch random.Intn(4) {
-	case 0: // slow
+	case 0: // slow replies
 		plan.IndexDelay = milliseconds(100, 400)
-	case 1: // resetting and failing
+	case 1: // resets and failures
 		plan.IndexReplies = append(plan.IndexReplies, emulator.ReplyReset, emulator.ReplyFailed, emulator.ReplyShed)
-	case 2: // silent now and then
+	case 2: // some calls get no reply
 		plan.IndexReplies = append(plan.IndexReplies, emulator.ReplyHit, emulator.ReplyNone)
 	}
 	for range 1 + random.Intn(maxServers) {
@@ -106,13 +107,13 @@
 		}
 		plan.Servers = append(plan.Servers, server)
 	}
-	if len(plan.Servers) == evenFounders { // an even number of founders is refused
+	if len(plan.Servers) == evenFounders { // the program rejects an even number of founders
 		plan.Gossip = false
 	}
 	return plan
 }
 
-// series draws up to maxSeries signals.
+// series returns up to maxSeries random signals.
 func series(random *rand.Rand, from ...syscall.Signal) (signals []syscall.Signal) {
 	for range random.Intn(maxSeries + 1) {
 		signals = append(signals, from[random.Intn(len(from))])
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,48 +16,51 @@
 	"thistlequay/internal/servertest"
 )
 
-// Options say with what a plan is played.
+// Options are the parameters of Play that do not depend on the plan.
 type Options struct {
-	// Program is the path of the program, Env is added to its environment.
+	// Program is the path of the program. Env is added to its environment.
 	Program string
 	Env     []string
-	// Directory is an empty folder for the servers' files.
+	// Directory is an empty directory for the files of the servers.
 	Directory string
 }
 
-// run is a plan that is being played.
+// run is the state of a plan while it is carried out.
 type run struct {
 	plan        Plan
 	observation *Observation
 	cluster     *clustertest.Cluster
 	targets     []*target
-	servingAt   time.Time
+	servingAt   time.Time // when all servers were ready
 }
 
-// target is one server of a run, with the process that it has now.
+// target is one server of a run and its current process.
 type target struct {
 	server *clustertest.Server
 	plan   ServerPlan
 
 	lock    sync.Mutex
 	process *Process
-	logFrom int // where the log of the process begins
-	over    bool
+	logFrom int  // offset of the process's log in the log of the server
+	over    bool // whether the last process has exited
 }
 
+// current returns the current process.
 func (t *target) current() *Process {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.process
 }
 
+// isOver reports whether the server's last process has exited.
 func (t *target) isOver() bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.over
 }
 
-// Play plays a plan and returns what was observed. An error says that the run itself failed.
+// Play carries out a plan and returns what was observed. It returns an error if the servers could not be started;
+// violations of the rules are no errors.
 func Play(plan Plan, options Options) (*Observation, error) {
 	cluster, err := newCluster(plan, options)
 	if err != nil {
@@ -78,7 +81,7 @@
 	return r.observation, nil
 }
 
-// newCluster makes the servers and emulators of a plan.
+// newCluster creates the servers and emulators of a plan. It does not start the servers.
 func newCluster(plan Plan, options Options) (*clustertest.Cluster, error) {
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(servertest.PlatformSettings), &settings); err != nil {
@@ -118,7 +121,7 @@
 	return cluster, err
 }
 
-// serviceYAML returns the sections of the optional subsystems that are on.
+// serviceYAML returns the service settings of a server: a section for each enabled subsystem.
 func serviceYAML(plan Plan, options Options, server *clustertest.Server) string {
 	var text strings.Builder
 	if plan.FairQueues {
@@ -130,14 +133,15 @@
 	return text.String()
 }
 
-// storeMode is the mode of the folder of a server's store.
+// storeMode is the file mode of store directories.
 const storeMode = 0o700
 
+// storeDirectory returns the path of a server's store directory.
 func storeDirectory(directory string, server *clustertest.Server) string {
 	return filepath.Join(directory, "store-"+server.Name)
 }
 
-// startAll starts all servers and waits until they serve.
+// startAll starts all servers and waits until they are ready.
 func (r *run) startAll() error {
 	for _, target := range r.targets {
 		if r.plan.Store {
@@ -158,7 +162,7 @@
 	return nil
 }
 
-// start starts a process of a server.
+// start starts a new process of a server and records it in the observation.
 func (r *run) start(target *target) error {
 	process := &Process{Server: target.server.Name, StartedAt: time.Now()}
 	target.lock.Lock()
@@ -171,17 +175,18 @@
 	return target.server.Start()
 }
 
+// waitUntilReady waits until a server is ready and records the time.
 func (r *run) waitUntilReady(target *target) error {
 	process := target.current()
 	err := emulator.WaitUntilServing(target.server.RouterAddress)
 	if err != nil {
-		return fmt.Errorf("%w; its log:\n%s", err, target.server.Log)
+		return fmt.Errorf("%w; log of the server:\n%s", err, target.server.Log)
 	}
 	process.ReadyAt = time.Now()
 	return nil
 }
 
-// playAll plays what happens to all servers, with their clients, and waits until all processes have ended.
+// playAll carries out the plans of all servers and runs their clients. It returns when all processes have exited.
 func (r *run) playAll() {
 	var all sync.WaitGroup
 	for _, target := range r.targets {
@@ -198,12 +203,13 @@
 	all.Wait()
 }
 
+// newClient returns a client of a server, with random numbers seeded by the plan, the server and the client's number.
 func (r *run) newClient(target *target, number int) *client {
 	seed := r.plan.Seed<<16 ^ int64(target.server.Index)<<8 ^ int64(number)
 	return &client{run: r, target: target, random: rand.New(rand.NewSource(seed)), number: number}
 }
 
-// playServer plays what happens to one server, from its start to the end of its last process.
+// playServer carries out the plan of a started server until its last process has exited.
 func (r *run) playServer(target *target) {
 	if target.plan.Crashes {
 		r.sleepUntil(r.servingAt.Add(target.plan.CrashAt))
@@ -216,24 +222,25 @@
 	target.lock.Unlock()
 }
 
-// crash kills a server's process without a notice and starts another.
+// crash kills the process of a server without a SIGTERM before, and starts another.
 func (r *run) crash(target *target) {
 	process := target.current()
 	process.CrashedAt = time.Now()
-	_ = target.server.Kill() // a process that has ended before shows in its log
+	_ = target.server.Kill() // fails if the process has exited; why is in its log
 	r.completeProcess(target, process)
 	if r.start(target) == nil {
-		_ = r.waitUntilReady(target) // ReadyAt says whether it was
+		_ = r.waitUntilReady(target) // on failure ReadyAt stays zero, which Check counts
 	}
 }
 
-// shutDown sends the signals of the plan around the notice, and the kill when it is due.
+// shutDown sends SIGTERM and the other signals of the plan, and kills the process if it has not exited by the stop
+// timeout.
 func (r *run) shutDown(target *target) {
 	process := target.current()
 	server := target.server
 	signalAll := func(signals []syscall.Signal) {
 		for _, signal := range signals {
-			_ = server.Signal(signal) // it may have ended, which ExitCode shows
+			_ = server.Signal(signal) // fails if the process has exited; Check sees its exit code
 		}
 	}
 	signalAll(target.plan.Before)
@@ -259,21 +266,22 @@
 	r.completeProcess(target, process)
 }
 
-// completeProcess takes the log of a process that has ended.
+// completeProcess records the log of a process that has exited.
 func (r *run) completeProcess(target *target, process *Process) {
 	process.Log = target.server.Log.String()[target.logFrom:]
 }
 
-// sleepUntil sleeps until a moment and records by how much it was late.
+// sleepUntil sleeps until a moment and records by how much the wake-up was late.
 func (r *run) sleepUntil(moment time.Time) {
 	time.Sleep(time.Until(moment))
 	r.observation.raiseLateness(time.Since(moment))
 }
 
-// lateWatchInterval is how often the run looks how late it is.
+// lateWatchInterval is the interval at which watchLateness samples timer delays.
 const lateWatchInterval = 5 * time.Millisecond
 
-// watchLateness measures how late this process is, until the returned function is called.
+// watchLateness records how late timers fire in this process, which is no fault of the program under test. It runs
+// until stop is called.
 func (r *run) watchLateness() (stop func()) {
 	done := make(chan struct{})
 	var watching sync.WaitGroup
@@ -294,7 +302,7 @@
 	}
 }
 
-// countRuns reads from the interpreters how often each request ran.
+// countRuns sets Request.Runs from the counts of the interpreters.
 func (r *run) countRuns() {
 	for _, target := range r.targets {
 		target.server.Interpreter.Inspect(func(interpreter *emulator.Interpreter) {
@@ -307,19 +315,20 @@
 	}
 }
 
-// ended tells the interpreter that a request is over.
+// ended tells the interpreter that a request has its response.
 func (r *run) ended(target *target, request *Request) {
 	target.server.Interpreter.RequestEnded(request.ID)
 }
 
-// recordReset records the end of a connection where it was a reset.
+// recordReset records an error on a connection if it is a reset.
 func (r *run) recordReset(process *Process, err error, during string) {
 	if isReset(err) {
 		r.observation.addReset(Reset{process, time.Now(), during})
 	}
 }
 
-// recordUnexpected records a response to no open request: a second one, or one to a request that was never sent.
+// recordUnexpected records a response in a slot without an open request, either a second response or one to a request
+// that was never sent. It adds a request with two responses, which Check reports as CheckDuplicate.
 func (r *run) recordUnexpected(process *Process, at time.Time) {
 	request := &Request{ID: "a slot without an open request", Process: process, ReceivedAt: at, WrittenAt: at}
 	request.Answers = []time.Time{at, at}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,19 +17,20 @@
 func TestMain(m *testing.M) { servertest.Main(m) }
 
 const (
-	// firstSeedEnv and seedsEnv name the environment variables that choose the seeds by hand.
+	// firstSeedEnv and seedsEnv name the environment variables that set the first seed and the number of seeds.
 	firstSeedEnv = "SOAK_FIRST"
 	seedsEnv     = "SOAK_SEEDS"
-	// programEnv names another build of the program to play with.
+	// programEnv names the environment variable with the path of another build of the program to test.
 	programEnv = "SOAK_PROGRAM"
-	// maxLogLines of a server's log are printed with a violation.
+	// maxLogLines is how many of the last log lines of each process a failing test prints.
 	maxLogLines = 100
 )
 
-// seedsInCI are played where nothing is chosen: every subsystem, crashes, pauses and crowds are among them, and all
-// seeds that found something before.
+// seedsInCI are the default seeds. Together they cover every subsystem, crashes, pauses and connect-only clients, and
+// they include all seeds that found a fault before.
 var seedsInCI = []int{1, 2, 3, 7, 12, 23, 32, 44, 120}
 
+// fromEnv returns the integer value of an environment variable, or otherwise if the variable is empty.
 func fromEnv(t *testing.T, name string, otherwise int) int {
 	t.Helper()
 	text := os.Getenv(name)
@@ -41,7 +42,7 @@
 	return value
 }
 
-// TestSoak plays seeded runs over processes of the program. One seed again, or others:
+// TestSoak runs the scenarios of seedsInCI, or of the seeds that the environment selects, such as one seed again:
 //
 //	SOAK_FIRST=17 SOAK_SEEDS=1 go test -run TestSoak ./internal/soak
 func TestSoak(t *testing.T) {
@@ -58,6 +59,7 @@
 	}
 }
 
+// playSeed carries out the plan of a seed and fails the test if the run has violations.
 func playSeed(t *testing.T, seed int64) {
 	t.Helper()
 	program, err := os.Executable()
@@ -77,20 +79,21 @@
 		return
 	}
 	t.Logf("plan: %+v", plan)
-	t.Logf("again: %s=%d %s=1 go test -run TestSoak ./internal/soak", firstSeedEnv, seed, seedsEnv)
+	t.Logf("to repeat: %s=%d %s=1 go test -run TestSoak ./internal/soak", firstSeedEnv, seed, seedsEnv)
 	for _, violation := range violations {
 		t.Errorf("%s at %s: %s", violation.Check, violation.Server, violation.Detail)
 	}
 	for _, process := range observation.Processes {
 		lines := strings.Split(strings.TrimSpace(process.Log), "\n")
-		t.Logf("%s notice at %s, ended at %s:\n%s", process.Server, clock(process.NoticeAt), clock(process.ExitedAt),
-			strings.Join(lines[max(0, len(lines)-maxLogLines):], "\n"))
+		t.Logf("%s: SIGTERM at %s, exit at %s, log:\n%s", process.Server, clock(process.NoticeAt),
+			clock(process.ExitedAt), strings.Join(lines[max(0, len(lines)-maxLogLines):], "\n"))
 	}
 }
 
-// clock is a moment as the program logs it.
+// clock formats a time as the program's log does.
 func clock(moment time.Time) string { return moment.UTC().Format("15:04:05.000000") }
 
-// A process that is stopped around its notice while no timer is due cannot measure that; with a grace period under
-// 0.5 s it then runs requests that arrive up to 0.1 s after the grace and its slack. Listed in KNOWN-RED.txt.
+// A process that is stopped with SIGSTOP around SIGTERM while none of its timers is due cannot measure the stop. If its
+// grace period is shorter than 0.5 s, it then runs requests that arrive up to 0.1 s after the grace period and the
+// slack. The test is listed in KNOWN-RED.txt.
 func TestSoakStopsThatNoTimerMeasures(t *testing.T) { playSeed(t, 243) }
