--- a/internal/clustertest/mixed_versions_test.go
+++ b/internal/clustertest/mixed_versions_test.go
@@ -187,7 +187,7 @@
 			server.WaitForExit()
 		} else {
 			server.NoError(server.Process.Process.Kill())
-			<-server.Ended()
+			<-server.Exited()
 		}
 		interpreter.Close()
 	}
--- a/internal/server/kill_socket_test.go
+++ b/internal/server/kill_socket_test.go
@@ -23,7 +23,7 @@
 // program had exited by itself, or false where the kill ended it.
 func killAfter(server *servertest.Server, killAt time.Time) (time.Duration, bool) {
 	select {
-	case <-server.Ended():
+	case <-server.Exited():
 		return time.Until(killAt), true
 	case <-time.After(time.Until(killAt)):
 		server.Kill()
@@ -139,7 +139,7 @@
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		c.refused.Add(1)
 		select {
-		case <-c.server.Ended():
+		case <-c.server.Exited():
 			return false
 		case <-time.After(time.Millisecond):
 			return true
--- a/internal/servertest/link.go
+++ b/internal/servertest/link.go
@@ -71,13 +71,13 @@
 	return rest
 }
 
-// Column indexes in /proc/net/tcp, counted from 0; tcpColumns is the minimum number of columns in a row.
+// Column indexes in /proc/net/tcp, counted from 0; tcpMinColumns is the minimum number of columns in a row.
 const (
-	tcpLocal = iota + 1
-	tcpRemote
+	tcpLocalAddress = iota + 1
+	tcpRemoteAddress
 	tcpState
 	tcpQueues
-	tcpColumns
+	tcpMinColumns
 )
 
 // tcpTimeWait is the code of the state TIME_WAIT in /proc/net/tcp.
@@ -91,7 +91,7 @@
 	var rows [][]string
 	for _, line := range strings.Split(string(text), "\n") {
 		fields := strings.Fields(line)
-		if len(fields) >= tcpColumns {
+		if len(fields) >= tcpMinColumns {
 			rows = append(rows, fields)
 		}
 	}
@@ -107,20 +107,20 @@
 // program's send queue and the emulator's receive queue.
 func (s *Server) UnreadBytes(link *emulator.Link) int {
 	s.T.Helper()
-	near := portSuffix(link.LocalAddr())
-	far := portSuffix(link.RemoteAddr())
-	sum := 0
+	localPort := portSuffix(link.LocalAddr())
+	remotePort := portSuffix(link.RemoteAddr())
+	total := 0
 	for _, row := range s.tcpRows() {
 		var unsent, unread int
 		_, _ = fmt.Sscanf(row[tcpQueues], "%x:%x", &unsent, &unread)
-		if strings.HasSuffix(row[tcpLocal], far) && strings.HasSuffix(row[tcpRemote], near) {
-			sum += unsent
+		if strings.HasSuffix(row[tcpLocalAddress], remotePort) && strings.HasSuffix(row[tcpRemoteAddress], localPort) {
+			total += unsent
 		}
-		if strings.HasSuffix(row[tcpLocal], near) && strings.HasSuffix(row[tcpRemote], far) {
-			sum += unread
+		if strings.HasSuffix(row[tcpLocalAddress], localPort) && strings.HasSuffix(row[tcpRemoteAddress], remotePort) {
+			total += unread
 		}
 	}
-	return sum
+	return total
 }
 
 // PortInTimeWait reports whether a connection that the program closed still holds the port of Listen in TIME_WAIT.
@@ -129,7 +129,7 @@
 	listen, err := net.ResolveTCPAddr("tcp", s.Listen)
 	s.NoError(err)
 	for _, row := range s.tcpRows() {
-		if strings.HasSuffix(row[tcpLocal], portSuffix(listen)) && row[tcpState] == tcpTimeWait {
+		if strings.HasSuffix(row[tcpLocalAddress], portSuffix(listen)) && row[tcpState] == tcpTimeWait {
 			return true
 		}
 	}
--- a/internal/servertest/router_link.go
+++ b/internal/servertest/router_link.go
@@ -20,12 +20,12 @@
 func (s *Server) ConnectRouter() *RouterLink {
 	s.T.Helper()
 	var connection net.Conn
-	listens := func() bool {
+	canConnect := func() bool {
 		var err error
 		connection, err = net.Dial("tcp", s.Listen)
 		return err == nil
 	}
-	s.Eventually(listens, EventTimeout, 5*time.Millisecond)
+	s.Eventually(canConnect, EventTimeout, 5*time.Millisecond)
 	s.NoError(connection.SetDeadline(time.Now().Add(EventTimeout)))
 	s.T.Cleanup(func() { CloseQuietly(connection) })
 	return &RouterLink{s, emulator.NewLink(connection)}
@@ -55,14 +55,14 @@
 	r.WriteBytes(emulator.FastCGIRequest(slot, path, body, parameters))
 }
 
-// keepConnectionFlag is the offset of the byte with the FCGI_KEEP_CONN flag in the first record of a request.
-const keepConnectionFlag = 10
+// keepConnectionOffset is the offset of the byte with the FCGI_KEEP_CONN flag in the first record of a request.
+const keepConnectionOffset = 10
 
 // LastRequest returns emulator.FastCGIRequest with the FCGI_KEEP_CONN flag cleared, so that the program closes the
 // connection after the response.
 func LastRequest(slot uint16, path, body string, parameters map[string]string) []byte {
 	request := emulator.FastCGIRequest(slot, path, body, parameters)
-	request[keepConnectionFlag] = 0
+	request[keepConnectionOffset] = 0
 	return request
 }
 
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -85,7 +85,7 @@
 	Process *exec.Cmd
 
 	output       *clustertest.LogBuffer // the log of Process
-	ended        chan struct{}          // closed once Process has exited
+	exited       chan struct{}          // closed once Process has exited
 	requestCount int                    // number of identifiers returned by NewRequestID
 }
 
@@ -123,12 +123,12 @@
 }
 
 // ReplaceConfig replaces the first occurrence of a text in Config. The test fails if Config does not change.
-func (s *Server) ReplaceConfig(from, to string) {
+func (s *Server) ReplaceConfig(old, replacement string) {
 	s.T.Helper()
-	s.Contains(s.Config, from)
+	s.Contains(s.Config, old)
 	before := s.Config
-	s.Config = strings.Replace(s.Config, from, to, 1)
-	s.NotEqual(before, s.Config, from)
+	s.Config = strings.Replace(s.Config, old, replacement, 1)
+	s.NotEqual(before, s.Config, old)
 }
 
 // WriteFilesAndSignal writes the files and sends SIGHUP, on which the program reloads them. It does not wait for the
@@ -167,20 +167,20 @@
 	s.T.Helper()
 	process := s.newProcess()
 	log := &clustertest.LogBuffer{}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	process.Stdout = log
 	process.Stderr = log
 	s.NoError(process.Start())
 	s.Process = process
 	s.output = log
-	s.ended = ended
+	s.exited = exited
 	go func() {
 		_ = process.Wait() // the exit code is read from ProcessState
-		close(ended)
+		close(exited)
 	}()
 	s.T.Cleanup(func() {
 		_ = process.Process.Signal(syscall.SIGKILL) // fails if the process has exited
-		<-ended
+		<-exited
 		if s.T.Failed() {
 			s.T.Log(log.String())
 		}
@@ -195,13 +195,13 @@
 	s.T.Helper()
 	testBinary, err := os.Executable()
 	s.NoError(err)
-	line := slices.Concat(s.Wrapper, []string{cmp.Or(s.Program, testBinary)}, s.Args)
-	process := exec.Command(line[0], line[1:]...)
-	process.Env = append(os.Environ(), RunAsProgramEnv+"=1", RaceExitEnv, "PROXY_CONFIG="+s.Path)
+	commandLine := slices.Concat(s.Wrapper, []string{cmp.Or(s.Program, testBinary)}, s.Args)
+	command := exec.Command(commandLine[0], commandLine[1:]...)
+	command.Env = append(os.Environ(), RunAsProgramEnv+"=1", RaceExitEnv, "PROXY_CONFIG="+s.Path)
 	if s.Service != "" {
-		process.Env = append(process.Env, "THISTLEQUAY_SERVICE="+s.Path+".yaml")
+		command.Env = append(command.Env, "THISTLEQUAY_SERVICE="+s.Path+".yaml")
 	}
-	return process
+	return command
 }
 
 // Signal sends a signal to the program. The test fails if the program has exited.
@@ -214,7 +214,7 @@
 func (s *Server) Kill() {
 	s.T.Helper()
 	s.NoError(s.Process.Process.Kill())
-	<-s.ended
+	<-s.exited
 }
 
 // CloseQuietly closes a connection, listener or file and ignores the error, because the peer or the test may have
@@ -228,8 +228,8 @@
 // the text that follows a complete name.
 func (s *Server) EventCount(event string) int { return strings.Count(s.LogText(), "event="+event) }
 
-// Ended returns a channel that is closed once the process has exited.
-func (s *Server) Ended() <-chan struct{} { return s.ended }
+// Exited returns a channel that is closed once the process has exited.
+func (s *Server) Exited() <-chan struct{} { return s.exited }
 
 // WaitFor waits until a condition holds. The test fails if that takes longer than EventTimeout.
 func (s *Server) WaitFor(condition func() bool) {
@@ -254,7 +254,7 @@
 func (s *Server) WaitForExit() (int, string) {
 	s.T.Helper()
 	select {
-	case <-s.ended:
+	case <-s.exited:
 	case <-time.After(EventTimeout):
 		s.FailNow("the program did not exit within EventTimeout")
 	}
@@ -271,10 +271,10 @@
 }
 
 // StartWith is like Start, with one replacement in the configuration.
-func StartWith(t *testing.T, from, to string) (*Server, *InterpreterLink) {
+func StartWith(t *testing.T, old, replacement string) (*Server, *InterpreterLink) {
 	t.Helper()
 	server := New(t)
-	server.ReplaceConfig(from, to)
+	server.ReplaceConfig(old, replacement)
 	server.WriteFilesAndStart()
 	return server, server.AcceptInterpreter(0)
 }
--- a/internal/simulation/config_test.go
+++ b/internal/simulation/config_test.go
@@ -17,28 +17,28 @@
 // such requests a second.
 const requestCoreSeconds = 0.04
 
-// stream returns the load of one tenant through fifty routers for the whole run.
-func stream(tenant string, weight, arrivalsPerSecond float64) *emulator.Stream {
+// newStream returns the load of one tenant through fifty routers for the whole run.
+func newStream(tenant string, weight, arrivalsPerSecond float64) *emulator.Stream {
 	return &emulator.Stream{
 		Tenant:            tenant,
 		Weight:            weight,
 		ArrivalsPerSecond: arrivalsPerSecond,
-		To:                length(),
+		To:                durationSeconds(),
 		MeanCoreSeconds:   requestCoreSeconds,
 		PriorityWeight:    1,
 		Routers:           50,
 	}
 }
 
-// length returns the duration of a run in seconds: 40 in CI, or 300, as long as a load peak in production, if the
-// environment variable MEASURE requests the full measurement.
-func length() float64 { return schedule.Scale(40.0, 300.0) }
+// durationSeconds returns the duration of a run in seconds: 40 in CI, or 300, as long as a load peak in production, if
+// the environment variable MEASURE requests the full measurement.
+func durationSeconds() float64 { return schedule.Scale(40.0, 300.0) }
 
 // newConfig returns the configuration of a server with four cores and one category, with or without fair queues.
 func newConfig(fair bool, streams ...*emulator.Stream) Config {
 	config := Config{
 		Seed:            7,
-		DurationSeconds: length(),
+		DurationSeconds: durationSeconds(),
 		Cores:           4,
 		Slowdown:        0.02,
 		MemoryKB:        80_000,
--- a/internal/simulation/fairqueue_test.go
+++ b/internal/simulation/fairqueue_test.go
@@ -12,22 +12,22 @@
 	"thistlequay/timeunit"
 )
 
-// greedyTenant returns the load of three tenants that request less than their shares and of a fourth that requests ten
-// times its share.
-func greedyTenant() []*emulator.Stream {
+// greedyTenantStreams returns the load of three tenants that request less than their shares and of a fourth that
+// requests ten times its share.
+func greedyTenantStreams() []*emulator.Stream {
 	return []*emulator.Stream{
-		stream("kirken", 0.31, 20),
-		stream("byen", 0.29, 18),
-		stream("fjord", 0.23, 14),
-		stream("greedy", 0.17, 170),
+		newStream("kirken", 0.31, 20),
+		newStream("byen", 0.29, 18),
+		newStream("fjord", 0.23, 14),
+		newStream("greedy", 0.17, 170),
 	}
 }
 
 // Fair queues must protect tenants from a fourth one that exceeds its share: with them the other three get what they
 // are entitled to, without them they do not. The total delivered value must not fall by more than 3%.
 func TestMeasuredGreedyTenantTakesNothingFromOthers(t *testing.T) {
-	off := runConfig(t, "greedy", newConfig(false, greedyTenant()...))
-	on := runConfig(t, "greedy", newConfig(true, greedyTenant()...))
+	off := runConfig(t, "greedy", newConfig(false, greedyTenantStreams()...))
+	on := runConfig(t, "greedy", newConfig(true, greedyTenantStreams()...))
 	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord")
 	for _, tenant := range []string{"kirken", "byen", "fjord"} {
 		share := statsOf(t, off, tenant).DeliveredShare()
@@ -38,16 +38,16 @@
 	require.GreaterOrEqual(t, after.DeliveredValue, 0.97*before.DeliveredValue)
 }
 
-// newTenants returns the load of four configured tenants and of ten thousand new tenant names a minute.
-func newTenants() []*emulator.Stream {
-	flood := stream("flood", 0.1, 10_000.0/60)
+// newTenantStreams returns the load of four configured tenants and of ten thousand new tenant names a minute.
+func newTenantStreams() []*emulator.Stream {
+	flood := newStream("flood", 0.1, 10_000.0/60)
 	flood.Routers = 0
 	flood.TenantOf = func(request int) string { return fmt.Sprint("new-", request) }
 	return []*emulator.Stream{
-		stream("kirken", 0.27, 20),
-		stream("byen", 0.25, 18),
-		stream("fjord", 0.2, 14),
-		stream("lag", 0.18, 12),
+		newStream("kirken", 0.27, 20),
+		newStream("byen", 0.25, 18),
+		newStream("fjord", 0.2, 14),
+		newStream("lag", 0.18, 12),
 		flood,
 	}
 }
@@ -55,11 +55,11 @@
 // A flood of requests, each with a new tenant name, must take nothing from the configured tenants, and none of the
 // names may become a heavy hitter.
 func TestMeasuredFloodOfNewTenantsTakesNothingFromKnownOnes(t *testing.T) {
-	flooded := newConfig(true, newTenants()...)
+	config := newConfig(true, newTenantStreams()...)
 	var stats []fairqueue.Stats
-	flooded.OnSecond = func(_ int, scheduler *fairqueue.Scheduler) { stats = append(stats, scheduler.Stats()) }
-	runConfig(t, "flood", newConfig(false, newTenants()...))
-	on := runConfig(t, "flood", flooded)
+	config.OnSecond = func(_ int, scheduler *fairqueue.Scheduler) { stats = append(stats, scheduler.Stats()) }
+	runConfig(t, "flood", newConfig(false, newTenantStreams()...))
+	on := runConfig(t, "flood", config)
 	requireDelivered(t, on, 0.95, "kirken", "byen", "fjord", "lag")
 	for _, second := range stats {
 		require.Zero(t, second.HeavyHitters, "a new tenant name became a heavy hitter")
@@ -74,13 +74,13 @@
 		kirkenRate      = 36.0
 		byenRate        = 26.0
 	)
-	crowd := stream("crowd", 0.3, 900)
+	crowd := newStream("crowd", 0.3, 900)
 	crowd.To = 1.3
 	crowd.MaxRetries = 1
 	crowd.Routers = 1000
-	crowded := newConfig(true, stream("kirken", 0.4, kirkenRate), stream("byen", 0.3, byenRate), crowd)
-	crowded.MaxRetryAfter = 60 * ticksPerSecond // serving a thousand takes 30 s, which clients must honor
-	result := runConfig(t, "return-times", crowded)
+	config := newConfig(true, newStream("kirken", 0.4, kirkenRate), newStream("byen", 0.3, byenRate), crowd)
+	config.MaxRetryAfter = 60 * ticksPerSecond // serving a thousand takes 30 s, which clients must honor
+	result := runConfig(t, "return-times", config)
 
 	stats := statsOf(t, result, "crowd")
 	maxReturns := maxIn100ms(result.AdvisedRetries, "crowd")
@@ -111,36 +111,36 @@
 // Each case is a separate run with a load that is hard to schedule fairly, such as expensive requests, random tenant
 // names or overload by every tenant. minShares are the minimum fractions of their entitled value that tenants must get.
 func TestTenantsGetWhatTheyAreEntitledTo(t *testing.T) {
-	expensive := stream("dear", 0.17, 20)
+	expensive := newStream("dear", 0.17, 20)
 	expensive.MeanCoreSeconds = 30 * requestCoreSeconds
-	manyNames := stream("names", 0.1, 200)
+	manyNames := newStream("names", 0.1, 200)
 	manyNames.TenantOf = func(request int) string {
 		return fmt.Sprint(rand.New(rand.NewSource(int64(request))).Uint64())
 	}
-	oneRouter := stream("one", 0.5, 60)
+	oneRouter := newStream("one", 0.5, 60)
 	oneRouter.Routers = 1
-	manyRouters := stream("many", 0.5, 160)
+	manyRouters := newStream("many", 0.5, 160)
 	manyRouters.Routers = 1000
 	for name, test := range map[string]struct {
 		streams   []*emulator.Stream
 		minShares map[string]float64
 	}{
 		"dear": {
-			streams:   []*emulator.Stream{stream("kirken", 0.31, 20), stream("byen", 0.29, 18), expensive},
+			streams:   []*emulator.Stream{newStream("kirken", 0.31, 20), newStream("byen", 0.29, 18), expensive},
 			minShares: map[string]float64{"kirken": 0.95, "byen": 0.95},
 		},
 		"names": {
-			streams:   []*emulator.Stream{stream("kirken", 0.45, 35), stream("byen", 0.45, 35), manyNames},
+			streams:   []*emulator.Stream{newStream("kirken", 0.45, 35), newStream("byen", 0.45, 35), manyNames},
 			minShares: map[string]float64{"kirken": 0.95, "byen": 0.95, "names": 0.8},
 		},
 		"all-heavy": {
 			streams: []*emulator.Stream{
-				stream("a", 0.4, 100), stream("b", 0.3, 100), stream("c", 0.2, 100), stream("d", 0.1, 100),
+				newStream("a", 0.4, 100), newStream("b", 0.3, 100), newStream("c", 0.2, 100), newStream("d", 0.1, 100),
 			},
 			minShares: map[string]float64{"a": 0.9, "b": 0.9, "c": 0.9, "d": 0.9},
 		},
 		"alone": {
-			streams:   []*emulator.Stream{stream("alone", 0.1, 200)},
+			streams:   []*emulator.Stream{newStream("alone", 0.1, 200)},
 			minShares: map[string]float64{"alone": 0.9},
 		},
 		"one-and-many": {
@@ -165,18 +165,18 @@
 		removeKirkenAt  = 15
 		restoreKirkenAt = 25
 		drainAt         = 35
-		end             = 40
+		durationSeconds = 40
 	)
-	changing := newConfig(true, greedyTenant()...)
-	changing.WarmUpTime = 10 * ticksPerSecond
-	before := *changing.FairQueue
-	after := *changing.FairQueue
+	config := newConfig(true, greedyTenantStreams()...)
+	config.WarmUpTime = 10 * ticksPerSecond
+	before := *config.FairQueue
+	after := *config.FairQueue
 	after.Tenants = []fairqueue.Tenant{
 		{Name: "byen", Weight: 0.3},
 		{Name: "fjord", Weight: 0.2},
 		{Name: "greedy", Weight: 0.3},
 	}
-	changing.Reconfigure = func(at float64, scheduler *fairqueue.Scheduler) {
+	config.Reconfigure = func(at float64, scheduler *fairqueue.Scheduler) {
 		now := timeunit.Ticks(at * ticksPerSecond)
 		switch at {
 		case removeKirkenAt:
@@ -185,18 +185,18 @@
 			scheduler.Reconfigure(before, now)
 		}
 	}
-	changing.DrainAtSeconds = drainAt
-	result := runConfig(t, "changes", changing)
+	config.DrainAtSeconds = drainAt
+	result := runConfig(t, "changes", config)
 	for _, tenant := range []string{"byen", "fjord"} {
 		stats := statsOf(t, result, tenant)
-		require.GreaterOrEqual(t, float64(stats.OnTime), 0.97*drainAt/end*float64(stats.Requests), tenant)
+		require.GreaterOrEqual(t, float64(stats.OnTime), 0.97*drainAt/durationSeconds*float64(stats.Requests), tenant)
 	}
 	kirken := statsOf(t, result, "kirken")
 	require.GreaterOrEqual(t, float64(kirken.OnTime), 0.6*float64(kirken.Requests))
 }
 
 func TestSameSeedGivesSameOutcome(t *testing.T) {
-	first := Run(newConfig(true, greedyTenant()...))
-	second := Run(newConfig(true, greedyTenant()...))
+	first := Run(newConfig(true, greedyTenantStreams()...))
+	second := Run(newConfig(true, greedyTenantStreams()...))
 	require.Equal(t, first, second)
 }
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -9,21 +9,21 @@
 
 // host implements admission.Host. It carries out the decisions of the admission server on emulated cores.
 type host struct {
-	config        Config
-	server        *admission.Server
-	fairQueue     *fairqueue.Scheduler // nil if Config.FairQueue is nil
-	cores         *emulator.Cores
-	load          *emulator.Load
-	statsByTenant *emulator.StatsByTenant
-	requests      map[uint64]*request // by ID; removed by Release
-	requestsByJob map[*emulator.Job]*request
-	lastID        uint64
-	now           float64    // seconds
-	second        int        // the next full second at which callHooks calls the hooks
-	timer         float64    // when OnTimer is due, in seconds; +Inf if no timer is set
-	stopped       []*request // stopped runs whose end the next batch reports to the admission server
-	draining      bool
-	result        Result
+	config          Config
+	server          *admission.Server
+	fairQueue       *fairqueue.Scheduler // nil if Config.FairQueue is nil
+	cores           *emulator.Cores
+	load            *emulator.Load
+	statsByTenant   *emulator.StatsByTenant
+	requests        map[uint64]*request // by ID; removed by Release
+	requestsByJob   map[*emulator.Job]*request
+	lastID          uint64
+	now             float64    // seconds
+	nextHookSecond  int        // the next full second at which callHooks calls the hooks
+	timerDue        float64    // when OnTimer is due, in seconds; +Inf if no timer is set
+	stoppedRequests []*request // stopped runs whose end the next batch reports to the admission server
+	isDraining      bool
+	result          Result
 }
 
 // request is the state of an attempt from its arrival until the admission server releases it.
@@ -34,14 +34,14 @@
 	job          *emulator.Job // the run; nil before Run
 	softDeadline float64       // seconds
 	deadline     float64       // seconds
-	answered     bool
+	hasResponse  bool
 }
 
 // ticks returns the current time in ticks.
 func (h *host) ticks() timeunit.Ticks { return ticks(h.now) }
 
-// arrive enqueues an attempt at the admission server.
-func (h *host) arrive(attempt *emulator.Attempt) {
+// enqueue enqueues an attempt at the admission server.
+func (h *host) enqueue(attempt *emulator.Attempt) {
 	h.statsByTenant.RecordSent(attempt)
 	h.lastID++
 	category := &h.config.Categories[attempt.Stream.Category]
@@ -53,7 +53,7 @@
 	h.requests[h.lastID] = r
 	arrival := admission.Arrival{
 		Category: attempt.Stream.Category,
-		Router:   attempt.Router % routers,
+		Router:   attempt.Router % routerCount,
 		QueuedKB: requestMemoryKB,
 		ID:       h.lastID,
 		TimeLeft: category.Deadline,
@@ -70,12 +70,12 @@
 	r.handle = h.server.Enqueue(arrival)
 }
 
-// completed ends a run whose work is complete and records its response, unless the request already had a response.
-func (h *host) completed(job *emulator.Job) {
+// completeRun ends a run whose work is complete and records its response, unless the request already had a response.
+func (h *host) completeRun(job *emulator.Job) {
 	request := h.requestsByJob[job]
 	delete(h.requestsByJob, job)
-	if !request.answered {
-		h.answer(request)
+	if !request.hasResponse {
+		h.recordResponse(request)
 		stats := h.statsByTenant.ForAttempt(request.attempt)
 		if h.now <= request.softDeadline {
 			stats.OnTime++
@@ -87,9 +87,9 @@
 	request.handle.RunEnded(admission.Succeeded, ticks(h.now-job.StartedAt))
 }
 
-// answer records that the client got its response now.
-func (h *host) answer(request *request) {
-	request.answered = true
+// recordResponse records that the client got its response now.
+func (h *host) recordResponse(request *request) {
+	request.hasResponse = true
 	if h.now > request.deadline {
 		h.result.AnsweredPastDeadline++
 	}
@@ -109,7 +109,7 @@
 // Reject records a rejection with its Retry-After, and schedules a retry if the attempt has retries left.
 func (h *host) Reject(admitted *admission.Request, retryAfter timeunit.Ticks, _ bool) {
 	request := h.requests[admitted.ID]
-	h.answer(request)
+	h.recordResponse(request)
 	if h.fairQueue != nil {
 		retryAfter = request.reservation.RetryAfter(retryAfter, h.config.MaxRetryAfter, h.ticks())
 	}
@@ -126,7 +126,7 @@
 // Abort records the error response to a request that failed or reached its deadline.
 func (h *host) Abort(admitted *admission.Request) {
 	request := h.requests[admitted.ID]
-	h.answer(request)
+	h.recordResponse(request)
 	h.statsByTenant.ForAttempt(request.attempt).Aborted++
 }
 
@@ -135,7 +135,7 @@
 	request := h.requests[admitted.ID]
 	h.cores.Abort(request.job)
 	delete(h.requestsByJob, request.job)
-	h.stopped = append(h.stopped, request)
+	h.stoppedRequests = append(h.stoppedRequests, request)
 }
 
 // Release removes a request that the admission server no longer needs.
@@ -146,7 +146,7 @@
 }
 
 // SetTimer schedules OnTimer after a time, unless an earlier call is already scheduled.
-func (h *host) SetTimer(after timeunit.Ticks) { h.timer = min(h.timer, h.now+seconds(after)) }
+func (h *host) SetTimer(after timeunit.Ticks) { h.timerDue = min(h.timerDue, h.now+seconds(after)) }
 
 // ShareResult does nothing: no request has an idempotency key.
 func (h *host) ShareResult(*admission.Request) {}
--- a/internal/simulation/longrun_test.go
+++ b/internal/simulation/longrun_test.go
@@ -26,41 +26,41 @@
 // 1 MB from the second quarter to the last.
 func TestMeasuredLongRunKeepsServingAndDoesNotGrow(t *testing.T) {
 	const (
-		length            = 2700.0 // seconds
-		quarter           = 675    // seconds
-		sampleAt          = 300    // seconds after the start of each quarter
-		maxGrowthKB       = 1024
-		requestsPerSecond = 90
-		minShareOfBest    = 0.9
+		loadSeconds         = 2700.0
+		quarterSeconds      = 675
+		sampleOffsetSeconds = 300 // seconds after the start of each quarter
+		maxGrowthKB         = 1024
+		requestsPerSecond   = 90
+		minShareOfBest      = 0.9
 	)
 	var streams []*emulator.Stream
 	for i, tenant := range []string{"first", "second", "last"} {
-		from := length / 3 * float64(i)
+		from := loadSeconds / 3 * float64(i)
 		streams = append(streams, &emulator.Stream{
 			Tenant:            tenant,
 			Weight:            1,
 			ArrivalsPerSecond: requestsPerSecond,
 			From:              from,
-			To:                from + length/3,
+			To:                from + loadSeconds/3,
 			MeanCoreSeconds:   requestCoreSeconds,
 			PriorityWeight:    1,
 		})
 	}
-	longRun := newConfig(true, streams...)
-	longRun.DurationSeconds = length
-	longRun.UniqueRouterPerRequest = true
+	config := newConfig(true, streams...)
+	config.DurationSeconds = loadSeconds
+	config.UniqueRouterPerRequest = true
 	random := rand.New(rand.NewSource(3))
 	var heap []float64
-	longRun.OnSecond = func(second int, scheduler *fairqueue.Scheduler) {
+	config.OnSecond = func(second int, scheduler *fairqueue.Scheduler) {
 		now := timeunit.Ticks(second) * ticksPerSecond
 		tenant := []byte{byte(random.Intn(256)), byte(random.Intn(256)), byte(random.Intn(256))}
 		reservation := scheduler.Reserve(tenant, 0, 0, now)
 		reservation.Release(now)
-		if second%quarter == sampleAt {
+		if second%quarterSeconds == sampleOffsetSeconds {
 			heap = append(heap, heapKB())
 		}
 	}
-	result := Run(longRun)
+	result := Run(config)
 	best := 0.0
 	worst := 1.0
 	for _, stats := range result.Tenants {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -24,17 +24,17 @@
 
 // Parameters that are the same in every run.
 const (
-	routers         = 4
-	requestMemoryKB = 10   // memory of a queued request
-	runMemoryFactor = 4    // memory of a run, as a multiple of requestMemoryKB
-	entryKB         = 1    // memory of an idempotency entry
-	coldSpeed       = 0.3  // speed of a server that has just started, as a fraction of that of a warm one
-	overloadLimit   = 8    // runnable requests per core
-	settleSeconds   = 60.0 // time after the load before requests without a response count as unanswered
+	routerCount       = 4
+	requestMemoryKB   = 10   // memory of a queued request
+	runMemoryFactor   = 4    // memory of a run, as a multiple of requestMemoryKB
+	entryKB           = 1    // memory of an idempotency entry
+	coldSpeed         = 0.3  // speed of a server that has just started, as a fraction of that of a warm one
+	overloadThreshold = 8    // runnable requests per core
+	settleSeconds     = 60.0 // time after the load before requests without a response count as unanswered
 
 	batchInterval timeunit.Ticks = 10                 // 1 ms
 	drainGrace    timeunit.Ticks = 2 * ticksPerSecond // grace period of a drain
-	drainTime     timeunit.Ticks = 3 * ticksPerSecond // from Config.DrainAtSeconds until the process would be stopped
+	stopDelay     timeunit.Ticks = 3 * ticksPerSecond // from Config.DrainAtSeconds until the process would be stopped
 )
 
 // Config describes the server and the load of a run.
@@ -102,9 +102,9 @@
 		if math.IsInf(at, 1) || at > config.DurationSeconds+settleSeconds {
 			break
 		}
-		h.batch(at)
+		h.processBatch(at)
 	}
-	return h.finish()
+	return h.completeResult()
 }
 
 // newHost returns a host at time 0, with the admission server and the load of the configuration.
@@ -116,21 +116,21 @@
 		statsByTenant: emulator.NewStatsByTenant(config.Streams),
 		requests:      map[uint64]*request{},
 		requestsByJob: map[*emulator.Job]*request{},
-		timer:         math.Inf(1),
+		timerDue:      math.Inf(1),
 	}
 	if config.FairQueue != nil {
 		h.fairQueue = fairqueue.New(*config.FairQueue, rand.New(rand.NewSource(config.Seed)), 0)
 	}
 	h.server = admission.New(admission.Config{
 		Categories:        config.Categories,
-		Routers:           routers,
+		Routers:           routerCount,
 		Cores:             config.Cores,
 		MemoryKB:          config.MemoryKB,
 		RunMemoryFactor:   runMemoryFactor,
 		EntryKB:           entryKB,
 		BatchInterval:     batchInterval,
 		DrainGrace:        drainGrace,
-		OverloadThreshold: overloadLimit,
+		OverloadThreshold: overloadThreshold,
 		MaxRetryAfter:     config.MaxRetryAfter,
 		CanStopRuns:       true,
 		StartsCold:        config.WarmUpTime > 0,
@@ -142,32 +142,32 @@
 
 // nextEvent returns the time of the next event in seconds, or +Inf if there is none.
 func (h *host) nextEvent() float64 {
-	if len(h.stopped) > 0 {
+	if len(h.stoppedRequests) > 0 {
 		return h.now
 	}
-	return min(h.cores.NextCompletion(), h.load.Next(), h.timer)
+	return min(h.cores.NextCompletion(), h.load.Next(), h.timerDue)
 }
 
-// batch advances the time and reports all events of that moment to the admission server, like one iteration of the app
-// server's event loop.
-func (h *host) batch(at float64) {
+// processBatch advances the time and reports all events of that moment to the admission server, like one iteration of
+// the app server's event loop.
+func (h *host) processBatch(at float64) {
 	h.cores.AdvanceTo(at)
 	h.now = at
 	h.callHooks()
 	h.server.Advance(h.ticks())
-	if h.config.DrainAtSeconds > 0 && at >= h.config.DrainAtSeconds && !h.draining {
-		h.draining = true
-		h.server.Drain(drainTime)
+	if h.config.DrainAtSeconds > 0 && at >= h.config.DrainAtSeconds && !h.isDraining {
+		h.isDraining = true
+		h.server.Drain(stopDelay)
 	}
-	h.reportStopped()
+	h.reportStoppedRuns()
 	for job := h.cores.PopCompleted(); job != nil; job = h.cores.PopCompleted() {
-		h.completed(job)
+		h.completeRun(job)
 	}
 	for h.load.Next() <= at {
-		h.arrive(h.load.Pop())
+		h.enqueue(h.load.Pop())
 	}
-	if h.timer <= at {
-		h.timer = math.Inf(1)
+	if h.timerDue <= at {
+		h.timerDue = math.Inf(1)
 		utilization, runnable := h.cores.Gauges()
 		h.server.OnTimer(admission.Gauges{CoreUtilization: utilization, RunnableRequests: runnable})
 	}
@@ -176,29 +176,29 @@
 
 // callHooks calls OnSecond and Reconfigure for each full second that has been reached, until the end of the load.
 func (h *host) callHooks() {
-	for float64(h.second) <= h.now && h.now < h.config.DurationSeconds {
+	for float64(h.nextHookSecond) <= h.now && h.now < h.config.DurationSeconds {
 		if h.config.OnSecond != nil {
-			h.config.OnSecond(h.second, h.fairQueue)
+			h.config.OnSecond(h.nextHookSecond, h.fairQueue)
 		}
 		if h.config.Reconfigure != nil {
-			h.config.Reconfigure(float64(h.second), h.fairQueue)
+			h.config.Reconfigure(float64(h.nextHookSecond), h.fairQueue)
 		}
-		h.second++
+		h.nextHookSecond++
 	}
 }
 
-// reportStopped reports the end of the runs that the admission server stopped in the previous batch.
-func (h *host) reportStopped() {
-	for _, request := range h.stopped {
+// reportStoppedRuns reports the end of the runs that the admission server stopped in the previous batch.
+func (h *host) reportStoppedRuns() {
+	for _, request := range h.stoppedRequests {
 		request.handle.RunEnded(admission.Aborted, ticks(h.now-request.job.StartedAt))
 	}
-	h.stopped = h.stopped[:0]
+	h.stoppedRequests = h.stoppedRequests[:0]
 }
 
-// finish returns the completed result of the run.
-func (h *host) finish() Result {
+// completeResult returns the completed result of the run.
+func (h *host) completeResult() Result {
 	for _, request := range h.requests {
-		if !request.answered {
+		if !request.hasResponse {
 			h.result.Unanswered++
 		}
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -8,12 +8,12 @@
 
 // Time limits and fractions, from the user documentation.
 const (
-	// slack is added to every time limit when it is measured on sockets. A request that was written at most this long
-	// before its connection closed may not have reached the process.
-	slack = 50 * time.Millisecond
-	// readyObjective is the time within which readyFraction of the processes must be ready.
-	readyObjective = 10 * time.Second
-	readyFraction  = 0.9
+	// timeTolerance is added to every time limit when it is measured on sockets. A request that was written at most
+	// this long before its connection closed may not have reached the process.
+	timeTolerance = 50 * time.Millisecond
+	// maxReadyTime is the time within which minReadyFraction of the processes must be ready.
+	maxReadyTime     = 10 * time.Second
+	minReadyFraction = 0.9
 
 	// minRanDivisor sets how many requests must run: if at most one in five does, too few were observed for the other
 	// checks to mean anything.
@@ -22,17 +22,17 @@
 
 // Values of Violation.Check.
 const (
-	CheckUnanswered     = "unanswered"
-	CheckDuplicate      = "more than one response"
-	CheckLate           = "late response"
-	CheckRanTwice       = "ran twice"
-	CheckRanAfterGrace  = "ran after the grace period"
-	CheckReset          = "connection reset"
-	CheckKilled         = "killed at the stop timeout"
-	CheckExitCode       = "exit code"
-	CheckLog            = "log"
-	CheckReady          = "not ready in time"
-	CheckNothingToCheck = "too few requests ran"
+	CheckUnanswered        = "unanswered"
+	CheckDuplicateResponse = "more than one response"
+	CheckLateResponse      = "late response"
+	CheckRanTwice          = "ran twice"
+	CheckRanAfterGrace     = "ran after the grace period"
+	CheckReset             = "connection reset"
+	CheckKilled            = "killed at the stop timeout"
+	CheckExitCode          = "exit code"
+	CheckLog               = "log"
+	CheckReadyLate         = "not ready in time"
+	CheckTooFewRuns        = "too few requests ran"
 )
 
 // Violation is one violation of a rule.
@@ -45,8 +45,8 @@
 	Detail string
 }
 
-// logMarks are texts that must not occur in the log of a process.
-var logMarks = []string{"DATA RACE", "panic:", "invariant_violated", "fatal error:"}
+// forbiddenLogTexts are texts that must not occur in the log of a process.
+var forbiddenLogTexts = []string{"DATA RACE", "panic:", "invariant_violated", "fatal error:"}
 
 // Check returns the violations found in the observation of a run.
 func Check(o *Observation) (violations []Violation) {
@@ -58,7 +58,7 @@
 		ran += min(request.Runs, 1)
 	}
 	if ran <= len(o.Requests)/minRanDivisor {
-		report(CheckNothingToCheck, &Process{}, "%d of %d requests ran", ran, len(o.Requests))
+		report(CheckTooFewRuns, &Process{}, "%d of %d requests ran", ran, len(o.Requests))
 	}
 	for _, request := range o.Requests {
 		o.checkRequest(request, report)
@@ -71,38 +71,38 @@
 	ready := 0
 	for _, process := range o.Processes {
 		o.checkProcess(process, report)
-		if !process.ReadyAt.IsZero() && process.ReadyAt.Sub(process.StartedAt) <= readyObjective {
+		if !process.ReadyAt.IsZero() && process.ReadyAt.Sub(process.StartedAt) <= maxReadyTime {
 			ready++
 		}
 	}
-	if float64(ready) < readyFraction*float64(len(o.Processes)) {
-		report(CheckReady, &Process{}, "%d of %d processes were ready in time", ready, len(o.Processes))
+	if float64(ready) < minReadyFraction*float64(len(o.Processes)) {
+		report(CheckReadyLate, &Process{}, "%d of %d processes were ready in time", ready, len(o.Processes))
 	}
 	return violations
 }
 
-// reporter records a violation by a process. The format and its arguments become Violation.Detail.
-type reporter func(check string, process *Process, format string, args ...any)
+// reportFunc records a violation by a process. The format and its arguments become Violation.Detail.
+type reportFunc func(check string, process *Process, format string, args ...any)
 
 // checkRequest reports the violations in the responses and runs of a request.
-func (o *Observation) checkRequest(request *Request, report reporter) {
+func (o *Observation) checkRequest(request *Request, report reportFunc) {
 	process := request.Process
-	if len(request.Answers) > 1 {
-		report(CheckDuplicate, process, "%s has %d responses", request.ID, len(request.Answers))
+	if len(request.Responses) > 1 {
+		report(CheckDuplicateResponse, process, "%s has %d responses", request.ID, len(request.Responses))
 	}
 	if request.Runs > 1 {
 		report(CheckRanTwice, process, "%s ran %d times", request.ID, request.Runs)
 	}
-	graceEnd := process.NoticeAt.Add(o.Plan.Grace + slack)
-	if !process.NoticeAt.IsZero() && request.Runs > 0 && request.ReceivedAt.After(graceEnd) {
+	graceEnd := process.ShutdownAt.Add(o.Plan.GracePeriod + timeTolerance)
+	if !process.ShutdownAt.IsZero() && request.Runs > 0 && request.ReceivedAt.After(graceEnd) {
 		report(CheckRanAfterGrace, process, "%s arrived %v after the end of the grace period", request.ID,
 			request.ReceivedAt.Sub(graceEnd))
 	}
 	due := o.dueTime(request)
-	if len(request.Answers) > 0 && request.Answers[0].After(due) {
-		report(CheckLate, process, "%s is late by %v", request.ID, request.Answers[0].Sub(due))
+	if len(request.Responses) > 0 && request.Responses[0].After(due) {
+		report(CheckLateResponse, process, "%s is late by %v", request.ID, request.Responses[0].Sub(due))
 	}
-	if len(request.Answers) == 0 && !o.mayBeUnanswered(request) {
+	if len(request.Responses) == 0 && !o.mayBeUnanswered(request) {
 		report(CheckUnanswered, process, "%s ran %d times and was written %v before the end of its connection",
 			request.ID, request.Runs, request.ClosedAt.Sub(request.WrittenAt))
 	}
@@ -112,9 +112,9 @@
 // was stopped with SIGSTOP does not count.
 func (o *Observation) dueTime(request *Request) time.Time {
 	process := request.Process
-	due := request.ReceivedAt.Add(request.Budget + slack + o.Lateness)
-	pauseEnd := process.NoticeAt.Add(process.Pause)
-	if process.Pause > 0 && due.After(process.NoticeAt) && request.ReceivedAt.Before(pauseEnd) {
+	due := request.ReceivedAt.Add(request.Budget + timeTolerance + o.Lateness)
+	pauseEnd := process.ShutdownAt.Add(process.Pause)
+	if process.Pause > 0 && due.After(process.ShutdownAt) && request.ReceivedAt.Before(pauseEnd) {
 		due = due.Add(process.Pause)
 	}
 	return due
@@ -126,8 +126,9 @@
 	if request.Process.hasCrashedBefore(o.dueTime(request)) {
 		return true
 	}
-	hasCrossed := !request.ClosedAt.IsZero() && request.WrittenAt.After(request.ClosedAt.Add(-slack-o.Lateness))
-	return hasCrossed && request.Runs == 0
+	crossedClose := !request.ClosedAt.IsZero() &&
+		request.WrittenAt.After(request.ClosedAt.Add(-timeTolerance-o.Lateness))
+	return crossedClose && request.Runs == 0
 }
 
 // hasCrashedBefore reports whether the run had killed the process without SIGTERM by a given time.
@@ -136,16 +137,16 @@
 }
 
 // checkProcess reports the violations in the log and the exit of a process.
-func (o *Observation) checkProcess(process *Process, report reporter) {
-	for _, mark := range logMarks {
-		if strings.Contains(process.Log, mark) {
-			report(CheckLog, process, "the log contains %q", mark)
+func (o *Observation) checkProcess(process *Process, report reportFunc) {
+	for _, text := range forbiddenLogTexts {
+		if strings.Contains(process.Log, text) {
+			report(CheckLog, process, "the log contains %q", text)
 		}
 	}
 	if !process.CrashedAt.IsZero() {
 		return
 	}
-	if process.Killed {
+	if process.WasKilled {
 		report(CheckKilled, process, "%v after SIGTERM", o.Plan.StopTimeout)
 		return
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,67 +13,67 @@
 
 // Parameters of the clients.
 const (
-	maxThinkTime  = 30 * time.Millisecond  // maximum time between two requests of a client
-	halfPause     = 60 * time.Millisecond  // between the two halves of a request that is sent in two writes
-	redialPause   = 2 * time.Millisecond   // after a failed dial, and between checks of the number of open requests
-	restTime      = 400 * time.Millisecond // longer idle time between two requests
-	minBudget     = 200 * time.Millisecond
-	maxBudget     = 1500 * time.Millisecond
-	maxWorkMs     = 30
-	maxOpen       = 8 // maximum number of open requests of a connection
-	crowdStay     = 20 * time.Millisecond
-	tenant        = "acme"
-	crowdClients  = 24
-	behaviours    = 4
-	keyedFraction = 0.3
+	maxThinkTime           = 30 * time.Millisecond  // maximum time between two requests of a client
+	splitWriteDelay        = 60 * time.Millisecond  // between the two halves of a request that is sent in two writes
+	retryInterval          = 2 * time.Millisecond   // after a failed dial, and between checks for open requests
+	idleTime               = 400 * time.Millisecond // longer idle time between two requests
+	minBudget              = 200 * time.Millisecond
+	maxBudget              = 1500 * time.Millisecond
+	maxWorkMs              = 30
+	maxOpenRequests        = 8 // maximum number of open requests of a connection
+	connectOnlyReadTimeout = 20 * time.Millisecond
+	tenantName             = "acme"
+	connectOnlyClients     = 24
+	behaviorCount          = 4
+	keyedFraction          = 0.3
 )
 
 // client sends requests to one server. It reconnects whenever the server closes the connection, until the server's last
 // process has exited.
 type client struct {
-	run    *run
-	target *target
-	random *rand.Rand
-	number int
-	sent   int
+	run       *run
+	target    *target
+	random    *rand.Rand
+	number    int
+	sentCount int
 }
 
-// connection is one connection of a client. Methods other than read belong to the goroutine of the client.
+// connection is one connection of a client. Methods other than readResponses belong to the goroutine of the client.
 type connection struct {
 	*emulator.Link
 	client  *client
 	process *Process
 
-	lock    sync.Mutex
-	open    map[uint16]*Request // requests without a response, by request slot
-	endRead bool                // whether read has read the end of the connection
-	ended   chan struct{}       // closed when read returns
+	lock         sync.Mutex
+	openRequests map[uint16]*Request // requests without a response, by request slot
+	hasReadEnd   bool                // whether readResponses has read the end of the connection
+	ended        chan struct{}       // closed when readResponses returns
 }
 
-// loop connects again and again until the server's last process has exited.
-func (c *client) loop() {
-	for !c.target.isOver() {
-		c.connect()
+// sendLoop connects again and again until the server's last process has exited.
+func (c *client) sendLoop() {
+	for !c.target.isFinished() {
+		c.runConnection()
 	}
 }
 
-// connect opens a connection and sends requests on it until the server closes it.
-func (c *client) connect() {
-	process := c.target.current()
+// runConnection opens a connection and sends requests on it until the server closes it.
+func (c *client) runConnection() {
+	process := c.target.currentProcess()
 	link, err := emulator.Dial(c.target.server.RouterAddress)
 	if err != nil {
 		c.run.recordReset(process, err, "dial")
-		time.Sleep(redialPause)
+		time.Sleep(retryInterval)
 		return
 	}
 	connection := &connection{
-		Link:    link,
-		client:  c,
-		process: process,
-		open:    map[uint16]*Request{},
-		ended:   make(chan struct{}),
+		Link:         link,
+		client:       c,
+		process:      process,
+		openRequests: map[uint16]*Request{},
+		ended:        make(chan struct{}),
 	}
-	go connection.read()
+	go connection.readResponses()
 	for slot := uint16(1); connection.isOpen(); slot = slot%0xfff0 + 1 {
 		if !connection.sendNext(slot) {
 			break
@@ -93,8 +93,8 @@
 	}
 }
 
-// wait waits for a duration, or until the connection ends.
-func (c *connection) wait(duration time.Duration) {
+// waitOrEnd waits for a duration, or until the connection ends.
+func (c *connection) waitOrEnd(duration time.Duration) {
 	select {
 	case <-c.ended:
 	case <-time.After(duration):
@@ -105,42 +105,42 @@
 // returns false if the connection can no longer be written to.
 func (c *connection) sendNext(slot uint16) bool {
 	random := c.client.random
-	for c.openCount() >= maxOpen && c.isOpen() {
-		c.wait(redialPause)
+	for c.openRequestCount() >= maxOpenRequests && c.isOpen() {
+		c.waitOrEnd(retryInterval)
 	}
-	switch random.Intn(behaviours) {
+	switch random.Intn(behaviorCount) {
 	case 0:
-		c.wait(restTime)
+		c.waitOrEnd(idleTime)
 	case 1:
-		c.wait(time.Duration(random.Int63n(int64(maxThinkTime))))
+		c.waitOrEnd(time.Duration(random.Int63n(int64(maxThinkTime))))
 	}
 	request, data := c.newRequest(slot)
-	if random.Intn(behaviours) == 0 {
+	if random.Intn(behaviorCount) == 0 {
 		half := len(data) / 2
 		if _, err := c.Write(data[:half]); err != nil {
 			return false
 		}
 		data = data[half:]
-		c.wait(halfPause)
+		c.waitOrEnd(splitWriteDelay)
 	}
-	return c.writeLast(slot, request, data)
+	return c.finishRequest(slot, request, data)
 }
 
-// writeLast writes the rest of a request, which then must get a response. It writes nothing and returns false if the
-// end of the connection has been read.
-func (c *connection) writeLast(slot uint16, request *Request, data []byte) bool {
+// finishRequest writes the rest of a request, which then must get a response. It writes nothing and returns false if
+// the end of the connection has been read.
+func (c *connection) finishRequest(slot uint16, request *Request, data []byte) bool {
 	c.lock.Lock()
-	if c.endRead {
+	if c.hasReadEnd {
 		c.lock.Unlock()
 		return false
 	}
-	c.open[slot] = request
+	c.openRequests[slot] = request
 	c.lock.Unlock()
 	request.WrittenAt = time.Now()
 	_, err := c.Write(data)
 	if err != nil {
 		c.lock.Lock()
-		delete(c.open, slot)
+		delete(c.openRequests, slot)
 		c.lock.Unlock()
 		return false
 	}
@@ -148,21 +148,21 @@
 	return true
 }
 
-// openCount returns the number of requests without a response.
-func (c *connection) openCount() int {
+// openRequestCount returns the number of requests without a response.
+func (c *connection) openRequestCount() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return len(c.open)
+	return len(c.openRequests)
 }
 
 // newRequest returns a new random request and its FastCGI records.
 func (c *connection) newRequest(slot uint16) (*Request, []byte) {
 	client := c.client
 	random := client.random
-	client.sent++
-	id := fmt.Sprintf("%04x%04x%08x", client.target.server.Index, client.number, client.sent)
+	client.sentCount++
+	id := fmt.Sprintf("%04x%04x%08x", client.target.server.Index, client.number, client.sentCount)
 	budget := minBudget + time.Duration(random.Int63n(int64(maxBudget-minBudget)))
-	parameters := emulator.RequestParameters(id, tenant, budget)
+	parameters := emulator.RequestParameters(id, tenantName, budget)
 	category := "look"
 	if random.Float64() < keyedFraction {
 		category = "book"
@@ -173,8 +173,8 @@
 	return request, emulator.FastCGIRequest(slot, "/rpc/"+category, body, parameters)
 }
 
-// read records responses until the connection ends.
-func (c *connection) read() {
+// readResponses records responses until the connection ends.
+func (c *connection) readResponses() {
 	defer close(c.ended)
 	for {
 		response, err := c.ReadResponse()
@@ -182,35 +182,36 @@
 		if err != nil {
 			c.client.run.recordReset(c.process, err, "read")
 			c.lock.Lock()
-			c.endRead = true
-			c.client.run.observation.setClosed(c.open, now)
+			c.hasReadEnd = true
+			c.client.run.observation.setClosed(c.openRequests, now)
 			c.lock.Unlock()
 			return
 		}
 		c.lock.Lock()
-		request := c.open[response.Slot]
-		delete(c.open, response.Slot)
+		request := c.openRequests[response.Slot]
+		delete(c.openRequests, response.Slot)
 		c.lock.Unlock()
 		if request == nil {
 			c.client.run.recordUnexpected(c.process, now)
 			continue
 		}
-		c.client.run.observation.addAnswer(request, now)
-		c.client.run.ended(c.client.target, request)
+		c.client.run.observation.addResponse(request, now)
+		c.client.run.notifyRequestEnded(c.client.target, request)
 	}
 }
 
-// crowd opens connections one after the other, without sending requests, until the server's last process has exited.
-func (c *client) crowd() {
-	for !c.target.isOver() {
-		process := c.target.current()
+// connectLoop opens connections one after the other, without sending requests, until the server's last process has
+// exited.
+func (c *client) connectLoop() {
+	for !c.target.isFinished() {
+		process := c.target.currentProcess()
 		link, err := emulator.Dial(c.target.server.RouterAddress)
 		if err != nil {
 			c.run.recordReset(process, err, "dial of a connect-only client")
-			time.Sleep(redialPause)
+			time.Sleep(retryInterval)
 			continue
 		}
-		_ = link.SetReadDeadline(time.Now().Add(crowdStay))
+		_ = link.SetReadDeadline(time.Now().Add(connectOnlyReadTimeout))
 		_, err = link.ReadResponse()
 		c.run.recordReset(process, err, "read of a connect-only client")
 		_ = link.Close() // the connection carried no request
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -7,6 +7,6 @@
 //   - A process that receives SIGTERM exits with code 0 before it is killed. The kill comes at the earliest moment that
 //     the protocol allows.
 //
-// Draw generates a Plan from a seed, Play carries it out, and Check finds the violations in the Observation. The same
+// NewPlan generates a Plan from a seed, Run carries it out, and Check finds the violations in the Observation. The same
 // seed repeats a run, as far as the timing of processes allows.
 package soak
--- a/internal/soak/observation.go
+++ b/internal/soak/observation.go
@@ -16,12 +16,12 @@
 	ExitedAt  time.Time
 	// CrashedAt is when the run killed the process without a SIGTERM before; zero if it did not.
 	CrashedAt time.Time
-	// NoticeAt is when SIGTERM was sent to the process.
-	NoticeAt time.Time
-	// Pause is how long the process was stopped with SIGSTOP, from NoticeAt on. Time limits are longer by this time.
+	// ShutdownAt is when SIGTERM was sent to the process.
+	ShutdownAt time.Time
+	// Pause is how long the process was stopped with SIGSTOP, from ShutdownAt on. Time limits are longer by this time.
 	Pause time.Duration
-	// Killed reports whether the process had to be killed because it had not exited by the stop timeout.
-	Killed bool
+	// WasKilled reports whether the process had to be killed because it had not exited by the stop timeout.
+	WasKilled bool
 	// ExitCode is the exit code, and Log is all that the process logged.
 	ExitCode int
 	Log      string
@@ -36,8 +36,8 @@
 	ReceivedAt time.Time
 	WrittenAt  time.Time
 	Budget     time.Duration
-	// Answers are the times at which responses to the request were read.
-	Answers []time.Time
+	// Responses are the times at which responses to the request were read.
+	Responses []time.Time
 	// ClosedAt is when the end of its connection was read; zero if the request had its response before, or the
 	// connection outlived the run.
 	ClosedAt time.Time
@@ -79,11 +79,11 @@
 	o.Resets = append(o.Resets, reset)
 }
 
-// addAnswer records the time of a response to a request.
-func (o *Observation) addAnswer(request *Request, at time.Time) {
+// addResponse records the time of a response to a request.
+func (o *Observation) addResponse(request *Request, at time.Time) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	request.Answers = append(request.Answers, at)
+	request.Responses = append(request.Responses, at)
 }
 
 // setClosed records when the connection of requests without a response ended.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,17 +8,17 @@
 	"thistlequay/internal/emulator"
 )
 
-// Plan describes one run. Draw generates all of it from the seed.
+// Plan describes one run. NewPlan generates all of it from the seed.
 type Plan struct {
 	Seed int64
 	// StopTimeout is the setting stop_ms: the time from SIGTERM until the process is killed.
 	StopTimeout time.Duration
-	// Grace is the grace period: the time after SIGTERM in which requests that arrive may still run.
-	Grace time.Duration
+	// GracePeriod is the grace period: the time after SIGTERM in which requests that arrive may still run.
+	GracePeriod time.Duration
 	// ClientsPerServer is the number of clients that send requests to each server.
 	ClientsPerServer int
-	// HasCrowd adds clients that only open connections, one after the other, and send no requests.
-	HasCrowd bool
+	// HasConnectOnlyClients adds clients that only open connections, one after the other, and send no requests.
+	HasConnectOnlyClients bool
 	// Gossip, FairQueues and Store enable optional subsystems.
 	Gossip     bool
 	FairQueues bool
@@ -29,8 +29,8 @@
 	IndexReplies []emulator.IndexReply
 	// IndexDelay is the delay of each reply of the index.
 	IndexDelay time.Duration
-	// DirectoryAway makes the directory refuse connections.
-	DirectoryAway bool
+	// IsDirectoryDown makes the directory refuse connections.
+	IsDirectoryDown bool
 	// Servers has the plan of each server.
 	Servers []ServerPlan
 }
@@ -40,48 +40,48 @@
 	// Crashes has the server killed at CrashAt, without a SIGTERM before, and restarted at once.
 	Crashes bool
 	CrashAt time.Duration
-	// Before are signals sent just before SIGTERM, in order.
-	Before []syscall.Signal
-	// NoticeAt is when SIGTERM is sent.
-	NoticeAt time.Duration
+	// SignalsBefore are signals sent just before SIGTERM, in order.
+	SignalsBefore []syscall.Signal
+	// ShutdownAt is when SIGTERM is sent.
+	ShutdownAt time.Duration
 	// Pause is how long the process is stopped (SIGSTOP) from just before SIGTERM on; 0 for no pause.
 	Pause time.Duration
-	// After are signals sent after SIGTERM and the pause, in order.
-	After []syscall.Signal
+	// SignalsAfter are signals sent after SIGTERM and the pause, in order.
+	SignalsAfter []syscall.Signal
 }
 
 const (
 	maxServers = 4
-	// crashTime is the latest time of a crash. restartTime is the earliest time of SIGTERM, which leaves a crashed
-	// server time to restart.
-	crashTime    = 500 * time.Millisecond
-	restartTime  = 1500 * time.Millisecond
-	noticeTime   = time.Second // SIGTERM is sent at most this long after restartTime
-	maxPause     = 300         // milliseconds
-	evenFounders = 2           // number of servers with which gossip is disabled
-	// maxSeries is the largest number of signals before or after SIGTERM.
-	maxSeries = 3
+	// maxCrashTime is the latest time of a crash. minShutdownTime is the earliest time of SIGTERM, which leaves a
+	// crashed server time to restart.
+	maxCrashTime     = 500 * time.Millisecond
+	minShutdownTime  = 1500 * time.Millisecond
+	maxShutdownDelay = time.Second // SIGTERM is sent at most this long after minShutdownTime
+	maxPauseMs       = 300         // milliseconds
+	evenFounderCount = 2           // number of servers with which gossip is disabled
+	// maxSignals is the largest number of signals before or after SIGTERM.
+	maxSignals = 3
 )
 
-// Draw generates a random plan from a seed.
-func Draw(seed int64) Plan {
+// NewPlan generates a random plan from a seed.
+func NewPlan(seed int64) Plan {
 	random := rand.New(rand.NewSource(seed))
 	isOneIn := func(n int) bool { return random.Intn(n) == 0 }
 	milliseconds := func(least, most int) time.Duration {
 		return time.Duration(least+random.Intn(most-least+1)) * time.Millisecond
 	}
 	plan := Plan{
-		Seed:             seed,
-		StopTimeout:      milliseconds(1200, 3000),
-		Grace:            milliseconds(100, 600),
-		ClientsPerServer: 4 + random.Intn(12),
-		HasCrowd:         isOneIn(3),
-		Gossip:           isOneIn(3),
-		FairQueues:       isOneIn(2),
-		Store:            isOneIn(3),
-		IndexReplies:     []emulator.IndexReply{emulator.ReplyHit},
-		IndexDelay:       milliseconds(1, 20),
-		DirectoryAway:    isOneIn(5),
+		Seed:                  seed,
+		StopTimeout:           milliseconds(1200, 3000),
+		GracePeriod:           milliseconds(100, 600),
+		ClientsPerServer:      4 + random.Intn(12),
+		HasConnectOnlyClients: isOneIn(3),
+		Gossip:                isOneIn(3),
+		FairQueues:            isOneIn(2),
+		Store:                 isOneIn(3),
+		IndexReplies:          []emulator.IndexReply{emulator.ReplyHit},
+		IndexDelay:            milliseconds(1, 20),
+		IsDirectoryDown:       isOneIn(5),
 	}
 	if isOneIn(2) {
 		plan.CallProbability = random.Float64()
@@ -96,27 +96,27 @@
 	}
 	for range 1 + random.Intn(maxServers) {
 		server := ServerPlan{
-			Crashes:  isOneIn(4),
-			CrashAt:  milliseconds(0, int(crashTime.Milliseconds())),
-			NoticeAt: restartTime + milliseconds(0, int(noticeTime.Milliseconds())),
-			Before:   series(random, syscall.SIGHUP),
-			After:    series(random, syscall.SIGHUP, syscall.SIGTERM),
+			Crashes:       isOneIn(4),
+			CrashAt:       milliseconds(0, int(maxCrashTime.Milliseconds())),
+			ShutdownAt:    minShutdownTime + milliseconds(0, int(maxShutdownDelay.Milliseconds())),
+			SignalsBefore: randomSignals(random, syscall.SIGHUP),
+			SignalsAfter:  randomSignals(random, syscall.SIGHUP, syscall.SIGTERM),
 		}
 		if isOneIn(3) {
-			server.Pause = milliseconds(1, maxPause)
+			server.Pause = milliseconds(1, maxPauseMs)
 		}
 		plan.Servers = append(plan.Servers, server)
 	}
-	if len(plan.Servers) == evenFounders { // the program rejects an even number of founders
+	if len(plan.Servers) == evenFounderCount { // the program rejects an even number of founders
 		plan.Gossip = false
 	}
 	return plan
 }
 
-// series returns up to maxSeries random signals.
-func series(random *rand.Rand, from ...syscall.Signal) (signals []syscall.Signal) {
-	for range random.Intn(maxSeries + 1) {
-		signals = append(signals, from[random.Intn(len(from))])
+// randomSignals returns up to maxSignals random signals.
+func randomSignals(random *rand.Rand, candidates ...syscall.Signal) (signals []syscall.Signal) {
+	for range random.Intn(maxSignals + 1) {
+		signals = append(signals, candidates[random.Intn(len(candidates))])
 	}
 	return signals
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,7 +16,7 @@
 	"thistlequay/internal/servertest"
 )
 
-// Options are the parameters of Play that do not depend on the plan.
+// Options are the parameters of Run that do not depend on the plan.
 type Options struct {
 	// Program is the path of the program. Env is added to its environment.
 	Program string
@@ -31,7 +31,7 @@
 	observation *Observation
 	cluster     *clustertest.Cluster
 	targets     []*target
-	servingAt   time.Time // when all servers were ready
+	readyAt     time.Time // when all servers were ready
 }
 
 // target is one server of a run and its current process.
@@ -39,29 +39,29 @@
 	server *clustertest.Server
 	plan   ServerPlan
 
-	lock    sync.Mutex
-	process *Process
-	logFrom int  // offset of the process's log in the log of the server
-	over    bool // whether the last process has exited
+	lock        sync.Mutex
+	process     *Process
+	logOffset   int  // offset of the process's log in the log of the server
+	hasFinished bool // whether the last process has exited
 }
 
-// current returns the current process.
-func (t *target) current() *Process {
+// currentProcess returns the current process.
+func (t *target) currentProcess() *Process {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.process
 }
 
-// isOver reports whether the server's last process has exited.
-func (t *target) isOver() bool {
+// isFinished reports whether the server's last process has exited.
+func (t *target) isFinished() bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	return t.over
+	return t.hasFinished
 }
 
-// Play carries out a plan and returns what was observed. It returns an error if the servers could not be started;
+// Run carries out a plan and returns what was observed. It returns an error if the servers could not be started;
 // violations of the rules are no errors.
-func Play(plan Plan, options Options) (*Observation, error) {
+func Run(plan Plan, options Options) (*Observation, error) {
 	cluster, err := newCluster(plan, options)
 	if err != nil {
 		return nil, err
@@ -74,9 +74,9 @@
 	if err := r.startAll(); err != nil {
 		return nil, err
 	}
-	stopWatching := r.watchLateness()
-	r.playAll()
-	stopWatching()
+	stopMeasuring := r.measureLateness()
+	r.runServers()
+	stopMeasuring()
 	r.countRuns()
 	return r.observation, nil
 }
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	settings["Servers"] = len(plan.Servers)
-	settings["Rules"].(map[string]any)["DrainGrace"] = float64(plan.Grace.Milliseconds())
+	settings["Rules"].(map[string]any)["DrainGrace"] = float64(plan.GracePeriod.Milliseconds())
 	index, err := emulator.NewIndex()
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	for _, server := range cluster.Servers {
 		server.Interpreter.CallProbability = plan.CallProbability
 	}
-	if plan.DirectoryAway {
+	if plan.IsDirectoryDown {
 		err = cluster.Directory.Listener.Listener.Close()
 	}
 	return cluster, err
@@ -149,7 +149,7 @@
 				return err
 			}
 		}
-		if err := r.start(target); err != nil {
+		if err := r.startProcess(target); err != nil {
 			return err
 		}
 	}
@@ -158,16 +158,16 @@
 			return err
 		}
 	}
-	r.servingAt = time.Now()
+	r.readyAt = time.Now()
 	return nil
 }
 
-// start starts a new process of a server and records it in the observation.
-func (r *run) start(target *target) error {
+// startProcess starts a new process of a server and records it in the observation.
+func (r *run) startProcess(target *target) error {
 	process := &Process{Server: target.server.Name, StartedAt: time.Now()}
 	target.lock.Lock()
 	target.process = process
-	target.logFrom = len(target.server.Log.String())
+	target.logOffset = len(target.server.Log.String())
 	target.lock.Unlock()
 	r.observation.lock.Lock()
 	r.observation.Processes = append(r.observation.Processes, process)
@@ -177,7 +177,7 @@
 
 // waitUntilReady waits until a server is ready and records the time.
 func (r *run) waitUntilReady(target *target) error {
-	process := target.current()
+	process := target.currentProcess()
 	err := emulator.WaitUntilServing(target.server.RouterAddress)
 	if err != nil {
 		return fmt.Errorf("%w; log of the server:\n%s", err, target.server.Log)
@@ -186,21 +186,21 @@
 	return nil
 }
 
-// playAll carries out the plans of all servers and runs their clients. It returns when all processes have exited.
-func (r *run) playAll() {
-	var all sync.WaitGroup
+// runServers carries out the plans of all servers and runs their clients. It returns when all processes have exited.
+func (r *run) runServers() {
+	var tasks sync.WaitGroup
 	for _, target := range r.targets {
 		for number := range r.plan.ClientsPerServer {
-			all.Go(r.newClient(target, number).loop)
+			tasks.Go(r.newClient(target, number).sendLoop)
 		}
-		if r.plan.HasCrowd {
-			for number := range crowdClients {
-				all.Go(r.newClient(target, r.plan.ClientsPerServer+number).crowd)
+		if r.plan.HasConnectOnlyClients {
+			for number := range connectOnlyClients {
+				tasks.Go(r.newClient(target, r.plan.ClientsPerServer+number).connectLoop)
 			}
 		}
-		all.Go(func() { r.playServer(target) })
+		tasks.Go(func() { r.runServer(target) })
 	}
-	all.Wait()
+	tasks.Wait()
 }
 
 // newClient returns a client of a server, with random numbers seeded by the plan, the server and the client's number.
@@ -209,26 +209,26 @@
 	return &client{run: r, target: target, random: rand.New(rand.NewSource(seed)), number: number}
 }
 
-// playServer carries out the plan of a started server until its last process has exited.
-func (r *run) playServer(target *target) {
+// runServer carries out the plan of a started server until its last process has exited.
+func (r *run) runServer(target *target) {
 	if target.plan.Crashes {
-		r.sleepUntil(r.servingAt.Add(target.plan.CrashAt))
+		r.sleepUntil(r.readyAt.Add(target.plan.CrashAt))
 		r.crash(target)
 	}
-	r.sleepUntil(r.servingAt.Add(target.plan.NoticeAt))
+	r.sleepUntil(r.readyAt.Add(target.plan.ShutdownAt))
 	r.shutDown(target)
 	target.lock.Lock()
-	target.over = true
+	target.hasFinished = true
 	target.lock.Unlock()
 }
 
 // crash kills the process of a server without a SIGTERM before, and starts another.
 func (r *run) crash(target *target) {
-	process := target.current()
+	process := target.currentProcess()
 	process.CrashedAt = time.Now()
 	_ = target.server.Kill() // fails if the process has exited; why is in its log
-	r.completeProcess(target, process)
-	if r.start(target) == nil {
+	r.recordLog(target, process)
+	if r.startProcess(target) == nil {
 		_ = r.waitUntilReady(target) // on failure ReadyAt stays zero, which Check counts
 	}
 }
@@ -236,39 +236,39 @@
 // shutDown sends SIGTERM and the other signals of the plan, and kills the process if it has not exited by the stop
 // timeout.
 func (r *run) shutDown(target *target) {
-	process := target.current()
+	process := target.currentProcess()
 	server := target.server
 	signalAll := func(signals []syscall.Signal) {
 		for _, signal := range signals {
 			_ = server.Signal(signal) // fails if the process has exited; Check sees its exit code
 		}
 	}
-	signalAll(target.plan.Before)
+	signalAll(target.plan.SignalsBefore)
 	if target.plan.Pause > 0 {
 		_ = server.Signal(syscall.SIGSTOP)
 	}
 	process.Pause = target.plan.Pause
-	process.NoticeAt = time.Now()
+	process.ShutdownAt = time.Now()
 	_ = server.Signal(syscall.SIGTERM)
 	if target.plan.Pause > 0 {
-		r.sleepUntil(process.NoticeAt.Add(target.plan.Pause))
+		r.sleepUntil(process.ShutdownAt.Add(target.plan.Pause))
 		_ = server.Signal(syscall.SIGCONT)
 	}
-	signalAll(target.plan.After)
+	signalAll(target.plan.SignalsAfter)
 	select {
 	case <-server.Exited():
-	case <-time.After(time.Until(process.NoticeAt.Add(r.plan.StopTimeout))):
-		process.Killed = true
+	case <-time.After(time.Until(process.ShutdownAt.Add(r.plan.StopTimeout))):
+		process.WasKilled = true
 		_ = server.Kill()
 	}
 	process.ExitedAt = time.Now()
 	process.ExitCode = server.ExitCode()
-	r.completeProcess(target, process)
+	r.recordLog(target, process)
 }
 
-// completeProcess records the log of a process that has exited.
-func (r *run) completeProcess(target *target, process *Process) {
-	process.Log = target.server.Log.String()[target.logFrom:]
+// recordLog records the log of a process that has exited.
+func (r *run) recordLog(target *target, process *Process) {
+	process.Log = target.server.Log.String()[target.logOffset:]
 }
 
 // sleepUntil sleeps until a moment and records by how much the wake-up was late.
@@ -277,28 +277,28 @@
 	r.observation.raiseLateness(time.Since(moment))
 }
 
-// lateWatchInterval is the interval at which watchLateness samples timer delays.
-const lateWatchInterval = 5 * time.Millisecond
+// latenessSampleInterval is the interval at which measureLateness samples timer delays.
+const latenessSampleInterval = 5 * time.Millisecond
 
-// watchLateness records how late timers fire in this process, which is no fault of the program under test. It runs
+// measureLateness records how late timers fire in this process, which is no fault of the program under test. It runs
 // until stop is called.
-func (r *run) watchLateness() (stop func()) {
+func (r *run) measureLateness() (stop func()) {
 	done := make(chan struct{})
-	var watching sync.WaitGroup
-	watching.Go(func() {
+	var sampler sync.WaitGroup
+	sampler.Go(func() {
 		for {
-			next := time.Now().Add(lateWatchInterval)
+			next := time.Now().Add(latenessSampleInterval)
 			select {
 			case <-done:
 				return
-			case <-time.After(lateWatchInterval):
+			case <-time.After(latenessSampleInterval):
 				r.observation.raiseLateness(time.Since(next))
 			}
 		}
 	})
 	return func() {
 		close(done)
-		watching.Wait()
+		sampler.Wait()
 	}
 }
 
@@ -315,8 +315,8 @@
 	}
 }
 
-// ended tells the interpreter that a request has its response.
-func (r *run) ended(target *target, request *Request) {
+// notifyRequestEnded tells the interpreter that a request has its response.
+func (r *run) notifyRequestEnded(target *target, request *Request) {
 	target.server.Interpreter.RequestEnded(request.ID)
 }
 
@@ -328,9 +328,9 @@
 }
 
 // recordUnexpected records a response in a slot without an open request, either a second response or one to a request
-// that was never sent. It adds a request with two responses, which Check reports as CheckDuplicate.
+// that was never sent. It adds a request with two responses, which Check reports as CheckDuplicateResponse.
 func (r *run) recordUnexpected(process *Process, at time.Time) {
 	request := &Request{ID: "a slot without an open request", Process: process, ReceivedAt: at, WrittenAt: at}
-	request.Answers = []time.Time{at, at}
+	request.Responses = []time.Time{at, at}
 	r.observation.addRequest(request)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,12 +30,12 @@
 // they include all seeds that found a fault before.
 var seedsInCI = []int{1, 2, 3, 7, 12, 23, 32, 44, 120}
 
-// fromEnv returns the integer value of an environment variable, or otherwise if the variable is empty.
-func fromEnv(t *testing.T, name string, otherwise int) int {
+// intFromEnv returns the integer value of an environment variable, or defaultValue if the variable is empty.
+func intFromEnv(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	value, err := strconv.Atoi(text)
 	require.NoError(t, err, name)
@@ -47,26 +47,26 @@
 //	SOAK_FIRST=17 SOAK_SEEDS=1 go test -run TestSoak ./internal/soak
 func TestSoak(t *testing.T) {
 	seeds := seedsInCI
-	if count := fromEnv(t, seedsEnv, 0); count > 0 {
-		first := fromEnv(t, firstSeedEnv, 1)
+	if count := intFromEnv(t, seedsEnv, 0); count > 0 {
+		first := intFromEnv(t, firstSeedEnv, 1)
 		seeds = nil
 		for seed := first; seed < first+count; seed++ {
 			seeds = append(seeds, seed)
 		}
 	}
 	for _, seed := range seeds {
-		t.Run(strconv.Itoa(seed), func(t *testing.T) { playSeed(t, int64(seed)) })
+		t.Run(strconv.Itoa(seed), func(t *testing.T) { runSeed(t, int64(seed)) })
 	}
 }
 
-// playSeed carries out the plan of a seed and fails the test if the run has violations.
-func playSeed(t *testing.T, seed int64) {
+// runSeed carries out the plan of a seed and fails the test if the run has violations.
+func runSeed(t *testing.T, seed int64) {
 	t.Helper()
 	program, err := os.Executable()
 	require.NoError(t, err)
 	program = cmp.Or(os.Getenv(programEnv), program)
-	plan := soak.Draw(seed)
-	observation, err := soak.Play(plan, soak.Options{
+	plan := soak.NewPlan(seed)
+	observation, err := soak.Run(plan, soak.Options{
 		Program:   program,
 		Env:       []string{servertest.RunAsProgramEnv + "=1", servertest.RaceExitEnv},
 		Directory: t.TempDir(),
@@ -85,15 +85,15 @@
 	}
 	for _, process := range observation.Processes {
 		lines := strings.Split(strings.TrimSpace(process.Log), "\n")
-		t.Logf("%s: SIGTERM at %s, exit at %s, log:\n%s", process.Server, clock(process.NoticeAt),
-			clock(process.ExitedAt), strings.Join(lines[max(0, len(lines)-maxLogLines):], "\n"))
+		t.Logf("%s: SIGTERM at %s, exit at %s, log:\n%s", process.Server, formatLogTime(process.ShutdownAt),
+			formatLogTime(process.ExitedAt), strings.Join(lines[max(0, len(lines)-maxLogLines):], "\n"))
 	}
 }
 
-// clock formats a time as the program's log does.
-func clock(moment time.Time) string { return moment.UTC().Format("15:04:05.000000") }
+// formatLogTime formats a time as the program's log does.
+func formatLogTime(moment time.Time) string { return moment.UTC().Format("15:04:05.000000") }
 
 // A process that is stopped with SIGSTOP around SIGTERM while none of its timers is due cannot measure the stop. If its
 // grace period is shorter than 0.5 s, it then runs requests that arrive up to 0.1 s after the grace period and the
-// slack. The test is listed in KNOWN-RED.txt.
-func TestSoakStopsThatNoTimerMeasures(t *testing.T) { playSeed(t, 243) }
+// time tolerance. The test is listed in KNOWN-RED.txt.
+func TestSoakStopsThatNoTimerMeasures(t *testing.T) { runSeed(t, 243) }
