--- a/internal/clustertest/mixed_versions_test.go
+++ b/internal/clustertest/mixed_versions_test.go
@@ -188,7 +188,7 @@
 			server.WaitForExit()
 		} else {
 			server.NoError(server.Process.Process.Kill())
-			<-server.Ended()
+			<-server.Exited()
 		}
 		interpreter.Close()
 	}
