--- a/internal/server/admissionhost.go
+++ b/internal/server/admissionhost.go
@@ -24,8 +24,8 @@
 	req.runStarted = true
 	req.reservation.Start(t.server.now)
 	if req.entry != nil {
-		t.server.checkInvariant(!req.entry.ran, "two requests with the same idempotency key are run")
-		req.entry.ran = true
+		t.server.checkInvariant(!req.entry.hasStarted, "two requests with the same idempotency key are run")
+		req.entry.hasStarted = true
 	}
 	t.server.interpreter.run(req)
 }
@@ -37,8 +37,8 @@
 	sharer.sharesResult = true
 	sharer.reservation.Release(t.server.now) // the shared run has its own reservation and is accounted only once
 	entry := sharer.entry
-	if entry.ended || entry.owner == nil {
-		t.dueSharers = append(t.dueSharers, sharer)
+	if entry.hasEnded || entry.owner == nil {
+		t.readySharers = append(t.readySharers, sharer)
 	} else {
 		entry.sharers = append(entry.sharers, sharer)
 	}
@@ -74,7 +74,7 @@
 }
 
 // SkipCall implements admission.Host. Admission never calls it here, because a run cannot continue without its
-// downstream call in this deployment; see socketDeployment.
+// downstream call in this deployment; see socketAdmissionConfig.
 func (t *requestTable) SkipCall(*admission.Request) {
 	t.server.checkInvariant(false, "admission skipped a downstream call")
 }
@@ -91,7 +91,7 @@
 	// The deduplication window starts at Received-At, even if that is ahead of this server's clock. Admission counts
 	// the window from when the request was read, and accounts for the entry as long as it is kept.
 	category := t.server.config.Settings.Categories[owner.category]
-	entry.matchUntil = owner.receivedAt + category.DeduplicationWindow + t.windowMargin()
+	entry.matchUntil = owner.receivedAt + category.DeduplicationWindow + t.minWindowMargin()
 	t.server.setTimer(&entry.expiryTimer, max(t.server.now+lifetime, owner.receivedAt+entryRetention(category)))
 }
 
@@ -100,7 +100,7 @@
 func (t *requestTable) DropEntry(handle *admission.Request) {
 	owner := t.lookup(handle)
 	if owner.entry != nil && owner.entry.owner == owner {
-		t.server.checkInvariant(!owner.entry.ran, "the idempotency entry of a request that ran is dropped")
+		t.server.checkInvariant(!owner.entry.hasStarted, "the idempotency entry of a request that ran is dropped")
 		t.removeEntry(owner.entry)
 	}
 }
@@ -133,7 +133,7 @@
 		return
 	}
 	entry.owner = nil
-	if !entry.ran || entry.expired {
+	if !entry.hasStarted || entry.isExpired {
 		t.removeEntry(entry)
 	}
 }
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -38,16 +38,16 @@
 	require.Equal(t, timeunit.Ticks(10_040_000), server.requests.byID[id].receivedAt)
 }
 
-// After a standstill, neither timers nor admission act until the sockets have been read again.
-func TestSocketsAreReadBeforeTimersFireAfterStandstill(t *testing.T) {
+// After a pause of the process, neither timers nor admission act until the sockets have been read again.
+func TestSocketsAreReadBeforeTimersFireAfterPause(t *testing.T) {
 	server, _ := newRunningServer(t)
 	fired := 0
 	server.setTimer(&timer{fire: func() { fired++ }}, server.now+1)
-	server.now += standstillThreshold + 2
+	server.now += pauseThreshold + 2
 	server.fireTimers()
-	require.True(t, server.awaitingSockets())
+	require.True(t, server.isAwaitingSockets())
 	require.Zero(t, fired)
-	server.resumeAfterStandstill()
-	require.False(t, server.awaitingSockets())
+	server.resumeAfterPause()
+	require.False(t, server.isAwaitingSockets())
 	require.Equal(t, 1, fired)
 }
--- a/internal/server/drain_socket_test.go
+++ b/internal/server/drain_socket_test.go
@@ -130,7 +130,7 @@
 	drainIdleConnections     = 60                     // connections that are idle when the drain starts
 	drainFloodingConnections = 20                     // connections on which records are sent without pause
 	drainMinIdleConnections  = 20                     // minimum number of idle connections left to the program to close
-	drainGrace               = 350 * time.Millisecond // grace period of 300 ms plus 50 ms of tolerance
+	gracePeriodWithTolerance = 350 * time.Millisecond // grace period of 300 ms plus 50 ms of tolerance
 )
 
 // connectionOutcome is the outcome of one connection during a drain.
@@ -325,7 +325,7 @@
 	<-linkEnded
 	server.Equal(0, code, log)
 	server.Less(ended, servertest.EventTimeout/4) // takes 1.5 s on an idle machine; the measured time is printed below
-	counts := load.countOutcomes(shutdownTime(server, log).Add(drainGrace).UnixMilli())
+	counts := load.countOutcomes(shutdownTime(server, log).Add(gracePeriodWithTolerance).UnixMilli())
 	fmt.Printf("measured drain orders=%d lost=%d double=%d late=%d reset=%d refused=%d ended_ms=%d source=emulators\n",
 		len(load.connections), counts.lost, counts.duplicated, counts.late, counts.reset, counts.refused,
 		ended.Milliseconds())
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -98,7 +98,7 @@
 // OnClose implements gnet.EventHandler. It notifies the connection's handler that the connection is closed.
 func (s *Server) OnClose(conn gnet.Conn, _ error) gnet.Action {
 	handler, hasHandler := conn.Context().(connectionHandler)
-	if hasHandler && !s.ended {
+	if hasHandler && !s.mustEndLoop {
 		s.beginBatch()
 		handler.closed()
 	}
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -26,8 +26,8 @@
 	}()
 	s.interpreter.dial()
 	s.directory.report()
-	for _, enabledPart := range s.parts {
-		enabledPart.start()
+	for _, enabled := range s.enabledSubsystems {
+		enabled.start()
 	}
 	s.stateTimer.fire = s.logState
 	s.setTimer(&s.stateTimer, s.now+stateLogInterval)
@@ -47,11 +47,11 @@
 // submit runs a task on the event loop. It may be called from any goroutine and does not wait for the task.
 func (s *Server) submit(task func()) {
 	run := func(context.Context) error {
-		if !s.ended {
+		if !s.mustEndLoop {
 			s.beginBatch()
 			task()
 		}
-		if s.ended {
+		if s.mustEndLoop {
 			return gnetErrors.ErrEngineShutdown
 		}
 		return nil
@@ -74,22 +74,22 @@
 }
 
 // endBatch ends the batch: admission dispatches once, and each connection with output is written once. While the loop
-// still has to read the sockets after a standstill, it does nothing.
+// still has to read the sockets after a pause, it does nothing.
 func (s *Server) endBatch(context.Context) error {
-	if s.ended {
+	if s.mustEndLoop {
 		return gnetErrors.ErrEngineShutdown
 	}
 	s.now = max(s.now, s.clock.now())
-	if s.awaitingSockets() {
+	if s.isAwaitingSockets() {
 		s.endBatchQueued = false
 		return nil
 	}
-	s.standstill = standstillNone
+	s.pauseState = pauseNone
 	if s.admission != nil {
 		s.admission.Advance(s.now)
 		s.requests.processDeferredWork()
-		for _, enabledPart := range s.parts {
-			enabledPart.beforeDispatch()
+		for _, enabled := range s.enabledSubsystems {
+			enabled.beforeDispatch()
 		}
 		s.admission.Dispatch()
 	}
@@ -97,8 +97,8 @@
 	if s.requests.hasDeferredWork() {
 		s.beginBatch()
 	}
-	for _, enabledPart := range s.parts {
-		enabledPart.afterDispatch()
+	for _, enabled := range s.enabledSubsystems {
+		enabled.afterDispatch()
 	}
 	s.writeOutput()
 	s.armSystemTimer()
--- a/internal/server/fairqueue.go
+++ b/internal/server/fairqueue.go
@@ -9,22 +9,22 @@
 	"thistlequay/internal/fairqueue"
 )
 
-// fairQueuePart shares the cores fairly among tenants. It is enabled if Config.FairQueue is set.
-type fairQueuePart struct {
-	partDefaults
+// fairQueueSubsystem shares the cores fairly among tenants. It is enabled if Config.FairQueue is set.
+type fairQueueSubsystem struct {
+	subsystemDefaults
 	server    *Server
 	scheduler *fairqueue.Scheduler // nil if fair queueing is disabled
 }
 
-func (p *fairQueuePart) init(server *Server) {
+func (p *fairQueueSubsystem) init(server *Server) {
 	p.server = server
 	p.configure()
 }
 
-func (p *fairQueuePart) isEnabled() bool { return p.scheduler != nil }
+func (p *fairQueueSubsystem) isEnabled() bool { return p.scheduler != nil }
 
 // configure creates, reconfigures or removes the scheduler. Open reservations stay with the scheduler that made them.
-func (p *fairQueuePart) configure() {
+func (p *fairQueueSubsystem) configure() {
 	config := p.server.config.FairQueue
 	switch {
 	case config == nil:
@@ -43,7 +43,7 @@
 	}
 }
 
-func (p *fairQueuePart) reconfigure(next *Config) {
+func (p *fairQueueSubsystem) reconfigure(next *Config) {
 	if !reflect.DeepEqual(next.FairQueue, p.server.config.FairQueue) {
 		p.server.config.FairQueue = next.FairQueue
 		p.configure()
@@ -51,7 +51,7 @@
 }
 
 // reserve makes a reservation for a request and copies the reservation's start tag and expected delay to its arrival.
-func (p *fairQueuePart) reserve(admitted *request, tenant []byte, arrival *admission.Arrival) {
+func (p *fairQueueSubsystem) reserve(admitted *request, tenant []byte, arrival *admission.Arrival) {
 	if p.scheduler == nil {
 		return
 	}
@@ -61,7 +61,7 @@
 	arrival.ExpectedDelay = admitted.reservation.ExpectedDelay
 }
 
-func (p *fairQueuePart) addState(event *zerolog.Event) {
+func (p *fairQueueSubsystem) addState(event *zerolog.Event) {
 	stats := p.scheduler.Stats()
 	event.Int("fair_flows", stats.HeavyHitters).Int("fair_shared_flows", stats.ActiveSharedFlows).
 		Int("fair_candidates", stats.Candidates).Int("fair_core_percent", int(100*stats.ServiceRate))
--- a/internal/server/fixtures_test.go
+++ b/internal/server/fixtures_test.go
@@ -180,5 +180,5 @@
 func advanceTime(server *Server, span timeunit.Ticks) {
 	server.now += span
 	server.admission.Advance(server.now)
-	server.resumeAfterStandstill()
+	server.resumeAfterPause()
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -53,9 +53,9 @@
 	return params
 }
 
-// withID returns changes for paramsWith that set a request ID with the given last two digits, followed by the other
-// changes.
-func withID(lastDigits string, changes ...string) []string {
+// withRequestID returns changes for paramsWith that set a request ID with the given last two digits, followed by the
+// other changes.
+func withRequestID(lastDigits string, changes ...string) []string {
 	return append([]string{"HTTP_REQUEST_ID", "00000000000000" + lastDigits}, changes...)
 }
 
@@ -66,10 +66,10 @@
 	changes []string
 	body    string
 }{
-	{"accepted", withID("a1", "HTTP_ONCE_KEY", "l"), "x"},
-	{"no time left", withID("a2", "HTTP_ONCE_KEY", "m", "HTTP_BUDGET_MS", "0"), "x"},
-	{"repeat of the key", withID("a3"), "x"},
-	{"key with another body", withID("a4"), "y"},
+	{"accepted", withRequestID("a1", "HTTP_ONCE_KEY", "l"), "x"},
+	{"no time left", withRequestID("a2", "HTTP_ONCE_KEY", "m", "HTTP_BUDGET_MS", "0"), "x"},
+	{"repeat of the key", withRequestID("a3"), "x"},
+	{"key with another body", withRequestID("a4"), "y"},
 	{"health", []string{"SCRIPT_NAME", "/health"}, ""},
 	{"path", []string{"SCRIPT_NAME", "/x"}, "x"},
 	{"category", []string{"SCRIPT_NAME", "/rpc/b"}, "x"},
@@ -80,19 +80,19 @@
 	{"id is not hex", []string{"HTTP_REQUEST_ID", "zzzzzzzzzzzzzzzz"}, "x"},
 	{"id is short", []string{"HTTP_REQUEST_ID", "1"}, "x"},
 	{"id in hand", nil, "x"},
-	{"received before all time", withID("a5", "HTTP_RECEIVED_AT", "-1"), "x"},
-	{"received at no number", withID("a5", "HTTP_RECEIVED_AT", "x"), "x"},
-	{"received in the future", withID("a5", "HTTP_RECEIVED_AT", "1001001"), "x"},
-	{"budget beyond", withID("a5", "HTTP_BUDGET_MS", "16000"), "x"},
-	{"budget below zero", withID("a5", "HTTP_BUDGET_MS", "-0.1"), "x"},
-	{"no sender", withID("a5", "HTTP_SENT_BY", ""), "x"},
-	{"sender beyond", withID("a5", "HTTP_SENT_BY", "9007199254740992"), "x"},
-	{"footprint of zero", withID("a5", "HTTP_FOOTPRINT_KB", "0"), "x"},
-	{"footprint beyond", withID("a5", "HTTP_FOOTPRINT_KB", "2000"), "x"},
-	{"rank beyond", withID("a5", "HTTP_PRIORITY_RANK", "1"), "x"},
-	{"account", withID("a5", "HTTP_ACCOUNT", strings.Repeat("a", 100)), "x"},
-	{"no key", withID("a6", "HTTP_ONCE_KEY", ""), "x"},
-	{"key beyond", withID("a7", "HTTP_ONCE_KEY", tooLongKey), "x"},
+	{"received before all time", withRequestID("a5", "HTTP_RECEIVED_AT", "-1"), "x"},
+	{"received at no number", withRequestID("a5", "HTTP_RECEIVED_AT", "x"), "x"},
+	{"received in the future", withRequestID("a5", "HTTP_RECEIVED_AT", "1001001"), "x"},
+	{"budget beyond", withRequestID("a5", "HTTP_BUDGET_MS", "16000"), "x"},
+	{"budget below zero", withRequestID("a5", "HTTP_BUDGET_MS", "-0.1"), "x"},
+	{"no sender", withRequestID("a5", "HTTP_SENT_BY", ""), "x"},
+	{"sender beyond", withRequestID("a5", "HTTP_SENT_BY", "9007199254740992"), "x"},
+	{"footprint of zero", withRequestID("a5", "HTTP_FOOTPRINT_KB", "0"), "x"},
+	{"footprint beyond", withRequestID("a5", "HTTP_FOOTPRINT_KB", "2000"), "x"},
+	{"rank beyond", withRequestID("a5", "HTTP_PRIORITY_RANK", "1"), "x"},
+	{"account", withRequestID("a5", "HTTP_ACCOUNT", strings.Repeat("a", 100)), "x"},
+	{"no key", withRequestID("a6", "HTTP_ONCE_KEY", ""), "x"},
+	{"key beyond", withRequestID("a7", "HTTP_ONCE_KEY", tooLongKey), "x"},
 	{"two faults", []string{"REQUEST_METHOD", "GET", "HTTP_REQUEST_ID", "1", "HTTP_SENT_BY", ""}, "x"},
 }
 
@@ -119,7 +119,7 @@
 	exchange("not kept", 0, healthCheck, "")
 	recorded.addOutput("runs", &server.interpreter.outputBuffer)
 	aborted := connectRouter(server)
-	feed(t, aborted, requestRecords(1, paramsWith(withID("b1", "HTTP_ONCE_KEY", "n")...), "x"))
+	feed(t, aborted, requestRecords(1, paramsWith(withRequestID("b1", "HTTP_ONCE_KEY", "n")...), "x"))
 	require.NoError(t, aborted.parser.Feed([]byte{1, 2, 0, 1, 0, 0, 0, 0}, aborted))
 	dispatchBatch(server)
 	recorded.addOutput("aborted", &aborted.outputBuffer)
@@ -134,7 +134,7 @@
 	server.beginShutdown()
 	recorded.addOutput("directory", &server.directory.outputBuffer)
 	exchange("leaving: health", 1, healthCheck, "")
-	lateParams := paramsWith(withID("c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")...)
+	lateParams := paramsWith(withRequestID("c1", "HTTP_ONCE_KEY", "o", "HTTP_RECEIVED_AT", "1001500")...)
 	exchange("leaving: request", 1, lateParams, "x")
 	for range 70 {
 		passTime(server, second/10)
@@ -235,7 +235,7 @@
 		recorded.addOutput("connect", &interpreter.outputBuffer)
 		notify(t, server, `{"type":"BANNER","state":"WARM","took":1}`)
 		recorded.addOutput("fence", &interpreter.outputBuffer)
-		notify(t, server, `{"type":"TOPS","ref":"%s","gauges":[1,2]}`, interpreter.replayFence)
+		notify(t, server, `{"type":"TOPS","ref":"%s","gauges":[1,2]}`, interpreter.replayEndTag)
 		recorded.addOutput("ready", &interpreter.outputBuffer)
 		if i == 0 {
 			notify(t, server, `{"type":"AWAIT","n":1,"job":"%s","data":"cQ=="}`, firstID)
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -81,35 +81,35 @@
 	return g.clusterSize
 }
 
-// gossipPart publishes this server's state to the other servers and passes the cluster size to admission. It must never
-// wait for gossip, and it must not depend on the gossip protocol.
-type gossipPart struct {
-	partDefaults
+// gossipSubsystem publishes this server's state to the other servers and passes the cluster size to admission. It must
+// never wait for gossip, and it must not depend on the gossip protocol.
+type gossipSubsystem struct {
+	subsystemDefaults
 	server *Server
 	timer  timer
 }
 
-func (p *gossipPart) init(server *Server) {
+func (p *gossipSubsystem) init(server *Server) {
 	p.server = server
 	p.timer.fire = p.onTimer
 }
 
-func (p *gossipPart) isEnabled() bool { return p.server.config.Gossip != nil }
+func (p *gossipSubsystem) isEnabled() bool { return p.server.config.Gossip != nil }
 
-func (p *gossipPart) start() {
+func (p *gossipSubsystem) start() {
 	p.server.config.Gossip.subscribe(func() { p.server.trySubmit(p.applyClusterSize) })
 	p.onTimer()
 }
 
-func (p *gossipPart) drain() { p.publish() }
+func (p *gossipSubsystem) drain() { p.publish() }
 
-func (p *gossipPart) onTimer() {
+func (p *gossipSubsystem) onTimer() {
 	p.publish()
 	p.server.setTimer(&p.timer, p.server.now+gossipInterval)
 }
 
 // applyClusterSize sets the number of servers that admission assumes, if it is known.
-func (p *gossipPart) applyClusterSize() {
+func (p *gossipSubsystem) applyClusterSize() {
 	if p.server.admission == nil {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // publish updates the state that this server gossips to the others.
-func (p *gossipPart) publish() {
+func (p *gossipSubsystem) publish() {
 	server := p.server
 	state := gossip.LocalState{
 		Usage:   p.exchangeUsage(),
@@ -140,7 +140,7 @@
 }
 
 // memberState returns the state in which the other servers see this one.
-func (p *gossipPart) memberState() membership.State {
+func (p *gossipSubsystem) memberState() membership.State {
 	server := p.server
 	switch {
 	case server.shutdownDeadline < noDeadline:
@@ -157,7 +157,7 @@
 // exchangeUsage accounts the core time that tenants used on other servers in the fair scheduler, and returns the core
 // time that they used on this server, for at most membership.MaxUsageEntries tenants. It returns nil without fair
 // queueing.
-func (p *gossipPart) exchangeUsage() []membership.TenantUsage {
+func (p *gossipSubsystem) exchangeUsage() []membership.TenantUsage {
 	server := p.server
 	if server.fairQueue.scheduler == nil {
 		return nil
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -20,15 +20,15 @@
 	key      string
 	bodyHash [sha256.Size]byte // detects another body under the same key
 
-	owner     *request // the attempt that is queued or runs; nil after its release
-	ran       bool     // an attempt was started
-	ended     bool     // its run is over
-	succeeded bool     // its run succeeded, with this result
-	result    []byte   // as received from the interpreter
+	owner      *request // the attempt that is queued or runs; nil after its release
+	hasStarted bool     // an attempt was started
+	hasEnded   bool     // its run is over
+	succeeded  bool     // its run succeeded, with this result
+	result     []byte   // as received from the interpreter
 
 	matchUntil  timeunit.Ticks // attempts received before this time are retries
 	expiryTimer timer          // fires when no retry can be left unread
-	expired     bool           // the timer fired while an attempt was queued or ran
+	isExpired   bool           // the timer fired while an attempt was queued or ran
 	sharers     []*request     // requests that wait for the result
 }
 
@@ -38,8 +38,8 @@
 	return category.DeduplicationWindow + category.Deadline + maxClockSkew
 }
 
-// windowMargin returns the least time that admission adds to deduplication windows.
-func (t *requestTable) windowMargin() timeunit.Ticks {
+// minWindowMargin returns the least time that admission adds to deduplication windows.
+func (t *requestTable) minWindowMargin() timeunit.Ticks {
 	return 2*t.server.config.Settings.BatchInterval + 2
 }
 
@@ -52,9 +52,9 @@
 	return strconv.Itoa(req.category) + " " + string(req.key)
 }
 
-// existingEntry returns the entry of an earlier attempt of a request, or nil. It removes an entry whose window has
+// findEntry returns the entry of an earlier attempt of a request, or nil. It removes an entry whose window has
 // ended.
-func (t *requestTable) existingEntry(req *request) *idempotencyEntry {
+func (t *requestTable) findEntry(req *request) *idempotencyEntry {
 	entry := t.entries[t.idempotencyKey(req)]
 	if entry == nil {
 		return nil
@@ -73,12 +73,12 @@
 // new one replaces.
 func (t *requestTable) addEntry(owner *request, key string, bodyHash [sha256.Size]byte) {
 	if replaced := t.entries[key]; replaced != nil {
-		t.server.checkInvariant(!replaced.ran, "the entry of an idempotency key that ran is replaced")
+		t.server.checkInvariant(!replaced.hasStarted, "the entry of an idempotency key that ran is replaced")
 		t.removeEntry(replaced)
 	}
 	entry := &idempotencyEntry{key: key, bodyHash: bodyHash, owner: owner, matchUntil: noDeadline}
 	entry.expiryTimer.fire = func() {
-		entry.expired = true
+		entry.isExpired = true
 		if entry.owner == nil {
 			t.removeEntry(entry)
 		}
@@ -99,6 +99,6 @@
 // releaseSharers queues the requests that share the entry's result to be answered. It is called when the result is
 // known or when there will be none.
 func (t *requestTable) releaseSharers(entry *idempotencyEntry) {
-	t.dueSharers = append(t.dueSharers, entry.sharers...)
+	t.readySharers = append(t.readySharers, entry.sharers...)
 	entry.sharers = nil
 }
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -57,7 +57,7 @@
 		submitAttempt(t, server, router, fmt.Sprintf("%016x", 0xb0+seconds), fmt.Sprint(now.Milliseconds()), now)
 		for len(server.deadlines) > 0 && server.deadlines[0].deadline <= server.now {
 			server.now = max(server.now, server.deadlines[0].deadline)
-			server.resumeAfterStandstill()
+			server.resumeAfterPause()
 		}
 		server.requests.processDeferredWork()
 		require.Empty(t, router.output, "%d s", seconds)
--- a/internal/server/index.go
+++ b/internal/server/index.go
@@ -53,11 +53,11 @@
 	isWaiting := caller.call == nil && caller.runStarted && !caller.runDone
 	c.server.checkInvariant(isWaiting, "a run makes a second call, or a call has no run in progress")
 	call := &indexCall{request: caller, startedAt: c.server.now, deadline: deadline}
-	call.timer.fire = func() { c.finish(call, c.detach(call)) }
+	call.timer.fire = func() { c.finish(call, c.detachCall(call)) }
 	caller.call = call
 	c.inFlight++
 	c.server.setTimer(&call.timer, max(deadline, c.server.now+1))
-	if len(c.rateLimited) > 0 || !c.server.quota.mayCall() {
+	if len(c.rateLimited) > 0 || !c.server.quota.takeCallToken() {
 		c.rateLimited = append(c.rateLimited, call)
 		return
 	}
@@ -66,7 +66,7 @@
 
 // sendRateLimited makes the calls that waited for the limit on calls per second, as many as it now allows.
 func (c *indexClient) sendRateLimited() {
-	for len(c.rateLimited) > 0 && c.server.quota.mayCall() {
+	for len(c.rateLimited) > 0 && c.server.quota.takeCallToken() {
 		call := c.rateLimited[0]
 		c.rateLimited = c.rateLimited[1:]
 		c.assign(call)
@@ -103,7 +103,7 @@
 	if newest == nil {
 		return false
 	}
-	c.finish(newest, c.detach(newest))
+	c.finish(newest, c.detachCall(newest))
 	return true
 }
 
@@ -151,9 +151,10 @@
 	connection.outgoing = c.server.dial(c.server.config.Index, dialTimeout, connection, failed)
 }
 
-// detach removes a call from its connection or from the queue that it waits in, and returns what is known of the call's
-// outcome. A connection on which the call is in flight is closed, which abandons the call and any reply still to come.
-func (c *indexClient) detach(call *indexCall) admission.Outcome {
+// detachCall removes a call from its connection or from the queue that it waits in, and returns what is known of the
+// call's outcome. A connection on which the call is in flight is closed, which abandons the call and any reply still to
+// come.
+func (c *indexClient) detachCall(call *indexCall) admission.Outcome {
 	connection := call.connection
 	if connection == nil {
 		isCall := func(other *indexCall) bool { return other == call }
@@ -172,7 +173,7 @@
 // cancel abandons the call of a run that is over, without reporting its end to admission.
 func (c *indexClient) cancel(caller *request) {
 	if call := caller.call; call != nil {
-		c.detach(call)
+		c.detachCall(call)
 		c.remove(call)
 	}
 }
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -37,7 +37,7 @@
 	linkCount   int // links opened so far, for the log
 
 	lastNotice   uint64 // the number of the last notice handled
-	replayFence  string // the tag of the gauges query whose response ends the replay; empty if none
+	replayEndTag string // the tag of the gauges query whose response ends the replay; empty if none
 	partialLine  []byte
 	categoryJSON [][]byte // the JSON-encoded name of each category
 	errorCount   int      // errors reported by the interpreter
@@ -142,7 +142,7 @@
 		category := &c.server.config.Settings.Categories[req.category]
 		isIdempotent := category.Idempotency == admission.Idempotent
 		req.runPending = isIdempotent || c.mayBeLost(req.runSentAt)
-		req.runInDoubt = !req.runPending
+		req.isRunStartUnknown = !req.runPending
 	}
 	if req.lastReply != nil && c.mayBeLost(req.lastReplyAt) {
 		req.pendingReply = req.lastReply
@@ -167,7 +167,7 @@
 // becomeReady makes the link ready for commands and sends the commands that waited for a link.
 func (c *interpreterClient) becomeReady() {
 	c.state = linkReady
-	c.replayFence = ""
+	c.replayEndTag = ""
 	c.readySince = c.server.now
 	for _, req := range c.server.requests.byID {
 		c.sendPending(req)
--- a/internal/server/interpreter_test.go
+++ b/internal/server/interpreter_test.go
@@ -94,10 +94,10 @@
 	}
 	pauseSettings := readSettings("pause")
 	dropSettings := readSettings("drop")
-	config := socketDeployment(pauseSettings)
+	config := socketAdmissionConfig(pauseSettings)
 	require.False(t, config.RetriesMarked || config.CanStopRuns)
 	require.Zero(t, config.ResultTTL)
 	require.Zero(t, config.Categories[0].DegradedValue)
 	require.Equal(t, 0.5, pauseSettings.Categories[0].DegradedValue) // the original settings are unchanged
-	require.True(t, socketDeployment(dropSettings).CanStopRuns)
+	require.True(t, socketAdmissionConfig(dropSettings).CanStopRuns)
 }
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -147,7 +147,7 @@
 	if server.admission != nil {
 		server.log.Event("interpreter_reconnected").Str("name", server.config.Name).Int("interpreter_links",
 			c.linkCount).Send()
-		c.replayFence = c.requestGauges()
+		c.replayEndTag = c.requestGauges()
 		return
 	}
 	server.startAdmission(state == stateCold, uptime)
@@ -160,7 +160,7 @@
 
 // startAdmission creates the admission server for an interpreter that has been up for the given time.
 func (s *Server) startAdmission(isCold bool, uptime timeunit.Ticks) {
-	config := socketDeployment(s.config.Settings)
+	config := socketAdmissionConfig(s.config.Settings)
 	config.StartsCold = isCold
 	config.TurnOffset = s.random.Float64()
 	// Idempotency entries and results are held in this process's memory; the settings mean the interpreter's.
@@ -172,10 +172,11 @@
 	s.admission.Advance(s.now)
 }
 
-// socketDeployment returns the admission settings without the features that the socket protocol cannot express: it does
-// not mark retries, and a run cannot continue without its downstream call. Runs that a BREAK pauses instead of ending
-// are not stopped, because the interpreter may read a RESOLVE after the BREAK, and the run would stay paused for good.
-func socketDeployment(settings *deployment.Config) admission.Config {
+// socketAdmissionConfig returns the admission settings without the features that the socket protocol cannot express: it
+// does not mark retries, and a run cannot continue without its downstream call. Runs that a BREAK pauses instead of
+// ending are not stopped, because the interpreter may read a RESOLVE after the BREAK, and the run would stay paused for
+// good.
+func socketAdmissionConfig(settings *deployment.Config) admission.Config {
 	config := settings.Config
 	config.RetriesMarked = false
 	config.CanStopRuns = config.CanStopRuns && !settings.PauseKeepsMemory
@@ -200,7 +201,7 @@
 		req.endUnstartedRun()
 	default:
 		req.runConfirmed = true
-		req.runInDoubt = false
+		req.isRunStartUnknown = false
 		req.handleRunEnd(outcome, deployment.RoundUp(received.TookMs), received.Data)
 	}
 	return nil
@@ -212,7 +213,7 @@
 		return
 	}
 	req.runConfirmed = true
-	req.runInDoubt = false
+	req.isRunStartUnknown = false
 	req.callBody = received.Data
 	req.reservation.Suspend(c.server.now)
 	req.handle.NeedsCall()
@@ -245,7 +246,7 @@
 	if c.wakeupPending {
 		c.deliverGauges()
 	}
-	if c.replayFence != "" && tag == c.replayFence {
+	if c.replayEndTag != "" && tag == c.replayEndTag {
 		c.becomeReady()
 	}
 	return nil
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -43,8 +43,8 @@
 // isHealthy reports the health that health checks and the directory see.
 func (s *Server) isHealthy() bool { return s.phase < phaseDraining && s.routers.admissionHealthy }
 
-// beginShutdown starts the graceful shutdown: it notifies the parts, admission and the directory, and sets the timers
-// that end the process before the kill. Further calls have no effect.
+// beginShutdown starts the graceful shutdown: it notifies the subsystems, admission and the directory, and sets the
+// timers that end the process before the kill. Further calls have no effect.
 func (s *Server) beginShutdown() {
 	if s.shutdownDeadline < noDeadline {
 		return
@@ -59,7 +59,7 @@
 	s.noticeSentAt = s.now - noticeDelay - min(maxUnseenNoticeDelay, s.config.Settings.DrainGrace/graceReserveDivisor)
 	s.shutdownDeadline = s.now + timeLeft
 	s.advancePhase(phaseDraining)
-	for _, optional := range s.parts { // before admission rejects requests because of the shutdown
+	for _, optional := range s.enabledSubsystems { // before admission rejects requests because of the shutdown
 		optional.drain()
 	}
 	s.notifyAdmissionOfDrain()
@@ -127,5 +127,5 @@
 func (s *Server) stopLoop() {
 	s.log.Event("ended").Str("name", s.config.Name).Int("requests", s.requests.count()).
 		Int("broken_invariants", s.brokenInvariants).Int64("before_kill_ms", (s.killAt - s.now).Milliseconds()).Send()
-	s.ended = true
+	s.mustEndLoop = true
 }
--- /dev/null
+++ b/internal/server/pause.go
@@ -0,0 +1,34 @@
+package server
+
+import "time"
+
+// pauseThreshold is the timer lateness above which the machine or the process is assumed to have been paused.
+const pauseThreshold = second / 50
+
+// pauseState is the progress of the event loop in resuming after a pause of the machine or the process.
+type pauseState int
+
+const (
+	pauseNone            pauseState = iota
+	pauseAwaitingSockets            // timers and dispatch wait until the sockets have been read once more
+	pauseSocketsRead                // the sockets have been read; late timers may fire
+)
+
+// isAwaitingSockets reports whether timers and dispatch must wait until the sockets have been read once more. It
+// detects pauses by late timers. Input that arrived during a pause, such as a result or a router's abort, must be
+// handled before the late timers, at whatever point the loop was paused.
+func (s *Server) isAwaitingSockets() bool {
+	isLate := len(s.deadlines) > 0 && s.now-s.deadlines[0].deadline > pauseThreshold
+	if s.pauseState == pauseNone && isLate {
+		s.pauseState = pauseAwaitingSockets
+		// The task is submitted from outside the loop, so the loop polls the sockets before it runs the task.
+		time.AfterFunc(0, func() { s.submit(s.resumeAfterPause) })
+	}
+	return s.pauseState == pauseAwaitingSockets
+}
+
+// resumeAfterPause fires the late timers after the sockets have been read.
+func (s *Server) resumeAfterPause() {
+	s.pauseState = pauseSocketsRead
+	s.fireTimers()
+}
--- a/internal/server/pluginconnection.go
+++ b/internal/server/pluginconnection.go
@@ -15,7 +15,7 @@
 // pluginConnection is the connection to one plug-in process.
 type pluginConnection struct {
 	outputBuffer
-	part         *pluginPart
+	plugins      *pluginSubsystem
 	config       *Plugins
 	chain        *chain.Chain
 	process      *plugin.Process
@@ -32,15 +32,15 @@
 // instead.
 func (c *pluginConnection) opened(conn gnet.Conn) {
 	c.conn = conn
-	if c.part.config != c.config {
+	if c.plugins.config != c.config {
 		c.isRetired = true
 		c.closeIfUnused()
 		return
 	}
-	c.part.retireCurrent()
-	c.part.dropState(c.config)
-	c.part.current = c
-	c.part.chain = c.chain
+	c.plugins.retireCurrent()
+	c.plugins.dropState(c.config)
+	c.plugins.current = c
+	c.plugins.chain = c.chain
 	names := make([]string, len(c.chain.Plugins))
 	for i, configured := range c.chain.Plugins {
 		names[i] = configured.Name
@@ -97,28 +97,28 @@
 		c.server.stopTimer(tickTimer)
 	}
 	go c.process.Stop() // Stop blocks until the process has ended
-	for callID, call := range c.part.pendingCalls {
+	for callID, call := range c.plugins.pendingCalls {
 		if call.connection == c {
-			delete(c.part.pendingCalls, callID)
+			delete(c.plugins.pendingCalls, callID)
 			c.pendingCalls--
 			c.server.stopTimer(&call.timer)
 			call.recordFault(chain.FaultProcessDied, 0)
 		}
 	}
-	if c.part.current == c || c.part.config == c.config && !c.isRetired {
+	if c.plugins.current == c || c.plugins.config == c.config && !c.isRetired {
 		c.scheduleReplacement()
 	}
 }
 
 // scheduleReplacement schedules the start of a new process after this one has ended unexpectedly.
 func (c *pluginConnection) scheduleReplacement() {
-	if c.part.current == c {
-		c.part.current = nil
+	if c.plugins.current == c {
+		c.plugins.current = nil
 	}
-	if countAndSample(&c.part.unexpectedExits) {
-		c.server.log.Event("plugin_process_exited").Int("count", c.part.unexpectedExits).Send()
+	if countAndSample(&c.plugins.unexpectedExits) {
+		c.server.log.Event("plugin_process_exited").Int("count", c.plugins.unexpectedExits).Send()
 	}
-	c.part.scheduleRestart()
+	c.plugins.scheduleRestart()
 }
 
 // closeIfUnused ends the process if it is retired and has no pending calls and no attached requests.
@@ -159,12 +159,12 @@
 	case plugin.FrameState:
 		key, value, isEntry := frame.StateEntry()
 		if isEntry && !c.isRetired {
-			c.part.storeState(name, key, value)
+			c.plugins.storeState(name, key, value)
 		}
 	case plugin.FrameLog:
 		c.server.log.Event("plugin_log").Str("name", name).Str("text", string(frame.Payload)).Send()
 	case plugin.FrameCounters:
-		c.part.addCounters(name, frame.Payload)
+		c.plugins.addCounters(name, frame.Payload)
 	}
 }
 
@@ -180,9 +180,9 @@
 // its request has continued without it.
 func (c *pluginConnection) handleVerdict(frame plugin.Frame) {
 	outcome, elapsed, encoded, isValid := frame.Verdict()
-	call := c.part.pendingCalls[frame.CallID]
+	call := c.plugins.pendingCalls[frame.CallID]
 	if !isValid || call == nil || call.connection != c {
-		c.part.lateVerdicts++
+		c.plugins.lateVerdicts++
 		return
 	}
 	call.removePending()
@@ -201,7 +201,7 @@
 
 // applyVerdict passes a verdict to the chain, which validates it, and continues the evaluation.
 func (e *chainEvaluation) applyVerdict(parsed *abi.Verdict, took timeunit.Ticks) {
-	part := e.connection.part
+	plugins := e.connection.plugins
 	verdict := chain.Verdict{
 		Reject:   parsed.Actions&abi.ActionReject != 0,
 		Status:   parsed.Status,
@@ -212,9 +212,9 @@
 		Body:     append([]byte(nil), parsed.Body...),
 	}
 	if parsed.Actions&abi.ActionCategorize != 0 {
-		verdict.Category = part.categoryIndex(parsed.Category)
+		verdict.Category = plugins.categoryIndex(parsed.Category)
 	}
-	fault, isFault, isQuarantined := e.evaluation.ApplyVerdict(verdict, took, part.server.now)
+	fault, isFault, isQuarantined := e.evaluation.ApplyVerdict(verdict, took, plugins.server.now)
 	if isFault && isQuarantined {
 		e.logQuarantine(fault)
 	}
@@ -223,7 +223,7 @@
 
 // categoryIndex returns the index of a category. For an unknown name it returns an index past the last category, which
 // the chain rejects.
-func (p *pluginPart) categoryIndex(name string) int {
+func (p *pluginSubsystem) categoryIndex(name string) int {
 	category, isKnown := p.server.config.Settings.CategoryIndex[name]
 	if !isKnown {
 		return len(p.categoryNames)
--- a/internal/server/pluginevaluation.go
+++ b/internal/server/pluginevaluation.go
@@ -26,9 +26,9 @@
 	timeLimit    timeunit.Ticks
 }
 
-// attach assigns a request that was read to the current plug-in process, which then evaluates the request and its
-// result even if a new configuration takes effect in between.
-func (p *pluginPart) attach(req *request) {
+// attachRequest assigns a request that was read to the current plug-in process, which then evaluates the request and
+// its result even if a new configuration takes effect in between.
+func (p *pluginSubsystem) attachRequest(req *request) {
 	if p.chain == nil {
 		return
 	}
@@ -39,8 +39,8 @@
 	}
 }
 
-// detach undoes attach. It is called when a request has ended or will never be admitted.
-func (p *pluginPart) detach(req *request) {
+// detachRequest undoes attachRequest. It is called when a request has ended or will never be admitted.
+func (p *pluginSubsystem) detachRequest(req *request) {
 	connection := req.pluginConnection
 	if connection == nil {
 		return
@@ -51,7 +51,7 @@
 }
 
 // chainRequest returns the description of a request that the chain works with.
-func (p *pluginPart) chainRequest(req *request) chain.Request {
+func (p *pluginSubsystem) chainRequest(req *request) chain.Request {
 	settings := p.server.config.Settings
 	deadline := min(req.deadline, p.server.shutdownDeadline)
 	return chain.Request{
@@ -63,7 +63,7 @@
 }
 
 // appliesTo reports whether at least one plug-in evaluates a request that has been read.
-func (p *pluginPart) appliesTo(req *request) bool {
+func (p *pluginSubsystem) appliesTo(req *request) bool {
 	if p.chain == nil {
 		return false
 	}
@@ -73,10 +73,10 @@
 
 // evaluateRequest starts the evaluation of a request by the plug-ins. It calls done when the evaluation ends, which may
 // be before it returns.
-func (p *pluginPart) evaluateRequest(req *request, done func(evaluation *chain.Evaluation)) {
+func (p *pluginSubsystem) evaluateRequest(req *request, done func(evaluation *chain.Evaluation)) {
 	connection := req.pluginConnection
 	if connection == nil { // no process is running: every call fails and the plug-ins' fallback policies apply
-		connection = &pluginConnection{part: p, chain: p.chain, isClosed: true}
+		connection = &pluginConnection{plugins: p, chain: p.chain, isClosed: true}
 	}
 	running := &chainEvaluation{request: req, connection: connection, hook: chain.HookRead, done: done}
 	running.evaluation = connection.chain.Begin(chain.HookRead, p.chainRequest(req), nil, p.server.now)
@@ -86,7 +86,7 @@
 // evaluateResult starts the evaluation of a result and reports whether it did. It does not if no plug-in applies, or if
 // the result is neither sent to a router nor stored in an idempotency entry. If it did, it calls done when the
 // evaluation ends, which may be before it returns.
-func (p *pluginPart) evaluateResult(req *request, result []byte, done func(evaluation *chain.Evaluation)) bool {
+func (p *pluginSubsystem) evaluateResult(req *request, result []byte, done func(evaluation *chain.Evaluation)) bool {
 	connection := req.pluginConnection
 	isWanted := req.router != nil || req.entry != nil
 	if connection == nil || !isWanted {
@@ -104,7 +104,7 @@
 
 // callNext calls the next plug-in. If there is none, it ends the evaluation.
 func (e *chainEvaluation) callNext() {
-	server := e.connection.part.server
+	server := e.connection.plugins.server
 	for {
 		next, timeLimit := e.evaluation.Next(server.now)
 		if next == nil {
@@ -122,20 +122,20 @@
 // sendCall calls a plug-in and sets the timer for its verdict. It reports false if the call could not be made.
 func (e *chainEvaluation) sendCall(called *chain.Plugin, timeLimit timeunit.Ticks) bool {
 	connection := e.connection
-	part := connection.part
-	if connection.isClosed || connection.conn == nil || len(part.pendingCalls) >= maxPendingPluginCalls {
+	plugins := connection.plugins
+	if connection.isClosed || connection.conn == nil || len(plugins.pendingCalls) >= maxPendingPluginCalls {
 		return false
 	}
-	part.lastCallID++
+	plugins.lastCallID++
 	e.calledPlugin = called
-	e.callID = part.lastCallID
+	e.callID = plugins.lastCallID
 	e.timeLimit = timeLimit
-	part.pendingCalls[e.callID] = e
+	plugins.pendingCalls[e.callID] = e
 	connection.pendingCalls++
 	e.timer.fire = e.onTimeout
-	part.server.setTimer(&e.timer, part.server.now+timeLimit+verdictTransitTime)
+	plugins.server.setTimer(&e.timer, plugins.server.now+timeLimit+verdictTransitTime)
 	callRequest := e.callRequest()
-	encoded := callRequest.Append(part.requestBuffer[:0])
+	encoded := callRequest.Append(plugins.requestBuffer[:0])
 	connection.output = plugin.AppendCall(
 		connection.buffer(), called.Index, int(e.hook), e.callID, int64(timeLimit), encoded)
 	return true
@@ -143,14 +143,14 @@
 
 // callRequest returns the request that is sent to the plug-in.
 func (e *chainEvaluation) callRequest() abi.Request {
-	part := e.connection.part
-	callRequest := abi.Request{Hook: int(e.hook), UnixMS: part.server.now.Milliseconds()}
+	plugins := e.connection.plugins
+	callRequest := abi.Request{Hook: int(e.hook), UnixMS: plugins.server.now.Milliseconds()}
 	if e.request == nil {
 		return callRequest
 	}
 	description := e.evaluation.Request()
 	callRequest.TimeLeftMS = uint32(description.TimeLeft.Milliseconds())
-	callRequest.Category = part.categoryNames[e.request.category]
+	callRequest.Category = plugins.categoryNames[e.request.category]
 	callRequest.Tenant = description.Tenant
 	callRequest.Tag = e.request.tag
 	if e.evaluation.Tag != "" {
@@ -165,10 +165,10 @@
 
 // removePending removes the call from the pending calls and stops its timer.
 func (e *chainEvaluation) removePending() {
-	part := e.connection.part
-	delete(part.pendingCalls, e.callID)
+	plugins := e.connection.plugins
+	delete(plugins.pendingCalls, e.callID)
 	e.connection.pendingCalls--
-	part.server.stopTimer(&e.timer)
+	plugins.server.stopTimer(&e.timer)
 }
 
 // onTimeout is called when no verdict has arrived in time.
@@ -179,7 +179,7 @@
 
 // recordFault records a fault that ended the call after the time took, and continues the evaluation.
 func (e *chainEvaluation) recordFault(fault chain.Fault, took timeunit.Ticks) {
-	if e.evaluation.RecordFault(fault, took, e.connection.part.server.now) {
+	if e.evaluation.RecordFault(fault, took, e.connection.plugins.server.now) {
 		e.logQuarantine(fault)
 	}
 	e.callNext()
@@ -187,7 +187,7 @@
 
 // logQuarantine logs that the plug-in is quarantined.
 func (e *chainEvaluation) logQuarantine(fault chain.Fault) {
-	server := e.connection.part.server
+	server := e.connection.plugins.server
 	server.log.Event("plugin_quarantined").Str("name", e.calledPlugin.Name).Str("fault", fault.String()).
 		Int64("wait_ms", (e.calledPlugin.QuarantineEnd() - server.now).Milliseconds()).Send()
 }
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -35,10 +35,10 @@
 	Start func(state map[string]map[string][]byte) (*plugin.Process, error)
 }
 
-// pluginPart has requests and results evaluated by plug-ins, which run in a separate process. It must never block on a
-// plug-in, apply a verdict that the chain did not accept, or delay a request longer than the chain allows.
-type pluginPart struct {
-	partDefaults
+// pluginSubsystem has requests and results evaluated by plug-ins, which run in a separate process. It must never block
+// on a plug-in, apply a verdict that the chain did not accept, or delay a request longer than the chain allows.
+type pluginSubsystem struct {
+	subsystemDefaults
 	server  *Server
 	config  *Plugins            // nil if there are no plug-ins
 	chain   *chain.Chain        // kept while no process is running; nil if there are no plug-ins
@@ -60,7 +60,7 @@
 	lateVerdicts    int              // verdicts that matched no pending call
 }
 
-func (p *pluginPart) init(server *Server) {
+func (p *pluginSubsystem) init(server *Server) {
 	p.server = server
 	p.pendingCalls = map[uint64]*chainEvaluation{}
 	p.state = map[string]map[string][]byte{}
@@ -73,12 +73,12 @@
 	}
 }
 
-func (p *pluginPart) isEnabled() bool { return p.server.config.Plugins != nil }
+func (p *pluginSubsystem) isEnabled() bool { return p.server.config.Plugins != nil }
 
-func (p *pluginPart) start() { p.applyConfig(p.server.config.Plugins) }
+func (p *pluginSubsystem) start() { p.applyConfig(p.server.config.Plugins) }
 
 // reconfigure applies the plug-ins of a new configuration. The pointer is unchanged if the plug-ins are.
-func (p *pluginPart) reconfigure(next *Config) {
+func (p *pluginSubsystem) reconfigure(next *Config) {
 	if next.Plugins != p.server.config.Plugins {
 		p.server.config.Plugins = next.Plugins
 		p.applyConfig(next.Plugins)
@@ -87,7 +87,7 @@
 
 // applyConfig replaces the plug-ins by those of config. New requests use the old process until the connection to the
 // new one is open. Evaluations in progress are completed on the process that they started on.
-func (p *pluginPart) applyConfig(config *Plugins) {
+func (p *pluginSubsystem) applyConfig(config *Plugins) {
 	p.config = config
 	if config == nil {
 		p.retireCurrent()
@@ -104,7 +104,7 @@
 
 // retireCurrent stops attaching new requests to the current process. If there are then too many retired processes, it
 // ends the oldest one.
-func (p *pluginPart) retireCurrent() {
+func (p *pluginSubsystem) retireCurrent() {
 	old := p.current
 	p.current = nil
 	if old == nil {
@@ -121,10 +121,10 @@
 }
 
 // connect adds the connection to a process to the event loop.
-func (p *pluginPart) connect(config *Plugins, pluginChain *chain.Chain) {
+func (p *pluginSubsystem) connect(config *Plugins, pluginChain *chain.Chain) {
 	connection := &pluginConnection{
 		outputBuffer: outputBuffer{server: p.server, maxUnread: maxUnreadPerLink},
-		part:         p,
+		plugins:      p,
 		config:       config,
 		chain:        pluginChain,
 		process:      config.Process,
@@ -137,7 +137,7 @@
 }
 
 // restart starts a new process on another goroutine.
-func (p *pluginPart) restart() {
+func (p *pluginSubsystem) restart() {
 	config := p.config
 	state := p.snapshot()
 	if config == nil {
@@ -150,7 +150,7 @@
 }
 
 // onRestarted connects to a process that was started by restart, or schedules another attempt if it failed to start.
-func (p *pluginPart) onRestarted(config *Plugins, process *plugin.Process, err error) {
+func (p *pluginSubsystem) onRestarted(config *Plugins, process *plugin.Process, err error) {
 	isOutdated := p.config != config || p.current != nil // the configuration has changed in the meantime
 	switch {
 	case isOutdated && err == nil:
@@ -166,13 +166,13 @@
 }
 
 // scheduleRestart sets the timer for restart, with an exponential backoff.
-func (p *pluginPart) scheduleRestart() {
+func (p *pluginSubsystem) scheduleRestart() {
 	p.server.setTimer(&p.restartTimer, p.server.now+p.backoff.next())
 }
 
 // snapshot returns a copy of the plug-ins' state. Values are shared with the copy: they are replaced but never
 // modified.
-func (p *pluginPart) snapshot() map[string]map[string][]byte {
+func (p *pluginSubsystem) snapshot() map[string]map[string][]byte {
 	copied := map[string]map[string][]byte{}
 	for name, values := range p.state {
 		copied[name] = maps.Clone(values)
@@ -182,7 +182,7 @@
 
 // storeState stores a value of a plug-in for the next process. An empty value deletes the key. A value that would
 // exceed maxPluginStateBytes is not stored, and the previous value is deleted.
-func (p *pluginPart) storeState(name, key string, value []byte) {
+func (p *pluginSubsystem) storeState(name, key string, value []byte) {
 	values := p.state[name]
 	if values == nil {
 		values = map[string][]byte{}
@@ -200,7 +200,7 @@
 }
 
 // dropState deletes the state of the plug-ins in config.DropState.
-func (p *pluginPart) dropState(config *Plugins) {
+func (p *pluginSubsystem) dropState(config *Plugins) {
 	for name, isDropped := range config.DropState {
 		if !isDropped {
 			continue
@@ -214,7 +214,7 @@
 
 // addCounters adds the increments of a plug-in's counters, which text holds as a JSON object. It ignores invalid text.
 // Once there are maxPluginCounters counters, it ignores increments of new ones.
-func (p *pluginPart) addCounters(name string, text []byte) {
+func (p *pluginSubsystem) addCounters(name string, text []byte) {
 	var increments map[string]int64
 	if json.Unmarshal(text, &increments) != nil {
 		return
@@ -227,7 +227,7 @@
 	}
 }
 
-func (p *pluginPart) addState(event *zerolog.Event) {
+func (p *pluginSubsystem) addState(event *zerolog.Event) {
 	if p.chain == nil {
 		return
 	}
--- a/internal/server/plugins_test.go
+++ b/internal/server/plugins_test.go
@@ -39,7 +39,7 @@
 	serverEnd, pluginEnd := net.Pipe()
 	t.Cleanup(func() { _ = pluginEnd.Close() })
 	process := &plugin.Process{Conn: serverEnd, Command: &exec.Cmd{}}
-	connection := &pluginConnection{part: &server.plugins, config: &Plugins{}, chain: pluginChain, process: process}
+	connection := &pluginConnection{plugins: &server.plugins, config: &Plugins{}, chain: pluginChain, process: process}
 	connection.outputBuffer = outputBuffer{server: server, maxUnread: maxUnreadPerLink, conn: discardConn{}}
 	server.plugins.config = connection.config
 	server.plugins.current = connection
@@ -55,7 +55,7 @@
 	}
 	verdictOf := func(verdict abi.Verdict) []byte { return encodeEnd(plugin.CallSucceeded, verdict) }
 	noop := verdictOf(abi.Verdict{})
-	request := requestRecords(1, paramsWith(withID("a1", "HTTP_ONCE_KEY", "l")...), "body")
+	request := requestRecords(1, paramsWith(withRequestID("a1", "HTTP_ONCE_KEY", "l")...), "body")
 	for _, test := range []struct {
 		name   string
 		read   []byte // verdict on the request; nil if the call times out
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -83,11 +83,11 @@
 	return responses
 }
 
-// quotaPart applies the quota on the event loop. Before each dispatch it sets admission's limit on calls in flight, and
-// it requests new leases according to usage. It must never make or allow a call beyond the usable quota, nor wait for
-// the service.
-type quotaPart struct {
-	partDefaults
+// quotaSubsystem applies the quota on the event loop. Before each dispatch it sets admission's limit on calls in
+// flight, and it requests new leases according to usage. It must never make or allow a call beyond the usable quota,
+// nor wait for the service.
+type quotaSubsystem struct {
+	subsystemDefaults
 	server             *Server
 	quota              *Quota                // nil if only the settings limit calls
 	admissionLimit     quota.Amount          // limit last set in admission
@@ -100,7 +100,7 @@
 	cancelledCalls     int                   // calls cancelled because the lease had expired
 }
 
-func (p *quotaPart) init(server *Server) {
+func (p *quotaSubsystem) init(server *Server) {
 	p.server = server
 	p.quota = server.config.Quota
 	p.admissionLimit = unsetLimit
@@ -109,15 +109,15 @@
 	p.rateTimer.fire = server.index.sendRateLimited
 }
 
-func (p *quotaPart) isEnabled() bool { return p.quota != nil }
+func (p *quotaSubsystem) isEnabled() bool { return p.quota != nil }
 
-func (p *quotaPart) start() {
+func (p *quotaSubsystem) start() {
 	p.quota.subscribe(func() { p.server.trySubmit(p.update) })
 	p.poll()
 }
 
 // poll updates the quota at least pollsPerLease times per lease duration, even if nothing else happens.
-func (p *quotaPart) poll() {
+func (p *quotaSubsystem) poll() {
 	p.update()
 	interval := p.quota.LeaseHolders[callLimitIndex].LeaseDuration() / pollsPerLease
 	p.server.setTimer(&p.pollTimer, p.server.now+ticksFromMilliseconds(interval))
@@ -128,11 +128,11 @@
 	return timeunit.Ticks(max(1, duration)) * timeunit.TicksPerMillisecond
 }
 
-func (p *quotaPart) beforeDispatch() { p.update() }
+func (p *quotaSubsystem) beforeDispatch() { p.update() }
 
 // update handles the coordinator's responses, cancels calls that an expired lease no longer covers, sets admission's
 // limit and sends the next request if it is due.
-func (p *quotaPart) update() {
+func (p *quotaSubsystem) update() {
 	now := p.quota.Service.Now()
 	p.handleResponses(now)
 	p.updatedAt = now
@@ -153,7 +153,7 @@
 }
 
 // handleResponses passes the coordinator's responses to the lease holders.
-func (p *quotaPart) handleResponses(now timeunit.Milliseconds) {
+func (p *quotaSubsystem) handleResponses(now timeunit.Milliseconds) {
 	for _, response := range p.quota.takeResponses() {
 		for limit, limitResponse := range response.Limits {
 			if limit < len(p.quota.LeaseHolders) && limitResponse.LeaseVersion > 0 {
@@ -165,7 +165,7 @@
 
 // applyLimit sets admission's limit on calls in flight and logs a change of it. remaining is the time until the lease
 // expires, which is logged too.
-func (p *quotaPart) applyLimit(usable quota.Amount, remaining timeunit.Milliseconds) {
+func (p *quotaSubsystem) applyLimit(usable quota.Amount, remaining timeunit.Milliseconds) {
 	if p.server.admission == nil {
 		return
 	}
@@ -183,7 +183,7 @@
 
 // requestLeases sends a request for all limits if a request for each of them is due, and publishes the leases for
 // LocalState.
-func (p *quotaPart) requestLeases(now timeunit.Milliseconds) {
+func (p *quotaSubsystem) requestLeases(now timeunit.Milliseconds) {
 	var request quota.Request
 	for _, holder := range p.quota.LeaseHolders {
 		if limit, isDue := holder.NextRequest(now); isDue {
@@ -203,7 +203,7 @@
 
 // afterDispatch reports the usage that results from the dispatch. If the process was paused since the last update, the
 // lease may have expired in the meantime; calls beyond the usable quota are then withdrawn if they are not yet written.
-func (p *quotaPart) afterDispatch() {
+func (p *quotaSubsystem) afterDispatch() {
 	now := p.quota.Service.Now()
 	calls := p.quota.LeaseHolders[callLimitIndex]
 	if p.server.admission != nil {
@@ -222,9 +222,9 @@
 // wholeCalls returns the number of calls that an amount allows, rounded down.
 func wholeCalls(amount quota.Amount) int { return int(amount / quota.Unit) }
 
-// mayCall takes a token of the limit on calls per second and reports whether there was one. If there was none, it sets
-// the timer that retries the waiting calls.
-func (p *quotaPart) mayCall() bool {
+// takeCallToken takes a token of the limit on calls per second and reports whether there was one. If there was none, it
+// sets the timer that retries the waiting calls.
+func (p *quotaSubsystem) takeCallToken() bool {
 	if p.quota == nil || len(p.quota.LeaseHolders) <= callRateLimitIndex {
 		return true
 	}
@@ -238,7 +238,7 @@
 	return false
 }
 
-func (p *quotaPart) addState(event *zerolog.Event) {
+func (p *quotaSubsystem) addState(event *zerolog.Event) {
 	event.Float64("quota_calls", float64(p.admissionLimit)/float64(quota.Unit)).
 		Int("quota_calls_cancelled", p.cancelledCalls)
 }
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -15,10 +15,10 @@
 	s.config.Index = next.Index
 	s.config.Directory = next.Directory
 	s.config.Tenancy = next.Tenancy
-	for _, optional := range s.optionalParts() {
+	for _, optional := range s.optionalSubsystems() {
 		optional.reconfigure(&next)
 	}
-	s.collectParts()
+	s.collectEnabledSubsystems()
 	if previous.Interpreter != next.Interpreter {
 		s.interpreter.reconnect()
 	}
--- a/internal/server/recovery.go
+++ b/internal/server/recovery.go
@@ -32,11 +32,11 @@
 	OnDurable func(func(done []segmentlog.WriteResult))
 }
 
-// recoveryPart writes intent and completion records for requests with an idempotency key, and restores the records of
-// earlier processes at startup. It must never let a request run before its intent is durable, and never block on the
+// recoverySubsystem writes intent and completion records for requests with an idempotency key, and restores the records
+// of earlier processes at startup. It must never let a request run before its intent is durable, and never block on the
 // disk.
-type recoveryPart struct {
-	partDefaults
+type recoverySubsystem struct {
+	subsystemDefaults
 	server             *Server
 	log                *segmentlog.Log     // nil if crash recovery is disabled
 	pending            map[uint64]*request // requests that wait for their intent records, by attempt
@@ -52,7 +52,7 @@
 }
 
 // init restores the idempotency entries of earlier processes from the log.
-func (p *recoveryPart) init(server *Server, config *Recovery) {
+func (p *recoverySubsystem) init(server *Server, config *Recovery) {
 	p.server = server
 	p.pending = map[uint64]*request{}
 	if config == nil {
@@ -68,10 +68,10 @@
 	}
 }
 
-func (p *recoveryPart) isEnabled() bool { return p.log != nil }
+func (p *recoverySubsystem) isEnabled() bool { return p.log != nil }
 
 // maxUnreadDelay returns how long after the end of its deduplication window a retry may still be unread.
-func (p *recoveryPart) maxUnreadDelay() timeunit.Ticks {
+func (p *recoverySubsystem) maxUnreadDelay() timeunit.Ticks {
 	delay := maxClockSkew
 	for _, category := range p.server.config.Settings.Categories {
 		delay = max(delay, category.Deadline+maxClockSkew)
@@ -80,12 +80,12 @@
 }
 
 // restoreEntry adds an idempotency entry of an earlier process. It is kept until maxUnreadDelay after its window.
-func (p *recoveryPart) restoreEntry(outcome *recovery.Outcome, maxUnreadDelay timeunit.Ticks) {
+func (p *recoverySubsystem) restoreEntry(outcome *recovery.Outcome, maxUnreadDelay timeunit.Ticks) {
 	entry := &idempotencyEntry{
 		key:        outcome.Key,
 		bodyHash:   outcome.BodyHash,
-		ran:        true,
-		ended:      true,
+		hasStarted: true,
+		hasEnded:   true,
 		succeeded:  outcome.Completed && outcome.Succeeded,
 		result:     outcome.Result,
 		matchUntil: outcome.WindowEnd,
@@ -96,7 +96,7 @@
 }
 
 // restoredEntries returns the number of entries restored from the log.
-func (p *recoveryPart) restoredEntries() int {
+func (p *recoverySubsystem) restoredEntries() int {
 	if p.log == nil {
 		return 0
 	}
@@ -105,7 +105,7 @@
 
 // deferForIntent writes the intent record of a request with an idempotency key, or rejects the request if that is not
 // possible. It returns false if no intent is needed; the caller then proceeds at once.
-func (p *recoveryPart) deferForIntent(req *request, tenant []byte) bool {
+func (p *recoverySubsystem) deferForIntent(req *request, tenant []byte) bool {
 	if p.log == nil {
 		return false
 	}
@@ -113,10 +113,10 @@
 	if key == "" {
 		return false
 	}
-	existing := p.server.requests.existingEntry(req)
+	existing := p.server.requests.findEntry(req)
 	maxRetryAfter := p.server.config.Settings.MaxRetryAfter
 	switch {
-	case existing != nil && existing.ran:
+	case existing != nil && existing.hasStarted:
 		return false // a retry of a request that ran
 	case p.isClosing:
 		p.reject(req, &p.rejectedFull, "closing", maxRetryAfter)
@@ -146,17 +146,17 @@
 }
 
 // windowEnd returns the end of a request's deduplication window by the system clock, which outlives the process.
-func (p *recoveryPart) windowEnd(req *request) timeunit.Ticks {
+func (p *recoverySubsystem) windowEnd(req *request) timeunit.Ticks {
 	window := p.server.config.Settings.Categories[req.category].DeduplicationWindow
 	receivedAt := req.receivedAt + p.server.clock.systemOffset
-	return receivedAt + window + p.server.requests.windowMargin()
+	return receivedAt + window + p.server.requests.minWindowMargin()
 }
 
 // awaitIntent holds a request until its intent is durable. Admission accounts for the request's memory in the meantime.
-func (p *recoveryPart) awaitIntent(req *request, tenant []byte, windowEnd timeunit.Ticks) {
+func (p *recoverySubsystem) awaitIntent(req *request, tenant []byte, windowEnd timeunit.Ticks) {
 	req.tenant = bytes.Clone(tenant) // the parser reuses its buffer
 	req.key = bytes.Clone(req.key)
-	req.intentUntil = windowEnd
+	req.intentWindowEnd = windowEnd
 	req.attempt = p.lastAttempt
 	p.pending[p.lastAttempt] = req
 	req.intentTimer.fire = func() { p.onIntentTimeout(req) }
@@ -165,21 +165,21 @@
 }
 
 // responseDeadline returns the time at which a request is answered even if its intent is not durable yet.
-func (p *recoveryPart) responseDeadline(req *request) timeunit.Ticks {
+func (p *recoverySubsystem) responseDeadline(req *request) timeunit.Ticks {
 	deadline := min(req.deadline, p.server.shutdownDeadline)
 	return max(p.server.now, deadline-responseMargin)
 }
 
 // onIntentTimeout rejects a request whose intent did not become durable in time. Once the intent is durable, a
 // cancellation record is written for it.
-func (p *recoveryPart) onIntentTimeout(req *request) {
+func (p *recoverySubsystem) onIntentTimeout(req *request) {
 	p.logRejection(&p.rejectedLate, "late")
 	req.respond(statusRejected, "", nil)
 }
 
 // drain makes sure that requests that wait for the disk are answered before the shutdown ends, and saves the warm-start
 // state.
-func (p *recoveryPart) drain() {
+func (p *recoverySubsystem) drain() {
 	for _, req := range p.pending {
 		if req.intentTimer.isSet() {
 			p.server.setTimer(&req.intentTimer, p.responseDeadline(req))
@@ -189,7 +189,7 @@
 }
 
 // reject answers a request whose intent cannot be written, and counts it under the reason.
-func (p *recoveryPart) reject(req *request, count *int, reason string, retryAfter timeunit.Ticks) {
+func (p *recoverySubsystem) reject(req *request, count *int, reason string, retryAfter timeunit.Ticks) {
 	p.logRejection(count, reason)
 	p.server.requests.remove(req)
 	header := retryAfterHeader(min(retryAfter, p.server.config.Settings.MaxRetryAfter))
@@ -197,14 +197,14 @@
 }
 
 // logRejection counts a rejection and logs a sample of them.
-func (p *recoveryPart) logRejection(count *int, reason string) {
+func (p *recoverySubsystem) logRejection(count *int, reason string) {
 	if countAndSample(count) {
 		p.server.log.Event("store_rejections").Str("reason", reason).Int("count", *count).Send()
 	}
 }
 
 // onDurable handles the finished writes of the log.
-func (p *recoveryPart) onDurable(done []segmentlog.WriteResult) {
+func (p *recoverySubsystem) onDurable(done []segmentlog.WriteResult) {
 	for _, write := range done {
 		req := p.pending[write.Tag]
 		if req == nil {
@@ -219,10 +219,10 @@
 
 // onIntentWritten hands a request to admission when its intent is durable. It drops a request that no router waits for
 // any more, and rejects one whose intent could not be written.
-func (p *recoveryPart) onIntentWritten(req *request, err error) {
+func (p *recoverySubsystem) onIntentWritten(req *request, err error) {
 	hasRouter := req.router != nil
 	if err != nil {
-		req.intentUntil = 0 // there is no record to conclude
+		req.intentWindowEnd = 0 // there is no record to conclude
 	}
 	switch {
 	case err != nil && hasRouter:
@@ -238,8 +238,8 @@
 }
 
 // concludeIntent writes the completion or cancellation record of an intent, once.
-func (p *recoveryPart) concludeIntent(req *request, kind recovery.RecordKind, succeeded bool, result []byte) {
-	if req.intentUntil == 0 || p.isClosing {
+func (p *recoverySubsystem) concludeIntent(req *request, kind recovery.RecordKind, succeeded bool, result []byte) {
+	if req.intentWindowEnd == 0 || p.isClosing {
 		return
 	}
 	key := req.recoveryKey
@@ -249,16 +249,16 @@
 	p.log.AppendCompletion(recovery.Record{
 		Kind:      kind,
 		Key:       key,
-		WindowEnd: req.intentUntil,
+		WindowEnd: req.intentWindowEnd,
 		Attempt:   req.attempt,
 		Succeeded: succeeded,
 		Payload:   result,
 	}, 0)
-	req.intentUntil = 0
+	req.intentWindowEnd = 0
 }
 
 // close flushes and closes the log without blocking. It calls done when that is finished or after timeout.
-func (p *recoveryPart) close(timeout timeunit.Ticks, done func()) {
+func (p *recoverySubsystem) close(timeout timeunit.Ticks, done func()) {
 	if p.log == nil {
 		done()
 		return
@@ -274,7 +274,7 @@
 	}()
 }
 
-func (p *recoveryPart) addState(event *zerolog.Event) {
+func (p *recoverySubsystem) addState(event *zerolog.Event) {
 	used, reserved, records, err := p.log.Usage()
 	event.Int64("store_bytes", used).Int64("store_reserved_bytes", reserved).Int("store_records", records).
 		Int("store_intents_pending", len(p.pending)).Int("store_rejected_full", p.rejectedFull).
@@ -283,7 +283,7 @@
 
 // saveWarmStart writes the warm-start state to the log. State that cannot be encoded is not written, and the next
 // process starts cold.
-func (p *recoveryPart) saveWarmStart() {
+func (p *recoverySubsystem) saveWarmStart() {
 	if p.log == nil || p.isClosing || p.server.admission == nil {
 		return
 	}
@@ -299,7 +299,7 @@
 }
 
 // loadWarmStart returns the warm-start state of an earlier process, decayed by its age, or nil if there is none.
-func (p *recoveryPart) loadWarmStart() *admission.WarmStartState {
+func (p *recoverySubsystem) loadWarmStart() *admission.WarmStartState {
 	if p.log == nil || len(p.log.WarmStart) == 0 {
 		return nil
 	}
@@ -314,6 +314,6 @@
 }
 
 // settingsHash returns a hash of the settings that admission depends on.
-func (p *recoveryPart) settingsHash() uint64 {
+func (p *recoverySubsystem) settingsHash() uint64 {
 	return xxh3.HashString(p.server.config.Settings.StoredForm())
 }
--- a/internal/server/recovery_test.go
+++ b/internal/server/recovery_test.go
@@ -112,7 +112,7 @@
 	test.server.admission.Dispatch()
 	require.NotContains(t, test.commands(), runCommand)
 	require.Nil(t, test.server.requests.byID[intendedID])
-	require.Zero(t, req.intentUntil) // the intent is concluded
+	require.Zero(t, req.intentWindowEnd) // the intent is concluded
 }
 
 func TestRequestIsRejectedWhenIntentCannotBeWritten(t *testing.T) {
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -40,10 +40,10 @@
 	sharesResult bool
 
 	// Intent record in the recovery log.
-	intentUntil timeunit.Ticks // end of the window in the intent record; zero if no completion record is due
-	attempt     uint64         // attempt number in the log
-	intentTimer timer          // set while the intent record is being written
-	recoveryKey string         // key in the log; set once the request is handed to admission
+	intentWindowEnd timeunit.Ticks // end of the window in the intent record; zero if no completion record is due
+	attempt         uint64         // attempt number in the log
+	intentTimer     timer          // set while the intent record is being written
+	recoveryKey     string         // key in the log; set once the request is handed to admission
 
 	// Plug-ins.
 	pluginTenant     string // tenant that plug-ins see
@@ -51,15 +51,15 @@
 	pluginConnection *pluginConnection
 
 	// State of the run, also as known to the interpreter. A request is run at most once.
-	runStarted   bool // admission has started the run
-	runPending   bool // the run command has yet to be sent to the interpreter
-	runSent      bool // the run command was sent, on this link or an earlier one
-	runSentAt    timeunit.Ticks
-	runConfirmed bool // the interpreter has sent a notice about the run
-	runInDoubt   bool // the link broke before such a notice: the run may never have started
-	runDone      bool // the run is known to have ended
-	stopPending  bool // the stop command has yet to be sent to the interpreter
-	stopSent     bool // the stop command was sent
+	runStarted        bool // admission has started the run
+	runPending        bool // the run command has yet to be sent to the interpreter
+	runSent           bool // the run command was sent, on this link or an earlier one
+	runSentAt         timeunit.Ticks
+	runConfirmed      bool // the interpreter has sent a notice about the run
+	isRunStartUnknown bool // the link broke before such a notice: the run may never have started
+	runDone           bool // the run is known to have ended
+	stopPending       bool // the stop command has yet to be sent to the interpreter
+	stopSent          bool // the stop command was sent
 
 	// Downstream call that the run waits for, and the reply to it.
 	callBody     []byte
@@ -86,7 +86,7 @@
 func (r *request) detachRouter() {
 	r.router = nil
 	r.stream = nil
-	if r.runInDoubt {
+	if r.isRunStartUnknown {
 		r.server.requests.unconfirmedRuns = append(r.server.requests.unconfirmedRuns, r)
 	}
 }
@@ -107,7 +107,7 @@
 		return
 	}
 	if r.entry != nil && r.entry.owner == r && !r.runDone {
-		r.entry.ran = false
+		r.entry.hasStarted = false
 	}
 	r.reservation.UndoStart(r.server.now)
 	r.handleRunEnd(admission.NeverStarted, 0, nil)
@@ -149,7 +149,7 @@
 // result longer than maxResultBytes is not stored; repeats of the request are then answered as failed.
 func (r *request) recordOutcome(outcome admission.Outcome, result []byte) {
 	entry := r.entry
-	entry.ended = true
+	entry.hasEnded = true
 	entry.succeeded = outcome == admission.Succeeded && len(result) <= maxResultBytes
 	if entry.succeeded {
 		entry.result = result
--- a/internal/server/requesttable.go
+++ b/internal/server/requesttable.go
@@ -24,7 +24,7 @@
 
 	entries map[string]*idempotencyEntry // idempotency table, see idempotency.go
 
-	dueSharers      []*request // requests whose shared result is available or will never be
+	readySharers    []*request // requests whose shared result is available or will never be
 	unconfirmedRuns []*request // requests without a recipient whose run may never have started
 
 	wakeupTimer  timer // fires the wakeup that admission has scheduled
@@ -60,7 +60,7 @@
 	req.body = bytes.Clone(stream.Body) // a copy, because the parser's buffer is much larger
 	stream.Owner = req
 	t.byID[req.id] = req
-	t.server.plugins.attach(req)
+	t.server.plugins.attachRequest(req)
 	if t.server.plugins.appliesTo(req) {
 		t.evaluate(req)
 	} else {
@@ -111,7 +111,7 @@
 	if evaluation.Tag != "" {
 		tenant = []byte(evaluation.Tag)
 	}
-	existing := t.existingEntry(req)
+	existing := t.findEntry(req)
 	if evaluation.Rejected && existing == nil {
 		t.remove(req)
 		req.respond(strconv.Itoa(evaluation.Status)+statusRejectedByPlugin, "", nil)
@@ -123,7 +123,7 @@
 // remove removes a request that admission has released or that will never be handed to admission.
 func (t *requestTable) remove(req *request) {
 	delete(t.byID, req.id)
-	t.server.plugins.detach(req)
+	t.server.plugins.detachRequest(req)
 }
 
 // admitOnceDurable hands a request to admission, after its intent record is durable if it needs one.
@@ -140,7 +140,7 @@
 	var bodyHash [sha256.Size]byte
 	if key != "" {
 		bodyHash = sha256.Sum256(req.body)
-		existing = t.existingEntry(req)
+		existing = t.findEntry(req)
 		if existing != nil && existing.bodyHash != bodyHash {
 			t.respondKeyReused(req)
 			return
@@ -190,7 +190,7 @@
 }
 
 // hasDeferredWork reports whether processDeferredWork has anything to do.
-func (t *requestTable) hasDeferredWork() bool { return len(t.dueSharers)+len(t.unconfirmedRuns) > 0 }
+func (t *requestTable) hasDeferredWork() bool { return len(t.readySharers)+len(t.unconfirmedRuns) > 0 }
 
 // processDeferredWork answers requests that share a result once the shared run has ended. It also ends runs that nobody
 // waits for and that may never have started; otherwise they would count as running forever.
@@ -201,8 +201,8 @@
 		}
 	}
 	t.unconfirmedRuns = t.unconfirmedRuns[:0]
-	sharers := t.dueSharers
-	t.dueSharers = nil
+	sharers := t.readySharers
+	t.readySharers = nil
 	for _, sharer := range sharers {
 		if !sharer.isReleased {
 			t.respondSharer(sharer)
@@ -212,7 +212,7 @@
 
 func (t *requestTable) respondSharer(sharer *request) {
 	outcome := admission.Failed
-	if sharer.entry.ended && sharer.entry.succeeded {
+	if sharer.entry.hasEnded && sharer.entry.succeeded {
 		outcome = admission.Succeeded
 		sharer.respond(statusOK, "", sharer.entry.result)
 	} else {
--- a/internal/server/sequence_test.go
+++ b/internal/server/sequence_test.go
@@ -195,7 +195,7 @@
 	notify(p.T, p.server, `{"type":"BANNER","state":"WARM","took":1}`)
 }
 
-// passTime advances the time in one step and ends the batch. Late timers fire as they do after a standstill.
+// passTime advances the time in one step and ends the batch. Late timers fire as they do after a pause of the process.
 func (p *sequence) passTime(span timeunit.Ticks) {
 	advanceTime(p.server, span)
 	p.endBatch()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -7,7 +7,7 @@
 // goroutine for a request. Other goroutines dial connections, wait for the disk during shutdown and start processes;
 // each passes its result to the loop with Server.submit.
 //
-// The optional subsystems (fair queueing, plug-ins, gossip, crash recovery, quota) implement the interface part.
+// The optional subsystems (fair queueing, plug-ins, gossip, crash recovery, quota) implement the interface subsystem.
 package server
 
 import (
@@ -65,7 +65,7 @@
 	deadlines           deadlineHeap
 	systemTimer         *time.Timer
 	systemTimerDeadline timeunit.Ticks // deadline for which systemTimer is set, or noDeadline
-	standstill          standstillState
+	pauseState          pauseState
 	timerLateness       lagHistogram
 	peakLateness        peakLateness
 
@@ -83,20 +83,20 @@
 	index       indexClient
 	directory   directoryClient
 
-	// The optional subsystems. parts holds those that are enabled.
-	fairQueue fairQueuePart
-	plugins   pluginPart
-	gossip    gossipPart
-	recovery  recoveryPart
-	quota     quotaPart
-	parts     []part
+	// The optional subsystems. enabledSubsystems holds those that the configuration enables.
+	fairQueue         fairQueueSubsystem
+	plugins           pluginSubsystem
+	gossip            gossipSubsystem
+	recovery          recoverySubsystem
+	quota             quotaSubsystem
+	enabledSubsystems []subsystem
 
 	// The life cycle of the process.
 	phase            phase
 	noticeSentAt     timeunit.Ticks // earliest time at which the notice may have been sent; valid after it
 	killAt           timeunit.Ticks // expected time of the kill, given the notice delay; valid after the notice
 	shutdownDeadline timeunit.Ticks // when all requests must be answered; noDeadline before the shutdown notice
-	ended            bool           // the event loop must end
+	mustEndLoop      bool           // the event loop must end
 
 	// Logging of the server's state, and its counters.
 	stateTimer       timer
@@ -130,7 +130,7 @@
 	server.gossip.init(server)
 	server.recovery.init(server, config.Recovery)
 	server.quota.init(server)
-	server.collectParts()
+	server.collectEnabledSubsystems()
 	return server
 }
 
@@ -146,7 +146,7 @@
 	err := gnet.Run(s, "tcp://"+s.config.Listen, gnet.WithNumEventLoop(1), gnet.WithReusePort(true),
 		gnet.WithReuseAddr(true), gnet.WithReadBufferCap(readBufferBytes), gnet.WithWriteBufferCap(bufferSize),
 		gnet.WithLogger(engineLog{s.log}))
-	if err == nil && !s.ended {
+	if err == nil && !s.mustEndLoop {
 		err = ErrLoopEnded
 	}
 	return err
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -20,7 +20,7 @@
 		Int64("timer_late_ms", s.timerLateness.percentile99().Milliseconds()).
 		Int("interpreter_links", s.interpreter.linkCount).Int("directory_reports_missed", s.directory.missedReports).
 		Int("bad_peers", s.badPeers).Int("unread_closed", s.unreadClosed).Int("connections_evicted", s.routers.evicted)
-	for _, optional := range s.parts {
+	for _, optional := range s.enabledSubsystems {
 		optional.addState(event)
 	}
 	s.addAdmissionState(event)
