--- a/admission/cores.go
+++ b/admission/cores.go
@@ -36,10 +36,12 @@
 	}
 }
 
-// lowerLimitOnContention lowers the limit by the excess of runnable requests, at most once per round trip and never
-// below the number of cores. Requests in excess of the cores add nothing to throughput. This protects against load that
-// grows faster than experiments can detect (slow cores, bursts of reading). It reduces throughput where the gauge
-// counts requests that do not compete for the cores.
+// lowerLimitOnContention lowers the limit if the mean of runnable requests exceeds contentionThreshold per core. It
+// subtracts the excess, rounded up, from the limit or from the requests in flight, whichever is smaller. It does so at
+// most once per round trip, and the limit never falls below the number of cores. Runnable requests beyond the number of
+// cores add nothing to throughput. This protects against load that grows faster than experiments can detect (slow
+// cores, bursts of reading). It reduces throughput where Gauges.RunnableRequests counts requests that do not compete
+// for the cores.
 func (c *coreLoad) lowerLimitOnContention(limiter *limiter, now timeunit.Ticks) {
 	excess := c.runnable - contentionThreshold*c.coreCount
 	if excess > 0 && now >= c.nextReductionAt {
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -27,8 +27,8 @@
 //
 // It differs from Algorithm 1 in four points. An experiment without starts, or in which the limit delayed no start,
 // does not change the limit. Counts are compared as rates, since the next experiment is shorter when response times
-// fall. An equal number of starts is treated as a decrease by zero, so the limit shrinks. The limit never falls below
-// its floor, the number of cores.
+// fall. An equal rate of starts is treated as a decrease by zero, so the limit shrinks unless the rate of answers fell.
+// The limit never falls below its floor, the number of cores.
 type limiter struct {
 	limit     float64
 	floor     float64
@@ -86,8 +86,9 @@
 }
 
 // shouldLowerLimit is the marginal test of Algorithm 1, lines 15 to 31. It reports whether there were too many drops,
-// or too small a fraction of the added starts was answered. If starts decreased, the decrease of the answers is
-// compared with the decrease of the starts.
+// or too small a fraction of the added starts was answered. If the starts decreased, the limit is lowered if the
+// answers decreased by at most efficiencyThreshold times as much: then the smaller number of starts cost little
+// throughput.
 func (l *limiter) shouldLowerLimit(rates experiment) bool {
 	addedStarts := rates.started - l.previous.started
 	addedAnswers := rates.answered - l.previous.answered
--- a/internal/config/plugins.go
+++ b/internal/config/plugins.go
@@ -225,7 +225,8 @@
 	}
 }
 
-// anyMayTag reports whether any plug-in may set tags, which the fair queues treat as tenants.
+// anyMayTag reports whether any plug-in may set tags. The fair queues treat a tag as a tenant, so if tags may be set,
+// their settings may name tenants that the platform does not know.
 func (p *Plugins) anyMayTag() bool {
 	return p != nil && slices.ContainsFunc(p.Entries, func(entry Plugin) bool { return entry.has(capabilityTag) })
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// logMemberEvent logs a change of another server's state.
+// logMemberEvent logs a change of a member's state. The member may be this server itself.
 func (d *daemon) logMemberEvent(
 	event string, id membership.ID, from, to membership.State, cause membership.Cause,
 ) {
--- a/internal/emulator/loadrun.go
+++ b/internal/emulator/loadrun.go
@@ -42,7 +42,7 @@
 	load           *Load
 	statsByTenant  *StatsByTenant
 	connections    []*loadConnection
-	brokenRequests int // attempts whose connection broke before the response
+	brokenRequests int // attempts whose connection ended before the response
 }
 
 // loadConnection is one connection to the server.
@@ -165,7 +165,8 @@
 	return c.lastSlot
 }
 
-// readResponses records the responses of one connection until the connection ends.
+// readResponses records the responses of one connection until the connection ends. It wakes the sender after each
+// response, because a retry that the response scheduled may be due before the attempt that the sender waits for.
 func (c *loadConnection) readResponses() {
 	for {
 		response, err := c.ReadResponse()
@@ -225,7 +226,8 @@
 	}
 }
 
-// BrokenRequests returns the number of attempts whose connection ended before their response.
+// BrokenRequests returns the number of attempts whose connection ended before their response. Attempts that are still
+// unanswered when Run closes the connections count too, but only some time after Run has returned.
 func (r *LoadRun) BrokenRequests() int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/fastcgi/parser.go
+++ b/internal/fastcgi/parser.go
@@ -174,6 +174,8 @@
 	return data[skipped:]
 }
 
+// recordType, requestID and contentLength return fields of the current record's header. They are valid only once the
+// header is complete. contentLength is the length of the record's content in bytes, without padding.
 func (p *Parser) recordType() byte   { return p.header[1] }
 func (p *Parser) requestID() uint16  { return binary.BigEndian.Uint16(p.header[2:]) }
 func (p *Parser) contentLength() int { return int(binary.BigEndian.Uint16(p.header[4:])) }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -160,7 +160,8 @@
 // LocalID returns the identity of this incarnation of the server.
 func (n *Node) LocalID() membership.ID { return n.config.Membership.Self }
 
-// Now returns the time on the clock of the view: the milliseconds since the start plus 1, so that it is never 0.
+// Now returns the time on the clock of the view: the milliseconds since this Node was created, plus 1. It is never 0,
+// because a time of 0 means that an event has not happened (Member.LastReply of this server, for example).
 func (n *Node) Now() timeunit.Milliseconds {
 	return timeunit.Milliseconds(n.config.Now().Sub(n.startedAt).Milliseconds()) + 1
 }
--- a/internal/gossip/sealing.go
+++ b/internal/gossip/sealing.go
@@ -31,7 +31,8 @@
 	return signed, encodeMessage(kind, signed)
 }
 
-// signedBytes returns the bytes that a signature covers: the kind and the payload.
+// signedBytes returns the bytes that a signature covers: the kind and the payload. The kind is covered so that a
+// payload signed as one kind of message is not accepted as another kind.
 func signedBytes(kind byte, payload []byte) []byte { return append([]byte{kind}, payload...) }
 
 // verify returns nil if a message is signed by sender. A state update from a sender whose key is not known yet is
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// countingTransport is memberlist's NetTransport with two differences: outgoing connections have the listening address
-// as their source address, and sent bytes are counted.
+// countingTransport is memberlist's NetTransport with two differences: outgoing connections have the IP address on
+// which the transport listens as their source, with a port that the system chooses, and sent bytes are counted.
 type countingTransport struct {
 	*memberlist.NetTransport
 	localIP   net.IP
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -244,7 +244,8 @@
 }
 
 // Tick applies the changes that depend on time alone: it removes members that failed or left more than Retention ago
-// and updates the effective size. The host calls it a few times per second.
+// and updates the effective size. Members in a name conflict and this server itself are not removed. The current time
+// is that of the last call of Advance. The host calls Tick a few times per second.
 func (v *View) Tick(status QuorumStatus) {
 	for _, member := range v.members {
 		hasEnded := member.State >= StateFailed && member.Cause != CauseNameConflict
--- a/internal/plugin/abi/abi.go
+++ b/internal/plugin/abi/abi.go
@@ -72,6 +72,8 @@
 }
 
 // ParseRequest decodes a request. The only possible error is ErrMalformed. The returned Body shares memory with data.
+// ParseRequest checks the version and the lengths, but not that the hook is known, that the two bytes after it are
+// zero, or that the texts are valid UTF-8.
 func ParseRequest(data []byte) (Request, error) {
 	in := messageReader{remaining: data}
 	header := in.readBytes(requestHeaderSize)
--- a/internal/plugin/chain/circuitbreaker.go
+++ b/internal/plugin/chain/circuitbreaker.go
@@ -14,12 +14,14 @@
 const (
 	StateActive      State = iota // the plug-in is called for every request to which it applies
 	StateQuarantined              // the plug-in is not called
-	StateProbation                // one call at a time, until enough calls in a row succeed
+	StateProbation                // one trial call at a time, until trialsToRecover have succeeded
 )
 
 // Parameters that control when a circuit breaker opens and closes.
 const (
-	// trialsToRecover is the number of consecutive successful calls after which probation ends.
+	// trialsToRecover is the number of successful trial calls after which probation ends. A trial call with a fault
+	// that counts against the plug-in starts a new quarantine, after which the count begins at 0. A fault that counts
+	// only against a tenant does not reset it.
 	trialsToRecover = 3
 
 	// lengthResetFactor is a multiple of the last quarantine's length. After that much time without a quarantine, the
@@ -54,7 +56,7 @@
 	random *rand.Rand
 
 	consecutiveFaults int
-	successfulTrials  int // consecutive
+	successfulTrials  int // since the last quarantine; a fault that counts only against a tenant does not reset it
 	faultRate         float64
 	sampledCalls      int // number of calls in faultRate, up to minSampledCalls
 
@@ -143,8 +145,8 @@
 	return wasTrial
 }
 
-// recordSuccess records a call that ended with an accepted verdict. Enough successful trial calls in a row end the
-// probation.
+// recordSuccess records a call that ended with an accepted verdict. Probation ends after trialsToRecover successful
+// trial calls.
 func (b *CircuitBreaker) recordSuccess(tenant string, elapsed, now timeunit.Ticks, policy *Policy) {
 	wasTrial := b.endCall(elapsed, now, policy)
 	b.consecutiveFaults = 0
@@ -165,7 +167,8 @@
 
 // recordFault records a call that ended in a fault, and reports whether the plug-in is quarantined because of it.
 // FaultUnavailable is not counted, because the plug-in was not called. FaultProcessDied is never attributed to a
-// tenant. With Policy.FaultsByTenant, other faults count against the tenant first.
+// tenant. With Policy.FaultsByTenant, any other fault of a call for a tenant counts against that tenant. It counts
+// against the plug-in too if the plug-in is then blocked for at least blockedTenantsThreshold tenants.
 func (b *CircuitBreaker) recordFault(
 	tenant string, fault Fault, elapsed, now timeunit.Ticks, policy *Policy,
 ) (isQuarantined bool) {
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -33,6 +33,8 @@
 	}
 }
 
+// setInUse sets the amount in use and updates its peak. accumulate must be called first, so that the previous amount
+// counts up to now.
 func (m *demandMeter) setInUse(inUse Amount) {
 	m.inUse = inUse
 	m.peakInUse = max(m.peakInUse, inUse)
--- a/internal/quota/division.go
+++ b/internal/quota/division.go
@@ -36,8 +36,9 @@
 	return a.config.roundUp(max(lease.desired, a.config.InitialAmount))
 }
 
-// requiredAmount returns the amount that a server requires, but at least the initial amount. It is zero for a server
-// that has had a lease and requires nothing. A server without a lease cannot know its demand yet.
+// requiredAmount returns the amount that a server requires, but at least the initial amount, rounded up to the
+// granularity. It is zero for a server that has a lease and requires nothing. A server without a lease, or whose lease
+// has expired, requires at least the initial amount, as it cannot know its demand before it has some capacity.
 func (a *Allocator) requiredAmount(lease *lease) Amount {
 	if lease.required == 0 && lease.version > 0 {
 		return 0
--- a/internal/quota/limit_set.go
+++ b/internal/quota/limit_set.go
@@ -98,7 +98,9 @@
 	return response, granted
 }
 
-// requestTotals requests the totals from a server's settings if their revision is later than every known one.
+// requestTotals asks the allocators to change the totals to those in a server's settings. It does so only if the
+// revision of these settings is later than that of the applied totals and of any totals requested or proposed but not
+// yet applied. Before the log is opened, it does nothing.
 func (s *LimitSet) requestTotals(request Request) {
 	if !s.opened || request.Revision <= max(s.revision, s.proposedRevision) {
 		return
--- a/internal/recovery/analysis.go
+++ b/internal/recovery/analysis.go
@@ -114,7 +114,9 @@
 	}
 }
 
-// extendRejection makes the rejection of keyed requests without an outcome last at least until the given time.
+// extendRejection makes the rejection of keyed requests without an outcome last at least until the given time of the
+// present wall clock. Their outcomes may have been lost or dropped, so such a request may have run already, and its
+// deduplication window may not have ended before that time.
 func (a *Analysis) extendRejection(until timeunit.Ticks) { a.rejectUntil = max(a.rejectUntil, until) }
 
 // Finish ends the analysis and returns the state that the new process starts with.
--- a/internal/segmentlog/directory.go
+++ b/internal/segmentlog/directory.go
@@ -65,8 +65,9 @@
 	return &Directory{path: path, lockFile: lockFile}, nil
 }
 
-// OpenDirectoryReadOnly returns a Directory for reading, without locking it, so another process may have it open. Close
-// must not be called on it.
+// OpenDirectoryReadOnly returns a Directory for reading, without locking it, so another process may have it open. The
+// Directory does not enforce that it is only read: the caller must not call Create or Remove. Close must not be called
+// either, as there is no lock to release.
 func OpenDirectoryReadOnly(path string) *Directory { return &Directory{path: path} }
 
 // Close releases the lock, so that another process can open the directory.
--- a/internal/strictcbor/strictcbor.go
+++ b/internal/strictcbor/strictcbor.go
@@ -9,7 +9,7 @@
 
 // Bounds limits the input that a decoder accepts.
 type Bounds struct {
-	// MaxArrayElements is the maximum number of elements of one array.
+	// MaxArrayElements is the maximum number of elements of one array. With 0, the default of the library applies.
 	MaxArrayElements int
 	// MaxMapPairs is the maximum number of key-value pairs of one map. With 0, the default of the library applies.
 	MaxMapPairs int
--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -34,7 +34,8 @@
 	return prefix.Masked()
 }
 
-// AddNetwork assigns the addresses in a prefix to a tenant, except those in a longer prefix of the table.
+// AddNetwork assigns the addresses in a prefix to a tenant, except those in a longer prefix of the table. The prefix is
+// normalized (see Normalize). If the table already contains it, the new tenant replaces the old one.
 func (t *Table) AddNetwork(prefix netip.Prefix, tenant string) {
 	t.networks.Insert(Normalize(prefix), tenant)
 }
