--- a/internal/emulator/loadrun.go
+++ b/internal/emulator/loadrun.go
@@ -42,7 +42,7 @@
 	load           *Load
 	statsByTenant  *StatsByTenant
 	connections    []*loadConnection
-	brokenRequests int // attempts whose connection ended before the response
+	brokenAttempts int // attempts whose connection ended before the response
 }
 
 // loadConnection is one connection to the server.
@@ -186,7 +186,7 @@
 func (r *LoadRun) recordBrokenConnection(connection *loadConnection) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.brokenRequests += len(connection.sentAttempts)
+	r.brokenAttempts += len(connection.sentAttempts)
 	clear(connection.sentAttempts)
 }
 
@@ -226,10 +226,10 @@
 	}
 }
 
-// BrokenRequests returns the number of attempts whose connection ended before their response. Attempts that are still
+// BrokenAttempts returns the number of attempts whose connection ended before their response. Attempts that are still
 // unanswered when Run closes the connections count too, but only some time after Run has returned.
-func (r *LoadRun) BrokenRequests() int {
+func (r *LoadRun) BrokenAttempts() int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.brokenRequests
+	return r.brokenAttempts
 }
--- a/internal/quota/limit_set.go
+++ b/internal/quota/limit_set.go
@@ -86,7 +86,7 @@
 		s.MismatchedRequests++
 		return response, false
 	}
-	s.requestTotals(request)
+	s.requestNewerTotals(request)
 	response.Limits = make([]LimitResponse, len(s.allocators))
 	for i, allocator := range s.allocators {
 		limitResponse, isLeased := allocator.renewLease(request.Limits[i], now)
@@ -98,10 +98,10 @@
 	return response, granted
 }
 
-// requestTotals asks the allocators to change the totals to those in a server's settings. It does so only if the
+// requestNewerTotals asks the allocators to change the totals to those in a server's settings. It does so only if the
 // revision of these settings is later than that of the applied totals and of any totals requested or proposed but not
 // yet applied. Before the log is opened, it does nothing.
-func (s *LimitSet) requestTotals(request Request) {
+func (s *LimitSet) requestNewerTotals(request Request) {
 	if !s.opened || request.Revision <= max(s.revision, s.proposedRevision) {
 		return
 	}
--- a/internal/server/fairqueue_socket_test.go
+++ b/internal/server/fairqueue_socket_test.go
@@ -185,7 +185,7 @@
 		server.Equal(tenant.Requests, tenant.OnTime+tenant.Late+tenant.Rejected+tenant.Aborted,
 			"requests without a response")
 	}
-	server.Zero(load.BrokenRequests())
+	server.Zero(load.BrokenAttempts())
 	acme := tenants[0]
 	beta := tenants[1]
 	server.GreaterOrEqual(acme.DeliveredShare(), 0.9)
--- a/internal/server/plugin_load_socket_test.go
+++ b/internal/server/plugin_load_socket_test.go
@@ -54,7 +54,7 @@
 	tenants, err := load.Run()
 	l.server.NoError(err)
 	meanwhile.Wait()
-	l.server.Zero(load.BrokenRequests())
+	l.server.Zero(load.BrokenAttempts())
 	l.acme = tenants[0]
 	l.beta = tenants[1]
 }
