--- a/internal/plugin/chain/verdict.go
+++ b/internal/plugin/chain/verdict.go
@@ -11,7 +11,7 @@
 	Replace  bool
 }
 
-// NoCategory, as the value of Verdict.Category, leaves the request in its category.
+// NoCategory is the value of Verdict.Category that leaves the request in its category.
 const NoCategory = -1
 
 // Bounds that apply to every verdict, whatever the policy.
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -122,7 +122,7 @@
 }
 
 // unreadByRouters returns the total number of bytes that routers have left unread and the router connection with the
-// most of them, or fallback if there is no such connection.
+// most of them, or fallback if there is no such connection. It also removes closed connections from unreadConnections.
 func (s *Server) unreadByRouters(fallback *outputBuffer) (total int, largest *outputBuffer) {
 	largestUnread := -1
 	largest = fallback
@@ -132,6 +132,7 @@
 			continue
 		}
 		unread := output.conn.OutboundBuffered()
+		// An outputBuffer does not record the kind of its peer, but only router connections have this limit.
 		if output.maxUnread != maxUnreadPerRouter {
 			continue
 		}
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -45,9 +45,9 @@
 	server.setTimer(&timer{fire: func() { fired++ }}, server.now+1)
 	server.now += pauseThreshold + 2
 	server.fireTimers()
-	require.True(t, server.isAwaitingSockets())
+	require.True(t, server.deferAfterPause())
 	require.Zero(t, fired)
 	server.resumeAfterPause()
-	require.False(t, server.isAwaitingSockets())
+	require.False(t, server.deferAfterPause())
 	require.Equal(t, 1, fired)
 }
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -80,7 +80,7 @@
 		return gnetErrors.ErrEngineShutdown
 	}
 	s.now = max(s.now, s.clock.now())
-	if s.isAwaitingSockets() {
+	if s.deferAfterPause() {
 		s.endBatchQueued = false
 		return nil
 	}
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -154,9 +154,11 @@
 	}
 }
 
-// exchangeUsage accounts the core time that tenants used on other servers in the fair scheduler, and returns the core
-// time that they used on this server, for at most membership.MaxUsageEntries tenants. It returns nil without fair
-// queueing.
+// exchangeUsage takes the stored usage reports of the other servers, so that they are not processed again, and accounts
+// them in the fair scheduler. It returns the total core time, in ticks, that each named tenant has used on this server
+// since the process started or, if later, since the tenant was configured. The list has at most
+// membership.MaxUsageEntries tenants: those with the highest recent usage, highest first. Without fair queueing, it
+// takes no reports and returns nil.
 func (p *gossipSubsystem) exchangeUsage() []membership.TenantUsage {
 	server := p.server
 	if server.fairQueue.scheduler == nil {
--- a/internal/server/indexconnection.go
+++ b/internal/server/indexconnection.go
@@ -103,8 +103,9 @@
 
 func (p *pooledConnection) closed() { p.handleLoss(admission.Indeterminate) }
 
-// handleLoss is called when the connection has closed or could not be opened. It ends the connection's call with
-// outcome and gives the connection's place in the pool to the next waiting call.
+// handleLoss is called when the connection has closed or could not be opened, and by close when the client itself
+// closes it. It removes the connection from the pool and ends its call, if it has one, with outcome. It then assigns
+// the next waiting call if the pool has fewer than maxConnections connections.
 func (p *pooledConnection) handleLoss(outcome admission.Outcome) {
 	client := p.client
 	p.state = pooledClosed
--- a/internal/server/interpreternotices.go
+++ b/internal/server/interpreternotices.go
@@ -53,7 +53,7 @@
 	Type      string          `json:"type"`
 	Number    uint64          `json:"n"`
 	RequestID string          `json:"job"`
-	State     string          `json:"state"`
+	State     string          `json:"state"` // of the interpreter or the run; for an ERROR, the failed command's name
 	TookMs    float64         `json:"took"`
 	Data      []byte          `json:"data"`
 	Tag       string          `json:"ref"`
@@ -219,7 +219,8 @@
 	req.handle.NeedsCall()
 }
 
-// onCommandFailed handles a notice that a command failed. If the command was an APPLY, the run never started.
+// onCommandFailed handles a notice that a command failed. If the command was an APPLY, the run ends as never started,
+// or as aborted if an earlier notice proves that it had started (see endUnstartedRun).
 func (c *interpreterClient) onCommandFailed(received *notice, req *request) {
 	if countAndSample(&c.errorCount) {
 		c.server.log.Event("interpreter_error").Str("command", received.State).Str("request_id", received.RequestID).
--- a/internal/server/lateness.go
+++ b/internal/server/lateness.go
@@ -2,7 +2,10 @@
 
 import "thistlequay/timeunit"
 
-// latenessInterval is the minimum time for which peakLateness remembers a lateness. The maximum is twice as long.
+// latenessInterval is the length of an interval of peakLateness, and the minimum time for which it remembers a
+// lateness. The next interval starts at the first call of add or peak after the end of the current one. That call may
+// come almost one latenessInterval late, so a lateness may be remembered for almost three times as long. If it comes
+// later still, it forgets the lateness.
 const latenessInterval = 1 * second
 
 // peakLateness tracks the largest recent timer lateness, the time by which timers fired after their deadlines. Timers
@@ -31,7 +34,7 @@
 		return
 	}
 	p.previousMax = p.currentMax
-	if now >= p.intervalEnd+latenessInterval { // a whole interval has passed without a measurement
+	if now >= p.intervalEnd+latenessInterval { // no call for a whole interval: the maximum is too old
 		p.previousMax = 0
 	}
 	p.currentMax = 0
--- a/internal/server/pause.go
+++ b/internal/server/pause.go
@@ -5,7 +5,8 @@
 // pauseThreshold is the timer lateness above which the machine or the process is assumed to have been paused.
 const pauseThreshold = second / 50
 
-// pauseState is the progress of the event loop in resuming after a pause of the machine or the process.
+// pauseState is the progress of the event loop in resuming after a pause of the machine or the process. endBatch
+// returns it to pauseNone.
 type pauseState int
 
 const (
@@ -14,10 +15,15 @@
 	pauseSocketsRead                // the sockets have been read; late timers may fire
 )
 
-// isAwaitingSockets reports whether timers and dispatch must wait until the sockets have been read once more. It
-// detects pauses by late timers. Input that arrived during a pause, such as a result or a router's abort, must be
-// handled before the late timers, at whatever point the loop was paused.
-func (s *Server) isAwaitingSockets() bool {
+// deferAfterPause reports whether timers and dispatch must wait until the sockets have been read once more. If the
+// earliest timer is late by more than pauseThreshold, it assumes that there was a pause, begins the wait and schedules
+// resumeAfterPause, which ends the wait. The next endBatch then sets the state back to pauseNone; until it does, no
+// further pause is detected.
+//
+// Input that arrived during a pause, such as a result or a router's abort, must be handled before the late timers. The
+// loop may be paused between two batches or within one, so both fireTimers and endBatch call this method before they
+// act.
+func (s *Server) deferAfterPause() bool {
 	isLate := len(s.deadlines) > 0 && s.now-s.deadlines[0].deadline > pauseThreshold
 	if s.pauseState == pauseNone && isLate {
 		s.pauseState = pauseAwaitingSockets
--- a/internal/server/routerconnection.go
+++ b/internal/server/routerconnection.go
@@ -103,6 +103,7 @@
 	return c.peerIP
 }
 
+// opened adds the connection to the router table as a new connection and sets the timer for its first complete request.
 func (c *routerConnection) opened(conn gnet.Conn) {
 	table := &c.server.routers
 	c.conn = conn
--- a/internal/server/timers.go
+++ b/internal/server/timers.go
@@ -61,7 +61,7 @@
 // fireTimers fires all timers that are due. It is called when the system timer fires.
 func (s *Server) fireTimers() {
 	s.systemTimerDeadline = noDeadline
-	if s.isAwaitingSockets() {
+	if s.deferAfterPause() {
 		return
 	}
 	if len(s.deadlines) > 0 {
