--- a/admission/config.go
+++ b/admission/config.go
@@ -139,7 +139,8 @@
 }
 
 // StoredForm returns the settings as text, without WarmStart. Stored warm-start records carry a hash of this text and
-// are ignored when it differs, so the names and their order must stay those of its first version.
+// are ignored when it differs, so the text must stay that of its first version: the names in it, most of which are not
+// the names of the fields, their order and the format of the values.
 func (c *Config) StoredForm() string {
 	var text strings.Builder
 	text.WriteString("{Categories:[")
--- a/admission/histogram.go
+++ b/admission/histogram.go
@@ -22,7 +22,7 @@
 	return histogram{binWidth: max(1, scale/binsPerScale)}
 }
 
-// add counts one sample.
+// add counts one sample. When the total reaches maxSamples, it halves the total and all counts.
 func (h *histogram) add(t timeunit.Ticks) {
 	h.counts[max(0, min(int(t/h.binWidth), histogramBins-1))]++
 	h.total++
--- a/admission/host.go
+++ b/admission/host.go
@@ -113,7 +113,8 @@
 	// CloseIdleConnections closes connections of routers once they have been idle for the time after.
 	CloseIdleConnections(after timeunit.Ticks)
 
-	// SetTimer requests a batch with OnTimer when the time after has passed. It may replace an earlier timer.
+	// SetTimer requests a batch with OnTimer when the time after has passed. The host may let it replace a timer that
+	// is still pending; for such a host, the pending timer is always due later than the new one.
 	SetTimer(after timeunit.Ticks)
 
 	// Release ends the use of the handle: the package no longer counts the request.
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -19,21 +19,23 @@
 )
 
 // timers holds at most one timer per request: the end of its time in the queue, its deadline, or the end of its
-// idempotency entry. The host knows only the earliest timer.
+// idempotency entry. A single timer of the host serves all of them; setTimer sets it at the end of a batch. It may be
+// due earlier than every timer held here: for a reading of the gauges, or for a timer that has since been stopped.
 type timers struct {
 	heap          deadlineHeap
 	gaugeInterval timeunit.Ticks // time between two readings of the gauges, and before a failed step is retried
 	hostTimerAt   timeunit.Ticks // when the host's timer fires; noDeadline if none is set
 }
 
-// set sets the timer of the request and replaces any earlier one.
+// set sets the timer of the request and replaces the one that the request had before, if any. It does not change the
+// host's timer, which setTimer updates at the end of the batch.
 func (t *timers) set(request *Request, at timeunit.Ticks) {
 	t.stop(request)
 	request.timerAt = at
 	heap.Push(&t.heap, request)
 }
 
-// stop removes the timer of the request, if it has one.
+// stop removes the timer of the request, if it has one. It does not change the host's timer either.
 func (t *timers) stop(request *Request) {
 	if request.heapIndex != notInHeap {
 		heap.Remove(&t.heap, request.heapIndex)
@@ -59,7 +61,8 @@
 	}
 }
 
-// setTimer asks the host for the next batch, unless the host's timer fires earlier already.
+// setTimer asks the host for the next batch at the time of the earliest timer or, if requests are queued or in flight,
+// after gaugeInterval at the latest. It does nothing if the host's timer is already due at or before that time.
 func (s *Server) setTimer() {
 	next := noDeadline
 	if len(s.timers.heap) > 0 {
--- a/internal/clustertest/relay.go
+++ b/internal/clustertest/relay.go
@@ -74,8 +74,11 @@
 	}
 }
 
-// forwardPacket forwards one packet and applies a fault to it. It draws random numbers in the order loss, truncation,
-// jitter, duplication. It draws the number for the jitter even if the fault has none.
+// forwardPacket forwards one packet and applies a fault to it. A packet that is cut or lost is dropped.
+//
+// It draws random numbers in a fixed order, so that equal seeds give equal draws for equal sequences of traffic: for
+// loss, truncation, jitter and duplication. Loss, truncation and duplication draw a number only if their probability is
+// above 0; the jitter always does. A cut packet draws none, and a lost one draws none after the loss.
 func (r *relay) forwardPacket(packet []byte, fault Fault) {
 	if fault.Cut || r.network.drawBool(fault.Loss) {
 		return
--- a/internal/membership/succession.go
+++ b/internal/membership/succession.go
@@ -13,10 +13,18 @@
 type urgency int
 
 const (
-	urgencyNone        urgency = iota
-	urgencyMemberCount         // the member count is outdated, or a new genesis epoch is requested
-	urgencyVoters              // there is no configuration, a voter is not alive, or there are too few voters
-	urgencyImmediate           // a draining voter must be replaced before it leaves, or a proposal was already accepted
+	urgencyNone urgency = iota
+
+	// urgencyMemberCount means that the member count is outdated, or that a new genesis epoch is requested.
+	urgencyMemberCount
+
+	// urgencyVoters means that there is no configuration, that two different configurations of the current epoch are
+	// known, that a voter is not alive, or that there are too few voters.
+	urgencyVoters
+
+	// urgencyImmediate means that a draining voter must be replaced before it leaves, or that this server has already
+	// accepted a proposal.
+	urgencyImmediate
 )
 
 // memberCountDriftDivisor sets the tolerated drift of the member count: a configuration is replaced when its count is
@@ -150,6 +158,9 @@
 	return result
 }
 
+// voterUrgency returns how urgently a voter must be replaced. A draining voter is certain to leave and must be replaced
+// before it does, so its replacement does not wait for StabilityWindow. The replacement of a voter that is not alive
+// does wait, and is dropped if the voter is found alive within that time.
 func (a *Agreement) voterUrgency(voter Voter) urgency {
 	member := a.view.Member(voter.ID)
 	switch {
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -149,7 +149,9 @@
 	h.expiresAt = max(h.expiresAt, expiresAt)
 }
 
-// accepts reports whether a response belongs to the current log, is not stale, and matches the configuration.
+// accepts reports whether a response may be applied. It must belong to the holder's log, its lease version must not be
+// lower than the holder's, its request time must not be in the future, its amount must not be negative, and its lease
+// duration must be the configured one.
 func (h *LeaseHolder) accepts(response LimitResponse, now timeunit.Milliseconds) bool {
 	isCurrent := response.LogID == h.logID && response.LeaseVersion >= h.version
 	isPlausible := response.RequestedAt <= now && response.Amount >= 0
--- a/internal/quota/limit_set.go
+++ b/internal/quota/limit_set.go
@@ -139,7 +139,10 @@
 	return command, true
 }
 
-// changeCommand returns a command with the changes of all limits.
+// changeCommand collects the next changes of all limits in a command. The allocators record these changes as proposed
+// and do not return them again, unless ProposalFailed reverts this. due is false if there are no changes. If the
+// command changes a total, it carries the revision of the requested totals, provided that this is later than the
+// revision of the applied ones.
 func (s *LimitSet) changeCommand(now timeunit.Milliseconds) (command Command, due bool) {
 	changesTotal := false
 	for i, allocator := range s.allocators {
--- a/internal/quota/service/voter.go
+++ b/internal/quota/service/voter.go
@@ -36,9 +36,13 @@
 	return slices.Contains(s.config.Coordinators, s.config.ServerName)
 }
 
-// restoreState starts the coordinator with the state in the storage. A named coordinator whose storage is empty or
-// corrupt joins as a new voter, because under its old voter ID it may have cast votes that it no longer knows of. It
-// starts the first log only if the settings state that there has never been one.
+// restoreState starts the coordinator with the state in the storage. It does nothing without storage, or on a server
+// that is not a named coordinator.
+//
+// If Storage.Load returns no state, because the storage was empty or unreadable, and BootstrapLog states that there has
+// never been a log, it starts the first log. In all other cases without a usable state, the coordinator joins the log
+// as a new voter, because under its old voter ID it may have cast votes that it no longer knows of. A state that was
+// loaded but from which the coordinator cannot resume is such a case, even if BootstrapLog is set.
 func (s *Service) restoreState() error {
 	if s.config.Storage == nil || !s.isNamedCoordinator() {
 		return nil
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -26,7 +26,8 @@
 	limit int // number of buffers in use at which no further request is started
 }
 
-// setLimit sets the limit on buffers in use to 1/bufferMemoryDivisor of the memory, and at least to maxFreeBuffers.
+// setLimit sets the limit on buffers in use, which is a number of buffers. It is the number that fits into
+// 1/bufferMemoryDivisor of memoryBytes, the memory limit of the process in bytes, and at least maxFreeBuffers.
 func (p *bufferPool) setLimit(memoryBytes int) {
 	p.limit = max(maxFreeBuffers, memoryBytes/bufferMemoryDivisor/bufferSize)
 }
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -23,7 +23,7 @@
 	lock        sync.Mutex // guards the fields below
 	clusterSize int
 	onChange    func()
-	usage       map[membership.ID]tenantUsage // reports that takeUsage has not returned yet
+	usage       map[membership.ID]tenantUsage // last report of each server that takeUsage has not returned yet
 }
 
 // tenantUsage is the core time that another server reported for its tenants.
@@ -43,7 +43,8 @@
 	}
 }
 
-// UsageReported stores a report of the core time that another server's tenants used. age is the age of the report.
+// UsageReported stores a report of the core time that another server's tenants used. It replaces a stored report of the
+// same server. age is the age of the report.
 func (g *Gossip) UsageReported(server membership.ID, age time.Duration, tenants []membership.TenantUsage) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -53,8 +54,8 @@
 	g.usage[server] = tenantUsage{reportedAt: time.Now().Add(-age), tenants: tenants}
 }
 
-// takeUsage returns the reports since its last call and the IDs of the reporting servers, sorted so that the order is
-// deterministic.
+// takeUsage returns the last report received from each server since the previous call of takeUsage, and the IDs of
+// these servers, sorted so that the order is deterministic.
 func (g *Gossip) takeUsage() (servers []membership.ID, usage map[membership.ID]tenantUsage) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
--- a/internal/server/interpreter.go
+++ b/internal/server/interpreter.go
@@ -164,7 +164,9 @@
 	c.server.stopTimer(&c.redialTimer)
 }
 
-// becomeReady makes the link ready for commands and sends the commands that waited for a link.
+// becomeReady makes the link ready for commands. On the first link it is called when admission has started, and on each
+// later link at the end of the replay of notices, for which commands must wait. It sends the commands that waited, and
+// ends the runs that were abandoned before their APPLY was sent.
 func (c *interpreterClient) becomeReady() {
 	c.state = linkReady
 	c.replayEndTag = ""
@@ -174,7 +176,8 @@
 	}
 }
 
-// sendPending sends the commands of a request that waited for a link.
+// sendPending sends the commands of a request that waited for a link. If the request was abandoned before its APPLY was
+// sent, it ends the run instead of sending the APPLY.
 func (c *interpreterClient) sendPending(req *request) {
 	switch {
 	case req.runDone:
--- a/internal/server/plugins.go
+++ b/internal/server/plugins.go
@@ -60,6 +60,8 @@
 	lateVerdicts    int              // verdicts that matched no pending call
 }
 
+// init prepares the subsystem. New calls it before the event loop starts, as it calls the init method of every
+// subsystem. It is called even if there are no plug-ins, because a new configuration may add them later.
 func (p *pluginSubsystem) init(server *Server) {
 	p.server = server
 	p.pendingCalls = map[uint64]*chainEvaluation{}
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -83,9 +83,10 @@
 	return responses
 }
 
-// quotaSubsystem applies the quota on the event loop. Before each dispatch it sets admission's limit on calls in
-// flight, and it requests new leases according to usage. It must never make or allow a call beyond the usable quota,
-// nor wait for the service.
+// quotaSubsystem applies the quota on the event loop. Before each dispatch, and also when a response arrives, when the
+// lease expires and periodically, update handles the coordinator's responses, cancels calls that an expired lease no
+// longer covers, sets admission's limit on calls in flight and requests new leases according to usage. The subsystem
+// must never make or allow a call beyond the usable quota, nor wait for the service.
 type quotaSubsystem struct {
 	subsystemDefaults
 	server             *Server
--- a/internal/servertest/server.go
+++ b/internal/servertest/server.go
@@ -210,7 +210,7 @@
 	s.NoError(s.Process.Process.Signal(signal))
 }
 
-// Kill kills the program and waits until it has exited.
+// Kill sends SIGKILL to the program and waits until it has exited. The test fails if the program had exited before.
 func (s *Server) Kill() {
 	s.T.Helper()
 	s.NoError(s.Process.Process.Kill())
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -145,7 +145,7 @@
 	delete(h.requests, admitted.ID)
 }
 
-// SetTimer schedules OnTimer after a time, unless an earlier call is already scheduled.
+// SetTimer schedules OnTimer after a time, unless OnTimer is already due at or before that time.
 func (h *host) SetTimer(after timeunit.Ticks) { h.timerDue = min(h.timerDue, h.now+seconds(after)) }
 
 // ShareResult does nothing: no request has an idempotency key.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -20,7 +20,8 @@
 	minRanDivisor = 5
 )
 
-// Values of Violation.Check.
+// Values of Violation.Check. CheckRanAfterGrace means that a request ran although it was received after the end of the
+// grace period.
 const (
 	CheckUnanswered        = "unanswered"
 	CheckDuplicateResponse = "more than one response"
@@ -84,7 +85,8 @@
 // reportFunc records a violation by a process. The format and its arguments become Violation.Detail.
 type reportFunc func(check string, process *Process, format string, args ...any)
 
-// checkRequest reports the violations in the responses and runs of a request.
+// checkRequest reports the violations in the responses and runs of a request. Whether it ran after the grace period is
+// judged by its ReceivedAt alone: a request received in time may run later, and one received later must never run.
 func (o *Observation) checkRequest(request *Request, report reportFunc) {
 	process := request.Process
 	if len(request.Responses) > 1 {
