--- a/internal/daemon/platform_config.go
+++ b/internal/daemon/platform_config.go
@@ -91,7 +91,7 @@
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			found.Add(a.key, "an address such as 127.0.0.1:8443", "%q is not an address with a port", a.address)
+			found.Add(a.key, "an address such as 127.0.0.1:8443", "%q is none", a.address)
 		}
 	}
 	if f.Name == "" {
